--- /dev/null
+++ b/internal/cli/golden_test.go
@@ -0,0 +1,255 @@
+package cli
+
+import (
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"marblespan/internal/config"
+	"marblespan/internal/config/lines"
+	"marblespan/internal/control"
+	"marblespan/internal/floating"
+	"marblespan/internal/peers"
+	"marblespan/internal/program"
+)
+
+// The golden files in testdata are what operators write and see. They change only where that is meant to change; then
+// "go test ./internal/cli -update" writes them anew.
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// compareGolden compares a text with a golden file in testdata.
+func compareGolden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s differs. Got:\n%s\nwant:\n%s", path, got, want)
+	}
+}
+
+// emptyFields lists the exported fields that hold nothing in a value and in what it points to. Of a slice it looks at the
+// first element, and it passes over embedded fields.
+func emptyFields(path string, v reflect.Value) (empty []string) {
+	switch isSlice := v.Kind() == reflect.Slice; {
+	case v.IsZero(), isSlice && v.Len() == 0:
+		return []string{path}
+	case isSlice:
+		return emptyFields(path+"[0]", v.Index(0))
+	case v.Kind() == reflect.Pointer:
+		return emptyFields(path, v.Elem())
+	case v.Kind() == reflect.Struct:
+		for i := range v.NumField() {
+			if f := v.Type().Field(i); f.IsExported() && !f.Anonymous {
+				empty = append(empty, emptyFields(path+"."+f.Name, v.Field(i))...)
+			}
+		}
+	}
+	return empty
+}
+
+// unwritten lists the directives that no line names, of a section and of those in it; of several of a kind it looks at the first.
+func unwritten(section reflect.Value) (missing []string) {
+	where := section.FieldByName("Where").Interface().(lines.Where)
+	for i := range section.NumField() {
+		tag, value := section.Type().Field(i).Tag, section.Field(i)
+		if directive, _, _ := strings.Cut(tag.Get("conf"), ","); directive != "" && where.At(directive, 0) == where.Line {
+			missing = append(missing, directive)
+		}
+		if tag.Get("section") == "" {
+			continue
+		}
+		if value.Kind() == reflect.Slice {
+			value = value.Index(0).Addr()
+		}
+		for _, directive := range unwritten(value.Elem()) {
+			missing = append(missing, tag.Get("section")+" "+directive)
+		}
+	}
+	return missing
+}
+
+// platform is an environment that names the sample of the platform's configuration.
+func platform() map[string]string {
+	return map[string]string{"PROXY_CONFIG": filepath.Join("..", "..", "deploy", "sample.json")}
+}
+
+// An operators' file with every directive is read, and check prints of it what it always did.
+func TestCheckGolden(t *testing.T) {
+	file := filepath.Join("testdata", "every-directive.conf")
+	operators, err := config.LoadOperators(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if empty := emptyFields("operators", reflect.ValueOf(operators)); len(empty) > 0 {
+		t.Fatalf("%s leaves out %v", file, empty)
+	}
+	if missing := unwritten(reflect.ValueOf(operators).Elem()); len(missing) > 0 {
+		t.Errorf("%s does not name %v", file, missing)
+	}
+	code, out, errs := run(t, platform(), "check", "--conf", file)
+	if code != 0 || errs != "" {
+		t.Fatalf("exit %d: %s", code, errs)
+	}
+	compareGolden(t, "every-directive.check", out)
+}
+
+// Faults are told in the words in which they always were. What the lines say is looked at once all of them can be read.
+func TestFaultsGolden(t *testing.T) {
+	for _, name := range []string{"faulty-lines", "faulty-values"} {
+		t.Run(name, func(t *testing.T) {
+			code, out, errs := run(t, platform(), "check", "--conf", filepath.Join("testdata", name+".conf"))
+			if code != exitFault || out != "" {
+				t.Errorf("exit %d: %s", code, out)
+			}
+			compareGolden(t, name+".faults", errs)
+		})
+	}
+}
+
+// askDouble runs a command against a control socket that gives one answer, and tells what it was asked and what was printed.
+func askDouble(t *testing.T, answer any, args ...string) (question, out string) {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "s")
+	server, err := control.Listen(path, func(q string) (any, error) {
+		question = q
+		return answer, nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	code, out, errs := run(t, nil, append(args, "--socket", path)...)
+	server.Close()
+	if code != 0 || errs != "" {
+		t.Errorf("%v: exit %d: %s", args, code, errs)
+	}
+	return question, out
+}
+
+// member is one with a value in each field, but for those that only a try of streams fills.
+func member(name string) peers.Member {
+	return peers.Member{
+		Name: name, At: "192.0.2.3:7946", Life: 1_767_225_600_000_000, Incarnation: 2, State: "suspect", ForMS: 3000, By: "gw-3", HeardMS: 400,
+		RTTMicros: 500, Zone: "b", Weight: 6, Version: "1.2.3", Settings: "00000000000000ff", Differs: true, Flags: []string{"draining", "no disk"},
+		Cut: []string{"gw-1 -> gw-2"},
+	}
+}
+
+// Each answer on the control socket has the keys that it always had, and is printed as it always was.
+func TestAnswersGolden(t *testing.T) {
+	self, other := member("gw-1"), member("gw-2")
+	self.Self = true
+	unreached, reached := self, other
+	unreached.StreamMicros, unreached.StreamFault, reached.StreamMicros = 700, "timeout", 800
+	replica := program.CopiesReplica{Number: 11, Node: "gw-1", Lost: true}
+	for _, c := range []struct {
+		name, question string
+		args           []string
+		answer         any
+		empty          []string // fields that the answer leaves out
+	}{
+		{
+			"members", "members", []string{"members"},
+			peers.Status{Node: "gw-1", LeftOut: true, Health: 2, Members: []peers.Member{self, other}},
+			[]string{"answer.Members[0].StreamMicros", "answer.Members[0].StreamFault"},
+		},
+		{
+			"members-streams", "members streams", []string{"members", "--streams"},
+			peers.Status{Node: "gw-1", LeftOut: true, Health: 2, Members: []peers.Member{unreached, reached}}, nil,
+		},
+		{
+			"vrrp-status", "vrrp status", []string{"vrrp", "status"},
+			[]floating.Status{{
+				Group: "counters", VRID: 51, Addresses: []string{"192.0.2.10", "192.0.2.11"}, State: "backup", ForMS: 1500, Priority: 60, Settings: 100,
+				Ready: true, Wrong: []string{"no-primary"}, Holder: "192.0.2.3", Tenure: 3, HeldMS: 250,
+			}}, nil,
+		},
+		{
+			"copies", "copies", []string{"copies"},
+			program.CopiesStatus{
+				Node: "gw-1", Founding: "00000000000000aa", Index: 7, Copies: 3, Format: 2, Disk: "00000000000000bb", Failed: "disk full", Waiting: 4,
+				Disks: []program.CopiesDisk{{Number: "00000000000000bb", Node: "gw-1", Zone: "a", Weight: 5, Gone: true}},
+				Groups: []program.CopiesGroup{{
+					Group: 1, Epoch: 2, Lost: true, Replicas: []program.CopiesReplica{replica, {Number: 12, Node: "gw-2"}},
+					Adding: &program.CopiesReplica{Number: 13, Node: "gw-3", Lost: true}, Leaving: 12,
+					Here: &program.CopiesHere{Number: 11, Leader: "gw-2", Term: 6, Applied: 80, Last: 90, Records: 10, Bytes: 1100, Unsure: true},
+				}, {Replicas: []program.CopiesReplica{}, Here: &program.CopiesHere{Leader: "gw-2"}}},
+			}, nil,
+		},
+		{
+			"intents", "intents", []string{"intents"},
+			program.IntentsStatus{
+				Node: "gw-1", Counts: map[string]int64{"claimed": 5, "taken_over": 1},
+				Open: []program.Intent{{
+					Booking: "0102030405060708", ID: "r-1", Class: "order", Phase: "under_way", ForMS: 20, State: "open", Owner: "gw-1", Server: "s-1", Attempt: 2,
+				}},
+			}, nil,
+		},
+		{
+			"maintain", "maintain", []string{"maintain", "list"},
+			program.MaintainStatus{
+				Node: "gw-1", Leader: "gw-2", Held: true,
+				Machines: []program.MaintainedUnit{{
+					Place: 1, Machine: "s-1", Kind: "server", Group: 2, State: "leaving", ForMS: 3000, WorkMS: 1_200_000, Waits: "gw-3 to hear of it", Why: "new disk", By: "gw-1",
+				}, {Machine: "gw-3", Kind: "gateway", State: "back"}},
+			}, nil,
+		},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if empty := emptyFields("answer", reflect.ValueOf(c.answer)); !slices.Equal(empty, c.empty) {
+				t.Errorf("the answer leaves out %v", empty)
+			}
+			raw, err := json.MarshalIndent(c.answer, "", "  ")
+			if err != nil {
+				t.Fatal(err)
+			}
+			compareGolden(t, c.name+".json", string(raw)+"\n")
+
+			golden, err := os.Open(filepath.Join("testdata", c.name+".json"))
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer golden.Close()
+			strict, read := json.NewDecoder(golden), reflect.New(reflect.TypeOf(c.answer))
+			strict.DisallowUnknownFields()
+			if err := strict.Decode(read.Interface()); err != nil || !reflect.DeepEqual(read.Elem().Interface(), c.answer) {
+				t.Errorf("the golden file is read as %+v, %v", read.Elem(), err)
+			}
+
+			question, out := askDouble(t, c.answer, append(c.args, "--json")...)
+			if question != c.question {
+				t.Errorf("asked %q", question)
+			}
+			compareGolden(t, c.name+".json", out)
+			_, out = askDouble(t, c.answer, c.args...)
+			compareGolden(t, c.name+".txt", out)
+		})
+	}
+}
+
+// Each command that is answered by a sentence asks what it always asked.
+func TestQuestionsGolden(t *testing.T) {
+	var all strings.Builder
+	for _, args := range [][]string{
+		{"copies", "found"}, {"copies", "found", "--first"}, {"copies", "gone", "gw 2"}, {"copies", "anew", "3"},
+		{"maintain", "add", "gw-1"}, {"maintain", "add", "server:s-1", "--for", "30m", "--why", "new disk"},
+		{"maintain", "done", "gw-1"}, {"maintain", "drop", "gw-1"}, {"maintain", "hold"}, {"maintain", "go"}, {"maintain", "go", "gw-1"},
+	} {
+		question, out := askDouble(t, "a sentence", args...)
+		fmt.Fprintf(&all, "%q asks %q and prints %q\n", args, question, out)
+	}
+	compareGolden(t, "questions.txt", all.String())
+}
--- /dev/null
+++ b/internal/doubt/words_test.go
@@ -0,0 +1,16 @@
+package doubt
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+// Answers name the phases of a booking by the words that they always did, in the order of the phases.
+func TestPhaseWordsGolden(t *testing.T) {
+	got := strings.Join(phaseNames[:], "\n") + "\n"
+	if want, err := os.ReadFile(filepath.Join("testdata", "phases.txt")); err != nil || got != string(want) {
+		t.Errorf("%s%v, want\n%s", got, err, want)
+	}
+}
--- /dev/null
+++ b/internal/peers/words_test.go
@@ -0,0 +1,20 @@
+package peers
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+// Answers name flags by the words that they always did.
+func TestFlagWordsGolden(t *testing.T) {
+	var all strings.Builder
+	for _, f := range flagNames {
+		fmt.Fprintf(&all, "%d %s\n", f.flag, f.name)
+	}
+	if want, err := os.ReadFile(filepath.Join("testdata", "flags.txt")); err != nil || all.String() != string(want) {
+		t.Errorf("%s%v, want\n%s", &all, err, want)
+	}
+}
--- /dev/null
+++ b/internal/program/questions_test.go
@@ -0,0 +1,154 @@
+package program
+
+import (
+	"encoding/json"
+	"errors"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"marblespan/internal/bookings"
+	"marblespan/internal/config"
+	"marblespan/internal/doubt"
+	"marblespan/internal/maintenance"
+	"marblespan/internal/membership"
+	"marblespan/internal/vrrp"
+)
+
+// The golden files in testdata are what operators ask and are told. They change only where that is meant to change; then
+// "go test ./internal/program -run Golden -update" writes them anew.
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// compareGolden compares a text with a golden file in testdata.
+func compareGolden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s differs. Got:\n%s\nwant:\n%s", path, got, want)
+	}
+}
+
+// storeDouble answers for a store, and notes what it was told. The methods that it lacks are not called.
+type storeDouble struct {
+	Store
+	told string
+}
+
+func (s *storeDouble) Status() CopiesStatus { return CopiesStatus{Node: "gw-1"} }
+
+func (s *storeDouble) Found(shards, copies int, first bool) error {
+	s.told = fmt.Sprintf("found %d shards, %d copies, first %v", shards, copies, first)
+	return nil
+}
+
+func (s *storeDouble) Gone(node string) error {
+	s.told = "gone " + node
+	return nil
+}
+
+func (s *storeDouble) Anew(shard uint32) error {
+	s.told = fmt.Sprint("anew ", shard)
+	return errors.New("the ledger is led elsewhere")
+}
+
+func (s *storeDouble) Maintain(c maintenance.Command, _ time.Time) (string, error) {
+	s.told = fmt.Sprintf("verb %d by %s", c.Verb, c.By)
+	return "it is so", nil
+}
+
+// Listing has a machine in each state, and one that is overdue.
+func (s *storeDouble) Listing(time.Time) (maintenance.Listing, error) {
+	order := &maintenance.Order{Held: true}
+	for state := range maintenance.States {
+		order.Machines = append(order.Machines, maintenance.Machine{
+			ID: uint64(state) + 1, Kind: maintenance.Kind(state) % maintenance.Kinds, Name: fmt.Sprint("m-", state), State: state, Since: 1_000_000, For: 60_000_000,
+		})
+	}
+	order.Machines = append(order.Machines, maintenance.Machine{ID: 99, Name: "late", State: maintenance.Out, Overdue: true})
+	return maintenance.Listing{Order: order, Waits: maintenance.Waits{1: "its turn"}, Leader: "gw-2", Now: 3_000_000}, nil
+}
+
+// deskDouble has a booking in each state in hand. The methods that it lacks are not called.
+type deskDouble struct{ bookings.Desk }
+
+func (deskDouble) Views() (all []doubt.View) {
+	for state := range doubt.States {
+		all = append(all, doubt.View{
+			Key: "0123456789abcdef", Request: "r-1", Class: "order", Phase: "claiming", For: 5000,
+			Record: doubt.Record{State: state, Owner: "gw-1", Server: "s-1", Attempt: 2},
+		})
+	}
+	return all
+}
+
+func (deskDouble) Noticed(n doubt.Notice) int64 { return int64(n) + 1 }
+
+// Each question on the control socket is known, and is answered as it always was, by a gateway with all sections but those
+// that need sockets and by one with none. Questions that cannot be understood are answered as ever too.
+func TestQuestionsGolden(t *testing.T) {
+	store := &storeDouble{}
+	whole := &Gateway{
+		store: store, bookings: deskDouble{}, upkeep: &upkeep{},
+		ops: &config.Operators{
+			Members: &config.Members{Node: "gw-1"}, Copies: &config.Copies{Shards: 16, Copies: 3}, Upkeep: &config.Upkeep{For: 20 * time.Minute},
+		},
+	}
+	for _, c := range []struct {
+		name      string
+		gateway   *Gateway
+		questions []string
+	}{
+		{"no-sections", &Gateway{}, []string{"members", "members streams", "vrrp status", "copies", "intents", "maintain", "", "how"}},
+		{"all-sections", whole, []string{
+			"copies", "copies found", "copies found first", `copies gone "gw-2"`, "copies gone gw-2", "copies anew 3", "copies anew x", "copies how",
+			"intents",
+			"maintain", "maintain hold", "maintain go", "maintain add x", "maintain done x", "maintain drop x", "maintain go x",
+			`maintain add "gw-1" 5y`, `maintain add "gw-1" 5m why`, "maintain how",
+		}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var all strings.Builder
+			for _, question := range c.questions {
+				store.told = ""
+				answer, err := c.gateway.answer(question)
+				if err != nil {
+					answer = map[string]string{"error": err.Error()}
+				}
+				raw, err := json.MarshalIndent(answer, "", "  ")
+				if err != nil {
+					t.Fatal(err)
+				}
+				fmt.Fprintf(&all, "question: %s\nanswer: %s\nthe store was told: %s\n\n", question, raw, store.told)
+			}
+			compareGolden(t, c.name+".txt", all.String())
+		})
+	}
+}
+
+// The words for states and conditions in answers are those that they always were.
+func TestWordsGolden(t *testing.T) {
+	var all strings.Builder
+	for state := range membership.States {
+		fmt.Fprintln(&all, "members state:", state)
+	}
+	for _, state := range []vrrp.State{vrrp.Initialize, vrrp.Backup, vrrp.Active} {
+		fmt.Fprintln(&all, "vrrp state:", state)
+	}
+	for _, condition := range vrrp.ConditionNames {
+		fmt.Fprintln(&all, "vrrp wrong:", condition)
+	}
+	compareGolden(t, "words.txt", all.String())
+}
