--- /dev/null
+++ b/internal/copies/golden_test.go
@@ -0,0 +1,45 @@
+package copies
+
+import (
+	"bytes"
+	"encoding/hex"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+// goldenState reads a state as an earlier version wrote it, from a golden file of internal/golden.
+func goldenState(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("..", "golden", "testdata", "copies", name+".hex"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	state, err := hex.DecodeString(strings.TrimSpace(string(text)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return state
+}
+
+// A shard and a ledger that an earlier version has kept are taken over, and are written as they were.
+func TestGoldenStates(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		machine machine
+	}{{"shard", newShard(1<<20, ThisFormat, 1, false)}, {"ledger", newLedger()}} {
+		t.Run(c.name, func(t *testing.T) {
+			state := goldenState(t, c.name)
+			if err := c.machine.restore(state); err != nil {
+				t.Fatal(err)
+			}
+			if l, is := c.machine.(*ledger); is { // as it would be after a decision about the order
+				l.Order = orderInto(OrderOf(l.Order))
+			}
+			if got := c.machine.snapshot(); !bytes.Equal(got, state) {
+				t.Errorf("written back as\n%x\nthe golden file has\n%x", got, state)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/golden/copies_test.go
@@ -0,0 +1,340 @@
+package golden
+
+import (
+	"fmt"
+	"testing"
+
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+	"google.golang.org/protobuf/reflect/protoreflect"
+
+	api "marblespan/api/copies"
+	"marblespan/internal/copies"
+	"marblespan/internal/maintenance"
+)
+
+// The numbers and the states of machines are written out: what a disk holds must not follow the code.
+const (
+	founding = 0xf00dfeed
+	begun    = 1_790_000_000_000_000 // microseconds of Unix time
+)
+
+// order is an order of maintenance with a machine of each kind and one in each state.
+func order() *api.Order {
+	o := &api.Order{
+		Held: true, Numbers: 8, Excused: []string{"gw-7"}, Askers: []*api.Asker{{Client: 11, Sequence: 2, Ok: true, Said: "gw-1 is number 1 in the order"}},
+		Roll: []*api.Enrolled{{Name: "gw-1", Life: begun + 1}},
+		Machines: []*api.Machine{{
+			Id: 20, Kind: 1, Name: "db-1", Group: -1, Zone: "a", State: 3, Turn: 4, At: 17, Since: 1_000, Left: 900, Span: 600_000_000, Life: begun, Why: "a new kernel",
+			By: "gw-2", Overdue: true,
+		}},
+	}
+	for state := range uint32(7) {
+		o.Machines = append(o.Machines, &api.Machine{Id: uint64(2 + state), Name: fmt.Sprint("gw-", state), State: state, Word: state == 3})
+	}
+	return o
+}
+
+// ledger says who holds what: the ledger itself and a shard, and a shard that changes its holders.
+func ledger() *api.Ledger {
+	return &api.Ledger{
+		Founding: founding, Index: 40, Time: 5_000_000, Copies: 3, Next: 12, Format: 2, Order: order(),
+		Stores: []*api.Store{
+			{Number: 71, Name: "gw-1", Zone: "a", Weight: 2, Format: 2}, {Number: 72, Name: "gw-2", Zone: "b", Weight: 1, Format: 2},
+			{Number: 73, Name: "gw-3", Zone: "c", Weight: 1, Format: 2}, {Number: 74, Name: "gw-4", Weight: 1, Gone: true, Format: 1},
+		},
+		Groups: []*api.Group{
+			{Epoch: 1, Origin: 1, Voters: []*api.Replica{{Number: 1, Store: 71, Life: begun}, {Number: 4, Store: 72, Life: begun}, {Number: 5, Store: 73, Life: begun}}},
+			{Epoch: 1, Origin: 2, Voters: []*api.Replica{{Number: 2, Store: 71, Life: begun}, {Number: 6, Store: 72, Life: begun}, {Number: 7, Store: 73, Life: begun}}},
+			{
+				Epoch: 2, Origin: 8, Voters: []*api.Replica{{Number: 8, Store: 71, Life: begun}, {Number: 9, Store: 72, Life: begun}, {Number: 10, Store: 74, Lost: true, Life: begun}},
+				Adding: &api.Replica{Number: 11, Store: 73, Life: begun}, Leaving: 10, Lost: 4_000_000,
+			},
+		},
+	}
+}
+
+// shard is a shard's state: a record of each kind, a booking and the mark of a session, and what is kept of two clients.
+func shard() *api.Shard {
+	return &api.Shard{
+		Time: 6_000_000, Lost: 3_000_000, Writes: 1<<40 + 7, Format: 2,
+		Records: []*api.Record{
+			{Key: []byte("booking \x01\x02\x03"), Value: []byte(`{"state":1,"owner":"gw-1"}`), Version: 1<<40 + 6, End: 90_000_000, At: 5_500_000},
+			{Key: []byte("session \x00\x00\x00\x02\x00\x00\x00\x00\x00\x00\x00\x09"), Version: 1<<40 + 7, Position: 4_711, Mark: true, End: 91_000_000, At: 5_600_000},
+		},
+		Clients: []*api.Client{
+			{Number: 11, Heard: 5_500_000, Done: 3, Results: []*api.Result{
+				{Sequence: 3, Version: 1<<40 + 6, Lost: 3_000_000}, {Sequence: 4, Status: 1, Version: 1<<40 + 5}, {Sequence: 5, Status: 2}}},
+			{Number: 12, Heard: 5_600_000, Results: []*api.Result{{Sequence: 1, Version: 1<<40 + 7, Position: 4_711}}},
+		},
+	}
+}
+
+// commands are one of each that a log holds; the ledger's begin at the fourth.
+func commands() []*api.Command {
+	all := []*api.Command{
+		{Client: 11, Sequence: 6, Done: 5, Put: &api.Put{Key: []byte("k"), Value: []byte("v"), Conditional: true, Version: 1 << 40, Span: 60_000_000}},
+		{Client: 11, Sequence: 7, Put: &api.Put{Key: []byte("k"), Remove: true}},
+		{Client: 12, Sequence: 2, Format: 1, Mark: &api.Mark{Key: []byte("m"), Position: 5_000, Span: 60_000_000}},
+	}
+	for _, change := range []*api.Change{
+		{Found: &api.Found{Founding: founding, Shards: 2, Copies: 3, Store: &api.Store{Number: 71, Name: "gw-1"}, First: true, Life: begun}},
+		{Join: &api.Store{Number: 75, Name: "gw-5", Zone: "b", Weight: 3, Format: 2}},
+		{Gone: 74},
+		{Assign: &api.Assign{Group: 2, Epoch: 3, Store: 73, Leaving: 10, Life: begun}},
+		{Settle: &api.Settle{Group: 2, Epoch: 3, Voters: []uint64{8, 9, 11}}},
+		{Renew: &api.Renew{Group: 1, Epoch: 2, Store: 72, Life: begun, Word: true}},
+		{Spoil: &api.Ref{Group: 1, Epoch: 2, Number: 7}},
+		{Format: 2},
+		{Said: &api.Said{Verb: 2, Kind: 1, Name: "db-2", Group: 2, Span: 600_000_000, Why: "a new disk", By: "gw-3"}},
+		{Step: &api.Step{Id: 2, Turn: 3, To: 1, Life: begun, Zone: "a", Gateways: 4, InZone: 5, Servers: 6}},
+		{Step: &api.Step{Id: 5, Overdue: true}},
+		{Step: &api.Step{Id: 5, Word: true}},
+		{Step: &api.Step{Unexcused: "gw-7"}},
+		{Step: &api.Step{Enroll: &api.Enrolled{Name: "gw-2", Life: begun + 2}}},
+		{Step: &api.Step{Strike: &api.Enrolled{Name: "gw-1", Life: begun + 1}}},
+	} {
+		all = append(all, &api.Command{Client: 13, Sequence: uint64(len(all)), Format: 2, Change: change})
+	}
+	return all
+}
+
+// raftEntries are a log from an index on: an entry without commands, one with some, and a change of the voters in both layouts.
+func raftEntries(index uint64, commands []*api.Command) []*pb.Entry {
+	added := pb.ConfChangeSingle{Type: pb.ConfChangeAddLearnerNode.Enum(), NodeId: new(uint64(22))}
+	return []*pb.Entry{
+		{Index: new(index), Term: new(uint64(3))},
+		{Index: new(index + 1), Term: new(uint64(3)), Data: encode(&api.Entry{Time: 7_000_000, Commands: commands})},
+		{Index: new(index + 2), Term: new(uint64(3)), Type: pb.EntryConfChange.Enum(), Data: encode(&pb.ConfChange{
+			Type: pb.ConfChangeAddLearnerNode.Enum(), NodeId: new(uint64(21)), Context: []byte("c")})},
+		{Index: new(index + 3), Term: new(uint64(4)), Type: pb.EntryConfChangeV2.Enum(), Data: encode(&pb.ConfChangeV2{Changes: []*pb.ConfChangeSingle{&added}})},
+	}
+}
+
+// raftSnapshot is a state of a group up to an index.
+func raftSnapshot(index uint64, data []byte, voters ...uint64) *pb.Snapshot {
+	return &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{Index: new(index), Term: new(uint64(3)), ConfState: &pb.ConfState{Voters: voters}}}
+}
+
+// raftMessages is a packet with one message of each kind that replicas send each other.
+func raftMessages() *api.Packet {
+	p := &api.Packet{}
+	for _, kind := range []pb.MessageType{
+		pb.MsgApp, pb.MsgAppResp, pb.MsgVote, pb.MsgVoteResp, pb.MsgSnap, pb.MsgHeartbeat, pb.MsgHeartbeatResp, pb.MsgTimeoutNow, pb.MsgPreVote, pb.MsgPreVoteResp,
+	} {
+		m := &pb.Message{
+			Type: kind.Enum(), To: new(uint64(1)), From: new(uint64(2)), Term: new(uint64(3)), LogTerm: new(uint64(4)), Index: new(uint64(40)), Commit: new(uint64(39)),
+		}
+		switch kind {
+		case pb.MsgApp:
+			m.Entries = raftEntries(41, commands()[:3])
+		case pb.MsgAppResp:
+			m.Reject, m.RejectHint = new(true), new(uint64(38))
+		case pb.MsgSnap:
+			m.Snapshot = raftSnapshot(40, encode(shard()), 2, 6, 7)
+		case pb.MsgHeartbeat, pb.MsgVote:
+			m.Context = []byte("context")
+		}
+		p.Raft = append(p.Raft, &api.Raft{Group: 1, Epoch: 2, Message: encode(m)})
+	}
+	return p
+}
+
+// samples are the messages whose bytes are kept: packets of every kind, and what disks and logs hold.
+func samples() []sample {
+	packet := func(p *api.Packet) *api.Packet {
+		p.Version, p.Founding, p.Store, p.Life, p.View, p.Ledger = 1, founding, 72, begun, 40, "gw-1"
+		return p
+	}
+	put, get := commands()[0], &api.Get{Key: []byte("k")}
+	return []sample{
+		{"ledger", ledger()},
+		{"shard", shard()},
+		{"entry", &api.Entry{Time: 7_000_000, Commands: commands()}},
+		{"listing", &api.Listing{Order: order(), Waits: map[uint64]string{2: "its turn"}, Leader: "gw-1", Time: 5_000_000}},
+		{"packet-raft", packet(raftMessages())},
+		{"packet-asks", packet(&api.Packet{Asks: []*api.Ask{{Group: 1, Epoch: 2, Number: 5, Of: 6, Term: 3, Index: 40}}})},
+		{"packet-knowns", packet(&api.Packet{Knowns: []*api.Known{{
+			Group: 1, Epoch: 2, Number: 5, Of: 6, Older: true, Term: 4, LastTerm: 3, LastIndex: 39, Applied: 38, Voters: []uint64{2, 6, 7},
+			Later: []*api.Later{{Number: 11, Index: 41}},
+		}}})},
+		{"packet-calls", packet(&api.Packet{Calls: []*api.Call{{Id: 8, Group: 1, Command: put}, {Id: 9, Group: 1, Get: get}}})},
+		{"packet-replies", packet(&api.Packet{Replies: []*api.Reply{
+			{Id: 1, Status: 7, Leader: "gw-2"},
+			{Id: 2, Version: 1<<40 + 6, Value: []byte("v"), Position: 4_711, Found: true, Lost: 3_000_000, Time: 6_000_000, Age: 500_000},
+		}})},
+		{"packet-news", packet(&api.Packet{News: ledger()})},
+		{"packet-announce", packet(&api.Packet{Announce: &api.Announce{
+			Name: "gw-2", Zone: "b", Weight: 1, Failed: true, Stale: []*api.Ref{{Group: 1, Epoch: 2, Number: 6}}, Format: 2,
+		}})},
+		{"packet-reports", packet(&api.Packet{Reports: []*api.Report{
+			{Group: 1, Epoch: 2, Term: 3, Voters: []uint64{2, 6}, Learners: []uint64{7}, Joint: true}, {Group: 2, Lags: true},
+		}})},
+		{"packet-past", packet(&api.Packet{Past: begun + 1})},
+		{"packet-fact", packet(&api.Packet{Fact: &api.Fact{
+			Life: begun, Zone: "b", Seen: 40, Ready: true, Load: 250, Floats: []string{"192.0.2.10"}, Apart: []uint64{1},
+			Servers: []*api.ServerFact{{Group: 2, Name: "db-1", Primary: true}, {Name: "db-2", Down: true}, {Name: "db-3", Cold: true}, {Name: "db-4", Behind: true}},
+		}})},
+		{"packet-fact-idle", packet(&api.Packet{Fact: &api.Fact{Life: begun, Idle: true}})},
+		{"packet-fact-leads", packet(&api.Packet{Fact: &api.Fact{Life: begun, Leads: true}})},
+	}
+}
+
+// sample is a message with the name of its golden file.
+type sample struct {
+	name    string
+	message proto.Message
+}
+
+// encode writes a message in its one deterministic form.
+func encode(m proto.Message) []byte {
+	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
+	if err != nil {
+		panic(err) // a sample is at fault
+	}
+	return b
+}
+
+func TestCopiesMessages(t *testing.T) {
+	for _, c := range samples() {
+		t.Run(c.name, func(t *testing.T) {
+			file := golden(t, "copies/"+c.name, encode(c.message))
+			got := c.message.ProtoReflect().New().Interface()
+			if err := proto.Unmarshal(file, got); err != nil || !proto.Equal(got, c.message) {
+				t.Errorf("decoded as %v\n%v\nwant\n%v", err, got, c.message)
+			}
+		})
+	}
+}
+
+// coverage is which fields the samples set, and which two fields of a kind some sample tells apart.
+type coverage struct {
+	set   map[protoreflect.FullName]bool
+	apart map[[2]protoreflect.FullName]bool
+}
+
+// note takes in a message and all messages within it.
+func (c coverage) note(m protoreflect.Message) {
+	m.Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
+		c.set[field.FullName()] = true
+		switch {
+		case field.Message() == nil || field.IsMap():
+		case field.IsList():
+			for i := range value.List().Len() {
+				c.note(value.List().Get(i).Message())
+			}
+		default:
+			c.note(value.Message())
+		}
+		return true
+	})
+	eachPair(m.Descriptor(), func(a, b protoreflect.FieldDescriptor) {
+		if !m.Get(a).Equal(m.Get(b)) {
+			c.apart[[2]protoreflect.FullName{a.FullName(), b.FullName()}] = true
+		}
+	})
+}
+
+// eachPair calls do with every two fields of a message that are written alike: if their numbers changed places, a message with the
+// same value in both would not show it.
+func eachPair(m protoreflect.MessageDescriptor, do func(a, b protoreflect.FieldDescriptor)) {
+	for i := range m.Fields().Len() {
+		for j := range i {
+			if a, b := m.Fields().Get(j), m.Fields().Get(i); a.Kind() == b.Kind() && a.Cardinality() == b.Cardinality() && a.Message() == b.Message() {
+				do(a, b)
+			}
+		}
+	}
+}
+
+// Every field of every message stands in a golden file, and no two that are written alike have the same value in all of them.
+func TestCopiesFieldsAreComplete(t *testing.T) {
+	c := coverage{map[protoreflect.FullName]bool{}, map[[2]protoreflect.FullName]bool{}}
+	for _, x := range samples() {
+		c.note(x.message.ProtoReflect())
+	}
+	messages := (&api.Packet{}).ProtoReflect().Descriptor().ParentFile().Messages()
+	for i := range messages.Len() {
+		m := messages.Get(i)
+		for j := range m.Fields().Len() {
+			if name := m.Fields().Get(j).FullName(); !c.set[name] {
+				t.Errorf("%s is in no golden file", name)
+			}
+		}
+		eachPair(m, func(a, b protoreflect.FieldDescriptor) {
+			if !c.apart[[2]protoreflect.FullName{a.FullName(), b.FullName()}] {
+				t.Errorf("%s and %s are the same in all golden files", a.FullName(), b.FullName())
+			}
+		})
+	}
+}
+
+// A gateway that holds nothing reads the golden news, and sends a call that is the golden one.
+func TestHostReadsAndSends(t *testing.T) {
+	host, err := copies.New(copies.Config{Name: "gw-9", Tick: 100_000, MostCalls: 10, Client: 11, Life: begun, Maintain: &maintenance.Limits{}}, 1_000_000, nil, true)
+	if err != nil {
+		t.Fatal(err)
+	}
+	news := samples()[9]
+	if news.name != "packet-news" {
+		t.Fatalf("the tenth sample is %s", news.name)
+	}
+	host.Handle(1_000_000, copies.Heard{From: "gw-1", Body: golden(t, "copies/packet-news", encode(news.message))})
+	host.Flush()
+	if seen := host.Overview(); seen.Founding != founding || seen.Index != 40 || seen.Copies != 3 || seen.Format != 2 || len(seen.Stores) != 4 || len(seen.Groups) != 3 {
+		t.Errorf("the ledger is read as %+v", seen)
+	}
+	machines := host.Order().Machines
+	if len(machines) != 8 {
+		t.Fatalf("the order is read as %+v", machines)
+	}
+	if first := machines[0]; first.Kind != maintenance.Server || first.State != maintenance.Out || first.Why != "a new kernel" {
+		t.Errorf("the order is read as %+v", machines)
+	}
+	for i, state := range []maintenance.State{
+		maintenance.Asked, maintenance.Next, maintenance.Leaving, maintenance.Out, maintenance.Returning, maintenance.Back, maintenance.Dropped,
+	} {
+		if m := machines[i+1]; m.State != state || m.Kind != maintenance.Gateway {
+			t.Errorf("machine %d is read as %+v", m.ID, m)
+		}
+	}
+	put := commands()[0].Put
+	host.Handle(1_000_001, copies.Ask{ID: 1, Shard: 1, Command: &api.Command{Put: put}, By: 9_000_000})
+	for _, action := range host.Flush() {
+		if send, is := action.(copies.Send); is {
+			golden(t, "copies/host-call", send.Body)
+			return
+		}
+	}
+	t.Error("no call is sent")
+}
+
+// Numbers and words that stand in messages and in logs keep their meaning. The states of machines are in TestHostReadsAndSends.
+func TestNumbers(t *testing.T) {
+	for number, status := range []copies.Status{copies.OK, copies.Conflict, copies.Full, copies.Bad, copies.TooLate, copies.NotSent, copies.TooNew} {
+		if int(status) != number {
+			t.Errorf("the status %v is %d, want %d", status, status, number)
+		}
+	}
+	for i, verb := range []maintenance.Verb{maintenance.Add, maintenance.Done, maintenance.Drop, maintenance.Hold, maintenance.Go} {
+		if int(verb) != i+1 {
+			t.Errorf("the verb %d is to be %d", verb, i+1)
+		}
+	}
+	if copies.Statuses != 8 || copies.FirstFormat != 1 || copies.OrderFormat != 2 || copies.LedgerGroup != 0 || copies.MaintainKey != "maintenance" {
+		t.Error("the statuses, the formats, the ledger's number or the key of the order have changed")
+	}
+}
+
+// Keys stay in their shards.
+func TestPlaces(t *testing.T) {
+	for _, c := range []struct {
+		key    string
+		shards int
+		want   uint32
+	}{{"k", 16, 4}, {"session \x00\x00\x00\x02\x00\x00\x00\x00\x00\x00\x00\x09", 16, 9}, {"booking \x01\x02\x03", 64, 38}} {
+		if got := copies.ShardOf([]byte(c.key), c.shards); got != c.want {
+			t.Errorf("%q is in shard %d of %d, want %d", c.key, got, c.shards, c.want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/golden/datagrams_test.go
@@ -0,0 +1,128 @@
+package golden
+
+import (
+	"net/netip"
+	"reflect"
+	"testing"
+
+	"marblespan/internal/membership"
+	"marblespan/internal/protocol/members"
+	"marblespan/internal/protocol/notices"
+	"marblespan/internal/protocol/sealed"
+	"marblespan/internal/protocol/vrrp"
+)
+
+var (
+	ip4, ip4b     = netip.MustParseAddr("192.0.2.10"), netip.MustParseAddr("192.0.2.11")
+	ip6, ip6b     = netip.MustParseAddr("2001:db8::1"), netip.MustParseAddr("2001:db8::2")
+	address4      = netip.AddrPortFrom(ip4, 7946)
+	address6      = netip.AddrPortFrom(ip6, 7947)
+	goldenTrailer = sealed.Trailer{Key: 1, Sender: 3, Receiver: 4, Start: 1_790_000_000_000_000, Sequence: 6, Known: 1_790_000_000_000_007}
+)
+
+// memberMessage is a message of membership with every field set and a record in every state.
+func memberMessage(kind membership.Kind) membership.Message {
+	return membership.Message{
+		Kind: kind, From: "gw-1", Life: 1_790_000_000_000_001, Incarnation: 3, To: "gw-2", ToLife: 1_790_000_000_000_002, Number: 77,
+		Target: "gw-3", TargetAt: address6, Origin: "gw-4", OriginNumber: 9, Direct: true, Digest: 0xfeedfacecafebeef,
+		Records: []membership.Record{
+			{Name: "gw-1", At: address4, Life: 5, Incarnation: 1, State: membership.Alive, Meta: membership.Meta{
+				Zone: "a", Weight: 7, Version: "0.3.0", Settings: 12, Flags: membership.Draining | membership.StoodStill | membership.NoDisk}},
+			{Name: "gw-3", At: address6, Life: 6, State: membership.Suspect, By: "gw-1", Meta: membership.Meta{Flags: membership.Draining}},
+			{Name: "gw-4", At: address4, Life: 7, State: membership.Dead, By: "gw-2", Meta: membership.Meta{Flags: membership.StoodStill}},
+			{Name: "gw-5", At: address4, Life: 8, State: membership.Left, Meta: membership.Meta{Flags: membership.NoDisk}},
+		},
+		Cuts: []membership.Cut{
+			{By: "gw-1", Peer: "gw-3", Life: 9, Number: 2, Unheard: true}, {By: "gw-1", Peer: "gw-5", Life: 9, Number: 3, Deaf: true},
+		},
+	}
+}
+
+func TestMembershipDatagrams(t *testing.T) {
+	kinds := []struct {
+		name string
+		kind membership.Kind
+	}{
+		{"ping", membership.Ping}, {"ack", membership.Ack}, {"ping-for", membership.PingFor}, {"nack", membership.Nack}, {"refuse", membership.Refuse},
+	}
+	if last := kinds[len(kinds)-1].kind; (last + 1).Known() {
+		t.Errorf("kind %d has no golden file", last+1)
+	}
+	for _, c := range kinds {
+		t.Run(c.name, func(t *testing.T) {
+			want := memberMessage(c.kind)
+			encoded, err := members.Append(nil, want, goldenTrailer, "golden", key)
+			if err != nil {
+				t.Fatal(err)
+			}
+			file := golden(t, "members/"+c.name, encoded)
+			got, trailer, fault := members.Parse(file, "golden", []sealed.Key{key})
+			if fault != members.Sound || trailer != goldenTrailer || !reflect.DeepEqual(got, want) {
+				t.Errorf("decoded as %v %+v %+v", fault, trailer, got)
+			}
+			rejectsFlips(t, file, func(b []byte) bool {
+				_, _, fault := members.Parse(b, "golden", []sealed.Key{key})
+				return fault == members.Sound
+			})
+		})
+	}
+}
+
+func TestAdvertisements(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		addresses []netip.Addr
+	}{{"ipv4", []netip.Addr{ip4, ip4b}}, {"ipv6", []netip.Addr{ip6, ip6b}}} {
+		t.Run(c.name, func(t *testing.T) {
+			want := vrrp.Message{VRID: 51, Priority: 200, Interval: 120_000, Addresses: c.addresses, Trailer: goldenTrailer}
+			encoded, err := vrrp.Append(nil, want, ip6, ip6b, key)
+			if err != nil {
+				t.Fatal(err)
+			}
+			file := golden(t, "vrrp/"+c.name, encoded)
+			parse := func(b []byte) (vrrp.Message, vrrp.Fault) {
+				return vrrp.Parse(b, c.addresses[0].Is4(), ip6, ip6b, []vrrp.Key{key})
+			}
+			if got, fault := parse(file); fault != vrrp.Sound || !reflect.DeepEqual(got, want) {
+				t.Errorf("decoded as %v %+v", fault, got)
+			}
+			rejectsFlips(t, file, func(b []byte) bool { _, fault := parse(b); return fault == vrrp.Sound })
+		})
+	}
+}
+
+func TestAnnouncement(t *testing.T) {
+	want := vrrp.Announcement{
+		VRID: 51, Key: 1, Sender: 3, Start: 1_790_000_000_000_000, Sequence: 4, Listen: netip.AddrPortFrom(ip4b, 6434), Addresses: []netip.Addr{ip4, ip6},
+	}
+	encoded, err := vrrp.AppendAnnouncement(nil, want, key)
+	if err != nil {
+		t.Fatal(err)
+	}
+	file := golden(t, "vrrp/announcement", encoded)
+	if got, fault := vrrp.ParseAnnouncement(file, []vrrp.Key{key}); fault != vrrp.Sound || !reflect.DeepEqual(got, want) {
+		t.Errorf("decoded as %v %+v", fault, got)
+	}
+	rejectsFlips(t, file, func(b []byte) bool {
+		_, fault := vrrp.ParseAnnouncement(b, []vrrp.Key{key})
+		return fault == vrrp.Sound
+	})
+}
+
+// Notices carry no signature.
+func TestNotices(t *testing.T) {
+	want := notices.Batch{Incarnation: 7, Sequence: 9, Notices: []notices.Notice{
+		{UID: "s-1", Start: 1_790_000_000_123, Good: true, Age: 40, Role: notices.RolePrimary, RoleAge: 90, Position: 1_790_000_001_000,
+			Load: []notices.Field{{Index: 0, Value: 610}, {Index: 3, Value: 1 << 40}}},
+		{UID: "s-2", Role: notices.RoleReplica, Age: notices.MostAge, Position: 5},
+		{UID: "s-3", Load: []notices.Field{{Index: 1, Value: 2}}},
+		{UID: "s-4"},
+	}}
+	var encoded []byte
+	if _, err := notices.Append(want.Incarnation, want.Sequence, want.Notices, func(b []byte) { encoded = b }); err != nil {
+		t.Fatal(err)
+	}
+	if got, err := notices.Parse(golden(t, "notices/batch", encoded)); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("decoded as %v %+v", err, got)
+	}
+}
--- /dev/null
+++ b/internal/golden/store_test.go
@@ -0,0 +1,208 @@
+package golden
+
+import (
+	"bytes"
+	"compress/gzip"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"go.etcd.io/bbolt"
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	api "marblespan/api/copies"
+	"marblespan/internal/copies"
+	"marblespan/internal/store"
+)
+
+// storeFile is the golden store, compressed.
+var storeFile = filepath.Join("testdata", "store.db.gz")
+
+// largeShard is a shard whose snapshot takes two pieces in the file.
+func largeShardState() *api.Shard {
+	s := shard()
+	for i := range 20 {
+		s.Records = append(s.Records, &api.Record{Key: fmt.Append(nil, "large ", i), Value: bytes.Repeat([]byte{byte(i)}, copies.MostValue), Version: uint64(i + 1), End: 90_000_000})
+	}
+	return s
+}
+
+// hardState is what a replica must not forget.
+func hardState(commit uint64) *pb.HardState {
+	return &pb.HardState{Term: new(uint64(4)), Vote: new(uint64(1)), Commit: new(commit)}
+}
+
+// storeWrites are what the golden store was written with: the ledger, two shards and a replica that waits to be taken in. The second
+// write replaces entries, drops a replica and notes one that must not go on. Of the ledger's log only the entry without commands is
+// committed, so that a gateway that starts from it has the ledger as it is in the snapshot.
+func storeWrites() []copies.Write {
+	all := commands()
+	return []copies.Write{
+		{Number: 1, Store: 71, Life: begun, View: encode(ledger()), Retired: []copies.Ref{{Group: 1, Epoch: 1, Number: 3}}, Groups: []copies.GroupWrite{
+			{Group: 0, Epoch: 1, Number: 1, Snapshot: raftSnapshot(40, encode(ledger()), 1, 4, 5), Entries: raftEntries(41, all[3:]), Hard: hardState(41)},
+			{Group: 1, Epoch: 1, Number: 2, Snapshot: raftSnapshot(50, encode(shard()), 2, 6, 7), Entries: raftEntries(51, all[:3]), Hard: hardState(50)},
+			{Group: 2, Epoch: 1, Number: 3, Hard: hardState(0)},
+			{Group: 2, Epoch: 2, Number: 8, Snapshot: raftSnapshot(60, encode(largeShardState()), 8, 9, 10), Hard: hardState(60)},
+			{Group: 3, Epoch: 1, Number: 12},
+		}},
+		{Number: 2, Store: 71, Life: begun + 1, Retired: []copies.Ref{{Group: 2, Epoch: 1, Number: 3}}, Groups: []copies.GroupWrite{
+			{Group: 1, Epoch: 1, Number: 2, Entries: raftEntries(52, all[:3]), Hard: hardState(55)},
+			{Group: 2, Epoch: 1, Number: 3, Drop: true},
+		}},
+	}
+}
+
+// writeStore writes the content of the golden store to a new file.
+func writeStore(t *testing.T, path string) {
+	t.Helper()
+	file, _, err := store.Open(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	for _, write := range storeWrites() {
+		if err := file.Write(write); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// unpackStore makes a copy of the golden store. With -update it is written first.
+func unpackStore(t *testing.T) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "golden.db")
+	if *update {
+		writeStore(t, path)
+		content, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var packed bytes.Buffer
+		w, _ := gzip.NewWriterLevel(&packed, gzip.BestCompression)
+		w.Write(content)
+		w.Close()
+		if err := os.WriteFile(storeFile, packed.Bytes(), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	packed, err := os.Open(storeFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer packed.Close()
+	r, err := gzip.NewReader(packed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	content, err := io.ReadAll(r)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, content, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// bucketWalker is what a transaction and a bucket have in common.
+type bucketWalker interface {
+	Cursor() *bbolt.Cursor
+	Bucket(name []byte) *bbolt.Bucket
+}
+
+// rawLines lists all buckets, keys and values of a file, in order and without the project's code.
+func rawLines(t *testing.T, path string) (lines []string) {
+	t.Helper()
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer db.Close()
+	var walk func(in bucketWalker, at string)
+	walk = func(in bucketWalker, at string) {
+		c := in.Cursor()
+		for name, value := c.First(); name != nil; name, value = c.Next() {
+			if value != nil {
+				lines = append(lines, fmt.Sprintf("%s%q = %x", at, name, value))
+				continue
+			}
+			lines = append(lines, fmt.Sprintf("%s%q:", at, name))
+			walk(in.Bucket(name), fmt.Sprintf("%s%q/", at, name))
+		}
+	}
+	if err := db.View(func(tx *bbolt.Tx) error { walk(tx, ""); return nil }); err != nil {
+		t.Fatal(err)
+	}
+	return lines
+}
+
+// What this version writes has the same buckets, keys and values, byte by byte; where they lie in the file is the library's affair.
+func TestStoreIsWrittenTheSame(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "new.db")
+	writeStore(t, path)
+	got, want := rawLines(t, path), rawLines(t, unpackStore(t))
+	if len(got) != len(want) {
+		t.Errorf("%d buckets, keys and values, want %d", len(got), len(want))
+	}
+	for i := range min(len(got), len(want)) {
+		if got[i] != want[i] {
+			t.Fatalf("written is\n%.400s\nthe golden store has\n%.400s", got[i], want[i])
+		}
+	}
+}
+
+// sameMessage compares a message that was read with what it was written from; nil is none.
+func sameMessage(t *testing.T, what string, got, want proto.Message) {
+	t.Helper()
+	if !proto.Equal(got, want) {
+		t.Errorf("%s is read as\n%.400v\nwant\n%.400v", what, got, want)
+	}
+}
+
+// This version reads what the golden store holds, and a gateway starts from it.
+func TestStoreIsRead(t *testing.T) {
+	file, stored, err := store.Open(unpackStore(t))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	if file.Sequence() != 2 || stored.Store != 71 || stored.Life != begun+1 || !bytes.Equal(stored.View, encode(ledger())) {
+		t.Errorf("write %d, disk %d, life %d, view %x", file.Sequence(), stored.Store, stored.Life, stored.View)
+	}
+	if got, want := fmt.Sprint(stored.Retired), "[{1 1 3} {2 1 3}]"; got != want {
+		t.Errorf("retired are %s, want %s", got, want)
+	}
+	all := commands()
+	want := []copies.StoredGroup{
+		{Group: 0, Epoch: 1, Number: 1, Snapshot: raftSnapshot(40, encode(ledger()), 1, 4, 5), Entries: raftEntries(41, all[3:]), Hard: hardState(41)},
+		{Group: 1, Epoch: 1, Number: 2, Snapshot: raftSnapshot(50, encode(shard()), 2, 6, 7), Hard: hardState(55),
+			Entries: append(raftEntries(51, all[:3])[:1], raftEntries(52, all[:3])...)},
+		{Group: 2, Epoch: 2, Number: 8, Snapshot: raftSnapshot(60, encode(largeShardState()), 8, 9, 10), Hard: hardState(60)},
+		{Group: 3, Epoch: 1, Number: 12},
+	}
+	if len(stored.Groups) != len(want) {
+		t.Fatalf("%d replicas, want %d", len(stored.Groups), len(want))
+	}
+	for i, g := range stored.Groups {
+		w := want[i]
+		name := fmt.Sprintf("replica %d of group %d", g.Number, g.Group)
+		if g.Group != w.Group || g.Epoch != w.Epoch || g.Number != w.Number || len(g.Entries) != len(w.Entries) {
+			t.Fatalf("%s, epoch %d, with %d entries; want %d, %d, %d with %d", name, g.Epoch, len(g.Entries), w.Number, w.Group, w.Epoch, len(w.Entries))
+		}
+		sameMessage(t, name+": hard state", g.Hard, w.Hard)
+		sameMessage(t, name+": snapshot", g.Snapshot, w.Snapshot)
+		for k := range g.Entries {
+			sameMessage(t, fmt.Sprintf("%s: entry %d", name, k), g.Entries[k], w.Entries[k])
+		}
+	}
+	host, err := copies.New(copies.Config{Name: "gw-1", Holds: true, Tick: 100_000, LeastLog: 1 << 20, MostBytes: 1 << 20, MostCalls: 10, Client: 1}, 1_000_000, stored, true)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if seen := host.Overview(); seen.Store != 71 || seen.Founding != founding || seen.Index < 40 || len(seen.Groups) != 3 {
+		t.Errorf("a gateway starts with %+v", seen)
+	}
+}
