--- a/internal/bookings/bookings_test.go
+++ b/internal/bookings/bookings_test.go
@@ -2,8 +2,10 @@
 
 import (
 	"context"
+	"encoding/hex"
 	"encoding/json"
 	"io"
+	"reflect"
 	"sync"
 	"testing"
 	"time"
@@ -173,3 +175,27 @@
 		t.Errorf("noticed %d times", n)
 	}
 }
+
+// What is kept of a booking is JSON under a key made of its words, as earlier versions have it.
+func TestLayoutOfRecords(t *testing.T) {
+	key := Key("put", 2, []byte("the words"))
+	if got, want := hex.EncodeToString([]byte(key)), "626f6f6b696e6720154611b754480b8f5ef6219b62ba7243e4c0f98d7e87919227945f109ee61220"; got != want {
+		t.Errorf("the key is %s, want %s", got, want)
+	}
+	const text = `{"state":2,"owner":"gw-1","life":3,"id":"request 4","class":"put","group":5,"server":"db-6","attempt":7,"left":8,"value":"YW5zd2Vy","kept":true,"by":"gw-9"}`
+	want := doubt.Record{
+		State: doubt.Answered, Owner: "gw-1", Life: 3, ID: "request 4", Class: "put", Group: 5, Server: "db-6", Attempt: 7, Left: 8, Value: []byte("answer"), Kept: true, By: "gw-9",
+	}
+	if got, err := json.Marshal(record(want)); err != nil || string(got) != text {
+		t.Errorf("%v, written as\n%s\nwant\n%s", err, got, text)
+	}
+	var got record
+	if err := json.Unmarshal([]byte(text), &got); err != nil || !reflect.DeepEqual(doubt.Record(got), want) {
+		t.Errorf("%v, read as %+v", err, got)
+	}
+	for state, want := range []doubt.State{doubt.Open, doubt.Answered, doubt.Unsent, doubt.Doubtful} {
+		if int(want) != state+1 {
+			t.Errorf("%v is kept as %d, want %d", want, want, state+1)
+		}
+	}
+}
--- a/internal/holders/holders_test.go
+++ b/internal/holders/holders_test.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"io"
 	"path/filepath"
+	"strings"
 	"sync"
 	"testing"
 	"time"
@@ -178,3 +179,50 @@
 		}
 	}
 }
+
+// The layout of what travels is written out here: a whole packet behind a 0, parts behind a 1 with their packet's number, their place
+// and how many there are.
+func TestLayoutOfParts(t *testing.T) {
+	routes := map[string]string{}
+	listen := func(name string) *streams.Streams {
+		x, err := streams.Listen("127.0.0.1:0", streams.Settings{
+			Node: name, Start: 1, Keys: []sealed.Key{{Number: 1, Secret: []byte("a secret of sixteen or more")}}, Buffers: transport.NewBuffers(64 << 20),
+			Fds: transport.NewDescriptors(256), Route: func(to string) (string, bool) { return routes[to], true },
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(x.Close)
+		return x
+	}
+	a, b := listen("a"), listen("b")
+	routes["b"] = b.Addr()
+	travelled := make(chan string, 10)
+	b.Handle(streams.Copies, func(_ string, body []byte) { travelled <- string(body) })
+	sender, receiver := &Holders{streams: a}, &Holders{partial: map[string][]*partial{}}
+	for _, c := range []struct {
+		body  string
+		heads []string
+	}{
+		{"whole", []string{"\x00"}},
+		{strings.Repeat("x", 600_000), []string{
+			"\x01\x00\x00\x00\x01\x00\x00\x00\x00\x00\x00\x00\x03", "\x01\x00\x00\x00\x01\x00\x00\x00\x01\x00\x00\x00\x03", "\x01\x00\x00\x00\x01\x00\x00\x00\x02\x00\x00\x00\x03"}},
+	} {
+		sender.sendWhole(copies.Send{To: "b", Body: []byte(c.body)}, func(int) bool { return true })
+		for i, head := range c.heads {
+			want := head + c.body[i<<18:min((i+1)<<18, len(c.body))]
+			select {
+			case got := <-travelled:
+				if got != want {
+					t.Fatalf("part %d of %d travelled as %.20q, want %.20q", i+1, len(c.heads), got, want)
+				}
+			case <-time.After(late):
+				t.Fatalf("part %d of %d never came", i+1, len(c.heads))
+			}
+			whole, ok := receiver.join("a", []byte(want))
+			if ok != (i == len(c.heads)-1) || ok && string(whole) != c.body {
+				t.Errorf("part %d of %d is put together as %.20q, %v", i+1, len(c.heads), whole, ok)
+			}
+		}
+	}
+}
