--- a/internal/layers/docs_test.go
+++ b/internal/archtest/docs_test.go
@@ -1,4 +1,4 @@
-package layers
+package archtest
 
 import (
 	"go/ast"
--- a/internal/layers/layers_test.go
+++ b/internal/archtest/layers_test.go
@@ -1,5 +1,5 @@
-// Package layers holds the test that keeps the project's layers: imports point down only.
-package layers
+// Package archtest holds the test that keeps the project's layers: imports point down only.
+package archtest
 
 import (
 	"go/parser"
