--- a/internal/archtest/layers_test.go
+++ b/internal/archtest/layers_test.go
@@ -13,8 +13,8 @@
 
 // above lists, for each package, the packages of this project that it may import. What is missing may import none.
 var above = map[string][]string{
-	"brain":                       {},
-	"internal/settings":           {"brain"},
+	"internal/policy":             {},
+	"internal/settings":           {"internal/policy"},
 	"internal/protocol/postgres":  {},
 	"internal/protocol/discovery": {},
 	"internal/protocol/sealed":    {},
@@ -34,13 +34,13 @@
 	"internal/transport":          {},
 	"internal/config":             {"internal/config/lines", "internal/settings", "internal/protocol/discovery"},
 	"internal/config/lines":       {},
-	"internal/simwire":            {"brain", "internal/settings"},
-	"internal/simhost":            {"brain", "internal/settings", "internal/simwire"},
+	"internal/simwire":            {"internal/policy", "internal/settings"},
+	"internal/simhost":            {"internal/policy", "internal/settings", "internal/simwire"},
 	"internal/routing": {
-		"brain", "internal/settings", "internal/protocol/discovery", "internal/transport",
+		"internal/policy", "internal/settings", "internal/protocol/discovery", "internal/transport",
 	},
 	"internal/session": {
-		"brain", "internal/bookings", "internal/doubt", "internal/settings", "internal/protocol/postgres", "internal/protocol/discovery",
+		"internal/policy", "internal/bookings", "internal/doubt", "internal/settings", "internal/protocol/postgres", "internal/protocol/discovery",
 		"internal/routing", "internal/transport",
 	},
 	"internal/control":   {},
@@ -53,10 +53,10 @@
 	"internal/store":    {"internal/copies"},
 	"internal/holders":  {"api/copies", "internal/copies", "internal/maintenance", "internal/store", "internal/streams"},
 	"internal/withcopies": {
-		"api/copies", "brain", "internal/bookings", "internal/copies", "internal/doubt", "internal/holders", "internal/maintenance", "internal/program", "internal/store",
+		"api/copies", "internal/policy", "internal/bookings", "internal/copies", "internal/doubt", "internal/holders", "internal/maintenance", "internal/program", "internal/store",
 	},
 	"internal/program": {
-		"brain", "internal/bookings", "internal/config", "internal/control", "internal/doubt", "internal/floating", "internal/maintenance", "internal/membership", "internal/peers",
+		"internal/policy", "internal/bookings", "internal/config", "internal/control", "internal/doubt", "internal/floating", "internal/maintenance", "internal/membership", "internal/peers",
 		"internal/protocol/members", "internal/protocol/sealed", "internal/protocol/vrrp", "internal/routing",
 		"internal/session", "internal/settings", "internal/streams", "internal/transport", "internal/vrrp",
 	},
@@ -89,7 +89,7 @@
 // forbidden are packages that must not be used where the prefix says.
 var forbidden = map[string][]string{
 	"":                     {"net/http", "github.com/jackc/pgx/v5", "database/sql"},
-	"brain":                {"time", "net", "os", "io", "sync", "math/rand"},
+	"internal/policy":      {"time", "net", "os", "io", "sync", "math/rand"},
 	"internal/protocol":    {"sync", "os", "time", "io", "bufio"},
 	"internal/routing":     {"net", "os", "bufio"},
 	"internal/vrrp":        {"time", "net", "os", "io", "sync", "math/rand", "math/rand/v2"},
--- a/brain/api.go
+++ b/internal/policy/api.go
@@ -1,9 +1,9 @@
-// Package brain decides, for one gateway, where each request of a replicated database goes.
+// Package policy decides, for one gateway, where each request of a replicated database goes.
 //
 // It is a pure state machine: a Router turns (now, event) into actions. It owns no clock, goroutine, socket
 // or file, and it draws random numbers only from the seed it was given. This file is the whole interface, in
 // the module's own terms; it holds no decision. Every decision stands in brain.go.
-package brain
+package policy
 
 // Micros is a point or a span of time in whole microseconds on the gateway's clock.
 type Micros int64
--- a/brain/brain.go
+++ b/internal/policy/brain.go
@@ -1,4 +1,4 @@
-// Package brain has every decision of a gateway in this file, one file as its lines are limited to 1,070; its
+// Package policy has every decision of a gateway in this file, one file as its lines are limited to 1,070; its
 // interface (settings, events, actions) is api.go, state.go holds the containers. No other file decides.
 //
 // The path of a request:
@@ -13,7 +13,7 @@
 //	Timer   -> finish at the request's end; sweep: probes, ejections, discovery, the queues
 //
 // Every final answer passes through finish. usable tells whether a server may be used, hasRoom for one more.
-package brain
+package policy
 
 import "slices"
 
--- a/brain/brain_test.go
+++ b/internal/policy/brain_test.go
@@ -1,11 +1,11 @@
-package brain_test
+package policy_test
 
 import (
 	"fmt"
 	"reflect"
 	"testing"
 
-	"marblespan/brain"
+	"marblespan/internal/policy"
 )
 
 // The split by class and the freshness gate.
@@ -13,17 +13,17 @@
 	for _, c := range []struct {
 		name   string
 		class  int
-		lag    brain.Micros // of the one replica, server 2
-		checks brain.Checks
-		want   brain.ServerID
+		lag    policy.Micros // of the one replica, server 2
+		checks policy.Checks
+		want   policy.ServerID
 	}{
-		{"write to the primary", unsafeWrite, 0, brain.ChecksNone, 1},
-		{"fresh read to the primary", freshRead, 0, brain.ChecksNone, 1},
-		{"any read to a replica", anyRead, 0, brain.ChecksNone, 2},
-		{"any read to a lagging replica", anyRead, 5000 * ms, brain.ChecksNone, 2},
-		{"bounded read to a fresh replica", boundedRead, 700 * ms, brain.ChecksNone, 2},
-		{"bounded read at the bound", boundedRead, 800 * ms, brain.ChecksNone, 2},
-		{"past the bound, servers check: most advanced replica", boundedRead, 801 * ms, brain.ChecksRefuse, 2},
+		{"write to the primary", unsafeWrite, 0, policy.ChecksNone, 1},
+		{"fresh read to the primary", freshRead, 0, policy.ChecksNone, 1},
+		{"any read to a replica", anyRead, 0, policy.ChecksNone, 2},
+		{"any read to a lagging replica", anyRead, 5000 * ms, policy.ChecksNone, 2},
+		{"bounded read to a fresh replica", boundedRead, 700 * ms, policy.ChecksNone, 2},
+		{"bounded read at the bound", boundedRead, 800 * ms, policy.ChecksNone, 2},
+		{"past the bound, servers check: most advanced replica", boundedRead, 801 * ms, policy.ChecksRefuse, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			set := settings()
@@ -40,7 +40,7 @@
 
 func TestMostAdvancedReplicaFirst(t *testing.T) {
 	set := settings()
-	set.Checks = brain.ChecksWait
+	set.Checks = policy.ChecksWait
 	g := newRig(t, set)
 	g.group(4)
 	g.fresh(2, 5000*ms)
@@ -49,7 +49,7 @@
 	g.arrive("q", boundedRead)
 	g.wantSent("q", 3)
 	// Its miss redraws: the next most advanced, and 3 is left out for a while even for others.
-	g.outcome("q", 0, 3, brain.ResultMiss)
+	g.outcome("q", 0, 3, policy.ResultMiss)
 	g.wantSent("q", 2)
 	g.arrive("r", boundedRead)
 	g.wantSent("r", 2)
@@ -58,7 +58,7 @@
 // Late reports: positions look old while the data is not. Misses alone rule a replica out where servers check.
 func TestOldNewsDoesNotSendReadsToThePrimary(t *testing.T) {
 	set := settings()
-	set.Checks = brain.ChecksWait
+	set.Checks = policy.ChecksWait
 	g := newRig(t, set)
 	g.group(3)
 	g.fresh(1, 0)
@@ -71,13 +71,13 @@
 		if len(got) != 1 || got[0] == 1 {
 			t.Fatalf("%s went to %v, want a replica", id, got)
 		}
-		g.outcome(id, 0, got[0], brain.ResultOK)
+		g.outcome(id, 0, got[0], policy.ResultOK)
 	}
 	// When both have missed, the primary takes the read, and later ones at once.
 	g.arrive("m", boundedRead)
 	first := sent(g.acts, "m")[0]
-	g.outcome("m", 0, first, brain.ResultMiss)
-	g.outcome("m", 1, 5-first, brain.ResultMiss)
+	g.outcome("m", 0, first, policy.ResultMiss)
+	g.outcome("m", 1, 5-first, policy.ResultMiss)
 	g.wantSent("m", 1)
 	g.arrive("n", boundedRead)
 	g.wantSent("n", 1)
@@ -86,12 +86,12 @@
 func TestSessionsStick(t *testing.T) {
 	g := newRig(t, settings())
 	g.group(6)
-	for id := brain.ServerID(1); id <= 6; id++ {
+	for id := policy.ServerID(1); id <= 6; id++ {
 		g.fresh(id, 0)
 	}
-	used := map[brain.ServerID]bool{}
+	used := map[policy.ServerID]bool{}
 	for session := uint64(1); session <= 30; session++ {
-		var home brain.ServerID
+		var home policy.ServerID
 		for i := 0; i < 4; i++ {
 			id := fmt.Sprint(session, "-", i)
 			g.after(ms).arriveOf(id, sessionRead, session)
@@ -100,7 +100,7 @@
 				t.Fatalf("%s went to %v, its session's replica is %d", id, got, home)
 			}
 			home = got[0]
-			g.outcome(id, 0, home, brain.ResultOK)
+			g.outcome(id, 0, home, policy.ResultOK)
 		}
 		used[home] = true
 	}
@@ -111,8 +111,8 @@
 	g.arriveOf("x", sessionRead, 1)
 	home := sent(g.acts, "x")[0]
 	drained := member(home, false)
-	drained.State = brain.MemberDraining
-	g.step(brain.MemberNews{Form: brain.ListDelta, Members: []brain.Member{drained}})
+	drained.State = policy.MemberDraining
+	g.step(policy.MemberNews{Form: policy.ListDelta, Members: []policy.Member{drained}})
 	g.arriveOf("y", sessionRead, 1)
 	if got := sent(g.acts, "y"); len(got) != 1 || got[0] == home {
 		t.Fatalf("sent to %v after %d drained", got, home)
@@ -123,7 +123,7 @@
 	t.Run("remembered", func(t *testing.T) {
 		g := newFreshPair(t)
 		g.after(100*ms).arriveOf("w", unsafeWrite, 9)
-		g.step(brain.Outcome{ID: "w", Server: 1, Final: true, Latency: 50 * ms, Role: brain.RolePrimary, Position: g.now})
+		g.step(policy.Outcome{ID: "w", Server: 1, Final: true, Latency: 50 * ms, Role: policy.RolePrimary, Position: g.now})
 		g.after(10*ms).arriveOf("r", sessionRead, 9)
 		g.wantSent("r", 1) // server 2 is not known to have it
 		g.fresh(2, 0)
@@ -133,7 +133,7 @@
 	t.Run("a write without a position counts as committed now", func(t *testing.T) {
 		g := newFreshPair(t)
 		g.after(100*ms).arriveOf("w", unsafeWrite, 9)
-		g.outcome("w", 0, 1, brain.ResultOK)
+		g.outcome("w", 0, 1, policy.ResultOK)
 		g.arriveOf("r", sessionRead, 9)
 		g.wantSent("r", 1)
 	})
@@ -144,9 +144,9 @@
 		g.group(2)
 		g.fresh(1, 0)
 		g.fresh(2, 200*ms)
-		g.step(brain.Arrival{ID: "r", Class: sessionRead, Group: 1, Left: 2000 * ms, SinceWrite: 199 * ms})
+		g.step(policy.Arrival{ID: "r", Class: sessionRead, Group: 1, Left: 2000 * ms, SinceWrite: 199 * ms})
 		g.wantSent("r", 1)
-		g.step(brain.Arrival{ID: "s", Class: sessionRead, Group: 1, Left: 2000 * ms, SinceWrite: 200 * ms})
+		g.step(policy.Arrival{ID: "s", Class: sessionRead, Group: 1, Left: 2000 * ms, SinceWrite: 200 * ms})
 		g.wantSent("s", 2)
 	})
 	t.Run("a read that is sent later sees a write answered meanwhile", func(t *testing.T) {
@@ -154,8 +154,8 @@
 		g.arriveOf("r", sessionRead, 9)
 		g.wantSent("r", 2)
 		g.after(10*ms).arriveOf("w", unsafeWrite, 9)
-		g.after(10*ms).outcome("w", 0, 1, brain.ResultOK)
-		g.outcome("r", 0, 2, brain.ResultReset)
+		g.after(10*ms).outcome("w", 0, 1, policy.ResultOK)
+		g.outcome("r", 0, 2, policy.ResultReset)
 		g.wantSent("r", 1)
 	})
 	t.Run("a write that is out may have been answered", func(t *testing.T) {
@@ -167,12 +167,12 @@
 		g.wantSent("s", 2)
 	})
 	t.Run("a write of unknown end counts as committed by then", func(t *testing.T) {
-		for res, want := range map[brain.Result]brain.ServerID{
-			brain.ResultReset: 1, brain.ResultTimeout: 1, brain.ResultCancelled: 1, brain.ResultError: 1, brain.ResultFull: 2,
+		for res, want := range map[policy.Result]policy.ServerID{
+			policy.ResultReset: 1, policy.ResultTimeout: 1, policy.ResultCancelled: 1, policy.ResultError: 1, policy.ResultFull: 2,
 		} {
 			g := newFreshPair(t)
 			g.after(10*ms).arriveOf("w", unsafeWrite, 9)
-			g.step(brain.Dropped{ID: "w"})
+			g.step(policy.Dropped{ID: "w"})
 			g.after(10*ms).outcome("w", 0, 1, res)
 			g.after(100*ms).arriveOf("r", sessionRead, 9)
 			if got := sent(g.acts, "r"); len(got) != 1 || got[0] != want {
@@ -185,21 +185,21 @@
 		g.after(10*ms).arriveOf("w", unsafeWrite, 1)
 		for k := uint64(2); k < 1<<14+2; k++ {
 			g.arriveOf(fmt.Sprint("f", k), freshRead, k)
-			g.outcome(fmt.Sprint("f", k), 0, 1, brain.ResultOK)
+			g.outcome(fmt.Sprint("f", k), 0, 1, policy.ResultOK)
 		}
 		g.arriveOf("r", sessionRead, 1)
 		g.wantSent("r", 1)
-		g.outcome("w", 0, 1, brain.ResultFull)
+		g.outcome("w", 0, 1, policy.ResultFull)
 		g.arriveOf("s", sessionRead, 1<<14+1)
 		g.wantSent("s", 2)
 	})
 	t.Run("forgotten marks merge into a floor", func(t *testing.T) {
 		g := newFreshPair(t)
 		g.after(100*ms).arriveOf("w", unsafeWrite, 1)
-		g.outcome("w", 0, 1, brain.ResultOK)
+		g.outcome("w", 0, 1, policy.ResultOK)
 		for k := uint64(2); k < 1<<14+2; k++ {
 			g.arriveOf(fmt.Sprint("f", k), freshRead, k)
-			g.outcome(fmt.Sprint("f", k), 0, 1, brain.ResultOK)
+			g.outcome(fmt.Sprint("f", k), 0, 1, policy.ResultOK)
 		}
 		g.arriveOf("r", sessionRead, 1)
 		g.wantSent("r", 1)
@@ -209,12 +209,12 @@
 // What an outcome proves decides what may follow.
 func TestAttemptTable(t *testing.T) {
 	const again, refuse, fail = "again", "refuse", "fail"
-	ran := []brain.Result{brain.ResultError, brain.ResultTimeout, brain.ResultReset, brain.ResultCancelled}
-	notRan := []brain.Result{brain.ResultFull, brain.ResultConnectFailed, brain.ResultMiss}
+	ran := []policy.Result{policy.ResultError, policy.ResultTimeout, policy.ResultReset, policy.ResultCancelled}
+	notRan := []policy.Result{policy.ResultFull, policy.ResultConnectFailed, policy.ResultMiss}
 	for _, c := range []struct {
 		class   int
-		results []brain.Result
-		wait    brain.Micros
+		results []policy.Result
+		wait    policy.Micros
 		want    string
 	}{
 		{anyRead, ran, 10 * ms, again},
@@ -229,9 +229,9 @@
 				g.fresh(1, 0)
 				first := sent(g.arrive("q", c.class), "q")[0]
 				g.after(c.wait).outcome("q", 0, first, res)
-				acts := append([]brain.Action(nil), g.acts...)
+				acts := append([]policy.Action(nil), g.acts...)
 				// The next primary shows itself, so that a write that waits can go.
-				g.after(ms).probed(2, brain.RolePrimary, g.now)
+				g.after(ms).probed(2, policy.RolePrimary, g.now)
 				acts = append(acts, g.acts...)
 				acts = append(acts, g.sweep(260*ms)...)
 				got := ending(acts, "q")
@@ -257,7 +257,7 @@
 		if len(got) != 1 {
 			t.Fatalf("attempt %d: sent to %v", i, got)
 		}
-		acts = g.outcome("q", i, got[0], brain.ResultConnectFailed)
+		acts = g.outcome("q", i, got[0], policy.ResultConnectFailed)
 	}
 	g.wantEnd("q", "refuse")
 }
@@ -279,7 +279,7 @@
 			if n > 0 {
 				more++
 			}
-			acts = g.outcome(id, n, got[0], brain.ResultError)
+			acts = g.outcome(id, n, got[0], policy.ResultError)
 		}
 	}
 	if more == 0 || more > first/5+10 {
@@ -288,32 +288,32 @@
 }
 
 func TestPrimaryEvidence(t *testing.T) {
-	primaryIs := func(g *rig, want brain.ServerID) {
+	primaryIs := func(g *rig, want policy.ServerID) {
 		g.t.Helper()
 		id := fmt.Sprint("p", g.now, len(g.all))
 		g.arrive(id, freshRead)
 		g.wantSent(id, want)
-		g.outcome(id, 0, want, brain.ResultOK)
+		g.outcome(id, 0, want, policy.ResultOK)
 	}
 	t.Run("a late report does not override newer proof", func(t *testing.T) {
 		g := newRig(t, settings())
 		g.group(3)
 		g.after(1000 * ms)
-		g.probed(2, brain.RolePrimary, g.now)
+		g.probed(2, policy.RolePrimary, g.now)
 		primaryIs(g, 2)
-		g.probed(1, brain.RolePrimary, g.now-500*ms) // a report from before the switch
+		g.probed(1, policy.RolePrimary, g.now-500*ms) // a report from before the switch
 		primaryIs(g, 2)
-		g.probed(2, brain.RoleReplica, g.now-500*ms) // and one of before its election
+		g.probed(2, policy.RoleReplica, g.now-500*ms) // and one of before its election
 		primaryIs(g, 2)
-		g.probed(3, brain.RolePrimary, g.now+50*ms) // never from the future
-		g.after(100*ms).probed(3, brain.RolePrimary, g.now)
+		g.probed(3, policy.RolePrimary, g.now+50*ms) // never from the future
+		g.after(100*ms).probed(3, policy.RolePrimary, g.now)
 		primaryIs(g, 3)
 	})
 	t.Run("the list is believed only until there is proof", func(t *testing.T) {
 		g := newRig(t, settings())
 		g.group(3)
 		primaryIs(g, 1)
-		g.after(10*ms).probed(2, brain.RolePrimary, g.now)
+		g.after(10*ms).probed(2, policy.RolePrimary, g.now)
 		g.group(3)
 		primaryIs(g, 2)
 	})
@@ -324,11 +324,11 @@
 		g.fresh(3, 100*ms)
 		g.arrive("w", unsafeWrite)
 		g.wantSent("w", 1)
-		g.after(ms).outcome("w", 0, 1, brain.ResultMiss)
+		g.after(ms).outcome("w", 0, 1, policy.ResultMiss)
 		g.wantSent("w", 3) // the most advanced
-		g.after(ms).outcome("w", 1, 3, brain.ResultMiss)
+		g.after(ms).outcome("w", 1, 3, policy.ResultMiss)
 		g.wantSent("w", 2)
-		g.after(ms).outcome("w", 2, 2, brain.ResultMiss)
+		g.after(ms).outcome("w", 2, 2, policy.ResultMiss)
 		g.wantSent("w") // one round is enough: it waits
 		g.wantEnd("w", "")
 		// Another write does not go the round again.
@@ -339,7 +339,7 @@
 		// The new primary shows itself in an answer's note: all that waits goes there.
 		g.after(ms).arrive("a", anyRead)
 		to := sent(g.acts, "a")[0]
-		g.after(ms).step(brain.Outcome{ID: "a", Server: to, Final: true, Latency: ms, Role: brain.RolePrimary})
+		g.after(ms).step(policy.Outcome{ID: "a", Server: to, Final: true, Latency: ms, Role: policy.RolePrimary})
 		for _, id := range []string{"w", "v", "f"} {
 			g.wantSent(id, to)
 		}
@@ -352,8 +352,8 @@
 		g.wantSent("w", 1)
 		g.after(50*ms).arrive("v", unsafeWrite)
 		g.wantSent("v", 1)
-		g.after(ms).step(brain.Outcome{ID: "v", Server: 1, Result: brain.ResultMiss, Role: brain.RoleReplica})
-		g.after(100 * ms).step(brain.Outcome{ID: "w", Server: 1, Final: true, Role: brain.RolePrimary, Latency: 151 * ms,
+		g.after(ms).step(policy.Outcome{ID: "v", Server: 1, Result: policy.ResultMiss, Role: policy.RoleReplica})
+		g.after(100 * ms).step(policy.Outcome{ID: "w", Server: 1, Final: true, Role: policy.RolePrimary, Latency: 151 * ms,
 			Position: g.now - 130*ms})
 		g.arrive("f", freshRead)
 		g.wantSent("f")
@@ -362,18 +362,18 @@
 		g := newRig(t, settings())
 		g.group(3)
 		g.sweep(25 * ms)
-		for id := brain.ServerID(1); id <= 3; id++ {
+		for id := policy.ServerID(1); id <= 3; id++ {
 			g.fresh(id, 0)
 		}
 		g.arrive("w", unsafeWrite)
-		g.outcome("w", 0, 1, brain.ResultReset)
+		g.outcome("w", 0, 1, policy.ResultReset)
 		probes := 0
 		for i := 0; i < 40; i++ {
 			g.arrive(fmt.Sprint("f", i), freshRead) // somebody waits for a primary
 			for _, a := range g.sweep(25 * ms) {
-				if p, ok := a.(brain.Probe); ok {
+				if p, ok := a.(policy.Probe); ok {
 					probes++
-					g.step(brain.Probed{Server: p.Server, Result: brain.ResultTimeout})
+					g.step(policy.Probed{Server: p.Server, Result: policy.ResultTimeout})
 				}
 			}
 		}
@@ -386,20 +386,20 @@
 func TestDrainsAreObeyedAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		news  brain.MemberNews
+		news  policy.MemberNews
 		loose bool
 		open  bool // may still be sent to
 	}{
-		{"draining", brain.MemberNews{Form: brain.ListDelta, Members: []brain.Member{
-			{Server: 2, Group: 1, State: brain.MemberDraining}}}, false, false},
-		{"gone", brain.MemberNews{Form: brain.ListDelta, Members: []brain.Member{
-			{Server: 2, Group: 1, State: brain.MemberGone}}}, false, false},
-		{"left out of a full list", brain.MemberNews{Form: brain.ListFull, Members: []brain.Member{
+		{"draining", policy.MemberNews{Form: policy.ListDelta, Members: []policy.Member{
+			{Server: 2, Group: 1, State: policy.MemberDraining}}}, false, false},
+		{"gone", policy.MemberNews{Form: policy.ListDelta, Members: []policy.Member{
+			{Server: 2, Group: 1, State: policy.MemberGone}}}, false, false},
+		{"left out of a full list", policy.MemberNews{Form: policy.ListFull, Members: []policy.Member{
 			member(1, true)}}, false, false},
-		{"gone where only draining binds", brain.MemberNews{Form: brain.ListDelta, Members: []brain.Member{
-			{Server: 2, Group: 1, State: brain.MemberGone}}}, true, true},
-		{"draining where only draining binds", brain.MemberNews{Form: brain.ListDelta, Members: []brain.Member{
-			{Server: 2, Group: 1, State: brain.MemberDraining}}}, true, false},
+		{"gone where only draining binds", policy.MemberNews{Form: policy.ListDelta, Members: []policy.Member{
+			{Server: 2, Group: 1, State: policy.MemberGone}}}, true, true},
+		{"draining where only draining binds", policy.MemberNews{Form: policy.ListDelta, Members: []policy.Member{
+			{Server: 2, Group: 1, State: policy.MemberDraining}}}, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			set := settings()
@@ -422,19 +422,19 @@
 	g.group(2)
 	g.fresh(1, 0)
 	drained := member(1, true)
-	drained.State = brain.MemberDraining
-	g.step(brain.MemberNews{Form: brain.ListDelta, Members: []brain.Member{drained}})
+	drained.State = policy.MemberDraining
+	g.step(policy.MemberNews{Form: policy.ListDelta, Members: []policy.Member{drained}})
 	g.arrive("w", unsafeWrite)
 	g.wantSent("w", 2)
-	g.outcome("w", 0, 2, brain.ResultMiss)
+	g.outcome("w", 0, 2, policy.ResultMiss)
 	g.wantSent("w")
-	g.after(50*ms).probed(2, brain.RolePrimary, g.now)
+	g.after(50*ms).probed(2, policy.RolePrimary, g.now)
 	g.wantSent("w", 2)
 }
 
 // A cold member takes what a fall window allows, whatever comes back and however quickly.
 func TestColdBudget(t *testing.T) {
-	for _, res := range []brain.Result{brain.ResultMiss, brain.ResultError, brain.ResultOK} {
+	for _, res := range []policy.Result{policy.ResultMiss, policy.ResultError, policy.ResultOK} {
 		t.Run(fmt.Sprint(res), func(t *testing.T) {
 			set := settings()
 			g := newRig(t, set)
@@ -442,7 +442,7 @@
 			// This gateway has measured nothing yet: the budget must hold all the same.
 			cold := member(3, false)
 			cold.Started = g.now
-			g.step(brain.MemberNews{Form: brain.ListDelta, Members: []brain.Member{cold}})
+			g.step(policy.MemberNews{Form: policy.ListDelta, Members: []policy.Member{cold}})
 			n := 0
 			for i := 0; i < 400; i++ {
 				id := fmt.Sprint("q", i)
@@ -458,7 +458,7 @@
 					} else {
 						// Warm members answer about eight requests a window each.
 						if i%25 == 0 {
-							g.outcome(id, k, got[0], brain.ResultOK)
+							g.outcome(id, k, got[0], policy.ResultOK)
 						}
 						break
 					}
@@ -479,30 +479,30 @@
 	g.fresh(1, 0)
 	g.arrive("q", anyRead)
 	g.wantSent("q", 2)
-	g.outcome("q", 0, 2, brain.ResultConnectFailed)
+	g.outcome("q", 0, 2, policy.ResultConnectFailed)
 	g.arrive("r", anyRead)
 	g.wantSent("r", 1) // the primary takes it while the replica rests
 	probed := false
 	for _, a := range g.sweep(25 * ms) {
-		if p, ok := a.(brain.Probe); ok && p.Server == 2 {
+		if p, ok := a.(policy.Probe); ok && p.Server == 2 {
 			probed = true
 		}
 	}
 	if !probed {
 		t.Error("no probe to tell whether it is down")
 	}
-	g.step(brain.Probed{Server: 2, Result: brain.ResultConnectFailed})
+	g.step(policy.Probed{Server: 2, Result: policy.ResultConnectFailed})
 	again := 0
 	g.after(ms).arrive("u", unsafeWrite)
 	for _, a := range g.sweep(25 * ms) {
-		if p, ok := a.(brain.Probe); ok && p.Server == 2 {
+		if p, ok := a.(policy.Probe); ok && p.Server == 2 {
 			again++
 		}
 	}
 	if again != 1 {
 		t.Errorf("%d probes behind one that failed: a single one may have met a lossy path", again)
 	}
-	g.step(brain.Probed{Server: 2, Result: brain.ResultConnectFailed})
+	g.step(policy.Probed{Server: 2, Result: policy.ResultConnectFailed})
 	g.after(400*ms).arrive("still", anyRead)
 	g.wantSent("still", 1)
 	g.fresh(2, 0)
@@ -525,24 +525,24 @@
 func TestBrokenConnectionsDoNotCloseAMember(t *testing.T) {
 	g := newRig(t, settings())
 	g.group(3)
-	used := map[brain.ServerID]int{}
+	used := map[policy.ServerID]int{}
 	for i := 0; i < 200; i++ {
 		id := fmt.Sprint("q", i)
 		g.after(20*ms).arrive(id, anyRead)
 		to := sent(g.acts, id)[0]
-		res := brain.ResultOK
+		res := policy.ResultOK
 		if i%5 == 0 {
-			res = brain.ResultReset
+			res = policy.ResultReset
 		}
-		if used[to]++; res == brain.ResultReset {
+		if used[to]++; res == policy.ResultReset {
 			if more := sent(g.outcome(id, 0, to, res), id); len(more) == 1 {
-				g.outcome(id, 1, more[0], brain.ResultOK)
+				g.outcome(id, 1, more[0], policy.ResultOK)
 			}
 		} else {
 			g.outcome(id, 0, to, res)
 		}
 		for _, a := range g.sweep(5 * ms) {
-			if p, ok := a.(brain.Probe); ok {
+			if p, ok := a.(policy.Probe); ok {
 				g.fresh(p.Server, 0)
 			}
 		}
@@ -558,7 +558,7 @@
 	g.group(4)
 	tries := 0
 	for i := 0; i < 200; i++ {
-		tries += g.after(5*ms).readPast(fmt.Sprint("q", i), 2, brain.ResultFull)
+		tries += g.after(5*ms).readPast(fmt.Sprint("q", i), 2, policy.ResultFull)
 	}
 	if tries == 0 || tries > 12 {
 		t.Errorf("%d of 200 requests met the member that is full", tries)
@@ -570,7 +570,7 @@
 	g.group(4)
 	tries := 0
 	for i := 0; i < 400; i++ {
-		tries += g.after(5*ms).readPast(fmt.Sprint("q", i), 2, brain.ResultError)
+		tries += g.after(5*ms).readPast(fmt.Sprint("q", i), 2, policy.ResultError)
 		g.sweep(0)
 	}
 	if tries < 5 || tries > 40 {
@@ -582,15 +582,15 @@
 func TestEjectionNeverEmptiesAGroup(t *testing.T) {
 	set := settings()
 	g := newRig(t, set)
-	g.step(brain.MemberNews{Form: brain.ListCached, Members: []brain.Member{member(2, false), member(3, false)}})
+	g.step(policy.MemberNews{Form: policy.ListCached, Members: []policy.Member{member(2, false), member(3, false)}})
 	for i := 0; i < 60; i++ {
 		id := fmt.Sprint("q", i)
 		got := sent(g.after(100*ms).arrive(id, anyRead), id)
 		if len(got) != 1 {
 			t.Fatalf("%s sent to %v", id, got)
 		}
-		g.outcome(id, 0, got[0], brain.ResultError)
-		g.step(brain.Dropped{ID: id})
+		g.outcome(id, 0, got[0], policy.ResultError)
+		g.step(policy.Dropped{ID: id})
 	}
 }
 
@@ -599,11 +599,11 @@
 	g := newRig(t, settings())
 	g.group(2)
 	g.fresh(1, 0)
-	run := func(tag string, latency brain.Micros) int {
+	run := func(tag string, latency policy.Micros) int {
 		for i := 0; i < 200; i++ {
 			id := fmt.Sprint(tag, i)
 			if len(sent(g.after(100*ms).arrive(id, freshRead), id)) == 1 {
-				g.step(brain.Outcome{ID: id, Server: 1, Final: true, Latency: latency})
+				g.step(policy.Outcome{ID: id, Server: 1, Final: true, Latency: latency})
 			}
 		}
 		out := 0
@@ -612,8 +612,8 @@
 			out += len(sent(g.arrive(id, freshRead), id))
 		}
 		for i := 0; i < 40; i++ {
-			g.step(brain.Outcome{ID: fmt.Sprint(tag, "-burst", i), Server: 1, Final: true, Latency: latency})
-			g.step(brain.Dropped{ID: fmt.Sprint(tag, "-burst", i)})
+			g.step(policy.Outcome{ID: fmt.Sprint(tag, "-burst", i), Server: 1, Final: true, Latency: latency})
+			g.step(policy.Dropped{ID: fmt.Sprint(tag, "-burst", i)})
 		}
 		return out
 	}
@@ -634,7 +634,7 @@
 	for i := 0; i < 60; i++ {
 		id := fmt.Sprint("a", i)
 		g.after(10*ms).arrive(id, freshRead)
-		g.step(brain.Outcome{ID: id, Server: 1, Final: true, Latency: 100 * ms})
+		g.step(policy.Outcome{ID: id, Server: 1, Final: true, Latency: 100 * ms})
 	}
 	open := []string{}
 	for i := 0; ; i++ {
@@ -650,7 +650,7 @@
 	g.sweep(100 * ms)
 	g.wantEnd(waiting, "refuse")
 	for _, a := range g.acts {
-		if r, ok := a.(brain.Refuse); ok && r.ID == waiting && r.RetryAfter != set.MaxRetryAdvice {
+		if r, ok := a.(policy.Refuse); ok && r.ID == waiting && r.RetryAfter != set.MaxRetryAdvice {
 			t.Errorf("advice to come back in %d us", r.RetryAfter)
 		}
 	}
@@ -671,7 +671,7 @@
 	}
 	g.after(ms).arrive("w", unsafeWrite)
 	g.wantSent("w")
-	g.after(ms).outcome("f0", 0, 1, brain.ResultOK)
+	g.after(ms).outcome("f0", 0, 1, policy.ResultOK)
 	g.wantSent("w", 1)
 }
 
@@ -685,9 +685,9 @@
 				g.fresh(1, 0)
 			}
 			g.arrive("q", class)
-			var at brain.Micros
+			var at policy.Micros
 			for _, a := range g.acts {
-				if s, ok := a.(brain.SetTimer); ok && s.Token == "q" {
+				if s, ok := a.(policy.SetTimer); ok && s.Token == "q" {
 					at = s.At
 				}
 			}
@@ -695,18 +695,18 @@
 				t.Fatalf("class %d: its timer is at %d", class, at-origin)
 			}
 			g.now = at
-			g.step(brain.Timer{Token: "q"})
+			g.step(policy.Timer{Token: "q"})
 			for _, a := range g.acts { // half of its time is over, and an attempt is out
-				if s, ok := a.(brain.SetTimer); ok && s.Token == "q" && ending(g.acts, "q") == "" {
+				if s, ok := a.(policy.SetTimer); ok && s.Token == "q" && ending(g.acts, "q") == "" {
 					g.now = s.At
-					g.step(brain.Timer{Token: "q"})
+					g.step(policy.Timer{Token: "q"})
 					break
 				}
 			}
 			if ending(g.acts, "q") == "" {
 				t.Errorf("class %d with %d members has no final answer at its end", class, members)
 			}
-			g.step(brain.Timer{Token: "q"})
+			g.step(policy.Timer{Token: "q"})
 			if ending(g.acts, "q") != "" {
 				t.Errorf("class %d was answered twice", class)
 			}
@@ -724,7 +724,7 @@
 	g.fresh(1, 0)
 	g.arrive("w", unsafeWrite)
 	g.now += 1995 * ms
-	g.step(brain.Timer{Token: "w"})
+	g.step(policy.Timer{Token: "w"})
 	g.wantEnd("w", "fail")
 }
 
@@ -734,17 +734,17 @@
 	g.fresh(1, 0)
 	g.fresh(2, 0)
 	g.fresh(3, 0)
-	set := brain.ServerID(0)
-	g.step(brain.Arrival{ID: "q", Class: lateRead, Group: 1, Left: 2000 * ms})
+	set := policy.ServerID(0)
+	g.step(policy.Arrival{ID: "q", Class: lateRead, Group: 1, Left: 2000 * ms})
 	set = sent(g.acts, "q")[0]
 	cancelled := false
 	for i := 0; i < 60 && !cancelled; i++ {
 		for _, a := range g.sweep(25 * ms) {
 			switch a := a.(type) {
-			case brain.Probe:
+			case policy.Probe:
 				if a.Server == set {
-					g.step(brain.Probed{Server: a.Server, Result: brain.ResultTimeout})
-					cancelled = cancelled || count[brain.Cancel](g.acts) > 0
+					g.step(policy.Probed{Server: a.Server, Result: policy.ResultTimeout})
+					cancelled = cancelled || count[policy.Cancel](g.acts) > 0
 				} else {
 					g.fresh(a.Server, 0)
 				}
@@ -754,24 +754,24 @@
 	if !cancelled {
 		t.Fatal("the read was left with a member that answers neither it nor probes")
 	}
-	g.outcome("q", 0, set, brain.ResultCancelled)
+	g.outcome("q", 0, set, policy.ResultCancelled)
 	if got := sent(g.acts, "q"); len(got) != 1 || got[0] == set {
 		t.Errorf("moved to %v from %d", got, set)
 	}
 }
 
 // readFor plays reads of one group, each answered at once, and answers every probe. It returns the probes by server.
-func (g *rig) readFor(span, gap brain.Micros) map[brain.ServerID]int {
-	probes := map[brain.ServerID]int{}
-	for t, n := brain.Micros(0), 0; t < span; t += 25 * ms {
+func (g *rig) readFor(span, gap policy.Micros) map[policy.ServerID]int {
+	probes := map[policy.ServerID]int{}
+	for t, n := policy.Micros(0), 0; t < span; t += 25 * ms {
 		if gap > 0 && t%gap == 0 {
 			id := fmt.Sprint("r", g.now, n)
 			for _, s := range sent(g.arrive(id, boundedRead), id) {
-				g.outcome(id, 0, s, brain.ResultOK)
+				g.outcome(id, 0, s, policy.ResultOK)
 			}
 		}
 		for _, a := range g.sweep(25 * ms) {
-			if p, ok := a.(brain.Probe); ok {
+			if p, ok := a.(policy.Probe); ok {
 				probes[p.Server]++
 				g.fresh(p.Server, 0)
 			}
@@ -782,11 +782,11 @@
 
 func TestProbesKeepPositionsWithinHalfTheBoundInUse(t *testing.T) {
 	set := settings()
-	set.Checks = brain.ChecksRefuse
+	set.Checks = policy.ChecksRefuse
 	g := newRig(t, set)
 	g.group(3)
 	at := g.readFor(10_000*ms, 50*ms)
-	for id := brain.ServerID(2); id <= 3; id++ {
+	for id := policy.ServerID(2); id <= 3; id++ {
 		if n := at[id]; n < 17 || n > 26 { // ten seconds, half of an 800 ms bound
 			t.Errorf("server %d probed %d times in 10 s", id, n)
 		}
@@ -799,7 +799,7 @@
 	for i := 0; i < 100; i++ {
 		g.arrive(fmt.Sprint("u", i), boundedRead)
 		for _, a := range g.sweep(25 * ms) {
-			if p, ok := a.(brain.Probe); ok && p.Server == 2 {
+			if p, ok := a.(policy.Probe); ok && p.Server == 2 {
 				n++
 			}
 		}
@@ -811,9 +811,9 @@
 
 // Hundreds of gateways that each probe for freshness at full pace send more probes than requests.
 func TestProbesDoNotOutnumberRequests(t *testing.T) {
-	for _, gap := range []brain.Micros{0, 5000 * ms, 1000 * ms, 200 * ms} {
+	for _, gap := range []policy.Micros{0, 5000 * ms, 1000 * ms, 200 * ms} {
 		set := settings()
-		set.Checks = brain.ChecksRefuse
+		set.Checks = policy.ChecksRefuse
 		g := newRig(t, set)
 		g.group(6)
 		total, reads := 0, 0
@@ -836,20 +836,20 @@
 	set := settings()
 	set.ListAsked = true
 	g := newRig(t, set)
-	if count[brain.Watch](g.acts) != 1 {
+	if count[policy.Watch](g.acts) != 1 {
 		t.Fatal("it does not subscribe at its start")
 	}
 	g.group(2)
-	asks := func(span brain.Micros) (n int, last brain.Micros) {
+	asks := func(span policy.Micros) (n int, last policy.Micros) {
 		for end := g.now + span; g.now < end; {
-			if count[brain.Watch](g.sweep(25*ms)) > 0 {
+			if count[policy.Watch](g.sweep(25*ms)) > 0 {
 				n, last = n+1, g.now
-				g.after(5 * ms).step(brain.MemberNews{Form: brain.ListFailed})
+				g.after(5 * ms).step(policy.MemberNews{Form: policy.ListFailed})
 			}
 		}
 		return n, last
 	}
-	g.step(brain.MemberNews{Form: brain.ListFailed})
+	g.step(policy.MemberNews{Form: policy.ListFailed})
 	early, _ := asks(2000 * ms)
 	late, last := asks(20_000 * ms)
 	if early < 2 || late < 20 || late > 50 {
@@ -859,21 +859,21 @@
 		t.Error("it stopped asking")
 	}
 	for i := 0; i < 400; i++ {
-		if count[brain.Watch](g.sweep(25*ms)) > 0 {
+		if count[policy.Watch](g.sweep(25*ms)) > 0 {
 			break
 		}
 	}
-	g.step(brain.MemberNews{Form: brain.ListDelta})
+	g.step(policy.MemberNews{Form: policy.ListDelta})
 	if n, _ := asks(8000 * ms); n != 0 {
 		t.Errorf("%d asks with a subscription that stands", n)
 	}
 	// Two gateways with different seeds do not ask in step.
-	spans := map[brain.Micros]bool{}
+	spans := map[policy.Micros]bool{}
 	for seed := uint64(1); seed < 9; seed++ {
-		r, _ := brain.New(origin, seed, set)
-		r.Step(origin, brain.MemberNews{Form: brain.ListFailed})
+		r, _ := policy.New(origin, seed, set)
+		r.Step(origin, policy.MemberNews{Form: policy.ListFailed})
 		for now := origin; now < origin+1000*ms; now += 5 * ms {
-			if count[brain.Watch](r.Step(now, brain.Timer{Token: "sweep"})) > 0 {
+			if count[policy.Watch](r.Step(now, policy.Timer{Token: "sweep"})) > 0 {
 				spans[now] = true
 				break
 			}
@@ -890,18 +890,18 @@
 	set := settings()
 	set.ListAsked = true
 	const askings = 8
-	var sum [askings]brain.Micros
-	longest := brain.Micros(0)
+	var sum [askings]policy.Micros
+	longest := policy.Micros(0)
 	const seeds = 64
 	for seed := uint64(1); seed <= seeds; seed++ {
-		r, _ := brain.New(origin, seed, set)
+		r, _ := policy.New(origin, seed, set)
 		now := origin
 		for n := range sum {
 			failed := now
-			r.Step(now, brain.MemberNews{Form: brain.ListFailed})
+			r.Step(now, policy.MemberNews{Form: policy.ListFailed})
 			for {
 				now += 5 * ms
-				if count[brain.Watch](r.Step(now, brain.Timer{Token: "sweep"})) > 0 {
+				if count[policy.Watch](r.Step(now, policy.Timer{Token: "sweep"})) > 0 {
 					break
 				}
 			}
@@ -924,13 +924,13 @@
 	set.ListAsked, set.ListPushed = true, true
 	g := newRig(t, set)
 	g.group(2)
-	g.step(brain.MemberNews{Form: brain.ListDelta})
-	g.step(brain.MemberNews{Form: brain.ListFailed})
-	if count[brain.Watch](g.sweep(1*ms)) != 1 {
+	g.step(policy.MemberNews{Form: policy.ListDelta})
+	g.step(policy.MemberNews{Form: policy.ListFailed})
+	if count[policy.Watch](g.sweep(1*ms)) != 1 {
 		t.Error("it is not asked for again at once")
 	}
-	g.step(brain.MemberNews{Form: brain.ListFailed})
-	if count[brain.Watch](g.sweep(1*ms)) != 0 {
+	g.step(policy.MemberNews{Form: policy.ListFailed})
+	if count[policy.Watch](g.sweep(1*ms)) != 0 {
 		t.Error("a second failure in a row is followed by an ask without a pause")
 	}
 }
@@ -942,7 +942,7 @@
 	g := newRig(t, set)
 	n := 0
 	for i := 0; i < 400; i++ {
-		n += count[brain.Watch](g.sweep(25 * ms))
+		n += count[policy.Watch](g.sweep(25 * ms))
 	}
 	if n < 1 {
 		t.Error("it never asked again")
@@ -950,36 +950,36 @@
 }
 
 func TestOddInputIsHarmless(t *testing.T) {
-	g := newRig(t, brain.Settings{})
-	for _, ev := range []brain.Event{
-		brain.Arrival{ID: "a", Class: 3}, brain.Arrival{ID: "b", Class: -1}, brain.Dropped{ID: "nobody"},
-		brain.Outcome{ID: "nobody"}, brain.Timer{Token: ""}, brain.Timer{Token: "nobody"}, brain.Probed{Server: 9},
-		brain.Headers{ID: "nobody"}, brain.PeerMessage{Data: []byte{1}},
-		brain.MemberNews{Form: brain.ListFailed}, brain.MemberNews{Form: brain.ListFull, Members: []brain.Member{{}}},
+	g := newRig(t, policy.Settings{})
+	for _, ev := range []policy.Event{
+		policy.Arrival{ID: "a", Class: 3}, policy.Arrival{ID: "b", Class: -1}, policy.Dropped{ID: "nobody"},
+		policy.Outcome{ID: "nobody"}, policy.Timer{Token: ""}, policy.Timer{Token: "nobody"}, policy.Probed{Server: 9},
+		policy.Headers{ID: "nobody"}, policy.PeerMessage{Data: []byte{1}},
+		policy.MemberNews{Form: policy.ListFailed}, policy.MemberNews{Form: policy.ListFull, Members: []policy.Member{{}}},
 	} {
 		g.step(ev)
 	}
 	set := settings()
-	set.Classes = append(set.Classes, brain.Class{})
+	set.Classes = append(set.Classes, policy.Class{})
 	g = newRig(t, set)
 	g.group(2)
 	g.arrive("q", len(set.Classes)-1)
-	g.step(brain.Outcome{ID: "q", Attempt: 5, Server: 1})
-	g.step(brain.Outcome{ID: "q", Attempt: -1, Server: 1})
-	g.step(brain.Arrival{ID: "neg", Class: anyRead, Group: 1, Left: -5 * ms})
+	g.step(policy.Outcome{ID: "q", Attempt: 5, Server: 1})
+	g.step(policy.Outcome{ID: "q", Attempt: -1, Server: 1})
+	g.step(policy.Arrival{ID: "neg", Class: anyRead, Group: 1, Left: -5 * ms})
 	if ending(g.acts, "neg") == "" {
 		t.Error("a request whose time is up got no answer")
 	}
 }
 
 func TestSameEventsSameActions(t *testing.T) {
-	run := func() []brain.Action {
+	run := func() []policy.Action {
 		g := newRig(t, settings())
 		g.group(6)
 		for i := 0; i < 300; i++ {
 			id := fmt.Sprint("q", i)
 			for _, s := range sent(g.after(3*ms).arriveOf(id, i%7, uint64(i%20)), id) {
-				g.outcome(id, 0, s, brain.Result(i%4))
+				g.outcome(id, 0, s, policy.Result(i%4))
 			}
 			g.sweep(0)
 		}
@@ -997,30 +997,30 @@
 	set.OnlyDrainingBinds = true
 	g := newRig(t, set)
 	g.group(3)
-	g.step(brain.MemberNews{Form: brain.ListFull}) // an empty list
-	last := map[brain.ServerID]brain.Micros{}
+	g.step(policy.MemberNews{Form: policy.ListFull}) // an empty list
+	last := map[policy.ServerID]policy.Micros{}
 	served := 0
 	for i := 0; i < 4000; i++ {
 		id := fmt.Sprint("g", i)
 		if got := sent(g.arrive(id, anyRead), id); len(got) == 1 {
-			res := brain.ResultOK
+			res := policy.ResultOK
 			if got[0] == 3 {
-				res = brain.ResultConnectFailed
+				res = policy.ResultConnectFailed
 			} else {
 				served++
 			}
 			last[got[0]] = g.now - origin
 			g.outcome(id, 0, got[0], res)
 		}
-		g.step(brain.Dropped{ID: id})
+		g.step(policy.Dropped{ID: id})
 		for _, a := range g.sweep(25 * ms) {
-			if p, ok := a.(brain.Probe); ok {
+			if p, ok := a.(policy.Probe); ok {
 				last[p.Server] = g.now - origin
-				res := brain.ResultOK
+				res := policy.ResultOK
 				if p.Server == 3 {
-					res = brain.ResultConnectFailed
+					res = policy.ResultConnectFailed
 				}
-				g.step(brain.Probed{Server: p.Server, Result: res})
+				g.step(policy.Probed{Server: p.Server, Result: res})
 			}
 		}
 	}
@@ -1045,22 +1045,22 @@
 				if len(got) == 0 {
 					break
 				}
-				res := brain.ResultOK
+				res := policy.ResultOK
 				if got[0] == 3 {
-					res = brain.ResultConnectFailed
+					res = policy.ResultConnectFailed
 				}
 				g.outcome(id, n, got[0], res)
 			}
-			g.step(brain.Dropped{ID: id})
+			g.step(policy.Dropped{ID: id})
 		}
 		for _, a := range g.sweep(25 * ms) {
-			p, ok := a.(brain.Probe)
+			p, ok := a.(policy.Probe)
 			if !ok {
 				continue
 			}
 			if p.Server == 3 {
 				probes++
-				g.step(brain.Probed{Server: 3, Result: brain.ResultConnectFailed})
+				g.step(policy.Probed{Server: 3, Result: policy.ResultConnectFailed})
 				continue
 			}
 			g.fresh(p.Server, 0)
@@ -1076,29 +1076,29 @@
 	probes := map[bool]int{}
 	for _, told := range []bool{false, true} {
 		set := settings()
-		set.Checks = brain.ChecksRefuse
+		set.Checks = policy.ChecksRefuse
 		g := newRig(t, set)
-		var ms3 []brain.Member
-		for id := brain.ServerID(1); id <= 3; id++ {
+		var ms3 []policy.Member
+		for id := policy.ServerID(1); id <= 3; id++ {
 			ms3 = append(ms3, member(id, false))
 		}
-		g.step(brain.MemberNews{Form: brain.ListCached, Members: ms3})
+		g.step(policy.MemberNews{Form: policy.ListCached, Members: ms3})
 		for i := 0; i < 400; i++ {
 			id := fmt.Sprint("r", i)
 			for _, s := range sent(g.arrive(id, anyRead), id) {
-				o := brain.Outcome{ID: id, Server: s, Final: true, Latency: 20 * ms}
+				o := policy.Outcome{ID: id, Server: s, Final: true, Latency: 20 * ms}
 				if told {
-					o.Role, o.Position = brain.RoleReplica, g.now
+					o.Role, o.Position = policy.RoleReplica, g.now
 				}
 				g.step(o)
 			}
-			g.step(brain.Dropped{ID: id})
+			g.step(policy.Dropped{ID: id})
 			for _, a := range g.sweep(25 * ms) {
-				if p, ok := a.(brain.Probe); ok {
+				if p, ok := a.(policy.Probe); ok {
 					probes[told]++
-					g.step(brain.Probed{Server: p.Server, Result: brain.ResultTimeout})
-					g.step(brain.Probed{Server: p.Server, Report: brain.Report{
-						HasPosition: true, Position: g.now, Role: brain.RoleUnknown}})
+					g.step(policy.Probed{Server: p.Server, Result: policy.ResultTimeout})
+					g.step(policy.Probed{Server: p.Server, Report: policy.Report{
+						HasPosition: true, Position: g.now, Role: policy.RoleUnknown}})
 				}
 			}
 		}
@@ -1119,10 +1119,10 @@
 		if len(to) != 1 {
 			t.Fatalf("%s: %v", id, g.acts)
 		}
-		g.after(100 * ms).step(brain.Outcome{ID: id, Server: to[0], Final: true, Latency: 100 * ms})
+		g.after(100 * ms).step(policy.Outcome{ID: id, Server: to[0], Final: true, Latency: 100 * ms})
 	}
-	hasty := func(id string, left brain.Micros) []brain.Action {
-		return g.step(brain.Arrival{ID: id, Class: anyRead, Group: 1, Left: left})
+	hasty := func(id string, left policy.Micros) []policy.Action {
+		return g.step(policy.Arrival{ID: id, Class: anyRead, Group: 1, Left: left})
 	}
 	hasty("hopeless", 40*ms)
 	g.wantSent("hopeless")
@@ -1144,9 +1144,9 @@
 func TestNothingSentByHalfTime(t *testing.T) {
 	g := newRig(t, settings())
 	g.group(2)
-	timer := func(id string) brain.Micros {
+	timer := func(id string) policy.Micros {
 		for _, a := range g.acts {
-			if s, ok := a.(brain.SetTimer); ok && s.Token == id {
+			if s, ok := a.(policy.SetTimer); ok && s.Token == id {
 				return s.At - origin
 			}
 		}
@@ -1164,9 +1164,9 @@
 		t.Errorf("looked at after %d us of 2 s", held)
 	}
 	g.now = origin + at
-	g.step(brain.Timer{Token: "w19"})
+	g.step(policy.Timer{Token: "w19"})
 	g.wantEnd("w19", "refuse")
-	g.step(brain.Timer{Token: "out"})
+	g.step(policy.Timer{Token: "out"})
 	g.wantEnd("out", "")
 	if end := timer("out"); end < 1900*ms || end >= 2000*ms {
 		t.Errorf("then ends after %d us of 2 s", end)
@@ -1178,12 +1178,12 @@
 func TestWhatHasNotBegunIsTakenBack(t *testing.T) {
 	for _, c := range []struct {
 		onlyDraining bool
-		state        brain.MemberState
-		started      brain.Micros
+		state        policy.MemberState
+		started      policy.Micros
 		want         int
 	}{
-		{false, brain.MemberDraining, 0, 1}, {false, brain.MemberGone, 0, 1}, {true, brain.MemberDraining, 0, 1},
-		{true, brain.MemberGone, 0, 0}, {false, brain.MemberReady, 0, 0}, {false, brain.MemberReady, origin, 1},
+		{false, policy.MemberDraining, 0, 1}, {false, policy.MemberGone, 0, 1}, {true, policy.MemberDraining, 0, 1},
+		{true, policy.MemberGone, 0, 0}, {false, policy.MemberReady, 0, 0}, {false, policy.MemberReady, origin, 1},
 	} {
 		set := settings()
 		set.OnlyDrainingBinds = c.onlyDraining
@@ -1192,8 +1192,8 @@
 		m := member(2, false)
 		m.State, m.Started = c.state, c.started
 		n := 0
-		for _, a := range g.step(brain.MemberNews{Form: brain.ListDelta, Members: []brain.Member{m}}) {
-			if w, is := a.(brain.Withdraw); is && w.Server == 2 {
+		for _, a := range g.step(policy.MemberNews{Form: policy.ListDelta, Members: []policy.Member{m}}) {
+			if w, is := a.(policy.Withdraw); is && w.Server == 2 {
 				n++
 			}
 		}
--- a/brain/fleet_test.go
+++ b/internal/policy/fleet_test.go
@@ -1,11 +1,11 @@
-package brain_test
+package policy_test
 
 import (
 	"fmt"
 	"math/rand"
 	"testing"
 
-	"marblespan/brain"
+	"marblespan/internal/policy"
 )
 
 // fleet is many routers that share nothing but the servers: rules that bind them together are asserted on their sum.
@@ -15,29 +15,29 @@
 	rng   *rand.Rand
 	n     int
 	due   []reply
-	sends map[brain.ServerID][]brain.Micros
-	stand func(brain.Micros) float64 // attempts that one server answers in a second; the others it turns away
-	spent map[brain.ServerID]float64
+	sends map[policy.ServerID][]policy.Micros
+	stand func(policy.Micros) float64 // attempts that one server answers in a second; the others it turns away
+	spent map[policy.ServerID]float64
 	tries map[string]int
 }
 
 type reply struct {
-	at brain.Micros
+	at policy.Micros
 	g  *rig
 	id string
-	s  brain.ServerID
+	s  policy.ServerID
 	n  int
-	r  brain.Result
+	r  policy.Result
 }
 
 // newFleet makes n routers over one group; the first tenth of them carries half of the traffic.
-func newFleet(t *testing.T, n, members int, set brain.Settings) *fleet {
-	f := &fleet{rng: rand.New(rand.NewSource(1)), sends: map[brain.ServerID][]brain.Micros{},
-		spent: map[brain.ServerID]float64{}, tries: map[string]int{}, stand: func(brain.Micros) float64 { return 1e6 }}
+func newFleet(t *testing.T, n, members int, set policy.Settings) *fleet {
+	f := &fleet{rng: rand.New(rand.NewSource(1)), sends: map[policy.ServerID][]policy.Micros{},
+		spent: map[policy.ServerID]float64{}, tries: map[string]int{}, stand: func(policy.Micros) float64 { return 1e6 }}
 	set.Gateways = n
 	for i := 0; i < n; i++ {
 		g := &rig{t: t, now: origin}
-		g.r, g.acts = brain.New(g.now, uint64(i+1), set)
+		g.r, g.acts = policy.New(g.now, uint64(i+1), set)
 		g.group(members)
 		f.rigs = append(f.rigs, g)
 		share := 0.5 / (0.9 * float64(n))
@@ -50,7 +50,7 @@
 }
 
 // run plays any reads at a rate a second, by all routers together; each attempt is answered after 50 ms.
-func (f *fleet) run(span brain.Micros, rate float64) {
+func (f *fleet) run(span policy.Micros, rate float64) {
 	now := f.rigs[0].now
 	for end := now + span; now < end; now += 25 * ms {
 		for id := range f.spent {
@@ -58,7 +58,7 @@
 		}
 		for i, g := range f.rigs {
 			g.now = now
-			f.note(g, g.step(brain.Timer{Token: "sweep"}))
+			f.note(g, g.step(policy.Timer{Token: "sweep"}))
 			if f.rng.Float64() < rate*0.025*f.share[i] {
 				f.n++
 				f.note(g, g.arrive(fmt.Sprint("a", f.n), anyRead))
@@ -79,14 +79,14 @@
 	}
 }
 
-func (f *fleet) note(g *rig, acts []brain.Action) {
+func (f *fleet) note(g *rig, acts []policy.Action) {
 	for _, a := range acts {
-		if s, ok := a.(brain.Send); ok {
+		if s, ok := a.(policy.Send); ok {
 			f.sends[s.Server] = append(f.sends[s.Server], g.now)
-			d := reply{g.now + 50*ms, g, s.ID, s.Server, f.tries[s.ID], brain.ResultOK}
+			d := reply{g.now + 50*ms, g, s.ID, s.Server, f.tries[s.ID], policy.ResultOK}
 			f.tries[s.ID]++
 			if f.spent[s.Server]++; f.spent[s.Server] > 1+f.stand(g.now)/2 {
-				d.r = brain.ResultFull
+				d.r = policy.ResultFull
 			}
 			f.due = append(f.due, d)
 		}
@@ -107,7 +107,7 @@
 		f := newFleet(t, n, replicas+1, set)
 		f.run(20_000*ms, 80)
 		warm := 0
-		for id := brain.ServerID(2); id <= replicas+1; id++ {
+		for id := policy.ServerID(2); id <= replicas+1; id++ {
 			warm += len(f.sends[id])
 		}
 		capacity := float64(warm) / replicas / 20 / 0.7 // answered a second at 70% load
@@ -115,24 +115,24 @@
 		for i, g := range f.rigs {
 			if c.restart && i%2 == 0 {
 				set.Gateways = n
-				g.r, g.acts = brain.New(g.now, uint64(1000+i), set)
+				g.r, g.acts = policy.New(g.now, uint64(1000+i), set)
 				g.group(replicas + 1)
 			}
-			var news []brain.Member
-			for id := brain.ServerID(2); id <= replicas+1; id++ {
+			var news []policy.Member
+			for id := policy.ServerID(2); id <= replicas+1; id++ {
 				m := member(id, false)
 				m.Started = started
 				news = append(news, m)
 			}
-			g.step(brain.MemberNews{Form: brain.ListDelta, Members: news})
+			g.step(policy.MemberNews{Form: policy.ListDelta, Members: news})
 		}
-		f.sends = map[brain.ServerID][]brain.Micros{}
-		f.stand = func(now brain.Micros) float64 {
+		f.sends = map[policy.ServerID][]policy.Micros{}
+		f.stand = func(now policy.Micros) float64 {
 			return capacity * (0.25 + 0.75*float64(now-started)/float64(set.Ramp))
 		}
 		f.run(9_000*ms, 400) // the whole group is cold, and all want it
 		total := 0
-		for id := brain.ServerID(2); id <= replicas+1; id++ {
+		for id := policy.ServerID(2); id <= replicas+1; id++ {
 			at := f.sends[id]
 			total += len(at)
 			for i := range at {
@@ -161,7 +161,7 @@
 	g := newRig(t, set)
 	g.group(2)
 	n := 0
-	share := func(reads int, res brain.Result) float64 {
+	share := func(reads int, res policy.Result) float64 {
 		went := 0
 		for i := 0; i < reads; i++ {
 			n++
@@ -170,42 +170,42 @@
 			if len(sent(acts, id)) > 0 && sent(acts, id)[0] == 2 {
 				went++
 				took := 50 * ms
-				if res != brain.ResultOK {
+				if res != policy.ResultOK {
 					took = set.Classes[anyRead].Aim
 				}
-				g.after(took).step(brain.Outcome{ID: id, Server: 2, Result: res, Latency: took, Final: true})
+				g.after(took).step(policy.Outcome{ID: id, Server: 2, Result: res, Latency: took, Final: true})
 				continue
 			}
 			for _, s := range sent(g.all, id) {
-				g.step(brain.Outcome{ID: id, Server: s, Result: brain.ResultOK, Latency: 50 * ms, Final: true})
+				g.step(policy.Outcome{ID: id, Server: s, Result: policy.ResultOK, Latency: 50 * ms, Final: true})
 			}
-			g.step(brain.Dropped{ID: id})
+			g.step(policy.Dropped{ID: id})
 			g.sweep(50 * ms)
 		}
 		return float64(went) / float64(reads)
 	}
-	if got := share(20, brain.ResultOK); got < 0.9 {
+	if got := share(20, policy.ResultOK); got < 0.9 {
 		t.Errorf("%.2f of the reads went to a sound replica", got)
 	}
 	for i := 0; i < 6; i++ {
-		share(1, brain.ResultTimeout)
+		share(1, policy.ResultTimeout)
 		g.sweep(500 * ms)
 	}
-	if got := share(40, brain.ResultTimeout); got > 0.6 {
+	if got := share(40, policy.ResultTimeout); got > 0.6 {
 		t.Errorf("%.2f of the reads still go to a replica that answers none in time", got)
 	}
 	for range 100 { // ten seconds, as time passes in service
 		g.sweep(100 * ms)
 	}
-	if got := share(40, brain.ResultOK); got < 0.8 {
+	if got := share(40, policy.ResultOK); got < 0.8 {
 		t.Errorf("%.2f of the reads go to a replica that has been sound for long", got)
 	}
 }
 
 // A limited server must not starve the busy gateways: each of their requests has the same chance as a quiet one's.
 func TestBusyGatewayHasTheSameChance(t *testing.T) {
-	shares := map[brain.Micros]float64{}
-	for _, gap := range []brain.Micros{25 * ms, 1000 * ms} {
+	shares := map[policy.Micros]float64{}
+	for _, gap := range []policy.Micros{25 * ms, 1000 * ms} {
 		set := settings()
 		set.Gateways, set.CanProbe = 200, false
 		g := newRig(t, set)
@@ -214,17 +214,17 @@
 		for i := 0; i < reads+40; i++ {
 			id := fmt.Sprint("w", i)
 			got := sent(g.after(gap).arrive(id, freshRead), id)
-			res, took, wait := brain.ResultOK, 165*ms, 20*ms // neither strained nor at ease
+			res, took, wait := policy.ResultOK, 165*ms, 20*ms // neither strained nor at ease
 			if i < 40 {
-				res, took, wait = brain.ResultTimeout, 400*ms, 400*ms
+				res, took, wait = policy.ResultTimeout, 400*ms, 400*ms
 			}
 			if len(got) > 0 {
-				g.after(wait).step(brain.Outcome{ID: id, Server: got[0], Result: res, Latency: took, Final: true})
+				g.after(wait).step(policy.Outcome{ID: id, Server: got[0], Result: res, Latency: took, Final: true})
 				if i >= 40 {
 					went++
 				}
 			}
-			g.step(brain.Dropped{ID: id})
+			g.step(policy.Dropped{ID: id})
 		}
 		shares[gap] = float64(went) / float64(reads)
 	}
@@ -243,22 +243,22 @@
 	for i := 0; i < 40; i++ {
 		id := fmt.Sprint("t", i)
 		if len(sent(g.after(500*ms).arrive(id, freshRead), id)) > 0 {
-			g.after(aim).step(brain.Outcome{ID: id, Server: 1, Result: brain.ResultTimeout, Latency: aim, Final: true})
+			g.after(aim).step(policy.Outcome{ID: id, Server: 1, Result: policy.ResultTimeout, Latency: aim, Final: true})
 		}
-		g.step(brain.Dropped{ID: id})
+		g.step(policy.Dropped{ID: id})
 	}
 	went, first := 0, 0
 	for i := 0; i < 100; i++ {
 		id := fmt.Sprint("w", i)
 		n := len(sent(g.after(500*ms).arrive(id, unsafeWrite), id))
 		first += n
-		for wait := brain.Micros(0); n == 0 && wait < aim; wait += 25 * ms {
+		for wait := policy.Micros(0); n == 0 && wait < aim; wait += 25 * ms {
 			n = len(sent(g.sweep(25*ms), id))
 		}
 		if went += n; n > 0 {
-			g.after(aim).step(brain.Outcome{ID: id, Server: 1, Result: brain.ResultTimeout, Latency: aim, Final: true})
+			g.after(aim).step(policy.Outcome{ID: id, Server: 1, Result: policy.ResultTimeout, Latency: aim, Final: true})
 		} else {
-			g.step(brain.Dropped{ID: id})
+			g.step(policy.Dropped{ID: id})
 		}
 	}
 	if went < 40 || went < 5*first {
@@ -279,11 +279,11 @@
 			id := fmt.Sprint("p", i)
 			n := len(sent(g.after(100*ms).arrive(id, class), id))
 			if n > 0 && i%4 != 0 { // most are slow: the limit stays below one
-				g.after(aim).step(brain.Outcome{ID: id, Server: 1, Result: brain.ResultTimeout, Latency: aim, Final: true})
+				g.after(aim).step(policy.Outcome{ID: id, Server: 1, Result: policy.ResultTimeout, Latency: aim, Final: true})
 			} else if n > 0 {
-				g.after(20 * ms).step(brain.Outcome{ID: id, Server: 1, Latency: 60 * ms, Final: true})
+				g.after(20 * ms).step(policy.Outcome{ID: id, Server: 1, Latency: 60 * ms, Final: true})
 			}
-			g.step(brain.Dropped{ID: id})
+			g.step(policy.Dropped{ID: id})
 			went[class] += n
 		}
 	}
--- a/brain/harness_test.go
+++ b/internal/policy/harness_test.go
@@ -1,13 +1,13 @@
-package brain_test
+package policy_test
 
 import (
 	"testing"
 
-	"marblespan/brain"
+	"marblespan/internal/policy"
 )
 
 const (
-	ms     = brain.Micros(1000)
+	ms     = policy.Micros(1000)
 	origin = 1_000_000 * ms // a start well away from zero, so that positions may lie before it
 )
 
@@ -21,16 +21,16 @@
 	lateRead // bounded, with worth after its aim
 )
 
-func settings() brain.Settings {
-	class := func(n brain.Need, e brain.Effect) brain.Class {
-		return brain.Class{Need: n, Effect: e, Aim: 400 * ms, Deadline: 2000 * ms, Worth: 1000}
+func settings() policy.Settings {
+	class := func(n policy.Need, e policy.Effect) policy.Class {
+		return policy.Class{Need: n, Effect: e, Aim: 400 * ms, Deadline: 2000 * ms, Worth: 1000}
 	}
-	s := brain.Settings{
-		Classes: []brain.Class{
-			class(brain.NeedAny, brain.EffectSafe), class(brain.NeedBounded, brain.EffectSafe),
-			class(brain.NeedSession, brain.EffectSafe), class(brain.NeedFresh, brain.EffectSafe),
-			class(brain.NeedWrite, brain.EffectUnsafe),
-			class(brain.NeedBounded, brain.EffectSafe),
+	s := policy.Settings{
+		Classes: []policy.Class{
+			class(policy.NeedAny, policy.EffectSafe), class(policy.NeedBounded, policy.EffectSafe),
+			class(policy.NeedSession, policy.EffectSafe), class(policy.NeedFresh, policy.EffectSafe),
+			class(policy.NeedWrite, policy.EffectUnsafe),
+			class(policy.NeedBounded, policy.EffectSafe),
 		},
 		Gateways: 1, Tick: 5 * ms, CanProbe: true, CanCancel: true, MaxAttempts: 6, ConnectTimeout: 250 * ms,
 		AnswerSlack: 20 * ms, DrainGrace: 250 * ms, AskWithin: 10_000 * ms, ColdShare: 250, Ramp: 10_000 * ms,
@@ -45,54 +45,54 @@
 // rig drives one router and keeps what it did.
 type rig struct {
 	t    *testing.T
-	r    *brain.Router
-	now  brain.Micros
-	acts []brain.Action // of the last step
-	all  []brain.Action
+	r    *policy.Router
+	now  policy.Micros
+	acts []policy.Action // of the last step
+	all  []policy.Action
 }
 
-func newRig(t *testing.T, set brain.Settings) *rig {
+func newRig(t *testing.T, set policy.Settings) *rig {
 	g := &rig{t: t, now: origin}
-	g.r, g.acts = brain.New(g.now, 7, set)
+	g.r, g.acts = policy.New(g.now, 7, set)
 	g.all = append(g.all, g.acts...)
 	return g
 }
 
-func (g *rig) step(ev brain.Event) []brain.Action {
+func (g *rig) step(ev policy.Event) []policy.Action {
 	g.acts = g.r.Step(g.now, ev)
 	g.all = append(g.all, g.acts...)
 	return g.acts
 }
 
-func (g *rig) after(d brain.Micros) *rig {
+func (g *rig) after(d policy.Micros) *rig {
 	g.now += d
 	return g
 }
 
 // sweep lets time pass and the router look around.
-func (g *rig) sweep(d brain.Micros) []brain.Action {
-	return g.after(d).step(brain.Timer{Token: "sweep"})
+func (g *rig) sweep(d policy.Micros) []policy.Action {
+	return g.after(d).step(policy.Timer{Token: "sweep"})
 }
 
 // member is a warm, ready member of group 1.
-func member(id brain.ServerID, primary bool) brain.Member {
-	return brain.Member{Server: id, Group: 1, State: brain.MemberReady, Primary: primary}
+func member(id policy.ServerID, primary bool) policy.Member {
+	return policy.Member{Server: id, Group: 1, State: policy.MemberReady, Primary: primary}
 }
 
 // group lists server 1 as the primary and the others as replicas.
 func (g *rig) group(n int) {
-	var ms []brain.Member
+	var ms []policy.Member
 	for id := 1; id <= n; id++ {
-		ms = append(ms, member(brain.ServerID(id), id == 1))
+		ms = append(ms, member(policy.ServerID(id), id == 1))
 	}
-	g.step(brain.MemberNews{Form: brain.ListCached, Members: ms})
+	g.step(policy.MemberNews{Form: policy.ListCached, Members: ms})
 }
 
 // fresh reports a server's position, so long ago.
-func (g *rig) fresh(id brain.ServerID, ago brain.Micros) {
-	role := brain.RoleReplica
+func (g *rig) fresh(id policy.ServerID, ago policy.Micros) {
+	role := policy.RoleReplica
 	if id == 1 {
-		role = brain.RolePrimary
+		role = policy.RolePrimary
 	}
 	g.probed(id, role, g.now-ago)
 }
@@ -106,30 +106,30 @@
 	return g
 }
 
-func (g *rig) probed(id brain.ServerID, role brain.Role, pos brain.Position) {
-	g.step(brain.Probed{
-		Server: id, Result: brain.ResultOK,
-		Report: brain.Report{Position: pos, HasPosition: true, Role: role},
+func (g *rig) probed(id policy.ServerID, role policy.Role, pos policy.Position) {
+	g.step(policy.Probed{
+		Server: id, Result: policy.ResultOK,
+		Report: policy.Report{Position: pos, HasPosition: true, Role: role},
 	})
 }
 
-func (g *rig) arrive(id string, class int) []brain.Action {
-	return g.step(brain.Arrival{ID: id, Class: class, Group: 1, Left: 2000 * ms})
+func (g *rig) arrive(id string, class int) []policy.Action {
+	return g.step(policy.Arrival{ID: id, Class: class, Group: 1, Left: 2000 * ms})
 }
 
-func (g *rig) arriveOf(id string, class int, session uint64) []brain.Action {
-	return g.step(brain.Arrival{ID: id, Class: class, Group: 1, Left: 2000 * ms, Session: session, HasSession: true})
+func (g *rig) arriveOf(id string, class int, session uint64) []policy.Action {
+	return g.step(policy.Arrival{ID: id, Class: class, Group: 1, Left: 2000 * ms, Session: session, HasSession: true})
 }
 
-func (g *rig) outcome(id string, attempt int, server brain.ServerID, res brain.Result) []brain.Action {
-	return g.step(brain.Outcome{
-		ID: id, Attempt: attempt, Server: server, Result: res, Final: res == brain.ResultOK, Latency: 50 * ms,
+func (g *rig) outcome(id string, attempt int, server policy.ServerID, res policy.Result) []policy.Action {
+	return g.step(policy.Outcome{
+		ID: id, Attempt: attempt, Server: server, Result: res, Final: res == policy.ResultOK, Latency: 50 * ms,
 	})
 }
 
 // readPast plays one any read: the bad member ends each attempt with res at once, the others answer. It returns how
 // many attempts met the bad member.
-func (g *rig) readPast(id string, bad brain.ServerID, res brain.Result) int {
+func (g *rig) readPast(id string, bad policy.ServerID, res policy.Result) int {
 	tries := 0
 	acts := g.arrive(id, anyRead)
 	for n := 0; n < 6; n++ {
@@ -138,7 +138,7 @@
 			break
 		}
 		if got[0] != bad {
-			g.outcome(id, n, got[0], brain.ResultOK)
+			g.outcome(id, n, got[0], policy.ResultOK)
 			break
 		}
 		tries++
@@ -148,10 +148,10 @@
 }
 
 // sent returns the servers that the actions send a request to.
-func sent(acts []brain.Action, id string) []brain.ServerID {
-	var out []brain.ServerID
+func sent(acts []policy.Action, id string) []policy.ServerID {
+	var out []policy.ServerID
 	for _, a := range acts {
-		if s, ok := a.(brain.Send); ok && s.ID == id {
+		if s, ok := a.(policy.Send); ok && s.ID == id {
 			out = append(out, s.Server)
 		}
 	}
@@ -159,14 +159,14 @@
 }
 
 // ending returns "refuse", "fail" or "" for a request.
-func ending(acts []brain.Action, id string) string {
+func ending(acts []policy.Action, id string) string {
 	for _, a := range acts {
 		switch a := a.(type) {
-		case brain.Refuse:
+		case policy.Refuse:
 			if a.ID == id {
 				return "refuse"
 			}
-		case brain.Fail:
+		case policy.Fail:
 			if a.ID == id {
 				return "fail"
 			}
@@ -175,7 +175,7 @@
 	return ""
 }
 
-func count[T brain.Action](acts []brain.Action) int {
+func count[T policy.Action](acts []policy.Action) int {
 	n := 0
 	for _, a := range acts {
 		if _, ok := a.(T); ok {
@@ -185,7 +185,7 @@
 	return n
 }
 
-func (g *rig) wantSent(id string, want ...brain.ServerID) {
+func (g *rig) wantSent(id string, want ...policy.ServerID) {
 	g.t.Helper()
 	got := sent(g.acts, id)
 	if len(got) != len(want) {
--- a/brain/property_test.go
+++ b/internal/policy/property_test.go
@@ -1,11 +1,11 @@
-package brain_test
+package policy_test
 
 import (
 	"fmt"
 	"math/rand"
 	"testing"
 
-	"marblespan/brain"
+	"marblespan/internal/policy"
 )
 
 // world remembers what was told to and done by one router, and asserts the rules on each action. It models no
@@ -13,42 +13,42 @@
 type world struct {
 	t     *testing.T
 	seed  int64
-	set   brain.Settings
+	set   policy.Settings
 	rng   *rand.Rand
-	r     *brain.Router
-	now   brain.Micros
+	r     *policy.Router
+	now   policy.Micros
 	reqs  map[string]*wreq
 	order []string
-	srv   map[brain.ServerID]*wsrv
-	ids   []brain.ServerID
-	timer []brain.SetTimer
-	probe []brain.ServerID
+	srv   map[policy.ServerID]*wsrv
+	ids   []policy.ServerID
+	timer []policy.SetTimer
+	probe []policy.ServerID
 	n     int
 }
 
 type wreq struct {
 	class    int
 	group    int
-	deadline brain.Micros
-	arrived  brain.Micros
-	need     brain.Position
+	deadline policy.Micros
+	arrived  policy.Micros
+	need     policy.Position
 	tries    []*wtry
 	over     bool // ended by the router, by a final outcome or by the client
 	answered int
 }
 
 type wtry struct {
-	server brain.ServerID
-	at     brain.Micros
+	server policy.ServerID
+	at     policy.Micros
 	out    bool
 	never  bool
 }
 
 type wsrv struct {
 	group   int
-	state   brain.MemberState
-	known   brain.Position // highest position told
-	wasTold bool           // told to be primary, or listed so, and not denied since
+	state   policy.MemberState
+	known   policy.Position // highest position told
+	wasTold bool            // told to be primary, or listed so, and not denied since
 }
 
 func (w *world) fail(format string, a ...any) {
@@ -56,30 +56,30 @@
 	w.t.Fatalf("seed %d, at %d: %s", w.seed, w.now-origin, fmt.Sprintf(format, a...))
 }
 
-func (w *world) do(acts []brain.Action) {
+func (w *world) do(acts []policy.Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
-		case brain.Send:
+		case policy.Send:
 			w.send(a)
-		case brain.Refuse:
+		case policy.Refuse:
 			q := w.ending(a.ID)
 			for _, t := range q.tries {
-				if !t.never && w.set.Classes[q.class].Effect == brain.EffectUnsafe {
+				if !t.never && w.set.Classes[q.class].Effect == policy.EffectUnsafe {
 					w.fail("%s: an unsafe request that may have run was refused", a.ID)
 				}
 			}
-		case brain.Fail:
+		case policy.Fail:
 			w.ending(a.ID)
-		case brain.Cancel:
+		case policy.Cancel:
 			if q := w.reqs[a.ID]; q == nil || a.Attempt >= len(q.tries) {
 				w.fail("%s: cancel of an attempt never made", a.ID)
 			}
-		case brain.SetTimer:
+		case policy.SetTimer:
 			if a.At <= w.now {
 				w.fail("a timer in the past")
 			}
 			w.timer = append(w.timer, a)
-		case brain.Probe:
+		case policy.Probe:
 			s := w.srv[a.Server]
 			if s == nil {
 				w.fail("probe of %d, never listed", a.Server)
@@ -101,7 +101,7 @@
 	return q
 }
 
-func (w *world) send(a brain.Send) {
+func (w *world) send(a policy.Send) {
 	q, s := w.reqs[a.ID], w.srv[a.Server]
 	if q == nil || q.over {
 		w.fail("%s: sent though it is over", a.ID)
@@ -109,7 +109,7 @@
 	if s == nil || s.group != q.group {
 		w.fail("%s: sent to %d, outside its group", a.ID, a.Server)
 	}
-	if s.state != brain.MemberReady && !(w.set.OnlyDrainingBinds && s.state == brain.MemberGone) {
+	if s.state != policy.MemberReady && !(w.set.OnlyDrainingBinds && s.state == policy.MemberGone) {
 		w.fail("%s: sent to %d in state %d", a.ID, a.Server, s.state)
 	}
 	if len(q.tries) >= w.set.MaxAttempts {
@@ -120,39 +120,39 @@
 		switch {
 		case t.out && !w.set.SecondCopies:
 			w.fail("%s: two attempts out", a.ID)
-		case !t.never && c.Effect == brain.EffectUnsafe:
+		case !t.never && c.Effect == policy.EffectUnsafe:
 			w.fail("%s: an unsafe request that may have run was sent again", a.ID)
 		}
 	}
-	if w.set.Checks == brain.ChecksNone && !s.wasTold {
+	if w.set.Checks == policy.ChecksNone && !s.wasTold {
 		need := q.need
 		switch c.Need {
-		case brain.NeedBounded:
+		case policy.NeedBounded:
 			need = w.now - c.Bound
-		case brain.NeedFresh:
+		case policy.NeedFresh:
 			need = q.arrived
 		}
-		if c.Need != brain.NeedWrite && c.Need != brain.NeedAny && s.known < need {
+		if c.Need != policy.NeedWrite && c.Need != policy.NeedAny && s.known < need {
 			w.fail("%s: a read that needs %d went to %d, known at %d", a.ID, need-origin, a.Server, s.known-origin)
 		}
 	}
 	q.tries = append(q.tries, &wtry{server: a.Server, at: w.now, out: true})
 }
 
-func (w *world) step(ev brain.Event) { w.do(w.r.Step(w.now, ev)) }
+func (w *world) step(ev policy.Event) { w.do(w.r.Step(w.now, ev)) }
 
 func (w *world) arrive() {
 	w.n++
 	id := fmt.Sprint("q", w.n)
 	class := w.rng.Intn(len(w.set.Classes))
 	c := w.set.Classes[class]
-	e := brain.Arrival{ID: id, Class: class, Group: 1 + w.rng.Intn(2), Left: c.Deadline * brain.Micros(20+w.rng.Intn(80)) / 100}
+	e := policy.Arrival{ID: id, Class: class, Group: 1 + w.rng.Intn(2), Left: c.Deadline * policy.Micros(20+w.rng.Intn(80)) / 100}
 	q := &wreq{class: class, group: e.Group, deadline: w.now + e.Left, arrived: w.now}
-	if c.Need == brain.NeedSession && w.set.TokensCarried && w.rng.Intn(2) == 0 {
-		e.SinceWrite = brain.Micros(w.rng.Intn(900)+1) * ms
+	if c.Need == policy.NeedSession && w.set.TokensCarried && w.rng.Intn(2) == 0 {
+		e.SinceWrite = policy.Micros(w.rng.Intn(900)+1) * ms
 		q.need = w.now - e.SinceWrite
 	}
-	if c.Need == brain.NeedSession || c.Need == brain.NeedWrite {
+	if c.Need == policy.NeedSession || c.Need == policy.NeedWrite {
 		e.Session, e.HasSession = uint64(w.rng.Intn(40)), true
 	}
 	w.reqs[id] = q
@@ -180,23 +180,23 @@
 		k++
 	}
 	t, s := q.tries[k], w.srv[q.tries[k].server]
-	res := []brain.Result{0, 0, 0, 0, 0, 0, 0, 1, 2, 3, 4, 5, 6, 8}[w.rng.Intn(14)]
+	res := []policy.Result{0, 0, 0, 0, 0, 0, 0, 1, 2, 3, 4, 5, 6, 8}[w.rng.Intn(14)]
 	t.out = false
-	t.never = res == brain.ResultFull || res == brain.ResultConnectFailed || res == brain.ResultMiss
-	o := brain.Outcome{ID: id, Attempt: k, Server: t.server, Result: res, Latency: w.now - t.at}
+	t.never = res == policy.ResultFull || res == policy.ResultConnectFailed || res == policy.ResultMiss
+	o := policy.Outcome{ID: id, Attempt: k, Server: t.server, Result: res, Latency: w.now - t.at}
 	switch res {
-	case brain.ResultOK, brain.ResultError, brain.ResultFull, brain.ResultMiss:
-		o.Role = []brain.Role{brain.RolePrimary, brain.RoleReplica}[w.rng.Intn(2)]
-		if res == brain.ResultOK && w.set.Classes[q.class].Need == brain.NeedWrite {
-			o.Role = brain.RolePrimary
+	case policy.ResultOK, policy.ResultError, policy.ResultFull, policy.ResultMiss:
+		o.Role = []policy.Role{policy.RolePrimary, policy.RoleReplica}[w.rng.Intn(2)]
+		if res == policy.ResultOK && w.set.Classes[q.class].Need == policy.NeedWrite {
+			o.Role = policy.RolePrimary
 		}
 		if w.rng.Intn(2) == 0 {
-			o.Position = w.now - brain.Micros(w.rng.Intn(1500))*ms
+			o.Position = w.now - policy.Micros(w.rng.Intn(1500))*ms
 			s.known = max(s.known, o.Position)
 		}
-		s.wasTold = s.wasTold && o.Role != brain.RoleReplica || o.Role == brain.RolePrimary
+		s.wasTold = s.wasTold && o.Role != policy.RoleReplica || o.Role == policy.RolePrimary
 	}
-	if res == brain.ResultOK {
+	if res == policy.ResultOK {
 		q.over = true
 	}
 	o.Final = q.over
@@ -206,18 +206,18 @@
 func (w *world) news() {
 	id := w.ids[w.rng.Intn(len(w.ids))]
 	s := w.srv[id]
-	s.state = brain.MemberReady
+	s.state = policy.MemberReady
 	if n := w.rng.Intn(12); n < 2 {
-		s.state = []brain.MemberState{brain.MemberDraining, brain.MemberGone}[n]
+		s.state = []policy.MemberState{policy.MemberDraining, policy.MemberGone}[n]
 	}
-	m := brain.Member{Server: id, Group: s.group, State: s.state, Primary: w.rng.Intn(4) == 0}
+	m := policy.Member{Server: id, Group: s.group, State: s.state, Primary: w.rng.Intn(4) == 0}
 	if w.rng.Intn(3) == 0 {
-		m.Started = w.now - brain.Micros(w.rng.Intn(3000))*ms
+		m.Started = w.now - policy.Micros(w.rng.Intn(3000))*ms
 	}
 	if m.Primary {
 		s.wasTold = true
 	}
-	w.step(brain.MemberNews{Form: brain.ListDelta, Members: []brain.Member{m}})
+	w.step(policy.MemberNews{Form: policy.ListDelta, Members: []policy.Member{m}})
 }
 
 func (w *world) report() {
@@ -226,13 +226,13 @@
 	}
 	id := w.probe[0]
 	w.probe = w.probe[1:]
-	p := brain.Probed{Server: id, Result: []brain.Result{0, 0, 0, 0, 0, 0, 0, 2, 3, 4}[w.rng.Intn(10)], Latency: ms}
-	if p.Result == brain.ResultOK {
+	p := policy.Probed{Server: id, Result: []policy.Result{0, 0, 0, 0, 0, 0, 0, 2, 3, 4}[w.rng.Intn(10)], Latency: ms}
+	if p.Result == policy.ResultOK {
 		s := w.srv[id]
-		p.Report.HasPosition, p.Report.Position = true, w.now-brain.Micros(w.rng.Intn(2500))*ms
-		p.Report.Role = []brain.Role{brain.RolePrimary, brain.RoleReplica, brain.RoleReplica}[w.rng.Intn(3)]
+		p.Report.HasPosition, p.Report.Position = true, w.now-policy.Micros(w.rng.Intn(2500))*ms
+		p.Report.Role = []policy.Role{policy.RolePrimary, policy.RoleReplica, policy.RoleReplica}[w.rng.Intn(3)]
 		s.known = max(s.known, p.Report.Position)
-		s.wasTold = s.wasTold || p.Report.Role == brain.RolePrimary
+		s.wasTold = s.wasTold || p.Report.Role == policy.RolePrimary
 	}
 	w.step(p)
 }
@@ -244,7 +244,7 @@
 		for i, a := range w.timer {
 			if a.At <= w.now {
 				w.timer = append(w.timer[:i:i], w.timer[i+1:]...)
-				w.step(brain.Timer{Token: a.Token})
+				w.step(policy.Timer{Token: a.Token})
 				fired = true
 				break
 			}
@@ -260,7 +260,7 @@
 		}
 		if !q.over && w.rng.Intn(500) == 0 {
 			q.over = true
-			w.step(brain.Dropped{ID: id})
+			w.step(policy.Dropped{ID: id})
 		}
 	}
 	if len(w.order) > 400 {
@@ -283,24 +283,24 @@
 	for seed := int64(1); seed <= 60; seed++ {
 		rng := rand.New(rand.NewSource(seed))
 		set := settings()
-		set.Checks = brain.Checks(seed % 3)
+		set.Checks = policy.Checks(seed % 3)
 		set.TokensCarried = seed%2 == 0
 		set.ListAsked, set.OnlyDrainingBinds = seed%5 == 0, seed%7 == 0
 		set.Gateways, set.CanCancel, set.AdviseRetry = []int{1, 2, 3, 40, 250}[seed%5], seed%4 != 0, seed%3 == 0
 		set.MaxAttempts = 1 + int(seed%8)
 		w := &world{t: t, seed: seed, set: set, rng: rng, now: origin,
-			reqs: map[string]*wreq{}, srv: map[brain.ServerID]*wsrv{}}
-		r, acts := brain.New(w.now, uint64(seed), set)
+			reqs: map[string]*wreq{}, srv: map[policy.ServerID]*wsrv{}}
+		r, acts := policy.New(w.now, uint64(seed), set)
 		w.r = r
 		w.do(acts)
-		var list []brain.Member
-		for id := brain.ServerID(1); id <= 8; id++ {
+		var list []policy.Member
+		for id := policy.ServerID(1); id <= 8; id++ {
 			g := 1 + int(id)%2
-			w.srv[id] = &wsrv{group: g, state: brain.MemberReady, wasTold: id <= 2}
+			w.srv[id] = &wsrv{group: g, state: policy.MemberReady, wasTold: id <= 2}
 			w.ids = append(w.ids, id)
-			list = append(list, brain.Member{Server: id, Group: g, State: brain.MemberReady, Primary: id <= 2})
+			list = append(list, policy.Member{Server: id, Group: g, State: policy.MemberReady, Primary: id <= 2})
 		}
-		w.step(brain.MemberNews{Form: brain.ListCached, Members: list})
+		w.step(policy.MemberNews{Form: policy.ListCached, Members: list})
 		for i := 0; i < 4000; i++ {
 			w.now += 5 * ms
 			w.due()
--- a/brain/shape_test.go
+++ b/internal/policy/shape_test.go
@@ -1,4 +1,4 @@
-package brain_test
+package policy_test
 
 import (
 	"go/parser"
@@ -16,7 +16,7 @@
 // policyFiles reads the names of the files that hold the decisions from the deployment's own list.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
-	raw, err := os.ReadFile(filepath.Join("..", "deploy", "balancer.toml"))
+	raw, err := os.ReadFile(filepath.Join("..", "..", "deploy", "balancer.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,7 +35,7 @@
 func TestModuleShape(t *testing.T) {
 	total := 0
 	for _, name := range policyFiles(t) {
-		text, err := os.ReadFile(filepath.Join("..", filepath.FromSlash(name)))
+		text, err := os.ReadFile(filepath.Join("..", "..", filepath.FromSlash(name)))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/brain/shapes_test.go
+++ b/internal/policy/shapes_test.go
@@ -1,18 +1,18 @@
-package brain_test
+package policy_test
 
 import (
 	"fmt"
 	"testing"
 
-	"marblespan/brain"
+	"marblespan/internal/policy"
 )
 
 // These tests are of deployments put together otherwise than the first ones: servers that check nothing, lists that
 // show no primary, little traffic for each gateway.
 
-func probesOf(acts []brain.Action) (out []brain.ServerID) {
+func probesOf(acts []policy.Action) (out []policy.ServerID) {
 	for _, a := range acts {
-		if p, ok := a.(brain.Probe); ok {
+		if p, ok := a.(policy.Probe); ok {
 			out = append(out, p.Server)
 		}
 	}
@@ -24,8 +24,8 @@
 func TestBoundedReadAsksAReplicaFirst(t *testing.T) {
 	g := newRig(t, settings())
 	g.group(4)
-	for id, ago := range []brain.Micros{0, 900 * ms, 850 * ms, 1000 * ms} {
-		g.fresh(brain.ServerID(id+1), ago)
+	for id, ago := range []policy.Micros{0, 900 * ms, 850 * ms, 1000 * ms} {
+		g.fresh(policy.ServerID(id+1), ago)
 	}
 	g.after(10 * ms)
 	if asked := probesOf(g.arrive("a", boundedRead)); len(asked) != 1 || asked[0] != 3 {
@@ -38,7 +38,7 @@
 	g.after(5*ms).fresh(3, 100*ms)
 	g.wantSent("a", 3)
 	g.wantSent("b", 3)
-	g.outcome("a", 0, 3, brain.ResultOK)
+	g.outcome("a", 0, 3, policy.ResultOK)
 	g.arrive("c", boundedRead) // the news still holds
 	g.wantSent("c", 3)
 }
@@ -93,12 +93,12 @@
 func TestLongReadsStandAside(t *testing.T) {
 	set := settings()
 	set.Classes[anyRead].Aim, set.Classes[anyRead].Deadline = 5000*ms, 10_000*ms
-	used := map[brain.ServerID]int{}
+	used := map[policy.ServerID]int{}
 	for seed := range uint64(20) {
 		g := newRig(t, set)
-		g.r, _ = brain.New(g.now, seed, set)
+		g.r, _ = policy.New(g.now, seed, set)
 		g.group(5)
-		for id := brain.ServerID(1); id <= 5; id++ {
+		for id := policy.ServerID(1); id <= 5; id++ {
 			g.fresh(id, 0)
 		}
 		for n := range 4 {
@@ -113,9 +113,9 @@
 	}
 	g := newRig(t, set)
 	g.group(5)
-	g.step(brain.MemberNews{Form: brain.ListDelta, Members: []brain.Member{
-		{Server: 3, Group: 1, State: brain.MemberDraining}, {Server: 5, Group: 1, State: brain.MemberDraining},
-		{Server: 4, Group: 1, State: brain.MemberDraining},
+	g.step(policy.MemberNews{Form: policy.ListDelta, Members: []policy.Member{
+		{Server: 3, Group: 1, State: policy.MemberDraining}, {Server: 5, Group: 1, State: policy.MemberDraining},
+		{Server: 4, Group: 1, State: policy.MemberDraining},
 	}})
 	g.arrive("q", anyRead)
 	g.wantSent("q", 2)
@@ -128,7 +128,7 @@
 	set.Gateways = 12 // one attempt at a server to begin with
 	g := newRig(t, set)
 	g.group(3)
-	for id := brain.ServerID(1); id <= 3; id++ {
+	for id := policy.ServerID(1); id <= 3; id++ {
 		g.fresh(id, 0)
 	}
 	g.arrive("a", anyRead)
@@ -139,29 +139,29 @@
 	g.wantSent("b")
 	g.arrive("c", boundedRead)
 	g.wantSent("c", 2)
-	g.outcome("a", 0, 3, brain.ResultOK)
+	g.outcome("a", 0, 3, policy.ResultOK)
 	g.wantSent("b", 3)
 }
 
 // One class with a long aim does not set the pace of all: a server that is down is asked again after times like those
 // of the shorter aims.
 func TestALongAimSetsNoPace(t *testing.T) {
-	asked := func(longest brain.Micros) int {
+	asked := func(longest policy.Micros) int {
 		set := settings()
 		set.Classes[anyRead].Aim, set.Classes[anyRead].Deadline = longest, 2*longest
 		g := newRig(t, set)
 		g.group(3)
 		for range 2 {
-			g.step(brain.Probed{Server: 2, Result: brain.ResultTimeout})
+			g.step(policy.Probed{Server: 2, Result: policy.ResultTimeout})
 		}
 		n := 0
 		for i := range 800 { // 20 s
 			g.arrive(fmt.Sprint("q", i), freshRead)
-			g.outcome(fmt.Sprint("q", i), 0, 1, brain.ResultOK)
+			g.outcome(fmt.Sprint("q", i), 0, 1, policy.ResultOK)
 			for _, s := range probesOf(g.sweep(25 * ms)) {
 				if s == 2 {
 					n++
-					g.step(brain.Probed{Server: 2, Result: brain.ResultTimeout})
+					g.step(policy.Probed{Server: 2, Result: policy.ResultTimeout})
 				}
 			}
 		}
@@ -181,8 +181,8 @@
 	g := newRig(t, set)
 	g.group(3) // 3 takes the long reads
 	g.fresh(1, 0)
-	end := func(id string, to brain.ServerID, took brain.Micros) {
-		g.step(brain.Outcome{ID: id, Server: to, Final: true, Latency: took})
+	end := func(id string, to policy.ServerID, took policy.Micros) {
+		g.step(policy.Outcome{ID: id, Server: to, Final: true, Latency: took})
 	}
 	for n := range 400 { // 20 s: twenty short reads a second, and a long one
 		g.after(50*ms).fresh(2, 0)
@@ -196,7 +196,7 @@
 	}
 	cold := member(3, false)
 	cold.Started = g.now
-	g.step(brain.MemberNews{Form: brain.ListDelta, Members: []brain.Member{cold}})
+	g.step(policy.MemberNews{Form: policy.ListDelta, Members: []policy.Member{cold}})
 	long := 0
 	for n := range 40 { // a fall window
 		id := fmt.Sprint("c", n)
@@ -218,16 +218,16 @@
 		set := settings()
 		set.Zone, set.CrossZoneCost = "east", cost
 		g := newRig(t, set)
-		var list []brain.Member
-		for id := brain.ServerID(1); id <= 5; id++ {
+		var list []policy.Member
+		for id := policy.ServerID(1); id <= 5; id++ {
 			m := member(id, id == 1)
 			if m.Zone = "west"; id == 3 || id == 4 {
 				m.Zone = "east"
 			}
 			list = append(list, m)
 		}
-		g.step(brain.MemberNews{Form: brain.ListCached, Members: list})
-		read := func(n int, took brain.Micros) (east, west int) {
+		g.step(policy.MemberNews{Form: policy.ListCached, Members: list})
+		read := func(n int, took policy.Micros) (east, west int) {
 			for i := range n {
 				id := fmt.Sprint("q", cost, took, i)
 				to := sent(g.after(20*ms).arrive(id, anyRead), id)
@@ -240,7 +240,7 @@
 				} else {
 					west++
 				}
-				g.step(brain.Outcome{ID: id, Server: to[0], Final: true, Latency: latency})
+				g.step(policy.Outcome{ID: id, Server: to[0], Final: true, Latency: latency})
 			}
 			return east, west
 		}
@@ -257,7 +257,7 @@
 // Out of one gateway's reach is not out of service: what has applied the log meanwhile has not started again, and is not
 // eased in. What comes back behind counts as cold.
 func TestOutOfReachIsNotCold(t *testing.T) {
-	sends := func(ago brain.Micros) int {
+	sends := func(ago policy.Micros) int {
 		set := settings()
 		set.Gateways = 12
 		g := newRig(t, set)
@@ -265,7 +265,7 @@
 		g.fresh(1, 0)
 		g.fresh(2, 0)
 		for range 2 {
-			g.step(brain.Probed{Server: 2, Result: brain.ResultReset})
+			g.step(policy.Probed{Server: 2, Result: policy.ResultReset})
 		}
 		g.after(3000*ms).fresh(2, ago)
 		n := 0
@@ -276,7 +276,7 @@
 				n++
 			}
 			if len(to) == 1 {
-				g.outcome(id, 0, to[0], brain.ResultOK)
+				g.outcome(id, 0, to[0], policy.ResultOK)
 			}
 		}
 		return n
@@ -295,21 +295,21 @@
 	loose := settings()
 	loose.OnlyDrainingBinds = true
 	strict := settings()
-	strict.Gateways, strict.Classes[unsafeWrite].Effect = 12, brain.EffectSafe
+	strict.Gateways, strict.Classes[unsafeWrite].Effect = 12, policy.EffectSafe
 	g := newRig(t, loose)
 	g.group(5)
 	g.fresh(1, 0)
-	g.probed(2, brain.RolePrimary, g.now) // who took over
+	g.probed(2, policy.RolePrimary, g.now) // who took over
 	cold := member(5, false)
 	cold.Started = g.now
-	g.step(brain.MemberNews{Form: brain.ListDelta, Members: []brain.Member{
-		{Server: 3, Group: 1, State: brain.MemberDraining}, {Server: 4, Group: 1, State: brain.MemberGone}, cold,
+	g.step(policy.MemberNews{Form: policy.ListDelta, Members: []policy.Member{
+		{Server: 3, Group: 1, State: policy.MemberDraining}, {Server: 4, Group: 1, State: policy.MemberGone}, cold,
 	}})
 	g.arrive("w", unsafeWrite)
 	g.wantSent("w", 2)
-	for _, set := range []brain.Settings{strict, loose, strict} {
+	for _, set := range []policy.Settings{strict, loose, strict} {
 		g.acts = g.r.Reconfigure(g.now, set)
-		used := map[brain.ServerID]int{}
+		used := map[policy.ServerID]int{}
 		for i := range 200 {
 			id := fmt.Sprint("q", g.now, i)
 			for n := 0; ; n++ {
@@ -321,7 +321,7 @@
 					break
 				}
 				used[to[0]]++
-				g.outcome(id, n, to[0], brain.ResultOK)
+				g.outcome(id, n, to[0], policy.ResultOK)
 			}
 		}
 		if used[3] > 0 || used[4] > 0 {
@@ -331,7 +331,7 @@
 			t.Errorf("a cold server is taken for warm after a change: %v", used)
 		}
 	}
-	g.outcome("w", 0, 2, brain.ResultTimeout)
+	g.outcome("w", 0, 2, policy.ResultTimeout)
 	g.wantSent("w")
 	g.wantEnd("w", "fail") // unsafe when it came
 	g.arrive("v", unsafeWrite)
@@ -344,7 +344,7 @@
 	set.Gateways = 200
 	g := newRig(t, set)
 	g.group(2)
-	g.step(brain.MemberNews{Form: brain.ListDelta, Members: []brain.Member{{Server: 1, Group: 1, State: brain.MemberGone}}})
+	g.step(policy.MemberNews{Form: policy.ListDelta, Members: []policy.Member{{Server: 1, Group: 1, State: policy.MemberGone}}})
 	return g
 }
 
@@ -352,12 +352,12 @@
 // part of itself it took dozens, seconds apart each, and reads were refused beside idle servers.
 func TestSmallLimitsFindBack(t *testing.T) {
 	g := oneOfMany(t)
-	read := func(n int, took brain.Micros) (to int) {
+	read := func(n int, took policy.Micros) (to int) {
 		for i := range n {
 			id := fmt.Sprint("q", took, i)
 			if len(sent(g.after(200*ms).arrive(id, anyRead), id)) == 1 {
 				to++
-				g.step(brain.Outcome{ID: id, Server: 2, Final: true, Latency: took})
+				g.step(policy.Outcome{ID: id, Server: 2, Final: true, Latency: took})
 			}
 		}
 		return to
@@ -375,17 +375,17 @@
 	for i := range 60 {
 		id := fmt.Sprint("slow", i)
 		if len(sent(g.after(200*ms).arrive(id, anyRead), id)) == 1 {
-			g.step(brain.Outcome{ID: id, Server: 2, Final: true, Latency: 390 * ms})
+			g.step(policy.Outcome{ID: id, Server: 2, Final: true, Latency: 390 * ms})
 		}
 	}
-	went := func(span brain.Micros) (n int) { // whose requests end before they tell anything
+	went := func(span policy.Micros) (n int) { // whose requests end before they tell anything
 		g.sweep(span)
 		for i := range 100 {
 			id := fmt.Sprint("r", g.now, i)
 			if len(sent(g.arrive(id, anyRead), id)) == 1 {
 				n++
-				g.step(brain.Dropped{ID: id})
-				g.step(brain.Outcome{ID: id, Server: 2, Result: brain.ResultError, Final: true})
+				g.step(policy.Dropped{ID: id})
+				g.step(policy.Outcome{ID: id, Server: 2, Result: policy.ResultError, Final: true})
 			}
 		}
 		return n
--- a/brain/state.go
+++ b/internal/policy/state.go
@@ -1,4 +1,4 @@
-package brain
+package policy
 
 import (
 	"fmt"
--- a/internal/program/bookings.go
+++ b/internal/program/bookings.go
@@ -4,9 +4,9 @@
 	"errors"
 	"time"
 
-	"marblespan/brain"
 	"marblespan/internal/bookings"
 	"marblespan/internal/doubt"
+	"marblespan/internal/policy"
 )
 
 // OpenBookings takes bookings in hand. It is set before the gateway starts, by the program that has a store for them.
@@ -27,7 +27,7 @@
 	s := bookings.Settings{
 		Node: g.ops.Members.Node, Life: g.life, Classes: map[string]bookings.Class{}, Log: g.log,
 		Now:  func() doubt.Micros { return doubt.Micros(g.clock.Now()) },
-		Time: func(t doubt.Micros) time.Time { return g.clock.Time(brain.Micros(t)) },
+		Time: func(t doubt.Micros) time.Time { return g.clock.Time(policy.Micros(t)) },
 		Look: func(class, key string, group int, by time.Time, done func(row, answer []byte, ok bool)) {
 			g.clients.Lookup(class, key, group, by, done)
 		},
--- a/internal/program/copies.go
+++ b/internal/program/copies.go
@@ -12,11 +12,11 @@
 
 	"github.com/rs/zerolog"
 
-	"marblespan/brain"
 	"marblespan/internal/bookings"
 	"marblespan/internal/config"
 	"marblespan/internal/maintenance"
 	"marblespan/internal/membership"
+	"marblespan/internal/policy"
 	"marblespan/internal/routing"
 	"marblespan/internal/streams"
 )
@@ -107,7 +107,7 @@
 }
 
 // Promise keeps a commit.
-func (m *marks) Promise(group int, session uint64, position brain.Position, by time.Time, done func(bool)) {
+func (m *marks) Promise(group int, session uint64, position policy.Position, by time.Time, done func(bool)) {
 	kept := func(ok bool) {
 		if ok {
 			m.Promised.Add(1)
@@ -131,7 +131,7 @@
 
 // Needed tells the position that a session's read must see. Where that cannot be had it is all there is: the primary has it. So
 // it is where a mark lies ahead of everything, as after a failover that has lost commits: nobody waits for what will not come.
-func (m *marks) Needed(group int, session uint64, by time.Time, done func(brain.Position)) {
+func (m *marks) Needed(group int, session uint64, by time.Time, done func(policy.Position)) {
 	m.Asked.Add(1)
 	s := m.store.Load()
 	if s == nil {
@@ -140,7 +140,7 @@
 		return
 	}
 	(*s).Read(markKey(group, session), by, func(value uint64, known bool) {
-		now, position := m.clock.Now(), brain.Position(value)
+		now, position := m.clock.Now(), policy.Position(value)
 		switch {
 		case !known:
 			m.Unknown.Add(1)
--- a/internal/program/floating.go
+++ b/internal/program/floating.go
@@ -7,9 +7,9 @@
 	"sync/atomic"
 	"time"
 
-	"marblespan/brain"
 	"marblespan/internal/config"
 	"marblespan/internal/floating"
+	"marblespan/internal/policy"
 	codec "marblespan/internal/protocol/vrrp"
 	"marblespan/internal/routing"
 	"marblespan/internal/session"
@@ -25,7 +25,7 @@
 )
 
 // groupLately is for how long a group that was asked for counts as in use.
-const groupLately = brain.Micros(30 * time.Second / time.Microsecond)
+const groupLately = policy.Micros(30 * time.Second / time.Microsecond)
 
 // readyRoom is what must fit the messages' budget before the gateway is ready: a request and its answer.
 const readyRoom = 4 * transport.BufferSize
@@ -71,7 +71,7 @@
 	f.groups.Store(&g.ops.Groups)
 	clock := floating.Clock{
 		Now:  func() vrrp.Micros { return vrrp.Micros(g.clock.Now()) },
-		Time: func(m vrrp.Micros) time.Time { return g.clock.Time(brain.Micros(m)) },
+		Time: func(m vrrp.Micros) time.Time { return g.clock.Time(policy.Micros(m)) },
 	}
 	var err error
 	if f.speaker, err = floating.Start(speakerSettings(g.ops), clock, uint64(time.Now().UnixMicro()), f, f.now, g.log); err != nil {
--- a/internal/program/maintain.go
+++ b/internal/program/maintain.go
@@ -12,10 +12,10 @@
 	"syscall"
 	"time"
 
-	"marblespan/brain"
 	"marblespan/internal/config"
 	"marblespan/internal/maintenance"
 	"marblespan/internal/membership"
+	"marblespan/internal/policy"
 	"marblespan/internal/routing"
 	"marblespan/internal/transport"
 )
@@ -24,7 +24,7 @@
 const reportEvery = 250 * time.Millisecond
 
 // roleLately is for how long after a group was asked for its primary counts as known here.
-const roleLately = brain.Micros(5 * time.Second / time.Microsecond)
+const roleLately = policy.Micros(5 * time.Second / time.Microsecond)
 
 // lingerFor is for how long a gateway that leaves waits for another one to take a floating address that lingers.
 const lingerFor = 2 * time.Second
@@ -225,7 +225,7 @@
 			}
 			r.Servers = append(r.Servers, maintenance.ServerReport{
 				Group: s.Group, Name: s.UID, Primary: primary, Cold: s.Cold,
-				Down:   s.Down || s.State != brain.MemberReady && u.now.Find(maintenance.Server, s.UID, s.Group) == nil,
+				Down:   s.Down || s.State != policy.MemberReady && u.now.Find(maintenance.Server, s.UID, s.Group) == nil,
 				Behind: !primary && int64(s.Behind) > u.behind.Load(),
 			})
 		}
--- a/internal/program/members.go
+++ b/internal/program/members.go
@@ -11,11 +11,11 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"marblespan/brain"
 	"marblespan/internal/config"
 	"marblespan/internal/maintenance"
 	"marblespan/internal/membership"
 	"marblespan/internal/peers"
+	"marblespan/internal/policy"
 	codec "marblespan/internal/protocol/members"
 	"marblespan/internal/protocol/sealed"
 )
@@ -44,7 +44,7 @@
 	m.living.Store(&[]string{})
 	clock := peers.Clock{
 		Now:  func() membership.Micros { return membership.Micros(g.clock.Now()) },
-		Time: func(t membership.Micros) time.Time { return g.clock.Time(brain.Micros(t)) },
+		Time: func(t membership.Micros) time.Time { return g.clock.Time(policy.Micros(t)) },
 	}
 	var err error
 	s := peersSettings(g.ops)
--- a/internal/program/told_test.go
+++ b/internal/program/told_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"marblespan/brain"
 	"marblespan/internal/config"
+	"marblespan/internal/policy"
 	"marblespan/internal/session"
 	"marblespan/internal/settings"
 	"marblespan/internal/standin"
@@ -21,24 +21,24 @@
 // other, by these settings.
 func askPauses(facts *settings.Facts) (first, any time.Duration) {
 	const seeds, askings = 200, 10
-	start := brain.Micros(1_767_225_600_000_000)
+	start := policy.Micros(1_767_225_600_000_000)
 	for seed := uint64(1); seed <= seeds; seed++ {
-		r, _ := brain.New(start, seed, facts.Settings)
+		r, _ := policy.New(start, seed, facts.Settings)
 		now, sweepAt := start, start
-		r.Step(now, brain.MemberNews{Form: brain.ListFull})
+		r.Step(now, policy.MemberNews{Form: policy.ListFull})
 		for n := range askings {
 			failed := now
-			r.Step(now, brain.MemberNews{Form: brain.ListFailed})
+			r.Step(now, policy.MemberNews{Form: policy.ListFailed})
 			for asked := false; !asked; {
-				now += brain.Micros(time.Millisecond / time.Microsecond)
+				now += policy.Micros(time.Millisecond / time.Microsecond)
 				if now < sweepAt {
 					continue
 				}
-				for _, a := range r.Step(now, brain.Timer{Token: "sweep"}) {
+				for _, a := range r.Step(now, policy.Timer{Token: "sweep"}) {
 					switch a := a.(type) {
-					case brain.SetTimer:
+					case policy.SetTimer:
 						sweepAt = a.At
-					case brain.Watch:
+					case policy.Watch:
 						asked = true
 					}
 				}
@@ -59,7 +59,7 @@
 	limits := session.DefaultCallTimeouts
 	call := limits.Connect + limits.Answer
 	for _, mode := range []string{"subscribe", "automatic"} {
-		for _, aim := range []brain.Micros{100_000, 800_000} {
+		for _, aim := range []policy.Micros{100_000, 800_000} {
 			w := config.Config{Facts: must2(settings.Parse([]byte(testSettings)))}
 			w.Facts.Settings.ListAsked, w.Facts.Settings.ListPushed = true, mode == "automatic"
 			for i := range w.Facts.Settings.Classes {
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -6,7 +6,7 @@
 
 	"github.com/rs/zerolog"
 
-	"marblespan/brain"
+	"marblespan/internal/policy"
 	"marblespan/internal/settings"
 )
 
@@ -14,30 +14,30 @@
 type Core struct {
 	facts     *settings.Facts // in force
 	places    []int           // of its classes among the counters
-	router    *brain.Router
+	router    *policy.Router
 	servers   Servers
 	discovery Discovery
 	log       zerolog.Logger
 
-	now      brain.Micros
+	now      policy.Micros
 	requests map[string]*request
 	byClient map[Client]*request
 	byName   map[string]*request // by the client's id, for as long as anything is out for it
 	next     uint64
 	timers   timers
-	pending  []brain.Event // events that actions have called for, to be told after them
+	pending  []policy.Event // events that actions have called for, to be told after them
 	members  members
 	Counts   Counts
 
 	listFailing bool
-	listHeard   bool         // in this life, from discovery
-	startedAt   brain.Micros // when this life began
+	listHeard   bool          // in this life, from discovery
+	startedAt   policy.Micros // when this life began
 }
 
 // listPatience is how long a start waits for a list that is pushed: what its agent has is held to be known here from the first
 // moment on, and the list that came with the configuration may be old. An agent that is silent must not keep the gateway
 // out of service: restarts are to be over within 10 s.
-const listPatience = brain.Micros(3 * time.Second / time.Microsecond)
+const listPatience = policy.Micros(3 * time.Second / time.Microsecond)
 
 // request is one request the module knows of.
 type request struct {
@@ -48,7 +48,7 @@
 	facts    *settings.Facts // those it is finished under
 	class    int             // among them
 	place    int             // among the counters
-	deadline brain.Micros
+	deadline policy.Micros
 	attempts []Attempt // nil once it has ended
 	out      int
 	over     bool // its final answer is given, or its client gone
@@ -56,7 +56,7 @@
 
 // NewCore starts the module with the list the gateway last had.
 func NewCore(
-	now brain.Micros, seed uint64, facts *settings.Facts, known ListNews, servers Servers, disc Discovery,
+	now policy.Micros, seed uint64, facts *settings.Facts, known ListNews, servers Servers, disc Discovery,
 	log zerolog.Logger,
 ) *Core {
 	c := &Core{
@@ -65,10 +65,10 @@
 		members: newMembers(),
 	}
 	c.places = c.Counts.places(facts.Names)
-	router, first := brain.New(now, seed, facts.Settings)
+	router, first := policy.New(now, seed, facts.Settings)
 	c.router = router
 	// The list comes first, so that a watch asks for the changes after it.
-	c.list(known, brain.ListCached)
+	c.list(known, policy.ListCached)
 	c.perform(first)
 	c.settle()
 	return c
@@ -83,12 +83,12 @@
 
 // Health is what the owner knows of its gateway's worth.
 type Health struct {
-	brain.Health
+	policy.Health
 	ListFailing bool // the last word of discovery was a failure
 }
 
 // Health tells how the gateway is; groups count that were asked for in the last span.
-func (c *Core) Health(lately brain.Micros) Health {
+func (c *Core) Health(lately policy.Micros) Health {
 	return Health{c.router.Health(lately), c.listFailing}
 }
 
@@ -96,7 +96,7 @@
 func (c *Core) Open() int { return len(c.byClient) }
 
 // Handle takes in one event.
-func (c *Core) Handle(now brain.Micros, ev Event) {
+func (c *Core) Handle(now policy.Micros, ev Event) {
 	c.now = max(c.now, now)
 	switch e := ev.(type) {
 	case *Request:
@@ -105,19 +105,19 @@
 		if q := c.byClient[e.Client]; q != nil {
 			c.Counts.Gone[q.place]++
 			c.over(q)
-			c.step(brain.Dropped{ID: q.id})
+			c.step(policy.Dropped{ID: q.id})
 		}
 	case Ended:
 		c.ended(e)
 	case ProbeEnded:
 		c.Counts.Probes[e.Result]++
-		c.step(brain.Probed{Server: e.Server, Result: e.Result, Latency: e.Latency, Report: e.Report})
+		c.step(policy.Probed{Server: e.Server, Result: e.Result, Latency: e.Latency, Report: e.Report})
 	case ListNews:
-		form := brain.ListDelta
+		form := policy.ListDelta
 		if e.Failed {
-			form = brain.ListFailed
+			form = policy.ListFailed
 		} else if e.List.All {
-			form = brain.ListFull
+			form = policy.ListFull
 		}
 		c.list(e, form)
 	case Inspect:
@@ -127,22 +127,22 @@
 }
 
 // Expire tells the module of the timers that have come due.
-func (c *Core) Expire(now brain.Micros) {
+func (c *Core) Expire(now policy.Micros) {
 	c.now = max(c.now, now)
 	for {
 		t, ok := c.timers.due(c.now)
 		if !ok {
 			return
 		}
-		c.step(brain.Timer{Token: t})
+		c.step(policy.Timer{Token: t})
 		c.settle()
 	}
 }
 
 // NextTimer is when Expire has something to do.
-func (c *Core) NextTimer() (brain.Micros, bool) { return c.timers.first() }
+func (c *Core) NextTimer() (policy.Micros, bool) { return c.timers.first() }
 
-func (c *Core) step(ev brain.Event) { c.perform(c.router.Step(c.now, ev)) }
+func (c *Core) step(ev policy.Event) { c.perform(c.router.Step(c.now, ev)) }
 
 // settle tells the module what its own actions have brought about.
 func (c *Core) settle() {
@@ -226,19 +226,19 @@
 	}
 	q.attempts[e.Job.Attempt] = nil
 	q.out--
-	if e.Result == brain.ResultOK && e.Role == brain.RoleReplica && q.facts.Settings.Classes[q.class].Need == brain.NeedFresh {
+	if e.Result == policy.ResultOK && e.Role == policy.RoleReplica && q.facts.Settings.Classes[q.class].Need == policy.NeedFresh {
 		// It was taken for the primary, by an old list or before a failover, and says itself that it is none: what it has may be
 		// behind. Where servers check nothing, nobody else would notice. Harm: one more attempt where it was current all the same.
 		c.Counts.NotCurrent++
-		e.Result = brain.ResultMiss
+		e.Result = policy.ResultMiss
 	}
-	final := q.over || e.Result == brain.ResultOK
-	if e.Result == brain.ResultOK && !q.over {
+	final := q.over || e.Result == policy.ResultOK
+	if e.Result == policy.ResultOK && !q.over {
 		c.answer(q, Answer{Kind: Served, Value: e.Value, Position: e.Position})
 	} else {
 		e.Value.Free()
 	}
-	c.step(brain.Outcome{
+	c.step(policy.Outcome{
 		ID: q.id, Attempt: e.Job.Attempt, Server: e.Job.Server, Result: e.Result, Final: final, Latency: e.Latency,
 		Role: e.Role, Position: e.Position, Report: e.Report,
 	})
@@ -271,60 +271,60 @@
 func (c *Core) FailAll() {
 	for _, q := range c.byClient {
 		c.answer(q, Answer{Kind: Failed})
-		c.step(brain.Dropped{ID: q.id})
+		c.step(policy.Dropped{ID: q.id})
 		c.settle()
 	}
 }
 
 // perform carries out the module's actions, in order.
-func (c *Core) perform(actions []brain.Action) {
+func (c *Core) perform(actions []policy.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case brain.Send:
+		case policy.Send:
 			c.send(a)
-		case brain.Refuse:
+		case policy.Refuse:
 			if q := c.requests[a.ID]; q != nil && !q.over {
 				c.answer(q, Answer{Kind: Refused, RetryAfter: a.RetryAfter})
 			}
-		case brain.Fail:
+		case policy.Fail:
 			if q := c.requests[a.ID]; q != nil && !q.over {
 				c.answer(q, Answer{Kind: Failed})
 			}
-		case brain.Cancel:
+		case policy.Cancel:
 			if q := c.requests[a.ID]; q != nil && a.Attempt < len(q.attempts) && q.attempts[a.Attempt] != nil {
 				q.attempts[a.Attempt].Cancel()
 			}
-		case brain.SetTimer:
+		case policy.SetTimer:
 			c.timers.set(a.At, a.Token)
-		case brain.Probe:
+		case policy.Probe:
 			c.Counts.ProbesSent++
 			c.servers.Probe(a.Server, c.now, c.now+c.facts.Settings.ConnectTimeout)
-		case brain.CloseIdle:
+		case policy.CloseIdle:
 			c.servers.CloseIdle(a.Server)
-		case brain.Withdraw:
+		case policy.Withdraw:
 			c.servers.Withdraw(a.Server)
-		case brain.Forget:
+		case policy.Forget:
 			c.members.forget(a.Server)
 			c.servers.Forget(a.Server)
-		case brain.Watch:
+		case policy.Watch:
 			c.Counts.Watches++
 			if a.On {
 				c.discovery.Watch(c.members.rev)
 			} else {
 				c.discovery.StopWatch()
 			}
-		case brain.Fetch:
+		case policy.Fetch:
 			c.Counts.Fetches++
 			c.discovery.Fetch()
-		case brain.Log:
+		case policy.Log:
 			c.log.Info().Str("from", "module").Msg(a.Text)
-		case brain.Tell: // there is no path between gateways
+		case policy.Tell: // there is no path between gateways
 		}
 	}
 }
 
 // send makes an attempt. One that must not go out is told as moot, after the other actions.
-func (c *Core) send(a brain.Send) {
+func (c *Core) send(a policy.Send) {
 	q := c.requests[a.ID]
 	if q == nil {
 		return
@@ -333,9 +333,9 @@
 	q.attempts = append(q.attempts, nil)
 	until := min(a.Until, q.deadline)
 	if q.over || q.out > 0 || until <= c.now || index >= max(q.facts.Settings.MaxAttempts, 1) {
-		c.Counts.Outcomes[brain.ResultMoot]++
-		c.pending = append(c.pending, brain.Outcome{
-			ID: q.id, Attempt: index, Server: a.Server, Result: brain.ResultMoot, Final: q.over,
+		c.Counts.Outcomes[policy.ResultMoot]++
+		c.pending = append(c.pending, policy.Outcome{
+			ID: q.id, Attempt: index, Server: a.Server, Result: policy.ResultMoot, Final: q.over,
 		})
 		return
 	}
@@ -343,6 +343,6 @@
 	q.out++
 	q.attempts[index] = c.servers.Send(Job{
 		ID: q.id, Attempt: index, Server: a.Server, Payload: q.payload.Share(), Sent: c.now, Until: until,
-		NonIdempotent: q.facts.Settings.Classes[q.class].Effect == brain.EffectUnsafe,
+		NonIdempotent: q.facts.Settings.Classes[q.class].Effect == policy.EffectUnsafe,
 	})
 }
--- a/internal/routing/core_test.go
+++ b/internal/routing/core_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/rs/zerolog"
 
-	"marblespan/brain"
+	"marblespan/internal/policy"
 	"marblespan/internal/protocol/discovery"
 	"marblespan/internal/settings"
 	"marblespan/internal/transport"
@@ -26,14 +26,14 @@
   "overload_factor": 4, "ramp_time_ms": 16000, "stop_sending_within_ms": 250}}`
 
 // start is a time like those of a real clock.
-const start = brain.Micros(1_767_225_600_000_000)
+const start = policy.Micros(1_767_225_600_000_000)
 
 type fakeServers struct {
 	jobs      []Job
 	cancelled []int
-	withdrawn []brain.ServerID
-	probes    []brain.ServerID
-	places    map[brain.ServerID]string
+	withdrawn []policy.ServerID
+	probes    []policy.ServerID
+	places    map[policy.ServerID]string
 }
 
 type fakeAttempt struct {
@@ -47,13 +47,13 @@
 	s.jobs = append(s.jobs, j)
 	return fakeAttempt{s, len(s.jobs) - 1}
 }
-func (s *fakeServers) Probe(id brain.ServerID, sent, until brain.Micros) {
+func (s *fakeServers) Probe(id policy.ServerID, sent, until policy.Micros) {
 	s.probes = append(s.probes, id)
 }
-func (s *fakeServers) CloseIdle(brain.ServerID)           {}
-func (s *fakeServers) Withdraw(id brain.ServerID)         { s.withdrawn = append(s.withdrawn, id) }
-func (s *fakeServers) Forget(id brain.ServerID)           { delete(s.places, id) }
-func (s *fakeServers) Place(id brain.ServerID, at string) { s.places[id] = at }
+func (s *fakeServers) CloseIdle(policy.ServerID)           {}
+func (s *fakeServers) Withdraw(id policy.ServerID)         { s.withdrawn = append(s.withdrawn, id) }
+func (s *fakeServers) Forget(id policy.ServerID)           { delete(s.places, id) }
+func (s *fakeServers) Place(id policy.ServerID, at string) { s.places[id] = at }
 
 type fakeDiscovery struct{ from []int64 }
 
@@ -73,7 +73,7 @@
 
 type rig struct {
 	t       *testing.T
-	now     brain.Micros
+	now     policy.Micros
 	core    *Core
 	servers *fakeServers
 	disc    *fakeDiscovery
@@ -92,7 +92,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, now: start, servers: &fakeServers{places: map[brain.ServerID]string{}}, disc: &fakeDiscovery{}}
+	r := &rig{t: t, now: start, servers: &fakeServers{places: map[policy.ServerID]string{}}, disc: &fakeDiscovery{}}
 	known := ListNews{List: discovery.List{Rev: 41, All: true, Entries: []discovery.Entry{
 		entry("p", discovery.Ready, true), entry("a", discovery.Ready, false), entry("b", discovery.Ready, false),
 	}}}
@@ -101,7 +101,7 @@
 }
 
 // pass lets time pass, with every timer at its time.
-func (r *rig) pass(span brain.Micros) {
+func (r *rig) pass(span policy.Micros) {
 	end := r.now + span
 	for {
 		at, ok := r.core.NextTimer()
@@ -114,20 +114,20 @@
 	r.now = end
 }
 
-func (r *rig) request(class int, wait brain.Micros) (*fakeClient, *fakePayload) {
+func (r *rig) request(class int, wait policy.Micros) (*fakeClient, *fakePayload) {
 	c, p := &fakeClient{}, &fakePayload{holders: 1}
 	r.core.Handle(r.now, &Request{
-		Client: c, Payload: p, Arrival: brain.Arrival{Class: class, Group: 7}, ReadAt: r.now, Wait: wait,
+		Client: c, Payload: p, Arrival: policy.Arrival{Class: class, Group: 7}, ReadAt: r.now, Wait: wait,
 	})
 	return c, p
 }
 
 // end tells how the n-th job ended; the servers' side frees its share.
-func (r *rig) end(n int, res brain.Result) {
+func (r *rig) end(n int, res policy.Result) {
 	j := r.servers.jobs[n]
 	j.Payload.Free()
 	var value *transport.Message
-	if res == brain.ResultOK {
+	if res == policy.ResultOK {
 		value = transport.NewBuffers(1 << 20).NewMessage()
 	}
 	r.core.Handle(r.now, Ended{Job: j, Result: res, Latency: r.now - j.Sent, Value: value})
@@ -156,7 +156,7 @@
 		t.Errorf("sent at %d until %d, now %d", j.Sent, j.Until, r.now)
 	}
 	r.pass(20_000)
-	r.end(0, brain.ResultOK)
+	r.end(0, policy.ResultOK)
 	r.want(c, Served)
 	r.pass(2_000_000)
 	r.want(c, Served)
@@ -175,7 +175,7 @@
 			t.Fatalf("request %d was not sent", n)
 		}
 		r.pass(10_000)
-		r.end(n, brain.ResultOK)
+		r.end(n, policy.ResultOK)
 		r.want(c, Served)
 	}
 }
@@ -184,13 +184,13 @@
 func TestOutcomesDecideWhatIsTold(t *testing.T) {
 	for _, c := range []struct {
 		class int
-		res   brain.Result
+		res   policy.Result
 		again bool
 		kind  Kind
 	}{
-		{1, brain.ResultReset, false, Failed}, {1, brain.ResultError, false, Failed},
-		{1, brain.ResultTimeout, false, Failed}, {1, brain.ResultConnectFailed, true, Refused},
-		{1, brain.ResultFull, true, Refused}, {0, brain.ResultReset, true, Refused},
+		{1, policy.ResultReset, false, Failed}, {1, policy.ResultError, false, Failed},
+		{1, policy.ResultTimeout, false, Failed}, {1, policy.ResultConnectFailed, true, Refused},
+		{1, policy.ResultFull, true, Refused}, {0, policy.ResultReset, true, Refused},
 	} {
 		r := newRig(t)
 		client, p := r.request(c.class, 1_000_000)
@@ -202,7 +202,7 @@
 		}
 		for n := 1; n < len(r.servers.jobs); n++ {
 			if n < 4 {
-				r.end(n, brain.ResultConnectFailed)
+				r.end(n, policy.ResultConnectFailed)
 				r.pass(200_000)
 			}
 		}
@@ -224,7 +224,7 @@
 	if len(r.servers.cancelled) != 1 {
 		t.Fatalf("%d cancels", len(r.servers.cancelled))
 	}
-	r.end(0, brain.ResultOK)
+	r.end(0, policy.ResultOK)
 	r.core.Handle(r.now, Gone{Client: c})
 	r.pass(3_000_000)
 	r.want(c)
@@ -238,7 +238,7 @@
 	r := newRig(t)
 	c := &fakeClient{}
 	r.core.Handle(r.now, &Request{
-		Client: c, Payload: &fakePayload{holders: 1}, Arrival: brain.Arrival{Class: 1, Group: 7},
+		Client: c, Payload: &fakePayload{holders: 1}, Arrival: policy.Arrival{Class: 1, Group: 7},
 		ReadAt: r.now - 400_000, Wait: 1_000_000,
 	})
 	if u := r.servers.jobs[0].Until; u > r.now+600_000 || u < r.now+500_000 {
@@ -252,7 +252,7 @@
 	r := newRig(t)
 	c, p := &fakeClient{}, &fakePayload{holders: 1}
 	r.core.Handle(r.now, &Request{
-		Client: c, Payload: p, Arrival: brain.Arrival{Class: 1, Group: 99}, ReadAt: r.now, Wait: 1_000_000,
+		Client: c, Payload: p, Arrival: policy.Arrival{Class: 1, Group: 99}, ReadAt: r.now, Wait: 1_000_000,
 	})
 	r.want(c, Refused)
 	if p.holders != 0 || r.core.Counts.UnknownGroup != 1 {
@@ -297,7 +297,7 @@
 func TestTimersInOrder(t *testing.T) {
 	var ts timers
 	for _, x := range []struct {
-		at    brain.Micros
+		at    policy.Micros
 		token string
 	}{{30, "c"}, {10, "a"}, {30, "d"}, {20, "b"}} {
 		ts.set(x.at, x.token)
@@ -337,7 +337,7 @@
 func TestOwnerStops(t *testing.T) {
 	r := newRig(t)
 	o := NewOwner(NewClock())
-	go o.Run(func(brain.Micros) *Core { return r.core })
+	go o.Run(func(policy.Micros) *Core { return r.core })
 	ran := false
 	if !o.Ask(func(*Core) { ran = true }) || !ran {
 		t.Fatal("the owner did not run what it was asked")
@@ -385,7 +385,7 @@
 	if r.core.members.ids[uid] != id {
 		t.Error("a server that came back while an attempt was out got another number")
 	}
-	r.end(last, brain.ResultOK)
+	r.end(last, policy.ResultOK)
 }
 
 // What a client calls its requests is remembered for just as long as anything is out for them.
@@ -395,7 +395,7 @@
 		c := &fakeClient{}
 		r.core.Handle(r.now, &Request{
 			Client: c, ID: "x", Payload: &fakePayload{holders: 1}, ReadAt: r.now, Wait: 1_000_000,
-			Arrival: brain.Arrival{Class: 1, Group: 7},
+			Arrival: policy.Arrival{Class: 1, Group: 7},
 		})
 		return c
 	}
@@ -403,9 +403,9 @@
 	r.want(ask(), Rejected)
 	r.core.Handle(r.now, Gone{Client: first})
 	r.want(ask(), Rejected) // its attempt is still out
-	r.end(0, brain.ResultCancelled)
+	r.end(0, policy.ResultCancelled)
 	r.want(ask())
-	r.end(1, brain.ResultOK)
+	r.end(1, policy.ResultOK)
 	if len(r.core.byName) != 0 {
 		t.Errorf("%d names kept", len(r.core.byName))
 	}
@@ -420,13 +420,13 @@
 	next.Names = []string{"extra", old.Names[1], old.Names[0]}
 	next.Classes = map[string]int{"extra": 0, old.Names[1]: 1, old.Names[0]: 2}
 	c := old.Settings.Classes
-	next.Settings.Classes = []brain.Class{c[0], c[1], c[0]}
+	next.Settings.Classes = []policy.Class{c[0], c[1], c[0]}
 	next.Settings.Classes[0].Name = "extra"
 	r.core.Reconfigure(&next)
 	ask := func(facts *settings.Facts, class int) *fakeClient {
 		f := &fakeClient{}
 		r.core.Handle(r.now, &Request{
-			Client: f, Payload: &fakePayload{holders: 1}, Facts: facts, Arrival: brain.Arrival{Class: class, Group: 7},
+			Client: f, Payload: &fakePayload{holders: 1}, Facts: facts, Arrival: policy.Arrival{Class: class, Group: 7},
 			ReadAt: r.now, Wait: 1_000_000,
 		})
 		return f
@@ -437,7 +437,7 @@
 	}
 	other := next
 	other.Names, other.Classes = next.Names[:2], map[string]int{"extra": 0, old.Names[1]: 1}
-	other.Settings.Classes = []brain.Class{c[1], c[1]}
+	other.Settings.Classes = []policy.Class{c[1], c[1]}
 	r.core.Reconfigure(&other)
 	sends := len(r.servers.jobs)
 	r.want(ask(old, 0), Refused)   // no more
@@ -460,7 +460,7 @@
 			r.pass(400_000)
 			for _, j := range r.servers.jobs[from:] {
 				out[r.core.members.uids[j.Server]] = true
-				r.core.Handle(r.now, Ended{Job: j, Result: brain.ResultOK, Latency: 1000, Role: brain.RoleReplica, Position: r.now})
+				r.core.Handle(r.now, Ended{Job: j, Result: policy.ResultOK, Latency: 1000, Role: policy.RoleReplica, Position: r.now})
 			}
 		}
 		return out
@@ -477,8 +477,8 @@
 		t.Errorf("set aside, and on the list again: %v", to)
 	}
 	aside()
-	view := func(uid string) brain.ServerView { v, _ := r.core.view(uid); return v }
-	if v := view("a"); !v.Cold || v.State != brain.MemberReady {
+	view := func(uid string) policy.ServerView { v, _ := r.core.view(uid); return v }
+	if v := view("a"); !v.Cold || v.State != policy.MemberReady {
 		t.Errorf("put back: %+v", v)
 	}
 	if to := sentTo(40); !to["a"] {
@@ -487,7 +487,7 @@
 	aside("b")
 	r.core.Handle(r.now, ListNews{List: discovery.List{Rev: 43, Entries: []discovery.Entry{entry("b", discovery.Draining, false)}}})
 	aside()
-	if v := view("b"); v.State != brain.MemberDraining {
+	if v := view("b"); v.State != policy.MemberDraining {
 		t.Errorf("put back, and the list has it drain: %+v", v)
 	}
 	if group, known := r.core.GroupOf("a"); !known || group != 7 {
@@ -513,12 +513,12 @@
 			r.pass(100_000)
 		}
 		j := r.servers.jobs[0]
-		r.core.Handle(r.now, Ended{Job: j, Result: brain.ResultOK, Latency: 1000, Role: brain.RoleReplica, Position: r.now})
+		r.core.Handle(r.now, Ended{Job: j, Result: policy.ResultOK, Latency: 1000, Role: policy.RoleReplica, Position: r.now})
 		if len(c.answers) != want || r.core.Counts.NotCurrent != int64(1-want) {
 			t.Errorf("%s: %d answers, %d not current", need, len(c.answers), r.core.Counts.NotCurrent)
 		}
 		for _, j := range r.servers.jobs[1:] {
-			r.core.Handle(r.now, Ended{Job: j, Result: brain.ResultOK, Latency: 1000, Role: brain.RolePrimary, Position: r.now})
+			r.core.Handle(r.now, Ended{Job: j, Result: policy.ResultOK, Latency: 1000, Role: policy.RolePrimary, Position: r.now})
 		}
 		r.pass(1_000_000)
 		if len(c.answers) != 1 {
--- a/internal/routing/counts.go
+++ b/internal/routing/counts.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"marblespan/brain"
+	"marblespan/internal/policy"
 )
 
 // Results and forms as counters name them.
@@ -55,4 +55,4 @@
 	return out
 }
 
-var _ = [1]struct{}{}[brain.ResultMiss-brain.Result(len(ResultNames)-1)] // every result has its name
+var _ = [1]struct{}{}[policy.ResultMiss-policy.Result(len(ResultNames)-1)] // every result has its name
--- a/internal/routing/members.go
+++ b/internal/routing/members.go
@@ -1,7 +1,7 @@
 package routing
 
 import (
-	"marblespan/brain"
+	"marblespan/internal/policy"
 	"marblespan/internal/protocol/discovery"
 	"marblespan/internal/settings"
 )
@@ -9,41 +9,41 @@
 // members gives each server of the list the number under which the module knows it.
 type members struct {
 	rev  int64
-	ids  map[string]brain.ServerID
-	uids map[brain.ServerID]string
-	next brain.ServerID
+	ids  map[string]policy.ServerID
+	uids map[policy.ServerID]string
+	next policy.ServerID
 	live map[string]bool // on the list and not gone
 	seen map[int]bool    // groups that a list has named
 	// aside are servers that operators take out of service, with what the list says of them; nil: none are.
-	aside map[string]brain.MemberState
+	aside map[string]policy.MemberState
 }
 
 func newMembers() members {
-	return members{ids: map[string]brain.ServerID{}, uids: map[brain.ServerID]string{}, live: map[string]bool{}, seen: map[int]bool{}}
+	return members{ids: map[string]policy.ServerID{}, uids: map[policy.ServerID]string{}, live: map[string]bool{}, seen: map[int]bool{}}
 }
 
 // forget takes a server's number back, once the module keeps nothing of it: on a long day servers are replaced without
 // end. One that comes back later is new to everybody.
-func (m *members) forget(id brain.ServerID) {
+func (m *members) forget(id policy.ServerID) {
 	delete(m.ids, m.uids[id])
 	delete(m.uids, id)
 }
 
 func (m *members) known() bool { return len(m.live) > 0 }
 
-var memberStates = map[discovery.State]brain.MemberState{
-	discovery.Gone: brain.MemberGone, discovery.Ready: brain.MemberReady, discovery.Draining: brain.MemberDraining,
+var memberStates = map[discovery.State]policy.MemberState{
+	discovery.Gone: policy.MemberGone, discovery.Ready: policy.MemberReady, discovery.Draining: policy.MemberDraining,
 }
 
 // list tells the module of the member list, and the servers' side where its servers are.
-func (c *Core) list(news ListNews, form brain.ListForm) {
+func (c *Core) list(news ListNews, form policy.ListForm) {
 	c.Counts.Lists[form]++
-	c.listFailing = form == brain.ListFailed
-	c.listHeard = c.listHeard || form == brain.ListFull || form == brain.ListDelta
-	out := brain.MemberNews{Form: form}
-	if form != brain.ListFailed {
+	c.listFailing = form == policy.ListFailed
+	c.listHeard = c.listHeard || form == policy.ListFull || form == policy.ListDelta
+	out := policy.MemberNews{Form: form}
+	if form != policy.ListFailed {
 		c.members.rev = news.List.Rev
-		if form != brain.ListDelta {
+		if form != policy.ListDelta {
 			clear(c.members.live)
 		}
 		for _, e := range news.List.Entries {
@@ -56,11 +56,11 @@
 }
 
 // member tells of one server. One that is gone and was never known, or is forgotten, is no news.
-func (c *Core) member(e discovery.Entry) (brain.Member, bool) {
+func (c *Core) member(e discovery.Entry) (policy.Member, bool) {
 	id, ok := c.members.ids[e.UID]
 	if !ok {
 		if e.State == discovery.Gone {
-			return brain.Member{}, false
+			return policy.Member{}, false
 		}
 		c.members.next++
 		id = c.members.next
@@ -80,16 +80,16 @@
 	}
 	weight, _ := settings.ParseScaled(e.Weight.String(), 3)
 	booted, _ := settings.ParseScaled(e.BootMS.String(), 3)
-	return brain.Member{
-		Server: id, Group: e.Group, Zone: e.Zone, State: state, Started: brain.Micros(booted),
+	return policy.Member{
+		Server: id, Group: e.Group, Zone: e.Zone, State: state, Started: policy.Micros(booted),
 		Primary: e.Primary, Weight: weight,
 	}, true
 }
 
 // apart is the state of a server that is taken out of service, whatever the list says of it.
-func apart(listed brain.MemberState) brain.MemberState {
-	if listed == brain.MemberReady {
-		return brain.MemberDraining
+func apart(listed policy.MemberState) policy.MemberState {
+	if listed == policy.MemberReady {
+		return policy.MemberDraining
 	}
 	return listed
 }
@@ -99,16 +99,16 @@
 func (c *Core) SetAside(uids []string) {
 	m := &c.members
 	next := map[string]bool{}
-	out := brain.MemberNews{Form: brain.ListAside}
+	out := policy.MemberNews{Form: policy.ListAside}
 	for _, uid := range uids {
 		next[uid] = true
 		if _, is := m.aside[uid]; is {
 			continue
 		}
 		if m.aside == nil {
-			m.aside = map[string]brain.MemberState{}
+			m.aside = map[string]policy.MemberState{}
 		}
-		m.aside[uid] = brain.MemberGone
+		m.aside[uid] = policy.MemberGone
 		if v, known := c.view(uid); known {
 			m.aside[uid] = v.State
 			v.State = apart(v.State)
@@ -121,19 +121,19 @@
 			continue
 		}
 		delete(m.aside, uid)
-		if v, known := c.view(uid); known && listed != brain.MemberGone {
+		if v, known := c.view(uid); known && listed != policy.MemberGone {
 			v.State, v.Started = listed, c.now
 			out.Members = append(out.Members, v.Member)
 		}
 	}
 	if len(out.Members) > 0 {
-		c.Counts.Lists[brain.ListAside]++
+		c.Counts.Lists[policy.ListAside]++
 		c.step(out)
 		c.settle()
 	}
 }
 
-func (c *Core) view(uid string) (v brain.ServerView, known bool) {
+func (c *Core) view(uid string) (v policy.ServerView, known bool) {
 	id, known := c.members.ids[uid]
 	if !known {
 		return v, false
@@ -144,7 +144,7 @@
 // ServerState is what the gateway knows of a server, under its name on the list.
 type ServerState struct {
 	UID string
-	brain.ServerView
+	policy.ServerView
 }
 
 // Servers lists the servers of some groups that the list names.
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -4,7 +4,7 @@
 package routing
 
 import (
-	"marblespan/brain"
+	"marblespan/internal/policy"
 	"marblespan/internal/protocol/discovery"
 	"marblespan/internal/settings"
 	"marblespan/internal/transport"
@@ -34,19 +34,19 @@
 type Answer struct {
 	Kind       Kind
 	Value      *transport.Message // of a served request
-	Position   brain.Position     // after it, as its server says; 0: it does not
-	RetryAfter brain.Micros       // advice to a refused client; 0: none
+	Position   policy.Position    // after it, as its server says; 0: it does not
+	RetryAfter policy.Micros      // advice to a refused client; 0: none
 }
 
 // Job is one attempt, for the servers' side to carry out.
 type Job struct {
 	ID            string
 	Attempt       int
-	Server        brain.ServerID
-	Payload       Payload      // a share of it, freed by whoever carries the job out
-	Sent          brain.Micros // when the module asked for it
-	Until         brain.Micros // when to give it up
-	NonIdempotent bool         // it must not run twice: a reset that may have hidden its answer ends its request
+	Server        policy.ServerID
+	Payload       Payload       // a share of it, freed by whoever carries the job out
+	Sent          policy.Micros // when the module asked for it
+	Until         policy.Micros // when to give it up
+	NonIdempotent bool          // it must not run twice: a reset that may have hidden its answer ends its request
 }
 
 // Attempt is an attempt under way. Cancel gives it up, if it still runs; it must not block.
@@ -55,11 +55,11 @@
 // Servers carries out attempts and probes. None of its methods blocks; each job ends in one event.
 type Servers interface {
 	Send(Job) Attempt
-	Probe(server brain.ServerID, sent, until brain.Micros)
-	CloseIdle(brain.ServerID)
-	Withdraw(brain.ServerID)
-	Place(server brain.ServerID, endpoint string)
-	Forget(server brain.ServerID)
+	Probe(server policy.ServerID, sent, until policy.Micros)
+	CloseIdle(policy.ServerID)
+	Withdraw(policy.ServerID)
+	Place(server policy.ServerID, endpoint string)
+	Forget(server policy.ServerID)
 }
 
 // Discovery asks for the member list. What it brings comes as ListNews.
@@ -78,10 +78,10 @@
 	ID      string // the client's; empty: none
 	Payload Payload
 	Facts   *settings.Facts // the settings it was read by: those that Arrival.Class counts in; nil: those in force
-	Arrival brain.Arrival   // ID and Left are filled in by the owner
-	ReadAt  brain.Micros    // when its last byte was read
-	Wait    brain.Micros    // how long the client waits, from then on
-	After   brain.Micros    // the position that it must see; 0: none
+	Arrival policy.Arrival  // ID and Left are filled in by the owner
+	ReadAt  policy.Micros   // when its last byte was read
+	Wait    policy.Micros   // how long the client waits, from then on
+	After   policy.Micros   // the position that it must see; 0: none
 }
 
 // Gone tells that a client left while its request was out.
@@ -90,20 +90,20 @@
 // Ended tells how an attempt ended. Value is there if it was served.
 type Ended struct {
 	Job      Job
-	Result   brain.Result
-	Latency  brain.Micros
-	Role     brain.Role
-	Position brain.Position
-	Report   brain.Report
+	Result   policy.Result
+	Latency  policy.Micros
+	Role     policy.Role
+	Position policy.Position
+	Report   policy.Report
 	Value    *transport.Message
 }
 
 // ProbeEnded tells how a probe ended.
 type ProbeEnded struct {
-	Server  brain.ServerID
-	Result  brain.Result
-	Latency brain.Micros
-	Report  brain.Report
+	Server  policy.ServerID
+	Result  policy.Result
+	Latency policy.Micros
+	Report  policy.Report
 }
 
 // ListNews is news of the member list, or of a call for it that failed.
--- a/internal/session/crossing_test.go
+++ b/internal/session/crossing_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"marblespan/brain"
+	"marblespan/internal/policy"
 	"marblespan/internal/protocol/postgres"
 	"marblespan/internal/routing"
 	"marblespan/internal/settings"
@@ -34,7 +34,7 @@
 	c.all.Owner, c.all.Clock, c.all.Buffers = poster(x.told), routing.NewClock(), transport.NewBuffers(1<<24)
 	c.all.Counts = &ClientCounts{}
 	c.all.Facts = settings.NewLive(&settings.Facts{
-		Settings: brain.Settings{Classes: []brain.Class{{Name: "look", Need: brain.NeedAny}, {Name: "put", Need: brain.NeedWrite}}},
+		Settings: policy.Settings{Classes: []policy.Class{{Name: "look", Need: policy.NeedAny}, {Name: "put", Need: policy.NeedWrite}}},
 		Classes:  map[string]int{"look": 0, "put": 1}, Names: []string{"look", "put"},
 	})
 	c.all.Limits.Pause = patience
@@ -315,7 +315,7 @@
 	if reason, err := l.settle(answered, e, reason, err); reason != carryOn || err != nil {
 		t.Fatal(reason, err)
 	}
-	if e := r.ended(); e.Result != brain.ResultOK {
+	if e := r.ended(); e.Result != policy.ResultOK {
 		t.Errorf("the answer was lost: %d", e.Result)
 	}
 	if _, ok := r.servers.endpointOf(1).idle.Take(); ok {
@@ -336,7 +336,7 @@
 		t.Fatal(err)
 	}
 	task.Cancel()
-	if e, _, _ := l.exchange(task); e.result != brain.ResultCancelled {
+	if e, _, _ := l.exchange(task); e.result != policy.ResultCancelled {
 		t.Errorf("ended with %d", e.result)
 	}
 	task.Payload.Free()
@@ -349,17 +349,17 @@
 
 // An answer that is complete but for ReadyForQuery is passed on soon, not at the request's end; likewise an error.
 func TestAnswerWithoutReadyForQuery(t *testing.T) {
-	for want, handle := range map[brain.Result]func(*standin.Query){
-		brain.ResultOK:    func(q *standin.Query) { q.Write(standin.Row([]byte("v"))) },
-		brain.ResultError: func(q *standin.Query) { q.Write(standin.Row([]byte("v"))[:30]) },
-		brain.ResultFull: func(q *standin.Query) {
+	for want, handle := range map[policy.Result]func(*standin.Query){
+		policy.ResultOK:    func(q *standin.Query) { q.Write(standin.Row([]byte("v"))) },
+		policy.ResultError: func(q *standin.Query) { q.Write(standin.Row([]byte("v"))[:30]) },
+		policy.ResultFull: func(q *standin.Query) {
 			q.Write(postgres.AppendError(nil, false, postgres.CodeRefused, "full", 0))
 		},
 	} {
 		r := newRig(t)
 		r.server.SetHandle(handle)
 		job := r.job("a")
-		job.Until = job.Sent + 4*brain.Micros(patience/time.Microsecond)
+		job.Until = job.Sent + 4*policy.Micros(patience/time.Microsecond)
 		r.servers.Send(job)
 		if e := r.ended(); e.Result != want {
 			t.Errorf("ended with %d, want %d", e.Result, want)
@@ -372,12 +372,12 @@
 // slowMarks tells the position that a session's read needs when the test wants it.
 type slowMarks struct {
 	Marks
-	needed func(brain.Position)
+	needed func(policy.Position)
 }
 
 func (*slowMarks) Concerns(string) bool { return true }
 
-func (m *slowMarks) Needed(_ int, _ uint64, _ time.Time, done func(brain.Position)) { m.needed = done }
+func (m *slowMarks) Needed(_ int, _ uint64, _ time.Time, done func(policy.Position)) { m.needed = done }
 
 // leavingQueue has the client leave as its request is handed over.
 type leavingQueue struct {
@@ -399,7 +399,7 @@
 		t.Run(name, func(t *testing.T) {
 			x := newCrossing(t)
 			facts := *x.c.all.Facts.Load()
-			facts.Settings.Classes[0].Need = brain.NeedSession
+			facts.Settings.Classes[0].Need = policy.NeedSession
 			x.c.all.Facts.Store(&facts)
 			marks := &slowMarks{}
 			x.c.all.Marks = marks
@@ -470,13 +470,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
-			r.facts(func(f *settings.Facts) { f.Settings.ConnectTimeout = brain.Micros(patience / time.Microsecond) })
+			r.facts(func(f *settings.Facts) { f.Settings.ConnectTimeout = policy.Micros(patience / time.Microsecond) })
 			slow := newSlowServer(t, r)
 			r.servers.Send(r.job("a"))
 			nc := slow.accept()
 			change(r)
 			nc.Write(admitted)
-			if e := r.ended(); e.Result != brain.ResultConnectFailed {
+			if e := r.ended(); e.Result != policy.ResultConnectFailed {
 				t.Errorf("ended with %s", routing.ResultNames[e.Result])
 			}
 			if got, _ := io.ReadAll(nc); len(got) > 0 {
@@ -484,7 +484,7 @@
 			}
 			r.servers.Place(1, r.server.Addr())
 			r.servers.Send(r.job("b"))
-			if e := r.ended(); e.Result != brain.ResultOK {
+			if e := r.ended(); e.Result != policy.ResultOK {
 				t.Errorf("after the return: %s", routing.ResultNames[e.Result])
 			} else {
 				e.Value.Free()
@@ -497,7 +497,7 @@
 // Fails where the time is taken before the connection is up.
 func TestTimeToldIsWhatIsLeft(t *testing.T) {
 	r := newRig(t)
-	r.facts(func(f *settings.Facts) { f.Settings.ConnectTimeout = brain.Micros(patience / time.Microsecond) })
+	r.facts(func(f *settings.Facts) { f.Settings.ConnectTimeout = policy.Micros(patience / time.Microsecond) })
 	slow := newSlowServer(t, r)
 	job := r.job("a")
 	r.servers.Send(job)
--- a/internal/session/pending.go
+++ b/internal/session/pending.go
@@ -9,9 +9,9 @@
 	"strconv"
 	"time"
 
-	"marblespan/brain"
 	"marblespan/internal/bookings"
 	"marblespan/internal/doubt"
+	"marblespan/internal/policy"
 	"marblespan/internal/protocol/postgres"
 	"marblespan/internal/routing"
 	"marblespan/internal/settings"
@@ -44,9 +44,9 @@
 	// Able tells whether a session's mark is likely to be promised now.
 	Able(group int, session uint64) bool
 	// Promise keeps a commit. done is told whether it is kept.
-	Promise(group int, session uint64, position brain.Position, by time.Time, done func(bool))
+	Promise(group int, session uint64, position policy.Position, by time.Time, done func(bool))
 	// Needed tells the position that a session's read must see; 0: none.
-	Needed(group int, session uint64, by time.Time, done func(brain.Position))
+	Needed(group int, session uint64, by time.Time, done func(policy.Position))
 }
 
 // mark is what is to be kept of a write before its client hears that it ran.
@@ -323,7 +323,7 @@
 	text      *transport.Message
 	reserve   int             // bytes
 	facts     *settings.Facts // in force when it was read
-	arrival   brain.Arrival
+	arrival   policy.Arrival
 	statement postgres.Statement
 	claims    bool // it must be claimed before it is sent
 }
@@ -432,7 +432,7 @@
 	r := &routing.Request{
 		Client: q, ID: in.statement.ID, Payload: &query{text: in.text, statement: in.statement}, Facts: in.facts,
 		Arrival: in.arrival, ReadAt: c.all.Clock.Now(),
-		Wait: brain.Micros(wait) * 1000, After: brain.Micros(in.statement.After) * 1000,
+		Wait: policy.Micros(wait) * 1000, After: policy.Micros(in.statement.After) * 1000,
 	}
 	patience := time.Duration(wait) * time.Millisecond
 	marked, group, session := c.marked(in), in.arrival.Group, in.arrival.Session
@@ -444,7 +444,7 @@
 		c.send(q, r, in.claims)
 		return
 	}
-	c.all.Marks.Needed(group, session, time.Now().Add(patience/markPart), func(needed brain.Position) {
+	c.all.Marks.Needed(group, session, time.Now().Add(patience/markPart), func(needed policy.Position) {
 		r.After = max(r.After, needed)
 		q.route(r)
 	})
@@ -494,7 +494,7 @@
 
 // read makes a request of a query's text. An empty query makes none; for a bad one it tells the fault and its code.
 func (c *client) read(facts *settings.Facts, text *transport.Message, body int) (
-	a brain.Arrival, st postgres.Statement, fault, code string,
+	a policy.Arrival, st postgres.Statement, fault, code string,
 ) {
 	if body <= transport.BufferSize && postgres.IsEmpty(text.First()) {
 		if !c.all.Ready() {
@@ -513,7 +513,7 @@
 	if st.Write != facts.Writes(class) {
 		return a, st, "class " + strconv.Quote(st.Class) + " is not for such statements", postgres.CodeBadValue
 	}
-	a = brain.Arrival{Class: class, Group: st.Group, Repeat: st.Repeat}
+	a = policy.Arrival{Class: class, Group: st.Group, Repeat: st.Repeat}
 	if facts.HasSession(class) {
 		sum := fnv.New64a()
 		sum.Write([]byte(st.Key))
--- a/internal/session/server_conn.go
+++ b/internal/session/server_conn.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"marblespan/brain"
+	"marblespan/internal/policy"
 	"marblespan/internal/protocol/postgres"
 	"marblespan/internal/routing"
 	"marblespan/internal/transport"
@@ -87,7 +87,7 @@
 			l.conn.Close()
 		}
 		if first.cancelled() {
-			result, reason = brain.ResultCancelled, transport.EndAbandoned
+			result, reason = policy.ResultCancelled, transport.EndAbandoned
 		}
 		l.all.Ends.End(transport.Server, l.endpoint.endpoint, reason, since, 0, err)
 		l.all.finish(first, ended{result: result})
@@ -109,19 +109,19 @@
 const carryOn = transport.Reason(255)
 
 // connect dials and starts up, within the connect timeout.
-func (l *serverConn) connect(t *task) (brain.Result, transport.Reason, error) {
+func (l *serverConn) connect(t *task) (policy.Result, transport.Reason, error) {
 	t.carriedBy(l)
 	clock := l.all.Clock
 	by := clock.Time(min(clock.Now()+l.all.Facts.Load().Settings.ConnectTimeout, t.Until))
 	conn, err := transport.Dial(t.ctx, l.endpoint.endpoint, by, l.all.Buffers, l.all.Fds, t.probe)
 	if err != nil {
-		return brain.ResultConnectFailed, transport.DialReason(err), err
+		return policy.ResultConnectFailed, transport.DialReason(err), err
 	}
 	l.mu.Lock()
 	l.conn = conn
 	l.mu.Unlock()
 	if _, err := conn.Write(by, net.Buffers{postgres.AppendStartup(nil, l.all.User, l.all.DB)}); err != nil {
-		return brain.ResultConnectFailed, transport.ReasonOf(err), err
+		return policy.ResultConnectFailed, transport.ReasonOf(err), err
 	}
 	reply := postgres.Reply{Starting: true}
 	if _, err := l.read(&reply, by, t, nil); err != nil {
@@ -130,27 +130,27 @@
 			reason = transport.EndUnreachable
 		}
 		if reply.Code == postgres.CodeRefused {
-			return brain.ResultFull, transport.EndTurnedAway, err
+			return policy.ResultFull, transport.EndTurnedAway, err
 		}
-		return brain.ResultConnectFailed, reason, err
+		return policy.ResultConnectFailed, reason, err
 	}
 	if reply.Code != "" {
 		return resultOf(reply.Code, true), transport.EndTurnedAway, errors.New("turned away with " + reply.Code)
 	}
-	return brain.ResultOK, 0, nil
+	return policy.ResultOK, 0, nil
 }
 
 // resultOf maps the code of an error to its outcome. Before the start-up is over nothing can have run.
-func resultOf(code string, starting bool) brain.Result {
+func resultOf(code string, starting bool) policy.Result {
 	switch {
 	case code == postgres.CodeRefused:
-		return brain.ResultFull
+		return policy.ResultFull
 	case starting:
-		return brain.ResultConnectFailed
+		return policy.ResultConnectFailed
 	case code == postgres.CodeReadOnly, code == postgres.CodeTooOld:
-		return brain.ResultMiss
+		return policy.ResultMiss
 	}
-	return brain.ResultError
+	return policy.ResultError
 }
 
 // carryOut does the current task and tells the owner how it ended. A connection whose task did not end with the
@@ -172,11 +172,11 @@
 	if reason != carryOn {
 		l.end()
 		switch {
-		case t.probe && e.result == brain.ResultTimeout:
+		case t.probe && e.result == policy.ResultTimeout:
 			// The machine is cut off: when it is back its kernel knows none of the idle siblings, and a request on
 			// one of them would be lost like this probe. Harm: some new handshakes too many.
 			closeAll(l.endpoint)
-		case e.result == brain.ResultReset && l.served > 1:
+		case e.result == policy.ResultReset && l.served > 1:
 			l.endpoint.suspectedAt.Store(int64(l.all.Clock.Now()))
 			if t.probe { // only the kept connection is known to be dead; a new one tells whether the server is
 				l.all.dial(t, l.endpoint)
@@ -280,7 +280,7 @@
 // exchange writes a request and reads its answer.
 func (l *serverConn) exchange(t *task) (ended, transport.Reason, error) {
 	if l.withdrawn(t) {
-		return ended{result: brain.ResultConnectFailed}, transport.EndReplaced, errWithdrawn
+		return ended{result: policy.ResultConnectFailed}, transport.EndReplaced, errWithdrawn
 	}
 	clock := l.all.Clock
 	until := clock.Time(t.Until)
@@ -297,28 +297,28 @@
 	if reason, err := l.put(t, parts, total, until); err != nil {
 		value.Free()
 		if t.cancelled() {
-			return ended{result: brain.ResultCancelled}, transport.EndAbandoned, nil
+			return ended{result: policy.ResultCancelled}, transport.EndAbandoned, nil
 		}
-		return ended{result: brain.ResultConnectFailed}, reason, err
+		return ended{result: policy.ResultConnectFailed}, reason, err
 	}
 	var reply postgres.Reply
 	report, err := l.read(&reply, until, t, value)
 	e, reason := ended{params: reply.Params, report: report}, carryOn
 	switch {
 	case errors.Is(err, errProtocol): // spoilt: it may have run, and nothing that it said is believed
-		e, reason = ended{result: brain.ResultError}, transport.EndProtocol
+		e, reason = ended{result: policy.ResultError}, transport.EndProtocol
 	case reply.Served():
-		e.result, e.value = brain.ResultOK, value
+		e.result, e.value = policy.ResultOK, value
 	case reply.Code != "":
 		e.result = resultOf(reply.Code, false)
 	case errors.Is(err, errStalled):
-		e, reason = ended{result: brain.ResultError}, transport.EndProtocol
+		e, reason = ended{result: policy.ResultError}, transport.EndProtocol
 	case errors.Is(err, transport.ErrWoken):
-		e.result, reason = brain.ResultCancelled, transport.EndAbandoned
+		e.result, reason = policy.ResultCancelled, transport.EndAbandoned
 	case errors.Is(err, transport.ErrDeadline):
-		e.result, reason = brain.ResultTimeout, transport.EndTimeout
+		e.result, reason = policy.ResultTimeout, transport.EndTimeout
 	default:
-		e.result, reason = brain.ResultReset, transport.ReasonOf(err)
+		e.result, reason = policy.ResultReset, transport.ReasonOf(err)
 	}
 	if reason == carryOn && (err != nil || l.conn.Buffered() > 0) {
 		reason = transport.EndServerFailed // more came than belongs to the answer: it must not become the next one's
--- a/internal/session/server_conn_test.go
+++ b/internal/session/server_conn_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/rs/zerolog"
 
-	"marblespan/brain"
+	"marblespan/internal/policy"
 	"marblespan/internal/protocol/postgres"
 	"marblespan/internal/routing"
 	"marblespan/internal/settings"
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, server: server, told: make(chan routing.Event, 64)}
-	facts := &settings.Facts{Settings: brain.Settings{ConnectTimeout: 250_000}, Keepalive: 30_000_000}
+	facts := &settings.Facts{Settings: policy.Settings{ConnectTimeout: 250_000}, Keepalive: 30_000_000}
 	r.servers = &Servers{
 		Owner: poster(r.told), Facts: settings.NewLive(facts), Buffers: transport.NewBuffers(1 << 24),
 		Fds: transport.NewDescriptors(1024), Ends: transport.NewEnds(zerolog.Nop()), Clock: routing.NewClock(),
@@ -88,7 +88,7 @@
 func (r *rig) idleConn() *serverConn {
 	r.t.Helper()
 	r.servers.Send(r.job("first"))
-	if e := r.ended(); e.Result != brain.ResultOK {
+	if e := r.ended(); e.Result != policy.ResultOK {
 		r.t.Fatalf("the first attempt ended with %d", e.Result)
 	}
 	l, ok := r.servers.endpointOf(1).idle.Take()
@@ -112,7 +112,7 @@
 	<-r.server.Closed
 	l.current = newTask(r.job("second"))
 	l.carryOut() // here, where no goroutine of its own sees the end first
-	if e := r.ended(); e.Result != brain.ResultOK {
+	if e := r.ended(); e.Result != policy.ResultOK {
 		t.Errorf("ended with %s", routing.ResultNames[e.Result])
 	}
 	if n := r.server.Opened(); n != 2 {
@@ -134,7 +134,7 @@
 	<-done
 	l.current = newTask(r.job("second"))
 	l.mu.Unlock()
-	if e := r.ended(); e.Result != brain.ResultOK {
+	if e := r.ended(); e.Result != policy.ResultOK {
 		t.Errorf("ended with %s", routing.ResultNames[e.Result])
 	}
 	if n := len(r.server.Queries()); n != 2 {
@@ -160,7 +160,7 @@
 	<-arrived
 	r.servers.Place(1, other.Addr())
 	close(release)
-	if e := r.ended(); e.Result != brain.ResultOK {
+	if e := r.ended(); e.Result != policy.ResultOK {
 		t.Errorf("ended with %s", routing.ResultNames[e.Result])
 	}
 	select { // the connection to the old place does not linger
@@ -169,7 +169,7 @@
 		t.Fatal("the connection to the old place stays")
 	}
 	r.servers.Send(r.job("b"))
-	if e := r.ended(); e.Result != brain.ResultOK || len(other.Queries()) != 1 {
+	if e := r.ended(); e.Result != policy.ResultOK || len(other.Queries()) != 1 {
 		t.Errorf("ended with %s, %d statements at the new place", routing.ResultNames[e.Result], len(other.Queries()))
 	}
 }
@@ -192,13 +192,13 @@
 	task := newTask(r.job("a"))
 	task.Cancel()
 	r.servers.start(task)
-	if e := r.ended(); e.Result != brain.ResultCancelled || len(r.server.Queries()) != 0 {
+	if e := r.ended(); e.Result != policy.ResultCancelled || len(r.server.Queries()) != 0 {
 		t.Errorf("ended with %s, %d statements", routing.ResultNames[e.Result], len(r.server.Queries()))
 	}
 	job := r.job("b")
 	job.Server = 9
 	r.servers.Send(job)
-	if e := r.ended(); e.Result != brain.ResultConnectFailed {
+	if e := r.ended(); e.Result != policy.ResultConnectFailed {
 		t.Errorf("ended with %s", routing.ResultNames[e.Result])
 	}
 }
@@ -208,7 +208,7 @@
 	r := newRig(t)
 	r.server.SetHandle(func(q *standin.Query) { q.Serve(make([]byte, largestAnswer)) })
 	r.servers.Send(r.job("a"))
-	if e := r.ended(); e.Result != brain.ResultError || e.Value != nil {
+	if e := r.ended(); e.Result != policy.ResultError || e.Value != nil {
 		t.Errorf("ended with %s", routing.ResultNames[e.Result])
 	}
 	<-r.server.Closed
@@ -220,14 +220,14 @@
 	r.server.Position.Store(1_796_133_629_826)
 	r.servers.Send(r.job("a"))
 	e := r.ended()
-	if e.Role != brain.RolePrimary || e.Position != 1_796_133_629_826_000 {
+	if e.Role != policy.RolePrimary || e.Position != 1_796_133_629_826_000 {
 		t.Errorf("role %d at %d", e.Role, e.Position)
 	}
 	e.Value.Free()
 	now := r.servers.Clock.Now()
 	r.servers.Probe(1, now, now+5_000_000)
 	p := (<-r.told).(routing.ProbeEnded)
-	if p.Result != brain.ResultOK || p.Report.Position != 1_796_133_629_826_000 || p.Report.Role != brain.RolePrimary ||
+	if p.Result != policy.ResultOK || p.Report.Position != 1_796_133_629_826_000 || p.Report.Role != policy.RolePrimary ||
 		p.Report.Util != 250 {
 		t.Errorf("%+v", p)
 	}
@@ -247,7 +247,7 @@
 	r.servers.Send(r.job("slow"))
 	<-arrived
 	r.servers.Send(r.job("quick"))
-	if e := r.ended(); e.Job.ID != "quick" || e.Result != brain.ResultOK {
+	if e := r.ended(); e.Job.ID != "quick" || e.Result != policy.ResultOK {
 		t.Fatalf("%s ended with %s", e.Job.ID, routing.ResultNames[e.Result])
 	}
 	r.servers.CloseIdle(1)
@@ -260,7 +260,7 @@
 		t.Fatal("the idle connection stays")
 	}
 	close(release)
-	if e := r.ended(); e.Job.ID != "slow" || e.Result != brain.ResultOK {
+	if e := r.ended(); e.Job.ID != "slow" || e.Result != policy.ResultOK {
 		t.Errorf("%s ended with %s", e.Job.ID, routing.ResultNames[e.Result])
 	}
 }
@@ -281,14 +281,14 @@
 	<-arrived
 	close(release)
 	for range 2 {
-		if e := r.ended(); e.Result != brain.ResultOK {
+		if e := r.ended(); e.Result != policy.ResultOK {
 			t.Fatalf("ended with %s", routing.ResultNames[e.Result])
 		}
 	}
 	r.server.Mute.Store(true)
 	now := r.servers.Clock.Now()
 	r.servers.Probe(1, now, now+100_000)
-	if p := (<-r.told).(routing.ProbeEnded); p.Result != brain.ResultTimeout {
+	if p := (<-r.told).(routing.ProbeEnded); p.Result != policy.ResultTimeout {
 		t.Errorf("the probe ended with %s", routing.ResultNames[p.Result])
 	}
 	for range 2 {
@@ -313,7 +313,7 @@
 	first := <-queries
 	first.Write([]byte("S\x00\x00\x00\x08a\x00b\x00"))
 	r.servers.Send(r.job("second"))
-	if e := r.ended(); e.Result != brain.ResultOK {
+	if e := r.ended(); e.Result != policy.ResultOK {
 		t.Fatalf("behind a parameter's value: ended with %s", routing.ResultNames[e.Result])
 	}
 	second := <-queries
@@ -322,7 +322,7 @@
 	second.Write([]byte("E\x00\x00\x00\x05\x00"))
 	l.current = newTask(r.job("third"))
 	l.mu.Unlock()
-	if e := r.ended(); e.Result != brain.ResultOK {
+	if e := r.ended(); e.Result != policy.ResultOK {
 		t.Errorf("given as an error came: ended with %s", routing.ResultNames[e.Result])
 	}
 	if third := <-queries; third.Conn == second.Conn {
@@ -356,7 +356,7 @@
 		r.server.SetHandle(func(q *standin.Query) { q.Write([]byte(raw)) })
 		r.servers.Send(r.job("a"))
 		e := r.ended()
-		if e.Result != brain.ResultError || e.Role != brain.RoleUnknown || e.Position != 0 || e.Value != nil {
+		if e.Result != policy.ResultError || e.Role != policy.RoleUnknown || e.Position != 0 || e.Value != nil {
 			t.Errorf("%s: ended with %s, role %d at %d", name, routing.ResultNames[e.Result], e.Role, e.Position)
 		}
 		if e.Latency > 4_000_000 {
@@ -383,7 +383,7 @@
 	for _, id := range []string{"first", "second"} {
 		r.servers.Send(r.job(id))
 		e := r.ended()
-		if e.Result != brain.ResultOK {
+		if e.Result != policy.ResultOK {
 			t.Fatalf("%s ended with %s", id, routing.ResultNames[e.Result])
 		}
 		if parts := e.Value.From(0); !bytes.Contains(bytes.Join(parts, nil), []byte(id)) {
@@ -404,7 +404,7 @@
 			string(standin.Row([]byte("v"))) + message('Z', "I")))
 	})
 	r.servers.Send(r.job("a"))
-	if e := r.ended(); e.Result != brain.ResultOK || e.Report.HasPosition {
+	if e := r.ended(); e.Result != policy.ResultOK || e.Report.HasPosition {
 		t.Errorf("ended with %s, report %+v", routing.ResultNames[e.Result], e.Report)
 	}
 	if r.servers.report("x0=1796133629.826,x1=zero").HasPosition {
@@ -422,7 +422,7 @@
 		}
 		q.Serve([]byte("v"))
 	})
-	send := func(id string, once bool) brain.Result {
+	send := func(id string, once bool) policy.Result {
 		job := r.job(id)
 		job.NonIdempotent = once
 		r.servers.Send(job)
@@ -435,13 +435,13 @@
 	if n := r.server.Opened(); n != 1 {
 		t.Fatalf("%d connections opened with nothing to doubt", n)
 	}
-	if res := send("reset", false); res != brain.ResultReset {
+	if res := send("reset", false); res != policy.ResultReset {
 		t.Fatalf("ended with %s", routing.ResultNames[res])
 	}
 	send("third", false)
 	send("fourth", false) // on the connection that is kept
 	before := r.server.Opened()
-	if res := send("fifth", true); res != brain.ResultOK || r.server.Opened() != before+1 {
+	if res := send("fifth", true); res != policy.ResultOK || r.server.Opened() != before+1 {
 		t.Errorf("ended with %s on connection %d, want a new one behind %d", routing.ResultNames[res],
 			r.server.Opened(), before)
 	}
@@ -464,12 +464,12 @@
 	})
 	now := r.servers.Clock.Now()
 	r.servers.Probe(1, now, now+5_000_000)
-	if p := (<-r.told).(routing.ProbeEnded); p.Result != brain.ResultOK {
+	if p := (<-r.told).(routing.ProbeEnded); p.Result != policy.ResultOK {
 		t.Errorf("the probe ended with %s", routing.ResultNames[p.Result])
 	}
 	r.server.SetProbe(func(q *standin.Query) bool { q.Hangup(); return true })
 	r.servers.Probe(1, now, now+5_000_000)
-	if p := (<-r.told).(routing.ProbeEnded); p.Result != brain.ResultReset {
+	if p := (<-r.told).(routing.ProbeEnded); p.Result != policy.ResultReset {
 		t.Errorf("with every connection reset it ended with %s", routing.ResultNames[p.Result])
 	}
 }
--- a/internal/session/servers.go
+++ b/internal/session/servers.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"marblespan/brain"
+	"marblespan/internal/policy"
 	"marblespan/internal/protocol/postgres"
 	"marblespan/internal/routing"
 	"marblespan/internal/settings"
@@ -27,7 +27,7 @@
 	DB      string
 
 	mu        sync.Mutex
-	endpoints map[brain.ServerID]*serverEndpoint
+	endpoints map[policy.ServerID]*serverEndpoint
 	open      sync.WaitGroup
 	conns     map[*serverConn]struct{}
 	closed    bool
@@ -38,7 +38,7 @@
 
 // serverEndpoint is where a server is, and the idle connections there.
 type serverEndpoint struct {
-	server      brain.ServerID
+	server      policy.ServerID
 	endpoint    string
 	idle        transport.Pool[*serverConn]
 	suspectedAt atomic.Int64 // the clock's reading when a kept connection was last reset under a request
@@ -50,7 +50,7 @@
 // and later only those that have answered since. It guards against servers, machines back from being cut off and paths
 // to them that have dropped kept connections without a word. Closing all of them instead would cost handshakes on a path
 // that resets at random. Harm: some handshakes too many for writes in the seconds after a server's death.
-const suspectFor = 5 * brain.Micros(time.Second/time.Microsecond)
+const suspectFor = 5 * policy.Micros(time.Second/time.Microsecond)
 
 // task is one attempt or one probe.
 type task struct {
@@ -85,10 +85,10 @@
 }
 
 // Place tells where a server is. Idle connections to another place are closed.
-func (s *Servers) Place(server brain.ServerID, endpoint string) {
+func (s *Servers) Place(server policy.ServerID, endpoint string) {
 	s.mu.Lock()
 	if s.endpoints == nil {
-		s.endpoints, s.conns = map[brain.ServerID]*serverEndpoint{}, map[*serverConn]struct{}{}
+		s.endpoints, s.conns = map[policy.ServerID]*serverEndpoint{}, map[*serverConn]struct{}{}
 	}
 	old := s.endpoints[server]
 	if old == nil || old.endpoint != endpoint {
@@ -101,7 +101,7 @@
 }
 
 // CloseIdle closes the idle connections to a server.
-func (s *Servers) CloseIdle(server brain.ServerID) {
+func (s *Servers) CloseIdle(server policy.ServerID) {
 	if p := s.endpointOf(server); p != nil {
 		closeAll(p)
 	}
@@ -109,14 +109,14 @@
 
 // Withdraw has every attempt at a server that has not written its first byte end as one that could not connect: it may be
 // sent elsewhere.
-func (s *Servers) Withdraw(server brain.ServerID) {
+func (s *Servers) Withdraw(server policy.ServerID) {
 	if p := s.endpointOf(server); p != nil {
 		p.withdrawals.Add(1)
 	}
 }
 
 // Forget drops a server's place once nothing is out there. Its idle connections are closed.
-func (s *Servers) Forget(server brain.ServerID) {
+func (s *Servers) Forget(server policy.ServerID) {
 	s.mu.Lock()
 	p := s.endpoints[server]
 	delete(s.endpoints, server)
@@ -132,7 +132,7 @@
 	}
 }
 
-func (s *Servers) endpointOf(server brain.ServerID) *serverEndpoint {
+func (s *Servers) endpointOf(server policy.ServerID) *serverEndpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.endpoints[server]
@@ -152,7 +152,7 @@
 }
 
 // Probe asks a server for its load report.
-func (s *Servers) Probe(server brain.ServerID, sent, until brain.Micros) {
+func (s *Servers) Probe(server policy.ServerID, sent, until policy.Micros) {
 	t := newTask(routing.Job{Server: server, Sent: sent, Until: until})
 	t.probe = true
 	s.start(t)
@@ -162,7 +162,7 @@
 func (s *Servers) start(t *task) {
 	p := s.endpointOf(t.Server)
 	if p == nil { // never listed: nothing can have run there
-		go s.finish(t, ended{result: brain.ResultConnectFailed}) // the owner must not wait on its own queue
+		go s.finish(t, ended{result: policy.ResultConnectFailed}) // the owner must not wait on its own queue
 		return
 	}
 	t.since = p.withdrawals.Load()
@@ -201,7 +201,7 @@
 
 // ended is how a task ended.
 type ended struct {
-	result brain.Result
+	result policy.Result
 	params postgres.Params
 	report string
 	value  *transport.Message
@@ -223,22 +223,22 @@
 		Value: e.value,
 	}
 	if pos, err := settings.ParseScaled(e.params.Position, 3); err == nil {
-		out.Position = brain.Position(pos)
+		out.Position = policy.Position(pos)
 	}
 	s.Owner.Post(out)
 }
 
-var roles = map[string]brain.Role{"primary": brain.RolePrimary, "replica": brain.RoleReplica}
+var roles = map[string]policy.Role{"primary": policy.RolePrimary, "replica": policy.RoleReplica}
 
 // report reads a load report. One of which any part cannot be read says nothing.
-func (s *Servers) report(text string) brain.Report {
-	var rep brain.Report
+func (s *Servers) report(text string) policy.Report {
+	var rep policy.Report
 	fields, ok := postgres.LoadFields(text)
 	for _, f := range fields {
 		ok = ok && settings.AddReport(&rep, f.Name, f.Value, 0) == nil
 	}
 	if !ok {
-		return brain.Report{}
+		return policy.Report{}
 	}
 	return rep
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -10,17 +10,17 @@
 	"strings"
 	"sync/atomic"
 
-	"marblespan/brain"
+	"marblespan/internal/policy"
 )
 
 // Facts is what a codec keeps of an instance's settings, beside those meant for the module.
 type Facts struct {
-	Settings  brain.Settings
+	Settings  policy.Settings
 	Classes   map[string]int // name to index
 	Names     []string       // of the classes, by index
 	Fields    []string       // of load reports, in order
-	Zero      brain.Micros   // where the simulator's positions are counted from
-	Keepalive brain.Micros   // servers close connections idle for so long
+	Zero      policy.Micros  // where the simulator's positions are counted from
+	Keepalive policy.Micros  // servers close connections idle for so long
 	Doubts    []*KeyError    // what was read in its strictest sense for want of a better one
 }
 
@@ -42,11 +42,11 @@
 // HasSession tells whether requests of a class carry a session: writes and session reads do.
 func (f *Facts) HasSession(class int) bool {
 	need := f.Settings.Classes[class].Need
-	return need == brain.NeedWrite || need == brain.NeedSession
+	return need == policy.NeedWrite || need == policy.NeedSession
 }
 
 // Writes tells whether requests of a class change data.
-func (f *Facts) Writes(class int) bool { return f.Settings.Classes[class].Need == brain.NeedWrite }
+func (f *Facts) Writes(class int) bool { return f.Settings.Classes[class].Need == policy.NeedWrite }
 
 // number is a wire number kept as its text until its unit is known.
 type number string
@@ -117,21 +117,21 @@
 // wordKeyed is the effect of a class whose repeats are dropped by a key, within a window.
 const wordKeyed = "guarded"
 
-var effects = map[string]brain.Effect{
-	"free": brain.EffectSafe, "single_shot": brain.EffectUnsafe,
-	wordKeyed: brain.EffectUnsafe, // repeats dropped by a key: read in the strictest sense, never repeated
+var effects = map[string]policy.Effect{
+	"free": policy.EffectSafe, "single_shot": policy.EffectUnsafe,
+	wordKeyed: policy.EffectUnsafe, // repeats dropped by a key: read in the strictest sense, never repeated
 }
 
-var needs = map[string]brain.Need{
-	"eventual": brain.NeedAny, "lag_bound": brain.NeedBounded, "causal": brain.NeedSession,
-	"strong": brain.NeedFresh, "mutate": brain.NeedWrite,
+var needs = map[string]policy.Need{
+	"eventual": policy.NeedAny, "lag_bound": policy.NeedBounded, "causal": policy.NeedSession,
+	"strong": policy.NeedFresh, "mutate": policy.NeedWrite,
 }
 
 // modes tells whether the member list has to be asked for.
 var modes = map[string]bool{"subscribe": true, "automatic": false}
 
-var checks = map[string]brain.Checks{
-	"none": brain.ChecksNone, "bounce": brain.ChecksRefuse, "await": brain.ChecksWait,
+var checks = map[string]policy.Checks{
+	"none": policy.ChecksNone, "bounce": policy.ChecksRefuse, "await": policy.ChecksWait,
 }
 
 // Parse reads an instance's settings. Unknown keys are skipped. Unknown words take the strictest meaning, and are noted
@@ -150,8 +150,8 @@
 	s, l, r := &f.Settings, w.Limits, w.Rules
 	for i, c := range w.Classes {
 		key := fmt.Sprintf("classes[%d].", i)
-		k := brain.Class{
-			Name: c.Name, Need: brain.NeedWrite,
+		k := policy.Class{
+			Name: c.Name, Need: policy.NeedWrite,
 			Effect: word(&p, key+"effect", effects, c.Effect),
 			Aim:    p.time(key+"aim_ms", c.Aim), Deadline: p.time(key+"give_up_ms", c.Deadline),
 			Worth:      p.thousandths(key+"points", c.Worth),
@@ -291,7 +291,9 @@
 }
 
 // time reads milliseconds; a thousandth of one is a microsecond.
-func (p *scaler) time(key string, n number) brain.Micros { return brain.Micros(p.thousandths(key, n)) }
+func (p *scaler) time(key string, n number) policy.Micros {
+	return policy.Micros(p.thousandths(key, n))
+}
 
 // ParseScaled reads a decimal number as a whole number of 10^-digits, rounded down.
 func ParseScaled(s string, digits int) (int64, error) {
@@ -332,7 +334,7 @@
 
 // AddReport puts one value of a load report, by its field's name, into rep. The position's seconds are counted
 // from zero. Fields of unknown names are passed over.
-func AddReport(rep *brain.Report, field, value string, zero brain.Micros) error {
+func AddReport(rep *policy.Report, field, value string, zero policy.Micros) error {
 	digits := 3
 	switch field {
 	case "x0":
@@ -349,10 +351,10 @@
 	}
 	switch field {
 	case "x0":
-		rep.Position, rep.HasPosition = zero+brain.Micros(v), true
+		rep.Position, rep.HasPosition = zero+policy.Micros(v), true
 	case "x1":
-		if rep.Role = brain.RoleReplica; v == 1 {
-			rep.Role = brain.RolePrimary
+		if rep.Role = policy.RoleReplica; v == 1 {
+			rep.Role = policy.RolePrimary
 		}
 	case "pending":
 		rep.Queue, rep.HasQueue = v, true
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -4,7 +4,7 @@
 	"errors"
 	"testing"
 
-	"marblespan/brain"
+	"marblespan/internal/policy"
 )
 
 func TestDoubtsNameTheirKeys(t *testing.T) {
@@ -24,7 +24,7 @@
 			t.Errorf("no doubt about %s in %v", key, got)
 		}
 	}
-	if c := f.Settings.Classes[0]; c.Effect != brain.EffectUnsafe || c.Need != brain.NeedWrite {
+	if c := f.Settings.Classes[0]; c.Effect != policy.EffectUnsafe || c.Need != policy.NeedWrite {
 		t.Errorf("unknown words are not read strictly: %+v", c)
 	}
 }
@@ -44,7 +44,7 @@
 }
 
 func TestAddReport(t *testing.T) {
-	var rep brain.Report
+	var rep policy.Report
 	for field, value := range map[string]string{
 		"x0": "1796133629.802", "x1": "1", "cpu_share": "0.464", "pending": "3", "mystery": "x",
 	} {
@@ -52,8 +52,8 @@
 			t.Errorf("%s: %v", field, err)
 		}
 	}
-	want := brain.Report{
-		Position: 1_796_133_629_802_000, HasPosition: true, Role: brain.RolePrimary, Queue: 3000, HasQueue: true,
+	want := policy.Report{
+		Position: 1_796_133_629_802_000, HasPosition: true, Role: policy.RolePrimary, Queue: 3000, HasQueue: true,
 		Util: 464, HasUtil: true,
 	}
 	if rep != want {
--- a/internal/simhost/host.go
+++ b/internal/simhost/host.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"io"
 
-	"marblespan/brain"
+	"marblespan/internal/policy"
 	"marblespan/internal/settings"
 	"marblespan/internal/simwire"
 )
@@ -18,15 +18,15 @@
 
 type instance struct {
 	facts  *settings.Facts
-	router *brain.Router
+	router *policy.Router
 	broken bool // it has faulted: its events are passed over until it starts anew
 }
 
 // Host runs every instance of one process.
 type Host struct {
-	now       brain.Micros
+	now       policy.Micros
 	inBatch   bool
-	sheets    [simwire.Sheets][]brain.Member
+	sheets    [simwire.Sheets][]policy.Member
 	sheetSent [simwire.Sheets]bool
 	instances map[int]*instance
 	out       []byte
@@ -104,8 +104,8 @@
 	switch m := msg.(type) {
 	case simwire.Start:
 		h.instances[m.Instance] = &instance{facts: m.Facts}
-		return false, h.guard(m.Instance, func(in *instance) []brain.Action {
-			r, first := brain.New(h.now, m.Seed, m.Facts.Settings)
+		return false, h.guard(m.Instance, func(in *instance) []policy.Action {
+			r, first := policy.New(h.now, m.Seed, m.Facts.Settings)
 			in.router = r
 			return first
 		})
@@ -114,8 +114,8 @@
 	case simwire.Sheet:
 		h.sheets[m.Number], h.sheetSent[m.Number] = m.Members, true
 	case simwire.News:
-		news := brain.MemberNews{Form: m.Form}
-		if m.Form != brain.ListFailed {
+		news := policy.MemberNews{Form: m.Form}
+		if m.Form != policy.ListFailed {
 			if !h.sheetSent[m.Sheet] && !h.isBroken(m.Instance) {
 				return false, &simwire.FaultError{Instance: m.Instance, Text: "a list names a sheet never sent"}
 			}
@@ -140,12 +140,12 @@
 	return in != nil && in.broken
 }
 
-func (h *Host) step(inst int, ev brain.Event) error {
-	return h.guard(inst, func(in *instance) []brain.Action { return in.router.Step(h.now, ev) })
+func (h *Host) step(inst int, ev policy.Event) error {
+	return h.guard(inst, func(in *instance) []policy.Action { return in.router.Step(h.now, ev) })
 }
 
 // guard runs one decision of an instance and turns a panic of the module into that instance's fault.
-func (h *Host) guard(inst int, decide func(*instance) []brain.Action) (err error) {
+func (h *Host) guard(inst int, decide func(*instance) []policy.Action) (err error) {
 	in := h.instances[inst]
 	if in == nil {
 		return &simwire.FaultError{Instance: inst, Text: "an event for an instance that was never started"}
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -5,13 +5,13 @@
 	"encoding/json"
 	"strconv"
 
-	"marblespan/brain"
+	"marblespan/internal/policy"
 )
 
 func hexBytes(s string) ([]byte, error) { return hex.DecodeString(s) }
 
 // AppendActions writes an instance's actions, one line each.
-func AppendActions(b []byte, inst int, actions []brain.Action) []byte {
+func AppendActions(b []byte, inst int, actions []policy.Action) []byte {
 	for _, a := range actions {
 		b = appendAction(b, inst, a)
 	}
@@ -26,39 +26,39 @@
 // AppendDone ends a reply.
 func AppendDone(b []byte) []byte { return append(b, "[\"YIELD\"]\n"...) }
 
-func appendAction(b []byte, inst int, a brain.Action) []byte {
+func appendAction(b []byte, inst int, a policy.Action) []byte {
 	switch a := a.(type) {
-	case brain.Send:
+	case policy.Send:
 		b = appendNumber(appendText(begin(b, "TRY", inst), a.ID), int64(a.Server))
 		b = appendMillis(b, a.Until)
-	case brain.Refuse:
+	case policy.Refuse:
 		b = appendMillis(appendText(begin(b, "SAY_NO", inst), a.ID), a.RetryAfter)
-	case brain.Fail:
+	case policy.Fail:
 		b = appendText(begin(b, "FINISH_ERROR", inst), a.ID)
-	case brain.Cancel:
+	case policy.Cancel:
 		b = appendNumber(appendText(begin(b, "ABANDON", inst), a.ID), int64(a.Attempt))
-	case brain.SetTimer:
+	case policy.SetTimer:
 		b = appendText(appendMillis(begin(b, "SET_ALARM", inst), a.At), a.Token)
-	case brain.Probe:
+	case policy.Probe:
 		b = appendNumber(begin(b, "POLL", inst), int64(a.Server))
-	case brain.CloseIdle:
+	case policy.CloseIdle:
 		b = appendNumber(begin(b, "CLOSE_IDLE", inst), int64(a.Server))
-	case brain.Forget, brain.Withdraw: // the simulator keeps its own servers; what is sent there has begun
+	case policy.Forget, policy.Withdraw: // the simulator keeps its own servers; what is sent there has begun
 		return b
-	case brain.Tell:
+	case policy.Tell:
 		b = begin(b, "MEMO_TO", inst)
-		if a.To == brain.ToAll {
+		if a.To == policy.ToAll {
 			b = append(b, `,"*"`...)
 		} else {
 			b = appendNumber(b, int64(a.To))
 		}
 		b = appendText(b, hex.EncodeToString(a.Data))
-	case brain.Log:
+	case policy.Log:
 		b = appendText(begin(b, "WRITE_LOG", inst), a.Text)
-	case brain.Watch:
+	case policy.Watch:
 		b = append(begin(b, "STREAM_CHANGES", inst), ',')
 		b = strconv.AppendBool(b, a.On)
-	case brain.Fetch:
+	case policy.Fetch:
 		b = begin(b, "SNAPSHOT", inst)
 	default:
 		return AppendFault(b, inst, "the module returned an action the wire does not know")
@@ -75,7 +75,7 @@
 
 func appendNumber(b []byte, v int64) []byte { return strconv.AppendInt(append(b, ','), v, 10) }
 
-func appendMillis(b []byte, v brain.Micros) []byte {
+func appendMillis(b []byte, v policy.Micros) []byte {
 	b = append(b, ',')
 	if v < 0 {
 		b, v = append(b, '-'), -v
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,4 +1,4 @@
-// Package simwire translates between the bench's wire and the terms of package brain: words, units and shapes.
+// Package simwire translates between the bench's wire and the terms of package policy: words, units and shapes.
 // It keeps no state and decides nothing. Times become exact whole microseconds; positions are unpacked here, once.
 package simwire
 
@@ -8,7 +8,7 @@
 	"fmt"
 	"strconv"
 
-	"marblespan/brain"
+	"marblespan/internal/policy"
 	"marblespan/internal/settings"
 )
 
@@ -27,7 +27,7 @@
 type Message interface{}
 
 // Tick begins a batch.
-type Tick struct{ Now brain.Micros }
+type Tick struct{ Now policy.Micros }
 
 // Flush ends a batch.
 type Flush struct{}
@@ -45,35 +45,35 @@
 // Sheet carries list entries under a number.
 type Sheet struct {
 	Number  int
-	Members []brain.Member
+	Members []policy.Member
 }
 
 // News says which sheet an instance has learned of.
 type News struct {
 	Instance int
-	Form     brain.ListForm
+	Form     policy.ListForm
 	Sheet    int
 }
 
 // ForInstance is any other event.
 type ForInstance struct {
 	Instance int
-	Event    brain.Event
+	Event    policy.Event
 }
 
-var results = map[int64]brain.Result{
-	200: brain.ResultOK, 500: brain.ResultError, 503: brain.ResultFull, 504: brain.ResultTimeout,
-	502: brain.ResultConnectFailed, 598: brain.ResultReset, 499: brain.ResultCancelled,
-	410: brain.ResultMoot, 404: brain.ResultMiss,
+var results = map[int64]policy.Result{
+	200: policy.ResultOK, 500: policy.ResultError, 503: policy.ResultFull, 504: policy.ResultTimeout,
+	502: policy.ResultConnectFailed, 598: policy.ResultReset, 499: policy.ResultCancelled,
+	410: policy.ResultMoot, 404: policy.ResultMiss,
 }
 
-var states = map[int64]brain.MemberState{0: brain.MemberGone, 1: brain.MemberReady, 2: brain.MemberDraining}
+var states = map[int64]policy.MemberState{0: policy.MemberGone, 1: policy.MemberReady, 2: policy.MemberDraining}
 
-var forms = map[int64]brain.ListForm{
-	0: brain.ListDelta, 4: brain.ListFull, 1: brain.ListCached, 3: brain.ListFailed,
+var forms = map[int64]policy.ListForm{
+	0: policy.ListDelta, 4: policy.ListFull, 1: policy.ListCached, 3: policy.ListFailed,
 }
 
-var roles = map[int64]brain.Role{0: brain.RoleUnknown, 1: brain.RolePrimary, 2: brain.RoleReplica}
+var roles = map[int64]policy.Role{0: policy.RoleUnknown, 1: policy.RolePrimary, 2: policy.RoleReplica}
 
 // row reads one message's values in order and remembers the first defect.
 type row struct {
@@ -143,11 +143,11 @@
 }
 
 // micros reads milliseconds with fractions; an absent value is 0.
-func (r *row) micros(i int) brain.Micros {
+func (r *row) micros(i int) policy.Micros {
 	if r.absent(i) {
 		return 0
 	}
-	return brain.Micros(r.scaled(i, 3))
+	return policy.Micros(r.scaled(i, 3))
 }
 
 func (r *row) scaled(i, digits int) int64 {
@@ -216,7 +216,7 @@
 		return Stop{inst}, nil
 	case "REGISTRY":
 		m := News{Instance: inst, Form: lookup(r, forms, 1, "a known form of list")}
-		if m.Form != brain.ListFailed {
+		if m.Form != policy.ListFailed {
 			if m.Sheet = r.count(3); m.Sheet >= Sheets {
 				r.fail(3, "a sheet from 0 to 15")
 			}
@@ -227,21 +227,21 @@
 	if facts == nil {
 		return nil, fmt.Errorf("%.40q for an instance that was never started", name)
 	}
-	var ev brain.Event
+	var ev policy.Event
 	switch name {
 	case "JOB_IN":
 		ev = r.arrival(facts)
 	case "HEADERS":
-		ev = brain.Headers{ID: r.text(1), Attempt: r.count(2)}
+		ev = policy.Headers{ID: r.text(1), Attempt: r.count(2)}
 	case "RESPONSE":
 		ev = r.outcome(facts)
 	case "DROPPED":
-		ev = brain.Dropped{ID: r.text(1)}
+		ev = policy.Dropped{ID: r.text(1)}
 	case "ALARM":
-		ev = brain.Timer{Token: r.text(1)}
+		ev = policy.Timer{Token: r.text(1)}
 	case "STATUS_BACK":
-		ev = brain.Probed{
-			Server: brain.ServerID(r.unsigned(1, 32)), Result: lookup(r, results, 2, "a known outcome"),
+		ev = policy.Probed{
+			Server: policy.ServerID(r.unsigned(1, 32)), Result: lookup(r, results, 2, "a known outcome"),
 			Latency: r.micros(3), Report: r.report(4, facts),
 		}
 	case "MAIL":
@@ -249,7 +249,7 @@
 		if err != nil {
 			r.fail(2, "hex digits")
 		}
-		ev = brain.PeerMessage{From: r.count(1), Data: data}
+		ev = policy.PeerMessage{From: r.count(1), Data: data}
 	default:
 		return nil, fmt.Errorf("unknown event %.40q", name)
 	}
@@ -279,12 +279,12 @@
 	flagRepeat = 2
 )
 
-func (r *row) arrival(f *settings.Facts) brain.Event {
+func (r *row) arrival(f *settings.Facts) policy.Event {
 	class, ok := f.Classes[r.text(6)]
 	if !ok {
 		r.fail(6, "a class of the settings")
 	}
-	a := brain.Arrival{
+	a := policy.Arrival{
 		ID: r.text(1), Class: class, Group: int(r.integerOr(4, 0)), Left: r.micros(5),
 		Repeat: r.integerOr(8, 0)&flagRepeat != 0, SinceWrite: r.micros(9),
 	}
@@ -294,24 +294,24 @@
 	return a
 }
 
-func (r *row) outcome(f *settings.Facts) brain.Event {
-	o := brain.Outcome{
-		ID: r.text(1), Latency: r.micros(3), Server: brain.ServerID(r.unsigned(4, 32)),
+func (r *row) outcome(f *settings.Facts) policy.Event {
+	o := policy.Outcome{
+		ID: r.text(1), Latency: r.micros(3), Server: policy.ServerID(r.unsigned(4, 32)),
 		Result: lookup(r, results, 5, "a known outcome"), Final: r.truth(6), Attempt: r.count(7),
 		Report: r.report(8, f),
 	}
 	if note := r.integerOr(2, 0); note > 0 {
 		o.Role = roles[note%4]
 		if ms := note / 4; ms > 0 {
-			o.Position = f.Zero + brain.Micros(ms)*1000
+			o.Position = f.Zero + policy.Micros(ms)*1000
 		}
 	}
 	return o
 }
 
 // report reads a load report by the order of the settings' fields; fields of unknown names are passed over.
-func (r *row) report(i int, f *settings.Facts) brain.Report {
-	var rep brain.Report
+func (r *row) report(i int, f *settings.Facts) policy.Report {
+	var rep policy.Report
 	if r.absent(i) {
 		return rep
 	}
@@ -334,17 +334,17 @@
 	return rep
 }
 
-func (r *row) members(i int) []brain.Member {
+func (r *row) members(i int) []policy.Member {
 	var rows [][]json.RawMessage
 	if r.absent(i) || json.Unmarshal(r.vals[i], &rows) != nil {
 		r.fail(i, "a list of entries")
 		return nil
 	}
-	out := make([]brain.Member, 0, len(rows))
+	out := make([]policy.Member, 0, len(rows))
 	for _, vals := range rows {
 		e := row{vals: vals}
-		m := brain.Member{
-			Primary: !e.absent(0) && e.scaled(0, 0) == 1, Server: brain.ServerID(e.unsigned(4, 32)),
+		m := policy.Member{
+			Primary: !e.absent(0) && e.scaled(0, 0) == 1, Server: policy.ServerID(e.unsigned(4, 32)),
 			Group: int(e.integerOr(5, 0)), State: lookup(&e, states, 6, "a known state"), Started: e.micros(7),
 		}
 		if !e.absent(1) {
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"marblespan/brain"
+	"marblespan/internal/policy"
 	"marblespan/internal/settings"
 )
 
@@ -34,17 +34,17 @@
 
 func TestParseFacts(t *testing.T) {
 	s := testFacts(t).Settings
-	want := brain.Settings{
-		Classes: []brain.Class{
-			{Name: "look", Need: brain.NeedBounded, Effect: brain.EffectSafe, Bound: 800_000, Aim: 300_500,
+	want := policy.Settings{
+		Classes: []policy.Class{
+			{Name: "look", Need: policy.NeedBounded, Effect: policy.EffectSafe, Bound: 800_000, Aim: 300_500,
 				Deadline: 900_000, Worth: 2000, LateWorth: 250},
-			{Name: "put", Need: brain.NeedWrite, Effect: brain.EffectUnsafe, Aim: 700_000, Deadline: 5_000_000,
+			{Name: "put", Need: policy.NeedWrite, Effect: policy.EffectUnsafe, Aim: 700_000, Deadline: 5_000_000,
 				Worth: 6000},
 			// Unknown words take the strictest meaning.
-			{Name: "odd", Need: brain.NeedWrite, Effect: brain.EffectUnsafe, Aim: 700_000,
+			{Name: "odd", Need: policy.NeedWrite, Effect: policy.EffectUnsafe, Aim: 700_000,
 				Deadline: 5_000_000, Worth: 1000},
 		},
-		Gateways: 2, Ordinal: 1, Tick: 5000, Zone: "east", Checks: brain.ChecksWait, CheckWait: 50_000,
+		Gateways: 2, Ordinal: 1, Tick: 5000, Zone: "east", Checks: policy.ChecksWait, CheckWait: 50_000,
 		TokensCarried: true, AnswersStamped: true, ListAsked: true, CanProbe: true, CanCancel: true, MaxAttempts: 10,
 		ConnectTimeout: 250_000, AnswerSlack: 20_000, DrainGrace: 250_000, OnlyDrainingBinds: true,
 		AskWithin: 10_000_000, ColdShare: 260, Ramp: 16_000_000, FallMultiple: 4000, FallWindow: 3_000_000,
@@ -69,36 +69,36 @@
 		{`["TICK", 357778831.756]`, Tick{357_778_831_756}},
 		{`["FLUSH"]`, Flush{}},
 		{`["POWER_OFF",3]`, Stop{3}},
-		{`["REGISTRY",3,0,41,15]`, News{3, brain.ListDelta, 15}},
-		{`["REGISTRY",3,4,41,2]`, News{3, brain.ListFull, 2}},
-		{`["REGISTRY",3,1,41,2]`, News{3, brain.ListCached, 2}},
-		{`["REGISTRY",3,3,41,null]`, News{3, brain.ListFailed, 0}},
-		{`["REGISTRY",3,3]`, News{3, brain.ListFailed, 0}},
+		{`["REGISTRY",3,0,41,15]`, News{3, policy.ListDelta, 15}},
+		{`["REGISTRY",3,4,41,2]`, News{3, policy.ListFull, 2}},
+		{`["REGISTRY",3,1,41,2]`, News{3, policy.ListCached, 2}},
+		{`["REGISTRY",3,3,41,null]`, News{3, policy.ListFailed, 0}},
+		{`["REGISTRY",3,3]`, News{3, policy.ListFailed, 0}},
 		{`["LEDGER",7,[[1,1.5,"k","west",4294967295,11,1,6100.25],[0,1,"k","east",7,-1,2,null],[null,null,null,null,8,0,0]]]`,
-			Sheet{7, []brain.Member{
-				{Server: 4294967295, Group: 11, Zone: "west", State: brain.MemberReady, Started: 6_100_250, Primary: true, Weight: 1500},
-				{Server: 7, Group: -1, Zone: "east", State: brain.MemberDraining, Weight: 1000},
-				{Server: 8, State: brain.MemberGone},
+			Sheet{7, []policy.Member{
+				{Server: 4294967295, Group: 11, Zone: "west", State: policy.MemberReady, Started: 6_100_250, Primary: true, Weight: 1500},
+				{Server: 7, Group: -1, Zone: "east", State: policy.MemberDraining, Weight: 1000},
+				{Server: 8, State: policy.MemberGone},
 			}}},
-		{`["JOB_IN",3,"rq_a",4569004829183723,12.0,11,240.5,"look",null,3,412.5]`, ForInstance{3, brain.Arrival{
+		{`["JOB_IN",3,"rq_a",4569004829183723,12.0,11,240.5,"look",null,3,412.5]`, ForInstance{3, policy.Arrival{
 			ID: "rq_a", Class: 0, Group: 11, Session: 4569004829183723, HasSession: true, Left: 240_500, Repeat: true,
 			SinceWrite: 412_500}}},
-		{`["JOB_IN",3,"rq_a",null,null,11,240,"put",null,4]`, ForInstance{3, brain.Arrival{
+		{`["JOB_IN",3,"rq_a",null,null,11,240,"put",null,4]`, ForInstance{3, policy.Arrival{
 			ID: "rq_a", Class: 1, Group: 11, Left: 240_000}}},
-		{`["RESPONSE",3,"rq_a",25486,18.5,51530247,200,true,0,null]`, ForInstance{3, brain.Outcome{
-			ID: "rq_a", Server: 51530247, Result: brain.ResultOK, Final: true, Latency: 18_500, Role: brain.RoleReplica,
+		{`["RESPONSE",3,"rq_a",25486,18.5,51530247,200,true,0,null]`, ForInstance{3, policy.Outcome{
+			ID: "rq_a", Server: 51530247, Result: policy.ResultOK, Final: true, Latency: 18_500, Role: policy.RoleReplica,
 			Position: 1_000_250 + 6371_000}}},
-		{`["RESPONSE",3,"rq_a",1,0,5,404,false,2]`, ForInstance{3, brain.Outcome{
-			ID: "rq_a", Server: 5, Result: brain.ResultMiss, Attempt: 2, Role: brain.RolePrimary}}},
-		{`["STATUS_BACK",3,7,200,1.4,[6.204,9,0,2.5,0.62]]`, ForInstance{3, brain.Probed{
-			Server: 7, Latency: 1400, Report: brain.Report{Position: 1_000_250 + 6_204_000, HasPosition: true,
-				Role: brain.RoleReplica, Queue: 2500, HasQueue: true, Util: 620, HasUtil: true}}}},
-		{`["STATUS_BACK",3,7,504,250,null]`, ForInstance{3, brain.Probed{
-			Server: 7, Result: brain.ResultTimeout, Latency: 250_000}}},
-		{`["HEADERS",3,"rq_a",1,7,9.25]`, ForInstance{3, brain.Headers{ID: "rq_a", Attempt: 1}}},
-		{`["DROPPED",3,"rq_a"]`, ForInstance{3, brain.Dropped{ID: "rq_a"}}},
-		{`["ALARM",3,"sw\"eep"]`, ForInstance{3, brain.Timer{Token: `sw"eep`}}},
-		{`["MAIL",3,2,"68692037"]`, ForInstance{3, brain.PeerMessage{From: 2, Data: []byte("hi 7")}}},
+		{`["RESPONSE",3,"rq_a",1,0,5,404,false,2]`, ForInstance{3, policy.Outcome{
+			ID: "rq_a", Server: 5, Result: policy.ResultMiss, Attempt: 2, Role: policy.RolePrimary}}},
+		{`["STATUS_BACK",3,7,200,1.4,[6.204,9,0,2.5,0.62]]`, ForInstance{3, policy.Probed{
+			Server: 7, Latency: 1400, Report: policy.Report{Position: 1_000_250 + 6_204_000, HasPosition: true,
+				Role: policy.RoleReplica, Queue: 2500, HasQueue: true, Util: 620, HasUtil: true}}}},
+		{`["STATUS_BACK",3,7,504,250,null]`, ForInstance{3, policy.Probed{
+			Server: 7, Result: policy.ResultTimeout, Latency: 250_000}}},
+		{`["HEADERS",3,"rq_a",1,7,9.25]`, ForInstance{3, policy.Headers{ID: "rq_a", Attempt: 1}}},
+		{`["DROPPED",3,"rq_a"]`, ForInstance{3, policy.Dropped{ID: "rq_a"}}},
+		{`["ALARM",3,"sw\"eep"]`, ForInstance{3, policy.Timer{Token: `sw"eep`}}},
+		{`["MAIL",3,2,"68692037"]`, ForInstance{3, policy.PeerMessage{From: 2, Data: []byte("hi 7")}}},
 	} {
 		got, err := Decode([]byte(c.line), func(int) *settings.Facts { return f })
 		if err != nil || !reflect.DeepEqual(got, c.want) {
@@ -113,13 +113,13 @@
 
 func TestDecodeResults(t *testing.T) {
 	f := testFacts(t)
-	for code, want := range map[string]brain.Result{
-		"200": brain.ResultOK, "500": brain.ResultError, "503": brain.ResultFull, "504": brain.ResultTimeout,
-		"502": brain.ResultConnectFailed, "598": brain.ResultReset, "499": brain.ResultCancelled,
-		"410": brain.ResultMoot, "404": brain.ResultMiss,
+	for code, want := range map[string]policy.Result{
+		"200": policy.ResultOK, "500": policy.ResultError, "503": policy.ResultFull, "504": policy.ResultTimeout,
+		"502": policy.ResultConnectFailed, "598": policy.ResultReset, "499": policy.ResultCancelled,
+		"410": policy.ResultMoot, "404": policy.ResultMiss,
 	} {
 		got, err := Decode([]byte(`["STATUS_BACK",3,7,`+code+`,1]`), func(int) *settings.Facts { return f })
-		if err != nil || got.(ForInstance).Event.(brain.Probed).Result != want {
+		if err != nil || got.(ForInstance).Event.(policy.Probed).Result != want {
 			t.Errorf("%s: %+v, %v", code, got, err)
 		}
 	}
@@ -154,12 +154,12 @@
 }
 
 func TestAppendActions(t *testing.T) {
-	got := string(AppendDone(AppendActions(nil, 3, []brain.Action{
-		brain.Send{ID: "rq_a", Server: 4294967295, Until: 8_492_250}, brain.Refuse{ID: "rq_a", RetryAfter: 250_000},
-		brain.Refuse{ID: `q"`}, brain.Fail{ID: "rq_a"}, brain.Cancel{ID: "rq_a", Attempt: 2},
-		brain.SetTimer{At: 8_912_005, Token: "sweep"}, brain.Probe{Server: 7}, brain.CloseIdle{Server: 7},
-		brain.Tell{To: brain.ToAll, Data: []byte("hi 7")}, brain.Tell{To: 2, Data: nil}, brain.Log{Text: "two known"},
-		brain.Watch{On: true}, brain.Watch{}, brain.Fetch{},
+	got := string(AppendDone(AppendActions(nil, 3, []policy.Action{
+		policy.Send{ID: "rq_a", Server: 4294967295, Until: 8_492_250}, policy.Refuse{ID: "rq_a", RetryAfter: 250_000},
+		policy.Refuse{ID: `q"`}, policy.Fail{ID: "rq_a"}, policy.Cancel{ID: "rq_a", Attempt: 2},
+		policy.SetTimer{At: 8_912_005, Token: "sweep"}, policy.Probe{Server: 7}, policy.CloseIdle{Server: 7},
+		policy.Tell{To: policy.ToAll, Data: []byte("hi 7")}, policy.Tell{To: 2, Data: nil}, policy.Log{Text: "two known"},
+		policy.Watch{On: true}, policy.Watch{}, policy.Fetch{},
 	})))
 	want := `["TRY",3,"rq_a",4294967295,8492.250]
 ["SAY_NO",3,"rq_a",250]
--- a/internal/withcopies/withcopies.go
+++ b/internal/withcopies/withcopies.go
@@ -8,11 +8,11 @@
 	"strconv"
 	"time"
 
-	"marblespan/brain"
 	"marblespan/internal/bookings"
 	"marblespan/internal/copies"
 	"marblespan/internal/holders"
 	"marblespan/internal/maintenance"
+	"marblespan/internal/policy"
 	"marblespan/internal/program"
 	"marblespan/internal/store"
 )
@@ -32,7 +32,7 @@
 func open(s program.StoreSettings) (program.Store, error) {
 	clock := holders.Clock{
 		Now:  func() copies.Micros { return copies.Micros(s.Clock.Now()) },
-		Time: func(t copies.Micros) time.Time { return s.Clock.Time(brain.Micros(t)) },
+		Time: func(t copies.Micros) time.Time { return s.Clock.Time(policy.Micros(t)) },
 	}
 	c := s.Copies
 	format, _ := strconv.ParseUint(Format, 10, 32)
