--- a/internal/archtest/layers_test.go
+++ b/internal/archtest/layers_test.go
@@ -23,7 +23,7 @@
 	"internal/membership":         {},
 	"api":                         {},
 	"api/copies":                  {},
-	"internal/copies":             {"api/copies", "internal/maintenance"},
+	"internal/raftstore":          {"api/copies", "internal/maintenance"},
 	"internal/protocol/notices":   {},
 	"internal/vrrp":               {},
 	"internal/explore":            {},
@@ -50,10 +50,10 @@
 		"internal/datagrams", "internal/membership", "internal/protocol/members", "internal/protocol/sealed", "internal/streams", "internal/transport",
 	},
 	"internal/floating": {"internal/datagrams", "internal/protocol/sealed", "internal/protocol/vrrp", "internal/vrrp"},
-	"internal/store":    {"internal/copies"},
-	"internal/holders":  {"api/copies", "internal/copies", "internal/maintenance", "internal/store", "internal/streams"},
+	"internal/store":    {"internal/raftstore"},
+	"internal/holders":  {"api/copies", "internal/raftstore", "internal/maintenance", "internal/store", "internal/streams"},
 	"internal/withcopies": {
-		"api/copies", "internal/policy", "internal/bookings", "internal/copies", "internal/doubt", "internal/holders", "internal/maintenance", "internal/program", "internal/store",
+		"api/copies", "internal/policy", "internal/bookings", "internal/raftstore", "internal/doubt", "internal/holders", "internal/maintenance", "internal/program", "internal/store",
 	},
 	"internal/program": {
 		"internal/policy", "internal/bookings", "internal/config", "internal/control", "internal/doubt", "internal/floating", "internal/maintenance", "internal/membership", "internal/peers",
@@ -72,7 +72,7 @@
 		"internal/lab/report", "internal/membership", "internal/protocol/members", "internal/protocol/sealed", "internal/rig",
 	},
 	"internal/lab/copies": {
-		"api/copies", "internal/copies", "internal/holders", "internal/lab/report", "internal/protocol/sealed", "internal/rig", "internal/store", "internal/streams",
+		"api/copies", "internal/raftstore", "internal/holders", "internal/lab/report", "internal/protocol/sealed", "internal/rig", "internal/store", "internal/streams",
 		"internal/transport",
 	},
 	"internal/lab/failover": {"internal/lab/report", "internal/rig", "internal/standin"},
@@ -95,7 +95,7 @@
 	"internal/vrrp":        {"time", "net", "os", "io", "sync", "math/rand", "math/rand/v2"},
 	"internal/membership":  {"time", "net", "os", "io", "sync", "math/rand"},
 	"internal/maintenance": {"time", "net", "os", "io", "sync", "math/rand", "math/rand/v2"},
-	"internal/copies":      {"time", "net", "os", "io", "sync", "math/rand", "math/rand/v2"},
+	"internal/raftstore":   {"time", "net", "os", "io", "sync", "math/rand", "math/rand/v2"},
 }
 
 func TestImportsPointDown(t *testing.T) {
--- a/internal/golden/copies_test.go
+++ b/internal/golden/copies_test.go
@@ -9,8 +9,8 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 
 	api "marblespan/api/copies"
-	"marblespan/internal/copies"
 	"marblespan/internal/maintenance"
+	"marblespan/internal/raftstore"
 )
 
 // The numbers and the states of machines are written out: what a disk holds must not follow the code.
@@ -271,7 +271,7 @@
 
 // A gateway that holds nothing reads the golden news, and sends a call that is the golden one.
 func TestHostReadsAndSends(t *testing.T) {
-	host, err := copies.New(copies.Config{Name: "gw-9", Tick: 100_000, MostCalls: 10, Client: 11, Life: begun, Maintain: &maintenance.Limits{}}, 1_000_000, nil, true)
+	host, err := raftstore.New(raftstore.Config{Name: "gw-9", Tick: 100_000, MostCalls: 10, Client: 11, Life: begun, Maintain: &maintenance.Limits{}}, 1_000_000, nil, true)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -279,7 +279,7 @@
 	if news.name != "packet-news" {
 		t.Fatalf("the tenth sample is %s", news.name)
 	}
-	host.Handle(1_000_000, copies.Heard{From: "gw-1", Body: golden(t, "copies/packet-news", encode(news.message))})
+	host.Handle(1_000_000, raftstore.Heard{From: "gw-1", Body: golden(t, "copies/packet-news", encode(news.message))})
 	host.Flush()
 	if seen := host.Overview(); seen.Founding != founding || seen.Index != 40 || seen.Copies != 3 || seen.Format != 2 || len(seen.Stores) != 4 || len(seen.Groups) != 3 {
 		t.Errorf("the ledger is read as %+v", seen)
@@ -299,9 +299,9 @@
 		}
 	}
 	put := commands()[0].Put
-	host.Handle(1_000_001, copies.Ask{ID: 1, Shard: 1, Command: &api.Command{Put: put}, By: 9_000_000})
+	host.Handle(1_000_001, raftstore.Ask{ID: 1, Shard: 1, Command: &api.Command{Put: put}, By: 9_000_000})
 	for _, action := range host.Flush() {
-		if send, is := action.(copies.Send); is {
+		if send, is := action.(raftstore.Send); is {
 			golden(t, "copies/host-call", send.Body)
 			return
 		}
@@ -311,7 +311,7 @@
 
 // Numbers and words that stand in messages and in logs keep their meaning. The states of machines are in TestHostReadsAndSends.
 func TestNumbers(t *testing.T) {
-	for number, status := range []copies.Status{copies.OK, copies.Conflict, copies.Full, copies.Bad, copies.TooLate, copies.NotSent, copies.TooNew} {
+	for number, status := range []raftstore.Status{raftstore.OK, raftstore.Conflict, raftstore.Full, raftstore.Bad, raftstore.TooLate, raftstore.NotSent, raftstore.TooNew} {
 		if int(status) != number {
 			t.Errorf("the status %v is %d, want %d", status, status, number)
 		}
@@ -321,7 +321,7 @@
 			t.Errorf("the verb %d is to be %d", verb, i+1)
 		}
 	}
-	if copies.Statuses != 8 || copies.FirstFormat != 1 || copies.OrderFormat != 2 || copies.LedgerGroup != 0 || copies.MaintainKey != "maintenance" {
+	if raftstore.Statuses != 8 || raftstore.FirstFormat != 1 || raftstore.OrderFormat != 2 || raftstore.LedgerGroup != 0 || raftstore.MaintainKey != "maintenance" {
 		t.Error("the statuses, the formats, the ledger's number or the key of the order have changed")
 	}
 }
@@ -333,7 +333,7 @@
 		shards int
 		want   uint32
 	}{{"k", 16, 4}, {"session \x00\x00\x00\x02\x00\x00\x00\x00\x00\x00\x00\x09", 16, 9}, {"booking \x01\x02\x03", 64, 38}} {
-		if got := copies.ShardOf([]byte(c.key), c.shards); got != c.want {
+		if got := raftstore.ShardOf([]byte(c.key), c.shards); got != c.want {
 			t.Errorf("%q is in shard %d of %d, want %d", c.key, got, c.shards, c.want)
 		}
 	}
--- a/internal/golden/store_test.go
+++ b/internal/golden/store_test.go
@@ -14,7 +14,7 @@
 	"google.golang.org/protobuf/proto"
 
 	api "marblespan/api/copies"
-	"marblespan/internal/copies"
+	"marblespan/internal/raftstore"
 	"marblespan/internal/store"
 )
 
@@ -25,7 +25,7 @@
 func largeShardState() *api.Shard {
 	s := shard()
 	for i := range 20 {
-		s.Records = append(s.Records, &api.Record{Key: fmt.Append(nil, "large ", i), Value: bytes.Repeat([]byte{byte(i)}, copies.MostValue), Version: uint64(i + 1), End: 90_000_000})
+		s.Records = append(s.Records, &api.Record{Key: fmt.Append(nil, "large ", i), Value: bytes.Repeat([]byte{byte(i)}, raftstore.MostValue), Version: uint64(i + 1), End: 90_000_000})
 	}
 	return s
 }
@@ -38,17 +38,17 @@
 // storeWrites are what the golden store was written with: the ledger, two shards and a replica that waits to be taken in. The second
 // write replaces entries, drops a replica and notes one that must not go on. Of the ledger's log only the entry without commands is
 // committed, so that a gateway that starts from it has the ledger as it is in the snapshot.
-func storeWrites() []copies.Write {
+func storeWrites() []raftstore.Write {
 	all := commands()
-	return []copies.Write{
-		{Number: 1, Store: 71, Life: begun, View: encode(ledger()), Retired: []copies.Ref{{Group: 1, Epoch: 1, Number: 3}}, Groups: []copies.GroupWrite{
+	return []raftstore.Write{
+		{Number: 1, Store: 71, Life: begun, View: encode(ledger()), Retired: []raftstore.Ref{{Group: 1, Epoch: 1, Number: 3}}, Groups: []raftstore.GroupWrite{
 			{Group: 0, Epoch: 1, Number: 1, Snapshot: raftSnapshot(40, encode(ledger()), 1, 4, 5), Entries: raftEntries(41, all[3:]), Hard: hardState(41)},
 			{Group: 1, Epoch: 1, Number: 2, Snapshot: raftSnapshot(50, encode(shard()), 2, 6, 7), Entries: raftEntries(51, all[:3]), Hard: hardState(50)},
 			{Group: 2, Epoch: 1, Number: 3, Hard: hardState(0)},
 			{Group: 2, Epoch: 2, Number: 8, Snapshot: raftSnapshot(60, encode(largeShardState()), 8, 9, 10), Hard: hardState(60)},
 			{Group: 3, Epoch: 1, Number: 12},
 		}},
-		{Number: 2, Store: 71, Life: begun + 1, Retired: []copies.Ref{{Group: 2, Epoch: 1, Number: 3}}, Groups: []copies.GroupWrite{
+		{Number: 2, Store: 71, Life: begun + 1, Retired: []raftstore.Ref{{Group: 2, Epoch: 1, Number: 3}}, Groups: []raftstore.GroupWrite{
 			{Group: 1, Epoch: 1, Number: 2, Entries: raftEntries(52, all[:3]), Hard: hardState(55)},
 			{Group: 2, Epoch: 1, Number: 3, Drop: true},
 		}},
@@ -176,7 +176,7 @@
 		t.Errorf("retired are %s, want %s", got, want)
 	}
 	all := commands()
-	want := []copies.StoredGroup{
+	want := []raftstore.StoredGroup{
 		{Group: 0, Epoch: 1, Number: 1, Snapshot: raftSnapshot(40, encode(ledger()), 1, 4, 5), Entries: raftEntries(41, all[3:]), Hard: hardState(41)},
 		{Group: 1, Epoch: 1, Number: 2, Snapshot: raftSnapshot(50, encode(shard()), 2, 6, 7), Hard: hardState(55),
 			Entries: append(raftEntries(51, all[:3])[:1], raftEntries(52, all[:3])...)},
@@ -198,7 +198,7 @@
 			sameMessage(t, fmt.Sprintf("%s: entry %d", name, k), g.Entries[k], w.Entries[k])
 		}
 	}
-	host, err := copies.New(copies.Config{Name: "gw-1", Holds: true, Tick: 100_000, LeastLog: 1 << 20, MostBytes: 1 << 20, MostCalls: 10, Client: 1}, 1_000_000, stored, true)
+	host, err := raftstore.New(raftstore.Config{Name: "gw-1", Holds: true, Tick: 100_000, LeastLog: 1 << 20, MostBytes: 1 << 20, MostCalls: 10, Client: 1}, 1_000_000, stored, true)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/holders/holders.go
+++ b/internal/holders/holders.go
@@ -1,4 +1,4 @@
-// Package holders joins what a gateway holds for others (internal/copies) to the world: one goroutine around the host, one that
+// Package holders joins what a gateway holds for others (internal/raftstore) to the world: one goroutine around the host, one that
 // writes its disk, and the streams to the other gateways. It decides nothing.
 package holders
 
@@ -16,8 +16,8 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/time/rate"
 
-	"marblespan/internal/copies"
 	"marblespan/internal/maintenance"
+	"marblespan/internal/raftstore"
 	"marblespan/internal/store"
 	"marblespan/internal/streams"
 )
@@ -61,15 +61,15 @@
 
 // Clock is a clock that never steps back.
 type Clock struct {
-	Now  func() copies.Micros
-	Time func(copies.Micros) time.Time
+	Now  func() raftstore.Micros
+	Time func(raftstore.Micros) time.Time
 }
 
 // Counts are the counters since the start.
 type Counts struct {
 	Sent, SentBytes, Received, NotSent, Overrun, Writes atomic.Int64
-	Answered                                            [copies.Statuses]atomic.Int64
-	Noticed                                             [copies.Notices]atomic.Int64
+	Answered                                            [raftstore.Statuses]atomic.Int64
+	Noticed                                             [raftstore.Notices]atomic.Int64
 }
 
 // Holders takes part.
@@ -80,25 +80,25 @@
 	clock   Clock
 	log     zerolog.Logger
 	streams *streams.Streams
-	host    *copies.Host
+	host    *raftstore.Host
 	disk    *store.File
 	witness *store.Witness
 
 	events  chan any // copies.Event, or a func to run
-	writes  chan copies.Write
-	bulk    chan copies.Send
+	writes  chan raftstore.Write
+	bulk    chan raftstore.Send
 	quit    chan struct{}
 	closing sync.Once
 	done    sync.WaitGroup
 	left    chan struct{}
 
-	waiting map[uint64]func(copies.Answer) // by the goroutine only
+	waiting map[uint64]func(raftstore.Answer) // by the goroutine only
 	next    uint64
 	parts   atomic.Uint32
 
 	shards atomic.Int64 // of the store; 0: there is none, as far as is known
 	// failedAt is when a shard's promise was last not had, microseconds of Unix time; 0: the last one was.
-	failedAt [copies.MostShards + 1]atomic.Int64
+	failedAt [raftstore.MostShards + 1]atomic.Int64
 
 	saying sync.Mutex // operators' commands go one by one, so that their numbers come in order
 
@@ -115,11 +115,11 @@
 // Start opens the disk and begins. Others are told of by Others.
 func Start(s Settings, clock Clock, x *streams.Streams, log zerolog.Logger) (*Holders, error) {
 	h := &Holders{
-		s: s, clock: clock, log: log, streams: x, events: make(chan any, mostEvents), writes: make(chan copies.Write, 1),
-		bulk: make(chan copies.Send, mostBulk), quit: make(chan struct{}), left: make(chan struct{}),
-		waiting: map[uint64]func(copies.Answer){}, partial: map[string][]*partial{},
+		s: s, clock: clock, log: log, streams: x, events: make(chan any, mostEvents), writes: make(chan raftstore.Write, 1),
+		bulk: make(chan raftstore.Send, mostBulk), quit: make(chan struct{}), left: make(chan struct{}),
+		waiting: map[uint64]func(raftstore.Answer){}, partial: map[string][]*partial{},
 	}
-	var stored *copies.Stored
+	var stored *raftstore.Stored
 	trusted := false
 	if s.Holds && s.Path != "" {
 		var err error
@@ -127,13 +127,13 @@
 			return nil, err
 		}
 	}
-	cfg := copies.Config{
+	cfg := raftstore.Config{
 		Name: s.Node, Zone: s.Zone, Weight: s.Weight, Holds: s.Holds, Tick: micros(s.Tick), HealAfter: micros(s.HealAfter),
 		HealAtOnce: s.HealAtOnce, Format: s.Format, LeastLog: s.LeastLog, MostBytes: s.MostBytes, MostCalls: mostCalls, Client: draw(), NewStore: draw(),
 		Founding: draw(), Life: uint64(time.Now().UnixMicro()), Maintain: s.Maintain,
 	}
 	var err error
-	if h.host, err = copies.New(cfg, clock.Now(), stored, trusted); err != nil {
+	if h.host, err = raftstore.New(cfg, clock.Now(), stored, trusted); err != nil {
 		h.closeDisk()
 		return nil, err
 	}
@@ -146,7 +146,7 @@
 	return h, nil
 }
 
-func micros(d time.Duration) copies.Micros { return copies.Micros(d.Microseconds()) }
+func micros(d time.Duration) raftstore.Micros { return raftstore.Micros(d.Microseconds()) }
 
 // draw makes a number that was never used before, as far as 63 random bits can.
 func draw() uint64 {
@@ -156,7 +156,7 @@
 }
 
 // open opens the disk. A file that is damaged is put aside: the gateway has lost its disk, and goes on with an empty one.
-func (h *Holders) open() (*copies.Stored, bool, error) {
+func (h *Holders) open() (*raftstore.Stored, bool, error) {
 	f, stored, err := store.Open(h.s.Path)
 	var damaged *store.Damaged
 	if errors.As(err, &damaged) {
@@ -200,7 +200,7 @@
 	}
 	h.Counts.Received.Add(1)
 	select {
-	case h.events <- copies.Heard{From: from, Body: whole}:
+	case h.events <- raftstore.Heard{From: from, Body: whole}:
 	default:
 		h.Counts.Overrun.Add(1)
 	}
@@ -261,9 +261,9 @@
 	for {
 		if time.Since(asked) > time.Second {
 			asked = time.Now()
-			h.host.Handle(h.clock.Now(), copies.Others{Names: h.s.Others()})
+			h.host.Handle(h.clock.Now(), raftstore.Others{Names: h.s.Others()})
 			if h.s.Maintain != nil {
-				h.host.Handle(h.clock.Now(), copies.Members{All: h.s.Members()})
+				h.host.Handle(h.clock.Now(), raftstore.Members{All: h.s.Members()})
 			}
 		}
 		timer.Reset(max(time.Until(h.clock.Time(h.host.Next())), 0))
@@ -272,7 +272,7 @@
 			h.end()
 			return
 		case <-timer.C:
-			h.host.Handle(h.clock.Now(), copies.Tick{})
+			h.host.Handle(h.clock.Now(), raftstore.Tick{})
 		case ev := <-h.events:
 			h.take(ev)
 		}
@@ -286,7 +286,7 @@
 			break
 		}
 		if now := h.clock.Now(); now >= h.host.Next() {
-			h.host.Handle(now, copies.Tick{})
+			h.host.Handle(now, raftstore.Tick{})
 		}
 		h.carry()
 	}
@@ -296,7 +296,7 @@
 	switch ev := ev.(type) {
 	case func():
 		ev()
-	case copies.Event:
+	case raftstore.Event:
 		h.host.Handle(h.clock.Now(), ev)
 	}
 }
@@ -307,21 +307,21 @@
 	h.shards.Store(int64(h.host.Shards()))
 	for _, a := range actions {
 		switch a := a.(type) {
-		case copies.Send:
+		case raftstore.Send:
 			h.send(a)
-		case copies.Write:
+		case raftstore.Write:
 			h.writes <- a // there is one at a time
-		case copies.Answer:
+		case raftstore.Answer:
 			h.Counts.Answered[a.Status].Add(1)
 			if done := h.waiting[a.ID]; done != nil {
 				delete(h.waiting, a.ID)
 				done(a)
 			}
-		case copies.Noticed:
+		case raftstore.Noticed:
 			h.noticed(a)
-		case copies.Ordered:
+		case raftstore.Ordered:
 			h.s.Ordered(a.Index, a.Order)
-		case copies.Done:
+		case raftstore.Done:
 			close(h.left)
 		}
 	}
@@ -331,11 +331,11 @@
 func (h *Holders) end() {
 	for id, done := range h.waiting {
 		delete(h.waiting, id)
-		done(copies.Answer{Status: copies.TooLate})
+		done(raftstore.Answer{Status: raftstore.TooLate})
 	}
 }
 
-func (h *Holders) send(a copies.Send) {
+func (h *Holders) send(a raftstore.Send) {
 	if !a.Bulk {
 		h.sendWhole(a, func(int) bool { return true })
 		return
@@ -348,7 +348,7 @@
 }
 
 // sendWhole sends a packet, in parts if it is large; before each, wait may take its time, and tells whether to go on.
-func (h *Holders) sendWhole(a copies.Send, wait func(size int) bool) {
+func (h *Holders) sendWhole(a raftstore.Send, wait func(size int) bool) {
 	if len(a.Body) <= partSize && wait(len(a.Body)) {
 		h.sendNow(streams.Message{To: a.To, Channel: streams.Copies, Body: append([]byte{wholePacket}, a.Body...)})
 		return
@@ -419,12 +419,12 @@
 				}
 				if err != nil {
 					failed = true
-					h.put(copies.Failed{Cause: err.Error()})
+					h.put(raftstore.Failed{Cause: err.Error()})
 					continue
 				}
 			}
 			h.Counts.Writes.Add(1)
-			h.put(copies.Written{Number: w.Number})
+			h.put(raftstore.Written{Number: w.Number})
 		}
 	}
 }
@@ -439,13 +439,13 @@
 	}
 }
 
-func (h *Holders) noticed(n copies.Noticed) {
+func (h *Holders) noticed(n raftstore.Noticed) {
 	h.Counts.Noticed[n.What].Add(1)
 	level := h.log.Info()
 	switch n.What {
-	case copies.LostGroup, copies.DiskLost, copies.Foreign, copies.Stale, copies.StoreGone, copies.Renumbered, copies.Older:
+	case raftstore.LostGroup, raftstore.DiskLost, raftstore.Foreign, raftstore.Stale, raftstore.StoreGone, raftstore.Renumbered, raftstore.Older:
 		level = h.log.Warn()
-	case copies.Sure:
+	case raftstore.Sure:
 		level = h.log.Debug()
 	}
 	level = level.Stringer("what", n.What)
@@ -465,7 +465,7 @@
 }
 
 // Ask begins a call; done is told its answer, on the goroutine that owns the host, and must not wait.
-func (h *Holders) Ask(a copies.Ask, by time.Time, done func(copies.Answer)) {
+func (h *Holders) Ask(a raftstore.Ask, by time.Time, done func(raftstore.Answer)) {
 	ask := func() {
 		h.next++
 		a.ID, a.By = h.next, h.clock.Now()+micros(time.Until(by))
@@ -478,55 +478,55 @@
 		return
 	default: // whoever asks must not wait
 	}
-	done(copies.Answer{Status: copies.NotSent})
+	done(raftstore.Answer{Status: raftstore.NotSent})
 }
 
 // Found makes a new store; Gone takes an operator's word that a gateway's disk will not come back. Both tell what cannot be.
 func (h *Holders) Found(shards, many int, first bool) error {
-	return h.tell(func(o copies.Overview) error {
+	return h.tell(func(o raftstore.Overview) error {
 		switch {
 		case o.Founding != 0:
 			return errors.New("there is a store already")
 		case o.Store == 0 || o.Failed != "":
 			return errors.New("this gateway holds nothing")
 		}
-		h.host.Handle(h.clock.Now(), copies.Found{Shards: shards, Copies: many, First: first})
+		h.host.Handle(h.clock.Now(), raftstore.Found{Shards: shards, Copies: many, First: first})
 		return nil
 	})
 }
 
 // Gone is an operator's word that a gateway's disk will not come back.
 func (h *Holders) Gone(name string) error {
-	return h.decide(func(o copies.Overview) error {
-		if !slices.ContainsFunc(o.Stores, func(s copies.StoreView) bool { return s.Name == name && !s.Gone }) {
+	return h.decide(func(o raftstore.Overview) error {
+		if !slices.ContainsFunc(o.Stores, func(s raftstore.StoreView) bool { return s.Name == name && !s.Gone }) {
 			return fmt.Errorf("no gateway %q holds anything", name)
 		}
-		h.host.Handle(h.clock.Now(), copies.Gone{Name: name})
+		h.host.Handle(h.clock.Now(), raftstore.Gone{Name: name})
 		return nil
 	})
 }
 
 // Anew is an operator's word that a shard cannot go on.
 func (h *Holders) Anew(shard uint32) error {
-	return h.decide(func(o copies.Overview) error {
+	return h.decide(func(o raftstore.Overview) error {
 		switch {
-		case shard == copies.LedgerGroup || int(shard) >= len(o.Groups):
+		case shard == raftstore.LedgerGroup || int(shard) >= len(o.Groups):
 			return fmt.Errorf("there is no shard %d", shard)
 		case h.host.Reported(shard):
 			return fmt.Errorf("shard %d has a leader, and goes on", shard)
 		}
-		h.host.Handle(h.clock.Now(), copies.Anew{Shard: shard})
+		h.host.Handle(h.clock.Now(), raftstore.Anew{Shard: shard})
 		return nil
 	})
 }
 
 // decide has the ledger's leader do something; elsewhere it tells where that is.
-func (h *Holders) decide(do func(copies.Overview) error) error {
-	return h.tell(func(o copies.Overview) error {
+func (h *Holders) decide(do func(raftstore.Overview) error) error {
+	return h.tell(func(o raftstore.Overview) error {
 		if len(o.Groups) == 0 {
 			return errors.New("there is no store yet")
 		}
-		if g := o.Groups[copies.LedgerGroup]; g.Here == nil || g.Here.Leader != h.s.Node {
+		if g := o.Groups[raftstore.LedgerGroup]; g.Here == nil || g.Here.Leader != h.s.Node {
 			leader := "not known now"
 			if g.Here != nil && g.Here.Leader != "" {
 				leader = g.Here.Leader
@@ -538,7 +538,7 @@
 }
 
 // tell runs something on the goroutine.
-func (h *Holders) tell(do func(copies.Overview) error) error {
+func (h *Holders) tell(do func(raftstore.Overview) error) error {
 	result := make(chan error, 1)
 	if !h.put(func() { result <- do(h.host.Overview()) }) {
 		return errors.New("the gateway is about to end")
@@ -555,8 +555,8 @@
 func (h *Holders) Node() string { return h.s.Node }
 
 // Overview tells how the host stands.
-func (h *Holders) Overview() (o copies.Overview) {
-	h.tell(func(now copies.Overview) error { o = now; return nil })
+func (h *Holders) Overview() (o raftstore.Overview) {
+	h.tell(func(now raftstore.Overview) error { o = now; return nil })
 	return o
 }
 
@@ -581,7 +581,7 @@
 
 // Leave hands over what is led here, and waits for it within a bound.
 func (h *Holders) Leave() {
-	h.put(copies.Leave{})
+	h.put(raftstore.Leave{})
 	select {
 	case <-h.left:
 	case <-time.After(leaveBy):
--- a/internal/holders/holders_test.go
+++ b/internal/holders/holders_test.go
@@ -13,8 +13,8 @@
 
 	"github.com/rs/zerolog"
 
-	"marblespan/internal/copies"
 	"marblespan/internal/protocol/sealed"
+	"marblespan/internal/raftstore"
 	"marblespan/internal/streams"
 	"marblespan/internal/transport"
 )
@@ -51,8 +51,8 @@
 		Node: name, Weight: 1, Holds: true, Path: filepath.Join(dir, name), Witness: filepath.Join(dir, name+".witness"), Tick: 50 * time.Millisecond,
 		HealAfter: 2 * time.Second, HealAtOnce: 8, HealRate: 8 << 20, MostBytes: 16 << 20, LeastLog: 8 << 10, Others: func() []string { return []string{"a", "b", "c"} },
 	}, Clock{
-		Now:  func() copies.Micros { return copies.Micros(time.Since(begin).Microseconds()) + 1 },
-		Time: func(m copies.Micros) time.Time { return begin.Add(time.Duration(m-1) * time.Microsecond) },
+		Now:  func() raftstore.Micros { return raftstore.Micros(time.Since(begin).Microseconds()) + 1 },
+		Time: func(m raftstore.Micros) time.Time { return begin.Add(time.Duration(m-1) * time.Microsecond) },
 	}, x, zerolog.New(io.Discard))
 	if err != nil {
 		t.Fatal(err)
@@ -117,7 +117,7 @@
 		t.Errorf("what never was: %d %v", v, known)
 	}
 	full := make(chan bool, 1)
-	b.Raise(bytes.Repeat([]byte("x"), copies.MostKey+1), 1, time.Hour, time.Now().Add(late), func(ok bool) { full <- ok })
+	b.Raise(bytes.Repeat([]byte("x"), raftstore.MostKey+1), 1, time.Hour, time.Now().Add(late), func(ok bool) { full <- ok })
 	if <-full {
 		t.Error("a key that is too long is promised")
 	}
@@ -145,7 +145,7 @@
 			t.Errorf("group %d is not here any more", g.Group)
 		}
 	}
-	if again.Counts.Noticed[copies.Stale].Load()+again.Counts.Noticed[copies.Renumbered].Load() > 0 {
+	if again.Counts.Noticed[raftstore.Stale].Load()+again.Counts.Noticed[raftstore.Renumbered].Load() > 0 {
 		t.Error("its disk counts as lost")
 	}
 }
@@ -208,7 +208,7 @@
 		{strings.Repeat("x", 600_000), []string{
 			"\x01\x00\x00\x00\x01\x00\x00\x00\x00\x00\x00\x00\x03", "\x01\x00\x00\x00\x01\x00\x00\x00\x01\x00\x00\x00\x03", "\x01\x00\x00\x00\x01\x00\x00\x00\x02\x00\x00\x00\x03"}},
 	} {
-		sender.sendWhole(copies.Send{To: "b", Body: []byte(c.body)}, func(int) bool { return true })
+		sender.sendWhole(raftstore.Send{To: "b", Body: []byte(c.body)}, func(int) bool { return true })
 		for i, head := range c.heads {
 			want := head + c.body[i<<18:min((i+1)<<18, len(c.body))]
 			select {
--- a/internal/holders/uses.go
+++ b/internal/holders/uses.go
@@ -4,8 +4,8 @@
 	"errors"
 	"time"
 
-	"marblespan/internal/copies"
 	"marblespan/internal/maintenance"
+	"marblespan/internal/raftstore"
 
 	api "marblespan/api/copies"
 )
@@ -19,15 +19,15 @@
 	if shards == 0 {
 		return false
 	}
-	at := &h.failedAt[copies.ShardOf(key, shards)]
+	at := &h.failedAt[raftstore.ShardOf(key, shards)]
 	last, now := at.Load(), time.Now().UnixMicro()
 	return last == 0 || now-last > tryAgain.Microseconds() && at.CompareAndSwap(last, now)
 }
 
 // note keeps whether promises of a shard are to be had.
-func (h *Holders) note(shard uint32, a copies.Answer) {
+func (h *Holders) note(shard uint32, a raftstore.Answer) {
 	at := int64(0)
-	if a.Status == copies.TooLate || a.Status == copies.NotSent || a.Status == copies.Full {
+	if a.Status == raftstore.TooLate || a.Status == raftstore.NotSent || a.Status == raftstore.Full {
 		at = time.Now().UnixMicro()
 	}
 	h.failedAt[shard].Store(at)
@@ -40,12 +40,12 @@
 		done(false)
 		return
 	}
-	shard := copies.ShardOf(key, shards)
-	h.Ask(copies.Ask{Shard: shard, Command: &api.Command{Mark: &api.Mark{
+	shard := raftstore.ShardOf(key, shards)
+	h.Ask(raftstore.Ask{Shard: shard, Command: &api.Command{Mark: &api.Mark{
 		Key: key, Position: to, Span: int64(last / time.Microsecond),
-	}}}, by, func(a copies.Answer) {
+	}}}, by, func(a raftstore.Answer) {
 		h.note(shard, a)
-		done(a.Status == copies.OK)
+		done(a.Status == raftstore.OK)
 	})
 }
 
@@ -56,19 +56,19 @@
 		done(0, false)
 		return
 	}
-	h.Ask(copies.Ask{Shard: copies.ShardOf(key, shards), Get: &api.Get{Key: key}}, by, func(a copies.Answer) {
-		done(a.Position, a.Status == copies.OK && !a.Lost)
+	h.Ask(raftstore.Ask{Shard: raftstore.ShardOf(key, shards), Get: &api.Get{Key: key}}, by, func(a raftstore.Answer) {
+		done(a.Position, a.Status == raftstore.OK && !a.Lost)
 	})
 }
 
 // Call makes a call about a key, a command or, without one, a read. done is told its answer, as Ask tells it.
-func (h *Holders) Call(key []byte, command *api.Command, by time.Time, done func(copies.Answer)) {
+func (h *Holders) Call(key []byte, command *api.Command, by time.Time, done func(raftstore.Answer)) {
 	shards := int(h.shards.Load())
 	if shards == 0 {
-		done(copies.Answer{Status: copies.NotSent})
+		done(raftstore.Answer{Status: raftstore.NotSent})
 		return
 	}
-	a := copies.Ask{Shard: copies.ShardOf(key, shards), Command: command}
+	a := raftstore.Ask{Shard: raftstore.ShardOf(key, shards), Command: command}
 	if command == nil {
 		a.Get = &api.Get{Key: key}
 	}
@@ -80,12 +80,12 @@
 	c := &h.Counts
 	line := h.log.Info().Int64("sent", c.Sent.Load()).Int64("sent_bytes", c.SentBytes.Load()).Int64("not_sent", c.NotSent.Load()).
 		Int64("received", c.Received.Load()).Int64("overrun", c.Overrun.Load()).Int64("writes", c.Writes.Load())
-	for s := range copies.Statuses {
+	for s := range raftstore.Statuses {
 		if n := c.Answered[s].Load(); n > 0 {
 			line = line.Int64("answered_"+s.String(), n)
 		}
 	}
-	for n := range copies.Notices {
+	for n := range raftstore.Notices {
 		if k := c.Noticed[n].Load(); k > 0 {
 			line = line.Int64("noticed_"+n.String(), k)
 		}
@@ -94,10 +94,10 @@
 }
 
 // Tell reports what this gateway is and sees, for the order of maintenance.
-func (h *Holders) Tell(own copies.Own) { h.put(own) }
+func (h *Holders) Tell(own raftstore.Own) { h.put(own) }
 
 // Limits puts other limits in force.
-func (h *Holders) Limits(l maintenance.Limits) { h.put(copies.Limits{Limits: l}) }
+func (h *Holders) Limits(l maintenance.Limits) { h.put(raftstore.Limits{Limits: l}) }
 
 // errNoWord is what an operator hears where the ledger has not answered.
 var errNoWord = errors.New("the ledger has not answered in time; what was said may come into force all the same, and may be said again")
@@ -106,13 +106,13 @@
 func (h *Holders) Maintain(c maintenance.Command, by time.Time) (said string, err error) {
 	h.saying.Lock()
 	defer h.saying.Unlock()
-	a := h.answer(copies.Ask{Shard: copies.LedgerGroup, Command: copies.Command(c)}, by)
+	a := h.answer(raftstore.Ask{Shard: raftstore.LedgerGroup, Command: raftstore.Command(c)}, by)
 	switch a.Status {
-	case copies.OK:
+	case raftstore.OK:
 		return string(a.Value), nil
-	case copies.Conflict, copies.Bad:
+	case raftstore.Conflict, raftstore.Bad:
 		return "", errors.New(string(a.Value))
-	case copies.TooNew:
+	case raftstore.TooNew:
 		return "", errors.New("some gateway that holds copies is of a version without an order of maintenance")
 	}
 	return "", errNoWord
@@ -120,23 +120,23 @@
 
 // Listing is the order of maintenance as the ledger's leader has it, or, with an error, as it is known here.
 func (h *Holders) Listing(by time.Time) (maintenance.Listing, error) {
-	a := h.answer(copies.Ask{Shard: copies.LedgerGroup, Get: &api.Get{Key: []byte(copies.MaintainKey)}}, by)
-	if a.Status == copies.OK {
-		return copies.ListingOf(a.Value)
+	a := h.answer(raftstore.Ask{Shard: raftstore.LedgerGroup, Get: &api.Get{Key: []byte(raftstore.MaintainKey)}}, by)
+	if a.Status == raftstore.OK {
+		return raftstore.ListingOf(a.Value)
 	}
 	l := maintenance.Listing{Order: &maintenance.Order{}}
-	h.tell(func(copies.Overview) error { l.Order = h.host.Order(); return nil })
+	h.tell(func(raftstore.Overview) error { l.Order = h.host.Order(); return nil })
 	return l, errNoWord
 }
 
 // answer makes a call and waits for its answer.
-func (h *Holders) answer(a copies.Ask, by time.Time) (out copies.Answer) {
-	answered := make(chan copies.Answer, 1)
-	h.Ask(a, by, func(a copies.Answer) { answered <- a })
+func (h *Holders) answer(a raftstore.Ask, by time.Time) (out raftstore.Answer) {
+	answered := make(chan raftstore.Answer, 1)
+	h.Ask(a, by, func(a raftstore.Answer) { answered <- a })
 	select {
 	case out = <-answered:
 	case <-h.quit:
-		out.Status = copies.NotSent
+		out.Status = raftstore.NotSent
 	}
 	return out
 }
--- a/internal/lab/copies/measure.go
+++ b/internal/lab/copies/measure.go
@@ -13,8 +13,8 @@
 	"google.golang.org/protobuf/proto"
 
 	api "marblespan/api/copies"
-	"marblespan/internal/copies"
 	"marblespan/internal/lab/report"
+	"marblespan/internal/raftstore"
 	"marblespan/internal/rig"
 	"marblespan/internal/store"
 )
@@ -190,7 +190,7 @@
 }
 
 // records is how many records a gateway's replicas have.
-func records(o copies.Overview) (n int) {
+func records(o raftstore.Overview) (n int) {
 	for _, g := range o.Groups {
 		if g.Here != nil {
 			n += g.Here.Records
@@ -212,7 +212,7 @@
 		return err
 	}
 	const shards = 16
-	w := copies.Write{Store: 7, Life: 1}
+	w := raftstore.Write{Store: 7, Life: 1}
 	for i := range uint32(shards) {
 		s := &api.Shard{Time: 1}
 		for n := range o.Recover / shards {
@@ -224,7 +224,7 @@
 		if err != nil {
 			return err
 		}
-		w.Groups = append(w.Groups, copies.GroupWrite{
+		w.Groups = append(w.Groups, raftstore.GroupWrite{
 			Group: i + 1, Epoch: 1, Number: uint64(i + 2), Hard: &pb.HardState{Term: new(uint64(2)), Vote: new(uint64(0)), Commit: new(uint64(9))},
 			Snapshot: &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{Index: new(uint64(9)), Term: new(uint64(2)), ConfState: &pb.ConfState{Voters: []uint64{uint64(i + 2), 1000}}}},
 		})
@@ -233,7 +233,7 @@
 		return err
 	}
 	f.Close()
-	w = copies.Write{}
+	w = raftstore.Write{}
 	info, err := os.Stat(path)
 	if err != nil {
 		return err
@@ -249,7 +249,7 @@
 	}
 	defer f.Close()
 	r.Opened = time.Since(begin)
-	h, err := copies.New(copies.Config{
+	h, err := raftstore.New(raftstore.Config{
 		Name: "g1", Holds: true, Tick: 100_000, HealAfter: 10_000_000, HealAtOnce: 1, LeastLog: 1 << 20, MostBytes: 1 << 30, MostCalls: 1, Client: 1,
 		NewStore: 1, Founding: 1, Life: 2,
 	}, 1, stored, true)
--- a/internal/copies/copies.go
+++ b/internal/raftstore/copies.go
@@ -1,4 +1,4 @@
-// Package copies keeps what a gateway holds for others on several gateways: shards of records, each a group of replicas that
+// Package raftstore keeps what a gateway holds for others on several gateways: shards of records, each a group of replicas that
 // agree by Raft (Ongaro and Ousterhout 2014; the library go.etcd.io/raft), and a ledger, one group more, that says which
 // gateway holds which shard.
 //
@@ -6,7 +6,7 @@
 // clock, socket, file or goroutine. The library draws the length of election time-outs from crypto/rand, and nothing else
 // here is drawn. Times are whole microseconds; those of a host come from a clock that never steps back, those in a group's log
 // are its leader's. This file is its interface. docs/copies.md has the design, and the promise in exact words.
-package copies
+package raftstore
 
 import (
 	pb "go.etcd.io/raft/v3/raftpb"
--- a/internal/copies/norace_test.go
+++ b/internal/raftstore/norace_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package copies
+package raftstore
 
 const fewer = 1
--- a/internal/copies/race_test.go
+++ b/internal/raftstore/race_test.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package copies
+package raftstore
 
 // fewer divides the number of runs: the race detector makes each many times slower, and the machine has one goroutine.
 const fewer = 8
--- a/internal/copies/requests.go
+++ b/internal/raftstore/requests.go
@@ -1,4 +1,4 @@
-package copies
+package raftstore
 
 import (
 	"maps"
--- a/internal/copies/snapshot.go
+++ b/internal/raftstore/snapshot.go
@@ -1,4 +1,4 @@
-package copies
+package raftstore
 
 import (
 	"go.etcd.io/raft/v3"
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,5 +1,5 @@
 // Package store keeps a host's replicas in one file (go.etcd.io/bbolt): one transaction with one sync for each write of
-// internal/copies. Every value carries a check sum over itself and its key, so that what a disk has spoilt is told from what
+// internal/raftstore. Every value carries a check sum over itself and its key, so that what a disk has spoilt is told from what
 // was written. A file that is at fault anywhere is at fault as a whole: its gateway goes on as one that has lost its disk.
 package store
 
@@ -17,7 +17,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"marblespan/internal/copies"
+	"marblespan/internal/raftstore"
 )
 
 // format is the version of the file's layout.
@@ -68,7 +68,7 @@
 }
 
 // Open opens a file, or begins one, and reads all that is in it. A *Damaged error means that it must not be used.
-func Open(path string) (f *File, s *copies.Stored, err error) {
+func Open(path string) (f *File, s *raftstore.Stored, err error) {
 	f = &File{}
 	err = guarded(path, func() error {
 		// The list of free pages is kept in the file: to find them anew the library looks through all pages on a goroutine of
@@ -197,8 +197,8 @@
 }
 
 // load reads all of it.
-func (f *File) load() (s *copies.Stored, err error) {
-	s = &copies.Stored{}
+func (f *File) load() (s *raftstore.Stored, err error) {
+	s = &raftstore.Stored{}
 	err = f.db.View(func(tx *bbolt.Tx) error {
 		raw := tx.Bucket(bucketFacts)
 		if raw == nil {
@@ -251,16 +251,16 @@
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint32(b, epoch), number)
 }
 
-func readRef(b []byte) copies.Ref {
-	return copies.Ref{Group: binary.BigEndian.Uint32(b), Epoch: binary.BigEndian.Uint32(b[4:]), Number: binary.BigEndian.Uint64(b[8:])}
+func readRef(b []byte) raftstore.Ref {
+	return raftstore.Ref{Group: binary.BigEndian.Uint32(b), Epoch: binary.BigEndian.Uint32(b[4:]), Number: binary.BigEndian.Uint64(b[8:])}
 }
 
-func loadGroup(key []byte, raw *bbolt.Bucket) (g copies.StoredGroup, err error) {
+func loadGroup(key []byte, raw *bbolt.Bucket) (g raftstore.StoredGroup, err error) {
 	if len(key) != refSize {
 		return g, errIncomplete
 	}
 	ref, b := readRef(key), bucket{raw}
-	g = copies.StoredGroup{Group: ref.Group, Epoch: ref.Epoch, Number: ref.Number}
+	g = raftstore.StoredGroup{Group: ref.Group, Epoch: ref.Epoch, Number: ref.Number}
 	hard, snap := &pb.HardState{}, &pb.Snapshot{}
 	if there, err := b.message(keyHard, hard); err != nil || there {
 		if g.Hard = hard; err != nil {
@@ -310,7 +310,7 @@
 
 // Write writes and waits until the disk has it. After an error nothing is written any more: the kernel may have thrown away
 // what it could not write, and would say next time that all is well.
-func (f *File) Write(w copies.Write) error {
+func (f *File) Write(w raftstore.Write) error {
 	if f.failed != nil {
 		return f.failed
 	}
@@ -324,7 +324,7 @@
 	return nil
 }
 
-func (f *File) write(tx *bbolt.Tx, w copies.Write) error {
+func (f *File) write(tx *bbolt.Tx, w raftstore.Write) error {
 	if f.store != 0 && f.store != w.Store {
 		for _, name := range [][]byte{bucketGroups, bucketFacts} {
 			if err := tx.DeleteBucket(name); err != nil {
@@ -361,7 +361,7 @@
 	return nil
 }
 
-func writeGroup(groups *bbolt.Bucket, x *copies.GroupWrite) error {
+func writeGroup(groups *bbolt.Bucket, x *raftstore.GroupWrite) error {
 	key := refKey(x.Group, x.Epoch, x.Number)
 	if x.Drop {
 		if groups.Bucket(key) == nil {
@@ -399,7 +399,7 @@
 }
 
 // writeSnapshot puts a snapshot in the place of the last one, and of the log up to it, or of all of it.
-func writeSnapshot(raw, log *bbolt.Bucket, x *copies.GroupWrite) error {
+func writeSnapshot(raw, log *bbolt.Bucket, x *raftstore.GroupWrite) error {
 	last := x.Snapshot.GetMetadata().GetIndex()
 	c := log.Cursor()
 	for k, _ := c.First(); k != nil && (!x.Keep || binary.BigEndian.Uint64(k) <= last); k, _ = c.First() {
@@ -446,7 +446,7 @@
 }
 
 // Check reads a file that no gateway has open, and tells what is in it.
-func Check(path string) (s *copies.Stored, err error) {
+func Check(path string) (s *raftstore.Stored, err error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, err
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -12,30 +12,30 @@
 
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"marblespan/internal/copies"
+	"marblespan/internal/raftstore"
 )
 
 // drawn makes a write that fits what is there, as a host makes them.
-func drawn(rng *rand.Rand, i copies.Image) copies.Write {
-	w := copies.Write{Store: max(i.Store, 7), Life: i.Life + uint64(rng.IntN(2))}
+func drawn(rng *rand.Rand, i raftstore.Image) raftstore.Write {
+	w := raftstore.Write{Store: max(i.Store, 7), Life: i.Life + uint64(rng.IntN(2))}
 	if i.Store != 0 && rng.IntN(40) == 0 {
 		w.Store++
-		i = copies.Image{}
+		i = raftstore.Image{}
 	}
 	if rng.IntN(4) == 0 {
 		w.View = []byte(fmt.Sprint("view ", rng.Uint64()))
 	}
 	if rng.IntN(8) == 0 {
-		w.Retired = []copies.Ref{{Group: rng.Uint32N(4), Epoch: 1, Number: rng.Uint64N(9)}}
+		w.Retired = []raftstore.Ref{{Group: rng.Uint32N(4), Epoch: 1, Number: rng.Uint64N(9)}}
 	}
 	for group := range uint32(4) {
-		var s *copies.StoredGroup
+		var s *raftstore.StoredGroup
 		for k := range i.Groups {
 			if i.Groups[k].Group == group {
 				s = &i.Groups[k]
 			}
 		}
-		x := copies.GroupWrite{Group: group, Epoch: 1, Number: uint64(group) + 10}
+		x := raftstore.GroupWrite{Group: group, Epoch: 1, Number: uint64(group) + 10}
 		next := uint64(1)
 		if s != nil && s.Snapshot != nil {
 			next = s.Snapshot.GetMetadata().GetIndex() + 1
@@ -79,7 +79,7 @@
 	return w
 }
 
-func show(s *copies.Stored) string {
+func show(s *raftstore.Stored) string {
 	out := fmt.Sprintf("%d %d %s %v", s.Store, s.Life, s.View, s.Retired)
 	for _, g := range s.Groups {
 		out += fmt.Sprintf("\n%d/%d/%d %v", g.Group, g.Epoch, g.Number, g.Hard)
@@ -111,7 +111,7 @@
 	for seed := range uint64(6) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		path := filepath.Join(t.TempDir(), "copies.db")
-		var image copies.Image
+		var image raftstore.Image
 		f := open(t, path, show(image.Stored()))
 		for i := range 60 {
 			w := drawn(rng, image)
@@ -186,7 +186,7 @@
 	}
 	rng := rand.New(rand.NewPCG(5, 1))
 	path := filepath.Join(t.TempDir(), "copies.db")
-	var image copies.Image
+	var image raftstore.Image
 	f := open(t, path, show(image.Stored()))
 	for range 30 {
 		w := drawn(rng, image)
--- a/internal/withcopies/withcopies.go
+++ b/internal/withcopies/withcopies.go
@@ -9,11 +9,11 @@
 	"time"
 
 	"marblespan/internal/bookings"
-	"marblespan/internal/copies"
 	"marblespan/internal/holders"
 	"marblespan/internal/maintenance"
 	"marblespan/internal/policy"
 	"marblespan/internal/program"
+	"marblespan/internal/raftstore"
 	"marblespan/internal/store"
 )
 
@@ -31,8 +31,8 @@
 
 func open(s program.StoreSettings) (program.Store, error) {
 	clock := holders.Clock{
-		Now:  func() copies.Micros { return copies.Micros(s.Clock.Now()) },
-		Time: func(t copies.Micros) time.Time { return s.Clock.Time(policy.Micros(t)) },
+		Now:  func() raftstore.Micros { return raftstore.Micros(s.Clock.Now()) },
+		Time: func(t raftstore.Micros) time.Time { return s.Clock.Time(policy.Micros(t)) },
 	}
 	c := s.Copies
 	format, _ := strconv.ParseUint(Format, 10, 32)
@@ -52,10 +52,10 @@
 
 // Tell reports for the order of maintenance.
 func (o opened) Tell(life uint64, r maintenance.Report) {
-	o.Holders.Tell(copies.Own{Life: life, Report: r})
+	o.Holders.Tell(raftstore.Own{Life: life, Report: r})
 }
 
-func replica(r copies.ReplicaView) program.CopiesReplica {
+func replica(r raftstore.ReplicaView) program.CopiesReplica {
 	return program.CopiesReplica{Number: r.Number, Node: r.Name, Lost: r.Lost}
 }
 
