--- a/internal/golden/copies_test.go
+++ b/internal/golden/copies_test.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/reflect/protoreflect"
 
-	api "marblespan/api/copies"
+	api "marblespan/api/raftstorepb"
 	"marblespan/internal/maintenance"
 	"marblespan/internal/raftstore"
 )
--- a/internal/golden/store_test.go
+++ b/internal/golden/store_test.go
@@ -13,7 +13,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	api "marblespan/api/copies"
+	api "marblespan/api/raftstorepb"
 	"marblespan/internal/raftstore"
 	"marblespan/internal/store"
 )
--- a/internal/holders/uses.go
+++ b/internal/holders/uses.go
@@ -7,7 +7,7 @@
 	"marblespan/internal/maintenance"
 	"marblespan/internal/raftstore"
 
-	api "marblespan/api/copies"
+	api "marblespan/api/raftstorepb"
 )
 
 // tryAgain is how long a store that does not answer is left alone before one call tries it again.
--- a/internal/raftstore/announce.go
+++ b/internal/raftstore/announce.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	api "marblespan/api/copies"
+	api "marblespan/api/raftstorepb"
 )
 
 // This file is what hosts tell each other of themselves, and what the ledger's leader makes of it.
--- a/internal/raftstore/copies.go
+++ b/internal/raftstore/copies.go
@@ -11,7 +11,7 @@
 import (
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	api "marblespan/api/copies"
+	api "marblespan/api/raftstorepb"
 	"marblespan/internal/maintenance"
 )
 
--- a/internal/raftstore/group.go
+++ b/internal/raftstore/group.go
@@ -10,7 +10,7 @@
 	"go.etcd.io/raft/v3/tracker"
 	"google.golang.org/protobuf/proto"
 
-	api "marblespan/api/copies"
+	api "marblespan/api/raftstorepb"
 )
 
 // The library's settings. Election time-outs are drawn from electionTicks to twice that.
--- a/internal/raftstore/host.go
+++ b/internal/raftstore/host.go
@@ -9,7 +9,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	api "marblespan/api/copies"
+	api "marblespan/api/raftstorepb"
 )
 
 // packetVersion is that of the packets' layout.
--- a/internal/raftstore/ledger.go
+++ b/internal/raftstore/ledger.go
@@ -5,7 +5,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	api "marblespan/api/copies"
+	api "marblespan/api/raftstorepb"
 )
 
 // ledger is the machine of the ledger: which stores there are, and who holds which group. Its decisions are made in plan, by
--- a/internal/raftstore/maintain.go
+++ b/internal/raftstore/maintain.go
@@ -7,7 +7,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	api "marblespan/api/copies"
+	api "marblespan/api/raftstorepb"
 	"marblespan/internal/maintenance"
 )
 
--- a/internal/raftstore/place.go
+++ b/internal/raftstore/place.go
@@ -8,7 +8,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	api "marblespan/api/copies"
+	api "marblespan/api/raftstorepb"
 )
 
 // ShardOf is the shard of a key, counted from 1.
--- a/internal/raftstore/plan.go
+++ b/internal/raftstore/plan.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	api "marblespan/api/copies"
+	api "marblespan/api/raftstorepb"
 )
 
 // The spans by which the ledger's leader judges, in ticks: a holder that announced itself within freshFor can take replicas; one
--- a/internal/raftstore/reconcile.go
+++ b/internal/raftstore/reconcile.go
@@ -6,7 +6,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	api "marblespan/api/copies"
+	api "marblespan/api/raftstorepb"
 )
 
 // This file brings the replicas that a host runs in line with the ledger.
--- a/internal/raftstore/records.go
+++ b/internal/raftstore/records.go
@@ -8,7 +8,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	api "marblespan/api/copies"
+	api "marblespan/api/raftstorepb"
 )
 
 // clientSpan is for how long a client's last results are kept after its last command.
--- a/internal/raftstore/requests.go
+++ b/internal/raftstore/requests.go
@@ -6,7 +6,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	api "marblespan/api/copies"
+	api "marblespan/api/raftstorepb"
 )
 
 // This file takes requests to the leader of their group, wherever that is, and their replies back.
--- a/internal/raftstore/trouble_test.go
+++ b/internal/raftstore/trouble_test.go
@@ -12,7 +12,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	api "marblespan/api/copies"
+	api "marblespan/api/raftstorepb"
 )
 
 var seeds = flag.Int("seeds", 0, "how many seeds of each trouble are run; 0: as many as CI has time for")
--- a/internal/raftstore/voters.go
+++ b/internal/raftstore/voters.go
@@ -8,7 +8,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	api "marblespan/api/copies"
+	api "marblespan/api/raftstorepb"
 )
 
 // This file is how a replica that has restarted finds out whether its voters are the last ones.
--- a/internal/raftstore/world_test.go
+++ b/internal/raftstore/world_test.go
@@ -11,7 +11,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	api "marblespan/api/copies"
+	api "marblespan/api/raftstorepb"
 	"marblespan/internal/maintenance"
 )
 
--- a/internal/withcopies/bookings.go
+++ b/internal/withcopies/bookings.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	api "marblespan/api/copies"
+	api "marblespan/api/raftstorepb"
 	"marblespan/internal/bookings"
 	"marblespan/internal/doubt"
 	"marblespan/internal/raftstore"
