--- a/internal/bookings/bookings.go
+++ b/internal/bookings/bookings.go
@@ -19,7 +19,7 @@
 	"marblespan/internal/doubt"
 )
 
-// Store keeps records (internal/holders). None of its methods blocks; done is called once, on any goroutine.
+// Store keeps records (internal/raftnode). None of its methods blocks; done is called once, on any goroutine.
 type Store interface {
 	// Put changes a record if its version is this one; 0: if there is none.
 	Put(key, value []byte, version uint64, span time.Duration, by time.Time, done func(Stored))
--- a/internal/lab/copies/cluster.go
+++ b/internal/lab/copies/cluster.go
@@ -13,9 +13,9 @@
 
 	"github.com/rs/zerolog"
 
-	"marblespan/internal/holders"
 	"marblespan/internal/lab/report"
 	"marblespan/internal/protocol/sealed"
+	"marblespan/internal/raftnode"
 	"marblespan/internal/raftstore"
 	"marblespan/internal/streams"
 	"marblespan/internal/transport"
@@ -35,7 +35,7 @@
 type member struct {
 	name    string
 	streams *streams.Streams
-	holders *holders.Holders
+	holders *raftnode.Holders
 }
 
 // shape is what a cluster is made of.
@@ -93,10 +93,10 @@
 	if s.disk {
 		path = filepath.Join(c.dir, name+".db")
 	}
-	m.holders, err = holders.Start(holders.Settings{
+	m.holders, err = raftnode.Start(raftnode.Settings{
 		Node: name, Weight: 1, Holds: true, Path: path, Tick: 100 * time.Millisecond, HealAfter: s.healAfter, HealAtOnce: 4, HealRate: 64 << 20,
 		MostBytes: 1 << 30, LeastLog: 1 << 20, Others: c.names,
-	}, holders.Clock{
+	}, raftnode.Clock{
 		Now:  func() raftstore.Micros { return raftstore.Micros(time.Since(begin).Microseconds()) + 1 },
 		Time: func(t raftstore.Micros) time.Time { return begin.Add(time.Duration(t-1) * time.Microsecond) },
 	}, m.streams, zerolog.New(io.Discard))
--- a/internal/program/copies.go
+++ b/internal/program/copies.go
@@ -21,7 +21,7 @@
 	"marblespan/internal/streams"
 )
 
-// Store is what a gateway holds for others, and its way to what others hold (internal/holders). It stands in a program of its
+// Store is what a gateway holds for others, and its way to what others hold (internal/raftnode). It stands in a program of its
 // own, for what it links costs memory that a gateway without it must not pay: OpenStore is nil in the smaller one.
 type Store interface {
 	// Able tells whether a promise is likely to be had now for a key.
--- a/internal/holders/holders.go
+++ b/internal/raftnode/holders.go
@@ -1,6 +1,6 @@
-// Package holders joins what a gateway holds for others (internal/raftstore) to the world: one goroutine around the host, one that
+// Package raftnode joins what a gateway holds for others (internal/raftstore) to the world: one goroutine around the host, one that
 // writes its disk, and the streams to the other gateways. It decides nothing.
-package holders
+package raftnode
 
 import (
 	"crypto/rand"
--- a/internal/holders/holders_test.go
+++ b/internal/raftnode/holders_test.go
@@ -1,4 +1,4 @@
-package holders
+package raftnode
 
 import (
 	"bytes"
--- a/internal/withcopies/withcopies.go
+++ b/internal/withcopies/withcopies.go
@@ -9,10 +9,10 @@
 	"time"
 
 	"marblespan/internal/bookings"
-	"marblespan/internal/holders"
 	"marblespan/internal/maintenance"
 	"marblespan/internal/policy"
 	"marblespan/internal/program"
+	"marblespan/internal/raftnode"
 	"marblespan/internal/raftstore"
 	"marblespan/internal/store"
 )
@@ -30,13 +30,13 @@
 }
 
 func open(s program.StoreSettings) (program.Store, error) {
-	clock := holders.Clock{
+	clock := raftnode.Clock{
 		Now:  func() raftstore.Micros { return raftstore.Micros(s.Clock.Now()) },
 		Time: func(t raftstore.Micros) time.Time { return s.Clock.Time(policy.Micros(t)) },
 	}
 	c := s.Copies
 	format, _ := strconv.ParseUint(Format, 10, 32)
-	h, err := holders.Start(holders.Settings{
+	h, err := raftnode.Start(raftnode.Settings{
 		Node: s.Node, Zone: s.Zone, Weight: s.Weight, Holds: c.Holds(s.Node), Path: c.Path(), Witness: c.Witness, Tick: c.Heartbeat,
 		HealAfter: c.HealAfter, HealAtOnce: c.HealAtOnce, HealRate: int(c.HealRate), MostBytes: int64(c.Memory), LeastLog: leastLog,
 		Format: uint32(format), Others: s.Others, Maintain: s.Maintain, Members: s.Members, Ordered: s.Ordered,
@@ -48,7 +48,7 @@
 }
 
 // opened is a store as the gateway knows it.
-type opened struct{ *holders.Holders }
+type opened struct{ *raftnode.Holders }
 
 // Tell reports for the order of maintenance.
 func (o opened) Tell(life uint64, r maintenance.Report) {
