--- a/cmd/marblespan-holder/main.go
+++ b/cmd/marblespan-holder/main.go
@@ -6,10 +6,10 @@
 	"os"
 
 	"marblespan/internal/cli"
-	"marblespan/internal/withcopies"
+	"marblespan/internal/raftgateway"
 )
 
 func main() {
-	withcopies.Use()
+	raftgateway.Use()
 	os.Exit(cli.Main(os.Args[1:], os.Getenv, os.Stdout, os.Stderr))
 }
--- a/internal/archtest/layers_test.go
+++ b/internal/archtest/layers_test.go
@@ -52,7 +52,7 @@
 	"internal/floating": {"internal/datagrams", "internal/protocol/sealed", "internal/protocol/vrrp", "internal/vrrp"},
 	"internal/store":    {"internal/raftstore"},
 	"internal/raftnode": {"api/raftstorepb", "internal/raftstore", "internal/maintenance", "internal/store", "internal/streams"},
-	"internal/withcopies": {
+	"internal/raftgateway": {
 		"api/raftstorepb", "internal/policy", "internal/bookings", "internal/raftstore", "internal/doubt", "internal/raftnode", "internal/maintenance", "internal/program", "internal/store",
 	},
 	"internal/program": {
@@ -82,7 +82,7 @@
 	"internal/lab/demo":     {"internal/rig"},
 	"cmd/marblelab":         {"internal/lab/chaos", "internal/lab/copies", "internal/lab/demo", "internal/lab/doubt", "internal/lab/failover", "internal/lab/maintain", "internal/lab/members", "internal/rig"},
 	"cmd/marblespan":        {"internal/cli"},
-	"cmd/marblespan-holder": {"internal/cli", "internal/withcopies"},
+	"cmd/marblespan-holder": {"internal/cli", "internal/raftgateway"},
 	"cmd/simhost":           {"internal/simhost"},
 }
 
--- a/internal/withcopies/contents_test.go
+++ b/internal/raftgateway/contents_test.go
@@ -1,4 +1,4 @@
-package withcopies
+package raftgateway
 
 import (
 	"bytes"
--- a/internal/withcopies/withcopies.go
+++ b/internal/raftgateway/withcopies.go
@@ -1,5 +1,5 @@
-// Package withcopies gives the gateway its store: what of it only the larger program has.
-package withcopies
+// Package raftgateway gives the gateway its store: what of it only the larger program has.
+package raftgateway
 
 import (
 	"encoding/json"
