--- a/internal/archtest/layers_test.go
+++ b/internal/archtest/layers_test.go
@@ -49,11 +49,11 @@
 	"internal/peers": {
 		"internal/datagrams", "internal/membership", "internal/protocol/members", "internal/protocol/sealed", "internal/streams", "internal/transport",
 	},
-	"internal/floating": {"internal/datagrams", "internal/protocol/sealed", "internal/protocol/vrrp", "internal/vrrp"},
-	"internal/store":    {"internal/raftstore"},
-	"internal/raftnode": {"api/raftstorepb", "internal/raftstore", "internal/maintenance", "internal/store", "internal/streams"},
+	"internal/floating":    {"internal/datagrams", "internal/protocol/sealed", "internal/protocol/vrrp", "internal/vrrp"},
+	"internal/raftstorage": {"internal/raftstore"},
+	"internal/raftnode":    {"api/raftstorepb", "internal/raftstore", "internal/maintenance", "internal/raftstorage", "internal/streams"},
 	"internal/raftgateway": {
-		"api/raftstorepb", "internal/policy", "internal/bookings", "internal/raftstore", "internal/doubt", "internal/raftnode", "internal/maintenance", "internal/program", "internal/store",
+		"api/raftstorepb", "internal/policy", "internal/bookings", "internal/raftstore", "internal/doubt", "internal/raftnode", "internal/maintenance", "internal/program", "internal/raftstorage",
 	},
 	"internal/program": {
 		"internal/policy", "internal/bookings", "internal/config", "internal/control", "internal/doubt", "internal/floating", "internal/maintenance", "internal/membership", "internal/peers",
@@ -72,7 +72,7 @@
 		"internal/lab/report", "internal/membership", "internal/protocol/members", "internal/protocol/sealed", "internal/rig",
 	},
 	"internal/lab/copies": {
-		"api/raftstorepb", "internal/raftstore", "internal/raftnode", "internal/lab/report", "internal/protocol/sealed", "internal/rig", "internal/store", "internal/streams",
+		"api/raftstorepb", "internal/raftstore", "internal/raftnode", "internal/lab/report", "internal/protocol/sealed", "internal/rig", "internal/raftstorage", "internal/streams",
 		"internal/transport",
 	},
 	"internal/lab/failover": {"internal/lab/report", "internal/rig", "internal/standin"},
--- a/internal/golden/store_test.go
+++ b/internal/golden/store_test.go
@@ -14,8 +14,8 @@
 	"google.golang.org/protobuf/proto"
 
 	api "marblespan/api/raftstorepb"
+	"marblespan/internal/raftstorage"
 	"marblespan/internal/raftstore"
-	"marblespan/internal/store"
 )
 
 // storeFile is the golden store, compressed.
@@ -58,7 +58,7 @@
 // writeStore writes the content of the golden store to a new file.
 func writeStore(t *testing.T, path string) {
 	t.Helper()
-	file, _, err := store.Open(path)
+	file, _, err := raftstorage.Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -164,7 +164,7 @@
 
 // This version reads what the golden store holds, and a gateway starts from it.
 func TestStoreIsRead(t *testing.T) {
-	file, stored, err := store.Open(unpackStore(t))
+	file, stored, err := raftstorage.Open(unpackStore(t))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/copies/measure.go
+++ b/internal/lab/copies/measure.go
@@ -14,9 +14,9 @@
 
 	api "marblespan/api/raftstorepb"
 	"marblespan/internal/lab/report"
+	"marblespan/internal/raftstorage"
 	"marblespan/internal/raftstore"
 	"marblespan/internal/rig"
-	"marblespan/internal/store"
 )
 
 // Options say what is measured.
@@ -207,7 +207,7 @@
 	}
 	defer os.RemoveAll(dir)
 	path := filepath.Join(dir, "copies.db")
-	f, _, err := store.Open(path)
+	f, _, err := raftstorage.Open(path)
 	if err != nil {
 		return err
 	}
@@ -243,7 +243,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	begin := time.Now()
-	f, stored, err := store.Open(path)
+	f, stored, err := raftstorage.Open(path)
 	if err != nil {
 		return err
 	}
--- a/internal/raftgateway/withcopies.go
+++ b/internal/raftgateway/withcopies.go
@@ -13,8 +13,8 @@
 	"marblespan/internal/policy"
 	"marblespan/internal/program"
 	"marblespan/internal/raftnode"
+	"marblespan/internal/raftstorage"
 	"marblespan/internal/raftstore"
-	"marblespan/internal/store"
 )
 
 // leastLog is how long a shard's log gets before a snapshot takes its place, in bytes.
@@ -115,7 +115,7 @@
 }
 
 func check(path string, raw bool, out io.Writer) error {
-	s, err := store.Check(path)
+	s, err := raftstorage.Check(path)
 	if err != nil {
 		return err
 	}
--- a/internal/raftnode/holders.go
+++ b/internal/raftnode/holders.go
@@ -17,8 +17,8 @@
 	"golang.org/x/time/rate"
 
 	"marblespan/internal/maintenance"
+	"marblespan/internal/raftstorage"
 	"marblespan/internal/raftstore"
-	"marblespan/internal/store"
 	"marblespan/internal/streams"
 )
 
@@ -81,8 +81,8 @@
 	log     zerolog.Logger
 	streams *streams.Streams
 	host    *raftstore.Host
-	disk    *store.File
-	witness *store.Witness
+	disk    *raftstorage.File
+	witness *raftstorage.Witness
 
 	events  chan any // copies.Event, or a func to run
 	writes  chan raftstore.Write
@@ -157,15 +157,15 @@
 
 // open opens the disk. A file that is damaged is put aside: the gateway has lost its disk, and goes on with an empty one.
 func (h *Holders) open() (*raftstore.Stored, bool, error) {
-	f, stored, err := store.Open(h.s.Path)
-	var damaged *store.Damaged
+	f, stored, err := raftstorage.Open(h.s.Path)
+	var damaged *raftstorage.Damaged
 	if errors.As(err, &damaged) {
 		aside := fmt.Sprintf("%s.damaged-%d", h.s.Path, time.Now().Unix())
 		h.log.Error().Err(err).Str("kept_as", aside).Msg("copies: the disk counts as lost")
 		if err := os.Rename(h.s.Path, aside); err != nil {
 			return nil, false, err
 		}
-		f, stored, err = store.Open(h.s.Path)
+		f, stored, err = raftstorage.Open(h.s.Path)
 	}
 	if err != nil {
 		return nil, false, err
@@ -174,7 +174,7 @@
 	trusted := stored.Store == 0
 	if h.s.Witness != "" {
 		var known bool
-		if h.witness, known, err = store.OpenWitness(h.s.Witness, stored.Store, f.Sequence()); err != nil {
+		if h.witness, known, err = raftstorage.OpenWitness(h.s.Witness, stored.Store, f.Sequence()); err != nil {
 			h.closeDisk()
 			return nil, false, fmt.Errorf("witness: %w", err)
 		}
--- a/internal/store/norace_test.go
+++ b/internal/raftstorage/norace_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package store
+package raftstorage
 
 const raced = false
--- a/internal/store/store.go
+++ b/internal/raftstorage/store.go
@@ -1,7 +1,7 @@
-// Package store keeps a host's replicas in one file (go.etcd.io/bbolt): one transaction with one sync for each write of
+// Package raftstorage keeps a host's replicas in one file (go.etcd.io/bbolt): one transaction with one sync for each write of
 // internal/raftstore. Every value carries a check sum over itself and its key, so that what a disk has spoilt is told from what
 // was written. A file that is at fault anywhere is at fault as a whole: its gateway goes on as one that has lost its disk.
-package store
+package raftstorage
 
 import (
 	"encoding/binary"
--- a/internal/store/store_test.go
+++ b/internal/raftstorage/store_test.go
@@ -1,4 +1,4 @@
-package store
+package raftstorage
 
 import (
 	"bytes"
