--- a/internal/bookings/bookings.go
+++ b/internal/bookings/bookings.go
@@ -1,4 +1,4 @@
-// Package bookings joins the desk of bookings in doubt (internal/doubt) to the world: one goroutine around it, the store of copies,
+// Package bookings joins the desk of bookings in doubt (internal/indoubt) to the world: one goroutine around it, the store of copies,
 // the clients' side of each booking, and reads that show whether one ran. It decides nothing.
 package bookings
 
@@ -16,7 +16,7 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/time/rate"
 
-	"marblespan/internal/doubt"
+	"marblespan/internal/indoubt"
 )
 
 // Store keeps records (internal/raftnode). None of its methods blocks; done is called once, on any goroutine.
@@ -28,7 +28,7 @@
 
 // Stored is what came of a call.
 type Stored struct {
-	Result     doubt.Result
+	Result     indoubt.Result
 	Version    uint64
 	Value      []byte
 	Found      bool
@@ -38,7 +38,7 @@
 
 // Class is what the operators' file says of one.
 type Class struct {
-	doubt.Policy
+	indoubt.Policy
 	Look  string // the class of reads that show whether a booking ran; empty: none does
 	Shows string // a text that such a read's value has if it did; empty: the value that the booking wrote
 }
@@ -48,8 +48,8 @@
 	Node    string
 	Life    uint64
 	Classes map[string]Class
-	Now     func() doubt.Micros
-	Time    func(doubt.Micros) time.Time
+	Now     func() indoubt.Micros
+	Time    func(indoubt.Micros) time.Time
 	Log     zerolog.Logger
 	// Look reads a key at the primary, as of now. done is told the row's value and the answer as it would be passed on; it is
 	// called once, on any goroutine.
@@ -78,7 +78,7 @@
 	// Drop tells that it will not be routed.
 	Drop()
 	// Reply is the final answer for the client. Without a value a served one is as Told had it.
-	Reply(kind doubt.Kind, value []byte)
+	Reply(kind indoubt.Kind, value []byte)
 }
 
 // Asked is a booking that a client asks for.
@@ -98,7 +98,7 @@
 	// Ask takes the booking in hand. Its client is told at once, or later, to route it, or its answer.
 	Ask()
 	// Told takes routing's final answer. Value is nil where it is too large to be kept.
-	Told(kind doubt.Kind, value []byte)
+	Told(kind indoubt.Kind, value []byte)
 	// Gone tells that the client waits no longer.
 	Gone()
 	// May tells whether the last byte of an attempt may be written now, and waits for the word.
@@ -111,8 +111,8 @@
 	New(Asked, Client) Claim
 	Use(Store)
 	Ended(node string, life uint64)
-	Views() []doubt.View
-	Noticed(doubt.Notice) int64
+	Views() []indoubt.View
+	Noticed(indoubt.Notice) int64
 	// Fail gives whoever waits here for anything but routing its final answer: the gateway is about to end.
 	Fail()
 	Settle(bound time.Duration) bool
@@ -132,10 +132,10 @@
 // Bookings has all of them in hand.
 type Bookings struct {
 	s     Settings
-	desk  *doubt.Desk
+	desk  *indoubt.Desk
 	lines *rate.Limiter
 
-	counts [doubt.Notices]atomic.Int64
+	counts [indoubt.Notices]atomic.Int64
 	store  atomic.Pointer[Store]
 	next   atomic.Uint64
 
@@ -152,7 +152,7 @@
 func New(s Settings) *Bookings {
 	b := &Bookings{
 		s: s, wake: make(chan struct{}, 1), quit: make(chan struct{}), done: make(chan struct{}), open: map[uint64]*Booking{}, lines: rate.NewLimiter(mostLines, 2*mostLines),
-		desk: doubt.New(doubt.Config{
+		desk: indoubt.New(indoubt.Config{
 			Name: s.Node, Life: s.Life, Window: micros(window), Poll: micros(poll), Settle: micros(settle), Keep: micros(keep),
 		}),
 	}
@@ -160,7 +160,7 @@
 	return b
 }
 
-func micros(d time.Duration) doubt.Micros { return doubt.Micros(d.Microseconds()) }
+func micros(d time.Duration) indoubt.Micros { return indoubt.Micros(d.Microseconds()) }
 
 // Use gives it its store. Before it has one nothing can be promised.
 func (b *Bookings) Use(s Store) { b.store.Store(&s) }
@@ -190,7 +190,7 @@
 	by := b.s.Now() + micros(time.Until(a.By))
 	b.post(func() {
 		b.open[x.id] = x
-		b.handle(doubt.Asked{
+		b.handle(indoubt.Asked{
 			ID: x.id, Key: Key(a.Class, a.Group, a.Words), Request: a.Request, Class: a.Class, Group: a.Group, Repeat: a.Repeat, By: by,
 			Policy: b.s.Classes[a.Class].Policy,
 		})
@@ -198,12 +198,12 @@
 }
 
 // Told takes routing's final answer. Value is nil where it is too large to be kept.
-func (x *Booking) Told(kind doubt.Kind, value []byte) {
-	x.all.post(func() { x.all.handle(doubt.Told{ID: x.id, Kind: kind, Value: value, Kept: value != nil}) })
+func (x *Booking) Told(kind indoubt.Kind, value []byte) {
+	x.all.post(func() { x.all.handle(indoubt.Told{ID: x.id, Kind: kind, Value: value, Kept: value != nil}) })
 }
 
 // Gone tells that the client waits no longer.
-func (x *Booking) Gone() { x.all.post(func() { x.all.handle(doubt.Gone{ID: x.id}) }) }
+func (x *Booking) Gone() { x.all.post(func() { x.all.handle(indoubt.Gone{ID: x.id}) }) }
 
 // May tells whether the last byte of an attempt may be written now, and waits for the word.
 func (x *Booking) May(ctx context.Context, server string, by time.Time) bool {
@@ -211,7 +211,7 @@
 	until := b.s.Now() + micros(time.Until(by))
 	b.post(func() {
 		x.permit = permit
-		b.handle(doubt.Sending{ID: x.id, Server: server, By: until})
+		b.handle(indoubt.Sending{ID: x.id, Server: server, By: until})
 	})
 	late := time.NewTimer(time.Until(by))
 	defer late.Stop()
@@ -227,11 +227,11 @@
 
 // Ended tells that a gateway's life is over, and all before.
 func (b *Bookings) Ended(node string, life uint64) {
-	b.post(func() { b.handle(doubt.Ended{Owner: node, Life: life}) })
+	b.post(func() { b.handle(indoubt.Ended{Owner: node, Life: life}) })
 }
 
 // Noticed is how often something was noticed since the start.
-func (b *Bookings) Noticed(n doubt.Notice) int64 { return b.counts[n].Load() }
+func (b *Bookings) Noticed(n indoubt.Notice) int64 { return b.counts[n].Load() }
 
 // post has the goroutine do something. It never blocks: the owner of the decision module calls it.
 func (b *Bookings) post(do func()) {
@@ -256,7 +256,7 @@
 		case <-b.quit:
 			return
 		case <-timer.C:
-			b.handle(doubt.Tick{})
+			b.handle(indoubt.Tick{})
 		case <-b.wake:
 		}
 		b.mu.Lock()
@@ -270,35 +270,35 @@
 }
 
 // handle hands the desk an event and carries out what comes of it.
-func (b *Bookings) handle(ev doubt.Event) {
+func (b *Bookings) handle(ev indoubt.Event) {
 	for _, a := range b.desk.Handle(b.s.Now(), ev) {
 		switch a := a.(type) {
-		case doubt.Put:
+		case indoubt.Put:
 			b.put(a)
-		case doubt.Get:
+		case indoubt.Get:
 			b.get(a)
-		case doubt.Route:
+		case indoubt.Route:
 			if x := b.open[a.ID]; x != nil {
 				x.routed = true
 				x.client.Route()
 			}
-		case doubt.Permit:
+		case indoubt.Permit:
 			if x := b.open[a.ID]; x != nil && x.permit != nil {
 				x.permit <- a.OK
 				x.permit = nil
 			}
-		case doubt.Reply:
+		case indoubt.Reply:
 			if x := b.open[a.ID]; x != nil {
 				x.client.Reply(a.Kind, a.Value)
 			}
-		case doubt.Look:
+		case indoubt.Look:
 			b.look(a)
-		case doubt.Over:
+		case indoubt.Over:
 			if x := b.open[a.ID]; x != nil && !x.routed {
 				x.client.Drop()
 			}
 			delete(b.open, a.ID)
-		case doubt.Noticed:
+		case indoubt.Noticed:
 			b.noticed(a)
 		}
 	}
@@ -306,34 +306,34 @@
 
 // record is a record as it is kept: JSON, so that a later version may add to it.
 type record struct {
-	State   doubt.State  `json:"state"`
-	Owner   string       `json:"owner"`
-	Life    uint64       `json:"life"`
-	ID      string       `json:"id"`
-	Class   string       `json:"class"`
-	Group   int          `json:"group"`
-	Server  string       `json:"server,omitempty"`
-	Attempt uint32       `json:"attempt"`
-	Left    doubt.Micros `json:"left"`
-	Value   []byte       `json:"value,omitempty"`
-	Kept    bool         `json:"kept,omitempty"`
-	By      string       `json:"by,omitempty"`
+	State   indoubt.State  `json:"state"`
+	Owner   string         `json:"owner"`
+	Life    uint64         `json:"life"`
+	ID      string         `json:"id"`
+	Class   string         `json:"class"`
+	Group   int            `json:"group"`
+	Server  string         `json:"server,omitempty"`
+	Attempt uint32         `json:"attempt"`
+	Left    indoubt.Micros `json:"left"`
+	Value   []byte         `json:"value,omitempty"`
+	Kept    bool           `json:"kept,omitempty"`
+	By      string         `json:"by,omitempty"`
 }
 
-func (b *Bookings) put(p doubt.Put) {
+func (b *Bookings) put(p indoubt.Put) {
 	s := b.store.Load()
 	raw, err := json.Marshal(record(p.Record))
 	if s == nil || err != nil {
-		b.post(func() { b.handle(doubt.Stored{Call: p.Call, Result: doubt.Never}) })
+		b.post(func() { b.handle(indoubt.Stored{Call: p.Call, Result: indoubt.Never}) })
 		return
 	}
 	(*s).Put([]byte(p.Key), raw, p.Version, time.Duration(p.Span)*time.Microsecond, b.s.Time(p.By), b.stored(p.Call))
 }
 
-func (b *Bookings) get(g doubt.Get) {
+func (b *Bookings) get(g indoubt.Get) {
 	s := b.store.Load()
 	if s == nil {
-		b.post(func() { b.handle(doubt.Stored{Call: g.Call, Result: doubt.Never}) })
+		b.post(func() { b.handle(indoubt.Stored{Call: g.Call, Result: indoubt.Never}) })
 		return
 	}
 	(*s).Get([]byte(g.Key), b.s.Time(g.By), b.stored(g.Call))
@@ -341,39 +341,39 @@
 
 func (b *Bookings) stored(call uint64) func(Stored) {
 	return func(x Stored) {
-		ev := doubt.Stored{Call: call, Result: x.Result, Version: x.Version, Lost: x.Lost, Age: micros(x.Age), Since: micros(x.Since)}
+		ev := indoubt.Stored{Call: call, Result: x.Result, Version: x.Version, Lost: x.Lost, Age: micros(x.Age), Since: micros(x.Since)}
 		if x.Found {
 			var r record
 			if json.Unmarshal(x.Value, &r) != nil { // of a version that this one cannot read: all that is known is that it is there
-				r = record{State: doubt.Doubtful}
+				r = record{State: indoubt.Doubtful}
 			}
-			into := doubt.Record(r)
+			into := indoubt.Record(r)
 			ev.Record = &into
 		}
 		b.post(func() { b.handle(ev) })
 	}
 }
 
-func (b *Bookings) look(l doubt.Look) {
+func (b *Bookings) look(l indoubt.Look) {
 	x := b.open[l.ID]
 	class := b.s.Classes[x.ask.Class]
 	b.s.Look(class.Look, x.ask.Name, x.ask.Group, b.s.Time(l.By), func(row, answer []byte, ok bool) {
 		shown := ok && (class.Shows != "" && bytes.Contains(row, []byte(class.Shows)) || class.Shows == "" && bytes.Equal(row, x.ask.Wrote))
-		b.post(func() { b.handle(doubt.Looked{ID: l.ID, Shown: shown, Value: answer}) })
+		b.post(func() { b.handle(indoubt.Looked{ID: l.ID, Shown: shown, Value: answer}) })
 	})
 }
 
 // noticed tells the log of what is not ordinary, by words that one booking can be followed by through all gateways.
-func (b *Bookings) noticed(n doubt.Noticed) {
+func (b *Bookings) noticed(n indoubt.Noticed) {
 	b.counts[n.What].Add(1)
 	if !b.lines.Allow() {
 		return // clients that ask again in haste must not flood the log; the counters have all
 	}
 	line := b.s.Log.Info()
 	switch n.What {
-	case doubt.Claimed, doubt.Released:
+	case indoubt.Claimed, indoubt.Released:
 		line = b.s.Log.Debug()
-	case doubt.Unsettled:
+	case indoubt.Unsettled:
 		line = b.s.Log.Warn()
 	}
 	line.Stringer("what", n.What).Str("booking", Short(n.Key)).Str("id", n.Request).Stringer("state", n.Record.State).
@@ -389,7 +389,7 @@
 }
 
 // Views lists what is in hand.
-func (b *Bookings) Views() (all []doubt.View) {
+func (b *Bookings) Views() (all []indoubt.View) {
 	ran := make(chan struct{})
 	b.post(func() {
 		all = b.desk.Views(b.s.Now())
@@ -404,7 +404,7 @@
 }
 
 // Fail gives whoever waits for the store its final answer.
-func (b *Bookings) Fail() { b.post(func() { b.handle(doubt.Closing{}) }) }
+func (b *Bookings) Fail() { b.post(func() { b.handle(indoubt.Closing{}) }) }
 
 // Settle waits until nothing is in hand, within a bound. It tells whether it came to that.
 func (b *Bookings) Settle(bound time.Duration) bool {
--- a/internal/bookings/bookings_test.go
+++ b/internal/bookings/bookings_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/rs/zerolog"
 
-	"marblespan/internal/doubt"
+	"marblespan/internal/indoubt"
 )
 
 // late is when a test gives up.
@@ -29,7 +29,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.records[string(key)].Version != version {
-		go done(Stored{Result: doubt.Conflict})
+		go done(Stored{Result: indoubt.Conflict})
 		return
 	}
 	k.versions++
@@ -46,28 +46,28 @@
 // asker is the client's side of one booking.
 type asker struct {
 	routed, dropped chan bool
-	reply           chan doubt.Kind
+	reply           chan indoubt.Kind
 	value           string
 }
 
 func (a *asker) Route() { a.routed <- true }
 func (a *asker) Drop()  { a.dropped <- true }
-func (a *asker) Reply(kind doubt.Kind, value []byte) {
+func (a *asker) Reply(kind indoubt.Kind, value []byte) {
 	a.value = string(value)
 	a.reply <- kind
 }
 
 func newAsker() *asker {
-	return &asker{make(chan bool, 1), make(chan bool, 1), make(chan doubt.Kind, 2), ""}
+	return &asker{make(chan bool, 1), make(chan bool, 1), make(chan indoubt.Kind, 2), ""}
 }
 
 func gateway(t *testing.T, name string, store Store, look func(done func(row, answer []byte, ok bool))) *Bookings {
 	t.Helper()
 	begin := time.Now()
 	b := New(Settings{
-		Node: name, Life: 1, Log: zerolog.New(io.Discard), Now: func() doubt.Micros { return doubt.Micros(time.Since(begin).Microseconds()) },
-		Classes: map[string]Class{"order": {Policy: doubt.Policy{Marks: true, Look: look != nil, Span: 60_000_000, Most: 4}, Look: "seat", Shows: "there"}},
-		Time:    func(m doubt.Micros) time.Time { return begin.Add(time.Duration(m) * time.Microsecond) },
+		Node: name, Life: 1, Log: zerolog.New(io.Discard), Now: func() indoubt.Micros { return indoubt.Micros(time.Since(begin).Microseconds()) },
+		Classes: map[string]Class{"order": {Policy: indoubt.Policy{Marks: true, Look: look != nil, Span: 60_000_000, Most: 4}, Look: "seat", Shows: "there"}},
+		Time:    func(m indoubt.Micros) time.Time { return begin.Add(time.Duration(m) * time.Microsecond) },
 		Look:    func(_, _ string, _ int, _ time.Time, done func(row, answer []byte, ok bool)) { go look(done) },
 	})
 	if store != nil {
@@ -105,8 +105,8 @@
 	if !x.May(context.Background(), "p", time.Now().Add(late)) {
 		t.Fatal("not let go out")
 	}
-	x.Told(doubt.Served, []byte("answer"))
-	if k := wait(t, first.reply, "its answer"); k != doubt.Served {
+	x.Told(indoubt.Served, []byte("answer"))
+	if k := wait(t, first.reply, "its answer"); k != indoubt.Served {
 		t.Errorf("%v", k)
 	}
 	if !a.Settle(late) {
@@ -114,7 +114,7 @@
 	}
 	again := newAsker()
 	ask(b, again, "one", true)
-	if k := wait(t, again.reply, "the known answer"); k != doubt.Served || again.value != "answer" {
+	if k := wait(t, again.reply, "the known answer"); k != indoubt.Served || again.value != "answer" {
 		t.Errorf("%v %q", k, again.value)
 	}
 	wait(t, again.dropped, "the word that it is not routed")
@@ -122,13 +122,13 @@
 	second := newAsker()
 	y := ask(a, second, "two", false)
 	wait(t, second.routed, "its way")
-	if v := a.Views(); len(v) != 1 || v[0].Phase != "under_way" || v[0].Record.State != doubt.Open {
+	if v := a.Views(); len(v) != 1 || v[0].Phase != "under_way" || v[0].Record.State != indoubt.Open {
 		t.Errorf("%+v", v)
 	}
 	y.Gone()
 	shown := newAsker()
 	ask(c, shown, "two", true)
-	if k := wait(t, shown.reply, "what a read shows"); k != doubt.Served || shown.value != "read" {
+	if k := wait(t, shown.reply, "what a read shows"); k != indoubt.Served || shown.value != "read" {
 		t.Errorf("%v %q", k, shown.value)
 	}
 	if y.May(context.Background(), "p", time.Now().Add(late)) {
@@ -141,16 +141,16 @@
 	b.Ended("a", 1)
 	taken := newAsker()
 	ask(b, taken, "three", true)
-	if k := wait(t, taken.reply, "a word"); k != doubt.Failed {
+	if k := wait(t, taken.reply, "a word"); k != indoubt.Failed {
 		t.Errorf("%v", k)
 	}
 	var r record
-	if s := store.records[Key("order", 7, []byte("three"))]; json.Unmarshal(s.Value, &r) != nil || r.State != doubt.Doubtful || r.Owner != "a" || r.By != "b" {
+	if s := store.records[Key("order", 7, []byte("three"))]; json.Unmarshal(s.Value, &r) != nil || r.State != indoubt.Doubtful || r.Owner != "a" || r.By != "b" {
 		t.Errorf("%+v", r)
 	}
 	none := newAsker()
 	ask(gateway(t, "d", nil, nil), none, "four", false)
-	if k := wait(t, none.reply, "a refusal without a store"); k != doubt.Refused {
+	if k := wait(t, none.reply, "a refusal without a store"); k != indoubt.Refused {
 		t.Errorf("%v", k)
 	}
 }
@@ -163,7 +163,7 @@
 		ask(b, a, words, false)
 		wait(t, a.routed, "its way")
 	}
-	for repeat, want := range map[bool]doubt.Kind{false: doubt.Refused, true: doubt.Failed} {
+	for repeat, want := range map[bool]indoubt.Kind{false: indoubt.Refused, true: indoubt.Failed} {
 		a := newAsker()
 		ask(b, a, "five", repeat)
 		if k := wait(t, a.reply, "its answer"); k != want {
@@ -171,7 +171,7 @@
 		}
 		wait(t, a.dropped, "the word that it is not routed")
 	}
-	if n := b.Noticed(doubt.Overfull); n != 2 {
+	if n := b.Noticed(indoubt.Overfull); n != 2 {
 		t.Errorf("noticed %d times", n)
 	}
 }
@@ -183,17 +183,17 @@
 		t.Errorf("the key is %s, want %s", got, want)
 	}
 	const text = `{"state":2,"owner":"gw-1","life":3,"id":"request 4","class":"put","group":5,"server":"db-6","attempt":7,"left":8,"value":"YW5zd2Vy","kept":true,"by":"gw-9"}`
-	want := doubt.Record{
-		State: doubt.Answered, Owner: "gw-1", Life: 3, ID: "request 4", Class: "put", Group: 5, Server: "db-6", Attempt: 7, Left: 8, Value: []byte("answer"), Kept: true, By: "gw-9",
+	want := indoubt.Record{
+		State: indoubt.Answered, Owner: "gw-1", Life: 3, ID: "request 4", Class: "put", Group: 5, Server: "db-6", Attempt: 7, Left: 8, Value: []byte("answer"), Kept: true, By: "gw-9",
 	}
 	if got, err := json.Marshal(record(want)); err != nil || string(got) != text {
 		t.Errorf("%v, written as\n%s\nwant\n%s", err, got, text)
 	}
 	var got record
-	if err := json.Unmarshal([]byte(text), &got); err != nil || !reflect.DeepEqual(doubt.Record(got), want) {
+	if err := json.Unmarshal([]byte(text), &got); err != nil || !reflect.DeepEqual(indoubt.Record(got), want) {
 		t.Errorf("%v, read as %+v", err, got)
 	}
-	for state, want := range []doubt.State{doubt.Open, doubt.Answered, doubt.Unsent, doubt.Doubtful} {
+	for state, want := range []indoubt.State{indoubt.Open, indoubt.Answered, indoubt.Unsent, indoubt.Doubtful} {
 		if int(want) != state+1 {
 			t.Errorf("%v is kept as %d, want %d", want, want, state+1)
 		}
--- a/internal/doubt/doubt.go
+++ b/internal/indoubt/doubt.go
@@ -1,10 +1,10 @@
-// Package doubt decides what becomes of bookings whose gateway may have died with them: what is promised before a booking may be
+// Package indoubt decides what becomes of bookings whose gateway may have died with them: what is promised before a booking may be
 // sent, who may send it, what is told to whom asks for it again, and when.
 //
 // It is pure: requests, results of the store, ends and times go in; calls of the store, permissions and answers come out. It owns
 // no clock, socket or goroutine, and draws nothing. Times are whole microseconds of a clock that never
 // steps back. One Desk stands in each gateway. docs/doubt.md has the design, and why no order of events books twice.
-package doubt
+package indoubt
 
 // Micros is a point or a span of time in whole microseconds.
 type Micros int64
--- a/internal/doubt/norace_test.go
+++ b/internal/indoubt/norace_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package doubt
+package indoubt
 
 const fewer = 1
--- a/internal/doubt/overview.go
+++ b/internal/indoubt/overview.go
@@ -1,4 +1,4 @@
-package doubt
+package indoubt
 
 // View is one booking in hand, for whoever asks.
 type View struct {
--- a/internal/doubt/race_test.go
+++ b/internal/indoubt/race_test.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package doubt
+package indoubt
 
 // fewer divides the number of states: one goroutine looks at all of them.
 const fewer = 10
--- a/internal/doubt/settle.go
+++ b/internal/indoubt/settle.go
@@ -1,4 +1,4 @@
-package doubt
+package indoubt
 
 // This file takes a claimed booking from its sending to its settled record.
 
--- a/internal/doubt/words_test.go
+++ b/internal/indoubt/words_test.go
@@ -1,4 +1,4 @@
-package doubt
+package indoubt
 
 import (
 	"os"
--- a/internal/program/bookings.go
+++ b/internal/program/bookings.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"marblespan/internal/bookings"
-	"marblespan/internal/doubt"
+	"marblespan/internal/indoubt"
 	"marblespan/internal/policy"
 )
 
@@ -26,15 +26,15 @@
 	}
 	s := bookings.Settings{
 		Node: g.ops.Members.Node, Life: g.life, Classes: map[string]bookings.Class{}, Log: g.log,
-		Now:  func() doubt.Micros { return doubt.Micros(g.clock.Now()) },
-		Time: func(t doubt.Micros) time.Time { return g.clock.Time(policy.Micros(t)) },
+		Now:  func() indoubt.Micros { return indoubt.Micros(g.clock.Now()) },
+		Time: func(t indoubt.Micros) time.Time { return g.clock.Time(policy.Micros(t)) },
 		Look: func(class, key string, group int, by time.Time, done func(row, answer []byte, ok bool)) {
 			g.clients.Lookup(class, key, group, by, done)
 		},
 	}
 	for _, d := range g.ops.InDoubt {
-		c := bookings.Class{Policy: doubt.Policy{
-			Marks: d.Clients == "mark", Safe: d.Order == "safe", Look: len(d.Look) > 0, Span: doubt.Micros(d.Remember.Microseconds()), Most: d.AtOnce,
+		c := bookings.Class{Policy: indoubt.Policy{
+			Marks: d.Clients == "mark", Safe: d.Order == "safe", Look: len(d.Look) > 0, Span: indoubt.Micros(d.Remember.Microseconds()), Most: d.AtOnce,
 		}}
 		if c.Policy.Look {
 			c.Look = d.Look[0]
@@ -79,7 +79,7 @@
 			Owner: v.Record.Owner, Server: v.Record.Server, Attempt: v.Record.Attempt,
 		})
 	}
-	for n := range doubt.Notices {
+	for n := range indoubt.Notices {
 		s.Counts[n.String()] = g.bookings.Noticed(n)
 	}
 	return s, nil
@@ -91,7 +91,7 @@
 		return
 	}
 	line := g.log.Info()
-	for n := range doubt.Notices {
+	for n := range indoubt.Notices {
 		line = line.Int64(n.String(), g.bookings.Noticed(n))
 	}
 	line.Msg("bookings counters")
--- a/internal/program/questions_test.go
+++ b/internal/program/questions_test.go
@@ -13,7 +13,7 @@
 
 	"marblespan/internal/bookings"
 	"marblespan/internal/config"
-	"marblespan/internal/doubt"
+	"marblespan/internal/indoubt"
 	"marblespan/internal/maintenance"
 	"marblespan/internal/membership"
 	"marblespan/internal/vrrp"
@@ -84,17 +84,17 @@
 // deskDouble has a booking in each state in hand. The methods that it lacks are not called.
 type deskDouble struct{ bookings.Desk }
 
-func (deskDouble) Views() (all []doubt.View) {
-	for state := range doubt.States {
-		all = append(all, doubt.View{
+func (deskDouble) Views() (all []indoubt.View) {
+	for state := range indoubt.States {
+		all = append(all, indoubt.View{
 			Key: "0123456789abcdef", Request: "r-1", Class: "order", Phase: "claiming", For: 5000,
-			Record: doubt.Record{State: state, Owner: "gw-1", Server: "s-1", Attempt: 2},
+			Record: indoubt.Record{State: state, Owner: "gw-1", Server: "s-1", Attempt: 2},
 		})
 	}
 	return all
 }
 
-func (deskDouble) Noticed(n doubt.Notice) int64 { return int64(n) + 1 }
+func (deskDouble) Noticed(n indoubt.Notice) int64 { return int64(n) + 1 }
 
 // Each question on the control socket is known, and is answered as it always was, by a gateway with all sections but those
 // that need sockets and by one with none. Questions that cannot be understood are answered as ever too.
--- a/internal/raftgateway/bookings.go
+++ b/internal/raftgateway/bookings.go
@@ -5,14 +5,14 @@
 
 	api "marblespan/api/raftstorepb"
 	"marblespan/internal/bookings"
-	"marblespan/internal/doubt"
+	"marblespan/internal/indoubt"
 	"marblespan/internal/raftstore"
 )
 
 // results says the store's statuses in the terms of bookings.
-var results = [raftstore.Statuses]doubt.Result{
-	raftstore.OK: doubt.OK, raftstore.Conflict: doubt.Conflict, raftstore.Full: doubt.Never, raftstore.Bad: doubt.Never, raftstore.TooLate: doubt.Unknown,
-	raftstore.NotSent: doubt.Never, raftstore.TooNew: doubt.Never,
+var results = [raftstore.Statuses]indoubt.Result{
+	raftstore.OK: indoubt.OK, raftstore.Conflict: indoubt.Conflict, raftstore.Full: indoubt.Never, raftstore.Bad: indoubt.Never, raftstore.TooLate: indoubt.Unknown,
+	raftstore.NotSent: indoubt.Never, raftstore.TooNew: indoubt.Never,
 }
 
 func stored(a raftstore.Answer) bookings.Stored {
--- a/internal/session/pending.go
+++ b/internal/session/pending.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"marblespan/internal/bookings"
-	"marblespan/internal/doubt"
+	"marblespan/internal/indoubt"
 	"marblespan/internal/policy"
 	"marblespan/internal/protocol/postgres"
 	"marblespan/internal/routing"
@@ -63,15 +63,15 @@
 		q.answered(a)
 		return
 	}
-	kind, value := doubt.Failed, []byte(nil)
+	kind, value := indoubt.Failed, []byte(nil)
 	switch a.Kind {
 	case routing.Served:
-		kind = doubt.Served
+		kind = indoubt.Served
 		if a.Value.Size() <= bookings.MostKept {
 			value = bytes.Join(a.Value.From(0), nil)
 		}
 	case routing.Refused, routing.Rejected:
-		kind = doubt.Refused
+		kind = indoubt.Refused
 	}
 	q.client.mu.Lock()
 	gone := q.gone
@@ -92,7 +92,7 @@
 func (q *pendingQuery) Drop() { q.request.Payload.Free() }
 
 // Reply takes the final answer of a booking that is claimed, or was not to be.
-func (q *pendingQuery) Reply(kind doubt.Kind, value []byte) {
+func (q *pendingQuery) Reply(kind indoubt.Kind, value []byte) {
 	c := q.client
 	c.mu.Lock()
 	held := q.held
@@ -100,12 +100,12 @@
 	c.mu.Unlock()
 	a := routing.Answer{Kind: routing.Failed}
 	switch {
-	case kind == doubt.Served && value != nil:
+	case kind == indoubt.Served && value != nil:
 		a = routing.Answer{Kind: routing.Served, Value: c.all.Buffers.NewMessage()}
 		a.Value.Append(value)
-	case kind == doubt.Served && held != nil, kind == doubt.Refused && held != nil && held.Kind != routing.Served:
+	case kind == indoubt.Served && held != nil, kind == indoubt.Refused && held != nil && held.Kind != routing.Served:
 		a, held = *held, nil
-	case kind == doubt.Refused:
+	case kind == indoubt.Refused:
 		a.Kind = routing.Refused
 	}
 	if held != nil {
