--- a/internal/archtest/layers_test.go
+++ b/internal/archtest/layers_test.go
@@ -30,7 +30,7 @@
 	"internal/duties":             {},
 	"internal/indoubt":            {},
 	"internal/maintenance":        {},
-	"internal/bookings":           {"internal/indoubt"},
+	"internal/intents":            {"internal/indoubt"},
 	"internal/transport":          {},
 	"internal/config":             {"internal/config/lines", "internal/settings", "internal/protocol/discovery"},
 	"internal/config/lines":       {},
@@ -40,7 +40,7 @@
 		"internal/policy", "internal/settings", "internal/protocol/discovery", "internal/transport",
 	},
 	"internal/session": {
-		"internal/policy", "internal/bookings", "internal/indoubt", "internal/settings", "internal/protocol/postgres", "internal/protocol/discovery",
+		"internal/policy", "internal/intents", "internal/indoubt", "internal/settings", "internal/protocol/postgres", "internal/protocol/discovery",
 		"internal/routing", "internal/transport",
 	},
 	"internal/control":   {},
@@ -53,10 +53,10 @@
 	"internal/raftstorage": {"internal/raftstore"},
 	"internal/raftnode":    {"api/raftstorepb", "internal/raftstore", "internal/maintenance", "internal/raftstorage", "internal/streams"},
 	"internal/raftgateway": {
-		"api/raftstorepb", "internal/policy", "internal/bookings", "internal/raftstore", "internal/indoubt", "internal/raftnode", "internal/maintenance", "internal/program", "internal/raftstorage",
+		"api/raftstorepb", "internal/policy", "internal/intents", "internal/raftstore", "internal/indoubt", "internal/raftnode", "internal/maintenance", "internal/program", "internal/raftstorage",
 	},
 	"internal/program": {
-		"internal/policy", "internal/bookings", "internal/config", "internal/control", "internal/indoubt", "internal/floating", "internal/maintenance", "internal/membership", "internal/peers",
+		"internal/policy", "internal/intents", "internal/config", "internal/control", "internal/indoubt", "internal/floating", "internal/maintenance", "internal/membership", "internal/peers",
 		"internal/protocol/members", "internal/protocol/sealed", "internal/protocol/vrrp", "internal/routing",
 		"internal/session", "internal/settings", "internal/streams", "internal/transport", "internal/vrrp",
 	},
--- a/internal/bookings/bookings.go
+++ b/internal/intents/bookings.go
@@ -1,6 +1,6 @@
-// Package bookings joins the desk of bookings in doubt (internal/indoubt) to the world: one goroutine around it, the store of copies,
+// Package intents joins the desk of bookings in doubt (internal/indoubt) to the world: one goroutine around it, the store of copies,
 // the clients' side of each booking, and reads that show whether one ran. It decides nothing.
-package bookings
+package intents
 
 import (
 	"bytes"
--- a/internal/bookings/bookings_test.go
+++ b/internal/intents/bookings_test.go
@@ -1,4 +1,4 @@
-package bookings
+package intents
 
 import (
 	"context"
--- a/internal/program/bookings.go
+++ b/internal/program/bookings.go
@@ -4,13 +4,13 @@
 	"errors"
 	"time"
 
-	"marblespan/internal/bookings"
 	"marblespan/internal/indoubt"
+	"marblespan/internal/intents"
 	"marblespan/internal/policy"
 )
 
 // OpenBookings takes bookings in hand. It is set before the gateway starts, by the program that has a store for them.
-var OpenBookings func(bookings.Settings) bookings.Desk
+var OpenBookings func(intents.Settings) intents.Desk
 
 // settleBookings waits, within a bound, until nothing that is in hand has to be said in the store any more.
 func (g *Gateway) settleBookings(bound time.Duration) {
@@ -20,12 +20,12 @@
 }
 
 // newBookings takes bookings in hand where the operators' file has an in-doubt section; nil: none are.
-func newBookings(g *Gateway) bookings.Desk {
+func newBookings(g *Gateway) intents.Desk {
 	if len(g.ops.InDoubt) == 0 || OpenBookings == nil {
 		return nil
 	}
-	s := bookings.Settings{
-		Node: g.ops.Members.Node, Life: g.life, Classes: map[string]bookings.Class{}, Log: g.log,
+	s := intents.Settings{
+		Node: g.ops.Members.Node, Life: g.life, Classes: map[string]intents.Class{}, Log: g.log,
 		Now:  func() indoubt.Micros { return indoubt.Micros(g.clock.Now()) },
 		Time: func(t indoubt.Micros) time.Time { return g.clock.Time(policy.Micros(t)) },
 		Look: func(class, key string, group int, by time.Time, done func(row, answer []byte, ok bool)) {
@@ -33,7 +33,7 @@
 		},
 	}
 	for _, d := range g.ops.InDoubt {
-		c := bookings.Class{Policy: indoubt.Policy{
+		c := intents.Class{Policy: indoubt.Policy{
 			Marks: d.Clients == "mark", Safe: d.Order == "safe", Look: len(d.Look) > 0, Span: indoubt.Micros(d.Remember.Microseconds()), Most: d.AtOnce,
 		}}
 		if c.Policy.Look {
@@ -75,7 +75,7 @@
 	s := IntentsStatus{Node: g.ops.Members.Node, Open: []Intent{}, Counts: map[string]int64{}}
 	for _, v := range g.bookings.Views() {
 		s.Open = append(s.Open, Intent{
-			Booking: bookings.Short(v.Key), ID: v.Request, Class: v.Class, Phase: v.Phase, ForMS: int64(v.For) / 1000, State: v.Record.State.String(),
+			Booking: intents.Short(v.Key), ID: v.Request, Class: v.Class, Phase: v.Phase, ForMS: int64(v.For) / 1000, State: v.Record.State.String(),
 			Owner: v.Record.Owner, Server: v.Record.Server, Attempt: v.Record.Attempt,
 		})
 	}
--- a/internal/program/copies.go
+++ b/internal/program/copies.go
@@ -12,8 +12,8 @@
 
 	"github.com/rs/zerolog"
 
-	"marblespan/internal/bookings"
 	"marblespan/internal/config"
+	"marblespan/internal/intents"
 	"marblespan/internal/maintenance"
 	"marblespan/internal/membership"
 	"marblespan/internal/policy"
@@ -30,7 +30,7 @@
 	Raise(key []byte, to uint64, last time.Duration, by time.Time, done func(bool))
 	// Read reads it. known is false where it could not be had in time, or may have been lost.
 	Read(key []byte, by time.Time, done func(value uint64, known bool))
-	bookings.Store
+	intents.Store
 	Status() CopiesStatus
 	Found(shards, copies int, first bool) error
 	Gone(node string) error
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -18,9 +18,9 @@
 	"github.com/rs/zerolog"
 	"github.com/rs/zerolog/diode"
 
-	"marblespan/internal/bookings"
 	"marblespan/internal/config"
 	"marblespan/internal/control"
+	"marblespan/internal/intents"
 	"marblespan/internal/policy"
 	"marblespan/internal/routing"
 	"marblespan/internal/session"
@@ -92,12 +92,12 @@
 	clients   *session.Clients
 	servers   *session.Servers
 	discovery *session.Discovery
-	floats    *floats       // nil without a floating address
-	members   *members      // nil without a members section
-	store     Store         // nil without a copies section
-	marks     *marks        // nil where no session is kept
-	bookings  bookings.Desk // nil where none is claimed before it is sent
-	upkeep    *upkeep       // nil without a maintenance section
+	floats    *floats      // nil without a floating address
+	members   *members     // nil without a members section
+	store     Store        // nil without a copies section
+	marks     *marks       // nil where no session is kept
+	bookings  intents.Desk // nil where none is claimed before it is sent
+	upkeep    *upkeep      // nil without a maintenance section
 	stopping  atomic.Bool
 	life      uint64 // microseconds of Unix time at the start
 	control   *control.Server
--- a/internal/program/questions_test.go
+++ b/internal/program/questions_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"marblespan/internal/bookings"
 	"marblespan/internal/config"
 	"marblespan/internal/indoubt"
+	"marblespan/internal/intents"
 	"marblespan/internal/maintenance"
 	"marblespan/internal/membership"
 	"marblespan/internal/vrrp"
@@ -82,7 +82,7 @@
 }
 
 // deskDouble has a booking in each state in hand. The methods that it lacks are not called.
-type deskDouble struct{ bookings.Desk }
+type deskDouble struct{ intents.Desk }
 
 func (deskDouble) Views() (all []indoubt.View) {
 	for state := range indoubt.States {
--- a/internal/raftgateway/bookings.go
+++ b/internal/raftgateway/bookings.go
@@ -4,8 +4,8 @@
 	"time"
 
 	api "marblespan/api/raftstorepb"
-	"marblespan/internal/bookings"
 	"marblespan/internal/indoubt"
+	"marblespan/internal/intents"
 	"marblespan/internal/raftstore"
 )
 
@@ -15,20 +15,20 @@
 	raftstore.NotSent: indoubt.Never, raftstore.TooNew: indoubt.Never,
 }
 
-func stored(a raftstore.Answer) bookings.Stored {
-	return bookings.Stored{
+func stored(a raftstore.Answer) intents.Stored {
+	return intents.Stored{
 		Result: results[a.Status], Version: a.Version, Value: a.Value, Found: a.Found, Lost: a.Lost,
 		Age: time.Duration(a.Age) * time.Microsecond, Since: time.Duration(a.Since) * time.Microsecond,
 	}
 }
 
 // Put changes a record if its version is this one.
-func (o opened) Put(key, value []byte, version uint64, span time.Duration, by time.Time, done func(bookings.Stored)) {
+func (o opened) Put(key, value []byte, version uint64, span time.Duration, by time.Time, done func(intents.Stored)) {
 	command := &api.Command{Put: &api.Put{Key: key, Value: value, Conditional: true, Version: version, Span: span.Microseconds()}}
 	o.Call(key, command, by, func(a raftstore.Answer) { done(stored(a)) })
 }
 
 // Get reads a record.
-func (o opened) Get(key []byte, by time.Time, done func(bookings.Stored)) {
+func (o opened) Get(key []byte, by time.Time, done func(intents.Stored)) {
 	o.Call(key, nil, by, func(a raftstore.Answer) { done(stored(a)) })
 }
--- a/internal/raftgateway/withcopies.go
+++ b/internal/raftgateway/withcopies.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"time"
 
-	"marblespan/internal/bookings"
+	"marblespan/internal/intents"
 	"marblespan/internal/maintenance"
 	"marblespan/internal/policy"
 	"marblespan/internal/program"
@@ -26,7 +26,7 @@
 // Use has gateways of this process open stores.
 func Use() {
 	program.OpenStore, program.CheckStore = open, check
-	program.OpenBookings = func(s bookings.Settings) bookings.Desk { return bookings.New(s) }
+	program.OpenBookings = func(s intents.Settings) intents.Desk { return intents.New(s) }
 }
 
 func open(s program.StoreSettings) (program.Store, error) {
--- a/internal/session/client.go
+++ b/internal/session/client.go
@@ -14,7 +14,7 @@
 	"sync/atomic"
 	"time"
 
-	"marblespan/internal/bookings"
+	"marblespan/internal/intents"
 	"marblespan/internal/protocol/postgres"
 	"marblespan/internal/routing"
 	"marblespan/internal/settings"
@@ -72,7 +72,7 @@
 	Gate    func() bool // whether a request may still be taken; nil: always
 	Marks   Marks       // nil: sessions are kept nowhere but here
 	// Bookings are claimed before they are sent; nil: none are.
-	Bookings bookings.Desk
+	Bookings intents.Desk
 	Limits   Timeouts
 	Counts   *ClientCounts
 
--- a/internal/session/pending.go
+++ b/internal/session/pending.go
@@ -9,8 +9,8 @@
 	"strconv"
 	"time"
 
-	"marblespan/internal/bookings"
 	"marblespan/internal/indoubt"
+	"marblespan/internal/intents"
 	"marblespan/internal/policy"
 	"marblespan/internal/protocol/postgres"
 	"marblespan/internal/routing"
@@ -31,7 +31,7 @@
 	reserve int // bytes set aside for it
 	mark    *mark
 
-	claim   bookings.Claim   // of a booking that must be claimed before it is sent; nil: it need not be
+	claim   intents.Claim    // of a booking that must be claimed before it is sent; nil: it need not be
 	request *routing.Request // that goes out once it is claimed
 	held    *routing.Answer  // routing's, until the claim's answer is given; guarded by the client's lock
 }
@@ -67,7 +67,7 @@
 	switch a.Kind {
 	case routing.Served:
 		kind = indoubt.Served
-		if a.Value.Size() <= bookings.MostKept {
+		if a.Value.Size() <= intents.MostKept {
 			value = bytes.Join(a.Value.From(0), nil)
 		}
 	case routing.Refused, routing.Rejected:
@@ -481,7 +481,7 @@
 	st := &payload.statement
 	words, wrote := postgres.Words(bytes.Join(payload.text.From(0), nil))
 	q.request = r
-	q.claim = c.all.Bookings.New(bookings.Asked{
+	q.claim = c.all.Bookings.New(intents.Asked{
 		Request: st.ID, Class: st.Class, Group: st.Group, Name: st.Key, Words: words, Wrote: wrote, Repeat: st.Repeat,
 		By: time.Now().Add(time.Duration(st.Wait) * time.Millisecond),
 	}, q)
--- a/internal/session/query.go
+++ b/internal/session/query.go
@@ -3,7 +3,7 @@
 import (
 	"net"
 
-	"marblespan/internal/bookings"
+	"marblespan/internal/intents"
 	"marblespan/internal/protocol/postgres"
 	"marblespan/internal/routing"
 	"marblespan/internal/transport"
@@ -13,7 +13,7 @@
 type query struct {
 	text      *transport.Message
 	statement postgres.Statement
-	claim     bookings.Claim // that must still be this gateway's when the last byte goes out; nil: none is needed
+	claim     intents.Claim // that must still be this gateway's when the last byte goes out; nil: none is needed
 }
 
 // Share adds a holder.
