--- a/internal/archtest/layers_test.go
+++ b/internal/archtest/layers_test.go
@@ -46,7 +46,7 @@
 	"internal/control":   {},
 	"internal/datagrams": {},
 	"internal/streams":   {"internal/protocol/sealed", "internal/transport"},
-	"internal/peers": {
+	"internal/gossip": {
 		"internal/datagrams", "internal/membership", "internal/protocol/members", "internal/protocol/sealed", "internal/streams", "internal/transport",
 	},
 	"internal/floating":    {"internal/datagrams", "internal/protocol/sealed", "internal/protocol/vrrp", "internal/vrrp"},
@@ -56,12 +56,12 @@
 		"api/raftstorepb", "internal/policy", "internal/intents", "internal/raftstore", "internal/indoubt", "internal/raftnode", "internal/maintenance", "internal/program", "internal/raftstorage",
 	},
 	"internal/program": {
-		"internal/policy", "internal/intents", "internal/config", "internal/control", "internal/indoubt", "internal/floating", "internal/maintenance", "internal/membership", "internal/peers",
+		"internal/policy", "internal/intents", "internal/config", "internal/control", "internal/indoubt", "internal/floating", "internal/maintenance", "internal/membership", "internal/gossip",
 		"internal/protocol/members", "internal/protocol/sealed", "internal/protocol/vrrp", "internal/routing",
 		"internal/session", "internal/settings", "internal/streams", "internal/transport", "internal/vrrp",
 	},
 	"internal/cli": {
-		"internal/config", "internal/config/lines", "internal/control", "internal/floating", "internal/peers", "internal/program",
+		"internal/config", "internal/config/lines", "internal/control", "internal/floating", "internal/gossip", "internal/program",
 	},
 	"internal/knownred":     {},
 	"internal/knownred/run": {"internal/knownred"},
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -17,7 +17,7 @@
 	"marblespan/internal/config/lines"
 	"marblespan/internal/control"
 	"marblespan/internal/floating"
-	"marblespan/internal/peers"
+	"marblespan/internal/gossip"
 	"marblespan/internal/program"
 )
 
@@ -197,7 +197,7 @@
 }
 
 func (c *command) listMembers(socket string, raw, streams bool) error {
-	var s peers.Status
+	var s gossip.Status
 	question, stream := "members", ""
 	if streams {
 		question, stream = "members streams", "\tSTREAM"
--- a/internal/peers/peers.go
+++ b/internal/gossip/peers.go
@@ -1,6 +1,6 @@
-// Package peers is what gateways say to each other about who is there: one goroutine and one UDP socket around the machine of
+// Package gossip is what gateways say to each other about who is there: one goroutine and one UDP socket around the machine of
 // internal/membership. It decides nothing. Later parts of the program hear of members from it and own no socket.
-package peers
+package gossip
 
 import (
 	"net/netip"
--- a/internal/program/members.go
+++ b/internal/program/members.go
@@ -12,9 +12,9 @@
 	"github.com/cespare/xxhash/v2"
 
 	"marblespan/internal/config"
+	"marblespan/internal/gossip"
 	"marblespan/internal/maintenance"
 	"marblespan/internal/membership"
-	"marblespan/internal/peers"
 	"marblespan/internal/policy"
 	codec "marblespan/internal/protocol/members"
 	"marblespan/internal/protocol/sealed"
@@ -26,7 +26,7 @@
 // members is the gateway's part in the membership. A nil one is a gateway without.
 type members struct {
 	g        *Gateway
-	peers    *peers.Peers
+	peers    *gossip.Peers
 	settings atomic.Uint64 // digest of the settings in force
 	draining atomic.Bool
 	living   atomic.Pointer[[]string]
@@ -42,14 +42,14 @@
 	}
 	m.settings.Store(digest(g.settings))
 	m.living.Store(&[]string{})
-	clock := peers.Clock{
+	clock := gossip.Clock{
 		Now:  func() membership.Micros { return membership.Micros(g.clock.Now()) },
 		Time: func(t membership.Micros) time.Time { return g.clock.Time(policy.Micros(t)) },
 	}
 	var err error
 	s := peersSettings(g.ops)
 	s.Buffers, s.Fds = g.buffers, g.fds
-	if m.peers, err = peers.Start(s, clock, g.life, m.self, m.changed, g.log); err != nil {
+	if m.peers, err = gossip.Start(s, clock, g.life, m.self, m.changed, g.log); err != nil {
 		return nil, err
 	}
 	g.fds.Hold(2) // a socket and a listener
@@ -65,8 +65,8 @@
 }
 
 // self is what the gateway tells the others of itself.
-func (m *members) self() peers.Self {
-	s := peers.Self{Version: Version, Settings: m.settings.Load()}
+func (m *members) self() gossip.Self {
+	s := gossip.Self{Version: Version, Settings: m.settings.Load()}
 	if c := m.g.ops.Copies; c == nil || c.Path() == "" || !c.Holds(m.g.ops.Members.Node) {
 		s.Flags |= membership.NoDisk
 	}
@@ -77,9 +77,9 @@
 }
 
 // peersSettings says the operators' settings in the terms of peers.
-func peersSettings(ops *config.Operators) peers.Settings {
+func peersSettings(ops *config.Operators) gossip.Settings {
 	m := ops.Members
-	s := peers.Settings{
+	s := gossip.Settings{
 		Node: m.Node, Deployment: m.Deployment, Bind: m.Bind, Advertise: m.Advertise, Join: m.Join, Zone: m.Zone, Weight: m.Weight,
 		Interval: m.Interval, Via: map[netip.AddrPort]netip.AddrPort{},
 	}
