--- a/internal/archtest/layers_test.go
+++ b/internal/archtest/layers_test.go
@@ -53,15 +53,15 @@
 	"internal/raftstorage": {"internal/raftstore"},
 	"internal/raftnode":    {"api/raftstorepb", "internal/raftstore", "internal/maintenance", "internal/raftstorage", "internal/streams"},
 	"internal/raftgateway": {
-		"api/raftstorepb", "internal/policy", "internal/intents", "internal/raftstore", "internal/indoubt", "internal/raftnode", "internal/maintenance", "internal/program", "internal/raftstorage",
+		"api/raftstorepb", "internal/policy", "internal/intents", "internal/raftstore", "internal/indoubt", "internal/raftnode", "internal/maintenance", "internal/gateway", "internal/raftstorage",
 	},
-	"internal/program": {
+	"internal/gateway": {
 		"internal/policy", "internal/intents", "internal/config", "internal/control", "internal/indoubt", "internal/floating", "internal/maintenance", "internal/membership", "internal/gossip",
 		"internal/protocol/members", "internal/protocol/sealed", "internal/protocol/vrrp", "internal/routing",
 		"internal/session", "internal/settings", "internal/streams", "internal/transport", "internal/vrrp",
 	},
 	"internal/cli": {
-		"internal/config", "internal/config/lines", "internal/control", "internal/floating", "internal/gossip", "internal/program",
+		"internal/config", "internal/config/lines", "internal/control", "internal/floating", "internal/gossip", "internal/gateway",
 	},
 	"internal/knownred":     {},
 	"internal/knownred/run": {"internal/knownred"},
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -17,8 +17,8 @@
 	"marblespan/internal/config/lines"
 	"marblespan/internal/control"
 	"marblespan/internal/floating"
+	"marblespan/internal/gateway"
 	"marblespan/internal/gossip"
-	"marblespan/internal/program"
 )
 
 // The exit codes.
@@ -111,7 +111,7 @@
 		return become(c.args)
 	}
 	zerolog.TimeFieldFormat = "2006-01-02T15:04:05.000Z07:00"
-	return program.Run(c.load, c.errs)
+	return gateway.Run(c.load, c.errs)
 }
 
 func (c *command) check(*cobra.Command, []string) error {
@@ -146,7 +146,7 @@
 			}
 		}
 	}
-	_, err := fmt.Fprintf(c.out, "marblespan %s%s\n", program.Version, revision)
+	_, err := fmt.Fprintf(c.out, "marblespan %s%s\n", gateway.Version, revision)
 	return err
 }
 
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -8,7 +8,7 @@
 
 	"marblespan/internal/control"
 	"marblespan/internal/floating"
-	"marblespan/internal/program"
+	"marblespan/internal/gateway"
 )
 
 func run(t *testing.T, env map[string]string, args ...string) (code int, out, errs string) {
@@ -41,7 +41,7 @@
 		code      int
 		out, errs string
 	}{
-		{"version", nil, []string{"version"}, 0, "marblespan " + program.Version, ""},
+		{"version", nil, []string{"version"}, 0, "marblespan " + gateway.Version, ""},
 		{"help", nil, []string{"--help"}, 0, "vrrp        Floating addresses", ""},
 		{"unknown command", nil, []string{"foo"}, 2, "", `marblespan: unknown command "foo" for "marblespan"`},
 		{"unknown flag", nil, []string{"check", "--foo"}, 2, "", "marblespan: unknown flag: --foo"},
--- a/internal/cli/copies.go
+++ b/internal/cli/copies.go
@@ -13,7 +13,7 @@
 	"github.com/spf13/cobra"
 
 	"marblespan/internal/config"
-	"marblespan/internal/program"
+	"marblespan/internal/gateway"
 )
 
 // larger is the program that has the store, beside this one.
@@ -34,7 +34,7 @@
 
 // needsStore tells whether the gateway that is to run has a copies section, which this program cannot serve.
 func needsStore(ops *config.Operators) bool {
-	return program.OpenStore == nil && ops != nil && ops.Copies != nil
+	return gateway.OpenStore == nil && ops != nil && ops.Copies != nil
 }
 
 func (c *command) copies() *cobra.Command {
@@ -91,10 +91,10 @@
 	check := &cobra.Command{
 		Use: "check FILE", Short: "Read the file of a store that is not running, and tell whether it is whole", Args: one("a file"),
 		RunE: func(_ *cobra.Command, args []string) error {
-			if program.CheckStore == nil {
+			if gateway.CheckStore == nil {
 				return become(c.args)
 			}
-			return program.CheckStore(args[0], raw, c.out)
+			return gateway.CheckStore(args[0], raw, c.out)
 		},
 	}
 	group.AddCommand(found, gone, anew, check)
@@ -102,7 +102,7 @@
 }
 
 func (c *command) listCopies(socket string, raw bool) error {
-	var s program.CopiesStatus
+	var s gateway.CopiesStatus
 	if err := c.ask(socket, "copies", &s); err != nil {
 		return err
 	}
--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -15,8 +15,8 @@
 	"marblespan/internal/config/lines"
 	"marblespan/internal/control"
 	"marblespan/internal/floating"
+	"marblespan/internal/gateway"
 	"marblespan/internal/gossip"
-	"marblespan/internal/program"
 )
 
 // The golden files in testdata are what operators write and see. They change only where that is meant to change; then
@@ -154,7 +154,7 @@
 	self.Self = true
 	unreached, reached := self, other
 	unreached.StreamMicros, unreached.StreamFault, reached.StreamMicros = 700, "timeout", 800
-	replica := program.CopiesReplica{Number: 11, Node: "gw-1", Lost: true}
+	replica := gateway.CopiesReplica{Number: 11, Node: "gw-1", Lost: true}
 	for _, c := range []struct {
 		name, question string
 		args           []string
@@ -179,30 +179,30 @@
 		},
 		{
 			"copies", "copies", []string{"copies"},
-			program.CopiesStatus{
+			gateway.CopiesStatus{
 				Node: "gw-1", Founding: "00000000000000aa", Index: 7, Copies: 3, Format: 2, Disk: "00000000000000bb", Failed: "disk full", Waiting: 4,
-				Disks: []program.CopiesDisk{{Number: "00000000000000bb", Node: "gw-1", Zone: "a", Weight: 5, Gone: true}},
-				Groups: []program.CopiesGroup{{
-					Group: 1, Epoch: 2, Lost: true, Replicas: []program.CopiesReplica{replica, {Number: 12, Node: "gw-2"}},
-					Adding: &program.CopiesReplica{Number: 13, Node: "gw-3", Lost: true}, Leaving: 12,
-					Here: &program.CopiesHere{Number: 11, Leader: "gw-2", Term: 6, Applied: 80, Last: 90, Records: 10, Bytes: 1100, Unsure: true},
-				}, {Replicas: []program.CopiesReplica{}, Here: &program.CopiesHere{Leader: "gw-2"}}},
+				Disks: []gateway.CopiesDisk{{Number: "00000000000000bb", Node: "gw-1", Zone: "a", Weight: 5, Gone: true}},
+				Groups: []gateway.CopiesGroup{{
+					Group: 1, Epoch: 2, Lost: true, Replicas: []gateway.CopiesReplica{replica, {Number: 12, Node: "gw-2"}},
+					Adding: &gateway.CopiesReplica{Number: 13, Node: "gw-3", Lost: true}, Leaving: 12,
+					Here: &gateway.CopiesHere{Number: 11, Leader: "gw-2", Term: 6, Applied: 80, Last: 90, Records: 10, Bytes: 1100, Unsure: true},
+				}, {Replicas: []gateway.CopiesReplica{}, Here: &gateway.CopiesHere{Leader: "gw-2"}}},
 			}, nil,
 		},
 		{
 			"intents", "intents", []string{"intents"},
-			program.IntentsStatus{
+			gateway.IntentsStatus{
 				Node: "gw-1", Counts: map[string]int64{"claimed": 5, "taken_over": 1},
-				Open: []program.Intent{{
+				Open: []gateway.Intent{{
 					Booking: "0102030405060708", ID: "r-1", Class: "order", Phase: "under_way", ForMS: 20, State: "open", Owner: "gw-1", Server: "s-1", Attempt: 2,
 				}},
 			}, nil,
 		},
 		{
 			"maintain", "maintain", []string{"maintain", "list"},
-			program.MaintainStatus{
+			gateway.MaintainStatus{
 				Node: "gw-1", Leader: "gw-2", Held: true,
-				Machines: []program.MaintainedUnit{{
+				Machines: []gateway.MaintainedUnit{{
 					Place: 1, Machine: "s-1", Kind: "server", Group: 2, State: "leaving", ForMS: 3000, WorkMS: 1_200_000, Waits: "gw-3 to hear of it", Why: "new disk", By: "gw-1",
 				}, {Machine: "gw-3", Kind: "gateway", State: "back"}},
 			}, nil,
--- a/internal/cli/intents.go
+++ b/internal/cli/intents.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"marblespan/internal/program"
+	"marblespan/internal/gateway"
 )
 
 func (c *command) intents() *cobra.Command {
@@ -23,7 +23,7 @@
 }
 
 func (c *command) listIntents(socket string, raw bool) error {
-	var s program.IntentsStatus
+	var s gateway.IntentsStatus
 	if err := c.ask(socket, "intents", &s); err != nil {
 		return err
 	}
--- a/internal/cli/maintain.go
+++ b/internal/cli/maintain.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"marblespan/internal/program"
+	"marblespan/internal/gateway"
 )
 
 // waitPoll is how often the order is looked at while a command waits.
@@ -100,7 +100,7 @@
 	return group
 }
 
-func (c *command) maintenance(socket string) (s program.MaintainStatus, err error) {
+func (c *command) maintenance(socket string) (s gateway.MaintainStatus, err error) {
 	return s, c.ask(socket, "maintain", &s)
 }
 
@@ -175,7 +175,7 @@
 }
 
 // machineIn finds the latest machine of a name as an operator writes it.
-func machineIn(s program.MaintainStatus, name string) (m program.MaintainedUnit, known bool) {
+func machineIn(s gateway.MaintainStatus, name string) (m gateway.MaintainedUnit, known bool) {
 	kind, bare, said := strings.Cut(name, ":")
 	if !said || kind != "gateway" && kind != "server" {
 		kind, bare = "", name
--- a/internal/program/copies_test.go
+++ b/internal/gateway/copies_test.go
@@ -1,4 +1,4 @@
-package program
+package gateway
 
 import "testing"
 
--- a/internal/program/program.go
+++ b/internal/gateway/program.go
@@ -1,5 +1,5 @@
-// Package program starts the gateway, keeps it running and ends it.
-package program
+// Package gateway starts the gateway, keeps it running and ends it.
+package gateway
 
 import (
 	"fmt"
--- a/internal/program/rest_other.go
+++ b/internal/gateway/rest_other.go
@@ -1,6 +1,6 @@
 //go:build !linux
 
-package program
+package gateway
 
 // letGo does nothing here.
 func letGo() {}
--- a/internal/program/status.go
+++ b/internal/gateway/status.go
@@ -1,4 +1,4 @@
-package program
+package gateway
 
 // CopiesStatus is how a gateway stands, for whoever asks.
 type CopiesStatus struct {
--- a/internal/policy/brain_test.go
+++ b/internal/policy/brain_test.go
@@ -885,7 +885,7 @@
 }
 
 // Asks that fail are made ever more seldom, and yet often enough: whatever failed before, a change counts as known 6 s after
-// discovery had it and could be reached. internal/program adds the module's pauses to the time limits of the calls.
+// discovery had it and could be reached. internal/gateway adds the module's pauses to the time limits of the calls.
 func TestPausesBetweenAsks(t *testing.T) {
 	set := settings()
 	set.ListAsked = true
--- a/internal/raftgateway/withcopies.go
+++ b/internal/raftgateway/withcopies.go
@@ -8,10 +8,10 @@
 	"strconv"
 	"time"
 
+	"marblespan/internal/gateway"
 	"marblespan/internal/intents"
 	"marblespan/internal/maintenance"
 	"marblespan/internal/policy"
-	"marblespan/internal/program"
 	"marblespan/internal/raftnode"
 	"marblespan/internal/raftstorage"
 	"marblespan/internal/raftstore"
@@ -25,11 +25,11 @@
 
 // Use has gateways of this process open stores.
 func Use() {
-	program.OpenStore, program.CheckStore = open, check
-	program.OpenBookings = func(s intents.Settings) intents.Desk { return intents.New(s) }
+	gateway.OpenStore, gateway.CheckStore = open, check
+	gateway.OpenBookings = func(s intents.Settings) intents.Desk { return intents.New(s) }
 }
 
-func open(s program.StoreSettings) (program.Store, error) {
+func open(s gateway.StoreSettings) (gateway.Store, error) {
 	clock := raftnode.Clock{
 		Now:  func() raftstore.Micros { return raftstore.Micros(s.Clock.Now()) },
 		Time: func(t raftstore.Micros) time.Time { return s.Clock.Time(policy.Micros(t)) },
@@ -55,8 +55,8 @@
 	o.Holders.Tell(raftstore.Own{Life: life, Report: r})
 }
 
-func replica(r raftstore.ReplicaView) program.CopiesReplica {
-	return program.CopiesReplica{Number: r.Number, Node: r.Name, Lost: r.Lost}
+func replica(r raftstore.ReplicaView) gateway.CopiesReplica {
+	return gateway.CopiesReplica{Number: r.Number, Node: r.Name, Lost: r.Lost}
 }
 
 // hex writes a number that was drawn.
@@ -68,17 +68,17 @@
 }
 
 // Status tells how the gateway stands.
-func (o opened) Status() program.CopiesStatus {
+func (o opened) Status() gateway.CopiesStatus {
 	x := o.Overview()
-	s := program.CopiesStatus{
+	s := gateway.CopiesStatus{
 		Node: o.Node(), Founding: hex(x.Founding), Index: x.Index, Copies: x.Copies, Format: x.Format, Disk: hex(x.Store), Failed: x.Failed, Waiting: x.Calls,
-		Disks: []program.CopiesDisk{}, Groups: []program.CopiesGroup{},
+		Disks: []gateway.CopiesDisk{}, Groups: []gateway.CopiesGroup{},
 	}
 	for _, d := range x.Stores {
-		s.Disks = append(s.Disks, program.CopiesDisk{Number: hex(d.Number), Node: d.Name, Zone: d.Zone, Weight: d.Weight, Gone: d.Gone})
+		s.Disks = append(s.Disks, gateway.CopiesDisk{Number: hex(d.Number), Node: d.Name, Zone: d.Zone, Weight: d.Weight, Gone: d.Gone})
 	}
 	for _, v := range x.Groups {
-		g := program.CopiesGroup{Group: v.Group, Epoch: v.Epoch, Lost: v.Lost, Leaving: v.Leaving, Replicas: []program.CopiesReplica{}}
+		g := gateway.CopiesGroup{Group: v.Group, Epoch: v.Epoch, Lost: v.Lost, Leaving: v.Leaving, Replicas: []gateway.CopiesReplica{}}
 		for _, r := range v.Voters {
 			g.Replicas = append(g.Replicas, replica(r))
 		}
@@ -87,7 +87,7 @@
 			g.Adding = &r
 		}
 		if v.Here != nil {
-			here := program.CopiesHere(*v.Here)
+			here := gateway.CopiesHere(*v.Here)
 			g.Here = &here
 		}
 		s.Groups = append(s.Groups, g)
--- a/internal/session/discovery.go
+++ b/internal/session/discovery.go
@@ -25,7 +25,7 @@
 
 // DefaultCallTimeouts are the limits of a gateway in service. Whatever failed before, a change counts as known 6 s after
 // discovery had it and could be reached. Within that time a watch that has fallen silent has to be noticed, and the next
-// call answered; likewise a call that hangs has to be given up, and the next one answered. internal/program adds both sums
+// call answered; likewise a call that hangs has to be given up, and the next one answered. internal/gateway adds both sums
 // up in a test, with the pauses of the module.
 var DefaultCallTimeouts = CallTimeouts{
 	Connect: 400 * time.Millisecond, Answer: 2 * time.Second, Silence: 2800 * time.Millisecond,
