--- a/internal/archtest/layers_test.go
+++ b/internal/archtest/layers_test.go
@@ -49,19 +49,19 @@
 	"internal/gossip": {
 		"internal/datagrams", "internal/membership", "internal/protocol/members", "internal/protocol/sealed", "internal/streams", "internal/transport",
 	},
-	"internal/floating":    {"internal/datagrams", "internal/protocol/sealed", "internal/protocol/vrrp", "internal/vrrp"},
+	"internal/floatingip":  {"internal/datagrams", "internal/protocol/sealed", "internal/protocol/vrrp", "internal/vrrp"},
 	"internal/raftstorage": {"internal/raftstore"},
 	"internal/raftnode":    {"api/raftstorepb", "internal/raftstore", "internal/maintenance", "internal/raftstorage", "internal/streams"},
 	"internal/raftgateway": {
 		"api/raftstorepb", "internal/policy", "internal/intents", "internal/raftstore", "internal/indoubt", "internal/raftnode", "internal/maintenance", "internal/gateway", "internal/raftstorage",
 	},
 	"internal/gateway": {
-		"internal/policy", "internal/intents", "internal/config", "internal/control", "internal/indoubt", "internal/floating", "internal/maintenance", "internal/membership", "internal/gossip",
+		"internal/policy", "internal/intents", "internal/config", "internal/control", "internal/indoubt", "internal/floatingip", "internal/maintenance", "internal/membership", "internal/gossip",
 		"internal/protocol/members", "internal/protocol/sealed", "internal/protocol/vrrp", "internal/routing",
 		"internal/session", "internal/settings", "internal/streams", "internal/transport", "internal/vrrp",
 	},
 	"internal/cli": {
-		"internal/config", "internal/config/lines", "internal/control", "internal/floating", "internal/gossip", "internal/gateway",
+		"internal/config", "internal/config/lines", "internal/control", "internal/floatingip", "internal/gossip", "internal/gateway",
 	},
 	"internal/knownred":     {},
 	"internal/knownred/run": {"internal/knownred"},
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -16,7 +16,7 @@
 	"marblespan/internal/config"
 	"marblespan/internal/config/lines"
 	"marblespan/internal/control"
-	"marblespan/internal/floating"
+	"marblespan/internal/floatingip"
 	"marblespan/internal/gateway"
 	"marblespan/internal/gossip"
 )
@@ -248,7 +248,7 @@
 }
 
 func (c *command) status(socket string, raw bool) error {
-	var all []floating.Status
+	var all []floatingip.Status
 	if err := c.ask(socket, "vrrp status", &all); err != nil {
 		return err
 	}
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"marblespan/internal/control"
-	"marblespan/internal/floating"
+	"marblespan/internal/floatingip"
 	"marblespan/internal/gateway"
 )
 
@@ -77,7 +77,7 @@
 func TestVRRPStatus(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	s, err := control.Listen(path, func(string) (any, error) {
-		return []floating.Status{{
+		return []floatingip.Status{{
 			Group: "counters", VRID: 5, Addresses: []string{"192.0.2.1"}, State: "backup", ForMS: 1500, Priority: 60, Settings: 100,
 			Ready: true, Wrong: []string{"no-primary"}, Holder: "127.0.0.3", Tenure: 3, HeldMS: 250,
 		}}, nil
--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -14,7 +14,7 @@
 	"marblespan/internal/config"
 	"marblespan/internal/config/lines"
 	"marblespan/internal/control"
-	"marblespan/internal/floating"
+	"marblespan/internal/floatingip"
 	"marblespan/internal/gateway"
 	"marblespan/internal/gossip"
 )
@@ -172,7 +172,7 @@
 		},
 		{
 			"vrrp-status", "vrrp status", []string{"vrrp", "status"},
-			[]floating.Status{{
+			[]floatingip.Status{{
 				Group: "counters", VRID: 51, Addresses: []string{"192.0.2.10", "192.0.2.11"}, State: "backup", ForMS: 1500, Priority: 60, Settings: 100,
 				Ready: true, Wrong: []string{"no-primary"}, Holder: "192.0.2.3", Tenure: 3, HeldMS: 250,
 			}}, nil,
--- a/internal/floating/floating.go
+++ b/internal/floatingip/floating.go
@@ -1,6 +1,6 @@
-// Package floating joins the VRRP machines to the network: one goroutine that reads and writes one UDP socket and owns every
+// Package floatingip joins the VRRP machines to the network: one goroutine that reads and writes one UDP socket and owns every
 // group's machine. It decides nothing; what a machine asks for is carried out here or by the program's Address.
-package floating
+package floatingip
 
 import (
 	"net/netip"
--- a/internal/floating/floating_test.go
+++ b/internal/floatingip/floating_test.go
@@ -1,4 +1,4 @@
-package floating
+package floatingip
 
 import (
 	"errors"
--- a/internal/gateway/floating.go
+++ b/internal/gateway/floating.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"marblespan/internal/config"
-	"marblespan/internal/floating"
+	"marblespan/internal/floatingip"
 	"marblespan/internal/policy"
 	codec "marblespan/internal/protocol/vrrp"
 	"marblespan/internal/routing"
@@ -34,7 +34,7 @@
 // a gateway without.
 type floats struct {
 	g        *Gateway
-	speaker  *floating.Speaker
+	speaker  *floatingip.Speaker
 	counts   session.ClientCounts
 	health   atomic.Pointer[healthSeen]
 	stopping atomic.Bool
@@ -69,12 +69,12 @@
 	}
 	f.health.Store(&healthSeen{at: time.Now()})
 	f.groups.Store(&g.ops.Groups)
-	clock := floating.Clock{
+	clock := floatingip.Clock{
 		Now:  func() vrrp.Micros { return vrrp.Micros(g.clock.Now()) },
 		Time: func(m vrrp.Micros) time.Time { return g.clock.Time(policy.Micros(m)) },
 	}
 	var err error
-	if f.speaker, err = floating.Start(speakerSettings(g.ops), clock, uint64(time.Now().UnixMicro()), f, f.now, g.log); err != nil {
+	if f.speaker, err = floatingip.Start(speakerSettings(g.ops), clock, uint64(time.Now().UnixMicro()), f, f.now, g.log); err != nil {
 		return nil, err
 	}
 	g.fds.Hold(1 + len(g.ops.Groups)) // the socket and the listeners
@@ -84,11 +84,11 @@
 }
 
 // speakerSettings says the operators' settings in the speaker's terms.
-func speakerSettings(ops *config.Operators) floating.Settings {
+func speakerSettings(ops *config.Operators) floatingip.Settings {
 	v := ops.VRRP
-	s := floating.Settings{Node: v.Node, Bind: v.Bind, Announce: v.Announce}
+	s := floatingip.Settings{Node: v.Node, Bind: v.Bind, Announce: v.Announce}
 	for _, p := range v.Peers {
-		s.Peers = append(s.Peers, floating.Peer(p))
+		s.Peers = append(s.Peers, floatingip.Peer(p))
 	}
 	for _, k := range v.Keys {
 		s.Keys = append(s.Keys, codec.Key{Number: k.Number, Secret: []byte(k.Secret)})
@@ -108,7 +108,7 @@
 				}
 			}
 		}
-		s.Groups = append(s.Groups, floating.Group{
+		s.Groups = append(s.Groups, floatingip.Group{
 			Name: g.Name, Addresses: g.Addresses, Listen: g.Listen, Machine: m, Lingers: lingers,
 		})
 	}
@@ -291,9 +291,9 @@
 	}
 }
 
-func (f *floats) status() []floating.Status {
+func (f *floats) status() []floatingip.Status {
 	if f == nil {
-		return []floating.Status{}
+		return []floatingip.Status{}
 	}
 	return f.speaker.Status()
 }
