--- a/cmd/marblelab/main.go
+++ b/cmd/marblelab/main.go
@@ -18,7 +18,7 @@
 	"marblespan/internal/lab/failover"
 	"marblespan/internal/lab/maintain"
 	"marblespan/internal/lab/members"
-	"marblespan/internal/rig"
+	"marblespan/internal/testcluster"
 )
 
 func main() {
@@ -37,7 +37,7 @@
 func beside() string {
 	self, err := os.Executable()
 	if err != nil {
-		return rig.Defaults().Binary
+		return testcluster.Defaults().Binary
 	}
 	return filepath.Join(filepath.Dir(self), "marblespan")
 }
@@ -55,7 +55,7 @@
 }
 
 func demoCommand() *cobra.Command {
-	o, fault, length := rig.Defaults(), "", time.Duration(0)
+	o, fault, length := testcluster.Defaults(), "", time.Duration(0)
 	cmd := &cobra.Command{
 		Use: "demo", Short: "Show three gateways with a floating address under a light load", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -79,12 +79,12 @@
 				o.Progress = cmd.ErrOrStderr()
 			}
 			if holds {
-				o.Rig.Copies, o.Load.Mine = rig.DefaultCopies(), 4
+				o.Rig.Copies, o.Load.Mine = testcluster.DefaultCopies(), 4
 			}
 			if claims {
-				o.Rig.InDoubt, o.Load.Again = &rig.InDoubt{Look: true}, true
+				o.Rig.InDoubt, o.Load.Again = &testcluster.InDoubt{Look: true}, true
 				if o.Rig.Copies == nil {
-					o.Rig.Copies = rig.DefaultCopies()
+					o.Rig.Copies = testcluster.DefaultCopies()
 					o.Rig.Copies.NoMarks = true
 				}
 			}
@@ -247,8 +247,8 @@
 	cmd := &cobra.Command{
 		Use: "maintain", Short: "Measure a night's work: every machine is taken out, in the order that the gateways settle", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if o.Nodes < 4 || o.Nodes > rig.MostNodes || o.Faults < 0 {
-				return fmt.Errorf("needs 4 to %d gateways", rig.MostNodes)
+			if o.Nodes < 4 || o.Nodes > testcluster.MostNodes || o.Faults < 0 {
+				return fmt.Errorf("needs 4 to %d gateways", testcluster.MostNodes)
 			}
 			if !quiet {
 				o.Progress = cmd.ErrOrStderr()
--- a/cmd/marblelab/main_test.go
+++ b/cmd/marblelab/main_test.go
@@ -15,8 +15,8 @@
 	"marblespan/internal/lab/demo"
 	"marblespan/internal/lab/failover"
 	"marblespan/internal/lab/members"
-	"marblespan/internal/rig"
 	"marblespan/internal/standin"
+	"marblespan/internal/testcluster"
 )
 
 // asBroken makes the test's own binary run as a gateway that ends of itself.
@@ -59,9 +59,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	events, err := rig.ReadHistory(bytes.NewReader(raw))
-	if err != nil || len(events) != len(all[0].Events) || len(rig.Check(events)) > 0 {
-		t.Errorf("%v, %d events of %d, %v", err, len(events), len(all[0].Events), rig.Check(events))
+	events, err := testcluster.ReadHistory(bytes.NewReader(raw))
+	if err != nil || len(events) != len(all[0].Events) || len(testcluster.Check(events)) > 0 {
+		t.Errorf("%v, %d events of %d, %v", err, len(events), len(all[0].Events), testcluster.Check(events))
 	}
 	svg, err := os.ReadFile(filepath.Join(all[0].Kept, "timeline.svg"))
 	if err != nil || !strings.Contains(string(svg), "Answers a second, two-1") {
@@ -101,7 +101,7 @@
 
 // A newcomer is told how to ask, and sees who serves.
 func TestDemo(t *testing.T) {
-	o := rig.Defaults()
+	o := testcluster.Defaults()
 	o.Binary = binary
 	var b strings.Builder
 	if err := demo.Run(o, "split", time.Second, &b, nil); err != nil {
--- a/internal/lab/chaos/chaos.go
+++ b/internal/lab/chaos/chaos.go
@@ -11,13 +11,13 @@
 	"time"
 
 	"marblespan/internal/lab/report"
-	"marblespan/internal/rig"
+	"marblespan/internal/testcluster"
 )
 
 // Options say what is run.
 type Options struct {
-	Rig      rig.Options
-	Load     rig.LoadOptions
+	Rig      testcluster.Options
+	Load     testcluster.LoadOptions
 	Script   string        // a file; empty: faults are drawn
 	Seed     uint64        // of what is drawn
 	For      time.Duration // length of what is drawn
@@ -29,7 +29,7 @@
 
 // Defaults is a minute with three gateways.
 func Defaults() Options {
-	o := Options{Rig: rig.Defaults(), Load: rig.DefaultLoad(), Seed: 1, For: time.Minute, Runs: 1, Shrink: 20, Progress: io.Discard}
+	o := Options{Rig: testcluster.Defaults(), Load: testcluster.DefaultLoad(), Seed: 1, For: time.Minute, Runs: 1, Shrink: 20, Progress: io.Discard}
 	o.Rig.Dir = ""
 	return o
 }
@@ -37,20 +37,20 @@
 // Result is one run.
 type Result struct {
 	Name string
-	rig.Outcome
-	Fewest []rig.Fault // of a run that failed
-	Kept   string      // where it is kept
+	testcluster.Outcome
+	Fewest []testcluster.Fault // of a run that failed
+	Kept   string              // where it is kept
 }
 
 // Run makes the runs, until quit is closed. It returns an error only if nothing could be run at all.
 func Run(o Options, quit <-chan struct{}) (all []Result, err error) {
-	var given []rig.Fault
+	var given []testcluster.Fault
 	if o.Script != "" {
 		text, err := os.ReadFile(o.Script)
 		if err != nil {
 			return nil, err
 		}
-		if given, err = rig.ParseScript(o.Script, string(text)); err != nil {
+		if given, err = testcluster.ParseScript(o.Script, string(text)); err != nil {
 			return nil, err
 		}
 	}
@@ -64,7 +64,7 @@
 		if o.Script != "" {
 			r.Name = fmt.Sprintf("%s-%d", strings.TrimSuffix(filepath.Base(o.Script), filepath.Ext(o.Script)), i+1)
 		} else {
-			faults = rig.Draw(o.Seed+uint64(i), o.Rig.Nodes, o.Rig.Replicas, o.For)
+			faults = testcluster.Draw(o.Seed+uint64(i), o.Rig.Nodes, o.Rig.Replicas, o.For)
 		}
 		if err := r.run(o, faults, quit); err != nil {
 			return all, err
@@ -76,7 +76,7 @@
 }
 
 // run makes one run, keeps it if it is asked for or has failed, and shrinks it then.
-func (r *Result) run(o Options, faults []rig.Fault, quit <-chan struct{}) (err error) {
+func (r *Result) run(o Options, faults []testcluster.Fault, quit <-chan struct{}) (err error) {
 	dir := o.Out
 	if dir == "" {
 		if dir, err = os.MkdirTemp("", "chaos"); err != nil {
@@ -99,7 +99,7 @@
 	}
 	if o.Shrink > 0 && r.Err == nil {
 		rule := r.Broken[0].Rule
-		r.Fewest = rig.Shrink(faults, o.Shrink, func(some []rig.Fault) bool {
+		r.Fewest = testcluster.Shrink(faults, o.Shrink, func(some []testcluster.Fault) bool {
 			fmt.Fprintf(o.Progress, "%s: again with %d of %d faults\n", r.Name, len(some), len(faults))
 			again, err := play(o, some, filepath.Join(r.Kept, "again"), quit)
 			if err != nil || again.Err != nil {
@@ -112,7 +112,7 @@
 			}
 			return false
 		})
-		if err := os.WriteFile(filepath.Join(r.Kept, "fewest.script"), []byte(rig.Script(r.Fewest)), 0o644); err != nil {
+		if err := os.WriteFile(filepath.Join(r.Kept, "fewest.script"), []byte(testcluster.Script(r.Fewest)), 0o644); err != nil {
 			return err
 		}
 	}
@@ -120,23 +120,23 @@
 }
 
 // play makes one run whose script, history and logs are kept in a folder.
-func play(o Options, faults []rig.Fault, dir string, quit <-chan struct{}) (rig.Outcome, error) {
+func play(o Options, faults []testcluster.Fault, dir string, quit <-chan struct{}) (testcluster.Outcome, error) {
 	if err := os.RemoveAll(dir); err != nil {
-		return rig.Outcome{}, err
+		return testcluster.Outcome{}, err
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return rig.Outcome{}, err
+		return testcluster.Outcome{}, err
 	}
-	if err := os.WriteFile(filepath.Join(dir, "script"), []byte(rig.Script(faults)), 0o644); err != nil {
-		return rig.Outcome{}, err
+	if err := os.WriteFile(filepath.Join(dir, "script"), []byte(testcluster.Script(faults)), 0o644); err != nil {
+		return testcluster.Outcome{}, err
 	}
 	file, err := os.Create(filepath.Join(dir, "history.jsonl"))
 	if err != nil {
-		return rig.Outcome{}, err
+		return testcluster.Outcome{}, err
 	}
 	defer file.Close()
 	o.Rig.Dir, o.Rig.History = dir, file
-	return rig.Run(o.Rig, o.Load, faults, quit), nil
+	return testcluster.Run(o.Rig, o.Load, faults, quit), nil
 }
 
 // step is the grain of the time line.
@@ -147,7 +147,7 @@
 	if len(r.Events) == 0 {
 		return nil
 	}
-	ends := []string{rig.EndServed, rig.EndRefused, rig.EndFailed, "no answer"}
+	ends := []string{testcluster.EndServed, testcluster.EndRefused, testcluster.EndFailed, "no answer"}
 	l := report.Lines{Title: "Answers a second, " + r.Name, Series: append(ends, "faults at work x 10")}
 	last := r.Events[len(r.Events)-1].At
 	n := int(last/step.Microseconds()) + 1
@@ -166,7 +166,7 @@
 	}
 	for _, e := range r.Events {
 		switch e.Kind {
-		case rig.Heard:
+		case testcluster.Heard:
 			k := len(ends) - 1
 			for i, name := range ends {
 				if name == e.What {
@@ -174,9 +174,9 @@
 				}
 			}
 			l.Values[k][min(max(e.At, 0), last)/step.Microseconds()] += float64(time.Second / step)
-		case rig.Begins:
+		case testcluster.Begins:
 			begun[e.What] = e.At
-		case rig.Ends:
+		case testcluster.Ends:
 			mark(begun[e.What], e.At)
 		}
 	}
@@ -191,7 +191,7 @@
 	for _, r := range all {
 		ends := map[string]int{}
 		for _, e := range r.Events {
-			if e.Kind == rig.Heard {
+			if e.Kind == testcluster.Heard {
 				ends[e.What]++
 			}
 		}
@@ -202,8 +202,8 @@
 			verdict = fmt.Sprint(len(r.Broken), " broken")
 		}
 		rows = append(rows, []string{
-			r.Name, fmt.Sprint(len(r.Faults)), fmt.Sprint(ends[rig.EndServed]), fmt.Sprint(ends[rig.EndRefused]), fmt.Sprint(ends[rig.EndFailed]),
-			fmt.Sprint(ends[rig.EndClosed] + ends[rig.EndReset] + ends[rig.EndTimeout]), r.Settled.Round(time.Millisecond).String(), verdict,
+			r.Name, fmt.Sprint(len(r.Faults)), fmt.Sprint(ends[testcluster.EndServed]), fmt.Sprint(ends[testcluster.EndRefused]), fmt.Sprint(ends[testcluster.EndFailed]),
+			fmt.Sprint(ends[testcluster.EndClosed] + ends[testcluster.EndReset] + ends[testcluster.EndTimeout]), r.Settled.Round(time.Millisecond).String(), verdict,
 		})
 	}
 	if err := report.Table(w, []string{"run", "faults", "served", "refused", "failed", "no answer", "at rest after", "rules"}, rows); err != nil {
@@ -214,7 +214,7 @@
 			fmt.Fprintf(w, "%s: %v\n", r.Name, v)
 		}
 		if r.Fewest != nil {
-			fmt.Fprintf(w, "%s: the fewest faults that still fail:\n%s", r.Name, rig.Script(r.Fewest))
+			fmt.Fprintf(w, "%s: the fewest faults that still fail:\n%s", r.Name, testcluster.Script(r.Fewest))
 		}
 		if r.Failed() {
 			fmt.Fprintf(w, "%s: kept in %s\n", r.Name, r.Kept)
--- a/internal/lab/copies/measure.go
+++ b/internal/lab/copies/measure.go
@@ -16,7 +16,7 @@
 	"marblespan/internal/lab/report"
 	"marblespan/internal/raftstorage"
 	"marblespan/internal/raftstore"
-	"marblespan/internal/rig"
+	"marblespan/internal/testcluster"
 )
 
 // Options say what is measured.
@@ -268,16 +268,16 @@
 
 // gaps takes leaders away from real gateways, and reads in their logs how long their shards had none.
 func gaps(o Options, kind string) (g Gap, err error) {
-	opts := rig.Defaults()
-	opts.Binary, opts.Nodes, opts.Seed, opts.Copies = o.Binary, 5, o.Seed, rig.DefaultCopies()
+	opts := testcluster.Defaults()
+	opts.Binary, opts.Nodes, opts.Seed, opts.Copies = o.Binary, 5, o.Seed, testcluster.DefaultCopies()
 	opts.Copies.Shards, opts.Copies.HealAfter = 16, 30*time.Second
-	f, err := rig.New(opts)
+	f, err := testcluster.New(opts)
 	if err != nil {
 		return g, err
 	}
 	defer f.Close()
 	g = Gap{Kind: kind, Spans: report.NewSpans()}
-	l := f.Load(rig.LoadOptions{Bookers: 4, Mine: 2, Think: 10 * time.Millisecond})
+	l := f.Load(testcluster.LoadOptions{Bookers: 4, Mine: 2, Think: 10 * time.Millisecond})
 	defer l.Stop()
 	for range o.Deaths {
 		n := f.LeaderOf(1)
@@ -285,7 +285,7 @@
 			time.Sleep(time.Second)
 			continue
 		}
-		x, err := rig.ParseFault(fmt.Sprintf("at 0s %s %d", kind, n.Number))
+		x, err := testcluster.ParseFault(fmt.Sprintf("at 0s %s %d", kind, n.Number))
 		if err != nil {
 			return g, err
 		}
@@ -296,10 +296,10 @@
 			return g, err
 		}
 		var late int64
-		if err := f.History.Await("all shards are led again", 30*time.Second, func(all []rig.Event) bool {
+		if err := f.History.Await("all shards are led again", 30*time.Second, func(all []testcluster.Event) bool {
 			next := map[string]int64{}
 			for _, e := range all {
-				if e.At > begin && e.Kind == rig.Belief && e.What == "copies leads" && e.Node != n.Number && next[e.Server] == 0 {
+				if e.At > begin && e.Kind == testcluster.Belief && e.What == "copies leads" && e.Node != n.Number && next[e.Server] == 0 {
 					next[e.Server] = e.At
 				}
 			}
@@ -331,16 +331,16 @@
 }
 
 // leads are the groups that a gateway leads at the end of a history.
-func leads(all []rig.Event, node int) map[string]bool {
+func leads(all []testcluster.Event, node int) map[string]bool {
 	led := map[string]bool{}
 	for _, e := range all {
 		switch {
 		case e.Node != node:
-		case e.Kind == rig.Process && e.What == "started":
+		case e.Kind == testcluster.Process && e.What == "started":
 			clear(led)
-		case e.Kind == rig.Belief && e.What == "copies leads":
+		case e.Kind == testcluster.Belief && e.What == "copies leads":
 			led[e.Server] = true
-		case e.Kind == rig.Belief && (e.What == "copies leads_no_more" || e.What == "copies replica_ends"):
+		case e.Kind == testcluster.Belief && (e.What == "copies leads_no_more" || e.What == "copies replica_ends"):
 			delete(led, e.Server)
 		}
 	}
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"marblespan/internal/rig"
+	"marblespan/internal/testcluster"
 )
 
 // Faults are the faults that can be shown, by name, and what each is.
@@ -30,16 +30,16 @@
 }
 
 // Run shows the fleet until quit is closed, or for a span if that is not 0.
-func Run(o rig.Options, fault string, length time.Duration, w io.Writer, quit <-chan struct{}) error {
+func Run(o testcluster.Options, fault string, length time.Duration, w io.Writer, quit <-chan struct{}) error {
 	shown, known := Faults[fault]
 	if fault != "" && !known {
 		return fmt.Errorf("fault %q is not known; there is %s", fault, strings.Join(Names(), ", "))
 	}
-	faults, err := rig.ParseScript("demo", shown.Script)
+	faults, err := testcluster.ParseScript("demo", shown.Script)
 	if err != nil {
 		return err
 	}
-	f, err := rig.New(o)
+	f, err := testcluster.New(o)
 	if err != nil {
 		return err
 	}
@@ -49,7 +49,7 @@
 	}
 	fmt.Fprintf(w, "%d gateways with one floating address, a primary and %d replicas; all of it stand-ins but the gateways. Ask:\n\n", o.Nodes, o.Replicas)
 	fmt.Fprintf(w, "    psql \"host=%s port=%s user=backend dbname=store sslmode=disable\" \\\n", host(f.Switch.Addr()), port(f.Switch.Addr()))
-	fmt.Fprintf(w, "      -c \"/* id=1,c=%s,d=900,cluster=%d */ SELECT content FROM kv WHERE name = 'a'\"\n\n", rig.ClassView, rig.Group)
+	fmt.Fprintf(w, "      -c \"/* id=1,c=%s,d=900,cluster=%d */ SELECT content FROM kv WHERE name = 'a'\"\n\n", testcluster.ClassView, testcluster.Group)
 	for _, n := range f.Nodes {
 		fmt.Fprintf(w, "gateway %d itself: host=%s port=%s\n", n.Number, host(n.Listen), port(n.Listen))
 	}
@@ -57,7 +57,7 @@
 		fmt.Fprintf(w, "\nAfter 4 s: %s.\n", shown.What)
 	}
 	fmt.Fprintf(w, "\nAnswers a second by gateway (* holds the floating address), then what ran at each server. Ctrl-C ends all of it.\n\n")
-	l := f.Load(rig.DefaultLoad())
+	l := f.Load(testcluster.DefaultLoad())
 	defer l.Stop()
 	played := make(chan error, 1)
 	over := make(chan struct{})
@@ -67,7 +67,7 @@
 }
 
 // watch prints a line a second.
-func watch(f *rig.Fleet, length time.Duration, w io.Writer, quit <-chan struct{}) error {
+func watch(f *testcluster.Fleet, length time.Duration, w io.Writer, quit <-chan struct{}) error {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	seen, second := 0, 0
@@ -88,23 +88,23 @@
 }
 
 // line sums up a second.
-func line(f *rig.Fleet, second int, events []rig.Event, from int) string {
+func line(f *testcluster.Fleet, second int, events []testcluster.Event, from int) string {
 	heard, ran := map[int]map[string]int{}, map[string]int{}
 	var news []string
 	for _, e := range events[from:] {
 		switch e.Kind {
-		case rig.Heard:
+		case testcluster.Heard:
 			if heard[e.Node] == nil {
 				heard[e.Node] = map[string]int{}
 			}
 			heard[e.Node][e.What]++
-		case rig.Ran:
+		case testcluster.Ran:
 			ran[e.Server]++
-		case rig.Begins, rig.Ends:
+		case testcluster.Begins, testcluster.Ends:
 			news = append(news, string(e.Kind)+" "+strings.TrimPrefix(e.What, "at 4s "))
 		}
 	}
-	held := rig.Holding(events)
+	held := testcluster.Holding(events)
 	words := []string{fmt.Sprintf("%3ds", second)}
 	for _, n := range f.Nodes {
 		mark := " "
--- a/internal/lab/doubt/doubt.go
+++ b/internal/lab/doubt/doubt.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"marblespan/internal/lab/report"
-	"marblespan/internal/rig"
+	"marblespan/internal/testcluster"
 )
 
 // Options say what is measured.
@@ -33,22 +33,22 @@
 // way is how bookings are promised.
 type way struct {
 	name   string
-	copies *rig.Copies
-	claims *rig.InDoubt
+	copies *testcluster.Copies
+	claims *testcluster.InDoubt
 }
 
 func ways() []way {
-	held := func(memory bool) *rig.Copies {
-		c := rig.DefaultCopies()
+	held := func(memory bool) *testcluster.Copies {
+		c := testcluster.DefaultCopies()
 		c.Memory, c.NoMarks = memory, true
 		return c
 	}
 	return []way{
 		{"nothing promised", nil, nil},
-		{"memory, fast", held(true), &rig.InDoubt{}},
-		{"memory, safe", held(true), &rig.InDoubt{Safe: true}},
-		{"disk, fast", held(false), &rig.InDoubt{}},
-		{"disk, safe", held(false), &rig.InDoubt{Safe: true}},
+		{"memory, fast", held(true), &testcluster.InDoubt{}},
+		{"memory, safe", held(true), &testcluster.InDoubt{Safe: true}},
+		{"disk, fast", held(false), &testcluster.InDoubt{}},
+		{"disk, safe", held(false), &testcluster.InDoubt{Safe: true}},
 	}
 }
 
@@ -69,7 +69,7 @@
 	Known     int           // of those, that ended with the booking's answer
 	Doubt     int           // of those, that are in doubt for good
 	Settled   *report.Spans // from the first answer's loss to the known one
-	Broken    []rig.Violation
+	Broken    []testcluster.Violation
 }
 
 // Result is all of it.
@@ -91,7 +91,7 @@
 		}
 	}
 	looked := ways()[3]
-	looked.name, looked.claims = "disk, fast, and a read that shows", &rig.InDoubt{Look: true}
+	looked.name, looked.claims = "disk, fast, and a read that shows", &testcluster.InDoubt{Look: true}
 	for _, kind := range []string{"kill", "term", "stop"} {
 		for _, w := range []way{ways()[0], ways()[3], looked} {
 			t, err := takeOver(o, w, kind)
@@ -105,10 +105,10 @@
 	return r, nil
 }
 
-func fleet(o Options, w way) (*rig.Fleet, error) {
-	x := rig.Defaults()
+func fleet(o Options, w way) (*testcluster.Fleet, error) {
+	x := testcluster.Defaults()
 	x.Binary, x.Copies, x.InDoubt, x.CutOnMove, x.Seed = o.Binary, w.copies, w.claims, true, o.Seed
-	return rig.New(x)
+	return testcluster.New(x)
 }
 
 // load has clients book at the gateway that holds the floating address, and takes the times of what they are served.
@@ -122,7 +122,7 @@
 	if err := f.AwaitHolder(1, settleBy); err != nil {
 		return out, err
 	}
-	l := f.Load(rig.LoadOptions{Floating: clients, Think: time.Microsecond})
+	l := f.Load(testcluster.LoadOptions{Floating: clients, Think: time.Microsecond})
 	time.Sleep(o.Span / 5) // until connections stand and leaders are known
 	from := f.History.Now()
 	time.Sleep(o.Span)
@@ -132,9 +132,9 @@
 	served := 0
 	for _, e := range f.History.Events() {
 		switch {
-		case e.Kind == rig.Asked && e.At >= from:
+		case e.Kind == testcluster.Asked && e.At >= from:
 			asked[e.ID] = e.At
-		case e.Kind == rig.Heard && e.What == rig.EndServed && e.At < to && asked[e.ID] > 0:
+		case e.Kind == testcluster.Heard && e.What == testcluster.EndServed && e.At < to && asked[e.ID] > 0:
 			out.Spans.Add(e.At - asked[e.ID])
 			served++
 		}
@@ -158,10 +158,10 @@
 	if err := f.AwaitHolder(1, settleBy); err != nil {
 		return out, err
 	}
-	l := f.Load(rig.LoadOptions{Floating: 8, Think: time.Microsecond, Again: w.claims != nil})
+	l := f.Load(testcluster.LoadOptions{Floating: 8, Think: time.Microsecond, Again: w.claims != nil})
 	rng := rand.New(rand.NewPCG(o.Seed, 8))
 	line := map[string]string{"kill": "at 0s kill 1", "term": "at 0s term 1", "stop": "at 0s stop 1"}[kind]
-	x, err := rig.ParseFault(line)
+	x, err := testcluster.ParseFault(line)
 	if err != nil {
 		return out, err
 	}
@@ -197,11 +197,11 @@
 		}
 	}
 	l.Stop()
-	f.History.Add(rig.Event{Kind: rig.Phase, What: "done"})
+	f.History.Add(testcluster.Event{Kind: testcluster.Phase, What: "done"})
 	f.History.End()
 	events := f.History.Events()
 	out.count(events)
-	for _, v := range rig.Check(events) {
+	for _, v := range testcluster.Check(events) {
 		if v.Rule == "bookings" || v.Rule == "told" {
 			out.Broken = append(out.Broken, v)
 		}
@@ -210,22 +210,22 @@
 }
 
 // count reads how bookings ended.
-func (t *TakeOver) count(events []rig.Event) {
+func (t *TakeOver) count(events []testcluster.Event) {
 	shaken := map[string]int64{}
 	booked, known := map[string]bool{}, map[string]bool{}
 	for _, e := range events {
-		if e.Class != rig.ClassBooking || e.Kind != rig.Asked && e.Kind != rig.Heard {
+		if e.Class != testcluster.ClassBooking || e.Kind != testcluster.Asked && e.Kind != testcluster.Heard {
 			continue
 		}
 		booked[e.Key] = true
-		if e.Kind != rig.Heard {
+		if e.Kind != testcluster.Heard {
 			continue
 		}
 		switch {
-		case e.What == rig.EndServed && shaken[e.Key] > 0 && !known[e.Key]:
+		case e.What == testcluster.EndServed && shaken[e.Key] > 0 && !known[e.Key]:
 			known[e.Key] = true
 			t.Settled.Add(e.At - shaken[e.Key])
-		case e.What == rig.EndServed || e.What == rig.EndRefused:
+		case e.What == testcluster.EndServed || e.What == testcluster.EndRefused:
 		case shaken[e.Key] == 0:
 			shaken[e.Key] = e.At
 		}
--- a/internal/lab/failover/failover.go
+++ b/internal/lab/failover/failover.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"marblespan/internal/lab/report"
-	"marblespan/internal/rig"
 	"marblespan/internal/standin"
+	"marblespan/internal/testcluster"
 )
 
 // Options say what is measured.
@@ -46,8 +46,8 @@
 type kind struct {
 	name  string
 	what  string
-	fails func(f *rig.Fleet, n *rig.Node) error
-	heals func(f *rig.Fleet, n *rig.Node) error
+	fails func(f *testcluster.Fleet, n *testcluster.Node) error
+	heals func(f *testcluster.Fleet, n *testcluster.Node) error
 	dies  bool // its process has no part in what comes
 	stops bool // it runs on after the fault, but not for clients
 	front bool // clients that a front spreads see it too
@@ -55,35 +55,35 @@
 
 var kinds = []kind{
 	{name: "kill", what: "SIGKILL", dies: true, front: true,
-		fails: func(f *rig.Fleet, n *rig.Node) error {
+		fails: func(f *testcluster.Fleet, n *testcluster.Node) error {
 			f.Switch.Reset(n.Floating) // a dead machine's flows are reset
 			return n.Signal(syscall.SIGKILL)
 		},
 		heals: restart},
 	{name: "term", what: "SIGTERM", front: true,
-		fails: func(f *rig.Fleet, n *rig.Node) error { return n.Signal(syscall.SIGTERM) },
+		fails: func(f *testcluster.Fleet, n *testcluster.Node) error { return n.Signal(syscall.SIGTERM) },
 		heals: restart},
 	{name: "frozen", what: "SIGSTOP for five intervals past the down interval, then SIGCONT", stops: true, front: true,
-		fails: func(f *rig.Fleet, n *rig.Node) error { return n.Signal(syscall.SIGSTOP) },
-		heals: func(f *rig.Fleet, n *rig.Node) error { return n.Signal(syscall.SIGCONT) }},
+		fails: func(f *testcluster.Fleet, n *testcluster.Node) error { return n.Signal(syscall.SIGSTOP) },
+		heals: func(f *testcluster.Fleet, n *testcluster.Node) error { return n.Signal(syscall.SIGCONT) }},
 	{name: "cut", what: "its advertisements, announcements and flows cut off", stops: true,
-		fails: func(f *rig.Fleet, n *rig.Node) error {
+		fails: func(f *testcluster.Fleet, n *testcluster.Node) error {
 			f.Path.Isolate(n.Number-1, true)
 			f.Switch.Cut(n.Floating, true)
 			return nil
 		},
-		heals: func(f *rig.Fleet, n *rig.Node) error {
+		heals: func(f *testcluster.Fleet, n *testcluster.Node) error {
 			f.Switch.Cut(n.Floating, false)
 			f.Path.Isolate(n.Number-1, false)
 			return nil
 		}},
 	{name: "split", what: "its advertisements cut off both ways, all else whole",
-		fails: func(f *rig.Fleet, n *rig.Node) error { f.Path.Isolate(n.Number-1, true); return nil },
-		heals: func(f *rig.Fleet, n *rig.Node) error { f.Path.Isolate(n.Number-1, false); return nil }},
+		fails: func(f *testcluster.Fleet, n *testcluster.Node) error { f.Path.Isolate(n.Number-1, true); return nil },
+		heals: func(f *testcluster.Fleet, n *testcluster.Node) error { f.Path.Isolate(n.Number-1, false); return nil }},
 }
 
 // restart waits for the end of a process and starts it anew.
-func restart(_ *rig.Fleet, n *rig.Node) error {
+func restart(_ *testcluster.Fleet, n *testcluster.Node) error {
 	n.Wait()
 	return n.Start()
 }
@@ -146,12 +146,12 @@
 		Kind: k.name, What: k.what, Without: report.NewSpans(), Back: report.NewSpans(), Two: report.NewSpans(),
 		Gap: report.NewSpans(), FrontGap: report.NewSpans(),
 	}
-	fleet := rig.Defaults()
+	fleet := testcluster.Defaults()
 	fleet.Binary, fleet.Nodes, fleet.Seed, fleet.Work = o.Binary, len(o.Priorities), o.Seed, o.Work
 	fleet.Interval, fleet.Priorities = o.Interval, o.Priorities
 	fleet.Probe = 0
 	fleet.CutOnMove = true // as where an address moves between machines: its new holder knows no old flow
-	f, err := rig.New(fleet)
+	f, err := testcluster.New(fleet)
 	if err != nil {
 		return r, err
 	}
@@ -179,7 +179,7 @@
 }
 
 // trial brings one fault about, waits for a successor, heals it and waits for the old holder to have the address again.
-func (r *Result) trial(o Options, k kind, f *rig.Fleet, l *load) error {
+func (r *Result) trial(o Options, k kind, f *testcluster.Fleet, l *load) error {
 	n := f.Nodes[0]
 	down := 4 * o.Interval // over the longest down interval
 	start := time.Now()
@@ -233,10 +233,10 @@
 }
 
 // changesSince lists the changes after a time. A process that has ended believes nothing.
-func changesSince(h *rig.History, from time.Time) (out []change) {
+func changesSince(h *testcluster.History, from time.Time) (out []change) {
 	for _, e := range h.Events() {
-		if e.At >= h.At(from) && (e.Kind == rig.Belief || e.Kind == rig.Process && e.What == "ended") {
-			out = append(out, change{e.Node, h.Time(e.At), e.Kind == rig.Belief && e.Text == "active"})
+		if e.At >= h.At(from) && (e.Kind == testcluster.Belief || e.Kind == testcluster.Process && e.What == "ended") {
+			out = append(out, change{e.Node, h.Time(e.At), e.Kind == testcluster.Belief && e.Text == "active"})
 		}
 	}
 	return out
@@ -301,7 +301,7 @@
 }
 
 // succeeded waits until another gateway holds the address and the switch leads there.
-func succeeded(f *rig.Fleet, old *rig.Node, by time.Duration) error {
+func succeeded(f *testcluster.Fleet, old *testcluster.Node, by time.Duration) error {
 	for end := time.Now().Add(by); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		if at, _ := f.Switch.Holder(); at != old.Floating {
 			return nil
@@ -313,7 +313,7 @@
 // front spreads clients over the gateways' own listeners. Each keeps to its gateway until the front knows that it is away.
 type front struct {
 	mu     sync.Mutex
-	nodes  []*rig.Node
+	nodes  []*testcluster.Node
 	away   map[int]time.Time // from when on the front knows it
 	notice time.Duration
 }
@@ -359,11 +359,11 @@
 	done            sync.WaitGroup
 }
 
-func newLoad(o Options, f *rig.Fleet) *load {
+func newLoad(o Options, f *testcluster.Fleet) *load {
 	l := &load{quit: make(chan struct{}), spread: &front{nodes: f.Nodes, away: map[int]time.Time{}, notice: o.Notice}}
 	for c := range 2 * o.Clients {
 		b := &standin.Booker{
-			Name: fmt.Sprint("c", c), Class: rig.ClassBooking, Group: rig.Group, Patience: time.Second, Tries: 1000, Wait: 5 * time.Millisecond,
+			Name: fmt.Sprint("c", c), Class: testcluster.ClassBooking, Group: testcluster.Group, Patience: time.Second, Tries: 1000, Wait: 5 * time.Millisecond,
 			Addr: f.Switch.Addr, Ledger: &l.floating, Via: f.Switch.Led,
 		}
 		if c >= o.Clients {
--- a/internal/lab/maintain/maintain.go
+++ b/internal/lab/maintain/maintain.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"marblespan/internal/lab/report"
-	"marblespan/internal/rig"
+	"marblespan/internal/testcluster"
 )
 
 // Options say what is measured.
@@ -41,14 +41,16 @@
 	Asked  int            // requests
 	Ends   map[string]int
 	Doubt  int // bookings whose end their clients do not know
-	Broken []rig.Violation
+	Broken []testcluster.Violation
 
 	begin, end int64
-	events     []rig.Event
+	events     []testcluster.Event
 }
 
 // Share is the share of the requests that were served.
-func (n Night) Share() float64 { return float64(n.Ends[rig.EndServed]) / float64(max(n.Asked, 1)) }
+func (n Night) Share() float64 {
+	return float64(n.Ends[testcluster.EndServed]) / float64(max(n.Asked, 1))
+}
 
 // Run measures the nights: all machines and the gateways alone in the order, the gateways without one, and, with faults, all machines again.
 func Run(o Options) (all []Night, err error) {
@@ -57,21 +59,21 @@
 	for i := range o.Nodes {
 		gateways = append(gateways, fmt.Sprint("g", i+1))
 	}
-	inOrder := func(names []string) func(*rig.Fleet) error {
-		return func(f *rig.Fleet) error {
+	inOrder := func(names []string) func(*testcluster.Fleet) error {
+		return func(f *testcluster.Fleet) error {
 			if _, err := f.SayAnywhere(append([]string{"add"}, names...)...); err != nil {
 				return err
 			}
-			return f.Work(o.Bound, rig.At{Gateway: restart(f)})
+			return f.Work(o.Bound, testcluster.At{Gateway: restart(f)})
 		}
 	}
 	nights := []struct {
 		name, fault string
-		do          func(f *rig.Fleet) error
+		do          func(f *testcluster.Fleet) error
 	}{
 		{"all machines, in order", "", inOrder(slices.Concat(gateways, servers))},
 		{"gateways, in order", "", inOrder(gateways)},
-		{"gateways by SIGTERM, a tenth at a time", "", func(f *rig.Fleet) error { return tenths(f) }},
+		{"gateways by SIGTERM, a tenth at a time", "", func(f *testcluster.Fleet) error { return tenths(f) }},
 	}
 	rng := rand.New(rand.NewPCG(o.Seed, 9))
 	for range o.Faults {
@@ -80,8 +82,8 @@
 		last := &nights[len(nights)-1]
 		last.name, last.fault = "all machines, in order, and a fault", fault
 		at := time.Duration(rng.Int64N(int64(30 * time.Second)))
-		last.do = func(f *rig.Fleet) error {
-			faults, err := rig.ParseScript("fault", strings.Replace(fault, "at 0s", "at "+at.String(), 1))
+		last.do = func(f *testcluster.Fleet) error {
+			faults, err := testcluster.ParseScript("fault", strings.Replace(fault, "at 0s", "at "+at.String(), 1))
 			if err != nil {
 				return err
 			}
@@ -112,8 +114,8 @@
 }
 
 // restart is the work at a gateway: it is told to end, and started again.
-func restart(f *rig.Fleet) func(n *rig.Node) error {
-	return func(n *rig.Node) error {
+func restart(f *testcluster.Fleet) func(n *testcluster.Node) error {
+	return func(n *testcluster.Node) error {
 		undo, err := f.Inflict(fmt.Sprintf("at 0s term %d", n.Number))
 		if err != nil {
 			return err
@@ -124,7 +126,7 @@
 }
 
 // tenths restarts gateways by SIGTERM, a tenth of them at a time, the next ones as soon as those before serve again.
-func tenths(f *rig.Fleet) error {
+func tenths(f *testcluster.Fleet) error {
 	size := max(len(f.Nodes)/10, 1)
 	for some := range slices.Chunk(f.Nodes, size) {
 		var undo []func() error
@@ -149,16 +151,16 @@
 }
 
 // run makes one night.
-func (n *Night) run(o Options, seed uint64, do func(*rig.Fleet) error) error {
-	x := rig.Defaults()
+func (n *Night) run(o Options, seed uint64, do func(*testcluster.Fleet) error) error {
+	x := testcluster.Defaults()
 	x.Binary, x.Nodes, x.Groups, x.Ramp, x.Seed = o.Binary, o.Nodes, 2, 2*time.Second, o.Seed+seed
-	x.Copies, x.InDoubt, x.Maintain = rig.DefaultCopies(), &rig.InDoubt{Look: true}, rig.DefaultMaintain()
-	f, err := rig.New(x)
+	x.Copies, x.InDoubt, x.Maintain = testcluster.DefaultCopies(), &testcluster.InDoubt{Look: true}, testcluster.DefaultMaintain()
+	f, err := testcluster.New(x)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	load := rig.DefaultLoad()
+	load := testcluster.DefaultLoad()
 	load.Mine, load.Again = 4, true
 	l := f.Load(load)
 	time.Sleep(2 * time.Second)
@@ -173,27 +175,27 @@
 	}
 	l.Stop()
 	l.RereadSome(10) // so many are booked that all would take longer than the night
-	f.History.Add(rig.Event{Kind: rig.Phase, What: "done"})
+	f.History.Add(testcluster.Event{Kind: testcluster.Phase, What: "done"})
 	f.History.End()
 	n.events = f.History.Events()
 	n.count(l)
-	n.Broken = rig.Check(n.events)
+	n.Broken = testcluster.Check(n.events)
 	return nil
 }
 
 // count reads how the night's requests ended.
-func (n *Night) count(l *rig.Load) {
+func (n *Night) count(l *testcluster.Load) {
 	n.Served, n.Ends = map[string]int{}, map[string]int{}
 	for _, e := range n.events {
 		if e.At < n.begin || e.At > n.end {
 			continue
 		}
 		switch e.Kind {
-		case rig.Asked:
+		case testcluster.Asked:
 			n.Asked++
-		case rig.Heard:
+		case testcluster.Heard:
 			n.Ends[e.What]++
-			if e.What == rig.EndServed {
+			if e.What == testcluster.EndServed {
 				n.Served[e.Class]++
 			}
 		}
@@ -228,8 +230,8 @@
 	var rows [][]string
 	for _, n := range all {
 		rows = append(rows, []string{
-			n.Name, n.Fault, fmt.Sprintf("%.1f s", n.Took.Seconds()), fmt.Sprint(n.Asked), fmt.Sprintf("%.5f", n.Share()), fmt.Sprint(n.Ends[rig.EndRefused]),
-			fmt.Sprint(n.Ends[rig.EndFailed]), fmt.Sprint(n.Ends[rig.EndClosed] + n.Ends[rig.EndReset] + n.Ends[rig.EndTimeout]), fmt.Sprint(n.Doubt), fmt.Sprint(len(n.Broken)),
+			n.Name, n.Fault, fmt.Sprintf("%.1f s", n.Took.Seconds()), fmt.Sprint(n.Asked), fmt.Sprintf("%.5f", n.Share()), fmt.Sprint(n.Ends[testcluster.EndRefused]),
+			fmt.Sprint(n.Ends[testcluster.EndFailed]), fmt.Sprint(n.Ends[testcluster.EndClosed] + n.Ends[testcluster.EndReset] + n.Ends[testcluster.EndTimeout]), fmt.Sprint(n.Doubt), fmt.Sprint(len(n.Broken)),
 		})
 	}
 	return report.Table(w, []string{"night", "fault", "took", "requests", "share served", "refused", "failed", "no answer", "bookings in doubt", "rules broken"}, rows)
@@ -249,7 +251,7 @@
 	for i := range steps {
 		l.Labels = append(l.Labels, fmt.Sprintf("%ds", i))
 	}
-	classes := []string{rig.ClassBooking, rig.ClassView, rig.ClassSeat, rig.ClassMine}
+	classes := []string{testcluster.ClassBooking, testcluster.ClassView, testcluster.ClassSeat, testcluster.ClassMine}
 	away := map[string]bool{}
 	at := 0
 	for _, e := range n.events {
@@ -263,9 +265,9 @@
 		}
 		machine, ofOrder := strings.CutPrefix(e.What, "order ")
 		switch {
-		case e.Kind == rig.Heard && e.What == rig.EndServed:
+		case e.Kind == testcluster.Heard && e.What == testcluster.EndServed:
 			l.Values[2+slices.Index(classes, e.Class)][at] += 0.01
-		case e.Kind == rig.Belief && ofOrder:
+		case e.Kind == testcluster.Belief && ofOrder:
 			if delete(away, machine); slices.Contains([]string{"leaving", "out", "returning", "overdue"}, e.Text) {
 				away[machine] = true
 			}
--- a/internal/lab/members/processes.go
+++ b/internal/lab/members/processes.go
@@ -7,23 +7,23 @@
 	"time"
 
 	"marblespan/internal/lab/report"
-	"marblespan/internal/rig"
+	"marblespan/internal/testcluster"
 )
 
 // Processes are the same times with real processes on loopback, under a light load.
 type Processes struct {
 	Nodes, Trials int
 	One, Mass     struct{ First, All *report.Spans }
-	Broken        []rig.Violation
+	Broken        []testcluster.Violation
 }
 
 // RunProcesses kills gateways of a fleet, one at a time and then 46 % at once, and measures from the history who knows when.
 func RunProcesses(binary string, nodes, trials int, seed uint64) (*Processes, error) {
 	p := &Processes{Nodes: nodes, Trials: trials}
 	p.One.First, p.One.All, p.Mass.First, p.Mass.All = report.NewSpans(), report.NewSpans(), report.NewSpans(), report.NewSpans()
-	o := rig.Defaults()
+	o := testcluster.Defaults()
 	o.Binary, o.Nodes, o.Seed = binary, nodes, seed
-	f, err := rig.New(o)
+	f, err := testcluster.New(o)
 	if err != nil {
 		return nil, err
 	}
@@ -31,7 +31,7 @@
 	if err := f.AwaitMembers(time.Minute); err != nil {
 		return nil, err
 	}
-	l := f.Load(rig.DefaultLoad())
+	l := f.Load(testcluster.DefaultLoad())
 	defer l.Stop()
 	rng := rand.New(rand.NewPCG(seed, 3))
 	for range trials {
@@ -50,30 +50,30 @@
 		}
 	}
 	l.Stop()
-	f.History.Add(rig.Event{Kind: rig.Phase, What: "done"})
+	f.History.Add(testcluster.Event{Kind: testcluster.Phase, What: "done"})
 	f.History.End()
-	p.Broken = rig.Check(f.History.Events())
+	p.Broken = testcluster.Check(f.History.Events())
 	return p, nil
 }
 
 // killProcesses makes one trial, and waits until the fleet is whole again.
-func killProcesses(f *rig.Fleet, victims []int, first, all *report.Spans) error {
+func killProcesses(f *testcluster.Fleet, victims []int, first, all *report.Spans) error {
 	slices.Sort(victims)
-	x := rig.Fault{Verb: "kill", From: victims}
+	x := testcluster.Fault{Verb: "kill", From: victims}
 	from := f.History.Now()
-	f.History.Add(rig.Event{Kind: rig.Begins, What: x.String()})
+	f.History.Add(testcluster.Event{Kind: testcluster.Begins, What: x.String()})
 	undo, err := f.Begin(x)
 	if err != nil {
 		return err
 	}
 	earliest, latest := int64(0), int64(0)
-	err = f.History.Await("all know of the kill", time.Minute, func(events []rig.Event) bool {
+	err = f.History.Await("all know of the kill", time.Minute, func(events []testcluster.Event) bool {
 		known := map[string]bool{}
 		earliest, latest = 0, 0
 		for i := len(events) - 1; i >= 0 && events[i].At > from-int64(time.Second/time.Microsecond); i-- {
 			e := events[i]
 			for _, v := range victims {
-				if e.Kind == rig.Belief && e.At >= from && e.What == fmt.Sprint("member g", v) && e.Text == "dead" && !slices.Contains(victims, e.Node) {
+				if e.Kind == testcluster.Belief && e.At >= from && e.What == fmt.Sprint("member g", v) && e.Text == "dead" && !slices.Contains(victims, e.Node) {
 					known[fmt.Sprint(e.Node, " of ", v)] = true
 					if latest = max(latest, e.At); earliest == 0 || e.At < earliest {
 						earliest = e.At
@@ -91,7 +91,7 @@
 	if err := undo(); err != nil {
 		return err
 	}
-	f.History.Add(rig.Event{Kind: rig.Ends, What: x.String()})
+	f.History.Add(testcluster.Event{Kind: testcluster.Ends, What: x.String()})
 	if err := f.AwaitReady(time.Minute); err != nil {
 		return err
 	}
--- a/internal/rig/history.go
+++ b/internal/testcluster/history.go
@@ -1,6 +1,6 @@
-// Package rig runs several real processes of the gateway with stand-ins around them, puts faults between them by a script,
+// Package testcluster runs several real processes of the gateway with stand-ins around them, puts faults between them by a script,
 // keeps what happened as a history on one clock, and checks that history. See docs/rig.md.
-package rig
+package testcluster
 
 import (
 	"bufio"
--- a/internal/rig/norace_test.go
+++ b/internal/testcluster/norace_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package rig
+package testcluster
 
 const raced = false
--- a/internal/rig/script.go
+++ b/internal/testcluster/script.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"cmp"
--- a/internal/rig/shrink.go
+++ b/internal/testcluster/shrink.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 // Shrink looks for the fewest of some faults with which a run still fails, by leaving out halves, then quarters and so on
 // (delta debugging, Zeller and Hildebrandt 2002), in at most so many runs. A run that depends on luck may pass where it could
