--- a/internal/archtest/layers_test.go
+++ b/internal/archtest/layers_test.go
@@ -26,7 +26,7 @@
 	"internal/raftstore":          {"api/raftstorepb", "internal/maintenance"},
 	"internal/protocol/notices":   {},
 	"internal/vrrp":               {},
-	"internal/explore":            {},
+	"internal/modelcheck":         {},
 	"internal/duties":             {},
 	"internal/indoubt":            {},
 	"internal/maintenance":        {},
--- a/internal/indoubt/explore_test.go
+++ b/internal/indoubt/explore_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"marblespan/internal/explore"
+	"marblespan/internal/modelcheck"
 )
 
 // The clock of the model, in units that a run has a few hundred of.
@@ -272,11 +272,11 @@
 }
 
 // Moves are all that can happen.
-func (m model) Moves(w *world) (all []explore.Move[*world]) {
+func (m model) Moves(w *world) (all []modelcheck.Move[*world]) {
 	add := func(name string, do func(w *world)) {
 		next := w.clone()
 		do(next)
-		all = append(all, explore.Move[*world]{Name: name, To: next})
+		all = append(all, modelcheck.Move[*world]{Name: name, To: next})
 	}
 	m.clientMoves(w, add)
 	for i, c := range w.calls {
@@ -530,7 +530,7 @@
 	for _, a := range arrangements {
 		t.Run(a.name, func(t *testing.T) {
 			t.Parallel()
-			r := explore.Run[*world](a.model, explore.Limits{States: states / fewer})
+			r := modelcheck.Run[*world](a.model, modelcheck.Limits{States: states / fewer})
 			if r.Broken != nil {
 				t.Fatalf("%d states\n%v", r.States, r.Broken)
 			}
@@ -552,7 +552,7 @@
 			t.Parallel()
 			moves := 0
 			for seed := range uint64(walks / fewer) {
-				made, broken := explore.Walk[*world](a.model, seed, steps)
+				made, broken := modelcheck.Walk[*world](a.model, seed, steps)
 				if moves += made; broken != nil {
 					t.Fatalf("seed %d\n%v", seed, broken)
 				}
@@ -697,7 +697,7 @@
 // eager has time pass seldom where something else can happen, and what the client does likewise.
 type eager struct{ model }
 
-func (m eager) Moves(w *world) (all []explore.Move[*world]) {
+func (m eager) Moves(w *world) (all []modelcheck.Move[*world]) {
 	for _, mv := range m.model.Moves(w) {
 		all = append(all, mv)
 		if !strings.HasPrefix(mv.Name, "tick") && !strings.HasPrefix(mv.Name, "the client") && !strings.HasPrefix(mv.Name, "ask") {
@@ -718,7 +718,7 @@
 				m := a.model
 				m.mut = &mut
 				for seed := range uint64(4 * walks) {
-					if made, broken := explore.Walk[*world](eager{m}, seed, steps); broken != nil {
+					if made, broken := modelcheck.Walk[*world](eager{m}, seed, steps); broken != nil {
 						t.Logf("%q, seed %d, after %d moves: %v", a.name, seed, made, broken.Err)
 						return
 					}
--- a/internal/maintenance/explore_test.go
+++ b/internal/maintenance/explore_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"marblespan/internal/explore"
+	"marblespan/internal/modelcheck"
 )
 
 var names = [3]string{"a", "b", "c"}
@@ -300,11 +300,11 @@
 	return c
 }
 
-func (m model) Moves(w *world) (all []explore.Move[*world]) {
+func (m model) Moves(w *world) (all []modelcheck.Move[*world]) {
 	add := func(name string, do func(w *world)) {
 		next := w.clone()
 		do(next)
-		all = append(all, explore.Move[*world]{Name: name, To: next})
+		all = append(all, modelcheck.Move[*world]{Name: name, To: next})
 	}
 	for i, name := range w.asked {
 		m.entries(w, "ask for "+name, func(w *world) []proposal {
@@ -541,7 +541,7 @@
 	for _, a := range arrangements {
 		t.Run(a.name, func(t *testing.T) {
 			t.Parallel()
-			if r := explore.Run[*world](a.model, explore.Limits{States: states / fewer}); r.Broken != nil {
+			if r := modelcheck.Run[*world](a.model, modelcheck.Limits{States: states / fewer}); r.Broken != nil {
 				t.Fatalf("%d states\n%v", r.States, r.Broken)
 			}
 		})
@@ -551,7 +551,7 @@
 // walk makes a drawn run, then has all be well.
 func walk(m model, seed uint64) error {
 	kept := &last{model: m}
-	if _, broken := explore.Walk[*world](kept, seed, moves); broken != nil {
+	if _, broken := modelcheck.Walk[*world](kept, seed, moves); broken != nil {
 		return errors.New(broken.String())
 	}
 	return m.mend(kept.at.clone())
@@ -564,7 +564,7 @@
 }
 
 // Moves has what leads on be drawn oftener.
-func (l *last) Moves(w *world) []explore.Move[*world] {
+func (l *last) Moves(w *world) []modelcheck.Move[*world] {
 	all := l.model.Moves(w)
 	for _, mv := range all {
 		if strings.HasPrefix(mv.Name, "decide") && !strings.HasSuffix(mv.Name, "late") {
--- a/internal/membership/explore_test.go
+++ b/internal/membership/explore_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"marblespan/internal/explore"
+	"marblespan/internal/modelcheck"
 )
 
 // The clock of the model: an interval of 1200 units, and messages that take at most 1.
@@ -41,7 +41,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 1)
 }
 
-func (g gateway) Boot(now int64) (explore.Node, []explore.Message) {
+func (g gateway) Boot(now int64) (modelcheck.Node, []modelcheck.Message) {
 	// Lives are as far apart as clocks make them: a machine that makes new lives of its own stays below its next start.
 	life := uint64(now) * 1000
 	if g.back {
@@ -54,7 +54,7 @@
 	return g.step(now, Startup{})
 }
 
-func (g gateway) step(now int64, ev Event) (explore.Node, []explore.Message) {
+func (g gateway) step(now int64, ev Event) (modelcheck.Node, []modelcheck.Message) {
 	n := g
 	n.m = g.m.Clone()
 	if n.mut != nil && n.mut.before != nil {
@@ -71,14 +71,14 @@
 	for k, v := range g.lives {
 		n.lives[k] = v
 	}
-	var sent []explore.Message
+	var sent []modelcheck.Message
 	for _, a := range out {
 		switch a := a.(type) {
 		case Send:
 			for i := range g.count {
 				if addrOf(i) == a.At && i != g.id {
 					raw, _ := json.Marshal(a.Message)
-					sent = append(sent, explore.Message{To: i, Text: string(raw)})
+					sent = append(sent, modelcheck.Message{To: i, Text: string(raw)})
 				}
 			}
 		case Changed:
@@ -98,7 +98,7 @@
 	}
 }
 
-func (g gateway) Deliver(now int64, from int, text string) (explore.Node, []explore.Message) {
+func (g gateway) Deliver(now int64, from int, text string) (modelcheck.Node, []modelcheck.Message) {
 	var msg Message
 	if err := json.Unmarshal([]byte(text), &msg); err != nil {
 		panic(err)
@@ -106,7 +106,7 @@
 	return g.step(now, Heard{Source: addrOf(from), Message: msg})
 }
 
-func (g gateway) Wake(now int64) (explore.Node, []explore.Message) { return g.step(now, Tick{}) }
+func (g gateway) Wake(now int64) (modelcheck.Node, []modelcheck.Message) { return g.step(now, Tick{}) }
 
 func (g gateway) Next() (int64, bool) {
 	at, ok := g.m.Next()
@@ -130,8 +130,8 @@
 // its longest, and what the news take.
 const settled = (askEvery + 3*mostSuspicion) * interval
 
-func invariant(w *explore.World) func(*explore.State) error {
-	return func(s *explore.State) error {
+func invariant(w *modelcheck.World) func(*modelcheck.State) error {
+	return func(s *modelcheck.State) error {
 		for i := range s.Nodes {
 			g := s.Nodes[i].(gateway)
 			if s.Down[i] != 0 {
@@ -169,29 +169,29 @@
 type setting struct {
 	name   string
 	nodes  int
-	faults explore.Faults
+	faults modelcheck.Faults
 	down   int64 // how long a crashed one stays away; 0: for good
 	back   bool  // clocks are set back while it is away
 }
 
 var settings = []setting{
-	{"three, calm", 3, explore.Faults{}, 0, false},
-	{"three, a crash for good", 3, explore.Faults{Crash: 1}, 0, false},
-	{"three, a crash and a restart", 3, explore.Faults{Crash: 1}, 30 * interval, false},
-	{"three, a quick restart", 3, explore.Faults{Crash: 2}, interval / 2, false},
-	{"three, a restart with the clock set back", 3, explore.Faults{Crash: 1, Lose: 1}, 30 * interval, true},
-	{"three, a quick restart with the clock set back", 3, explore.Faults{Crash: 2}, interval / 2, true},
-	{"three, pauses", 3, explore.Faults{Pause: 2}, 0, false},
-	{"three, losses", 3, explore.Faults{Lose: 6}, 0, false},
-	{"three, late and doubled", 3, explore.Faults{Late: 3, Duplicate: 3}, 0, false},
-	{"three, one parted", 3, explore.Faults{Part: 2}, 0, false},
-	{"four, partings and a crash", 4, explore.Faults{Part: 3, Crash: 1, Lose: 2}, 9 * interval, false},
-	{"four, all of it", 4, explore.Faults{Lose: 4, Late: 2, Duplicate: 2, Crash: 1, Pause: 1}, 20 * interval, false},
-	{"four, two crashes and a pause", 4, explore.Faults{Crash: 2, Pause: 1, Lose: 2}, 9 * interval, false},
+	{"three, calm", 3, modelcheck.Faults{}, 0, false},
+	{"three, a crash for good", 3, modelcheck.Faults{Crash: 1}, 0, false},
+	{"three, a crash and a restart", 3, modelcheck.Faults{Crash: 1}, 30 * interval, false},
+	{"three, a quick restart", 3, modelcheck.Faults{Crash: 2}, interval / 2, false},
+	{"three, a restart with the clock set back", 3, modelcheck.Faults{Crash: 1, Lose: 1}, 30 * interval, true},
+	{"three, a quick restart with the clock set back", 3, modelcheck.Faults{Crash: 2}, interval / 2, true},
+	{"three, pauses", 3, modelcheck.Faults{Pause: 2}, 0, false},
+	{"three, losses", 3, modelcheck.Faults{Lose: 6}, 0, false},
+	{"three, late and doubled", 3, modelcheck.Faults{Late: 3, Duplicate: 3}, 0, false},
+	{"three, one parted", 3, modelcheck.Faults{Part: 2}, 0, false},
+	{"four, partings and a crash", 4, modelcheck.Faults{Part: 3, Crash: 1, Lose: 2}, 9 * interval, false},
+	{"four, all of it", 4, modelcheck.Faults{Lose: 4, Late: 2, Duplicate: 2, Crash: 1, Pause: 1}, 20 * interval, false},
+	{"four, two crashes and a pause", 4, modelcheck.Faults{Crash: 2, Pause: 1, Lose: 2}, 9 * interval, false},
 }
 
-func (s setting) world(mut *mutant) *explore.World {
-	w := &explore.World{
+func (s setting) world(mut *mutant) *modelcheck.World {
+	w := &modelcheck.World{
 		Delay: delay, LateBy: interval, PauseFor: []int64{2 * interval, 12 * interval, 40 * interval}, DownFor: s.down, Faults: s.faults,
 		PartFor: 30 * interval, Calm: settled,
 	}
@@ -218,12 +218,12 @@
 		if len(moves) == 0 {
 			return nil
 		}
-		faulty := func(m explore.Move[*explore.State]) bool { return m.To.Left != state.Left }
+		faulty := func(m modelcheck.Move[*modelcheck.State]) bool { return m.To.Left != state.Left }
 		usual := slices.DeleteFunc(slices.Clone(moves), faulty)
 		if calm := state.Now > settled+60*interval; calm || rng.IntN(150) > 0 || len(usual) == len(moves) {
 			moves = usual
 		} else {
-			moves = slices.DeleteFunc(slices.Clone(moves), func(m explore.Move[*explore.State]) bool { return !faulty(m) })
+			moves = slices.DeleteFunc(slices.Clone(moves), func(m modelcheck.Move[*modelcheck.State]) bool { return !faulty(m) })
 		}
 		m := moves[rng.IntN(len(moves))]
 		state = m.To
@@ -266,11 +266,11 @@
 // narrow is a world in which what is usual happens in one order, and a fault may come at every place of a span: breadth first
 // all of these runs are looked at, where with every order of messages it would not get past the first moments.
 type narrow struct {
-	*explore.World
+	*modelcheck.World
 	from, to int64
 }
 
-func (n narrow) Moves(s *explore.State) (out []explore.Move[*explore.State]) {
+func (n narrow) Moves(s *modelcheck.State) (out []modelcheck.Move[*modelcheck.State]) {
 	if s.Now > n.to+n.Calm+interval {
 		return nil
 	}
@@ -292,18 +292,18 @@
 		setting
 		span int64
 	}{
-		{setting{"three, a crash and a restart", 3, explore.Faults{Crash: 1}, 30 * interval, false}, interval},
-		{setting{"three, a pause", 3, explore.Faults{Pause: 1}, 0, false}, interval / 2},
-		{setting{"three, losses", 3, explore.Faults{Lose: 2}, 0, false}, interval},
-		{setting{"three, one late or doubled", 3, explore.Faults{Late: 1, Duplicate: 1}, 0, false}, interval},
-		{setting{"four, a loss", 4, explore.Faults{Lose: 1}, 0, false}, interval},
+		{setting{"three, a crash and a restart", 3, modelcheck.Faults{Crash: 1}, 30 * interval, false}, interval},
+		{setting{"three, a pause", 3, modelcheck.Faults{Pause: 1}, 0, false}, interval / 2},
+		{setting{"three, losses", 3, modelcheck.Faults{Lose: 2}, 0, false}, interval},
+		{setting{"three, one late or doubled", 3, modelcheck.Faults{Late: 1, Duplicate: 1}, 0, false}, interval},
+		{setting{"four, a loss", 4, modelcheck.Faults{Lose: 1}, 0, false}, interval},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			room <- true
 			defer func() { <-room }()
 			n := narrow{World: c.world(nil), from: 10 * interval, to: 10*interval + c.span}
-			res := explore.Run(n, explore.Limits{})
+			res := modelcheck.Run(n, modelcheck.Limits{})
 			t.Logf("%d states, %d moves, depth %d", res.States, res.Moves, res.Depth)
 			if res.Broken != nil {
 				t.Error(res.Broken)
--- a/internal/explore/explore.go
+++ b/internal/modelcheck/explore.go
@@ -1,7 +1,7 @@
-// Package explore looks through all that can happen to a few state machines and the messages between them, breadth first,
+// Package modelcheck looks through all that can happen to a few state machines and the messages between them, breadth first,
 // and finds the shortest way to break an invariant. It knows no machine: a model says which moves a state allows, what they
 // lead to and what must hold.
-package explore
+package modelcheck
 
 import (
 	"fmt"
--- a/internal/explore/walk.go
+++ b/internal/modelcheck/walk.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import "math/rand/v2"
 
--- a/internal/explore/world.go
+++ b/internal/modelcheck/world.go
@@ -1,4 +1,4 @@
-package explore
+package modelcheck
 
 import (
 	"cmp"
--- a/internal/vrrp/explore_test.go
+++ b/internal/vrrp/explore_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"marblespan/internal/explore"
+	"marblespan/internal/modelcheck"
 )
 
 // The clock of the model: an interval of 1024 units, so that one step of priority is 4 units of skew, and messages that
@@ -37,7 +37,7 @@
 
 func addr(i int) netip.Addr { return netip.AddrFrom4([4]byte{127, 0, 0, byte(i + 1)}) }
 
-func (n node) handle(now int64, ev Event) (explore.Node, []explore.Message) {
+func (n node) handle(now int64, ev Event) (modelcheck.Node, []modelcheck.Message) {
 	if n.mut != nil && n.mut.before != nil {
 		ev = n.mut.before(&n.m, Micros(now), ev)
 	}
@@ -48,12 +48,12 @@
 	if n.mut != nil && n.mut.after != nil {
 		out = n.mut.after(&n.m, Micros(now), out)
 	}
-	var sent []explore.Message
+	var sent []modelcheck.Message
 	for _, a := range out {
 		if ad, ok := a.(Advertise); ok {
 			for i := range n.nodes {
 				if i != n.id {
-					sent = append(sent, explore.Message{To: i, Text: strconv.Itoa(int(ad.Priority))})
+					sent = append(sent, modelcheck.Message{To: i, Text: strconv.Itoa(int(ad.Priority))})
 				}
 			}
 		}
@@ -61,14 +61,14 @@
 	return n, sent
 }
 
-func (n node) Boot(now int64) (explore.Node, []explore.Message) {
+func (n node) Boot(now int64) (modelcheck.Node, []modelcheck.Message) {
 	n.m = New(n.cfg)
 	n.m.health.Ready = true
 	n.heard = make([]Micros, n.nodes)
 	return n.handle(now, Startup{})
 }
 
-func (n node) Deliver(now int64, from int, text string) (explore.Node, []explore.Message) {
+func (n node) Deliver(now int64, from int, text string) (modelcheck.Node, []modelcheck.Message) {
 	p, _ := strconv.Atoi(text)
 	n.heard = append([]Micros(nil), n.heard...)
 	n.heard[from] = Micros(now)
@@ -78,7 +78,7 @@
 	return n.handle(now, Heard{From: addr(from), Priority: uint8(p), Interval: span})
 }
 
-func (n node) Wake(now int64) (explore.Node, []explore.Message) { return n.handle(now, Tick{}) }
+func (n node) Wake(now int64) (modelcheck.Node, []modelcheck.Message) { return n.handle(now, Tick{}) }
 
 func (n node) Next() (int64, bool) {
 	at, ok := n.m.Next()
@@ -129,7 +129,7 @@
 
 // remember looks at a move: whoever just became active must not have heard a living one, of at least its own priority or
 // not to be preempted, in the last three intervals, nor have its word unread.
-func remember(before, after *explore.State) explore.Memory {
+func remember(before, after *modelcheck.State) modelcheck.Memory {
 	if before == nil {
 		return needless{}
 	}
@@ -159,8 +159,8 @@
 // invariant is what must hold in every state. bound is the longest time without an active router once all is well.
 // Where strict, leases never overlap, not even while advertisements cross: nobody preempts, and nobody starts alike. A
 // paused router counts as if it woke just now, before its machine has noticed.
-func invariant(full explore.Faults, bound int64, strict bool) func(*explore.State) error {
-	return func(r *explore.State) error {
+func invariant(full modelcheck.Faults, bound int64, strict bool) func(*modelcheck.State) error {
+	return func(r *modelcheck.State) error {
 		if m, ok := r.Memory.(needless); ok && m.what != "" {
 			return errors.New(m.what)
 		}
@@ -208,7 +208,7 @@
 	}
 }
 
-func shifts(i int, n explore.Node, now int64) []explore.Shift {
+func shifts(i int, n modelcheck.Node, now int64) []modelcheck.Shift {
 	v := n.(node)
 	h := v.m.health
 	h.Ready = !h.Ready
@@ -217,7 +217,7 @@
 	if h.Ready {
 		name = "ready"
 	}
-	return []explore.Shift{{Name: name, To: to, Out: out}}
+	return []modelcheck.Shift{{Name: name, To: to, Out: out}}
 }
 
 // setting is one arrangement that is explored.
@@ -227,31 +227,31 @@
 	preempt    bool
 	peace      Micros
 	damping    Damping
-	faults     explore.Faults
+	faults     modelcheck.Faults
 	until      int64
 	strict     bool
 }
 
 var settings = []setting{
 	{"two, not preempting: a pause and a doubled one", []uint8{200, 100}, false, 0, Damping{},
-		explore.Faults{Pause: 1, Duplicate: 1}, 0, true},
-	{"two: lost and late", []uint8{200, 100}, true, 0, Damping{}, explore.Faults{Lose: 1, Late: 1}, 0, false},
-	{"two: six lost", []uint8{200, 100}, true, 0, Damping{}, explore.Faults{Lose: 6}, 0, false},
-	{"two: doubled and late", []uint8{200, 100}, true, 0, Damping{}, explore.Faults{Duplicate: 1, Late: 1}, 0, false},
-	{"two: a pause and a change", []uint8{200, 100}, true, 0, Damping{}, explore.Faults{Pause: 1, Shift: 1}, 0, false},
-	{"two: a pause and a crash", []uint8{200, 100}, true, 0, Damping{}, explore.Faults{Pause: 1, Crash: 1}, 0, false},
-	{"two alike, not preempting: two pauses", []uint8{100, 100}, false, 0, Damping{}, explore.Faults{Pause: 2}, 0, false},
-	{"two alike: late and changes", []uint8{100, 100}, true, 0, Damping{}, explore.Faults{Late: 1, Shift: 2}, 0, false},
+		modelcheck.Faults{Pause: 1, Duplicate: 1}, 0, true},
+	{"two: lost and late", []uint8{200, 100}, true, 0, Damping{}, modelcheck.Faults{Lose: 1, Late: 1}, 0, false},
+	{"two: six lost", []uint8{200, 100}, true, 0, Damping{}, modelcheck.Faults{Lose: 6}, 0, false},
+	{"two: doubled and late", []uint8{200, 100}, true, 0, Damping{}, modelcheck.Faults{Duplicate: 1, Late: 1}, 0, false},
+	{"two: a pause and a change", []uint8{200, 100}, true, 0, Damping{}, modelcheck.Faults{Pause: 1, Shift: 1}, 0, false},
+	{"two: a pause and a crash", []uint8{200, 100}, true, 0, Damping{}, modelcheck.Faults{Pause: 1, Crash: 1}, 0, false},
+	{"two alike, not preempting: two pauses", []uint8{100, 100}, false, 0, Damping{}, modelcheck.Faults{Pause: 2}, 0, false},
+	{"two alike: late and changes", []uint8{100, 100}, true, 0, Damping{}, modelcheck.Faults{Late: 1, Shift: 2}, 0, false},
 	{"two, delayed and damped: two late", []uint8{200, 199}, true, 2 * span, Damping{4 * span, span, 4 * span},
-		explore.Faults{Late: 2}, 16 * span, false},
-	{"three: a crash and a change", []uint8{200, 150, 100}, true, 0, Damping{}, explore.Faults{Crash: 1, Shift: 1}, 0, false},
-	{"three alike: a pause", []uint8{100, 100, 100}, false, 0, Damping{}, explore.Faults{Pause: 1}, 0, false},
-	{"three: a loss and a change", []uint8{200, 150, 100}, true, 0, Damping{}, explore.Faults{Lose: 1, Shift: 1}, 0, false},
-	{"three: one late and a change", []uint8{200, 150, 100}, false, 0, Damping{}, explore.Faults{Late: 1, Shift: 1}, 0, false},
+		modelcheck.Faults{Late: 2}, 16 * span, false},
+	{"three: a crash and a change", []uint8{200, 150, 100}, true, 0, Damping{}, modelcheck.Faults{Crash: 1, Shift: 1}, 0, false},
+	{"three alike: a pause", []uint8{100, 100, 100}, false, 0, Damping{}, modelcheck.Faults{Pause: 1}, 0, false},
+	{"three: a loss and a change", []uint8{200, 150, 100}, true, 0, Damping{}, modelcheck.Faults{Lose: 1, Shift: 1}, 0, false},
+	{"three: one late and a change", []uint8{200, 150, 100}, false, 0, Damping{}, modelcheck.Faults{Late: 1, Shift: 1}, 0, false},
 }
 
-func (s setting) world(mut *mutant) *explore.World {
-	w := &explore.World{
+func (s setting) world(mut *mutant) *modelcheck.World {
+	w := &modelcheck.World{
 		Delay: delay, LateBy: 5 * span, PauseFor: []int64{span, 5 * span}, DownFor: 2 * span, Faults: s.faults,
 		InOrder: true, Horizon: s.until, Shifts: shifts, Memory: remember,
 	}
@@ -275,7 +275,7 @@
 	for _, s := range settings {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
-			res := explore.Run(s.world(nil), explore.Limits{States: mostStates / fewerStates})
+			res := modelcheck.Run(s.world(nil), modelcheck.Limits{States: mostStates / fewerStates})
 			t.Logf("%d states, %d moves, depth %d, whole: %v", res.States, res.Moves, res.Depth, res.Whole)
 			if res.Broken != nil {
 				t.Error(res.Broken)
@@ -377,7 +377,7 @@
 		t.Run(mut.name, func(t *testing.T) {
 			t.Parallel()
 			for _, s := range settings {
-				if res := explore.Run(s.world(&mut), explore.Limits{States: mostStates}); res.Broken != nil {
+				if res := modelcheck.Run(s.world(&mut), modelcheck.Limits{States: mostStates}); res.Broken != nil {
 					t.Logf("caught by %q after %d states: %v", s.name, res.States, res.Broken.Err)
 					return
 				}
