--- a/cmd/marblelab/main_test.go
+++ b/cmd/marblelab/main_test.go
@@ -11,11 +11,11 @@
 	"time"
 
 	"marblespan/internal/cli"
+	"marblespan/internal/fake"
 	"marblespan/internal/lab/chaos"
 	"marblespan/internal/lab/demo"
 	"marblespan/internal/lab/failover"
 	"marblespan/internal/lab/members"
-	"marblespan/internal/standin"
 	"marblespan/internal/testcluster"
 )
 
@@ -144,10 +144,10 @@
 		t.Fatal(err)
 	}
 	for _, r := range results {
-		if r.Trials != 1 || r.Lost > 0 || len(r.Faults) > 0 || r.Floating.Counts[standin.Served] == 0 || r.Runs == 0 {
+		if r.Trials != 1 || r.Lost > 0 || len(r.Faults) > 0 || r.Floating.Counts[fake.Served] == 0 || r.Runs == 0 {
 			t.Errorf("%+v", r)
 		}
-		if r.Kind != "cut" && r.Kind != "split" && r.Front.Counts[standin.Served] == 0 {
+		if r.Kind != "cut" && r.Kind != "split" && r.Front.Counts[fake.Served] == 0 {
 			t.Errorf("%s: nobody is served behind the front", r.Kind)
 		}
 	}
--- a/cmd/marblespan/floating_test.go
+++ b/cmd/marblespan/floating_test.go
@@ -14,13 +14,13 @@
 	"github.com/jackc/pgx/v5/pgconn"
 
 	"marblespan/internal/cli"
-	"marblespan/internal/standin"
+	"marblespan/internal/fake"
 )
 
 // A process that holds the address stands still for longer than its peers would wait, and a booking arrives meanwhile.
 // When it wakes the booking is refused, unsent; after that the address is won again and serves. `vrrp status` tells of it.
 func TestFrozenHolder(t *testing.T) {
-	server, err := standin.NewServer("primary")
+	server, err := fake.NewServer("primary")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/marblespan/main_test.go
+++ b/cmd/marblespan/main_test.go
@@ -17,7 +17,7 @@
 
 	"github.com/jackc/pgx/v5/pgconn"
 
-	"marblespan/internal/standin"
+	"marblespan/internal/fake"
 )
 
 // asGateway makes the test's own binary run as the gateway.
@@ -103,25 +103,25 @@
 }
 
 // start runs the gateway with one primary behind it, and returns its log, line by line.
-func start(t *testing.T, addr string, server *standin.Server) (*exec.Cmd, *bufio.Scanner) {
+func start(t *testing.T, addr string, server *fake.Server) (*exec.Cmd, *bufio.Scanner) {
 	t.Helper()
 	cmd, log, _ := startAt(t, addr, server)
 	return cmd, log
 }
 
 // startAt also returns the path of the configuration.
-func startAt(t *testing.T, addr string, server *standin.Server) (*exec.Cmd, *bufio.Scanner, string) {
+func startAt(t *testing.T, addr string, server *fake.Server) (*exec.Cmd, *bufio.Scanner, string) {
 	t.Helper()
-	target := standin.Target{
+	target := fake.Target{
 		UID: "p", Endpoint: server.Addr(), Group: 1, State: "ready", Weight: 1, Role: "primary",
 	}
-	disc, err := standin.NewDiscovery(target)
+	disc, err := fake.NewDiscovery(target)
 	if err != nil {
 		t.Fatal(err)
 	}
 	path := sample(t, map[string]any{
 		"listen": addr, "discovery": disc.Addr(),
-		"known": map[string]any{"rev": 1, "all": true, "targets": []standin.Target{target}},
+		"known": map[string]any{"rev": 1, "all": true, "targets": []fake.Target{target}},
 	})
 	cmd := gateway(t, path, "1")
 	log, err := cmd.StderrPipe()
@@ -143,13 +143,13 @@
 // Values of 64 KiB in hex, both ways, on hundreds of connections at once: whatever is not served is refused, and the
 // process stays under its limit.
 func TestMemoryUnderLargeValues(t *testing.T) {
-	server, err := standin.NewServer("primary")
+	server, err := fake.NewServer("primary")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer server.Close()
 	value := strings.Repeat("0123456789abcdef", 8<<10)
-	server.SetHandle(func(q *standin.Query) { q.Serve([]byte(value)) })
+	server.SetHandle(func(q *fake.Query) { q.Serve([]byte(value)) })
 	addr := freeAddr(t)
 	cmd, lines := start(t, addr, server)
 	if !lines.Scan() {
@@ -220,7 +220,7 @@
 
 // The process serves, prints its counters on SIGUSR1, and leaves with 0 on SIGTERM.
 func TestProcess(t *testing.T) {
-	server, err := standin.NewServer("primary")
+	server, err := fake.NewServer("primary")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/marblespan/signals_test.go
+++ b/cmd/marblespan/signals_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/jackc/pgx/v5/pgconn"
 
-	"marblespan/internal/standin"
+	"marblespan/internal/fake"
 )
 
 const patience = 20 * time.Second
@@ -60,13 +60,13 @@
 // and the process ends once, with 0. Fails where a second SIGTERM stops the gateway again, and where a reload that meets
 // the stop waits for an owner that has ended.
 func TestSignalsCross(t *testing.T) {
-	server, err := standin.NewServer("primary")
+	server, err := fake.NewServer("primary")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer server.Close()
 	arrived, release := make(chan struct{}), make(chan struct{})
-	server.SetHandle(func(q *standin.Query) {
+	server.SetHandle(func(q *fake.Query) {
 		close(arrived)
 		<-release
 		q.Serve([]byte("value of " + q.ID()))
@@ -108,7 +108,7 @@
 // A process that is killed right behind an accept, with a connection that has said nothing and one whose request is half
 // there, is followed by one that serves at the same address.
 func TestKillBehindAccept(t *testing.T) {
-	server, err := standin.NewServer("primary")
+	server, err := fake.NewServer("primary")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -151,7 +151,7 @@
 // Answers that are half written when the stop begins, as their client does not read yet, go out whole, and the client sees an
 // orderly end behind them. Fails where the process ends without waiting for its clients.
 func TestStopInTheMiddleOfAnswers(t *testing.T) {
-	server, err := standin.NewServer("primary")
+	server, err := fake.NewServer("primary")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -159,7 +159,7 @@
 	const answers = 60
 	value := bytes.Repeat([]byte("0123456789abcdef"), 8<<10)
 	served := make(chan struct{}, answers)
-	server.SetHandle(func(q *standin.Query) {
+	server.SetHandle(func(q *fake.Query) {
 		q.Serve(value)
 		served <- struct{}{}
 	})
--- a/internal/standin/postgres.go
+++ b/internal/fake/postgres.go
@@ -1,7 +1,7 @@
-// Package standin holds small stand-ins for what a gateway talks to: a database server and the discovery service,
+// Package fake holds small stand-ins for what a gateway talks to: a database server and the discovery service,
 // written from the public specifications alone. Only tests import it. It shares no code with the gateway's codecs,
 // so that a mistake there is not made here as well.
-package standin
+package fake
 
 import (
 	"bufio"
--- a/internal/floatingip/floating_test.go
+++ b/internal/floatingip/floating_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/rs/zerolog"
 
+	"marblespan/internal/fake"
 	codec "marblespan/internal/protocol/vrrp"
-	"marblespan/internal/standin"
 	"marblespan/internal/vrrp"
 )
 
@@ -67,7 +67,7 @@
 // pair is two speakers with a path between them.
 type pair struct {
 	t        *testing.T
-	path     *standin.Path
+	path     *fake.Path
 	ends     []*net.UDPAddr
 	speakers []*Speaker
 	holders  []*holder
@@ -85,7 +85,7 @@
 		c.Close()
 	}
 	var err error
-	if p.path, err = standin.NewPath(p.ends...); err != nil {
+	if p.path, err = fake.NewPath(p.ends...); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
--- a/internal/gateway/client_test.go
+++ b/internal/gateway/client_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"marblespan/internal/config"
+	"marblespan/internal/fake"
 	"marblespan/internal/routing"
-	"marblespan/internal/standin"
 )
 
 // What a client writes, byte by byte, made here and not by the gateway's codec.
@@ -94,11 +94,11 @@
 
 // holding is a way to handle queries: each tells its id when it arrives, and is answered once they are released, at the
 // latest when the test ends.
-func holding(t *testing.T) (handle func(*standin.Query), arrived chan string, release func()) {
+func holding(t *testing.T) (handle func(*fake.Query), arrived chan string, release func()) {
 	arrived, gate := make(chan string, 1024), make(chan struct{})
 	release = sync.OnceFunc(func() { close(gate) })
 	t.Cleanup(release)
-	return func(q *standin.Query) {
+	return func(q *fake.Query) {
 		arrived <- q.ID()
 		<-gate
 		q.Serve([]byte("value of " + q.ID()))
@@ -139,7 +139,7 @@
 func TestPipelining(t *testing.T) {
 	w := newWorld(t, nil)
 	slow := make(chan struct{})
-	w.primary.SetHandle(func(q *standin.Query) {
+	w.primary.SetHandle(func(q *fake.Query) {
 		<-slow
 		q.Serve([]byte("value of " + q.ID()))
 	})
@@ -289,7 +289,7 @@
 func TestLargeValues(t *testing.T) {
 	w := newWorld(t, nil)
 	value := bytes.Repeat([]byte("0123456789abcdef"), 8<<10) // 128 KiB of hex
-	echo := func(q *standin.Query) {
+	echo := func(q *fake.Query) {
 		from := strings.Index(q.SQL, `'\x`) + 3
 		q.Serve([]byte(q.SQL[from : from+strings.IndexByte(q.SQL[from:], '\'')]))
 	}
@@ -345,7 +345,7 @@
 // A client that does not read its answers holds up nobody else, and is cut off by a deadline.
 func TestStuckReader(t *testing.T) {
 	w := newWorld(t, nil, func(g *Gateway) { g.clients.Limits.Answer = 300 * time.Millisecond })
-	w.replica.SetHandle(func(q *standin.Query) { q.Serve(bytes.Repeat([]byte("x"), 64<<10)) })
+	w.replica.SetHandle(func(q *fake.Query) { q.Serve(bytes.Repeat([]byte("x"), 64<<10)) })
 	stuck := w.raw()
 	stuck.Conn.(*net.TCPConn).SetReadBuffer(4096)
 	go func() {
@@ -363,7 +363,7 @@
 func TestDescriptorCap(t *testing.T) {
 	w := newWorld(t, func(c *config.Config) { c.Sockets = 64 })
 	arrived, release := make(chan struct{}, 8), make(chan struct{})
-	w.primary.SetHandle(func(q *standin.Query) {
+	w.primary.SetHandle(func(q *fake.Query) {
 		arrived <- struct{}{}
 		<-release
 		q.Serve([]byte("held"))
--- a/internal/gateway/floating_test.go
+++ b/internal/gateway/floating_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"marblespan/internal/config"
-	"marblespan/internal/standin"
+	"marblespan/internal/fake"
 	"marblespan/internal/vrrp"
 )
 
@@ -20,17 +20,17 @@
 // fleet is several gateways that share a floating address, with servers, discovery, a switch and a path between them.
 type fleet struct {
 	t        *testing.T
-	primary  *standin.Server
-	replica  *standin.Server
-	disc     *standin.Discovery
-	sw       *standin.Switch
-	path     *standin.Path
+	primary  *fake.Server
+	replica  *fake.Server
+	disc     *fake.Discovery
+	sw       *fake.Switch
+	path     *fake.Path
 	ends     []*net.UDPAddr
 	floating []string // each one's floating listener
 	gateways []*Gateway
 	logs     []*logBuffer
 	conf     []func(change func(string) string) *config.Operators
-	ledger   standin.Ledger
+	ledger   fake.Ledger
 	quit     chan struct{}
 	load     sync.WaitGroup
 }
@@ -44,14 +44,14 @@
 	t.Helper()
 	checkLeaks(t)
 	f := &fleet{t: t, quit: make(chan struct{})}
-	f.primary = must2(standin.NewServer("primary"))
-	f.replica = must2(standin.NewServer("replica"))
-	targets := []standin.Target{
+	f.primary = must2(fake.NewServer("primary"))
+	f.replica = must2(fake.NewServer("replica"))
+	targets := []fake.Target{
 		{UID: "p", Endpoint: f.primary.Addr(), Group: 7, State: "ready", Weight: 1, Role: "primary"},
 		{UID: "r", Endpoint: f.replica.Addr(), Group: 7, State: "ready", Weight: 1, Role: "replica"},
 	}
-	f.disc = must2(standin.NewDiscovery(targets...))
-	f.sw = must2(standin.NewSwitch(fleetSecret))
+	f.disc = must2(fake.NewDiscovery(targets...))
+	f.sw = must2(fake.NewSwitch(fleetSecret))
 	for i := range priorities {
 		ip := net.IPv4(127, 0, 0, byte(2+i))
 		u := must2(net.ListenUDP("udp4", &net.UDPAddr{IP: ip}))
@@ -61,7 +61,7 @@
 		u.Close()
 		l.Close()
 	}
-	f.path = must2(standin.NewPath(f.ends...))
+	f.path = must2(fake.NewPath(f.ends...))
 	for i, priority := range priorities {
 		var text strings.Builder
 		fmt.Fprintf(&text, "vrrp\nnode %d\nbind %v\nannounce %s\nkey 1 \"%s\"\n", i+1, f.ends[i], f.sw.Announced(), fleetSecret)
@@ -134,7 +134,7 @@
 		f.load.Add(1)
 		go func() {
 			defer f.load.Done()
-			b := &standin.Booker{
+			b := &fake.Booker{
 				Addr: f.sw.Addr, Class: "put", Group: 7, Patience: 3 * time.Second, Tries: 400, Wait: 5 * time.Millisecond,
 				Ledger: &f.ledger,
 			}
@@ -184,8 +184,8 @@
 // served waits until that many more bookings have been served.
 func (f *fleet) served(more int) {
 	f.t.Helper()
-	n := f.ledger.Totals().Counts[standin.Served]
-	eventually(f.t, func() bool { return f.ledger.Totals().Counts[standin.Served] >= n+more },
+	n := f.ledger.Totals().Counts[fake.Served]
+	eventually(f.t, func() bool { return f.ledger.Totals().Counts[fake.Served] >= n+more },
 		func() string { return fmt.Sprintf("%+v", f.ledger.Totals()) })
 }
 
@@ -212,18 +212,18 @@
 		split bool
 	}{
 		{"the active one is not heard", func() {
-			f.path.Set(0, 1, standin.Fate{Drop: true})
-			f.path.Set(0, 2, standin.Fate{Drop: true})
+			f.path.Set(0, 1, fake.Fate{Drop: true})
+			f.path.Set(0, 2, fake.Fate{Drop: true})
 		}, true},
 		{"the active one does not hear", func() {
-			f.path.Set(1, 0, standin.Fate{Drop: true})
-			f.path.Set(2, 0, standin.Fate{Drop: true})
+			f.path.Set(1, 0, fake.Fate{Drop: true})
+			f.path.Set(2, 0, fake.Fate{Drop: true})
 		}, false},
 		{"advertisements come later than the down interval", func() {
-			f.path.SetAll(standin.Fate{Delay: 6 * fleetInterval})
+			f.path.SetAll(fake.Fate{Delay: 6 * fleetInterval})
 		}, false},
 		{"advertisements are doubled and come in the wrong order", func() {
-			f.path.SetAll(standin.Fate{Copies: 2, Swap: true})
+			f.path.SetAll(fake.Fate{Copies: 2, Swap: true})
 		}, false},
 		{"two sides, old flows go on", func() { f.path.Isolate(0, true) }, true},
 		{"two sides, old flows are cut", func() {
@@ -260,7 +260,7 @@
 			f.split()
 		}
 		f.served(20)
-		f.path.SetAll(standin.Fate{})
+		f.path.SetAll(fake.Fate{})
 		f.settles(-1)
 		f.served(20)
 		t.Logf("%s: %+v", c.name, f.ledger.Totals())
@@ -284,7 +284,7 @@
 
 // A gateway without servers never takes the address, whatever its priority, and takes it as soon as it can serve.
 func TestBackupThatIsNotReady(t *testing.T) {
-	lonely := must2(standin.NewDiscovery())
+	lonely := must2(fake.NewDiscovery())
 	t.Cleanup(lonely.Close)
 	f := newFleet(t, true, func(i int, c *config.Config) {
 		if i == 1 {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -17,8 +17,8 @@
 	"github.com/jackc/pgx/v5/pgconn"
 
 	"marblespan/internal/config"
+	"marblespan/internal/fake"
 	"marblespan/internal/routing"
-	"marblespan/internal/standin"
 )
 
 const testSettings = `{"balancers": 1,
@@ -58,9 +58,9 @@
 // world is a gateway with a primary, a replica and discovery around it.
 type world struct {
 	t       *testing.T
-	primary *standin.Server
-	replica *standin.Server
-	disc    *standin.Discovery
+	primary *fake.Server
+	replica *fake.Server
+	disc    *fake.Discovery
 	gateway *Gateway
 	log     *logBuffer
 	cfg     *config.Config
@@ -71,9 +71,9 @@
 	t.Helper()
 	checkLeaks(t)
 	w := &world{t: t, log: &logBuffer{}}
-	w.primary = must2(standin.NewServer("primary"))
-	w.replica = must2(standin.NewServer("replica"))
-	w.disc = must2(standin.NewDiscovery(w.targets()...))
+	w.primary = must2(fake.NewServer("primary"))
+	w.replica = must2(fake.NewServer("replica"))
+	w.disc = must2(fake.NewDiscovery(w.targets()...))
 	raw, _ := json.Marshal(map[string]any{
 		"name": "n0", "listen": "127.0.0.1:1", "discovery": w.disc.Addr(), "seed": "8c1f30d27a5be964",
 		"limits":   map[string]any{"cores": 2, "memory_mb": 192, "sockets": 1024},
@@ -101,8 +101,8 @@
 	return v
 }
 
-func (w *world) targets() []standin.Target {
-	return []standin.Target{
+func (w *world) targets() []fake.Target {
+	return []fake.Target{
 		{UID: "p", Endpoint: w.primary.Addr(), Group: 7, State: "ready", Weight: 1, Role: "primary"},
 		{UID: "r", Endpoint: w.replica.Addr(), Group: 7, State: "ready", Weight: 1, Role: "replica"},
 	}
@@ -246,7 +246,7 @@
 	if len(got) != 1 {
 		t.Fatalf("the primary got %q", got)
 	}
-	d := (&standin.Query{SQL: got[0]}).Field("d")
+	d := (&fake.Query{SQL: got[0]}).Field("d")
 	if strings.Replace(got[0], "d="+d, "d=5000", 1) != put("b1") {
 		t.Errorf("the statement changed: %q", got[0])
 	}
@@ -263,28 +263,28 @@
 	for _, c := range []struct {
 		name    string
 		sql     func(string) string
-		handle  func(*standin.Query)
+		handle  func(*fake.Query)
 		code    string // what the client gets
 		repeats bool   // whether the request may be sent again
 	}{
-		{"miss of a write", put, func(q *standin.Query) { q.Fail("25006") }, "53300", true},
-		{"error", put, func(q *standin.Query) { q.Fail("XX000") }, "58000", false},
-		{"turned away", put, func(q *standin.Query) { q.Fail("53300") }, "53300", true},
-		{"reset after the last byte", put, func(q *standin.Query) { q.Hangup() }, "58000", false},
-		{"broken off in the value", put, func(q *standin.Query) {
-			row := standin.Row([]byte("some value"))
+		{"miss of a write", put, func(q *fake.Query) { q.Fail("25006") }, "53300", true},
+		{"error", put, func(q *fake.Query) { q.Fail("XX000") }, "58000", false},
+		{"turned away", put, func(q *fake.Query) { q.Fail("53300") }, "53300", true},
+		{"reset after the last byte", put, func(q *fake.Query) { q.Hangup() }, "58000", false},
+		{"broken off in the value", put, func(q *fake.Query) {
+			row := fake.Row([]byte("some value"))
 			q.Write(row[:len(row)-20])
 			q.Hangup()
 		}, "58000", false},
-		{"not PostgreSQL", put, func(q *standin.Query) { q.Write([]byte("HTTP/1.1 200 OK\r\n\r\n")) }, "58000", false},
-		{"ready without a row", put, func(q *standin.Query) { q.Write([]byte{'Z', 0, 0, 0, 5, 'I'}) }, "58000", false},
+		{"not PostgreSQL", put, func(q *fake.Query) { q.Write([]byte("HTTP/1.1 200 OK\r\n\r\n")) }, "58000", false},
+		{"ready without a row", put, func(q *fake.Query) { q.Write([]byte{'Z', 0, 0, 0, 5, 'I'}) }, "58000", false},
 		{"silence", func(id string) string { return strings.Replace(put(id), "d=5000", "d=300", 1) },
-			func(*standin.Query) {}, "58000", false},
+			func(*fake.Query) {}, "58000", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, nil)
 			w.primary.SetHandle(c.handle)
-			w.replica.SetHandle(func(q *standin.Query) { q.Fail("25006") })
+			w.replica.SetHandle(func(q *fake.Query) { q.Fail("25006") })
 			sql := c.sql("x1")
 			if c.repeats {
 				sql = strings.Replace(sql, "d=5000", "d=700", 1)
@@ -295,7 +295,7 @@
 			if !c.repeats && n != 1 {
 				t.Errorf("sent %d times", n)
 			}
-			w.primary.SetHandle(func(q *standin.Query) { q.Serve([]byte("fine")) })
+			w.primary.SetHandle(func(q *fake.Query) { q.Serve([]byte("fine")) })
 			w.asks(client, "", "", "") // the client's connection lives on
 		})
 	}
@@ -305,7 +305,7 @@
 func TestServerDownAtWrite(t *testing.T) {
 	w := newWorld(t, nil)
 	w.primary.Refuse("57P03")
-	w.replica.SetHandle(func(q *standin.Query) { q.Fail("25006") })
+	w.replica.SetHandle(func(q *fake.Query) { q.Fail("25006") })
 	w.asks(w.dial(), strings.Replace(put("x"), "d=5000", "d=600", 1), "", "53300")
 	if n := len(w.primary.Queries()); n != 0 {
 		t.Errorf("%d statements reached a server that was not up", n)
@@ -328,7 +328,7 @@
 // An answer behind which the server closes counts, and the next request takes another connection.
 func TestServerClosesBehindAnswer(t *testing.T) {
 	w := newWorld(t, nil)
-	w.primary.SetHandle(func(q *standin.Query) {
+	w.primary.SetHandle(func(q *fake.Query) {
 		q.Serve([]byte("last"))
 		q.Hangup()
 	})
@@ -343,7 +343,7 @@
 func TestTimedOutConnectionIsClosed(t *testing.T) {
 	w := newWorld(t, nil)
 	conns := make(chan int, 16)
-	w.primary.SetHandle(func(q *standin.Query) { conns <- q.Conn })
+	w.primary.SetHandle(func(q *fake.Query) { conns <- q.Conn })
 	c := w.dial()
 	w.asks(c, strings.Replace(put("x"), "d=5000", "d=200", 1), "", "58000")
 	first := <-conns
@@ -352,7 +352,7 @@
 			break
 		}
 	}
-	w.primary.SetHandle(func(q *standin.Query) { conns <- q.Conn; q.Serve([]byte("v")) })
+	w.primary.SetHandle(func(q *fake.Query) { conns <- q.Conn; q.Serve([]byte("v")) })
 	w.asks(c, put("y"), "v", "")
 	if second := <-conns; second == first {
 		t.Error("the connection was used again")
@@ -363,7 +363,7 @@
 func TestClientGoneCancels(t *testing.T) {
 	w := newWorld(t, nil)
 	arrived := make(chan int, 1)
-	w.primary.SetHandle(func(q *standin.Query) { arrived <- q.Conn })
+	w.primary.SetHandle(func(q *fake.Query) { arrived <- q.Conn })
 	nc := w.raw()
 	nc.Write(query(put("x")))
 	conn := <-arrived
@@ -395,7 +395,7 @@
 func TestStopAnswersWhatWasTaken(t *testing.T) {
 	w := newWorld(t, nil)
 	arrived, release := make(chan struct{}, 64), make(chan struct{})
-	w.primary.SetHandle(func(q *standin.Query) {
+	w.primary.SetHandle(func(q *fake.Query) {
 		arrived <- struct{}{}
 		<-release
 		q.Serve([]byte("late"))
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"marblespan/internal/config"
-	"marblespan/internal/standin"
+	"marblespan/internal/fake"
 )
 
 // ways are the ways in which a client leaves.
@@ -32,9 +32,9 @@
 	for name, leave := range ways {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, nil)
-			w.replica.SetHandle(func(q *standin.Query) { q.Fail("25006") })
+			w.replica.SetHandle(func(q *fake.Query) { q.Fail("25006") })
 			turnedAway := make(chan struct{}, 64)
-			w.primary.SetHandle(func(q *standin.Query) {
+			w.primary.SetHandle(func(q *fake.Query) {
 				q.Fail("53300")
 				turnedAway <- struct{}{}
 			})
@@ -45,7 +45,7 @@
 			leave(c.Conn.(*net.TCPConn))
 			w.gone(1, 1)
 			before := len(w.primary.Queries())
-			w.primary.SetHandle(func(q *standin.Query) { q.Serve([]byte("v")) })
+			w.primary.SetHandle(func(q *fake.Query) { q.Serve([]byte("v")) })
 			w.asks(w.dial(), put("y"), "v", "")
 			if got := w.primary.Queries()[before:]; len(got) != 1 || !strings.Contains(got[0], "id=y") {
 				t.Errorf("behind the close the primary got %q", got)
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"marblespan/internal/config"
+	"marblespan/internal/fake"
 	"marblespan/internal/routing"
-	"marblespan/internal/standin"
 )
 
 const (
@@ -35,7 +35,7 @@
 }
 
 // asked waits for a call and returns its path.
-func asked(t *testing.T, d *standin.Discovery) string {
+func asked(t *testing.T, d *fake.Discovery) string {
 	t.Helper()
 	select {
 	case line := <-d.Asked:
@@ -57,7 +57,7 @@
 	}
 	draining := w.targets()
 	draining[1].State = "draining"
-	next := must2(standin.NewDiscovery(draining...))
+	next := must2(fake.NewDiscovery(draining...))
 	defer next.Close()
 	w.reload(next.Addr())
 	if path := asked(t, next); path != "/v1/servers" {
@@ -84,7 +84,7 @@
 func TestReloadToAnAddressThatFails(t *testing.T) {
 	w := newWorld(t, nil)
 	w.lists(formFull, 1)
-	next := must2(standin.NewDiscovery(w.targets()...))
+	next := must2(fake.NewDiscovery(w.targets()...))
 	defer next.Close()
 	next.Answer("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 	w.reload(next.Addr())
@@ -137,10 +137,10 @@
 func TestReloadsInARow(t *testing.T) {
 	w := newWorld(t, nil)
 	w.lists(formFull, 1)
-	silent := must2(standin.NewDiscovery(w.targets()...))
+	silent := must2(fake.NewDiscovery(w.targets()...))
 	defer silent.Close()
 	silent.Answer("silent")
-	last := must2(standin.NewDiscovery(w.targets()...))
+	last := must2(fake.NewDiscovery(w.targets()...))
 	defer last.Close()
 	w.reload(silent.Addr())
 	w.reload(w.disc.Addr())
--- a/internal/gateway/stopping_test.go
+++ b/internal/gateway/stopping_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"marblespan/internal/config"
+	"marblespan/internal/fake"
 	"marblespan/internal/routing"
-	"marblespan/internal/standin"
 )
 
 // stop begins a stop, and returns once it has closed the clients that rest: until then the gateway serves as before.
@@ -66,7 +66,7 @@
 	if _, err := io.ReadFull(server, make([]byte, 5)); err != nil {
 		t.Fatalf("nothing was sent: %v", err)
 	}
-	server.Write(append(standin.Row([]byte("late")), 'Z', 0, 0, 0, 5, 'I'))
+	server.Write(append(fake.Row([]byte("late")), 'Z', 0, 0, 0, 5, 'I'))
 	c.wantServed("late")
 	<-ended
 }
@@ -79,9 +79,9 @@
 			c.Facts.Settings.Classes[i].Aim = 100_000 // the pauses between attempts follow it
 		}
 	})
-	w.replica.SetHandle(func(q *standin.Query) { q.Fail("25006") })
+	w.replica.SetHandle(func(q *fake.Query) { q.Fail("25006") })
 	turnedAway := make(chan struct{}, 1024)
-	w.primary.SetHandle(func(q *standin.Query) {
+	w.primary.SetHandle(func(q *fake.Query) {
 		q.Fail("53300")
 		turnedAway <- struct{}{}
 	})
@@ -89,7 +89,7 @@
 	c.Write(query(strings.Replace(put("x"), "d=5000", "d=20000", 1)))
 	<-turnedAway
 	ended := w.stop()
-	w.primary.SetHandle(func(q *standin.Query) { q.Serve([]byte("at last")) })
+	w.primary.SetHandle(func(q *fake.Query) { q.Serve([]byte("at last")) })
 	c.wantServed("at last")
 	<-ended
 }
--- a/internal/gateway/told_test.go
+++ b/internal/gateway/told_test.go
@@ -5,10 +5,10 @@
 	"time"
 
 	"marblespan/internal/config"
+	"marblespan/internal/fake"
 	"marblespan/internal/policy"
 	"marblespan/internal/session"
 	"marblespan/internal/settings"
-	"marblespan/internal/standin"
 )
 
 // The terms by which a change of the list counts as known to a gateway, whether or not it was heard.
@@ -101,7 +101,7 @@
 		t.Error("a read went to a draining server")
 	}
 
-	silent := must2(standin.NewDiscovery())
+	silent := must2(fake.NewDiscovery())
 	defer silent.Close()
 	silent.Answer("silent")
 	w = newWorld(t, func(c *config.Config) { push(c); c.Discovery = silent.Addr() })
@@ -119,10 +119,10 @@
 // A restarted gateway with an old list is ready at once where the list is asked for, whatever discovery does: silent, crowded,
 // down, or slow to connect to. Without a list it is ready with the first one that comes.
 func TestReadyWhateverDiscoveryDoes(t *testing.T) {
-	silent := must2(standin.NewDiscovery())
+	silent := must2(fake.NewDiscovery())
 	defer silent.Close()
 	silent.Answer("silent")
-	crowded := must2(standin.NewDiscovery())
+	crowded := must2(fake.NewDiscovery())
 	defer crowded.Close()
 	crowded.Answer("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 	for name, addr := range map[string]string{
--- a/internal/lab/failover/failover.go
+++ b/internal/lab/failover/failover.go
@@ -13,8 +13,8 @@
 	"syscall"
 	"time"
 
+	"marblespan/internal/fake"
 	"marblespan/internal/lab/report"
-	"marblespan/internal/standin"
 	"marblespan/internal/testcluster"
 )
 
@@ -105,8 +105,8 @@
 	Two        *report.Spans // two that ran held it
 	Gap        *report.Spans // the longest that a client of the floating address had to wait for a booking
 	FrontGap   *report.Spans // the same of a client of the front
-	Floating   standin.Totals
-	Front      standin.Totals
+	Floating   fake.Totals
+	Front      fake.Totals
 	Lost       int      // taken by a gateway that was in reach, and never answered
 	Losses     []string // each of the lost
 	Faults     []string
@@ -282,7 +282,7 @@
 }
 
 // gap is the longest that any client went without a booking served, around a fault, in microseconds.
-func gap(served []standin.Mark, from, to time.Time) int64 {
+func gap(served []fake.Mark, from, to time.Time) int64 {
 	last := map[string]time.Time{}
 	longest := time.Duration(0)
 	for _, m := range served {
@@ -352,7 +352,7 @@
 
 // load is the clients of an experiment.
 type load struct {
-	floating, front standin.Ledger
+	floating, front fake.Ledger
 	spread          *front
 	quit            chan struct{}
 	once            sync.Once
@@ -362,7 +362,7 @@
 func newLoad(o Options, f *testcluster.Fleet) *load {
 	l := &load{quit: make(chan struct{}), spread: &front{nodes: f.Nodes, away: map[int]time.Time{}, notice: o.Notice}}
 	for c := range 2 * o.Clients {
-		b := &standin.Booker{
+		b := &fake.Booker{
 			Name: fmt.Sprint("c", c), Class: testcluster.ClassBooking, Group: testcluster.Group, Patience: time.Second, Tries: 1000, Wait: 5 * time.Millisecond,
 			Addr: f.Switch.Addr, Ledger: &l.floating, Via: f.Switch.Led,
 		}
--- a/internal/lab/failover/failover_test.go
+++ b/internal/lab/failover/failover_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"marblespan/internal/standin"
+	"marblespan/internal/fake"
 )
 
 var origin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -40,7 +40,7 @@
 }
 
 func TestGap(t *testing.T) {
-	served := []standin.Mark{
+	served := []fake.Mark{
 		{At: at(0), Client: "a"}, {At: at(90), Client: "a"}, {At: at(95), Client: "b"}, {At: at(390), Client: "a"}, {At: at(400), Client: "a"},
 	}
 	if got := gap(served, at(100), at(450)); got != 355_000 {
--- a/internal/lab/failover/write.go
+++ b/internal/lab/failover/write.go
@@ -7,8 +7,8 @@
 	"path/filepath"
 	"time"
 
+	"marblespan/internal/fake"
 	"marblespan/internal/lab/report"
-	"marblespan/internal/standin"
 )
 
 // DownInterval is how long the first backup waits, as RFC 9568 computes it.
@@ -49,16 +49,16 @@
 		})
 		for _, c := range []struct {
 			who   string
-			t     standin.Totals
+			t     fake.Totals
 			gap   *report.Spans
 			lost  string
 			shown bool
 		}{{"floating address", r.Floating, r.Gap, fmt.Sprint(r.Lost), true}, {"front", r.Front, r.FrontGap, "-", r.FrontGap.Millis(50) >= 0}} {
 			if c.shown {
 				clients = append(clients, []string{
-					r.Kind, c.who, c.gap.Cell(50), c.gap.Cell(90), c.gap.Cell(100), fmt.Sprint(c.t.Counts[standin.Served]),
-					fmt.Sprint(c.t.Refusals), fmt.Sprint(c.t.NoWay), fmt.Sprint(c.t.Counts[standin.Failed]),
-					fmt.Sprint(c.t.Counts[standin.Unknown]), c.lost, fmt.Sprint(len(r.Faults)),
+					r.Kind, c.who, c.gap.Cell(50), c.gap.Cell(90), c.gap.Cell(100), fmt.Sprint(c.t.Counts[fake.Served]),
+					fmt.Sprint(c.t.Refusals), fmt.Sprint(c.t.NoWay), fmt.Sprint(c.t.Counts[fake.Failed]),
+					fmt.Sprint(c.t.Counts[fake.Unknown]), c.lost, fmt.Sprint(len(r.Faults)),
 				})
 			}
 		}
--- a/internal/session/crossing_test.go
+++ b/internal/session/crossing_test.go
@@ -10,11 +10,11 @@
 	"testing"
 	"time"
 
+	"marblespan/internal/fake"
 	"marblespan/internal/policy"
 	"marblespan/internal/protocol/postgres"
 	"marblespan/internal/routing"
 	"marblespan/internal/settings"
-	"marblespan/internal/standin"
 	"marblespan/internal/transport"
 )
 
@@ -349,10 +349,10 @@
 
 // An answer that is complete but for ReadyForQuery is passed on soon, not at the request's end; likewise an error.
 func TestAnswerWithoutReadyForQuery(t *testing.T) {
-	for want, handle := range map[policy.Result]func(*standin.Query){
-		policy.ResultOK:    func(q *standin.Query) { q.Write(standin.Row([]byte("v"))) },
-		policy.ResultError: func(q *standin.Query) { q.Write(standin.Row([]byte("v"))[:30]) },
-		policy.ResultFull: func(q *standin.Query) {
+	for want, handle := range map[policy.Result]func(*fake.Query){
+		policy.ResultOK:    func(q *fake.Query) { q.Write(fake.Row([]byte("v"))) },
+		policy.ResultError: func(q *fake.Query) { q.Write(fake.Row([]byte("v"))[:30]) },
+		policy.ResultFull: func(q *fake.Query) {
 			q.Write(postgres.AppendError(nil, false, postgres.CodeRefused, "full", 0))
 		},
 	} {
@@ -516,7 +516,7 @@
 	if _, err := io.ReadFull(nc, body); err != nil {
 		t.Fatal(err)
 	}
-	told, err := strconv.Atoi((&standin.Query{SQL: string(body)}).Field("d"))
+	told, err := strconv.Atoi((&fake.Query{SQL: string(body)}).Field("d"))
 	if most := int(job.Until-job.Sent-late) / 1000; err != nil || told > most || told < most/2 {
 		t.Errorf("told %d ms (%v), %d are left", told, err, most)
 	}
--- a/internal/session/server_conn_test.go
+++ b/internal/session/server_conn_test.go
@@ -8,11 +8,11 @@
 
 	"github.com/rs/zerolog"
 
+	"marblespan/internal/fake"
 	"marblespan/internal/policy"
 	"marblespan/internal/protocol/postgres"
 	"marblespan/internal/routing"
 	"marblespan/internal/settings"
-	"marblespan/internal/standin"
 	"marblespan/internal/transport"
 )
 
@@ -20,7 +20,7 @@
 type rig struct {
 	t       *testing.T
 	servers *Servers
-	server  *standin.Server
+	server  *fake.Server
 	told    chan routing.Event
 }
 
@@ -29,7 +29,7 @@
 
 func newRig(t *testing.T) *rig {
 	t.Helper()
-	server, err := standin.NewServer("primary")
+	server, err := fake.NewServer("primary")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -145,13 +145,13 @@
 // A server that the list moves while an attempt is out there gets nothing new at its old place.
 func TestMovedWhileBusy(t *testing.T) {
 	r := newRig(t)
-	other, err := standin.NewServer("primary")
+	other, err := fake.NewServer("primary")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer other.Close()
 	arrived, release := make(chan struct{}), make(chan struct{})
-	r.server.SetHandle(func(q *standin.Query) {
+	r.server.SetHandle(func(q *fake.Query) {
 		close(arrived)
 		<-release
 		q.Serve([]byte("old place"))
@@ -206,7 +206,7 @@
 // A value larger than what was set aside for it would break the memory budget.
 func TestOversizedAnswer(t *testing.T) {
 	r := newRig(t)
-	r.server.SetHandle(func(q *standin.Query) { q.Serve(make([]byte, largestAnswer)) })
+	r.server.SetHandle(func(q *fake.Query) { q.Serve(make([]byte, largestAnswer)) })
 	r.servers.Send(r.job("a"))
 	if e := r.ended(); e.Result != policy.ResultError || e.Value != nil {
 		t.Errorf("ended with %s", routing.ResultNames[e.Result])
@@ -237,7 +237,7 @@
 func TestCloseIdle(t *testing.T) {
 	r := newRig(t)
 	arrived, release := make(chan struct{}, 2), make(chan struct{})
-	r.server.SetHandle(func(q *standin.Query) {
+	r.server.SetHandle(func(q *fake.Query) {
 		if q.ID() == "slow" {
 			arrived <- struct{}{}
 			<-release
@@ -270,7 +270,7 @@
 func TestSilentProbeClosesSiblings(t *testing.T) {
 	r := newRig(t)
 	arrived, release := make(chan struct{}, 2), make(chan struct{})
-	r.server.SetHandle(func(q *standin.Query) {
+	r.server.SetHandle(func(q *fake.Query) {
 		arrived <- struct{}{}
 		<-release
 		q.Serve([]byte("v"))
@@ -304,8 +304,8 @@
 // given in that moment is carried out on another.
 func TestUnaskedMessages(t *testing.T) {
 	r := newRig(t)
-	queries := make(chan *standin.Query, 4)
-	r.server.SetHandle(func(q *standin.Query) {
+	queries := make(chan *fake.Query, 4)
+	r.server.SetHandle(func(q *fake.Query) {
 		queries <- q
 		q.Serve([]byte("v"))
 	})
@@ -339,7 +339,7 @@
 // A spoilt answer is one attempt that may have run: nothing that it said is believed, and its connection is never used
 // again. None of them may hold its request up until its end.
 func TestSpoiltAnswers(t *testing.T) {
-	whole := string(standin.Row([]byte("v")))
+	whole := string(fake.Row([]byte("v")))
 	claims := message('S', "role\x00primary\x00") + message('S', "applied_ms\x001796133629826\x00")
 	for name, raw := range map[string]string{
 		"noise":                         "\x91\x02\xfe\x00\x7f\x11 and more of it",
@@ -353,7 +353,7 @@
 		"noise before the end":          claims + whole + "\x00\x00\x00\x00\x00\x00\x00",
 	} {
 		r := newRig(t)
-		r.server.SetHandle(func(q *standin.Query) { q.Write([]byte(raw)) })
+		r.server.SetHandle(func(q *fake.Query) { q.Write([]byte(raw)) })
 		r.servers.Send(r.job("a"))
 		e := r.ended()
 		if e.Result != policy.ResultError || e.Role != policy.RoleUnknown || e.Position != 0 || e.Value != nil {
@@ -372,8 +372,8 @@
 // What comes right behind a good answer belongs to nobody. It is never taken for the next request's answer.
 func TestSurplusBehindAnAnswer(t *testing.T) {
 	r := newRig(t)
-	whole := string(standin.Row([]byte("first"))) + message('Z', "I")
-	r.server.SetHandle(func(q *standin.Query) {
+	whole := string(fake.Row([]byte("first"))) + message('Z', "I")
+	r.server.SetHandle(func(q *fake.Query) {
 		if q.ID() == "first" {
 			q.Write([]byte(whole + whole))
 			return
@@ -399,9 +399,9 @@
 // A good answer with a load report that cannot be read is served; of such a report nothing is believed.
 func TestUnreadableReport(t *testing.T) {
 	r := newRig(t)
-	r.server.SetHandle(func(q *standin.Query) {
+	r.server.SetHandle(func(q *fake.Query) {
 		q.Write([]byte(message('S', "load\x00x0=1796133629.826,\xff\x00") + message('S', "load") +
-			string(standin.Row([]byte("v"))) + message('Z', "I")))
+			string(fake.Row([]byte("v"))) + message('Z', "I")))
 	})
 	r.servers.Send(r.job("a"))
 	if e := r.ended(); e.Result != policy.ResultOK || e.Report.HasPosition {
@@ -415,7 +415,7 @@
 // Where kept connections are reset under requests, what may not be repeated goes out on a new one.
 func TestDoubtedConnections(t *testing.T) {
 	r := newRig(t)
-	r.server.SetHandle(func(q *standin.Query) {
+	r.server.SetHandle(func(q *fake.Query) {
 		if q.ID() == "reset" {
 			q.Hangup()
 			return
@@ -455,7 +455,7 @@
 func TestProbeResetOnAKeptConnection(t *testing.T) {
 	r := newRig(t)
 	r.servers.endpointOf(1).idle.Put(r.idleConn())
-	r.server.SetProbe(func(q *standin.Query) bool {
+	r.server.SetProbe(func(q *fake.Query) bool {
 		if q.Conn == 1 {
 			q.Hangup()
 			return true
@@ -467,7 +467,7 @@
 	if p := (<-r.told).(routing.ProbeEnded); p.Result != policy.ResultOK {
 		t.Errorf("the probe ended with %s", routing.ResultNames[p.Result])
 	}
-	r.server.SetProbe(func(q *standin.Query) bool { q.Hangup(); return true })
+	r.server.SetProbe(func(q *fake.Query) bool { q.Hangup(); return true })
 	r.servers.Probe(1, now, now+5_000_000)
 	if p := (<-r.told).(routing.ProbeEnded); p.Result != policy.ResultReset {
 		t.Errorf("with every connection reset it ended with %s", routing.ResultNames[p.Result])
--- a/internal/streams/streams_test.go
+++ b/internal/streams/streams_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
+	"marblespan/internal/fake"
 	"marblespan/internal/protocol/sealed"
-	"marblespan/internal/standin"
 	"marblespan/internal/transport"
 )
 
@@ -69,9 +69,9 @@
 }
 
 // pair is two ends with a relay on the way from a to b.
-func pair(t *testing.T) (a, b *end, way *standin.Relay) {
+func pair(t *testing.T) (a, b *end, way *fake.Relay) {
 	a, b = newEnd(t, "a", first), newEnd(t, "b", first)
-	way, err := standin.NewRelay("127.0.0.1:0", b.Addr(), nil)
+	way, err := fake.NewRelay("127.0.0.1:0", b.Addr(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -145,7 +145,7 @@
 	a, b, way := pair(t)
 	a.Send(Message{To: "b", Channel: Copies, Body: []byte("first")})
 	b.want(t, "a:first")
-	way.Set(standin.Fate{Stall: true}, standin.Fate{})
+	way.Set(fake.Fate{Stall: true}, fake.Fate{})
 	if _, err := a.Reach("b", time.Now().Add(50*time.Millisecond)); !errors.Is(err, ErrSilent) {
 		t.Errorf("%v", err)
 	}
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"marblespan/internal/standin"
+	"marblespan/internal/fake"
 )
 
 // Group is the number of a fleet's first group of servers; further ones follow.
@@ -57,7 +57,7 @@
 
 // server is one database server.
 type server struct {
-	*standin.Server
+	*fake.Server
 	of      *cluster
 	name    string
 	primary bool
@@ -76,16 +76,16 @@
 			s.name = fmt.Sprint(names[1], i)
 		}
 		var err error
-		if s.Server, err = standin.NewServer(s.role()); err != nil {
+		if s.Server, err = fake.NewServer(s.role()); err != nil {
 			c.close()
 			return nil, err
 		}
 		c.servers = append(c.servers, s)
-		s.SetProbe(func(*standin.Query) bool {
+		s.SetProbe(func(*fake.Query) bool {
 			s.Position.Store(c.position(s))
 			return false
 		})
-		s.SetHandle(func(q *standin.Query) { c.run(s, q) })
+		s.SetHandle(func(q *fake.Query) { c.run(s, q) })
 	}
 	return c, nil
 }
@@ -151,7 +151,7 @@
 var keyOf = regexp.MustCompile(`(?:name = |VALUES \()'([^']*)'`)
 
 // run runs one request and notes it.
-func (c *cluster) run(s *server, q *standin.Query) {
+func (c *cluster) run(s *server, q *fake.Query) {
 	key := ""
 	if m := keyOf.FindStringSubmatch(q.SQL); m != nil {
 		key = m[1]
@@ -209,10 +209,10 @@
 }
 
 // target is a server's entry on the list that a gateway gets, which reaches it at an address of its own.
-func (s *server) target(endpoint string) standin.Target {
+func (s *server) target(endpoint string) fake.Target {
 	s.of.mu.Lock()
 	defer s.of.mu.Unlock()
-	return standin.Target{UID: s.name, Endpoint: endpoint, Zone: "here", Group: s.of.group, State: s.state, Weight: 1, Role: s.role()}
+	return fake.Target{UID: s.name, Endpoint: endpoint, Zone: "here", Group: s.of.group, State: s.state, Weight: 1, Role: s.role()}
 }
 
 func (c *cluster) close() {
--- a/internal/testcluster/copies.go
+++ b/internal/testcluster/copies.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"marblespan/internal/standin"
+	"marblespan/internal/fake"
 )
 
 // Copies says what gateways hold for each other. They keep the sessions of bookings and of the class mine.
@@ -222,7 +222,7 @@
 		}
 	}
 	turn := 0
-	b := &standin.Booker{
+	b := &fake.Booker{
 		Name: "final", Class: ClassMine, Group: Group, Patience: patience, Tries: 20, Wait: clientWait, Ledger: &l.ledger,
 		Addr: func() string { turn++; return l.f.Nodes[turn%len(l.f.Nodes)].Listen }, Tell: l.tell,
 	}
--- a/internal/testcluster/doubt_test.go
+++ b/internal/testcluster/doubt_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"marblespan/internal/standin"
+	"marblespan/internal/fake"
 )
 
 // atEachStep has a gateway killed, or stand still, before a booking is promised; promised, and not sent; sent, while its server is
@@ -71,7 +71,7 @@
 // booking has the answer that it had.
 func halfAnswered(f *Fleet) error {
 	first, second := f.Nodes[0], f.Nodes[1]
-	r, err := standin.NewRelay("127.0.0.1:0", first.Listen, nil)
+	r, err := fake.NewRelay("127.0.0.1:0", first.Listen, nil)
 	if err != nil {
 		return err
 	}
@@ -79,7 +79,7 @@
 	l := &Load{f: f}
 	var at atomic.Value
 	at.Store(r.Addr())
-	b := &standin.Booker{
+	b := &fake.Booker{
 		Name: "half", Class: ClassBooking, Group: Group, Patience: patience, Tries: 400, Wait: clientWait, Again: 3, Ledger: &l.ledger, Tell: l.tell,
 		Addr: func() string { return at.Load().(string) },
 		Via: func(string) string {
@@ -90,11 +90,11 @@
 		},
 	}
 	defer b.Close()
-	if o := b.Book("whole"); o != standin.Served {
-		return fmt.Errorf("the first booking is %v", standin.OutcomeNames[o])
+	if o := b.Book("whole"); o != fake.Served {
+		return fmt.Errorf("the first booking is %v", fake.OutcomeNames[o])
 	}
-	r.Set(standin.Fate{}, standin.Fate{Rate: 20}) // a byte in 50 ms
-	end := make(chan standin.Outcome, 1)
+	r.Set(fake.Fate{}, fake.Fate{Rate: 20}) // a byte in 50 ms
+	end := make(chan fake.Outcome, 1)
 	go func() { end <- b.Book("half") }()
 	if err := f.History.Await("the booking has run", settleBy, func(all []Event) bool {
 		return slices.ContainsFunc(all, func(e Event) bool { return e.Kind == Ran && e.Key == "half" })
@@ -106,8 +106,8 @@
 	if err := during(f, "at 0s kill 1", func() error { first.Wait(); return nil }); err != nil {
 		return err
 	}
-	if o := <-end; o != standin.Served {
-		return fmt.Errorf("asked again it is %v", standin.OutcomeNames[o])
+	if o := <-end; o != fake.Served {
+		return fmt.Errorf("asked again it is %v", fake.OutcomeNames[o])
 	}
 	return nil
 }
--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -7,7 +7,7 @@
 	"syscall"
 	"time"
 
-	"marblespan/internal/standin"
+	"marblespan/internal/fake"
 )
 
 // Play brings faults about at their times and puts each right after its span; then it puts right all that is left. It
@@ -221,8 +221,8 @@
 				p.Set(a.Number-1, b.Number-1, fate(f.active, a.Number, b.Number))
 			}
 		}
-		severed := func(name string) standin.Fate {
-			return standin.Fate{Drop: slices.ContainsFunc(f.active, func(x Fault) bool {
+		severed := func(name string) fake.Fate {
+			return fake.Fate{Drop: slices.ContainsFunc(f.active, func(x Fault) bool {
 				return x.Verb == "sever" && x.Name == name && (x.From == nil || slices.Contains(x.From, a.Number)) ||
 					x.Verb == "promote" && f.fallen.name == name
 			})}
@@ -260,7 +260,7 @@
 }
 
 // fate is what all faults at work come to on one way.
-func fate(active []Fault, from, to int) (out standin.Fate) {
+func fate(active []Fault, from, to int) (out fake.Fate) {
 	for _, x := range active {
 		if !x.spoils(from, to) {
 			continue
--- a/internal/testcluster/fleet.go
+++ b/internal/testcluster/fleet.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"marblespan/internal/standin"
+	"marblespan/internal/fake"
 )
 
 // MostNodes is how many gateways a fleet may have.
@@ -88,10 +88,10 @@
 type Fleet struct {
 	Options
 	History *History
-	Switch  *standin.Switch
-	Path    *standin.Path // of the gateways' messages for the floating address
-	Members *standin.Path // of what they say about who is there, streams among it; nil without
-	Nodes   []*Node       // number 1 first
+	Switch  *fake.Switch
+	Path    *fake.Path // of the gateways' messages for the floating address
+	Members *fake.Path // of what they say about who is there, streams among it; nil without
+	Nodes   []*Node    // number 1 first
 
 	clusters  []*cluster
 	temporary bool
@@ -127,7 +127,7 @@
 			return f, err
 		}
 	}
-	if f.Switch, err = standin.NewSwitch(secret); err != nil {
+	if f.Switch, err = fake.NewSwitch(secret); err != nil {
 		return f, err
 	}
 	f.Switch.CutOnMove = o.CutOnMove
@@ -148,11 +148,11 @@
 		ends = append(ends, &net.UDPAddr{IP: n.IP, Port: portVRRP})
 		members = append(members, &net.UDPAddr{IP: n.IP, Port: portMembers})
 	}
-	if f.Path, err = standin.NewPath(ends...); err != nil {
+	if f.Path, err = fake.NewPath(ends...); err != nil {
 		return f, err
 	}
 	if f.Probe > 0 {
-		if f.Members, err = standin.NewPath(members...); err != nil {
+		if f.Members, err = fake.NewPath(members...); err != nil {
 			return f, err
 		}
 		if err = f.Members.Streams(); err != nil {
@@ -199,7 +199,7 @@
 }
 
 // Primary is the primary of the servers.
-func (f *Fleet) Primary() *standin.Server { return f.clusters[0].servers[0].Server }
+func (f *Fleet) Primary() *fake.Server { return f.clusters[0].servers[0].Server }
 
 // Via is the gateway behind a listener's address; 0: none.
 func (f *Fleet) Via(addr string) int {
@@ -305,8 +305,8 @@
 }
 
 // paths are all paths between gateways.
-func (f *Fleet) paths() (all []*standin.Path) {
-	for _, p := range []*standin.Path{f.Path, f.Members} {
+func (f *Fleet) paths() (all []*fake.Path) {
+	for _, p := range []*fake.Path{f.Path, f.Members} {
 		if p != nil {
 			all = append(all, p)
 		}
--- a/internal/testcluster/load.go
+++ b/internal/testcluster/load.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"marblespan/internal/standin"
+	"marblespan/internal/fake"
 )
 
 // Load is clients that book, view and look for seats until it is stopped. Each tells the history of every request.
@@ -17,7 +17,7 @@
 	quit   chan struct{}
 	once   sync.Once
 	done   sync.WaitGroup
-	ledger standin.Ledger
+	ledger fake.Ledger
 	again  bool
 }
 
@@ -69,13 +69,13 @@
 		}
 		return booked[rand.IntN(len(booked))]
 	}
-	book := func(b *standin.Booker, n int) {
+	book := func(b *fake.Booker, n int) {
 		key := fmt.Sprintf("%s-%d", b.Name, n)
 		recent(key) // others look for it while it is being booked, too
 		b.Group = f.groupOf(key)
 		b.Book(key)
 	}
-	look := func(b *standin.Booker, _ int) {
+	look := func(b *fake.Booker, _ int) {
 		key := recent("")
 		b.Group = f.groupOf(key)
 		b.Read(key)
@@ -90,11 +90,11 @@
 
 // clients starts clients of one kind. Each keeps to a gateway for as long as its connection lasts, and goes to the next one
 // when it must connect anew, as a front would have it.
-func (l *Load) clients(kind, class string, count int, think time.Duration, do func(*standin.Booker, int), floating bool) {
+func (l *Load) clients(kind, class string, count int, think time.Duration, do func(*fake.Booker, int), floating bool) {
 	f := l.f
 	for i := range count {
 		turn := i
-		b := &standin.Booker{
+		b := &fake.Booker{
 			Name: fmt.Sprint(kind, i), Class: class, Group: Group, Patience: patience, Tries: 20, Wait: clientWait, Ledger: &l.ledger,
 			Addr: func() string { turn++; return f.Nodes[turn%len(f.Nodes)].Listen }, Tell: l.tell,
 		}
@@ -121,7 +121,7 @@
 }
 
 // tell writes a client's exchange into the history.
-func (l *Load) tell(x standin.Exchange) {
+func (l *Load) tell(x fake.Exchange) {
 	e := Event{
 		At: l.f.History.At(x.At), Kind: Asked, Node: l.f.Via(x.Via), ID: x.ID, Client: x.Client, Class: x.Class, Key: x.Meaning,
 		Within: patience.Microseconds(),
@@ -156,12 +156,12 @@
 }
 
 // Totals sums up what became of all that clients meant.
-func (l *Load) Totals() standin.Totals { return l.ledger.Totals() }
+func (l *Load) Totals() fake.Totals { return l.ledger.Totals() }
 
 // Doubt is how many bookings ended without their client knowing whether they ran.
 func (l *Load) Doubt() int {
 	t := l.ledger.Totals()
-	return t.Counts[standin.Failed] + t.Counts[standin.Unknown]
+	return t.Counts[fake.Failed] + t.Counts[fake.Unknown]
 }
 
 // Outcome is what a run came to.
@@ -170,7 +170,7 @@
 	Events  []Event
 	Broken  []Violation
 	Err     error // the rig itself failed
-	Totals  standin.Totals
+	Totals  fake.Totals
 	Settled time.Duration // from the last fault's end until the fleet was at rest again
 }
 
--- a/internal/testcluster/node.go
+++ b/internal/testcluster/node.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"marblespan/internal/standin"
+	"marblespan/internal/fake"
 )
 
 // This file is one gateway of a fleet: its files, its process, and what is done to both.
@@ -29,9 +29,9 @@
 
 	f         *Fleet
 	dir       string
-	discovery *standin.Discovery
-	reach     *standin.Relay            // of discovery
-	servers   map[string]*standin.Relay // of each server
+	discovery *fake.Discovery
+	reach     *fake.Relay            // of discovery
+	servers   map[string]*fake.Relay // of each server
 	told      sync.WaitGroup
 
 	mu      sync.Mutex
@@ -43,12 +43,12 @@
 
 // newNode makes what stands between one gateway and the rest.
 func (f *Fleet) newNode(number int, ip net.IP) (*Node, error) {
-	n := &Node{Number: number, IP: ip, f: f, dir: filepath.Join(f.Dir, fmt.Sprint("n", number)), servers: map[string]*standin.Relay{}, files: noBound}
+	n := &Node{Number: number, IP: ip, f: f, dir: filepath.Join(f.Dir, fmt.Sprint("n", number)), servers: map[string]*fake.Relay{}, files: noBound}
 	n.Listen, n.Floating = fmt.Sprintf("%v:%d", ip, portClients), fmt.Sprintf("%v:%d", ip, portFloating)
 	f.Nodes = append(f.Nodes, n)
-	var targets []standin.Target
+	var targets []fake.Target
 	for _, s := range f.servers() {
-		r, err := standin.NewRelay("127.0.0.1:0", s.Addr(), ip)
+		r, err := fake.NewRelay("127.0.0.1:0", s.Addr(), ip)
 		if err != nil {
 			return nil, err
 		}
@@ -57,7 +57,7 @@
 		targets = append(targets, s.target(r.Addr()))
 	}
 	var err error
-	if n.discovery, err = standin.NewDiscovery(targets...); err != nil {
+	if n.discovery, err = fake.NewDiscovery(targets...); err != nil {
 		return nil, err
 	}
 	n.told.Add(1)
@@ -66,7 +66,7 @@
 		for range n.discovery.Asked {
 		}
 	}()
-	n.reach, err = standin.NewRelay("127.0.0.1:0", n.discovery.Addr(), nil)
+	n.reach, err = fake.NewRelay("127.0.0.1:0", n.discovery.Addr(), nil)
 	return n, err
 }
 
@@ -86,7 +86,7 @@
 	if err := os.WriteFile(n.Conf(), []byte(n.sections()), 0o600); err != nil {
 		return err
 	}
-	var known []standin.Target
+	var known []fake.Target
 	for _, s := range f.servers() {
 		known = append(known, s.target(n.servers[s.name].Addr()))
 	}
@@ -243,7 +243,7 @@
 // awaitServing notes when a life answers its first question, as a front does.
 func (n *Node) awaitServing(p *process) {
 	for !p.over() {
-		if standin.Serves(n.Listen, time.Second) {
+		if fake.Serves(n.Listen, time.Second) {
 			n.f.History.Add(Event{Kind: Process, Node: n.Number, What: "ready"})
 			return
 		}
