--- a/cmd/marblelab/main.go
+++ b/cmd/marblelab/main.go
@@ -11,13 +11,13 @@
 
 	"github.com/spf13/cobra"
 
-	"marblespan/internal/lab/chaos"
-	"marblespan/internal/lab/copies"
-	"marblespan/internal/lab/demo"
-	"marblespan/internal/lab/doubt"
-	"marblespan/internal/lab/failover"
-	"marblespan/internal/lab/maintain"
-	"marblespan/internal/lab/members"
+	"marblespan/internal/experiments/chaos"
+	"marblespan/internal/experiments/copies"
+	"marblespan/internal/experiments/demo"
+	"marblespan/internal/experiments/doubt"
+	"marblespan/internal/experiments/failover"
+	"marblespan/internal/experiments/maintain"
+	"marblespan/internal/experiments/members"
 	"marblespan/internal/testcluster"
 )
 
--- a/cmd/marblelab/main_test.go
+++ b/cmd/marblelab/main_test.go
@@ -11,11 +11,11 @@
 	"time"
 
 	"marblespan/internal/cli"
+	"marblespan/internal/experiments/chaos"
+	"marblespan/internal/experiments/demo"
+	"marblespan/internal/experiments/failover"
+	"marblespan/internal/experiments/members"
 	"marblespan/internal/fake"
-	"marblespan/internal/lab/chaos"
-	"marblespan/internal/lab/demo"
-	"marblespan/internal/lab/failover"
-	"marblespan/internal/lab/members"
 	"marblespan/internal/testcluster"
 )
 
--- a/internal/archtest/layers_test.go
+++ b/internal/archtest/layers_test.go
@@ -63,27 +63,27 @@
 	"internal/cli": {
 		"internal/config", "internal/config/lines", "internal/control", "internal/floatingip", "internal/gossip", "internal/gateway",
 	},
-	"internal/knownred":     {},
-	"internal/knownred/run": {"internal/knownred"},
-	"internal/fake":         {},
-	"internal/testcluster":  {"internal/config/lines", "internal/fake"},
-	"internal/lab/report":   {},
-	"internal/lab/members": {
-		"internal/lab/report", "internal/membership", "internal/protocol/members", "internal/protocol/sealed", "internal/testcluster",
+	"internal/knownred":           {},
+	"internal/knownred/run":       {"internal/knownred"},
+	"internal/fake":               {},
+	"internal/testcluster":        {"internal/config/lines", "internal/fake"},
+	"internal/experiments/report": {},
+	"internal/experiments/members": {
+		"internal/experiments/report", "internal/membership", "internal/protocol/members", "internal/protocol/sealed", "internal/testcluster",
 	},
-	"internal/lab/copies": {
-		"api/raftstorepb", "internal/raftstore", "internal/raftnode", "internal/lab/report", "internal/protocol/sealed", "internal/testcluster", "internal/raftstorage", "internal/streams",
+	"internal/experiments/copies": {
+		"api/raftstorepb", "internal/raftstore", "internal/raftnode", "internal/experiments/report", "internal/protocol/sealed", "internal/testcluster", "internal/raftstorage", "internal/streams",
 		"internal/transport",
 	},
-	"internal/lab/failover": {"internal/lab/report", "internal/testcluster", "internal/fake"},
-	"internal/lab/chaos":    {"internal/lab/report", "internal/testcluster"},
-	"internal/lab/doubt":    {"internal/lab/report", "internal/testcluster"},
-	"internal/lab/maintain": {"internal/lab/report", "internal/testcluster"},
-	"internal/lab/demo":     {"internal/testcluster"},
-	"cmd/marblelab":         {"internal/lab/chaos", "internal/lab/copies", "internal/lab/demo", "internal/lab/doubt", "internal/lab/failover", "internal/lab/maintain", "internal/lab/members", "internal/testcluster"},
-	"cmd/marblespan":        {"internal/cli"},
-	"cmd/marblespan-holder": {"internal/cli", "internal/raftgateway"},
-	"cmd/simhost":           {"internal/simhost"},
+	"internal/experiments/failover": {"internal/experiments/report", "internal/testcluster", "internal/fake"},
+	"internal/experiments/chaos":    {"internal/experiments/report", "internal/testcluster"},
+	"internal/experiments/doubt":    {"internal/experiments/report", "internal/testcluster"},
+	"internal/experiments/maintain": {"internal/experiments/report", "internal/testcluster"},
+	"internal/experiments/demo":     {"internal/testcluster"},
+	"cmd/marblelab":                 {"internal/experiments/chaos", "internal/experiments/copies", "internal/experiments/demo", "internal/experiments/doubt", "internal/experiments/failover", "internal/experiments/maintain", "internal/experiments/members", "internal/testcluster"},
+	"cmd/marblespan":                {"internal/cli"},
+	"cmd/marblespan-holder":         {"internal/cli", "internal/raftgateway"},
+	"cmd/simhost":                   {"internal/simhost"},
 }
 
 // forbidden are packages that must not be used where the prefix says.
--- a/internal/lab/copies/cluster.go
+++ b/internal/experiments/copies/cluster.go
@@ -13,7 +13,7 @@
 
 	"github.com/rs/zerolog"
 
-	"marblespan/internal/lab/report"
+	"marblespan/internal/experiments/report"
 	"marblespan/internal/protocol/sealed"
 	"marblespan/internal/raftnode"
 	"marblespan/internal/raftstore"
--- a/internal/lab/copies/measure.go
+++ b/internal/experiments/copies/measure.go
@@ -13,7 +13,7 @@
 	"google.golang.org/protobuf/proto"
 
 	api "marblespan/api/raftstorepb"
-	"marblespan/internal/lab/report"
+	"marblespan/internal/experiments/report"
 	"marblespan/internal/raftstorage"
 	"marblespan/internal/raftstore"
 	"marblespan/internal/testcluster"
--- a/internal/lab/doubt/doubt.go
+++ b/internal/experiments/doubt/doubt.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"marblespan/internal/lab/report"
+	"marblespan/internal/experiments/report"
 	"marblespan/internal/testcluster"
 )
 
--- a/internal/lab/failover/failover.go
+++ b/internal/experiments/failover/failover.go
@@ -13,8 +13,8 @@
 	"syscall"
 	"time"
 
+	"marblespan/internal/experiments/report"
 	"marblespan/internal/fake"
-	"marblespan/internal/lab/report"
 	"marblespan/internal/testcluster"
 )
 
--- a/internal/lab/failover/write.go
+++ b/internal/experiments/failover/write.go
@@ -7,8 +7,8 @@
 	"path/filepath"
 	"time"
 
+	"marblespan/internal/experiments/report"
 	"marblespan/internal/fake"
-	"marblespan/internal/lab/report"
 )
 
 // DownInterval is how long the first backup waits, as RFC 9568 computes it.
--- a/internal/lab/maintain/maintain.go
+++ b/internal/experiments/maintain/maintain.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"marblespan/internal/lab/report"
+	"marblespan/internal/experiments/report"
 	"marblespan/internal/testcluster"
 )
 
--- a/internal/lab/members/measure.go
+++ b/internal/experiments/members/measure.go
@@ -7,7 +7,7 @@
 	"path/filepath"
 	"sync"
 
-	"marblespan/internal/lab/report"
+	"marblespan/internal/experiments/report"
 )
 
 // Options say what is measured.
--- a/internal/lab/members/processes.go
+++ b/internal/experiments/members/processes.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"marblespan/internal/lab/report"
+	"marblespan/internal/experiments/report"
 	"marblespan/internal/testcluster"
 )
 
