--- a/cmd/marblelab/main.go
+++ b/cmd/marblelab/main.go
@@ -12,12 +12,12 @@
 	"github.com/spf13/cobra"
 
 	"marblespan/internal/experiments/chaos"
-	"marblespan/internal/experiments/copies"
 	"marblespan/internal/experiments/demo"
 	"marblespan/internal/experiments/doubt"
 	"marblespan/internal/experiments/failover"
 	"marblespan/internal/experiments/maintain"
 	"marblespan/internal/experiments/members"
+	"marblespan/internal/experiments/statestore"
 	"marblespan/internal/testcluster"
 )
 
@@ -280,7 +280,7 @@
 }
 
 func copiesCommand() *cobra.Command {
-	o, out, quiet := copies.Defaults(), "", false
+	o, out, quiet := statestore.Defaults(), "", false
 	cmd := &cobra.Command{
 		Use: "copies", Short: "Measure what gateways hold for each other", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -290,11 +290,11 @@
 			if !quiet {
 				o.Progress = cmd.ErrOrStderr()
 			}
-			r, err := copies.Run(o)
+			r, err := statestore.Run(o)
 			if err != nil {
 				return err
 			}
-			return copies.Write(cmd.OutOrStdout(), out, o, r)
+			return statestore.Write(cmd.OutOrStdout(), out, o, r)
 		},
 	}
 	flags := cmd.Flags()
--- a/internal/archtest/layers_test.go
+++ b/internal/archtest/layers_test.go
@@ -71,7 +71,7 @@
 	"internal/experiments/members": {
 		"internal/experiments/report", "internal/membership", "internal/protocol/members", "internal/protocol/sealed", "internal/testcluster",
 	},
-	"internal/experiments/copies": {
+	"internal/experiments/statestore": {
 		"api/raftstorepb", "internal/raftstore", "internal/raftnode", "internal/experiments/report", "internal/protocol/sealed", "internal/testcluster", "internal/raftstorage", "internal/streams",
 		"internal/transport",
 	},
@@ -80,7 +80,7 @@
 	"internal/experiments/doubt":    {"internal/experiments/report", "internal/testcluster"},
 	"internal/experiments/maintain": {"internal/experiments/report", "internal/testcluster"},
 	"internal/experiments/demo":     {"internal/testcluster"},
-	"cmd/marblelab":                 {"internal/experiments/chaos", "internal/experiments/copies", "internal/experiments/demo", "internal/experiments/doubt", "internal/experiments/failover", "internal/experiments/maintain", "internal/experiments/members", "internal/testcluster"},
+	"cmd/marblelab":                 {"internal/experiments/chaos", "internal/experiments/statestore", "internal/experiments/demo", "internal/experiments/doubt", "internal/experiments/failover", "internal/experiments/maintain", "internal/experiments/members", "internal/testcluster"},
 	"cmd/marblespan":                {"internal/cli"},
 	"cmd/marblespan-holder":         {"internal/cli", "internal/raftgateway"},
 	"cmd/simhost":                   {"internal/simhost"},
--- a/internal/experiments/copies/cluster.go
+++ b/internal/experiments/statestore/cluster.go
@@ -1,6 +1,6 @@
-// Package copies measures what gateways hold for each other: the adapters with their streams and disks on loopback, several in
+// Package statestore measures what gateways hold for each other: the adapters with their streams and disks on loopback, several in
 // this process, and real gateways where their death is what is measured.
-package copies
+package statestore
 
 import (
 	"fmt"
--- a/internal/experiments/copies/measure.go
+++ b/internal/experiments/statestore/measure.go
@@ -1,4 +1,4 @@
-package copies
+package statestore
 
 import (
 	"fmt"
