--- a/cmd/marblelab/main.go
+++ b/cmd/marblelab/main.go
@@ -13,8 +13,8 @@
 
 	"marblespan/internal/experiments/chaos"
 	"marblespan/internal/experiments/demo"
-	"marblespan/internal/experiments/doubt"
 	"marblespan/internal/experiments/failover"
+	"marblespan/internal/experiments/indoubt"
 	"marblespan/internal/experiments/maintain"
 	"marblespan/internal/experiments/members"
 	"marblespan/internal/experiments/statestore"
@@ -206,7 +206,7 @@
 }
 
 func doubtCommand() *cobra.Command {
-	o, out, quiet := doubt.Defaults(), "", false
+	o, out, quiet := indoubt.Defaults(), "", false
 	cmd := &cobra.Command{
 		Use: "doubt", Short: "Measure bookings that are claimed before they are sent", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -216,11 +216,11 @@
 			if !quiet {
 				o.Progress = cmd.ErrOrStderr()
 			}
-			r, err := doubt.Run(o)
+			r, err := indoubt.Run(o)
 			if err != nil {
 				return err
 			}
-			if err := doubt.Write(cmd.OutOrStdout(), out, o, r); err != nil {
+			if err := indoubt.Write(cmd.OutOrStdout(), out, o, r); err != nil {
 				return err
 			}
 			for _, t := range r.TakeOvers {
--- a/internal/experiments/doubt/doubt.go
+++ b/internal/experiments/indoubt/doubt.go
@@ -1,6 +1,6 @@
-// Package doubt measures bookings that are claimed before they are sent, with real gateway processes: what a claim adds to a
+// Package indoubt measures bookings that are claimed before they are sent, with real gateway processes: what a claim adds to a
 // booking, how many one gateway books, and how bookings end whose gateway is lost, beside gateways that claim nothing.
-package doubt
+package indoubt
 
 import (
 	"fmt"
