--- a/cmd/marblelab/main.go
+++ b/cmd/marblelab/main.go
@@ -15,7 +15,7 @@
 	"marblespan/internal/experiments/demo"
 	"marblespan/internal/experiments/failover"
 	"marblespan/internal/experiments/indoubt"
-	"marblespan/internal/experiments/maintain"
+	"marblespan/internal/experiments/maintenance"
 	"marblespan/internal/experiments/members"
 	"marblespan/internal/experiments/statestore"
 	"marblespan/internal/testcluster"
@@ -243,7 +243,7 @@
 }
 
 func maintainCommand() *cobra.Command {
-	o, out, quiet := maintain.Defaults(), "", false
+	o, out, quiet := maintenance.Defaults(), "", false
 	cmd := &cobra.Command{
 		Use: "maintain", Short: "Measure a night's work: every machine is taken out, in the order that the gateways settle", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -253,11 +253,11 @@
 			if !quiet {
 				o.Progress = cmd.ErrOrStderr()
 			}
-			all, err := maintain.Run(o)
+			all, err := maintenance.Run(o)
 			if err != nil {
 				return err
 			}
-			if err := maintain.Write(cmd.OutOrStdout(), out, o, all); err != nil {
+			if err := maintenance.Write(cmd.OutOrStdout(), out, o, all); err != nil {
 				return err
 			}
 			for _, n := range all {
--- a/internal/experiments/maintain/maintain.go
+++ b/internal/experiments/maintenance/maintain.go
@@ -1,6 +1,6 @@
-// Package maintain measures a night's work with real gateway processes: every machine is taken out and comes back, in the order that
+// Package maintenance measures a night's work with real gateway processes: every machine is taken out and comes back, in the order that
 // the gateways settle, beside restarts without one.
-package maintain
+package maintenance
 
 import (
 	"errors"
