--- a/internal/archtest/layers_test.go
+++ b/internal/archtest/layers_test.go
@@ -27,7 +27,7 @@
 	"internal/protocol/notices":   {},
 	"internal/vrrp":               {},
 	"internal/modelcheck":         {},
-	"internal/duties":             {},
+	"internal/assignment":         {},
 	"internal/indoubt":            {},
 	"internal/maintenance":        {},
 	"internal/intents":            {"internal/indoubt"},
--- a/internal/duties/duties.go
+++ b/internal/assignment/duties.go
@@ -1,4 +1,4 @@
-// Package duties decides which of several instances does which periodic work, such as probing a database server: who is due
+// Package assignment decides which of several instances does which periodic work, such as probing a database server: who is due
 // when, who stands by, and who steps in when the one whose turn it is has gone silent.
 //
 // It needs no agreement. Every instance ranks the members that it sees for every subject by rendezvous hashing. The first
@@ -8,7 +8,7 @@
 //
 // It is pure: times and events in, actions out. It owns no clock, socket, goroutine or random source; times are whole
 // microseconds of a clock that never steps back. This file is its interface.
-package duties
+package assignment
 
 // Micros is a point or a span of time in whole microseconds.
 type Micros int64
--- a/internal/duties/queue.go
+++ b/internal/assignment/queue.go
@@ -1,4 +1,4 @@
-package duties
+package assignment
 
 // queue is the duties as a heap by when each is to be looked at.
 type queue []*duty
--- a/internal/duties/sim_test.go
+++ b/internal/assignment/sim_test.go
@@ -1,4 +1,4 @@
-package duties
+package assignment
 
 import (
 	"container/heap"
