--- a/internal/protocol/notices/notices.go
+++ b/internal/protocol/advisories/notices.go
@@ -1,6 +1,6 @@
-// Package notices is the codec of what instances tell each other of servers that they have probed: batches of notices, each
+// Package advisories is the codec of what instances tell each other of servers that they have probed: batches of notices, each
 // batch in one datagram. It works on bytes only, and is strict: there is one way to write a batch, and any other is a fault.
-package notices
+package advisories
 
 import (
 	"encoding/binary"
--- a/internal/protocol/notices/notices_test.go
+++ b/internal/protocol/advisories/notices_test.go
@@ -1,4 +1,4 @@
-package notices
+package advisories
 
 import (
 	"bytes"
