--- a/internal/archtest/layers_test.go
+++ b/internal/archtest/layers_test.go
@@ -82,7 +82,7 @@
 	"internal/experiments/demo":        {"internal/testcluster"},
 	"cmd/marblespan-bench":             {"internal/experiments/chaos", "internal/experiments/statestore", "internal/experiments/demo", "internal/experiments/indoubt", "internal/experiments/failover", "internal/experiments/maintenance", "internal/experiments/members", "internal/testcluster"},
 	"cmd/marblespan":                   {"internal/cli"},
-	"cmd/marblespan-holder":            {"internal/cli", "internal/raftgateway"},
+	"cmd/marblespan-raft":              {"internal/cli", "internal/raftgateway"},
 	"cmd/simhost":                      {"internal/simhost"},
 }
 
