--- a/cmd/marblespan-bench/main.go
+++ b/cmd/marblespan-bench/main.go
@@ -1,4 +1,4 @@
-// Command marblelab measures and experiments. It is apart from the gateway, whose binary stays small.
+// Command marblespan-bench measures and experiments. It is apart from the gateway, whose binary stays small.
 package main
 
 import (
@@ -23,12 +23,12 @@
 
 func main() {
 	root := &cobra.Command{
-		Use: "marblelab", Short: "Measurements and experiments with marblespan", SilenceUsage: true, SilenceErrors: true,
+		Use: "marblespan-bench", Short: "Measurements and experiments with marblespan", SilenceUsage: true, SilenceErrors: true,
 		CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true},
 	}
 	root.AddCommand(demoCommand(), chaosCommand(), failoverCommand(), membersCommand(), copiesCommand(), doubtCommand(), maintainCommand())
 	if err := root.Execute(); err != nil {
-		fmt.Fprintln(os.Stderr, "marblelab:", err)
+		fmt.Fprintln(os.Stderr, "marblespan-bench:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/marblespan-bench/main_test.go
+++ b/cmd/marblespan-bench/main_test.go
@@ -30,7 +30,7 @@
 		time.AfterFunc(after, func() { os.Exit(3) })
 		os.Exit(cli.Main(os.Args[1:], os.Getenv, os.Stdout, os.Stderr))
 	}
-	dir, err := os.MkdirTemp("", "marblelab")
+	dir, err := os.MkdirTemp("", "marblespan-bench")
 	if err != nil {
 		panic(err)
 	}
--- a/cmd/marblespan-raft/main.go
+++ b/cmd/marblespan-raft/main.go
@@ -1,4 +1,4 @@
-// Command marblespan-holder is marblespan with the store of copies in it. The gateway turns into it where the operators' file has a
+// Command marblespan-raft is marblespan with the store of copies in it. The gateway turns into it where the operators' file has a
 // copies section; it is not called by hand.
 package main
 
--- a/internal/cli/copies.go
+++ b/internal/cli/copies.go
@@ -17,7 +17,7 @@
 )
 
 // larger is the program that has the store, beside this one.
-const larger = "marblespan-holder"
+const larger = "marblespan-raft"
 
 // become turns this process into the larger program, with the same arguments. It returns only if that cannot be.
 func become(args []string) error {
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -159,7 +159,7 @@
 func (g *Gateway) startStore() error {
 	c := g.ops.Copies
 	if OpenStore == nil {
-		return errors.New("this program has no store; marblespan-holder has")
+		return errors.New("this program has no store; marblespan-raft has")
 	}
 	s, err := OpenStore(StoreSettings{
 		Copies: c, Node: g.ops.Members.Node, Zone: g.ops.Members.Zone, Weight: g.ops.Members.Weight, Clock: g.clock,
--- a/internal/testcluster/rig_test.go
+++ b/internal/testcluster/rig_test.go
@@ -31,7 +31,7 @@
 	}
 	binary = filepath.Join(dir, "marblespan")
 	another = filepath.Join(dir, "another", "marblespan")
-	for _, program := range []string{"marblespan", "marblespan-holder"} {
+	for _, program := range []string{"marblespan", "marblespan-raft"} {
 		for _, build := range [][]string{{"-o", filepath.Join(dir, program)}, {"-o", filepath.Join(dir, "another", program), "-ldflags",
 			"-X marblespan/internal/program.Version=" + anotherVersion + " -X marblespan/internal/withcopies.Format=" + anotherFormat}} {
 			args := append(append([]string{"build"}, build...), "../../cmd/"+program)
