--- a/internal/experiments/indoubt/doubt.go
+++ b/internal/experiments/indoubt/doubt.go
@@ -242,7 +242,7 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	file, err := os.Create(filepath.Join(dir, "doubt.md"))
+	file, err := os.Create(filepath.Join(dir, "in-doubt.md"))
 	if err != nil {
 		return err
 	}
--- a/internal/experiments/statestore/measure.go
+++ b/internal/experiments/statestore/measure.go
@@ -355,7 +355,7 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	file, err := os.Create(filepath.Join(dir, "copies.md"))
+	file, err := os.Create(filepath.Join(dir, "state-store.md"))
 	if err != nil {
 		return err
 	}
--- a/internal/indoubt/doubt.go
+++ b/internal/indoubt/doubt.go
@@ -3,7 +3,7 @@
 //
 // It is pure: requests, results of the store, ends and times go in; calls of the store, permissions and answers come out. It owns
 // no clock, socket or goroutine, and draws nothing. Times are whole microseconds of a clock that never
-// steps back. One Desk stands in each gateway. docs/doubt.md has the design, and why no order of events books twice.
+// steps back. One Desk stands in each gateway. docs/in-doubt.md has the design, and why no order of events books twice.
 package indoubt
 
 // Micros is a point or a span of time in whole microseconds.
--- a/internal/raftstore/copies.go
+++ b/internal/raftstore/copies.go
@@ -5,7 +5,7 @@
 // It is pure: messages, times, calls and the ends of disk writes go in; messages, disk writes and answers come out. It owns no
 // clock, socket, file or goroutine. The library draws the length of election time-outs from crypto/rand, and nothing else
 // here is drawn. Times are whole microseconds; those of a host come from a clock that never steps back, those in a group's log
-// are its leader's. This file is its interface. docs/copies.md has the design, and the promise in exact words.
+// are its leader's. This file is its interface. docs/state-store.md has the design, and the promise in exact words.
 package raftstore
 
 import (
--- a/internal/testcluster/history.go
+++ b/internal/testcluster/history.go
@@ -1,5 +1,5 @@
 // Package testcluster runs several real processes of the gateway with stand-ins around them, puts faults between them by a script,
-// keeps what happened as a history on one clock, and checks that history. See docs/rig.md.
+// keeps what happened as a history on one clock, and checks that history. See docs/test-cluster.md.
 package testcluster
 
 import (
