--- a/cmd/marblespan-bench/main.go
+++ b/cmd/marblespan-bench/main.go
@@ -11,6 +11,7 @@
 
 	"github.com/spf13/cobra"
 
+	"marblespan/internal/clock"
 	"marblespan/internal/experiments/chaos"
 	"marblespan/internal/experiments/demo"
 	"marblespan/internal/experiments/failover"
@@ -171,8 +172,8 @@
 			if o.Members < 4 || o.Kills < 1 || o.Masses < 1 || interval < 50*time.Millisecond {
 				return fmt.Errorf("needs four members, one kill of each kind and an interval of 50ms at least")
 			}
-			o.Span, o.Brief = members.Micros(span.Microseconds()), members.Micros(brief.Microseconds())
-			o.Interval = members.Micros(interval.Microseconds())
+			o.Span, o.Brief = clock.Micros(span.Microseconds()), clock.Micros(brief.Microseconds())
+			o.Interval = clock.Micros(interval.Microseconds())
 			if !quiet {
 				o.Progress = cmd.ErrOrStderr()
 			}
--- a/internal/assignment/duties.go
+++ b/internal/assignment/duties.go
@@ -10,8 +10,7 @@
 // microseconds of a clock that never steps back. This file is its interface.
 package assignment
 
-// Micros is a point or a span of time in whole microseconds.
-type Micros int64
+import "marblespan/internal/clock"
 
 // Member is an instance that takes part.
 type Member struct {
@@ -33,20 +32,20 @@
 // often than need be, or later by the difference.
 type Config struct {
 	Self    Member
-	Period  Micros // between two times that a subject is dealt with that somebody asks for
-	Idle    Micros // the same of one that nobody asks for
-	Least   Micros // no wish makes a period shorter: a bound on the work a subject gets from everybody together
-	Step    Micros // how much later than the one before it each next in rank steps in
-	Most    Micros // no rank waits for longer than this
-	Jitter  Micros // at random up to this much later, so that equals do not act in the same moment
-	Holders int    // how many do the work each period; 0: 1
+	Period  clock.Micros // between two times that a subject is dealt with that somebody asks for
+	Idle    clock.Micros // the same of one that nobody asks for
+	Least   clock.Micros // no wish makes a period shorter: a bound on the work a subject gets from everybody together
+	Step    clock.Micros // how much later than the one before it each next in rank steps in
+	Most    clock.Micros // no rank waits for longer than this
+	Jitter  clock.Micros // at random up to this much later, so that equals do not act in the same moment
+	Holders int          // how many do the work each period; 0: 1
 	Seed    uint64
 }
 
 // Gap is the longest that a subject goes without being dealt with while any member lives, reaches it, hears of its own
 // work only and is asked to look in time: the period, the longest wait of a rank, the jitter. What a message takes comes
 // to it where others are heard.
-func (c Config) Gap(period Micros) Micros { return period + c.Most + c.Jitter }
+func (c Config) Gap(period clock.Micros) clock.Micros { return period + c.Most + c.Jitter }
 
 // Event is one of the events below.
 type Event interface{ event() }
@@ -61,8 +60,8 @@
 type Notice struct {
 	Key  string
 	From string
-	Age  Micros // since then
-	Good bool   // it had an answer; without one somebody else may have more luck
+	Age  clock.Micros // since then
+	Good bool         // it had an answer; without one somebody else may have more luck
 }
 
 // Done tells that this instance has dealt with a subject that it was told to.
@@ -75,8 +74,8 @@
 type Wish struct {
 	Key    string
 	From   string
-	Period Micros
-	For    Micros
+	Period clock.Micros
+	For    clock.Micros
 }
 
 // Tick tells that time has passed.
--- a/internal/assignment/keeper.go
+++ b/internal/assignment/keeper.go
@@ -7,6 +7,8 @@
 	"slices"
 
 	"github.com/cespare/xxhash/v2"
+
+	"marblespan/internal/clock"
 )
 
 // failedFor is for how many periods a member that had no answer from a subject ranks behind the others for it. It guards
@@ -14,7 +16,7 @@
 const failedFor = 8
 
 // never is a time that does not come.
-const never Micros = math.MaxInt64
+const never clock.Micros = math.MaxInt64
 
 // Keeper holds one instance's view of all duties of one kind.
 type Keeper struct {
@@ -22,7 +24,7 @@
 	members []Member
 	all     map[string]*duty
 	queue   queue // all duties by when they are to be looked at
-	now     Micros
+	now     clock.Micros
 	draws   uint64
 }
 
@@ -30,23 +32,23 @@
 type duty struct {
 	subject Subject
 	ranking []string
-	place   int    // of this instance in the ranking; -1: it is no member
-	seen    Micros // when it was last dealt with well, by whomever; 0: never
-	tried   Micros // when this instance last did so, well or not
-	out     bool   // this instance is at it
-	born    Micros // when it was first heard of here
-	since   Micros // when this instance came to its place
-	jitter  Micros // of the present wait
+	place   int          // of this instance in the ranking; -1: it is no member
+	seen    clock.Micros // when it was last dealt with well, by whomever; 0: never
+	tried   clock.Micros // when this instance last did so, well or not
+	out     bool         // this instance is at it
+	born    clock.Micros // when it was first heard of here
+	since   clock.Micros // when this instance came to its place
+	jitter  clock.Micros // of the present wait
 	wishes  map[string]wish
-	failed  map[string]Micros // until when members rank behind
+	failed  map[string]clock.Micros // until when members rank behind
 
-	look  Micros // when anything about it may change by time alone
-	index int    // in the queue
+	look  clock.Micros // when anything about it may change by time alone
+	index int          // in the queue
 }
 
 type wish struct {
-	period Micros
-	until  Micros
+	period clock.Micros
+	until  clock.Micros
 }
 
 // New makes a keeper that sees nobody but itself.
@@ -56,7 +58,7 @@
 }
 
 // Handle takes in one event and tells what is to be done now, in the order of keys.
-func (k *Keeper) Handle(now Micros, ev Event) []Do {
+func (k *Keeper) Handle(now clock.Micros, ev Event) []Do {
 	k.now = max(k.now, now)
 	switch e := ev.(type) {
 	case View:
@@ -84,7 +86,7 @@
 }
 
 // Next is when something falls due or has to be looked at again, unless something is heard before.
-func (k *Keeper) Next() (at Micros, ok bool) {
+func (k *Keeper) Next() (at clock.Micros, ok bool) {
 	if len(k.queue) == 0 || k.queue[0].look == never {
 		return 0, false
 	}
@@ -92,7 +94,7 @@
 }
 
 // Period is how often a subject is dealt with now; 0: it is none.
-func (k *Keeper) Period(key string) Micros {
+func (k *Keeper) Period(key string) clock.Micros {
 	if d := k.all[key]; d != nil {
 		return k.period(d)
 	}
@@ -144,7 +146,7 @@
 		keep[s.Key] = true
 		d := k.all[s.Key]
 		if d == nil {
-			d = &duty{subject: s, place: -2, born: k.now, since: k.now, wishes: map[string]wish{}, failed: map[string]Micros{}}
+			d = &duty{subject: s, place: -2, born: k.now, since: k.now, wishes: map[string]wish{}, failed: map[string]clock.Micros{}}
 			k.all[s.Key] = d
 			heap.Push(&k.queue, d)
 			k.order(d)
@@ -175,7 +177,7 @@
 }
 
 // period is the shortest that anybody wishes, within the bounds.
-func (k *Keeper) period(d *duty) Micros {
+func (k *Keeper) period(d *duty) clock.Micros {
 	p := k.cfg.Idle
 	for from, w := range d.wishes {
 		if k.now >= w.until {
@@ -203,15 +205,15 @@
 }
 
 // wait is how much later than a holder an instance of some rank steps in.
-func (k *Keeper) wait(d *duty, rank int) Micros {
+func (k *Keeper) wait(d *duty, rank int) clock.Micros {
 	if rank = rank - k.cfg.Holders + 1; rank <= 0 {
 		return 0
 	}
-	return min(Micros(rank)*k.cfg.Step, k.cfg.Most) + d.jitter
+	return min(clock.Micros(rank)*k.cfg.Step, k.cfg.Most) + d.jitter
 }
 
 // dueAt is when this instance is to deal with a subject, if nothing is heard before.
-func (k *Keeper) dueAt(d *duty) (Micros, bool) {
+func (k *Keeper) dueAt(d *duty) (clock.Micros, bool) {
 	rank := k.rank(d)
 	if d.out || rank < 0 {
 		return 0, false
@@ -267,7 +269,7 @@
 }
 
 // draw is a wait at random, from the seed, up to the jitter.
-func (k *Keeper) draw(d *duty) Micros {
+func (k *Keeper) draw(d *duty) clock.Micros {
 	if k.cfg.Jitter <= 0 {
 		return 0
 	}
@@ -276,5 +278,5 @@
 	h.ResetWithSeed(k.cfg.Seed)
 	h.WriteString(d.subject.Key)
 	h.Write([]byte{byte(k.draws), byte(k.draws >> 8), byte(k.draws >> 16), byte(k.draws >> 24)})
-	return Micros(h.Sum64() % uint64(k.cfg.Jitter+1))
+	return clock.Micros(h.Sum64() % uint64(k.cfg.Jitter+1))
 }
--- a/internal/experiments/statestore/cluster.go
+++ b/internal/experiments/statestore/cluster.go
@@ -13,10 +13,10 @@
 
 	"github.com/rs/zerolog"
 
+	"marblespan/internal/clock"
 	"marblespan/internal/experiments/report"
 	"marblespan/internal/protocol/sealed"
 	"marblespan/internal/raftnode"
-	"marblespan/internal/raftstore"
 	"marblespan/internal/streams"
 	"marblespan/internal/transport"
 )
@@ -97,8 +97,8 @@
 		Node: name, Weight: 1, Holds: true, Path: path, Tick: 100 * time.Millisecond, HealAfter: s.healAfter, HealAtOnce: 4, HealRate: 64 << 20,
 		MostBytes: 1 << 30, LeastLog: 1 << 20, Others: c.names,
 	}, raftnode.Clock{
-		Now:  func() raftstore.Micros { return raftstore.Micros(time.Since(begin).Microseconds()) + 1 },
-		Time: func(t raftstore.Micros) time.Time { return begin.Add(time.Duration(t-1) * time.Microsecond) },
+		Now:  func() clock.Micros { return clock.Micros(time.Since(begin).Microseconds()) + 1 },
+		Time: func(t clock.Micros) time.Time { return begin.Add(time.Duration(t-1) * time.Microsecond) },
 	}, m.streams, zerolog.New(io.Discard))
 	if err != nil {
 		m.streams.Close()
--- a/internal/floatingip/floating.go
+++ b/internal/floatingip/floating.go
@@ -11,6 +11,7 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/time/rate"
 
+	"marblespan/internal/clock"
 	"marblespan/internal/datagrams"
 	"marblespan/internal/protocol/sealed"
 	codec "marblespan/internal/protocol/vrrp"
@@ -54,8 +55,8 @@
 
 // Clock is a clock that never steps back.
 type Clock struct {
-	Now  func() vrrp.Micros
-	Time func(vrrp.Micros) time.Time
+	Now  func() clock.Micros
+	Time func(clock.Micros) time.Time
 }
 
 // dropsLogged and dropsBurst bound the log lines about messages that are dropped: a flood of garbage must not become a
@@ -255,7 +256,7 @@
 		s.drop(fault, from)
 		return
 	}
-	s.tell(g, vrrp.Heard{From: from.Addr(), Priority: m.Priority, Interval: vrrp.Micros(m.Interval)})
+	s.tell(g, vrrp.Heard{From: from.Addr(), Priority: m.Priority, Interval: clock.Micros(m.Interval)})
 }
 
 // check does the cheap checks first: strangers cost no signature.
--- a/internal/gateway/bookings.go
+++ b/internal/gateway/bookings.go
@@ -4,9 +4,9 @@
 	"errors"
 	"time"
 
+	"marblespan/internal/clock"
 	"marblespan/internal/indoubt"
 	"marblespan/internal/intents"
-	"marblespan/internal/policy"
 )
 
 // OpenBookings takes bookings in hand. It is set before the gateway starts, by the program that has a store for them.
@@ -26,15 +26,15 @@
 	}
 	s := intents.Settings{
 		Node: g.ops.Members.Node, Life: g.life, Classes: map[string]intents.Class{}, Log: g.log,
-		Now:  func() indoubt.Micros { return indoubt.Micros(g.clock.Now()) },
-		Time: func(t indoubt.Micros) time.Time { return g.clock.Time(policy.Micros(t)) },
+		Now:  func() clock.Micros { return clock.Micros(g.clock.Now()) },
+		Time: func(t clock.Micros) time.Time { return g.clock.Time(clock.Micros(t)) },
 		Look: func(class, key string, group int, by time.Time, done func(row, answer []byte, ok bool)) {
 			g.clients.Lookup(class, key, group, by, done)
 		},
 	}
 	for _, d := range g.ops.InDoubt {
 		c := intents.Class{Policy: indoubt.Policy{
-			Marks: d.Clients == "mark", Safe: d.Order == "safe", Look: len(d.Look) > 0, Span: indoubt.Micros(d.Remember.Microseconds()), Most: d.AtOnce,
+			Marks: d.Clients == "mark", Safe: d.Order == "safe", Look: len(d.Look) > 0, Span: clock.Micros(d.Remember.Microseconds()), Most: d.AtOnce,
 		}}
 		if c.Policy.Look {
 			c.Look = d.Look[0]
--- a/internal/gateway/floating.go
+++ b/internal/gateway/floating.go
@@ -7,9 +7,9 @@
 	"sync/atomic"
 	"time"
 
+	"marblespan/internal/clock"
 	"marblespan/internal/config"
 	"marblespan/internal/floatingip"
-	"marblespan/internal/policy"
 	codec "marblespan/internal/protocol/vrrp"
 	"marblespan/internal/routing"
 	"marblespan/internal/session"
@@ -25,7 +25,7 @@
 )
 
 // groupLately is for how long a group that was asked for counts as in use.
-const groupLately = policy.Micros(30 * time.Second / time.Microsecond)
+const groupLately = clock.Micros(30 * time.Second / time.Microsecond)
 
 // readyRoom is what must fit the messages' budget before the gateway is ready: a request and its answer.
 const readyRoom = 4 * transport.BufferSize
@@ -70,8 +70,8 @@
 	f.health.Store(&healthSeen{at: time.Now()})
 	f.groups.Store(&g.ops.Groups)
 	clock := floatingip.Clock{
-		Now:  func() vrrp.Micros { return vrrp.Micros(g.clock.Now()) },
-		Time: func(m vrrp.Micros) time.Time { return g.clock.Time(policy.Micros(m)) },
+		Now:  func() clock.Micros { return clock.Micros(g.clock.Now()) },
+		Time: func(m clock.Micros) time.Time { return g.clock.Time(clock.Micros(m)) },
 	}
 	var err error
 	if f.speaker, err = floatingip.Start(speakerSettings(g.ops), clock, uint64(time.Now().UnixMicro()), f, f.now, g.log); err != nil {
@@ -115,7 +115,7 @@
 	return s
 }
 
-func micros(d time.Duration) vrrp.Micros { return vrrp.Micros(d / time.Microsecond) }
+func micros(d time.Duration) clock.Micros { return clock.Micros(d / time.Microsecond) }
 
 // poll asks the owner how the gateway is. The speaker must not wait for the owner, so it reads what was last heard.
 func (f *floats) poll() {
--- a/internal/gateway/maintain.go
+++ b/internal/gateway/maintain.go
@@ -12,6 +12,7 @@
 	"syscall"
 	"time"
 
+	"marblespan/internal/clock"
 	"marblespan/internal/config"
 	"marblespan/internal/maintenance"
 	"marblespan/internal/membership"
@@ -24,7 +25,7 @@
 const reportEvery = 250 * time.Millisecond
 
 // roleLately is for how long after a group was asked for its primary counts as known here.
-const roleLately = policy.Micros(5 * time.Second / time.Microsecond)
+const roleLately = clock.Micros(5 * time.Second / time.Microsecond)
 
 // lingerFor is for how long a gateway that leaves waits for another one to take a floating address that lingers.
 const lingerFor = 2 * time.Second
@@ -84,7 +85,7 @@
 	if c == nil || ops.Copies == nil {
 		return nil
 	}
-	span := func(d time.Duration) maintenance.Micros { return maintenance.Micros(d.Microseconds()) }
+	span := func(d time.Duration) clock.Micros { return clock.Micros(d.Microseconds()) }
 	return &maintenance.Limits{
 		Gateways: c.Gateways, InZone: c.InZone, Servers: c.Servers, Keep: c.Keep, Load: c.Load * 10, Settle: span(c.Settle), Return: span(c.Return),
 		Excuse: span(c.Excuse), HealAfter: span(ops.Copies.HealAfter),
@@ -315,7 +316,7 @@
 	if len(words) == 0 {
 		return g.maintenanceList(by)
 	}
-	c := maintenance.Command{By: g.ops.Members.Node, For: maintenance.Micros(g.ops.Upkeep.For.Microseconds())}
+	c := maintenance.Command{By: g.ops.Members.Node, For: clock.Micros(g.ops.Upkeep.For.Microseconds())}
 	var err error
 	if c.Verb = map[string]maintenance.Verb{
 		"add": maintenance.Add, "done": maintenance.Done, "drop": maintenance.Drop, "hold": maintenance.Hold, "go": maintenance.Go,
@@ -333,7 +334,7 @@
 			return nil, fmt.Errorf("%.20q is no span", words[2])
 		}
 		if d > 0 {
-			c.For = maintenance.Micros(d.Microseconds())
+			c.For = clock.Micros(d.Microseconds())
 		}
 	}
 	if len(words) > 3 {
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -11,11 +11,11 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"marblespan/internal/clock"
 	"marblespan/internal/config"
 	"marblespan/internal/gossip"
 	"marblespan/internal/maintenance"
 	"marblespan/internal/membership"
-	"marblespan/internal/policy"
 	codec "marblespan/internal/protocol/members"
 	"marblespan/internal/protocol/sealed"
 )
@@ -43,8 +43,8 @@
 	m.settings.Store(digest(g.settings))
 	m.living.Store(&[]string{})
 	clock := gossip.Clock{
-		Now:  func() membership.Micros { return membership.Micros(g.clock.Now()) },
-		Time: func(t membership.Micros) time.Time { return g.clock.Time(policy.Micros(t)) },
+		Now:  func() clock.Micros { return clock.Micros(g.clock.Now()) },
+		Time: func(t clock.Micros) time.Time { return g.clock.Time(clock.Micros(t)) },
 	}
 	var err error
 	s := peersSettings(g.ops)
--- a/internal/gateway/program.go
+++ b/internal/gateway/program.go
@@ -18,10 +18,10 @@
 	"github.com/rs/zerolog"
 	"github.com/rs/zerolog/diode"
 
+	"marblespan/internal/clock"
 	"marblespan/internal/config"
 	"marblespan/internal/control"
 	"marblespan/internal/intents"
-	"marblespan/internal/policy"
 	"marblespan/internal/routing"
 	"marblespan/internal/session"
 	"marblespan/internal/settings"
@@ -217,7 +217,7 @@
 		g.closeLog()
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	go g.owner.Run(func(now policy.Micros) *routing.Core {
+	go g.owner.Run(func(now clock.Micros) *routing.Core {
 		return routing.NewCore(now, cfg.Seed, cfg.Facts, routing.ListNews{List: cfg.Known}, g.servers, g.discovery,
 			log)
 	})
--- a/internal/gossip/peers.go
+++ b/internal/gossip/peers.go
@@ -12,6 +12,7 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/time/rate"
 
+	"marblespan/internal/clock"
 	"marblespan/internal/datagrams"
 	"marblespan/internal/membership"
 	codec "marblespan/internal/protocol/members"
@@ -40,8 +41,8 @@
 
 // Clock is a clock that never steps back.
 type Clock struct {
-	Now  func() membership.Micros
-	Time func(membership.Micros) time.Time
+	Now  func() clock.Micros
+	Time func(clock.Micros) time.Time
 }
 
 // Self is what the gateway tells of itself beside its settings.
@@ -139,7 +140,7 @@
 	return bound
 }
 
-func micros(d time.Duration) membership.Micros { return membership.Micros(d.Microseconds()) }
+func micros(d time.Duration) clock.Micros { return clock.Micros(d.Microseconds()) }
 
 // meta is what the machine tells of this gateway.
 func (p *Peers) meta() membership.Meta {
--- a/internal/indoubt/desk.go
+++ b/internal/indoubt/desk.go
@@ -1,11 +1,15 @@
 package indoubt
 
-import "slices"
+import (
+	"slices"
+
+	"marblespan/internal/clock"
+)
 
 // Desk is what one gateway knows of the bookings that it has in hand. Its zero value is not ready; New makes one.
 type Desk struct {
 	cfg      Config
-	now      Micros
+	now      clock.Micros
 	nextCall uint64
 	entries  []entry
 	ended    []Ended // the latest life of each gateway that is known to be over
@@ -31,24 +35,24 @@
 // entry is one booking that is in hand.
 type entry struct {
 	ask      Asked
-	came     Micros
+	came     clock.Micros
 	phase    phase
-	call     uint64 // under way; 0: none
-	begun    Micros // when that was asked for
-	version  uint64 // of the record as last known
-	record   Record // as last known, or as it is to be
-	sure     Micros // until when it may be sent without asking
-	barred   bool   // it may not be sent any more
-	let      bool   // it was let go out once
-	attempt  uint64 // that waits for its permission
-	asksBy   Micros // until when that waits
-	again    Micros // when to look again
-	late     Micros // from then on the record's owner cannot settle it any more
-	until    Micros // of settling
-	after    uint64 // the request that it follows
-	answered bool   // its client has its final answer, or is gone
-	retaken  bool   // a record that was gone was claimed anew already
-	peeked   bool   // a read was asked while its owner may yet say what became of it
+	call     uint64       // under way; 0: none
+	begun    clock.Micros // when that was asked for
+	version  uint64       // of the record as last known
+	record   Record       // as last known, or as it is to be
+	sure     clock.Micros // until when it may be sent without asking
+	barred   bool         // it may not be sent any more
+	let      bool         // it was let go out once
+	attempt  uint64       // that waits for its permission
+	asksBy   clock.Micros // until when that waits
+	again    clock.Micros // when to look again
+	late     clock.Micros // from then on the record's owner cannot settle it any more
+	until    clock.Micros // of settling
+	after    uint64       // the request that it follows
+	answered bool         // its client has its final answer, or is gone
+	retaken  bool         // a record that was gone was claimed anew already
+	peeked   bool         // a read was asked while its owner may yet say what became of it
 }
 
 // New makes a desk.
@@ -65,7 +69,7 @@
 func (d *Desk) Open() int { return len(d.entries) }
 
 // Next is when a Tick is due; false: never, as it stands.
-func (d *Desk) Next() (at Micros, ok bool) {
+func (d *Desk) Next() (at clock.Micros, ok bool) {
 	for i := range d.entries {
 		e := &d.entries[i]
 		due, any := e.due()
@@ -77,7 +81,7 @@
 }
 
 // due is when an entry wants to be looked at.
-func (e *entry) due() (Micros, bool) {
+func (e *entry) due() (clock.Micros, bool) {
 	switch e.phase {
 	case waiting:
 		return min(e.again, e.ask.By), true
@@ -97,7 +101,7 @@
 }
 
 // Handle takes in one event and returns what is to be done.
-func (d *Desk) Handle(now Micros, ev Event) []Action {
+func (d *Desk) Handle(now clock.Micros, ev Event) []Action {
 	d.now, d.out = max(d.now, now), nil
 	switch ev := ev.(type) {
 	case Asked:
@@ -179,11 +183,11 @@
 	return e.call
 }
 
-func (d *Desk) put(e *entry, by Micros) {
+func (d *Desk) put(e *entry, by clock.Micros) {
 	d.do(Put{Call: d.newCall(e), Key: e.ask.Key, Version: e.version, Record: e.record, Span: e.ask.Policy.Span, By: by})
 }
 
-func (d *Desk) get(e *entry, by Micros) { d.do(Get{Call: d.newCall(e), Key: e.ask.Key, By: by}) }
+func (d *Desk) get(e *entry, by clock.Micros) { d.do(Get{Call: d.newCall(e), Key: e.ask.Key, By: by}) }
 
 // asked takes in a booking.
 func (d *Desk) asked(a Asked) {
--- a/internal/indoubt/doubt.go
+++ b/internal/indoubt/doubt.go
@@ -6,8 +6,7 @@
 // steps back. One Desk stands in each gateway. docs/in-doubt.md has the design, and why no order of events books twice.
 package indoubt
 
-// Micros is a point or a span of time in whole microseconds.
-type Micros int64
+import "marblespan/internal/clock"
 
 // State is what is promised of a booking.
 type State uint8
@@ -34,12 +33,12 @@
 	ID      string // of the request that it was claimed for
 	Class   string
 	Group   int
-	Server  string // that was to get it when it was claimed; for whoever looks into it
-	Attempt uint32 // how often it was claimed
-	Left    Micros // of its owner's time when it was claimed
-	Value   []byte // the answer
-	Kept    bool   // Value is all of it
-	By      string // the gateway that settled it, if that is another one
+	Server  string       // that was to get it when it was claimed; for whoever looks into it
+	Attempt uint32       // how often it was claimed
+	Left    clock.Micros // of its owner's time when it was claimed
+	Value   []byte       // the answer
+	Kept    bool         // Value is all of it
+	By      string       // the gateway that settled it, if that is another one
 }
 
 // Config is one gateway.
@@ -47,22 +46,22 @@
 	Name string
 	Life uint64 // another one after each start
 	// Window is for how long after a claim was asked for, or confirmed, its owner may send without asking again.
-	Window Micros
+	Window clock.Micros
 	// Poll is how often a record that another gateway holds is looked at.
-	Poll Micros
+	Poll clock.Micros
 	// Settle is how long after its time an owner's record may still change of itself: what its servers take to give up.
-	Settle Micros
+	Settle clock.Micros
 	// Keep is how long after its client has its answer the desk goes on trying to say so in the store.
-	Keep Micros
+	Keep clock.Micros
 }
 
 // Policy is what the operators' file says of a class.
 type Policy struct {
-	Marks bool   // its clients mark what they ask again
-	Safe  bool   // an answer waits until it is kept
-	Look  bool   // a read shows whether it ran
-	Most  int    // of the class's requests in hand; beyond it they are refused unsent
-	Span  Micros // for how long a booking is remembered
+	Marks bool         // its clients mark what they ask again
+	Safe  bool         // an answer waits until it is kept
+	Look  bool         // a read shows whether it ran
+	Most  int          // of the class's requests in hand; beyond it they are refused unsent
+	Span  clock.Micros // for how long a booking is remembered
 }
 
 // Event is one of the events below.
@@ -75,9 +74,9 @@
 	Request string // the client's id for it
 	Class   string
 	Group   int
-	Server  string // that is likely to get it
-	Repeat  bool   // marked so
-	By      Micros // when its client stops waiting
+	Server  string       // that is likely to get it
+	Repeat  bool         // marked so
+	By      clock.Micros // when its client stops waiting
 	Policy  Policy
 }
 
@@ -85,11 +84,11 @@
 type Stored struct {
 	Call    uint64
 	Result  Result
-	Version uint64  // of the record, after a change or as found
-	Record  *Record // found; nil: none
-	Age     Micros  // since the record was last changed, at the least
-	Lost    bool    // what is not found may have been lost, no longer ago than a booking is remembered
-	Since   Micros  // the loss, at the least
+	Version uint64       // of the record, after a change or as found
+	Record  *Record      // found; nil: none
+	Age     clock.Micros // since the record was last changed, at the least
+	Lost    bool         // what is not found may have been lost, no longer ago than a booking is remembered
+	Since   clock.Micros // the loss, at the least
 }
 
 // Result is what came of a call.
@@ -106,8 +105,8 @@
 // Sending asks whether the last byte of an attempt may be written now. Permit answers it, once.
 type Sending struct {
 	ID, Attempt uint64
-	Server      string // that gets it
-	By          Micros // when it is of no use any more
+	Server      string       // that gets it
+	By          clock.Micros // when it is of no use any more
 }
 
 // Told is the final answer that routing gives.
@@ -169,15 +168,15 @@
 	Key     string
 	Version uint64
 	Record  Record
-	Span    Micros // until it ends
-	By      Micros
+	Span    clock.Micros // until it ends
+	By      clock.Micros
 }
 
 // Get reads a record as it stands once all that was promised before is in it.
 type Get struct {
 	Call uint64
 	Key  string
-	By   Micros
+	By   clock.Micros
 }
 
 // Route has a booking that is claimed go its way.
@@ -200,7 +199,7 @@
 type Look struct {
 	ID  uint64
 	Key string
-	By  Micros
+	By  clock.Micros
 }
 
 // Over tells that a booking is in hand no more.
--- a/internal/indoubt/overview.go
+++ b/internal/indoubt/overview.go
@@ -1,13 +1,15 @@
 package indoubt
 
+import "marblespan/internal/clock"
+
 // View is one booking in hand, for whoever asks.
 type View struct {
 	Key     string
 	Request string
 	Class   string
 	Phase   string
-	For     Micros // since it came
-	Record  Record // as last known
+	For     clock.Micros // since it came
+	Record  Record       // as last known
 }
 
 var phaseNames = [...]string{
@@ -15,7 +17,7 @@
 }
 
 // Views lists what is in hand, in the order in which it came.
-func (d *Desk) Views(now Micros) (all []View) {
+func (d *Desk) Views(now clock.Micros) (all []View) {
 	for i := range d.entries {
 		e := &d.entries[i]
 		v := View{Key: e.ask.Key, Request: e.ask.Request, Class: e.ask.Class, Phase: phaseNames[e.phase], For: max(now-e.came, 0), Record: e.record}
--- a/internal/intents/bookings.go
+++ b/internal/intents/bookings.go
@@ -16,6 +16,7 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/time/rate"
 
+	"marblespan/internal/clock"
 	"marblespan/internal/indoubt"
 )
 
@@ -48,8 +49,8 @@
 	Node    string
 	Life    uint64
 	Classes map[string]Class
-	Now     func() indoubt.Micros
-	Time    func(indoubt.Micros) time.Time
+	Now     func() clock.Micros
+	Time    func(clock.Micros) time.Time
 	Log     zerolog.Logger
 	// Look reads a key at the primary, as of now. done is told the row's value and the answer as it would be passed on; it is
 	// called once, on any goroutine.
@@ -160,7 +161,7 @@
 	return b
 }
 
-func micros(d time.Duration) indoubt.Micros { return indoubt.Micros(d.Microseconds()) }
+func micros(d time.Duration) clock.Micros { return clock.Micros(d.Microseconds()) }
 
 // Use gives it its store. Before it has one nothing can be promised.
 func (b *Bookings) Use(s Store) { b.store.Store(&s) }
@@ -306,18 +307,18 @@
 
 // record is a record as it is kept: JSON, so that a later version may add to it.
 type record struct {
-	State   indoubt.State  `json:"state"`
-	Owner   string         `json:"owner"`
-	Life    uint64         `json:"life"`
-	ID      string         `json:"id"`
-	Class   string         `json:"class"`
-	Group   int            `json:"group"`
-	Server  string         `json:"server,omitempty"`
-	Attempt uint32         `json:"attempt"`
-	Left    indoubt.Micros `json:"left"`
-	Value   []byte         `json:"value,omitempty"`
-	Kept    bool           `json:"kept,omitempty"`
-	By      string         `json:"by,omitempty"`
+	State   indoubt.State `json:"state"`
+	Owner   string        `json:"owner"`
+	Life    uint64        `json:"life"`
+	ID      string        `json:"id"`
+	Class   string        `json:"class"`
+	Group   int           `json:"group"`
+	Server  string        `json:"server,omitempty"`
+	Attempt uint32        `json:"attempt"`
+	Left    clock.Micros  `json:"left"`
+	Value   []byte        `json:"value,omitempty"`
+	Kept    bool          `json:"kept,omitempty"`
+	By      string        `json:"by,omitempty"`
 }
 
 func (b *Bookings) put(p indoubt.Put) {
--- a/internal/maintenance/order.go
+++ b/internal/maintenance/order.go
@@ -10,10 +10,9 @@
 import (
 	"fmt"
 	"slices"
-)
 
-// Micros is a point or a span of time in whole microseconds.
-type Micros int64
+	"marblespan/internal/clock"
+)
 
 // Kind is a kind of machine.
 type Kind uint8
@@ -56,14 +55,14 @@
 	Group int    // of a server
 	Zone  string // of a gateway, from its turn on
 	State State
-	Turn  uint32 // counts its changes of state
-	At    uint64 // the ledger's index at the last one
-	Since Micros // the ledger's time then
-	Left  Micros // when it was last told that it may be touched
-	For   Micros // how long the work may take
-	Life  uint64 // of a gateway: the one that leaves, or that has come back
-	Why   string // the operator's words
-	By    string // the gateway that was asked
+	Turn  uint32       // counts its changes of state
+	At    uint64       // the ledger's index at the last one
+	Since clock.Micros // the ledger's time then
+	Left  clock.Micros // when it was last told that it may be touched
+	For   clock.Micros // how long the work may take
+	Life  uint64       // of a gateway: the one that leaves, or that has come back
+	Why   string       // the operator's words
+	By    string       // the gateway that was asked
 	// Overdue says that it is away for longer than it was to be, and Word that an operator has said to go on all the same: it
 	// holds nobody up any more, but for whoever shares a shard or a group with it.
 	Overdue, Word bool
@@ -206,7 +205,7 @@
 	Kind  Kind
 	Name  string // empty: all
 	Group int    // of a server
-	For   Micros
+	For   clock.Micros
 	Why   string
 	By    string
 }
@@ -237,7 +236,7 @@
 }
 
 // Command carries out what an operator says, and tells what came of it in plain words.
-func (o *Order) Command(now Micros, index uint64, from Asker, c Command) (ok bool, said string) {
+func (o *Order) Command(now clock.Micros, index uint64, from Asker, c Command) (ok bool, said string) {
 	if from.Client != 0 {
 		i := slices.IndexFunc(o.Askers, func(a Asker) bool { return a.Client == from.Client })
 		switch {
@@ -299,7 +298,7 @@
 }
 
 // all carries out what concerns everybody.
-func (o *Order) all(now Micros, index uint64, c Command) (ok bool, said string) {
+func (o *Order) all(now clock.Micros, index uint64, c Command) (ok bool, said string) {
 	switch c.Verb {
 	case Hold:
 		o.Held = true
@@ -321,7 +320,7 @@
 	return false, "a machine is to be named"
 }
 
-func (o *Order) add(now Micros, index uint64, c Command) (ok bool, said string) {
+func (o *Order) add(now clock.Micros, index uint64, c Command) (ok bool, said string) {
 	inHand := 0
 	for i := range o.Machines {
 		if o.Machines[i].open() {
@@ -358,7 +357,7 @@
 }
 
 // turn changes a machine's state.
-func (m *Machine) turn(now Micros, index uint64, to State) {
+func (m *Machine) turn(now clock.Micros, index uint64, to State) {
 	if m.State == Leaving && to == Out {
 		m.Left = now
 	}
@@ -371,7 +370,7 @@
 
 // Step carries out a decision, if the order is still the one that it was made for and it keeps what may never be: more away
 // than there are places, two of one group, two that share a shard, a shard that is not whole. It tells whether it did.
-func (o *Order) Step(now Micros, index uint64, s Step, shards Shards) bool {
+func (o *Order) Step(now clock.Micros, index uint64, s Step, shards Shards) bool {
 	if s.Enroll.Name != "" {
 		return o.enroll(s.Enroll)
 	}
--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"slices"
 	"strings"
+
+	"marblespan/internal/clock"
 )
 
 // Limits are the leader's own file's.
@@ -13,11 +15,11 @@
 	Servers  int // database servers away at once, one of each group at the most
 	Keep     int // ready gateways that a zone keeps
 	Load     int // what those that stay may have to carry, in thousandths of what they can
-	Settle   Micros
-	Return   Micros // after which one that is returning is overdue
-	Excuse   Micros // after which one that is overdue holds nobody up any more; 0: never
+	Settle   clock.Micros
+	Return   clock.Micros // after which one that is returning is overdue
+	Excuse   clock.Micros // after which one that is overdue holds nobody up any more; 0: never
 	// HealAfter is after how long a silent holder's shards get another holder: whoever is out for longer moves them first.
-	HealAfter Micros
+	HealAfter clock.Micros
 }
 
 // Presence is what the leader knows of whether a gateway is there.
@@ -74,7 +76,7 @@
 
 // Facts are what the leader knows beside the order.
 type Facts struct {
-	Now      Micros
+	Now      clock.Micros
 	Known    bool // it has led for long enough to have heard everybody
 	Gateways []GatewayFact
 	Shards   []ShardFact
@@ -149,12 +151,12 @@
 // Planner makes the decisions. It remembers only since when machines that have returned are well: another leader begins to
 // count anew.
 type Planner struct {
-	well map[uint64]Micros
+	well map[uint64]clock.Micros
 }
 
 // Clone is the same planner again.
 func (p *Planner) Clone() *Planner {
-	c := &Planner{well: map[uint64]Micros{}}
+	c := &Planner{well: map[uint64]clock.Micros{}}
 	for k, v := range p.well {
 		c.well[k] = v
 	}
@@ -168,14 +170,14 @@
 type Listing struct {
 	Order  *Order
 	Waits  Waits
-	Leader string // empty: it has not answered, and the order is what is known elsewhere
-	Now    Micros // by the ledger's time
+	Leader string       // empty: it has not answered, and the order is what is known elsewhere
+	Now    clock.Micros // by the ledger's time
 }
 
 // Plan decides what is next. Those that are on their way come first; one more goes only where none of them has a step to make.
 func (p *Planner) Plan(o *Order, f *Facts, l Limits) (steps []Step, waits Waits) {
 	if p.well == nil {
-		p.well = map[uint64]Micros{}
+		p.well = map[uint64]clock.Micros{}
 	}
 	for id := range p.well {
 		if m := o.numbered(id); m == nil || m.State != Returning {
--- a/internal/membership/hear.go
+++ b/internal/membership/hear.go
@@ -3,13 +3,15 @@
 import (
 	"net/netip"
 	"slices"
+
+	"marblespan/internal/clock"
 )
 
 // mostErrands bounds the questions that are asked for others at a time.
 const mostErrands = 256
 
 // hear takes in a message.
-func (m *Machine) hear(now Micros, source netip.AddrPort, msg Message) {
+func (m *Machine) hear(now clock.Micros, source netip.AddrPort, msg Message) {
 	switch {
 	case msg.From == m.self.Name && msg.Life == m.self.Life:
 		m.answered(source, msg.From) // its own words: the address is its own
@@ -96,7 +98,7 @@
 }
 
 // errand asks another one for somebody.
-func (m *Machine) errand(now Micros, origin *member, msg Message) {
+func (m *Machine) errand(now clock.Micros, origin *member, msg Message) {
 	if msg.Target == m.self.Name || len(m.errands) >= mostErrands {
 		return
 	}
@@ -115,7 +117,7 @@
 }
 
 // acked takes in a direct answer.
-func (m *Machine) acked(now Micros, e *member, msg Message) {
+func (m *Machine) acked(now clock.Micros, e *member, msg Message) {
 	if msg.Number != 0 {
 		e.answered = now
 	}
@@ -146,7 +148,7 @@
 }
 
 // ackedBy takes in a helper's word that it has reached somebody: that one lives, and the path to it may be cut.
-func (m *Machine) ackedBy(now Micros, helper *member, msg Message) {
+func (m *Machine) ackedBy(now clock.Micros, helper *member, msg Message) {
 	m.kept(helper.Name, msg.Number)
 	i := slices.IndexFunc(m.probing, func(p probe) bool { return p.number == msg.Number && p.target == msg.Target })
 	e := m.find(msg.Target)
@@ -218,7 +220,7 @@
 }
 
 // merge takes over what is said of somebody, if it is the latest word.
-func (m *Machine) merge(now Micros, r Record, source netip.AddrPort, msg Message) {
+func (m *Machine) merge(now clock.Micros, r Record, source netip.AddrPort, msg Message) {
 	if r.Name == m.self.Name {
 		m.mergeSelf(r)
 		return
@@ -255,7 +257,7 @@
 }
 
 // add takes a new member in, or remembers one whose life is over.
-func (m *Machine) add(now Micros, r Record) {
+func (m *Machine) add(now clock.Micros, r Record) {
 	if len(m.members) >= MostMembers {
 		oldest := -1
 		for i := range m.members {
@@ -282,12 +284,12 @@
 }
 
 // renew begins another life of a member.
-func (m *Machine) renew(now Micros, e *member, r Record) {
+func (m *Machine) renew(now clock.Micros, e *member, r Record) {
 	e.reached, e.rtt, e.misses, e.cut, e.pinged, e.heard, e.answered = "", 0, 0, Cut{}, 0, 0, 0
 	m.renewed(now, e, r, !r.State.Ended())
 }
 
-func (m *Machine) renewed(now Micros, e *member, r Record, fresh bool) {
+func (m *Machine) renewed(now clock.Micros, e *member, r Record, fresh bool) {
 	was := e.State
 	e.Record, e.since, e.accusers = r, now, nil
 	if r.State == Suspect { // it is alive until this member has its own reasons, or heard of two
@@ -302,7 +304,7 @@
 }
 
 // update takes over a later word of the same life: it lives, and may tell other things of itself.
-func (m *Machine) update(now Micros, e *member, r Record) {
+func (m *Machine) update(now clock.Micros, e *member, r Record) {
 	was, before := e.State, e.Meta
 	e.Incarnation, e.Meta, e.At, e.State, e.By, e.accusers = r.Incarnation, r.Meta, r.At, Alive, "", nil
 	if was != Alive {
@@ -360,7 +362,7 @@
 }
 
 // refused hears that the name is taken.
-func (m *Machine) refused(now Micros, msg Message) {
+func (m *Machine) refused(now clock.Micros, msg Message) {
 	if msg.Target != m.self.Name || msg.ToLife != m.self.Life || len(msg.Records) == 0 || m.leaving > 0 {
 		return
 	}
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -3,6 +3,8 @@
 import (
 	"net/netip"
 	"slices"
+
+	"marblespan/internal/clock"
 )
 
 // probes is how many others a member asks in an interval. A death is first noticed by whoever asks next, so this sets how
@@ -62,7 +64,7 @@
 )
 
 // forgetAfter is how long the end of a life is remembered.
-const forgetAfter Micros = 3_600_000_000
+const forgetAfter clock.Micros = 3_600_000_000
 
 // leaveRounds is how often a member that leaves tells leaveTo others, a quarter interval apart.
 const (
@@ -82,17 +84,17 @@
 	paths   news           // of paths; they go out with what is sent anyway
 	rng     uint64
 
-	seen      Micros // last time anything was handled
-	begun     Micros // start of its present life
+	seen      clock.Micros // last time anything was handled
+	begun     clock.Micros // start of its present life
 	running   bool
 	out       bool // another has its name
 	leaving   int  // rounds left; 0: it does not leave
-	nextProbe Micros
-	nextNews  Micros
-	nextAsk   Micros
+	nextProbe clock.Micros
+	nextNews  clock.Micros
+	nextAsk   clock.Micros
 	asked     int // asks to join so far
-	quietBy   Micros
-	stoodBy   Micros
+	quietBy   clock.Micros
+	stoodBy   clock.Micros
 	health    int // missing answers of helpers, in thousandths of all
 	number    uint32
 	order     []string // whom to ask in turn
@@ -115,25 +117,25 @@
 // member is another one, as this one knows it.
 type member struct {
 	Record
-	since    Micros
-	heard    Micros // last word from itself
-	answered Micros // last answer to a question of this member, or of a helper's that it had asked
-	rtt      Micros
-	started  Micros   // of the suspicion: the ping that was not answered
-	accusers []string // who suspect it, one more than confirmations at the most
-	reached  string   // the helper that reached it last
-	misses   int      // pings in a row that were answered by way of helpers only
-	pinged   uint32   // number of its last ping that came directly
-	digest   uint64   // what it knows, as it last said
-	stranger bool     // it does not know this life of this member
-	cut      Cut      // of the path to it, as this member says
+	since    clock.Micros
+	heard    clock.Micros // last word from itself
+	answered clock.Micros // last answer to a question of this member, or of a helper's that it had asked
+	rtt      clock.Micros
+	started  clock.Micros // of the suspicion: the ping that was not answered
+	accusers []string     // who suspect it, one more than confirmations at the most
+	reached  string       // the helper that reached it last
+	misses   int          // pings in a row that were answered by way of helpers only
+	pinged   uint32       // number of its last ping that came directly
+	digest   uint64       // what it knows, as it last said
+	stranger bool         // it does not know this life of this member
+	cut      Cut          // of the path to it, as this member says
 }
 
 // ask is one request to a helper, whose word shows whether this member itself is well.
 type ask struct {
 	helper   string
 	number   uint32
-	at       Micros
+	at       clock.Micros
 	answered bool
 }
 
@@ -178,7 +180,7 @@
 
 // StoodStillUntil is until when this member shows that it stood still: whoever holds something by time must not trust what it
 // knew before.
-func (m *Machine) StoodStillUntil() Micros { return m.stoodBy }
+func (m *Machine) StoodStillUntil() clock.Micros { return m.stoodBy }
 
 // Health is by how much this member stretches its spans, for it misses answers that others get: 1 is well.
 func (m *Machine) Health() int {
@@ -247,7 +249,7 @@
 }
 
 // Next is when a Tick is due.
-func (m *Machine) Next() (Micros, bool) {
+func (m *Machine) Next() (clock.Micros, bool) {
 	if !m.running {
 		return 0, false
 	}
@@ -276,7 +278,7 @@
 }
 
 // Handle takes in one event. Time never goes back: an earlier time counts as the last one.
-func (m *Machine) Handle(now Micros, ev Event) []Action {
+func (m *Machine) Handle(now clock.Micros, ev Event) []Action {
 	now = max(now, m.seen)
 	m.actions = nil
 	if m.running {
@@ -329,7 +331,7 @@
 
 // wake looks whether the process stood still. What lies unread must be read before anybody is judged, so for a while nobody
 // is; others were not late to one that could not listen, so their spans go on where they were.
-func (m *Machine) wake(now Micros) {
+func (m *Machine) wake(now clock.Micros) {
 	next, _ := m.Next()
 	late := now - max(next, m.seen)
 	if m.cfg.Plain || late < m.cfg.Interval/2 {
@@ -354,7 +356,7 @@
 }
 
 // leave tells the others, a few times.
-func (m *Machine) leave(now Micros) {
+func (m *Machine) leave(now clock.Micros) {
 	m.self.State = Left
 	m.digestOld = true
 	m.leaving, m.nextNews = leaveRounds, now
@@ -363,7 +365,7 @@
 }
 
 // tick does what is due.
-func (m *Machine) tick(now Micros) {
+func (m *Machine) tick(now clock.Micros) {
 	t := m.cfg.Interval
 	if m.leaving > 0 {
 		m.tickLeaving(now)
@@ -397,7 +399,7 @@
 	}
 }
 
-func (m *Machine) tickLeaving(now Micros) {
+func (m *Machine) tickLeaving(now clock.Micros) {
 	if now < m.nextNews {
 		return
 	}
@@ -431,7 +433,7 @@
 
 // askAround asks one of the dead, and an address to join at that nobody has answered from: halves that were parted find each
 // other again by it, in any order.
-func (m *Machine) askAround(now Micros) {
+func (m *Machine) askAround(now clock.Micros) {
 	every := m.cfg.Interval
 	if m.living() > 0 || m.asked >= eagerAsks && !m.out {
 		every *= askEvery
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -7,16 +7,17 @@
 // This file is its interface. docs/membership.md has the design.
 package membership
 
-import "net/netip"
+import (
+	"net/netip"
 
-// Micros is a point or a span of time in whole microseconds.
-type Micros int64
+	"marblespan/internal/clock"
+)
 
 // The bounds of Config.Interval, in microseconds. Below the least a core that other processes use looks like a death; above
 // the most a death is noticed after minutes.
 const (
-	LeastInterval Micros = 50_000
-	MostInterval  Micros = 10_000_000
+	LeastInterval clock.Micros = 50_000
+	MostInterval  clock.Micros = 10_000_000
 )
 
 // MostMembers is how many members are kept, those that have ended among them. Further ones are not taken in.
@@ -135,7 +136,7 @@
 	Name     string
 	At       netip.AddrPort // where others reach it
 	Life     uint64         // microseconds of Unix time at its start
-	Interval Micros         // how long one probe may take
+	Interval clock.Micros   // how long one probe may take
 	Meta     Meta
 	Join     []netip.AddrPort // where it asks to be let in
 	Seed     uint64           // of its random draws; 0: none are made, everything goes round in order
@@ -165,7 +166,7 @@
 
 // Reconfigured brings another interval and other addresses to join at.
 type Reconfigured struct {
-	Interval Micros
+	Interval clock.Micros
 	Join     []netip.AddrPort
 }
 
@@ -203,7 +204,7 @@
 	By   string         // who declared it dead
 	At   netip.AddrPort // of its namesake
 	Life uint64         // its own from now on, or its namesake's
-	For  Micros         // for how long it stood still
+	For  clock.Micros   // for how long it stood still
 }
 
 // Done tells that the others know that this member leaves.
@@ -239,9 +240,9 @@
 type View struct {
 	Record
 	Self    bool
-	Since   Micros // start of the present state
-	Heard   Micros // last word from itself; 0: never
-	RTT     Micros // of the last ping that was answered directly; 0: none was
-	Cuts    []Cut  // what is said, by either side, of paths between it and others
-	Reached string // the helper that reached it last where it does not answer directly
+	Since   clock.Micros // start of the present state
+	Heard   clock.Micros // last word from itself; 0: never
+	RTT     clock.Micros // of the last ping that was answered directly; 0: none was
+	Cuts    []Cut        // what is said, by either side, of paths between it and others
+	Reached string       // the helper that reached it last where it does not answer directly
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -3,6 +3,8 @@
 import (
 	"net/netip"
 	"slices"
+
+	"marblespan/internal/clock"
 )
 
 // This file is the failure detector: probes, and helpers that probe in this member's place.
@@ -12,9 +14,9 @@
 	number uint32
 	target string
 	life   uint64
-	sent   Micros
-	next   Micros // when to ask again, or to judge
-	direct bool   // only the first ping is out, and no helper is asked yet
+	sent   clock.Micros
+	next   clock.Micros // when to ask again, or to judge
+	direct bool         // only the first ping is out, and no helper is asked yet
 }
 
 // errand is one question that this member asks for another one.
@@ -24,7 +26,7 @@
 	origin       string
 	originAt     netip.AddrPort
 	originNumber uint32
-	sent         Micros
+	sent         clock.Micros
 	said         bool // that there is no answer yet
 }
 
@@ -42,7 +44,7 @@
 
 // startProbe asks the next one: one whose path may be cut every other time, the others in a random order in which everybody
 // has its turn before anybody comes again.
-func (m *Machine) startProbe(now Micros) {
+func (m *Machine) startProbe(now clock.Micros) {
 	target := ""
 	m.number++
 	if len(m.again) > 0 && m.number%2 == 0 {
@@ -84,7 +86,7 @@
 
 // judge goes on with what is asked: helpers first, then the verdict. A member that is ill itself asks longer and oftener
 // before it accuses anybody.
-func (m *Machine) judge(now Micros) {
+func (m *Machine) judge(now clock.Micros) {
 	t := m.cfg.Interval
 	for i := range m.asks {
 		if a := &m.asks[i]; now >= a.at+t/answerPart {
@@ -107,7 +109,7 @@
 		if e == nil || e.Life != p.life || e.State.Ended() {
 			return true
 		}
-		if now >= p.next && now >= p.sent+t*Micros(m.Health()) {
+		if now >= p.next && now >= p.sent+t*clock.Micros(m.Health()) {
 			failed = append(failed, p)
 			return true
 		}
@@ -134,7 +136,7 @@
 }
 
 // askHelpers asks others to ask: the one that reached the target last, and some at random.
-func (m *Machine) askHelpers(now Micros, p *probe, target *member) {
+func (m *Machine) askHelpers(now clock.Micros, p *probe, target *member) {
 	var chosen []string
 	choose := func(e *member) {
 		if e == nil {
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -2,6 +2,8 @@
 
 import (
 	"slices"
+
+	"marblespan/internal/clock"
 )
 
 // This file is what becomes of a member that does not answer: suspicion, its deadline, and its end.
@@ -22,13 +24,13 @@
 // deadline is when a suspicion becomes a death: the sooner the more others confirm it, the later the more this member itself
 // misses, and never while the suspected one has answered here within the least span. To be heard is not enough: one that hears
 // nobody is of no use to anybody, however much it says.
-func (m *Machine) deadline(e *member) Micros {
+func (m *Machine) deadline(e *member) clock.Micros {
 	t, span := m.cfg.Interval, leastSuspicion*1000
 	if !m.cfg.Plain {
 		needed := max(min(confirmations, m.living()-1), 0)
 		span = mostSuspicion*1000 - (mostSuspicion-leastSuspicion)*confirmed(needed, len(e.accusers)-1)
 	}
-	end := e.started + t*Micros(span)*Micros(m.Health())/1000
+	end := e.started + t*clock.Micros(span)*clock.Micros(m.Health())/1000
 	if !m.cfg.Plain {
 		end = max(end, e.answered+leastSuspicion*t)
 	}
@@ -42,7 +44,7 @@
 }
 
 // expire declares dead whom nobody has found alive in time.
-func (m *Machine) expire(now Micros) {
+func (m *Machine) expire(now clock.Micros) {
 	if now < m.quietBy {
 		return
 	}
@@ -56,7 +58,7 @@
 }
 
 // suspect notes that somebody accuses a member, and spreads it for as long as that confirms anything.
-func (m *Machine) suspect(now Micros, e *member, incarnation uint32, by string, since Micros) {
+func (m *Machine) suspect(now clock.Micros, e *member, incarnation uint32, by string, since clock.Micros) {
 	if by == e.Name || slices.Contains(e.accusers, by) && e.State == Suspect {
 		return
 	}
@@ -77,7 +79,7 @@
 }
 
 // end ends a life.
-func (m *Machine) end(now Micros, e *member, r Record) {
+func (m *Machine) end(now clock.Micros, e *member, r Record) {
 	was := e.State
 	if e.Life != r.Life {
 		e.reached, e.rtt = "", 0
--- a/internal/policy/api.go
+++ b/internal/policy/api.go
@@ -5,11 +5,10 @@
 // the module's own terms; it holds no decision. Every decision stands in brain.go.
 package policy
 
-// Micros is a point or a span of time in whole microseconds on the gateway's clock.
-type Micros int64
+import "marblespan/internal/clock"
 
 // Position is a log position: the clock time up to which a member has applied every commit. Zero is unknown.
-type Position = Micros
+type Position = clock.Micros
 
 // ServerID names a database server. It tells nothing but identity.
 type ServerID uint32
@@ -50,44 +49,45 @@
 	Name       string // what it is known by when the settings change
 	Need       Need
 	Effect     Effect
-	Bound      Micros // of a bounded class
-	Aim        Micros // an answer within this time earns all of the worth
-	Deadline   Micros // the client's patience over all its tries
-	Worth      int64  // in thousandths
-	LateWorth  int64  // share of the worth after the aim, in thousandths
-	AimStretch int64  // the aim grows by this multiple of the request's work, in thousandths
+	Bound      clock.Micros // of a bounded class
+	Aim        clock.Micros // an answer within this time earns all of the worth
+	Deadline   clock.Micros // the client's patience over all its tries
+	Worth      int64        // in thousandths
+	LateWorth  int64        // share of the worth after the aim, in thousandths
+	AimStretch int64        // the aim grows by this multiple of the request's work, in thousandths
 }
 
 // Settings is all that a router is told at its start. Zero values are read as the strictest sensible meaning.
 type Settings struct {
 	Classes           []Class
-	Gateways          int    // how many gateways serve these servers
-	Ordinal           int    // which of them this one is
-	Tick              Micros // shortest time between two events
-	Zone              string // where this gateway is; compared, never read
+	Gateways          int          // how many gateways serve these servers
+	Ordinal           int          // which of them this one is
+	Tick              clock.Micros // shortest time between two events
+	Zone              string       // where this gateway is; compared, never read
 	Checks            Checks
-	CheckWait         Micros // how long ChecksWait lasts
-	TokensCarried     bool   // session reads carry their mark; otherwise the router remembers writes
-	AnswersStamped    bool   // every answer carries a position
-	ListAsked         bool   // the member list must be asked for
-	ListPushed        bool   // and its changes count as known here at once, whether or not they were heard
+	CheckWait         clock.Micros // how long ChecksWait lasts
+	TokensCarried     bool         // session reads carry their mark; otherwise the router remembers writes
+	AnswersStamped    bool         // every answer carries a position
+	ListAsked         bool         // the member list must be asked for
+	ListPushed        bool         // and its changes count as known here at once, whether or not they were heard
 	CanProbe          bool
 	CanCancel         bool
 	CanTell           bool
 	SecondCopies      bool
 	AdviseRetry       bool
-	MaxRetryAdvice    Micros
+	MaxRetryAdvice    clock.Micros
 	MaxAttempts       int
-	ConnectTimeout    Micros
-	AnswerSlack       Micros // a final answer this long after the deadline still counts
-	DrainGrace        Micros // sends to a draining or gone server must have ended after it
-	OnlyDrainingBinds bool   // a server merely gone from the list stays usable
-	AskWithin         Micros // unsubscribed for longer counts as told
-	ColdShare         int64  // least share of capacity at a server's start, in thousandths
-	Ramp              Micros // a started server is warm after this
-	FallMultiple      int64  // a cold server falls beyond this multiple of its capacity, in thousandths
-	FallWindow        Micros // when kept up for this long
-	CrossZoneCost     int64  // points for each attempt that goes to another zone, as a share of requests; in thousandths
+	ConnectTimeout    clock.Micros
+	AnswerSlack       clock.Micros // a final answer this long after the deadline still counts
+	DrainGrace        clock.Micros // sends to a draining or gone server must have ended after it
+	OnlyDrainingBinds bool         // a server merely gone from the list stays usable
+	AskWithin         clock.Micros // unsubscribed for longer counts as told
+	ColdShare         int64        // least share of capacity at a server's start, in thousandths
+	Ramp              clock.Micros // a started server is warm after this
+	FallMultiple      int64        // a cold server falls beyond this multiple of its capacity, in thousandths
+	FallWindow        clock.Micros // when kept up for this long
+	// points for each attempt that goes to another zone, as a share of requests; in thousandths
+	CrossZoneCost int64
 }
 
 // Event is one of the events below.
@@ -100,9 +100,10 @@
 	Group      int
 	Session    uint64 // valid if HasSession
 	HasSession bool
-	Left       Micros // time until the client stops waiting
-	Repeat     bool   // the client says that it repeats itself
-	SinceWrite Micros // the session's last commit lies at least this long back, as it or another gateway says; 0: none
+	Left       clock.Micros // time until the client stops waiting
+	Repeat     bool         // the client says that it repeats itself
+	// the session's last commit lies at least this long back, as it or another gateway says; 0: none
+	SinceWrite clock.Micros
 }
 
 // Headers tells that the answer to an attempt began to flow; the request is bound to it.
@@ -118,7 +119,7 @@
 	Server   ServerID
 	Result   Result
 	Final    bool // nothing more is owed for the request
-	Latency  Micros
+	Latency  clock.Micros
 	Role     Role
 	Position Position
 	Report   Report
@@ -134,7 +135,7 @@
 type Probed struct {
 	Server  ServerID
 	Result  Result
-	Latency Micros
+	Latency clock.Micros
 	Report  Report
 }
 
@@ -205,7 +206,8 @@
 	ListFull                   // all; what is missing is gone
 	ListCached                 // all, as this gateway last had it
 	ListFailed                 // asking failed or the subscription broke; no members
-	ListAside                  // only what operators take out of service, or put back: discovery has said nothing
+	// only what operators take out of service, or put back: discovery has said nothing
+	ListAside
 )
 
 // MemberState is a server's state on the list.
@@ -224,9 +226,9 @@
 	Group   int
 	Zone    string
 	State   MemberState
-	Started Micros // last start; 0: long ago
-	Primary bool   // as far as the list knows
-	Weight  int64  // in thousandths
+	Started clock.Micros // last start; 0: long ago
+	Primary bool         // as far as the list knows
+	Weight  int64        // in thousandths
 }
 
 // Action is one of the actions below.
@@ -236,13 +238,13 @@
 type Send struct {
 	ID     string
 	Server ServerID
-	Until  Micros // clock time to give the attempt up
+	Until  clock.Micros // clock time to give the attempt up
 }
 
 // Refuse ends a request unserved and tells the client that asking again is harmless.
 type Refuse struct {
 	ID         string
-	RetryAfter Micros // 0: no advice
+	RetryAfter clock.Micros // 0: no advice
 }
 
 // Fail ends a request and promises nothing.
@@ -256,7 +258,7 @@
 
 // SetTimer asks for a Timer event at a clock time.
 type SetTimer struct {
-	At    Micros
+	At    clock.Micros
 	Token string
 }
 
@@ -266,7 +268,8 @@
 // CloseIdle closes idle connections to a server.
 type CloseIdle struct{ Server ServerID }
 
-// Withdraw takes back what was sent to a server and has not begun there: it may not begin any more, and ends as what
+// Withdraw takes back what was sent to a server and has not begun there: it may not begin any more,
+// and ends as what
 // could not connect.
 type Withdraw struct{ Server ServerID }
 
--- a/internal/policy/brain.go
+++ b/internal/policy/brain.go
@@ -1,4 +1,4 @@
-// Package policy has every decision of a gateway in this file, one file as its lines are limited to 1,070; its
+// Package policy has every decision of a gateway in this file; its
 // interface (settings, events, actions) is api.go, state.go holds the containers. No other file decides.
 //
 // The path of a request:
@@ -15,7 +15,11 @@
 // Every final answer passes through finish. usable tells whether a server may be used, hasRoom for one more.
 package policy
 
-import "slices"
+import (
+	"slices"
+
+	"marblespan/internal/clock"
+)
 
 // The tuned numbers. Shares are in thousandths; spans are shares of the settings' own aims, bounds and ramps.
 const (
@@ -50,7 +54,7 @@
 )
 
 // New makes a router and returns what it does first.
-func New(now Micros, seed uint64, set Settings) (*Router, []Action) {
+func New(now clock.Micros, seed uint64, set Settings) (*Router, []Action) {
 	r := &Router{
 		now: now, rng: random{seed}, servers: map[ServerID]*server{}, groups: map[int]*group{},
 		requests: map[string]*request{}, sessions: newSessions(maxSessions), retries: retryBurst * one,
@@ -67,7 +71,7 @@
 // readSettings gives missing or contradictory settings a safe reading: the strictest that still works.
 func (r *Router) readSettings() {
 	s := r.set
-	atLeast := func(v *Micros, least Micros, name string) {
+	atLeast := func(v *clock.Micros, least clock.Micros, name string) {
 		if *v < least {
 			r.log("setting %s is %d us, read as %d", name, *v, least)
 			*v = least
@@ -100,7 +104,7 @@
 }
 
 // Step takes one event and returns the actions it calls for, in order.
-func (r *Router) Step(now Micros, ev Event) []Action {
+func (r *Router) Step(now clock.Micros, ev Event) []Action {
 	r.now = max(r.now, now)
 	switch e := ev.(type) {
 	case Arrival:
@@ -127,7 +131,7 @@
 	return r.take()
 }
 
-func (r *Router) sweepSpan() Micros { return max(r.set.Tick, r.minAim/sweepsPerAim) }
+func (r *Router) sweepSpan() clock.Micros { return max(r.set.Tick, r.minAim/sweepsPerAim) }
 
 // ---- requests ----
 
@@ -159,7 +163,7 @@
 }
 
 // end is when a request stops being worth an answer.
-func (r *Router) end(q *request) Micros {
+func (r *Router) end(q *request) clock.Micros {
 	last := q.deadline - q.set.Tick
 	if q.class.LateWorth == 0 && q.class.Effect == EffectSafe {
 		return min(last, q.aimAt)
@@ -181,7 +185,7 @@
 
 // expected is how long an answer may well take, never so long that a new request looks hopeless. With less
 // left it would mostly time out and waste its work. Harm: where latency varies little, a few too many end so.
-func (r *Router) expected(q *request) Micros {
+func (r *Router) expected(q *request) clock.Micros {
 	return min(q.class.typical*expectTimes, q.class.Aim*expectMost/one)
 }
 
@@ -463,7 +467,7 @@
 		return
 	}
 	if mayRefuse(q) {
-		advice := Micros(0)
+		advice := clock.Micros(0)
 		if q.set.AdviseRetry {
 			advice = q.set.MaxRetryAdvice
 		}
@@ -615,7 +619,7 @@
 }
 
 // role weighs a proof of a server's role by its time: late news never overrides newer proof.
-func (r *Router) role(s *server, role Role, at Micros) {
+func (r *Router) role(s *server, role Role, at clock.Micros) {
 	g := s.group
 	if role == RoleUnknown || at < s.roleAt {
 		return
@@ -657,7 +661,7 @@
 // limit is cut when the mean nears the aim and grows when it is in full use and answers stay quick. It guards
 // against slow, crowded, robbed and cold servers alike; it may hold back a server whose costly requests came
 // together.
-func (r *Router) strained(s *server, q *request, latency Micros) {
+func (r *Router) strained(s *server, q *request, latency clock.Micros) {
 	x := min(int64(latency*one/q.class.Aim), 4*one)
 	gap := int64(r.now - s.strainAt)
 	s.strain += (x - s.strain) * max(one/smoothing, gap*one/(gap+int64(r.maxAim))) / one
@@ -955,7 +959,7 @@
 		return
 	}
 	r.askSpan = max(min(r.askSpan*2, r.set.AskWithin/4, askPause), r.set.ConnectTimeout)
-	r.askAt = r.now + r.askSpan/2 + Micros(r.rng.below(int(r.askSpan)))
+	r.askAt = r.now + r.askSpan/2 + clock.Micros(r.rng.below(int(r.askSpan)))
 }
 
 // ---- the sweep ----
--- a/internal/policy/state.go
+++ b/internal/policy/state.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"sort"
+
+	"marblespan/internal/clock"
 )
 
 // This file holds containers only: what the router remembers, and how it is kept. No decision stands here.
@@ -12,7 +14,7 @@
 	set      *Settings // in force
 	kinds    []*kind   // its classes
 	rng      random
-	now      Micros
+	now      clock.Micros
 	acts     []Action
 	servers  map[ServerID]*server
 	groups   map[int]*group
@@ -20,38 +22,41 @@
 	requests map[string]*request
 	sessions *sessions
 
-	served, usualServed int64  // work answered since servedFrom; the usual amount from a server in a fall window
-	servedFrom          Micros // both in microseconds
-	meanCost            int64  // moving mean of the work of a request
-	retries             int64  // saved-up retries, in thousandths
-	probes              int64  // saved-up probes for freshness, in thousandths
+	// work answered since servedFrom; the usual amount from a server in a fall window
+	served, usualServed int64
+	servedFrom          clock.Micros // both in microseconds
+	meanCost            int64        // moving mean of the work of a request
+	retries             int64        // saved-up retries, in thousandths
+	probes              int64        // saved-up probes for freshness, in thousandths
 
-	minAim   Micros // the smallest aim: the pace of sweeps and of looking for a primary
-	maxAim   Micros
-	minBound Micros // the smallest bound: the pace of probes
+	minAim   clock.Micros // the smallest aim: the pace of sweeps and of looking for a primary
+	maxAim   clock.Micros
+	minBound clock.Micros // the smallest bound: the pace of probes
 
 	subscribed, asking bool
-	askAt, askSpan     Micros
+	askAt, askSpan     clock.Micros
 }
 
 // kind is a class, and what has been learned of it.
 type kind struct {
 	Class
-	typical Micros // moving mean of the latency of its answers
+	typical clock.Micros // moving mean of the latency of its answers
 }
 
-// Reconfigure puts other settings in force. A request in hand is finished under those that it came under; what has been
+// Reconfigure puts other settings in force. A request in hand is finished under those that it came
+// under; what has been
 // learned of servers, groups, sessions and of classes that keep their names stays.
-func (r *Router) Reconfigure(now Micros, set Settings) []Action {
+func (r *Router) Reconfigure(now clock.Micros, set Settings) []Action {
 	r.now = max(r.now, now)
 	r.adopt(set)
 	return r.take()
 }
 
-// adopt takes settings over. Servers that the list has called gone are judged by the new ones again: what forbids them
+// adopt takes settings over. Servers that the list has called gone are judged by the new ones again:
+// what forbids them
 // may bind only now, and what was forbidden stays so until the list says ready.
 func (r *Router) adopt(set Settings) {
-	known := map[string]Micros{}
+	known := map[string]clock.Micros{}
 	for _, k := range r.kinds {
 		known[k.Name] = k.typical
 	}
@@ -77,48 +82,48 @@
 	state     MemberState
 	forbidden bool // draining or gone, as told: nothing new may be sent
 	listed    bool // the list names it as the primary
-	started   Micros
+	started   clock.Micros
 
-	pos     Position // never goes back
-	heardAt Micros   // last sign of life
-	roleAt  Micros   // time of the newest proof of its role
+	pos     Position     // never goes back
+	heardAt clock.Micros // last sign of life
+	roleAt  clock.Micros // time of the newest proof of its role
 	role    Role
 
 	open      []*attempt // attempts out, oldest first
-	busySince Micros
+	busySince clock.Micros
 	limit     int64 // attempts this gateway lets be out at once, in thousandths
-	cutAt     Micros
-	strainAt  Micros
+	cutAt     clock.Micros
+	strainAt  clock.Micros
 	strain    int64 // moving mean of latency over aim, in thousandths
 	bad       int64 // moving share of attempts that failed, in thousandths
 
 	suspect   bool // a connection failed or broke: a probe shall tell whether it is down
 	down      bool // its probes fail
-	downAt    Micros
-	downSpan  Micros
-	ejectedAt Micros
+	downAt    clock.Micros
+	downSpan  clock.Micros
+	ejectedAt clock.Micros
 	ejected   bool
-	ejectSpan Micros
+	ejectSpan clock.Micros
 
-	restUntil Micros // it turned a request away as full: left alone until then
-	restSpan  Micros
+	restUntil clock.Micros // it turned a request away as full: left alone until then
+	restSpan  clock.Micros
 
-	missUntil Micros // it turned a read away as too far behind: not tried on hope until then
-	missSpan  Micros
-	writeMiss Micros // last time it turned a write away
+	missUntil clock.Micros // it turned a read away as too far behind: not tried on hope until then
+	missSpan  clock.Micros
+	writeMiss clock.Micros // last time it turned a write away
 
 	probing    bool
-	probedAt   Micros
+	probedAt   clock.Micros
 	probeFails int
 
 	sends       []coldSend // sends while cold, within the fall window
 	coldDraw    int64      // a budget below one send is a chance: what was drawn, in thousandths
-	coldDrawnAt Micros
+	coldDrawnAt clock.Micros
 }
 
 // coldSend is a send to a cold server, and the work that it may be.
 type coldSend struct {
-	at   Micros
+	at   clock.Micros
 	cost int64
 }
 
@@ -128,9 +133,10 @@
 	WithoutPrimary int // groups asked for lately that have no known primary
 }
 
-// Health counts; it decides nothing. Groups that nobody has asked for in the last span are left out: their primaries are
+// Health counts; it decides nothing. Groups that nobody has asked for in the last span are left out:
+// their primaries are
 // not looked for.
-func (r *Router) Health(lately Micros) (h Health) {
+func (r *Router) Health(lately clock.Micros) (h Health) {
 	for _, g := range r.order {
 		for _, s := range g.members {
 			if r.usable(s) {
@@ -148,9 +154,9 @@
 type ServerView struct {
 	Member
 	Primary, Down, Cold bool
-	Behind              Micros // by its last word
-	Asked               Micros // when its group was last asked for; 0: never
-	Out                 int    // attempts that are out there
+	Behind              clock.Micros // by its last word
+	Asked               clock.Micros // when its group was last asked for; 0: never
+	Out                 int          // attempts that are out there
 }
 
 // View tells of a server; it decides nothing.
@@ -160,8 +166,18 @@
 		return v, false
 	}
 	return ServerView{
-		Member:  Member{Server: id, Group: s.group.id, Zone: s.zone, State: s.state, Started: s.started, Primary: s.listed},
-		Primary: s.group.primary == s, Down: s.down, Cold: r.warmth(s) < one, Behind: max(s.heardAt-s.pos, 0), Asked: s.group.askedAt, Out: len(s.open),
+		Member: Member{Server: id,
+			Group:   s.group.id,
+			Zone:    s.zone,
+			State:   s.state,
+			Started: s.started,
+			Primary: s.listed},
+		Primary: s.group.primary == s,
+		Down:    s.down,
+		Cold:    r.warmth(s) < one,
+		Behind:  max(s.heardAt-s.pos, 0),
+		Asked:   s.group.askedAt,
+		Out:     len(s.open),
 	}, true
 }
 
@@ -170,9 +186,9 @@
 	id        int
 	members   []*server // by id
 	primary   *server
-	primaryAt Micros // time of the proof that made it the primary
+	primaryAt clock.Micros // time of the proof that made it the primary
 	waiting   []*request
-	askedAt   Micros // last arrival of a request for it
+	askedAt   clock.Micros // last arrival of a request for it
 }
 
 // groupOf finds or makes a group.
@@ -192,7 +208,7 @@
 	req      *request
 	index    int
 	server   *server
-	sentAt   Micros
+	sentAt   clock.Micros
 	out      bool
 	neverRan bool
 }
@@ -205,13 +221,13 @@
 	group     *group
 	session   *session
 	need      Position // what a replica must have applied; for bounded reads it moves with the clock
-	deadline  Micros
-	aimAt     Micros
-	askUntil  Micros // it waits for reports of replicas until then
+	deadline  clock.Micros
+	aimAt     clock.Micros
+	askUntil  clock.Micros // it waits for reports of replicas until then
 	attempts  []*attempt
 	missed    []ServerID
 	luck      int64 // its draw against limits below one attempt
-	luckUntil Micros
+	luckUntil clock.Micros
 	waiting   bool
 	done      bool
 }
@@ -249,7 +265,8 @@
 	stuck     bool // replica is set
 }
 
-// sessions is a store of bounded size that forgets the session first seen longest ago. All of it is set aside at the
+// sessions is a store of bounded size that forgets the session first seen longest ago. All of it is
+// set aside at the
 // start, so that it does not grow through the day.
 type sessions struct {
 	byKey map[uint64]*session
@@ -262,7 +279,8 @@
 	return &sessions{byKey: make(map[uint64]*session, size), ring: make([]session, 0, size)}
 }
 
-// get finds or makes a session; a new one begins at the highest mark ever forgotten. A request that still holds the
+// get finds or makes a session; a new one begins at the highest mark ever forgotten. A request that
+// still holds the
 // one forgotten can only raise the new one's mark. One with a write out is not forgotten.
 func (t *sessions) get(key uint64) *session {
 	if s := t.byKey[key]; s != nil {
@@ -294,9 +312,9 @@
 	return out
 }
 
-func (r *Router) do(a Action)                 { r.acts = append(r.acts, a) }
-func (r *Router) at(t Micros, token string)   { r.do(SetTimer{At: t, Token: token}) }
-func (r *Router) log(format string, a ...any) { r.do(Log{Text: fmt.Sprintf(format, a...)}) }
+func (r *Router) do(a Action)                     { r.acts = append(r.acts, a) }
+func (r *Router) at(t clock.Micros, token string) { r.do(SetTimer{At: t, Token: token}) }
+func (r *Router) log(format string, a ...any)     { r.do(Log{Text: fmt.Sprintf(format, a...)}) }
 
 // random is a splitmix64 sequence.
 type random struct{ state uint64 }
--- a/internal/raftgateway/withcopies.go
+++ b/internal/raftgateway/withcopies.go
@@ -8,10 +8,10 @@
 	"strconv"
 	"time"
 
+	"marblespan/internal/clock"
 	"marblespan/internal/gateway"
 	"marblespan/internal/intents"
 	"marblespan/internal/maintenance"
-	"marblespan/internal/policy"
 	"marblespan/internal/raftnode"
 	"marblespan/internal/raftstorage"
 	"marblespan/internal/raftstore"
@@ -31,8 +31,8 @@
 
 func open(s gateway.StoreSettings) (gateway.Store, error) {
 	clock := raftnode.Clock{
-		Now:  func() raftstore.Micros { return raftstore.Micros(s.Clock.Now()) },
-		Time: func(t raftstore.Micros) time.Time { return s.Clock.Time(policy.Micros(t)) },
+		Now:  func() clock.Micros { return clock.Micros(s.Clock.Now()) },
+		Time: func(t clock.Micros) time.Time { return s.Clock.Time(clock.Micros(t)) },
 	}
 	c := s.Copies
 	format, _ := strconv.ParseUint(Format, 10, 32)
--- a/internal/raftnode/holders.go
+++ b/internal/raftnode/holders.go
@@ -16,6 +16,7 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/time/rate"
 
+	"marblespan/internal/clock"
 	"marblespan/internal/maintenance"
 	"marblespan/internal/raftstorage"
 	"marblespan/internal/raftstore"
@@ -61,8 +62,8 @@
 
 // Clock is a clock that never steps back.
 type Clock struct {
-	Now  func() raftstore.Micros
-	Time func(raftstore.Micros) time.Time
+	Now  func() clock.Micros
+	Time func(clock.Micros) time.Time
 }
 
 // Counts are the counters since the start.
@@ -146,7 +147,7 @@
 	return h, nil
 }
 
-func micros(d time.Duration) raftstore.Micros { return raftstore.Micros(d.Microseconds()) }
+func micros(d time.Duration) clock.Micros { return clock.Micros(d.Microseconds()) }
 
 // draw makes a number that was never used before, as far as 63 random bits can.
 func draw() uint64 {
--- a/internal/raftstore/copies.go
+++ b/internal/raftstore/copies.go
@@ -12,12 +12,10 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 
 	api "marblespan/api/raftstorepb"
+	"marblespan/internal/clock"
 	"marblespan/internal/maintenance"
 )
 
-// Micros is a point or a span of time in whole microseconds.
-type Micros int64
-
 // LedgerGroup is the number of the ledger among the groups; the shards follow.
 const LedgerGroup uint32 = 0
 
@@ -28,7 +26,7 @@
 	MostValue  = 16 << 10 // bytes
 	MostName   = 40       // bytes
 	// MostSpan is the longest that a record lasts, in microseconds. What was lost is known as such for so long.
-	MostSpan Micros = 24 * 3600 * 1_000_000
+	MostSpan clock.Micros = 24 * 3600 * 1_000_000
 )
 
 // FirstFormat is the format of records that every version understands, OrderFormat the first one with the order of maintenance in the
@@ -50,9 +48,9 @@
 	// Holds says that this gateway holds replicas. One that does not is a client of those that do.
 	Holds bool
 	// Tick is the interval of heartbeats; an election begins after 5 to 9 of them without one.
-	Tick Micros
+	Tick clock.Micros
 	// HealAfter is for how long a holder must be silent until its replicas get another one.
-	HealAfter Micros
+	HealAfter clock.Micros
 	// HealAtOnce is how many groups may get another holder at the same moment.
 	HealAtOnce int
 	// LeastLog is how many bytes a log has at the least before a snapshot takes its place.
@@ -125,7 +123,7 @@
 	Shard   uint32 // counted from 1, see ShardOf; the ledger takes what Command makes, and a Get of MaintainKey
 	Command *api.Command
 	Get     *api.Get
-	By      Micros // when nobody waits for the answer any more
+	By      clock.Micros // when nobody waits for the answer any more
 }
 
 // Found makes a new store with this gateway as its first holder, where it knows of none. Without First another one may have been
@@ -206,7 +204,7 @@
 	Lost bool
 	// Since is how long ago that was, at the least, and Age how long ago a record that is found was last changed: by the
 	// shard's time, which goes no faster than any clock.
-	Since, Age Micros
+	Since, Age clock.Micros
 }
 
 // Noticed tells of a change of state, for log and counters.
--- a/internal/raftstore/group.go
+++ b/internal/raftstore/group.go
@@ -11,6 +11,7 @@
 	"google.golang.org/protobuf/proto"
 
 	api "marblespan/api/raftstorepb"
+	"marblespan/internal/clock"
 )
 
 // The library's settings. Election time-outs are drawn from electionTicks to twice that.
@@ -36,7 +37,7 @@
 type origin struct {
 	name string // empty: this gateway
 	id   uint64
-	by   Micros
+	by   clock.Micros
 }
 
 // slot tells commands apart.
@@ -73,16 +74,16 @@
 
 	leader   uint64
 	led      bool
-	ledAt    Micros
-	base     Micros // the group's time when it was elected
-	swept    Micros
+	ledAt    clock.Micros
+	base     clock.Micros // the group's time when it was elected
+	swept    clock.Micros
 	proposed []*api.Command
 	waiting  map[slot]origin
 	reads    []reading
 	readNo   uint64
 	asked    map[uint64][]reading // by the number of their question
 	behind   []due
-	snapped  map[uint64]Micros // when a snapshot was sent, by replica
+	snapped  map[uint64]clock.Micros // when a snapshot was sent, by replica
 }
 
 // due are reads that are answered once an index is applied.
@@ -95,7 +96,7 @@
 func (h *Host) newGroup(s StoredGroup, sm machine) (*group, error) {
 	g := &group{
 		h: h, id: s.Group, epoch: s.Epoch, number: s.Number, sm: sm, conf: &pb.ConfState{}, hard: &pb.HardState{},
-		waiting: map[slot]origin{}, asked: map[uint64][]reading{}, snapped: map[uint64]Micros{},
+		waiting: map[slot]origin{}, asked: map[uint64][]reading{}, snapped: map[uint64]clock.Micros{},
 	}
 	g.log = &storage{raft.NewMemoryStorage(), g}
 	if s.Snapshot != nil {
@@ -175,7 +176,7 @@
 		g.ledAt, g.base, g.swept = g.h.now, g.sm.time(), g.h.now
 		if g.id == LedgerGroup {
 			g.h.resetUpkeep()
-			g.h.facts = facts{since: g.h.now, heard: map[uint64]Micros{}, lives: map[uint64]uint64{}, reports: map[uint32]*api.Report{}, told: map[uint32]Micros{}, changed: g.h.now}
+			g.h.facts = facts{since: g.h.now, heard: map[uint64]clock.Micros{}, lives: map[uint64]uint64{}, reports: map[uint32]*api.Report{}, told: map[uint32]clock.Micros{}, changed: g.h.now}
 		}
 		g.h.note(Noticed{What: Led, Group: g.id, Epoch: g.epoch, Number: g.number})
 		return
@@ -423,7 +424,7 @@
 
 // logTime is the group's time by the leader that runs: it goes on from where it was by how long this one has led, so that no
 // clock that was set has any say in it, and a time without a leader does not count.
-func (g *group) logTime() Micros { return max(g.sm.time(), g.base+g.h.now-g.ledAt) }
+func (g *group) logTime() clock.Micros { return max(g.sm.time(), g.base+g.h.now-g.ledAt) }
 
 // call takes in a command or a read.
 func (g *group) call(o origin, c *api.Call) {
--- a/internal/raftstore/host.go
+++ b/internal/raftstore/host.go
@@ -10,6 +10,7 @@
 	"google.golang.org/protobuf/proto"
 
 	api "marblespan/api/raftstorepb"
+	"marblespan/internal/clock"
 )
 
 // packetVersion is that of the packets' layout.
@@ -27,7 +28,7 @@
 // Host is what one gateway holds for others, and its way to what others hold.
 type Host struct {
 	cfg        Config
-	now        Micros
+	now        clock.Micros
 	store      uint64
 	life       uint64
 	holds      bool
@@ -61,10 +62,10 @@
 	local    []localCall
 	leads    map[uint32]string // who is asked first for a group
 
-	nextTick Micros
+	nextTick clock.Micros
 	ticks    uint64
 	leaving  bool
-	leftBy   Micros
+	leftBy   clock.Micros
 	news     map[string]uint64 // the index of the ledger that each was sent last
 	foreign  uint64
 	tooOld   uint64 // the store that was last turned away
@@ -76,7 +77,7 @@
 
 // New makes a host from what its disk holds. trusted says that the disk is known to be the one that was written last; without
 // it each replica asks the others whether it had gone further, before it takes part.
-func New(cfg Config, now Micros, s *Stored, trusted bool) (*Host, error) {
+func New(cfg Config, now clock.Micros, s *Stored, trusted bool) (*Host, error) {
 	if cfg.Format == 0 {
 		cfg.Format = ThisFormat
 	}
@@ -132,10 +133,10 @@
 }
 
 // Next is when a Tick is due.
-func (h *Host) Next() Micros { return h.nextTick }
+func (h *Host) Next() clock.Micros { return h.nextTick }
 
 // Handle takes in one event. What comes of it is told by Flush.
-func (h *Host) Handle(now Micros, ev Event) {
+func (h *Host) Handle(now clock.Micros, ev Event) {
 	h.now = max(h.now, now)
 	switch e := ev.(type) {
 	case Tick:
--- a/internal/raftstore/ledger.go
+++ b/internal/raftstore/ledger.go
@@ -6,6 +6,7 @@
 	"google.golang.org/protobuf/proto"
 
 	api "marblespan/api/raftstorepb"
+	"marblespan/internal/clock"
 )
 
 // ledger is the machine of the ledger: which stores there are, and who holds which group. Its decisions are made in plan, by
@@ -17,7 +18,7 @@
 
 func newLedger() *ledger { return &ledger{Ledger: &api.Ledger{}} }
 
-func (l *ledger) time() Micros { return Micros(l.Time) }
+func (l *ledger) time() clock.Micros { return clock.Micros(l.Time) }
 
 func (l *ledger) snapshot() []byte {
 	b, _ := proto.Marshal(l.Ledger) // names are checked when they come in
--- a/internal/raftstore/maintain.go
+++ b/internal/raftstore/maintain.go
@@ -8,6 +8,7 @@
 	"google.golang.org/protobuf/proto"
 
 	api "marblespan/api/raftstorepb"
+	"marblespan/internal/clock"
 	"marblespan/internal/maintenance"
 )
 
@@ -50,7 +51,7 @@
 
 func said(c *api.Said) maintenance.Command {
 	return maintenance.Command{
-		Verb: maintenance.Verb(c.Verb), Kind: maintenance.Kind(c.Kind), Name: c.Name, Group: int(c.Group), For: maintenance.Micros(c.Span),
+		Verb: maintenance.Verb(c.Verb), Kind: maintenance.Kind(c.Kind), Name: c.Name, Group: int(c.Group), For: clock.Micros(c.Span),
 		Why: c.Why, By: c.By,
 	}
 }
@@ -90,7 +91,7 @@
 	for _, m := range x.GetMachines() {
 		o.Machines = append(o.Machines, maintenance.Machine{
 			ID: m.Id, Kind: maintenance.Kind(m.Kind), Name: m.Name, Group: int(m.Group), Zone: m.Zone, State: maintenance.State(m.State), Turn: m.Turn,
-			At: m.At, Since: maintenance.Micros(m.Since), Left: maintenance.Micros(m.Left), For: maintenance.Micros(m.Span), Life: m.Life, Why: m.Why,
+			At: m.At, Since: clock.Micros(m.Since), Left: clock.Micros(m.Left), For: clock.Micros(m.Span), Life: m.Life, Why: m.Why,
 			By: m.By, Overdue: m.Overdue, Word: m.Word,
 		})
 	}
@@ -145,7 +146,7 @@
 	own     *Own
 	members []maintenance.Member
 	facts   map[string]maintenance.GatewayFact
-	at      map[string]Micros // when each was heard
+	at      map[string]clock.Micros // when each was heard
 	planner maintenance.Planner
 	waits   maintenance.Waits
 	told    uint64 // the ledger's index whose order was last told
@@ -185,7 +186,7 @@
 		return
 	}
 	if u.facts == nil {
-		u.facts, u.at = map[string]maintenance.GatewayFact{}, map[string]Micros{}
+		u.facts, u.at = map[string]maintenance.GatewayFact{}, map[string]clock.Micros{}
 	}
 	u.facts[name], u.at[name] = factIn(name, x), h.now
 }
@@ -201,7 +202,7 @@
 func (h *Host) sight(l *api.Ledger) *maintenance.Facts {
 	u := &h.upkeep
 	h.factFrom(h.cfg.Name, h.fact())
-	f := &maintenance.Facts{Now: maintenance.Micros(h.groups[LedgerGroup].logTime()), Known: h.now-h.facts.since > freshFor*h.cfg.Tick && len(u.members) > 0}
+	f := &maintenance.Facts{Now: clock.Micros(h.groups[LedgerGroup].logTime()), Known: h.now-h.facts.since > freshFor*h.cfg.Tick && len(u.members) > 0}
 	all := map[string]maintenance.Member{}
 	for _, s := range l.Stores {
 		if !s.Gone {
@@ -268,7 +269,7 @@
 	if err := proto.Unmarshal(b, &x); err != nil {
 		return maintenance.Listing{}, err
 	}
-	return maintenance.Listing{Order: OrderOf(x.Order), Waits: x.Waits, Leader: x.Leader, Now: maintenance.Micros(x.Time)}, nil
+	return maintenance.Listing{Order: OrderOf(x.Order), Waits: x.Waits, Leader: x.Leader, Now: clock.Micros(x.Time)}, nil
 }
 
 // Order is the order of maintenance as far as it is known here.
@@ -314,9 +315,9 @@
 		if !sound(x) {
 			return Bad, "that cannot be said"
 		}
-		ok, text = o.Command(maintenance.Micros(l.Time), index, maintenance.Asker{Client: c.Client, Sequence: c.Sequence}, said(x))
+		ok, text = o.Command(clock.Micros(l.Time), index, maintenance.Asker{Client: c.Client, Sequence: c.Sequence}, said(x))
 	} else {
-		o.Step(maintenance.Micros(l.Time), index, stepIn(c.Change.Step), shards{l.Ledger})
+		o.Step(clock.Micros(l.Time), index, stepIn(c.Change.Step), shards{l.Ledger})
 	}
 	l.Order = orderInto(o)
 	if !ok {
@@ -336,9 +337,9 @@
 }
 
 // awayFor tells for which span a gateway's machine is to be away, where it is about to be, or is; ok is false where it is not.
-func awayFor(l *api.Ledger, name string) (span Micros, ok bool) {
+func awayFor(l *api.Ledger, name string) (span clock.Micros, ok bool) {
 	m := gatewayIn(l, name, maintenance.Next, maintenance.Leaving, maintenance.Out)
-	return Micros(m.GetSpan()), m != nil
+	return clock.Micros(m.GetSpan()), m != nil
 }
 
 // apart tells whether this gateway's own machine is about to be out, or is: it leads nothing then.
--- a/internal/raftstore/plan.go
+++ b/internal/raftstore/plan.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	api "marblespan/api/raftstorepb"
+	"marblespan/internal/clock"
 )
 
 // The spans by which the ledger's leader judges, in ticks: a holder that announced itself within freshFor can take replicas; one
@@ -17,20 +18,20 @@
 
 // facts are what the ledger's leader has heard beside the ledger.
 type facts struct {
-	now     Micros
-	since   Micros                 // since it leads
-	heard   map[uint64]Micros      // last word of each store
-	lives   map[uint64]uint64      // its life, by that word
-	reports map[uint32]*api.Report // of each group's leader, the latest
-	told    map[uint32]Micros      // when that came
-	changed Micros                 // when the ledger last changed
+	now     clock.Micros
+	since   clock.Micros            // since it leads
+	heard   map[uint64]clock.Micros // last word of each store
+	lives   map[uint64]uint64       // its life, by that word
+	reports map[uint32]*api.Report  // of each group's leader, the latest
+	told    map[uint32]clock.Micros // when that came
+	changed clock.Micros            // when the ledger last changed
 }
 
 // planner decides who holds what. It keeps nothing: what it has decided is in the ledger.
 type planner struct {
 	*api.Ledger
 	facts
-	tick, healAfter Micros
+	tick, healAfter clock.Micros
 	healAtOnce      int
 	out             []*api.Change
 }
@@ -94,7 +95,7 @@
 }
 
 // silent tells whether a store's holder has said nothing for so long.
-func (p *planner) silent(store uint64, span Micros) bool {
+func (p *planner) silent(store uint64, span clock.Micros) bool {
 	return p.now-max(p.heard[store], p.since) > span
 }
 
--- a/internal/raftstore/records.go
+++ b/internal/raftstore/records.go
@@ -9,10 +9,11 @@
 	"google.golang.org/protobuf/proto"
 
 	api "marblespan/api/raftstorepb"
+	"marblespan/internal/clock"
 )
 
 // clientSpan is for how long a client's last results are kept after its last command.
-const clientSpan Micros = 600 * 1_000_000
+const clientSpan clock.Micros = 600 * 1_000_000
 
 // machine is what a group's replicas keep, changed by the entries of its log only.
 type machine interface {
@@ -21,7 +22,7 @@
 	snapshot() []byte
 	restore(b []byte) error
 	// time is that of the last entry.
-	time() Micros
+	time() clock.Micros
 }
 
 // errFormat tells of records that only a later version understands.
@@ -33,13 +34,13 @@
 	version  uint64 // of the shard, the last write's; no two writes have the same
 	position uint64
 	mark     bool
-	end      Micros
-	at       Micros // when it was last changed
+	end      clock.Micros
+	at       clock.Micros // when it was last changed
 }
 
 // client is what is kept of one caller, so that a call that comes again has one effect.
 type client struct {
-	heard   Micros
+	heard   clock.Micros
 	results map[uint64]*api.Reply // by sequence, for as long as it may ask again
 	done    uint64                // nothing of an earlier sequence is carried out any more: it is a copy that came late
 }
@@ -47,9 +48,9 @@
 // shard is the machine of one shard.
 type shard struct {
 	most    int64 // bytes
-	now     Micros
-	lost    Micros // when this epoch began, because the one before was lost; 0: none was
-	anew    bool   // the next entry's time is when it began
+	now     clock.Micros
+	lost    clock.Micros // when this epoch began, because the one before was lost; 0: none was
+	anew    bool         // the next entry's time is when it began
 	writes  uint64
 	records map[string]record
 	ends    []ending // a heap; some are out of date
@@ -61,7 +62,7 @@
 
 // ending is when a record may end.
 type ending struct {
-	at  Micros
+	at  clock.Micros
 	key string
 }
 
@@ -72,12 +73,12 @@
 	return &shard{most: most, knows: knows, anew: anew, writes: uint64(epoch) << epochBits, records: map[string]record{}, clients: map[uint64]*client{}}
 }
 
-func (s *shard) time() Micros { return s.now }
+func (s *shard) time() clock.Micros { return s.now }
 
 func cost(key string, r record) int64 { return int64(len(key)+len(r.value)) + recordCost }
 
 func (s *shard) apply(_ uint64, e *api.Entry) []*api.Reply {
-	s.now = max(s.now, Micros(e.Time))
+	s.now = max(s.now, clock.Micros(e.Time))
 	if s.anew {
 		s.lost, s.anew = s.now, false
 	}
@@ -139,7 +140,7 @@
 		s.writes++
 		return &api.Reply{Version: s.writes}
 	}
-	return s.set(key, record{value: bytes.Clone(p.Value), end: s.now + Micros(p.Span)})
+	return s.set(key, record{value: bytes.Clone(p.Value), end: s.now + clock.Micros(p.Span)})
 }
 
 // mark raises a number; it never falls, whatever order marks come in.
@@ -149,7 +150,7 @@
 	if there && !old.mark {
 		return &api.Reply{Status: uint32(Bad)}
 	}
-	r := s.set(key, record{mark: true, position: max(old.position, m.Position), end: max(old.end, s.now+Micros(m.Span))})
+	r := s.set(key, record{mark: true, position: max(old.position, m.Position), end: max(old.end, s.now+clock.Micros(m.Span))})
 	r.Position = s.records[key].position
 	return r
 }
@@ -210,7 +211,7 @@
 }
 
 // due tells whether a record has ended by a leader's clock: an entry is wanted that says so.
-func (s *shard) due(now Micros) bool { return len(s.ends) > 0 && s.ends[0].at <= now }
+func (s *shard) due(now clock.Micros) bool { return len(s.ends) > 0 && s.ends[0].at <= now }
 
 func (s *shard) push(e ending) {
 	s.ends = append(s.ends, e)
@@ -290,15 +291,15 @@
 	}
 	*s = *newShard(s.most, s.knows, 0, in.Lost < 0)
 	s.format = in.Format
-	s.now, s.lost, s.writes = Micros(in.Time), Micros(max(in.Lost, 0)), in.Writes
+	s.now, s.lost, s.writes = clock.Micros(in.Time), clock.Micros(max(in.Lost, 0)), in.Writes
 	for _, x := range in.Records {
-		r := record{value: x.Value, version: x.Version, position: x.Position, mark: x.Mark, end: Micros(x.End), at: Micros(x.At)}
+		r := record{value: x.Value, version: x.Version, position: x.Position, mark: x.Mark, end: clock.Micros(x.End), at: clock.Micros(x.At)}
 		s.records[string(x.Key)] = r
 		s.bytes += cost(string(x.Key), r)
 		s.push(ending{r.end, string(x.Key)})
 	}
 	for _, x := range in.Clients {
-		c := &client{heard: Micros(x.Heard), done: x.Done, results: map[uint64]*api.Reply{}}
+		c := &client{heard: clock.Micros(x.Heard), done: x.Done, results: map[uint64]*api.Reply{}}
 		for _, r := range x.Results {
 			c.results[r.Sequence] = &api.Reply{Status: r.Status, Version: r.Version, Position: r.Position, Lost: r.Lost, Time: in.Time}
 		}
--- a/internal/raftstore/requests.go
+++ b/internal/raftstore/requests.go
@@ -7,6 +7,7 @@
 	"google.golang.org/protobuf/proto"
 
 	api "marblespan/api/raftstorepb"
+	"marblespan/internal/clock"
 )
 
 // This file takes requests to the leader of their group, wherever that is, and their replies back.
@@ -17,7 +18,7 @@
 	sequence uint64
 	command  *api.Command
 	target   string
-	tried    Micros
+	tried    clock.Micros
 	turn     int
 	sent     bool
 	hinted   bool
@@ -36,7 +37,7 @@
 	if a.Command != nil && !order {
 		p, m := a.Command.Put, a.Command.Mark
 		bad = bad || p == nil && m == nil || p != nil && (len(p.Key) == 0 || len(p.Key) > MostKey || len(p.Value) > MostValue ||
-			p.Span <= 0 && !p.Remove || Micros(p.Span) > MostSpan) || m != nil && (len(m.Key) == 0 || len(m.Key) > MostKey || m.Span <= 0 || Micros(m.Span) > MostSpan)
+			p.Span <= 0 && !p.Remove || clock.Micros(p.Span) > MostSpan) || m != nil && (len(m.Key) == 0 || len(m.Key) > MostKey || m.Span <= 0 || clock.Micros(m.Span) > MostSpan)
 	}
 	switch {
 	case bad || h.founding != 0 && int(a.Shard) >= len(h.view.Groups):
@@ -145,10 +146,10 @@
 	h.over(r.Id, c)
 	a := Answer{
 		ID: c.ask.ID, Status: Status(r.Status), Version: r.Version, Value: r.Value, Position: r.Position, Found: r.Found, Lost: r.Lost != 0,
-		Age: Micros(r.Age),
+		Age: clock.Micros(r.Age),
 	}
 	if r.Lost > 1 {
-		a.Since = max(Micros(r.Time-r.Lost), 0)
+		a.Since = max(clock.Micros(r.Time-r.Lost), 0)
 	}
 	h.out = append(h.out, a)
 }
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -6,6 +6,7 @@
 
 	"github.com/rs/zerolog"
 
+	"marblespan/internal/clock"
 	"marblespan/internal/policy"
 	"marblespan/internal/settings"
 )
@@ -19,7 +20,7 @@
 	discovery Discovery
 	log       zerolog.Logger
 
-	now      policy.Micros
+	now      clock.Micros
 	requests map[string]*request
 	byClient map[Client]*request
 	byName   map[string]*request // by the client's id, for as long as anything is out for it
@@ -30,14 +31,14 @@
 	Counts   Counts
 
 	listFailing bool
-	listHeard   bool          // in this life, from discovery
-	startedAt   policy.Micros // when this life began
+	listHeard   bool         // in this life, from discovery
+	startedAt   clock.Micros // when this life began
 }
 
 // listPatience is how long a start waits for a list that is pushed: what its agent has is held to be known here from the first
 // moment on, and the list that came with the configuration may be old. An agent that is silent must not keep the gateway
 // out of service: restarts are to be over within 10 s.
-const listPatience = policy.Micros(3 * time.Second / time.Microsecond)
+const listPatience = clock.Micros(3 * time.Second / time.Microsecond)
 
 // request is one request the module knows of.
 type request struct {
@@ -48,7 +49,7 @@
 	facts    *settings.Facts // those it is finished under
 	class    int             // among them
 	place    int             // among the counters
-	deadline policy.Micros
+	deadline clock.Micros
 	attempts []Attempt // nil once it has ended
 	out      int
 	over     bool // its final answer is given, or its client gone
@@ -56,7 +57,7 @@
 
 // NewCore starts the module with the list the gateway last had.
 func NewCore(
-	now policy.Micros, seed uint64, facts *settings.Facts, known ListNews, servers Servers, disc Discovery,
+	now clock.Micros, seed uint64, facts *settings.Facts, known ListNews, servers Servers, disc Discovery,
 	log zerolog.Logger,
 ) *Core {
 	c := &Core{
@@ -88,7 +89,7 @@
 }
 
 // Health tells how the gateway is; groups count that were asked for in the last span.
-func (c *Core) Health(lately policy.Micros) Health {
+func (c *Core) Health(lately clock.Micros) Health {
 	return Health{c.router.Health(lately), c.listFailing}
 }
 
@@ -96,7 +97,7 @@
 func (c *Core) Open() int { return len(c.byClient) }
 
 // Handle takes in one event.
-func (c *Core) Handle(now policy.Micros, ev Event) {
+func (c *Core) Handle(now clock.Micros, ev Event) {
 	c.now = max(c.now, now)
 	switch e := ev.(type) {
 	case *Request:
@@ -127,7 +128,7 @@
 }
 
 // Expire tells the module of the timers that have come due.
-func (c *Core) Expire(now policy.Micros) {
+func (c *Core) Expire(now clock.Micros) {
 	c.now = max(c.now, now)
 	for {
 		t, ok := c.timers.due(c.now)
@@ -140,7 +141,7 @@
 }
 
 // NextTimer is when Expire has something to do.
-func (c *Core) NextTimer() (policy.Micros, bool) { return c.timers.first() }
+func (c *Core) NextTimer() (clock.Micros, bool) { return c.timers.first() }
 
 func (c *Core) step(ev policy.Event) { c.perform(c.router.Step(c.now, ev)) }
 
--- a/internal/routing/members.go
+++ b/internal/routing/members.go
@@ -1,6 +1,7 @@
 package routing
 
 import (
+	"marblespan/internal/clock"
 	"marblespan/internal/policy"
 	"marblespan/internal/protocol/discovery"
 	"marblespan/internal/settings"
@@ -81,7 +82,7 @@
 	weight, _ := settings.ParseScaled(e.Weight.String(), 3)
 	booted, _ := settings.ParseScaled(e.BootMS.String(), 3)
 	return policy.Member{
-		Server: id, Group: e.Group, Zone: e.Zone, State: state, Started: policy.Micros(booted),
+		Server: id, Group: e.Group, Zone: e.Zone, State: state, Started: clock.Micros(booted),
 		Primary: e.Primary, Weight: weight,
 	}, true
 }
--- a/internal/routing/owner.go
+++ b/internal/routing/owner.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"marblespan/internal/policy"
+	"marblespan/internal/clock"
 )
 
 // queueLength is how many events may wait for the owner before their senders do. A burst of a thousand
@@ -17,13 +17,13 @@
 func NewClock() Clock { return Clock{time.Now()} }
 
 // Now reads the clock.
-func (c Clock) Now() policy.Micros {
-	return policy.Micros(c.start.UnixMicro()) + policy.Micros(time.Since(c.start)/time.Microsecond)
+func (c Clock) Now() clock.Micros {
+	return clock.Micros(c.start.UnixMicro()) + clock.Micros(time.Since(c.start)/time.Microsecond)
 }
 
 // Time is the moment of a reading, for deadlines.
-func (c Clock) Time(m policy.Micros) time.Time {
-	return c.start.Add(time.Duration(m-policy.Micros(c.start.UnixMicro())) * time.Microsecond)
+func (c Clock) Time(m clock.Micros) time.Time {
+	return c.start.Add(time.Duration(m-clock.Micros(c.start.UnixMicro())) * time.Microsecond)
 }
 
 // Owner runs a Core on one goroutine, behind a queue.
@@ -62,7 +62,7 @@
 }
 
 // Run owns the core that start makes until Stop.
-func (o *Owner) Run(start func(now policy.Micros) *Core) {
+func (o *Owner) Run(start func(now clock.Micros) *Core) {
 	defer close(o.done)
 	c := start(o.clock.Now())
 	wake := time.NewTimer(0)
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -4,6 +4,7 @@
 package routing
 
 import (
+	"marblespan/internal/clock"
 	"marblespan/internal/policy"
 	"marblespan/internal/protocol/discovery"
 	"marblespan/internal/settings"
@@ -35,7 +36,7 @@
 	Kind       Kind
 	Value      *transport.Message // of a served request
 	Position   policy.Position    // after it, as its server says; 0: it does not
-	RetryAfter policy.Micros      // advice to a refused client; 0: none
+	RetryAfter clock.Micros       // advice to a refused client; 0: none
 }
 
 // Job is one attempt, for the servers' side to carry out.
@@ -43,10 +44,10 @@
 	ID            string
 	Attempt       int
 	Server        policy.ServerID
-	Payload       Payload       // a share of it, freed by whoever carries the job out
-	Sent          policy.Micros // when the module asked for it
-	Until         policy.Micros // when to give it up
-	NonIdempotent bool          // it must not run twice: a reset that may have hidden its answer ends its request
+	Payload       Payload      // a share of it, freed by whoever carries the job out
+	Sent          clock.Micros // when the module asked for it
+	Until         clock.Micros // when to give it up
+	NonIdempotent bool         // it must not run twice: a reset that may have hidden its answer ends its request
 }
 
 // Attempt is an attempt under way. Cancel gives it up, if it still runs; it must not block.
@@ -55,7 +56,7 @@
 // Servers carries out attempts and probes. None of its methods blocks; each job ends in one event.
 type Servers interface {
 	Send(Job) Attempt
-	Probe(server policy.ServerID, sent, until policy.Micros)
+	Probe(server policy.ServerID, sent, until clock.Micros)
 	CloseIdle(policy.ServerID)
 	Withdraw(policy.ServerID)
 	Place(server policy.ServerID, endpoint string)
@@ -79,9 +80,9 @@
 	Payload Payload
 	Facts   *settings.Facts // the settings it was read by: those that Arrival.Class counts in; nil: those in force
 	Arrival policy.Arrival  // ID and Left are filled in by the owner
-	ReadAt  policy.Micros   // when its last byte was read
-	Wait    policy.Micros   // how long the client waits, from then on
-	After   policy.Micros   // the position that it must see; 0: none
+	ReadAt  clock.Micros    // when its last byte was read
+	Wait    clock.Micros    // how long the client waits, from then on
+	After   clock.Micros    // the position that it must see; 0: none
 }
 
 // Gone tells that a client left while its request was out.
@@ -91,7 +92,7 @@
 type Ended struct {
 	Job      Job
 	Result   policy.Result
-	Latency  policy.Micros
+	Latency  clock.Micros
 	Role     policy.Role
 	Position policy.Position
 	Report   policy.Report
@@ -102,7 +103,7 @@
 type ProbeEnded struct {
 	Server  policy.ServerID
 	Result  policy.Result
-	Latency policy.Micros
+	Latency clock.Micros
 	Report  policy.Report
 }
 
--- a/internal/routing/timers.go
+++ b/internal/routing/timers.go
@@ -3,7 +3,7 @@
 import (
 	"container/heap"
 
-	"marblespan/internal/policy"
+	"marblespan/internal/clock"
 )
 
 // timers holds the module's timers by their time, and by their order among equals.
@@ -13,24 +13,24 @@
 }
 
 type timer struct {
-	at    policy.Micros
+	at    clock.Micros
 	n     uint64
 	token string
 }
 
-func (t *timers) set(at policy.Micros, token string) {
+func (t *timers) set(at clock.Micros, token string) {
 	t.n++
 	heap.Push(&t.heap, timer{at, t.n, token})
 }
 
-func (t *timers) first() (policy.Micros, bool) {
+func (t *timers) first() (clock.Micros, bool) {
 	if len(t.heap) == 0 {
 		return 0, false
 	}
 	return t.heap[0].at, true
 }
 
-func (t *timers) due(now policy.Micros) (string, bool) {
+func (t *timers) due(now clock.Micros) (string, bool) {
 	if len(t.heap) == 0 || t.heap[0].at > now {
 		return "", false
 	}
--- a/internal/session/lookup.go
+++ b/internal/session/lookup.go
@@ -5,6 +5,7 @@
 	"strconv"
 	"time"
 
+	"marblespan/internal/clock"
 	"marblespan/internal/policy"
 	"marblespan/internal/protocol/postgres"
 	"marblespan/internal/routing"
@@ -49,6 +50,6 @@
 	now := s.Clock.Now()
 	s.Owner.Post(&routing.Request{
 		Client: &lookup{done}, ID: id, Payload: &query{text: text, statement: st}, Facts: facts, ReadAt: now, After: now,
-		Arrival: policy.Arrival{Class: index, Group: group}, Wait: policy.Micros(wait) * 1000,
+		Arrival: policy.Arrival{Class: index, Group: group}, Wait: clock.Micros(wait) * 1000,
 	})
 }
--- a/internal/session/pending.go
+++ b/internal/session/pending.go
@@ -9,6 +9,7 @@
 	"strconv"
 	"time"
 
+	"marblespan/internal/clock"
 	"marblespan/internal/indoubt"
 	"marblespan/internal/intents"
 	"marblespan/internal/policy"
@@ -432,7 +433,7 @@
 	r := &routing.Request{
 		Client: q, ID: in.statement.ID, Payload: &query{text: in.text, statement: in.statement}, Facts: in.facts,
 		Arrival: in.arrival, ReadAt: c.all.Clock.Now(),
-		Wait: policy.Micros(wait) * 1000, After: policy.Micros(in.statement.After) * 1000,
+		Wait: clock.Micros(wait) * 1000, After: clock.Micros(in.statement.After) * 1000,
 	}
 	patience := time.Duration(wait) * time.Millisecond
 	marked, group, session := c.marked(in), in.arrival.Group, in.arrival.Session
--- a/internal/session/servers.go
+++ b/internal/session/servers.go
@@ -8,6 +8,7 @@
 	"sync/atomic"
 	"time"
 
+	"marblespan/internal/clock"
 	"marblespan/internal/policy"
 	"marblespan/internal/protocol/postgres"
 	"marblespan/internal/routing"
@@ -50,7 +51,7 @@
 // and later only those that have answered since. It guards against servers, machines back from being cut off and paths
 // to them that have dropped kept connections without a word. Closing all of them instead would cost handshakes on a path
 // that resets at random. Harm: some handshakes too many for writes in the seconds after a server's death.
-const suspectFor = 5 * policy.Micros(time.Second/time.Microsecond)
+const suspectFor = 5 * clock.Micros(time.Second/time.Microsecond)
 
 // task is one attempt or one probe.
 type task struct {
@@ -152,7 +153,7 @@
 }
 
 // Probe asks a server for its load report.
-func (s *Servers) Probe(server policy.ServerID, sent, until policy.Micros) {
+func (s *Servers) Probe(server policy.ServerID, sent, until clock.Micros) {
 	t := newTask(routing.Job{Server: server, Sent: sent, Until: until})
 	t.probe = true
 	s.start(t)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -10,6 +10,7 @@
 	"strings"
 	"sync/atomic"
 
+	"marblespan/internal/clock"
 	"marblespan/internal/policy"
 )
 
@@ -19,8 +20,8 @@
 	Classes   map[string]int // name to index
 	Names     []string       // of the classes, by index
 	Fields    []string       // of load reports, in order
-	Zero      policy.Micros  // where the simulator's positions are counted from
-	Keepalive policy.Micros  // servers close connections idle for so long
+	Zero      clock.Micros   // where the simulator's positions are counted from
+	Keepalive clock.Micros   // servers close connections idle for so long
 	Doubts    []*KeyError    // what was read in its strictest sense for want of a better one
 }
 
@@ -291,8 +292,8 @@
 }
 
 // time reads milliseconds; a thousandth of one is a microsecond.
-func (p *scaler) time(key string, n number) policy.Micros {
-	return policy.Micros(p.thousandths(key, n))
+func (p *scaler) time(key string, n number) clock.Micros {
+	return clock.Micros(p.thousandths(key, n))
 }
 
 // ParseScaled reads a decimal number as a whole number of 10^-digits, rounded down.
@@ -334,7 +335,7 @@
 
 // AddReport puts one value of a load report, by its field's name, into rep. The position's seconds are counted
 // from zero. Fields of unknown names are passed over.
-func AddReport(rep *policy.Report, field, value string, zero policy.Micros) error {
+func AddReport(rep *policy.Report, field, value string, zero clock.Micros) error {
 	digits := 3
 	switch field {
 	case "x0":
@@ -351,7 +352,7 @@
 	}
 	switch field {
 	case "x0":
-		rep.Position, rep.HasPosition = zero+policy.Micros(v), true
+		rep.Position, rep.HasPosition = zero+clock.Micros(v), true
 	case "x1":
 		if rep.Role = policy.RoleReplica; v == 1 {
 			rep.Role = policy.RolePrimary
--- a/internal/simhost/host.go
+++ b/internal/simhost/host.go
@@ -8,6 +8,7 @@
 	"fmt"
 	"io"
 
+	"marblespan/internal/clock"
 	"marblespan/internal/policy"
 	"marblespan/internal/settings"
 	"marblespan/internal/simwire"
@@ -24,7 +25,7 @@
 
 // Host runs every instance of one process.
 type Host struct {
-	now       policy.Micros
+	now       clock.Micros
 	inBatch   bool
 	sheets    [simwire.Sheets][]policy.Member
 	sheetSent [simwire.Sheets]bool
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"strconv"
 
+	"marblespan/internal/clock"
 	"marblespan/internal/policy"
 )
 
@@ -75,7 +76,7 @@
 
 func appendNumber(b []byte, v int64) []byte { return strconv.AppendInt(append(b, ','), v, 10) }
 
-func appendMillis(b []byte, v policy.Micros) []byte {
+func appendMillis(b []byte, v clock.Micros) []byte {
 	b = append(b, ',')
 	if v < 0 {
 		b, v = append(b, '-'), -v
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -8,6 +8,7 @@
 	"fmt"
 	"strconv"
 
+	"marblespan/internal/clock"
 	"marblespan/internal/policy"
 	"marblespan/internal/settings"
 )
@@ -27,7 +28,7 @@
 type Message interface{}
 
 // Tick begins a batch.
-type Tick struct{ Now policy.Micros }
+type Tick struct{ Now clock.Micros }
 
 // Flush ends a batch.
 type Flush struct{}
@@ -143,11 +144,11 @@
 }
 
 // micros reads milliseconds with fractions; an absent value is 0.
-func (r *row) micros(i int) policy.Micros {
+func (r *row) micros(i int) clock.Micros {
 	if r.absent(i) {
 		return 0
 	}
-	return policy.Micros(r.scaled(i, 3))
+	return clock.Micros(r.scaled(i, 3))
 }
 
 func (r *row) scaled(i, digits int) int64 {
@@ -303,7 +304,7 @@
 	if note := r.integerOr(2, 0); note > 0 {
 		o.Role = roles[note%4]
 		if ms := note / 4; ms > 0 {
-			o.Position = f.Zero + policy.Micros(ms)*1000
+			o.Position = f.Zero + clock.Micros(ms)*1000
 		}
 	}
 	return o
--- a/internal/vrrp/health.go
+++ b/internal/vrrp/health.go
@@ -1,5 +1,7 @@
 package vrrp
 
+import "marblespan/internal/clock"
+
 // effective is the priority that a gateway may advertise: the settings' one less the steps for all that is wrong with it.
 // It stays at least 1, for 0 would release the address, and the last gateway left must still be able to hold it.
 func effective(priority uint8, steps [Conditions]uint8, h Health) uint8 {
@@ -17,8 +19,8 @@
 // is taken up to Damping.Most later.
 type damper struct {
 	strikes uint8
-	last    Micros // the last flap
-	until   Micros
+	last    clock.Micros // the last flap
+	until   clock.Micros
 }
 
 // mostStrikes bounds the doubling; the settings' bound is reached long before.
@@ -28,14 +30,14 @@
 const forgetAfter = 4
 
 // lost notes the end of a tenure.
-func (d *damper) lost(now, lasted Micros, cfg Damping) {
+func (d *damper) lost(now, lasted clock.Micros, cfg Damping) {
 	if lasted < cfg.Window {
 		d.strike(now, cfg)
 	}
 }
 
 // strike holds the gateway back, twice as long as the last time unless that is long ago.
-func (d *damper) strike(now Micros, cfg Damping) {
+func (d *damper) strike(now clock.Micros, cfg Damping) {
 	if cfg.First <= 0 {
 		return
 	}
--- a/internal/vrrp/machine.go
+++ b/internal/vrrp/machine.go
@@ -1,6 +1,10 @@
 package vrrp
 
-import "net/netip"
+import (
+	"net/netip"
+
+	"marblespan/internal/clock"
+)
 
 // standstillBeats is how many beats may be missed before a backup takes it that its process stood still. A beat is half an
 // interval, so that a starved core is not mistaken for a stop at once.
@@ -25,16 +29,16 @@
 	state  State
 	tenure uint32
 
-	seen    Micros // last time anything was handled
-	sent    Micros // last advertisement, valid while active
-	timer   Micros // the advertisement timer while active, the active-down timer while backup
-	waiting Micros // the interval that the active router advertised
+	seen    clock.Micros // last time anything was handled
+	sent    clock.Micros // last advertisement, valid while active
+	timer   clock.Micros // the advertisement timer while active, the active-down timer while backup
+	waiting clock.Micros // the interval that the active router advertised
 	holder  holder
-	rival   holder // the last other one that advertised and was not followed
-	since   Micros // start of this state
-	givenUp bool   // the holder released the address, and nobody has taken it since
-	peaceBy Micros // when a lower active router may be preempted; 0: none was heard
-	adverts uint32 // of this tenure
+	rival   holder       // the last other one that advertised and was not followed
+	since   clock.Micros // start of this state
+	givenUp bool         // the holder released the address, and nobody has taken it since
+	peaceBy clock.Micros // when a lower active router may be preempted; 0: none was heard
+	adverts uint32       // of this tenure
 	damp    damper
 }
 
@@ -42,17 +46,17 @@
 type holder struct {
 	from     netip.Addr
 	priority uint8
-	heard    Micros
-	interval Micros
+	heard    clock.Micros
+	interval clock.Micros
 }
 
 // lives tells whether the holder was heard lately.
-func (h holder) lives(now Micros) bool {
+func (h holder) lives(now clock.Micros) bool {
 	return h.from.IsValid() && now-h.heard < leaseIntervals*h.interval
 }
 
 // outlasts tells whether the holder is still being heard and will stay when it meets another that advertises too.
-func (h holder) outlasts(now Micros, e Heard) bool {
+func (h holder) outlasts(now clock.Micros, e Heard) bool {
 	return h.lives(now) && h.from != e.From &&
 		(h.priority > e.Priority || h.priority == e.Priority && e.From.Less(h.from))
 }
@@ -76,15 +80,15 @@
 func (m *Machine) Holder() netip.Addr { return m.holder.from }
 
 // Since is when the present state began.
-func (m *Machine) Since() Micros { return m.since }
+func (m *Machine) Since() clock.Micros { return m.since }
 
 // HeldUntil is when damping no longer holds the gateway back.
-func (m *Machine) HeldUntil() Micros { return m.damp.until }
+func (m *Machine) HeldUntil() clock.Micros { return m.damp.until }
 
 // Lease is the time after which nothing new may be taken under the present tenure: unless another advertisement goes out
 // before, peers may have taken over. Whoever takes work asks it, so that a process that stood still is held back even if
 // it notices elsewhere first. It is 0 while not active.
-func (m *Machine) Lease() Micros {
+func (m *Machine) Lease() clock.Micros {
 	if m.state != Active {
 		return 0
 	}
@@ -92,7 +96,7 @@
 }
 
 // Next is when a Tick is due.
-func (m *Machine) Next() (Micros, bool) {
+func (m *Machine) Next() (clock.Micros, bool) {
 	if m.state == Initialize {
 		return 0, false
 	}
@@ -103,10 +107,10 @@
 	return min(m.due(), beat), true
 }
 
-func (m *Machine) beat() Micros { return m.cfg.Interval / 2 }
+func (m *Machine) beat() clock.Micros { return m.cfg.Interval / 2 }
 
 // due is when the timer in force fires. A backup that is held back waits for the end of that too.
-func (m *Machine) due() Micros {
+func (m *Machine) due() clock.Micros {
 	if m.state == Backup {
 		return max(m.timer, m.damp.until)
 	}
@@ -114,7 +118,7 @@
 }
 
 // Handle takes in one event. Time never goes back: an earlier time counts as the last one.
-func (m *Machine) Handle(now Micros, ev Event) []Action {
+func (m *Machine) Handle(now clock.Micros, ev Event) []Action {
 	now = max(now, m.seen)
 	out := m.wake(now)
 	m.seen = now
@@ -148,7 +152,7 @@
 // wake looks whether the process stood still. One that was active gives way without a word: whoever took over meanwhile is
 // not to be disturbed, and its old state is worth nothing. A backup starts its wait anew, for advertisements may have been
 // missed; where it was only a little late, it leaves those that lie unread the time to be read.
-func (m *Machine) wake(now Micros) []Action {
+func (m *Machine) wake(now clock.Micros) []Action {
 	late := m.cfg.Interval / lateLooks
 	next, _ := m.Next()
 	switch {
@@ -162,9 +166,9 @@
 	return nil
 }
 
-func (m *Machine) downInterval() Micros { return DownInterval(m.Priority(), m.waiting) }
+func (m *Machine) downInterval() clock.Micros { return DownInterval(m.Priority(), m.waiting) }
 
-func (m *Machine) startup(now Micros, out []Action) []Action {
+func (m *Machine) startup(now clock.Micros, out []Action) []Action {
 	m.waiting = m.cfg.Interval
 	if m.Priority() == Owner && m.health.Ready {
 		return m.win(now, CauseStartup, out)
@@ -173,7 +177,7 @@
 	return m.become(now, Backup, CauseStartup, out)
 }
 
-func (m *Machine) shutdown(now Micros, out []Action) []Action {
+func (m *Machine) shutdown(now clock.Micros, out []Action) []Action {
 	if m.state == Active {
 		out = m.release(now, CauseShutdown, out)
 	}
@@ -187,7 +191,7 @@
 // followed, and the other's release does not count: otherwise a router that notices late that it is not active any more
 // makes every backup go for what another holds. For the same reason a release makes way for that other one, if there is
 // one. A lower active router is left in peace for the preempt delay, and while damping holds this one back.
-func (m *Machine) heardAsBackup(now Micros, e Heard) {
+func (m *Machine) heardAsBackup(now clock.Micros, e Heard) {
 	heard := holder{e.From, e.Priority, now, e.Interval}
 	switch {
 	case e.Priority == GivesUp && e.From == m.rival.from:
@@ -210,7 +214,7 @@
 }
 
 // followRival follows the other one that advertised, now that the holder is gone, unless it is to be preempted.
-func (m *Machine) followRival(now Micros) bool {
+func (m *Machine) followRival(now clock.Micros) bool {
 	rival := m.rival
 	m.rival = holder{}
 	if !rival.lives(now) || m.mayTakeFrom(now, rival.priority) {
@@ -221,7 +225,7 @@
 }
 
 // mayTakeFrom tells whether an active router is to be preempted now.
-func (m *Machine) mayTakeFrom(now Micros, priority uint8) bool {
+func (m *Machine) mayTakeFrom(now clock.Micros, priority uint8) bool {
 	if priority >= m.Priority() {
 		m.peaceBy = 0
 		return false
@@ -238,7 +242,7 @@
 }
 
 // preempts tells whether a lower active router has been left in peace for long enough.
-func (m *Machine) preempts(now Micros) bool {
+func (m *Machine) preempts(now clock.Micros) bool {
 	if m.peaceBy == 0 {
 		m.peaceBy = now + m.cfg.PreemptDelay
 	}
@@ -246,7 +250,7 @@
 }
 
 // heardAsActive is RFC 9568, 6.4.3.
-func (m *Machine) heardAsActive(now Micros, e Heard, out []Action) []Action {
+func (m *Machine) heardAsActive(now clock.Micros, e Heard, out []Action) []Action {
 	switch {
 	case e.Priority == GivesUp:
 		return m.advertise(now, out)
@@ -263,7 +267,7 @@
 
 // noticed takes in the gateway's health. One that cannot serve gives up at once; one that can again waits its skew, so that
 // several do not go for the address in the same moment.
-func (m *Machine) noticed(now Micros, h Health, out []Action) []Action {
+func (m *Machine) noticed(now clock.Micros, h Health, out []Action) []Action {
 	wasReady := m.health.Ready
 	m.health = h
 	switch {
@@ -275,7 +279,7 @@
 	return out
 }
 
-func (m *Machine) reconfigure(now Micros, next Config, out []Action) []Action {
+func (m *Machine) reconfigure(now clock.Micros, next Config, out []Action) []Action {
 	next.VRID, next.Self = m.cfg.VRID, m.cfg.Self
 	changed := next.Interval != m.cfg.Interval
 	m.cfg = next
@@ -286,7 +290,7 @@
 }
 
 // tick acts on the timer, if it is due.
-func (m *Machine) tick(now Micros, out []Action) []Action {
+func (m *Machine) tick(now clock.Micros, out []Action) []Action {
 	switch {
 	case m.state == Active && now >= m.timer:
 		return m.advertise(now, out)
@@ -301,7 +305,7 @@
 }
 
 // win takes the address: the listener first, so that whoever is led here is heard.
-func (m *Machine) win(now Micros, cause Cause, out []Action) []Action {
+func (m *Machine) win(now clock.Micros, cause Cause, out []Action) []Action {
 	m.tenure++
 	m.adverts = 0
 	out = m.become(now, Active, cause, out)
@@ -309,7 +313,7 @@
 	return append(m.advertise(now, append(out, Take{m.tenure})), Announce{m.tenure})
 }
 
-func (m *Machine) advertise(now Micros, out []Action) []Action {
+func (m *Machine) advertise(now clock.Micros, out []Action) []Action {
 	m.sent, m.timer = now, now+m.cfg.Interval
 	out = append(out, Advertise{m.Priority(), m.cfg.Interval})
 	// One announcement might be lost, and nobody would ask for it again: the 2nd, 4th, 8th and so on go with another, later
@@ -322,12 +326,12 @@
 }
 
 // release gives the address up with a word to the others, who need not wait for their down intervals then.
-func (m *Machine) release(now Micros, cause Cause, out []Action) []Action {
+func (m *Machine) release(now clock.Micros, cause Cause, out []Action) []Action {
 	return m.lose(now, cause, append(out, Advertise{GivesUp, m.cfg.Interval}))
 }
 
 // lose goes back to Backup.
-func (m *Machine) lose(now Micros, cause Cause, out []Action) []Action {
+func (m *Machine) lose(now clock.Micros, cause Cause, out []Action) []Action {
 	if cause == CausePreempted || cause == CauseStoodStill {
 		m.damp.lost(now, now-m.since, m.cfg.Damping)
 	}
@@ -336,7 +340,7 @@
 	return m.become(now, Backup, cause, append(out, Release{m.tenure, cause}))
 }
 
-func (m *Machine) become(now Micros, to State, cause Cause, out []Action) []Action {
+func (m *Machine) become(now clock.Micros, to State, cause Cause, out []Action) []Action {
 	out = append(out, Changed{m.state, to, cause})
 	m.state, m.since = to, now
 	return out
--- a/internal/vrrp/vrrp.go
+++ b/internal/vrrp/vrrp.go
@@ -6,15 +6,16 @@
 // source, and times are whole microseconds of a clock that never steps back. This file is its interface.
 package vrrp
 
-import "net/netip"
+import (
+	"net/netip"
 
-// Micros is a point or a span of time in whole microseconds.
-type Micros int64
+	"marblespan/internal/clock"
+)
 
 // The bounds of an advertisement interval: it travels in 12 bits of hundredths of a second (RFC 9568, 5.2.6).
 const (
-	LeastInterval Micros = 10_000
-	MostInterval  Micros = 40_950_000
+	LeastInterval clock.Micros = 10_000
+	MostInterval  clock.Micros = 40_950_000
 )
 
 // The priorities with a meaning of their own (RFC 9568, 5.2.4).
@@ -60,19 +61,19 @@
 
 // Damping holds back a gateway that loses the address soon after winning it. The zero value does nothing.
 type Damping struct {
-	Window Micros // a loss this soon after the win counts as a flap
-	First  Micros // how long the first flap holds it back; each further one twice as long
-	Most   Micros // the longest it is ever held back
+	Window clock.Micros // a loss this soon after the win counts as a flap
+	First  clock.Micros // how long the first flap holds it back; each further one twice as long
+	Most   clock.Micros // the longest it is ever held back
 }
 
 // Config is one group (virtual router) on one gateway.
 type Config struct {
 	VRID         uint8
 	Priority     uint8 // 1 to 255
-	Interval     Micros
-	Preempt      bool       // take the address from an active router of lower priority
-	PreemptDelay Micros     // how long that router is left in peace first
-	Self         netip.Addr // this gateway's own address, which settles ties
+	Interval     clock.Micros
+	Preempt      bool         // take the address from an active router of lower priority
+	PreemptDelay clock.Micros // how long that router is left in peace first
+	Self         netip.Addr   // this gateway's own address, which settles ties
 	Steps        [Conditions]uint8
 	Damping      Damping
 }
@@ -90,7 +91,7 @@
 type Heard struct {
 	From     netip.Addr
 	Priority uint8
-	Interval Micros
+	Interval clock.Micros
 }
 
 // Tick tells that time has passed. It comes when Next says, and may come oftener.
@@ -122,7 +123,7 @@
 // Advertise sends an advertisement to every peer.
 type Advertise struct {
 	Priority uint8
-	Interval Micros
+	Interval clock.Micros
 }
 
 // Announce tells the network where the address is now, as a gratuitous ARP would.
@@ -170,11 +171,11 @@
 func (c Cause) String() string { return causeNames[c] }
 
 // SkewTime is RFC 9568's Skew_Time: it lets a higher priority go first.
-func SkewTime(priority uint8, interval Micros) Micros {
-	return (256 - Micros(priority)) * interval / 256
+func SkewTime(priority uint8, interval clock.Micros) clock.Micros {
+	return (256 - clock.Micros(priority)) * interval / 256
 }
 
 // DownInterval is RFC 9568's Active_Down_Interval: how long a backup waits for the active router.
-func DownInterval(priority uint8, interval Micros) Micros {
+func DownInterval(priority uint8, interval clock.Micros) clock.Micros {
 	return 3*interval + SkewTime(priority, interval)
 }
