--- a/cmd/marblespan-raft/main.go
+++ b/cmd/marblespan-raft/main.go
@@ -10,6 +10,6 @@
 )
 
 func main() {
-	raftgateway.Use()
+	raftgateway.Register()
 	os.Exit(cli.Main(os.Args[1:], os.Getenv, os.Stdout, os.Stderr))
 }
--- a/internal/experiments/statestore/cluster.go
+++ b/internal/experiments/statestore/cluster.go
@@ -35,7 +35,7 @@
 type member struct {
 	name    string
 	streams *streams.Streams
-	holders *raftnode.Holders
+	holders *raftnode.Node
 }
 
 // shape is what a cluster is made of.
@@ -59,11 +59,11 @@
 		}
 	}
 	first := c.nodes[0].holders
-	if err := first.Found(s.shards, s.copies, true); err != nil {
+	if err := first.Bootstrap(s.shards, s.copies, true); err != nil {
 		c.close()
 		return nil, err
 	}
-	if !first.AwaitWhole(2 * time.Minute) {
+	if !first.AwaitFullyReplicated(2 * time.Minute) {
 		c.close()
 		return nil, fmt.Errorf("%d gateways with %d copies of %d shards were not whole within two minutes", s.nodes, s.copies, s.shards)
 	}
@@ -94,11 +94,11 @@
 		path = filepath.Join(c.dir, name+".db")
 	}
 	m.holders, err = raftnode.Start(raftnode.Settings{
-		Node: name, Weight: 1, Holds: true, Path: path, Tick: 100 * time.Millisecond, HealAfter: s.healAfter, HealAtOnce: 4, HealRate: 64 << 20,
-		MostBytes: 1 << 30, LeastLog: 1 << 20, Others: c.names,
+		Node: name, Weight: 1, HostsReplicas: true, StoragePath: path, Tick: 100 * time.Millisecond, RepairAfter: s.healAfter, MaxRepairs: 4, RepairRate: 64 << 20,
+		MaxBytes: 1 << 30, MinLogBytes: 1 << 20, Peers: c.names,
 	}, raftnode.Clock{
-		Now:  func() clock.Micros { return clock.Micros(time.Since(begin).Microseconds()) + 1 },
-		Time: func(t clock.Micros) time.Time { return begin.Add(time.Duration(t-1) * time.Microsecond) },
+		Now: func() clock.Micros { return clock.Micros(time.Since(begin).Microseconds()) + 1 },
+		At:  func(t clock.Micros) time.Time { return begin.Add(time.Duration(t-1) * time.Microsecond) },
 	}, m.streams, zerolog.New(io.Discard))
 	if err != nil {
 		m.streams.Close()
@@ -162,7 +162,7 @@
 			var own []int64
 			for n := 0; time.Since(begin) < span; n++ {
 				asked := time.Now()
-				m.holders.Raise(fmt.Appendf(nil, "session %d", (n*callers+i)%keys), uint64(n+1), time.Hour, asked.Add(5*time.Second), func(ok bool) { answer <- ok })
+				m.holders.RaisePosition(fmt.Appendf(nil, "session %d", (n*callers+i)%keys), uint64(n+1), time.Hour, asked.Add(5*time.Second), func(ok bool) { answer <- ok })
 				if !<-answer {
 					l.failed.Add(1)
 					time.Sleep(time.Millisecond)
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -25,24 +25,24 @@
 // own, for what it links costs memory that a gateway without it must not pay: OpenStore is nil in the smaller one.
 type Store interface {
 	// Able tells whether a promise is likely to be had now for a key.
-	Able(key []byte) bool
+	Available(key []byte) bool
 	// Raise promises that a number is at least so high. done is told whether it is, and must not wait.
-	Raise(key []byte, to uint64, last time.Duration, by time.Time, done func(bool))
+	RaisePosition(key []byte, to uint64, last time.Duration, by time.Time, done func(bool))
 	// Read reads it. known is false where it could not be had in time, or may have been lost.
-	Read(key []byte, by time.Time, done func(value uint64, known bool))
+	ReadPosition(key []byte, by time.Time, done func(value uint64, known bool))
 	intents.Store
 	Status() CopiesStatus
-	Found(shards, copies int, first bool) error
-	Gone(node string) error
-	Anew(shard uint32) error
+	Bootstrap(shards, copies int, first bool) error
+	RemoveStore(node string) error
+	ResetShard(shard uint32) error
 	// Tell reports what this life of the gateway is and sees, for the order of maintenance. Maintain carries an operator's command to
 	// the ledger and tells what came of it; Listing is the order, which without its leader is what is known here.
-	Tell(life uint64, r maintenance.Report)
-	Maintain(c maintenance.Command, by time.Time) (said string, err error)
-	Listing(by time.Time) (maintenance.Listing, error)
-	Limits(maintenance.Limits)
-	Print()
-	Leave()
+	Report(life uint64, r maintenance.Report)
+	RunMaintenanceCommand(c maintenance.Command, by time.Time) (said string, err error)
+	MaintenanceListing(by time.Time) (maintenance.Listing, error)
+	SetMaintenanceLimits(maintenance.Limits)
+	LogCounters()
+	TransferLeadership()
 	Close()
 }
 
@@ -97,7 +97,7 @@
 // Able tells whether a session's mark is likely to be promised now. Where answers do not wait for it, it need not be.
 func (m *marks) Able(group int, session uint64) bool {
 	s := m.store.Load()
-	return m.fast || s != nil && (*s).Able(markKey(group, session))
+	return m.fast || s != nil && (*s).Available(markKey(group, session))
 }
 
 // markKey names a session of a group.
@@ -126,7 +126,7 @@
 		kept(false)
 		return
 	}
-	(*s).Raise(markKey(group, session), uint64(position), m.last, by, kept)
+	(*s).RaisePosition(markKey(group, session), uint64(position), m.last, by, kept)
 }
 
 // Needed tells the position that a session's read must see. Where that cannot be had it is all there is: the primary has it. So
@@ -139,7 +139,7 @@
 		done(m.clock.Now())
 		return
 	}
-	(*s).Read(markKey(group, session), by, func(value uint64, known bool) {
+	(*s).ReadPosition(markKey(group, session), by, func(value uint64, known bool) {
 		now, position := m.clock.Now(), policy.Position(value)
 		switch {
 		case !known:
@@ -189,19 +189,19 @@
 	case len(words) == 0:
 		return g.store.Status(), nil
 	case words[0] == "found" && len(words) <= 2:
-		return "founded", g.store.Found(g.ops.Copies.Shards, g.ops.Copies.Copies, len(words) == 2 && words[1] == "first")
+		return "founded", g.store.Bootstrap(g.ops.Copies.Shards, g.ops.Copies.Copies, len(words) == 2 && words[1] == "first")
 	case words[0] == "gone" && len(words) == 2:
 		name, err := strconv.Unquote(words[1])
 		if err != nil {
 			return nil, fmt.Errorf("%s is no name", words[1])
 		}
-		return "noted", g.store.Gone(name)
+		return "noted", g.store.RemoveStore(name)
 	case words[0] == "anew" && len(words) == 2:
 		shard, err := strconv.ParseUint(words[1], 10, 32)
 		if err != nil {
 			return nil, fmt.Errorf("%s is no shard", words[1])
 		}
-		return "noted", g.store.Anew(uint32(shard))
+		return "noted", g.store.ResetShard(uint32(shard))
 	}
 	return nil, fmt.Errorf("unknown question %.40q", "copies "+strings.Join(words, " "))
 }
@@ -209,7 +209,7 @@
 // printStore writes the counters of copies and marks.
 func (g *Gateway) printStore() {
 	if g.store != nil {
-		g.store.Print()
+		g.store.LogCounters()
 	}
 	if m := g.marks; m != nil {
 		g.log.Info().Int64("promised", m.Promised.Load()).Int64("unkept", m.Unkept.Load()).Int64("asked", m.Asked.Load()).
--- a/internal/gateway/maintain.go
+++ b/internal/gateway/maintain.go
@@ -110,7 +110,7 @@
 func (u *upkeep) reload(ops *config.Operators) {
 	if u != nil && ops.Upkeep != nil && ops.Copies != nil {
 		u.configure(ops.Upkeep)
-		u.g.store.Limits(*limits(ops))
+		u.g.store.SetMaintenanceLimits(*limits(ops))
 	}
 }
 
@@ -246,7 +246,7 @@
 			r.Floats = append(r.Floats, s.Group)
 		}
 	}
-	u.g.store.Tell(u.life, r)
+	u.g.store.Report(u.life, r)
 }
 
 // load is the share of its processors that the process has used since it was last asked, in thousandths.
@@ -347,7 +347,7 @@
 			return nil, err
 		}
 	}
-	return g.store.Maintain(c, by)
+	return g.store.RunMaintenanceCommand(c, by)
 }
 
 // findMachine tells what kind of machine a name is: a gateway among the members, or a server on the list. Where both have it, or
@@ -392,7 +392,7 @@
 }
 
 func (g *Gateway) maintenanceList(by time.Time) (MaintainStatus, error) {
-	l, err := g.store.Listing(by)
+	l, err := g.store.MaintenanceListing(by)
 	s := MaintainStatus{Node: g.ops.Members.Node, Leader: l.Leader, Held: l.Order.Held, Machines: []MaintainedUnit{}}
 	for i := range l.Order.Machines {
 		m := &l.Order.Machines[i]
--- a/internal/gateway/program.go
+++ b/internal/gateway/program.go
@@ -330,7 +330,7 @@
 	g.stopping.Store(true)
 	g.members.setDraining(true)
 	if g.store != nil {
-		go g.store.Leave() // others lead what was led here before anybody misses it
+		go g.store.TransferLeadership() // others lead what was led here before anybody misses it
 	}
 	g.floats.giveUp(false)
 	longest := time.Duration(0)
--- a/internal/gateway/questions_test.go
+++ b/internal/gateway/questions_test.go
@@ -49,28 +49,28 @@
 
 func (s *storeDouble) Status() CopiesStatus { return CopiesStatus{Node: "gw-1"} }
 
-func (s *storeDouble) Found(shards, copies int, first bool) error {
+func (s *storeDouble) Bootstrap(shards, copies int, first bool) error {
 	s.told = fmt.Sprintf("found %d shards, %d copies, first %v", shards, copies, first)
 	return nil
 }
 
-func (s *storeDouble) Gone(node string) error {
+func (s *storeDouble) RemoveStore(node string) error {
 	s.told = "gone " + node
 	return nil
 }
 
-func (s *storeDouble) Anew(shard uint32) error {
+func (s *storeDouble) ResetShard(shard uint32) error {
 	s.told = fmt.Sprint("anew ", shard)
 	return errors.New("the ledger is led elsewhere")
 }
 
-func (s *storeDouble) Maintain(c maintenance.Command, _ time.Time) (string, error) {
+func (s *storeDouble) RunMaintenanceCommand(c maintenance.Command, _ time.Time) (string, error) {
 	s.told = fmt.Sprintf("verb %d by %s", c.Verb, c.By)
 	return "it is so", nil
 }
 
 // Listing has a machine in each state, and one that is overdue.
-func (s *storeDouble) Listing(time.Time) (maintenance.Listing, error) {
+func (s *storeDouble) MaintenanceListing(time.Time) (maintenance.Listing, error) {
 	order := &maintenance.Order{Held: true}
 	for state := range maintenance.States {
 		order.Machines = append(order.Machines, maintenance.Machine{
--- a/internal/raftgateway/bookings.go
+++ b/internal/raftgateway/records.go
@@ -10,25 +10,25 @@
 )
 
 // results says the store's statuses in the terms of bookings.
-var results = [raftstore.Statuses]indoubt.Result{
+var resultOf = [raftstore.Statuses]indoubt.Result{
 	raftstore.OK: indoubt.OK, raftstore.Conflict: indoubt.Conflict, raftstore.Full: indoubt.Never, raftstore.Bad: indoubt.Never, raftstore.TooLate: indoubt.Unknown,
 	raftstore.NotSent: indoubt.Never, raftstore.TooNew: indoubt.Never,
 }
 
-func stored(a raftstore.Answer) intents.Stored {
+func storedFrom(a raftstore.Answer) intents.Stored {
 	return intents.Stored{
-		Result: results[a.Status], Version: a.Version, Value: a.Value, Found: a.Found, Lost: a.Lost,
+		Result: resultOf[a.Status], Version: a.Version, Value: a.Value, Found: a.Found, Lost: a.Lost,
 		Age: time.Duration(a.Age) * time.Microsecond, Since: time.Duration(a.Since) * time.Microsecond,
 	}
 }
 
 // Put changes a record if its version is this one.
-func (o opened) Put(key, value []byte, version uint64, span time.Duration, by time.Time, done func(intents.Stored)) {
+func (o store) Put(key, value []byte, version uint64, span time.Duration, by time.Time, done func(intents.Stored)) {
 	command := &api.Command{Put: &api.Put{Key: key, Value: value, Conditional: true, Version: version, Span: span.Microseconds()}}
-	o.Call(key, command, by, func(a raftstore.Answer) { done(stored(a)) })
+	o.Call(key, command, by, func(a raftstore.Answer) { done(storedFrom(a)) })
 }
 
 // Get reads a record.
-func (o opened) Get(key []byte, by time.Time, done func(intents.Stored)) {
-	o.Call(key, nil, by, func(a raftstore.Answer) { done(stored(a)) })
+func (o store) Get(key []byte, by time.Time, done func(intents.Stored)) {
+	o.Call(key, nil, by, func(a raftstore.Answer) { done(storedFrom(a)) })
 }
--- a/internal/raftgateway/withcopies.go
+++ b/internal/raftgateway/store.go
@@ -18,44 +18,44 @@
 )
 
 // leastLog is how long a shard's log gets before a snapshot takes its place, in bytes.
-const leastLog = 1 << 20
+const minLogBytes = 1 << 20
 
 // Format is, if it is not empty, the format of records that this program says to understand: tests link another one in.
 var Format string
 
 // Use has gateways of this process open stores.
-func Use() {
-	gateway.OpenStore, gateway.CheckStore = open, check
+func Register() {
+	gateway.OpenStore, gateway.CheckStore = openStore, checkStore
 	gateway.OpenBookings = func(s intents.Settings) intents.Desk { return intents.New(s) }
 }
 
-func open(s gateway.StoreSettings) (gateway.Store, error) {
+func openStore(s gateway.StoreSettings) (gateway.Store, error) {
 	clock := raftnode.Clock{
-		Now:  func() clock.Micros { return clock.Micros(s.Clock.Now()) },
-		Time: func(t clock.Micros) time.Time { return s.Clock.Time(clock.Micros(t)) },
+		Now: func() clock.Micros { return clock.Micros(s.Clock.Now()) },
+		At:  func(t clock.Micros) time.Time { return s.Clock.Time(clock.Micros(t)) },
 	}
 	c := s.Copies
 	format, _ := strconv.ParseUint(Format, 10, 32)
 	h, err := raftnode.Start(raftnode.Settings{
-		Node: s.Node, Zone: s.Zone, Weight: s.Weight, Holds: c.Holds(s.Node), Path: c.Path(), Witness: c.Witness, Tick: c.Heartbeat,
-		HealAfter: c.HealAfter, HealAtOnce: c.HealAtOnce, HealRate: int(c.HealRate), MostBytes: int64(c.Memory), LeastLog: leastLog,
-		Format: uint32(format), Others: s.Others, Maintain: s.Maintain, Members: s.Members, Ordered: s.Ordered,
+		Node: s.Node, Zone: s.Zone, Weight: s.Weight, HostsReplicas: c.Holds(s.Node), StoragePath: c.Path(), WitnessPath: c.Witness, Tick: c.Heartbeat,
+		RepairAfter: c.HealAfter, MaxRepairs: c.HealAtOnce, RepairRate: int(c.HealRate), MaxBytes: int64(c.Memory), MinLogBytes: minLogBytes,
+		RecordFormat: uint32(format), Peers: s.Others, MaintenanceLimits: s.Maintain, Members: s.Members, OnOrder: s.Ordered,
 	}, clock, s.Streams, s.Log)
 	if err != nil {
 		return nil, err
 	}
-	return opened{h}, nil
+	return store{h}, nil
 }
 
 // opened is a store as the gateway knows it.
-type opened struct{ *raftnode.Holders }
+type store struct{ *raftnode.Node }
 
 // Tell reports for the order of maintenance.
-func (o opened) Tell(life uint64, r maintenance.Report) {
-	o.Holders.Tell(raftstore.Own{Life: life, Report: r})
+func (o store) Report(life uint64, r maintenance.Report) {
+	o.Node.Report(raftstore.Own{Life: life, Report: r})
 }
 
-func replica(r raftstore.ReplicaView) gateway.CopiesReplica {
+func replicaStatus(r raftstore.ReplicaView) gateway.CopiesReplica {
 	return gateway.CopiesReplica{Number: r.Number, Node: r.Name, Lost: r.Lost}
 }
 
@@ -68,10 +68,10 @@
 }
 
 // Status tells how the gateway stands.
-func (o opened) Status() gateway.CopiesStatus {
+func (o store) Status() gateway.CopiesStatus {
 	x := o.Overview()
 	s := gateway.CopiesStatus{
-		Node: o.Node(), Founding: hex(x.Founding), Index: x.Index, Copies: x.Copies, Format: x.Format, Disk: hex(x.Store), Failed: x.Failed, Waiting: x.Calls,
+		Node: o.Name(), Founding: hex(x.Founding), Index: x.Index, Copies: x.Copies, Format: x.Format, Disk: hex(x.Store), Failed: x.Failed, Waiting: x.Calls,
 		Disks: []gateway.CopiesDisk{}, Groups: []gateway.CopiesGroup{},
 	}
 	for _, d := range x.Stores {
@@ -80,10 +80,10 @@
 	for _, v := range x.Groups {
 		g := gateway.CopiesGroup{Group: v.Group, Epoch: v.Epoch, Lost: v.Lost, Leaving: v.Leaving, Replicas: []gateway.CopiesReplica{}}
 		for _, r := range v.Voters {
-			g.Replicas = append(g.Replicas, replica(r))
+			g.Replicas = append(g.Replicas, replicaStatus(r))
 		}
 		if v.Adding != nil {
-			r := replica(*v.Adding)
+			r := replicaStatus(*v.Adding)
 			g.Adding = &r
 		}
 		if v.Here != nil {
@@ -96,14 +96,14 @@
 }
 
 // contents is what a store's file holds, for whoever asks.
-type contents struct {
-	Disk    string  `json:"disk"`
-	Life    uint64  `json:"life"`
-	Groups  []group `json:"groups"`
-	Retired int     `json:"retired"`
+type storeContents struct {
+	Disk    string          `json:"disk"`
+	Life    uint64          `json:"life"`
+	Groups  []groupContents `json:"groups"`
+	Retired int             `json:"retired"`
 }
 
-type group struct {
+type groupContents struct {
 	Group    uint32 `json:"group"`
 	Epoch    uint32 `json:"epoch"`
 	Number   uint64 `json:"number"`
@@ -114,14 +114,14 @@
 	Last     uint64 `json:"last"`
 }
 
-func check(path string, raw bool, out io.Writer) error {
+func checkStore(path string, raw bool, out io.Writer) error {
 	s, err := raftstorage.Check(path)
 	if err != nil {
 		return err
 	}
-	c := contents{Disk: fmt.Sprintf("%016x", s.Store), Life: s.Life, Groups: []group{}, Retired: len(s.Retired)}
+	c := storeContents{Disk: fmt.Sprintf("%016x", s.Store), Life: s.Life, Groups: []groupContents{}, Retired: len(s.Retired)}
 	for _, g := range s.Groups {
-		x := group{Group: g.Group, Epoch: g.Epoch, Number: g.Number, Term: g.Hard.GetTerm(), Commit: g.Hard.GetCommit()}
+		x := groupContents{Group: g.Group, Epoch: g.Epoch, Number: g.Number, Term: g.Hard.GetTerm(), Commit: g.Hard.GetCommit()}
 		if g.Snapshot != nil {
 			x.Snapshot, x.Bytes = g.Snapshot.GetMetadata().GetIndex(), len(g.Snapshot.Data)
 		}
--- a/internal/raftnode/holders.go
+++ b/internal/raftnode/holders.go
@@ -25,24 +25,24 @@
 
 // Settings are those of the operators' file.
 type Settings struct {
-	Node, Zone string
-	Weight     uint32
-	Holds      bool
-	Path       string // of the file; empty: memory alone, and a start is a lost disk
-	Witness    string // of the file that says what the disk had last; empty: none
-	Tick       time.Duration
-	HealAfter  time.Duration
-	HealAtOnce int
-	HealRate   int // bytes a second of what nobody waits for
-	MostBytes  int64
-	LeastLog   int64
-	Format     uint32          // of records, the latest that this gateway understands; 0: the one of this version
-	Others     func() []string // the gateways that are there; asked once a second
+	Node, Zone    string
+	Weight        uint32
+	HostsReplicas bool
+	StoragePath   string // of the file; empty: memory alone, and a start is a lost disk
+	WitnessPath   string // of the file that says what the disk had last; empty: none
+	Tick          time.Duration
+	RepairAfter   time.Duration
+	MaxRepairs    int
+	RepairRate    int // bytes a second of what nobody waits for
+	MaxBytes      int64
+	MinLogBytes   int64
+	RecordFormat  uint32          // of records, the latest that this gateway understands; 0: the one of this version
+	Peers         func() []string // the gateways that are there; asked once a second
 	// Maintain is by what limits machines are taken out for work; nil: none is, and the next two are of no use. Members tells
 	// who there is, once a second, and Ordered is told of the order, on the goroutine that owns the host: it must not wait.
-	Maintain *maintenance.Limits
-	Members  func() []maintenance.Member
-	Ordered  func(index uint64, o *maintenance.Order)
+	MaintenanceLimits *maintenance.Limits
+	Members           func() []maintenance.Member
+	OnOrder           func(index uint64, o *maintenance.Order)
 }
 
 // The bounds of what waits: events for the goroutine, calls for an answer, large packets for their turn, and how many events
@@ -62,20 +62,20 @@
 
 // Clock is a clock that never steps back.
 type Clock struct {
-	Now  func() clock.Micros
-	Time func(clock.Micros) time.Time
+	Now func() clock.Micros
+	At  func(clock.Micros) time.Time
 }
 
 // Counts are the counters since the start.
-type Counts struct {
-	Sent, SentBytes, Received, NotSent, Overrun, Writes atomic.Int64
-	Answered                                            [raftstore.Statuses]atomic.Int64
-	Noticed                                             [raftstore.Notices]atomic.Int64
+type Counters struct {
+	Sent, SentBytes, Received, SendFailures, EventsDropped, Writes atomic.Int64
+	Answers                                                        [raftstore.Statuses]atomic.Int64
+	Notices                                                        [raftstore.Notices]atomic.Int64
 }
 
 // Holders takes part.
-type Holders struct {
-	Counts Counts
+type Node struct {
+	Counters Counters
 
 	s       Settings
 	clock   Clock
@@ -114,24 +114,24 @@
 }
 
 // Start opens the disk and begins. Others are told of by Others.
-func Start(s Settings, clock Clock, x *streams.Streams, log zerolog.Logger) (*Holders, error) {
-	h := &Holders{
+func Start(s Settings, clock Clock, x *streams.Streams, log zerolog.Logger) (*Node, error) {
+	h := &Node{
 		s: s, clock: clock, log: log, streams: x, events: make(chan any, mostEvents), writes: make(chan raftstore.Write, 1),
 		bulk: make(chan raftstore.Send, mostBulk), quit: make(chan struct{}), left: make(chan struct{}),
 		waiting: map[uint64]func(raftstore.Answer){}, partial: map[string][]*partial{},
 	}
 	var stored *raftstore.Stored
 	trusted := false
-	if s.Holds && s.Path != "" {
+	if s.HostsReplicas && s.StoragePath != "" {
 		var err error
 		if stored, trusted, err = h.open(); err != nil {
 			return nil, err
 		}
 	}
 	cfg := raftstore.Config{
-		Name: s.Node, Zone: s.Zone, Weight: s.Weight, Holds: s.Holds, Tick: micros(s.Tick), HealAfter: micros(s.HealAfter),
-		HealAtOnce: s.HealAtOnce, Format: s.Format, LeastLog: s.LeastLog, MostBytes: s.MostBytes, MostCalls: mostCalls, Client: draw(), NewStore: draw(),
-		Founding: draw(), Life: uint64(time.Now().UnixMicro()), Maintain: s.Maintain,
+		Name: s.Node, Zone: s.Zone, Weight: s.Weight, Holds: s.HostsReplicas, Tick: micros(s.Tick), HealAfter: micros(s.RepairAfter),
+		HealAtOnce: s.MaxRepairs, Format: s.RecordFormat, LeastLog: s.MinLogBytes, MostBytes: s.MaxBytes, MostCalls: mostCalls, Client: draw(), NewStore: draw(),
+		Founding: draw(), Life: uint64(time.Now().UnixMicro()), Maintain: s.MaintenanceLimits,
 	}
 	var err error
 	if h.host, err = raftstore.New(cfg, clock.Now(), stored, trusted); err != nil {
@@ -157,25 +157,25 @@
 }
 
 // open opens the disk. A file that is damaged is put aside: the gateway has lost its disk, and goes on with an empty one.
-func (h *Holders) open() (*raftstore.Stored, bool, error) {
-	f, stored, err := raftstorage.Open(h.s.Path)
-	var damaged *raftstorage.Damaged
+func (h *Node) open() (*raftstore.Stored, bool, error) {
+	f, stored, err := raftstorage.Open(h.s.StoragePath)
+	var damaged *raftstorage.DamagedError
 	if errors.As(err, &damaged) {
-		aside := fmt.Sprintf("%s.damaged-%d", h.s.Path, time.Now().Unix())
+		aside := fmt.Sprintf("%s.damaged-%d", h.s.StoragePath, time.Now().Unix())
 		h.log.Error().Err(err).Str("kept_as", aside).Msg("copies: the disk counts as lost")
-		if err := os.Rename(h.s.Path, aside); err != nil {
+		if err := os.Rename(h.s.StoragePath, aside); err != nil {
 			return nil, false, err
 		}
-		f, stored, err = raftstorage.Open(h.s.Path)
+		f, stored, err = raftstorage.Open(h.s.StoragePath)
 	}
 	if err != nil {
 		return nil, false, err
 	}
 	h.disk = f
 	trusted := stored.Store == 0
-	if h.s.Witness != "" {
+	if h.s.WitnessPath != "" {
 		var known bool
-		if h.witness, known, err = raftstorage.OpenWitness(h.s.Witness, stored.Store, f.Sequence()); err != nil {
+		if h.witness, known, err = raftstorage.OpenWitness(h.s.WitnessPath, stored.Store, f.Sequence()); err != nil {
 			h.closeDisk()
 			return nil, false, fmt.Errorf("witness: %w", err)
 		}
@@ -184,7 +184,7 @@
 	return stored, trusted, nil
 }
 
-func (h *Holders) closeDisk() {
+func (h *Node) closeDisk() {
 	if h.disk != nil {
 		h.disk.Close()
 	}
@@ -194,16 +194,16 @@
 }
 
 // heard takes in a packet from a stream. Where too many events wait it is dropped, as a network would.
-func (h *Holders) heard(from string, body []byte) {
+func (h *Node) heard(from string, body []byte) {
 	whole, ok := h.join(from, body)
 	if !ok {
 		return
 	}
-	h.Counts.Received.Add(1)
+	h.Counters.Received.Add(1)
 	select {
 	case h.events <- raftstore.Heard{From: from, Body: whole}:
 	default:
-		h.Counts.Overrun.Add(1)
+		h.Counters.EventsDropped.Add(1)
 	}
 }
 
@@ -216,7 +216,7 @@
 const partHead = 1 + 3*4
 
 // join puts parts together. They come in order, for they come on one stream.
-func (h *Holders) join(from string, b []byte) ([]byte, bool) {
+func (h *Node) join(from string, b []byte) ([]byte, bool) {
 	if len(b) > 0 && b[0] == wholePacket {
 		return slices.Clone(b[1:]), true
 	}
@@ -253,7 +253,7 @@
 const mostPartial = 4
 
 // run is the goroutine that owns the host.
-func (h *Holders) run() {
+func (h *Node) run() {
 	defer h.done.Done()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -262,12 +262,12 @@
 	for {
 		if time.Since(asked) > time.Second {
 			asked = time.Now()
-			h.host.Handle(h.clock.Now(), raftstore.Others{Names: h.s.Others()})
-			if h.s.Maintain != nil {
+			h.host.Handle(h.clock.Now(), raftstore.Others{Names: h.s.Peers()})
+			if h.s.MaintenanceLimits != nil {
 				h.host.Handle(h.clock.Now(), raftstore.Members{All: h.s.Members()})
 			}
 		}
-		timer.Reset(max(time.Until(h.clock.Time(h.host.Next())), 0))
+		timer.Reset(max(time.Until(h.clock.At(h.host.Next())), 0))
 		select {
 		case <-h.quit:
 			h.end()
@@ -293,7 +293,7 @@
 	}
 }
 
-func (h *Holders) take(ev any) {
+func (h *Node) take(ev any) {
 	switch ev := ev.(type) {
 	case func():
 		ev()
@@ -303,7 +303,7 @@
 }
 
 // carry carries out what the host wants.
-func (h *Holders) carry() {
+func (h *Node) carry() {
 	actions := h.host.Flush()
 	h.shards.Store(int64(h.host.Shards()))
 	for _, a := range actions {
@@ -313,7 +313,7 @@
 		case raftstore.Write:
 			h.writes <- a // there is one at a time
 		case raftstore.Answer:
-			h.Counts.Answered[a.Status].Add(1)
+			h.Counters.Answers[a.Status].Add(1)
 			if done := h.waiting[a.ID]; done != nil {
 				delete(h.waiting, a.ID)
 				done(a)
@@ -321,7 +321,7 @@
 		case raftstore.Noticed:
 			h.noticed(a)
 		case raftstore.Ordered:
-			h.s.Ordered(a.Index, a.Order)
+			h.s.OnOrder(a.Index, a.Order)
 		case raftstore.Done:
 			close(h.left)
 		}
@@ -329,14 +329,14 @@
 }
 
 // end answers whoever still waits.
-func (h *Holders) end() {
+func (h *Node) end() {
 	for id, done := range h.waiting {
 		delete(h.waiting, id)
 		done(raftstore.Answer{Status: raftstore.TooLate})
 	}
 }
 
-func (h *Holders) send(a raftstore.Send) {
+func (h *Node) send(a raftstore.Send) {
 	if !a.Bulk {
 		h.sendWhole(a, func(int) bool { return true })
 		return
@@ -344,12 +344,12 @@
 	select {
 	case h.bulk <- a:
 	default:
-		h.Counts.NotSent.Add(1)
+		h.Counters.SendFailures.Add(1)
 	}
 }
 
 // sendWhole sends a packet, in parts if it is large; before each, wait may take its time, and tells whether to go on.
-func (h *Holders) sendWhole(a raftstore.Send, wait func(size int) bool) {
+func (h *Node) sendWhole(a raftstore.Send, wait func(size int) bool) {
 	if len(a.Body) <= partSize && wait(len(a.Body)) {
 		h.sendNow(streams.Message{To: a.To, Channel: streams.Copies, Body: append([]byte{wholePacket}, a.Body...)})
 		return
@@ -370,20 +370,20 @@
 	}
 }
 
-func (h *Holders) sendNow(m streams.Message) bool {
+func (h *Node) sendNow(m streams.Message) bool {
 	if err := h.streams.Send(m); err != nil {
-		h.Counts.NotSent.Add(1)
+		h.Counters.SendFailures.Add(1)
 		return false
 	}
-	h.Counts.Sent.Add(1)
-	h.Counts.SentBytes.Add(int64(len(m.Body)))
+	h.Counters.Sent.Add(1)
+	h.Counters.SentBytes.Add(int64(len(m.Body)))
 	return true
 }
 
 // sendBulk sends large packets one after the other, no faster than healing may go.
-func (h *Holders) sendBulk() {
+func (h *Node) sendBulk() {
 	defer h.done.Done()
-	limit := rate.NewLimiter(rate.Limit(h.s.HealRate), partSize)
+	limit := rate.NewLimiter(rate.Limit(h.s.RepairRate), partSize)
 	for {
 		select {
 		case <-h.quit:
@@ -402,7 +402,7 @@
 }
 
 // write writes the disk. After a fault nothing more is written, and the host told.
-func (h *Holders) write() {
+func (h *Node) write() {
 	defer h.done.Done()
 	failed := false
 	for {
@@ -416,7 +416,7 @@
 			if h.disk != nil {
 				err := h.disk.Write(w)
 				if err == nil && h.witness != nil && w.Sure {
-					err = h.witness.Note(w.Store, h.disk.Sequence())
+					err = h.witness.Record(w.Store, h.disk.Sequence())
 				}
 				if err != nil {
 					failed = true
@@ -424,14 +424,14 @@
 					continue
 				}
 			}
-			h.Counts.Writes.Add(1)
+			h.Counters.Writes.Add(1)
 			h.put(raftstore.Written{Number: w.Number})
 		}
 	}
 }
 
 // put hands the goroutine something that must not be lost.
-func (h *Holders) put(ev any) bool {
+func (h *Node) put(ev any) bool {
 	select {
 	case h.events <- ev:
 		return true
@@ -440,8 +440,8 @@
 	}
 }
 
-func (h *Holders) noticed(n raftstore.Noticed) {
-	h.Counts.Noticed[n.What].Add(1)
+func (h *Node) noticed(n raftstore.Noticed) {
+	h.Counters.Notices[n.What].Add(1)
 	level := h.log.Info()
 	switch n.What {
 	case raftstore.LostGroup, raftstore.DiskLost, raftstore.Foreign, raftstore.Stale, raftstore.StoreGone, raftstore.Renumbered, raftstore.Older:
@@ -466,7 +466,7 @@
 }
 
 // Ask begins a call; done is told its answer, on the goroutine that owns the host, and must not wait.
-func (h *Holders) Ask(a raftstore.Ask, by time.Time, done func(raftstore.Answer)) {
+func (h *Node) Submit(a raftstore.Ask, by time.Time, done func(raftstore.Answer)) {
 	ask := func() {
 		h.next++
 		a.ID, a.By = h.next, h.clock.Now()+micros(time.Until(by))
@@ -483,7 +483,7 @@
 }
 
 // Found makes a new store; Gone takes an operator's word that a gateway's disk will not come back. Both tell what cannot be.
-func (h *Holders) Found(shards, many int, first bool) error {
+func (h *Node) Bootstrap(shards, many int, first bool) error {
 	return h.tell(func(o raftstore.Overview) error {
 		switch {
 		case o.Founding != 0:
@@ -497,7 +497,7 @@
 }
 
 // Gone is an operator's word that a gateway's disk will not come back.
-func (h *Holders) Gone(name string) error {
+func (h *Node) RemoveStore(name string) error {
 	return h.decide(func(o raftstore.Overview) error {
 		if !slices.ContainsFunc(o.Stores, func(s raftstore.StoreView) bool { return s.Name == name && !s.Gone }) {
 			return fmt.Errorf("no gateway %q holds anything", name)
@@ -508,7 +508,7 @@
 }
 
 // Anew is an operator's word that a shard cannot go on.
-func (h *Holders) Anew(shard uint32) error {
+func (h *Node) ResetShard(shard uint32) error {
 	return h.decide(func(o raftstore.Overview) error {
 		switch {
 		case shard == raftstore.LedgerGroup || int(shard) >= len(o.Groups):
@@ -522,7 +522,7 @@
 }
 
 // decide has the ledger's leader do something; elsewhere it tells where that is.
-func (h *Holders) decide(do func(raftstore.Overview) error) error {
+func (h *Node) decide(do func(raftstore.Overview) error) error {
 	return h.tell(func(o raftstore.Overview) error {
 		if len(o.Groups) == 0 {
 			return errors.New("there is no store yet")
@@ -539,7 +539,7 @@
 }
 
 // tell runs something on the goroutine.
-func (h *Holders) tell(do func(raftstore.Overview) error) error {
+func (h *Node) tell(do func(raftstore.Overview) error) error {
 	result := make(chan error, 1)
 	if !h.put(func() { result <- do(h.host.Overview()) }) {
 		return errors.New("the gateway is about to end")
@@ -553,22 +553,22 @@
 }
 
 // Node is this gateway's name.
-func (h *Holders) Node() string { return h.s.Node }
+func (h *Node) Name() string { return h.s.Node }
 
 // Overview tells how the host stands.
-func (h *Holders) Overview() (o raftstore.Overview) {
+func (h *Node) Overview() (o raftstore.Overview) {
 	h.tell(func(now raftstore.Overview) error { o = now; return nil })
 	return o
 }
 
 // AwaitWhole waits until all copies are there, by the ledger that is known here, and AwaitUnwhole until they are not. They tell
 // whether it came to that in time.
-func (h *Holders) AwaitWhole(bound time.Duration) bool { return h.await(bound, true) }
+func (h *Node) AwaitFullyReplicated(bound time.Duration) bool { return h.await(bound, true) }
 
 // AwaitUnwhole waits until some copy is missing.
-func (h *Holders) AwaitUnwhole(bound time.Duration) bool { return h.await(bound, false) }
+func (h *Node) AwaitUnderReplicated(bound time.Duration) bool { return h.await(bound, false) }
 
-func (h *Holders) await(bound time.Duration, whole bool) bool {
+func (h *Node) await(bound time.Duration, whole bool) bool {
 	for late := time.Now().Add(bound); h.Overview().Whole() != whole; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(late) {
 			return false
@@ -581,7 +581,7 @@
 const leaveBy = time.Second
 
 // Leave hands over what is led here, and waits for it within a bound.
-func (h *Holders) Leave() {
+func (h *Node) TransferLeadership() {
 	h.put(raftstore.Leave{})
 	select {
 	case <-h.left:
@@ -590,7 +590,7 @@
 }
 
 // Close ends it.
-func (h *Holders) Close() {
+func (h *Node) Close() {
 	h.closing.Do(func() { close(h.quit) })
 	h.done.Wait()
 	h.closeDisk()
--- a/internal/raftnode/holders_test.go
+++ b/internal/raftnode/holders_test.go
@@ -29,7 +29,7 @@
 	routes map[string]string
 }
 
-func (f *fleet) start(t *testing.T, dir, name string) *Holders {
+func (f *fleet) start(t *testing.T, dir, name string) *Node {
 	t.Helper()
 	begin := time.Now()
 	x, err := streams.Listen("127.0.0.1:0", streams.Settings{
@@ -49,11 +49,11 @@
 	f.routes[name] = x.Addr()
 	f.mu.Unlock()
 	h, err := Start(Settings{
-		Node: name, Weight: 1, Holds: true, Path: filepath.Join(dir, name), Witness: filepath.Join(dir, name+".witness"), Tick: 50 * time.Millisecond,
-		HealAfter: 2 * time.Second, HealAtOnce: 8, HealRate: 8 << 20, MostBytes: 16 << 20, LeastLog: 8 << 10, Others: func() []string { return []string{"a", "b", "c"} },
+		Node: name, Weight: 1, HostsReplicas: true, StoragePath: filepath.Join(dir, name), WitnessPath: filepath.Join(dir, name+".witness"), Tick: 50 * time.Millisecond,
+		RepairAfter: 2 * time.Second, MaxRepairs: 8, RepairRate: 8 << 20, MaxBytes: 16 << 20, MinLogBytes: 8 << 10, Peers: func() []string { return []string{"a", "b", "c"} },
 	}, Clock{
-		Now:  func() clock.Micros { return clock.Micros(time.Since(begin).Microseconds()) + 1 },
-		Time: func(m clock.Micros) time.Time { return begin.Add(time.Duration(m-1) * time.Microsecond) },
+		Now: func() clock.Micros { return clock.Micros(time.Since(begin).Microseconds()) + 1 },
+		At:  func(m clock.Micros) time.Time { return begin.Add(time.Duration(m-1) * time.Microsecond) },
 	}, x, zerolog.New(io.Discard))
 	if err != nil {
 		t.Fatal(err)
@@ -62,23 +62,23 @@
 	return h
 }
 
-func raise(t *testing.T, h *Holders, key string, to uint64) {
+func raise(t *testing.T, h *Node, key string, to uint64) {
 	t.Helper()
 	answer := make(chan bool, 1)
-	h.Raise([]byte(key), to, time.Hour, time.Now().Add(late), func(ok bool) { answer <- ok })
+	h.RaisePosition([]byte(key), to, time.Hour, time.Now().Add(late), func(ok bool) { answer <- ok })
 	if !<-answer {
 		t.Fatalf("%s was not promised", key)
 	}
 }
 
-func read(t *testing.T, h *Holders, key string) (uint64, bool) {
+func read(t *testing.T, h *Node, key string) (uint64, bool) {
 	t.Helper()
 	type result struct {
 		value uint64
 		known bool
 	}
 	answer := make(chan result, 1)
-	h.Read([]byte(key), time.Now().Add(late), func(value uint64, known bool) { answer <- result{value, known} })
+	h.ReadPosition([]byte(key), time.Now().Add(late), func(value uint64, known bool) { answer <- result{value, known} })
 	r := <-answer
 	return r.value, r.known
 }
@@ -87,30 +87,30 @@
 func TestHolders(t *testing.T) {
 	f, dir := &fleet{routes: map[string]string{}}, t.TempDir()
 	a, b, c := f.start(t, dir, "a"), f.start(t, dir, "b"), f.start(t, dir, "c")
-	if a.Able([]byte("x")) {
+	if a.Available([]byte("x")) {
 		t.Error("able without a store")
 	}
 	if _, known := read(t, b, "x"); known {
 		t.Error("known without a store")
 	}
-	if err := a.Gone("b"); err == nil {
+	if err := a.RemoveStore("b"); err == nil {
 		t.Error("gone without a store")
 	}
-	if err := a.Found(4, 3, true); err != nil {
+	if err := a.Bootstrap(4, 3, true); err != nil {
 		t.Fatal(err)
 	}
-	if !a.AwaitWhole(late) || !c.AwaitWhole(late) {
+	if !a.AwaitFullyReplicated(late) || !c.AwaitFullyReplicated(late) {
 		t.Fatalf("%+v", a.Overview())
 	}
-	if err := b.Found(4, 3, true); err == nil {
+	if err := b.Bootstrap(4, 3, true); err == nil {
 		t.Error("founded twice")
 	}
 	for i := range 300 {
-		raise(t, []*Holders{a, b, c}[i%3], fmt.Sprint("session ", i), uint64(i+1))
+		raise(t, []*Node{a, b, c}[i%3], fmt.Sprint("session ", i), uint64(i+1))
 	}
 	raise(t, a, "session 7", 3) // late: it does not fall
 	for i := range 300 {
-		if v, known := read(t, []*Holders{c, a, b}[i%3], fmt.Sprint("session ", i)); !known || v != uint64(i+1) {
+		if v, known := read(t, []*Node{c, a, b}[i%3], fmt.Sprint("session ", i)); !known || v != uint64(i+1) {
 			t.Fatalf("session %d: %d %v", i, v, known)
 		}
 	}
@@ -118,14 +118,14 @@
 		t.Errorf("what never was: %d %v", v, known)
 	}
 	full := make(chan bool, 1)
-	b.Raise(bytes.Repeat([]byte("x"), raftstore.MostKey+1), 1, time.Hour, time.Now().Add(late), func(ok bool) { full <- ok })
+	b.RaisePosition(bytes.Repeat([]byte("x"), raftstore.MostKey+1), 1, time.Hour, time.Now().Add(late), func(ok bool) { full <- ok })
 	if <-full {
 		t.Error("a key that is too long is promised")
 	}
-	if !b.Able([]byte("session 1")) {
+	if !b.Available([]byte("session 1")) {
 		t.Error("not able, though all was promised")
 	}
-	a.Leave()
+	a.TransferLeadership()
 	for _, g := range a.Overview().Groups {
 		if g.Here != nil && g.Here.Leader == "a" {
 			t.Errorf("group %d is still led", g.Group)
@@ -146,14 +146,14 @@
 			t.Errorf("group %d is not here any more", g.Group)
 		}
 	}
-	if again.Counts.Noticed[raftstore.Stale].Load()+again.Counts.Noticed[raftstore.Renumbered].Load() > 0 {
+	if again.Counters.Notices[raftstore.Stale].Load()+again.Counters.Notices[raftstore.Renumbered].Load() > 0 {
 		t.Error("its disk counts as lost")
 	}
 }
 
 // What is too large for a stream's message comes in parts, and none but whole and in order.
 func TestParts(t *testing.T) {
-	h := &Holders{partial: map[string][]*partial{}}
+	h := &Node{partial: map[string][]*partial{}}
 	part := func(id, at, of uint32, body string) []byte {
 		b := []byte{packetPart}
 		for _, n := range []uint32{id, at, of} {
@@ -200,7 +200,7 @@
 	routes["b"] = b.Addr()
 	travelled := make(chan string, 10)
 	b.Handle(streams.Copies, func(_ string, body []byte) { travelled <- string(body) })
-	sender, receiver := &Holders{streams: a}, &Holders{partial: map[string][]*partial{}}
+	sender, receiver := &Node{streams: a}, &Node{partial: map[string][]*partial{}}
 	for _, c := range []struct {
 		body  string
 		heads []string
--- a/internal/raftnode/uses.go
+++ b/internal/raftnode/uses.go
@@ -14,7 +14,7 @@
 const tryAgain = 500 * time.Millisecond
 
 // Able tells whether a promise is likely to be had now for a key: the last one of its shard was, or it is time to try again.
-func (h *Holders) Able(key []byte) bool {
+func (h *Node) Available(key []byte) bool {
 	shards := int(h.shards.Load())
 	if shards == 0 {
 		return false
@@ -25,7 +25,7 @@
 }
 
 // note keeps whether promises of a shard are to be had.
-func (h *Holders) note(shard uint32, a raftstore.Answer) {
+func (h *Node) note(shard uint32, a raftstore.Answer) {
 	at := int64(0)
 	if a.Status == raftstore.TooLate || a.Status == raftstore.NotSent || a.Status == raftstore.Full {
 		at = time.Now().UnixMicro()
@@ -34,14 +34,14 @@
 }
 
 // Raise promises that a number is at least so high.
-func (h *Holders) Raise(key []byte, to uint64, last time.Duration, by time.Time, done func(bool)) {
+func (h *Node) RaisePosition(key []byte, to uint64, last time.Duration, by time.Time, done func(bool)) {
 	shards := int(h.shards.Load())
 	if shards == 0 {
 		done(false)
 		return
 	}
 	shard := raftstore.ShardOf(key, shards)
-	h.Ask(raftstore.Ask{Shard: shard, Command: &api.Command{Mark: &api.Mark{
+	h.Submit(raftstore.Ask{Shard: shard, Command: &api.Command{Mark: &api.Mark{
 		Key: key, Position: to, Span: int64(last / time.Microsecond),
 	}}}, by, func(a raftstore.Answer) {
 		h.note(shard, a)
@@ -50,19 +50,19 @@
 }
 
 // Read reads a number. known is false where it could not be had in time, or may have been lost.
-func (h *Holders) Read(key []byte, by time.Time, done func(value uint64, known bool)) {
+func (h *Node) ReadPosition(key []byte, by time.Time, done func(value uint64, known bool)) {
 	shards := int(h.shards.Load())
 	if shards == 0 {
 		done(0, false)
 		return
 	}
-	h.Ask(raftstore.Ask{Shard: raftstore.ShardOf(key, shards), Get: &api.Get{Key: key}}, by, func(a raftstore.Answer) {
+	h.Submit(raftstore.Ask{Shard: raftstore.ShardOf(key, shards), Get: &api.Get{Key: key}}, by, func(a raftstore.Answer) {
 		done(a.Position, a.Status == raftstore.OK && !a.Lost)
 	})
 }
 
 // Call makes a call about a key, a command or, without one, a read. done is told its answer, as Ask tells it.
-func (h *Holders) Call(key []byte, command *api.Command, by time.Time, done func(raftstore.Answer)) {
+func (h *Node) Call(key []byte, command *api.Command, by time.Time, done func(raftstore.Answer)) {
 	shards := int(h.shards.Load())
 	if shards == 0 {
 		done(raftstore.Answer{Status: raftstore.NotSent})
@@ -72,21 +72,21 @@
 	if command == nil {
 		a.Get = &api.Get{Key: key}
 	}
-	h.Ask(a, by, done)
+	h.Submit(a, by, done)
 }
 
 // Print writes the counters.
-func (h *Holders) Print() {
-	c := &h.Counts
-	line := h.log.Info().Int64("sent", c.Sent.Load()).Int64("sent_bytes", c.SentBytes.Load()).Int64("not_sent", c.NotSent.Load()).
-		Int64("received", c.Received.Load()).Int64("overrun", c.Overrun.Load()).Int64("writes", c.Writes.Load())
+func (h *Node) LogCounters() {
+	c := &h.Counters
+	line := h.log.Info().Int64("sent", c.Sent.Load()).Int64("sent_bytes", c.SentBytes.Load()).Int64("not_sent", c.SendFailures.Load()).
+		Int64("received", c.Received.Load()).Int64("overrun", c.EventsDropped.Load()).Int64("writes", c.Writes.Load())
 	for s := range raftstore.Statuses {
-		if n := c.Answered[s].Load(); n > 0 {
+		if n := c.Answers[s].Load(); n > 0 {
 			line = line.Int64("answered_"+s.String(), n)
 		}
 	}
 	for n := range raftstore.Notices {
-		if k := c.Noticed[n].Load(); k > 0 {
+		if k := c.Notices[n].Load(); k > 0 {
 			line = line.Int64("noticed_"+n.String(), k)
 		}
 	}
@@ -94,16 +94,16 @@
 }
 
 // Tell reports what this gateway is and sees, for the order of maintenance.
-func (h *Holders) Tell(own raftstore.Own) { h.put(own) }
+func (h *Node) Report(own raftstore.Own) { h.put(own) }
 
 // Limits puts other limits in force.
-func (h *Holders) Limits(l maintenance.Limits) { h.put(raftstore.Limits{Limits: l}) }
+func (h *Node) SetMaintenanceLimits(l maintenance.Limits) { h.put(raftstore.Limits{Limits: l}) }
 
 // errNoWord is what an operator hears where the ledger has not answered.
 var errNoWord = errors.New("the ledger has not answered in time; what was said may come into force all the same, and may be said again")
 
 // Maintain carries an operator's command to the ledger, one at a time, and tells what came of it.
-func (h *Holders) Maintain(c maintenance.Command, by time.Time) (said string, err error) {
+func (h *Node) RunMaintenanceCommand(c maintenance.Command, by time.Time) (said string, err error) {
 	h.saying.Lock()
 	defer h.saying.Unlock()
 	a := h.answer(raftstore.Ask{Shard: raftstore.LedgerGroup, Command: raftstore.Command(c)}, by)
@@ -119,7 +119,7 @@
 }
 
 // Listing is the order of maintenance as the ledger's leader has it, or, with an error, as it is known here.
-func (h *Holders) Listing(by time.Time) (maintenance.Listing, error) {
+func (h *Node) MaintenanceListing(by time.Time) (maintenance.Listing, error) {
 	a := h.answer(raftstore.Ask{Shard: raftstore.LedgerGroup, Get: &api.Get{Key: []byte(raftstore.MaintainKey)}}, by)
 	if a.Status == raftstore.OK {
 		return raftstore.ListingOf(a.Value)
@@ -130,9 +130,9 @@
 }
 
 // answer makes a call and waits for its answer.
-func (h *Holders) answer(a raftstore.Ask, by time.Time) (out raftstore.Answer) {
+func (h *Node) answer(a raftstore.Ask, by time.Time) (out raftstore.Answer) {
 	answered := make(chan raftstore.Answer, 1)
-	h.Ask(a, by, func(a raftstore.Answer) { answered <- a })
+	h.Submit(a, by, func(a raftstore.Answer) { answered <- a })
 	select {
 	case out = <-answered:
 	case <-h.quit:
--- a/internal/raftstorage/store.go
+++ b/internal/raftstorage/file.go
@@ -49,15 +49,15 @@
 )
 
 // Damaged is a file that cannot be believed.
-type Damaged struct {
+type DamagedError struct {
 	Path  string
 	Cause error
 }
 
-func (d *Damaged) Error() string { return fmt.Sprintf("%s is damaged: %v", d.Path, d.Cause) }
+func (d *DamagedError) Error() string { return fmt.Sprintf("%s is damaged: %v", d.Path, d.Cause) }
 
 // Unwrap is why.
-func (d *Damaged) Unwrap() error { return d.Cause }
+func (d *DamagedError) Unwrap() error { return d.Cause }
 
 // File is one open file.
 type File struct {
@@ -100,7 +100,7 @@
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
-			err = &Damaged{path, fmt.Errorf("%v", p)}
+			err = &DamagedError{path, fmt.Errorf("%v", p)}
 		}
 	}()
 	err = do()
@@ -112,7 +112,7 @@
 	case errors.As(err, &os):
 		return err
 	case err != nil:
-		return &Damaged{path, err}
+		return &DamagedError{path, err}
 	}
 	return nil
 }
--- a/internal/raftstorage/store_test.go
+++ b/internal/raftstorage/file_test.go
@@ -213,7 +213,7 @@
 		if err := os.WriteFile(path, bad, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		var damaged *Damaged
+		var damaged *DamagedError
 		f, s, err := Open(path)
 		switch {
 		case errors.As(err, &damaged):
@@ -239,7 +239,7 @@
 			}
 			path := another()
 			os.WriteFile(path, bad, 0o600)
-			var damaged *Damaged
+			var damaged *DamagedError
 			if _, _, err := Open(path); !errors.As(err, &damaged) {
 				t.Errorf("every byte %d from %d: %v", step, from, err)
 			}
@@ -264,7 +264,7 @@
 		"length": string(spoilt)} {
 		path := another()
 		os.WriteFile(path, []byte(content), 0o600)
-		var damaged *Damaged
+		var damaged *DamagedError
 		if _, _, err := Open(path); !errors.As(err, &damaged) {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -284,7 +284,7 @@
 			t.Errorf("%+v: %v %v", c, known, err)
 		}
 		if c.note > 0 {
-			if err := w.Note(c.store, c.note); err != nil {
+			if err := w.Record(c.store, c.note); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/raftstorage/witness.go
+++ b/internal/raftstorage/witness.go
@@ -41,7 +41,7 @@
 }
 
 // Note says what the disk has now. It must be said before anybody hears of it.
-func (w *Witness) Note(store, sequence uint64) error {
+func (w *Witness) Record(store, sequence uint64) error {
 	b := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, store), sequence)
 	_, err := w.file.WriteAt(append(b, w.boot...), 0)
 	return err
