--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -124,7 +124,7 @@
 		{"name", cfg.Name}, {"listen", cfg.Listen}, {"discovery", cfg.Discovery},
 		{"limits.cores", fmt.Sprint(cfg.Cores)}, {"limits.memory_mb", fmt.Sprint(cfg.MemoryMB)},
 		{"limits.sockets", fmt.Sprint(cfg.Sockets)}, {"known", fmt.Sprint(len(cfg.Known.Entries), " servers")},
-		{"settings.classes", strings.Join(cfg.Facts.Names, " ")},
+		{"settings.classes", strings.Join(cfg.InForce.ClassNames, " ")},
 	} {
 		fmt.Fprintf(c.out, "%s %s\n", line[0], lines.Quote(line[1]))
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -47,20 +47,15 @@
 	MemoryMB  int
 	Sockets   int
 	Known     discovery.List
-	Facts     *settings.Facts
+	InForce   *settings.InForce
 	Settings  map[string]any // as written, to tell what a reload changes
 }
 
-// KeyError names the key that is at fault.
-type KeyError struct {
-	Key  string
-	Text string
+// faulty is a *settings.KeyError: it names the key of the file or the environment variable that is at fault.
+func faulty(key, format string, a ...any) error {
+	return &settings.KeyError{Key: key, Text: fmt.Sprintf(format, a...)}
 }
 
-func (e *KeyError) Error() string { return e.Key + ": " + e.Text }
-
-func faulty(key, format string, a ...any) error { return &KeyError{key, fmt.Sprintf(format, a...)} }
-
 // Load reads the configuration that the environment points to.
 func Load(env func(string) string) (*Config, error) {
 	path := env(envConfig)
@@ -132,21 +127,21 @@
 	if !present(w.Settings) {
 		return nil, faulty("settings", "missing")
 	}
-	if c.Facts, err = settings.Parse(w.Settings); err != nil {
+	if c.InForce, err = settings.Parse(w.Settings); err != nil {
 		var fault *settings.KeyError
 		if errors.As(err, &fault) {
 			return nil, faulty("settings."+fault.Key, "%s", fault.Text)
 		}
 		return nil, faulty("settings", "%v", err)
 	}
-	if doubts := c.Facts.Doubts; len(doubts) > 0 { // the simulator's wire takes them; an operator's file is to be mended
-		return nil, faulty("settings."+doubts[0].Key, "%s", doubts[0].Text)
+	if warnings := c.InForce.Warnings; len(warnings) > 0 { // the simulator's wire takes them; an operator's file is to be mended
+		return nil, faulty("settings."+warnings[0].Key, "%s", warnings[0].Text)
 	}
 	// In the simulator a pushed list comes by itself. Over sockets it comes on a watch, which has to be opened.
-	if s := &c.Facts.Settings; !s.ListAsked {
+	if s := &c.InForce.Settings; !s.ListAsked {
 		s.ListAsked, s.ListPushed = true, true
 	}
-	if len(c.Facts.Names) == 0 {
+	if len(c.InForce.ClassNames) == 0 {
 		return nil, faulty("settings.classes", "names no class")
 	}
 	if err := json.Unmarshal(w.Settings, &c.Settings); err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -7,6 +7,8 @@
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"marblespan/internal/settings"
 )
 
 func sample(t *testing.T) []byte {
@@ -26,7 +28,7 @@
 		t.Fatal(err)
 	}
 	if c.Name != "n0" || c.Listen != "127.0.0.1:6433" || c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 ||
-		len(c.Known.Entries) != 3 || len(c.Facts.Names) != 3 || c.Facts.Keepalive != 30_000_000 {
+		len(c.Known.Entries) != 3 || len(c.InForce.ClassNames) != 3 || c.InForce.Keepalive != 30_000_000 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -112,7 +114,7 @@
 		{"settings.realms", tenants("", 0.5), "settings.realms[0].name"},
 	} {
 		_, err := Parse(change(t, c.path, c.value), none)
-		var fault *KeyError
+		var fault *settings.KeyError
 		if !errors.As(err, &fault) || fault.Key != c.key {
 			t.Errorf("%s = %v: %v, want the key %s named", c.path, c.value, err, c.key)
 		}
@@ -160,7 +162,7 @@
 	f.Add(raw)
 	f.Add([]byte(`{"limits":{"cores":1e400}}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		if c, err := Parse(raw, none); err == nil && (c.Facts == nil || len(c.Facts.Names) == 0) {
+		if c, err := Parse(raw, none); err == nil && (c.InForce == nil || len(c.InForce.ClassNames) == 0) {
 			t.Fatal("a configuration without classes")
 		}
 	})
@@ -173,11 +175,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s := c.Facts.Settings; !s.ListAsked || s.ListPushed != pushed {
+		if s := c.InForce.Settings; !s.ListAsked || s.ListPushed != pushed {
 			t.Errorf("%s: asked %v, pushed %v", mode, s.ListAsked, s.ListPushed)
 		}
 	}
-	var fault *KeyError
+	var fault *settings.KeyError
 	_, err := Parse(change(t, "settings.membership_mode", "by post"), none)
 	if !errors.As(err, &fault) || fault.Key != "settings.membership_mode" {
 		t.Errorf("an unknown mode: %v", err)
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -67,8 +67,8 @@
 			}
 		}
 		c.Discovery = "127.0.0.1:1"
-		c.Facts.Settings.ConnectTimeout = 20_000_000
-		c.Facts.Settings.CanProbe = false
+		c.InForce.Settings.ConnectTimeout = 20_000_000
+		c.InForce.Settings.CanProbe = false
 	})
 	c := w.raw()
 	c.Write(query(put("x")))
--- a/internal/gateway/program.go
+++ b/internal/gateway/program.go
@@ -162,9 +162,9 @@
 		g.log.Warn().Strs("keys", fixed).Msg("changed keys that take a restart")
 	}
 	if keys := config.Changed(g.settings, next.Settings); len(keys) > 0 {
-		g.facts.Store(next.Facts)
+		g.facts.Store(next.InForce)
 		g.settings = next.Settings
-		g.owner.Ask(func(c *routing.Core) { c.Reconfigure(next.Facts) })
+		g.owner.Ask(func(c *routing.Core) { c.Reconfigure(next.InForce) })
 		g.log.Info().Strs("keys", keys).Msg("settings in force")
 	}
 	g.discovery.Move(next.Discovery)
@@ -186,7 +186,7 @@
 	w := diode.NewWriter(struct{ io.Writer }{out}, logLines, logPoll, func(missed int) { dropped.Add(int64(missed)) })
 	log := zerolog.New(w).With().Timestamp().Str("gateway", cfg.Name).Logger()
 	g := &Gateway{
-		cfg: cfg, facts: settings.NewLive(cfg.Facts), settings: cfg.Settings, ops: ops, log: log, clock: routing.NewClock(), accepting: make(chan struct{}),
+		cfg: cfg, facts: settings.NewLive(cfg.InForce), settings: cfg.Settings, ops: ops, log: log, clock: routing.NewClock(), accepting: make(chan struct{}),
 		buffers: transport.NewBuffers(int64(cfg.MemoryMB) << 20 * messageShare / 100),
 		fds:     transport.NewDescriptors(cfg.Sockets),
 		ends:    transport.NewEnds(log),
@@ -218,7 +218,7 @@
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	go g.owner.Run(func(now clock.Micros) *routing.Core {
-		return routing.NewCore(now, cfg.Seed, cfg.Facts, routing.ListNews{List: cfg.Known}, g.servers, g.discovery,
+		return routing.NewCore(now, cfg.Seed, cfg.InForce, routing.ListNews{List: cfg.Known}, g.servers, g.discovery,
 			log)
 	})
 	go func() {
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -10,6 +10,7 @@
 	"marblespan/internal/config"
 	"marblespan/internal/fake"
 	"marblespan/internal/routing"
+	"marblespan/internal/settings"
 )
 
 const (
@@ -118,7 +119,7 @@
 func TestReloadFaults(t *testing.T) {
 	w := newWorld(t, nil)
 	w.lists(formFull, 1)
-	w.gateway.Reload(nil, nil, &config.KeyError{Key: "settings.classes", Text: "names no class"})
+	w.gateway.Reload(nil, nil, &settings.KeyError{Key: "settings.classes", Text: "names no class"})
 	w.logged("reload failed", "settings.classes")
 	w.gateway.Reload(nil, nil, errors.New("gone"))
 	next := *w.cfg
--- a/internal/gateway/settings_test.go
+++ b/internal/gateway/settings_test.go
@@ -13,6 +13,7 @@
 	"github.com/jackc/pgx/v5/pgconn"
 
 	"marblespan/internal/config"
+	"marblespan/internal/settings"
 )
 
 // movedSettings are those of a deployment put together otherwise: servers that check nothing, no primary on the list, the
@@ -213,7 +214,7 @@
 		{`"give_up_ms": 10000, "effect": "free"`, `"effect": "odd"`}: "settings.classes[0].effect",
 	} {
 		_, err := w.with(strings.Replace(movedSettings, change[0], change[1], 1))
-		var fault *config.KeyError
+		var fault *settings.KeyError
 		if !errors.As(err, &fault) || fault.Key != key {
 			t.Errorf("%s: %v, want %s", change[1], err, key)
 		}
--- a/internal/gateway/stopping_test.go
+++ b/internal/gateway/stopping_test.go
@@ -74,9 +74,9 @@
 // A further attempt that falls due while the gateway stops is made.
 func TestStopBeforeAFurtherAttempt(t *testing.T) {
 	w := newWorld(t, func(c *config.Config) {
-		c.Facts.Settings.MaxAttempts = 1 << 20
-		for i := range c.Facts.Settings.Classes {
-			c.Facts.Settings.Classes[i].Aim = 100_000 // the pauses between attempts follow it
+		c.InForce.Settings.MaxAttempts = 1 << 20
+		for i := range c.InForce.Settings.Classes {
+			c.InForce.Settings.Classes[i].Aim = 100_000 // the pauses between attempts follow it
 		}
 	})
 	w.replica.SetHandle(func(q *fake.Query) { q.Fail("25006") })
--- a/internal/gateway/told_test.go
+++ b/internal/gateway/told_test.go
@@ -20,7 +20,7 @@
 
 // askPauses are the longest pauses that the module makes before the first ask after a watch that stood, and before any
 // other, by these settings.
-func askPauses(facts *settings.Facts) (first, any time.Duration) {
+func askPauses(facts *settings.InForce) (first, any time.Duration) {
 	const seeds, askings = 200, 10
 	start := clock.Micros(1_767_225_600_000_000)
 	for seed := uint64(1); seed <= seeds; seed++ {
@@ -61,12 +61,12 @@
 	call := limits.Connect + limits.Answer
 	for _, mode := range []string{"subscribe", "automatic"} {
 		for _, aim := range []clock.Micros{100_000, 800_000} {
-			w := config.Config{Facts: must2(settings.Parse([]byte(testSettings)))}
-			w.Facts.Settings.ListAsked, w.Facts.Settings.ListPushed = true, mode == "automatic"
-			for i := range w.Facts.Settings.Classes {
-				w.Facts.Settings.Classes[i].Aim = aim
+			w := config.Config{InForce: must2(settings.Parse([]byte(testSettings)))}
+			w.InForce.Settings.ListAsked, w.InForce.Settings.ListPushed = true, mode == "automatic"
+			for i := range w.InForce.Settings.Classes {
+				w.InForce.Settings.Classes[i].Aim = aim
 			}
-			first, any := askPauses(w.Facts)
+			first, any := askPauses(w.InForce)
 			for name, path := range map[string]struct{ sum, most time.Duration }{
 				// The watch fell silent right behind a line; the next call is answered in the last moment.
 				"silent watch": {limits.Silence + first + call, knownAfterReach},
@@ -90,7 +90,7 @@
 // Where the list is pushed the gateway opens a watch all the same: nothing else brings it changes. Until it has heard one, a
 // start does not say that it is ready, but for a bounded time.
 func TestPushedListIsWatched(t *testing.T) {
-	push := func(c *config.Config) { c.Facts.Settings.ListAsked, c.Facts.Settings.ListPushed = true, true }
+	push := func(c *config.Config) { c.InForce.Settings.ListAsked, c.InForce.Settings.ListPushed = true, true }
 	w := newWorld(t, push)
 	w.lists(formFull, 1)
 	draining := w.targets()[1]
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -13,8 +13,8 @@
 
 // Core holds the module and the requests it has in hand. It is driven by one goroutine and reads no clock.
 type Core struct {
-	facts     *settings.Facts // in force
-	places    []int           // of its classes among the counters
+	facts     *settings.InForce // in force
+	places    []int             // of its classes among the counters
 	router    *policy.Router
 	servers   Servers
 	discovery Discovery
@@ -46,9 +46,9 @@
 	name     string // the client's id
 	client   Client
 	payload  Payload
-	facts    *settings.Facts // those it is finished under
-	class    int             // among them
-	place    int             // among the counters
+	facts    *settings.InForce // those it is finished under
+	class    int               // among them
+	place    int               // among the counters
 	deadline clock.Micros
 	attempts []Attempt // nil once it has ended
 	out      int
@@ -57,7 +57,7 @@
 
 // NewCore starts the module with the list the gateway last had.
 func NewCore(
-	now clock.Micros, seed uint64, facts *settings.Facts, known ListNews, servers Servers, disc Discovery,
+	now clock.Micros, seed uint64, facts *settings.InForce, known ListNews, servers Servers, disc Discovery,
 	log zerolog.Logger,
 ) *Core {
 	c := &Core{
@@ -65,7 +65,7 @@
 		requests: map[string]*request{}, byClient: map[Client]*request{}, byName: map[string]*request{},
 		members: newMembers(),
 	}
-	c.places = c.Counts.places(facts.Names)
+	c.places = c.Counts.places(facts.ClassNames)
 	router, first := policy.New(now, seed, facts.Settings)
 	c.router = router
 	// The list comes first, so that a watch asks for the changes after it.
@@ -205,13 +205,13 @@
 	if e.Facts == nil || e.Facts == c.facts {
 		return e.Arrival.Class, true
 	}
-	class, ok := c.facts.Classes[e.Facts.Names[e.Arrival.Class]]
+	class, ok := c.facts.ClassIndex[e.Facts.ClassNames[e.Arrival.Class]]
 	return class, ok && c.facts.Settings.Classes[class].Need == e.Facts.Settings.Classes[e.Arrival.Class].Need
 }
 
 // Reconfigure puts other settings in force. The requests in hand are finished under those that they came under.
-func (c *Core) Reconfigure(facts *settings.Facts) {
-	c.facts, c.places = facts, c.Counts.places(facts.Names)
+func (c *Core) Reconfigure(facts *settings.InForce) {
+	c.facts, c.places = facts, c.Counts.places(facts.ClassNames)
 	c.Counts.Reloads++
 	c.perform(c.router.Reconfigure(c.now, facts.Settings))
 	c.settle()
--- a/internal/routing/core_test.go
+++ b/internal/routing/core_test.go
@@ -418,13 +418,13 @@
 	r := newRig(t)
 	old := r.core.facts
 	next := *old
-	next.Names = []string{"extra", old.Names[1], old.Names[0]}
-	next.Classes = map[string]int{"extra": 0, old.Names[1]: 1, old.Names[0]: 2}
+	next.ClassNames = []string{"extra", old.ClassNames[1], old.ClassNames[0]}
+	next.ClassIndex = map[string]int{"extra": 0, old.ClassNames[1]: 1, old.ClassNames[0]: 2}
 	c := old.Settings.Classes
 	next.Settings.Classes = []policy.Class{c[0], c[1], c[0]}
 	next.Settings.Classes[0].Name = "extra"
 	r.core.Reconfigure(&next)
-	ask := func(facts *settings.Facts, class int) *fakeClient {
+	ask := func(facts *settings.InForce, class int) *fakeClient {
 		f := &fakeClient{}
 		r.core.Handle(r.now, &Request{
 			Client: f, Payload: &fakePayload{holders: 1}, Facts: facts, Arrival: policy.Arrival{Class: class, Group: 7},
@@ -437,7 +437,7 @@
 		t.Errorf("%+v", n)
 	}
 	other := next
-	other.Names, other.Classes = next.Names[:2], map[string]int{"extra": 0, old.Names[1]: 1}
+	other.ClassNames, other.ClassIndex = next.ClassNames[:2], map[string]int{"extra": 0, old.ClassNames[1]: 1}
 	other.Settings.Classes = []policy.Class{c[1], c[1]}
 	r.core.Reconfigure(&other)
 	sends := len(r.servers.jobs)
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -78,11 +78,11 @@
 	Client  Client
 	ID      string // the client's; empty: none
 	Payload Payload
-	Facts   *settings.Facts // the settings it was read by: those that Arrival.Class counts in; nil: those in force
-	Arrival policy.Arrival  // ID and Left are filled in by the owner
-	ReadAt  clock.Micros    // when its last byte was read
-	Wait    clock.Micros    // how long the client waits, from then on
-	After   clock.Micros    // the position that it must see; 0: none
+	Facts   *settings.InForce // the settings it was read by: those that Arrival.Class counts in; nil: those in force
+	Arrival policy.Arrival    // ID and Left are filled in by the owner
+	ReadAt  clock.Micros      // when its last byte was read
+	Wait    clock.Micros      // how long the client waits, from then on
+	After   clock.Micros      // the position that it must see; 0: none
 }
 
 // Gone tells that a client left while its request was out.
--- a/internal/session/crossing_test.go
+++ b/internal/session/crossing_test.go
@@ -34,9 +34,9 @@
 	x := &crossing{t: t, c: c, peer: peer.(*net.TCPConn), told: make(chan routing.Event, 1024)}
 	c.all.Owner, c.all.Clock, c.all.Buffers = poster(x.told), routing.NewClock(), transport.NewBuffers(1<<24)
 	c.all.Counts = &ClientCounts{}
-	c.all.Facts = settings.NewLive(&settings.Facts{
-		Settings: policy.Settings{Classes: []policy.Class{{Name: "look", Need: policy.NeedAny}, {Name: "put", Need: policy.NeedWrite}}},
-		Classes:  map[string]int{"look": 0, "put": 1}, Names: []string{"look", "put"},
+	c.all.Facts = settings.NewLive(&settings.InForce{
+		Settings:   policy.Settings{Classes: []policy.Class{{Name: "look", Need: policy.NeedAny}, {Name: "put", Need: policy.NeedWrite}}},
+		ClassIndex: map[string]int{"look": 0, "put": 1}, ClassNames: []string{"look", "put"},
 	})
 	c.all.Limits.Pause = patience
 	return x
@@ -471,7 +471,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
-			r.facts(func(f *settings.Facts) { f.Settings.ConnectTimeout = clock.Micros(patience / time.Microsecond) })
+			r.facts(func(f *settings.InForce) { f.Settings.ConnectTimeout = clock.Micros(patience / time.Microsecond) })
 			slow := newSlowServer(t, r)
 			r.servers.Send(r.job("a"))
 			nc := slow.accept()
@@ -498,7 +498,7 @@
 // Fails where the time is taken before the connection is up.
 func TestTimeToldIsWhatIsLeft(t *testing.T) {
 	r := newRig(t)
-	r.facts(func(f *settings.Facts) { f.Settings.ConnectTimeout = clock.Micros(patience / time.Microsecond) })
+	r.facts(func(f *settings.InForce) { f.Settings.ConnectTimeout = clock.Micros(patience / time.Microsecond) })
 	slow := newSlowServer(t, r)
 	job := r.job("a")
 	r.servers.Send(job)
--- a/internal/session/lookup.go
+++ b/internal/session/lookup.go
@@ -31,9 +31,9 @@
 // booking itself would have had; it must not block.
 func (s *Clients) Lookup(class, key string, group int, by time.Time, done func(row, answer []byte, ok bool)) {
 	facts := s.Facts.Load()
-	index, known := facts.Classes[class]
+	index, known := facts.ClassIndex[class]
 	wait := time.Until(by).Milliseconds()
-	if !known || facts.Writes(index) || wait <= 0 {
+	if !known || facts.IsWrite(index) || wait <= 0 {
 		done(nil, nil, false)
 		return
 	}
--- a/internal/session/pending.go
+++ b/internal/session/pending.go
@@ -322,8 +322,8 @@
 // received is a query that has come whole, with the memory that was set aside for it and its answer.
 type received struct {
 	text      *transport.Message
-	reserve   int             // bytes
-	facts     *settings.Facts // in force when it was read
+	reserve   int               // bytes
+	facts     *settings.InForce // in force when it was read
 	arrival   policy.Arrival
 	statement postgres.Statement
 	claims    bool // it must be claimed before it is sent
@@ -494,7 +494,7 @@
 const markPart = 4
 
 // read makes a request of a query's text. An empty query makes none; for a bad one it tells the fault and its code.
-func (c *client) read(facts *settings.Facts, text *transport.Message, body int) (
+func (c *client) read(facts *settings.InForce, text *transport.Message, body int) (
 	a policy.Arrival, st postgres.Statement, fault, code string,
 ) {
 	if body <= transport.BufferSize && postgres.IsEmpty(text.First()) {
@@ -507,11 +507,11 @@
 	if err != nil {
 		return a, st, err.Error(), postgres.CodeProtocol
 	}
-	class, ok := facts.Classes[st.Class]
+	class, ok := facts.ClassIndex[st.Class]
 	if !ok {
 		return a, st, "class " + strconv.Quote(st.Class) + " is not known", postgres.CodeBadValue
 	}
-	if st.Write != facts.Writes(class) {
+	if st.Write != facts.IsWrite(class) {
 		return a, st, "class " + strconv.Quote(st.Class) + " is not for such statements", postgres.CodeBadValue
 	}
 	a = policy.Arrival{Class: class, Group: st.Group, Repeat: st.Repeat}
--- a/internal/session/server_conn_test.go
+++ b/internal/session/server_conn_test.go
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, server: server, told: make(chan routing.Event, 64)}
-	facts := &settings.Facts{Settings: policy.Settings{ConnectTimeout: 250_000}, Keepalive: 30_000_000}
+	facts := &settings.InForce{Settings: policy.Settings{ConnectTimeout: 250_000}, Keepalive: 30_000_000}
 	r.servers = &Servers{
 		Owner: poster(r.told), Facts: settings.NewLive(facts), Buffers: transport.NewBuffers(1 << 24),
 		Fds: transport.NewDescriptors(1024), Ends: transport.NewEnds(zerolog.Nop()), Clock: routing.NewClock(),
@@ -49,7 +49,7 @@
 }
 
 // facts puts changed settings in force.
-func (r *rig) facts(change func(*settings.Facts)) {
+func (r *rig) facts(change func(*settings.InForce)) {
 	next := *r.servers.Facts.Load()
 	change(&next)
 	r.servers.Facts.Store(&next)
--- a/internal/session/servers.go
+++ b/internal/session/servers.go
@@ -236,7 +236,7 @@
 	var rep policy.Report
 	fields, ok := postgres.LoadFields(text)
 	for _, f := range fields {
-		ok = ok && settings.AddReport(&rep, f.Name, f.Value, 0) == nil
+		ok = ok && settings.SetReportField(&rep, f.Name, f.Value, 0) == nil
 	}
 	if !ok {
 		return policy.Report{}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -15,21 +15,21 @@
 )
 
 // Facts is what a codec keeps of an instance's settings, beside those meant for the module.
-type Facts struct {
-	Settings  policy.Settings
-	Classes   map[string]int // name to index
-	Names     []string       // of the classes, by index
-	Fields    []string       // of load reports, in order
-	Zero      clock.Micros   // where the simulator's positions are counted from
-	Keepalive clock.Micros   // servers close connections idle for so long
-	Doubts    []*KeyError    // what was read in its strictest sense for want of a better one
+type InForce struct {
+	Settings      policy.Settings
+	ClassIndex    map[string]int // name to index
+	ClassNames    []string       // of the classes, by index
+	ReportFields  []string       // of load reports, in order
+	PositionEpoch clock.Micros   // where the simulator's positions are counted from
+	Keepalive     clock.Micros   // servers close connections idle for so long
+	Warnings      []*KeyError    // what was read in its strictest sense for want of a better one
 }
 
 // Live is the settings in force; they may change while the gateway runs.
-type Live struct{ atomic.Pointer[Facts] }
+type Live struct{ atomic.Pointer[InForce] }
 
 // NewLive begins with f.
-func NewLive(f *Facts) *Live {
+func NewLive(f *InForce) *Live {
 	l := &Live{}
 	l.Store(f)
 	return l
@@ -41,13 +41,13 @@
 func (e *KeyError) Error() string { return e.Key + ": " + e.Text }
 
 // HasSession tells whether requests of a class carry a session: writes and session reads do.
-func (f *Facts) HasSession(class int) bool {
+func (f *InForce) HasSession(class int) bool {
 	need := f.Settings.Classes[class].Need
 	return need == policy.NeedWrite || need == policy.NeedSession
 }
 
 // Writes tells whether requests of a class change data.
-func (f *Facts) Writes(class int) bool { return f.Settings.Classes[class].Need == policy.NeedWrite }
+func (f *InForce) IsWrite(class int) bool { return f.Settings.Classes[class].Need == policy.NeedWrite }
 
 // number is a wire number kept as its text until its unit is known.
 type number string
@@ -60,7 +60,7 @@
 	return nil
 }
 
-type wireFacts struct {
+type wireSettings struct {
 	Classes []struct {
 		Name       string `json:"name"`
 		Aim        number `json:"aim_ms"`
@@ -116,11 +116,11 @@
 }
 
 // wordKeyed is the effect of a class whose repeats are dropped by a key, within a window.
-const wordKeyed = "guarded"
+const effectKeyed = "guarded"
 
 var effects = map[string]policy.Effect{
 	"free": policy.EffectSafe, "single_shot": policy.EffectUnsafe,
-	wordKeyed: policy.EffectUnsafe, // repeats dropped by a key: read in the strictest sense, never repeated
+	effectKeyed: policy.EffectUnsafe, // repeats dropped by a key: read in the strictest sense, never repeated
 }
 
 var needs = map[string]policy.Need{
@@ -137,8 +137,8 @@
 
 // Parse reads an instance's settings. Unknown keys are skipped. Unknown words take the strictest meaning, and are noted
 // as doubts: an effect is unsafe, a check none, and a need the primary.
-func Parse(raw []byte) (*Facts, error) {
-	var w wireFacts
+func Parse(raw []byte) (*InForce, error) {
+	var w wireSettings
 	if err := json.Unmarshal(raw, &w); err != nil {
 		var kind *json.UnmarshalTypeError
 		if errors.As(err, &kind) && kind.Field != "" {
@@ -146,14 +146,14 @@
 		}
 		return nil, fmt.Errorf("settings cannot be read: %w", err)
 	}
-	f := &Facts{Classes: map[string]int{}, Fields: w.Report.Fields}
-	p := scaler{doubts: &f.Doubts}
+	f := &InForce{ClassIndex: map[string]int{}, ReportFields: w.Report.Fields}
+	p := scaler{warnings: &f.Warnings}
 	s, l, r := &f.Settings, w.Limits, w.Rules
 	for i, c := range w.Classes {
 		key := fmt.Sprintf("classes[%d].", i)
 		k := policy.Class{
 			Name: c.Name, Need: policy.NeedWrite,
-			Effect: word(&p, key+"effect", effects, c.Effect),
+			Effect: lookupWord(&p, key+"effect", effects, c.Effect),
 			Aim:    p.time(key+"aim_ms", c.Aim), Deadline: p.time(key+"give_up_ms", c.Deadline),
 			Worth:      p.thousandths(key+"points", c.Worth),
 			LateWorth:  p.thousandths(key+"late_worth", c.LateWorth),
@@ -163,23 +163,23 @@
 			if need, ok := needs[w.Family.Freshness[i]]; ok {
 				k.Need = need
 			} else {
-				p.doubt(fmt.Sprintf("family_info.freshness[%d]", i), "%.40q is not known", w.Family.Freshness[i])
+				p.warn(fmt.Sprintf("family_info.freshness[%d]", i), "%.40q is not known", w.Family.Freshness[i])
 			}
 		}
 		if i < len(w.Family.Bounds) {
 			k.Bound = p.time(fmt.Sprintf("family_info.oldest_data_ms[%d]", i), w.Family.Bounds[i])
 		}
-		p.checkName(key+"name", c.Name, f.Classes, i)
+		p.checkName(key+"name", c.Name, f.ClassIndex, i)
 		if c.Effect == "" {
-			p.doubt(key+"effect", "missing")
+			p.warn(key+"effect", "missing")
 		}
 		if k.Deadline == 0 {
-			p.doubt(key+"give_up_ms", "missing or 0: no request could be answered")
+			p.warn(key+"give_up_ms", "missing or 0: no request could be answered")
 		}
-		if window := p.time(key+"key_ttl_ms", c.Window); c.Effect == wordKeyed && window == 0 {
-			p.doubt(key+"key_ttl_ms", "missing or 0: no repeat could be told")
+		if window := p.time(key+"key_ttl_ms", c.Window); c.Effect == effectKeyed && window == 0 {
+			p.warn(key+"key_ttl_ms", "missing or 0: no repeat could be told")
 		}
-		f.Names = append(f.Names, c.Name)
+		f.ClassNames = append(f.ClassNames, c.Name)
 		s.Classes = append(s.Classes, k)
 	}
 	for _, list := range []struct {
@@ -189,18 +189,18 @@
 		{"family_info.freshness", len(w.Family.Freshness)}, {"family_info.oldest_data_ms", len(w.Family.Bounds)},
 	} {
 		if list.n != 0 && list.n != len(w.Classes) {
-			p.doubt(list.key, "has %d entries for %d classes", list.n, len(w.Classes))
+			p.warn(list.key, "has %d entries for %d classes", list.n, len(w.Classes))
 		}
 	}
 	checkTenants(&p, w.Tenants)
-	f.Zero = p.time("family_info.counted_from_ms", w.Family.Zero)
+	f.PositionEpoch = p.time("family_info.counted_from_ms", w.Family.Zero)
 	f.Keepalive = p.time("policy_limits.keepalive_ms", l.Keepalive)
 	s.Gateways, s.Ordinal, s.Zone = w.Balancers, w.Ordinal, w.Zone
 	s.Tick = p.time("granularity_ms", w.Tick)
-	s.Checks = word(&p, "family_info.checks", checks, w.Family.Checks)
+	s.Checks = lookupWord(&p, "family_info.checks", checks, w.Family.Checks)
 	s.CheckWait = p.time("family_info.wait_ms", w.Family.Wait)
 	s.TokensCarried, s.AnswersStamped = w.Family.Marks == "brought", w.Family.Stamped
-	s.ListAsked = word(&p, "membership_mode", modes, w.Mode)
+	s.ListAsked = lookupWord(&p, "membership_mode", modes, w.Mode)
 	s.CanProbe, s.CanCancel = l.Probing, l.Cancelling
 	s.CanTell, s.SecondCopies, s.AdviseRetry = l.MayTell, l.SecondCopies, l.RetryAfter
 	s.MaxRetryAdvice, s.MaxAttempts = p.time("policy_limits.max_retry_after_ms", l.MaxRetryAfter), l.MostTries
@@ -212,7 +212,7 @@
 	s.Ramp = p.time("rules.ramp_time_ms", r.Ramp)
 	s.FallMultiple = p.thousandths("rules.overload_factor", r.OverloadFactor)
 	if s.CrossZoneCost = p.thousandths("costs.cross_zone", w.Costs.CrossZone); s.CrossZoneCost > 1000 {
-		p.doubt("costs.cross_zone", "%s is more than one point a request", w.Costs.CrossZone)
+		p.warn("costs.cross_zone", "%s is more than one point a request", w.Costs.CrossZone)
 	}
 	s.FallWindow = p.time("rules.fall_ms", r.Fall)
 	if p.err != nil {
@@ -223,7 +223,7 @@
 
 // shareRounding is how much more than the whole the shares of the tenants may add up to, in thousandths: they are written
 // rounded.
-const shareRounding = 5
+const quotaRounding = 5
 
 // wireTenant is one of those whom requests belong to.
 type wireTenant struct {
@@ -239,40 +239,40 @@
 		p.checkName(key+"name", t.Name, names, i)
 		share := p.thousandths(key+"portion", t.Share)
 		if t.Share != "" && share == 0 {
-			p.doubt(key+"portion", "%s is no share", string(t.Share))
+			p.warn(key+"portion", "%s is no share", string(t.Share))
 		}
-		if total += share; share > 1000 || total > 1000+shareRounding {
-			p.doubt(key+"portion", "%s brings the shares over the whole", string(t.Share))
+		if total += share; share > 1000 || total > 1000+quotaRounding {
+			p.warn(key+"portion", "%s brings the shares over the whole", string(t.Share))
 		}
 	}
 }
 
 // word looks a word up; one that is missing or not known has the zero value, the strictest.
-func word[T any](p *scaler, key string, table map[string]T, name string) T {
+func lookupWord[T any](p *scaler, key string, table map[string]T, name string) T {
 	v, ok := table[name]
 	if !ok && name != "" {
-		p.doubt(key, "%.40q is not known", name)
+		p.warn(key, "%.40q is not known", name)
 	}
 	return v
 }
 
 // scaler turns wire numbers into whole units; an absent one is 0.
 type scaler struct {
-	err    error
-	doubts *[]*KeyError
+	err      error
+	warnings *[]*KeyError
 }
 
-func (p *scaler) doubt(key, format string, a ...any) {
-	*p.doubts = append(*p.doubts, &KeyError{key, fmt.Sprintf(format, a...)})
+func (p *scaler) warn(key, format string, a ...any) {
+	*p.warnings = append(*p.warnings, &KeyError{key, fmt.Sprintf(format, a...)})
 }
 
 // checkName notes a name that is missing or stands twice, and keeps it with its index.
 func (p *scaler) checkName(key, name string, names map[string]int, i int) {
 	if _, twice := names[name]; twice {
-		p.doubt(key, "%.40q stands twice", name)
+		p.warn(key, "%.40q stands twice", name)
 	}
 	if name == "" {
-		p.doubt(key, "missing")
+		p.warn(key, "missing")
 	}
 	names[name] = i
 }
@@ -286,7 +286,7 @@
 		p.err = &KeyError{key, fmt.Sprintf("%.30q is %v", string(n), err)}
 	}
 	if v < 0 {
-		p.doubt(key, "%s is below 0", string(n))
+		p.warn(key, "%s is below 0", string(n))
 	}
 	return v
 }
@@ -335,7 +335,7 @@
 
 // AddReport puts one value of a load report, by its field's name, into rep. The position's seconds are counted
 // from zero. Fields of unknown names are passed over.
-func AddReport(rep *policy.Report, field, value string, zero clock.Micros) error {
+func SetReportField(rep *policy.Report, field, value string, zero clock.Micros) error {
 	digits := 3
 	switch field {
 	case "x0":
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -14,7 +14,7 @@
 		t.Fatal(err)
 	}
 	got := map[string]bool{}
-	for _, d := range f.Doubts {
+	for _, d := range f.Warnings {
 		got[d.Key] = true
 	}
 	for _, key := range []string{
@@ -48,7 +48,7 @@
 	for field, value := range map[string]string{
 		"x0": "1796133629.802", "x1": "1", "cpu_share": "0.464", "pending": "3", "mystery": "x",
 	} {
-		if err := AddReport(&rep, field, value, 0); err != nil {
+		if err := SetReportField(&rep, field, value, 0); err != nil {
 			t.Errorf("%s: %v", field, err)
 		}
 	}
@@ -59,7 +59,7 @@
 	if rep != want {
 		t.Errorf("%+v", rep)
 	}
-	if AddReport(&rep, "x0", "late", 0) == nil {
+	if SetReportField(&rep, "x0", "late", 0) == nil {
 		t.Error("a position that is no number was taken")
 	}
 }
@@ -79,7 +79,7 @@
 func TestCosts(t *testing.T) {
 	for in, want := range map[string]int64{`{}`: 0, `{"costs":{}}`: 0, `{"costs":{"cross_zone":0.049,"waste":0.03}}`: 49} {
 		f, err := Parse([]byte(in))
-		if err != nil || len(f.Doubts) > 0 || f.Settings.CrossZoneCost != want {
+		if err != nil || len(f.Warnings) > 0 || f.Settings.CrossZoneCost != want {
 			t.Errorf("%s: %+v, %v", in, f, err)
 		}
 	}
--- a/internal/simhost/host.go
+++ b/internal/simhost/host.go
@@ -18,7 +18,7 @@
 const maxLine = 64 << 20
 
 type instance struct {
-	facts  *settings.Facts
+	facts  *settings.InForce
 	router *policy.Router
 	broken bool // it has faulted: its events are passed over until it starts anew
 }
@@ -129,7 +129,7 @@
 	return false, nil
 }
 
-func (h *Host) factsOf(inst int) *settings.Facts {
+func (h *Host) factsOf(inst int) *settings.InForce {
 	if in := h.instances[inst]; in != nil {
 		return in.facts
 	}
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -37,7 +37,7 @@
 type Start struct {
 	Instance int
 	Seed     uint64
-	Facts    *settings.Facts
+	Facts    *settings.InForce
 }
 
 // Stop ends an instance.
@@ -160,7 +160,7 @@
 }
 
 // Decode reads one line. factsOf finds the settings of a started instance, or nil.
-func Decode(line []byte, factsOf func(int) *settings.Facts) (Message, error) {
+func Decode(line []byte, factsOf func(int) *settings.InForce) (Message, error) {
 	var vals []json.RawMessage
 	if err := json.Unmarshal(line, &vals); err != nil || len(vals) == 0 {
 		return nil, errors.New("not a message: a line holds one array that begins with a name")
@@ -204,7 +204,7 @@
 	return m, nil
 }
 
-func decodeFor(name string, inst int, r *row, factsOf func(int) *settings.Facts) (Message, error) {
+func decodeFor(name string, inst int, r *row, factsOf func(int) *settings.InForce) (Message, error) {
 	switch name {
 	case "START":
 		seed := r.seed(1)
@@ -280,8 +280,8 @@
 	flagRepeat = 2
 )
 
-func (r *row) arrival(f *settings.Facts) policy.Event {
-	class, ok := f.Classes[r.text(6)]
+func (r *row) arrival(f *settings.InForce) policy.Event {
+	class, ok := f.ClassIndex[r.text(6)]
 	if !ok {
 		r.fail(6, "a class of the settings")
 	}
@@ -295,7 +295,7 @@
 	return a
 }
 
-func (r *row) outcome(f *settings.Facts) policy.Event {
+func (r *row) outcome(f *settings.InForce) policy.Event {
 	o := policy.Outcome{
 		ID: r.text(1), Latency: r.micros(3), Server: policy.ServerID(r.unsigned(4, 32)),
 		Result: lookup(r, results, 5, "a known outcome"), Final: r.truth(6), Attempt: r.count(7),
@@ -304,14 +304,14 @@
 	if note := r.integerOr(2, 0); note > 0 {
 		o.Role = roles[note%4]
 		if ms := note / 4; ms > 0 {
-			o.Position = f.Zero + clock.Micros(ms)*1000
+			o.Position = f.PositionEpoch + clock.Micros(ms)*1000
 		}
 	}
 	return o
 }
 
 // report reads a load report by the order of the settings' fields; fields of unknown names are passed over.
-func (r *row) report(i int, f *settings.Facts) policy.Report {
+func (r *row) report(i int, f *settings.InForce) policy.Report {
 	var rep policy.Report
 	if r.absent(i) {
 		return rep
@@ -321,11 +321,11 @@
 		r.fail(i, "a load report")
 		return rep
 	}
-	for k, field := range f.Fields {
+	for k, field := range f.ReportFields {
 		if sub.absent(k) {
 			continue
 		}
-		if err := settings.AddReport(&rep, field, string(sub.vals[k]), f.Zero); err != nil {
+		if err := settings.SetReportField(&rep, field, string(sub.vals[k]), f.PositionEpoch); err != nil {
 			sub.fail(k, "a number")
 		}
 	}
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -23,7 +23,7 @@
  "rules": {"ask_within_ms": 10000.0, "cold_from": 0.26, "fall_ms": 3000.0, "grace_to_answer_ms": 20.0,
   "overload_factor": 4.0, "ramp_time_ms": 16000.0, "stop_sending_within_ms": 250.0, "dropped_stay_open": true}}`
 
-func testFacts(t *testing.T) *settings.Facts {
+func testFacts(t *testing.T) *settings.InForce {
 	t.Helper()
 	f, err := settings.Parse([]byte(facts))
 	if err != nil {
@@ -100,7 +100,7 @@
 		{`["ALARM",3,"sw\"eep"]`, ForInstance{3, policy.Timer{Token: `sw"eep`}}},
 		{`["MAIL",3,2,"68692037"]`, ForInstance{3, policy.PeerMessage{From: 2, Data: []byte("hi 7")}}},
 	} {
-		got, err := Decode([]byte(c.line), func(int) *settings.Facts { return f })
+		got, err := Decode([]byte(c.line), func(int) *settings.InForce { return f })
 		if err != nil || !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s:\n got  %+v, %v\n want %+v", c.line, got, err, c.want)
 		}
@@ -118,7 +118,7 @@
 		"502": policy.ResultConnectFailed, "598": policy.ResultReset, "499": policy.ResultCancelled,
 		"410": policy.ResultMoot, "404": policy.ResultMiss,
 	} {
-		got, err := Decode([]byte(`["STATUS_BACK",3,7,`+code+`,1]`), func(int) *settings.Facts { return f })
+		got, err := Decode([]byte(`["STATUS_BACK",3,7,`+code+`,1]`), func(int) *settings.InForce { return f })
 		if err != nil || got.(ForInstance).Event.(policy.Probed).Result != want {
 			t.Errorf("%s: %+v, %v", code, got, err)
 		}
@@ -140,7 +140,7 @@
 		{`["STATUS_BACK",3,7,200,1,["x"]]`, true}, {`["MAIL",3,2,"zz"]`, true}, {`["REGISTRY",3,2,1,0]`, true},
 		{`["REGISTRY",3,0,1,16]`, true}, {`["START",3]`, true}, {`["START",3,1,7]`, true}, {`["ALARM",9,"x"]`, true},
 	} {
-		_, err := Decode([]byte(c.line), func(i int) *settings.Facts {
+		_, err := Decode([]byte(c.line), func(i int) *settings.InForce {
 			if i == 3 {
 				return f
 			}
@@ -210,6 +210,6 @@
 		f.Fatal(err)
 	}
 	f.Fuzz(func(t *testing.T, line string) {
-		_, _ = Decode([]byte(line), func(int) *settings.Facts { return fs }) // must not panic
+		_, _ = Decode([]byte(line), func(int) *settings.InForce { return fs }) // must not panic
 	})
 }
