--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -37,7 +37,7 @@
 	ResetShard(shard uint32) error
 	// Tell reports what this life of the gateway is and sees, for the order of maintenance. Maintain carries an operator's command to
 	// the ledger and tells what came of it; Listing is the order, which without its leader is what is known here.
-	Report(life uint64, r maintenance.Report)
+	SetMaintenanceReport(life uint64, r maintenance.Report)
 	RunMaintenanceCommand(c maintenance.Command, by time.Time) (said string, err error)
 	MaintenanceListing(by time.Time) (maintenance.Listing, error)
 	SetMaintenanceLimits(maintenance.Limits)
--- a/internal/gateway/maintain.go
+++ b/internal/gateway/maintain.go
@@ -246,7 +246,7 @@
 			r.Floats = append(r.Floats, s.Group)
 		}
 	}
-	u.g.store.Report(u.life, r)
+	u.g.store.SetMaintenanceReport(u.life, r)
 }
 
 // load is the share of its processors that the process has used since it was last asked, in thousandths.
--- a/internal/raftgateway/store.go
+++ b/internal/raftgateway/store.go
@@ -51,8 +51,8 @@
 type store struct{ *raftnode.Node }
 
 // Tell reports for the order of maintenance.
-func (o store) Report(life uint64, r maintenance.Report) {
-	o.Node.Report(raftstore.Own{Life: life, Report: r})
+func (o store) SetMaintenanceReport(life uint64, r maintenance.Report) {
+	o.Node.SetMaintenanceReport(raftstore.Own{Life: life, Report: r})
 }
 
 func replicaStatus(r raftstore.ReplicaView) gateway.CopiesReplica {
--- /dev/null
+++ b/internal/raftnode/commands.go
@@ -0,0 +1,151 @@
+package raftnode
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"time"
+
+	"marblespan/internal/maintenance"
+	"marblespan/internal/raftstore"
+
+	api "marblespan/api/raftstorepb"
+)
+
+// The errors of operators' commands.
+var (
+	// ErrClosing means that the node is closing.
+	ErrClosing = errors.New("state store: the gateway is shutting down")
+	// ErrStoreExists means that there is a store already.
+	ErrStoreExists = errors.New("state store: bootstrapped already")
+	// ErrNoStore means that no store has been bootstrapped yet, as far as this gateway knows.
+	ErrNoStore = errors.New("state store: there is none yet; bootstrap it first")
+	// ErrNoReplicas means that this gateway stores no replicas, by its settings or after a fault of its disk.
+	ErrNoReplicas = errors.New("state store: this gateway stores no replicas")
+	// ErrNoAnswer means that the ledger has not answered in time. The command may still come into force, and may be repeated.
+	ErrNoAnswer = errors.New("state store: the ledger has not answered in time; the command may still come into force, and may be repeated")
+	// ErrFormatTooOld means that a gateway with replicas runs a version that has no maintenance order.
+	ErrFormatTooOld = errors.New("state store: a gateway with replicas runs a version without maintenance orders; update it first")
+)
+
+// Bootstrap makes a new store of so many shards with so many voters each. first tells that there was no store before whose records
+// could be missed. It returns ErrStoreExists, ErrNoReplicas or ErrClosing if there can be none.
+func (n *Node) Bootstrap(shards, voters int, first bool) error {
+	return n.onEventLoop(func(o raftstore.Overview) error {
+		switch {
+		case o.Founding != 0:
+			return ErrStoreExists
+		case o.Store == 0 || o.Failed != "":
+			return ErrNoReplicas
+		}
+		n.host.Handle(n.clock.Now(), raftstore.Found{Shards: shards, Copies: voters, First: first})
+		return nil
+	})
+}
+
+// RemoveStore records that a gateway's disk will never come back. It must be called where the ledger is led.
+func (n *Node) RemoveStore(gateway string) error {
+	return n.onLedgerLeader(func(o raftstore.Overview) error {
+		if !slices.ContainsFunc(o.Stores, func(s raftstore.StoreView) bool { return s.Name == gateway && !s.Gone }) {
+			return fmt.Errorf("state store: no gateway %q stores replicas", gateway)
+		}
+		n.host.Handle(n.clock.Now(), raftstore.Gone{Name: gateway})
+		return nil
+	})
+}
+
+// ResetShard begins a new epoch of a shard that has lost its majority for good; its records are lost. It must be called where the
+// ledger is led.
+func (n *Node) ResetShard(shard uint32) error {
+	return n.onLedgerLeader(func(o raftstore.Overview) error {
+		switch {
+		case shard == raftstore.LedgerGroup || int(shard) >= len(o.Groups):
+			return fmt.Errorf("state store: there is no shard %d, only 1 to %d", shard, len(o.Groups)-1)
+		case n.host.Reported(shard):
+			return fmt.Errorf("state store: shard %d has a leader and works; only a shard without one is reset", shard)
+		}
+		n.host.Handle(n.clock.Now(), raftstore.Anew{Shard: shard})
+		return nil
+	})
+}
+
+// onLedgerLeader runs a function on the event loop if this gateway leads the ledger. Otherwise its error names the leader.
+func (n *Node) onLedgerLeader(do func(raftstore.Overview) error) error {
+	return n.onEventLoop(func(o raftstore.Overview) error {
+		if len(o.Groups) == 0 {
+			return ErrNoStore
+		}
+		leader := ""
+		if here := o.Groups[raftstore.LedgerGroup].Here; here != nil {
+			leader = here.Leader
+		}
+		switch leader {
+		case n.settings.Node:
+			return do(o)
+		case "":
+			return errors.New("state store: this gateway does not lead the ledger, and does not know which one does; run the command at another one")
+		}
+		return fmt.Errorf("state store: %s leads the ledger, not this gateway; run the command there", leader)
+	})
+}
+
+// onEventLoop runs a function on the event loop and waits for its result.
+func (n *Node) onEventLoop(do func(raftstore.Overview) error) error {
+	result := make(chan error, 1)
+	if !n.enqueue(inboxItem{run: func() { result <- do(n.host.Overview()) }}) {
+		return ErrClosing
+	}
+	select {
+	case err := <-result:
+		return err
+	case <-n.quit:
+		return ErrClosing
+	}
+}
+
+// Report passes this gateway's own state to the host, for the maintenance order.
+func (n *Node) SetMaintenanceReport(own raftstore.Own) { n.enqueue(inboxItem{event: own}) }
+
+// SetMaintenanceLimits puts other limits in force.
+func (n *Node) SetMaintenanceLimits(l maintenance.Limits) {
+	n.enqueue(inboxItem{event: raftstore.Limits{Limits: l}})
+}
+
+// RunMaintenanceCommand passes an operator's command to the ledger and returns the ledger's reply. Commands run one at a time.
+func (n *Node) RunMaintenanceCommand(command maintenance.Command, deadline time.Time) (reply string, err error) {
+	n.commandMu.Lock()
+	defer n.commandMu.Unlock()
+	a := n.call(raftstore.Ask{Shard: raftstore.LedgerGroup, Command: raftstore.Command(command)}, deadline)
+	switch a.Status {
+	case raftstore.OK:
+		return string(a.Value), nil
+	case raftstore.Conflict, raftstore.Bad:
+		return "", errors.New(string(a.Value))
+	case raftstore.TooNew:
+		return "", ErrFormatTooOld
+	}
+	return "", ErrNoAnswer
+}
+
+// MaintenanceListing returns the maintenance order as the ledger's leader has it or, with ErrNoAnswer, as it is known here.
+func (n *Node) MaintenanceListing(deadline time.Time) (maintenance.Listing, error) {
+	a := n.call(raftstore.Ask{Shard: raftstore.LedgerGroup, Get: &api.Get{Key: []byte(raftstore.MaintainKey)}}, deadline)
+	if a.Status == raftstore.OK {
+		return raftstore.ListingOf(a.Value)
+	}
+	listing := maintenance.Listing{Order: &maintenance.Order{}}
+	n.onEventLoop(func(raftstore.Overview) error { listing.Order = n.host.Order(); return nil })
+	return listing, ErrNoAnswer
+}
+
+// call starts a call and waits for its answer; NotSent if the node closes before.
+func (n *Node) call(call raftstore.Ask, deadline time.Time) raftstore.Answer {
+	answered := make(chan raftstore.Answer, 1)
+	n.Submit(call, deadline, func(a raftstore.Answer) { answered <- a })
+	select {
+	case a := <-answered:
+		return a
+	case <-n.quit:
+		return raftstore.Answer{Status: raftstore.NotSent}
+	}
+}
