--- a/internal/indoubt/desk.go
+++ b/internal/indoubt/desk.go
@@ -65,9 +65,6 @@
 	return &c
 }
 
-// Open is how many bookings are in hand.
-func (d *Desk) Open() int { return len(d.entries) }
-
 // Next is when a Tick is due; false: never, as it stands.
 func (d *Desk) Next() (at clock.Micros, ok bool) {
 	for i := range d.entries {
--- a/internal/indoubt/doubt.go
+++ b/internal/indoubt/doubt.go
@@ -25,20 +25,20 @@
 // String is the state's name in logs.
 func (s State) String() string { return stateNames[s%States] }
 
-// Record is what the store keeps of a booking.
+// Record is what the store keeps of a booking, as JSON: a later version may add to it, and the keys never change.
 type Record struct {
-	State   State
-	Owner   string // the gateway that last claimed it
-	Life    uint64 // of the owner
-	ID      string // of the request that it was claimed for
-	Class   string
-	Group   int
-	Server  string       // that was to get it when it was claimed; for whoever looks into it
-	Attempt uint32       // how often it was claimed
-	Left    clock.Micros // of its owner's time when it was claimed
-	Value   []byte       // the answer
-	Kept    bool         // Value is all of it
-	By      string       // the gateway that settled it, if that is another one
+	State   State        `json:"state"`
+	Owner   string       `json:"owner"`            // the gateway that last claimed it
+	Life    uint64       `json:"life"`             // of the owner
+	ID      string       `json:"id"`               // of the request that it was claimed for
+	Class   string       `json:"class"`            //
+	Group   int          `json:"group"`            //
+	Server  string       `json:"server,omitempty"` // that was to get it when it was claimed; for whoever looks into it
+	Attempt uint32       `json:"attempt"`          // how often it was claimed
+	Left    clock.Micros `json:"left"`             // of its owner's time when it was claimed
+	Value   []byte       `json:"value,omitempty"`  // the answer
+	Kept    bool         `json:"kept,omitempty"`   // Value is all of it
+	By      string       `json:"by,omitempty"`     // the gateway that settled it, if that is another one
 }
 
 // Config is one gateway.
--- a/internal/intents/bookings.go
+++ b/internal/intents/bookings.go
@@ -305,25 +305,9 @@
 	}
 }
 
-// record is a record as it is kept: JSON, so that a later version may add to it.
-type record struct {
-	State   indoubt.State `json:"state"`
-	Owner   string        `json:"owner"`
-	Life    uint64        `json:"life"`
-	ID      string        `json:"id"`
-	Class   string        `json:"class"`
-	Group   int           `json:"group"`
-	Server  string        `json:"server,omitempty"`
-	Attempt uint32        `json:"attempt"`
-	Left    clock.Micros  `json:"left"`
-	Value   []byte        `json:"value,omitempty"`
-	Kept    bool          `json:"kept,omitempty"`
-	By      string        `json:"by,omitempty"`
-}
-
 func (b *Bookings) put(p indoubt.Put) {
 	s := b.store.Load()
-	raw, err := json.Marshal(record(p.Record))
+	raw, err := json.Marshal(&p.Record)
 	if s == nil || err != nil {
 		b.post(func() { b.handle(indoubt.Stored{Call: p.Call, Result: indoubt.Never}) })
 		return
@@ -344,12 +328,11 @@
 	return func(x Stored) {
 		ev := indoubt.Stored{Call: call, Result: x.Result, Version: x.Version, Lost: x.Lost, Age: micros(x.Age), Since: micros(x.Since)}
 		if x.Found {
-			var r record
+			var r indoubt.Record
 			if json.Unmarshal(x.Value, &r) != nil { // of a version that this one cannot read: all that is known is that it is there
-				r = record{State: indoubt.Doubtful}
+				r = indoubt.Record{State: indoubt.Doubtful}
 			}
-			into := indoubt.Record(r)
-			ev.Record = &into
+			ev.Record = &r
 		}
 		b.post(func() { b.handle(ev) })
 	}
--- a/internal/intents/bookings_test.go
+++ b/internal/intents/bookings_test.go
@@ -145,7 +145,7 @@
 	if k := wait(t, taken.reply, "a word"); k != indoubt.Failed {
 		t.Errorf("%v", k)
 	}
-	var r record
+	var r indoubt.Record
 	if s := store.records[Key("order", 7, []byte("three"))]; json.Unmarshal(s.Value, &r) != nil || r.State != indoubt.Doubtful || r.Owner != "a" || r.By != "b" {
 		t.Errorf("%+v", r)
 	}
@@ -187,11 +187,11 @@
 	want := indoubt.Record{
 		State: indoubt.Answered, Owner: "gw-1", Life: 3, ID: "request 4", Class: "put", Group: 5, Server: "db-6", Attempt: 7, Left: 8, Value: []byte("answer"), Kept: true, By: "gw-9",
 	}
-	if got, err := json.Marshal(record(want)); err != nil || string(got) != text {
+	if got, err := json.Marshal(want); err != nil || string(got) != text {
 		t.Errorf("%v, written as\n%s\nwant\n%s", err, got, text)
 	}
-	var got record
-	if err := json.Unmarshal([]byte(text), &got); err != nil || !reflect.DeepEqual(indoubt.Record(got), want) {
+	var got indoubt.Record
+	if err := json.Unmarshal([]byte(text), &got); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%v, read as %+v", err, got)
 	}
 	for state, want := range []indoubt.State{indoubt.Open, indoubt.Answered, indoubt.Unsent, indoubt.Doubtful} {
