--- a/internal/gateway/bookings.go
+++ b/internal/gateway/bookings.go
@@ -10,37 +10,37 @@
 )
 
 // OpenBookings takes bookings in hand. It is set before the gateway starts, by the program that has a store for them.
-var OpenBookings func(intents.Settings) intents.Desk
+var OpenBookings func(intents.Settings) intents.Resolver
 
 // settleBookings waits, within a bound, until nothing that is in hand has to be said in the store any more.
 func (g *Gateway) settleBookings(bound time.Duration) {
 	if g.bookings != nil {
-		g.bookings.Settle(bound)
+		g.bookings.WaitIdle(bound)
 	}
 }
 
 // newBookings takes bookings in hand where the operators' file has an in-doubt section; nil: none are.
-func newBookings(g *Gateway) intents.Desk {
+func newBookings(g *Gateway) intents.Resolver {
 	if len(g.ops.InDoubt) == 0 || OpenBookings == nil {
 		return nil
 	}
 	s := intents.Settings{
-		Node: g.ops.Members.Node, Life: g.life, Classes: map[string]intents.Class{}, Log: g.log,
-		Now:  func() clock.Micros { return clock.Micros(g.clock.Now()) },
-		Time: func(t clock.Micros) time.Time { return g.clock.Time(clock.Micros(t)) },
-		Look: func(class, key string, group int, by time.Time, done func(row, answer []byte, ok bool)) {
+		Node: g.ops.Members.Node, Incarnation: g.life, Classes: map[string]intents.Class{}, Log: g.log,
+		Now:    func() clock.Micros { return clock.Micros(g.clock.Now()) },
+		ToTime: func(t clock.Micros) time.Time { return g.clock.Time(clock.Micros(t)) },
+		Lookup: func(class, key string, group int, by time.Time, done func(row, answer []byte, ok bool)) {
 			g.clients.Lookup(class, key, group, by, done)
 		},
 	}
 	for _, d := range g.ops.InDoubt {
 		c := intents.Class{Policy: indoubt.Policy{
-			Marks: d.Clients == "mark", Safe: d.Order == "safe", Look: len(d.Look) > 0, Span: clock.Micros(d.Remember.Microseconds()), Most: d.AtOnce,
+			RepeatsMarked: d.Clients == "mark", StoreBeforeReply: d.Order == "safe", HasLookup: len(d.Look) > 0, Retention: clock.Micros(d.Remember.Microseconds()), MaxInFlight: d.AtOnce,
 		}}
-		if c.Policy.Look {
-			c.Look = d.Look[0]
+		if c.Policy.HasLookup {
+			c.LookupClass = d.Look[0]
 		}
 		if len(d.Look) > 1 {
-			c.Shows = d.Look[1]
+			c.LookupText = d.Look[1]
 		}
 		s.Classes[d.Class] = c
 	}
@@ -73,14 +73,14 @@
 		return nil, errors.New("this gateway has no in-doubt section")
 	}
 	s := IntentsStatus{Node: g.ops.Members.Node, Open: []Intent{}, Counts: map[string]int64{}}
-	for _, v := range g.bookings.Views() {
+	for _, v := range g.bookings.InFlight() {
 		s.Open = append(s.Open, Intent{
-			Booking: intents.Short(v.Key), ID: v.Request, Class: v.Class, Phase: v.Phase, ForMS: int64(v.For) / 1000, State: v.Record.State.String(),
-			Owner: v.Record.Owner, Server: v.Record.Server, Attempt: v.Record.Attempt,
+			Booking: intents.ShortKey(v.Key), ID: v.RequestID, Class: v.Class, Phase: v.Phase, ForMS: int64(v.Age) / 1000, State: v.Intent.State.String(),
+			Owner: v.Intent.Owner, Server: v.Intent.Server, Attempt: v.Intent.ClaimCount,
 		})
 	}
-	for n := range indoubt.Notices {
-		s.Counts[n.String()] = g.bookings.Noticed(n)
+	for n := range indoubt.Transitions {
+		s.Counts[n.String()] = g.bookings.TransitionCount(n)
 	}
 	return s, nil
 }
@@ -91,8 +91,8 @@
 		return
 	}
 	line := g.log.Info()
-	for n := range indoubt.Notices {
-		line = line.Int64(n.String(), g.bookings.Noticed(n))
+	for n := range indoubt.Transitions {
+		line = line.Int64(n.String(), g.bookings.TransitionCount(n))
 	}
 	line.Msg("bookings counters")
 }
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -175,7 +175,7 @@
 		g.marks.store.Store(&g.store)
 	}
 	if g.bookings != nil {
-		g.bookings.Use(s)
+		g.bookings.SetStore(s)
 	}
 	return nil
 }
@@ -230,9 +230,9 @@
 		m.noted(c)
 	}
 	if b := m.g.bookings; b != nil && c.State.Ended() {
-		b.Ended(c.Name, c.Life)
+		b.GatewayEnded(c.Name, c.Life)
 	} else if b != nil && c.Life > 0 {
-		b.Ended(c.Name, c.Life-1) // whatever it was before
+		b.GatewayEnded(c.Name, c.Life-1) // whatever it was before
 	}
 	var next []string
 	for _, name := range m.names() {
--- a/internal/gateway/maintain.go
+++ b/internal/gateway/maintain.go
@@ -204,7 +204,7 @@
 // idle tells whether nothing is under way here, and nothing comes any more.
 func (u *upkeep) idle(open int) bool {
 	return u.shut.Load() && open == 0 && u.g.clients.Busy() == 0 && u.g.floats.holds() == 0 && u.g.floats.open() == 0 &&
-		(u.g.bookings == nil || len(u.g.bookings.Views()) == 0)
+		(u.g.bookings == nil || len(u.g.bookings.InFlight()) == 0)
 }
 
 // report tells the ledger's leader what this gateway is and sees.
--- a/internal/gateway/program.go
+++ b/internal/gateway/program.go
@@ -92,12 +92,12 @@
 	clients   *session.Clients
 	servers   *session.Servers
 	discovery *session.Discovery
-	floats    *floats      // nil without a floating address
-	members   *members     // nil without a members section
-	store     Store        // nil without a copies section
-	marks     *marks       // nil where no session is kept
-	bookings  intents.Desk // nil where none is claimed before it is sent
-	upkeep    *upkeep      // nil without a maintenance section
+	floats    *floats          // nil without a floating address
+	members   *members         // nil without a members section
+	store     Store            // nil without a copies section
+	marks     *marks           // nil where no session is kept
+	bookings  intents.Resolver // nil where none is claimed before it is sent
+	upkeep    *upkeep          // nil without a maintenance section
 	stopping  atomic.Bool
 	life      uint64 // microseconds of Unix time at the start
 	control   *control.Server
@@ -358,7 +358,7 @@
 	wait(leave, g.floats.open)
 	if g.clients.Open()+g.floats.open() > 0 {
 		if g.bookings != nil {
-			g.bookings.Fail() // routing does not know of those that are not claimed yet
+			g.bookings.StartShutdown() // routing does not know of those that are not claimed yet
 		}
 		g.owner.Ask((*routing.Core).FailAll)
 		wait(leave+stopMargin/2, func() int { return g.clients.Open() + g.floats.open() })
--- a/internal/gateway/questions_test.go
+++ b/internal/gateway/questions_test.go
@@ -82,26 +82,26 @@
 }
 
 // deskDouble has a booking in each state in hand. The methods that it lacks are not called.
-type deskDouble struct{ intents.Desk }
+type resolverDouble struct{ intents.Resolver }
 
-func (deskDouble) Views() (all []indoubt.View) {
+func (resolverDouble) InFlight() (all []indoubt.InFlightWrite) {
 	for state := range indoubt.States {
-		all = append(all, indoubt.View{
-			Key: "0123456789abcdef", Request: "r-1", Class: "order", Phase: "claiming", For: 5000,
-			Record: indoubt.Record{State: state, Owner: "gw-1", Server: "s-1", Attempt: 2},
+		all = append(all, indoubt.InFlightWrite{
+			Key: "0123456789abcdef", RequestID: "r-1", Class: "order", Phase: "claiming", Age: 5000,
+			Intent: indoubt.Intent{State: state, Owner: "gw-1", Server: "s-1", ClaimCount: 2},
 		})
 	}
 	return all
 }
 
-func (deskDouble) Noticed(n indoubt.Notice) int64 { return int64(n) + 1 }
+func (resolverDouble) TransitionCount(n indoubt.Transition) int64 { return int64(n) + 1 }
 
 // Each question on the control socket is known, and is answered as it always was, by a gateway with all sections but those
 // that need sockets and by one with none. Questions that cannot be understood are answered as ever too.
 func TestQuestionsGolden(t *testing.T) {
 	store := &storeDouble{}
 	whole := &Gateway{
-		store: store, bookings: deskDouble{}, upkeep: &upkeep{},
+		store: store, bookings: resolverDouble{}, upkeep: &upkeep{},
 		ops: &config.Operators{
 			Members: &config.Members{Node: "gw-1"}, Copies: &config.Copies{Shards: 16, Copies: 3}, Upkeep: &config.Upkeep{For: 20 * time.Minute},
 		},
--- a/internal/indoubt/desk.go
+++ b/internal/indoubt/desk.go
@@ -7,12 +7,12 @@
 )
 
 // Desk is what one gateway knows of the bookings that it has in hand. Its zero value is not ready; New makes one.
-type Desk struct {
+type Resolver struct {
 	cfg      Config
 	now      clock.Micros
 	nextCall uint64
 	entries  []entry
-	ended    []Ended // the latest life of each gateway that is known to be over
+	ended    []GatewayEnded // the latest life of each gateway that is known to be over
 	out      []Action
 }
 
@@ -34,13 +34,13 @@
 
 // entry is one booking that is in hand.
 type entry struct {
-	ask      Asked
+	ask      RequestReceived
 	came     clock.Micros
 	phase    phase
 	call     uint64       // under way; 0: none
 	begun    clock.Micros // when that was asked for
 	version  uint64       // of the record as last known
-	record   Record       // as last known, or as it is to be
+	record   Intent       // as last known, or as it is to be
 	sure     clock.Micros // until when it may be sent without asking
 	barred   bool         // it may not be sent any more
 	let      bool         // it was let go out once
@@ -56,17 +56,17 @@
 }
 
 // New makes a desk.
-func New(cfg Config) *Desk { return &Desk{cfg: cfg} }
+func New(cfg Config) *Resolver { return &Resolver{cfg: cfg} }
 
 // Clone is the same desk again.
-func (d *Desk) Clone() *Desk {
+func (d *Resolver) Clone() *Resolver {
 	c := *d
 	c.entries, c.ended, c.out = slices.Clone(d.entries), slices.Clone(d.ended), nil
 	return &c
 }
 
 // Next is when a Tick is due; false: never, as it stands.
-func (d *Desk) Next() (at clock.Micros, ok bool) {
+func (d *Resolver) Next() (at clock.Micros, ok bool) {
 	for i := range d.entries {
 		e := &d.entries[i]
 		due, any := e.due()
@@ -81,49 +81,49 @@
 func (e *entry) due() (clock.Micros, bool) {
 	switch e.phase {
 	case waiting:
-		return min(e.again, e.ask.By), true
+		return min(e.again, e.ask.Deadline), true
 	case settling, rereading:
 		if e.call == 0 {
 			return min(e.again, e.until), true
 		}
 		return 0, false
 	case following:
-		return e.ask.By, true
+		return e.ask.Deadline, true
 	case confirming:
 		return e.asksBy, true
 	case claiming, reading, taking, looking:
-		return e.ask.By, !e.answered // whatever the store does, its client has an answer in time
+		return e.ask.Deadline, !e.answered // whatever the store does, its client has an answer in time
 	}
 	return 0, false
 }
 
 // Handle takes in one event and returns what is to be done.
-func (d *Desk) Handle(now clock.Micros, ev Event) []Action {
+func (d *Resolver) Handle(now clock.Micros, ev Event) []Action {
 	d.now, d.out = max(d.now, now), nil
 	switch ev := ev.(type) {
-	case Asked:
+	case RequestReceived:
 		d.asked(ev)
-	case Stored:
+	case StoreReplied:
 		if i := slices.IndexFunc(d.entries, func(e entry) bool { return e.call == ev.Call && ev.Call != 0 }); i >= 0 {
 			e := &d.entries[i]
 			e.call = 0
 			d.stored(e, ev)
 		}
-	case Sending:
+	case PermissionRequested:
 		d.sending(ev)
-	case Told:
+	case RoutingAnswered:
 		if e := d.find(ev.ID); e != nil && (e.phase == routed || e.phase == confirming) {
 			d.told(e, ev)
 		}
-	case Ended:
+	case GatewayEnded:
 		d.gatewayEnded(ev)
-	case Looked:
+	case LookupAnswered:
 		if e := d.find(ev.ID); e != nil && e.phase == looking {
 			d.looked(e, ev)
 		}
-	case Gone:
+	case RequestCanceled:
 		d.gone(ev.ID)
-	case Closing:
+	case ShutdownStarted:
 		for i := range d.entries {
 			if e := &d.entries[i]; e.phase != routed && e.phase != confirming && e.phase != over {
 				d.outOfTime(e)
@@ -135,7 +135,7 @@
 	d.follow()
 	d.entries = slices.DeleteFunc(d.entries, func(e entry) bool {
 		if e.phase == over {
-			d.do(Over{e.ask.ID})
+			d.do(Finished{e.ask.ID})
 		}
 		return e.phase == over
 	})
@@ -147,21 +147,21 @@
 // over marks an entry that is done with.
 const over phase = 255
 
-func (d *Desk) find(id uint64) *entry {
+func (d *Resolver) find(id uint64) *entry {
 	if i := slices.IndexFunc(d.entries, func(e entry) bool { return e.ask.ID == id }); i >= 0 {
 		return &d.entries[i]
 	}
 	return nil
 }
 
-func (d *Desk) do(a Action) { d.out = append(d.out, a) }
+func (d *Resolver) do(a Action) { d.out = append(d.out, a) }
 
-func (d *Desk) note(e *entry, what Notice) {
-	d.do(Noticed{What: what, Key: e.ask.Key, Request: e.ask.Request, Record: e.record})
+func (d *Resolver) note(e *entry, what Transition) {
+	d.do(LogTransition{Transition: what, Key: e.ask.Key, RequestID: e.ask.RequestID, Intent: e.record})
 }
 
 // reply gives the final answer, once.
-func (d *Desk) reply(e *entry, kind Kind, value []byte) {
+func (d *Resolver) reply(e *entry, kind AnswerKind, value []byte) {
 	if !e.answered {
 		e.answered = true
 		d.do(Reply{ID: e.ask.ID, Kind: kind, Value: value})
@@ -169,25 +169,27 @@
 }
 
 // finish replies and is done with an entry of which nothing has to be said in the store.
-func (d *Desk) finish(e *entry, kind Kind, value []byte) {
+func (d *Resolver) finish(e *entry, kind AnswerKind, value []byte) {
 	d.reply(e, kind, value)
 	e.phase = over
 }
 
-func (d *Desk) newCall(e *entry) uint64 {
+func (d *Resolver) newCall(e *entry) uint64 {
 	d.nextCall++
 	e.call, e.begun = d.nextCall, d.now
 	return e.call
 }
 
-func (d *Desk) put(e *entry, by clock.Micros) {
-	d.do(Put{Call: d.newCall(e), Key: e.ask.Key, Version: e.version, Record: e.record, Span: e.ask.Policy.Span, By: by})
+func (d *Resolver) put(e *entry, by clock.Micros) {
+	d.do(Put{Call: d.newCall(e), Key: e.ask.Key, Version: e.version, Intent: e.record, Retention: e.ask.Policy.Retention, Deadline: by})
 }
 
-func (d *Desk) get(e *entry, by clock.Micros) { d.do(Get{Call: d.newCall(e), Key: e.ask.Key, By: by}) }
+func (d *Resolver) get(e *entry, by clock.Micros) {
+	d.do(Get{Call: d.newCall(e), Key: e.ask.Key, Deadline: by})
+}
 
 // asked takes in a booking.
-func (d *Desk) asked(a Asked) {
+func (d *Resolver) asked(a RequestReceived) {
 	d.entries = append(d.entries, entry{ask: a, came: d.now})
 	e := &d.entries[len(d.entries)-1]
 	inHand := 0
@@ -196,8 +198,8 @@
 			inHand++
 		}
 	}
-	if inHand > a.Policy.Most {
-		d.note(e, Overfull)
+	if inHand > a.Policy.MaxInFlight {
+		d.note(e, TooManyInFlight)
 		d.finish(e, d.unsent(e), nil)
 		return
 	}
@@ -205,7 +207,7 @@
 		if o := &d.entries[i]; o.ask.Key == a.Key && o.phase != over && o.phase != following {
 			// Two at once are one booking, marked or not: what runs beside it could be it.
 			e.phase, e.after = following, o.ask.ID
-			d.note(e, Awaited)
+			d.note(e, AwaitingOwner)
 			return
 		}
 	}
@@ -214,25 +216,25 @@
 
 // unsent is the answer to a request of which nothing was sent. One that is marked as asked again must not hear that nothing ran:
 // the first one may have.
-func (d *Desk) unsent(e *entry) Kind {
+func (d *Resolver) unsent(e *entry) AnswerKind {
 	if e.ask.Repeat {
 		return Failed
 	}
-	return Refused
+	return Rejected
 }
 
 // claim asks for a claim, over a record of a version.
-func (d *Desk) claim(e *entry, version uint64, attempt uint32) {
+func (d *Resolver) claim(e *entry, version uint64, attempt uint32) {
 	e.phase, e.version = claiming, version
-	e.record = Record{
-		State: Open, Owner: d.cfg.Name, Life: d.cfg.Life, ID: e.ask.Request, Class: e.ask.Class, Group: e.ask.Group, Server: e.ask.Server,
-		Attempt: attempt + 1, Left: max(e.ask.By-d.now, 0),
+	e.record = Intent{
+		State: Open, Owner: d.cfg.Gateway, Incarnation: d.cfg.Incarnation, RequestID: e.ask.RequestID, Class: e.ask.Class, Group: e.ask.Group, Server: e.ask.Server,
+		ClaimCount: attempt + 1, TimeLeft: max(e.ask.Deadline-d.now, 0),
 	}
-	d.put(e, e.ask.By)
+	d.put(e, e.ask.Deadline)
 }
 
 // stored takes in what came of an entry's call.
-func (d *Desk) stored(e *entry, s Stored) {
+func (d *Resolver) stored(e *entry, s StoreReplied) {
 	switch e.phase {
 	case claiming:
 		d.claimStored(e, s)
@@ -240,7 +242,7 @@
 		d.read(e, s)
 	case waiting:
 		if s.Result != OK { // asked again in a while
-			e.again = d.now + d.cfg.Poll
+			e.again = d.now + d.cfg.PollInterval
 			return
 		}
 		d.read(e, s)
@@ -254,56 +256,56 @@
 }
 
 // mayRepeat tells whether a request may be one that is asked again.
-func (e *entry) mayRepeat() bool { return e.ask.Repeat || !e.ask.Policy.Marks }
+func (e *entry) mayRepeat() bool { return e.ask.Repeat || !e.ask.Policy.RepeatsMarked }
 
-func (d *Desk) claimStored(e *entry, s Stored) {
+func (d *Resolver) claimStored(e *entry, s StoreReplied) {
 	switch s.Result {
 	case OK:
 		e.version = s.Version
 		switch {
-		case s.Lost && e.record.Attempt == 1 && (e.mayRepeat() || s.Since <= d.now-e.came):
+		case s.PossiblyLost && e.record.ClaimCount == 1 && (e.mayRepeat() || s.SinceLoss <= d.now-e.came):
 			// It may have been claimed before, in what was lost: by one that asked earlier, or by one that asked again while
 			// this one waited. Whoever came after the loss and is no repeat has no such rival.
-			d.note(e, LeftInDoubt)
+			d.note(e, RepliedInDoubt)
 			if e.mayRepeat() {
 				d.reply(e, Failed, nil)
 			}
-			d.reply(e, Refused, nil) // this one was not sent
-			d.settle(e, Doubtful, nil, false)
-		case e.answered || d.now >= e.ask.By: // nobody waits for it
+			d.reply(e, Rejected, nil) // this one was not sent
+			d.settle(e, InDoubt, nil, false)
+		case e.answered || d.now >= e.ask.Deadline: // nobody waits for it
 			d.note(e, Released)
 			d.reply(e, d.unsent(e), nil)
 			d.settle(e, Unsent, nil, false)
 		default:
-			e.phase, e.sure = routed, e.begun+d.cfg.Window
+			e.phase, e.sure = routed, e.begun+d.cfg.SendWindow
 			d.note(e, Claimed)
 			d.do(Route{e.ask.ID})
 		}
 	case Conflict:
 		e.phase = reading
-		d.get(e, e.ask.By)
-	case Never:
-		d.note(e, Unclaimed)
+		d.get(e, e.ask.Deadline)
+	case NotApplied:
+		d.note(e, ClaimFailed)
 		d.finish(e, d.unsent(e), nil)
 	case Unknown: // the claim may come into force yet, with nobody to settle it
-		d.note(e, Unclaimed)
+		d.note(e, ClaimFailed)
 		d.reply(e, d.unsent(e), nil)
 		d.settle(e, Unsent, nil, false)
 	}
 }
 
 // read goes on from what the store has of a booking.
-func (d *Desk) read(e *entry, s Stored) {
+func (d *Resolver) read(e *entry, s StoreReplied) {
 	if s.Result != OK {
 		// There is a record, and it cannot be read.
-		d.note(e, LeftInDoubt)
+		d.note(e, RepliedInDoubt)
 		d.finish(e, Failed, nil)
 		return
 	}
-	if s.Record == nil {
+	if s.Intent == nil {
 		switch {
-		case s.Lost && e.mayRepeat(), e.retaken:
-			d.note(e, LeftInDoubt)
+		case s.PossiblyLost && e.mayRepeat(), e.retaken:
+			d.note(e, RepliedInDoubt)
 			d.finish(e, Failed, nil)
 		default: // it has ended meanwhile
 			e.retaken = true
@@ -311,27 +313,27 @@
 		}
 		return
 	}
-	first := e.version != s.Version || e.record.State != s.Record.State
-	e.version, e.record = s.Version, *s.Record
+	first := e.version != s.Version || e.record.State != s.Intent.State
+	e.version, e.record = s.Version, *s.Intent
 	switch e.record.State {
 	case Answered:
 		switch {
 		case !e.mayRepeat() && s.Age > d.now-e.came:
 			// Another booking of the same words, later. One that was answered while this request was here may be its own: its
 			// client may have asked again, and have been served, before the claim of the first came through.
-			d.claim(e, e.version, e.record.Attempt)
-		case e.record.Kept:
-			d.note(e, Remembered)
+			d.claim(e, e.version, e.record.ClaimCount)
+		case e.record.ValueComplete:
+			d.note(e, AnswerKnown)
 			d.finish(e, Served, e.record.Value)
 		default:
-			d.note(e, LeftInDoubt)
+			d.note(e, RepliedInDoubt)
 			d.finish(e, Failed, nil)
 		}
 	case Unsent:
-		d.claim(e, e.version, e.record.Attempt)
+		d.claim(e, e.version, e.record.ClaimCount)
 	case Open:
 		if first {
-			e.late = d.now + e.record.Left + d.cfg.Settle
+			e.late = d.now + e.record.TimeLeft + d.cfg.OwnerGrace
 		}
 		d.wait(e)
 	default:
@@ -340,40 +342,40 @@
 }
 
 // ownerOver tells whether the owner of a claim is known to send nothing any more, but for what it may have handed to its machine.
-func (d *Desk) ownerOver(r *Record) bool {
-	if r.Owner == d.cfg.Name {
-		return r.Life != d.cfg.Life // a life of this gateway's own that is over
+func (d *Resolver) ownerOver(r *Intent) bool {
+	if r.Owner == d.cfg.Gateway {
+		return r.Incarnation != d.cfg.Incarnation // a life of this gateway's own that is over
 	}
-	return slices.ContainsFunc(d.ended, func(x Ended) bool { return x.Owner == r.Owner && r.Life <= x.Life })
+	return slices.ContainsFunc(d.ended, func(x GatewayEnded) bool { return x.Gateway == r.Owner && r.Incarnation <= x.Incarnation })
 }
 
 // wait leaves a claim to its owner, for as long as that may say what became of it.
-func (d *Desk) wait(e *entry) {
+func (d *Resolver) wait(e *entry) {
 	if d.ownerOver(&e.record) || d.now >= e.late {
 		d.take(e)
 		return
 	}
-	if e.ask.Policy.Look && !e.peeked && !e.answered && d.now < e.ask.By { // its owner may be gone, and not be known to be for a while
+	if e.ask.Policy.HasLookup && !e.peeked && !e.answered && d.now < e.ask.Deadline { // its owner may be gone, and not be known to be for a while
 		e.peeked = true
 		e.phase = looking
-		d.do(Look{ID: e.ask.ID, Key: e.ask.Key, By: e.ask.By})
+		d.do(LookUp{ID: e.ask.ID, Key: e.ask.Key, Deadline: e.ask.Deadline})
 		return
 	}
 	if e.phase != waiting {
 		e.phase = waiting
-		d.note(e, Awaited)
+		d.note(e, AwaitingOwner)
 	}
-	e.again = min(d.now+d.cfg.Poll, e.late)
+	e.again = min(d.now+d.cfg.PollInterval, e.late)
 }
 
 // take settles another one's claim: from then on its owner finds that it is its own no more, and does not send.
-func (d *Desk) take(e *entry) {
+func (d *Resolver) take(e *entry) {
 	e.phase = taking
-	e.record.State, e.record.By = Doubtful, d.cfg.Name
-	d.put(e, e.ask.By)
+	e.record.State, e.record.SettledBy = InDoubt, d.cfg.Gateway
+	d.put(e, e.ask.Deadline)
 }
 
-func (d *Desk) taken(e *entry, s Stored) {
+func (d *Resolver) taken(e *entry, s StoreReplied) {
 	switch s.Result {
 	case OK:
 		e.version = s.Version
@@ -381,36 +383,36 @@
 		d.look(e)
 	case Conflict:
 		e.phase = reading
-		d.get(e, e.ask.By)
+		d.get(e, e.ask.Deadline)
 	default:
-		d.note(e, LeftInDoubt)
+		d.note(e, RepliedInDoubt)
 		d.finish(e, Failed, nil)
 	}
 }
 
 // look asks a read whether a booking that is in doubt has run.
-func (d *Desk) look(e *entry) {
-	if !e.ask.Policy.Look || d.now >= e.ask.By || e.answered {
-		d.note(e, LeftInDoubt)
+func (d *Resolver) look(e *entry) {
+	if !e.ask.Policy.HasLookup || d.now >= e.ask.Deadline || e.answered {
+		d.note(e, RepliedInDoubt)
 		d.finish(e, Failed, nil)
 		return
 	}
 	e.phase = looking
-	d.do(Look{ID: e.ask.ID, Key: e.ask.Key, By: e.ask.By})
+	d.do(LookUp{ID: e.ask.ID, Key: e.ask.Key, Deadline: e.ask.Deadline})
 }
 
 // looked takes in what a read has shown. That it has not run yet says nothing: its bytes may be on their way.
-func (d *Desk) looked(e *entry, l Looked) {
+func (d *Resolver) looked(e *entry, l LookupAnswered) {
 	switch {
-	case !l.Shown && e.record.State == Open:
+	case !l.Found && e.record.State == Open:
 		d.wait(e)
 		return
-	case !l.Shown:
-		d.note(e, LeftInDoubt)
+	case !l.Found:
+		d.note(e, RepliedInDoubt)
 		d.finish(e, Failed, nil)
 		return
 	}
-	d.note(e, FoundOut)
+	d.note(e, FoundByLookup)
 	d.reply(e, Served, l.Value)
 	d.settle(e, Answered, l.Value, true)
 }
--- a/internal/indoubt/doubt.go
+++ b/internal/indoubt/doubt.go
@@ -16,7 +16,7 @@
 	Open     State = 1 + iota // its owner may send it, or has
 	Answered                  // it ran; the answer stands in the record, unless it was too large
 	Unsent                    // its owner's word: no attempt ran, and it sends none any more
-	Doubtful                  // it may have run, or may yet
+	InDoubt                   // it may have run, or may yet
 	States
 )
 
@@ -26,69 +26,69 @@
 func (s State) String() string { return stateNames[s%States] }
 
 // Record is what the store keeps of a booking, as JSON: a later version may add to it, and the keys never change.
-type Record struct {
-	State   State        `json:"state"`
-	Owner   string       `json:"owner"`            // the gateway that last claimed it
-	Life    uint64       `json:"life"`             // of the owner
-	ID      string       `json:"id"`               // of the request that it was claimed for
-	Class   string       `json:"class"`            //
-	Group   int          `json:"group"`            //
-	Server  string       `json:"server,omitempty"` // that was to get it when it was claimed; for whoever looks into it
-	Attempt uint32       `json:"attempt"`          // how often it was claimed
-	Left    clock.Micros `json:"left"`             // of its owner's time when it was claimed
-	Value   []byte       `json:"value,omitempty"`  // the answer
-	Kept    bool         `json:"kept,omitempty"`   // Value is all of it
-	By      string       `json:"by,omitempty"`     // the gateway that settled it, if that is another one
+type Intent struct {
+	State         State        `json:"state"`
+	Owner         string       `json:"owner"`            // the gateway that last claimed it
+	Incarnation   uint64       `json:"life"`             // of the owner
+	RequestID     string       `json:"id"`               // of the request that it was claimed for
+	Class         string       `json:"class"`            //
+	Group         int          `json:"group"`            //
+	Server        string       `json:"server,omitempty"` // that was to get it when it was claimed; for whoever looks into it
+	ClaimCount    uint32       `json:"attempt"`          // how often it was claimed
+	TimeLeft      clock.Micros `json:"left"`             // of its owner's time when it was claimed
+	Value         []byte       `json:"value,omitempty"`  // the answer
+	ValueComplete bool         `json:"kept,omitempty"`   // Value is all of it
+	SettledBy     string       `json:"by,omitempty"`     // the gateway that settled it, if that is another one
 }
 
 // Config is one gateway.
 type Config struct {
-	Name string
-	Life uint64 // another one after each start
+	Gateway     string
+	Incarnation uint64 // another one after each start
 	// Window is for how long after a claim was asked for, or confirmed, its owner may send without asking again.
-	Window clock.Micros
+	SendWindow clock.Micros
 	// Poll is how often a record that another gateway holds is looked at.
-	Poll clock.Micros
+	PollInterval clock.Micros
 	// Settle is how long after its time an owner's record may still change of itself: what its servers take to give up.
-	Settle clock.Micros
+	OwnerGrace clock.Micros
 	// Keep is how long after its client has its answer the desk goes on trying to say so in the store.
-	Keep clock.Micros
+	OutcomeTimeout clock.Micros
 }
 
 // Policy is what the operators' file says of a class.
 type Policy struct {
-	Marks bool         // its clients mark what they ask again
-	Safe  bool         // an answer waits until it is kept
-	Look  bool         // a read shows whether it ran
-	Most  int          // of the class's requests in hand; beyond it they are refused unsent
-	Span  clock.Micros // for how long a booking is remembered
+	RepeatsMarked    bool         // its clients mark what they ask again
+	StoreBeforeReply bool         // an answer waits until it is kept
+	HasLookup        bool         // a read shows whether it ran
+	MaxInFlight      int          // of the class's requests in hand; beyond it they are refused unsent
+	Retention        clock.Micros // for how long a booking is remembered
 }
 
 // Event is one of the events below.
 type Event interface{ event() }
 
 // Asked is a booking that a client asks for.
-type Asked struct {
-	ID      uint64 // of this desk's own; not used before
-	Key     string // two with the same are the same booking
-	Request string // the client's id for it
-	Class   string
-	Group   int
-	Server  string       // that is likely to get it
-	Repeat  bool         // marked so
-	By      clock.Micros // when its client stops waiting
-	Policy  Policy
+type RequestReceived struct {
+	ID        uint64 // of this desk's own; not used before
+	Key       string // two with the same are the same booking
+	RequestID string // the client's id for it
+	Class     string
+	Group     int
+	Server    string       // that is likely to get it
+	Repeat    bool         // marked so
+	Deadline  clock.Micros // when its client stops waiting
+	Policy    Policy
 }
 
 // Stored is what came of a call of the store.
-type Stored struct {
-	Call    uint64
-	Result  Result
-	Version uint64       // of the record, after a change or as found
-	Record  *Record      // found; nil: none
-	Age     clock.Micros // since the record was last changed, at the least
-	Lost    bool         // what is not found may have been lost, no longer ago than a booking is remembered
-	Since   clock.Micros // the loss, at the least
+type StoreReplied struct {
+	Call         uint64
+	Result       Result
+	Version      uint64       // of the record, after a change or as found
+	Intent       *Intent      // found; nil: none
+	Age          clock.Micros // since the record was last changed, at the least
+	PossiblyLost bool         // what is not found may have been lost, no longer ago than a booking is remembered
+	SinceLoss    clock.Micros // the loss, at the least
 }
 
 // Result is what came of a call.
@@ -96,87 +96,87 @@
 
 // The results.
 const (
-	OK       Result = iota
-	Conflict        // the version was another one
-	Never           // it was not carried out, and is not any more
-	Unknown         // no answer in time: a change may come into force all the same
+	OK         Result = iota
+	Conflict          // the version was another one
+	NotApplied        // it was not carried out, and is not any more
+	Unknown           // no answer in time: a change may come into force all the same
 )
 
 // Sending asks whether the last byte of an attempt may be written now. Permit answers it, once.
-type Sending struct {
+type PermissionRequested struct {
 	ID, Attempt uint64
 	Server      string       // that gets it
-	By          clock.Micros // when it is of no use any more
+	Deadline    clock.Micros // when it is of no use any more
 }
 
 // Told is the final answer that routing gives.
-type Told struct {
-	ID    uint64
-	Kind  Kind
-	Value []byte // served; nil if it is too large to be kept
-	Kept  bool   // Value is all of it
+type RoutingAnswered struct {
+	ID            uint64
+	Kind          AnswerKind
+	Value         []byte // served; nil if it is too large to be kept
+	ValueComplete bool   // Value is all of it
 }
 
 // Kind is a kind of final answer.
-type Kind uint8
+type AnswerKind uint8
 
 // The kinds.
 const (
-	Served Kind = iota
-	Refused
+	Served AnswerKind = iota
+	Rejected
 	Failed
 )
 
 // Ended tells that a gateway's life is over for good, or that it lives on in a later one: it sends nothing any more.
-type Ended struct {
-	Owner string
-	Life  uint64 // and all before
+type GatewayEnded struct {
+	Gateway     string
+	Incarnation uint64 // and all before
 }
 
 // Closing tells that the gateway is about to end: whoever waits here for anything but routing has its final answer at once.
-type Closing struct{}
+type ShutdownStarted struct{}
 
 // Looked is what a read has shown.
-type Looked struct {
+type LookupAnswered struct {
 	ID    uint64
-	Shown bool
+	Found bool
 	Value []byte // what the booking's own answer would have been
 }
 
 // Gone tells that a client waits no longer. What was begun for it is brought to an end.
-type Gone struct{ ID uint64 }
+type RequestCanceled struct{ ID uint64 }
 
 // Tick tells that time has passed. It comes when Next says, and may come oftener.
 type Tick struct{}
 
-func (Asked) event()   {}
-func (Stored) event()  {}
-func (Sending) event() {}
-func (Told) event()    {}
-func (Ended) event()   {}
-func (Looked) event()  {}
-func (Closing) event() {}
-func (Gone) event()    {}
-func (Tick) event()    {}
+func (RequestReceived) event()     {}
+func (StoreReplied) event()        {}
+func (PermissionRequested) event() {}
+func (RoutingAnswered) event()     {}
+func (GatewayEnded) event()        {}
+func (LookupAnswered) event()      {}
+func (ShutdownStarted) event()     {}
+func (RequestCanceled) event()     {}
+func (Tick) event()                {}
 
 // Action is one of the actions below, to be carried out in order.
 type Action interface{ action() }
 
 // Put changes a record, if its version is this one (0: if there is none).
 type Put struct {
-	Call    uint64
-	Key     string
-	Version uint64
-	Record  Record
-	Span    clock.Micros // until it ends
-	By      clock.Micros
+	Call      uint64
+	Key       string
+	Version   uint64
+	Intent    Intent
+	Retention clock.Micros // until it ends
+	Deadline  clock.Micros
 }
 
 // Get reads a record as it stands once all that was promised before is in it.
 type Get struct {
-	Call uint64
-	Key  string
-	By   clock.Micros
+	Call     uint64
+	Key      string
+	Deadline clock.Micros
 }
 
 // Route has a booking that is claimed go its way.
@@ -185,65 +185,65 @@
 // Permit answers Sending.
 type Permit struct {
 	ID, Attempt uint64
-	OK          bool
+	Granted     bool
 }
 
 // Reply is a client's final answer. One that Route went out for gets it after its Told only.
 type Reply struct {
 	ID    uint64
-	Kind  Kind
+	Kind  AnswerKind
 	Value []byte // served; nil: as Told had it
 }
 
 // Look asks for a read that shows whether a booking ran, at the primary, as of now.
-type Look struct {
-	ID  uint64
-	Key string
-	By  clock.Micros
+type LookUp struct {
+	ID       uint64
+	Key      string
+	Deadline clock.Micros
 }
 
 // Over tells that a booking is in hand no more.
-type Over struct{ ID uint64 }
+type Finished struct{ ID uint64 }
 
 // Noticed tells what became of a booking, for log and counters.
-type Noticed struct {
-	What    Notice
-	Key     string
-	Request string
-	Record  Record
-}
-
-func (Put) action()     {}
-func (Get) action()     {}
-func (Route) action()   {}
-func (Permit) action()  {}
-func (Reply) action()   {}
-func (Look) action()    {}
-func (Over) action()    {}
-func (Noticed) action() {}
+type LogTransition struct {
+	Transition Transition
+	Key        string
+	RequestID  string
+	Intent     Intent
+}
+
+func (Put) action()           {}
+func (Get) action()           {}
+func (Route) action()         {}
+func (Permit) action()        {}
+func (Reply) action()         {}
+func (LookUp) action()        {}
+func (Finished) action()      {}
+func (LogTransition) action() {}
 
 // Notice is what may be noticed.
-type Notice uint8
+type Transition uint8
 
 // The notices.
 const (
-	Claimed     Notice = iota // it is promised that this gateway may send it
-	Unclaimed                 // no promise in time: refused unsent
-	Remembered                // asked again, and its answer was known
-	Awaited                   // asked again, and waited for at its gateway
-	TakenOver                 // its gateway is held to have ended, or its time is over: this one has settled it
-	FoundOut                  // a read has shown that it ran
-	LeftInDoubt               // asked again, and all that can be told is that it may have run
-	Barred                    // claimed here, and somebody else's by now: nothing more is sent
-	Released                  // it never ran, and the store says so
-	Unsettled                 // what became of it could not be said in the store
-	Overfull                  // refused: too many are in hand
-	Notices
+	Claimed          Transition = iota // it is promised that this gateway may send it
+	ClaimFailed                        // no promise in time: refused unsent
+	AnswerKnown                        // asked again, and its answer was known
+	AwaitingOwner                      // asked again, and waited for at its gateway
+	TakenOver                          // its gateway is held to have ended, or its time is over: this one has settled it
+	FoundByLookup                      // a read has shown that it ran
+	RepliedInDoubt                     // asked again, and all that can be told is that it may have run
+	Fenced                             // claimed here, and somebody else's by now: nothing more is sent
+	Released                           // it never ran, and the store says so
+	OutcomeNotStored                   // what became of it could not be said in the store
+	TooManyInFlight                    // refused: too many are in hand
+	Transitions
 )
 
-var noticeNames = [Notices]string{
+var transitionNames = [Transitions]string{
 	"claimed", "not_promised", "known", "awaited", "taken_over", "found_out", "in_doubt", "barred", "released", "unsettled", "too_many",
 }
 
 // String is the notice's code in the log.
-func (n Notice) String() string { return noticeNames[n] }
+func (n Transition) String() string { return transitionNames[n] }
--- a/internal/indoubt/expire.go
+++ b/internal/indoubt/expire.go
@@ -5,12 +5,12 @@
 // This file is what ends from outside: other gateways, clients that leave, and time.
 
 // gatewayEnded remembers which lives are over, and has what waits for them go on.
-func (d *Desk) gatewayEnded(x Ended) {
-	i := slices.IndexFunc(d.ended, func(y Ended) bool { return y.Owner == x.Owner })
+func (d *Resolver) gatewayEnded(x GatewayEnded) {
+	i := slices.IndexFunc(d.ended, func(y GatewayEnded) bool { return y.Gateway == x.Gateway })
 	if i < 0 {
 		d.ended = append(d.ended, x)
 	} else {
-		d.ended[i].Life = max(d.ended[i].Life, x.Life)
+		d.ended[i].Incarnation = max(d.ended[i].Incarnation, x.Incarnation)
 	}
 	for i := range d.entries {
 		if e := &d.entries[i]; e.phase == waiting && e.call == 0 && d.ownerOver(&e.record) {
@@ -21,7 +21,7 @@
 
 // gone lets a client go. What it has begun is brought to an end: a booking that was let go out is still waited for, so that
 // whoever asks again has its answer; any other one goes out no more.
-func (d *Desk) gone(id uint64) {
+func (d *Resolver) gone(id uint64) {
 	e := d.find(id)
 	if e == nil || e.answered {
 		return
@@ -36,7 +36,7 @@
 }
 
 // expire goes on with what is due.
-func (d *Desk) expire() {
+func (d *Resolver) expire() {
 	for i := range d.entries {
 		e := &d.entries[i]
 		at, any := e.due()
@@ -46,19 +46,19 @@
 		switch e.phase {
 		case waiting:
 			switch {
-			case d.now >= e.ask.By:
-				d.note(e, LeftInDoubt)
+			case d.now >= e.ask.Deadline:
+				d.note(e, RepliedInDoubt)
 				d.finish(e, Failed, nil)
 			case e.call != 0:
-				e.again = d.now + d.cfg.Poll
+				e.again = d.now + d.cfg.PollInterval
 			case d.now >= e.late:
 				d.take(e)
 			default:
-				e.again = d.now + d.cfg.Poll
-				d.get(e, e.ask.By)
+				e.again = d.now + d.cfg.PollInterval
+				d.get(e, e.ask.Deadline)
 			}
 		case following:
-			d.note(e, LeftInDoubt)
+			d.note(e, RepliedInDoubt)
 			d.finish(e, Failed, nil)
 		case claiming, reading, taking, looking:
 			d.outOfTime(e)
@@ -68,17 +68,17 @@
 		case settling, rereading:
 			switch {
 			case d.now >= e.until && !e.answered: // it has its answer, kept or not
-				e.until = d.now + d.cfg.Keep
+				e.until = d.now + d.cfg.OutcomeTimeout
 				d.answerAs(e)
 				fallthrough
 			case d.now < e.until:
-				if e.again = d.now + d.cfg.Poll; e.phase == settling {
+				if e.again = d.now + d.cfg.PollInterval; e.phase == settling {
 					d.put(e, e.until)
 				} else {
 					d.get(e, e.until)
 				}
 			default:
-				d.note(e, Unsettled)
+				d.note(e, OutcomeNotStored)
 				d.closed(e)
 			}
 		}
@@ -86,7 +86,7 @@
 }
 
 // outOfTime gives a client its final answer by what is known now. What is asked of the store goes on.
-func (d *Desk) outOfTime(e *entry) {
+func (d *Resolver) outOfTime(e *entry) {
 	switch e.phase {
 	case claiming: // nothing was sent, and nothing will be
 		d.reply(e, d.unsent(e), nil)
@@ -98,7 +98,7 @@
 }
 
 // answerAs gives a client the answer that its booking has, whether it is kept or not.
-func (d *Desk) answerAs(e *entry) {
+func (d *Resolver) answerAs(e *entry) {
 	switch e.record.State {
 	case Answered:
 		d.reply(e, Served, nil)
@@ -110,7 +110,7 @@
 }
 
 // follow tells those that follow a booking of this gateway's what became of it, once its own client knows.
-func (d *Desk) follow() {
+func (d *Resolver) follow() {
 	for i := range d.entries {
 		e := &d.entries[i]
 		if e.phase != following {
@@ -120,8 +120,8 @@
 		switch {
 		case o == nil || o.phase == over:
 			d.claim(e, 0, 0) // the store knows
-		case o.answered && o.phase == settling && o.record.State == Answered && o.record.Kept:
-			d.note(e, Remembered)
+		case o.answered && o.phase == settling && o.record.State == Answered && o.record.ValueComplete:
+			d.note(e, AnswerKnown)
 			d.finish(e, Served, o.record.Value)
 		}
 	}
--- a/internal/indoubt/explore_test.go
+++ b/internal/indoubt/explore_test.go
@@ -20,13 +20,13 @@
 	horizon  = 260
 )
 
-var testConfig = Config{Window: 30, Poll: 45, Settle: 20, Keep: 100}
+var testConfig = Config{SendWindow: 30, PollInterval: 45, OwnerGrace: 20, OutcomeTimeout: 100}
 
 // mutant spoils one thing about a desk.
 type mutant struct {
 	name   string
-	before func(d *Desk, ev Event) Event
-	after  func(d *Desk, out []Action) []Action
+	before func(d *Resolver, ev Event) Event
+	after  func(d *Resolver, out []Action) []Action
 }
 
 // stage is how far an attempt is.
@@ -55,7 +55,7 @@
 	get      Get
 	isPut    bool
 	applied  bool
-	result   Stored
+	result   StoreReplied
 }
 
 // ask is one time that the client asked.
@@ -64,7 +64,7 @@
 	id       uint64
 	marked   bool
 	told     bool
-	kind     Kind
+	kind     AnswerKind
 	value    string
 	let      bool // it goes no further here: the client has gone
 }
@@ -75,10 +75,10 @@
 // world is two gateways, the store as its contract has it, a server and a client that asks again.
 type world struct {
 	now      clock.Micros
-	desks    [2]*Desk
+	desks    [2]*Resolver
 	life     [2]int
 	down     [2]bool
-	rec      *Record
+	rec      *Intent
 	version  uint64
 	versions uint64
 	lost     bool
@@ -113,13 +113,13 @@
 	w.life[g]++
 	w.down[g] = false
 	c := testConfig
-	c.Name, c.Life = fmt.Sprint("g", g), uint64(w.life[g])
+	c.Gateway, c.Incarnation = fmt.Sprint("g", g), uint64(w.life[g])
 	w.desks[g] = New(c)
 }
 
 func (w *world) clone() *world {
 	c := *w
-	c.desks = [2]*Desk{w.desks[0].Clone(), w.desks[1].Clone()}
+	c.desks = [2]*Resolver{w.desks[0].Clone(), w.desks[1].Clone()}
 	if w.rec != nil {
 		r := *w.rec
 		c.rec = &r
@@ -148,7 +148,7 @@
 func (m model) Show(w *world) string {
 	out := fmt.Sprintf("t=%d runs=%d", w.now, w.runs)
 	if w.rec != nil {
-		out += fmt.Sprintf(" %v@%s/%d#%d v%d", w.rec.State, w.rec.Owner, w.rec.Life, w.rec.Attempt, w.version)
+		out += fmt.Sprintf(" %v@%s/%d#%d v%d", w.rec.State, w.rec.Owner, w.rec.Incarnation, w.rec.ClaimCount, w.version)
 	}
 	for g, d := range w.desks {
 		out += fmt.Sprintf(" | g%d/%d", g, w.life[g])
@@ -184,7 +184,7 @@
 			w.permit(m, g, a)
 		case Reply:
 			w.reply(g, a)
-		case Look:
+		case LookUp:
 			w.looks = append(w.looks, ask{gw: g, life: w.life[g], id: a.ID})
 		}
 	}
@@ -203,12 +203,12 @@
 	if x == nil || x.stage != asking {
 		return
 	}
-	if p.OK {
+	if p.Granted {
 		x.stage = permitted
 		return
 	}
 	x.stage = done
-	m.handle(w, g, Told{ID: p.ID, Kind: Refused})
+	m.handle(w, g, RoutingAnswered{ID: p.ID, Kind: Rejected})
 }
 
 // out tells whether a byte of the booking may come to a server yet, or has.
@@ -236,9 +236,9 @@
 			w.broken = fmt.Sprintf("served, and it ran %d times", w.runs)
 		case r.Kind == Served && a.value != "answer":
 			w.broken = "served with another answer: " + a.value
-		case r.Kind == Refused && a.marked && w.out():
+		case r.Kind == Rejected && a.marked && w.out():
 			w.broken = "asked again and refused, though it may have run"
-		case r.Kind == Refused && slices.ContainsFunc(w.attempts, func(x attempt) bool {
+		case r.Kind == Rejected && slices.ContainsFunc(w.attempts, func(x attempt) bool {
 			return x.gw == g && x.life == a.life && x.id == a.id && x.stage != done
 		}):
 			w.broken = "refused while it may go out"
@@ -292,7 +292,7 @@
 		}
 		add(fmt.Sprint("look ", l.id), func(w *world) {
 			w.looks = slices.Delete(w.looks, i, i+1)
-			m.handle(w, l.gw, Looked{ID: l.id, Shown: w.effect, Value: []byte("answer")})
+			m.handle(w, l.gw, LookupAnswered{ID: l.id, Found: w.effect, Value: []byte("answer")})
 		})
 	}
 	for g := range w.desks {
@@ -321,7 +321,7 @@
 		if w.left.closing > 0 {
 			add(fmt.Sprint("g", g, " is about to end"), func(w *world) {
 				w.left.closing--
-				m.handle(w, g, Closing{})
+				m.handle(w, g, ShutdownStarted{})
 				for _, a := range w.asks {
 					routes := slices.ContainsFunc(w.attempts, func(x attempt) bool { return x.gw == g && x.id == a.id && x.life == a.life })
 					if a.gw == g && a.life == w.life[g] && !a.told && !a.let && !routes && w.broken == "" {
@@ -333,14 +333,14 @@
 		if w.left.word > 0 {
 			add(fmt.Sprint("word that g", g, " ended"), func(w *world) {
 				w.left.word--
-				m.handle(w, 1-g, Ended{Owner: fmt.Sprint("g", g), Life: uint64(w.life[g])})
+				m.handle(w, 1-g, GatewayEnded{Gateway: fmt.Sprint("g", g), Incarnation: uint64(w.life[g])})
 			})
 		}
 	}
 	if w.left.pause > 0 {
 		add("time passes", func(w *world) {
 			w.left.pause--
-			w.now += testConfig.Window + 1
+			w.now += testConfig.SendWindow + 1
 		})
 	}
 	if w.left.loss > 0 && w.rec != nil {
@@ -369,7 +369,7 @@
 			if !w.down[last.gw] && last.life == w.life[last.gw] {
 				add("the client goes", func(w *world) {
 					w.asks[n-1].let = true
-					m.handle(w, last.gw, Gone{last.id})
+					m.handle(w, last.gw, RequestCanceled{last.id})
 				})
 			}
 		}
@@ -382,10 +382,10 @@
 			continue
 		}
 		add(fmt.Sprint("ask g", g), func(w *world) {
-			a := ask{gw: g, life: w.life[g], id: uint64(n + 1), marked: n > 0 && m.policy.Marks}
+			a := ask{gw: g, life: w.life[g], id: uint64(n + 1), marked: n > 0 && m.policy.RepeatsMarked}
 			w.asks = append(w.asks, a)
-			m.handle(w, g, Asked{
-				ID: a.id, Key: "key", Request: fmt.Sprint("request", n), Repeat: a.marked, By: w.now + patience, Policy: m.policy,
+			m.handle(w, g, RequestReceived{
+				ID: a.id, Key: "key", RequestID: fmt.Sprint("request", n), Repeat: a.marked, Deadline: w.now + patience, Policy: m.policy,
 			})
 		})
 	}
@@ -395,20 +395,20 @@
 func (w *world) apply(c *storeCall) {
 	c.applied = true
 	if !c.isPut {
-		c.result = Stored{Call: c.get.Call, Version: w.version, Age: w.now - w.recAt, Lost: w.lost && w.rec == nil, Since: w.now - w.lostAt}
+		c.result = StoreReplied{Call: c.get.Call, Version: w.version, Age: w.now - w.recAt, PossiblyLost: w.lost && w.rec == nil, SinceLoss: w.now - w.lostAt}
 		if w.rec != nil {
 			r := *w.rec
-			c.result.Record = &r
+			c.result.Intent = &r
 		}
 		return
 	}
-	c.result = Stored{Call: c.put.Call}
+	c.result = StoreReplied{Call: c.put.Call}
 	if c.put.Version != anyVersion && c.put.Version != w.version {
 		c.result.Result = Conflict
 		return
 	}
-	c.result.Lost, c.result.Since = w.lost && w.rec == nil, w.now-w.lostAt
-	r := c.put.Record
+	c.result.PossiblyLost, c.result.SinceLoss = w.lost && w.rec == nil, w.now-w.lostAt
+	r := c.put.Intent
 	w.versions++
 	w.rec, w.version, w.recAt = &r, w.versions, w.now
 	c.result.Version = w.version
@@ -419,7 +419,7 @@
 func (m model) callMoves(w *world, i int, c storeCall, add func(string, func(*world))) {
 	id := c.put.Call + c.get.Call
 	alive := !w.down[c.gw] && c.life == w.life[c.gw]
-	end := func(w *world, s Stored) {
+	end := func(w *world, s StoreReplied) {
 		w.calls = slices.Delete(w.calls, i, i+1)
 		if alive {
 			m.handle(w, c.gw, s)
@@ -435,7 +435,7 @@
 	}
 	switch {
 	case !alive:
-		add(fmt.Sprintf("call %d of g%d is lost with it", id, c.gw), func(w *world) { end(w, Stored{}) })
+		add(fmt.Sprintf("call %d of g%d is lost with it", id, c.gw), func(w *world) { end(w, StoreReplied{}) })
 	case c.applied:
 		add(fmt.Sprintf("answer to call %d of g%d", id, c.gw), func(w *world) { end(w, c.result) })
 	}
@@ -443,10 +443,10 @@
 		add(fmt.Sprintf("call %d of g%d in vain", id, c.gw), func(w *world) {
 			w.left.cut--
 			if c.applied || !c.isPut {
-				end(w, Stored{Call: id, Result: Unknown})
+				end(w, StoreReplied{Call: id, Result: Unknown})
 				return
 			}
-			end(w, Stored{Call: id, Result: Never})
+			end(w, StoreReplied{Call: id, Result: NotApplied})
 		})
 		if c.isPut && !c.applied {
 			add(fmt.Sprintf("call %d of g%d given up on, and under way", id, c.gw), func(w *world) {
@@ -454,7 +454,7 @@
 				late := c
 				late.life = -1 // nobody hears of it any more
 				w.calls = append(w.calls, late)
-				end(w, Stored{Call: id, Result: Unknown})
+				end(w, StoreReplied{Call: id, Result: Unknown})
 			})
 		}
 	}
@@ -462,7 +462,7 @@
 
 func (m model) attemptMoves(w *world, i int, x attempt, add func(string, func(*world))) {
 	alive := !w.down[x.gw] && x.life == w.life[x.gw]
-	end := func(w *world, t Told) {
+	end := func(w *world, t RoutingAnswered) {
 		w.attempts[i].stage = done
 		if t.ID = x.id; alive {
 			m.handle(w, x.gw, t)
@@ -472,10 +472,10 @@
 	case chosen:
 		add("wants to send", func(w *world) {
 			w.attempts[i].stage = asking
-			m.handle(w, x.gw, Sending{ID: x.id, Attempt: 1, By: w.now + patience})
+			m.handle(w, x.gw, PermissionRequested{ID: x.id, Attempt: 1, Deadline: w.now + patience})
 		})
-		add("no connection", func(w *world) { end(w, Told{Kind: Refused}) })
-		add("given up on", func(w *world) { end(w, Told{Kind: Failed}) })
+		add("no connection", func(w *world) { end(w, RoutingAnswered{Kind: Rejected}) })
+		add("given up on", func(w *world) { end(w, RoutingAnswered{Kind: Failed}) })
 	case permitted:
 		add("last byte", func(w *world) { w.attempts[i].stage = inKernel })
 	case inKernel:
@@ -484,26 +484,26 @@
 			w.runs++
 			w.effect = true
 		})
-		add("turned away", func(w *world) { end(w, Told{Kind: Refused}) })
+		add("turned away", func(w *world) { end(w, RoutingAnswered{Kind: Rejected}) })
 		if alive {
 			add("reset before it runs", func(w *world) {
 				w.attempts[i].gw, w.attempts[i].life = x.gw, -1 // its bytes are on their way
-				m.handle(w, x.gw, Told{ID: x.id, Kind: Failed})
+				m.handle(w, x.gw, RoutingAnswered{ID: x.id, Kind: Failed})
 			})
 		}
 	case served:
-		add("the answer", func(w *world) { end(w, Told{Kind: Served, Value: []byte("answer"), Kept: true}) })
+		add("the answer", func(w *world) { end(w, RoutingAnswered{Kind: Served, Value: []byte("answer"), ValueComplete: true}) })
 		if alive {
-			add("reset", func(w *world) { end(w, Told{Kind: Failed}) })
+			add("reset", func(w *world) { end(w, RoutingAnswered{Kind: Failed}) })
 		}
 	}
 }
 
 var (
-	once     = Policy{Marks: true, Span: 1000, Most: 8}
-	always   = Policy{Span: 1000, Most: 8}
-	safely   = Policy{Marks: true, Safe: true, Span: 1000, Most: 8}
-	lookedAt = Policy{Marks: true, Look: true, Span: 1000, Most: 8}
+	once     = Policy{RepeatsMarked: true, Retention: 1000, MaxInFlight: 8}
+	always   = Policy{Retention: 1000, MaxInFlight: 8}
+	safely   = Policy{RepeatsMarked: true, StoreBeforeReply: true, Retention: 1000, MaxInFlight: 8}
+	lookedAt = Policy{RepeatsMarked: true, HasLookup: true, Retention: 1000, MaxInFlight: 8}
 )
 
 var arrangements = []struct {
@@ -564,9 +564,9 @@
 }
 
 // onStored spoils what a desk hears of its calls.
-func onStored(do func(e *entry, s *Stored)) func(*Desk, Event) Event {
-	return func(d *Desk, ev Event) Event {
-		s, is := ev.(Stored)
+func onStored(do func(e *entry, s *StoreReplied)) func(*Resolver, Event) Event {
+	return func(d *Resolver, ev Event) Event {
+		s, is := ev.(StoreReplied)
 		if !is {
 			return ev
 		}
@@ -580,8 +580,8 @@
 }
 
 // on spoils one kind of action.
-func on[A Action](do func(d *Desk, a A) Action) func(*Desk, []Action) []Action {
-	return func(d *Desk, out []Action) []Action {
+func on[A Action](do func(d *Resolver, a A) Action) func(*Resolver, []Action) []Action {
+	return func(d *Resolver, out []Action) []Action {
 		for i, x := range out {
 			if a, is := x.(A); is {
 				out[i] = do(d, a)
@@ -592,90 +592,90 @@
 }
 
 // found turns a record of one state, as it is read, into one of another.
-func found(state, into State) func(*Desk, Event) Event {
-	return onStored(func(_ *entry, s *Stored) {
-		if s.Record != nil && s.Record.State == state {
-			r := *s.Record
+func found(state, into State) func(*Resolver, Event) Event {
+	return onStored(func(_ *entry, s *StoreReplied) {
+		if s.Intent != nil && s.Intent.State == state {
+			r := *s.Intent
 			r.State = into
-			s.Record = &r
+			s.Intent = &r
 		}
 	})
 }
 
 // Each of these desks is wrong in one point. The runs must show it.
 var mutants = []mutant{
-	{name: "ends without a word to whoever waits for the store", before: func(_ *Desk, ev Event) Event {
-		if _, is := ev.(Closing); is {
+	{name: "ends without a word to whoever waits for the store", before: func(_ *Resolver, ev Event) Event {
+		if _, is := ev.(ShutdownStarted); is {
 			return nil
 		}
 		return ev
 	}},
-	{name: "a claim that may not be in force is one", before: onStored(func(e *entry, s *Stored) {
+	{name: "a claim that may not be in force is one", before: onStored(func(e *entry, s *StoreReplied) {
 		if e.phase == claiming && s.Result == Unknown {
 			s.Result, s.Version = OK, 1
 		}
 	})},
-	{name: "a claim that was turned away is one", before: onStored(func(e *entry, s *Stored) {
+	{name: "a claim that was turned away is one", before: onStored(func(e *entry, s *StoreReplied) {
 		if e.phase == claiming && s.Result == Conflict {
 			s.Result = OK
 		}
 	})},
-	{name: "what is in doubt is claimed anew", before: found(Doubtful, Unsent)},
+	{name: "what is in doubt is claimed anew", before: found(InDoubt, Unsent)},
 	{name: "what another gateway has is claimed anew", before: found(Open, Unsent)},
-	{name: "what was asked before is not looked up", before: func(_ *Desk, ev Event) Event {
-		if a, is := ev.(Asked); is && a.Repeat {
+	{name: "what was asked before is not looked up", before: func(_ *Resolver, ev Event) Event {
+		if a, is := ev.(RequestReceived); is && a.Repeat {
 			a.Repeat = false
 			return a
 		}
 		return ev
-	}, after: on(func(_ *Desk, p Put) Action {
-		if p.Record.State == Open {
+	}, after: on(func(_ *Resolver, p Put) Action {
+		if p.Intent.State == Open {
 			p.Version = anyVersion
 		}
 		return p
 	})},
-	{name: "whoever takes over sends", before: onStored(func(e *entry, s *Stored) {
+	{name: "whoever takes over sends", before: onStored(func(e *entry, s *StoreReplied) {
 		if e.phase == taking && s.Result == OK {
 			e.phase, e.record.State = claiming, Open
 		}
 	})},
-	{name: "what is not shown has not run", before: func(d *Desk, ev Event) Event {
-		if l, is := ev.(Looked); is && !l.Shown {
+	{name: "what is not shown has not run", before: func(d *Resolver, ev Event) Event {
+		if l, is := ev.(LookupAnswered); is && !l.Found {
 			if e := d.find(l.ID); e != nil && e.phase == looking {
 				r := e.record
 				r.State, e.phase, e.call = Unsent, reading, 1<<40
-				return Stored{Call: e.call, Version: e.version, Record: &r}
+				return StoreReplied{Call: e.call, Version: e.version, Intent: &r}
 			}
 		}
 		return ev
 	}},
-	{name: "what may have run is told as unsent", before: func(_ *Desk, ev Event) Event {
-		if t, is := ev.(Told); is && t.Kind == Failed {
-			t.Kind = Refused
+	{name: "what may have run is told as unsent", before: func(_ *Resolver, ev Event) Event {
+		if t, is := ev.(RoutingAnswered); is && t.Kind == Failed {
+			t.Kind = Rejected
 			return t
 		}
 		return ev
 	}},
-	{name: "changes records whatever their version", after: on(func(_ *Desk, p Put) Action {
+	{name: "changes records whatever their version", after: on(func(_ *Resolver, p Put) Action {
 		p.Version = anyVersion
 		return p
 	})},
-	{name: "what was lost never was", before: onStored(func(_ *entry, s *Stored) { s.Lost = false })},
-	{name: "what went out is released when its client goes", before: func(d *Desk, ev Event) Event {
-		if g, is := ev.(Gone); is {
+	{name: "what was lost never was", before: onStored(func(_ *entry, s *StoreReplied) { s.PossiblyLost = false })},
+	{name: "what went out is released when its client goes", before: func(d *Resolver, ev Event) Event {
+		if g, is := ev.(RequestCanceled); is {
 			if e := d.find(g.ID); e != nil && e.phase == routed {
-				return Told{ID: g.ID, Kind: Refused}
+				return RoutingAnswered{ID: g.ID, Kind: Rejected}
 			}
 		}
 		return ev
 	}},
-	{name: "asked again is refused", after: on(func(_ *Desk, r Reply) Action {
+	{name: "asked again is refused", after: on(func(_ *Resolver, r Reply) Action {
 		if r.Kind == Failed {
-			r.Kind = Refused
+			r.Kind = Rejected
 		}
 		return r
 	})},
-	{name: "an answer is given twice", after: func(_ *Desk, out []Action) []Action {
+	{name: "an answer is given twice", after: func(_ *Resolver, out []Action) []Action {
 		for _, a := range out {
 			if r, is := a.(Reply); is {
 				return append(out, r)
@@ -683,11 +683,11 @@
 		}
 		return out
 	}},
-	{name: "forgets whoever follows", before: func(d *Desk, ev Event) Event {
+	{name: "forgets whoever follows", before: func(d *Resolver, ev Event) Event {
 		d.entries = slices.DeleteFunc(d.entries, func(e entry) bool { return e.phase == following })
 		return ev
 	}},
-	{name: "says nothing where it is in doubt", after: func(_ *Desk, out []Action) []Action {
+	{name: "says nothing where it is in doubt", after: func(_ *Resolver, out []Action) []Action {
 		return slices.DeleteFunc(out, func(a Action) bool {
 			r, is := a.(Reply)
 			return is && r.Kind == Failed
--- a/internal/indoubt/overview.go
+++ b/internal/indoubt/overview.go
@@ -3,13 +3,13 @@
 import "marblespan/internal/clock"
 
 // View is one booking in hand, for whoever asks.
-type View struct {
-	Key     string
-	Request string
-	Class   string
-	Phase   string
-	For     clock.Micros // since it came
-	Record  Record       // as last known
+type InFlightWrite struct {
+	Key       string
+	RequestID string
+	Class     string
+	Phase     string
+	Age       clock.Micros // since it came
+	Intent    Intent       // as last known
 }
 
 var phaseNames = [...]string{
@@ -17,11 +17,11 @@
 }
 
 // Views lists what is in hand, in the order in which it came.
-func (d *Desk) Views(now clock.Micros) (all []View) {
+func (d *Resolver) InFlight(now clock.Micros) (all []InFlightWrite) {
 	for i := range d.entries {
 		e := &d.entries[i]
-		v := View{Key: e.ask.Key, Request: e.ask.Request, Class: e.ask.Class, Phase: phaseNames[e.phase], For: max(now-e.came, 0), Record: e.record}
-		v.Record.Value = nil
+		v := InFlightWrite{Key: e.ask.Key, RequestID: e.ask.RequestID, Class: e.ask.Class, Phase: phaseNames[e.phase], Age: max(now-e.came, 0), Intent: e.record}
+		v.Intent.Value = nil
 		all = append(all, v)
 	}
 	return all
--- a/internal/intents/bookings.go
+++ b/internal/intents/bookings.go
@@ -23,53 +23,53 @@
 // Store keeps records (internal/raftnode). None of its methods blocks; done is called once, on any goroutine.
 type Store interface {
 	// Put changes a record if its version is this one; 0: if there is none.
-	Put(key, value []byte, version uint64, span time.Duration, by time.Time, done func(Stored))
-	Get(key []byte, by time.Time, done func(Stored))
+	Put(key, value []byte, version uint64, span time.Duration, by time.Time, done func(StoreReply))
+	Get(key []byte, by time.Time, done func(StoreReply))
 }
 
 // Stored is what came of a call.
-type Stored struct {
-	Result     indoubt.Result
-	Version    uint64
-	Value      []byte
-	Found      bool
-	Lost       bool          // what is not found may have been lost
-	Age, Since time.Duration // of a record since its last change, and since a loss, at the least
+type StoreReply struct {
+	Result         indoubt.Result
+	Version        uint64
+	Value          []byte
+	Found          bool
+	PossiblyLost   bool          // what is not found may have been lost
+	Age, SinceLoss time.Duration // of a record since its last change, and since a loss, at the least
 }
 
 // Class is what the operators' file says of one.
 type Class struct {
 	indoubt.Policy
-	Look  string // the class of reads that show whether a booking ran; empty: none does
-	Shows string // a text that such a read's value has if it did; empty: the value that the booking wrote
+	LookupClass string // the class of reads that show whether a booking ran; empty: none does
+	LookupText  string // a text that such a read's value has if it did; empty: the value that the booking wrote
 }
 
 // Settings are those of a gateway.
 type Settings struct {
-	Node    string
-	Life    uint64
-	Classes map[string]Class
-	Now     func() clock.Micros
-	Time    func(clock.Micros) time.Time
-	Log     zerolog.Logger
+	Node        string
+	Incarnation uint64
+	Classes     map[string]Class
+	Now         func() clock.Micros
+	ToTime      func(clock.Micros) time.Time
+	Log         zerolog.Logger
 	// Look reads a key at the primary, as of now. done is told the row's value and the answer as it would be passed on; it is
 	// called once, on any goroutine.
-	Look func(class, key string, group int, by time.Time, done func(row, answer []byte, ok bool))
+	Lookup func(class, key string, group int, by time.Time, done func(row, answer []byte, ok bool))
 }
 
 // The desk's bounds and spans.
 const (
-	window = 250 * time.Millisecond
-	poll   = 100 * time.Millisecond
-	settle = 500 * time.Millisecond
-	keep   = 5 * time.Second
+	sendWindow     = 250 * time.Millisecond
+	pollInterval   = 100 * time.Millisecond
+	ownerGrace     = 500 * time.Millisecond
+	outcomeTimeout = 5 * time.Second
 )
 
 // mostLines bounds the log, in lines a second.
-const mostLines = 200
+const maxLogLines = 200
 
 // MostKept is the largest answer that is kept, in bytes.
-const MostKept = 4 << 10
+const MaxStoredAnswer = 4 << 10
 
 // Client is the side of a booking that its client is on. Its methods are called on the goroutine of the desk, and must not block
 // for long.
@@ -79,82 +79,82 @@
 	// Drop tells that it will not be routed.
 	Drop()
 	// Reply is the final answer for the client. Without a value a served one is as Told had it.
-	Reply(kind indoubt.Kind, value []byte)
+	Reply(kind indoubt.AnswerKind, value []byte)
 }
 
 // Asked is a booking that a client asks for.
-type Asked struct {
-	Request string // the client's id
-	Class   string
-	Group   int
-	Name    string // the key in its statement
-	Words   []byte // the statement without its comment
-	Wrote   []byte // the value in it
-	Repeat  bool
-	By      time.Time
+type Request struct {
+	ID        string // the client's id
+	Class     string
+	Group     int
+	Key       string // the key in its statement
+	Statement []byte // the statement without its comment
+	Value     []byte // the value in it
+	Repeat    bool
+	Deadline  time.Time
 }
 
 // Claim is a booking as its client's side has it. Told, Gone and Ask do not block.
-type Claim interface {
+type Write interface {
 	// Ask takes the booking in hand. Its client is told at once, or later, to route it, or its answer.
-	Ask()
+	Begin()
 	// Told takes routing's final answer. Value is nil where it is too large to be kept.
-	Told(kind indoubt.Kind, value []byte)
+	RoutingAnswered(kind indoubt.AnswerKind, value []byte)
 	// Gone tells that the client waits no longer.
-	Gone()
+	Cancel()
 	// May tells whether the last byte of an attempt may be written now, and waits for the word.
-	May(ctx context.Context, server string, by time.Time) bool
+	MaySend(ctx context.Context, server string, by time.Time) bool
 }
 
 // Desk is all bookings, as the gateway knows them: a gateway without them links none of this.
-type Desk interface {
-	Concerns(class string) bool
-	New(Asked, Client) Claim
-	Use(Store)
-	Ended(node string, life uint64)
-	Views() []indoubt.View
-	Noticed(indoubt.Notice) int64
+type Resolver interface {
+	Covers(class string) bool
+	NewWrite(Request, Client) Write
+	SetStore(Store)
+	GatewayEnded(node string, life uint64)
+	InFlight() []indoubt.InFlightWrite
+	TransitionCount(indoubt.Transition) int64
 	// Fail gives whoever waits here for anything but routing its final answer: the gateway is about to end.
-	Fail()
-	Settle(bound time.Duration) bool
+	StartShutdown()
+	WaitIdle(bound time.Duration) bool
 	Close()
 }
 
 // Booking is one that is in hand.
-type Booking struct {
-	all    *Bookings
-	id     uint64
-	ask    Asked
-	client Client
-	routed bool      // by the goroutine only, as the next one is
-	permit chan bool // of the attempt that waits; nil: none does
+type write struct {
+	service *Service
+	id      uint64
+	request Request
+	client  Client
+	routed  bool      // by the goroutine only, as the next one is
+	permit  chan bool // of the attempt that waits; nil: none does
 }
 
 // Bookings has all of them in hand.
-type Bookings struct {
-	s     Settings
-	desk  *indoubt.Desk
-	lines *rate.Limiter
-
-	counts [indoubt.Notices]atomic.Int64
-	store  atomic.Pointer[Store]
-	next   atomic.Uint64
-
-	mu      sync.Mutex
-	waiting []func() // bounded by what is in hand
-	wake    chan struct{}
-	quit    chan struct{}
-	done    chan struct{}
-
-	open map[uint64]*Booking // by the goroutine only
+type Service struct {
+	settings   Settings
+	resolver   *indoubt.Resolver
+	logLimiter *rate.Limiter
+
+	transitionCounts [indoubt.Transitions]atomic.Int64
+	store            atomic.Pointer[Store]
+	lastID           atomic.Uint64
+
+	mu    sync.Mutex
+	queue []func() // bounded by what is in hand
+	wake  chan struct{}
+	quit  chan struct{}
+	done  chan struct{}
+
+	writes map[uint64]*write // by the goroutine only
 }
 
 // New starts the goroutine.
-func New(s Settings) *Bookings {
-	b := &Bookings{
-		s: s, wake: make(chan struct{}, 1), quit: make(chan struct{}), done: make(chan struct{}), open: map[uint64]*Booking{}, lines: rate.NewLimiter(mostLines, 2*mostLines),
-		desk: indoubt.New(indoubt.Config{
-			Name: s.Node, Life: s.Life, Window: micros(window), Poll: micros(poll), Settle: micros(settle), Keep: micros(keep),
+func New(s Settings) *Service {
+	b := &Service{
+		settings: s, wake: make(chan struct{}, 1), quit: make(chan struct{}), done: make(chan struct{}), writes: map[uint64]*write{}, logLimiter: rate.NewLimiter(maxLogLines, 2*maxLogLines),
+		resolver: indoubt.New(indoubt.Config{
+			Gateway: s.Node, Incarnation: s.Incarnation, SendWindow: micros(sendWindow), PollInterval: micros(pollInterval), OwnerGrace: micros(ownerGrace), OutcomeTimeout: micros(outcomeTimeout),
 		}),
 	}
 	go b.run()
@@ -164,11 +164,11 @@
 func micros(d time.Duration) clock.Micros { return clock.Micros(d.Microseconds()) }
 
 // Use gives it its store. Before it has one nothing can be promised.
-func (b *Bookings) Use(s Store) { b.store.Store(&s) }
+func (b *Service) SetStore(s Store) { b.store.Store(&s) }
 
 // Concerns tells whether bookings of a class are claimed before they are sent.
-func (b *Bookings) Concerns(class string) bool {
-	_, does := b.s.Classes[class]
+func (b *Service) Covers(class string) bool {
+	_, does := b.settings.Classes[class]
 	return does
 }
 
@@ -181,38 +181,42 @@
 }
 
 // New makes a booking, of which nothing happens before Ask.
-func (b *Bookings) New(a Asked, client Client) Claim {
-	return &Booking{all: b, id: b.next.Add(1), ask: a, client: client}
+func (b *Service) NewWrite(a Request, client Client) Write {
+	return &write{service: b, id: b.lastID.Add(1), request: a, client: client}
 }
 
 // Ask takes the booking in hand. Its client is told at once, or later, to route it, or its answer.
-func (x *Booking) Ask() {
-	b, a := x.all, &x.ask
-	by := b.s.Now() + micros(time.Until(a.By))
+func (x *write) Begin() {
+	b, a := x.service, &x.request
+	by := b.settings.Now() + micros(time.Until(a.Deadline))
 	b.post(func() {
-		b.open[x.id] = x
-		b.handle(indoubt.Asked{
-			ID: x.id, Key: Key(a.Class, a.Group, a.Words), Request: a.Request, Class: a.Class, Group: a.Group, Repeat: a.Repeat, By: by,
-			Policy: b.s.Classes[a.Class].Policy,
+		b.writes[x.id] = x
+		b.handle(indoubt.RequestReceived{
+			ID: x.id, Key: Key(a.Class, a.Group, a.Statement), RequestID: a.ID, Class: a.Class, Group: a.Group, Repeat: a.Repeat, Deadline: by,
+			Policy: b.settings.Classes[a.Class].Policy,
 		})
 	})
 }
 
 // Told takes routing's final answer. Value is nil where it is too large to be kept.
-func (x *Booking) Told(kind indoubt.Kind, value []byte) {
-	x.all.post(func() { x.all.handle(indoubt.Told{ID: x.id, Kind: kind, Value: value, Kept: value != nil}) })
+func (x *write) RoutingAnswered(kind indoubt.AnswerKind, value []byte) {
+	x.service.post(func() {
+		x.service.handle(indoubt.RoutingAnswered{ID: x.id, Kind: kind, Value: value, ValueComplete: value != nil})
+	})
 }
 
 // Gone tells that the client waits no longer.
-func (x *Booking) Gone() { x.all.post(func() { x.all.handle(indoubt.Gone{ID: x.id}) }) }
+func (x *write) Cancel() {
+	x.service.post(func() { x.service.handle(indoubt.RequestCanceled{ID: x.id}) })
+}
 
 // May tells whether the last byte of an attempt may be written now, and waits for the word.
-func (x *Booking) May(ctx context.Context, server string, by time.Time) bool {
-	b, permit := x.all, make(chan bool, 1)
-	until := b.s.Now() + micros(time.Until(by))
+func (x *write) MaySend(ctx context.Context, server string, by time.Time) bool {
+	b, permit := x.service, make(chan bool, 1)
+	until := b.settings.Now() + micros(time.Until(by))
 	b.post(func() {
 		x.permit = permit
-		b.handle(indoubt.Sending{ID: x.id, Server: server, By: until})
+		b.handle(indoubt.PermissionRequested{ID: x.id, Server: server, Deadline: until})
 	})
 	late := time.NewTimer(time.Until(by))
 	defer late.Stop()
@@ -227,17 +231,17 @@
 }
 
 // Ended tells that a gateway's life is over, and all before.
-func (b *Bookings) Ended(node string, life uint64) {
-	b.post(func() { b.handle(indoubt.Ended{Owner: node, Life: life}) })
+func (b *Service) GatewayEnded(node string, life uint64) {
+	b.post(func() { b.handle(indoubt.GatewayEnded{Gateway: node, Incarnation: life}) })
 }
 
 // Noticed is how often something was noticed since the start.
-func (b *Bookings) Noticed(n indoubt.Notice) int64 { return b.counts[n].Load() }
+func (b *Service) TransitionCount(n indoubt.Transition) int64 { return b.transitionCounts[n].Load() }
 
 // post has the goroutine do something. It never blocks: the owner of the decision module calls it.
-func (b *Bookings) post(do func()) {
+func (b *Service) post(do func()) {
 	b.mu.Lock()
-	b.waiting = append(b.waiting, do)
+	b.queue = append(b.queue, do)
 	b.mu.Unlock()
 	select {
 	case b.wake <- struct{}{}:
@@ -245,13 +249,13 @@
 	}
 }
 
-func (b *Bookings) run() {
+func (b *Service) run() {
 	defer close(b.done)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
-		if at, due := b.desk.Next(); due {
-			timer.Reset(max(time.Until(b.s.Time(at)), 0))
+		if at, due := b.resolver.Next(); due {
+			timer.Reset(max(time.Until(b.settings.ToTime(at)), 0))
 		}
 		select {
 		case <-b.quit:
@@ -261,8 +265,8 @@
 		case <-b.wake:
 		}
 		b.mu.Lock()
-		all := b.waiting
-		b.waiting = nil
+		all := b.queue
+		b.queue = nil
 		b.mu.Unlock()
 		for _, do := range all {
 			do()
@@ -271,101 +275,101 @@
 }
 
 // handle hands the desk an event and carries out what comes of it.
-func (b *Bookings) handle(ev indoubt.Event) {
-	for _, a := range b.desk.Handle(b.s.Now(), ev) {
+func (b *Service) handle(ev indoubt.Event) {
+	for _, a := range b.resolver.Handle(b.settings.Now(), ev) {
 		switch a := a.(type) {
 		case indoubt.Put:
 			b.put(a)
 		case indoubt.Get:
 			b.get(a)
 		case indoubt.Route:
-			if x := b.open[a.ID]; x != nil {
+			if x := b.writes[a.ID]; x != nil {
 				x.routed = true
 				x.client.Route()
 			}
 		case indoubt.Permit:
-			if x := b.open[a.ID]; x != nil && x.permit != nil {
-				x.permit <- a.OK
+			if x := b.writes[a.ID]; x != nil && x.permit != nil {
+				x.permit <- a.Granted
 				x.permit = nil
 			}
 		case indoubt.Reply:
-			if x := b.open[a.ID]; x != nil {
+			if x := b.writes[a.ID]; x != nil {
 				x.client.Reply(a.Kind, a.Value)
 			}
-		case indoubt.Look:
-			b.look(a)
-		case indoubt.Over:
-			if x := b.open[a.ID]; x != nil && !x.routed {
+		case indoubt.LookUp:
+			b.lookUp(a)
+		case indoubt.Finished:
+			if x := b.writes[a.ID]; x != nil && !x.routed {
 				x.client.Drop()
 			}
-			delete(b.open, a.ID)
-		case indoubt.Noticed:
-			b.noticed(a)
+			delete(b.writes, a.ID)
+		case indoubt.LogTransition:
+			b.logTransition(a)
 		}
 	}
 }
 
-func (b *Bookings) put(p indoubt.Put) {
+func (b *Service) put(p indoubt.Put) {
 	s := b.store.Load()
-	raw, err := json.Marshal(&p.Record)
+	raw, err := json.Marshal(&p.Intent)
 	if s == nil || err != nil {
-		b.post(func() { b.handle(indoubt.Stored{Call: p.Call, Result: indoubt.Never}) })
+		b.post(func() { b.handle(indoubt.StoreReplied{Call: p.Call, Result: indoubt.NotApplied}) })
 		return
 	}
-	(*s).Put([]byte(p.Key), raw, p.Version, time.Duration(p.Span)*time.Microsecond, b.s.Time(p.By), b.stored(p.Call))
+	(*s).Put([]byte(p.Key), raw, p.Version, time.Duration(p.Retention)*time.Microsecond, b.settings.ToTime(p.Deadline), b.stored(p.Call))
 }
 
-func (b *Bookings) get(g indoubt.Get) {
+func (b *Service) get(g indoubt.Get) {
 	s := b.store.Load()
 	if s == nil {
-		b.post(func() { b.handle(indoubt.Stored{Call: g.Call, Result: indoubt.Never}) })
+		b.post(func() { b.handle(indoubt.StoreReplied{Call: g.Call, Result: indoubt.NotApplied}) })
 		return
 	}
-	(*s).Get([]byte(g.Key), b.s.Time(g.By), b.stored(g.Call))
+	(*s).Get([]byte(g.Key), b.settings.ToTime(g.Deadline), b.stored(g.Call))
 }
 
-func (b *Bookings) stored(call uint64) func(Stored) {
-	return func(x Stored) {
-		ev := indoubt.Stored{Call: call, Result: x.Result, Version: x.Version, Lost: x.Lost, Age: micros(x.Age), Since: micros(x.Since)}
+func (b *Service) stored(call uint64) func(StoreReply) {
+	return func(x StoreReply) {
+		ev := indoubt.StoreReplied{Call: call, Result: x.Result, Version: x.Version, PossiblyLost: x.PossiblyLost, Age: micros(x.Age), SinceLoss: micros(x.SinceLoss)}
 		if x.Found {
-			var r indoubt.Record
+			var r indoubt.Intent
 			if json.Unmarshal(x.Value, &r) != nil { // of a version that this one cannot read: all that is known is that it is there
-				r = indoubt.Record{State: indoubt.Doubtful}
+				r = indoubt.Intent{State: indoubt.InDoubt}
 			}
-			ev.Record = &r
+			ev.Intent = &r
 		}
 		b.post(func() { b.handle(ev) })
 	}
 }
 
-func (b *Bookings) look(l indoubt.Look) {
-	x := b.open[l.ID]
-	class := b.s.Classes[x.ask.Class]
-	b.s.Look(class.Look, x.ask.Name, x.ask.Group, b.s.Time(l.By), func(row, answer []byte, ok bool) {
-		shown := ok && (class.Shows != "" && bytes.Contains(row, []byte(class.Shows)) || class.Shows == "" && bytes.Equal(row, x.ask.Wrote))
-		b.post(func() { b.handle(indoubt.Looked{ID: l.ID, Shown: shown, Value: answer}) })
+func (b *Service) lookUp(l indoubt.LookUp) {
+	x := b.writes[l.ID]
+	class := b.settings.Classes[x.request.Class]
+	b.settings.Lookup(class.LookupClass, x.request.Key, x.request.Group, b.settings.ToTime(l.Deadline), func(row, answer []byte, ok bool) {
+		shown := ok && (class.LookupText != "" && bytes.Contains(row, []byte(class.LookupText)) || class.LookupText == "" && bytes.Equal(row, x.request.Value))
+		b.post(func() { b.handle(indoubt.LookupAnswered{ID: l.ID, Found: shown, Value: answer}) })
 	})
 }
 
 // noticed tells the log of what is not ordinary, by words that one booking can be followed by through all gateways.
-func (b *Bookings) noticed(n indoubt.Noticed) {
-	b.counts[n.What].Add(1)
-	if !b.lines.Allow() {
+func (b *Service) logTransition(n indoubt.LogTransition) {
+	b.transitionCounts[n.Transition].Add(1)
+	if !b.logLimiter.Allow() {
 		return // clients that ask again in haste must not flood the log; the counters have all
 	}
-	line := b.s.Log.Info()
-	switch n.What {
+	line := b.settings.Log.Info()
+	switch n.Transition {
 	case indoubt.Claimed, indoubt.Released:
-		line = b.s.Log.Debug()
-	case indoubt.Unsettled:
-		line = b.s.Log.Warn()
+		line = b.settings.Log.Debug()
+	case indoubt.OutcomeNotStored:
+		line = b.settings.Log.Warn()
 	}
-	line.Stringer("what", n.What).Str("booking", Short(n.Key)).Str("id", n.Request).Stringer("state", n.Record.State).
-		Str("owner", n.Record.Owner).Uint64("life", n.Record.Life).Uint32("attempt", n.Record.Attempt).Str("claimed_for", n.Record.ID).Msg("booking in doubt")
+	line.Stringer("what", n.Transition).Str("booking", ShortKey(n.Key)).Str("id", n.RequestID).Stringer("state", n.Intent.State).
+		Str("owner", n.Intent.Owner).Uint64("life", n.Intent.Incarnation).Uint32("attempt", n.Intent.ClaimCount).Str("claimed_for", n.Intent.RequestID).Msg("booking in doubt")
 }
 
 // Short is a booking's name as logs and commands have it.
-func Short(key string) string {
+func ShortKey(key string) string {
 	if len(key) < 16 {
 		return key
 	}
@@ -373,10 +377,10 @@
 }
 
 // Views lists what is in hand.
-func (b *Bookings) Views() (all []indoubt.View) {
+func (b *Service) InFlight() (all []indoubt.InFlightWrite) {
 	ran := make(chan struct{})
 	b.post(func() {
-		all = b.desk.Views(b.s.Now())
+		all = b.resolver.InFlight(b.settings.Now())
 		close(ran)
 	})
 	select {
@@ -388,11 +392,11 @@
 }
 
 // Fail gives whoever waits for the store its final answer.
-func (b *Bookings) Fail() { b.post(func() { b.handle(indoubt.Closing{}) }) }
+func (b *Service) StartShutdown() { b.post(func() { b.handle(indoubt.ShutdownStarted{}) }) }
 
 // Settle waits until nothing is in hand, within a bound. It tells whether it came to that.
-func (b *Bookings) Settle(bound time.Duration) bool {
-	for late := time.Now().Add(bound); len(b.Views()) > 0; time.Sleep(5 * time.Millisecond) {
+func (b *Service) WaitIdle(bound time.Duration) bool {
+	for late := time.Now().Add(bound); len(b.InFlight()) > 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(late) {
 			return false
 		}
@@ -401,7 +405,7 @@
 }
 
 // Close ends it.
-func (b *Bookings) Close() {
+func (b *Service) Close() {
 	close(b.quit)
 	<-b.done
 }
--- a/internal/raftgateway/records.go
+++ b/internal/raftgateway/records.go
@@ -11,24 +11,24 @@
 
 // results says the store's statuses in the terms of bookings.
 var resultOf = [raftstore.Statuses]indoubt.Result{
-	raftstore.OK: indoubt.OK, raftstore.Conflict: indoubt.Conflict, raftstore.Full: indoubt.Never, raftstore.Bad: indoubt.Never, raftstore.TooLate: indoubt.Unknown,
-	raftstore.NotSent: indoubt.Never, raftstore.TooNew: indoubt.Never,
+	raftstore.OK: indoubt.OK, raftstore.Conflict: indoubt.Conflict, raftstore.Full: indoubt.NotApplied, raftstore.Bad: indoubt.NotApplied, raftstore.TooLate: indoubt.Unknown,
+	raftstore.NotSent: indoubt.NotApplied, raftstore.TooNew: indoubt.NotApplied,
 }
 
-func storedFrom(a raftstore.Answer) intents.Stored {
-	return intents.Stored{
-		Result: resultOf[a.Status], Version: a.Version, Value: a.Value, Found: a.Found, Lost: a.Lost,
-		Age: time.Duration(a.Age) * time.Microsecond, Since: time.Duration(a.Since) * time.Microsecond,
+func storedFrom(a raftstore.Answer) intents.StoreReply {
+	return intents.StoreReply{
+		Result: resultOf[a.Status], Version: a.Version, Value: a.Value, Found: a.Found, PossiblyLost: a.Lost,
+		Age: time.Duration(a.Age) * time.Microsecond, SinceLoss: time.Duration(a.Since) * time.Microsecond,
 	}
 }
 
 // Put changes a record if its version is this one.
-func (o store) Put(key, value []byte, version uint64, span time.Duration, by time.Time, done func(intents.Stored)) {
+func (o store) Put(key, value []byte, version uint64, span time.Duration, by time.Time, done func(intents.StoreReply)) {
 	command := &api.Command{Put: &api.Put{Key: key, Value: value, Conditional: true, Version: version, Span: span.Microseconds()}}
 	o.Call(key, command, by, func(a raftstore.Answer) { done(storedFrom(a)) })
 }
 
 // Get reads a record.
-func (o store) Get(key []byte, by time.Time, done func(intents.Stored)) {
+func (o store) Get(key []byte, by time.Time, done func(intents.StoreReply)) {
 	o.Call(key, nil, by, func(a raftstore.Answer) { done(storedFrom(a)) })
 }
--- a/internal/raftgateway/store.go
+++ b/internal/raftgateway/store.go
@@ -26,7 +26,7 @@
 // Use has gateways of this process open stores.
 func Register() {
 	gateway.OpenStore, gateway.CheckStore = openStore, checkStore
-	gateway.OpenBookings = func(s intents.Settings) intents.Desk { return intents.New(s) }
+	gateway.OpenBookings = func(s intents.Settings) intents.Resolver { return intents.New(s) }
 }
 
 func openStore(s gateway.StoreSettings) (gateway.Store, error) {
--- a/internal/session/client.go
+++ b/internal/session/client.go
@@ -72,7 +72,7 @@
 	Gate    func() bool // whether a request may still be taken; nil: always
 	Marks   Marks       // nil: sessions are kept nowhere but here
 	// Bookings are claimed before they are sent; nil: none are.
-	Bookings intents.Desk
+	Bookings intents.Resolver
 	Limits   Timeouts
 	Counts   *ClientCounts
 
--- a/internal/session/pending.go
+++ b/internal/session/pending.go
@@ -32,7 +32,7 @@
 	reserve int // bytes set aside for it
 	mark    *mark
 
-	claim   intents.Claim    // of a booking that must be claimed before it is sent; nil: it need not be
+	claim   intents.Write    // of a booking that must be claimed before it is sent; nil: it need not be
 	request *routing.Request // that goes out once it is claimed
 	held    *routing.Answer  // routing's, until the claim's answer is given; guarded by the client's lock
 }
@@ -68,11 +68,11 @@
 	switch a.Kind {
 	case routing.Served:
 		kind = indoubt.Served
-		if a.Value.Size() <= intents.MostKept {
+		if a.Value.Size() <= intents.MaxStoredAnswer {
 			value = bytes.Join(a.Value.From(0), nil)
 		}
 	case routing.Refused, routing.Rejected:
-		kind = indoubt.Refused
+		kind = indoubt.Rejected
 	}
 	q.client.mu.Lock()
 	gone := q.gone
@@ -83,7 +83,7 @@
 	if gone {
 		a.Value.Free()
 	}
-	q.claim.Told(kind, value)
+	q.claim.RoutingAnswered(kind, value)
 }
 
 // Route sends a booking that is claimed on its way.
@@ -93,7 +93,7 @@
 func (q *pendingQuery) Drop() { q.request.Payload.Free() }
 
 // Reply takes the final answer of a booking that is claimed, or was not to be.
-func (q *pendingQuery) Reply(kind indoubt.Kind, value []byte) {
+func (q *pendingQuery) Reply(kind indoubt.AnswerKind, value []byte) {
 	c := q.client
 	c.mu.Lock()
 	held := q.held
@@ -104,9 +104,9 @@
 	case kind == indoubt.Served && value != nil:
 		a = routing.Answer{Kind: routing.Served, Value: c.all.Buffers.NewMessage()}
 		a.Value.Append(value)
-	case kind == indoubt.Served && held != nil, kind == indoubt.Refused && held != nil && held.Kind != routing.Served:
+	case kind == indoubt.Served && held != nil, kind == indoubt.Rejected && held != nil && held.Kind != routing.Served:
 		a, held = *held, nil
-	case kind == indoubt.Refused:
+	case kind == indoubt.Rejected:
 		a.Kind = routing.Refused
 	}
 	if held != nil {
@@ -312,7 +312,7 @@
 		switch {
 		case q.text != nil || q.answer != nil:
 		case q.claim != nil: // what has gone out is still waited for: whoever asks again has its answer
-			q.claim.Gone()
+			q.claim.Cancel()
 		default:
 			c.all.Owner.Post(routing.Gone{Client: q})
 		}
@@ -349,7 +349,7 @@
 		return c.respondUnrouted(code, fault)
 	}
 	bookings := c.all.Bookings
-	in.claims = in.statement.Write && bookings != nil && bookings.Concerns(in.statement.Class)
+	in.claims = in.statement.Write && bookings != nil && bookings.Covers(in.statement.Class)
 	c.known = true
 	if !c.admit(in) {
 		c.release(in)
@@ -482,12 +482,12 @@
 	st := &payload.statement
 	words, wrote := postgres.Words(bytes.Join(payload.text.From(0), nil))
 	q.request = r
-	q.claim = c.all.Bookings.New(intents.Asked{
-		Request: st.ID, Class: st.Class, Group: st.Group, Name: st.Key, Words: words, Wrote: wrote, Repeat: st.Repeat,
-		By: time.Now().Add(time.Duration(st.Wait) * time.Millisecond),
+	q.claim = c.all.Bookings.NewWrite(intents.Request{
+		ID: st.ID, Class: st.Class, Group: st.Group, Key: st.Key, Statement: words, Value: wrote, Repeat: st.Repeat,
+		Deadline: time.Now().Add(time.Duration(st.Wait) * time.Millisecond),
 	}, q)
 	payload.claim = q.claim
-	q.claim.Ask()
+	q.claim.Begin()
 }
 
 // markPart is the part of its time that a read waits for its session's mark: what is left goes to the primary, which needs none.
--- a/internal/session/server_conn.go
+++ b/internal/session/server_conn.go
@@ -351,7 +351,7 @@
 	if reason, err := write(parts, total-1); err != nil {
 		return reason, err
 	}
-	if !q.claim.May(t.ctx, l.endpoint.endpoint, until) {
+	if !q.claim.MaySend(t.ctx, l.endpoint.endpoint, until) {
 		return transport.EndAbandoned, errBarred
 	}
 	return write(net.Buffers{last}, 1)
