--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -138,8 +138,8 @@
 		return nil, faulty("settings."+warnings[0].Key, "%s", warnings[0].Text)
 	}
 	// In the simulator a pushed list comes by itself. Over sockets it comes on a watch, which has to be opened.
-	if s := &c.InForce.Settings; !s.ListAsked {
-		s.ListAsked, s.ListPushed = true, true
+	if s := &c.InForce.Settings; !s.ListSubscribed {
+		s.ListSubscribed, s.ListPushed = true, true
 	}
 	if len(c.InForce.ClassNames) == 0 {
 		return nil, faulty("settings.classes", "names no class")
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -175,8 +175,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s := c.InForce.Settings; !s.ListAsked || s.ListPushed != pushed {
-			t.Errorf("%s: asked %v, pushed %v", mode, s.ListAsked, s.ListPushed)
+		if s := c.InForce.Settings; !s.ListSubscribed || s.ListPushed != pushed {
+			t.Errorf("%s: asked %v, pushed %v", mode, s.ListSubscribed, s.ListPushed)
 		}
 	}
 	var fault *settings.KeyError
--- a/internal/gateway/floating.go
+++ b/internal/gateway/floating.go
@@ -136,9 +136,9 @@
 	seen := &healthSeen{}
 	if !f.g.owner.Ask(func(c *routing.Core) {
 		h := c.Health(groupLately)
-		seen.Ready = c.Ready() && h.Usable > 0
-		seen.Wrong[vrrp.NoServer] = h.Usable == 0
-		seen.Wrong[vrrp.NoPrimary] = h.WithoutPrimary > 0
+		seen.Ready = c.Ready() && h.UsableServers > 0
+		seen.Wrong[vrrp.NoServer] = h.UsableServers == 0
+		seen.Wrong[vrrp.NoPrimary] = h.GroupsWithoutPrimary > 0
 		seen.Wrong[vrrp.ListSilent] = h.ListFailing
 	}) {
 		return
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -68,7 +68,7 @@
 		}
 		c.Discovery = "127.0.0.1:1"
 		c.InForce.Settings.ConnectTimeout = 20_000_000
-		c.InForce.Settings.CanProbe = false
+		c.InForce.Settings.CanHealthCheck = false
 	})
 	c := w.raw()
 	c.Write(query(put("x")))
--- a/internal/gateway/maintain.go
+++ b/internal/gateway/maintain.go
@@ -221,13 +221,13 @@
 		open = c.Open()
 		for _, s := range c.Servers(groups) {
 			primary := s.ServerView.Primary
-			if u.g.clock.Now()-s.Asked > roleLately { // nobody looks for the primary here; the list may know better
-				primary = s.Member.Primary
+			if u.g.clock.Now()-s.LastRequestAt > roleLately { // nobody looks for the primary here; the list may know better
+				primary = s.Endpoint.Primary
 			}
 			r.Servers = append(r.Servers, maintenance.ServerReport{
-				Group: s.Group, Name: s.UID, Primary: primary, Cold: s.Cold,
-				Down:   s.Down || s.State != policy.MemberReady && u.now.Find(maintenance.Server, s.UID, s.Group) == nil,
-				Behind: !primary && int64(s.Behind) > u.behind.Load(),
+				Group: s.Group, Name: s.UID, Primary: primary, Cold: s.InSlowStart,
+				Down:   s.Down || s.State != policy.EndpointReady && u.now.Find(maintenance.Server, s.UID, s.Group) == nil,
+				Behind: !primary && int64(s.Lag) > u.behind.Load(),
 			})
 		}
 		for i := range u.now.Machines {
--- a/internal/gateway/stopping_test.go
+++ b/internal/gateway/stopping_test.go
@@ -76,7 +76,7 @@
 	w := newWorld(t, func(c *config.Config) {
 		c.InForce.Settings.MaxAttempts = 1 << 20
 		for i := range c.InForce.Settings.Classes {
-			c.InForce.Settings.Classes[i].Aim = 100_000 // the pauses between attempts follow it
+			c.InForce.Settings.Classes[i].LatencyObjective = 100_000 // the pauses between attempts follow it
 		}
 	})
 	w.replica.SetHandle(func(q *fake.Query) { q.Fail("25006") })
--- a/internal/gateway/told_test.go
+++ b/internal/gateway/told_test.go
@@ -26,10 +26,10 @@
 	for seed := uint64(1); seed <= seeds; seed++ {
 		r, _ := policy.New(start, seed, facts.Settings)
 		now, sweepAt := start, start
-		r.Step(now, policy.MemberNews{Form: policy.ListFull})
+		r.Step(now, policy.EndpointUpdate{Form: policy.ListFull})
 		for n := range askings {
 			failed := now
-			r.Step(now, policy.MemberNews{Form: policy.ListFailed})
+			r.Step(now, policy.EndpointUpdate{Form: policy.ListFailed})
 			for asked := false; !asked; {
 				now += clock.Micros(time.Millisecond / time.Microsecond)
 				if now < sweepAt {
@@ -62,9 +62,9 @@
 	for _, mode := range []string{"subscribe", "automatic"} {
 		for _, aim := range []clock.Micros{100_000, 800_000} {
 			w := config.Config{InForce: must2(settings.Parse([]byte(testSettings)))}
-			w.InForce.Settings.ListAsked, w.InForce.Settings.ListPushed = true, mode == "automatic"
+			w.InForce.Settings.ListSubscribed, w.InForce.Settings.ListPushed = true, mode == "automatic"
 			for i := range w.InForce.Settings.Classes {
-				w.InForce.Settings.Classes[i].Aim = aim
+				w.InForce.Settings.Classes[i].LatencyObjective = aim
 			}
 			first, any := askPauses(w.InForce)
 			for name, path := range map[string]struct{ sum, most time.Duration }{
@@ -90,7 +90,7 @@
 // Where the list is pushed the gateway opens a watch all the same: nothing else brings it changes. Until it has heard one, a
 // start does not say that it is ready, but for a bounded time.
 func TestPushedListIsWatched(t *testing.T) {
-	push := func(c *config.Config) { c.InForce.Settings.ListAsked, c.InForce.Settings.ListPushed = true, true }
+	push := func(c *config.Config) { c.InForce.Settings.ListSubscribed, c.InForce.Settings.ListPushed = true, true }
 	w := newWorld(t, push)
 	w.lists(formFull, 1)
 	draining := w.targets()[1]
--- a/internal/policy/api.go
+++ b/internal/policy/api.go
@@ -30,62 +30,62 @@
 
 // The effects. The zero value is the strictest.
 const (
-	EffectUnsafe Effect = iota // must never run twice
-	EffectSafe                 // may be repeated at will
+	EffectNonIdempotent Effect = iota // must never run twice
+	EffectIdempotent                  // may be repeated at will
 )
 
 // Checks says what a server does with a read for which it is too far behind.
-type Checks uint8
+type FreshnessCheck uint8
 
 // The checks. The zero value trusts the servers with nothing.
 const (
-	ChecksNone   Checks = iota // it answers from what it has
-	ChecksRefuse               // it answers miss at once
-	ChecksWait                 // it waits a while to catch up, then answers miss
+	FreshnessCheckNone   FreshnessCheck = iota // it answers from what it has
+	FreshnessCheckReject                       // it answers miss at once
+	FreshnessCheckWait                         // it waits a while to catch up, then answers miss
 )
 
 // Class is one kind of request.
 type Class struct {
-	Name       string // what it is known by when the settings change
-	Need       Need
-	Effect     Effect
-	Bound      clock.Micros // of a bounded class
-	Aim        clock.Micros // an answer within this time earns all of the worth
-	Deadline   clock.Micros // the client's patience over all its tries
-	Worth      int64        // in thousandths
-	LateWorth  int64        // share of the worth after the aim, in thousandths
-	AimStretch int64        // the aim grows by this multiple of the request's work, in thousandths
+	Name             string // what it is known by when the settings change
+	Need             Need
+	Effect           Effect
+	StalenessBound   clock.Micros // of a bounded class
+	LatencyObjective clock.Micros // an answer within this time earns all of the worth
+	Deadline         clock.Micros // the client's patience over all its tries
+	PriorityWeight   int64        // in thousandths
+	LateWeight       int64        // share of the worth after the aim, in thousandths
+	ObjectiveStretch int64        // the aim grows by this multiple of the request's work, in thousandths
 }
 
 // Settings is all that a router is told at its start. Zero values are read as the strictest sensible meaning.
 type Settings struct {
-	Classes           []Class
-	Gateways          int          // how many gateways serve these servers
-	Ordinal           int          // which of them this one is
-	Tick              clock.Micros // shortest time between two events
-	Zone              string       // where this gateway is; compared, never read
-	Checks            Checks
-	CheckWait         clock.Micros // how long ChecksWait lasts
-	TokensCarried     bool         // session reads carry their mark; otherwise the router remembers writes
-	AnswersStamped    bool         // every answer carries a position
-	ListAsked         bool         // the member list must be asked for
-	ListPushed        bool         // and its changes count as known here at once, whether or not they were heard
-	CanProbe          bool
-	CanCancel         bool
-	CanTell           bool
-	SecondCopies      bool
-	AdviseRetry       bool
-	MaxRetryAdvice    clock.Micros
-	MaxAttempts       int
-	ConnectTimeout    clock.Micros
-	AnswerSlack       clock.Micros // a final answer this long after the deadline still counts
-	DrainGrace        clock.Micros // sends to a draining or gone server must have ended after it
-	OnlyDrainingBinds bool         // a server merely gone from the list stays usable
-	AskWithin         clock.Micros // unsubscribed for longer counts as told
-	ColdShare         int64        // least share of capacity at a server's start, in thousandths
-	Ramp              clock.Micros // a started server is warm after this
-	FallMultiple      int64        // a cold server falls beyond this multiple of its capacity, in thousandths
-	FallWindow        clock.Micros // when kept up for this long
+	Classes                 []Class
+	Gateways                int          // how many gateways serve these servers
+	Ordinal                 int          // which of them this one is
+	Tick                    clock.Micros // shortest time between two events
+	Zone                    string       // where this gateway is; compared, never read
+	FreshnessCheck          FreshnessCheck
+	FreshnessCheckWait      clock.Micros // how long FreshnessCheckWait lasts
+	SessionPositionsCarried bool         // session reads carry their mark; otherwise the router remembers writes
+	AnswersCarryPosition    bool         // every answer carries a position
+	ListSubscribed          bool         // the endpoint list is subscribed to, not given
+	ListPushed              bool         // its changes count as known here at once, received or not
+	CanHealthCheck          bool
+	CanCancel               bool
+	CanMessagePeers         bool
+	CanHedge                bool
+	CanSendRetryAfter       bool
+	MaxRetryAfter           clock.Micros
+	MaxAttempts             int
+	ConnectTimeout          clock.Micros
+	AnswerSlack             clock.Micros // a final answer this long after the deadline still counts
+	DrainGrace              clock.Micros // sends to a draining or gone server must have ended after it
+	RemovedStayUsable       bool         // a server merely gone from the list stays usable
+	SubscribeWithin         clock.Micros // after this long without a subscription the list counts as known
+	SlowStartMinWeight      int64        // least share of capacity at a server's start, in thousandths
+	SlowStartWindow         clock.Micros // a started server is warm after this
+	OverloadFactor          int64        // load on a server in slow start that brings it down
+	OverloadWindow          clock.Micros // in this time; a multiple of its capacity, in thousandths
 	// points for each attempt that goes to another zone, as a share of requests; in thousandths
 	CrossZoneCost int64
 }
@@ -95,54 +95,54 @@
 
 // Arrival is a request handed to this router.
 type Arrival struct {
-	ID         string
-	Class      int // index into Settings.Classes
-	Group      int
-	Session    uint64 // valid if HasSession
-	HasSession bool
-	Left       clock.Micros // time until the client stops waiting
-	Repeat     bool         // the client says that it repeats itself
+	ID          string
+	Class       int // index into Settings.Classes
+	Group       int
+	Session     uint64 // valid if HasSession
+	HasSession  bool
+	TimeLeft    clock.Micros // time until the client stops waiting
+	ClientRetry bool         // the client says that it repeats itself
 	// the session's last commit lies at least this long back, as it or another gateway says; 0: none
 	SinceWrite clock.Micros
 }
 
 // Headers tells that the answer to an attempt began to flow; the request is bound to it.
-type Headers struct {
+type AnswerStarted struct {
 	ID      string
 	Attempt int
 }
 
 // Outcome is how an attempt ended. Each Send gets exactly one.
 type Outcome struct {
-	ID       string
-	Attempt  int
-	Server   ServerID
-	Result   Result
-	Final    bool // nothing more is owed for the request
-	Latency  clock.Micros
-	Role     Role
-	Position Position
-	Report   Report
+	ID         string
+	Attempt    int
+	Server     ServerID
+	Result     Result
+	Final      bool // nothing more is owed for the request
+	Latency    clock.Micros
+	Role       Role
+	Position   Position
+	LoadReport LoadReport
 }
 
 // Dropped tells that the client is gone and the request over.
-type Dropped struct{ ID string }
+type ClientDisconnected struct{ ID string }
 
 // Timer is a timer set by SetTimer that has come due.
 type Timer struct{ Token string }
 
 // Probed is the result of one Probe.
-type Probed struct {
-	Server  ServerID
-	Result  Result
-	Latency clock.Micros
-	Report  Report
+type HealthCheckEnded struct {
+	Server     ServerID
+	Result     Result
+	Latency    clock.Micros
+	LoadReport LoadReport
 }
 
 // MemberNews is news of the member list.
-type MemberNews struct {
-	Form    ListForm
-	Members []Member
+type EndpointUpdate struct {
+	Form      ListForm
+	Endpoints []Endpoint
 }
 
 // PeerMessage holds bytes from another gateway.
@@ -151,14 +151,14 @@
 	Data []byte
 }
 
-func (Arrival) event()     {}
-func (Headers) event()     {}
-func (Outcome) event()     {}
-func (Dropped) event()     {}
-func (Timer) event()       {}
-func (Probed) event()      {}
-func (MemberNews) event()  {}
-func (PeerMessage) event() {}
+func (Arrival) event()            {}
+func (AnswerStarted) event()      {}
+func (Outcome) event()            {}
+func (ClientDisconnected) event() {}
+func (Timer) event()              {}
+func (HealthCheckEnded) event()   {}
+func (EndpointUpdate) event()     {}
+func (PeerMessage) event()        {}
 
 // Result is how an attempt or a probe ended.
 type Result uint8
@@ -167,13 +167,13 @@
 const (
 	ResultOK Result = iota
 	ResultError
-	ResultFull
+	ResultOverloaded
 	ResultTimeout
 	ResultConnectFailed
 	ResultReset
 	ResultCancelled
-	ResultMoot
-	ResultMiss
+	ResultNotSent
+	ResultMisdirected
 )
 
 // Role is a member's role in its group.
@@ -187,7 +187,7 @@
 )
 
 // Report is what a server says of itself; it is late, and on a bad day untrue.
-type Report struct {
+type LoadReport struct {
 	Position    Position // as of the report
 	HasPosition bool
 	Role        Role
@@ -207,25 +207,25 @@
 	ListCached                 // all, as this gateway last had it
 	ListFailed                 // asking failed or the subscription broke; no members
 	// only what operators take out of service, or put back: discovery has said nothing
-	ListAside
+	ListCordoned
 )
 
 // MemberState is a server's state on the list.
-type MemberState uint8
+type EndpointState uint8
 
 // The member states.
 const (
-	MemberGone MemberState = iota
-	MemberReady
-	MemberDraining
+	EndpointRemoved EndpointState = iota
+	EndpointReady
+	EndpointDraining
 )
 
 // Member is one entry of the member list.
-type Member struct {
+type Endpoint struct {
 	Server  ServerID
 	Group   int
 	Zone    string
-	State   MemberState
+	State   EndpointState
 	Started clock.Micros // last start; 0: long ago
 	Primary bool         // as far as the list knows
 	Weight  int64        // in thousandths
@@ -242,7 +242,7 @@
 }
 
 // Refuse ends a request unserved and tells the client that asking again is harmless.
-type Refuse struct {
+type Reject struct {
 	ID         string
 	RetryAfter clock.Micros // 0: no advice
 }
@@ -263,7 +263,7 @@
 }
 
 // Probe asks a server how it is.
-type Probe struct{ Server ServerID }
+type HealthCheck struct{ Server ServerID }
 
 // CloseIdle closes idle connections to a server.
 type CloseIdle struct{ Server ServerID }
@@ -277,13 +277,13 @@
 type Forget struct{ Server ServerID }
 
 // Tell sends bytes to another gateway, or to all of them.
-type Tell struct {
+type SendToPeer struct {
 	To   int // ToAll: every other gateway
 	Data []byte
 }
 
 // ToAll is the receiver of a Tell to every other gateway.
-const ToAll = -1
+const AllPeers = -1
 
 // Log is a line for the operator's report.
 type Log struct{ Text string }
@@ -294,16 +294,16 @@
 // Fetch asks for the whole list once.
 type Fetch struct{}
 
-func (Send) action()      {}
-func (Refuse) action()    {}
-func (Fail) action()      {}
-func (Cancel) action()    {}
-func (SetTimer) action()  {}
-func (Probe) action()     {}
-func (CloseIdle) action() {}
-func (Withdraw) action()  {}
-func (Forget) action()    {}
-func (Tell) action()      {}
-func (Log) action()       {}
-func (Watch) action()     {}
-func (Fetch) action()     {}
+func (Send) action()        {}
+func (Reject) action()      {}
+func (Fail) action()        {}
+func (Cancel) action()      {}
+func (SetTimer) action()    {}
+func (HealthCheck) action() {}
+func (CloseIdle) action()   {}
+func (Withdraw) action()    {}
+func (Forget) action()      {}
+func (SendToPeer) action()  {}
+func (Log) action()         {}
+func (Watch) action()       {}
+func (Fetch) action()       {}
--- a/internal/policy/brain.go
+++ b/internal/policy/brain.go
@@ -62,7 +62,7 @@
 	}
 	r.adopt(set)
 	r.at(now+r.sweepSpan(), "sweep")
-	if r.set.ListAsked {
+	if r.set.ListSubscribed {
 		r.askList()
 	}
 	return r, r.take()
@@ -82,16 +82,16 @@
 	s.Gateways, s.MaxAttempts = max(s.Gateways, 1), max(s.MaxAttempts, 1)
 	for i, c := range r.kinds {
 		atLeast(&c.Deadline, s.Tick, "deadline")
-		if c.Aim <= 0 || c.Aim > c.Deadline {
+		if c.LatencyObjective <= 0 || c.LatencyObjective > c.Deadline {
 			r.log("class %d: aim read as its deadline", i)
-			c.Aim = c.Deadline
+			c.LatencyObjective = c.Deadline
 		}
-		if r.minAim == 0 || c.Aim < r.minAim {
-			r.minAim = c.Aim
+		if r.minAim == 0 || c.LatencyObjective < r.minAim {
+			r.minAim = c.LatencyObjective
 		}
-		r.maxAim = max(r.maxAim, c.Aim)
-		if c.Need == NeedBounded && c.Bound > 0 && (r.minBound == 0 || c.Bound < r.minBound) {
-			r.minBound = c.Bound
+		r.maxAim = max(r.maxAim, c.LatencyObjective)
+		if c.Need == NeedBounded && c.StalenessBound > 0 && (r.minBound == 0 || c.StalenessBound < r.minBound) {
+			r.minBound = c.StalenessBound
 		}
 	}
 	if r.minAim == 0 {
@@ -111,7 +111,7 @@
 		r.accept(e)
 	case Outcome:
 		r.conclude(e)
-	case Dropped:
+	case ClientDisconnected:
 		if q := r.requests[e.ID]; q != nil && !q.done {
 			r.close(q)
 		}
@@ -123,9 +123,9 @@
 		} else if q != nil {
 			r.finish(q)
 		}
-	case Probed:
+	case HealthCheckEnded:
 		r.probed(e)
-	case MemberNews:
+	case EndpointUpdate:
 		r.members(e)
 	}
 	return r.take()
@@ -145,7 +145,8 @@
 	c := r.kinds[e.Class]
 	q := &request{
 		id: e.ID, set: r.set, class: c, group: r.groupOf(e.Group),
-		deadline: r.now + e.Left, aimAt: r.now + c.Aim, askUntil: r.now + c.Aim/askPart,
+		deadline: r.now + e.TimeLeft, aimAt: r.now + c.LatencyObjective,
+		askUntil: r.now + c.LatencyObjective/askPart,
 	}
 	r.requests[q.id] = q
 	r.retries = min(r.retries+retryShare, retryBurst*one)
@@ -157,7 +158,7 @@
 	if c.Need == NeedSession && e.SinceWrite > 0 { // the commit that it must see comes with the request
 		q.need = r.now - e.SinceWrite
 	}
-	r.at(max(min(r.end(q), r.now+e.Left/2-r.set.Tick), r.now+1), q.id)
+	r.at(max(min(r.end(q), r.now+e.TimeLeft/2-r.set.Tick), r.now+1), q.id)
 	r.enqueue(q)
 	r.dispatch(q.group)
 }
@@ -165,7 +166,7 @@
 // end is when a request stops being worth an answer.
 func (r *Router) end(q *request) clock.Micros {
 	last := q.deadline - q.set.Tick
-	if q.class.LateWorth == 0 && q.class.Effect == EffectSafe {
+	if q.class.LateWeight == 0 && q.class.Effect == EffectIdempotent {
 		return min(last, q.aimAt)
 	}
 	return last
@@ -174,11 +175,11 @@
 // value is what an answer to a waiting request still earns for the time it takes, as far as that has been
 // seen.
 func (r *Router) value(q *request) int64 {
-	worth := q.class.Worth
+	worth := q.class.PriorityWeight
 	if r.pressed(q) {
 		worth = 0
 	} else if r.now+r.expected(q) > q.aimAt {
-		worth = worth * q.class.LateWorth / one
+		worth = worth * q.class.LateWeight / one
 	}
 	return worth * one / int64(max(q.class.typical/1000, 1))
 }
@@ -186,7 +187,7 @@
 // expected is how long an answer may well take, never so long that a new request looks hopeless. With less
 // left it would mostly time out and waste its work. Harm: where latency varies little, a few too many end so.
 func (r *Router) expected(q *request) clock.Micros {
-	return min(q.class.typical*expectTimes, q.class.Aim*expectMost/one)
+	return min(q.class.typical*expectTimes, q.class.LatencyObjective*expectMost/one)
 }
 
 // pressed tells that a request may well run out of time. Sent while others wait it would mostly waste its
@@ -271,7 +272,7 @@
 	if s := r.draw(q, r.near(fresh)); s != nil {
 		return s
 	}
-	if q.set.Checks != ChecksNone {
+	if q.set.FreshnessCheck != FreshnessCheckNone {
 		if s := r.draw(q, r.mostAdvanced(able)); s != nil {
 			return s
 		}
@@ -284,7 +285,7 @@
 
 // long tells that a read for which any member will do may take longer than the smallest bound.
 func (r *Router) long(q *request) bool {
-	return q.class.Need == NeedAny && q.class.Aim > r.minBound*longBounds
+	return q.class.Need == NeedAny && q.class.LatencyObjective > r.minBound*longBounds
 }
 
 // aside keeps, of the able replicas, every other one of the group's, in the order that all gateways see. Long
@@ -313,7 +314,7 @@
 // that few positions have to be known, and none again within half the bound or before it can have caught up.
 // Harm: the read is later by the probe.
 func (r *Router) asks(q *request, able []*server) bool {
-	if q.class.Need != NeedBounded || q.set.Checks != ChecksNone || !r.set.CanProbe {
+	if q.class.Need != NeedBounded || q.set.FreshnessCheck != FreshnessCheckNone || !r.set.CanHealthCheck {
 		return false
 	}
 	var best *server
@@ -338,8 +339,8 @@
 func (r *Router) needOf(q *request) Position {
 	switch {
 	case q.class.Need == NeedBounded:
-		return r.now - q.class.Bound
-	case q.class.Need != NeedSession || q.session == nil || r.set.TokensCarried:
+		return r.now - q.class.StalenessBound
+	case q.class.Need != NeedSession || q.session == nil || r.set.SessionPositionsCarried:
 		return q.need
 	case q.session.writesOut > 0:
 		return r.now
@@ -444,7 +445,7 @@
 // neverRan tells which results prove that an attempt had no effect.
 func neverRan(res Result) bool {
 	switch res {
-	case ResultFull, ResultConnectFailed, ResultMoot, ResultMiss:
+	case ResultOverloaded, ResultConnectFailed, ResultNotSent, ResultMisdirected:
 		return true
 	}
 	return false
@@ -457,7 +458,7 @@
 }
 
 // mayRefuse says whether it is true to tell the client that asking again is harmless.
-func mayRefuse(q *request) bool { return q.class.Effect == EffectSafe || firstMaybe(q) == nil }
+func mayRefuse(q *request) bool { return q.class.Effect == EffectIdempotent || firstMaybe(q) == nil }
 
 // finish gives the one final answer that is not a served one, and stops what is still out. A refused client
 // is asked to stay away as long as it heeds: want of room or of a primary mostly outlasts its patience. Harm:
@@ -468,10 +469,10 @@
 	}
 	if mayRefuse(q) {
 		advice := clock.Micros(0)
-		if q.set.AdviseRetry {
-			advice = q.set.MaxRetryAdvice
+		if q.set.CanSendRetryAfter {
+			advice = q.set.MaxRetryAfter
 		}
-		r.do(Refuse{ID: q.id, RetryAfter: advice})
+		r.do(Reject{ID: q.id, RetryAfter: advice})
 	} else {
 		r.do(Fail{ID: q.id})
 	}
@@ -554,7 +555,7 @@
 	case ResultError:
 		r.alive(s, true)
 		r.judge(s, true)
-	case ResultFull:
+	case ResultOverloaded:
 		r.alive(s, true)
 		r.rest(s)
 		r.judge(s, true)
@@ -564,7 +565,7 @@
 	case ResultReset:
 		r.judge(s, true)
 		s.suspect = true
-	case ResultMiss:
+	case ResultMisdirected:
 		r.alive(s, true)
 		r.missed(s, q)
 	case ResultTimeout, ResultCancelled:
@@ -662,7 +663,7 @@
 // against slow, crowded, robbed and cold servers alike; it may hold back a server whose costly requests came
 // together.
 func (r *Router) strained(s *server, q *request, latency clock.Micros) {
-	x := min(int64(latency*one/q.class.Aim), 4*one)
+	x := min(int64(latency*one/q.class.LatencyObjective), 4*one)
 	gap := int64(r.now - s.strainAt)
 	s.strain += (x - s.strain) * max(one/smoothing, gap*one/(gap+int64(r.maxAim))) / one
 	switch {
@@ -760,7 +761,7 @@
 		r.losePrimary(s.group)
 	}
 	for _, a := range s.open {
-		if a.req.set.CanCancel && !a.req.done && a.req.class.Effect == EffectSafe {
+		if a.req.set.CanCancel && !a.req.done && a.req.class.Effect == EffectIdempotent {
 			r.do(Cancel{ID: a.req.id, Attempt: a.index})
 		}
 	}
@@ -799,9 +800,9 @@
 // gateways bury a server, and one now and then is too much for the quiet ones and too little for the busy.
 func (r *Router) luck(q *request) int64 {
 	if r.now >= q.luckUntil {
-		q.luck, q.luckUntil = int64(r.rng.below(one)), r.now+q.class.Aim
+		q.luck, q.luckUntil = int64(r.rng.below(one)), r.now+q.class.LatencyObjective
 		if primaryBound(q) {
-			q.luckUntil = r.now + q.class.Aim/sweepsPerAim
+			q.luckUntil = r.now + q.class.LatencyObjective/sweepsPerAim
 		}
 	}
 	return q.luck
@@ -810,10 +811,11 @@
 // warmth is the least share of its capacity that a server has, by the settings' ramp.
 func (r *Router) warmth(s *server) int64 {
 	age := r.now - s.started
-	if s.started == 0 || age >= r.set.Ramp {
+	if s.started == 0 || age >= r.set.SlowStartWindow {
 		return one
 	}
-	return r.set.ColdShare + (one-r.set.ColdShare)*int64(max(age, 0))/int64(r.set.Ramp)
+	first := r.set.SlowStartMinWeight
+	return first + (one-first)*int64(max(age, 0))/int64(r.set.SlowStartWindow)
 }
 
 // coldBudget keeps the work sent within any fall window under what brings a cold server down. Each gateway
@@ -821,10 +823,10 @@
 // together stay below the fall however unevenly they are used; less than one request is a chance, drawn once
 // a window. Every attempt counts, refused ones too, each as much as its class usually takes.
 func (r *Router) coldBudget(s *server, q *request, warmth int64) bool {
-	for len(s.sends) > 0 && r.now-s.sends[0].at >= r.set.FallWindow {
+	for len(s.sends) > 0 && r.now-s.sends[0].at >= r.set.OverloadWindow {
 		s.sends = s.sends[1:]
 	}
-	if r.now-s.coldDrawnAt >= r.set.FallWindow {
+	if r.now-s.coldDrawnAt >= r.set.OverloadWindow {
 		s.coldDrawnAt, s.coldDraw = r.now, int64(r.rng.below(coldChance))
 	}
 	sent := s.coldDraw * r.cost(q) / one
@@ -832,7 +834,7 @@
 		sent += c.cost
 	}
 	share := max(r.usualServed, startLimit*r.meanCost/int64(r.set.Gateways))
-	return sent < share*r.set.FallMultiple/one*warmth/one
+	return sent < share*r.set.OverloadFactor/one*warmth/one
 }
 
 // cost is the work that a request may be, as far as its class has been seen.
@@ -840,21 +842,21 @@
 	if t := q.class.typical; t > 0 {
 		return int64(t)
 	}
-	return int64(q.class.Aim / hopelessPart)
+	return int64(q.class.LatencyObjective / hopelessPart)
 }
 
 // countServed keeps the mean of the work that one server does for this gateway in a fall window.
 func (r *Router) countServed(q *request) {
 	r.served += r.cost(q)
 	r.meanCost += (r.cost(q) - r.meanCost) / smoothing
-	if span := r.now - r.servedFrom; span >= r.set.FallWindow {
+	if span := r.now - r.servedFrom; span >= r.set.OverloadWindow {
 		usable := int64(0)
 		for _, s := range r.servers {
 			if r.usable(s) {
 				usable++
 			}
 		}
-		mean := r.served * int64(r.set.FallWindow) / int64(span) / max(usable, 1)
+		mean := r.served * int64(r.set.OverloadWindow) / int64(span) / max(usable, 1)
 		r.usualServed += (mean - r.usualServed) / 2
 		r.served, r.servedFrom = 0, r.now
 	}
@@ -863,20 +865,20 @@
 // ---- the member list ----
 
 // members takes news of the list. Draining binds at once; gone does too, unless the settings say otherwise.
-func (r *Router) members(e MemberNews) {
+func (r *Router) members(e EndpointUpdate) {
 	if e.Form == ListFailed {
 		r.askFailed()
 		return
 	}
-	if e.Form != ListCached && e.Form != ListAside {
+	if e.Form != ListCached && e.Form != ListCordoned {
 		r.subscribed, r.asking, r.askSpan = true, false, 0
 	}
 	named := map[ServerID]bool{}
-	for _, m := range e.Members {
+	for _, m := range e.Endpoints {
 		named[m.Server] = true
 		r.member(m)
 	}
-	if e.Form != ListDelta && e.Form != ListAside {
+	if e.Form != ListDelta && e.Form != ListCordoned {
 		for _, g := range r.order {
 			for _, s := range g.members {
 				if !named[s.id] {
@@ -891,10 +893,10 @@
 	}
 }
 
-func (r *Router) member(m Member) {
+func (r *Router) member(m Endpoint) {
 	s := r.servers[m.Server]
 	if s == nil {
-		if m.State == MemberGone {
+		if m.State == EndpointRemoved {
 			return
 		}
 		s = &server{id: m.Server, group: r.groupOf(m.Group)}
@@ -908,17 +910,17 @@
 		s.started, s.limit = m.Started, min(s.limit, r.firstLimit())
 		r.do(Withdraw{Server: s.id}) // what was to go to a warm server is placed anew, within the cold budget
 	}
-	if m.State == MemberGone {
+	if m.State == EndpointRemoved {
 		r.gone(s)
-	} else if s.state, s.forbidden = m.State, false; m.State == MemberDraining {
+	} else if s.state, s.forbidden = m.State, false; m.State == EndpointDraining {
 		r.forbid(s)
 	}
 }
 
 // gone takes a server off the list.
 func (r *Router) gone(s *server) {
-	s.state, s.listed = MemberGone, false
-	if !r.set.OnlyDrainingBinds {
+	s.state, s.listed = EndpointRemoved, false
+	if !r.set.RemovedStayUsable {
 		r.forbid(s)
 	}
 }
@@ -958,7 +960,7 @@
 		r.askSpan, r.askAt = 1, r.now
 		return
 	}
-	r.askSpan = max(min(r.askSpan*2, r.set.AskWithin/4, askPause), r.set.ConnectTimeout)
+	r.askSpan = max(min(r.askSpan*2, r.set.SubscribeWithin/4, askPause), r.set.ConnectTimeout)
 	r.askAt = r.now + r.askSpan/2 + clock.Micros(r.rng.below(int(r.askSpan)))
 }
 
@@ -967,10 +969,10 @@
 // sweep does what time alone calls for.
 func (r *Router) sweep() {
 	r.at(r.now+r.sweepSpan(), "sweep")
-	if r.set.ListAsked && r.asking && r.now-r.askAt > max(r.set.AskWithin/4, r.set.ConnectTimeout) {
+	if r.set.ListSubscribed && r.asking && r.now-r.askAt > max(r.set.SubscribeWithin/4, r.set.ConnectTimeout) {
 		r.askFailed()
 	}
-	if r.set.ListAsked && !r.subscribed && !r.asking && r.now >= r.askAt {
+	if r.set.ListSubscribed && !r.subscribed && !r.asking && r.now >= r.askAt {
 		r.askList()
 	}
 	for _, g := range r.order {
@@ -993,14 +995,14 @@
 
 func (r *Router) probe(s *server) {
 	s.probing, s.probedAt = true, r.now
-	r.do(Probe{Server: s.id})
+	r.do(HealthCheck{Server: s.id})
 }
 
 // forgettable tells whether a server may leave memory: the list calls it gone, and that binds or it has been
 // out of reach for as long as a list may be old. A list that is wrong costs nothing learned.
 func (r *Router) forgettable(s *server) bool {
-	dead := s.down && r.now-s.heardAt > max(r.set.AskWithin, r.set.Ramp)
-	return s.state == MemberGone && len(s.open) == 0 && (s.forbidden || dead)
+	dead := s.down && r.now-s.heardAt > max(r.set.SubscribeWithin, r.set.SlowStartWindow)
+	return s.state == EndpointRemoved && len(s.open) == 0 && (s.forbidden || dead)
 }
 
 // probeDue says whether to probe a server for its health: to find a lost primary, to see whether one that is
@@ -1027,13 +1029,13 @@
 // last, or waits there or at the server. It guards against probes that outnumber requests.
 func (r *Router) mayProbe(g *group, s *server) bool {
 	used := g.askedAt > 0 && g.askedAt >= s.probedAt || len(g.waiting)+len(s.open) > 0
-	return used && r.set.CanProbe && !s.probing && !s.forbidden
+	return used && r.set.CanHealthCheck && !s.probing && !s.forbidden
 }
 
 // probeStalest probes replicas whose known position is older than half the bound, the one probed longest ago
 // first, as far as the arrivals pay for it. Harm: with little traffic most positions are old.
 func (r *Router) probeStalest(g *group) {
-	for r.set.Checks != ChecksNone && r.probes >= one {
+	for r.set.FreshnessCheck != FreshnessCheckNone && r.probes >= one {
 		var old *server
 		for _, s := range g.members {
 			due := s != g.primary && !s.down && r.now-max(s.pos, s.probedAt) > r.minBound/2 && r.mayProbe(g, s)
@@ -1050,7 +1052,7 @@
 
 // probed takes in a probe's result. A report is as old as its sender makes it: a primary's position tells
 // when.
-func (r *Router) probed(e Probed) {
+func (r *Router) probed(e HealthCheckEnded) {
 	s := r.servers[e.Server]
 	if s == nil {
 		return
@@ -1058,10 +1060,10 @@
 	s.probing = false
 	switch e.Result {
 	case ResultOK:
-		r.alive(s, e.Report.Position > max(s.downAt, r.now-r.minBound))
-		if e.Report.HasPosition {
-			r.position(s, e.Report.Position)
-			r.role(s, e.Report.Role, min(e.Report.Position, r.now))
+		r.alive(s, e.LoadReport.Position > max(s.downAt, r.now-r.minBound))
+		if e.LoadReport.HasPosition {
+			r.position(s, e.LoadReport.Position)
+			r.role(s, e.LoadReport.Role, min(e.LoadReport.Position, r.now))
 		}
 		r.dispatch(s.group)
 	case ResultConnectFailed, ResultReset, ResultTimeout:
--- a/internal/policy/brain_test.go
+++ b/internal/policy/brain_test.go
@@ -15,20 +15,20 @@
 		name   string
 		class  int
 		lag    clock.Micros // of the one replica, server 2
-		checks policy.Checks
+		checks policy.FreshnessCheck
 		want   policy.ServerID
 	}{
-		{"write to the primary", unsafeWrite, 0, policy.ChecksNone, 1},
-		{"fresh read to the primary", freshRead, 0, policy.ChecksNone, 1},
-		{"any read to a replica", anyRead, 0, policy.ChecksNone, 2},
-		{"any read to a lagging replica", anyRead, 5000 * ms, policy.ChecksNone, 2},
-		{"bounded read to a fresh replica", boundedRead, 700 * ms, policy.ChecksNone, 2},
-		{"bounded read at the bound", boundedRead, 800 * ms, policy.ChecksNone, 2},
-		{"past the bound, servers check: most advanced replica", boundedRead, 801 * ms, policy.ChecksRefuse, 2},
+		{"write to the primary", unsafeWrite, 0, policy.FreshnessCheckNone, 1},
+		{"fresh read to the primary", freshRead, 0, policy.FreshnessCheckNone, 1},
+		{"any read to a replica", anyRead, 0, policy.FreshnessCheckNone, 2},
+		{"any read to a lagging replica", anyRead, 5000 * ms, policy.FreshnessCheckNone, 2},
+		{"bounded read to a fresh replica", boundedRead, 700 * ms, policy.FreshnessCheckNone, 2},
+		{"bounded read at the bound", boundedRead, 800 * ms, policy.FreshnessCheckNone, 2},
+		{"past the bound, servers check: most advanced replica", boundedRead, 801 * ms, policy.FreshnessCheckReject, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			set := settings()
-			set.Checks = c.checks
+			set.FreshnessCheck = c.checks
 			g := newRig(t, set)
 			g.group(2)
 			g.fresh(1, 0)
@@ -41,7 +41,7 @@
 
 func TestMostAdvancedReplicaFirst(t *testing.T) {
 	set := settings()
-	set.Checks = policy.ChecksWait
+	set.FreshnessCheck = policy.FreshnessCheckWait
 	g := newRig(t, set)
 	g.group(4)
 	g.fresh(2, 5000*ms)
@@ -50,7 +50,7 @@
 	g.arrive("q", boundedRead)
 	g.wantSent("q", 3)
 	// Its miss redraws: the next most advanced, and 3 is left out for a while even for others.
-	g.outcome("q", 0, 3, policy.ResultMiss)
+	g.outcome("q", 0, 3, policy.ResultMisdirected)
 	g.wantSent("q", 2)
 	g.arrive("r", boundedRead)
 	g.wantSent("r", 2)
@@ -59,7 +59,7 @@
 // Late reports: positions look old while the data is not. Misses alone rule a replica out where servers check.
 func TestOldNewsDoesNotSendReadsToThePrimary(t *testing.T) {
 	set := settings()
-	set.Checks = policy.ChecksWait
+	set.FreshnessCheck = policy.FreshnessCheckWait
 	g := newRig(t, set)
 	g.group(3)
 	g.fresh(1, 0)
@@ -77,8 +77,8 @@
 	// When both have missed, the primary takes the read, and later ones at once.
 	g.arrive("m", boundedRead)
 	first := sent(g.acts, "m")[0]
-	g.outcome("m", 0, first, policy.ResultMiss)
-	g.outcome("m", 1, 5-first, policy.ResultMiss)
+	g.outcome("m", 0, first, policy.ResultMisdirected)
+	g.outcome("m", 1, 5-first, policy.ResultMisdirected)
 	g.wantSent("m", 1)
 	g.arrive("n", boundedRead)
 	g.wantSent("n", 1)
@@ -112,8 +112,8 @@
 	g.arriveOf("x", sessionRead, 1)
 	home := sent(g.acts, "x")[0]
 	drained := member(home, false)
-	drained.State = policy.MemberDraining
-	g.step(policy.MemberNews{Form: policy.ListDelta, Members: []policy.Member{drained}})
+	drained.State = policy.EndpointDraining
+	g.step(policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{drained}})
 	g.arriveOf("y", sessionRead, 1)
 	if got := sent(g.acts, "y"); len(got) != 1 || got[0] == home {
 		t.Fatalf("sent to %v after %d drained", got, home)
@@ -140,14 +140,14 @@
 	})
 	t.Run("carried", func(t *testing.T) {
 		set := settings()
-		set.TokensCarried = true
+		set.SessionPositionsCarried = true
 		g := newRig(t, set)
 		g.group(2)
 		g.fresh(1, 0)
 		g.fresh(2, 200*ms)
-		g.step(policy.Arrival{ID: "r", Class: sessionRead, Group: 1, Left: 2000 * ms, SinceWrite: 199 * ms})
+		g.step(policy.Arrival{ID: "r", Class: sessionRead, Group: 1, TimeLeft: 2000 * ms, SinceWrite: 199 * ms})
 		g.wantSent("r", 1)
-		g.step(policy.Arrival{ID: "s", Class: sessionRead, Group: 1, Left: 2000 * ms, SinceWrite: 200 * ms})
+		g.step(policy.Arrival{ID: "s", Class: sessionRead, Group: 1, TimeLeft: 2000 * ms, SinceWrite: 200 * ms})
 		g.wantSent("s", 2)
 	})
 	t.Run("a read that is sent later sees a write answered meanwhile", func(t *testing.T) {
@@ -169,11 +169,11 @@
 	})
 	t.Run("a write of unknown end counts as committed by then", func(t *testing.T) {
 		for res, want := range map[policy.Result]policy.ServerID{
-			policy.ResultReset: 1, policy.ResultTimeout: 1, policy.ResultCancelled: 1, policy.ResultError: 1, policy.ResultFull: 2,
+			policy.ResultReset: 1, policy.ResultTimeout: 1, policy.ResultCancelled: 1, policy.ResultError: 1, policy.ResultOverloaded: 2,
 		} {
 			g := newFreshPair(t)
 			g.after(10*ms).arriveOf("w", unsafeWrite, 9)
-			g.step(policy.Dropped{ID: "w"})
+			g.step(policy.ClientDisconnected{ID: "w"})
 			g.after(10*ms).outcome("w", 0, 1, res)
 			g.after(100*ms).arriveOf("r", sessionRead, 9)
 			if got := sent(g.acts, "r"); len(got) != 1 || got[0] != want {
@@ -190,7 +190,7 @@
 		}
 		g.arriveOf("r", sessionRead, 1)
 		g.wantSent("r", 1)
-		g.outcome("w", 0, 1, policy.ResultFull)
+		g.outcome("w", 0, 1, policy.ResultOverloaded)
 		g.arriveOf("s", sessionRead, 1<<14+1)
 		g.wantSent("s", 2)
 	})
@@ -211,7 +211,7 @@
 func TestAttemptTable(t *testing.T) {
 	const again, refuse, fail = "again", "refuse", "fail"
 	ran := []policy.Result{policy.ResultError, policy.ResultTimeout, policy.ResultReset, policy.ResultCancelled}
-	notRan := []policy.Result{policy.ResultFull, policy.ResultConnectFailed, policy.ResultMiss}
+	notRan := []policy.Result{policy.ResultOverloaded, policy.ResultConnectFailed, policy.ResultMisdirected}
 	for _, c := range []struct {
 		class   int
 		results []policy.Result
@@ -325,11 +325,11 @@
 		g.fresh(3, 100*ms)
 		g.arrive("w", unsafeWrite)
 		g.wantSent("w", 1)
-		g.after(ms).outcome("w", 0, 1, policy.ResultMiss)
+		g.after(ms).outcome("w", 0, 1, policy.ResultMisdirected)
 		g.wantSent("w", 3) // the most advanced
-		g.after(ms).outcome("w", 1, 3, policy.ResultMiss)
+		g.after(ms).outcome("w", 1, 3, policy.ResultMisdirected)
 		g.wantSent("w", 2)
-		g.after(ms).outcome("w", 2, 2, policy.ResultMiss)
+		g.after(ms).outcome("w", 2, 2, policy.ResultMisdirected)
 		g.wantSent("w") // one round is enough: it waits
 		g.wantEnd("w", "")
 		// Another write does not go the round again.
@@ -353,7 +353,7 @@
 		g.wantSent("w", 1)
 		g.after(50*ms).arrive("v", unsafeWrite)
 		g.wantSent("v", 1)
-		g.after(ms).step(policy.Outcome{ID: "v", Server: 1, Result: policy.ResultMiss, Role: policy.RoleReplica})
+		g.after(ms).step(policy.Outcome{ID: "v", Server: 1, Result: policy.ResultMisdirected, Role: policy.RoleReplica})
 		g.after(100 * ms).step(policy.Outcome{ID: "w", Server: 1, Final: true, Role: policy.RolePrimary, Latency: 151 * ms,
 			Position: g.now - 130*ms})
 		g.arrive("f", freshRead)
@@ -372,9 +372,9 @@
 		for i := 0; i < 40; i++ {
 			g.arrive(fmt.Sprint("f", i), freshRead) // somebody waits for a primary
 			for _, a := range g.sweep(25 * ms) {
-				if p, ok := a.(policy.Probe); ok {
+				if p, ok := a.(policy.HealthCheck); ok {
 					probes++
-					g.step(policy.Probed{Server: p.Server, Result: policy.ResultTimeout})
+					g.step(policy.HealthCheckEnded{Server: p.Server, Result: policy.ResultTimeout})
 				}
 			}
 		}
@@ -387,24 +387,24 @@
 func TestDrainsAreObeyedAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		news  policy.MemberNews
+		news  policy.EndpointUpdate
 		loose bool
 		open  bool // may still be sent to
 	}{
-		{"draining", policy.MemberNews{Form: policy.ListDelta, Members: []policy.Member{
-			{Server: 2, Group: 1, State: policy.MemberDraining}}}, false, false},
-		{"gone", policy.MemberNews{Form: policy.ListDelta, Members: []policy.Member{
-			{Server: 2, Group: 1, State: policy.MemberGone}}}, false, false},
-		{"left out of a full list", policy.MemberNews{Form: policy.ListFull, Members: []policy.Member{
+		{"draining", policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{
+			{Server: 2, Group: 1, State: policy.EndpointDraining}}}, false, false},
+		{"gone", policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{
+			{Server: 2, Group: 1, State: policy.EndpointRemoved}}}, false, false},
+		{"left out of a full list", policy.EndpointUpdate{Form: policy.ListFull, Endpoints: []policy.Endpoint{
 			member(1, true)}}, false, false},
-		{"gone where only draining binds", policy.MemberNews{Form: policy.ListDelta, Members: []policy.Member{
-			{Server: 2, Group: 1, State: policy.MemberGone}}}, true, true},
-		{"draining where only draining binds", policy.MemberNews{Form: policy.ListDelta, Members: []policy.Member{
-			{Server: 2, Group: 1, State: policy.MemberDraining}}}, true, false},
+		{"gone where only draining binds", policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{
+			{Server: 2, Group: 1, State: policy.EndpointRemoved}}}, true, true},
+		{"draining where only draining binds", policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{
+			{Server: 2, Group: 1, State: policy.EndpointDraining}}}, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			set := settings()
-			set.OnlyDrainingBinds = c.loose
+			set.RemovedStayUsable = c.loose
 			g := newRig(t, set)
 			g.group(2)
 			g.fresh(1, 0)
@@ -423,11 +423,11 @@
 	g.group(2)
 	g.fresh(1, 0)
 	drained := member(1, true)
-	drained.State = policy.MemberDraining
-	g.step(policy.MemberNews{Form: policy.ListDelta, Members: []policy.Member{drained}})
+	drained.State = policy.EndpointDraining
+	g.step(policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{drained}})
 	g.arrive("w", unsafeWrite)
 	g.wantSent("w", 2)
-	g.outcome("w", 0, 2, policy.ResultMiss)
+	g.outcome("w", 0, 2, policy.ResultMisdirected)
 	g.wantSent("w")
 	g.after(50*ms).probed(2, policy.RolePrimary, g.now)
 	g.wantSent("w", 2)
@@ -435,7 +435,7 @@
 
 // A cold member takes what a fall window allows, whatever comes back and however quickly.
 func TestColdBudget(t *testing.T) {
-	for _, res := range []policy.Result{policy.ResultMiss, policy.ResultError, policy.ResultOK} {
+	for _, res := range []policy.Result{policy.ResultMisdirected, policy.ResultError, policy.ResultOK} {
 		t.Run(fmt.Sprint(res), func(t *testing.T) {
 			set := settings()
 			g := newRig(t, set)
@@ -443,7 +443,7 @@
 			// This gateway has measured nothing yet: the budget must hold all the same.
 			cold := member(3, false)
 			cold.Started = g.now
-			g.step(policy.MemberNews{Form: policy.ListDelta, Members: []policy.Member{cold}})
+			g.step(policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{cold}})
 			n := 0
 			for i := 0; i < 400; i++ {
 				id := fmt.Sprint("q", i)
@@ -485,25 +485,25 @@
 	g.wantSent("r", 1) // the primary takes it while the replica rests
 	probed := false
 	for _, a := range g.sweep(25 * ms) {
-		if p, ok := a.(policy.Probe); ok && p.Server == 2 {
+		if p, ok := a.(policy.HealthCheck); ok && p.Server == 2 {
 			probed = true
 		}
 	}
 	if !probed {
 		t.Error("no probe to tell whether it is down")
 	}
-	g.step(policy.Probed{Server: 2, Result: policy.ResultConnectFailed})
+	g.step(policy.HealthCheckEnded{Server: 2, Result: policy.ResultConnectFailed})
 	again := 0
 	g.after(ms).arrive("u", unsafeWrite)
 	for _, a := range g.sweep(25 * ms) {
-		if p, ok := a.(policy.Probe); ok && p.Server == 2 {
+		if p, ok := a.(policy.HealthCheck); ok && p.Server == 2 {
 			again++
 		}
 	}
 	if again != 1 {
 		t.Errorf("%d probes behind one that failed: a single one may have met a lossy path", again)
 	}
-	g.step(policy.Probed{Server: 2, Result: policy.ResultConnectFailed})
+	g.step(policy.HealthCheckEnded{Server: 2, Result: policy.ResultConnectFailed})
 	g.after(400*ms).arrive("still", anyRead)
 	g.wantSent("still", 1)
 	g.fresh(2, 0)
@@ -543,7 +543,7 @@
 			g.outcome(id, 0, to, res)
 		}
 		for _, a := range g.sweep(5 * ms) {
-			if p, ok := a.(policy.Probe); ok {
+			if p, ok := a.(policy.HealthCheck); ok {
 				g.fresh(p.Server, 0)
 			}
 		}
@@ -559,7 +559,7 @@
 	g.group(4)
 	tries := 0
 	for i := 0; i < 200; i++ {
-		tries += g.after(5*ms).readPast(fmt.Sprint("q", i), 2, policy.ResultFull)
+		tries += g.after(5*ms).readPast(fmt.Sprint("q", i), 2, policy.ResultOverloaded)
 	}
 	if tries == 0 || tries > 12 {
 		t.Errorf("%d of 200 requests met the member that is full", tries)
@@ -583,7 +583,7 @@
 func TestEjectionNeverEmptiesAGroup(t *testing.T) {
 	set := settings()
 	g := newRig(t, set)
-	g.step(policy.MemberNews{Form: policy.ListCached, Members: []policy.Member{member(2, false), member(3, false)}})
+	g.step(policy.EndpointUpdate{Form: policy.ListCached, Endpoints: []policy.Endpoint{member(2, false), member(3, false)}})
 	for i := 0; i < 60; i++ {
 		id := fmt.Sprint("q", i)
 		got := sent(g.after(100*ms).arrive(id, anyRead), id)
@@ -591,7 +591,7 @@
 			t.Fatalf("%s sent to %v", id, got)
 		}
 		g.outcome(id, 0, got[0], policy.ResultError)
-		g.step(policy.Dropped{ID: id})
+		g.step(policy.ClientDisconnected{ID: id})
 	}
 }
 
@@ -614,7 +614,7 @@
 		}
 		for i := 0; i < 40; i++ {
 			g.step(policy.Outcome{ID: fmt.Sprint(tag, "-burst", i), Server: 1, Final: true, Latency: latency})
-			g.step(policy.Dropped{ID: fmt.Sprint(tag, "-burst", i)})
+			g.step(policy.ClientDisconnected{ID: fmt.Sprint(tag, "-burst", i)})
 		}
 		return out
 	}
@@ -628,7 +628,7 @@
 // A waiting request that could not be answered within its aim any more is given up at once, not sent to time out.
 func TestHopelessIsNotSent(t *testing.T) {
 	set := settings()
-	set.AdviseRetry = true
+	set.CanSendRetryAfter = true
 	g := newRig(t, set)
 	g.group(2)
 	g.fresh(1, 0)
@@ -651,7 +651,7 @@
 	g.sweep(100 * ms)
 	g.wantEnd(waiting, "refuse")
 	for _, a := range g.acts {
-		if r, ok := a.(policy.Refuse); ok && r.ID == waiting && r.RetryAfter != set.MaxRetryAdvice {
+		if r, ok := a.(policy.Reject); ok && r.ID == waiting && r.RetryAfter != set.MaxRetryAfter {
 			t.Errorf("advice to come back in %d us", r.RetryAfter)
 		}
 	}
@@ -660,7 +660,7 @@
 // When the primary's room is scarce, what is worth more goes first.
 func TestWorthiestFirst(t *testing.T) {
 	set := settings()
-	set.Classes[unsafeWrite].Worth = 3000
+	set.Classes[unsafeWrite].PriorityWeight = 3000
 	g := newRig(t, set)
 	g.group(2)
 	g.fresh(1, 0)
@@ -736,15 +736,15 @@
 	g.fresh(2, 0)
 	g.fresh(3, 0)
 	set := policy.ServerID(0)
-	g.step(policy.Arrival{ID: "q", Class: lateRead, Group: 1, Left: 2000 * ms})
+	g.step(policy.Arrival{ID: "q", Class: lateRead, Group: 1, TimeLeft: 2000 * ms})
 	set = sent(g.acts, "q")[0]
 	cancelled := false
 	for i := 0; i < 60 && !cancelled; i++ {
 		for _, a := range g.sweep(25 * ms) {
 			switch a := a.(type) {
-			case policy.Probe:
+			case policy.HealthCheck:
 				if a.Server == set {
-					g.step(policy.Probed{Server: a.Server, Result: policy.ResultTimeout})
+					g.step(policy.HealthCheckEnded{Server: a.Server, Result: policy.ResultTimeout})
 					cancelled = cancelled || count[policy.Cancel](g.acts) > 0
 				} else {
 					g.fresh(a.Server, 0)
@@ -772,7 +772,7 @@
 			}
 		}
 		for _, a := range g.sweep(25 * ms) {
-			if p, ok := a.(policy.Probe); ok {
+			if p, ok := a.(policy.HealthCheck); ok {
 				probes[p.Server]++
 				g.fresh(p.Server, 0)
 			}
@@ -783,7 +783,7 @@
 
 func TestProbesKeepPositionsWithinHalfTheBoundInUse(t *testing.T) {
 	set := settings()
-	set.Checks = policy.ChecksRefuse
+	set.FreshnessCheck = policy.FreshnessCheckReject
 	g := newRig(t, set)
 	g.group(3)
 	at := g.readFor(10_000*ms, 50*ms)
@@ -800,7 +800,7 @@
 	for i := 0; i < 100; i++ {
 		g.arrive(fmt.Sprint("u", i), boundedRead)
 		for _, a := range g.sweep(25 * ms) {
-			if p, ok := a.(policy.Probe); ok && p.Server == 2 {
+			if p, ok := a.(policy.HealthCheck); ok && p.Server == 2 {
 				n++
 			}
 		}
@@ -814,7 +814,7 @@
 func TestProbesDoNotOutnumberRequests(t *testing.T) {
 	for _, gap := range []clock.Micros{0, 5000 * ms, 1000 * ms, 200 * ms} {
 		set := settings()
-		set.Checks = policy.ChecksRefuse
+		set.FreshnessCheck = policy.FreshnessCheckReject
 		g := newRig(t, set)
 		g.group(6)
 		total, reads := 0, 0
@@ -835,7 +835,7 @@
 
 func TestDiscovery(t *testing.T) {
 	set := settings()
-	set.ListAsked = true
+	set.ListSubscribed = true
 	g := newRig(t, set)
 	if count[policy.Watch](g.acts) != 1 {
 		t.Fatal("it does not subscribe at its start")
@@ -845,12 +845,12 @@
 		for end := g.now + span; g.now < end; {
 			if count[policy.Watch](g.sweep(25*ms)) > 0 {
 				n, last = n+1, g.now
-				g.after(5 * ms).step(policy.MemberNews{Form: policy.ListFailed})
+				g.after(5 * ms).step(policy.EndpointUpdate{Form: policy.ListFailed})
 			}
 		}
 		return n, last
 	}
-	g.step(policy.MemberNews{Form: policy.ListFailed})
+	g.step(policy.EndpointUpdate{Form: policy.ListFailed})
 	early, _ := asks(2000 * ms)
 	late, last := asks(20_000 * ms)
 	if early < 2 || late < 20 || late > 50 {
@@ -864,7 +864,7 @@
 			break
 		}
 	}
-	g.step(policy.MemberNews{Form: policy.ListDelta})
+	g.step(policy.EndpointUpdate{Form: policy.ListDelta})
 	if n, _ := asks(8000 * ms); n != 0 {
 		t.Errorf("%d asks with a subscription that stands", n)
 	}
@@ -872,7 +872,7 @@
 	spans := map[clock.Micros]bool{}
 	for seed := uint64(1); seed < 9; seed++ {
 		r, _ := policy.New(origin, seed, set)
-		r.Step(origin, policy.MemberNews{Form: policy.ListFailed})
+		r.Step(origin, policy.EndpointUpdate{Form: policy.ListFailed})
 		for now := origin; now < origin+1000*ms; now += 5 * ms {
 			if count[policy.Watch](r.Step(now, policy.Timer{Token: "sweep"})) > 0 {
 				spans[now] = true
@@ -889,7 +889,7 @@
 // discovery had it and could be reached. internal/gateway adds the module's pauses to the time limits of the calls.
 func TestPausesBetweenAsks(t *testing.T) {
 	set := settings()
-	set.ListAsked = true
+	set.ListSubscribed = true
 	const askings = 8
 	var sum [askings]clock.Micros
 	longest := clock.Micros(0)
@@ -899,7 +899,7 @@
 		now := origin
 		for n := range sum {
 			failed := now
-			r.Step(now, policy.MemberNews{Form: policy.ListFailed})
+			r.Step(now, policy.EndpointUpdate{Form: policy.ListFailed})
 			for {
 				now += 5 * ms
 				if count[policy.Watch](r.Step(now, policy.Timer{Token: "sweep"})) > 0 {
@@ -922,15 +922,15 @@
 // fails again waits.
 func TestPushedListIsAskedForAtOnce(t *testing.T) {
 	set := settings()
-	set.ListAsked, set.ListPushed = true, true
+	set.ListSubscribed, set.ListPushed = true, true
 	g := newRig(t, set)
 	g.group(2)
-	g.step(policy.MemberNews{Form: policy.ListDelta})
-	g.step(policy.MemberNews{Form: policy.ListFailed})
+	g.step(policy.EndpointUpdate{Form: policy.ListDelta})
+	g.step(policy.EndpointUpdate{Form: policy.ListFailed})
 	if count[policy.Watch](g.sweep(1*ms)) != 1 {
 		t.Error("it is not asked for again at once")
 	}
-	g.step(policy.MemberNews{Form: policy.ListFailed})
+	g.step(policy.EndpointUpdate{Form: policy.ListFailed})
 	if count[policy.Watch](g.sweep(1*ms)) != 0 {
 		t.Error("a second failure in a row is followed by an ask without a pause")
 	}
@@ -939,7 +939,7 @@
 // An ask that is never answered counts as failed.
 func TestUnansweredAskIsRepeated(t *testing.T) {
 	set := settings()
-	set.ListAsked = true
+	set.ListSubscribed = true
 	g := newRig(t, set)
 	n := 0
 	for i := 0; i < 400; i++ {
@@ -953,10 +953,10 @@
 func TestOddInputIsHarmless(t *testing.T) {
 	g := newRig(t, policy.Settings{})
 	for _, ev := range []policy.Event{
-		policy.Arrival{ID: "a", Class: 3}, policy.Arrival{ID: "b", Class: -1}, policy.Dropped{ID: "nobody"},
-		policy.Outcome{ID: "nobody"}, policy.Timer{Token: ""}, policy.Timer{Token: "nobody"}, policy.Probed{Server: 9},
-		policy.Headers{ID: "nobody"}, policy.PeerMessage{Data: []byte{1}},
-		policy.MemberNews{Form: policy.ListFailed}, policy.MemberNews{Form: policy.ListFull, Members: []policy.Member{{}}},
+		policy.Arrival{ID: "a", Class: 3}, policy.Arrival{ID: "b", Class: -1}, policy.ClientDisconnected{ID: "nobody"},
+		policy.Outcome{ID: "nobody"}, policy.Timer{Token: ""}, policy.Timer{Token: "nobody"}, policy.HealthCheckEnded{Server: 9},
+		policy.AnswerStarted{ID: "nobody"}, policy.PeerMessage{Data: []byte{1}},
+		policy.EndpointUpdate{Form: policy.ListFailed}, policy.EndpointUpdate{Form: policy.ListFull, Endpoints: []policy.Endpoint{{}}},
 	} {
 		g.step(ev)
 	}
@@ -967,7 +967,7 @@
 	g.arrive("q", len(set.Classes)-1)
 	g.step(policy.Outcome{ID: "q", Attempt: 5, Server: 1})
 	g.step(policy.Outcome{ID: "q", Attempt: -1, Server: 1})
-	g.step(policy.Arrival{ID: "neg", Class: anyRead, Group: 1, Left: -5 * ms})
+	g.step(policy.Arrival{ID: "neg", Class: anyRead, Group: 1, TimeLeft: -5 * ms})
 	if ending(g.acts, "neg") == "" {
 		t.Error("a request whose time is up got no answer")
 	}
@@ -995,10 +995,10 @@
 // gone must still leave memory, or it is probed for ever.
 func TestGoneServersAreForgottenOnlyWhenOutOfReach(t *testing.T) {
 	set := settings()
-	set.OnlyDrainingBinds = true
+	set.RemovedStayUsable = true
 	g := newRig(t, set)
 	g.group(3)
-	g.step(policy.MemberNews{Form: policy.ListFull}) // an empty list
+	g.step(policy.EndpointUpdate{Form: policy.ListFull}) // an empty list
 	last := map[policy.ServerID]clock.Micros{}
 	served := 0
 	for i := 0; i < 4000; i++ {
@@ -1013,15 +1013,15 @@
 			last[got[0]] = g.now - origin
 			g.outcome(id, 0, got[0], res)
 		}
-		g.step(policy.Dropped{ID: id})
+		g.step(policy.ClientDisconnected{ID: id})
 		for _, a := range g.sweep(25 * ms) {
-			if p, ok := a.(policy.Probe); ok {
+			if p, ok := a.(policy.HealthCheck); ok {
 				last[p.Server] = g.now - origin
 				res := policy.ResultOK
 				if p.Server == 3 {
 					res = policy.ResultConnectFailed
 				}
-				g.step(policy.Probed{Server: p.Server, Result: res})
+				g.step(policy.HealthCheckEnded{Server: p.Server, Result: res})
 			}
 		}
 	}
@@ -1052,16 +1052,16 @@
 				}
 				g.outcome(id, n, got[0], res)
 			}
-			g.step(policy.Dropped{ID: id})
+			g.step(policy.ClientDisconnected{ID: id})
 		}
 		for _, a := range g.sweep(25 * ms) {
-			p, ok := a.(policy.Probe)
+			p, ok := a.(policy.HealthCheck)
 			if !ok {
 				continue
 			}
 			if p.Server == 3 {
 				probes++
-				g.step(policy.Probed{Server: 3, Result: policy.ResultConnectFailed})
+				g.step(policy.HealthCheckEnded{Server: 3, Result: policy.ResultConnectFailed})
 				continue
 			}
 			g.fresh(p.Server, 0)
@@ -1077,13 +1077,13 @@
 	probes := map[bool]int{}
 	for _, told := range []bool{false, true} {
 		set := settings()
-		set.Checks = policy.ChecksRefuse
+		set.FreshnessCheck = policy.FreshnessCheckReject
 		g := newRig(t, set)
-		var ms3 []policy.Member
+		var ms3 []policy.Endpoint
 		for id := policy.ServerID(1); id <= 3; id++ {
 			ms3 = append(ms3, member(id, false))
 		}
-		g.step(policy.MemberNews{Form: policy.ListCached, Members: ms3})
+		g.step(policy.EndpointUpdate{Form: policy.ListCached, Endpoints: ms3})
 		for i := 0; i < 400; i++ {
 			id := fmt.Sprint("r", i)
 			for _, s := range sent(g.arrive(id, anyRead), id) {
@@ -1093,12 +1093,12 @@
 				}
 				g.step(o)
 			}
-			g.step(policy.Dropped{ID: id})
+			g.step(policy.ClientDisconnected{ID: id})
 			for _, a := range g.sweep(25 * ms) {
-				if p, ok := a.(policy.Probe); ok {
+				if p, ok := a.(policy.HealthCheck); ok {
 					probes[told]++
-					g.step(policy.Probed{Server: p.Server, Result: policy.ResultTimeout})
-					g.step(policy.Probed{Server: p.Server, Report: policy.Report{
+					g.step(policy.HealthCheckEnded{Server: p.Server, Result: policy.ResultTimeout})
+					g.step(policy.HealthCheckEnded{Server: p.Server, LoadReport: policy.LoadReport{
 						HasPosition: true, Position: g.now, Role: policy.RoleUnknown}})
 				}
 			}
@@ -1123,7 +1123,7 @@
 		g.after(100 * ms).step(policy.Outcome{ID: id, Server: to[0], Final: true, Latency: 100 * ms})
 	}
 	hasty := func(id string, left clock.Micros) []policy.Action {
-		return g.step(policy.Arrival{ID: id, Class: anyRead, Group: 1, Left: left})
+		return g.step(policy.Arrival{ID: id, Class: anyRead, Group: 1, TimeLeft: left})
 	}
 	hasty("hopeless", 40*ms)
 	g.wantSent("hopeless")
@@ -1179,21 +1179,21 @@
 func TestWhatHasNotBegunIsTakenBack(t *testing.T) {
 	for _, c := range []struct {
 		onlyDraining bool
-		state        policy.MemberState
+		state        policy.EndpointState
 		started      clock.Micros
 		want         int
 	}{
-		{false, policy.MemberDraining, 0, 1}, {false, policy.MemberGone, 0, 1}, {true, policy.MemberDraining, 0, 1},
-		{true, policy.MemberGone, 0, 0}, {false, policy.MemberReady, 0, 0}, {false, policy.MemberReady, origin, 1},
+		{false, policy.EndpointDraining, 0, 1}, {false, policy.EndpointRemoved, 0, 1}, {true, policy.EndpointDraining, 0, 1},
+		{true, policy.EndpointRemoved, 0, 0}, {false, policy.EndpointReady, 0, 0}, {false, policy.EndpointReady, origin, 1},
 	} {
 		set := settings()
-		set.OnlyDrainingBinds = c.onlyDraining
+		set.RemovedStayUsable = c.onlyDraining
 		g := newRig(t, set)
 		g.group(3)
 		m := member(2, false)
 		m.State, m.Started = c.state, c.started
 		n := 0
-		for _, a := range g.step(policy.MemberNews{Form: policy.ListDelta, Members: []policy.Member{m}}) {
+		for _, a := range g.step(policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{m}}) {
 			if w, is := a.(policy.Withdraw); is && w.Server == 2 {
 				n++
 			}
--- a/internal/policy/fleet_test.go
+++ b/internal/policy/fleet_test.go
@@ -87,7 +87,7 @@
 			d := reply{g.now + 50*ms, g, s.ID, s.Server, f.tries[s.ID], policy.ResultOK}
 			f.tries[s.ID]++
 			if f.spent[s.Server]++; f.spent[s.Server] > 1+f.stand(g.now)/2 {
-				d.r = policy.ResultFull
+				d.r = policy.ResultOverloaded
 			}
 			f.due = append(f.due, d)
 		}
@@ -119,17 +119,17 @@
 				g.r, g.acts = policy.New(g.now, uint64(1000+i), set)
 				g.group(replicas + 1)
 			}
-			var news []policy.Member
+			var news []policy.Endpoint
 			for id := policy.ServerID(2); id <= replicas+1; id++ {
 				m := member(id, false)
 				m.Started = started
 				news = append(news, m)
 			}
-			g.step(policy.MemberNews{Form: policy.ListDelta, Members: news})
+			g.step(policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: news})
 		}
 		f.sends = map[policy.ServerID][]clock.Micros{}
 		f.stand = func(now clock.Micros) float64 {
-			return capacity * (0.25 + 0.75*float64(now-started)/float64(set.Ramp))
+			return capacity * (0.25 + 0.75*float64(now-started)/float64(set.SlowStartWindow))
 		}
 		f.run(9_000*ms, 400) // the whole group is cold, and all want it
 		total := 0
@@ -138,11 +138,11 @@
 			total += len(at)
 			for i := range at {
 				k := i
-				for k < len(at) && at[k]-at[i] < set.FallWindow {
+				for k < len(at) && at[k]-at[i] < set.OverloadWindow {
 					k++
 				}
-				warmth := float64(set.ColdShare)/1000 + 0.75*float64(at[i]-started)/float64(set.Ramp)
-				most := float64(set.FallMultiple) / 1000 * warmth * capacity * float64(set.FallWindow) / 1e6
+				warmth := float64(set.SlowStartMinWeight)/1000 + 0.75*float64(at[i]-started)/float64(set.SlowStartWindow)
+				most := float64(set.OverloadFactor) / 1000 * warmth * capacity * float64(set.OverloadWindow) / 1e6
 				if float64(k-i) > most {
 					t.Fatalf("%+v: %d sends to cold server %d within a fall window, it stands %.0f", c, k-i, id, most)
 				}
@@ -172,7 +172,7 @@
 				went++
 				took := 50 * ms
 				if res != policy.ResultOK {
-					took = set.Classes[anyRead].Aim
+					took = set.Classes[anyRead].LatencyObjective
 				}
 				g.after(took).step(policy.Outcome{ID: id, Server: 2, Result: res, Latency: took, Final: true})
 				continue
@@ -180,7 +180,7 @@
 			for _, s := range sent(g.all, id) {
 				g.step(policy.Outcome{ID: id, Server: s, Result: policy.ResultOK, Latency: 50 * ms, Final: true})
 			}
-			g.step(policy.Dropped{ID: id})
+			g.step(policy.ClientDisconnected{ID: id})
 			g.sweep(50 * ms)
 		}
 		return float64(went) / float64(reads)
@@ -208,7 +208,7 @@
 	shares := map[clock.Micros]float64{}
 	for _, gap := range []clock.Micros{25 * ms, 1000 * ms} {
 		set := settings()
-		set.Gateways, set.CanProbe = 200, false
+		set.Gateways, set.CanHealthCheck = 200, false
 		g := newRig(t, set)
 		g.group(1)
 		went, reads := 0, 400
@@ -225,7 +225,7 @@
 					went++
 				}
 			}
-			g.step(policy.Dropped{ID: id})
+			g.step(policy.ClientDisconnected{ID: id})
 		}
 		shares[gap] = float64(went) / float64(reads)
 	}
@@ -237,16 +237,16 @@
 // A write that draws badly at a limited primary must not be late for it: it has nowhere else to go.
 func TestWritesDrawAgainWithinTheirAim(t *testing.T) {
 	set := settings()
-	set.Gateways, set.CanProbe = 200, false
+	set.Gateways, set.CanHealthCheck = 200, false
 	g := newRig(t, set)
 	g.group(1)
-	aim := set.Classes[unsafeWrite].Aim
+	aim := set.Classes[unsafeWrite].LatencyObjective
 	for i := 0; i < 40; i++ {
 		id := fmt.Sprint("t", i)
 		if len(sent(g.after(500*ms).arrive(id, freshRead), id)) > 0 {
 			g.after(aim).step(policy.Outcome{ID: id, Server: 1, Result: policy.ResultTimeout, Latency: aim, Final: true})
 		}
-		g.step(policy.Dropped{ID: id})
+		g.step(policy.ClientDisconnected{ID: id})
 	}
 	went, first := 0, 0
 	for i := 0; i < 100; i++ {
@@ -259,7 +259,7 @@
 		if went += n; n > 0 {
 			g.after(aim).step(policy.Outcome{ID: id, Server: 1, Result: policy.ResultTimeout, Latency: aim, Final: true})
 		} else {
-			g.step(policy.Dropped{ID: id})
+			g.step(policy.ClientDisconnected{ID: id})
 		}
 	}
 	if went < 40 || went < 5*first {
@@ -272,10 +272,10 @@
 	went := map[int]int{}
 	for _, class := range []int{freshRead, boundedRead} {
 		set := settings()
-		set.Gateways, set.CanProbe = 200, false
+		set.Gateways, set.CanHealthCheck = 200, false
 		g := newRig(t, set)
 		g.group(1) // no replica: bounded reads have only the primary
-		aim := set.Classes[class].Aim
+		aim := set.Classes[class].LatencyObjective
 		for i := 0; i < 300; i++ {
 			id := fmt.Sprint("p", i)
 			n := len(sent(g.after(100*ms).arrive(id, class), id))
@@ -284,7 +284,7 @@
 			} else if n > 0 {
 				g.after(20 * ms).step(policy.Outcome{ID: id, Server: 1, Latency: 60 * ms, Final: true})
 			}
-			g.step(policy.Dropped{ID: id})
+			g.step(policy.ClientDisconnected{ID: id})
 			went[class] += n
 		}
 	}
--- a/internal/policy/harness_test.go
+++ b/internal/policy/harness_test.go
@@ -24,22 +24,22 @@
 
 func settings() policy.Settings {
 	class := func(n policy.Need, e policy.Effect) policy.Class {
-		return policy.Class{Need: n, Effect: e, Aim: 400 * ms, Deadline: 2000 * ms, Worth: 1000}
+		return policy.Class{Need: n, Effect: e, LatencyObjective: 400 * ms, Deadline: 2000 * ms, PriorityWeight: 1000}
 	}
 	s := policy.Settings{
 		Classes: []policy.Class{
-			class(policy.NeedAny, policy.EffectSafe), class(policy.NeedBounded, policy.EffectSafe),
-			class(policy.NeedSession, policy.EffectSafe), class(policy.NeedFresh, policy.EffectSafe),
-			class(policy.NeedWrite, policy.EffectUnsafe),
-			class(policy.NeedBounded, policy.EffectSafe),
+			class(policy.NeedAny, policy.EffectIdempotent), class(policy.NeedBounded, policy.EffectIdempotent),
+			class(policy.NeedSession, policy.EffectIdempotent), class(policy.NeedFresh, policy.EffectIdempotent),
+			class(policy.NeedWrite, policy.EffectNonIdempotent),
+			class(policy.NeedBounded, policy.EffectIdempotent),
 		},
-		Gateways: 1, Tick: 5 * ms, CanProbe: true, CanCancel: true, MaxAttempts: 6, ConnectTimeout: 250 * ms,
-		AnswerSlack: 20 * ms, DrainGrace: 250 * ms, AskWithin: 10_000 * ms, ColdShare: 250, Ramp: 10_000 * ms,
-		FallMultiple: 3000, FallWindow: 2000 * ms, MaxRetryAdvice: 2000 * ms,
+		Gateways: 1, Tick: 5 * ms, CanHealthCheck: true, CanCancel: true, MaxAttempts: 6, ConnectTimeout: 250 * ms,
+		AnswerSlack: 20 * ms, DrainGrace: 250 * ms, SubscribeWithin: 10_000 * ms, SlowStartMinWeight: 250, SlowStartWindow: 10_000 * ms,
+		OverloadFactor: 3000, OverloadWindow: 2000 * ms, MaxRetryAfter: 2000 * ms,
 	}
-	s.Classes[boundedRead].Bound = 800 * ms
-	s.Classes[lateRead].Bound, s.Classes[lateRead].LateWorth = 800*ms, 200
-	s.Classes[unsafeWrite].LateWorth = 700
+	s.Classes[boundedRead].StalenessBound = 800 * ms
+	s.Classes[lateRead].StalenessBound, s.Classes[lateRead].LateWeight = 800*ms, 200
+	s.Classes[unsafeWrite].LateWeight = 700
 	return s
 }
 
@@ -76,17 +76,17 @@
 }
 
 // member is a warm, ready member of group 1.
-func member(id policy.ServerID, primary bool) policy.Member {
-	return policy.Member{Server: id, Group: 1, State: policy.MemberReady, Primary: primary}
+func member(id policy.ServerID, primary bool) policy.Endpoint {
+	return policy.Endpoint{Server: id, Group: 1, State: policy.EndpointReady, Primary: primary}
 }
 
 // group lists server 1 as the primary and the others as replicas.
 func (g *rig) group(n int) {
-	var ms []policy.Member
+	var ms []policy.Endpoint
 	for id := 1; id <= n; id++ {
 		ms = append(ms, member(policy.ServerID(id), id == 1))
 	}
-	g.step(policy.MemberNews{Form: policy.ListCached, Members: ms})
+	g.step(policy.EndpointUpdate{Form: policy.ListCached, Endpoints: ms})
 }
 
 // fresh reports a server's position, so long ago.
@@ -108,18 +108,18 @@
 }
 
 func (g *rig) probed(id policy.ServerID, role policy.Role, pos policy.Position) {
-	g.step(policy.Probed{
+	g.step(policy.HealthCheckEnded{
 		Server: id, Result: policy.ResultOK,
-		Report: policy.Report{Position: pos, HasPosition: true, Role: role},
+		LoadReport: policy.LoadReport{Position: pos, HasPosition: true, Role: role},
 	})
 }
 
 func (g *rig) arrive(id string, class int) []policy.Action {
-	return g.step(policy.Arrival{ID: id, Class: class, Group: 1, Left: 2000 * ms})
+	return g.step(policy.Arrival{ID: id, Class: class, Group: 1, TimeLeft: 2000 * ms})
 }
 
 func (g *rig) arriveOf(id string, class int, session uint64) []policy.Action {
-	return g.step(policy.Arrival{ID: id, Class: class, Group: 1, Left: 2000 * ms, Session: session, HasSession: true})
+	return g.step(policy.Arrival{ID: id, Class: class, Group: 1, TimeLeft: 2000 * ms, Session: session, HasSession: true})
 }
 
 func (g *rig) outcome(id string, attempt int, server policy.ServerID, res policy.Result) []policy.Action {
@@ -163,7 +163,7 @@
 func ending(acts []policy.Action, id string) string {
 	for _, a := range acts {
 		switch a := a.(type) {
-		case policy.Refuse:
+		case policy.Reject:
 			if a.ID == id {
 				return "refuse"
 			}
--- a/internal/policy/property_test.go
+++ b/internal/policy/property_test.go
@@ -47,7 +47,7 @@
 
 type wsrv struct {
 	group   int
-	state   policy.MemberState
+	state   policy.EndpointState
 	known   policy.Position // highest position told
 	wasTold bool            // told to be primary, or listed so, and not denied since
 }
@@ -62,10 +62,10 @@
 		switch a := a.(type) {
 		case policy.Send:
 			w.send(a)
-		case policy.Refuse:
+		case policy.Reject:
 			q := w.ending(a.ID)
 			for _, t := range q.tries {
-				if !t.never && w.set.Classes[q.class].Effect == policy.EffectUnsafe {
+				if !t.never && w.set.Classes[q.class].Effect == policy.EffectNonIdempotent {
 					w.fail("%s: an unsafe request that may have run was refused", a.ID)
 				}
 			}
@@ -80,7 +80,7 @@
 				w.fail("a timer in the past")
 			}
 			w.timer = append(w.timer, a)
-		case policy.Probe:
+		case policy.HealthCheck:
 			s := w.srv[a.Server]
 			if s == nil {
 				w.fail("probe of %d, never listed", a.Server)
@@ -110,7 +110,7 @@
 	if s == nil || s.group != q.group {
 		w.fail("%s: sent to %d, outside its group", a.ID, a.Server)
 	}
-	if s.state != policy.MemberReady && !(w.set.OnlyDrainingBinds && s.state == policy.MemberGone) {
+	if s.state != policy.EndpointReady && !(w.set.RemovedStayUsable && s.state == policy.EndpointRemoved) {
 		w.fail("%s: sent to %d in state %d", a.ID, a.Server, s.state)
 	}
 	if len(q.tries) >= w.set.MaxAttempts {
@@ -119,17 +119,17 @@
 	c := w.set.Classes[q.class]
 	for _, t := range q.tries {
 		switch {
-		case t.out && !w.set.SecondCopies:
+		case t.out && !w.set.CanHedge:
 			w.fail("%s: two attempts out", a.ID)
-		case !t.never && c.Effect == policy.EffectUnsafe:
+		case !t.never && c.Effect == policy.EffectNonIdempotent:
 			w.fail("%s: an unsafe request that may have run was sent again", a.ID)
 		}
 	}
-	if w.set.Checks == policy.ChecksNone && !s.wasTold {
+	if w.set.FreshnessCheck == policy.FreshnessCheckNone && !s.wasTold {
 		need := q.need
 		switch c.Need {
 		case policy.NeedBounded:
-			need = w.now - c.Bound
+			need = w.now - c.StalenessBound
 		case policy.NeedFresh:
 			need = q.arrived
 		}
@@ -147,9 +147,9 @@
 	id := fmt.Sprint("q", w.n)
 	class := w.rng.Intn(len(w.set.Classes))
 	c := w.set.Classes[class]
-	e := policy.Arrival{ID: id, Class: class, Group: 1 + w.rng.Intn(2), Left: c.Deadline * clock.Micros(20+w.rng.Intn(80)) / 100}
-	q := &wreq{class: class, group: e.Group, deadline: w.now + e.Left, arrived: w.now}
-	if c.Need == policy.NeedSession && w.set.TokensCarried && w.rng.Intn(2) == 0 {
+	e := policy.Arrival{ID: id, Class: class, Group: 1 + w.rng.Intn(2), TimeLeft: c.Deadline * clock.Micros(20+w.rng.Intn(80)) / 100}
+	q := &wreq{class: class, group: e.Group, deadline: w.now + e.TimeLeft, arrived: w.now}
+	if c.Need == policy.NeedSession && w.set.SessionPositionsCarried && w.rng.Intn(2) == 0 {
 		e.SinceWrite = clock.Micros(w.rng.Intn(900)+1) * ms
 		q.need = w.now - e.SinceWrite
 	}
@@ -183,10 +183,10 @@
 	t, s := q.tries[k], w.srv[q.tries[k].server]
 	res := []policy.Result{0, 0, 0, 0, 0, 0, 0, 1, 2, 3, 4, 5, 6, 8}[w.rng.Intn(14)]
 	t.out = false
-	t.never = res == policy.ResultFull || res == policy.ResultConnectFailed || res == policy.ResultMiss
+	t.never = res == policy.ResultOverloaded || res == policy.ResultConnectFailed || res == policy.ResultMisdirected
 	o := policy.Outcome{ID: id, Attempt: k, Server: t.server, Result: res, Latency: w.now - t.at}
 	switch res {
-	case policy.ResultOK, policy.ResultError, policy.ResultFull, policy.ResultMiss:
+	case policy.ResultOK, policy.ResultError, policy.ResultOverloaded, policy.ResultMisdirected:
 		o.Role = []policy.Role{policy.RolePrimary, policy.RoleReplica}[w.rng.Intn(2)]
 		if res == policy.ResultOK && w.set.Classes[q.class].Need == policy.NeedWrite {
 			o.Role = policy.RolePrimary
@@ -207,18 +207,18 @@
 func (w *world) news() {
 	id := w.ids[w.rng.Intn(len(w.ids))]
 	s := w.srv[id]
-	s.state = policy.MemberReady
+	s.state = policy.EndpointReady
 	if n := w.rng.Intn(12); n < 2 {
-		s.state = []policy.MemberState{policy.MemberDraining, policy.MemberGone}[n]
+		s.state = []policy.EndpointState{policy.EndpointDraining, policy.EndpointRemoved}[n]
 	}
-	m := policy.Member{Server: id, Group: s.group, State: s.state, Primary: w.rng.Intn(4) == 0}
+	m := policy.Endpoint{Server: id, Group: s.group, State: s.state, Primary: w.rng.Intn(4) == 0}
 	if w.rng.Intn(3) == 0 {
 		m.Started = w.now - clock.Micros(w.rng.Intn(3000))*ms
 	}
 	if m.Primary {
 		s.wasTold = true
 	}
-	w.step(policy.MemberNews{Form: policy.ListDelta, Members: []policy.Member{m}})
+	w.step(policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{m}})
 }
 
 func (w *world) report() {
@@ -227,13 +227,13 @@
 	}
 	id := w.probe[0]
 	w.probe = w.probe[1:]
-	p := policy.Probed{Server: id, Result: []policy.Result{0, 0, 0, 0, 0, 0, 0, 2, 3, 4}[w.rng.Intn(10)], Latency: ms}
+	p := policy.HealthCheckEnded{Server: id, Result: []policy.Result{0, 0, 0, 0, 0, 0, 0, 2, 3, 4}[w.rng.Intn(10)], Latency: ms}
 	if p.Result == policy.ResultOK {
 		s := w.srv[id]
-		p.Report.HasPosition, p.Report.Position = true, w.now-clock.Micros(w.rng.Intn(2500))*ms
-		p.Report.Role = []policy.Role{policy.RolePrimary, policy.RoleReplica, policy.RoleReplica}[w.rng.Intn(3)]
-		s.known = max(s.known, p.Report.Position)
-		s.wasTold = s.wasTold || p.Report.Role == policy.RolePrimary
+		p.LoadReport.HasPosition, p.LoadReport.Position = true, w.now-clock.Micros(w.rng.Intn(2500))*ms
+		p.LoadReport.Role = []policy.Role{policy.RolePrimary, policy.RoleReplica, policy.RoleReplica}[w.rng.Intn(3)]
+		s.known = max(s.known, p.LoadReport.Position)
+		s.wasTold = s.wasTold || p.LoadReport.Role == policy.RolePrimary
 	}
 	w.step(p)
 }
@@ -261,7 +261,7 @@
 		}
 		if !q.over && w.rng.Intn(500) == 0 {
 			q.over = true
-			w.step(policy.Dropped{ID: id})
+			w.step(policy.ClientDisconnected{ID: id})
 		}
 	}
 	if len(w.order) > 400 {
@@ -284,24 +284,24 @@
 	for seed := int64(1); seed <= 60; seed++ {
 		rng := rand.New(rand.NewSource(seed))
 		set := settings()
-		set.Checks = policy.Checks(seed % 3)
-		set.TokensCarried = seed%2 == 0
-		set.ListAsked, set.OnlyDrainingBinds = seed%5 == 0, seed%7 == 0
-		set.Gateways, set.CanCancel, set.AdviseRetry = []int{1, 2, 3, 40, 250}[seed%5], seed%4 != 0, seed%3 == 0
+		set.FreshnessCheck = policy.FreshnessCheck(seed % 3)
+		set.SessionPositionsCarried = seed%2 == 0
+		set.ListSubscribed, set.RemovedStayUsable = seed%5 == 0, seed%7 == 0
+		set.Gateways, set.CanCancel, set.CanSendRetryAfter = []int{1, 2, 3, 40, 250}[seed%5], seed%4 != 0, seed%3 == 0
 		set.MaxAttempts = 1 + int(seed%8)
 		w := &world{t: t, seed: seed, set: set, rng: rng, now: origin,
 			reqs: map[string]*wreq{}, srv: map[policy.ServerID]*wsrv{}}
 		r, acts := policy.New(w.now, uint64(seed), set)
 		w.r = r
 		w.do(acts)
-		var list []policy.Member
+		var list []policy.Endpoint
 		for id := policy.ServerID(1); id <= 8; id++ {
 			g := 1 + int(id)%2
-			w.srv[id] = &wsrv{group: g, state: policy.MemberReady, wasTold: id <= 2}
+			w.srv[id] = &wsrv{group: g, state: policy.EndpointReady, wasTold: id <= 2}
 			w.ids = append(w.ids, id)
-			list = append(list, policy.Member{Server: id, Group: g, State: policy.MemberReady, Primary: id <= 2})
+			list = append(list, policy.Endpoint{Server: id, Group: g, State: policy.EndpointReady, Primary: id <= 2})
 		}
-		w.step(policy.MemberNews{Form: policy.ListCached, Members: list})
+		w.step(policy.EndpointUpdate{Form: policy.ListCached, Endpoints: list})
 		for i := 0; i < 4000; i++ {
 			w.now += 5 * ms
 			w.due()
--- a/internal/policy/shapes_test.go
+++ b/internal/policy/shapes_test.go
@@ -13,7 +13,7 @@
 
 func probesOf(acts []policy.Action) (out []policy.ServerID) {
 	for _, a := range acts {
-		if p, ok := a.(policy.Probe); ok {
+		if p, ok := a.(policy.HealthCheck); ok {
 			out = append(out, p.Server)
 		}
 	}
@@ -93,7 +93,7 @@
 // a replica may apply nothing while it holds one. Without one of that half they go to the others.
 func TestLongReadsStandAside(t *testing.T) {
 	set := settings()
-	set.Classes[anyRead].Aim, set.Classes[anyRead].Deadline = 5000*ms, 10_000*ms
+	set.Classes[anyRead].LatencyObjective, set.Classes[anyRead].Deadline = 5000*ms, 10_000*ms
 	used := map[policy.ServerID]int{}
 	for seed := range uint64(20) {
 		g := newRig(t, set)
@@ -114,9 +114,9 @@
 	}
 	g := newRig(t, set)
 	g.group(5)
-	g.step(policy.MemberNews{Form: policy.ListDelta, Members: []policy.Member{
-		{Server: 3, Group: 1, State: policy.MemberDraining}, {Server: 5, Group: 1, State: policy.MemberDraining},
-		{Server: 4, Group: 1, State: policy.MemberDraining},
+	g.step(policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{
+		{Server: 3, Group: 1, State: policy.EndpointDraining}, {Server: 5, Group: 1, State: policy.EndpointDraining},
+		{Server: 4, Group: 1, State: policy.EndpointDraining},
 	}})
 	g.arrive("q", anyRead)
 	g.wantSent("q", 2)
@@ -125,7 +125,7 @@
 // A long read waits for its half rather than hold up the log of another replica; the primary's log stands on its own.
 func TestLongReadsKeepToTheirHalf(t *testing.T) {
 	set := settings()
-	set.Classes[anyRead].Aim, set.Classes[anyRead].Deadline = 5000*ms, 10_000*ms
+	set.Classes[anyRead].LatencyObjective, set.Classes[anyRead].Deadline = 5000*ms, 10_000*ms
 	set.Gateways = 12 // one attempt at a server to begin with
 	g := newRig(t, set)
 	g.group(3)
@@ -149,11 +149,11 @@
 func TestALongAimSetsNoPace(t *testing.T) {
 	asked := func(longest clock.Micros) int {
 		set := settings()
-		set.Classes[anyRead].Aim, set.Classes[anyRead].Deadline = longest, 2*longest
+		set.Classes[anyRead].LatencyObjective, set.Classes[anyRead].Deadline = longest, 2*longest
 		g := newRig(t, set)
 		g.group(3)
 		for range 2 {
-			g.step(policy.Probed{Server: 2, Result: policy.ResultTimeout})
+			g.step(policy.HealthCheckEnded{Server: 2, Result: policy.ResultTimeout})
 		}
 		n := 0
 		for i := range 800 { // 20 s
@@ -162,7 +162,7 @@
 			for _, s := range probesOf(g.sweep(25 * ms)) {
 				if s == 2 {
 					n++
-					g.step(policy.Probed{Server: 2, Result: policy.ResultTimeout})
+					g.step(policy.HealthCheckEnded{Server: 2, Result: policy.ResultTimeout})
 				}
 			}
 		}
@@ -177,7 +177,7 @@
 // each, the long reads that go to few servers push a newcomer over.
 func TestColdBudgetCountsWork(t *testing.T) {
 	set := settings()
-	set.Classes[anyRead].Aim, set.Classes[anyRead].Deadline = 5000*ms, 10_000*ms
+	set.Classes[anyRead].LatencyObjective, set.Classes[anyRead].Deadline = 5000*ms, 10_000*ms
 	set.Gateways = 12
 	g := newRig(t, set)
 	g.group(3) // 3 takes the long reads
@@ -197,7 +197,7 @@
 	}
 	cold := member(3, false)
 	cold.Started = g.now
-	g.step(policy.MemberNews{Form: policy.ListDelta, Members: []policy.Member{cold}})
+	g.step(policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{cold}})
 	long := 0
 	for n := range 40 { // a fall window
 		id := fmt.Sprint("c", n)
@@ -219,7 +219,7 @@
 		set := settings()
 		set.Zone, set.CrossZoneCost = "east", cost
 		g := newRig(t, set)
-		var list []policy.Member
+		var list []policy.Endpoint
 		for id := policy.ServerID(1); id <= 5; id++ {
 			m := member(id, id == 1)
 			if m.Zone = "west"; id == 3 || id == 4 {
@@ -227,7 +227,7 @@
 			}
 			list = append(list, m)
 		}
-		g.step(policy.MemberNews{Form: policy.ListCached, Members: list})
+		g.step(policy.EndpointUpdate{Form: policy.ListCached, Endpoints: list})
 		read := func(n int, took clock.Micros) (east, west int) {
 			for i := range n {
 				id := fmt.Sprint("q", cost, took, i)
@@ -266,7 +266,7 @@
 		g.fresh(1, 0)
 		g.fresh(2, 0)
 		for range 2 {
-			g.step(policy.Probed{Server: 2, Result: policy.ResultReset})
+			g.step(policy.HealthCheckEnded{Server: 2, Result: policy.ResultReset})
 		}
 		g.after(3000*ms).fresh(2, ago)
 		n := 0
@@ -294,17 +294,17 @@
 // server that the list called gone is forbidden once gone binds.
 func TestReconfigureForgetsNothing(t *testing.T) {
 	loose := settings()
-	loose.OnlyDrainingBinds = true
+	loose.RemovedStayUsable = true
 	strict := settings()
-	strict.Gateways, strict.Classes[unsafeWrite].Effect = 12, policy.EffectSafe
+	strict.Gateways, strict.Classes[unsafeWrite].Effect = 12, policy.EffectIdempotent
 	g := newRig(t, loose)
 	g.group(5)
 	g.fresh(1, 0)
 	g.probed(2, policy.RolePrimary, g.now) // who took over
 	cold := member(5, false)
 	cold.Started = g.now
-	g.step(policy.MemberNews{Form: policy.ListDelta, Members: []policy.Member{
-		{Server: 3, Group: 1, State: policy.MemberDraining}, {Server: 4, Group: 1, State: policy.MemberGone}, cold,
+	g.step(policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{
+		{Server: 3, Group: 1, State: policy.EndpointDraining}, {Server: 4, Group: 1, State: policy.EndpointRemoved}, cold,
 	}})
 	g.arrive("w", unsafeWrite)
 	g.wantSent("w", 2)
@@ -345,7 +345,7 @@
 	set.Gateways = 200
 	g := newRig(t, set)
 	g.group(2)
-	g.step(policy.MemberNews{Form: policy.ListDelta, Members: []policy.Member{{Server: 1, Group: 1, State: policy.MemberGone}}})
+	g.step(policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{{Server: 1, Group: 1, State: policy.EndpointRemoved}}})
 	return g
 }
 
@@ -385,7 +385,7 @@
 			id := fmt.Sprint("r", g.now, i)
 			if len(sent(g.arrive(id, anyRead), id)) == 1 {
 				n++
-				g.step(policy.Dropped{ID: id})
+				g.step(policy.ClientDisconnected{ID: id})
 				g.step(policy.Outcome{ID: id, Server: 2, Result: policy.ResultError, Final: true})
 			}
 		}
--- a/internal/policy/state.go
+++ b/internal/policy/state.go
@@ -67,7 +67,7 @@
 	r.readSettings()
 	for _, g := range r.order {
 		for _, s := range g.members {
-			if s.state == MemberGone {
+			if s.state == EndpointRemoved {
 				r.gone(s)
 			}
 		}
@@ -79,7 +79,7 @@
 	id        ServerID
 	group     *group
 	zone      string
-	state     MemberState
+	state     EndpointState
 	forbidden bool // draining or gone, as told: nothing new may be sent
 	listed    bool // the list names it as the primary
 	started   clock.Micros
@@ -129,8 +129,8 @@
 
 // Health is what a router knows of its servers, for those who judge whether its gateway is of use.
 type Health struct {
-	Usable         int // servers that work may be sent to
-	WithoutPrimary int // groups asked for lately that have no known primary
+	UsableServers        int // servers that work may be sent to
+	GroupsWithoutPrimary int // groups asked for lately that have no known primary
 }
 
 // Health counts; it decides nothing. Groups that nobody has asked for in the last span are left out:
@@ -140,11 +140,11 @@
 	for _, g := range r.order {
 		for _, s := range g.members {
 			if r.usable(s) {
-				h.Usable++
+				h.UsableServers++
 			}
 		}
 		if g.primary == nil && g.askedAt > 0 && r.now-g.askedAt <= lately && len(g.members) > 0 {
-			h.WithoutPrimary++
+			h.GroupsWithoutPrimary++
 		}
 	}
 	return h
@@ -152,11 +152,11 @@
 
 // ServerView is what a router knows of one server, for those who ask whether it can be spared.
 type ServerView struct {
-	Member
-	Primary, Down, Cold bool
-	Behind              clock.Micros // by its last word
-	Asked               clock.Micros // when its group was last asked for; 0: never
-	Out                 int          // attempts that are out there
+	Endpoint
+	Primary, Down, InSlowStart bool
+	Lag                        clock.Micros // by its last word
+	LastRequestAt              clock.Micros // when its group was last asked for; 0: never
+	InFlight                   int          // attempts that are out there
 }
 
 // View tells of a server; it decides nothing.
@@ -166,18 +166,18 @@
 		return v, false
 	}
 	return ServerView{
-		Member: Member{Server: id,
+		Endpoint: Endpoint{Server: id,
 			Group:   s.group.id,
 			Zone:    s.zone,
 			State:   s.state,
 			Started: s.started,
 			Primary: s.listed},
-		Primary: s.group.primary == s,
-		Down:    s.down,
-		Cold:    r.warmth(s) < one,
-		Behind:  max(s.heardAt-s.pos, 0),
-		Asked:   s.group.askedAt,
-		Out:     len(s.open),
+		Primary:       s.group.primary == s,
+		Down:          s.down,
+		InSlowStart:   r.warmth(s) < one,
+		Lag:           max(s.heardAt-s.pos, 0),
+		LastRequestAt: s.group.askedAt,
+		InFlight:      len(s.open),
 	}, true
 }
 
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -106,13 +106,13 @@
 		if q := c.byClient[e.Client]; q != nil {
 			c.Counts.Gone[q.place]++
 			c.over(q)
-			c.step(policy.Dropped{ID: q.id})
+			c.step(policy.ClientDisconnected{ID: q.id})
 		}
 	case Ended:
 		c.ended(e)
 	case ProbeEnded:
 		c.Counts.Probes[e.Result]++
-		c.step(policy.Probed{Server: e.Server, Result: e.Result, Latency: e.Latency, Report: e.Report})
+		c.step(policy.HealthCheckEnded{Server: e.Server, Result: e.Result, Latency: e.Latency, LoadReport: e.Report})
 	case ListNews:
 		form := policy.ListDelta
 		if e.Failed {
@@ -192,7 +192,7 @@
 	}
 	c.Counts.Requests[q.place]++
 	a := e.Arrival
-	a.Class, a.ID, a.Left = class, id, max(q.deadline-c.now, 0)
+	a.Class, a.ID, a.TimeLeft = class, id, max(q.deadline-c.now, 0)
 	if e.After > 0 {
 		a.SinceWrite = max(c.now-e.After, 1)
 	}
@@ -231,7 +231,7 @@
 		// It was taken for the primary, by an old list or before a failover, and says itself that it is none: what it has may be
 		// behind. Where servers check nothing, nobody else would notice. Harm: one more attempt where it was current all the same.
 		c.Counts.NotCurrent++
-		e.Result = policy.ResultMiss
+		e.Result = policy.ResultMisdirected
 	}
 	final := q.over || e.Result == policy.ResultOK
 	if e.Result == policy.ResultOK && !q.over {
@@ -241,7 +241,7 @@
 	}
 	c.step(policy.Outcome{
 		ID: q.id, Attempt: e.Job.Attempt, Server: e.Job.Server, Result: e.Result, Final: final, Latency: e.Latency,
-		Role: e.Role, Position: e.Position, Report: e.Report,
+		Role: e.Role, Position: e.Position, LoadReport: e.Report,
 	})
 	c.forget(q)
 }
@@ -272,7 +272,7 @@
 func (c *Core) FailAll() {
 	for _, q := range c.byClient {
 		c.answer(q, Answer{Kind: Failed})
-		c.step(policy.Dropped{ID: q.id})
+		c.step(policy.ClientDisconnected{ID: q.id})
 		c.settle()
 	}
 }
@@ -283,7 +283,7 @@
 		switch a := a.(type) {
 		case policy.Send:
 			c.send(a)
-		case policy.Refuse:
+		case policy.Reject:
 			if q := c.requests[a.ID]; q != nil && !q.over {
 				c.answer(q, Answer{Kind: Refused, RetryAfter: a.RetryAfter})
 			}
@@ -297,7 +297,7 @@
 			}
 		case policy.SetTimer:
 			c.timers.set(a.At, a.Token)
-		case policy.Probe:
+		case policy.HealthCheck:
 			c.Counts.ProbesSent++
 			c.servers.Probe(a.Server, c.now, c.now+c.facts.Settings.ConnectTimeout)
 		case policy.CloseIdle:
@@ -319,7 +319,7 @@
 			c.discovery.Fetch()
 		case policy.Log:
 			c.log.Info().Str("from", "module").Msg(a.Text)
-		case policy.Tell: // there is no path between gateways
+		case policy.SendToPeer: // there is no path between gateways
 		}
 	}
 }
@@ -334,9 +334,9 @@
 	q.attempts = append(q.attempts, nil)
 	until := min(a.Until, q.deadline)
 	if q.over || q.out > 0 || until <= c.now || index >= max(q.facts.Settings.MaxAttempts, 1) {
-		c.Counts.Outcomes[policy.ResultMoot]++
+		c.Counts.Outcomes[policy.ResultNotSent]++
 		c.pending = append(c.pending, policy.Outcome{
-			ID: q.id, Attempt: index, Server: a.Server, Result: policy.ResultMoot, Final: q.over,
+			ID: q.id, Attempt: index, Server: a.Server, Result: policy.ResultNotSent, Final: q.over,
 		})
 		return
 	}
@@ -344,6 +344,6 @@
 	q.out++
 	q.attempts[index] = c.servers.Send(Job{
 		ID: q.id, Attempt: index, Server: a.Server, Payload: q.payload.Share(), Sent: c.now, Until: until,
-		NonIdempotent: q.facts.Settings.Classes[q.class].Effect == policy.EffectUnsafe,
+		NonIdempotent: q.facts.Settings.Classes[q.class].Effect == policy.EffectNonIdempotent,
 	})
 }
--- a/internal/routing/core_test.go
+++ b/internal/routing/core_test.go
@@ -191,7 +191,7 @@
 	}{
 		{1, policy.ResultReset, false, Failed}, {1, policy.ResultError, false, Failed},
 		{1, policy.ResultTimeout, false, Failed}, {1, policy.ResultConnectFailed, true, Refused},
-		{1, policy.ResultFull, true, Refused}, {0, policy.ResultReset, true, Refused},
+		{1, policy.ResultOverloaded, true, Refused}, {0, policy.ResultReset, true, Refused},
 	} {
 		r := newRig(t)
 		client, p := r.request(c.class, 1_000_000)
@@ -479,7 +479,7 @@
 	}
 	aside()
 	view := func(uid string) policy.ServerView { v, _ := r.core.view(uid); return v }
-	if v := view("a"); !v.Cold || v.State != policy.MemberReady {
+	if v := view("a"); !v.InSlowStart || v.State != policy.EndpointReady {
 		t.Errorf("put back: %+v", v)
 	}
 	if to := sentTo(40); !to["a"] {
@@ -488,7 +488,7 @@
 	aside("b")
 	r.core.Handle(r.now, ListNews{List: discovery.List{Rev: 43, Entries: []discovery.Entry{entry("b", discovery.Draining, false)}}})
 	aside()
-	if v := view("b"); v.State != policy.MemberDraining {
+	if v := view("b"); v.State != policy.EndpointDraining {
 		t.Errorf("put back, and the list has it drain: %+v", v)
 	}
 	if group, known := r.core.GroupOf("a"); !known || group != 7 {
--- a/internal/routing/counts.go
+++ b/internal/routing/counts.go
@@ -55,4 +55,4 @@
 	return out
 }
 
-var _ = [1]struct{}{}[policy.ResultMiss-policy.Result(len(ResultNames)-1)] // every result has its name
+var _ = [1]struct{}{}[policy.ResultMisdirected-policy.Result(len(ResultNames)-1)] // every result has its name
--- a/internal/routing/members.go
+++ b/internal/routing/members.go
@@ -16,7 +16,7 @@
 	live map[string]bool // on the list and not gone
 	seen map[int]bool    // groups that a list has named
 	// aside are servers that operators take out of service, with what the list says of them; nil: none are.
-	aside map[string]policy.MemberState
+	aside map[string]policy.EndpointState
 }
 
 func newMembers() members {
@@ -32,8 +32,8 @@
 
 func (m *members) known() bool { return len(m.live) > 0 }
 
-var memberStates = map[discovery.State]policy.MemberState{
-	discovery.Gone: policy.MemberGone, discovery.Ready: policy.MemberReady, discovery.Draining: policy.MemberDraining,
+var memberStates = map[discovery.State]policy.EndpointState{
+	discovery.Gone: policy.EndpointRemoved, discovery.Ready: policy.EndpointReady, discovery.Draining: policy.EndpointDraining,
 }
 
 // list tells the module of the member list, and the servers' side where its servers are.
@@ -41,7 +41,7 @@
 	c.Counts.Lists[form]++
 	c.listFailing = form == policy.ListFailed
 	c.listHeard = c.listHeard || form == policy.ListFull || form == policy.ListDelta
-	out := policy.MemberNews{Form: form}
+	out := policy.EndpointUpdate{Form: form}
 	if form != policy.ListFailed {
 		c.members.rev = news.List.Rev
 		if form != policy.ListDelta {
@@ -49,7 +49,7 @@
 		}
 		for _, e := range news.List.Entries {
 			if m, ok := c.member(e); ok {
-				out.Members = append(out.Members, m)
+				out.Endpoints = append(out.Endpoints, m)
 			}
 		}
 	}
@@ -57,11 +57,11 @@
 }
 
 // member tells of one server. One that is gone and was never known, or is forgotten, is no news.
-func (c *Core) member(e discovery.Entry) (policy.Member, bool) {
+func (c *Core) member(e discovery.Entry) (policy.Endpoint, bool) {
 	id, ok := c.members.ids[e.UID]
 	if !ok {
 		if e.State == discovery.Gone {
-			return policy.Member{}, false
+			return policy.Endpoint{}, false
 		}
 		c.members.next++
 		id = c.members.next
@@ -81,16 +81,16 @@
 	}
 	weight, _ := settings.ParseScaled(e.Weight.String(), 3)
 	booted, _ := settings.ParseScaled(e.BootMS.String(), 3)
-	return policy.Member{
+	return policy.Endpoint{
 		Server: id, Group: e.Group, Zone: e.Zone, State: state, Started: clock.Micros(booted),
 		Primary: e.Primary, Weight: weight,
 	}, true
 }
 
 // apart is the state of a server that is taken out of service, whatever the list says of it.
-func apart(listed policy.MemberState) policy.MemberState {
-	if listed == policy.MemberReady {
-		return policy.MemberDraining
+func apart(listed policy.EndpointState) policy.EndpointState {
+	if listed == policy.EndpointReady {
+		return policy.EndpointDraining
 	}
 	return listed
 }
@@ -100,20 +100,20 @@
 func (c *Core) SetAside(uids []string) {
 	m := &c.members
 	next := map[string]bool{}
-	out := policy.MemberNews{Form: policy.ListAside}
+	out := policy.EndpointUpdate{Form: policy.ListCordoned}
 	for _, uid := range uids {
 		next[uid] = true
 		if _, is := m.aside[uid]; is {
 			continue
 		}
 		if m.aside == nil {
-			m.aside = map[string]policy.MemberState{}
+			m.aside = map[string]policy.EndpointState{}
 		}
-		m.aside[uid] = policy.MemberGone
+		m.aside[uid] = policy.EndpointRemoved
 		if v, known := c.view(uid); known {
 			m.aside[uid] = v.State
 			v.State = apart(v.State)
-			out.Members = append(out.Members, v.Member)
+			out.Endpoints = append(out.Endpoints, v.Endpoint)
 			c.servers.CloseIdle(v.Server)
 		}
 	}
@@ -122,13 +122,13 @@
 			continue
 		}
 		delete(m.aside, uid)
-		if v, known := c.view(uid); known && listed != policy.MemberGone {
+		if v, known := c.view(uid); known && listed != policy.EndpointRemoved {
 			v.State, v.Started = listed, c.now
-			out.Members = append(out.Members, v.Member)
+			out.Endpoints = append(out.Endpoints, v.Endpoint)
 		}
 	}
-	if len(out.Members) > 0 {
-		c.Counts.Lists[policy.ListAside]++
+	if len(out.Endpoints) > 0 {
+		c.Counts.Lists[policy.ListCordoned]++
 		c.step(out)
 		c.settle()
 	}
@@ -167,5 +167,5 @@
 // OutAt is how many attempts are out at a server.
 func (c *Core) OutAt(uid string) int {
 	v, _ := c.view(uid)
-	return v.Out
+	return v.InFlight
 }
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -95,7 +95,7 @@
 	Latency  clock.Micros
 	Role     policy.Role
 	Position policy.Position
-	Report   policy.Report
+	Report   policy.LoadReport
 	Value    *transport.Message
 }
 
@@ -104,7 +104,7 @@
 	Server  policy.ServerID
 	Result  policy.Result
 	Latency clock.Micros
-	Report  policy.Report
+	Report  policy.LoadReport
 }
 
 // ListNews is news of the member list, or of a call for it that failed.
--- a/internal/session/crossing_test.go
+++ b/internal/session/crossing_test.go
@@ -353,7 +353,7 @@
 	for want, handle := range map[policy.Result]func(*fake.Query){
 		policy.ResultOK:    func(q *fake.Query) { q.Write(fake.Row([]byte("v"))) },
 		policy.ResultError: func(q *fake.Query) { q.Write(fake.Row([]byte("v"))[:30]) },
-		policy.ResultFull: func(q *fake.Query) {
+		policy.ResultOverloaded: func(q *fake.Query) {
 			q.Write(postgres.AppendError(nil, false, postgres.CodeRefused, "full", 0))
 		},
 	} {
--- a/internal/session/pending.go
+++ b/internal/session/pending.go
@@ -514,7 +514,7 @@
 	if st.Write != facts.IsWrite(class) {
 		return a, st, "class " + strconv.Quote(st.Class) + " is not for such statements", postgres.CodeBadValue
 	}
-	a = policy.Arrival{Class: class, Group: st.Group, Repeat: st.Repeat}
+	a = policy.Arrival{Class: class, Group: st.Group, ClientRetry: st.Repeat}
 	if facts.HasSession(class) {
 		sum := fnv.New64a()
 		sum.Write([]byte(st.Key))
--- a/internal/session/server_conn.go
+++ b/internal/session/server_conn.go
@@ -130,7 +130,7 @@
 			reason = transport.EndUnreachable
 		}
 		if reply.Code == postgres.CodeRefused {
-			return policy.ResultFull, transport.EndTurnedAway, err
+			return policy.ResultOverloaded, transport.EndTurnedAway, err
 		}
 		return policy.ResultConnectFailed, reason, err
 	}
@@ -144,11 +144,11 @@
 func resultOf(code string, starting bool) policy.Result {
 	switch {
 	case code == postgres.CodeRefused:
-		return policy.ResultFull
+		return policy.ResultOverloaded
 	case starting:
 		return policy.ResultConnectFailed
 	case code == postgres.CodeReadOnly, code == postgres.CodeTooOld:
-		return policy.ResultMiss
+		return policy.ResultMisdirected
 	}
 	return policy.ResultError
 }
--- a/internal/session/servers.go
+++ b/internal/session/servers.go
@@ -232,14 +232,14 @@
 var roles = map[string]policy.Role{"primary": policy.RolePrimary, "replica": policy.RoleReplica}
 
 // report reads a load report. One of which any part cannot be read says nothing.
-func (s *Servers) report(text string) policy.Report {
-	var rep policy.Report
+func (s *Servers) report(text string) policy.LoadReport {
+	var rep policy.LoadReport
 	fields, ok := postgres.LoadFields(text)
 	for _, f := range fields {
 		ok = ok && settings.SetReportField(&rep, f.Name, f.Value, 0) == nil
 	}
 	if !ok {
-		return policy.Report{}
+		return policy.LoadReport{}
 	}
 	return rep
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -119,8 +119,8 @@
 const effectKeyed = "guarded"
 
 var effects = map[string]policy.Effect{
-	"free": policy.EffectSafe, "single_shot": policy.EffectUnsafe,
-	effectKeyed: policy.EffectUnsafe, // repeats dropped by a key: read in the strictest sense, never repeated
+	"free": policy.EffectIdempotent, "single_shot": policy.EffectNonIdempotent,
+	effectKeyed: policy.EffectNonIdempotent, // repeats dropped by a key: read in the strictest sense, never repeated
 }
 
 var needs = map[string]policy.Need{
@@ -131,8 +131,8 @@
 // modes tells whether the member list has to be asked for.
 var modes = map[string]bool{"subscribe": true, "automatic": false}
 
-var checks = map[string]policy.Checks{
-	"none": policy.ChecksNone, "bounce": policy.ChecksRefuse, "await": policy.ChecksWait,
+var checks = map[string]policy.FreshnessCheck{
+	"none": policy.FreshnessCheckNone, "bounce": policy.FreshnessCheckReject, "await": policy.FreshnessCheckWait,
 }
 
 // Parse reads an instance's settings. Unknown keys are skipped. Unknown words take the strictest meaning, and are noted
@@ -153,11 +153,11 @@
 		key := fmt.Sprintf("classes[%d].", i)
 		k := policy.Class{
 			Name: c.Name, Need: policy.NeedWrite,
-			Effect: lookupWord(&p, key+"effect", effects, c.Effect),
-			Aim:    p.time(key+"aim_ms", c.Aim), Deadline: p.time(key+"give_up_ms", c.Deadline),
-			Worth:      p.thousandths(key+"points", c.Worth),
-			LateWorth:  p.thousandths(key+"late_worth", c.LateWorth),
-			AimStretch: p.thousandths(key+"aim_stretch", c.AimStretch),
+			Effect:           lookupWord(&p, key+"effect", effects, c.Effect),
+			LatencyObjective: p.time(key+"aim_ms", c.Aim), Deadline: p.time(key+"give_up_ms", c.Deadline),
+			PriorityWeight:   p.thousandths(key+"points", c.Worth),
+			LateWeight:       p.thousandths(key+"late_worth", c.LateWorth),
+			ObjectiveStretch: p.thousandths(key+"aim_stretch", c.AimStretch),
 		}
 		if i < len(w.Family.Freshness) {
 			if need, ok := needs[w.Family.Freshness[i]]; ok {
@@ -167,7 +167,7 @@
 			}
 		}
 		if i < len(w.Family.Bounds) {
-			k.Bound = p.time(fmt.Sprintf("family_info.oldest_data_ms[%d]", i), w.Family.Bounds[i])
+			k.StalenessBound = p.time(fmt.Sprintf("family_info.oldest_data_ms[%d]", i), w.Family.Bounds[i])
 		}
 		p.checkName(key+"name", c.Name, f.ClassIndex, i)
 		if c.Effect == "" {
@@ -197,24 +197,24 @@
 	f.Keepalive = p.time("policy_limits.keepalive_ms", l.Keepalive)
 	s.Gateways, s.Ordinal, s.Zone = w.Balancers, w.Ordinal, w.Zone
 	s.Tick = p.time("granularity_ms", w.Tick)
-	s.Checks = lookupWord(&p, "family_info.checks", checks, w.Family.Checks)
-	s.CheckWait = p.time("family_info.wait_ms", w.Family.Wait)
-	s.TokensCarried, s.AnswersStamped = w.Family.Marks == "brought", w.Family.Stamped
-	s.ListAsked = lookupWord(&p, "membership_mode", modes, w.Mode)
-	s.CanProbe, s.CanCancel = l.Probing, l.Cancelling
-	s.CanTell, s.SecondCopies, s.AdviseRetry = l.MayTell, l.SecondCopies, l.RetryAfter
-	s.MaxRetryAdvice, s.MaxAttempts = p.time("policy_limits.max_retry_after_ms", l.MaxRetryAfter), l.MostTries
+	s.FreshnessCheck = lookupWord(&p, "family_info.checks", checks, w.Family.Checks)
+	s.FreshnessCheckWait = p.time("family_info.wait_ms", w.Family.Wait)
+	s.SessionPositionsCarried, s.AnswersCarryPosition = w.Family.Marks == "brought", w.Family.Stamped
+	s.ListSubscribed = lookupWord(&p, "membership_mode", modes, w.Mode)
+	s.CanHealthCheck, s.CanCancel = l.Probing, l.Cancelling
+	s.CanMessagePeers, s.CanHedge, s.CanSendRetryAfter = l.MayTell, l.SecondCopies, l.RetryAfter
+	s.MaxRetryAfter, s.MaxAttempts = p.time("policy_limits.max_retry_after_ms", l.MaxRetryAfter), l.MostTries
 	s.ConnectTimeout = p.time("policy_limits.connect_timeout_ms", l.ConnectTimeout)
 	s.AnswerSlack = p.time("rules.grace_to_answer_ms", r.GraceToAnswer)
-	s.DrainGrace, s.OnlyDrainingBinds = p.time("rules.stop_sending_within_ms", r.StopSending), r.DroppedStayOpen
-	s.AskWithin = p.time("rules.ask_within_ms", r.AskWithin)
-	s.ColdShare = p.thousandths("rules.cold_from", r.ColdFrom)
-	s.Ramp = p.time("rules.ramp_time_ms", r.Ramp)
-	s.FallMultiple = p.thousandths("rules.overload_factor", r.OverloadFactor)
+	s.DrainGrace, s.RemovedStayUsable = p.time("rules.stop_sending_within_ms", r.StopSending), r.DroppedStayOpen
+	s.SubscribeWithin = p.time("rules.ask_within_ms", r.AskWithin)
+	s.SlowStartMinWeight = p.thousandths("rules.cold_from", r.ColdFrom)
+	s.SlowStartWindow = p.time("rules.ramp_time_ms", r.Ramp)
+	s.OverloadFactor = p.thousandths("rules.overload_factor", r.OverloadFactor)
 	if s.CrossZoneCost = p.thousandths("costs.cross_zone", w.Costs.CrossZone); s.CrossZoneCost > 1000 {
 		p.warn("costs.cross_zone", "%s is more than one point a request", w.Costs.CrossZone)
 	}
-	s.FallWindow = p.time("rules.fall_ms", r.Fall)
+	s.OverloadWindow = p.time("rules.fall_ms", r.Fall)
 	if p.err != nil {
 		return nil, p.err
 	}
@@ -335,7 +335,7 @@
 
 // AddReport puts one value of a load report, by its field's name, into rep. The position's seconds are counted
 // from zero. Fields of unknown names are passed over.
-func SetReportField(rep *policy.Report, field, value string, zero clock.Micros) error {
+func SetReportField(rep *policy.LoadReport, field, value string, zero clock.Micros) error {
 	digits := 3
 	switch field {
 	case "x0":
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -24,7 +24,7 @@
 			t.Errorf("no doubt about %s in %v", key, got)
 		}
 	}
-	if c := f.Settings.Classes[0]; c.Effect != policy.EffectUnsafe || c.Need != policy.NeedWrite {
+	if c := f.Settings.Classes[0]; c.Effect != policy.EffectNonIdempotent || c.Need != policy.NeedWrite {
 		t.Errorf("unknown words are not read strictly: %+v", c)
 	}
 }
@@ -44,7 +44,7 @@
 }
 
 func TestAddReport(t *testing.T) {
-	var rep policy.Report
+	var rep policy.LoadReport
 	for field, value := range map[string]string{
 		"x0": "1796133629.802", "x1": "1", "cpu_share": "0.464", "pending": "3", "mystery": "x",
 	} {
@@ -52,7 +52,7 @@
 			t.Errorf("%s: %v", field, err)
 		}
 	}
-	want := policy.Report{
+	want := policy.LoadReport{
 		Position: 1_796_133_629_802_000, HasPosition: true, Role: policy.RolePrimary, Queue: 3000, HasQueue: true,
 		Util: 464, HasUtil: true,
 	}
--- a/internal/simhost/host.go
+++ b/internal/simhost/host.go
@@ -27,7 +27,7 @@
 type Host struct {
 	now       clock.Micros
 	inBatch   bool
-	sheets    [simwire.Sheets][]policy.Member
+	sheets    [simwire.Sheets][]policy.Endpoint
 	sheetSent [simwire.Sheets]bool
 	instances map[int]*instance
 	out       []byte
@@ -115,12 +115,12 @@
 	case simwire.Sheet:
 		h.sheets[m.Number], h.sheetSent[m.Number] = m.Members, true
 	case simwire.News:
-		news := policy.MemberNews{Form: m.Form}
+		news := policy.EndpointUpdate{Form: m.Form}
 		if m.Form != policy.ListFailed {
 			if !h.sheetSent[m.Sheet] && !h.isBroken(m.Instance) {
 				return false, &simwire.FaultError{Instance: m.Instance, Text: "a list names a sheet never sent"}
 			}
-			news.Members = h.sheets[m.Sheet]
+			news.Endpoints = h.sheets[m.Sheet]
 		}
 		return false, h.step(m.Instance, news)
 	case simwire.ForInstance:
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -32,7 +32,7 @@
 	case policy.Send:
 		b = appendNumber(appendText(begin(b, "TRY", inst), a.ID), int64(a.Server))
 		b = appendMillis(b, a.Until)
-	case policy.Refuse:
+	case policy.Reject:
 		b = appendMillis(appendText(begin(b, "SAY_NO", inst), a.ID), a.RetryAfter)
 	case policy.Fail:
 		b = appendText(begin(b, "FINISH_ERROR", inst), a.ID)
@@ -40,15 +40,15 @@
 		b = appendNumber(appendText(begin(b, "ABANDON", inst), a.ID), int64(a.Attempt))
 	case policy.SetTimer:
 		b = appendText(appendMillis(begin(b, "SET_ALARM", inst), a.At), a.Token)
-	case policy.Probe:
+	case policy.HealthCheck:
 		b = appendNumber(begin(b, "POLL", inst), int64(a.Server))
 	case policy.CloseIdle:
 		b = appendNumber(begin(b, "CLOSE_IDLE", inst), int64(a.Server))
 	case policy.Forget, policy.Withdraw: // the simulator keeps its own servers; what is sent there has begun
 		return b
-	case policy.Tell:
+	case policy.SendToPeer:
 		b = begin(b, "MEMO_TO", inst)
-		if a.To == policy.ToAll {
+		if a.To == policy.AllPeers {
 			b = append(b, `,"*"`...)
 		} else {
 			b = appendNumber(b, int64(a.To))
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -46,7 +46,7 @@
 // Sheet carries list entries under a number.
 type Sheet struct {
 	Number  int
-	Members []policy.Member
+	Members []policy.Endpoint
 }
 
 // News says which sheet an instance has learned of.
@@ -63,12 +63,12 @@
 }
 
 var results = map[int64]policy.Result{
-	200: policy.ResultOK, 500: policy.ResultError, 503: policy.ResultFull, 504: policy.ResultTimeout,
+	200: policy.ResultOK, 500: policy.ResultError, 503: policy.ResultOverloaded, 504: policy.ResultTimeout,
 	502: policy.ResultConnectFailed, 598: policy.ResultReset, 499: policy.ResultCancelled,
-	410: policy.ResultMoot, 404: policy.ResultMiss,
+	410: policy.ResultNotSent, 404: policy.ResultMisdirected,
 }
 
-var states = map[int64]policy.MemberState{0: policy.MemberGone, 1: policy.MemberReady, 2: policy.MemberDraining}
+var states = map[int64]policy.EndpointState{0: policy.EndpointRemoved, 1: policy.EndpointReady, 2: policy.EndpointDraining}
 
 var forms = map[int64]policy.ListForm{
 	0: policy.ListDelta, 4: policy.ListFull, 1: policy.ListCached, 3: policy.ListFailed,
@@ -233,17 +233,17 @@
 	case "JOB_IN":
 		ev = r.arrival(facts)
 	case "HEADERS":
-		ev = policy.Headers{ID: r.text(1), Attempt: r.count(2)}
+		ev = policy.AnswerStarted{ID: r.text(1), Attempt: r.count(2)}
 	case "RESPONSE":
 		ev = r.outcome(facts)
 	case "DROPPED":
-		ev = policy.Dropped{ID: r.text(1)}
+		ev = policy.ClientDisconnected{ID: r.text(1)}
 	case "ALARM":
 		ev = policy.Timer{Token: r.text(1)}
 	case "STATUS_BACK":
-		ev = policy.Probed{
+		ev = policy.HealthCheckEnded{
 			Server: policy.ServerID(r.unsigned(1, 32)), Result: lookup(r, results, 2, "a known outcome"),
-			Latency: r.micros(3), Report: r.report(4, facts),
+			Latency: r.micros(3), LoadReport: r.report(4, facts),
 		}
 	case "MAIL":
 		data, err := hexBytes(r.text(2))
@@ -286,8 +286,8 @@
 		r.fail(6, "a class of the settings")
 	}
 	a := policy.Arrival{
-		ID: r.text(1), Class: class, Group: int(r.integerOr(4, 0)), Left: r.micros(5),
-		Repeat: r.integerOr(8, 0)&flagRepeat != 0, SinceWrite: r.micros(9),
+		ID: r.text(1), Class: class, Group: int(r.integerOr(4, 0)), TimeLeft: r.micros(5),
+		ClientRetry: r.integerOr(8, 0)&flagRepeat != 0, SinceWrite: r.micros(9),
 	}
 	if !r.absent(2) {
 		a.Session, a.HasSession = r.unsigned(2, 64), true
@@ -299,7 +299,7 @@
 	o := policy.Outcome{
 		ID: r.text(1), Latency: r.micros(3), Server: policy.ServerID(r.unsigned(4, 32)),
 		Result: lookup(r, results, 5, "a known outcome"), Final: r.truth(6), Attempt: r.count(7),
-		Report: r.report(8, f),
+		LoadReport: r.report(8, f),
 	}
 	if note := r.integerOr(2, 0); note > 0 {
 		o.Role = roles[note%4]
@@ -311,8 +311,8 @@
 }
 
 // report reads a load report by the order of the settings' fields; fields of unknown names are passed over.
-func (r *row) report(i int, f *settings.InForce) policy.Report {
-	var rep policy.Report
+func (r *row) report(i int, f *settings.InForce) policy.LoadReport {
+	var rep policy.LoadReport
 	if r.absent(i) {
 		return rep
 	}
@@ -335,16 +335,16 @@
 	return rep
 }
 
-func (r *row) members(i int) []policy.Member {
+func (r *row) members(i int) []policy.Endpoint {
 	var rows [][]json.RawMessage
 	if r.absent(i) || json.Unmarshal(r.vals[i], &rows) != nil {
 		r.fail(i, "a list of entries")
 		return nil
 	}
-	out := make([]policy.Member, 0, len(rows))
+	out := make([]policy.Endpoint, 0, len(rows))
 	for _, vals := range rows {
 		e := row{vals: vals}
-		m := policy.Member{
+		m := policy.Endpoint{
 			Primary: !e.absent(0) && e.scaled(0, 0) == 1, Server: policy.ServerID(e.unsigned(4, 32)),
 			Group: int(e.integerOr(5, 0)), State: lookup(&e, states, 6, "a known state"), Started: e.micros(7),
 		}
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -36,18 +36,18 @@
 	s := testFacts(t).Settings
 	want := policy.Settings{
 		Classes: []policy.Class{
-			{Name: "look", Need: policy.NeedBounded, Effect: policy.EffectSafe, Bound: 800_000, Aim: 300_500,
-				Deadline: 900_000, Worth: 2000, LateWorth: 250},
-			{Name: "put", Need: policy.NeedWrite, Effect: policy.EffectUnsafe, Aim: 700_000, Deadline: 5_000_000,
-				Worth: 6000},
+			{Name: "look", Need: policy.NeedBounded, Effect: policy.EffectIdempotent, StalenessBound: 800_000, LatencyObjective: 300_500,
+				Deadline: 900_000, PriorityWeight: 2000, LateWeight: 250},
+			{Name: "put", Need: policy.NeedWrite, Effect: policy.EffectNonIdempotent, LatencyObjective: 700_000, Deadline: 5_000_000,
+				PriorityWeight: 6000},
 			// Unknown words take the strictest meaning.
-			{Name: "odd", Need: policy.NeedWrite, Effect: policy.EffectUnsafe, Aim: 700_000,
-				Deadline: 5_000_000, Worth: 1000},
+			{Name: "odd", Need: policy.NeedWrite, Effect: policy.EffectNonIdempotent, LatencyObjective: 700_000,
+				Deadline: 5_000_000, PriorityWeight: 1000},
 		},
-		Gateways: 2, Ordinal: 1, Tick: 5000, Zone: "east", Checks: policy.ChecksWait, CheckWait: 50_000,
-		TokensCarried: true, AnswersStamped: true, ListAsked: true, CanProbe: true, CanCancel: true, MaxAttempts: 10,
-		ConnectTimeout: 250_000, AnswerSlack: 20_000, DrainGrace: 250_000, OnlyDrainingBinds: true,
-		AskWithin: 10_000_000, ColdShare: 260, Ramp: 16_000_000, FallMultiple: 4000, FallWindow: 3_000_000,
+		Gateways: 2, Ordinal: 1, Tick: 5000, Zone: "east", FreshnessCheck: policy.FreshnessCheckWait, FreshnessCheckWait: 50_000,
+		SessionPositionsCarried: true, AnswersCarryPosition: true, ListSubscribed: true, CanHealthCheck: true, CanCancel: true, MaxAttempts: 10,
+		ConnectTimeout: 250_000, AnswerSlack: 20_000, DrainGrace: 250_000, RemovedStayUsable: true,
+		SubscribeWithin: 10_000_000, SlowStartMinWeight: 260, SlowStartWindow: 16_000_000, OverloadFactor: 4000, OverloadWindow: 3_000_000,
 	}
 	if !reflect.DeepEqual(s, want) {
 		t.Errorf("got  %+v\nwant %+v", s, want)
@@ -75,28 +75,28 @@
 		{`["REGISTRY",3,3,41,null]`, News{3, policy.ListFailed, 0}},
 		{`["REGISTRY",3,3]`, News{3, policy.ListFailed, 0}},
 		{`["LEDGER",7,[[1,1.5,"k","west",4294967295,11,1,6100.25],[0,1,"k","east",7,-1,2,null],[null,null,null,null,8,0,0]]]`,
-			Sheet{7, []policy.Member{
-				{Server: 4294967295, Group: 11, Zone: "west", State: policy.MemberReady, Started: 6_100_250, Primary: true, Weight: 1500},
-				{Server: 7, Group: -1, Zone: "east", State: policy.MemberDraining, Weight: 1000},
-				{Server: 8, State: policy.MemberGone},
+			Sheet{7, []policy.Endpoint{
+				{Server: 4294967295, Group: 11, Zone: "west", State: policy.EndpointReady, Started: 6_100_250, Primary: true, Weight: 1500},
+				{Server: 7, Group: -1, Zone: "east", State: policy.EndpointDraining, Weight: 1000},
+				{Server: 8, State: policy.EndpointRemoved},
 			}}},
 		{`["JOB_IN",3,"rq_a",4569004829183723,12.0,11,240.5,"look",null,3,412.5]`, ForInstance{3, policy.Arrival{
-			ID: "rq_a", Class: 0, Group: 11, Session: 4569004829183723, HasSession: true, Left: 240_500, Repeat: true,
+			ID: "rq_a", Class: 0, Group: 11, Session: 4569004829183723, HasSession: true, TimeLeft: 240_500, ClientRetry: true,
 			SinceWrite: 412_500}}},
 		{`["JOB_IN",3,"rq_a",null,null,11,240,"put",null,4]`, ForInstance{3, policy.Arrival{
-			ID: "rq_a", Class: 1, Group: 11, Left: 240_000}}},
+			ID: "rq_a", Class: 1, Group: 11, TimeLeft: 240_000}}},
 		{`["RESPONSE",3,"rq_a",25486,18.5,51530247,200,true,0,null]`, ForInstance{3, policy.Outcome{
 			ID: "rq_a", Server: 51530247, Result: policy.ResultOK, Final: true, Latency: 18_500, Role: policy.RoleReplica,
 			Position: 1_000_250 + 6371_000}}},
 		{`["RESPONSE",3,"rq_a",1,0,5,404,false,2]`, ForInstance{3, policy.Outcome{
-			ID: "rq_a", Server: 5, Result: policy.ResultMiss, Attempt: 2, Role: policy.RolePrimary}}},
-		{`["STATUS_BACK",3,7,200,1.4,[6.204,9,0,2.5,0.62]]`, ForInstance{3, policy.Probed{
-			Server: 7, Latency: 1400, Report: policy.Report{Position: 1_000_250 + 6_204_000, HasPosition: true,
+			ID: "rq_a", Server: 5, Result: policy.ResultMisdirected, Attempt: 2, Role: policy.RolePrimary}}},
+		{`["STATUS_BACK",3,7,200,1.4,[6.204,9,0,2.5,0.62]]`, ForInstance{3, policy.HealthCheckEnded{
+			Server: 7, Latency: 1400, LoadReport: policy.LoadReport{Position: 1_000_250 + 6_204_000, HasPosition: true,
 				Role: policy.RoleReplica, Queue: 2500, HasQueue: true, Util: 620, HasUtil: true}}}},
-		{`["STATUS_BACK",3,7,504,250,null]`, ForInstance{3, policy.Probed{
+		{`["STATUS_BACK",3,7,504,250,null]`, ForInstance{3, policy.HealthCheckEnded{
 			Server: 7, Result: policy.ResultTimeout, Latency: 250_000}}},
-		{`["HEADERS",3,"rq_a",1,7,9.25]`, ForInstance{3, policy.Headers{ID: "rq_a", Attempt: 1}}},
-		{`["DROPPED",3,"rq_a"]`, ForInstance{3, policy.Dropped{ID: "rq_a"}}},
+		{`["HEADERS",3,"rq_a",1,7,9.25]`, ForInstance{3, policy.AnswerStarted{ID: "rq_a", Attempt: 1}}},
+		{`["DROPPED",3,"rq_a"]`, ForInstance{3, policy.ClientDisconnected{ID: "rq_a"}}},
 		{`["ALARM",3,"sw\"eep"]`, ForInstance{3, policy.Timer{Token: `sw"eep`}}},
 		{`["MAIL",3,2,"68692037"]`, ForInstance{3, policy.PeerMessage{From: 2, Data: []byte("hi 7")}}},
 	} {
@@ -114,12 +114,12 @@
 func TestDecodeResults(t *testing.T) {
 	f := testFacts(t)
 	for code, want := range map[string]policy.Result{
-		"200": policy.ResultOK, "500": policy.ResultError, "503": policy.ResultFull, "504": policy.ResultTimeout,
+		"200": policy.ResultOK, "500": policy.ResultError, "503": policy.ResultOverloaded, "504": policy.ResultTimeout,
 		"502": policy.ResultConnectFailed, "598": policy.ResultReset, "499": policy.ResultCancelled,
-		"410": policy.ResultMoot, "404": policy.ResultMiss,
+		"410": policy.ResultNotSent, "404": policy.ResultMisdirected,
 	} {
 		got, err := Decode([]byte(`["STATUS_BACK",3,7,`+code+`,1]`), func(int) *settings.InForce { return f })
-		if err != nil || got.(ForInstance).Event.(policy.Probed).Result != want {
+		if err != nil || got.(ForInstance).Event.(policy.HealthCheckEnded).Result != want {
 			t.Errorf("%s: %+v, %v", code, got, err)
 		}
 	}
@@ -155,10 +155,10 @@
 
 func TestAppendActions(t *testing.T) {
 	got := string(AppendDone(AppendActions(nil, 3, []policy.Action{
-		policy.Send{ID: "rq_a", Server: 4294967295, Until: 8_492_250}, policy.Refuse{ID: "rq_a", RetryAfter: 250_000},
-		policy.Refuse{ID: `q"`}, policy.Fail{ID: "rq_a"}, policy.Cancel{ID: "rq_a", Attempt: 2},
-		policy.SetTimer{At: 8_912_005, Token: "sweep"}, policy.Probe{Server: 7}, policy.CloseIdle{Server: 7},
-		policy.Tell{To: policy.ToAll, Data: []byte("hi 7")}, policy.Tell{To: 2, Data: nil}, policy.Log{Text: "two known"},
+		policy.Send{ID: "rq_a", Server: 4294967295, Until: 8_492_250}, policy.Reject{ID: "rq_a", RetryAfter: 250_000},
+		policy.Reject{ID: `q"`}, policy.Fail{ID: "rq_a"}, policy.Cancel{ID: "rq_a", Attempt: 2},
+		policy.SetTimer{At: 8_912_005, Token: "sweep"}, policy.HealthCheck{Server: 7}, policy.CloseIdle{Server: 7},
+		policy.SendToPeer{To: policy.AllPeers, Data: []byte("hi 7")}, policy.SendToPeer{To: 2, Data: nil}, policy.Log{Text: "two known"},
 		policy.Watch{On: true}, policy.Watch{}, policy.Fetch{},
 	})))
 	want := `["TRY",3,"rq_a",4294967295,8492.250]
