--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -123,7 +123,7 @@
 	for _, line := range [][2]string{
 		{"name", cfg.Name}, {"listen", cfg.Listen}, {"discovery", cfg.Discovery},
 		{"limits.cores", fmt.Sprint(cfg.Cores)}, {"limits.memory_mb", fmt.Sprint(cfg.MemoryMB)},
-		{"limits.sockets", fmt.Sprint(cfg.Sockets)}, {"known", fmt.Sprint(len(cfg.Known.Entries), " servers")},
+		{"limits.sockets", fmt.Sprint(cfg.Sockets)}, {"known", fmt.Sprint(len(cfg.KnownServers.Entries), " servers")},
 		{"settings.classes", strings.Join(cfg.InForce.ClassNames, " ")},
 	} {
 		fmt.Fprintf(c.out, "%s %s\n", line[0], lines.Quote(line[1]))
--- a/internal/cli/copies.go
+++ b/internal/cli/copies.go
@@ -34,7 +34,7 @@
 
 // needsStore tells whether the gateway that is to run has a copies section, which this program cannot serve.
 func needsStore(ops *config.Operators) bool {
-	return gateway.OpenStore == nil && ops != nil && ops.Copies != nil
+	return gateway.OpenStore == nil && ops != nil && ops.StateStore != nil
 }
 
 func (c *command) copies() *cobra.Command {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -33,22 +33,22 @@
 
 // The least that the gateway can work with.
 const (
-	leastMemoryMB = 32
-	leastSockets  = 64
+	minMemoryMB = 32
+	minSockets  = 64
 )
 
 // Config is all that a gateway is told at its start.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Seed      uint64
-	Cores     float64
-	MemoryMB  int
-	Sockets   int
-	Known     discovery.List
-	InForce   *settings.InForce
-	Settings  map[string]any // as written, to tell what a reload changes
+	Name         string
+	Listen       string
+	Discovery    string
+	Seed         uint64
+	Cores        float64
+	MemoryMB     int
+	Sockets      int
+	KnownServers discovery.List
+	InForce      *settings.InForce
+	Settings     map[string]any // as written, to tell what a reload changes
 }
 
 // faulty is a *settings.KeyError: it names the key of the file or the environment variable that is at fault.
@@ -120,7 +120,7 @@
 		return nil, err
 	}
 	if present(w.Known) {
-		if c.Known, err = discovery.ParseList(w.Known); err != nil {
+		if c.KnownServers, err = discovery.ParseList(w.Known); err != nil {
 			return nil, faulty("known", "%v", err)
 		}
 	}
@@ -157,13 +157,13 @@
 		}
 	}
 	if w.MemoryMB != nil {
-		if c.MemoryMB = *w.MemoryMB; c.MemoryMB < leastMemoryMB || c.MemoryMB > 1<<20 {
-			return faulty("limits.memory_mb", "%d is not from %d up", c.MemoryMB, leastMemoryMB)
+		if c.MemoryMB = *w.MemoryMB; c.MemoryMB < minMemoryMB || c.MemoryMB > 1<<20 {
+			return faulty("limits.memory_mb", "%d is not from %d up", c.MemoryMB, minMemoryMB)
 		}
 	}
 	if w.Sockets != nil {
-		if c.Sockets = *w.Sockets; c.Sockets < leastSockets || c.Sockets > 1<<20 {
-			return faulty("limits.sockets", "%d is not from %d up", c.Sockets, leastSockets)
+		if c.Sockets = *w.Sockets; c.Sockets < minSockets || c.Sockets > 1<<20 {
+			return faulty("limits.sockets", "%d is not from %d up", c.Sockets, minSockets)
 		}
 	}
 	return nil
@@ -171,7 +171,7 @@
 
 // Fixed lists the keys whose values in next differ from those in force and cannot be taken over by a running gateway.
 // The seed and the list last known only matter at a start.
-func (c *Config) Fixed(next *Config) []string {
+func (c *Config) RestartRequired(next *Config) []string {
 	var keys []string
 	for _, k := range []struct {
 		name string
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	if c.Name != "n0" || c.Listen != "127.0.0.1:6433" || c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 ||
-		len(c.Known.Entries) != 3 || len(c.InForce.ClassNames) != 3 || c.InForce.Keepalive != 30_000_000 {
+		len(c.KnownServers.Entries) != 3 || len(c.InForce.ClassNames) != 3 || c.InForce.Keepalive != 30_000_000 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -136,7 +136,7 @@
 	if err != nil || c.Cores != defaultCores || c.MemoryMB != defaultMemoryMB || c.Sockets != defaultSockets {
 		t.Errorf("%+v, %v", c, err)
 	}
-	if c, err = Parse(change(t, "known", nil), none); err != nil || len(c.Known.Entries) != 0 {
+	if c, err = Parse(change(t, "known", nil), none); err != nil || len(c.KnownServers.Entries) != 0 {
 		t.Errorf("without a list: %+v, %v", c, err)
 	}
 }
--- a/internal/config/operators.go
+++ b/internal/config/operators.go
@@ -20,13 +20,13 @@
 // Operators is the operators' own file. What it does not name is off; without the file everything in it is.
 type Operators struct {
 	lines.Where
-	Control string    `conf:"control" validate:"max=100"` // a local socket for questions
-	Members *Members  `section:"members" validate:"-"`
-	Copies  *Copies   `section:"copies" validate:"-"`
-	VRRP    *VRRP     `section:"vrrp" validate:"-"`
-	Groups  []Group   `section:"group" validate:"-"`
-	InDoubt []InDoubt `section:"in-doubt" validate:"-"`
-	Upkeep  *Upkeep   `section:"maintenance" validate:"-"`
+	Control     string       `conf:"control" validate:"max=100"` // a local socket for questions
+	Members     *Members     `section:"members" validate:"-"`
+	StateStore  *StateStore  `section:"copies" validate:"-"`
+	VRRP        *VRRP        `section:"vrrp" validate:"-"`
+	Groups      []Group      `section:"group" validate:"-"`
+	InDoubt     []InDoubt    `section:"in-doubt" validate:"-"`
+	Maintenance *Maintenance `section:"maintenance" validate:"-"`
 
 	file string
 }
@@ -50,44 +50,44 @@
 type Via struct{ At, Via netip.AddrPort }
 
 // Defaults are what a members section has that it does not name.
-func (m *Members) Defaults() { m.Weight, m.Interval = 1, defaultProbe }
+func (m *Members) Defaults() { m.Weight, m.Interval = 1, defaultProbeInterval }
 
 // Copies is what gateways hold for each other.
-type Copies struct {
+type StateStore struct {
 	lines.Where
-	Holders    []string      `conf:"holders" validate:"min=1,max=1024,dive,min=1,max=40"` // names, or all
-	Copies     int           `conf:"copies" validate:"oneof=1 3 5"`
-	Shards     int           `conf:"shards" validate:"min=1,max=64"`
-	Store      []string      `conf:"store" validate:"min=1,max=2"` // memory, or disk and a path
-	Witness    string        `conf:"witness" validate:"max=200"`
-	Heartbeat  time.Duration `conf:"heartbeat"`
-	HealAfter  time.Duration `conf:"heal-after"`
-	HealAtOnce int           `conf:"heal-at-once" validate:"min=1,max=64"`
-	HealRate   lines.Size    `conf:"heal-rate" validate:"min=65536"`
-	Memory     lines.Size    `conf:"memory" validate:"min=65536"` // of a shard's records
-	Marks      []string      `conf:"session-marks" validate:"max=64"`
-	MarksOrder string        `conf:"marks-order" validate:"oneof=safe fast"`
-	MarksLast  time.Duration `conf:"marks-last"`
+	RaftNodes    []string      `conf:"holders" validate:"min=1,max=1024,dive,min=1,max=40"` // names, or all
+	Voters       int           `conf:"copies" validate:"oneof=1 3 5"`
+	Shards       int           `conf:"shards" validate:"min=1,max=64"`
+	Storage      []string      `conf:"store" validate:"min=1,max=2"` // memory, or disk and a path
+	Witness      string        `conf:"witness" validate:"max=200"`
+	Heartbeat    time.Duration `conf:"heartbeat"`
+	RepairAfter  time.Duration `conf:"heal-after"`
+	MaxRepairs   int           `conf:"heal-at-once" validate:"min=1,max=64"`
+	RepairRate   lines.Size    `conf:"heal-rate" validate:"min=65536"`
+	Memory       lines.Size    `conf:"memory" validate:"min=65536"` // of a shard's records
+	SessionMarks []string      `conf:"session-marks" validate:"max=64"`
+	MarksMode    string        `conf:"marks-order" validate:"oneof=safe fast"`
+	MarksTTL     time.Duration `conf:"marks-last"`
 }
 
 // Defaults are what a copies section has that it does not name.
-func (c *Copies) Defaults() {
-	c.Copies, c.Shards, c.Heartbeat, c.HealAfter, c.HealAtOnce = 3, 16, 100*time.Millisecond, 10*time.Minute, 2
-	c.HealRate, c.Memory, c.MarksOrder, c.MarksLast = 8<<20, 4<<20, "safe", time.Hour
+func (c *StateStore) Defaults() {
+	c.Voters, c.Shards, c.Heartbeat, c.RepairAfter, c.MaxRepairs = 3, 16, 100*time.Millisecond, 10*time.Minute, 2
+	c.RepairRate, c.Memory, c.MarksMode, c.MarksTTL = 8<<20, 4<<20, "safe", time.Hour
 }
 
 // AllHolders stands for every gateway among the holders.
-const AllHolders = "all"
+const AllMembers = "all"
 
 // Holds tells whether a gateway is among the holders.
-func (c *Copies) Holds(node string) bool {
-	return slices.Contains(c.Holders, AllHolders) || slices.Contains(c.Holders, node)
+func (c *StateStore) RunsRaftNode(node string) bool {
+	return slices.Contains(c.RaftNodes, AllMembers) || slices.Contains(c.RaftNodes, node)
 }
 
 // Path is the file of the store; empty: it is memory.
-func (c *Copies) Path() string {
-	if len(c.Store) == 2 {
-		return c.Store[1]
+func (c *StateStore) StoragePath() string {
+	if len(c.Storage) == 2 {
+		return c.Storage[1]
 	}
 	return ""
 }
@@ -95,66 +95,66 @@
 // InDoubt is what is promised of the bookings of a class before they are sent.
 type InDoubt struct {
 	lines.Where
-	Class    string        `title:"true" validate:"required,max=64"`
-	Clients  string        `conf:"clients" validate:"oneof=mark do-not-mark"` // what they ask again
-	Order    string        `conf:"order" validate:"oneof=safe fast"`
-	Remember time.Duration `conf:"remember"`
-	AtOnce   int           `conf:"at-once" validate:"min=1,max=16384"`      // bookings in hand
-	Look     []string      `conf:"look" validate:"max=2,dive,min=1,max=64"` // a class of reads, and a text that shows that it ran
+	Class       string        `title:"true" validate:"required,max=64"`
+	Clients     string        `conf:"clients" validate:"oneof=mark do-not-mark"` // what they ask again
+	Order       string        `conf:"order" validate:"oneof=safe fast"`
+	Retention   time.Duration `conf:"remember"`
+	MaxInFlight int           `conf:"at-once" validate:"min=1,max=16384"`      // bookings in hand
+	Lookup      []string      `conf:"look" validate:"max=2,dive,min=1,max=64"` // a class of reads, and a text that shows that it ran
 }
 
 // Defaults are what an in-doubt section has that it does not name.
 func (d *InDoubt) Defaults() {
-	d.Clients, d.Order, d.Remember, d.AtOnce = "mark", "fast", 10*time.Minute, 4096
+	d.Clients, d.Order, d.Retention, d.MaxInFlight = "mark", "fast", 10*time.Minute, 4096
 }
 
 // The bounds of how long a booking is remembered. It must outlast the longest time that a client gives one.
 const (
-	leastRemember = 10 * time.Second
-	mostRemember  = 24 * time.Hour
+	minRetention = 10 * time.Second
+	maxRetention = 24 * time.Hour
 )
 
 // The bounds of the spans of a copies section.
 const (
-	leastHeartbeat = 20 * time.Millisecond
-	mostHeartbeat  = 2 * time.Second
-	leastHealAfter = 2 * time.Second
-	mostMarksLast  = 24 * time.Hour
+	minHeartbeat   = 20 * time.Millisecond
+	maxHeartbeat   = 2 * time.Second
+	minRepairAfter = 2 * time.Second
+	maxMarksTTL    = 24 * time.Hour
 )
 
 // The span of one probe among members, and its bounds.
 const (
-	defaultProbe = 200 * time.Millisecond
-	leastProbe   = 50 * time.Millisecond
-	mostProbe    = 10 * time.Second
+	defaultProbeInterval = 200 * time.Millisecond
+	minProbeInterval     = 50 * time.Millisecond
+	maxProbeInterval     = 10 * time.Second
 )
 
 // Upkeep is by what limits machines are taken out for work.
-type Upkeep struct {
+type Maintenance struct {
 	lines.Where
-	Gateways int           `conf:"gateways" validate:"min=1,max=1024"`  // away at once
-	InZone   int           `conf:"in-zone" validate:"min=1,max=1024"`   // of one zone
-	Servers  int           `conf:"servers" validate:"min=1,max=1024"`   // away at once, one of a group at the most
-	Keep     int           `conf:"keep-ready" validate:"min=0,max=100"` // ready gateways that a zone keeps
-	Load     int           `conf:"load" validate:"min=1,max=100"`       // percent that those who stay may have to carry
-	For      time.Duration `conf:"for"`                                 // what work takes if the operator has not said
-	Settle   time.Duration `conf:"settle"`                              // how long one that is back has to be well
-	Return   time.Duration `conf:"return-within"`
-	Excuse   time.Duration `conf:"excuse-after"` // of one that is overdue; 0: never
-	Behind   time.Duration `conf:"behind"`       // from when on a replica counts as behind
-	Unheard  time.Duration `conf:"unheard"`      // how long a start waits for the ledger
+	MaxGateways     int           `conf:"gateways" validate:"min=1,max=1024"`  // away at once
+	MaxPerZone      int           `conf:"in-zone" validate:"min=1,max=1024"`   // of one zone
+	MaxServers      int           `conf:"servers" validate:"min=1,max=1024"`   // away at once, one of a group at the most
+	KeepReady       int           `conf:"keep-ready" validate:"min=0,max=100"` // ready gateways that a zone keeps
+	MaxLoad         int           `conf:"load" validate:"min=1,max=100"`       // percent that those who stay may have to carry
+	DefaultDuration time.Duration `conf:"for"`                                 // what work takes if the operator has not said
+	SettleTime      time.Duration `conf:"settle"`                              // how long one that is back has to be well
+	ReturnWithin    time.Duration `conf:"return-within"`
+	ExcuseAfter     time.Duration `conf:"excuse-after"` // of one that is overdue; 0: never
+	MaxReplicaLag   time.Duration `conf:"behind"`       // from when on a replica counts as behind
+	LedgerTimeout   time.Duration `conf:"unheard"`      // how long a start waits for the ledger
 }
 
 // Defaults are what a maintenance section has that it does not name.
-func (u *Upkeep) Defaults() {
-	u.Gateways, u.InZone, u.Servers, u.Keep, u.Load = 1, 1, 1, 1, 70
-	u.For, u.Settle, u.Return, u.Behind, u.Unheard = 20*time.Minute, 10*time.Second, 5*time.Minute, 2*time.Second, 5*time.Second
+func (u *Maintenance) Defaults() {
+	u.MaxGateways, u.MaxPerZone, u.MaxServers, u.KeepReady, u.MaxLoad = 1, 1, 1, 1, 70
+	u.DefaultDuration, u.SettleTime, u.ReturnWithin, u.MaxReplicaLag, u.LedgerTimeout = 20*time.Minute, 10*time.Second, 5*time.Minute, 2*time.Second, 5*time.Second
 }
 
 // The bounds of how long work may take.
 const (
-	leastWork = time.Second
-	mostWork  = 7 * 24 * time.Hour
+	minWorkDuration = time.Second
+	maxWorkDuration = 7 * 24 * time.Hour
 )
 
 // VRRP is how gateways speak with each other about floating addresses.
@@ -191,8 +191,8 @@
 	Preempt      bool           `conf:"preempt"`
 	PreemptDelay time.Duration  `conf:"preempt-delay" validate:"max=3600000000000"`
 	Track        []Track        `conf:"track" validate:"unique=Condition,dive"`
-	Damp         Damp           `conf:"damp"`
-	LetGo        time.Duration  `conf:"let-go" validate:"min=0,max=1000000000"` // how long an orderly end waits for requests under way
+	Damping      Damping        `conf:"damp"`
+	DrainTimeout time.Duration  `conf:"let-go" validate:"min=0,max=1000000000"` // how long an orderly end waits for requests under way
 }
 
 // Track lowers the priority by a step while a condition holds.
@@ -203,24 +203,24 @@
 
 // Damp holds back a gateway that loses the address within Window of winning it: for First, twice as long each time, at
 // most for Most.
-type Damp struct{ Window, First, Most time.Duration }
+type Damping struct{ Window, InitialHold, MaxHold time.Duration }
 
 // The standard's default priority of a backup, and an interval that suits one room.
 const (
-	defaultPriority = 100
-	defaultInterval = 100 * time.Millisecond
+	defaultPriority              = 100
+	defaultAdvertisementInterval = 100 * time.Millisecond
 )
 
 // The bounds of an advertisement's interval on the wire, and its unit.
 const (
-	leastInterval = 10 * time.Millisecond
-	mostInterval  = 40950 * time.Millisecond
+	minAdvertisementInterval = 10 * time.Millisecond
+	maxAdvertisementInterval = 40950 * time.Millisecond
 )
 
 // Defaults are what a group has that its section does not name.
 func (g *Group) Defaults() {
-	g.Priority, g.Interval, g.Preempt, g.LetGo = defaultPriority, defaultInterval, true, 50*time.Millisecond
-	g.Damp = Damp{Window: 2 * time.Second, First: 500 * time.Millisecond, Most: 5 * time.Second}
+	g.Priority, g.Interval, g.Preempt, g.DrainTimeout = defaultPriority, defaultAdvertisementInterval, true, 50*time.Millisecond
+	g.Damping = Damping{Window: 2 * time.Second, InitialHold: 500 * time.Millisecond, MaxHold: 5 * time.Second}
 }
 
 // LoadOperators reads the operators' file. Without a path there is none, and all of it is off. Its errors are
@@ -293,8 +293,8 @@
 		if own.Addr().IsUnspecified() || own.Port() == 0 {
 			at(m.Where, "bind", 0, "%v is no address that others could know this gateway by; name one with advertise", own)
 		}
-		if m.Interval < leastProbe || m.Interval > mostProbe {
-			at(m.Where, "interval", 0, "%v is not from %v to %v", m.Interval, leastProbe, mostProbe)
+		if m.Interval < minProbeInterval || m.Interval > maxProbeInterval {
+			at(m.Where, "interval", 0, "%v is not from %v to %v", m.Interval, minProbeInterval, maxProbeInterval)
 		}
 		for i, j := range m.Join {
 			if j.Addr().Is4() != m.Bind.Addr().Is4() {
@@ -307,56 +307,56 @@
 			}
 		}
 	}
-	if c := o.Copies; c != nil {
+	if c := o.StateStore; c != nil {
 		if o.Members == nil {
 			at(c.Where, "copies", 0, "there is no members section: copies go to members")
 		}
-		if memory := len(c.Store) == 1 && c.Store[0] == "memory"; !memory && !(len(c.Store) == 2 && c.Store[0] == "disk" && c.Store[1] != "") {
-			at(c.Where, "store", 0, "%q is neither memory nor disk and a path", strings.Join(c.Store, " "))
+		if memory := len(c.Storage) == 1 && c.Storage[0] == "memory"; !memory && !(len(c.Storage) == 2 && c.Storage[0] == "disk" && c.Storage[1] != "") {
+			at(c.Where, "store", 0, "%q is neither memory nor disk and a path", strings.Join(c.Storage, " "))
 		}
-		if c.Witness != "" && c.Path() == "" {
+		if c.Witness != "" && c.StoragePath() == "" {
 			at(c.Where, "witness", 0, "there is no disk for it to tell of")
 		}
-		if c.Heartbeat < leastHeartbeat || c.Heartbeat > mostHeartbeat {
-			at(c.Where, "heartbeat", 0, "%v is not from %v to %v", c.Heartbeat, leastHeartbeat, mostHeartbeat)
+		if c.Heartbeat < minHeartbeat || c.Heartbeat > maxHeartbeat {
+			at(c.Where, "heartbeat", 0, "%v is not from %v to %v", c.Heartbeat, minHeartbeat, maxHeartbeat)
 		}
-		if c.HealAfter < leastHealAfter || c.HealAfter < 20*c.Heartbeat {
-			at(c.Where, "heal-after", 0, "%v is below %v, or 20 heartbeats", c.HealAfter, leastHealAfter)
+		if c.RepairAfter < minRepairAfter || c.RepairAfter < 20*c.Heartbeat {
+			at(c.Where, "heal-after", 0, "%v is below %v, or 20 heartbeats", c.RepairAfter, minRepairAfter)
 		}
-		if c.MarksLast < time.Second || c.MarksLast > mostMarksLast {
-			at(c.Where, "marks-last", 0, "%v is not from 1s to %v", c.MarksLast, mostMarksLast)
+		if c.MarksTTL < time.Second || c.MarksTTL > maxMarksTTL {
+			at(c.Where, "marks-last", 0, "%v is not from 1s to %v", c.MarksTTL, maxMarksTTL)
 		}
 	}
 	classes := map[string]bool{}
 	for _, d := range o.InDoubt {
-		if o.Copies == nil {
+		if o.StateStore == nil {
 			at(d.Where, "in-doubt", 0, "there is no copies section: what is promised is kept in copies")
 		}
 		if classes[d.Class] {
 			at(d.Where, "in-doubt", 0, "%s is there twice", d.Class)
 		}
 		classes[d.Class] = true
-		if d.Remember < leastRemember || d.Remember > mostRemember {
-			at(d.Where, "remember", 0, "%v is not from %v to %v", d.Remember, leastRemember, mostRemember)
+		if d.Retention < minRetention || d.Retention > maxRetention {
+			at(d.Where, "remember", 0, "%v is not from %v to %v", d.Retention, minRetention, maxRetention)
 		}
 	}
-	if u := o.Upkeep; u != nil {
-		if o.Copies == nil {
+	if u := o.Maintenance; u != nil {
+		if o.StateStore == nil {
 			at(u.Where, "maintenance", 0, "there is no copies section: the order is kept in copies")
 		}
-		if u.For < leastWork || u.For > mostWork {
-			at(u.Where, "for", 0, "%v is not from %v to %v", u.For, leastWork, mostWork)
+		if u.DefaultDuration < minWorkDuration || u.DefaultDuration > maxWorkDuration {
+			at(u.Where, "for", 0, "%v is not from %v to %v", u.DefaultDuration, minWorkDuration, maxWorkDuration)
 		}
 		for _, d := range []struct {
 			name string
 			span time.Duration
-		}{{"settle", u.Settle}, {"return-within", u.Return}, {"behind", u.Behind}, {"unheard", u.Unheard}} {
+		}{{"settle", u.SettleTime}, {"return-within", u.ReturnWithin}, {"behind", u.MaxReplicaLag}, {"unheard", u.LedgerTimeout}} {
 			if d.span < 0 || d.span > time.Hour {
 				at(u.Where, d.name, 0, "%v is not from 0s to 1h", d.span)
 			}
 		}
-		if u.Excuse < 0 || u.Excuse > mostWork {
-			at(u.Where, "excuse-after", 0, "%v is not from 0s to %v", u.Excuse, mostWork)
+		if u.ExcuseAfter < 0 || u.ExcuseAfter > maxWorkDuration {
+			at(u.Where, "excuse-after", 0, "%v is not from 0s to %v", u.ExcuseAfter, maxWorkDuration)
 		}
 	}
 	vrids, names, listens := map[uint8]string{}, map[string]bool{}, map[netip.AddrPort]string{}
@@ -379,18 +379,18 @@
 				at(g.Where, "address", i, "%v is of another family than the first", a)
 			}
 		}
-		if g.Interval < leastInterval || g.Interval > mostInterval || g.Interval%leastInterval != 0 {
+		if g.Interval < minAdvertisementInterval || g.Interval > maxAdvertisementInterval || g.Interval%minAdvertisementInterval != 0 {
 			at(g.Where, "interval", 0, "%v is no multiple of 10ms from 10ms to 40.95s", g.Interval)
 		}
-		if g.Damp.First > g.Damp.Most {
-			at(g.Where, "damp", 0, "the first hold, %v, is longer than the longest, %v", g.Damp.First, g.Damp.Most)
+		if g.Damping.InitialHold > g.Damping.MaxHold {
+			at(g.Where, "damp", 0, "the first hold, %v, is longer than the longest, %v", g.Damping.InitialHold, g.Damping.MaxHold)
 		}
 	}
 	return faults
 }
 
 // Fixed lists the directives whose values in next cannot be taken over by a running gateway.
-func (o *Operators) Fixed(next *Operators) []string {
+func (o *Operators) RestartRequired(next *Operators) []string {
 	var fixed []string
 	differ := func(name string, same bool) {
 		if !same {
@@ -405,9 +405,9 @@
 		differ("members bind", m.Bind == n.Bind)
 		differ("members advertise", m.Advertise == n.Advertise)
 	}
-	differ("copies", reflect.DeepEqual(unplaced(o.Copies), unplaced(next.Copies)))
+	differ("copies", reflect.DeepEqual(unplaced(o.StateStore), unplaced(next.StateStore)))
 	differ("in-doubt", reflect.DeepEqual(unlined(o.InDoubt), unlined(next.InDoubt)))
-	differ("maintenance", (o.Upkeep == nil) == (next.Upkeep == nil))
+	differ("maintenance", (o.Maintenance == nil) == (next.Maintenance == nil))
 	differ("vrrp", (o.VRRP == nil) == (next.VRRP == nil))
 	if o.VRRP != nil && next.VRRP != nil {
 		differ("vrrp node", o.VRRP.Node == next.VRRP.Node)
@@ -434,9 +434,9 @@
 }
 
 // unplaced is a section without the lines that it stands in.
-func unplaced(c *Copies) Copies {
+func unplaced(c *StateStore) StateStore {
 	if c == nil {
-		return Copies{}
+		return StateStore{}
 	}
 	x := *c
 	x.Where = lines.Where{}
@@ -449,13 +449,13 @@
 	if o.Members != nil {
 		on = append(on, "members")
 	}
-	if o.Copies != nil {
+	if o.StateStore != nil {
 		on = append(on, "copies")
 	}
 	for _, d := range o.InDoubt {
 		on = append(on, "in-doubt "+d.Class)
 	}
-	if o.Upkeep != nil {
+	if o.Maintenance != nil {
 		on = append(on, "maintenance")
 	}
 	if o.VRRP != nil {
--- a/internal/config/operators_test.go
+++ b/internal/config/operators_test.go
@@ -77,11 +77,11 @@
 		o.VRRP.Peers[1].Address.String() != "127.0.0.4:1112" || o.VRRP.Keys[0].Secret != `a secret with "quotes" in it` {
 		t.Errorf("%+v %+v", o, o.VRRP)
 	}
-	if c := o.Copies; c.Copies != 5 || c.Shards != 16 || c.Path() != "/var/c.db" || !c.Holds("gw-2") || c.Holds("gw-3") || len(c.Marks) != 2 || c.MarksOrder != "safe" {
+	if c := o.StateStore; c.Voters != 5 || c.Shards != 16 || c.StoragePath() != "/var/c.db" || !c.RunsRaftNode("gw-2") || c.RunsRaftNode("gw-3") || len(c.SessionMarks) != 2 || c.MarksMode != "safe" {
 		t.Errorf("%+v", c)
 	}
-	if d := o.InDoubt; len(d) != 1 || d[0].Class != "order" || d[0].Clients != "do-not-mark" || d[0].Order != "safe" || d[0].Remember != time.Minute ||
-		len(d[0].Look) != 2 || d[0].Look[1] != " there" {
+	if d := o.InDoubt; len(d) != 1 || d[0].Class != "order" || d[0].Clients != "do-not-mark" || d[0].Order != "safe" || d[0].Retention != time.Minute ||
+		len(d[0].Lookup) != 2 || d[0].Lookup[1] != " there" {
 		t.Errorf("%+v", d)
 	}
 	if m := o.Members; m.Node != "gw-1" || len(m.Join) != 2 || m.Weight != 1 || m.Interval != 300*time.Millisecond || m.Via[0].Via.Port() != 7001 {
@@ -89,7 +89,7 @@
 	}
 	g := o.Groups[0]
 	if g.Name != "counters" || g.VRID != 51 || g.Preempt || g.Interval != time.Second || g.Track[1].Step != 255 ||
-		g.Damp != (Damp{2 * time.Second, 100 * time.Millisecond, time.Second}) {
+		g.Damping != (Damping{2 * time.Second, 100 * time.Millisecond, time.Second}) {
 		t.Errorf("%+v", g)
 	}
 	if g := o.Groups[1]; g.Priority != 100 || !g.Preempt || g.Interval != 100*time.Millisecond || len(g.Addresses) != 2 {
@@ -213,11 +213,11 @@
 func TestOperatorsFixed(t *testing.T) {
 	a, _ := ParseOperators("x", sampleConf)
 	may, _ := ParseOperators("x", strings.NewReplacer("priority 200", "priority 9", "peer 3", "peer 4", "key 2", "key 3").Replace(sampleConf))
-	if fixed := a.Fixed(may); len(fixed) != 0 {
+	if fixed := a.RestartRequired(may); len(fixed) != 0 {
 		t.Errorf("%v", fixed)
 	}
 	other, _ := ParseOperators("x", strings.NewReplacer("node 1", "node 9", "vrid 51", "vrid 9", "control", "# ").Replace(sampleConf))
-	if fixed := strings.Join(a.Fixed(other), ","); fixed != "control,vrrp node,group" {
+	if fixed := strings.Join(a.RestartRequired(other), ","); fixed != "control,vrrp node,group" {
 		t.Errorf("%v", fixed)
 	}
 }
--- a/internal/gateway/bookings.go
+++ b/internal/gateway/bookings.go
@@ -34,13 +34,13 @@
 	}
 	for _, d := range g.ops.InDoubt {
 		c := intents.Class{Policy: indoubt.Policy{
-			RepeatsMarked: d.Clients == "mark", StoreBeforeReply: d.Order == "safe", HasLookup: len(d.Look) > 0, Retention: clock.Micros(d.Remember.Microseconds()), MaxInFlight: d.AtOnce,
+			RepeatsMarked: d.Clients == "mark", StoreBeforeReply: d.Order == "safe", HasLookup: len(d.Lookup) > 0, Retention: clock.Micros(d.Retention.Microseconds()), MaxInFlight: d.MaxInFlight,
 		}}
 		if c.Policy.HasLookup {
-			c.LookupClass = d.Look[0]
+			c.LookupClass = d.Lookup[0]
 		}
-		if len(d.Look) > 1 {
-			c.LookupText = d.Look[1]
+		if len(d.Lookup) > 1 {
+			c.LookupText = d.Lookup[1]
 		}
 		s.Classes[d.Class] = c
 	}
--- a/internal/gateway/client_test.go
+++ b/internal/gateway/client_test.go
@@ -491,7 +491,7 @@
 }
 
 func TestNotReadyWithoutServers(t *testing.T) {
-	w := newWorld(t, func(c *config.Config) { c.Known.Entries = nil; c.Discovery = "127.0.0.1:9" })
+	w := newWorld(t, func(c *config.Config) { c.KnownServers.Entries = nil; c.Discovery = "127.0.0.1:9" })
 	c := w.dial()
 	w.asks(c, "", "", "57P03")
 	w.asks(c, look("a"), "", "53300")
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -48,7 +48,7 @@
 
 // StoreSettings is what a store is opened with.
 type StoreSettings struct {
-	Copies     *config.Copies
+	Copies     *config.StateStore
 	Node, Zone string
 	Weight     uint32
 	Clock      routing.Clock
@@ -81,11 +81,11 @@
 
 // newMarks are the marks that the operators' file asks for; nil: none.
 func newMarks(ops *config.Operators, clock routing.Clock) *marks {
-	if ops.Copies == nil || len(ops.Copies.Marks) == 0 {
+	if ops.StateStore == nil || len(ops.StateStore.SessionMarks) == 0 {
 		return nil
 	}
-	m := &marks{clock: clock, classes: map[string]bool{}, fast: ops.Copies.MarksOrder == "fast", last: ops.Copies.MarksLast}
-	for _, class := range ops.Copies.Marks {
+	m := &marks{clock: clock, classes: map[string]bool{}, fast: ops.StateStore.MarksMode == "fast", last: ops.StateStore.MarksTTL}
+	for _, class := range ops.StateStore.SessionMarks {
 		m.classes[class] = true
 	}
 	return m
@@ -157,7 +157,7 @@
 
 // startStore opens the store, where the operators' file has one.
 func (g *Gateway) startStore() error {
-	c := g.ops.Copies
+	c := g.ops.StateStore
 	if OpenStore == nil {
 		return errors.New("this program has no store; marblespan-raft has")
 	}
@@ -189,7 +189,7 @@
 	case len(words) == 0:
 		return g.store.Status(), nil
 	case words[0] == "found" && len(words) <= 2:
-		return "founded", g.store.Bootstrap(g.ops.Copies.Shards, g.ops.Copies.Copies, len(words) == 2 && words[1] == "first")
+		return "founded", g.store.Bootstrap(g.ops.StateStore.Shards, g.ops.StateStore.Voters, len(words) == 2 && words[1] == "first")
 	case words[0] == "gone" && len(words) == 2:
 		name, err := strconv.Unquote(words[1])
 		if err != nil {
--- a/internal/gateway/floating.go
+++ b/internal/gateway/floating.go
@@ -97,7 +97,7 @@
 		m := vrrp.Config{
 			VRID: g.VRID, Priority: g.Priority, Interval: micros(g.Interval), Preempt: g.Preempt,
 			PreemptDelay: micros(g.PreemptDelay), Self: v.Bind.Addr(),
-			Damping: vrrp.Damping{Window: micros(g.Damp.Window), First: micros(g.Damp.First), Most: micros(g.Damp.Most)},
+			Damping: vrrp.Damping{Window: micros(g.Damping.Window), First: micros(g.Damping.InitialHold), Most: micros(g.Damping.MaxHold)},
 		}
 		lingers := false
 		for _, t := range g.Track {
@@ -253,14 +253,14 @@
 	f.mu.Lock()
 	for _, g := range *f.groups.Load() {
 		t := f.holding[g.Name]
-		if t == nil || g.LetGo <= 0 {
+		if t == nil || g.DrainTimeout <= 0 {
 			continue
 		}
 		t.ending.Store(true)
 		if last || !slices.ContainsFunc(g.Track, func(t config.Track) bool { return t.Condition == vrrp.ConditionNames[vrrp.Draining] }) {
-			ending, bound = append(ending, t), max(bound, g.LetGo)
+			ending, bound = append(ending, t), max(bound, g.DrainTimeout)
 		} else {
-			time.AfterFunc(g.LetGo, func() { t.ending.Store(f.stopped.Load()) })
+			time.AfterFunc(g.DrainTimeout, func() { t.ending.Store(f.stopped.Load()) })
 		}
 	}
 	f.mu.Unlock()
--- a/internal/gateway/floating_test.go
+++ b/internal/gateway/floating_test.go
@@ -288,7 +288,7 @@
 	t.Cleanup(lonely.Close)
 	f := newFleet(t, true, func(i int, c *config.Config) {
 		if i == 1 {
-			c.Known.Entries, c.Discovery = nil, lonely.Addr()
+			c.KnownServers.Entries, c.Discovery = nil, lonely.Addr()
 		}
 	}, 100, 250)
 	f.settles(0)
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -61,9 +61,9 @@
 	primary := must2(net.Listen("tcp", "127.0.0.1:0"))
 	t.Cleanup(func() { primary.Close() })
 	w := newWorld(t, func(c *config.Config) {
-		for i := range c.Known.Entries {
-			if c.Known.Entries[i].Primary {
-				c.Known.Entries[i].Endpoint = primary.Addr().String()
+		for i := range c.KnownServers.Entries {
+			if c.KnownServers.Entries[i].Primary {
+				c.KnownServers.Entries[i].Endpoint = primary.Addr().String()
 			}
 		}
 		c.Discovery = "127.0.0.1:1"
--- a/internal/gateway/maintain.go
+++ b/internal/gateway/maintain.go
@@ -66,29 +66,29 @@
 
 // newUpkeep is the part that the operators' file asks for; nil: none.
 func newUpkeep(g *Gateway) *upkeep {
-	if g.ops.Upkeep == nil {
+	if g.ops.Maintenance == nil {
 		return nil
 	}
 	u := &upkeep{g: g, began: time.Now(), wake: make(chan struct{}, 1), quit: make(chan struct{}), now: ordered{Order: &maintenance.Order{}}, life: g.life}
-	u.configure(g.ops.Upkeep)
+	u.configure(g.ops.Maintenance)
 	return u
 }
 
-func (u *upkeep) configure(c *config.Upkeep) {
-	u.unheard.Store(int64(c.Unheard))
-	u.behind.Store(c.Behind.Microseconds())
+func (u *upkeep) configure(c *config.Maintenance) {
+	u.unheard.Store(int64(c.LedgerTimeout))
+	u.behind.Store(c.MaxReplicaLag.Microseconds())
 }
 
 // limits says the file's limits in the order's terms.
 func limits(ops *config.Operators) *maintenance.Limits {
-	c := ops.Upkeep
-	if c == nil || ops.Copies == nil {
+	c := ops.Maintenance
+	if c == nil || ops.StateStore == nil {
 		return nil
 	}
 	span := func(d time.Duration) clock.Micros { return clock.Micros(d.Microseconds()) }
 	return &maintenance.Limits{
-		Gateways: c.Gateways, InZone: c.InZone, Servers: c.Servers, Keep: c.Keep, Load: c.Load * 10, Settle: span(c.Settle), Return: span(c.Return),
-		Excuse: span(c.Excuse), HealAfter: span(ops.Copies.HealAfter),
+		Gateways: c.MaxGateways, InZone: c.MaxPerZone, Servers: c.MaxServers, Keep: c.KeepReady, Load: c.MaxLoad * 10, Settle: span(c.SettleTime), Return: span(c.ReturnWithin),
+		Excuse: span(c.ExcuseAfter), HealAfter: span(ops.StateStore.RepairAfter),
 	}
 }
 
@@ -108,8 +108,8 @@
 }
 
 func (u *upkeep) reload(ops *config.Operators) {
-	if u != nil && ops.Upkeep != nil && ops.Copies != nil {
-		u.configure(ops.Upkeep)
+	if u != nil && ops.Maintenance != nil && ops.StateStore != nil {
+		u.configure(ops.Maintenance)
 		u.g.store.SetMaintenanceLimits(*limits(ops))
 	}
 }
@@ -316,7 +316,7 @@
 	if len(words) == 0 {
 		return g.maintenanceList(by)
 	}
-	c := maintenance.Command{By: g.ops.Members.Node, For: clock.Micros(g.ops.Upkeep.For.Microseconds())}
+	c := maintenance.Command{By: g.ops.Members.Node, For: clock.Micros(g.ops.Maintenance.DefaultDuration.Microseconds())}
 	var err error
 	if c.Verb = map[string]maintenance.Verb{
 		"add": maintenance.Add, "done": maintenance.Done, "drop": maintenance.Drop, "hold": maintenance.Hold, "go": maintenance.Go,
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -67,7 +67,7 @@
 // self is what the gateway tells the others of itself.
 func (m *members) self() gossip.Self {
 	s := gossip.Self{Version: Version, Settings: m.settings.Load()}
-	if c := m.g.ops.Copies; c == nil || c.Path() == "" || !c.Holds(m.g.ops.Members.Node) {
+	if c := m.g.ops.StateStore; c == nil || c.StoragePath() == "" || !c.RunsRaftNode(m.g.ops.Members.Node) {
 		s.Flags |= membership.NoDisk
 	}
 	if m.draining.Load() {
--- a/internal/gateway/program.go
+++ b/internal/gateway/program.go
@@ -158,7 +158,7 @@
 		g.log.Error().Err(err).Msg("reload failed, the old configuration stays")
 		return
 	}
-	if fixed := append(g.cfg.Fixed(next), g.ops.Fixed(ops)...); len(fixed) > 0 {
+	if fixed := append(g.cfg.RestartRequired(next), g.ops.RestartRequired(ops)...); len(fixed) > 0 {
 		g.log.Warn().Strs("keys", fixed).Msg("changed keys that take a restart")
 	}
 	if keys := config.Changed(g.settings, next.Settings); len(keys) > 0 {
@@ -218,7 +218,7 @@
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	go g.owner.Run(func(now clock.Micros) *routing.Core {
-		return routing.NewCore(now, cfg.Seed, cfg.InForce, routing.ListNews{List: cfg.Known}, g.servers, g.discovery,
+		return routing.NewCore(now, cfg.Seed, cfg.InForce, routing.ListNews{List: cfg.KnownServers}, g.servers, g.discovery,
 			log)
 	})
 	go func() {
@@ -256,7 +256,7 @@
 			return fmt.Errorf("members: %w", err)
 		}
 	}
-	if g.ops.Copies != nil {
+	if g.ops.StateStore != nil {
 		if err = g.startStore(); err != nil {
 			return fmt.Errorf("copies: %w", err)
 		}
--- a/internal/gateway/questions_test.go
+++ b/internal/gateway/questions_test.go
@@ -103,7 +103,7 @@
 	whole := &Gateway{
 		store: store, bookings: resolverDouble{}, upkeep: &upkeep{},
 		ops: &config.Operators{
-			Members: &config.Members{Node: "gw-1"}, Copies: &config.Copies{Shards: 16, Copies: 3}, Upkeep: &config.Upkeep{For: 20 * time.Minute},
+			Members: &config.Members{Node: "gw-1"}, StateStore: &config.StateStore{Shards: 16, Voters: 3}, Maintenance: &config.Maintenance{DefaultDuration: 20 * time.Minute},
 		},
 	}
 	for _, c := range []struct {
--- a/internal/gateway/told_test.go
+++ b/internal/gateway/told_test.go
@@ -133,7 +133,7 @@
 		w.asks(w.dial(), "", "", "")
 		w.asks(w.dial(), look(name), "value of "+name, "")
 	}
-	w := newWorld(t, func(c *config.Config) { c.Known.Entries = nil; c.Discovery = crowded.Addr() })
+	w := newWorld(t, func(c *config.Config) { c.KnownServers.Entries = nil; c.Discovery = crowded.Addr() })
 	c := w.dial()
 	w.asks(c, "", "", "57P03")
 	crowded.SetTargets(w.targets()...)
--- a/internal/raftgateway/store.go
+++ b/internal/raftgateway/store.go
@@ -37,8 +37,8 @@
 	c := s.Copies
 	format, _ := strconv.ParseUint(Format, 10, 32)
 	h, err := raftnode.Start(raftnode.Settings{
-		Node: s.Node, Zone: s.Zone, Weight: s.Weight, HostsReplicas: c.Holds(s.Node), StoragePath: c.Path(), WitnessPath: c.Witness, Tick: c.Heartbeat,
-		RepairAfter: c.HealAfter, MaxRepairs: c.HealAtOnce, RepairRate: int(c.HealRate), MaxBytes: int64(c.Memory), MinLogBytes: minLogBytes,
+		Node: s.Node, Zone: s.Zone, Weight: s.Weight, HostsReplicas: c.RunsRaftNode(s.Node), StoragePath: c.StoragePath(), WitnessPath: c.Witness, Tick: c.Heartbeat,
+		RepairAfter: c.RepairAfter, MaxRepairs: c.MaxRepairs, RepairRate: int(c.RepairRate), MaxBytes: int64(c.Memory), MinLogBytes: minLogBytes,
 		RecordFormat: uint32(format), Peers: s.Others, MaintenanceLimits: s.Maintain, Members: s.Members, OnOrder: s.Ordered,
 	}, clock, s.Streams, s.Log)
 	if err != nil {
