--- a/internal/experiments/statestore/measure.go
+++ b/internal/experiments/statestore/measure.go
@@ -217,7 +217,7 @@
 		s := &api.Shard{Time: 1}
 		for n := range o.Recover / shards {
 			s.Records = append(s.Records, &api.Record{
-				Key: fmt.Appendf(nil, "session %08d", n*shards+int(i)), Mark: true, Position: uint64(1_700_000_000_000_000 + n), Version: uint64(n), End: 1 << 50,
+				Key: fmt.Appendf(nil, "session %08d", n*shards+int(i)), IsPosition: true, Position: uint64(1_700_000_000_000_000 + n), Version: uint64(n), ExpiresAt: 1 << 50,
 			})
 		}
 		data, err := proto.Marshal(s)
--- a/internal/golden/copies_test.go
+++ b/internal/golden/copies_test.go
@@ -22,15 +22,15 @@
 // order is an order of maintenance with a machine of each kind and one in each state.
 func order() *api.Order {
 	o := &api.Order{
-		Held: true, Numbers: 8, Excused: []string{"gw-7"}, Askers: []*api.Asker{{Client: 11, Sequence: 2, Ok: true, Said: "gw-1 is number 1 in the order"}},
-		Roll: []*api.Enrolled{{Name: "gw-1", Life: begun + 1}},
+		Paused: true, LastId: 8, Excused: []string{"gw-7"}, Askers: []*api.Asker{{Client: 11, Sequence: 2, Ok: true, Message: "gw-1 is number 1 in the order"}},
+		Enrolled: []*api.Enrolled{{Name: "gw-1", Incarnation: begun + 1}},
 		Machines: []*api.Machine{{
-			Id: 20, Kind: 1, Name: "db-1", Group: -1, Zone: "a", State: 3, Turn: 4, At: 17, Since: 1_000, Left: 900, Span: 600_000_000, Life: begun, Why: "a new kernel",
-			By: "gw-2", Overdue: true,
+			Id: 20, Kind: 1, Name: "db-1", Group: -1, Zone: "a", State: 3, Turn: 4, ChangedIndex: 17, ChangedAt: 1_000, OutAt: 900, Duration: 600_000_000, Incarnation: begun, Reason: "a new kernel",
+			RequestedBy: "gw-2", Overdue: true,
 		}},
 	}
 	for state := range uint32(7) {
-		o.Machines = append(o.Machines, &api.Machine{Id: uint64(2 + state), Name: fmt.Sprint("gw-", state), State: state, Word: state == 3})
+		o.Machines = append(o.Machines, &api.Machine{Id: uint64(2 + state), Name: fmt.Sprint("gw-", state), State: state, Forced: state == 3})
 	}
 	return o
 }
@@ -38,17 +38,17 @@
 // ledger says who holds what: the ledger itself and a shard, and a shard that changes its holders.
 func ledger() *api.Ledger {
 	return &api.Ledger{
-		Founding: founding, Index: 40, Time: 5_000_000, Copies: 3, Next: 12, Format: 2, Order: order(),
+		ClusterId: founding, Index: 40, Time: 5_000_000, VotersPerGroup: 3, NextMember: 12, Format: 2, Order: order(),
 		Stores: []*api.Store{
-			{Number: 71, Name: "gw-1", Zone: "a", Weight: 2, Format: 2}, {Number: 72, Name: "gw-2", Zone: "b", Weight: 1, Format: 2},
-			{Number: 73, Name: "gw-3", Zone: "c", Weight: 1, Format: 2}, {Number: 74, Name: "gw-4", Weight: 1, Gone: true, Format: 1},
+			{Id: 71, Name: "gw-1", Zone: "a", Weight: 2, Format: 2}, {Id: 72, Name: "gw-2", Zone: "b", Weight: 1, Format: 2},
+			{Id: 73, Name: "gw-3", Zone: "c", Weight: 1, Format: 2}, {Id: 74, Name: "gw-4", Weight: 1, Removed: true, Format: 1},
 		},
 		Groups: []*api.Group{
-			{Epoch: 1, Origin: 1, Voters: []*api.Replica{{Number: 1, Store: 71, Life: begun}, {Number: 4, Store: 72, Life: begun}, {Number: 5, Store: 73, Life: begun}}},
-			{Epoch: 1, Origin: 2, Voters: []*api.Replica{{Number: 2, Store: 71, Life: begun}, {Number: 6, Store: 72, Life: begun}, {Number: 7, Store: 73, Life: begun}}},
+			{Epoch: 1, FirstMember: 1, Voters: []*api.GroupMember{{Id: 1, Store: 71, Incarnation: begun}, {Id: 4, Store: 72, Incarnation: begun}, {Id: 5, Store: 73, Incarnation: begun}}},
+			{Epoch: 1, FirstMember: 2, Voters: []*api.GroupMember{{Id: 2, Store: 71, Incarnation: begun}, {Id: 6, Store: 72, Incarnation: begun}, {Id: 7, Store: 73, Incarnation: begun}}},
 			{
-				Epoch: 2, Origin: 8, Voters: []*api.Replica{{Number: 8, Store: 71, Life: begun}, {Number: 9, Store: 72, Life: begun}, {Number: 10, Store: 74, Lost: true, Life: begun}},
-				Adding: &api.Replica{Number: 11, Store: 73, Life: begun}, Leaving: 10, Lost: 4_000_000,
+				Epoch: 2, FirstMember: 8, Voters: []*api.GroupMember{{Id: 8, Store: 71, Incarnation: begun}, {Id: 9, Store: 72, Incarnation: begun}, {Id: 10, Store: 74, Stale: true, Incarnation: begun}},
+				Adding: &api.GroupMember{Id: 11, Store: 73, Incarnation: begun}, Removing: 10, LostAt: 4_000_000,
 			},
 		},
 	}
@@ -57,15 +57,15 @@
 // shard is a shard's state: a record of each kind, a booking and the mark of a session, and what is kept of two clients.
 func shard() *api.Shard {
 	return &api.Shard{
-		Time: 6_000_000, Lost: 3_000_000, Writes: 1<<40 + 7, Format: 2,
+		Time: 6_000_000, LostAt: 3_000_000, LastVersion: 1<<40 + 7, Format: 2,
 		Records: []*api.Record{
-			{Key: []byte("booking \x01\x02\x03"), Value: []byte(`{"state":1,"owner":"gw-1"}`), Version: 1<<40 + 6, End: 90_000_000, At: 5_500_000},
-			{Key: []byte("session \x00\x00\x00\x02\x00\x00\x00\x00\x00\x00\x00\x09"), Version: 1<<40 + 7, Position: 4_711, Mark: true, End: 91_000_000, At: 5_600_000},
+			{Key: []byte("booking \x01\x02\x03"), Value: []byte(`{"state":1,"owner":"gw-1"}`), Version: 1<<40 + 6, ExpiresAt: 90_000_000, ChangedAt: 5_500_000},
+			{Key: []byte("session \x00\x00\x00\x02\x00\x00\x00\x00\x00\x00\x00\x09"), Version: 1<<40 + 7, Position: 4_711, IsPosition: true, ExpiresAt: 91_000_000, ChangedAt: 5_600_000},
 		},
 		Clients: []*api.Client{
-			{Number: 11, Heard: 5_500_000, Done: 3, Results: []*api.Result{
-				{Sequence: 3, Version: 1<<40 + 6, Lost: 3_000_000}, {Sequence: 4, Status: 1, Version: 1<<40 + 5}, {Sequence: 5, Status: 2}}},
-			{Number: 12, Heard: 5_600_000, Results: []*api.Result{{Sequence: 1, Version: 1<<40 + 7, Position: 4_711}}},
+			{Id: 11, LastSeen: 5_500_000, MinPending: 3, Results: []*api.Result{
+				{Sequence: 3, Version: 1<<40 + 6, LostBefore: 3_000_000}, {Sequence: 4, Status: 1, Version: 1<<40 + 5}, {Sequence: 5, Status: 2}}},
+			{Id: 12, LastSeen: 5_600_000, Results: []*api.Result{{Sequence: 1, Version: 1<<40 + 7, Position: 4_711}}},
 		},
 	}
 }
@@ -73,26 +73,26 @@
 // commands are one of each that a log holds; the ledger's begin at the fourth.
 func commands() []*api.Command {
 	all := []*api.Command{
-		{Client: 11, Sequence: 6, Done: 5, Put: &api.Put{Key: []byte("k"), Value: []byte("v"), Conditional: true, Version: 1 << 40, Span: 60_000_000}},
-		{Client: 11, Sequence: 7, Put: &api.Put{Key: []byte("k"), Remove: true}},
-		{Client: 12, Sequence: 2, Format: 1, Mark: &api.Mark{Key: []byte("m"), Position: 5_000, Span: 60_000_000}},
+		{Client: 11, Sequence: 6, MinPending: 5, Put: &api.Put{Key: []byte("k"), Value: []byte("v"), Conditional: true, Version: 1 << 40, Ttl: 60_000_000}},
+		{Client: 11, Sequence: 7, Put: &api.Put{Key: []byte("k"), Delete: true}},
+		{Client: 12, Sequence: 2, Format: 1, RaisePosition: &api.RaisePosition{Key: []byte("m"), Position: 5_000, Ttl: 60_000_000}},
 	}
 	for _, change := range []*api.Change{
-		{Found: &api.Found{Founding: founding, Shards: 2, Copies: 3, Store: &api.Store{Number: 71, Name: "gw-1"}, First: true, Life: begun}},
-		{Join: &api.Store{Number: 75, Name: "gw-5", Zone: "b", Weight: 3, Format: 2}},
-		{Gone: 74},
-		{Assign: &api.Assign{Group: 2, Epoch: 3, Store: 73, Leaving: 10, Life: begun}},
-		{Settle: &api.Settle{Group: 2, Epoch: 3, Voters: []uint64{8, 9, 11}}},
-		{Renew: &api.Renew{Group: 1, Epoch: 2, Store: 72, Life: begun, Word: true}},
-		{Spoil: &api.Ref{Group: 1, Epoch: 2, Number: 7}},
-		{Format: 2},
-		{Said: &api.Said{Verb: 2, Kind: 1, Name: "db-2", Group: 2, Span: 600_000_000, Why: "a new disk", By: "gw-3"}},
-		{Step: &api.Step{Id: 2, Turn: 3, To: 1, Life: begun, Zone: "a", Gateways: 4, InZone: 5, Servers: 6}},
-		{Step: &api.Step{Id: 5, Overdue: true}},
-		{Step: &api.Step{Id: 5, Word: true}},
-		{Step: &api.Step{Unexcused: "gw-7"}},
-		{Step: &api.Step{Enroll: &api.Enrolled{Name: "gw-2", Life: begun + 2}}},
-		{Step: &api.Step{Strike: &api.Enrolled{Name: "gw-1", Life: begun + 1}}},
+		{Bootstrap: &api.Bootstrap{ClusterId: founding, Shards: 2, VotersPerGroup: 3, Store: &api.Store{Id: 71, Name: "gw-1"}, First: true, Incarnation: begun}},
+		{JoinStore: &api.Store{Id: 75, Name: "gw-5", Zone: "b", Weight: 3, Format: 2}},
+		{RemoveStore: 74},
+		{AddMember: &api.AddMember{Group: 2, Epoch: 3, Store: 73, Removing: 10, Incarnation: begun}},
+		{SetVoters: &api.SetVoters{Group: 2, Epoch: 3, Voters: []uint64{8, 9, 11}}},
+		{ResetGroup: &api.ResetGroup{Group: 1, Epoch: 2, Store: 72, Incarnation: begun, Forced: true}},
+		{MarkStale: &api.MemberRef{Group: 1, Epoch: 2, Member: 7}},
+		{RaiseFormat: 2},
+		{MaintenanceCommand: &api.MaintenanceCommand{Verb: 2, Kind: 1, Name: "db-2", Group: 2, Duration: 600_000_000, Reason: "a new disk", RequestedBy: "gw-3"}},
+		{MaintenanceStep: &api.MaintenanceStep{Id: 2, Turn: 3, To: 1, Incarnation: begun, Zone: "a", MaxGateways: 4, MaxPerZone: 5, MaxServers: 6}},
+		{MaintenanceStep: &api.MaintenanceStep{Id: 5, Overdue: true}},
+		{MaintenanceStep: &api.MaintenanceStep{Id: 5, Forced: true}},
+		{MaintenanceStep: &api.MaintenanceStep{Unexcused: "gw-7"}},
+		{MaintenanceStep: &api.MaintenanceStep{Enroll: &api.Enrolled{Name: "gw-2", Incarnation: begun + 2}}},
+		{MaintenanceStep: &api.MaintenanceStep{Unenroll: &api.Enrolled{Name: "gw-1", Incarnation: begun + 1}}},
 	} {
 		all = append(all, &api.Command{Client: 13, Sequence: uint64(len(all)), Format: 2, Change: change})
 	}
@@ -135,7 +135,7 @@
 		case pb.MsgHeartbeat, pb.MsgVote:
 			m.Context = []byte("context")
 		}
-		p.Raft = append(p.Raft, &api.Raft{Group: 1, Epoch: 2, Message: encode(m)})
+		p.Raft = append(p.Raft, &api.RaftMessage{Group: 1, Epoch: 2, Message: encode(m)})
 	}
 	return p
 }
@@ -143,7 +143,7 @@
 // samples are the messages whose bytes are kept: packets of every kind, and what disks and logs hold.
 func samples() []sample {
 	packet := func(p *api.Packet) *api.Packet {
-		p.Version, p.Founding, p.Store, p.Life, p.View, p.Ledger = 1, founding, 72, begun, 40, "gw-1"
+		p.Version, p.ClusterId, p.Store, p.Incarnation, p.LedgerIndex, p.LedgerLeader = 1, founding, 72, begun, 40, "gw-1"
 		return p
 	}
 	put, get := commands()[0], &api.Get{Key: []byte("k")}
@@ -153,30 +153,30 @@
 		{"entry", &api.Entry{Time: 7_000_000, Commands: commands()}},
 		{"listing", &api.Listing{Order: order(), Waits: map[uint64]string{2: "its turn"}, Leader: "gw-1", Time: 5_000_000}},
 		{"packet-raft", packet(raftMessages())},
-		{"packet-asks", packet(&api.Packet{Asks: []*api.Ask{{Group: 1, Epoch: 2, Number: 5, Of: 6, Term: 3, Index: 40}}})},
-		{"packet-knowns", packet(&api.Packet{Knowns: []*api.Known{{
-			Group: 1, Epoch: 2, Number: 5, Of: 6, Older: true, Term: 4, LastTerm: 3, LastIndex: 39, Applied: 38, Voters: []uint64{2, 6, 7},
-			Later: []*api.Later{{Number: 11, Index: 41}},
+		{"packet-asks", packet(&api.Packet{RecoveryQueries: []*api.RecoveryQuery{{Group: 1, Epoch: 2, Member: 5, Peer: 6, Term: 3, Index: 40}}})},
+		{"packet-knowns", packet(&api.Packet{RecoveryReplies: []*api.RecoveryReply{{
+			Group: 1, Epoch: 2, Member: 5, Peer: 6, Stale: true, Term: 4, LastTerm: 3, LastIndex: 39, Applied: 38, Voters: []uint64{2, 6, 7},
+			PendingVoters: []*api.PendingVoter{{Member: 11, Index: 41}},
 		}}})},
 		{"packet-calls", packet(&api.Packet{Calls: []*api.Call{{Id: 8, Group: 1, Command: put}, {Id: 9, Group: 1, Get: get}}})},
 		{"packet-replies", packet(&api.Packet{Replies: []*api.Reply{
 			{Id: 1, Status: 7, Leader: "gw-2"},
-			{Id: 2, Version: 1<<40 + 6, Value: []byte("v"), Position: 4_711, Found: true, Lost: 3_000_000, Time: 6_000_000, Age: 500_000},
+			{Id: 2, Version: 1<<40 + 6, Value: []byte("v"), Position: 4_711, Found: true, LostBefore: 3_000_000, Time: 6_000_000, Age: 500_000},
 		}})},
-		{"packet-news", packet(&api.Packet{News: ledger()})},
-		{"packet-announce", packet(&api.Packet{Announce: &api.Announce{
-			Name: "gw-2", Zone: "b", Weight: 1, Failed: true, Stale: []*api.Ref{{Group: 1, Epoch: 2, Number: 6}}, Format: 2,
+		{"packet-news", packet(&api.Packet{LedgerUpdate: ledger()})},
+		{"packet-announce", packet(&api.Packet{StoreHeartbeat: &api.StoreHeartbeat{
+			Name: "gw-2", Zone: "b", Weight: 1, Failed: true, StaleMembers: []*api.MemberRef{{Group: 1, Epoch: 2, Member: 6}}, Format: 2,
 		}})},
-		{"packet-reports", packet(&api.Packet{Reports: []*api.Report{
-			{Group: 1, Epoch: 2, Term: 3, Voters: []uint64{2, 6}, Learners: []uint64{7}, Joint: true}, {Group: 2, Lags: true},
+		{"packet-reports", packet(&api.Packet{GroupReports: []*api.GroupReport{
+			{Group: 1, Epoch: 2, Term: 3, Voters: []uint64{2, 6}, Learners: []uint64{7}, Joint: true}, {Group: 2, Lagging: true},
 		}})},
-		{"packet-past", packet(&api.Packet{Past: begun + 1})},
-		{"packet-fact", packet(&api.Packet{Fact: &api.Fact{
-			Life: begun, Zone: "b", Seen: 40, Ready: true, Load: 250, Floats: []string{"192.0.2.10"}, Apart: []uint64{1},
-			Servers: []*api.ServerFact{{Group: 2, Name: "db-1", Primary: true}, {Name: "db-2", Down: true}, {Name: "db-3", Cold: true}, {Name: "db-4", Behind: true}},
+		{"packet-past", packet(&api.Packet{KnownIncarnation: begun + 1})},
+		{"packet-fact", packet(&api.Packet{GatewayReport: &api.GatewayReport{
+			Incarnation: begun, Zone: "b", SeenIndex: 40, Ready: true, Load: 250, FloatingIps: []string{"192.0.2.10"}, Cordoned: []uint64{1},
+			Servers: []*api.ServerReport{{Group: 2, Name: "db-1", Primary: true}, {Name: "db-2", Down: true}, {Name: "db-3", WarmingUp: true}, {Name: "db-4", Lagging: true}},
 		}})},
-		{"packet-fact-idle", packet(&api.Packet{Fact: &api.Fact{Life: begun, Idle: true}})},
-		{"packet-fact-leads", packet(&api.Packet{Fact: &api.Fact{Life: begun, Leads: true}})},
+		{"packet-fact-idle", packet(&api.Packet{GatewayReport: &api.GatewayReport{Incarnation: begun, Idle: true}})},
+		{"packet-fact-leads", packet(&api.Packet{GatewayReport: &api.GatewayReport{Incarnation: begun, Leads: true}})},
 	}
 }
 
--- a/internal/golden/store_test.go
+++ b/internal/golden/store_test.go
@@ -25,7 +25,7 @@
 func largeShardState() *api.Shard {
 	s := shard()
 	for i := range 20 {
-		s.Records = append(s.Records, &api.Record{Key: fmt.Append(nil, "large ", i), Value: bytes.Repeat([]byte{byte(i)}, raftstore.MostValue), Version: uint64(i + 1), End: 90_000_000})
+		s.Records = append(s.Records, &api.Record{Key: fmt.Append(nil, "large ", i), Value: bytes.Repeat([]byte{byte(i)}, raftstore.MostValue), Version: uint64(i + 1), ExpiresAt: 90_000_000})
 	}
 	return s
 }
--- a/internal/raftgateway/records.go
+++ b/internal/raftgateway/records.go
@@ -24,7 +24,7 @@
 
 // Put changes a record if its version is this one.
 func (o store) Put(key, value []byte, version uint64, span time.Duration, by time.Time, done func(intents.StoreReply)) {
-	command := &api.Command{Put: &api.Put{Key: key, Value: value, Conditional: true, Version: version, Span: span.Microseconds()}}
+	command := &api.Command{Put: &api.Put{Key: key, Value: value, Conditional: true, Version: version, Ttl: span.Microseconds()}}
 	o.Call(key, command, by, func(a raftstore.Answer) { done(storedFrom(a)) })
 }
 
--- a/internal/raftnode/calls.go
+++ b/internal/raftnode/calls.go
@@ -106,7 +106,7 @@
 		done(false)
 		return
 	}
-	call := raftstore.Ask{Shard: shard, Command: &api.Command{Mark: &api.Mark{Key: key, Position: position, Span: ttl.Microseconds()}}}
+	call := raftstore.Ask{Shard: shard, Command: &api.Command{RaisePosition: &api.RaisePosition{Key: key, Position: position, Ttl: ttl.Microseconds()}}}
 	n.Submit(call, deadline, func(a raftstore.Answer) {
 		n.shards.record(shard, a.Status)
 		done(a.Status == raftstore.OK)
--- a/internal/raftstore/announce.go
+++ b/internal/raftstore/announce.go
@@ -26,26 +26,26 @@
 		return
 	}
 	p := h.packet(to)
-	p.Announce, p.Reports, p.Fact = h.ownAnnounce(), h.reports(), h.fact()
+	p.StoreHeartbeat, p.GroupReports, p.GatewayReport = h.ownAnnounce(), h.reports(), h.fact()
 }
 
-func (h *Host) ownAnnounce() *api.Announce {
+func (h *Host) ownAnnounce() *api.StoreHeartbeat {
 	if !h.holds {
 		return nil
 	}
-	a := &api.Announce{Name: h.cfg.Name, Zone: h.cfg.Zone, Weight: h.cfg.Weight, Failed: h.failed != "", Format: h.cfg.Format}
+	a := &api.StoreHeartbeat{Name: h.cfg.Name, Zone: h.cfg.Zone, Weight: h.cfg.Weight, Failed: h.failed != "", Format: h.cfg.Format}
 	for i := range h.retired {
 		r := &h.retired[i]
-		if x := groupIn(h.view, r.Group); x != nil && x.Epoch == r.Epoch && slices.ContainsFunc(replicas(x), func(y *api.Replica) bool {
-			return y.Number == r.Number && !y.Lost
+		if x := groupIn(h.view, r.Group); x != nil && x.Epoch == r.Epoch && slices.ContainsFunc(replicas(x), func(y *api.GroupMember) bool {
+			return y.Id == r.Number && !y.Stale
 		}) {
-			a.Stale = append(a.Stale, &api.Ref{Group: r.Group, Epoch: r.Epoch, Number: r.Number})
+			a.StaleMembers = append(a.StaleMembers, &api.MemberRef{Group: r.Group, Epoch: r.Epoch, Member: r.Number})
 		}
 	}
 	return a
 }
 
-func (h *Host) reports() (all []*api.Report) {
+func (h *Host) reports() (all []*api.GroupReport) {
 	for _, g := range h.inOrder() {
 		if g.led {
 			all = append(all, g.report())
@@ -79,7 +79,7 @@
 }
 
 // heardOf takes in what a holder tells the ledger's leader.
-func (h *Host) heardOf(store, life uint64, a *api.Announce, reports []*api.Report) {
+func (h *Host) heardOf(store, life uint64, a *api.StoreHeartbeat, reports []*api.GroupReport) {
 	g := h.groups[LedgerGroup]
 	if g == nil || !g.led || g.asking != nil {
 		return
@@ -100,16 +100,16 @@
 			h.tooOld = store
 			h.note(Noticed{What: Older, Number: store, Name: a.Name})
 		}
-	case known == nil || !known.Gone && (known.Zone != a.Zone || known.Weight != a.Weight || known.Format != a.Format):
-		changes = append(changes, &api.Change{Join: &api.Store{Number: store, Name: a.Name, Zone: a.Zone, Weight: a.Weight, Format: a.Format}})
-	case known.Gone:
+	case known == nil || !known.Removed && (known.Zone != a.Zone || known.Weight != a.Weight || known.Format != a.Format):
+		changes = append(changes, &api.Change{JoinStore: &api.Store{Id: store, Name: a.Name, Zone: a.Zone, Weight: a.Weight, Format: a.Format}})
+	case known.Removed:
 	case a.Failed:
-		changes = append(changes, &api.Change{Gone: store})
+		changes = append(changes, &api.Change{RemoveStore: store})
 	default:
 		h.facts.heard[store], h.facts.lives[store] = h.now, life
 	}
-	for _, r := range a.Stale {
-		changes = append(changes, &api.Change{Spoil: r})
+	for _, r := range a.StaleMembers {
+		changes = append(changes, &api.Change{MarkStale: r})
 	}
 	h.change(g, changes)
 }
@@ -150,9 +150,9 @@
 	if !h.holds || h.failed != "" || h.founding != 0 || f.Shards < 1 || f.Shards > MostShards || f.Copies < 1 {
 		return
 	}
-	l := found(&api.Found{
-		Founding: h.cfg.Founding, Shards: uint32(f.Shards), Copies: uint32(f.Copies), First: f.First, Life: h.life,
-		Store: &api.Store{Number: h.store, Name: h.cfg.Name, Zone: h.cfg.Zone, Weight: h.cfg.Weight, Format: h.cfg.Format},
+	l := found(&api.Bootstrap{
+		ClusterId: h.cfg.Founding, Shards: uint32(f.Shards), VotersPerGroup: uint32(f.Copies), First: f.First, Incarnation: h.life,
+		Store: &api.Store{Id: h.store, Name: h.cfg.Name, Zone: h.cfg.Zone, Weight: h.cfg.Weight, Format: h.cfg.Format},
 	})
 	h.learn(l.Ledger, true)
 }
@@ -164,8 +164,8 @@
 		return
 	}
 	for _, s := range h.view.Stores {
-		if s.Name == name && !s.Gone {
-			h.change(g, []*api.Change{{Gone: s.Number}})
+		if s.Name == name && !s.Removed {
+			h.change(g, []*api.Change{{RemoveStore: s.Id}})
 		}
 	}
 }
@@ -179,7 +179,7 @@
 	p := planner{Ledger: h.view, facts: h.facts, tick: h.cfg.Tick}
 	p.now = h.now
 	if all := place(shard, p.fresh(), 1); len(all) > 0 {
-		h.change(g, []*api.Change{{Renew: &api.Renew{Group: shard, Epoch: x.Epoch, Store: all[0].Number, Life: h.facts.lives[all[0].Number], Word: true}}})
+		h.change(g, []*api.Change{{ResetGroup: &api.ResetGroup{Group: shard, Epoch: x.Epoch, Store: all[0].Id, Incarnation: h.facts.lives[all[0].Id], Forced: true}}})
 	}
 }
 
--- a/internal/raftstore/group.go
+++ b/internal/raftstore/group.go
@@ -176,7 +176,7 @@
 		g.ledAt, g.base, g.swept = g.h.now, g.sm.time(), g.h.now
 		if g.id == LedgerGroup {
 			g.h.resetUpkeep()
-			g.h.facts = facts{since: g.h.now, heard: map[uint64]clock.Micros{}, lives: map[uint64]uint64{}, reports: map[uint32]*api.Report{}, told: map[uint32]clock.Micros{}, changed: g.h.now}
+			g.h.facts = facts{since: g.h.now, heard: map[uint64]clock.Micros{}, lives: map[uint64]uint64{}, reports: map[uint32]*api.GroupReport{}, told: map[uint32]clock.Micros{}, changed: g.h.now}
 		}
 		g.h.note(Noticed{What: Led, Group: g.id, Epoch: g.epoch, Number: g.number})
 		return
@@ -320,7 +320,7 @@
 	if err != nil {
 		return
 	}
-	x := &api.Raft{Group: g.id, Epoch: g.epoch, Message: raw}
+	x := &api.RaftMessage{Group: g.id, Epoch: g.epoch, Message: raw}
 	if m.GetType() == pb.MsgSnap {
 		g.snapped[m.GetTo()] = g.h.now
 		g.h.bulk(to, x)
@@ -432,12 +432,12 @@
 	switch shard, _ := g.sm.(*shard); {
 	case !g.led || g.asking != nil || g.h.leaving:
 		status = notLeader
-	case c.Command == nil && c.Get == nil, shard == nil && c.Get == nil && c.Command.GetChange().GetSaid() == nil, shard != nil && c.Command.GetChange() != nil:
+	case c.Command == nil && c.Get == nil, shard == nil && c.Get == nil && c.Command.GetChange().GetMaintenanceCommand() == nil, shard != nil && c.Command.GetChange() != nil:
 		status = Bad
 	case c.Get != nil:
 		g.reads = append(g.reads, reading{o, c.Get.Key})
 		return
-	case len(g.conf.Voters) < int(g.h.view.GetCopies()):
+	case len(g.conf.Voters) < int(g.h.view.GetVotersPerGroup()):
 		status = notLeader // nothing is promised before there are as many copies as were promised
 	case c.Command.Format > max(g.h.view.GetFormat(), FirstFormat):
 		status = TooNew
@@ -517,8 +517,8 @@
 		return
 	}
 	want, learner := target(x), uint64(0)
-	if x.Adding != nil && !slices.Contains(g.conf.Voters, x.Adding.Number) {
-		learner = x.Adding.Number
+	if x.Adding != nil && !slices.Contains(g.conf.Voters, x.Adding.Id) {
+		learner = x.Adding.Id
 	}
 	var changes []*pb.ConfChangeSingle
 	change := func(t pb.ConfChangeType, number uint64) {
@@ -580,15 +580,15 @@
 }
 
 // report is what the ledger's leader is told.
-func (g *group) report() *api.Report {
-	r := &api.Report{
+func (g *group) report() *api.GroupReport {
+	r := &api.GroupReport{
 		Group: g.id, Epoch: g.epoch, Term: g.node.BasicStatus().GetTerm(), Voters: g.conf.Voters, Learners: g.conf.Learners,
 		Joint: len(g.conf.VotersOutgoing) > 0,
 	}
 	last, _ := g.log.LastIndex()
 	g.node.WithProgress(func(id uint64, t raft.ProgressType, pr tracker.Progress) {
 		if id != g.number && t == raft.ProgressTypePeer && pr.Match+keepEntries < last {
-			r.Lags = true
+			r.Lagging = true
 		}
 	})
 	return r
--- a/internal/raftstore/host.go
+++ b/internal/raftstore/host.go
@@ -99,7 +99,7 @@
 		if err := proto.Unmarshal(s.View, &view); err != nil {
 			return nil, err
 		}
-		h.view, h.founding = &view, view.Founding
+		h.view, h.founding = &view, view.ClusterId
 	}
 	h.retired = s.Retired
 	for _, x := range s.Groups {
@@ -221,9 +221,9 @@
 
 // seal fills in a packet's head and writes it.
 func (h *Host) seal(p *api.Packet) []byte {
-	p.Version, p.Founding, p.Store, p.Life, p.View = packetVersion, h.founding, h.store, h.life, h.view.Index
+	p.Version, p.ClusterId, p.Store, p.Incarnation, p.LedgerIndex = packetVersion, h.founding, h.store, h.life, h.view.Index
 	if g := h.groups[LedgerGroup]; g != nil && g.asking == nil {
-		p.Ledger = g.leaderName()
+		p.LedgerLeader = g.leaderName()
 	}
 	b, _ := proto.Marshal(p) // its names were checked when they came in
 	return b
@@ -242,8 +242,8 @@
 }
 
 // bulk sends something large by itself.
-func (h *Host) bulk(to string, x *api.Raft) {
-	h.heavy = append(h.heavy, Send{To: to, Body: h.seal(&api.Packet{Raft: []*api.Raft{x}}), Bulk: true})
+func (h *Host) bulk(to string, x *api.RaftMessage) {
+	h.heavy = append(h.heavy, Send{To: to, Body: h.seal(&api.Packet{Raft: []*api.RaftMessage{x}}), Bulk: true})
 }
 
 // holder is the gateway that has a replica; empty: not known.
@@ -253,7 +253,7 @@
 	}
 	if x := groupIn(h.view, id); x != nil {
 		for _, r := range replicas(x) {
-			if r.Number == number {
+			if r.Id == number {
 				if s := storeIn(h.view, r.Store); s != nil {
 					return s.Name
 				}
@@ -422,12 +422,12 @@
 		}
 	}
 	best := place(g.id, stores, 1)
-	if len(best) == 0 || best[0].Number == h.store {
+	if len(best) == 0 || best[0].Id == h.store {
 		return
 	}
 	for _, r := range x.Voters {
-		if r.Store == best[0].Number && g.near(r.Number) {
-			g.handOver(r.Number)
+		if r.Store == best[0].Id && g.near(r.Id) {
+			g.handOver(r.Id)
 		}
 	}
 }
@@ -438,14 +438,14 @@
 	if proto.Unmarshal(e.Body, &p) != nil || p.Version != packetVersion {
 		return
 	}
-	if p.Past >= h.life && h.holds { // the clock was set back since the last start
-		h.life, h.begun = p.Past+1, false
+	if p.KnownIncarnation >= h.life && h.holds { // the clock was set back since the last start
+		h.life, h.begun = p.KnownIncarnation+1, false
 	}
-	if p.Store != 0 && p.Life < h.peers[p.Store] {
-		h.packet(e.From).Past = h.peers[p.Store]
+	if p.Store != 0 && p.Incarnation < h.peers[p.Store] {
+		h.packet(e.From).KnownIncarnation = h.peers[p.Store]
 		return
 	}
-	if p.Founding != 0 && h.founding != 0 && p.Founding != h.founding {
+	if p.ClusterId != 0 && h.founding != 0 && p.ClusterId != h.founding {
 		if h.foreign == 0 || h.ticks-h.foreign > foreignTicks {
 			h.foreign = max(h.ticks, 1)
 			h.note(Noticed{What: Foreign, Name: e.From})
@@ -453,19 +453,19 @@
 		return
 	}
 	if p.Store != 0 {
-		h.peers[p.Store] = p.Life
+		h.peers[p.Store] = p.Incarnation
 	}
-	if p.News != nil && p.News.Founding == p.Founding {
-		h.learn(p.News, false)
+	if p.LedgerUpdate != nil && p.LedgerUpdate.ClusterId == p.ClusterId {
+		h.learn(p.LedgerUpdate, false)
 	}
-	if p.View < h.view.Index && h.news[e.From] != h.ticks+1 {
+	if p.LedgerIndex < h.view.Index && h.news[e.From] != h.ticks+1 {
 		h.news[e.From] = h.ticks + 1 // once a tick and peer
 		h.tellNews(e.From)
 	}
-	for _, x := range p.Asks {
+	for _, x := range p.RecoveryQueries {
 		h.asked(e.From, x)
 	}
-	for _, x := range p.Knowns {
+	for _, x := range p.RecoveryReplies {
 		h.answered(x)
 	}
 	if len(p.Raft) > 0 {
@@ -477,24 +477,24 @@
 	for _, r := range p.Replies {
 		h.replied(e.From, r)
 	}
-	if p.Announce != nil && p.Announce.Name != e.From {
-		p.Announce = nil // nobody speaks for another one
+	if p.StoreHeartbeat != nil && p.StoreHeartbeat.Name != e.From {
+		p.StoreHeartbeat = nil // nobody speaks for another one
 	}
-	if p.Ledger != "" && h.groups[LedgerGroup] == nil {
-		h.leads[LedgerGroup] = p.Ledger
+	if p.LedgerLeader != "" && h.groups[LedgerGroup] == nil {
+		h.leads[LedgerGroup] = p.LedgerLeader
 	}
-	if p.Fact != nil {
-		h.factFrom(e.From, p.Fact)
+	if p.GatewayReport != nil {
+		h.factFrom(e.From, p.GatewayReport)
 	}
-	if g := h.groups[LedgerGroup]; g != nil && !g.led && (p.Fact != nil || p.Announce != nil) {
+	if g := h.groups[LedgerGroup]; g != nil && !g.led && (p.GatewayReport != nil || p.StoreHeartbeat != nil) {
 		h.packet(e.From) // so that it knows who leads
 	}
-	if p.Announce != nil || len(p.Reports) > 0 {
-		h.heardOf(p.Store, p.Life, p.Announce, p.Reports)
+	if p.StoreHeartbeat != nil || len(p.GroupReports) > 0 {
+		h.heardOf(p.Store, p.Incarnation, p.StoreHeartbeat, p.GroupReports)
 	}
 }
 
-func (h *Host) hearRaft(from string, all []*api.Raft) {
+func (h *Host) hearRaft(from string, all []*api.RaftMessage) {
 	if !h.begun {
 		return
 	}
@@ -528,23 +528,23 @@
 }
 
 // asked answers a replica that has started. From now on nothing counts that it said before.
-func (h *Host) asked(from string, x *api.Ask) {
+func (h *Host) asked(from string, x *api.RecoveryQuery) {
 	g := h.groups[x.Group]
-	if g == nil || g.epoch != x.Epoch || g.number != x.Of {
+	if g == nil || g.epoch != x.Epoch || g.number != x.Peer {
 		return
 	}
 	p := h.packet(from)
-	p.Knowns = append(p.Knowns, g.answer(x, h.known[Ref{x.Group, x.Epoch, x.Number}]))
+	p.RecoveryReplies = append(p.RecoveryReplies, g.answer(x, h.known[Ref{x.Group, x.Epoch, x.Member}]))
 }
 
-func (h *Host) answered(x *api.Known) {
+func (h *Host) answered(x *api.RecoveryReply) {
 	g := h.groups[x.Group]
-	if g == nil || g.epoch != x.Epoch || g.number != x.Number || g.asking == nil || g.asking.heard[x.Of] {
+	if g == nil || g.epoch != x.Epoch || g.number != x.Member || g.asking == nil || g.asking.heard[x.Peer] {
 		return
 	}
-	if x.Older {
+	if x.Stale {
 		h.drop(g)
-		h.retire(Ref{Group: x.Group, Epoch: x.Epoch, Number: x.Number})
+		h.retire(Ref{Group: x.Group, Epoch: x.Epoch, Number: x.Member})
 		return
 	}
 	g.learnt(x)
--- a/internal/raftstore/ledger.go
+++ b/internal/raftstore/ledger.go
@@ -41,7 +41,7 @@
 	for _, c := range e.Commands {
 		r := &api.Reply{Time: l.Time}
 		switch {
-		case c.Change.GetSaid() != nil || c.Change.GetStep() != nil:
+		case c.Change.GetMaintenanceCommand() != nil || c.Change.GetMaintenanceStep() != nil:
 			status, text := l.maintain(index, c)
 			r.Status, r.Value = uint32(status), []byte(text)
 		case c.Change != nil:
@@ -57,15 +57,15 @@
 }
 
 // found is the ledger of a new store: its first holder has every group alone, and others are assigned as they join.
-func found(f *api.Found) *ledger {
+func found(f *api.Bootstrap) *ledger {
 	l := newLedger()
-	l.Founding, l.Copies, l.Index, l.Next = f.Founding, f.Copies, 1, 1
+	l.ClusterId, l.VotersPerGroup, l.Index, l.NextMember = f.ClusterId, f.VotersPerGroup, 1, 1
 	l.Stores = []*api.Store{f.Store}
 	for range f.Shards + 1 {
 		n := l.number()
-		g := &api.Group{Epoch: 1, Voters: []*api.Replica{{Number: n, Store: f.Store.Number, Life: f.Life}}, Origin: n}
+		g := &api.Group{Epoch: 1, Voters: []*api.GroupMember{{Id: n, Store: f.Store.Id, Incarnation: f.Incarnation}}, FirstMember: n}
 		if !f.First {
-			g.Lost = 1
+			g.LostAt = 1
 		}
 		l.Groups = append(l.Groups, g)
 	}
@@ -74,15 +74,15 @@
 
 // number is a replica's number that was never used before.
 func (l *ledger) number() uint64 {
-	l.Next++
-	return l.Next - 1
+	l.NextMember++
+	return l.NextMember - 1
 }
 
 func (l *ledger) store(number uint64) *api.Store { return storeIn(l.Ledger, number) }
 
 func storeIn(l *api.Ledger, number uint64) *api.Store {
 	for _, s := range l.GetStores() {
-		if s.Number == number {
+		if s.Id == number {
 			return s
 		}
 	}
@@ -110,29 +110,29 @@
 
 func (l *ledger) change(c *api.Change) {
 	switch {
-	case c.Join != nil:
-		l.join(c.Join)
-	case c.Gone != 0:
-		l.gone(c.Gone)
-	case c.Assign != nil:
-		l.assign(c.Assign)
-	case c.Settle != nil:
-		l.settle(c.Settle)
-	case c.Renew != nil:
-		l.renew(c.Renew)
-	case c.Spoil != nil:
-		l.spoil(c.Spoil)
-	case c.Format > l.Format && c.Format <= understood(l.Ledger):
-		l.Format = c.Format
-		l.note(Raised, 0, 0, uint64(c.Format), "")
+	case c.JoinStore != nil:
+		l.join(c.JoinStore)
+	case c.RemoveStore != 0:
+		l.gone(c.RemoveStore)
+	case c.AddMember != nil:
+		l.assign(c.AddMember)
+	case c.SetVoters != nil:
+		l.settle(c.SetVoters)
+	case c.ResetGroup != nil:
+		l.renew(c.ResetGroup)
+	case c.MarkStale != nil:
+		l.spoil(c.MarkStale)
+	case c.RaiseFormat > l.Format && c.RaiseFormat <= understood(l.Ledger):
+		l.Format = c.RaiseFormat
+		l.note(Raised, 0, 0, uint64(c.RaiseFormat), "")
 	}
 }
 
 // join takes a disk in, or takes over what its gateway tells of itself. A gateway has one disk: with another one the last is
 // gone, by its own word.
 func (l *ledger) join(s *api.Store) {
-	if known := l.store(s.Number); known != nil {
-		if !known.Gone && known.Name == s.Name {
+	if known := l.store(s.Id); known != nil {
+		if !known.Removed && known.Name == s.Name {
 			known.Zone, known.Weight, known.Format = s.Zone, s.Weight, s.Format
 		}
 		return
@@ -142,17 +142,17 @@
 	}
 	for _, other := range l.Stores {
 		if other.Name == s.Name {
-			l.gone(other.Number)
+			l.gone(other.Id)
 		}
 	}
 	l.forget()
-	l.Stores = append(l.Stores, &api.Store{Number: s.Number, Name: s.Name, Zone: s.Zone, Weight: s.Weight, Format: s.Format})
-	l.note(Joined, 0, 0, s.Number, s.Name)
+	l.Stores = append(l.Stores, &api.Store{Id: s.Id, Name: s.Name, Zone: s.Zone, Weight: s.Weight, Format: s.Format})
+	l.note(Joined, 0, 0, s.Id, s.Name)
 }
 
 func (l *ledger) gone(number uint64) {
-	if s := l.store(number); s != nil && !s.Gone {
-		s.Gone = true
+	if s := l.store(number); s != nil && !s.Removed {
+		s.Removed = true
 		l.note(StoreGone, 0, 0, number, s.Name)
 	}
 }
@@ -165,11 +165,11 @@
 			named[r.Store] = true
 		}
 	}
-	l.Stores = slices.DeleteFunc(l.Stores, func(s *api.Store) bool { return s.Gone && !named[s.Number] })
+	l.Stores = slices.DeleteFunc(l.Stores, func(s *api.Store) bool { return s.Removed && !named[s.Id] })
 }
 
 // replicas are all replicas of a group, the one that is taken in among them.
-func replicas(g *api.Group) []*api.Replica {
+func replicas(g *api.Group) []*api.GroupMember {
 	all := slices.Clone(g.Voters)
 	if g.Adding != nil {
 		all = append(all, g.Adding)
@@ -177,43 +177,43 @@
 	return all
 }
 
-func (l *ledger) assign(a *api.Assign) {
+func (l *ledger) assign(a *api.AddMember) {
 	g, s := l.group(a.Group, a.Epoch), l.store(a.Store)
-	if g == nil || s == nil || s.Gone {
+	if g == nil || s == nil || s.Removed {
 		return
 	}
-	leaves := slices.ContainsFunc(g.Voters, func(r *api.Replica) bool { return r.Number == a.Leaving })
-	whole := len(g.Voters) >= int(l.Copies)
-	if leaves != (a.Leaving != 0) || whole != leaves {
+	leaves := slices.ContainsFunc(g.Voters, func(r *api.GroupMember) bool { return r.Id == a.Removing })
+	whole := len(g.Voters) >= int(l.VotersPerGroup)
+	if leaves != (a.Removing != 0) || whole != leaves {
 		return // the number of voters only grows to what it is to be, and never falls
 	}
-	if slices.ContainsFunc(g.Voters, func(r *api.Replica) bool { return r.Store == a.Store && !(r.Lost && r.Number == a.Leaving) }) {
+	if slices.ContainsFunc(g.Voters, func(r *api.GroupMember) bool { return r.Store == a.Store && !(r.Stale && r.Id == a.Removing) }) {
 		return
 	}
-	g.Adding, g.Leaving = &api.Replica{Number: l.number(), Store: a.Store, Life: a.Life}, a.Leaving
-	l.note(Assigned, a.Group, a.Epoch, g.Adding.Number, s.Name)
+	g.Adding, g.Removing = &api.GroupMember{Id: l.number(), Store: a.Store, Incarnation: a.Incarnation}, a.Removing
+	l.note(Assigned, a.Group, a.Epoch, g.Adding.Id, s.Name)
 }
 
 // spoil notes that a replica must not go on.
-func (l *ledger) spoil(x *api.Ref) {
+func (l *ledger) spoil(x *api.MemberRef) {
 	if g := l.group(x.Group, x.Epoch); g != nil {
 		for _, r := range replicas(g) {
-			if r.Number == x.Number {
-				r.Lost = true
+			if r.Id == x.Member {
+				r.Stale = true
 			}
 		}
 	}
 }
 
 // settle takes over what a group has carried out: the change that was assigned, as a whole.
-func (l *ledger) settle(s *api.Settle) {
+func (l *ledger) settle(s *api.SetVoters) {
 	g := l.group(s.Group, s.Epoch)
 	if g == nil || g.Adding == nil {
 		return
 	}
-	var next []*api.Replica
+	var next []*api.GroupMember
 	for _, r := range replicas(g) {
-		if r.Number != g.Leaving {
+		if r.Id != g.Removing {
 			next = append(next, r)
 		}
 	}
@@ -221,25 +221,25 @@
 		return
 	}
 	for _, r := range next {
-		if !slices.Contains(s.Voters, r.Number) {
+		if !slices.Contains(s.Voters, r.Id) {
 			return
 		}
 	}
-	g.Voters, g.Adding, g.Leaving = next, nil, 0
+	g.Voters, g.Adding, g.Removing = next, nil, 0
 	l.note(Settled, s.Group, s.Epoch, 0, "")
 }
 
 // renew begins a group anew: what it held is lost, and known to be.
-func (l *ledger) renew(r *api.Renew) {
+func (l *ledger) renew(r *api.ResetGroup) {
 	g, s := l.group(r.Group, r.Epoch), l.store(r.Store)
-	if g == nil || s == nil || s.Gone || r.Group == LedgerGroup || !r.Word && !beyond(l.Ledger, g) {
+	if g == nil || s == nil || s.Removed || r.Group == LedgerGroup || !r.Forced && !beyond(l.Ledger, g) {
 		return
 	}
 	l.note(LostGroup, r.Group, g.Epoch, 0, s.Name)
 	g.Epoch++
 	n := l.number()
-	g.Voters, g.Adding, g.Leaving, g.Origin = []*api.Replica{{Number: n, Store: r.Store, Life: r.Life}}, nil, 0, n
-	g.Lost = max(l.Time, 1)
+	g.Voters, g.Adding, g.Removing, g.FirstMember = []*api.GroupMember{{Id: n, Store: r.Store, Incarnation: r.Incarnation}}, nil, 0, n
+	g.LostAt = max(l.Time, 1)
 }
 
 // beyond tells whether more of a group's voters are gone for good than it can bear.
@@ -254,7 +254,7 @@
 }
 
 // lostIn tells whether a replica is lost for good.
-func lostIn(l *api.Ledger, r *api.Replica) bool {
+func lostIn(l *api.Ledger, r *api.GroupMember) bool {
 	s := storeIn(l, r.Store)
-	return r.Lost || s == nil || s.Gone
+	return r.Stale || s == nil || s.Removed
 }
--- a/internal/raftstore/maintain.go
+++ b/internal/raftstore/maintain.go
@@ -44,99 +44,99 @@
 
 // Command is an operator's command as a change of the ledger.
 func Command(c maintenance.Command) *api.Command {
-	return &api.Command{Format: OrderFormat, Change: &api.Change{Said: &api.Said{
-		Verb: uint32(c.Verb), Kind: uint32(c.Kind), Name: c.Name, Group: int64(c.Group), Span: int64(c.For), Why: c.Why, By: c.By,
+	return &api.Command{Format: OrderFormat, Change: &api.Change{MaintenanceCommand: &api.MaintenanceCommand{
+		Verb: uint32(c.Verb), Kind: uint32(c.Kind), Name: c.Name, Group: int64(c.Group), Duration: int64(c.For), Reason: c.Why, RequestedBy: c.By,
 	}}}
 }
 
-func said(c *api.Said) maintenance.Command {
+func said(c *api.MaintenanceCommand) maintenance.Command {
 	return maintenance.Command{
-		Verb: maintenance.Verb(c.Verb), Kind: maintenance.Kind(c.Kind), Name: c.Name, Group: int(c.Group), For: clock.Micros(c.Span),
-		Why: c.Why, By: c.By,
+		Verb: maintenance.Verb(c.Verb), Kind: maintenance.Kind(c.Kind), Name: c.Name, Group: int(c.Group), For: clock.Micros(c.Duration),
+		Why: c.Reason, By: c.RequestedBy,
 	}
 }
 
 // sound tells whether a command may stand in the ledger.
-func sound(c *api.Said) bool {
+func sound(c *api.MaintenanceCommand) bool {
 	return c.Verb > 0 && c.Verb < uint32(maintenance.Verbs) && c.Kind < uint32(maintenance.Kinds) && len(c.Name) <= maintenance.MostName &&
-		len(c.Why) <= maintenance.MostWhy && len(c.By) <= MostName && c.Span >= 0
+		len(c.Reason) <= maintenance.MostWhy && len(c.RequestedBy) <= MostName && c.Duration >= 0
 }
 
 func stepOut(s maintenance.Step) *api.Command {
-	x := &api.Step{
-		Id: s.ID, Turn: s.Turn, To: uint32(s.To), Life: s.Life, Zone: s.Zone, Overdue: s.Overdue, Word: s.Word, Unexcused: s.Unexcused,
-		Gateways: uint32(s.Gateways), InZone: uint32(s.InZone), Servers: uint32(s.Servers),
+	x := &api.MaintenanceStep{
+		Id: s.ID, Turn: s.Turn, To: uint32(s.To), Incarnation: s.Life, Zone: s.Zone, Overdue: s.Overdue, Forced: s.Word, Unexcused: s.Unexcused,
+		MaxGateways: uint32(s.Gateways), MaxPerZone: uint32(s.InZone), MaxServers: uint32(s.Servers),
 	}
 	if s.Enroll.Name != "" {
-		x.Enroll = &api.Enrolled{Name: s.Enroll.Name, Life: s.Enroll.Life}
+		x.Enroll = &api.Enrolled{Name: s.Enroll.Name, Incarnation: s.Enroll.Life}
 	}
 	if s.Strike.Name != "" {
-		x.Strike = &api.Enrolled{Name: s.Strike.Name, Life: s.Strike.Life}
+		x.Unenroll = &api.Enrolled{Name: s.Strike.Name, Incarnation: s.Strike.Life}
 	}
-	return &api.Command{Format: OrderFormat, Change: &api.Change{Step: x}}
+	return &api.Command{Format: OrderFormat, Change: &api.Change{MaintenanceStep: x}}
 }
 
-func stepIn(x *api.Step) maintenance.Step {
+func stepIn(x *api.MaintenanceStep) maintenance.Step {
 	return maintenance.Step{
-		ID: x.Id, Turn: x.Turn, To: maintenance.State(x.To), Life: x.Life, Zone: x.Zone, Overdue: x.Overdue, Word: x.Word, Unexcused: x.Unexcused,
-		Enroll:   maintenance.Enrolled{Name: x.GetEnroll().GetName(), Life: x.GetEnroll().GetLife()},
-		Strike:   maintenance.Enrolled{Name: x.GetStrike().GetName(), Life: x.GetStrike().GetLife()},
-		Gateways: int(x.Gateways), InZone: int(x.InZone), Servers: int(x.Servers),
+		ID: x.Id, Turn: x.Turn, To: maintenance.State(x.To), Life: x.Incarnation, Zone: x.Zone, Overdue: x.Overdue, Word: x.Forced, Unexcused: x.Unexcused,
+		Enroll:   maintenance.Enrolled{Name: x.GetEnroll().GetName(), Life: x.GetEnroll().GetIncarnation()},
+		Strike:   maintenance.Enrolled{Name: x.GetUnenroll().GetName(), Life: x.GetUnenroll().GetIncarnation()},
+		Gateways: int(x.MaxGateways), InZone: int(x.MaxPerZone), Servers: int(x.MaxServers),
 	}
 }
 
 // OrderOf is an order as the ledger keeps it; nil is an empty one.
 func OrderOf(x *api.Order) *maintenance.Order {
-	o := &maintenance.Order{Held: x.GetHeld(), Numbers: x.GetNumbers(), Excused: slices.Clone(x.GetExcused())}
+	o := &maintenance.Order{Held: x.GetPaused(), Numbers: x.GetLastId(), Excused: slices.Clone(x.GetExcused())}
 	for _, m := range x.GetMachines() {
 		o.Machines = append(o.Machines, maintenance.Machine{
 			ID: m.Id, Kind: maintenance.Kind(m.Kind), Name: m.Name, Group: int(m.Group), Zone: m.Zone, State: maintenance.State(m.State), Turn: m.Turn,
-			At: m.At, Since: clock.Micros(m.Since), Left: clock.Micros(m.Left), For: clock.Micros(m.Span), Life: m.Life, Why: m.Why,
-			By: m.By, Overdue: m.Overdue, Word: m.Word,
+			At: m.ChangedIndex, Since: clock.Micros(m.ChangedAt), Left: clock.Micros(m.OutAt), For: clock.Micros(m.Duration), Life: m.Incarnation, Why: m.Reason,
+			By: m.RequestedBy, Overdue: m.Overdue, Word: m.Forced,
 		})
 	}
 	for _, a := range x.GetAskers() {
-		o.Askers = append(o.Askers, maintenance.Asker{Client: a.Client, Sequence: a.Sequence, OK: a.Ok, Said: a.Said})
+		o.Askers = append(o.Askers, maintenance.Asker{Client: a.Client, Sequence: a.Sequence, OK: a.Ok, Said: a.Message})
 	}
-	for _, e := range x.GetRoll() {
-		o.Roll = append(o.Roll, maintenance.Enrolled{Name: e.Name, Life: e.Life})
+	for _, e := range x.GetEnrolled() {
+		o.Roll = append(o.Roll, maintenance.Enrolled{Name: e.Name, Life: e.Incarnation})
 	}
 	return o
 }
 
 func orderInto(o *maintenance.Order) *api.Order {
-	x := &api.Order{Held: o.Held, Numbers: o.Numbers, Excused: o.Excused}
+	x := &api.Order{Paused: o.Held, LastId: o.Numbers, Excused: o.Excused}
 	for _, m := range o.Machines {
 		x.Machines = append(x.Machines, &api.Machine{
-			Id: m.ID, Kind: uint32(m.Kind), Name: m.Name, Group: int64(m.Group), Zone: m.Zone, State: uint32(m.State), Turn: m.Turn, At: m.At,
-			Since: int64(m.Since), Left: int64(m.Left), Span: int64(m.For), Life: m.Life, Why: m.Why, By: m.By, Overdue: m.Overdue, Word: m.Word,
+			Id: m.ID, Kind: uint32(m.Kind), Name: m.Name, Group: int64(m.Group), Zone: m.Zone, State: uint32(m.State), Turn: m.Turn, ChangedIndex: m.At,
+			ChangedAt: int64(m.Since), OutAt: int64(m.Left), Duration: int64(m.For), Incarnation: m.Life, Reason: m.Why, RequestedBy: m.By, Overdue: m.Overdue, Forced: m.Word,
 		})
 	}
 	for _, a := range o.Askers {
-		x.Askers = append(x.Askers, &api.Asker{Client: a.Client, Sequence: a.Sequence, Ok: a.OK, Said: a.Said})
+		x.Askers = append(x.Askers, &api.Asker{Client: a.Client, Sequence: a.Sequence, Ok: a.OK, Message: a.Said})
 	}
 	for _, e := range o.Roll {
-		x.Roll = append(x.Roll, &api.Enrolled{Name: e.Name, Life: e.Life})
+		x.Enrolled = append(x.Enrolled, &api.Enrolled{Name: e.Name, Incarnation: e.Life})
 	}
 	return x
 }
 
-func factOut(o *Own, zone string, leads bool) *api.Fact {
-	x := &api.Fact{
-		Life: o.Life, Zone: zone, Seen: o.Seen, Ready: o.Ready, Idle: o.Idle, Leads: leads, Load: uint32(max(o.Load, 0)), Floats: o.Floats, Apart: o.Apart,
+func factOut(o *Own, zone string, leads bool) *api.GatewayReport {
+	x := &api.GatewayReport{
+		Incarnation: o.Life, Zone: zone, SeenIndex: o.Seen, Ready: o.Ready, Idle: o.Idle, Leads: leads, Load: uint32(max(o.Load, 0)), FloatingIps: o.Floats, Cordoned: o.Apart,
 	}
 	for _, s := range o.Servers {
-		x.Servers = append(x.Servers, &api.ServerFact{Group: int64(s.Group), Name: s.Name, Primary: s.Primary, Down: s.Down, Cold: s.Cold, Behind: s.Behind})
+		x.Servers = append(x.Servers, &api.ServerReport{Group: int64(s.Group), Name: s.Name, Primary: s.Primary, Down: s.Down, WarmingUp: s.Cold, Lagging: s.Behind})
 	}
 	return x
 }
 
-func factIn(name string, x *api.Fact) maintenance.GatewayFact {
-	g := maintenance.GatewayFact{Name: name, Zone: x.Zone, Life: x.Life, Report: maintenance.Report{
-		Seen: x.Seen, Ready: x.Ready, Idle: x.Idle, Leads: x.Leads, Load: int(x.Load), Floats: x.Floats, Apart: x.Apart,
+func factIn(name string, x *api.GatewayReport) maintenance.GatewayFact {
+	g := maintenance.GatewayFact{Name: name, Zone: x.Zone, Life: x.Incarnation, Report: maintenance.Report{
+		Seen: x.SeenIndex, Ready: x.Ready, Idle: x.Idle, Leads: x.Leads, Load: int(x.Load), Floats: x.FloatingIps, Apart: x.Cordoned,
 	}}
 	for _, s := range x.Servers {
-		g.Servers = append(g.Servers, maintenance.ServerReport{Group: int(s.Group), Name: s.Name, Primary: s.Primary, Down: s.Down, Cold: s.Cold, Behind: s.Behind})
+		g.Servers = append(g.Servers, maintenance.ServerReport{Group: int(s.Group), Name: s.Name, Primary: s.Primary, Down: s.Down, Cold: s.WarmingUp, Behind: s.Lagging})
 	}
 	return g
 }
@@ -170,7 +170,7 @@
 }
 
 // fact is what this gateway tells of itself.
-func (h *Host) fact() *api.Fact {
+func (h *Host) fact() *api.GatewayReport {
 	if h.upkeep.own == nil || h.cfg.Maintain == nil {
 		return nil
 	}
@@ -180,9 +180,9 @@
 }
 
 // factFrom takes in what a gateway tells of itself. A late word of a life that is over does not count.
-func (h *Host) factFrom(name string, x *api.Fact) {
+func (h *Host) factFrom(name string, x *api.GatewayReport) {
 	u := &h.upkeep
-	if last, known := u.facts[name]; x == nil || known && x.Life < last.Life {
+	if last, known := u.facts[name]; x == nil || known && x.Incarnation < last.Life {
 		return
 	}
 	if u.facts == nil {
@@ -205,12 +205,12 @@
 	f := &maintenance.Facts{Now: clock.Micros(h.groups[LedgerGroup].logTime()), Known: h.now-h.facts.since > freshFor*h.cfg.Tick && len(u.members) > 0}
 	all := map[string]maintenance.Member{}
 	for _, s := range l.Stores {
-		if !s.Gone {
+		if !s.Removed {
 			all[s.Name] = maintenance.Member{Name: s.Name, Zone: s.Zone, Presence: maintenance.Dead}
 		}
 	}
-	for _, e := range l.GetOrder().GetRoll() {
-		all[e.Name] = maintenance.Member{Name: e.Name, Presence: maintenance.Dead, Life: e.Life}
+	for _, e := range l.GetOrder().GetEnrolled() {
+		all[e.Name] = maintenance.Member{Name: e.Name, Presence: maintenance.Dead, Life: e.Incarnation}
 	}
 	for _, m := range u.members {
 		all[m.Name] = m
@@ -231,7 +231,7 @@
 	for id, x := range l.Groups {
 		s := maintenance.ShardFact{Holders: names(l, x), Whole: wholeIn(l, x), Below: belowIn(l, x)}
 		if r := h.facts.reports[uint32(id)]; s.Whole {
-			s.Whole = r != nil && h.Reported(uint32(id)) && r.Epoch == x.Epoch && !r.Joint && !r.Lags && len(r.Voters) == len(x.Voters)
+			s.Whole = r != nil && h.Reported(uint32(id)) && r.Epoch == x.Epoch && !r.Joint && !r.Lagging && len(r.Voters) == len(x.Voters)
 		}
 		f.Shards = append(f.Shards, s)
 	}
@@ -288,7 +288,7 @@
 // belowIn tells whether a group has fewer copies than it is to have, by the ledger, and wholeIn whether it has all and none is on
 // its way.
 func belowIn(l *api.Ledger, x *api.Group) bool {
-	return len(x.Voters) < int(l.Copies) || slices.ContainsFunc(x.Voters, func(r *api.Replica) bool { return lostIn(l, r) })
+	return len(x.Voters) < int(l.VotersPerGroup) || slices.ContainsFunc(x.Voters, func(r *api.GroupMember) bool { return lostIn(l, r) })
 }
 
 func wholeIn(l *api.Ledger, x *api.Group) bool { return x.Adding == nil && !belowIn(l, x) }
@@ -311,13 +311,13 @@
 func (l *ledger) maintain(index uint64, c *api.Command) (status Status, text string) {
 	o := OrderOf(l.Order)
 	ok := true
-	if x := c.Change.Said; x != nil {
+	if x := c.Change.MaintenanceCommand; x != nil {
 		if !sound(x) {
 			return Bad, "that cannot be said"
 		}
 		ok, text = o.Command(clock.Micros(l.Time), index, maintenance.Asker{Client: c.Client, Sequence: c.Sequence}, said(x))
 	} else {
-		o.Step(clock.Micros(l.Time), index, stepIn(c.Change.Step), shards{l.Ledger})
+		o.Step(clock.Micros(l.Time), index, stepIn(c.Change.MaintenanceStep), shards{l.Ledger})
 	}
 	l.Order = orderInto(o)
 	if !ok {
@@ -339,7 +339,7 @@
 // awayFor tells for which span a gateway's machine is to be away, where it is about to be, or is; ok is false where it is not.
 func awayFor(l *api.Ledger, name string) (span clock.Micros, ok bool) {
 	m := gatewayIn(l, name, maintenance.Next, maintenance.Leaving, maintenance.Out)
-	return clock.Micros(m.GetSpan()), m != nil
+	return clock.Micros(m.GetDuration()), m != nil
 }
 
 // apart tells whether this gateway's own machine is about to be out, or is: it leads nothing then.
--- a/internal/raftstore/overview.go
+++ b/internal/raftstore/overview.go
@@ -79,19 +79,19 @@
 // Overview tells how the host stands.
 func (h *Host) Overview() Overview {
 	o := Overview{
-		Founding: h.founding, Index: h.view.Index, Copies: int(h.view.Copies), Format: max(h.view.Format, FirstFormat), Store: h.store, Failed: h.failed, Calls: len(h.calls),
+		Founding: h.founding, Index: h.view.Index, Copies: int(h.view.VotersPerGroup), Format: max(h.view.Format, FirstFormat), Store: h.store, Failed: h.failed, Calls: len(h.calls),
 	}
 	for _, s := range h.view.Stores {
-		o.Stores = append(o.Stores, StoreView{s.Number, s.Name, s.Zone, s.Weight, s.Gone})
+		o.Stores = append(o.Stores, StoreView{s.Id, s.Name, s.Zone, s.Weight, s.Removed})
 	}
 	for id, x := range h.view.Groups {
-		v := GroupView{Group: uint32(id), Epoch: x.Epoch, Lost: x.Lost > 0, Leaving: x.Leaving}
+		v := GroupView{Group: uint32(id), Epoch: x.Epoch, Lost: x.LostAt > 0, Leaving: x.Removing}
 		for _, r := range replicas(x) {
 			name := ""
 			if s := storeIn(h.view, r.Store); s != nil {
 				name = s.Name
 			}
-			v.Voters = append(v.Voters, ReplicaView{r.Number, name, lostIn(h.view, r)})
+			v.Voters = append(v.Voters, ReplicaView{r.Id, name, lostIn(h.view, r)})
 		}
 		if x.Adding != nil {
 			last := len(v.Voters) - 1
--- a/internal/raftstore/place.go
+++ b/internal/raftstore/place.go
@@ -28,7 +28,7 @@
 func place(group uint32, stores []*api.Store, n int) (out []*api.Store) {
 	rest := slices.Clone(stores)
 	slices.SortFunc(rest, func(a, b *api.Store) int {
-		return cmp.Or(-cmp.Compare(score(group, a), score(group, b)), cmp.Compare(a.Number, b.Number))
+		return cmp.Or(-cmp.Compare(score(group, a), score(group, b)), cmp.Compare(a.Id, b.Id))
 	})
 	zones := map[string]int{}
 	for len(out) < n && len(rest) > 0 {
--- a/internal/raftstore/plan.go
+++ b/internal/raftstore/plan.go
@@ -19,12 +19,12 @@
 // facts are what the ledger's leader has heard beside the ledger.
 type facts struct {
 	now     clock.Micros
-	since   clock.Micros            // since it leads
-	heard   map[uint64]clock.Micros // last word of each store
-	lives   map[uint64]uint64       // its life, by that word
-	reports map[uint32]*api.Report  // of each group's leader, the latest
-	told    map[uint32]clock.Micros // when that came
-	changed clock.Micros            // when the ledger last changed
+	since   clock.Micros                // since it leads
+	heard   map[uint64]clock.Micros     // last word of each store
+	lives   map[uint64]uint64           // its life, by that word
+	reports map[uint32]*api.GroupReport // of each group's leader, the latest
+	told    map[uint32]clock.Micros     // when that came
+	changed clock.Micros                // when the ledger last changed
 }
 
 // planner decides who holds what. It keeps nothing: what it has decided is in the ledger.
@@ -41,7 +41,7 @@
 	moving := 0
 	for number, g := range p.Groups {
 		p.settle(uint32(number), g)
-		if g.Adding != nil && g.Leaving != 0 {
+		if g.Adding != nil && g.Removing != 0 {
 			moving++
 		}
 	}
@@ -55,7 +55,7 @@
 		p.drift()
 	}
 	if f := understood(p.Ledger); f > max(p.Format, FirstFormat) {
-		p.out = append(p.out, &api.Change{Format: f})
+		p.out = append(p.out, &api.Change{RaiseFormat: f})
 	}
 	return p.out
 }
@@ -64,7 +64,7 @@
 func understood(l *api.Ledger) uint32 {
 	least := uint32(0)
 	for _, s := range l.Stores {
-		if f := max(s.Format, FirstFormat); !s.Gone && (least == 0 || f < least) { // the first versions name none
+		if f := max(s.Format, FirstFormat); !s.Removed && (least == 0 || f < least) { // the first versions name none
 			least = f
 		}
 	}
@@ -74,8 +74,8 @@
 // target is what a group's voters are to be once what is assigned is carried out.
 func target(g *api.Group) (out []uint64) {
 	for _, r := range replicas(g) {
-		if r.Number != g.Leaving {
-			out = append(out, r.Number)
+		if r.Id != g.Removing {
+			out = append(out, r.Id)
 		}
 	}
 	slices.Sort(out)
@@ -90,7 +90,7 @@
 	}
 	voters := slices.Sorted(slices.Values(r.Voters))
 	if slices.Equal(voters, target(g)) {
-		p.out = append(p.out, &api.Change{Settle: &api.Settle{Group: number, Epoch: g.Epoch, Voters: voters}})
+		p.out = append(p.out, &api.Change{SetVoters: &api.SetVoters{Group: number, Epoch: g.Epoch, Voters: voters}})
 	}
 }
 
@@ -105,7 +105,7 @@
 		if _, apart := awayFor(p.Ledger, s.Name); apart {
 			continue // it is about to be out for work, or is
 		}
-		if at, heard := p.heard[s.Number]; !s.Gone && heard && p.now-at <= freshFor*p.tick {
+		if at, heard := p.heard[s.Id]; !s.Removed && heard && p.now-at <= freshFor*p.tick {
 			out = append(out, s)
 		}
 	}
@@ -113,7 +113,7 @@
 }
 
 // away tells whether a replica has to be replaced: also before its machine is out for longer than a silent one is waited for.
-func (p *planner) away(r *api.Replica) bool {
+func (p *planner) away(r *api.GroupMember) bool {
 	if s := storeIn(p.Ledger, r.Store); s != nil {
 		if span, apart := awayFor(p.Ledger, s.Name); apart && span > p.healAfter {
 			return true
@@ -129,7 +129,7 @@
 			return // whoever decides here has a quorum of it
 		}
 		if all := place(number, p.fresh(), 1); len(all) > 0 {
-			p.out = append(p.out, &api.Change{Renew: &api.Renew{Group: number, Epoch: g.Epoch, Store: all[0].Number, Life: p.lives[all[0].Number]}})
+			p.out = append(p.out, &api.Change{ResetGroup: &api.ResetGroup{Group: number, Epoch: g.Epoch, Store: all[0].Id, Incarnation: p.lives[all[0].Id]}})
 		}
 		return
 	}
@@ -138,13 +138,13 @@
 	case g.Adding != nil && !p.away(g.Adding):
 		return
 	case g.Adding != nil:
-		leaving = g.Leaving // another one in its place
-	case len(g.Voters) >= int(p.Copies):
+		leaving = g.Removing // another one in its place
+	case len(g.Voters) >= int(p.VotersPerGroup):
 		// A replica that is lost goes before one that is only silent.
 		for _, lost := range []bool{true, false} {
 			for _, r := range g.Voters {
 				if leaving == 0 && p.away(r) && lostIn(p.Ledger, r) == lost {
-					leaving = r.Number
+					leaving = r.Id
 				}
 			}
 		}
@@ -154,7 +154,7 @@
 		*moving++
 	}
 	if s := p.pick(number, g, leaving); s != nil {
-		p.out = append(p.out, &api.Change{Assign: &api.Assign{Group: number, Epoch: g.Epoch, Store: s.Number, Leaving: leaving, Life: p.lives[s.Number]}})
+		p.out = append(p.out, &api.Change{AddMember: &api.AddMember{Group: number, Epoch: g.Epoch, Store: s.Id, Removing: leaving, Incarnation: p.lives[s.Id]}})
 	}
 }
 
@@ -162,11 +162,11 @@
 func (p *planner) pick(number uint32, g *api.Group, leaving uint64) (best *api.Store) {
 	zones, taken := map[string]int{}, map[uint64]bool{}
 	for _, r := range g.Voters {
-		if r.Number == leaving && r.Lost {
+		if r.Id == leaving && r.Stale {
 			continue // its gateway is there, and may have another one
 		}
 		taken[r.Store] = true
-		if r.Number == leaving {
+		if r.Id == leaving {
 			continue
 		}
 		if s := storeIn(p.Ledger, r.Store); s != nil {
@@ -174,7 +174,7 @@
 		}
 	}
 	for _, s := range p.fresh() {
-		if !taken[s.Number] && (best == nil || cmp.Or(cmp.Compare(zones[s.Zone], zones[best.Zone]), -cmp.Compare(score(number, s), score(number, best))) < 0) {
+		if !taken[s.Id] && (best == nil || cmp.Or(cmp.Compare(zones[s.Zone], zones[best.Zone]), -cmp.Compare(score(number, s), score(number, best))) < 0) {
 			best = s
 		}
 	}
@@ -188,26 +188,26 @@
 	}
 	stores := p.fresh()
 	for _, s := range p.Stores {
-		if !s.Gone && !slices.Contains(stores, s) {
+		if !s.Removed && !slices.Contains(stores, s) {
 			return
 		}
 	}
 	for number, g := range p.Groups {
-		if g.Adding != nil || len(g.Voters) < int(p.Copies) {
+		if g.Adding != nil || len(g.Voters) < int(p.VotersPerGroup) {
 			return
 		}
-		ideal := place(uint32(number), stores, int(p.Copies))
+		ideal := place(uint32(number), stores, int(p.VotersPerGroup))
 		in := func(store uint64) bool {
-			return slices.ContainsFunc(ideal, func(s *api.Store) bool { return s.Number == store })
+			return slices.ContainsFunc(ideal, func(s *api.Store) bool { return s.Id == store })
 		}
 		for _, r := range g.Voters {
 			if in(r.Store) {
 				continue
 			}
 			for _, s := range ideal {
-				if !slices.ContainsFunc(g.Voters, func(r *api.Replica) bool { return r.Store == s.Number }) {
-					p.out = append(p.out, &api.Change{Assign: &api.Assign{
-						Group: uint32(number), Epoch: g.Epoch, Store: s.Number, Leaving: r.Number, Life: p.lives[s.Number],
+				if !slices.ContainsFunc(g.Voters, func(r *api.GroupMember) bool { return r.Store == s.Id }) {
+					p.out = append(p.out, &api.Change{AddMember: &api.AddMember{
+						Group: uint32(number), Epoch: g.Epoch, Store: s.Id, Removing: r.Id, Incarnation: p.lives[s.Id],
 					}})
 					return
 				}
--- a/internal/raftstore/reconcile.go
+++ b/internal/raftstore/reconcile.go
@@ -13,15 +13,15 @@
 
 // learn takes over a later ledger, and has the replicas here be what it says.
 func (h *Host) learn(l *api.Ledger, founded bool) {
-	if h.founding != 0 && l.Founding != h.founding || l.Founding == 0 || l.Index <= h.view.Index {
+	if h.founding != 0 && l.ClusterId != h.founding || l.ClusterId == 0 || l.Index <= h.view.Index {
 		return
 	}
-	h.view, h.founding, h.viewOld = proto.Clone(l).(*api.Ledger), l.Founding, true
+	h.view, h.founding, h.viewOld = proto.Clone(l).(*api.Ledger), l.ClusterId, true
 	h.facts.changed = h.now
 	h.ordered()
 	for r := range h.known { // of replicas that are no more
-		if x := groupIn(l, r.Group); x == nil || x.Epoch > r.Epoch || x.Epoch == r.Epoch && r.Number < l.Next &&
-			!slices.ContainsFunc(replicas(x), func(y *api.Replica) bool { return y.Number == r.Number }) {
+		if x := groupIn(l, r.Group); x == nil || x.Epoch > r.Epoch || x.Epoch == r.Epoch && r.Number < l.NextMember &&
+			!slices.ContainsFunc(replicas(x), func(y *api.GroupMember) bool { return y.Id == r.Number }) {
 			delete(h.known, r)
 		}
 	}
@@ -37,7 +37,7 @@
 func (h *Host) everybody() []string {
 	names := slices.Clone(h.others)
 	for _, s := range h.view.Stores {
-		if !s.Gone && s.Name != h.cfg.Name {
+		if !s.Removed && s.Name != h.cfg.Name {
 			names = append(names, s.Name)
 		}
 	}
@@ -47,7 +47,7 @@
 
 func (h *Host) tellNews(to string) {
 	if h.founding != 0 {
-		h.packet(to).News = h.view
+		h.packet(to).LedgerUpdate = h.view
 	}
 }
 
@@ -56,10 +56,10 @@
 	if !h.holds || h.failed != "" {
 		return
 	}
-	if own := storeIn(h.view, h.store); own != nil && own.Gone {
+	if own := storeIn(h.view, h.store); own != nil && own.Removed {
 		// It goes on as a disk that never was: nothing that was said under the old number is asked of it.
 		h.dropAll()
-		if h.store = h.cfg.NewStore + h.renumbered; own.Number == h.store {
+		if h.store = h.cfg.NewStore + h.renumbered; own.Id == h.store {
 			h.store++
 		}
 		h.renumbered++
@@ -68,15 +68,15 @@
 		return
 	}
 	for id, x := range h.view.Groups {
-		var own *api.Replica
+		var own *api.GroupMember
 		for _, r := range replicas(x) {
-			if r.Store == h.store && !r.Lost && (own == nil || r.Number > own.Number) {
+			if r.Store == h.store && !r.Stale && (own == nil || r.Id > own.Id) {
 				own = r
 			}
 		}
 		g := h.groups[uint32(id)]
-		if g != nil && (own == nil || g.epoch != x.Epoch || !slices.ContainsFunc(replicas(x), func(r *api.Replica) bool {
-			return r.Number == g.number
+		if g != nil && (own == nil || g.epoch != x.Epoch || !slices.ContainsFunc(replicas(x), func(r *api.GroupMember) bool {
+			return r.Id == g.number
 		})) {
 			h.drop(g)
 			g = nil
@@ -89,25 +89,25 @@
 
 // begin begins a replica here. Only the one that an epoch began with has a state of its own; any other one is taken in by the
 // group's leader. One that had begun before and is not here any more must not begin again under its number.
-func (h *Host) begin(id uint32, x *api.Group, own *api.Replica) {
-	ref := Ref{Group: id, Epoch: x.Epoch, Number: own.Number}
-	was := func(r Ref) bool { return r.Group == id && r.Epoch == x.Epoch && r.Number == own.Number }
+func (h *Host) begin(id uint32, x *api.Group, own *api.GroupMember) {
+	ref := Ref{Group: id, Epoch: x.Epoch, Number: own.Id}
+	was := func(r Ref) bool { return r.Group == id && r.Epoch == x.Epoch && r.Number == own.Id }
 	if slices.ContainsFunc(h.retired, was) {
 		return
 	}
-	if !h.trusted && own.Life != h.life {
+	if !h.trusted && own.Incarnation != h.life {
 		h.retire(ref) // it may have begun in an earlier life, which this disk does not know
 		return
 	}
-	s := StoredGroup{Group: id, Epoch: x.Epoch, Number: own.Number}
-	if own.Number == x.Origin && len(x.Voters) == 1 {
-		sm := h.machine(id, x.Epoch, x.Lost > 0)
+	s := StoredGroup{Group: id, Epoch: x.Epoch, Number: own.Id}
+	if own.Id == x.FirstMember && len(x.Voters) == 1 {
+		sm := h.machine(id, x.Epoch, x.LostAt > 0)
 		if l, is := sm.(*ledger); is {
 			l.Ledger = proto.Clone(h.view).(*api.Ledger)
 		}
-		s.Snapshot = snapshotAt(1, 1, &pb.ConfState{Voters: []uint64{own.Number}}, sm.snapshot())
+		s.Snapshot = snapshotAt(1, 1, &pb.ConfState{Voters: []uint64{own.Id}}, sm.snapshot())
 		s.Hard = &pb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(1))}
-	} else if x.Adding == nil || x.Adding.Number != own.Number {
+	} else if x.Adding == nil || x.Adding.Id != own.Id {
 		h.retire(ref)
 		return
 	}
@@ -117,7 +117,7 @@
 		return
 	}
 	h.groups[id] = g
-	h.note(Noticed{What: Taken, Group: id, Epoch: x.Epoch, Number: own.Number})
+	h.note(Noticed{What: Taken, Group: id, Epoch: x.Epoch, Number: own.Id})
 	if s.Snapshot != nil {
 		h.parts = append(h.parts, part{g: g, snapshot: s.Snapshot, hard: s.Hard})
 		g.writes++
--- a/internal/raftstore/records.go
+++ b/internal/raftstore/records.go
@@ -99,10 +99,10 @@
 		s.clients[c.Client] = from
 	}
 	from.heard = s.now
-	if c.Done > from.done {
-		from.done = c.Done
+	if c.MinPending > from.done {
+		from.done = c.MinPending
 		for sequence := range from.results {
-			if sequence < c.Done {
+			if sequence < c.MinPending {
 				delete(from.results, sequence)
 			}
 		}
@@ -117,8 +117,8 @@
 	switch {
 	case c.Put != nil:
 		r = s.put(c.Put)
-	case c.Mark != nil:
-		r = s.mark(c.Mark)
+	case c.RaisePosition != nil:
+		r = s.mark(c.RaisePosition)
 	default:
 		r = &api.Reply{Status: uint32(Bad)}
 	}
@@ -135,22 +135,22 @@
 		return &api.Reply{Status: uint32(Bad)}
 	case p.Conditional && old.version != p.Version:
 		return &api.Reply{Status: uint32(Conflict), Version: old.version}
-	case p.Remove:
+	case p.Delete:
 		s.remove(key)
 		s.writes++
 		return &api.Reply{Version: s.writes}
 	}
-	return s.set(key, record{value: bytes.Clone(p.Value), end: s.now + clock.Micros(p.Span)})
+	return s.set(key, record{value: bytes.Clone(p.Value), end: s.now + clock.Micros(p.Ttl)})
 }
 
 // mark raises a number; it never falls, whatever order marks come in.
-func (s *shard) mark(m *api.Mark) *api.Reply {
+func (s *shard) mark(m *api.RaisePosition) *api.Reply {
 	key := string(m.Key)
 	old, there := s.records[key]
 	if there && !old.mark {
 		return &api.Reply{Status: uint32(Bad)}
 	}
-	r := s.set(key, record{mark: true, position: max(old.position, m.Position), end: max(old.end, s.now+clock.Micros(m.Span))})
+	r := s.set(key, record{mark: true, position: max(old.position, m.Position), end: max(old.end, s.now+clock.Micros(m.Ttl))})
 	r.Position = s.records[key].position
 	return r
 }
@@ -172,7 +172,7 @@
 	}
 	reply := &api.Reply{Version: r.version}
 	if !there {
-		reply.Lost = s.lostSince()
+		reply.LostBefore = s.lostSince()
 	}
 	return reply
 }
@@ -252,28 +252,28 @@
 	}
 	// Of a number that was raised since, nobody knows whether it had been higher.
 	if !there || r.mark {
-		out.Lost = s.lostSince()
+		out.LostBefore = s.lostSince()
 	}
 	return out
 }
 
 func (s *shard) snapshot() []byte {
-	out := &api.Shard{Time: int64(s.now), Lost: int64(s.lost), Writes: s.writes, Format: s.format}
+	out := &api.Shard{Time: int64(s.now), LostAt: int64(s.lost), LastVersion: s.writes, Format: s.format}
 	if s.anew {
-		out.Lost = -1
+		out.LostAt = -1
 	}
 	for _, key := range slices.Sorted(maps.Keys(s.records)) {
 		r := s.records[key]
 		out.Records = append(out.Records, &api.Record{
-			Key: []byte(key), Value: r.value, Version: r.version, Position: r.position, Mark: r.mark, End: int64(r.end), At: int64(r.at),
+			Key: []byte(key), Value: r.value, Version: r.version, Position: r.position, IsPosition: r.mark, ExpiresAt: int64(r.end), ChangedAt: int64(r.at),
 		})
 	}
 	for _, number := range slices.Sorted(maps.Keys(s.clients)) {
 		c := s.clients[number]
-		x := &api.Client{Number: number, Heard: int64(c.heard), Done: c.done}
+		x := &api.Client{Id: number, LastSeen: int64(c.heard), MinPending: c.done}
 		for _, sequence := range slices.Sorted(maps.Keys(c.results)) {
 			r := c.results[sequence]
-			x.Results = append(x.Results, &api.Result{Sequence: sequence, Status: r.Status, Version: r.Version, Position: r.Position, Lost: r.Lost})
+			x.Results = append(x.Results, &api.Result{Sequence: sequence, Status: r.Status, Version: r.Version, Position: r.Position, LostBefore: r.LostBefore})
 		}
 		out.Clients = append(out.Clients, x)
 	}
@@ -289,21 +289,21 @@
 	if in.Format > s.knows {
 		return errFormat
 	}
-	*s = *newShard(s.most, s.knows, 0, in.Lost < 0)
+	*s = *newShard(s.most, s.knows, 0, in.LostAt < 0)
 	s.format = in.Format
-	s.now, s.lost, s.writes = clock.Micros(in.Time), clock.Micros(max(in.Lost, 0)), in.Writes
+	s.now, s.lost, s.writes = clock.Micros(in.Time), clock.Micros(max(in.LostAt, 0)), in.LastVersion
 	for _, x := range in.Records {
-		r := record{value: x.Value, version: x.Version, position: x.Position, mark: x.Mark, end: clock.Micros(x.End), at: clock.Micros(x.At)}
+		r := record{value: x.Value, version: x.Version, position: x.Position, mark: x.IsPosition, end: clock.Micros(x.ExpiresAt), at: clock.Micros(x.ChangedAt)}
 		s.records[string(x.Key)] = r
 		s.bytes += cost(string(x.Key), r)
 		s.push(ending{r.end, string(x.Key)})
 	}
 	for _, x := range in.Clients {
-		c := &client{heard: clock.Micros(x.Heard), done: x.Done, results: map[uint64]*api.Reply{}}
+		c := &client{heard: clock.Micros(x.LastSeen), done: x.MinPending, results: map[uint64]*api.Reply{}}
 		for _, r := range x.Results {
-			c.results[r.Sequence] = &api.Reply{Status: r.Status, Version: r.Version, Position: r.Position, Lost: r.Lost, Time: in.Time}
+			c.results[r.Sequence] = &api.Reply{Status: r.Status, Version: r.Version, Position: r.Position, LostBefore: r.LostBefore, Time: in.Time}
 		}
-		s.clients[x.Number] = c
+		s.clients[x.Id] = c
 	}
 	return nil
 }
--- a/internal/raftstore/requests.go
+++ b/internal/raftstore/requests.go
@@ -32,12 +32,12 @@
 
 // ask begins a call.
 func (h *Host) ask(a Ask) {
-	order := a.Shard == LedgerGroup && (a.Command.GetChange().GetSaid() != nil || a.Get != nil && string(a.Get.Key) == MaintainKey)
+	order := a.Shard == LedgerGroup && (a.Command.GetChange().GetMaintenanceCommand() != nil || a.Get != nil && string(a.Get.Key) == MaintainKey)
 	bad := !order && (a.Command == nil && a.Get == nil || int(a.Shard) < 1)
 	if a.Command != nil && !order {
-		p, m := a.Command.Put, a.Command.Mark
+		p, m := a.Command.Put, a.Command.RaisePosition
 		bad = bad || p == nil && m == nil || p != nil && (len(p.Key) == 0 || len(p.Key) > MostKey || len(p.Value) > MostValue ||
-			p.Span <= 0 && !p.Remove || clock.Micros(p.Span) > MostSpan) || m != nil && (len(m.Key) == 0 || len(m.Key) > MostKey || m.Span <= 0 || clock.Micros(m.Span) > MostSpan)
+			p.Ttl <= 0 && !p.Delete || clock.Micros(p.Ttl) > MostSpan) || m != nil && (len(m.Key) == 0 || len(m.Key) > MostKey || m.Ttl <= 0 || clock.Micros(m.Ttl) > MostSpan)
 	}
 	switch {
 	case bad || h.founding != 0 && int(a.Shard) >= len(h.view.Groups):
@@ -84,7 +84,7 @@
 	c.target, c.sent = to, true
 	x := &api.Call{Id: id, Group: c.ask.Shard, Command: c.command, Get: c.ask.Get}
 	if c.command != nil {
-		c.command.Done = h.earliest()
+		c.command.MinPending = h.earliest()
 	}
 	if to == h.cfg.Name {
 		h.local = append(h.local, localCall{origin{id: id, by: c.ask.By}, x})
@@ -145,11 +145,11 @@
 	h.leads[c.ask.Shard] = from
 	h.over(r.Id, c)
 	a := Answer{
-		ID: c.ask.ID, Status: Status(r.Status), Version: r.Version, Value: r.Value, Position: r.Position, Found: r.Found, Lost: r.Lost != 0,
+		ID: c.ask.ID, Status: Status(r.Status), Version: r.Version, Value: r.Value, Position: r.Position, Found: r.Found, Lost: r.LostBefore != 0,
 		Age: clock.Micros(r.Age),
 	}
-	if r.Lost > 1 {
-		a.Since = max(clock.Micros(r.Time-r.Lost), 0)
+	if r.LostBefore > 1 {
+		a.Since = max(clock.Micros(r.Time-r.LostBefore), 0)
 	}
 	h.out = append(h.out, a)
 }
--- a/internal/raftstore/trouble_test.go
+++ b/internal/raftstore/trouble_test.go
@@ -177,8 +177,8 @@
 			position -= 3 // late, out of order
 		}
 		l.tried[key] = max(l.tried[key], position)
-		w.call(n, Ask{Shard: l.shard(key), By: 3 * second, Command: &api.Command{Mark: &api.Mark{
-			Key: []byte(key), Position: position, Span: int64(3600 * second),
+		w.call(n, Ask{Shard: l.shard(key), By: 3 * second, Command: &api.Command{RaisePosition: &api.RaisePosition{
+			Key: []byte(key), Position: position, Ttl: int64(3600 * second),
 		}}}, func(a Answer) {
 			if a.Status == OK {
 				l.promised[key] = max(l.promised[key], position)
@@ -208,7 +208,7 @@
 	ask := Ask{Shard: l.shard(key), By: 3 * second, Get: &api.Get{Key: []byte(key)}}
 	if !in.read {
 		in.value = fmt.Sprint("v", w.next)
-		put := &api.Put{Key: []byte(key), Value: []byte(in.value), Span: int64(3600 * second)}
+		put := &api.Put{Key: []byte(key), Value: []byte(in.value), Ttl: int64(3600 * second)}
 		if w.rng.IntN(2) == 0 {
 			in.conditional, in.version = true, l.versions[key]
 			put.Conditional, put.Version = true, in.version
@@ -300,7 +300,7 @@
 	for id, g := range w.ledger().Groups {
 		states := map[uint64]string{} // by what is applied: an entry may just be on its way
 		for _, n := range w.nodes {
-			if x := n.h.groups[uint32(id)]; x != nil && n.up && slices.ContainsFunc(g.Voters, func(r *api.Replica) bool { return r.Number == x.number }) {
+			if x := n.h.groups[uint32(id)]; x != nil && n.up && slices.ContainsFunc(g.Voters, func(r *api.GroupMember) bool { return r.Id == x.number }) {
 				state := string(x.sm.snapshot())
 				if other, known := states[x.applied]; known && other != state && w.broken == "" {
 					w.broken = fmt.Sprintf("group %d has two states at %d: %s", id, x.applied, differ(other, state))
@@ -904,8 +904,8 @@
 	})},
 	{name: "what was lost was never there", by: "two of a shard's three disks are lost at once", after: everyShard(func(_ *node, s *shard) { s.lost, s.anew = 0, false })},
 	{name: "a mark may fall", before: func(w *world, _ *node, ev Event) Event {
-		if a, is := ev.(Ask); is && a.Command.GetMark() != nil && w.rng.IntN(8) == 0 {
-			a.Command.Mark.Position = 0
+		if a, is := ev.(Ask); is && a.Command.GetRaisePosition() != nil && w.rng.IntN(8) == 0 {
+			a.Command.RaisePosition.Position = 0
 		}
 		return ev
 	}},
@@ -989,36 +989,36 @@
 // A replica that has started waits for whom it needs, and for nobody else: not for one that the ledger has taken out, which may
 // be gone for good and never answer.
 func TestWhoIsWaitedFor(t *testing.T) {
-	voters := func(numbers ...uint64) (all []*api.Replica) {
+	voters := func(numbers ...uint64) (all []*api.GroupMember) {
 		for _, n := range numbers {
-			all = append(all, &api.Replica{Number: n, Store: 10 + n})
+			all = append(all, &api.GroupMember{Id: n, Store: 10 + n})
 		}
 		return all
 	}
-	known := func(of, applied uint64, voters ...uint64) *api.Known {
-		return &api.Known{Group: 1, Epoch: 1, Number: 1, Of: of, Term: 3, LastTerm: 3, LastIndex: 9, Applied: applied, Voters: voters}
+	known := func(of, applied uint64, voters ...uint64) *api.RecoveryReply {
+		return &api.RecoveryReply{Group: 1, Epoch: 1, Member: 1, Peer: of, Term: 3, LastTerm: 3, LastIndex: 9, Applied: applied, Voters: voters}
 	}
 	old := []uint64{1, 2, 3}
 	settled := &api.Group{Epoch: 1, Voters: voters(1, 2, 4)}
 	for _, c := range []struct {
 		name  string
 		group *api.Group
-		heard []*api.Known
+		heard []*api.RecoveryReply
 		sure  bool
 	}{
-		{"all that the ledger names, one that it took out not", settled, []*api.Known{known(2, 5, old...), known(4, 5, old...)}, true},
-		{"one that the ledger names is missing", settled, []*api.Known{known(2, 5, old...)}, false},
-		{"one that the ledger names is missing, and was not in the configuration", settled, []*api.Known{known(2, 5, old...), known(3, 5, old...)}, false},
-		{"the ledger has not settled it", &api.Group{Epoch: 1, Voters: voters(1, 2, 3), Adding: voters(4)[0], Leaving: 3},
-			[]*api.Known{known(2, 5, old...), known(4, 5, old...)}, false},
-		{"the ledger may have given up on a voter", &api.Group{Epoch: 1, Voters: voters(1, 2, 4), Adding: voters(6)[0], Leaving: 4},
-			[]*api.Known{known(2, 8, 1, 2, 5), known(4, 5, old...)}, false},
-		{"a later configuration than the ledger has", settled, []*api.Known{known(2, 8, 1, 2, 9), known(4, 5, old...)}, false},
-		{"a later one, and its voter", settled, []*api.Known{known(2, 8, 1, 2, 9), known(4, 5, old...), known(9, 8, 1, 2, 9)}, true},
+		{"all that the ledger names, one that it took out not", settled, []*api.RecoveryReply{known(2, 5, old...), known(4, 5, old...)}, true},
+		{"one that the ledger names is missing", settled, []*api.RecoveryReply{known(2, 5, old...)}, false},
+		{"one that the ledger names is missing, and was not in the configuration", settled, []*api.RecoveryReply{known(2, 5, old...), known(3, 5, old...)}, false},
+		{"the ledger has not settled it", &api.Group{Epoch: 1, Voters: voters(1, 2, 3), Adding: voters(4)[0], Removing: 3},
+			[]*api.RecoveryReply{known(2, 5, old...), known(4, 5, old...)}, false},
+		{"the ledger may have given up on a voter", &api.Group{Epoch: 1, Voters: voters(1, 2, 4), Adding: voters(6)[0], Removing: 4},
+			[]*api.RecoveryReply{known(2, 8, 1, 2, 5), known(4, 5, old...)}, false},
+		{"a later configuration than the ledger has", settled, []*api.RecoveryReply{known(2, 8, 1, 2, 9), known(4, 5, old...)}, false},
+		{"a later one, and its voter", settled, []*api.RecoveryReply{known(2, 8, 1, 2, 9), known(4, 5, old...), known(9, 8, 1, 2, 9)}, true},
 	} {
-		l := &api.Ledger{Founding: 1, Index: 7, Copies: 3, Next: 7, Groups: []*api.Group{{Epoch: 1}, c.group}}
+		l := &api.Ledger{ClusterId: 1, Index: 7, VotersPerGroup: 3, NextMember: 7, Groups: []*api.Group{{Epoch: 1}, c.group}}
 		for n := range uint64(9) {
-			l.Stores = append(l.Stores, &api.Store{Number: 11 + n, Name: fmt.Sprint("g", n+1)})
+			l.Stores = append(l.Stores, &api.Store{Id: 11 + n, Name: fmt.Sprint("g", n+1)})
 		}
 		view, err := proto.Marshal(l)
 		if err != nil {
--- a/internal/raftstore/voters.go
+++ b/internal/raftstore/voters.go
@@ -49,13 +49,13 @@
 func (g *group) unsure() {
 	g.asking = &asking{heard: map[uint64]bool{g.number: true}, applied: g.applied, voters: members(g.conf), later: map[uint64]uint64{}}
 	for _, x := range g.laterVoters() {
-		g.asking.later[x.Number] = x.Index
+		g.asking.later[x.Member] = x.Index
 	}
 	g.askAround()
 }
 
 // laterVoters are the replicas that changes in the log make voters, and that are not applied yet.
-func (g *group) laterVoters() (all []*api.Later) {
+func (g *group) laterVoters() (all []*api.PendingVoter) {
 	last, _ := g.log.LastIndex()
 	first, _ := g.log.FirstIndex()
 	entries, _ := g.log.Entries(max(g.applied+1, first), last+1, math.MaxUint64)
@@ -67,7 +67,7 @@
 		if proto.Unmarshal(e.Data, &c) == nil {
 			for _, x := range c.Changes {
 				if x.GetType() == pb.ConfChangeAddNode {
-					all = append(all, &api.Later{Number: x.GetNodeId(), Index: e.GetIndex()})
+					all = append(all, &api.PendingVoter{Member: x.GetNodeId(), Index: e.GetIndex()})
 				}
 			}
 		}
@@ -86,16 +86,16 @@
 // voter all the same.
 func (g *group) askAround() {
 	a := g.asking
-	var names []*api.Replica
+	var names []*api.GroupMember
 	settled := false
 	if x := groupIn(g.h.view, g.id); x != nil && x.Epoch == g.epoch {
 		names, settled = replicas(x), x.Adding == nil
 	}
 	ask := map[uint64]bool{}
 	for _, r := range names {
-		ask[r.Number] = settled
+		ask[r.Id] = settled
 	}
-	wanted := func(n uint64) bool { _, named := ask[n]; return named || !settled || n >= g.h.view.Next }
+	wanted := func(n uint64) bool { _, named := ask[n]; return named || !settled || n >= g.h.view.NextMember }
 	for _, n := range a.voters {
 		if wanted(n) {
 			ask[n] = true
@@ -108,7 +108,7 @@
 	}
 	waits := len(a.voters) == 0 // its copy is from before it was taken in: it has to hear who is in the group at all
 	for _, n := range slices.Sorted(maps.Keys(ask)) {
-		i := slices.IndexFunc(names, func(r *api.Replica) bool { return r.Number == n })
+		i := slices.IndexFunc(names, func(r *api.GroupMember) bool { return r.Id == n })
 		if a.heard[n] || i >= 0 && lostIn(g.h.view, names[i]) {
 			continue
 		}
@@ -116,7 +116,7 @@
 		if to := g.h.holder(g.id, n); to != "" && to != g.h.cfg.Name {
 			last := g.last()
 			p := g.h.packet(to)
-			p.Asks = append(p.Asks, &api.Ask{Group: g.id, Epoch: g.epoch, Number: g.number, Of: n, Term: g.hard.GetTerm(), Index: last.index})
+			p.RecoveryQueries = append(p.RecoveryQueries, &api.RecoveryQuery{Group: g.id, Epoch: g.epoch, Member: g.number, Peer: n, Term: g.hard.GetTerm(), Index: last.index})
 		}
 	}
 	if !waits {
@@ -125,18 +125,18 @@
 }
 
 // answer tells another replica that has started what is known here.
-func (g *group) answer(x *api.Ask, k entry) *api.Known {
+func (g *group) answer(x *api.RecoveryQuery, k entry) *api.RecoveryReply {
 	last := g.last()
-	return &api.Known{
-		Group: x.Group, Epoch: x.Epoch, Number: x.Number, Of: x.Of, Older: entry{x.Term, x.Index}.before(k),
-		Term: g.hard.GetTerm(), LastTerm: last.term, LastIndex: last.index, Applied: g.applied, Voters: members(g.conf), Later: g.laterVoters(),
+	return &api.RecoveryReply{
+		Group: x.Group, Epoch: x.Epoch, Member: x.Member, Peer: x.Peer, Stale: entry{x.Term, x.Index}.before(k),
+		Term: g.hard.GetTerm(), LastTerm: last.term, LastIndex: last.index, Applied: g.applied, Voters: members(g.conf), PendingVoters: g.laterVoters(),
 	}
 }
 
 // learnt takes such an answer in.
-func (g *group) learnt(x *api.Known) {
+func (g *group) learnt(x *api.RecoveryReply) {
 	a := g.asking
-	a.heard[x.Of] = true
+	a.heard[x.Peer] = true
 	a.term = max(a.term, x.Term)
 	if e := (entry{x.LastTerm, x.LastIndex}); a.last.before(e) {
 		a.last = e
@@ -144,8 +144,8 @@
 	if x.Applied > a.applied {
 		a.applied, a.voters = x.Applied, x.Voters
 	}
-	for _, y := range x.Later {
-		a.later[y.Number] = max(a.later[y.Number], y.Index)
+	for _, y := range x.PendingVoters {
+		a.later[y.Member] = max(a.later[y.Member], y.Index)
 	}
 	g.askAround()
 }
--- a/internal/raftstore/world_test.go
+++ b/internal/raftstore/world_test.go
@@ -427,7 +427,7 @@
 		}
 		for _, r := range g.Voters {
 			runs := slices.ContainsFunc(w.nodes, func(n *node) bool {
-				return n.up && n.h.groups[uint32(id)] != nil && n.h.groups[uint32(id)].number == r.Number
+				return n.up && n.h.groups[uint32(id)] != nil && n.h.groups[uint32(id)].number == r.Id
 			})
 			if lostIn(l, r) || !runs {
 				return false
@@ -446,13 +446,13 @@
 	for id, g := range l.GetGroups() {
 		out += fmt.Sprintf(" [%d/%d", id, g.Epoch)
 		for _, r := range g.Voters {
-			out += fmt.Sprintf(" %d@%s", r.Number, storeIn(l, r.Store).GetName())
+			out += fmt.Sprintf(" %d@%s", r.Id, storeIn(l, r.Store).GetName())
 			if lostIn(l, r) {
 				out += "!"
 			}
 		}
 		if g.Adding != nil {
-			out += fmt.Sprintf(" +%d@%s -%d", g.Adding.Number, storeIn(l, g.Adding.Store).GetName(), g.Leaving)
+			out += fmt.Sprintf(" +%d@%s -%d", g.Adding.Id, storeIn(l, g.Adding.Store).GetName(), g.Removing)
 		}
 		out += "]"
 	}
