--- a/internal/gateway/client_test.go
+++ b/internal/gateway/client_test.go
@@ -180,7 +180,7 @@
 			t.Errorf("%s came to the primary, want %s", got, id)
 		}
 	}
-	eventually(t, func() bool { return w.counts().Answers[routing.Served][0] == 1 },
+	eventually(t, func() bool { return w.counts().Answers[routing.AnswerServed][0] == 1 },
 		func() string { return "the read behind the write was not served" })
 	release()
 	for _, want := range []string{"value of w1", "value of r1", "08P01", "value of w2"} {
@@ -200,7 +200,7 @@
 	<-arrived
 	eventually(t, func() bool { return w.counts().Requests[1] == 22 }, func() string { return "not all were asked" })
 	gone.Close()
-	eventually(t, func() bool { return w.counts().Gone[1] == 20 && w.gateway.buffers.Held() == 0 },
+	eventually(t, func() bool { return w.counts().Disconnects[1] == 20 && w.gateway.buffers.Held() == 0 },
 		func() string { return fmt.Sprintf("%+v, %d bytes held", w.counts(), w.gateway.buffers.Held()) })
 }
 
@@ -397,7 +397,7 @@
 	if first := <-w.disc.Asked; !strings.Contains(first, "watch=1&from=1 ") {
 		t.Fatalf("asked %q", first)
 	}
-	lists := func(form int) int64 { return w.counts().Lists[form] }
+	lists := func(form int) int64 { return w.counts().ListUpdates[form] }
 	const delta, full, failed = formDelta, formFull, formFailed
 	eventually(t, func() bool { return lists(full) == 1 }, func() string { return "no list came" })
 
@@ -436,12 +436,12 @@
 		g.discovery.Limits.Answer, g.discovery.Limits.Silence = 200*time.Millisecond, 200*time.Millisecond
 	})
 	const full, failed = formFull, formFailed
-	eventually(t, func() bool { n := w.counts(); return n.Lists[full] >= 2 && n.Lists[failed] >= 1 },
-		func() string { return fmt.Sprintf("lists by form %v", w.counts().Lists) })
+	eventually(t, func() bool { n := w.counts(); return n.ListUpdates[full] >= 2 && n.ListUpdates[failed] >= 1 },
+		func() string { return fmt.Sprintf("lists by form %v", w.counts().ListUpdates) })
 	w.disc.Answer("silent")
-	n := w.counts().Lists[failed]
-	eventually(t, func() bool { return w.counts().Lists[failed] >= n+3 },
-		func() string { return fmt.Sprintf("lists by form %v", w.counts().Lists) })
+	n := w.counts().ListUpdates[failed]
+	eventually(t, func() bool { return w.counts().ListUpdates[failed] >= n+3 },
+		func() string { return fmt.Sprintf("lists by form %v", w.counts().ListUpdates) })
 	w.logged(`"party":"discovery"`, `"reason":"timeout"`)
 	w.asks(w.dial(), look("a"), "value of a", "") // the list it had still serves
 }
@@ -495,7 +495,7 @@
 	c := w.dial()
 	w.asks(c, "", "", "57P03")
 	w.asks(c, look("a"), "", "53300")
-	if n := w.counts(); n.Answers[routing.Served][0] != 0 {
+	if n := w.counts(); n.Answers[routing.AnswerServed][0] != 0 {
 		t.Errorf("%+v", n)
 	}
 }
--- a/internal/gateway/counters.go
+++ b/internal/gateway/counters.go
@@ -10,7 +10,7 @@
 // Print writes all counters to the log: one line for each class, one for each kind of connection's ends, and one
 // for the gateway as a whole.
 func (g *Gateway) Print() {
-	g.owner.Ask(g.printOwner)
+	g.owner.Call(g.printOwner)
 	g.printSockets()
 }
 
@@ -31,19 +31,19 @@
 
 func (g *Gateway) printOwner(c *routing.Core) {
 	n := &c.Counts
-	for i, name := range n.Names {
+	for i, name := range n.ClassNames {
 		line := g.log.Info().Str("class", name).Int64("requests", n.Requests[i]).Int64("sends", n.Sends[i]).
-			Int64("gone", n.Gone[i])
-		for k, kind := range routing.KindNames {
+			Int64("gone", n.Disconnects[i])
+		for k, kind := range routing.AnswerKindNames {
 			line = line.Int64(kind, n.Answers[k][i])
 		}
 		line.Msg("counters")
 	}
 	named(g.log.Info(), routing.ResultNames[:], n.Outcomes[:]).Msg("outcomes of attempts")
-	named(g.log.Info().Int64("sent", n.ProbesSent), routing.ResultNames[:], n.Probes[:]).Msg("outcomes of probes")
-	named(g.log.Info().Int64("watches", n.Watches).Int64("fetches", n.Fetches), routing.FormNames[:],
-		n.Lists[:]).Int("open", c.Open()).Int64("unknown_group", n.UnknownGroup).
-		Int64("class_changed", n.ClassChanged).Int64("not_current", n.NotCurrent).Int64("settings_reloads", n.Reloads).Msg("member lists")
+	named(g.log.Info().Int64("sent", n.HealthChecksSent), routing.ResultNames[:], n.HealthChecks[:]).Msg("outcomes of probes")
+	named(g.log.Info().Int64("watches", n.Watches).Int64("fetches", n.Fetches), routing.ListFormNames[:],
+		n.ListUpdates[:]).Int("open", c.OpenRequests()).Int64("unknown_group", n.UnknownGroup).
+		Int64("class_changed", n.ClassChanged).Int64("not_current", n.StaleAnswers).Int64("settings_reloads", n.Reloads).Msg("member lists")
 }
 
 func named(line *zerolog.Event, names []string, counts []int64) *zerolog.Event {
--- a/internal/gateway/floating.go
+++ b/internal/gateway/floating.go
@@ -134,7 +134,7 @@
 
 func (f *floats) look() {
 	seen := &healthSeen{}
-	if !f.g.owner.Ask(func(c *routing.Core) {
+	if !f.g.owner.Call(func(c *routing.Core) {
 		h := c.Health(groupLately)
 		seen.Ready = c.Ready() && h.UsableServers > 0
 		seen.Wrong[vrrp.NoServer] = h.UsableServers == 0
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -177,9 +177,9 @@
 
 // counts reads the owner's counters.
 func (w *world) counts() (c routing.Counts) {
-	w.gateway.owner.Ask(func(core *routing.Core) {
+	w.gateway.owner.Call(func(core *routing.Core) {
 		c = core.Counts
-		c.Requests, c.Sends, c.Gone = slices.Clone(c.Requests), slices.Clone(c.Sends), slices.Clone(c.Gone)
+		c.Requests, c.Sends, c.Disconnects = slices.Clone(c.Requests), slices.Clone(c.Sends), slices.Clone(c.Disconnects)
 		for k := range c.Answers {
 			c.Answers[k] = slices.Clone(c.Answers[k])
 		}
@@ -254,7 +254,7 @@
 	if n := w.replica.Opened(); n > 2 { // one for reads, and perhaps one for a probe beside them
 		t.Errorf("%d connections for two reads one after the other", n)
 	}
-	eventually(t, func() bool { n := w.counts(); return n.Answers[routing.Served][0] == 2 && n.Requests[1] == 1 },
+	eventually(t, func() bool { n := w.counts(); return n.Answers[routing.AnswerServed][0] == 2 && n.Requests[1] == 1 },
 		func() string { return fmt.Sprintf("%+v", w.counts()) })
 }
 
@@ -375,7 +375,7 @@
 	}
 	w.logged(`"party":"client"`, `"reason":"peer_gone"`)
 	w.logged(`"party":"server"`, `"reason":"abandoned"`)
-	if n := w.counts(); n.Gone[1] != 1 || n.Answers[routing.Failed][1] != 0 {
+	if n := w.counts(); n.Disconnects[1] != 1 || n.Answers[routing.AnswerFailed][1] != 0 {
 		t.Errorf("%+v", n)
 	}
 }
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -22,8 +22,10 @@
 // gone waits until so many requests of a class are known to have lost their client.
 func (w *world) gone(class int, n int64) {
 	w.t.Helper()
-	eventually(w.t, func() bool { return w.counts().Gone[class] == n },
-		func() string { return fmt.Sprintf("%d requests without a client, want %d", w.counts().Gone[class], n) })
+	eventually(w.t, func() bool { return w.counts().Disconnects[class] == n },
+		func() string {
+			return fmt.Sprintf("%d requests without a client, want %d", w.counts().Disconnects[class], n)
+		})
 }
 
 // A request whose client has left is not sent on, wherever it is by then: waiting in the queue, or between two attempts.
@@ -116,7 +118,7 @@
 			leave(c.Conn.(*net.TCPConn))
 			eventually(t, func() bool {
 				n := w.counts()
-				return n.Gone[1] > 0 && n.Gone[1] == n.Requests[1]
+				return n.Disconnects[1] > 0 && n.Disconnects[1] == n.Requests[1]
 			}, func() string { return fmt.Sprintf("%+v", w.counts()) })
 			sent := w.counts().Sends[1]
 			release()
@@ -145,7 +147,7 @@
 	draining := w.targets()[1]
 	draining.State = "draining"
 	w.disc.SetTargets(w.targets()[0], draining)
-	lists := w.counts().Lists[formFull]
+	lists := w.counts().ListUpdates[formFull]
 	w.disc.Answer("")
 	w.lists(formFull, lists+1)
 	c := w.dial()
--- a/internal/gateway/maintain.go
+++ b/internal/gateway/maintain.go
@@ -165,7 +165,7 @@
 			aside = append(aside, m.Name)
 		}
 	}
-	if !u.g.owner.Ask(func(c *routing.Core) { c.SetAside(aside) }) {
+	if !u.g.owner.Call(func(c *routing.Core) { c.SetCordoned(aside) }) {
 		return
 	}
 	m := next.Find(maintenance.Gateway, node, 0)
@@ -217,8 +217,8 @@
 	}
 	r := maintenance.Report{Seen: u.now.index, Load: u.load()}
 	open := 0
-	if !u.g.owner.Ask(func(c *routing.Core) {
-		open = c.Open()
+	if !u.g.owner.Call(func(c *routing.Core) {
+		open = c.OpenRequests()
 		for _, s := range c.Servers(groups) {
 			primary := s.ServerView.Primary
 			if u.g.clock.Now()-s.LastRequestAt > roleLately { // nobody looks for the primary here; the list may know better
@@ -231,7 +231,7 @@
 			})
 		}
 		for i := range u.now.Machines {
-			if m := &u.now.Machines[i]; m.Kind == maintenance.Server && m.Drained() && c.OutAt(m.Name) == 0 {
+			if m := &u.now.Machines[i]; m.Kind == maintenance.Server && m.Drained() && c.InFlightAt(m.Name) == 0 {
 				r.Apart = append(r.Apart, m.ID)
 			}
 		}
@@ -368,7 +368,7 @@
 	if m := order.Find(maintenance.Server, name, -1); m != nil {
 		server, group = true, m.Group
 	}
-	g.owner.Ask(func(core *routing.Core) {
+	g.owner.Call(func(core *routing.Core) {
 		if at, known := core.GroupOf(name); known {
 			server, group = true, at
 		}
--- a/internal/gateway/program.go
+++ b/internal/gateway/program.go
@@ -164,7 +164,7 @@
 	if keys := config.Changed(g.settings, next.Settings); len(keys) > 0 {
 		g.facts.Store(next.InForce)
 		g.settings = next.Settings
-		g.owner.Ask(func(c *routing.Core) { c.Reconfigure(next.InForce) })
+		g.owner.Call(func(c *routing.Core) { c.Reconfigure(next.InForce) })
 		g.log.Info().Strs("keys", keys).Msg("settings in force")
 	}
 	g.discovery.Move(next.Discovery)
@@ -204,7 +204,7 @@
 	g.upkeep = newUpkeep(g)
 	g.clients = g.newClients(&session.ClientCounts{}, session.DefaultTimeouts)
 	g.servers = &session.Servers{
-		Owner: g.owner, Facts: g.facts, Buffers: g.buffers, Fds: g.fds, Ends: g.ends, Clock: g.clock,
+		Owner: g.owner, InForce: g.facts, Buffers: g.buffers, Fds: g.fds, Ends: g.ends, Clock: g.clock,
 		User: serverUser, DB: serverDatabase,
 	}
 	g.discovery = &session.Discovery{
@@ -218,7 +218,7 @@
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	go g.owner.Run(func(now clock.Micros) *routing.Core {
-		return routing.NewCore(now, cfg.Seed, cfg.InForce, routing.ListNews{List: cfg.KnownServers}, g.servers, g.discovery,
+		return routing.NewCore(now, cfg.Seed, cfg.InForce, routing.EndpointListUpdate{List: cfg.KnownServers}, g.servers, g.discovery,
 			log)
 	})
 	go func() {
@@ -236,7 +236,7 @@
 // newClients makes a set of clients beside the ones there are; they share everything but their listener.
 func (g *Gateway) newClients(counts *session.ClientCounts, limits session.Timeouts) *session.Clients {
 	c := &session.Clients{
-		Owner: g.owner, Facts: g.facts, Buffers: g.buffers, Fds: g.fds, Ends: g.ends, Clock: g.clock,
+		Owner: g.owner, InForce: g.facts, Buffers: g.buffers, Fds: g.fds, Ends: g.ends, Clock: g.clock,
 		Ready: g.isReady, Limits: limits, Counts: counts,
 	}
 	if g.marks != nil {
@@ -317,7 +317,7 @@
 		return false
 	}
 	if !g.ready.Load() {
-		g.owner.Ask(func(c *routing.Core) { g.ready.Store(c.Ready()) })
+		g.owner.Call(func(c *routing.Core) { g.ready.Store(c.Ready()) })
 	}
 	return g.ready.Load()
 }
@@ -360,11 +360,11 @@
 		if g.bookings != nil {
 			g.bookings.StartShutdown() // routing does not know of those that are not claimed yet
 		}
-		g.owner.Ask((*routing.Core).FailAll)
+		g.owner.Call((*routing.Core).FailAll)
 		wait(leave+stopMargin/2, func() int { return g.clients.Open() + g.floats.open() })
 	}
 	g.settleBookings(max(time.Until(start.Add(leave+stopMargin/2)), stopMargin/2))
-	g.owner.Ask(g.printOwner)
+	g.owner.Call(g.printOwner)
 	g.end()
 	g.printSockets()
 	g.log.Info().Dur("took_ms", time.Since(start)).Msg("stopped")
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -22,9 +22,9 @@
 // lists waits until so many lists of a form have come in.
 func (w *world) lists(form int, least int64) {
 	w.t.Helper()
-	eventually(w.t, func() bool { return w.counts().Lists[form] >= least },
+	eventually(w.t, func() bool { return w.counts().ListUpdates[form] >= least },
 		func() string {
-			return fmt.Sprintf("lists by form %v, want %d of form %d", w.counts().Lists, least, form)
+			return fmt.Sprintf("lists by form %v, want %d of form %d", w.counts().ListUpdates, least, form)
 		})
 }
 
@@ -76,7 +76,7 @@
 	w.disc.Cut()
 	next.Push(w.targets()[1])
 	w.lists(formDelta, 5)
-	if n := w.counts().Lists[formFailed]; n != 0 {
+	if n := w.counts().ListUpdates[formFailed]; n != 0 {
 		t.Errorf("%d failures told to the module", n)
 	}
 }
@@ -129,8 +129,8 @@
 	}
 	w.logged("take a restart", `"name","limits.sockets"`)
 	w.asks(w.dial(), look("d"), "value of d", "")
-	if n := w.counts(); n.Watches != 1 || n.Lists[formFailed] != 0 {
-		t.Errorf("%d watches, lists by form %v", n.Watches, n.Lists)
+	if n := w.counts(); n.Watches != 1 || n.ListUpdates[formFailed] != 0 {
+		t.Errorf("%d watches, lists by form %v", n.Watches, n.ListUpdates)
 	}
 }
 
@@ -156,7 +156,7 @@
 	w.stopped = true
 	w.gateway.Stop()
 	w.reload(w.disc.Addr())
-	if w.gateway.owner.Ask(func(*routing.Core) {}) {
+	if w.gateway.owner.Call(func(*routing.Core) {}) {
 		t.Error("the owner still runs")
 	}
 }
--- a/internal/gateway/stopping_test.go
+++ b/internal/gateway/stopping_test.go
@@ -44,7 +44,7 @@
 	w := newWorld(t, nil)
 	c := w.raw()
 	held, release := make(chan struct{}), make(chan struct{})
-	go w.gateway.owner.Ask(func(*routing.Core) {
+	go w.gateway.owner.Call(func(*routing.Core) {
 		close(held)
 		<-release
 	})
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -13,73 +13,73 @@
 
 // Core holds the module and the requests it has in hand. It is driven by one goroutine and reads no clock.
 type Core struct {
-	facts     *settings.InForce // in force
-	places    []int             // of its classes among the counters
-	router    *policy.Router
-	servers   Servers
-	discovery Discovery
-	log       zerolog.Logger
+	inForce        *settings.InForce // in force
+	counterIndexes []int             // of its classes among the counters
+	router         *policy.Router
+	servers        Servers
+	discovery      Discovery
+	log            zerolog.Logger
 
-	now      clock.Micros
-	requests map[string]*request
-	byClient map[Client]*request
-	byName   map[string]*request // by the client's id, for as long as anything is out for it
-	next     uint64
-	timers   timers
-	pending  []policy.Event // events that actions have called for, to be told after them
-	members  members
-	Counts   Counts
+	now        clock.Micros
+	byID       map[string]*request
+	byClient   map[Client]*request
+	byClientID map[string]*request // by the client's id, for as long as anything is out for it
+	lastID     uint64
+	timers     timers
+	pending    []policy.Event // events that actions have called for, to be told after them
+	endpoints  endpointList
+	Counts     Counts
 
-	listFailing bool
-	listHeard   bool         // in this life, from discovery
-	startedAt   clock.Micros // when this life began
+	listFailing  bool
+	listReceived bool         // in this life, from discovery
+	startedAt    clock.Micros // when this life began
 }
 
 // listPatience is how long a start waits for a list that is pushed: what its agent has is held to be known here from the first
 // moment on, and the list that came with the configuration may be old. An agent that is silent must not keep the gateway
 // out of service: restarts are to be over within 10 s.
-const listPatience = clock.Micros(3 * time.Second / time.Microsecond)
+const maxListWait = clock.Micros(3 * time.Second / time.Microsecond)
 
 // request is one request the module knows of.
 type request struct {
-	id       string
-	name     string // the client's id
-	client   Client
-	payload  Payload
-	facts    *settings.InForce // those it is finished under
-	class    int               // among them
-	place    int               // among the counters
-	deadline clock.Micros
-	attempts []Attempt // nil once it has ended
-	out      int
-	over     bool // its final answer is given, or its client gone
+	id           string
+	clientID     string // the client's id
+	client       Client
+	payload      Payload
+	inForce      *settings.InForce // those it is finished under
+	class        int               // among them
+	counterIndex int               // among the counters
+	deadline     clock.Micros
+	attempts     []Attempt // nil once it has ended
+	inFlight     int
+	closed       bool // its final answer is given, or its client gone
 }
 
 // NewCore starts the module with the list the gateway last had.
 func NewCore(
-	now clock.Micros, seed uint64, facts *settings.InForce, known ListNews, servers Servers, disc Discovery,
+	now clock.Micros, seed uint64, facts *settings.InForce, known EndpointListUpdate, servers Servers, disc Discovery,
 	log zerolog.Logger,
 ) *Core {
 	c := &Core{
-		facts: facts, servers: servers, discovery: disc, log: log, now: now, startedAt: now,
-		requests: map[string]*request{}, byClient: map[Client]*request{}, byName: map[string]*request{},
-		members: newMembers(),
+		inForce: facts, servers: servers, discovery: disc, log: log, now: now, startedAt: now,
+		byID: map[string]*request{}, byClient: map[Client]*request{}, byClientID: map[string]*request{},
+		endpoints: newEndpointList(),
 	}
-	c.places = c.Counts.places(facts.ClassNames)
+	c.counterIndexes = c.Counts.counterIndexes(facts.ClassNames)
 	router, first := policy.New(now, seed, facts.Settings)
 	c.router = router
 	// The list comes first, so that a watch asks for the changes after it.
-	c.list(known, policy.ListCached)
+	c.updateEndpointList(known, policy.ListCached)
 	c.perform(first)
-	c.settle()
+	c.handlePending()
 	return c
 }
 
 // Ready tells whether a request could be routed: some server is known, and what is known is as new as the rules hold it
 // to be.
 func (c *Core) Ready() bool {
-	old := c.facts.Settings.ListPushed && !c.listHeard && c.now-c.startedAt < listPatience
-	return c.members.known() && !old
+	old := c.inForce.Settings.ListPushed && !c.listReceived && c.now-c.startedAt < maxListWait
+	return c.endpoints.any() && !old
 }
 
 // Health is what the owner knows of its gateway's worth.
@@ -94,37 +94,37 @@
 }
 
 // Open is the number of requests that still await their answer.
-func (c *Core) Open() int { return len(c.byClient) }
+func (c *Core) OpenRequests() int { return len(c.byClient) }
 
 // Handle takes in one event.
 func (c *Core) Handle(now clock.Micros, ev Event) {
 	c.now = max(c.now, now)
 	switch e := ev.(type) {
 	case *Request:
-		c.arrive(e)
-	case Gone:
+		c.handleRequest(e)
+	case ClientDisconnected:
 		if q := c.byClient[e.Client]; q != nil {
-			c.Counts.Gone[q.place]++
-			c.over(q)
+			c.Counts.Disconnects[q.counterIndex]++
+			c.closeRequest(q)
 			c.step(policy.ClientDisconnected{ID: q.id})
 		}
-	case Ended:
-		c.ended(e)
-	case ProbeEnded:
-		c.Counts.Probes[e.Result]++
+	case AttemptEnded:
+		c.handleAttemptEnded(e)
+	case HealthCheckEnded:
+		c.Counts.HealthChecks[e.Result]++
 		c.step(policy.HealthCheckEnded{Server: e.Server, Result: e.Result, Latency: e.Latency, LoadReport: e.Report})
-	case ListNews:
+	case EndpointListUpdate:
 		form := policy.ListDelta
 		if e.Failed {
 			form = policy.ListFailed
 		} else if e.List.All {
 			form = policy.ListFull
 		}
-		c.list(e, form)
-	case Inspect:
+		c.updateEndpointList(e, form)
+	case Call:
 		e.Do(c)
 	}
-	c.settle()
+	c.handlePending()
 }
 
 // Expire tells the module of the timers that have come due.
@@ -136,7 +136,7 @@
 			return
 		}
 		c.step(policy.Timer{Token: t})
-		c.settle()
+		c.handlePending()
 	}
 }
 
@@ -146,7 +146,7 @@
 func (c *Core) step(ev policy.Event) { c.perform(c.router.Step(c.now, ev)) }
 
 // settle tells the module what its own actions have brought about.
-func (c *Core) settle() {
+func (c *Core) handlePending() {
 	for len(c.pending) > 0 {
 		ev := c.pending[0]
 		c.pending = c.pending[1:]
@@ -155,13 +155,13 @@
 }
 
 // arrive hands a request to the module under an id of the gateway's own: a client's could be any text.
-func (c *Core) arrive(e *Request) {
-	if !c.members.seen[e.Arrival.Group] {
+func (c *Core) handleRequest(e *Request) {
+	if !c.endpoints.knownGroups[e.Arrival.Group] {
 		// No list has ever named the group. Nothing could serve it, and whatever number a client makes up would
 		// stay in memory for good.
 		c.Counts.UnknownGroup++
 		e.Payload.Free()
-		e.Client.Answer(Answer{Kind: Refused})
+		e.Client.Answer(Answer{Kind: AnswerRejected})
 		return
 	}
 	class, ok := c.classOf(e)
@@ -169,32 +169,32 @@
 		// The settings changed while it was on its way in, and its class with them. Nothing was sent for it.
 		c.Counts.ClassChanged++
 		e.Payload.Free()
-		e.Client.Answer(Answer{Kind: Refused})
+		e.Client.Answer(Answer{Kind: AnswerRejected})
 		return
 	}
-	if e.ID != "" && c.byName[e.ID] != nil {
+	if e.ClientID != "" && c.byClientID[e.ClientID] != nil {
 		// Every request has an id of its own. A second one under it would be a second copy to the servers, whoever sent
 		// it; the first is left alone.
-		c.Counts.Answers[Rejected][c.places[class]]++
+		c.Counts.Answers[AnswerDuplicateID][c.counterIndexes[class]]++
 		e.Payload.Free()
-		e.Client.Answer(Answer{Kind: Rejected})
+		e.Client.Answer(Answer{Kind: AnswerDuplicateID})
 		return
 	}
-	c.next++
-	id := "r" + strconv.FormatUint(c.next, 10)
+	c.lastID++
+	id := "r" + strconv.FormatUint(c.lastID, 10)
 	q := &request{
-		id: id, name: e.ID, client: e.Client, payload: e.Payload, facts: c.facts, class: class, place: c.places[class],
-		deadline: e.ReadAt + e.Wait,
+		id: id, clientID: e.ClientID, client: e.Client, payload: e.Payload, inForce: c.inForce, class: class, counterIndex: c.counterIndexes[class],
+		deadline: e.ReadAt + e.Timeout,
 	}
-	c.requests[id], c.byClient[e.Client] = q, q
-	if q.name != "" {
-		c.byName[q.name] = q
+	c.byID[id], c.byClient[e.Client] = q, q
+	if q.clientID != "" {
+		c.byClientID[q.clientID] = q
 	}
-	c.Counts.Requests[q.place]++
+	c.Counts.Requests[q.counterIndex]++
 	a := e.Arrival
 	a.Class, a.ID, a.TimeLeft = class, id, max(q.deadline-c.now, 0)
-	if e.After > 0 {
-		a.SinceWrite = max(c.now-e.After, 1)
+	if e.MinPosition > 0 {
+		a.SinceWrite = max(c.now-e.MinPosition, 1)
 	}
 	c.step(a)
 }
@@ -202,40 +202,40 @@
 // classOf finds a request's class among the settings in force, by its name if it was read by others. A class that needs
 // other data now is another class: what was read as one must not go out as the other.
 func (c *Core) classOf(e *Request) (int, bool) {
-	if e.Facts == nil || e.Facts == c.facts {
+	if e.InForce == nil || e.InForce == c.inForce {
 		return e.Arrival.Class, true
 	}
-	class, ok := c.facts.ClassIndex[e.Facts.ClassNames[e.Arrival.Class]]
-	return class, ok && c.facts.Settings.Classes[class].Need == e.Facts.Settings.Classes[e.Arrival.Class].Need
+	class, ok := c.inForce.ClassIndex[e.InForce.ClassNames[e.Arrival.Class]]
+	return class, ok && c.inForce.Settings.Classes[class].Need == e.InForce.Settings.Classes[e.Arrival.Class].Need
 }
 
 // Reconfigure puts other settings in force. The requests in hand are finished under those that they came under.
 func (c *Core) Reconfigure(facts *settings.InForce) {
-	c.facts, c.places = facts, c.Counts.places(facts.ClassNames)
+	c.inForce, c.counterIndexes = facts, c.Counts.counterIndexes(facts.ClassNames)
 	c.Counts.Reloads++
 	c.perform(c.router.Reconfigure(c.now, facts.Settings))
-	c.settle()
+	c.handlePending()
 }
 
 // ended takes in the end of an attempt. An answer goes out before the module hears of it: it is final in any case.
-func (c *Core) ended(e Ended) {
+func (c *Core) handleAttemptEnded(e AttemptEnded) {
 	c.Counts.Outcomes[e.Result]++
-	q := c.requests[e.Job.ID]
+	q := c.byID[e.Job.ID]
 	if q == nil {
 		e.Value.Free()
 		return
 	}
 	q.attempts[e.Job.Attempt] = nil
-	q.out--
-	if e.Result == policy.ResultOK && e.Role == policy.RoleReplica && q.facts.Settings.Classes[q.class].Need == policy.NeedFresh {
+	q.inFlight--
+	if e.Result == policy.ResultOK && e.Role == policy.RoleReplica && q.inForce.Settings.Classes[q.class].Need == policy.NeedFresh {
 		// It was taken for the primary, by an old list or before a failover, and says itself that it is none: what it has may be
 		// behind. Where servers check nothing, nobody else would notice. Harm: one more attempt where it was current all the same.
-		c.Counts.NotCurrent++
+		c.Counts.StaleAnswers++
 		e.Result = policy.ResultMisdirected
 	}
-	final := q.over || e.Result == policy.ResultOK
-	if e.Result == policy.ResultOK && !q.over {
-		c.answer(q, Answer{Kind: Served, Value: e.Value, Position: e.Position})
+	final := q.closed || e.Result == policy.ResultOK
+	if e.Result == policy.ResultOK && !q.closed {
+		c.answer(q, Answer{Kind: AnswerServed, Value: e.Value, Position: e.Position})
 	} else {
 		e.Value.Free()
 	}
@@ -243,27 +243,27 @@
 		ID: q.id, Attempt: e.Job.Attempt, Server: e.Job.Server, Result: e.Result, Final: final, Latency: e.Latency,
 		Role: e.Role, Position: e.Position, LoadReport: e.Report,
 	})
-	c.forget(q)
+	c.forgetIfDone(q)
 }
 
 // answer gives a request its one final answer.
 func (c *Core) answer(q *request, a Answer) {
-	c.Counts.Answers[a.Kind][q.place]++
-	c.over(q)
+	c.Counts.Answers[a.Kind][q.counterIndex]++
+	c.closeRequest(q)
 	q.client.Answer(a)
 }
 
-func (c *Core) over(q *request) {
-	q.over = true
+func (c *Core) closeRequest(q *request) {
+	q.closed = true
 	delete(c.byClient, q.client)
 	q.payload.Free()
-	c.forget(q)
+	c.forgetIfDone(q)
 }
 
-func (c *Core) forget(q *request) {
-	if q.over && q.out == 0 {
-		delete(c.requests, q.id)
-		delete(c.byName, q.name)
+func (c *Core) forgetIfDone(q *request) {
+	if q.closed && q.inFlight == 0 {
+		delete(c.byID, q.id)
+		delete(c.byClientID, q.clientID)
 	}
 }
 
@@ -271,9 +271,9 @@
 // have run. None is left unanswered.
 func (c *Core) FailAll() {
 	for _, q := range c.byClient {
-		c.answer(q, Answer{Kind: Failed})
+		c.answer(q, Answer{Kind: AnswerFailed})
 		c.step(policy.ClientDisconnected{ID: q.id})
-		c.settle()
+		c.handlePending()
 	}
 }
 
@@ -282,35 +282,35 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case policy.Send:
-			c.send(a)
+			c.startAttempt(a)
 		case policy.Reject:
-			if q := c.requests[a.ID]; q != nil && !q.over {
-				c.answer(q, Answer{Kind: Refused, RetryAfter: a.RetryAfter})
+			if q := c.byID[a.ID]; q != nil && !q.closed {
+				c.answer(q, Answer{Kind: AnswerRejected, RetryAfter: a.RetryAfter})
 			}
 		case policy.Fail:
-			if q := c.requests[a.ID]; q != nil && !q.over {
-				c.answer(q, Answer{Kind: Failed})
+			if q := c.byID[a.ID]; q != nil && !q.closed {
+				c.answer(q, Answer{Kind: AnswerFailed})
 			}
 		case policy.Cancel:
-			if q := c.requests[a.ID]; q != nil && a.Attempt < len(q.attempts) && q.attempts[a.Attempt] != nil {
+			if q := c.byID[a.ID]; q != nil && a.Attempt < len(q.attempts) && q.attempts[a.Attempt] != nil {
 				q.attempts[a.Attempt].Cancel()
 			}
 		case policy.SetTimer:
 			c.timers.set(a.At, a.Token)
 		case policy.HealthCheck:
-			c.Counts.ProbesSent++
-			c.servers.Probe(a.Server, c.now, c.now+c.facts.Settings.ConnectTimeout)
+			c.Counts.HealthChecksSent++
+			c.servers.HealthCheck(a.Server, c.now, c.now+c.inForce.Settings.ConnectTimeout)
 		case policy.CloseIdle:
 			c.servers.CloseIdle(a.Server)
 		case policy.Withdraw:
 			c.servers.Withdraw(a.Server)
 		case policy.Forget:
-			c.members.forget(a.Server)
+			c.endpoints.forget(a.Server)
 			c.servers.Forget(a.Server)
 		case policy.Watch:
 			c.Counts.Watches++
 			if a.On {
-				c.discovery.Watch(c.members.rev)
+				c.discovery.Watch(c.endpoints.revision)
 			} else {
 				c.discovery.StopWatch()
 			}
@@ -325,25 +325,25 @@
 }
 
 // send makes an attempt. One that must not go out is told as moot, after the other actions.
-func (c *Core) send(a policy.Send) {
-	q := c.requests[a.ID]
+func (c *Core) startAttempt(a policy.Send) {
+	q := c.byID[a.ID]
 	if q == nil {
 		return
 	}
 	index := len(q.attempts)
 	q.attempts = append(q.attempts, nil)
 	until := min(a.Until, q.deadline)
-	if q.over || q.out > 0 || until <= c.now || index >= max(q.facts.Settings.MaxAttempts, 1) {
+	if q.closed || q.inFlight > 0 || until <= c.now || index >= max(q.inForce.Settings.MaxAttempts, 1) {
 		c.Counts.Outcomes[policy.ResultNotSent]++
 		c.pending = append(c.pending, policy.Outcome{
-			ID: q.id, Attempt: index, Server: a.Server, Result: policy.ResultNotSent, Final: q.over,
+			ID: q.id, Attempt: index, Server: a.Server, Result: policy.ResultNotSent, Final: q.closed,
 		})
 		return
 	}
-	c.Counts.Sends[q.place]++
-	q.out++
+	c.Counts.Sends[q.counterIndex]++
+	q.inFlight++
 	q.attempts[index] = c.servers.Send(Job{
-		ID: q.id, Attempt: index, Server: a.Server, Payload: q.payload.Share(), Sent: c.now, Until: until,
-		NonIdempotent: q.facts.Settings.Classes[q.class].Effect == policy.EffectNonIdempotent,
+		ID: q.id, Attempt: index, Server: a.Server, Payload: q.payload.Share(), SentAt: c.now, Deadline: until,
+		NonIdempotent: q.inForce.Settings.Classes[q.class].Effect == policy.EffectNonIdempotent,
 	})
 }
--- a/internal/routing/core_test.go
+++ b/internal/routing/core_test.go
@@ -48,13 +48,13 @@
 	s.jobs = append(s.jobs, j)
 	return fakeAttempt{s, len(s.jobs) - 1}
 }
-func (s *fakeServers) Probe(id policy.ServerID, sent, until clock.Micros) {
+func (s *fakeServers) HealthCheck(id policy.ServerID, sent, until clock.Micros) {
 	s.probes = append(s.probes, id)
 }
-func (s *fakeServers) CloseIdle(policy.ServerID)           {}
-func (s *fakeServers) Withdraw(id policy.ServerID)         { s.withdrawn = append(s.withdrawn, id) }
-func (s *fakeServers) Forget(id policy.ServerID)           { delete(s.places, id) }
-func (s *fakeServers) Place(id policy.ServerID, at string) { s.places[id] = at }
+func (s *fakeServers) CloseIdle(policy.ServerID)                 {}
+func (s *fakeServers) Withdraw(id policy.ServerID)               { s.withdrawn = append(s.withdrawn, id) }
+func (s *fakeServers) Forget(id policy.ServerID)                 { delete(s.places, id) }
+func (s *fakeServers) SetEndpoint(id policy.ServerID, at string) { s.places[id] = at }
 
 type fakeDiscovery struct{ from []int64 }
 
@@ -94,7 +94,7 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, now: start, servers: &fakeServers{places: map[policy.ServerID]string{}}, disc: &fakeDiscovery{}}
-	known := ListNews{List: discovery.List{Rev: 41, All: true, Entries: []discovery.Entry{
+	known := EndpointListUpdate{List: discovery.List{Rev: 41, All: true, Entries: []discovery.Entry{
 		entry("p", discovery.Ready, true), entry("a", discovery.Ready, false), entry("b", discovery.Ready, false),
 	}}}
 	r.core = NewCore(r.now, 5, facts, known, r.servers, r.disc, zerolog.Nop())
@@ -118,7 +118,7 @@
 func (r *rig) request(class int, wait clock.Micros) (*fakeClient, *fakePayload) {
 	c, p := &fakeClient{}, &fakePayload{holders: 1}
 	r.core.Handle(r.now, &Request{
-		Client: c, Payload: p, Arrival: policy.Arrival{Class: class, Group: 7}, ReadAt: r.now, Wait: wait,
+		Client: c, Payload: p, Arrival: policy.Arrival{Class: class, Group: 7}, ReadAt: r.now, Timeout: wait,
 	})
 	return c, p
 }
@@ -131,17 +131,17 @@
 	if res == policy.ResultOK {
 		value = transport.NewBuffers(1 << 20).NewMessage()
 	}
-	r.core.Handle(r.now, Ended{Job: j, Result: res, Latency: r.now - j.Sent, Value: value})
+	r.core.Handle(r.now, AttemptEnded{Job: j, Result: res, Latency: r.now - j.SentAt, Value: value})
 }
 
-func (r *rig) want(c *fakeClient, kinds ...Kind) {
+func (r *rig) want(c *fakeClient, kinds ...AnswerKind) {
 	r.t.Helper()
 	if len(c.answers) != len(kinds) {
 		r.t.Fatalf("%d answers, want %d: %+v", len(c.answers), len(kinds), c.answers)
 	}
 	for i, k := range kinds {
 		if c.answers[i].Kind != k {
-			r.t.Fatalf("answer %s, want %s", KindNames[c.answers[i].Kind], KindNames[k])
+			r.t.Fatalf("answer %s, want %s", AnswerKindNames[c.answers[i].Kind], AnswerKindNames[k])
 		}
 	}
 }
@@ -153,16 +153,16 @@
 		t.Fatalf("%d sends", len(r.servers.jobs))
 	}
 	j := r.servers.jobs[0]
-	if j.Until > r.now+900_000 || j.Until <= r.now || j.Sent != r.now {
-		t.Errorf("sent at %d until %d, now %d", j.Sent, j.Until, r.now)
+	if j.Deadline > r.now+900_000 || j.Deadline <= r.now || j.SentAt != r.now {
+		t.Errorf("sent at %d until %d, now %d", j.SentAt, j.Deadline, r.now)
 	}
 	r.pass(20_000)
 	r.end(0, policy.ResultOK)
-	r.want(c, Served)
+	r.want(c, AnswerServed)
 	r.pass(2_000_000)
-	r.want(c, Served)
-	if p.holders != 0 || r.core.Open() != 0 || len(r.core.requests) != 0 {
-		t.Errorf("%d holders, %d open, %d kept", p.holders, r.core.Open(), len(r.core.requests))
+	r.want(c, AnswerServed)
+	if p.holders != 0 || r.core.OpenRequests() != 0 || len(r.core.byID) != 0 {
+		t.Errorf("%d holders, %d open, %d kept", p.holders, r.core.OpenRequests(), len(r.core.byID))
 	}
 }
 
@@ -177,7 +177,7 @@
 		}
 		r.pass(10_000)
 		r.end(n, policy.ResultOK)
-		r.want(c, Served)
+		r.want(c, AnswerServed)
 	}
 }
 
@@ -187,11 +187,11 @@
 		class int
 		res   policy.Result
 		again bool
-		kind  Kind
+		kind  AnswerKind
 	}{
-		{1, policy.ResultReset, false, Failed}, {1, policy.ResultError, false, Failed},
-		{1, policy.ResultTimeout, false, Failed}, {1, policy.ResultConnectFailed, true, Refused},
-		{1, policy.ResultOverloaded, true, Refused}, {0, policy.ResultReset, true, Refused},
+		{1, policy.ResultReset, false, AnswerFailed}, {1, policy.ResultError, false, AnswerFailed},
+		{1, policy.ResultTimeout, false, AnswerFailed}, {1, policy.ResultConnectFailed, true, AnswerRejected},
+		{1, policy.ResultOverloaded, true, AnswerRejected}, {0, policy.ResultReset, true, AnswerRejected},
 	} {
 		r := newRig(t)
 		client, p := r.request(c.class, 1_000_000)
@@ -221,16 +221,16 @@
 	r := newRig(t)
 	c, p := r.request(1, 1_000_000)
 	r.pass(10_000)
-	r.core.Handle(r.now, Gone{Client: c})
+	r.core.Handle(r.now, ClientDisconnected{Client: c})
 	if len(r.servers.cancelled) != 1 {
 		t.Fatalf("%d cancels", len(r.servers.cancelled))
 	}
 	r.end(0, policy.ResultOK)
-	r.core.Handle(r.now, Gone{Client: c})
+	r.core.Handle(r.now, ClientDisconnected{Client: c})
 	r.pass(3_000_000)
 	r.want(c)
-	if p.holders != 0 || len(r.core.requests) != 0 {
-		t.Errorf("%d holders, %d kept", p.holders, len(r.core.requests))
+	if p.holders != 0 || len(r.core.byID) != 0 {
+		t.Errorf("%d holders, %d kept", p.holders, len(r.core.byID))
 	}
 }
 
@@ -240,22 +240,22 @@
 	c := &fakeClient{}
 	r.core.Handle(r.now, &Request{
 		Client: c, Payload: &fakePayload{holders: 1}, Arrival: policy.Arrival{Class: 1, Group: 7},
-		ReadAt: r.now - 400_000, Wait: 1_000_000,
+		ReadAt: r.now - 400_000, Timeout: 1_000_000,
 	})
-	if u := r.servers.jobs[0].Until; u > r.now+600_000 || u < r.now+500_000 {
+	if u := r.servers.jobs[0].Deadline; u > r.now+600_000 || u < r.now+500_000 {
 		t.Errorf("given up after %d us, want just under 600000", u-r.now)
 	}
 	r.pass(600_000)
-	r.want(c, Failed)
+	r.want(c, AnswerFailed)
 }
 
 func TestUnknownGroupIsRefusedAtOnce(t *testing.T) {
 	r := newRig(t)
 	c, p := &fakeClient{}, &fakePayload{holders: 1}
 	r.core.Handle(r.now, &Request{
-		Client: c, Payload: p, Arrival: policy.Arrival{Class: 1, Group: 99}, ReadAt: r.now, Wait: 1_000_000,
+		Client: c, Payload: p, Arrival: policy.Arrival{Class: 1, Group: 99}, ReadAt: r.now, Timeout: 1_000_000,
 	})
-	r.want(c, Refused)
+	r.want(c, AnswerRejected)
 	if p.holders != 0 || r.core.Counts.UnknownGroup != 1 {
 		t.Errorf("%d holders, %d counted", p.holders, r.core.Counts.UnknownGroup)
 	}
@@ -271,11 +271,11 @@
 	}
 	moved := entry("a", discovery.Draining, false)
 	moved.Endpoint = "127.0.0.9:1"
-	r.core.Handle(r.now, ListNews{List: discovery.List{Rev: 42, Entries: []discovery.Entry{moved}}})
+	r.core.Handle(r.now, EndpointListUpdate{List: discovery.List{Rev: 42, Entries: []discovery.Entry{moved}}})
 	if len(r.servers.places) != 3 || r.servers.places[2] != "127.0.0.9:1" {
 		t.Errorf("a server that moved is %v", r.servers.places)
 	}
-	r.core.Handle(r.now, ListNews{Failed: true})
+	r.core.Handle(r.now, EndpointListUpdate{Failed: true})
 	r.pass(5_000_000)
 	if len(r.disc.from) < 2 || r.disc.from[1] != 42 {
 		t.Errorf("asked again from %v", r.disc.from)
@@ -289,7 +289,7 @@
 			t.Fatal("a send to a draining server")
 		}
 	}
-	r.core.Handle(r.now, ListNews{List: discovery.List{Rev: 50, All: true}})
+	r.core.Handle(r.now, EndpointListUpdate{List: discovery.List{Rev: 50, All: true}})
 	if r.core.Ready() {
 		t.Error("ready with an empty list")
 	}
@@ -340,14 +340,14 @@
 	o := NewOwner(NewClock())
 	go o.Run(func(clock.Micros) *Core { return r.core })
 	ran := false
-	if !o.Ask(func(*Core) { ran = true }) || !ran {
+	if !o.Call(func(*Core) { ran = true }) || !ran {
 		t.Fatal("the owner did not run what it was asked")
 	}
 	o.Stop()
 	for range 2 * queueLength { // nobody may block on an owner that has stopped
-		o.Post(Gone{})
+		o.Post(ClientDisconnected{})
 	}
-	if o.Ask(func(*Core) {}) {
+	if o.Call(func(*Core) {}) {
 		t.Error("a stopped owner ran something")
 	}
 }
@@ -357,12 +357,12 @@
 func TestReplacedServersAreForgotten(t *testing.T) {
 	r := newRig(t)
 	tell := func(entries ...discovery.Entry) {
-		r.core.Handle(r.now, ListNews{List: discovery.List{Rev: 42, Entries: entries}})
+		r.core.Handle(r.now, EndpointListUpdate{List: discovery.List{Rev: 42, Entries: entries}})
 		r.pass(100_000)
 	}
 	r.pass(100_000)
 	tell(entry("never", discovery.Gone, false))
-	before := len(r.core.members.ids)
+	before := len(r.core.endpoints.idByUID)
 	for i := range 500 {
 		uid := "s" + strconv.Itoa(i)
 		tell(entry(uid, discovery.Ready, false))
@@ -370,9 +370,9 @@
 		tell(entry(uid, discovery.Gone, false))
 	}
 	r.pass(1_000_000)
-	if m := r.core.members; len(m.ids) != before || len(m.uids) != before || len(m.live) != before ||
+	if m := r.core.endpoints; len(m.idByUID) != before || len(m.uidByID) != before || len(m.listed) != before ||
 		len(r.servers.places) != before {
-		t.Errorf("%d numbers, %d uids, %d live and %d places kept, want %d", len(m.ids), len(m.uids), len(m.live),
+		t.Errorf("%d numbers, %d uids, %d live and %d places kept, want %d", len(m.idByUID), len(m.uidByID), len(m.listed),
 			len(r.servers.places), before)
 	}
 	for len(r.servers.jobs) == 0 || r.servers.jobs[len(r.servers.jobs)-1].Server == 1 {
@@ -380,10 +380,10 @@
 	}
 	last := len(r.servers.jobs) - 1
 	id := r.servers.jobs[last].Server
-	uid := r.core.members.uids[id]
+	uid := r.core.endpoints.uidByID[id]
 	tell(entry(uid, discovery.Gone, false))
 	tell(entry(uid, discovery.Ready, false))
-	if r.core.members.ids[uid] != id {
+	if r.core.endpoints.idByUID[uid] != id {
 		t.Error("a server that came back while an attempt was out got another number")
 	}
 	r.end(last, policy.ResultOK)
@@ -395,20 +395,20 @@
 	ask := func() *fakeClient {
 		c := &fakeClient{}
 		r.core.Handle(r.now, &Request{
-			Client: c, ID: "x", Payload: &fakePayload{holders: 1}, ReadAt: r.now, Wait: 1_000_000,
+			Client: c, ClientID: "x", Payload: &fakePayload{holders: 1}, ReadAt: r.now, Timeout: 1_000_000,
 			Arrival: policy.Arrival{Class: 1, Group: 7},
 		})
 		return c
 	}
 	first := ask()
-	r.want(ask(), Rejected)
-	r.core.Handle(r.now, Gone{Client: first})
-	r.want(ask(), Rejected) // its attempt is still out
+	r.want(ask(), AnswerDuplicateID)
+	r.core.Handle(r.now, ClientDisconnected{Client: first})
+	r.want(ask(), AnswerDuplicateID) // its attempt is still out
 	r.end(0, policy.ResultCancelled)
 	r.want(ask())
 	r.end(1, policy.ResultOK)
-	if len(r.core.byName) != 0 {
-		t.Errorf("%d names kept", len(r.core.byName))
+	if len(r.core.byClientID) != 0 {
+		t.Errorf("%d names kept", len(r.core.byClientID))
 	}
 }
 
@@ -416,7 +416,7 @@
 // now or is no more. The counters keep each class's place.
 func TestClassesAreFoundByNameAfterAChange(t *testing.T) {
 	r := newRig(t)
-	old := r.core.facts
+	old := r.core.inForce
 	next := *old
 	next.ClassNames = []string{"extra", old.ClassNames[1], old.ClassNames[0]}
 	next.ClassIndex = map[string]int{"extra": 0, old.ClassNames[1]: 1, old.ClassNames[0]: 2}
@@ -427,13 +427,13 @@
 	ask := func(facts *settings.InForce, class int) *fakeClient {
 		f := &fakeClient{}
 		r.core.Handle(r.now, &Request{
-			Client: f, Payload: &fakePayload{holders: 1}, Facts: facts, Arrival: policy.Arrival{Class: class, Group: 7},
-			ReadAt: r.now, Wait: 1_000_000,
+			Client: f, Payload: &fakePayload{holders: 1}, InForce: facts, Arrival: policy.Arrival{Class: class, Group: 7},
+			ReadAt: r.now, Timeout: 1_000_000,
 		})
 		return f
 	}
 	ask(old, 0)
-	if n := r.core.Counts; n.Requests[0] != 1 || n.Names[2] != "extra" || n.ClassChanged != 0 {
+	if n := r.core.Counts; n.Requests[0] != 1 || n.ClassNames[2] != "extra" || n.ClassChanged != 0 {
 		t.Errorf("%+v", n)
 	}
 	other := next
@@ -441,8 +441,8 @@
 	other.Settings.Classes = []policy.Class{c[1], c[1]}
 	r.core.Reconfigure(&other)
 	sends := len(r.servers.jobs)
-	r.want(ask(old, 0), Refused)   // no more
-	r.want(ask(&next, 0), Refused) // a write now
+	r.want(ask(old, 0), AnswerRejected)   // no more
+	r.want(ask(&next, 0), AnswerRejected) // a write now
 	if n := r.core.Counts; n.ClassChanged != 2 || len(r.servers.jobs) != sends {
 		t.Errorf("%d strays, %d sent", n.ClassChanged, len(r.servers.jobs)-sends)
 	}
@@ -452,7 +452,7 @@
 // has told of itself stays as it was.
 func TestServersSetAside(t *testing.T) {
 	r := newRig(t)
-	aside := func(uids ...string) { r.core.Handle(r.now, Inspect{Do: func(c *Core) { c.SetAside(uids) }}) }
+	aside := func(uids ...string) { r.core.Handle(r.now, Call{Do: func(c *Core) { c.SetCordoned(uids) }}) }
 	sentTo := func(rounds int) map[string]bool {
 		out := map[string]bool{}
 		for range rounds {
@@ -460,8 +460,8 @@
 			r.request(0, 900_000)
 			r.pass(400_000)
 			for _, j := range r.servers.jobs[from:] {
-				out[r.core.members.uids[j.Server]] = true
-				r.core.Handle(r.now, Ended{Job: j, Result: policy.ResultOK, Latency: 1000, Role: policy.RoleReplica, Position: r.now})
+				out[r.core.endpoints.uidByID[j.Server]] = true
+				r.core.Handle(r.now, AttemptEnded{Job: j, Result: policy.ResultOK, Latency: 1000, Role: policy.RoleReplica, Position: r.now})
 			}
 		}
 		return out
@@ -470,15 +470,15 @@
 		t.Fatalf("before: %v", to)
 	}
 	aside("a", "unknown")
-	if to := sentTo(40); to["a"] || !to["b"] || r.core.OutAt("a") != 0 {
+	if to := sentTo(40); to["a"] || !to["b"] || r.core.InFlightAt("a") != 0 {
 		t.Errorf("set aside: %v", to)
 	}
-	r.core.Handle(r.now, ListNews{List: discovery.List{Rev: 42, Entries: []discovery.Entry{entry("a", discovery.Ready, false), entry("unknown", discovery.Ready, false)}}})
+	r.core.Handle(r.now, EndpointListUpdate{List: discovery.List{Rev: 42, Entries: []discovery.Entry{entry("a", discovery.Ready, false), entry("unknown", discovery.Ready, false)}}})
 	if to := sentTo(40); to["a"] || to["unknown"] {
 		t.Errorf("set aside, and on the list again: %v", to)
 	}
 	aside()
-	view := func(uid string) policy.ServerView { v, _ := r.core.view(uid); return v }
+	view := func(uid string) policy.ServerView { v, _ := r.core.viewOf(uid); return v }
 	if v := view("a"); !v.InSlowStart || v.State != policy.EndpointReady {
 		t.Errorf("put back: %+v", v)
 	}
@@ -486,7 +486,7 @@
 		t.Errorf("put back: %v", to)
 	}
 	aside("b")
-	r.core.Handle(r.now, ListNews{List: discovery.List{Rev: 43, Entries: []discovery.Entry{entry("b", discovery.Draining, false)}}})
+	r.core.Handle(r.now, EndpointListUpdate{List: discovery.List{Rev: 43, Entries: []discovery.Entry{entry("b", discovery.Draining, false)}}})
 	aside()
 	if v := view("b"); v.State != policy.EndpointDraining {
 		t.Errorf("put back, and the list has it drain: %+v", v)
@@ -514,12 +514,12 @@
 			r.pass(100_000)
 		}
 		j := r.servers.jobs[0]
-		r.core.Handle(r.now, Ended{Job: j, Result: policy.ResultOK, Latency: 1000, Role: policy.RoleReplica, Position: r.now})
-		if len(c.answers) != want || r.core.Counts.NotCurrent != int64(1-want) {
-			t.Errorf("%s: %d answers, %d not current", need, len(c.answers), r.core.Counts.NotCurrent)
+		r.core.Handle(r.now, AttemptEnded{Job: j, Result: policy.ResultOK, Latency: 1000, Role: policy.RoleReplica, Position: r.now})
+		if len(c.answers) != want || r.core.Counts.StaleAnswers != int64(1-want) {
+			t.Errorf("%s: %d answers, %d not current", need, len(c.answers), r.core.Counts.StaleAnswers)
 		}
 		for _, j := range r.servers.jobs[1:] {
-			r.core.Handle(r.now, Ended{Job: j, Result: policy.ResultOK, Latency: 1000, Role: policy.RolePrimary, Position: r.now})
+			r.core.Handle(r.now, AttemptEnded{Job: j, Result: policy.ResultOK, Latency: 1000, Role: policy.RolePrimary, Position: r.now})
 		}
 		r.pass(1_000_000)
 		if len(c.answers) != 1 {
--- a/internal/routing/counts.go
+++ b/internal/routing/counts.go
@@ -11,41 +11,41 @@
 	ResultNames = [...]string{
 		"served", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot", "miss",
 	}
-	FormNames = [...]string{"delta", "full", "cached", "failed", "aside"}
-	KindNames = [...]string{"served", "refused", "failed", "rejected"}
+	ListFormNames   = [...]string{"delta", "full", "cached", "failed", "aside"}
+	AnswerKindNames = [...]string{"served", "refused", "failed", "rejected"}
 )
 
 // Counts are the owner's counters since the start. A class keeps its place for as long as the gateway runs, also when the
 // settings change.
 type Counts struct {
-	Names      []string // of the classes
-	Requests   []int64  // by class
-	Sends      []int64
-	Gone       []int64
-	Answers    [len(KindNames)][]int64
-	Outcomes   [len(ResultNames)]int64
-	Probes     [len(ResultNames)]int64
-	ProbesSent int64
+	ClassNames       []string // of the classes
+	Requests         []int64  // by class
+	Sends            []int64
+	Disconnects      []int64
+	Answers          [len(AnswerKindNames)][]int64
+	Outcomes         [len(ResultNames)]int64
+	HealthChecks     [len(ResultNames)]int64
+	HealthChecksSent int64
 	// UnknownGroup counts requests refused because no list has ever named their group.
 	UnknownGroup int64
 	// ClassChanged counts requests refused because the settings changed their class while they were on their way in.
 	ClassChanged int64
-	NotCurrent   int64 // answers to reads that must be current, by servers that say that they are replicas
+	StaleAnswers int64 // answers to reads that must be current, by servers that say that they are replicas
 	Reloads      int64 // of the settings
-	Lists        [len(FormNames)]int64
+	ListUpdates  [len(ListFormNames)]int64
 	Watches      int64
 	Fetches      int64
 }
 
 // places finds or makes the places of classes, by their names.
-func (n *Counts) places(classes []string) []int {
+func (n *Counts) counterIndexes(classes []string) []int {
 	out := make([]int, len(classes))
 	for i, name := range classes {
-		at := slices.Index(n.Names, name)
+		at := slices.Index(n.ClassNames, name)
 		if at < 0 {
-			at = len(n.Names)
-			n.Names = append(n.Names, name)
-			n.Requests, n.Sends, n.Gone = append(n.Requests, 0), append(n.Sends, 0), append(n.Gone, 0)
+			at = len(n.ClassNames)
+			n.ClassNames = append(n.ClassNames, name)
+			n.Requests, n.Sends, n.Disconnects = append(n.Requests, 0), append(n.Sends, 0), append(n.Disconnects, 0)
 			for k := range n.Answers {
 				n.Answers[k] = append(n.Answers[k], 0)
 			}
--- a/internal/routing/members.go
+++ b/internal/routing/members.go
@@ -8,47 +8,47 @@
 )
 
 // members gives each server of the list the number under which the module knows it.
-type members struct {
-	rev  int64
-	ids  map[string]policy.ServerID
-	uids map[policy.ServerID]string
-	next policy.ServerID
-	live map[string]bool // on the list and not gone
-	seen map[int]bool    // groups that a list has named
+type endpointList struct {
+	revision    int64
+	idByUID     map[string]policy.ServerID
+	uidByID     map[policy.ServerID]string
+	lastID      policy.ServerID
+	listed      map[string]bool // on the list and not gone
+	knownGroups map[int]bool    // groups that a list has named
 	// aside are servers that operators take out of service, with what the list says of them; nil: none are.
-	aside map[string]policy.EndpointState
+	cordoned map[string]policy.EndpointState
 }
 
-func newMembers() members {
-	return members{ids: map[string]policy.ServerID{}, uids: map[policy.ServerID]string{}, live: map[string]bool{}, seen: map[int]bool{}}
+func newEndpointList() endpointList {
+	return endpointList{idByUID: map[string]policy.ServerID{}, uidByID: map[policy.ServerID]string{}, listed: map[string]bool{}, knownGroups: map[int]bool{}}
 }
 
 // forget takes a server's number back, once the module keeps nothing of it: on a long day servers are replaced without
 // end. One that comes back later is new to everybody.
-func (m *members) forget(id policy.ServerID) {
-	delete(m.ids, m.uids[id])
-	delete(m.uids, id)
+func (m *endpointList) forget(id policy.ServerID) {
+	delete(m.idByUID, m.uidByID[id])
+	delete(m.uidByID, id)
 }
 
-func (m *members) known() bool { return len(m.live) > 0 }
+func (m *endpointList) any() bool { return len(m.listed) > 0 }
 
 var memberStates = map[discovery.State]policy.EndpointState{
 	discovery.Gone: policy.EndpointRemoved, discovery.Ready: policy.EndpointReady, discovery.Draining: policy.EndpointDraining,
 }
 
 // list tells the module of the member list, and the servers' side where its servers are.
-func (c *Core) list(news ListNews, form policy.ListForm) {
-	c.Counts.Lists[form]++
+func (c *Core) updateEndpointList(news EndpointListUpdate, form policy.ListForm) {
+	c.Counts.ListUpdates[form]++
 	c.listFailing = form == policy.ListFailed
-	c.listHeard = c.listHeard || form == policy.ListFull || form == policy.ListDelta
+	c.listReceived = c.listReceived || form == policy.ListFull || form == policy.ListDelta
 	out := policy.EndpointUpdate{Form: form}
 	if form != policy.ListFailed {
-		c.members.rev = news.List.Rev
+		c.endpoints.revision = news.List.Rev
 		if form != policy.ListDelta {
-			clear(c.members.live)
+			clear(c.endpoints.listed)
 		}
 		for _, e := range news.List.Entries {
-			if m, ok := c.member(e); ok {
+			if m, ok := c.updateEndpoint(e); ok {
 				out.Endpoints = append(out.Endpoints, m)
 			}
 		}
@@ -57,27 +57,27 @@
 }
 
 // member tells of one server. One that is gone and was never known, or is forgotten, is no news.
-func (c *Core) member(e discovery.Entry) (policy.Endpoint, bool) {
-	id, ok := c.members.ids[e.UID]
+func (c *Core) updateEndpoint(e discovery.Entry) (policy.Endpoint, bool) {
+	id, ok := c.endpoints.idByUID[e.UID]
 	if !ok {
 		if e.State == discovery.Gone {
 			return policy.Endpoint{}, false
 		}
-		c.members.next++
-		id = c.members.next
-		c.members.ids[e.UID], c.members.uids[id] = id, e.UID
+		c.endpoints.lastID++
+		id = c.endpoints.lastID
+		c.endpoints.idByUID[e.UID], c.endpoints.uidByID[id] = id, e.UID
 	}
 	if e.State == discovery.Gone {
-		delete(c.members.live, e.UID)
+		delete(c.endpoints.listed, e.UID)
 	} else {
-		c.members.live[e.UID] = true
-		c.servers.Place(id, e.Endpoint)
+		c.endpoints.listed[e.UID] = true
+		c.servers.SetEndpoint(id, e.Endpoint)
 	}
-	c.members.seen[e.Group] = true
+	c.endpoints.knownGroups[e.Group] = true
 	state := memberStates[e.State]
-	if _, is := c.members.aside[e.UID]; is {
-		c.members.aside[e.UID] = state
-		state = apart(state)
+	if _, is := c.endpoints.cordoned[e.UID]; is {
+		c.endpoints.cordoned[e.UID] = state
+		state = cordonedState(state)
 	}
 	weight, _ := settings.ParseScaled(e.Weight.String(), 3)
 	booted, _ := settings.ParseScaled(e.BootMS.String(), 3)
@@ -88,7 +88,7 @@
 }
 
 // apart is the state of a server that is taken out of service, whatever the list says of it.
-func apart(listed policy.EndpointState) policy.EndpointState {
+func cordonedState(listed policy.EndpointState) policy.EndpointState {
 	if listed == policy.EndpointReady {
 		return policy.EndpointDraining
 	}
@@ -97,45 +97,45 @@
 
 // SetAside takes servers out of service, as if the list had said that they drain, and puts back those that are not named any
 // more: cold, whenever they were started.
-func (c *Core) SetAside(uids []string) {
-	m := &c.members
+func (c *Core) SetCordoned(uids []string) {
+	m := &c.endpoints
 	next := map[string]bool{}
 	out := policy.EndpointUpdate{Form: policy.ListCordoned}
 	for _, uid := range uids {
 		next[uid] = true
-		if _, is := m.aside[uid]; is {
+		if _, is := m.cordoned[uid]; is {
 			continue
 		}
-		if m.aside == nil {
-			m.aside = map[string]policy.EndpointState{}
+		if m.cordoned == nil {
+			m.cordoned = map[string]policy.EndpointState{}
 		}
-		m.aside[uid] = policy.EndpointRemoved
-		if v, known := c.view(uid); known {
-			m.aside[uid] = v.State
-			v.State = apart(v.State)
+		m.cordoned[uid] = policy.EndpointRemoved
+		if v, known := c.viewOf(uid); known {
+			m.cordoned[uid] = v.State
+			v.State = cordonedState(v.State)
 			out.Endpoints = append(out.Endpoints, v.Endpoint)
 			c.servers.CloseIdle(v.Server)
 		}
 	}
-	for uid, listed := range m.aside {
+	for uid, listed := range m.cordoned {
 		if next[uid] {
 			continue
 		}
-		delete(m.aside, uid)
-		if v, known := c.view(uid); known && listed != policy.EndpointRemoved {
+		delete(m.cordoned, uid)
+		if v, known := c.viewOf(uid); known && listed != policy.EndpointRemoved {
 			v.State, v.Started = listed, c.now
 			out.Endpoints = append(out.Endpoints, v.Endpoint)
 		}
 	}
 	if len(out.Endpoints) > 0 {
-		c.Counts.Lists[policy.ListCordoned]++
+		c.Counts.ListUpdates[policy.ListCordoned]++
 		c.step(out)
-		c.settle()
+		c.handlePending()
 	}
 }
 
-func (c *Core) view(uid string) (v policy.ServerView, known bool) {
-	id, known := c.members.ids[uid]
+func (c *Core) viewOf(uid string) (v policy.ServerView, known bool) {
+	id, known := c.endpoints.idByUID[uid]
 	if !known {
 		return v, false
 	}
@@ -150,8 +150,8 @@
 
 // Servers lists the servers of some groups that the list names.
 func (c *Core) Servers(groups map[int]bool) (all []ServerState) {
-	for uid := range c.members.live {
-		if v, known := c.view(uid); known && groups[v.Group] {
+	for uid := range c.endpoints.listed {
+		if v, known := c.viewOf(uid); known && groups[v.Group] {
 			all = append(all, ServerState{uid, v})
 		}
 	}
@@ -160,12 +160,12 @@
 
 // GroupOf is the group of a server that the list names.
 func (c *Core) GroupOf(uid string) (group int, known bool) {
-	v, known := c.view(uid)
-	return v.Group, known && c.members.live[uid]
+	v, known := c.viewOf(uid)
+	return v.Group, known && c.endpoints.listed[uid]
 }
 
 // OutAt is how many attempts are out at a server.
-func (c *Core) OutAt(uid string) int {
-	v, _ := c.view(uid)
+func (c *Core) InFlightAt(uid string) int {
+	v, _ := c.viewOf(uid)
 	return v.InFlight
 }
--- a/internal/routing/owner.go
+++ b/internal/routing/owner.go
@@ -50,9 +50,9 @@
 }
 
 // Ask runs a function on the owner's goroutine and waits for it. It tells whether it ran.
-func (o *Owner) Ask(do func(*Core)) bool {
+func (o *Owner) Call(do func(*Core)) bool {
 	ran := make(chan struct{})
-	o.Post(Inspect{func(c *Core) { do(c); close(ran) }})
+	o.Post(Call{func(c *Core) { do(c); close(ran) }})
 	select {
 	case <-ran:
 		return true
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -21,19 +21,19 @@
 type Client interface{ Answer(Answer) }
 
 // Kind is the kind of a final answer.
-type Kind uint8
+type AnswerKind uint8
 
 // The kinds of answers.
 const (
-	Served Kind = iota
-	Refused
-	Failed
-	Rejected // its id is that of a request still under way
+	AnswerServed AnswerKind = iota
+	AnswerRejected
+	AnswerFailed
+	AnswerDuplicateID // its id is that of a request still under way
 )
 
 // Answer is the one final answer to a request.
 type Answer struct {
-	Kind       Kind
+	Kind       AnswerKind
 	Value      *transport.Message // of a served request
 	Position   policy.Position    // after it, as its server says; 0: it does not
 	RetryAfter clock.Micros       // advice to a refused client; 0: none
@@ -45,8 +45,8 @@
 	Attempt       int
 	Server        policy.ServerID
 	Payload       Payload      // a share of it, freed by whoever carries the job out
-	Sent          clock.Micros // when the module asked for it
-	Until         clock.Micros // when to give it up
+	SentAt        clock.Micros // when the module asked for it
+	Deadline      clock.Micros // when to give it up
 	NonIdempotent bool         // it must not run twice: a reset that may have hidden its answer ends its request
 }
 
@@ -56,10 +56,10 @@
 // Servers carries out attempts and probes. None of its methods blocks; each job ends in one event.
 type Servers interface {
 	Send(Job) Attempt
-	Probe(server policy.ServerID, sent, until clock.Micros)
+	HealthCheck(server policy.ServerID, sent, until clock.Micros)
 	CloseIdle(policy.ServerID)
 	Withdraw(policy.ServerID)
-	Place(server policy.ServerID, endpoint string)
+	SetEndpoint(server policy.ServerID, endpoint string)
 	Forget(server policy.ServerID)
 }
 
@@ -75,21 +75,21 @@
 
 // Request is a client's request, whole.
 type Request struct {
-	Client  Client
-	ID      string // the client's; empty: none
-	Payload Payload
-	Facts   *settings.InForce // the settings it was read by: those that Arrival.Class counts in; nil: those in force
-	Arrival policy.Arrival    // ID and Left are filled in by the owner
-	ReadAt  clock.Micros      // when its last byte was read
-	Wait    clock.Micros      // how long the client waits, from then on
-	After   clock.Micros      // the position that it must see; 0: none
+	Client      Client
+	ClientID    string // the client's; empty: none
+	Payload     Payload
+	InForce     *settings.InForce // the settings it was read by: those that Arrival.Class counts in; nil: those in force
+	Arrival     policy.Arrival    // ID and Left are filled in by the owner
+	ReadAt      clock.Micros      // when its last byte was read
+	Timeout     clock.Micros      // how long the client waits, from then on
+	MinPosition clock.Micros      // the position that it must see; 0: none
 }
 
 // Gone tells that a client left while its request was out.
-type Gone struct{ Client Client }
+type ClientDisconnected struct{ Client Client }
 
 // Ended tells how an attempt ended. Value is there if it was served.
-type Ended struct {
+type AttemptEnded struct {
 	Job      Job
 	Result   policy.Result
 	Latency  clock.Micros
@@ -100,7 +100,7 @@
 }
 
 // ProbeEnded tells how a probe ended.
-type ProbeEnded struct {
+type HealthCheckEnded struct {
 	Server  policy.ServerID
 	Result  policy.Result
 	Latency clock.Micros
@@ -108,17 +108,17 @@
 }
 
 // ListNews is news of the member list, or of a call for it that failed.
-type ListNews struct {
+type EndpointListUpdate struct {
 	List   discovery.List
 	Failed bool
 }
 
 // Inspect runs a function on the owner's goroutine, for counters and shutting down.
-type Inspect struct{ Do func(*Core) }
-
-func (*Request) event()   {}
-func (Gone) event()       {}
-func (Ended) event()      {}
-func (ProbeEnded) event() {}
-func (ListNews) event()   {}
-func (Inspect) event()    {}
+type Call struct{ Do func(*Core) }
+
+func (*Request) event()           {}
+func (ClientDisconnected) event() {}
+func (AttemptEnded) event()       {}
+func (HealthCheckEnded) event()   {}
+func (EndpointListUpdate) event() {}
+func (Call) event()               {}
--- a/internal/session/client.go
+++ b/internal/session/client.go
@@ -63,7 +63,7 @@
 // Clients serves all client connections.
 type Clients struct {
 	Owner   Queue
-	Facts   *settings.Live
+	InForce *settings.Live
 	Buffers *transport.Buffers
 	Fds     *transport.Descriptors
 	Ends    *transport.Ends
--- a/internal/session/crossing_test.go
+++ b/internal/session/crossing_test.go
@@ -34,7 +34,7 @@
 	x := &crossing{t: t, c: c, peer: peer.(*net.TCPConn), told: make(chan routing.Event, 1024)}
 	c.all.Owner, c.all.Clock, c.all.Buffers = poster(x.told), routing.NewClock(), transport.NewBuffers(1<<24)
 	c.all.Counts = &ClientCounts{}
-	c.all.Facts = settings.NewLive(&settings.InForce{
+	c.all.InForce = settings.NewLive(&settings.InForce{
 		Settings:   policy.Settings{Classes: []policy.Class{{Name: "look", Need: policy.NeedAny}, {Name: "put", Need: policy.NeedWrite}}},
 		ClassIndex: map[string]int{"look": 0, "put": 1}, ClassNames: []string{"look", "put"},
 	})
@@ -78,7 +78,7 @@
 func (x *crossing) served(r *routing.Request, text string) {
 	value := x.c.all.Buffers.NewMessage()
 	value.Append([]byte(text))
-	r.Client.Answer(routing.Answer{Kind: routing.Served, Value: value})
+	r.Client.Answer(routing.Answer{Kind: routing.AnswerServed, Value: value})
 }
 
 // A client that sends much at once and goes: none of it is asked once its close is here, although the close lies behind bytes
@@ -115,7 +115,7 @@
 		t.Errorf("ended with %v", reason)
 	}
 	for range maxPipelined {
-		if _, gone := (<-x.told).(routing.Gone); !gone {
+		if _, gone := (<-x.told).(routing.ClientDisconnected); !gone {
 			t.Fatal("a request was asked behind the close")
 		}
 	}
@@ -171,8 +171,8 @@
 		t.Fatalf("read %q, %v", got, err)
 	}
 	x.peer.Write(large[transport.BufferSize+100:])
-	if r := x.asked(); r.ID != "y" {
-		t.Errorf("then asked %q", r.ID)
+	if r := x.asked(); r.ClientID != "y" {
+		t.Errorf("then asked %q", r.ClientID)
 	}
 	x.peer.Close()
 	<-ended
@@ -194,8 +194,8 @@
 	if reason, err := x.c.message(); err != nil {
 		t.Fatalf("ended with %v, %v", reason, err)
 	}
-	if r := x.asked(); r.ID != "x" {
-		t.Errorf("asked %q", r.ID)
+	if r := x.asked(); r.ClientID != "x" {
+		t.Errorf("asked %q", r.ClientID)
 	}
 }
 
@@ -360,7 +360,7 @@
 		r := newRig(t)
 		r.server.SetHandle(handle)
 		job := r.job("a")
-		job.Until = job.Sent + 4*clock.Micros(patience/time.Microsecond)
+		job.Deadline = job.SentAt + 4*clock.Micros(patience/time.Microsecond)
 		r.servers.Send(job)
 		if e := r.ended(); e.Result != want {
 			t.Errorf("ended with %d, want %d", e.Result, want)
@@ -399,9 +399,9 @@
 	for name, late := range map[string]bool{"before": false, "in the moment": true} {
 		t.Run(name, func(t *testing.T) {
 			x := newCrossing(t)
-			facts := *x.c.all.Facts.Load()
+			facts := *x.c.all.InForce.Load()
 			facts.Settings.Classes[0].Need = policy.NeedSession
-			x.c.all.Facts.Store(&facts)
+			x.c.all.InForce.Store(&facts)
 			marks := &slowMarks{}
 			x.c.all.Marks = marks
 			x.peer.Write(lookStatement("x"))
@@ -439,7 +439,7 @@
 
 func newSlowServer(t *testing.T, r *rig) *slowServer {
 	s := &slowServer{t, listenLoopback(t)}
-	r.servers.Place(1, s.l.Addr().String())
+	r.servers.SetEndpoint(1, s.l.Addr().String())
 	return s
 }
 
@@ -467,7 +467,7 @@
 func TestWithdrawnWhileAConnectionComesUp(t *testing.T) {
 	for name, change := range map[string]func(*rig){
 		"taken out": func(r *rig) { r.servers.Withdraw(1) },
-		"moved":     func(r *rig) { r.servers.Place(1, r.server.Addr()) },
+		"moved":     func(r *rig) { r.servers.SetEndpoint(1, r.server.Addr()) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
@@ -483,7 +483,7 @@
 			if got, _ := io.ReadAll(nc); len(got) > 0 {
 				t.Errorf("the server got %q", got)
 			}
-			r.servers.Place(1, r.server.Addr())
+			r.servers.SetEndpoint(1, r.server.Addr())
 			r.servers.Send(r.job("b"))
 			if e := r.ended(); e.Result != policy.ResultOK {
 				t.Errorf("after the return: %s", routing.ResultNames[e.Result])
@@ -504,7 +504,7 @@
 	r.servers.Send(job)
 	nc := slow.accept()
 	const late = 200_000
-	for r.servers.Clock.Now() < job.Sent+late {
+	for r.servers.Clock.Now() < job.SentAt+late {
 		time.Sleep(time.Millisecond)
 	}
 	nc.Write(admitted)
@@ -518,7 +518,7 @@
 		t.Fatal(err)
 	}
 	told, err := strconv.Atoi((&fake.Query{SQL: string(body)}).Field("d"))
-	if most := int(job.Until-job.Sent-late) / 1000; err != nil || told > most || told < most/2 {
+	if most := int(job.Deadline-job.SentAt-late) / 1000; err != nil || told > most || told < most/2 {
 		t.Errorf("told %d ms (%v), %d are left", told, err, most)
 	}
 	nc.Close()
--- a/internal/session/discovery.go
+++ b/internal/session/discovery.go
@@ -186,7 +186,7 @@
 	d.telling.Lock()
 	defer d.telling.Unlock()
 	if d.ended(c, rev, reason) {
-		d.Owner.Post(routing.ListNews{Failed: true})
+		d.Owner.Post(routing.EndpointListUpdate{Failed: true})
 	}
 }
 
@@ -326,8 +326,8 @@
 	}
 	unasked := c == d.previous && d.watch == nil
 	d.mu.Unlock()
-	d.Owner.Post(routing.ListNews{List: list})
+	d.Owner.Post(routing.EndpointListUpdate{List: list})
 	if unasked { // the module takes the list for a sign that it is subscribed; but the new address has failed
-		d.Owner.Post(routing.ListNews{Failed: true})
+		d.Owner.Post(routing.EndpointListUpdate{Failed: true})
 	}
 }
--- a/internal/session/discovery_test.go
+++ b/internal/session/discovery_test.go
@@ -84,14 +84,14 @@
 }
 
 // next is the next news for the owner.
-func (s *scriptedDiscovery) next() routing.ListNews {
+func (s *scriptedDiscovery) next() routing.EndpointListUpdate {
 	s.t.Helper()
 	select {
 	case ev := <-s.news:
-		return ev.(routing.ListNews)
+		return ev.(routing.EndpointListUpdate)
 	case <-time.After(patience):
 		s.t.Fatal("nothing was told")
-		return routing.ListNews{}
+		return routing.EndpointListUpdate{}
 	}
 }
 
--- a/internal/session/lookup.go
+++ b/internal/session/lookup.go
@@ -18,7 +18,7 @@
 
 // Answer takes the final answer.
 func (l *lookup) Answer(a routing.Answer) {
-	if a.Kind != routing.Served {
+	if a.Kind != routing.AnswerServed {
 		l.done(nil, nil, false)
 		return
 	}
@@ -30,7 +30,7 @@
 // Lookup reads a key as of now, as a client would, which shows whether a booking ran. done is told the row and the answer that the
 // booking itself would have had; it must not block.
 func (s *Clients) Lookup(class, key string, group int, by time.Time, done func(row, answer []byte, ok bool)) {
-	facts := s.Facts.Load()
+	facts := s.InForce.Load()
 	index, known := facts.ClassIndex[class]
 	wait := time.Until(by).Milliseconds()
 	if !known || facts.IsWrite(index) || wait <= 0 {
@@ -49,7 +49,7 @@
 	}
 	now := s.Clock.Now()
 	s.Owner.Post(&routing.Request{
-		Client: &lookup{done}, ID: id, Payload: &query{text: text, statement: st}, Facts: facts, ReadAt: now, After: now,
-		Arrival: policy.Arrival{Class: index, Group: group}, Wait: clock.Micros(wait) * 1000,
+		Client: &lookup{done}, ClientID: id, Payload: &query{text: text, statement: st}, InForce: facts, ReadAt: now, MinPosition: now,
+		Arrival: policy.Arrival{Class: index, Group: group}, Timeout: clock.Micros(wait) * 1000,
 	})
 }
--- a/internal/session/pending.go
+++ b/internal/session/pending.go
@@ -66,12 +66,12 @@
 	}
 	kind, value := indoubt.Failed, []byte(nil)
 	switch a.Kind {
-	case routing.Served:
+	case routing.AnswerServed:
 		kind = indoubt.Served
 		if a.Value.Size() <= intents.MaxStoredAnswer {
 			value = bytes.Join(a.Value.From(0), nil)
 		}
-	case routing.Refused, routing.Rejected:
+	case routing.AnswerRejected, routing.AnswerDuplicateID:
 		kind = indoubt.Rejected
 	}
 	q.client.mu.Lock()
@@ -99,15 +99,15 @@
 	held := q.held
 	q.held = nil
 	c.mu.Unlock()
-	a := routing.Answer{Kind: routing.Failed}
+	a := routing.Answer{Kind: routing.AnswerFailed}
 	switch {
 	case kind == indoubt.Served && value != nil:
-		a = routing.Answer{Kind: routing.Served, Value: c.all.Buffers.NewMessage()}
+		a = routing.Answer{Kind: routing.AnswerServed, Value: c.all.Buffers.NewMessage()}
 		a.Value.Append(value)
-	case kind == indoubt.Served && held != nil, kind == indoubt.Rejected && held != nil && held.Kind != routing.Served:
+	case kind == indoubt.Served && held != nil, kind == indoubt.Rejected && held != nil && held.Kind != routing.AnswerServed:
 		a, held = *held, nil
 	case kind == indoubt.Rejected:
-		a.Kind = routing.Refused
+		a.Kind = routing.AnswerRejected
 	}
 	if held != nil {
 		held.Value.Free()
@@ -118,7 +118,7 @@
 // answered takes the answer that the client is to have. That of a write whose commit is to be kept waits for that: if it is not,
 // the client must not rely on it.
 func (q *pendingQuery) answered(a routing.Answer) {
-	if q.mark == nil || a.Kind != routing.Served {
+	if q.mark == nil || a.Kind != routing.AnswerServed {
 		q.deliver(a)
 		return
 	}
@@ -129,7 +129,7 @@
 	q.mark.marks.Promise(q.mark.group, q.mark.session, position, q.mark.by, func(kept bool) {
 		if !kept {
 			a.Value.Free()
-			a = routing.Answer{Kind: routing.Failed}
+			a = routing.Answer{Kind: routing.AnswerFailed}
 		}
 		q.deliver(a)
 	})
@@ -215,21 +215,21 @@
 	}
 	var out []byte
 	switch q.answer.Kind {
-	case routing.Served:
+	case routing.AnswerServed:
 		c.served++
 		parts := append(q.answer.Value.From(0), postgres.AppendReady(nil))
 		_, err := c.conn.Write(time.Now().Add(c.all.Limits.Answer), parts)
 		q.answer.Value.Free()
 		return reasoned(err)
-	case routing.Refused:
+	case routing.AnswerRejected:
 		out = postgres.AppendError(nil, false, postgres.CodeRefused, "no server can take this in time",
 			int64(q.answer.RetryAfter/1000))
-	case routing.Failed:
+	case routing.AnswerFailed:
 		out = postgres.AppendError(nil, false, postgres.CodeFailed, "the statement failed, and may have run", 0)
-	case routing.Rejected:
+	case routing.AnswerDuplicateID:
 		out = postgres.AppendError(nil, false, postgres.CodeBadValue, "the id is that of a request still under way", 0)
 	}
-	if reason, err := reasoned(c.write(postgres.AppendReady(out))); err != nil || q.answer.Kind != routing.Rejected {
+	if reason, err := reasoned(c.write(postgres.AppendReady(out))); err != nil || q.answer.Kind != routing.AnswerDuplicateID {
 		return reason, err
 	}
 	return c.penalize()
@@ -314,7 +314,7 @@
 		case q.claim != nil: // what has gone out is still waited for: whoever asks again has its answer
 			q.claim.Cancel()
 		default:
-			c.all.Owner.Post(routing.Gone{Client: q})
+			c.all.Owner.Post(routing.ClientDisconnected{Client: q})
 		}
 	}
 }
@@ -342,7 +342,7 @@
 		return reason, err
 	}
 	fault, code := "", ""
-	in.facts = c.all.Facts.Load()
+	in.facts = c.all.InForce.Load()
 	in.arrival, in.statement, fault, code = c.read(in.facts, in.text, body)
 	if code != "" || in.statement.ID == "" {
 		c.release(in)
@@ -431,9 +431,9 @@
 	wait := in.statement.Wait
 	q := &pendingQuery{client: c, reserve: in.reserve}
 	r := &routing.Request{
-		Client: q, ID: in.statement.ID, Payload: &query{text: in.text, statement: in.statement}, Facts: in.facts,
+		Client: q, ClientID: in.statement.ID, Payload: &query{text: in.text, statement: in.statement}, InForce: in.facts,
 		Arrival: in.arrival, ReadAt: c.all.Clock.Now(),
-		Wait: clock.Micros(wait) * 1000, After: clock.Micros(in.statement.After) * 1000,
+		Timeout: clock.Micros(wait) * 1000, MinPosition: clock.Micros(in.statement.After) * 1000,
 	}
 	patience := time.Duration(wait) * time.Millisecond
 	marked, group, session := c.marked(in), in.arrival.Group, in.arrival.Session
@@ -446,7 +446,7 @@
 		return
 	}
 	c.all.Marks.Needed(group, session, time.Now().Add(patience/markPart), func(needed policy.Position) {
-		r.After = max(r.After, needed)
+		r.MinPosition = max(r.MinPosition, needed)
 		q.route(r)
 	})
 }
@@ -461,7 +461,7 @@
 	owner := q.client.all.Owner
 	owner.Post(r)
 	if q.isGone() {
-		owner.Post(routing.Gone{Client: q})
+		owner.Post(routing.ClientDisconnected{Client: q})
 	}
 }
 
--- a/internal/session/server_conn.go
+++ b/internal/session/server_conn.go
@@ -112,7 +112,7 @@
 func (l *serverConn) connect(t *task) (policy.Result, transport.Reason, error) {
 	t.carriedBy(l)
 	clock := l.all.Clock
-	by := clock.Time(min(clock.Now()+l.all.Facts.Load().Settings.ConnectTimeout, t.Until))
+	by := clock.Time(min(clock.Now()+l.all.InForce.Load().Settings.ConnectTimeout, t.Deadline))
 	conn, err := transport.Dial(t.ctx, l.endpoint.endpoint, by, l.all.Buffers, l.all.Fds, t.probe)
 	if err != nil {
 		return policy.ResultConnectFailed, transport.DialReason(err), err
@@ -283,7 +283,7 @@
 		return ended{result: policy.ResultConnectFailed}, transport.EndReplaced, errWithdrawn
 	}
 	clock := l.all.Clock
-	until := clock.Time(t.Until)
+	until := clock.Time(t.Deadline)
 	var parts net.Buffers
 	var total int64
 	var value *transport.Message
@@ -291,7 +291,7 @@
 		q := postgres.AppendQuery(nil, postgres.LoadQuery)
 		parts, total = net.Buffers{q}, int64(len(q))
 	} else {
-		parts, total = t.Payload.(*query).parts(int64(max(t.Until-clock.Now(), 1000)) / 1000)
+		parts, total = t.Payload.(*query).parts(int64(max(t.Deadline-clock.Now(), 1000)) / 1000)
 		value = l.all.Buffers.NewMessage()
 	}
 	if reason, err := l.put(t, parts, total, until); err != nil {
@@ -435,7 +435,7 @@
 
 // stall is when an answer that has begun and stops counts as spoilt.
 func (l *serverConn) stall(by time.Time) time.Time {
-	due := time.Now().Add(time.Duration(l.all.Facts.Load().Settings.ConnectTimeout) * time.Microsecond)
+	due := time.Now().Add(time.Duration(l.all.InForce.Load().Settings.ConnectTimeout) * time.Microsecond)
 	if due.After(by) {
 		return by
 	}
--- a/internal/session/server_conn_test.go
+++ b/internal/session/server_conn_test.go
@@ -36,11 +36,11 @@
 	r := &rig{t: t, server: server, told: make(chan routing.Event, 64)}
 	facts := &settings.InForce{Settings: policy.Settings{ConnectTimeout: 250_000}, Keepalive: 30_000_000}
 	r.servers = &Servers{
-		Owner: poster(r.told), Facts: settings.NewLive(facts), Buffers: transport.NewBuffers(1 << 24),
+		Owner: poster(r.told), InForce: settings.NewLive(facts), Buffers: transport.NewBuffers(1 << 24),
 		Fds: transport.NewDescriptors(1024), Ends: transport.NewEnds(zerolog.Nop()), Clock: routing.NewClock(),
 		User: "backend", DB: "store",
 	}
-	r.servers.Place(1, server.Addr())
+	r.servers.SetEndpoint(1, server.Addr())
 	t.Cleanup(func() {
 		server.Close()
 		r.servers.Close()
@@ -50,9 +50,9 @@
 
 // facts puts changed settings in force.
 func (r *rig) facts(change func(*settings.InForce)) {
-	next := *r.servers.Facts.Load()
+	next := *r.servers.InForce.Load()
 	change(&next)
-	r.servers.Facts.Store(&next)
+	r.servers.InForce.Store(&next)
 }
 
 // poster hands what is posted to a channel.
@@ -69,18 +69,18 @@
 	}
 	now := r.servers.Clock.Now()
 	return routing.Job{
-		ID: id, Server: 1, Payload: &query{text: text, statement: st}, Sent: now, Until: now + 5_000_000,
+		ID: id, Server: 1, Payload: &query{text: text, statement: st}, SentAt: now, Deadline: now + 5_000_000,
 	}
 }
 
-func (r *rig) ended() routing.Ended {
+func (r *rig) ended() routing.AttemptEnded {
 	r.t.Helper()
 	select {
 	case ev := <-r.told:
-		return ev.(routing.Ended)
+		return ev.(routing.AttemptEnded)
 	case <-time.After(patience):
 		r.t.Fatal("nothing was told")
-		return routing.Ended{}
+		return routing.AttemptEnded{}
 	}
 }
 
@@ -158,7 +158,7 @@
 	})
 	r.servers.Send(r.job("a"))
 	<-arrived
-	r.servers.Place(1, other.Addr())
+	r.servers.SetEndpoint(1, other.Addr())
 	close(release)
 	if e := r.ended(); e.Result != policy.ResultOK {
 		t.Errorf("ended with %s", routing.ResultNames[e.Result])
@@ -178,7 +178,7 @@
 func TestMovedWhileIdle(t *testing.T) {
 	r := newRig(t)
 	r.servers.endpointOf(1).idle.Put(r.idleConn())
-	r.servers.Place(1, "127.0.0.1:9")
+	r.servers.SetEndpoint(1, "127.0.0.1:9")
 	select {
 	case <-r.server.Closed:
 	case <-time.After(patience):
@@ -225,8 +225,8 @@
 	}
 	e.Value.Free()
 	now := r.servers.Clock.Now()
-	r.servers.Probe(1, now, now+5_000_000)
-	p := (<-r.told).(routing.ProbeEnded)
+	r.servers.HealthCheck(1, now, now+5_000_000)
+	p := (<-r.told).(routing.HealthCheckEnded)
 	if p.Result != policy.ResultOK || p.Report.Position != 1_796_133_629_826_000 || p.Report.Role != policy.RolePrimary ||
 		p.Report.Util != 250 {
 		t.Errorf("%+v", p)
@@ -287,8 +287,8 @@
 	}
 	r.server.Mute.Store(true)
 	now := r.servers.Clock.Now()
-	r.servers.Probe(1, now, now+100_000)
-	if p := (<-r.told).(routing.ProbeEnded); p.Result != policy.ResultTimeout {
+	r.servers.HealthCheck(1, now, now+100_000)
+	if p := (<-r.told).(routing.HealthCheckEnded); p.Result != policy.ResultTimeout {
 		t.Errorf("the probe ended with %s", routing.ResultNames[p.Result])
 	}
 	for range 2 {
@@ -463,13 +463,13 @@
 		return false
 	})
 	now := r.servers.Clock.Now()
-	r.servers.Probe(1, now, now+5_000_000)
-	if p := (<-r.told).(routing.ProbeEnded); p.Result != policy.ResultOK {
+	r.servers.HealthCheck(1, now, now+5_000_000)
+	if p := (<-r.told).(routing.HealthCheckEnded); p.Result != policy.ResultOK {
 		t.Errorf("the probe ended with %s", routing.ResultNames[p.Result])
 	}
 	r.server.SetProbe(func(q *fake.Query) bool { q.Hangup(); return true })
-	r.servers.Probe(1, now, now+5_000_000)
-	if p := (<-r.told).(routing.ProbeEnded); p.Result != policy.ResultReset {
+	r.servers.HealthCheck(1, now, now+5_000_000)
+	if p := (<-r.told).(routing.HealthCheckEnded); p.Result != policy.ResultReset {
 		t.Errorf("with every connection reset it ended with %s", routing.ResultNames[p.Result])
 	}
 }
--- a/internal/session/servers.go
+++ b/internal/session/servers.go
@@ -19,7 +19,7 @@
 // Servers keeps the connections to the database servers and carries out attempts and probes on them.
 type Servers struct {
 	Owner   Queue
-	Facts   *settings.Live
+	InForce *settings.Live
 	Buffers *transport.Buffers
 	Fds     *transport.Descriptors
 	Ends    *transport.Ends
@@ -86,7 +86,7 @@
 }
 
 // Place tells where a server is. Idle connections to another place are closed.
-func (s *Servers) Place(server policy.ServerID, endpoint string) {
+func (s *Servers) SetEndpoint(server policy.ServerID, endpoint string) {
 	s.mu.Lock()
 	if s.endpoints == nil {
 		s.endpoints, s.conns = map[policy.ServerID]*serverEndpoint{}, map[*serverConn]struct{}{}
@@ -153,8 +153,8 @@
 }
 
 // Probe asks a server for its load report.
-func (s *Servers) Probe(server policy.ServerID, sent, until clock.Micros) {
-	t := newTask(routing.Job{Server: server, Sent: sent, Until: until})
+func (s *Servers) HealthCheck(server policy.ServerID, sent, until clock.Micros) {
+	t := newTask(routing.Job{Server: server, SentAt: sent, Deadline: until})
 	t.probe = true
 	s.start(t)
 }
@@ -211,15 +211,15 @@
 // finish tells the owner how a task ended.
 func (s *Servers) finish(t *task, e ended) {
 	t.stop()
-	latency := s.Clock.Now() - t.Sent
+	latency := s.Clock.Now() - t.SentAt
 	if t.probe {
-		s.Owner.Post(routing.ProbeEnded{
+		s.Owner.Post(routing.HealthCheckEnded{
 			Server: t.Server, Result: e.result, Latency: latency, Report: s.report(e.report),
 		})
 		return
 	}
 	t.Payload.Free()
-	out := routing.Ended{
+	out := routing.AttemptEnded{
 		Job: t.Job, Result: e.result, Latency: latency, Role: roles[e.params.Role], Report: s.report(e.params.Load),
 		Value: e.value,
 	}
@@ -271,7 +271,7 @@
 
 // idleAfter is how long a connection may be idle.
 func (s *Servers) idleAfter() time.Duration {
-	keep := time.Duration(s.Facts.Load().Keepalive) * time.Microsecond
+	keep := time.Duration(s.InForce.Load().Keepalive) * time.Microsecond
 	if keep <= 0 {
 		return DefaultTimeouts.Idle
 	}
--- a/internal/simhost/host.go
+++ b/internal/simhost/host.go
@@ -27,8 +27,8 @@
 type Host struct {
 	now       clock.Micros
 	inBatch   bool
-	sheets    [simwire.Sheets][]policy.Endpoint
-	sheetSent [simwire.Sheets]bool
+	sheets    [simwire.MaxSheets][]policy.Endpoint
+	sheetSent [simwire.MaxSheets]bool
 	instances map[int]*instance
 	out       []byte
 }
@@ -86,13 +86,13 @@
 		return false, err
 	}
 	switch m := msg.(type) {
-	case simwire.Tick:
+	case simwire.BatchBegin:
 		if h.inBatch {
 			return false, errors.New("a batch began inside a batch")
 		}
 		h.now, h.inBatch = m.Now, true
 		return false, nil
-	case simwire.Flush:
+	case simwire.BatchEnd:
 		if !h.inBatch {
 			return false, errors.New("a batch ended that had not begun")
 		}
@@ -103,18 +103,18 @@
 		return false, errors.New("an event stands outside a batch")
 	}
 	switch m := msg.(type) {
-	case simwire.Start:
-		h.instances[m.Instance] = &instance{facts: m.Facts}
+	case simwire.StartInstance:
+		h.instances[m.Instance] = &instance{facts: m.Settings}
 		return false, h.guard(m.Instance, func(in *instance) []policy.Action {
-			r, first := policy.New(h.now, m.Seed, m.Facts.Settings)
+			r, first := policy.New(h.now, m.Seed, m.Settings.Settings)
 			in.router = r
 			return first
 		})
-	case simwire.Stop:
+	case simwire.StopInstance:
 		delete(h.instances, m.Instance)
-	case simwire.Sheet:
+	case simwire.EndpointSheet:
 		h.sheets[m.Number], h.sheetSent[m.Number] = m.Members, true
-	case simwire.News:
+	case simwire.EndpointListChanged:
 		news := policy.EndpointUpdate{Form: m.Form}
 		if m.Form != policy.ListFailed {
 			if !h.sheetSent[m.Sheet] && !h.isBroken(m.Instance) {
@@ -123,7 +123,7 @@
 			news.Endpoints = h.sheets[m.Sheet]
 		}
 		return false, h.step(m.Instance, news)
-	case simwire.ForInstance:
+	case simwire.InstanceEvent:
 		return false, h.step(m.Instance, m.Event)
 	}
 	return false, nil
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -9,7 +9,7 @@
 	"marblespan/internal/policy"
 )
 
-func hexBytes(s string) ([]byte, error) { return hex.DecodeString(s) }
+func decodeHex(s string) ([]byte, error) { return hex.DecodeString(s) }
 
 // AppendActions writes an instance's actions, one line each.
 func AppendActions(b []byte, inst int, actions []policy.Action) []byte {
@@ -21,7 +21,7 @@
 
 // AppendFault writes the action that says an instance's decision code failed.
 func AppendFault(b []byte, inst int, text string) []byte {
-	return end(appendText(begin(b, "BROKEN", inst), text))
+	return endAction(appendText(beginAction(b, "BROKEN", inst), text))
 }
 
 // AppendDone ends a reply.
@@ -30,24 +30,24 @@
 func appendAction(b []byte, inst int, a policy.Action) []byte {
 	switch a := a.(type) {
 	case policy.Send:
-		b = appendNumber(appendText(begin(b, "TRY", inst), a.ID), int64(a.Server))
+		b = appendNumber(appendText(beginAction(b, "TRY", inst), a.ID), int64(a.Server))
 		b = appendMillis(b, a.Until)
 	case policy.Reject:
-		b = appendMillis(appendText(begin(b, "SAY_NO", inst), a.ID), a.RetryAfter)
+		b = appendMillis(appendText(beginAction(b, "SAY_NO", inst), a.ID), a.RetryAfter)
 	case policy.Fail:
-		b = appendText(begin(b, "FINISH_ERROR", inst), a.ID)
+		b = appendText(beginAction(b, "FINISH_ERROR", inst), a.ID)
 	case policy.Cancel:
-		b = appendNumber(appendText(begin(b, "ABANDON", inst), a.ID), int64(a.Attempt))
+		b = appendNumber(appendText(beginAction(b, "ABANDON", inst), a.ID), int64(a.Attempt))
 	case policy.SetTimer:
-		b = appendText(appendMillis(begin(b, "SET_ALARM", inst), a.At), a.Token)
+		b = appendText(appendMillis(beginAction(b, "SET_ALARM", inst), a.At), a.Token)
 	case policy.HealthCheck:
-		b = appendNumber(begin(b, "POLL", inst), int64(a.Server))
+		b = appendNumber(beginAction(b, "POLL", inst), int64(a.Server))
 	case policy.CloseIdle:
-		b = appendNumber(begin(b, "CLOSE_IDLE", inst), int64(a.Server))
+		b = appendNumber(beginAction(b, "CLOSE_IDLE", inst), int64(a.Server))
 	case policy.Forget, policy.Withdraw: // the simulator keeps its own servers; what is sent there has begun
 		return b
 	case policy.SendToPeer:
-		b = begin(b, "MEMO_TO", inst)
+		b = beginAction(b, "MEMO_TO", inst)
 		if a.To == policy.AllPeers {
 			b = append(b, `,"*"`...)
 		} else {
@@ -55,24 +55,24 @@
 		}
 		b = appendText(b, hex.EncodeToString(a.Data))
 	case policy.Log:
-		b = appendText(begin(b, "WRITE_LOG", inst), a.Text)
+		b = appendText(beginAction(b, "WRITE_LOG", inst), a.Text)
 	case policy.Watch:
-		b = append(begin(b, "STREAM_CHANGES", inst), ',')
+		b = append(beginAction(b, "STREAM_CHANGES", inst), ',')
 		b = strconv.AppendBool(b, a.On)
 	case policy.Fetch:
-		b = begin(b, "SNAPSHOT", inst)
+		b = beginAction(b, "SNAPSHOT", inst)
 	default:
 		return AppendFault(b, inst, "the module returned an action the wire does not know")
 	}
-	return end(b)
+	return endAction(b)
 }
 
-func begin(b []byte, name string, inst int) []byte {
+func beginAction(b []byte, name string, inst int) []byte {
 	b = append(append(append(b, `["`...), name...), `",`...)
 	return strconv.AppendInt(b, int64(inst), 10)
 }
 
-func end(b []byte) []byte { return append(b, "]\n"...) }
+func endAction(b []byte) []byte { return append(b, "]\n"...) }
 
 func appendNumber(b []byte, v int64) []byte { return strconv.AppendInt(append(b, ','), v, 10) }
 
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -14,7 +14,7 @@
 )
 
 // Sheets is how many list sheets the wire numbers.
-const Sheets = 16
+const MaxSheets = 16
 
 // FaultError is a defect that belongs to one instance.
 type FaultError struct {
@@ -28,36 +28,36 @@
 type Message interface{}
 
 // Tick begins a batch.
-type Tick struct{ Now clock.Micros }
+type BatchBegin struct{ Now clock.Micros }
 
 // Flush ends a batch.
-type Flush struct{}
+type BatchEnd struct{}
 
 // Start begins an instance.
-type Start struct {
+type StartInstance struct {
 	Instance int
 	Seed     uint64
-	Facts    *settings.InForce
+	Settings *settings.InForce
 }
 
 // Stop ends an instance.
-type Stop struct{ Instance int }
+type StopInstance struct{ Instance int }
 
 // Sheet carries list entries under a number.
-type Sheet struct {
+type EndpointSheet struct {
 	Number  int
 	Members []policy.Endpoint
 }
 
 // News says which sheet an instance has learned of.
-type News struct {
+type EndpointListChanged struct {
 	Instance int
 	Form     policy.ListForm
 	Sheet    int
 }
 
 // ForInstance is any other event.
-type ForInstance struct {
+type InstanceEvent struct {
 	Instance int
 	Event    policy.Event
 }
@@ -135,7 +135,7 @@
 	return s
 }
 
-func (r *row) truth(i int) bool {
+func (r *row) boolean(i int) bool {
 	var b bool
 	if r.absent(i) || json.Unmarshal(r.vals[i], &b) != nil {
 		r.fail(i, "true or false")
@@ -176,35 +176,35 @@
 		if r.absent(0) {
 			r.fail(0, "a time")
 		}
-		return whole(name, Tick{r.micros(0)}, r)
+		return checked(name, BatchBegin{r.micros(0)}, r)
 	case "FLUSH":
-		return Flush{}, nil
+		return BatchEnd{}, nil
 	case "LEDGER":
-		m := Sheet{Number: r.count(0), Members: r.members(1)}
-		if m.Number >= Sheets {
+		m := EndpointSheet{Number: r.count(0), Members: r.members(1)}
+		if m.Number >= MaxSheets {
 			r.fail(0, "a sheet from 0 to 15")
 		}
-		return whole(name, m, r)
+		return checked(name, m, r)
 	}
 	inst := r.count(0)
 	if r.err != nil {
 		return nil, fmt.Errorf("%.40q: it names no instance", name)
 	}
-	msg, err := decodeFor(name, inst, r, factsOf)
+	msg, err := decodeInstanceMessage(name, inst, r, factsOf)
 	if err != nil {
 		return nil, &FaultError{Instance: inst, Text: err.Error()}
 	}
 	return msg, nil
 }
 
-func whole(name string, m Message, r *row) (Message, error) {
+func checked(name string, m Message, r *row) (Message, error) {
 	if r.err != nil {
 		return nil, fmt.Errorf("%s: %w", name, r.err)
 	}
 	return m, nil
 }
 
-func decodeFor(name string, inst int, r *row, factsOf func(int) *settings.InForce) (Message, error) {
+func decodeInstanceMessage(name string, inst int, r *row, factsOf func(int) *settings.InForce) (Message, error) {
 	switch name {
 	case "START":
 		seed := r.seed(1)
@@ -212,17 +212,17 @@
 			return nil, errors.New("START: it lacks its seed or its settings")
 		}
 		facts, err := settings.Parse(r.vals[2])
-		return Start{inst, seed, facts}, err
+		return StartInstance{inst, seed, facts}, err
 	case "POWER_OFF":
-		return Stop{inst}, nil
+		return StopInstance{inst}, nil
 	case "REGISTRY":
-		m := News{Instance: inst, Form: lookup(r, forms, 1, "a known form of list")}
+		m := EndpointListChanged{Instance: inst, Form: lookupCode(r, forms, 1, "a known form of list")}
 		if m.Form != policy.ListFailed {
-			if m.Sheet = r.count(3); m.Sheet >= Sheets {
+			if m.Sheet = r.count(3); m.Sheet >= MaxSheets {
 				r.fail(3, "a sheet from 0 to 15")
 			}
 		}
-		return whole(name, m, r)
+		return checked(name, m, r)
 	}
 	facts := factsOf(inst)
 	if facts == nil {
@@ -242,11 +242,11 @@
 		ev = policy.Timer{Token: r.text(1)}
 	case "STATUS_BACK":
 		ev = policy.HealthCheckEnded{
-			Server: policy.ServerID(r.unsigned(1, 32)), Result: lookup(r, results, 2, "a known outcome"),
-			Latency: r.micros(3), LoadReport: r.report(4, facts),
+			Server: policy.ServerID(r.unsigned(1, 32)), Result: lookupCode(r, results, 2, "a known outcome"),
+			Latency: r.micros(3), LoadReport: r.loadReport(4, facts),
 		}
 	case "MAIL":
-		data, err := hexBytes(r.text(2))
+		data, err := decodeHex(r.text(2))
 		if err != nil {
 			r.fail(2, "hex digits")
 		}
@@ -254,10 +254,10 @@
 	default:
 		return nil, fmt.Errorf("unknown event %.40q", name)
 	}
-	return whole(name, ForInstance{inst, ev}, r)
+	return checked(name, InstanceEvent{inst, ev}, r)
 }
 
-func lookup[T any](r *row, table map[int64]T, i int, want string) T {
+func lookupCode[T any](r *row, table map[int64]T, i int, want string) T {
 	v, ok := table[r.integer(i)]
 	if !ok {
 		r.fail(i, want)
@@ -277,7 +277,7 @@
 
 // The flag bits of a request's attrs.
 const (
-	flagRepeat = 2
+	flagRetry = 2
 )
 
 func (r *row) arrival(f *settings.InForce) policy.Event {
@@ -287,7 +287,7 @@
 	}
 	a := policy.Arrival{
 		ID: r.text(1), Class: class, Group: int(r.integerOr(4, 0)), TimeLeft: r.micros(5),
-		ClientRetry: r.integerOr(8, 0)&flagRepeat != 0, SinceWrite: r.micros(9),
+		ClientRetry: r.integerOr(8, 0)&flagRetry != 0, SinceWrite: r.micros(9),
 	}
 	if !r.absent(2) {
 		a.Session, a.HasSession = r.unsigned(2, 64), true
@@ -298,8 +298,8 @@
 func (r *row) outcome(f *settings.InForce) policy.Event {
 	o := policy.Outcome{
 		ID: r.text(1), Latency: r.micros(3), Server: policy.ServerID(r.unsigned(4, 32)),
-		Result: lookup(r, results, 5, "a known outcome"), Final: r.truth(6), Attempt: r.count(7),
-		LoadReport: r.report(8, f),
+		Result: lookupCode(r, results, 5, "a known outcome"), Final: r.boolean(6), Attempt: r.count(7),
+		LoadReport: r.loadReport(8, f),
 	}
 	if note := r.integerOr(2, 0); note > 0 {
 		o.Role = roles[note%4]
@@ -311,7 +311,7 @@
 }
 
 // report reads a load report by the order of the settings' fields; fields of unknown names are passed over.
-func (r *row) report(i int, f *settings.InForce) policy.LoadReport {
+func (r *row) loadReport(i int, f *settings.InForce) policy.LoadReport {
 	var rep policy.LoadReport
 	if r.absent(i) {
 		return rep
@@ -346,7 +346,7 @@
 		e := row{vals: vals}
 		m := policy.Endpoint{
 			Primary: !e.absent(0) && e.scaled(0, 0) == 1, Server: policy.ServerID(e.unsigned(4, 32)),
-			Group: int(e.integerOr(5, 0)), State: lookup(&e, states, 6, "a known state"), Started: e.micros(7),
+			Group: int(e.integerOr(5, 0)), State: lookupCode(&e, states, 6, "a known state"), Started: e.micros(7),
 		}
 		if !e.absent(1) {
 			m.Weight = e.scaled(1, 3)
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -65,40 +65,40 @@
 		line string
 		want Message
 	}{
-		{`["TICK",8412.25]`, Tick{8_412_250}},
-		{`["TICK", 357778831.756]`, Tick{357_778_831_756}},
-		{`["FLUSH"]`, Flush{}},
-		{`["POWER_OFF",3]`, Stop{3}},
-		{`["REGISTRY",3,0,41,15]`, News{3, policy.ListDelta, 15}},
-		{`["REGISTRY",3,4,41,2]`, News{3, policy.ListFull, 2}},
-		{`["REGISTRY",3,1,41,2]`, News{3, policy.ListCached, 2}},
-		{`["REGISTRY",3,3,41,null]`, News{3, policy.ListFailed, 0}},
-		{`["REGISTRY",3,3]`, News{3, policy.ListFailed, 0}},
+		{`["TICK",8412.25]`, BatchBegin{8_412_250}},
+		{`["TICK", 357778831.756]`, BatchBegin{357_778_831_756}},
+		{`["FLUSH"]`, BatchEnd{}},
+		{`["POWER_OFF",3]`, StopInstance{3}},
+		{`["REGISTRY",3,0,41,15]`, EndpointListChanged{3, policy.ListDelta, 15}},
+		{`["REGISTRY",3,4,41,2]`, EndpointListChanged{3, policy.ListFull, 2}},
+		{`["REGISTRY",3,1,41,2]`, EndpointListChanged{3, policy.ListCached, 2}},
+		{`["REGISTRY",3,3,41,null]`, EndpointListChanged{3, policy.ListFailed, 0}},
+		{`["REGISTRY",3,3]`, EndpointListChanged{3, policy.ListFailed, 0}},
 		{`["LEDGER",7,[[1,1.5,"k","west",4294967295,11,1,6100.25],[0,1,"k","east",7,-1,2,null],[null,null,null,null,8,0,0]]]`,
-			Sheet{7, []policy.Endpoint{
+			EndpointSheet{7, []policy.Endpoint{
 				{Server: 4294967295, Group: 11, Zone: "west", State: policy.EndpointReady, Started: 6_100_250, Primary: true, Weight: 1500},
 				{Server: 7, Group: -1, Zone: "east", State: policy.EndpointDraining, Weight: 1000},
 				{Server: 8, State: policy.EndpointRemoved},
 			}}},
-		{`["JOB_IN",3,"rq_a",4569004829183723,12.0,11,240.5,"look",null,3,412.5]`, ForInstance{3, policy.Arrival{
+		{`["JOB_IN",3,"rq_a",4569004829183723,12.0,11,240.5,"look",null,3,412.5]`, InstanceEvent{3, policy.Arrival{
 			ID: "rq_a", Class: 0, Group: 11, Session: 4569004829183723, HasSession: true, TimeLeft: 240_500, ClientRetry: true,
 			SinceWrite: 412_500}}},
-		{`["JOB_IN",3,"rq_a",null,null,11,240,"put",null,4]`, ForInstance{3, policy.Arrival{
+		{`["JOB_IN",3,"rq_a",null,null,11,240,"put",null,4]`, InstanceEvent{3, policy.Arrival{
 			ID: "rq_a", Class: 1, Group: 11, TimeLeft: 240_000}}},
-		{`["RESPONSE",3,"rq_a",25486,18.5,51530247,200,true,0,null]`, ForInstance{3, policy.Outcome{
+		{`["RESPONSE",3,"rq_a",25486,18.5,51530247,200,true,0,null]`, InstanceEvent{3, policy.Outcome{
 			ID: "rq_a", Server: 51530247, Result: policy.ResultOK, Final: true, Latency: 18_500, Role: policy.RoleReplica,
 			Position: 1_000_250 + 6371_000}}},
-		{`["RESPONSE",3,"rq_a",1,0,5,404,false,2]`, ForInstance{3, policy.Outcome{
+		{`["RESPONSE",3,"rq_a",1,0,5,404,false,2]`, InstanceEvent{3, policy.Outcome{
 			ID: "rq_a", Server: 5, Result: policy.ResultMisdirected, Attempt: 2, Role: policy.RolePrimary}}},
-		{`["STATUS_BACK",3,7,200,1.4,[6.204,9,0,2.5,0.62]]`, ForInstance{3, policy.HealthCheckEnded{
+		{`["STATUS_BACK",3,7,200,1.4,[6.204,9,0,2.5,0.62]]`, InstanceEvent{3, policy.HealthCheckEnded{
 			Server: 7, Latency: 1400, LoadReport: policy.LoadReport{Position: 1_000_250 + 6_204_000, HasPosition: true,
 				Role: policy.RoleReplica, Queue: 2500, HasQueue: true, Util: 620, HasUtil: true}}}},
-		{`["STATUS_BACK",3,7,504,250,null]`, ForInstance{3, policy.HealthCheckEnded{
+		{`["STATUS_BACK",3,7,504,250,null]`, InstanceEvent{3, policy.HealthCheckEnded{
 			Server: 7, Result: policy.ResultTimeout, Latency: 250_000}}},
-		{`["HEADERS",3,"rq_a",1,7,9.25]`, ForInstance{3, policy.AnswerStarted{ID: "rq_a", Attempt: 1}}},
-		{`["DROPPED",3,"rq_a"]`, ForInstance{3, policy.ClientDisconnected{ID: "rq_a"}}},
-		{`["ALARM",3,"sw\"eep"]`, ForInstance{3, policy.Timer{Token: `sw"eep`}}},
-		{`["MAIL",3,2,"68692037"]`, ForInstance{3, policy.PeerMessage{From: 2, Data: []byte("hi 7")}}},
+		{`["HEADERS",3,"rq_a",1,7,9.25]`, InstanceEvent{3, policy.AnswerStarted{ID: "rq_a", Attempt: 1}}},
+		{`["DROPPED",3,"rq_a"]`, InstanceEvent{3, policy.ClientDisconnected{ID: "rq_a"}}},
+		{`["ALARM",3,"sw\"eep"]`, InstanceEvent{3, policy.Timer{Token: `sw"eep`}}},
+		{`["MAIL",3,2,"68692037"]`, InstanceEvent{3, policy.PeerMessage{From: 2, Data: []byte("hi 7")}}},
 	} {
 		got, err := Decode([]byte(c.line), func(int) *settings.InForce { return f })
 		if err != nil || !reflect.DeepEqual(got, c.want) {
@@ -106,7 +106,7 @@
 		}
 	}
 	got, err := Decode([]byte(`["START",4,18446744073709551615,`+strings.ReplaceAll(facts, "\n", " ")+`]`), nil)
-	if s, ok := got.(Start); err != nil || !ok || s.Instance != 4 || s.Seed != 1<<64-1 || len(s.Facts.Settings.Classes) != 3 {
+	if s, ok := got.(StartInstance); err != nil || !ok || s.Instance != 4 || s.Seed != 1<<64-1 || len(s.Settings.Settings.Classes) != 3 {
 		t.Errorf("START: %+v, %v", got, err)
 	}
 }
@@ -119,7 +119,7 @@
 		"410": policy.ResultNotSent, "404": policy.ResultMisdirected,
 	} {
 		got, err := Decode([]byte(`["STATUS_BACK",3,7,`+code+`,1]`), func(int) *settings.InForce { return f })
-		if err != nil || got.(ForInstance).Event.(policy.HealthCheckEnded).Result != want {
+		if err != nil || got.(InstanceEvent).Event.(policy.HealthCheckEnded).Result != want {
 			t.Errorf("%s: %+v, %v", code, got, err)
 		}
 	}
