--- a/internal/indoubt/explore_test.go
+++ b/internal/indoubt/explore_test.go
@@ -16,8 +16,8 @@
 
 // The clock of the model, in units that a run has a few hundred of.
 const (
-	patience = 100
-	horizon  = 260
+	clientTimeout = 100
+	lastTick      = 260
 )
 
 var testConfig = Config{SendWindow: 30, PollInterval: 45, OwnerGrace: 20, OutcomeTimeout: 100}
@@ -33,112 +33,112 @@
 type stage uint8
 
 const (
-	chosen    stage = iota // a server is chosen
-	asking                 // its last byte may not go out yet
-	permitted              // it may, and has not
-	inKernel               // it has
-	served                 // the server has run it, and answers
-	done
+	serverChosen       stage = iota // a server is chosen
+	awaitingPermission              // its last byte may not go out yet
+	permitted                       // it may, and has not
+	inKernel                        // it has
+	answeredByServer                // the server has run it, and answers
+	ended
 )
 
 // attempt is one, and the gateway's life that made it.
 type attempt struct {
-	gw, life int
-	id       uint64
-	stage    stage
+	gateway, incarnation int
+	id                   uint64
+	stage                stage
 }
 
 // storeCall is a call of the store that is under way.
 type storeCall struct {
-	gw, life int
-	put      Put
-	get      Get
-	isPut    bool
-	applied  bool
-	result   StoreReplied
+	gateway, incarnation int
+	put                  Put
+	get                  Get
+	isPut                bool
+	applied              bool
+	result               StoreReplied
 }
 
 // ask is one time that the client asked.
-type ask struct {
-	gw, life int
-	id       uint64
-	marked   bool
-	told     bool
-	kind     AnswerKind
-	value    string
-	let      bool // it goes no further here: the client has gone
+type clientRequest struct {
+	gateway, incarnation int
+	id                   uint64
+	repeat               bool
+	answered             bool
+	kind                 AnswerKind
+	value                string
+	canceled             bool // it goes no further here: the client has gone
 }
 
 // budget is how often each kind of fault may happen yet.
-type budget struct{ asks, crash, cut, loss, word, failover, pause, closing int }
+type budget struct{ repeats, crashes, failedCalls, storeLosses, endReports, failovers, pauses, shutdowns int }
 
 // world is two gateways, the store as its contract has it, a server and a client that asks again.
 type world struct {
-	now      clock.Micros
-	desks    [2]*Resolver
-	life     [2]int
-	down     [2]bool
-	rec      *Intent
-	version  uint64
-	versions uint64
-	lost     bool
-	lostAt   clock.Micros
-	recAt    clock.Micros
-	calls    []storeCall
-	attempts []attempt
-	looks    []ask // who waits for one
-	asks     []ask
-	runs     int
-	effect   bool // the primary shows it
-	left     budget
-	broken   string
+	now           clock.Micros
+	resolvers     [2]*Resolver
+	incarnations  [2]int
+	down          [2]bool
+	intent        *Intent
+	version       uint64
+	versions      uint64
+	lost          bool
+	lostAt        clock.Micros
+	intentAt      clock.Micros
+	calls         []storeCall
+	attempts      []attempt
+	lookups       []clientRequest // who waits for one
+	requests      []clientRequest
+	runs          int
+	effectVisible bool // the primary shows it
+	budget        budget
+	broken        string
 }
 
 // model is an arrangement.
 type model struct {
 	policy Policy
-	left   budget
-	mut    *mutant
+	budget budget
+	mutant *mutant
 }
 
 func (m model) Start() *world {
-	w := &world{left: m.left}
-	for g := range w.desks {
+	w := &world{budget: m.budget}
+	for g := range w.resolvers {
 		m.boot(w, g)
 	}
 	return w
 }
 
 func (m model) boot(w *world, g int) {
-	w.life[g]++
+	w.incarnations[g]++
 	w.down[g] = false
 	c := testConfig
-	c.Gateway, c.Incarnation = fmt.Sprint("g", g), uint64(w.life[g])
-	w.desks[g] = New(c)
+	c.Gateway, c.Incarnation = fmt.Sprint("g", g), uint64(w.incarnations[g])
+	w.resolvers[g] = New(c)
 }
 
 func (w *world) clone() *world {
 	c := *w
-	c.desks = [2]*Resolver{w.desks[0].Clone(), w.desks[1].Clone()}
-	if w.rec != nil {
-		r := *w.rec
-		c.rec = &r
+	c.resolvers = [2]*Resolver{w.resolvers[0].Clone(), w.resolvers[1].Clone()}
+	if w.intent != nil {
+		r := *w.intent
+		c.intent = &r
 	}
-	c.calls, c.attempts, c.asks, c.looks = slices.Clone(w.calls), slices.Clone(w.attempts), slices.Clone(w.asks), slices.Clone(w.looks)
+	c.calls, c.attempts, c.requests, c.lookups = slices.Clone(w.calls), slices.Clone(w.attempts), slices.Clone(w.requests), slices.Clone(w.lookups)
 	return &c
 }
 
 // Key tells states apart.
 func (m model) Key(w *world) string {
-	text := fmt.Sprint(w.now, w.life, w.down, w.version, w.versions, w.lost, w.lostAt, w.recAt, w.attempts, w.asks, w.looks, w.runs, w.effect, w.left, w.broken)
-	if w.rec != nil {
-		text += fmt.Sprint(*w.rec)
+	text := fmt.Sprint(w.now, w.incarnations, w.down, w.version, w.versions, w.lost, w.lostAt, w.intentAt, w.attempts, w.requests, w.lookups, w.runs, w.effectVisible, w.budget, w.broken)
+	if w.intent != nil {
+		text += fmt.Sprint(*w.intent)
 	}
-	for _, d := range w.desks {
-		text += fmt.Sprint(d.nextCall, d.entries, d.ended)
+	for _, d := range w.resolvers {
+		text += fmt.Sprint(d.lastCall, d.writes, d.endedGateways)
 	}
 	for _, c := range w.calls {
-		text += fmt.Sprint(c.gw, c.life, c.put, c.get, c.isPut, c.applied, c.result.Result, c.result.Version)
+		text += fmt.Sprint(c.gateway, c.incarnation, c.put, c.get, c.isPut, c.applied, c.result.Result, c.result.Version)
 	}
 	b := binary.BigEndian.AppendUint64(nil, xxhash.Sum64String(text))
 	return string(binary.BigEndian.AppendUint32(b, uint32(len(text))))
@@ -147,13 +147,13 @@
 // Show draws a state.
 func (m model) Show(w *world) string {
 	out := fmt.Sprintf("t=%d runs=%d", w.now, w.runs)
-	if w.rec != nil {
-		out += fmt.Sprintf(" %v@%s/%d#%d v%d", w.rec.State, w.rec.Owner, w.rec.Incarnation, w.rec.ClaimCount, w.version)
+	if w.intent != nil {
+		out += fmt.Sprintf(" %v@%s/%d#%d v%d", w.intent.State, w.intent.Owner, w.intent.Incarnation, w.intent.ClaimCount, w.version)
 	}
-	for g, d := range w.desks {
-		out += fmt.Sprintf(" | g%d/%d", g, w.life[g])
-		for _, e := range d.entries {
-			out += fmt.Sprintf(" %d:%d", e.ask.ID, e.phase)
+	for g, d := range w.resolvers {
+		out += fmt.Sprintf(" | g%d/%d", g, w.incarnations[g])
+		for _, e := range d.writes {
+			out += fmt.Sprintf(" %d:%d", e.request.ID, e.phase)
 		}
 	}
 	return out
@@ -161,37 +161,39 @@
 
 // handle hands a desk an event and carries out what comes of it.
 func (m model) handle(w *world, g int, ev Event) {
-	d := w.desks[g]
-	if m.mut != nil && m.mut.before != nil {
-		ev = m.mut.before(d, ev)
+	d := w.resolvers[g]
+	if m.mutant != nil && m.mutant.before != nil {
+		ev = m.mutant.before(d, ev)
 	}
 	var out []Action
 	if ev != nil {
 		out = d.Handle(w.now, ev)
 	}
-	if m.mut != nil && m.mut.after != nil {
-		out = m.mut.after(d, out)
+	if m.mutant != nil && m.mutant.after != nil {
+		out = m.mutant.after(d, out)
 	}
 	for _, a := range out {
 		switch a := a.(type) {
 		case Put:
-			w.calls = append(w.calls, storeCall{gw: g, life: w.life[g], put: a, isPut: true})
+			w.calls = append(w.calls, storeCall{gateway: g, incarnation: w.incarnations[g], put: a, isPut: true})
 		case Get:
-			w.calls = append(w.calls, storeCall{gw: g, life: w.life[g], get: a})
+			w.calls = append(w.calls, storeCall{gateway: g, incarnation: w.incarnations[g], get: a})
 		case Route:
-			w.attempts = append(w.attempts, attempt{gw: g, life: w.life[g], id: a.ID})
+			w.attempts = append(w.attempts, attempt{gateway: g, incarnation: w.incarnations[g], id: a.ID})
 		case Permit:
 			w.permit(m, g, a)
 		case Reply:
 			w.reply(g, a)
 		case LookUp:
-			w.looks = append(w.looks, ask{gw: g, life: w.life[g], id: a.ID})
+			w.lookups = append(w.lookups, clientRequest{gateway: g, incarnation: w.incarnations[g], id: a.ID})
 		}
 	}
 }
 
 func (w *world) attempt(g int, id uint64) *attempt {
-	i := slices.IndexFunc(w.attempts, func(a attempt) bool { return a.gw == g && a.id == id && a.life == w.life[g] && a.stage != done })
+	i := slices.IndexFunc(w.attempts, func(a attempt) bool {
+		return a.gateway == g && a.id == id && a.incarnation == w.incarnations[g] && a.stage != ended
+	})
 	if i < 0 {
 		return nil
 	}
@@ -200,34 +202,34 @@
 
 func (w *world) permit(m model, g int, p Permit) {
 	x := w.attempt(g, p.ID)
-	if x == nil || x.stage != asking {
+	if x == nil || x.stage != awaitingPermission {
 		return
 	}
 	if p.Granted {
 		x.stage = permitted
 		return
 	}
-	x.stage = done
+	x.stage = ended
 	m.handle(w, g, RoutingAnswered{ID: p.ID, Kind: Rejected})
 }
 
 // out tells whether a byte of the booking may come to a server yet, or has.
-func (w *world) out() bool {
+func (w *world) mayStillRun() bool {
 	return w.runs > 0 || slices.ContainsFunc(w.attempts, func(a attempt) bool {
-		return a.stage == inKernel || a.stage == permitted && a.life == w.life[a.gw] && !w.down[a.gw]
+		return a.stage == inKernel || a.stage == permitted && a.incarnation == w.incarnations[a.gateway] && !w.down[a.gateway]
 	})
 }
 
 func (w *world) reply(g int, r Reply) {
-	for i := range w.asks {
-		a := &w.asks[i]
-		if a.gw != g || a.id != r.ID || a.life != w.life[g] {
+	for i := range w.requests {
+		a := &w.requests[i]
+		if a.gateway != g || a.id != r.ID || a.incarnation != w.incarnations[g] {
 			continue
 		}
-		if a.told && w.broken == "" {
+		if a.answered && w.broken == "" {
 			w.broken = "two answers to one request"
 		}
-		a.told, a.kind, a.value = true, r.Kind, string(r.Value)
+		a.answered, a.kind, a.value = true, r.Kind, string(r.Value)
 		if r.Kind == Served && r.Value == nil {
 			a.value = "answer"
 		}
@@ -236,10 +238,10 @@
 			w.broken = fmt.Sprintf("served, and it ran %d times", w.runs)
 		case r.Kind == Served && a.value != "answer":
 			w.broken = "served with another answer: " + a.value
-		case r.Kind == Rejected && a.marked && w.out():
+		case r.Kind == Rejected && a.repeat && w.mayStillRun():
 			w.broken = "asked again and refused, though it may have run"
 		case r.Kind == Rejected && slices.ContainsFunc(w.attempts, func(x attempt) bool {
-			return x.gw == g && x.life == a.life && x.id == a.id && x.stage != done
+			return x.gateway == g && x.incarnation == a.incarnation && x.id == a.id && x.stage != ended
 		}):
 			w.broken = "refused while it may go out"
 		}
@@ -253,19 +255,19 @@
 		return errors.New(w.broken)
 	case w.runs > 1:
 		return errors.New("it ran twice")
-	case w.rec != nil && w.rec.State == Unsent && w.out():
+	case w.intent != nil && w.intent.State == Unsent && w.mayStillRun():
 		return errors.New("the store says that it never ran, and it may have")
 	}
-	if len(w.calls)+len(w.looks) > 0 || slices.ContainsFunc(w.attempts, func(a attempt) bool { return a.stage != done }) {
+	if len(w.calls)+len(w.lookups) > 0 || slices.ContainsFunc(w.attempts, func(a attempt) bool { return a.stage != ended }) {
 		return nil
 	}
-	for g, d := range w.desks {
+	for g, d := range w.resolvers {
 		if _, due := d.Next(); due && !w.down[g] {
 			return nil
 		}
 	}
-	for _, a := range w.asks {
-		if !a.told && !a.let && !w.down[a.gw] && a.life == w.life[a.gw] {
+	for _, a := range w.requests {
+		if !a.answered && !a.canceled && !w.down[a.gateway] && a.incarnation == w.incarnations[a.gateway] {
 			return fmt.Errorf("request %d never gets an answer", a.id)
 		}
 	}
@@ -286,106 +288,106 @@
 	for i, x := range w.attempts {
 		m.attemptMoves(w, i, x, add)
 	}
-	for i, l := range w.looks {
-		if w.down[l.gw] || l.life != w.life[l.gw] {
+	for i, l := range w.lookups {
+		if w.down[l.gateway] || l.incarnation != w.incarnations[l.gateway] {
 			continue
 		}
 		add(fmt.Sprint("look ", l.id), func(w *world) {
-			w.looks = slices.Delete(w.looks, i, i+1)
-			m.handle(w, l.gw, LookupAnswered{ID: l.id, Found: w.effect, Value: []byte("answer")})
+			w.lookups = slices.Delete(w.lookups, i, i+1)
+			m.handle(w, l.gateway, LookupAnswered{ID: l.id, Found: w.effectVisible, Value: []byte("answer")})
 		})
 	}
-	for g := range w.desks {
+	for g := range w.resolvers {
 		if w.down[g] {
 			add(fmt.Sprint("start g", g), func(w *world) { m.boot(w, g) })
 			continue
 		}
-		if at, due := w.desks[g].Next(); due && at <= horizon {
+		if at, due := w.resolvers[g].Next(); due && at <= lastTick {
 			add(fmt.Sprint("tick g", g), func(w *world) {
 				w.now = max(w.now, at)
 				m.handle(w, g, Tick{})
 			})
 		}
-		if w.left.crash > 0 {
+		if w.budget.crashes > 0 {
 			add(fmt.Sprint("crash g", g), func(w *world) {
-				w.left.crash--
+				w.budget.crashes--
 				w.down[g] = true
-				w.looks = slices.DeleteFunc(w.looks, func(l ask) bool { return l.gw == g })
+				w.lookups = slices.DeleteFunc(w.lookups, func(l clientRequest) bool { return l.gateway == g })
 				for i := range w.attempts {
-					if x := &w.attempts[i]; x.gw == g && x.stage < inKernel {
-						x.stage = done
+					if x := &w.attempts[i]; x.gateway == g && x.stage < inKernel {
+						x.stage = ended
 					}
 				}
 			})
 		}
-		if w.left.closing > 0 {
+		if w.budget.shutdowns > 0 {
 			add(fmt.Sprint("g", g, " is about to end"), func(w *world) {
-				w.left.closing--
+				w.budget.shutdowns--
 				m.handle(w, g, ShutdownStarted{})
-				for _, a := range w.asks {
-					routes := slices.ContainsFunc(w.attempts, func(x attempt) bool { return x.gw == g && x.id == a.id && x.life == a.life })
-					if a.gw == g && a.life == w.life[g] && !a.told && !a.let && !routes && w.broken == "" {
+				for _, a := range w.requests {
+					routes := slices.ContainsFunc(w.attempts, func(x attempt) bool { return x.gateway == g && x.id == a.id && x.incarnation == a.incarnation })
+					if a.gateway == g && a.incarnation == w.incarnations[g] && !a.answered && !a.canceled && !routes && w.broken == "" {
 						w.broken = fmt.Sprintf("request %d is left without an answer", a.id)
 					}
 				}
 			})
 		}
-		if w.left.word > 0 {
+		if w.budget.endReports > 0 {
 			add(fmt.Sprint("word that g", g, " ended"), func(w *world) {
-				w.left.word--
-				m.handle(w, 1-g, GatewayEnded{Gateway: fmt.Sprint("g", g), Incarnation: uint64(w.life[g])})
+				w.budget.endReports--
+				m.handle(w, 1-g, GatewayEnded{Gateway: fmt.Sprint("g", g), Incarnation: uint64(w.incarnations[g])})
 			})
 		}
 	}
-	if w.left.pause > 0 {
+	if w.budget.pauses > 0 {
 		add("time passes", func(w *world) {
-			w.left.pause--
+			w.budget.pauses--
 			w.now += testConfig.SendWindow + 1
 		})
 	}
-	if w.left.loss > 0 && w.rec != nil {
+	if w.budget.storeLosses > 0 && w.intent != nil {
 		add("the store is lost", func(w *world) {
-			w.left.loss--
-			w.rec, w.version, w.lost, w.lostAt = nil, 0, true, w.now
+			w.budget.storeLosses--
+			w.intent, w.version, w.lost, w.lostAt = nil, 0, true, w.now
 		})
 	}
-	if w.left.failover > 0 && w.effect {
+	if w.budget.failovers > 0 && w.effectVisible {
 		add("a primary without the commit", func(w *world) {
-			w.left.failover--
-			w.effect = false
+			w.budget.failovers--
+			w.effectVisible = false
 		})
 	}
 	return all
 }
 
 func (m model) clientMoves(w *world, add func(string, func(*world))) {
-	n := len(w.asks)
+	n := len(w.requests)
 	if n > 0 {
-		last := w.asks[n-1]
-		if last.told && last.kind == Served {
+		last := w.requests[n-1]
+		if last.answered && last.kind == Served {
 			return
 		}
-		if !last.told && !last.let {
-			if !w.down[last.gw] && last.life == w.life[last.gw] {
+		if !last.answered && !last.canceled {
+			if !w.down[last.gateway] && last.incarnation == w.incarnations[last.gateway] {
 				add("the client goes", func(w *world) {
-					w.asks[n-1].let = true
-					m.handle(w, last.gw, RequestCanceled{last.id})
+					w.requests[n-1].canceled = true
+					m.handle(w, last.gateway, RequestCanceled{last.id})
 				})
 			}
 		}
 	}
-	if n > m.left.asks {
+	if n > m.budget.repeats {
 		return
 	}
-	for g := range w.desks {
+	for g := range w.resolvers {
 		if w.down[g] {
 			continue
 		}
 		add(fmt.Sprint("ask g", g), func(w *world) {
-			a := ask{gw: g, life: w.life[g], id: uint64(n + 1), marked: n > 0 && m.policy.RepeatsMarked}
-			w.asks = append(w.asks, a)
+			a := clientRequest{gateway: g, incarnation: w.incarnations[g], id: uint64(n + 1), repeat: n > 0 && m.policy.RepeatsMarked}
+			w.requests = append(w.requests, a)
 			m.handle(w, g, RequestReceived{
-				ID: a.id, Key: "key", RequestID: fmt.Sprint("request", n), Repeat: a.marked, Deadline: w.now + patience, Policy: m.policy,
+				ID: a.id, Key: "key", RequestID: fmt.Sprint("request", n), Repeat: a.repeat, Deadline: w.now + clientTimeout, Policy: m.policy,
 			})
 		})
 	}
@@ -395,9 +397,9 @@
 func (w *world) apply(c *storeCall) {
 	c.applied = true
 	if !c.isPut {
-		c.result = StoreReplied{Call: c.get.Call, Version: w.version, Age: w.now - w.recAt, PossiblyLost: w.lost && w.rec == nil, SinceLoss: w.now - w.lostAt}
-		if w.rec != nil {
-			r := *w.rec
+		c.result = StoreReplied{Call: c.get.Call, Version: w.version, Age: w.now - w.intentAt, PossiblyLost: w.lost && w.intent == nil, SinceLoss: w.now - w.lostAt}
+		if w.intent != nil {
+			r := *w.intent
 			c.result.Intent = &r
 		}
 		return
@@ -407,10 +409,10 @@
 		c.result.Result = Conflict
 		return
 	}
-	c.result.PossiblyLost, c.result.SinceLoss = w.lost && w.rec == nil, w.now-w.lostAt
+	c.result.PossiblyLost, c.result.SinceLoss = w.lost && w.intent == nil, w.now-w.lostAt
 	r := c.put.Intent
 	w.versions++
-	w.rec, w.version, w.recAt = &r, w.versions, w.now
+	w.intent, w.version, w.intentAt = &r, w.versions, w.now
 	c.result.Version = w.version
 }
 
@@ -418,15 +420,15 @@
 
 func (m model) callMoves(w *world, i int, c storeCall, add func(string, func(*world))) {
 	id := c.put.Call + c.get.Call
-	alive := !w.down[c.gw] && c.life == w.life[c.gw]
+	alive := !w.down[c.gateway] && c.incarnation == w.incarnations[c.gateway]
 	end := func(w *world, s StoreReplied) {
 		w.calls = slices.Delete(w.calls, i, i+1)
 		if alive {
-			m.handle(w, c.gw, s)
+			m.handle(w, c.gateway, s)
 		}
 	}
 	if !c.applied && (c.isPut || alive) {
-		add(fmt.Sprintf("call %d of g%d comes into force", id, c.gw), func(w *world) {
+		add(fmt.Sprintf("call %d of g%d comes into force", id, c.gateway), func(w *world) {
 			w.apply(&w.calls[i])
 			if !alive {
 				w.calls = slices.Delete(w.calls, i, i+1)
@@ -435,13 +437,13 @@
 	}
 	switch {
 	case !alive:
-		add(fmt.Sprintf("call %d of g%d is lost with it", id, c.gw), func(w *world) { end(w, StoreReplied{}) })
+		add(fmt.Sprintf("call %d of g%d is lost with it", id, c.gateway), func(w *world) { end(w, StoreReplied{}) })
 	case c.applied:
-		add(fmt.Sprintf("answer to call %d of g%d", id, c.gw), func(w *world) { end(w, c.result) })
+		add(fmt.Sprintf("answer to call %d of g%d", id, c.gateway), func(w *world) { end(w, c.result) })
 	}
-	if alive && w.left.cut > 0 {
-		add(fmt.Sprintf("call %d of g%d in vain", id, c.gw), func(w *world) {
-			w.left.cut--
+	if alive && w.budget.failedCalls > 0 {
+		add(fmt.Sprintf("call %d of g%d in vain", id, c.gateway), func(w *world) {
+			w.budget.failedCalls--
 			if c.applied || !c.isPut {
 				end(w, StoreReplied{Call: id, Result: Unknown})
 				return
@@ -449,10 +451,10 @@
 			end(w, StoreReplied{Call: id, Result: NotApplied})
 		})
 		if c.isPut && !c.applied {
-			add(fmt.Sprintf("call %d of g%d given up on, and under way", id, c.gw), func(w *world) {
-				w.left.cut--
+			add(fmt.Sprintf("call %d of g%d given up on, and under way", id, c.gateway), func(w *world) {
+				w.budget.failedCalls--
 				late := c
-				late.life = -1 // nobody hears of it any more
+				late.incarnation = -1 // nobody hears of it any more
 				w.calls = append(w.calls, late)
 				end(w, StoreReplied{Call: id, Result: Unknown})
 			})
@@ -461,18 +463,18 @@
 }
 
 func (m model) attemptMoves(w *world, i int, x attempt, add func(string, func(*world))) {
-	alive := !w.down[x.gw] && x.life == w.life[x.gw]
+	alive := !w.down[x.gateway] && x.incarnation == w.incarnations[x.gateway]
 	end := func(w *world, t RoutingAnswered) {
-		w.attempts[i].stage = done
+		w.attempts[i].stage = ended
 		if t.ID = x.id; alive {
-			m.handle(w, x.gw, t)
+			m.handle(w, x.gateway, t)
 		}
 	}
 	switch x.stage {
-	case chosen:
+	case serverChosen:
 		add("wants to send", func(w *world) {
-			w.attempts[i].stage = asking
-			m.handle(w, x.gw, PermissionRequested{ID: x.id, Attempt: 1, Deadline: w.now + patience})
+			w.attempts[i].stage = awaitingPermission
+			m.handle(w, x.gateway, PermissionRequested{ID: x.id, Attempt: 1, Deadline: w.now + clientTimeout})
 		})
 		add("no connection", func(w *world) { end(w, RoutingAnswered{Kind: Rejected}) })
 		add("given up on", func(w *world) { end(w, RoutingAnswered{Kind: Failed}) })
@@ -480,18 +482,18 @@
 		add("last byte", func(w *world) { w.attempts[i].stage = inKernel })
 	case inKernel:
 		add("runs", func(w *world) {
-			w.attempts[i].stage = served
+			w.attempts[i].stage = answeredByServer
 			w.runs++
-			w.effect = true
+			w.effectVisible = true
 		})
 		add("turned away", func(w *world) { end(w, RoutingAnswered{Kind: Rejected}) })
 		if alive {
 			add("reset before it runs", func(w *world) {
-				w.attempts[i].gw, w.attempts[i].life = x.gw, -1 // its bytes are on their way
-				m.handle(w, x.gw, RoutingAnswered{ID: x.id, Kind: Failed})
+				w.attempts[i].gateway, w.attempts[i].incarnation = x.gateway, -1 // its bytes are on their way
+				m.handle(w, x.gateway, RoutingAnswered{ID: x.id, Kind: Failed})
 			})
 		}
-	case served:
+	case answeredByServer:
 		add("the answer", func(w *world) { end(w, RoutingAnswered{Kind: Served, Value: []byte("answer"), ValueComplete: true}) })
 		if alive {
 			add("reset", func(w *world) { end(w, RoutingAnswered{Kind: Failed}) })
@@ -500,38 +502,38 @@
 }
 
 var (
-	once     = Policy{RepeatsMarked: true, Retention: 1000, MaxInFlight: 8}
-	always   = Policy{Retention: 1000, MaxInFlight: 8}
-	safely   = Policy{RepeatsMarked: true, StoreBeforeReply: true, Retention: 1000, MaxInFlight: 8}
-	lookedAt = Policy{RepeatsMarked: true, HasLookup: true, Retention: 1000, MaxInFlight: 8}
+	marked     = Policy{RepeatsMarked: true, Retention: 1000, MaxInFlight: 8}
+	unmarked   = Policy{Retention: 1000, MaxInFlight: 8}
+	storeFirst = Policy{RepeatsMarked: true, StoreBeforeReply: true, Retention: 1000, MaxInFlight: 8}
+	withLookup = Policy{RepeatsMarked: true, HasLookup: true, Retention: 1000, MaxInFlight: 8}
 )
 
-var arrangements = []struct {
+var scenarios = []struct {
 	name string
 	model
 }{
-	{"a crash", model{policy: once, left: budget{asks: 1, crash: 1, closing: 1}}},
-	{"a crash, answers kept first", model{policy: safely, left: budget{asks: 1, crash: 1}}},
-	{"a crash, and a read that shows", model{policy: lookedAt, left: budget{asks: 1, crash: 1, word: 1, failover: 1}}},
-	{"calls in vain", model{policy: once, left: budget{asks: 1, cut: 2}}},
-	{"calls in vain, clients that do not mark", model{policy: always, left: budget{asks: 1, cut: 2, closing: 1}}},
-	{"a pause, and a wrong word", model{policy: once, left: budget{asks: 1, pause: 1, word: 1}}},
-	{"a pause, a wrong word and calls in vain", model{policy: lookedAt, left: budget{asks: 1, pause: 1, word: 1, cut: 1}}},
-	{"the store is lost", model{policy: once, left: budget{asks: 1, loss: 1, crash: 1}}},
-	{"the store is lost, clients that do not mark", model{policy: always, left: budget{asks: 1, loss: 1}}},
-	{"three times", model{policy: once, left: budget{asks: 2, word: 1, cut: 1}}},
+	{"a crash", model{policy: marked, budget: budget{repeats: 1, crashes: 1, shutdowns: 1}}},
+	{"a crash, answers kept first", model{policy: storeFirst, budget: budget{repeats: 1, crashes: 1}}},
+	{"a crash, and a read that shows", model{policy: withLookup, budget: budget{repeats: 1, crashes: 1, endReports: 1, failovers: 1}}},
+	{"calls in vain", model{policy: marked, budget: budget{repeats: 1, failedCalls: 2}}},
+	{"calls in vain, clients that do not mark", model{policy: unmarked, budget: budget{repeats: 1, failedCalls: 2, shutdowns: 1}}},
+	{"a pause, and a wrong word", model{policy: marked, budget: budget{repeats: 1, pauses: 1, endReports: 1}}},
+	{"a pause, a wrong word and calls in vain", model{policy: withLookup, budget: budget{repeats: 1, pauses: 1, endReports: 1, failedCalls: 1}}},
+	{"the store is lost", model{policy: marked, budget: budget{repeats: 1, storeLosses: 1, crashes: 1}}},
+	{"the store is lost, clients that do not mark", model{policy: unmarked, budget: budget{repeats: 1, storeLosses: 1}}},
+	{"three times", model{policy: marked, budget: budget{repeats: 2, endReports: 1, failedCalls: 1}}},
 }
 
 // states bounds an exploration in CI.
-const states = 30_000
+const maxStates = 30_000
 
 // Whatever the order of events between two gateways, the store, the server and a client that asks again: one run, one answer,
 // nothing told as unsent that may have run, and an answer for everybody.
 func TestExplore(t *testing.T) {
-	for _, a := range arrangements {
+	for _, a := range scenarios {
 		t.Run(a.name, func(t *testing.T) {
 			t.Parallel()
-			r := modelcheck.Run[*world](a.model, modelcheck.Limits{States: states / fewer})
+			r := modelcheck.Run[*world](a.model, modelcheck.Limits{States: maxStates / stateDivisor})
 			if r.Broken != nil {
 				t.Fatalf("%d states\n%v", r.States, r.Broken)
 			}
@@ -542,18 +544,18 @@
 
 // walks is how many runs of each arrangement are drawn in CI, and steps how long they are.
 const (
-	walks = 600
-	steps = 60
+	walksPerScenario = 600
+	maxSteps         = 60
 )
 
 // Runs that go on where the search of all states ends.
 func TestWalks(t *testing.T) {
-	for _, a := range arrangements {
+	for _, a := range scenarios {
 		t.Run(a.name, func(t *testing.T) {
 			t.Parallel()
 			moves := 0
-			for seed := range uint64(walks / fewer) {
-				made, broken := modelcheck.Walk[*world](a.model, seed, steps)
+			for seed := range uint64(walksPerScenario / stateDivisor) {
+				made, broken := modelcheck.Walk[*world](a.model, seed, maxSteps)
 				if moves += made; broken != nil {
 					t.Fatalf("seed %d\n%v", seed, broken)
 				}
@@ -564,15 +566,15 @@
 }
 
 // onStored spoils what a desk hears of its calls.
-func onStored(do func(e *entry, s *StoreReplied)) func(*Resolver, Event) Event {
+func onStoreReply(do func(e *write, s *StoreReplied)) func(*Resolver, Event) Event {
 	return func(d *Resolver, ev Event) Event {
 		s, is := ev.(StoreReplied)
 		if !is {
 			return ev
 		}
-		for i := range d.entries {
-			if d.entries[i].call == s.Call {
-				do(&d.entries[i], &s)
+		for i := range d.writes {
+			if d.writes[i].call == s.Call {
+				do(&d.writes[i], &s)
 			}
 		}
 		return s
@@ -580,7 +582,7 @@
 }
 
 // on spoils one kind of action.
-func on[A Action](do func(d *Resolver, a A) Action) func(*Resolver, []Action) []Action {
+func onAction[A Action](do func(d *Resolver, a A) Action) func(*Resolver, []Action) []Action {
 	return func(d *Resolver, out []Action) []Action {
 		for i, x := range out {
 			if a, is := x.(A); is {
@@ -592,8 +594,8 @@
 }
 
 // found turns a record of one state, as it is read, into one of another.
-func found(state, into State) func(*Resolver, Event) Event {
-	return onStored(func(_ *entry, s *StoreReplied) {
+func readAs(state, into State) func(*Resolver, Event) Event {
+	return onStoreReply(func(_ *write, s *StoreReplied) {
 		if s.Intent != nil && s.Intent.State == state {
 			r := *s.Intent
 			r.State = into
@@ -610,40 +612,40 @@
 		}
 		return ev
 	}},
-	{name: "a claim that may not be in force is one", before: onStored(func(e *entry, s *StoreReplied) {
+	{name: "a claim that may not be in force is one", before: onStoreReply(func(e *write, s *StoreReplied) {
 		if e.phase == claiming && s.Result == Unknown {
 			s.Result, s.Version = OK, 1
 		}
 	})},
-	{name: "a claim that was turned away is one", before: onStored(func(e *entry, s *StoreReplied) {
+	{name: "a claim that was turned away is one", before: onStoreReply(func(e *write, s *StoreReplied) {
 		if e.phase == claiming && s.Result == Conflict {
 			s.Result = OK
 		}
 	})},
-	{name: "what is in doubt is claimed anew", before: found(InDoubt, Unsent)},
-	{name: "what another gateway has is claimed anew", before: found(Open, Unsent)},
+	{name: "what is in doubt is claimed anew", before: readAs(InDoubt, Unsent)},
+	{name: "what another gateway has is claimed anew", before: readAs(Open, Unsent)},
 	{name: "what was asked before is not looked up", before: func(_ *Resolver, ev Event) Event {
 		if a, is := ev.(RequestReceived); is && a.Repeat {
 			a.Repeat = false
 			return a
 		}
 		return ev
-	}, after: on(func(_ *Resolver, p Put) Action {
+	}, after: onAction(func(_ *Resolver, p Put) Action {
 		if p.Intent.State == Open {
 			p.Version = anyVersion
 		}
 		return p
 	})},
-	{name: "whoever takes over sends", before: onStored(func(e *entry, s *StoreReplied) {
-		if e.phase == taking && s.Result == OK {
-			e.phase, e.record.State = claiming, Open
+	{name: "whoever takes over sends", before: onStoreReply(func(e *write, s *StoreReplied) {
+		if e.phase == takingOver && s.Result == OK {
+			e.phase, e.intent.State = claiming, Open
 		}
 	})},
 	{name: "what is not shown has not run", before: func(d *Resolver, ev Event) Event {
 		if l, is := ev.(LookupAnswered); is && !l.Found {
-			if e := d.find(l.ID); e != nil && e.phase == looking {
-				r := e.record
-				r.State, e.phase, e.call = Unsent, reading, 1<<40
+			if e := d.find(l.ID); e != nil && e.phase == lookingUp {
+				r := e.intent
+				r.State, e.phase, e.call = Unsent, readingIntent, 1<<40
 				return StoreReplied{Call: e.call, Version: e.version, Intent: &r}
 			}
 		}
@@ -656,11 +658,11 @@
 		}
 		return ev
 	}},
-	{name: "changes records whatever their version", after: on(func(_ *Resolver, p Put) Action {
+	{name: "changes records whatever their version", after: onAction(func(_ *Resolver, p Put) Action {
 		p.Version = anyVersion
 		return p
 	})},
-	{name: "what was lost never was", before: onStored(func(_ *entry, s *StoreReplied) { s.PossiblyLost = false })},
+	{name: "what was lost never was", before: onStoreReply(func(_ *write, s *StoreReplied) { s.PossiblyLost = false })},
 	{name: "what went out is released when its client goes", before: func(d *Resolver, ev Event) Event {
 		if g, is := ev.(RequestCanceled); is {
 			if e := d.find(g.ID); e != nil && e.phase == routed {
@@ -669,7 +671,7 @@
 		}
 		return ev
 	}},
-	{name: "asked again is refused", after: on(func(_ *Resolver, r Reply) Action {
+	{name: "asked again is refused", after: onAction(func(_ *Resolver, r Reply) Action {
 		if r.Kind == Failed {
 			r.Kind = Rejected
 		}
@@ -684,7 +686,7 @@
 		return out
 	}},
 	{name: "forgets whoever follows", before: func(d *Resolver, ev Event) Event {
-		d.entries = slices.DeleteFunc(d.entries, func(e entry) bool { return e.phase == following })
+		d.writes = slices.DeleteFunc(d.writes, func(e write) bool { return e.phase == followingWrite })
 		return ev
 	}},
 	{name: "says nothing where it is in doubt", after: func(_ *Resolver, out []Action) []Action {
@@ -696,9 +698,9 @@
 }
 
 // eager has time pass seldom where something else can happen, and what the client does likewise.
-type eager struct{ model }
+type weightedModel struct{ model }
 
-func (m eager) Moves(w *world) (all []modelcheck.Move[*world]) {
+func (m weightedModel) Moves(w *world) (all []modelcheck.Move[*world]) {
 	for _, mv := range m.model.Moves(w) {
 		all = append(all, mv)
 		if !strings.HasPrefix(mv.Name, "tick") && !strings.HasPrefix(mv.Name, "the client") && !strings.HasPrefix(mv.Name, "ask") {
@@ -709,17 +711,17 @@
 }
 
 func TestMutantsAreCaught(t *testing.T) {
-	if fewer > 1 {
+	if stateDivisor > 1 {
 		t.Skip("the same runs as without the race detector, many times slower")
 	}
 	for _, mut := range mutants {
 		t.Run(mut.name, func(t *testing.T) {
 			t.Parallel()
-			for _, a := range arrangements {
+			for _, a := range scenarios {
 				m := a.model
-				m.mut = &mut
-				for seed := range uint64(4 * walks) {
-					if made, broken := modelcheck.Walk[*world](eager{m}, seed, steps); broken != nil {
+				m.mutant = &mut
+				for seed := range uint64(4 * walksPerScenario) {
+					if made, broken := modelcheck.Walk[*world](weightedModel{m}, seed, maxSteps); broken != nil {
 						t.Logf("%q, seed %d, after %d moves: %v", a.name, seed, made, broken.Err)
 						return
 					}
--- a/internal/indoubt/norace_test.go
+++ b/internal/indoubt/norace_test.go
@@ -2,4 +2,4 @@
 
 package indoubt
 
-const fewer = 1
+const stateDivisor = 1
--- a/internal/indoubt/overview.go
+++ b/internal/indoubt/overview.go
@@ -18,9 +18,9 @@
 
 // Views lists what is in hand, in the order in which it came.
 func (d *Resolver) InFlight(now clock.Micros) (all []InFlightWrite) {
-	for i := range d.entries {
-		e := &d.entries[i]
-		v := InFlightWrite{Key: e.ask.Key, RequestID: e.ask.RequestID, Class: e.ask.Class, Phase: phaseNames[e.phase], Age: max(now-e.came, 0), Intent: e.record}
+	for i := range d.writes {
+		e := &d.writes[i]
+		v := InFlightWrite{Key: e.request.Key, RequestID: e.request.RequestID, Class: e.request.Class, Phase: phaseNames[e.phase], Age: max(now-e.receivedAt, 0), Intent: e.intent}
 		v.Intent.Value = nil
 		all = append(all, v)
 	}
--- a/internal/indoubt/race_test.go
+++ b/internal/indoubt/race_test.go
@@ -2,5 +2,5 @@
 
 package indoubt
 
-// fewer divides the number of states: one goroutine looks at all of them.
-const fewer = 10
+// stateDivisor divides the number of states: one goroutine looks at all of them.
+const stateDivisor = 10
