--- a/internal/raftstorage/file_test.go
+++ b/internal/raftstorage/file_test.go
@@ -8,78 +8,94 @@
 	"math/rand/v2"
 	"os"
 	"path/filepath"
+	"slices"
 	"testing"
 
+	"go.etcd.io/bbolt"
 	pb "go.etcd.io/raft/v3/raftpb"
 
 	"marblespan/internal/raftstore"
 )
 
-// drawn makes a write that fits what is there, as a host makes them.
-func drawn(rng *rand.Rand, i raftstore.Image) raftstore.Write {
-	w := raftstore.Write{Store: max(i.Store, 7), Life: i.Life + uint64(rng.IntN(2))}
-	if i.Store != 0 && rng.IntN(40) == 0 {
+// randomWrite makes a write that fits what is stored, as a host makes them.
+func randomWrite(rng *rand.Rand, image raftstore.Image) raftstore.Write {
+	w := raftstore.Write{Store: max(image.Store, 7), Life: image.Life + uint64(rng.IntN(2))}
+	if image.Store != 0 && rng.IntN(40) == 0 {
 		w.Store++
-		i = raftstore.Image{}
+		image = raftstore.Image{}
 	}
 	if rng.IntN(4) == 0 {
-		w.View = []byte(fmt.Sprint("view ", rng.Uint64()))
+		w.View = fmt.Append(nil, "view ", rng.Uint64())
 	}
 	if rng.IntN(8) == 0 {
 		w.Retired = []raftstore.Ref{{Group: rng.Uint32N(4), Epoch: 1, Number: rng.Uint64N(9)}}
 	}
 	for group := range uint32(4) {
-		var s *raftstore.StoredGroup
-		for k := range i.Groups {
-			if i.Groups[k].Group == group {
-				s = &i.Groups[k]
-			}
+		var stored *raftstore.StoredGroup
+		if i := slices.IndexFunc(image.Groups, func(g raftstore.StoredGroup) bool { return g.Group == group }); i >= 0 {
+			stored = &image.Groups[i]
 		}
-		x := raftstore.GroupWrite{Group: group, Epoch: 1, Number: uint64(group) + 10}
-		next := uint64(1)
-		if s != nil && s.Snapshot != nil {
-			next = s.Snapshot.GetMetadata().GetIndex() + 1
+		if write, changed := randomGroupWrite(rng, group, stored); changed {
+			w.Groups = append(w.Groups, write)
 		}
-		if s != nil && len(s.Entries) > 0 {
-			next = s.Entries[len(s.Entries)-1].GetIndex() + 1
+	}
+	return w
+}
+
+// randomGroupWrite makes one replica's part of a write; changed is false if there is none. stored is nil if it is a new replica.
+func randomGroupWrite(rng *rand.Rand, group uint32, stored *raftstore.StoredGroup) (w raftstore.GroupWrite, changed bool) {
+	w = raftstore.GroupWrite{Group: group, Epoch: 1, Number: uint64(group) + 10}
+	next := nextIndex(stored)
+	switch rng.IntN(6) {
+	case 0:
+		return w, false
+	case 1:
+		w.Drop = stored != nil && rng.IntN(5) == 0
+		return w, w.Drop
+	case 2:
+		w.Keep = rng.IntN(2) == 0
+		index := next + 5
+		if w.Keep && next > 1 {
+			index = next - 1
 		}
-		switch rng.IntN(6) {
-		case 0:
-			continue
-		case 1:
-			if x.Drop = s != nil && rng.IntN(5) == 0; !x.Drop {
-				continue
-			}
-		case 2:
-			data := make([]byte, rng.IntN(3*pieceSize))
-			for k := range data {
-				data[k] = byte(k * int(group+1))
-			}
-			x.Keep = rng.IntN(2) == 0
-			index := next + 5
-			if x.Keep && next > 1 {
-				index = next - 1
-			}
-			x.Snapshot = &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{Index: new(index), Term: new(uint64(3)), ConfState: &pb.ConfState{Voters: []uint64{1, 2}}}}
-			fallthrough
-		default:
-			if x.Snapshot == nil {
-				if s != nil && len(s.Entries) > 2 && rng.IntN(3) == 0 {
-					next -= 2 // they replace the last ones
-				}
-				for range rng.IntN(4) {
-					x.Entries = append(x.Entries, &pb.Entry{Index: new(next), Term: new(uint64(2)), Data: []byte(fmt.Sprint(rng.Uint64()))})
-					next++
-				}
-			}
-			x.Hard = &pb.HardState{Term: new(rng.Uint64N(9)), Vote: new(rng.Uint64N(3)), Commit: new(uint64(0))}
+		w.Snapshot = randomSnapshot(rng, group, index)
+	default:
+		if stored != nil && len(stored.Entries) > 2 && rng.IntN(3) == 0 {
+			next -= 2 // they replace the last ones
+		}
+		for range rng.IntN(4) {
+			w.Entries = append(w.Entries, &pb.Entry{Index: new(next), Term: new(uint64(2)), Data: fmt.Append(nil, rng.Uint64())})
+			next++
 		}
-		w.Groups = append(w.Groups, x)
 	}
-	return w
+	w.Hard = &pb.HardState{Term: new(rng.Uint64N(9)), Vote: new(rng.Uint64N(3)), Commit: new(uint64(0))}
+	return w, true
+}
+
+// nextIndex is the index behind what a replica has stored.
+func nextIndex(stored *raftstore.StoredGroup) uint64 {
+	switch {
+	case stored == nil:
+		return 1
+	case len(stored.Entries) > 0:
+		return stored.Entries[len(stored.Entries)-1].GetIndex() + 1
+	case stored.Snapshot != nil:
+		return stored.Snapshot.GetMetadata().GetIndex() + 1
+	}
+	return 1
 }
 
-func show(s *raftstore.Stored) string {
+// randomSnapshot makes a snapshot of up to three pieces.
+func randomSnapshot(rng *rand.Rand, group uint32, index uint64) *pb.Snapshot {
+	data := make([]byte, rng.IntN(3*pieceSize))
+	for i := range data {
+		data[i] = byte(i * int(group+1))
+	}
+	return &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{Index: new(index), Term: new(uint64(3)), ConfState: &pb.ConfState{Voters: []uint64{1, 2}}}}
+}
+
+// describe writes out what is stored, for comparison.
+func describe(s *raftstore.Stored) string {
 	out := fmt.Sprintf("%d %d %s %v", s.Store, s.Life, s.View, s.Retired)
 	for _, g := range s.Groups {
 		out += fmt.Sprintf("\n%d/%d/%d %v", g.Group, g.Epoch, g.Number, g.Hard)
@@ -93,103 +109,112 @@
 	return out
 }
 
-func open(t *testing.T, path, want string) *File {
+// openWant opens a file that must have this content.
+func openWant(t *testing.T, path, want string) *File {
 	t.Helper()
-	f, s, err := Open(path)
+	f, stored, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := show(s); got != want {
+	if got := describe(stored); got != want {
 		t.Fatalf("got\n%.600s\nwant\n%.600s", got, want)
 	}
 	return f
 }
 
-// What is read back is what the model of a disk comes to, however often the file is closed in between; and the same file cut
-// anywhere within a write is as it was before it.
+// What is read back is what raftstore.Image, the model of a disk, has after the same writes, however often the file is closed in
+// between; and a file that was torn within a write has the content before or after it.
 func TestFile(t *testing.T) {
 	for seed := range uint64(6) {
-		rng := rand.New(rand.NewPCG(seed, 1))
-		path := filepath.Join(t.TempDir(), "copies.db")
-		var image raftstore.Image
-		f := open(t, path, show(image.Stored()))
-		for i := range 60 {
-			w := drawn(rng, image)
-			before, _ := os.ReadFile(path)
-			was := show(image.Stored())
-			if err := f.Write(w); err != nil {
-				t.Fatal(err)
-			}
-			image = image.Apply(w)
-			if i%6 == 0 {
-				f.Close()
-				if i > 0 {
-					torn(t, rng, before, path, was, show(image.Stored()))
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			rng := rand.New(rand.NewPCG(seed, 1))
+			path := filepath.Join(t.TempDir(), "store.db")
+			var image raftstore.Image
+			f := openWant(t, path, describe(image.Stored()))
+			for i := range 60 {
+				w := randomWrite(rng, image)
+				before, _ := os.ReadFile(path)
+				was := describe(image.Stored())
+				if err := f.Write(w); err != nil {
+					t.Fatal(err)
 				}
-				f = open(t, path, show(image.Stored()))
-				if f.Sequence() != uint64(i+1) {
-					t.Fatalf("%d writes, counted %d", i+1, f.Sequence())
+				image = image.Apply(w)
+				if i%6 == 0 {
+					f.Close()
+					if i > 0 {
+						checkTornWrites(t, rng, before, path, was, describe(image.Stored()))
+					}
+					f = openWant(t, path, describe(image.Stored()))
+					if f.Sequence() != uint64(i+1) {
+						t.Fatalf("sequence %d, want %d", f.Sequence(), i+1)
+					}
 				}
 			}
-		}
-		f.Close()
-		if s, err := Check(path); err != nil || show(s) != show(image.Stored()) {
-			t.Fatalf("%v\n%.900s\nwant\n%.900s", err, show(s), show(image.Stored()))
-		}
+			f.Close()
+			if s, err := Check(path); err != nil || describe(s) != describe(image.Stored()) {
+				t.Fatalf("%v\n%.900s\nwant\n%.900s", err, describe(s), describe(image.Stored()))
+			}
+		})
 	}
 }
 
 const pageSize = 4096
 
-// torn makes files in which some pages of a write have come to the disk and others not, the leading two, of which one says
-// where all others begin, half or not at all: they hold what was there before.
-func torn(t *testing.T, rng *rand.Rand, before []byte, path, was, is string) {
+// checkTornWrites makes files in which some pages of a write have reached the disk and others have the content before it. The first
+// two pages, of which one says where all others begin, were written in part or not at all.
+func checkTornWrites(t *testing.T, rng *rand.Rand, before []byte, path, was, is string) {
 	t.Helper()
 	after, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 4 {
-		mixed := append([]byte(nil), before...)
-		if len(after) > len(mixed) && rng.IntN(2) == 0 {
-			mixed = append(mixed, make([]byte, len(after)-len(mixed))...)
-		}
-		for at := 2 * pageSize; at+pageSize <= min(len(mixed), len(after)); at += pageSize {
-			if rng.IntN(2) == 0 {
-				copy(mixed[at:at+pageSize], after[at:])
-			}
-		}
-		for meta := range 2 {
-			if at := meta * pageSize; rng.IntN(2) == 0 && string(before[at:at+pageSize]) != string(after[at:at+pageSize]) {
-				copy(mixed[at:at+40], after[at:at+40]) // its own sum is in its second half
-			}
-		}
-		other := filepath.Join(t.TempDir(), "torn.db")
-		if err := os.WriteFile(other, mixed, 0o600); err != nil {
+		torn := tornFile(rng, before, after)
+		path := filepath.Join(t.TempDir(), "torn.db")
+		if err := os.WriteFile(path, torn, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		f, s, err := Open(other)
+		f, stored, err := Open(path)
 		if err != nil {
 			t.Fatal(err)
 		}
 		f.Close()
-		if got := show(s); got != was && got != is {
-			t.Fatalf("a torn write left\n%.500s", got)
+		if got := describe(stored); got != was && got != is {
+			t.Fatalf("after a torn write\n%.500s", got)
+		}
+	}
+}
+
+// tornFile mixes the pages of two files.
+func tornFile(rng *rand.Rand, before, after []byte) []byte {
+	torn := bytes.Clone(before)
+	if len(after) > len(torn) && rng.IntN(2) == 0 {
+		torn = append(torn, make([]byte, len(after)-len(torn))...)
+	}
+	for at := 2 * pageSize; at+pageSize <= min(len(torn), len(after)); at += pageSize {
+		if rng.IntN(2) == 0 {
+			copy(torn[at:at+pageSize], after[at:])
 		}
 	}
+	for meta := range 2 {
+		if at := meta * pageSize; rng.IntN(2) == 0 && !bytes.Equal(before[at:at+pageSize], after[at:at+pageSize]) {
+			copy(torn[at:at+40], after[at:at+40]) // the page's checksum is behind that
+		}
+	}
+	return torn
 }
 
-// A byte that is another one is noticed, or was of no account.
-func TestFlippedBytes(t *testing.T) {
-	if raced {
+// A damaged byte is noticed, or is in a place that nothing is read from.
+func TestDamagedFile(t *testing.T) {
+	if raceDetector {
 		t.Skip("the race detector's check of pointers ends the process before the file's own checks see anything")
 	}
 	rng := rand.New(rand.NewPCG(5, 1))
-	path := filepath.Join(t.TempDir(), "copies.db")
+	path := filepath.Join(t.TempDir(), "store.db")
 	var image raftstore.Image
-	f := open(t, path, show(image.Stored()))
+	f := openWant(t, path, describe(image.Stored()))
 	for range 30 {
-		w := drawn(rng, image)
+		w := randomWrite(rng, image)
 		if err := f.Write(w); err != nil {
 			t.Fatal(err)
 		}
@@ -200,98 +225,170 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	tries := 0
-	another := func() string { // the library may keep a file open, and locked, that made it panic
-		tries++
-		return fmt.Sprint(path, tries)
-	}
-	noticed := 0
-	for range 150 {
-		bad := append([]byte(nil), sound...)
-		bad[rng.IntN(len(bad))] ^= 1 << rng.IntN(8)
-		path := another()
-		if err := os.WriteFile(path, bad, 0o600); err != nil {
+	files := 0
+	openContent := func(content []byte) (*File, *raftstore.Stored, error) {
+		files++ // a new path each time: the library may keep a file open, and locked, on which it panicked
+		path := fmt.Sprint(path, files)
+		if err := os.WriteFile(path, content, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		var damaged *DamagedError
-		f, s, err := Open(path)
-		switch {
-		case errors.As(err, &damaged):
-			noticed++
-			continue
-		case err != nil:
-			t.Fatal(err)
+		return Open(path)
+	}
+
+	t.Run("one bit", func(t *testing.T) {
+		noticed := 0
+		for range 150 {
+			content := bytes.Clone(sound)
+			content[rng.IntN(len(content))] ^= 1 << rng.IntN(8)
+			var damaged *DamagedError
+			f, stored, err := openContent(content)
+			switch {
+			case errors.As(err, &damaged):
+				noticed++
+				continue
+			case err != nil:
+				t.Fatal(err)
+			}
+			f.Close()
+			if describe(stored) != describe(image.Stored()) {
+				t.Fatal("a flipped bit was not noticed")
+			}
 		}
-		f.Close()
-		if show(s) != show(image.Stored()) {
-			t.Fatal("a flipped bit was believed")
+		t.Logf("%d of 150 noticed, the others are where nothing is read from", noticed)
+		if noticed < 6 { // some 30 of them: the places of the pages in the file differ from run to run
+			t.Errorf("%d of 150 flipped bits were noticed, want 6 at least", noticed)
+		}
+	})
+
+	wantDamaged := func(t *testing.T, content []byte, cause error) {
+		t.Helper()
+		var damaged *DamagedError
+		if _, _, err := openContent(content); !errors.As(err, &damaged) || cause != nil && !errors.Is(err, cause) {
+			t.Errorf("%v, want a DamagedError with the cause %v", err, cause)
 		}
-	}
-	t.Logf("%d of 150 noticed, the others hit nothing", noticed)
-	if noticed < 6 { // some 30 of them: where the pages lie in the file is another one each time
-		t.Error("hardly any was noticed")
 	}
 	for _, step := range []int{16, 64, 333, 1024, 4096} {
 		for _, from := range []int{0, 4096, 16384} {
-			bad := append([]byte(nil), sound...)
-			for i := from + 8; i < len(bad); i += step {
-				bad[i] ^= 0x55
-			}
-			path := another()
-			os.WriteFile(path, bad, 0o600)
-			var damaged *DamagedError
-			if _, _, err := Open(path); !errors.As(err, &damaged) {
-				t.Errorf("every byte %d from %d: %v", step, from, err)
-			}
+			t.Run(fmt.Sprintf("every byte %d from %d", step, from), func(t *testing.T) {
+				content := bytes.Clone(sound)
+				for i := from + 8; i < len(content); i += step {
+					content[i] ^= 0x55
+				}
+				wantDamaged(t, content, nil)
+			})
 		}
 	}
-	// A length that leads out of all memory: the element of "format" says that its value has two gigabytes.
-	spoilt := append([]byte(nil), sound...)
+	for _, c := range []struct {
+		name    string
+		content []byte
+		cause   error // nil: the library's
+	}{
+		{"text", []byte("this is no store"), nil},
+		{"too short", sound[:5000], nil},
+		{"zeros", make([]byte, 32768), nil},
+		{"length beyond all memory", withHugeLengths(t, sound), nil},
+		{"another program's", contentOf(t, func(tx *bbolt.Tx) error { _, err := tx.CreateBucket([]byte("other")); return err }), ErrFormat},
+		{"later format", contentOf(t, func(tx *bbolt.Tx) error {
+			facts, err := tx.CreateBucket(bucketFacts)
+			return errors.Join(err, bucket{facts}.setNumber(keyFormat, format+1))
+		}), ErrFormat},
+		{"without replicas' bucket", contentOf(t, func(tx *bbolt.Tx) error {
+			facts, err := tx.CreateBucket(bucketFacts)
+			return errors.Join(err, bucket{facts}.setNumber(keyFormat, format), bucket{facts}.setNumber(keyStore, 7))
+		}), ErrIncomplete},
+		{"value of another key", contentOf(t, func(tx *bbolt.Tx) error {
+			facts, err := tx.CreateBucket(bucketFacts)
+			err = errors.Join(err, bucket{facts}.setNumber(keyFormat, format))
+			return errors.Join(err, facts.Put(keyStore, facts.Get(keyFormat)))
+		}), ErrChecksum},
+	} {
+		t.Run(c.name, func(t *testing.T) { wantDamaged(t, c.content, c.cause) })
+	}
+}
+
+// withHugeLengths returns a file in which each element that may be that of "format" says that its value has two gigabytes.
+func withHugeLengths(t *testing.T, sound []byte) []byte {
+	t.Helper()
+	content := bytes.Clone(sound)
 	element := append(binary.LittleEndian.AppendUint32(nil, uint32(len(keyFormat))), 16, 0, 0)
 	lengths := 0
 	for at := 0; ; lengths++ {
-		next := bytes.Index(spoilt[at:], element)
+		next := bytes.Index(content[at:], element)
 		if next < 0 {
 			break
 		}
 		at += next + len(element)
-		spoilt[at] = 0x7f
+		content[at] = 0x7f
 	}
 	if lengths == 0 {
-		t.Error("no length was found to spoil")
+		t.Error("no length was found to change")
 	}
-	for name, content := range map[string]string{"text": "this is no store", "short": string(sound[:5000]), "foreign": string(make([]byte, 32768)),
-		"length": string(spoilt)} {
-		path := another()
-		os.WriteFile(path, []byte(content), 0o600)
-		var damaged *DamagedError
-		if _, _, err := Open(path); !errors.As(err, &damaged) {
-			t.Errorf("%s: %v", name, err)
-		}
+	return content
+}
+
+// contentOf returns a file of the library with what a transaction writes.
+func contentOf(t *testing.T, write func(*bbolt.Tx) error) []byte {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "other.db")
+	db, err := bbolt.Open(path, 0o600, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := errors.Join(db.Update(write), db.Close()); err != nil {
+		t.Fatal(err)
 	}
+	content, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return content
 }
 
-// The witness knows the disk that was written last, and no other one.
-func TestWitness(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "witness")
+// What says nothing about the content is no DamagedError.
+func TestAccessErrors(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "store.db")
+	f, _, err := Open(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(f.Close)
+	openErr := func(path string) error { _, _, err := Open(path); return err }
+	checkErr := func(path string) error { _, err := Check(path); return err }
 	for _, c := range []struct {
-		store, sequence uint64
-		known           bool
-		note            uint64
-	}{{7, 0, false, 5}, {7, 5, true, 6}, {7, 7, true, 7}, {7, 6, false, 0}, {8, 9, false, 0}, {7, 7, false, 0}, {7, 9, false, 9}, {7, 9, true, 0}} {
-		w, known, err := OpenWitness(path, c.store, c.sequence)
-		if err != nil || known != c.known {
-			t.Errorf("%+v: %v %v", c, known, err)
-		}
-		if c.note > 0 {
-			if err := w.Record(c.store, c.note); err != nil {
-				t.Fatal(err)
+		name, path string
+		open       func(path string) error
+		want       error
+	}{
+		{"open while open", path, openErr, ErrLocked},
+		{"check while open", path, checkErr, ErrLocked},
+		{"open in no directory", filepath.Join(path+".none", "store.db"), openErr, os.ErrNotExist},
+		{"check what is not there", path + ".none", checkErr, os.ErrNotExist},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			err := c.open(c.path)
+			var damaged *DamagedError
+			if !errors.Is(err, c.want) || errors.As(err, &damaged) {
+				t.Errorf("%v, want %v", err, c.want)
 			}
-		}
-		w.Close()
+		})
+	}
+}
+
+// After a write that failed the file takes no more writes.
+func TestNoWriteAfterFailure(t *testing.T) {
+	f, _, err := Open(filepath.Join(t.TempDir(), "store.db"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(f.Close)
+	f.db.Close()
+	if err := f.Write(raftstore.Write{Store: 7}); err == nil || errors.Is(err, ErrWriteFailed) {
+		t.Errorf("first write: %v, want the library's error", err)
+	}
+	if err := f.Write(raftstore.Write{Store: 7}); !errors.Is(err, ErrWriteFailed) {
+		t.Errorf("second write: %v, want %v", err, ErrWriteFailed)
 	}
-	os.WriteFile(path, make([]byte, 60), 0o600)
-	if _, known, _ := OpenWitness(path, 0, 0); known {
-		t.Error("one of another start of the machine is believed")
+	if f.Sequence() != 0 {
+		t.Errorf("%d writes, want 0", f.Sequence())
 	}
 }
--- /dev/null
+++ b/internal/raftstorage/load.go
@@ -0,0 +1,155 @@
+package raftstorage
+
+import (
+	"bytes"
+	"fmt"
+
+	"go.etcd.io/bbolt"
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"marblespan/internal/raftstore"
+)
+
+// load reads the content of the file. An empty file is new, and has none.
+func (f *File) load() (*raftstore.Stored, error) {
+	stored := &raftstore.Stored{}
+	err := f.db.View(func(tx *bbolt.Tx) error {
+		facts := tx.Bucket(bucketFacts)
+		if facts == nil {
+			if name, _ := tx.Cursor().First(); name != nil {
+				return fmt.Errorf("%w: found bucket %q, want %q", ErrFormat, name, bucketFacts)
+			}
+			return nil
+		}
+		if err := f.loadFacts(bucket{facts}, stored); err != nil {
+			return err
+		}
+		groups := tx.Bucket(bucketGroups)
+		if groups == nil {
+			return fmt.Errorf("%w: there is no bucket %q", ErrIncomplete, bucketGroups)
+		}
+		return groups.ForEachBucket(func(key []byte) error {
+			replica, err := loadReplica(key, groups.Bucket(key))
+			stored.Groups = append(stored.Groups, replica)
+			return err
+		})
+	})
+	if err != nil {
+		return nil, err
+	}
+	f.store = stored.Store
+	return stored, nil
+}
+
+// loadFacts reads what the file says about itself.
+func (f *File) loadFacts(facts bucket, stored *raftstore.Stored) error {
+	version, err := facts.number(keyFormat)
+	if err != nil {
+		return fmt.Errorf("%w: %w", ErrFormat, err)
+	}
+	if version != format {
+		return fmt.Errorf("%w: found format %d, want %d", ErrFormat, version, format)
+	}
+	for _, number := range []struct {
+		key  []byte
+		into *uint64
+	}{{keyStore, &stored.Store}, {keyIncarnation, &stored.Life}, {keySequence, &f.sequence}} {
+		if *number.into, err = facts.number(number.key); err != nil {
+			return err
+		}
+	}
+	if stored.Store == 0 {
+		return fmt.Errorf("%w: the disk has no number under %q", ErrIncomplete, keyStore)
+	}
+	if stored.View, err = facts.get(keyView); err != nil {
+		return err
+	}
+	stored.Retired, err = loadRetired(facts)
+	return err
+}
+
+// loadRetired reads the replicas that must not take part again.
+func loadRetired(facts bucket) (refs []raftstore.Ref, err error) {
+	raw, err := facts.get(keyRetired)
+	if err != nil {
+		return nil, err
+	}
+	if len(raw)%refSize != 0 {
+		return nil, fmt.Errorf("%w: %q has %d bytes, want a multiple of %d", ErrIncomplete, keyRetired, len(raw), refSize)
+	}
+	for ; len(raw) > 0; raw = raw[refSize:] {
+		refs = append(refs, readRef(raw))
+	}
+	return refs, nil
+}
+
+// loadReplica reads a replica's bucket.
+func loadReplica(key []byte, raw *bbolt.Bucket) (replica raftstore.StoredGroup, err error) {
+	if len(key) != refSize {
+		return replica, fmt.Errorf("%w: the replica's key %x has %d bytes, want %d", ErrIncomplete, key, len(key), refSize)
+	}
+	ref, values := readRef(key), bucket{raw}
+	replica = raftstore.StoredGroup{Group: ref.Group, Epoch: ref.Epoch, Number: ref.Number}
+	hard := &pb.HardState{}
+	found, err := values.message(keyHardState, hard)
+	if err != nil {
+		return replica, err
+	}
+	if found {
+		replica.Hard = hard
+	}
+	snapshot := &pb.Snapshot{}
+	if found, err = values.message(keySnapshot, snapshot); err != nil {
+		return replica, err
+	}
+	if found {
+		if snapshot.Data, err = loadPieces(raw.Bucket(bucketPieces)); err != nil {
+			return replica, err
+		}
+		replica.Snapshot = snapshot
+	}
+	replica.Entries, err = loadLog(raw.Bucket(bucketLog))
+	return replica, err
+}
+
+// loadPieces joins the pieces of a snapshot's data.
+func loadPieces(raw *bbolt.Bucket) (data []byte, err error) {
+	if raw == nil {
+		return nil, nil
+	}
+	pieces := 0
+	err = bucket{raw}.each(func(key, piece []byte) error {
+		if !bytes.Equal(key, pieceKey(pieces)) {
+			return fmt.Errorf("%w: found piece %x of a snapshot, want %x", ErrIncomplete, key, pieceKey(pieces))
+		}
+		pieces++
+		data = append(data, piece...)
+		return nil
+	})
+	return data, err
+}
+
+// loadLog reads the entries of a log, which have successive indexes.
+func loadLog(raw *bbolt.Bucket) (entries []*pb.Entry, err error) {
+	if raw == nil {
+		return nil, nil
+	}
+	err = bucket{raw}.each(func(key, value []byte) error {
+		entry := &pb.Entry{}
+		if err := proto.Unmarshal(value, entry); err != nil {
+			return fmt.Errorf("log entry %x: %w", key, err)
+		}
+		if !bytes.Equal(key, entryKey(entry.GetIndex())) {
+			return fmt.Errorf("%w: found log entry %d under the key %x", ErrIncomplete, entry.GetIndex(), key)
+		}
+		if len(entries) > 0 {
+			if want := entries[len(entries)-1].GetIndex() + 1; entry.GetIndex() != want {
+				return fmt.Errorf("%w: found log entry %d, want %d", ErrIncomplete, entry.GetIndex(), want)
+			}
+		}
+		entries = append(entries, entry)
+		return nil
+	})
+	return entries, err
+}
--- a/internal/raftstorage/norace_test.go
+++ b/internal/raftstorage/norace_test.go
@@ -2,4 +2,4 @@
 
 package raftstorage
 
-const raced = false
+const raceDetector = false
--- a/internal/raftstorage/race_test.go
+++ b/internal/raftstorage/race_test.go
@@ -2,6 +2,6 @@
 
 package raftstorage
 
-// raced: with the race detector goes a check of pointers that ends the process wherever the library builds one from a spoilt
+// raceDetector: the race detector comes with a check of pointers that ends the process where the library makes one from a damaged
 // length, before it is read.
-const raced = true
+const raceDetector = true
--- /dev/null
+++ b/internal/raftstorage/write.go
@@ -0,0 +1,149 @@
+package raftstorage
+
+import (
+	"encoding/binary"
+	"errors"
+	"slices"
+
+	"go.etcd.io/bbolt"
+	pb "go.etcd.io/raft/v3/raftpb"
+
+	"marblespan/internal/raftstore"
+)
+
+// apply carries out a write in a transaction. If the disk has another number than before, its former content goes.
+func (f *File) apply(tx *bbolt.Tx, w raftstore.Write) error {
+	if f.store != 0 && f.store != w.Store {
+		for _, name := range [][]byte{bucketGroups, bucketFacts} {
+			if err := tx.DeleteBucket(name); err != nil {
+				return err
+			}
+		}
+	}
+	facts, err := tx.CreateBucketIfNotExists(bucketFacts)
+	if err != nil {
+		return err
+	}
+	groups, err := tx.CreateBucketIfNotExists(bucketGroups)
+	if err != nil {
+		return err
+	}
+	if err := f.writeFacts(bucket{facts}, w); err != nil {
+		return err
+	}
+	for i := range w.Groups {
+		if err := writeReplica(groups, &w.Groups[i]); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// writeFacts writes what the file says about itself.
+func (f *File) writeFacts(facts bucket, w raftstore.Write) error {
+	err := errors.Join(facts.setNumber(keyFormat, format), facts.setNumber(keyStore, w.Store),
+		facts.setNumber(keyIncarnation, w.Life), facts.setNumber(keySequence, f.sequence+1))
+	if w.View != nil {
+		err = errors.Join(err, facts.set(keyView, w.View))
+	}
+	retired, readErr := facts.get(keyRetired)
+	for _, ref := range w.Retired {
+		retired = append(retired, replicaKey(ref.Group, ref.Epoch, ref.Number)...)
+	}
+	return errors.Join(err, readErr, facts.set(keyRetired, retired))
+}
+
+// writeReplica writes one replica's part: it is removed, or gets a snapshot, entries and a hard state, each if there is one.
+func writeReplica(groups *bbolt.Bucket, w *raftstore.GroupWrite) error {
+	key := replicaKey(w.Group, w.Epoch, w.Number)
+	if w.Drop {
+		if groups.Bucket(key) == nil {
+			return nil
+		}
+		return groups.DeleteBucket(key)
+	}
+	replica, err := groups.CreateBucketIfNotExists(key)
+	if err != nil {
+		return err
+	}
+	log, err := replica.CreateBucketIfNotExists(bucketLog)
+	if err != nil {
+		return err
+	}
+	if w.Snapshot != nil {
+		if err := truncateLog(log, w); err != nil {
+			return err
+		}
+		if err := writeSnapshot(replica, w.Snapshot); err != nil {
+			return err
+		}
+	}
+	if err := writeEntries(log, w.Entries); err != nil {
+		return err
+	}
+	if w.Hard != nil {
+		return bucket{replica}.setMessage(keyHardState, w.Hard)
+	}
+	return nil
+}
+
+// truncateLog removes the entries that a snapshot replaces: those up to its index or, without Keep, all.
+func truncateLog(log *bbolt.Bucket, w *raftstore.GroupWrite) error {
+	last := w.Snapshot.GetMetadata().GetIndex()
+	c := log.Cursor()
+	for key, _ := c.First(); key != nil && (!w.Keep || binary.BigEndian.Uint64(key) <= last); key, _ = c.First() {
+		if err := c.Delete(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// writeSnapshot replaces a replica's snapshot: its data in pieces, then its metadata.
+func writeSnapshot(replica *bbolt.Bucket, snapshot *pb.Snapshot) error {
+	if replica.Bucket(bucketPieces) != nil {
+		if err := replica.DeleteBucket(bucketPieces); err != nil {
+			return err
+		}
+	}
+	pieces, err := replica.CreateBucket(bucketPieces)
+	if err != nil {
+		return err
+	}
+	number := 0
+	for piece := range slices.Chunk(snapshot.Data, pieceSize) {
+		if err := (bucket{pieces}).set(pieceKey(number), piece); err != nil {
+			return err
+		}
+		number++
+	}
+	return bucket{replica}.setMessage(keySnapshot, &pb.Snapshot{Metadata: snapshot.GetMetadata()})
+}
+
+// writeEntries appends entries to a log. Those that it has from the first one's index on go before.
+func writeEntries(log *bbolt.Bucket, entries []*pb.Entry) error {
+	if len(entries) == 0 {
+		return nil
+	}
+	if err := removeFrom(log, entries[0].GetIndex()); err != nil {
+		return err
+	}
+	for _, entry := range entries {
+		if err := (bucket{log}).setMessage(entryKey(entry.GetIndex()), entry); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// removeFrom removes the entries of a log from an index on.
+func removeFrom(log *bbolt.Bucket, index uint64) error {
+	first := entryKey(index)
+	c := log.Cursor()
+	for key, _ := c.Seek(first); key != nil; key, _ = c.Seek(first) {
+		if err := c.Delete(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
