--- a/internal/raftnode/status.go
+++ b/internal/raftnode/status.go
@@ -48,6 +48,9 @@
 	return zerolog.InfoLevel
 }
 
+// noticeMessage is the event text of notices. The test cluster reads their lines by it.
+const noticeMessage = "copies"
+
 // logNotice counts and logs what the host has noticed.
 func (n *Node) logNotice(notice raftstore.Noticed) {
 	n.Counters.Notices[notice.What].Add(1)
@@ -64,7 +67,7 @@
 	if notice.Cause != "" {
 		line = line.Str("cause", notice.Cause)
 	}
-	line.Msg("state store notice")
+	line.Msg(noticeMessage)
 }
 
 // Overview returns the host's state; it is empty if the node is closing.
