--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -208,11 +208,11 @@
 	if raw {
 		return writeJSON(c.out, s)
 	}
-	if s.LeftOut {
+	if s.Excluded {
 		fmt.Fprintf(c.out, "another process has the name %s; this one takes no part\n", s.Node)
 	}
-	if s.Health > 1 {
-		fmt.Fprintf(c.out, "%s misses answers that others get, and waits %d times as long\n", s.Node, s.Health)
+	if s.LocalHealth > 1 {
+		fmt.Fprintf(c.out, "%s misses answers that others get, and waits %d times as long\n", s.Node, s.LocalHealth)
 	}
 	w := tabwriter.NewWriter(c.out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tSTATE\tFOR\tSAYS\tLIFE\tAT\tHEARD\tROUND TRIP\tZONE\tWEIGHT\tVERSION\tSETTINGS\tFLAGS\tCUT"+stream)
@@ -223,12 +223,12 @@
 		} else if m.HeardMS >= 0 {
 			heard = millis(m.HeardMS).String()
 		}
-		if m.Differs {
+		if m.SettingsDiffer {
 			settings = "differ"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s", name, m.State, millis(m.ForMS), dash(m.By),
-			time.UnixMicro(int64(m.Life)).UTC().Format("2006-01-02T15:04:05.000"), m.At, heard, trip(m.RTTMicros), dash(m.Zone), m.Weight,
-			dash(m.Version), settings, dash(strings.Join(m.Flags, ",")), dash(strings.Join(m.Cut, ",")))
+		fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s", name, m.State, millis(m.ForMS), dash(m.ReportedBy),
+			time.UnixMicro(int64(m.Generation)).UTC().Format("2006-01-02T15:04:05.000"), m.Address, heard, trip(m.RTTMicros), dash(m.Zone), m.Weight,
+			dash(m.Version), settings, dash(strings.Join(m.Flags, ",")), dash(strings.Join(m.BrokenPaths, ",")))
 		switch {
 		case m.StreamFault != "":
 			fmt.Fprintf(w, "\t%s", m.StreamFault)
--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -142,9 +142,9 @@
 // member is one with a value in each field, but for those that only a try of streams fills.
 func member(name string) gossip.Member {
 	return gossip.Member{
-		Name: name, At: "192.0.2.3:7946", Life: 1_767_225_600_000_000, Incarnation: 2, State: "suspect", ForMS: 3000, By: "gw-3", HeardMS: 400,
-		RTTMicros: 500, Zone: "b", Weight: 6, Version: "1.2.3", Settings: "00000000000000ff", Differs: true, Flags: []string{"draining", "no disk"},
-		Cut: []string{"gw-1 -> gw-2"},
+		Name: name, Address: "192.0.2.3:7946", Generation: 1_767_225_600_000_000, Incarnation: 2, State: "suspect", ForMS: 3000, ReportedBy: "gw-3", HeardMS: 400,
+		RTTMicros: 500, Zone: "b", Weight: 6, Version: "1.2.3", Settings: "00000000000000ff", SettingsDiffer: true, Flags: []string{"draining", "no disk"},
+		BrokenPaths: []string{"gw-1 -> gw-2"},
 	}
 }
 
@@ -163,12 +163,12 @@
 	}{
 		{
 			"members", "members", []string{"members"},
-			gossip.Status{Node: "gw-1", LeftOut: true, Health: 2, Members: []gossip.Member{self, other}},
+			gossip.Status{Node: "gw-1", Excluded: true, LocalHealth: 2, Members: []gossip.Member{self, other}},
 			[]string{"answer.Members[0].StreamMicros", "answer.Members[0].StreamFault"},
 		},
 		{
 			"members-streams", "members streams", []string{"members", "--streams"},
-			gossip.Status{Node: "gw-1", LeftOut: true, Health: 2, Members: []gossip.Member{unreached, reached}}, nil,
+			gossip.Status{Node: "gw-1", Excluded: true, LocalHealth: 2, Members: []gossip.Member{unreached, reached}}, nil,
 		},
 		{
 			"vrrp-status", "vrrp status", []string{"vrrp", "status"},
--- a/internal/datagrams/datagrams.go
+++ b/internal/datagrams/datagrams.go
@@ -27,21 +27,21 @@
 var past = time.Unix(1, 0)
 
 // Owner is what a loop works for. Its methods are called on the loop's goroutine only.
-type Owner interface {
+type Handler interface {
 	// Begin is called first.
-	Begin()
+	Start()
 	// Next is when the owner wants to look at the time; zero: not at all.
-	Next() time.Time
+	NextTimer() time.Time
 	// Receive takes in one datagram. Its bytes are valid until it returns.
-	Receive(b []byte, from netip.AddrPort)
+	HandleDatagram(b []byte, from netip.AddrPort)
 	// Look is called after each batch of datagrams, and when Next has come.
-	Look()
+	CheckTimers()
 }
 
 // Loop is a socket and its goroutine.
 type Loop struct {
 	// Broken counts errors of the socket that came instead of a datagram.
-	Broken atomic.Int64
+	SocketErrors atomic.Int64
 
 	conn   *net.UDPConn
 	tasks  chan func()
@@ -74,12 +74,12 @@
 }
 
 // Run reads until Close. It is the goroutine.
-func (l *Loop) Run(o Owner) {
+func (l *Loop) Run(o Handler) {
 	defer close(l.done)
-	o.Begin()
+	o.Start()
 	for !l.ending {
 		// The deadline is set before the tasks are looked for, so that a task left later wakes the read.
-		l.conn.SetReadDeadline(o.Next())
+		l.conn.SetReadDeadline(o.NextTimer())
 		select {
 		case do := <-l.tasks:
 			do()
@@ -88,7 +88,7 @@
 		}
 		size, from, err := l.conn.ReadFromUDPAddrPort(l.buffer)
 		for n := 1; err == nil && size >= 0; n++ {
-			o.Receive(l.buffer[:size], netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
+			o.HandleDatagram(l.buffer[:size], netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
 			if n == batch {
 				break
 			}
@@ -98,9 +98,9 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil && !errors.Is(err, os.ErrDeadlineExceeded):
-			l.Broken.Add(1)
+			l.SocketErrors.Add(1)
 		}
-		o.Look()
+		o.CheckTimers()
 	}
 }
 
@@ -133,7 +133,7 @@
 }
 
 // Ask runs a function on the goroutine and waits for it. It tells whether it ran.
-func (l *Loop) Ask(do func()) bool {
+func (l *Loop) Do(do func()) bool {
 	ran := make(chan struct{})
 	select {
 	case l.tasks <- func() { do(); close(ran) }:
@@ -150,11 +150,11 @@
 }
 
 // Shut closes the socket of a loop that has not run.
-func (l *Loop) Shut() { l.conn.Close() }
+func (l *Loop) CloseUnstarted() { l.conn.Close() }
 
 // Close ends the goroutine and closes the socket.
 func (l *Loop) Close() {
-	l.Ask(func() { l.ending = true })
+	l.Do(func() { l.ending = true })
 	<-l.done
 	l.conn.Close()
 }
--- a/internal/datagrams/datagrams_test.go
+++ b/internal/datagrams/datagrams_test.go
@@ -9,27 +9,27 @@
 )
 
 // counter is an owner that counts, and wants to look at the time often.
-type counter struct {
+type countingHandler struct {
 	began, looked, read atomic.Int64
 	last                atomic.Value
 	next                atomic.Int64 // nanoseconds until the next look; 0: none is wanted
 }
 
-func (c *counter) Begin() { c.began.Add(1) }
+func (c *countingHandler) Start() { c.began.Add(1) }
 
-func (c *counter) Next() time.Time {
+func (c *countingHandler) NextTimer() time.Time {
 	if d := c.next.Load(); d > 0 {
 		return time.Now().Add(time.Duration(d))
 	}
 	return time.Time{}
 }
 
-func (c *counter) Receive(b []byte, _ netip.AddrPort) {
+func (c *countingHandler) HandleDatagram(b []byte, _ netip.AddrPort) {
 	c.read.Add(1)
 	c.last.Store(string(b))
 }
 
-func (c *counter) Look() { c.looked.Add(1) }
+func (c *countingHandler) CheckTimers() { c.looked.Add(1) }
 
 // Datagrams are read, many before the clock is looked at once; tasks run while nothing comes; the clock is looked at when it is
 // due; an end comes at once.
@@ -39,9 +39,9 @@
 		if err != nil {
 			t.Skipf("no %s here: %v", at, err)
 		}
-		c := &counter{}
+		c := &countingHandler{}
 		go l.Run(c)
-		if !l.Ask(func() {}) || c.began.Load() != 1 {
+		if !l.Do(func() {}) || c.began.Load() != 1 {
 			t.Fatal("a task did not run")
 		}
 		from, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(l.Addr()))
@@ -58,7 +58,7 @@
 			}
 		}
 		busy := make(chan bool)
-		go l.Ask(func() { <-busy }) // what comes meanwhile waits in the kernel
+		go l.Do(func() { <-busy }) // what comes meanwhile waits in the kernel
 		const n = 200
 		for range n - 1 {
 			from.Write([]byte("x"))
@@ -75,10 +75,10 @@
 		}
 		before = c.looked.Load()
 		c.next.Store(int64(time.Millisecond))
-		l.Ask(func() {})
+		l.Do(func() {})
 		wait("the clock was not looked at", func() bool { return c.looked.Load() > before+2 })
 		l.Close()
-		if l.Ask(func() {}) {
+		if l.Do(func() {}) {
 			t.Error("a task ran after the end")
 		}
 	}
--- a/internal/experiments/members/world.go
+++ b/internal/experiments/members/world.go
@@ -256,7 +256,7 @@
 		n := w.nodes[i]
 		p := &swim{w: w, self: i, believed: map[int]bool{}}
 		p.m = membership.New(membership.Config{
-			Name: name(i), At: address(i), Life: uint64(w.Now) + n.life<<40, Interval: interval, Plain: plain,
+			Name: name(i), Address: address(i), Generation: uint64(w.Now) + n.life<<40, Interval: interval, WithoutLifeguard: plain,
 			Join: []netip.AddrPort{address(0), address(1), address(2)}, Seed: w.rng.Uint64() | 1,
 			Meta: membership.Meta{Zone: "a", Weight: 1, Version: "0.3.0", Settings: 7},
 		})
@@ -270,7 +270,7 @@
 	self     int
 	m        *membership.Machine
 	believed map[int]bool
-	notices  [membership.Notices]int
+	notices  [membership.NoticeCount]int
 	done     bool
 }
 
@@ -278,11 +278,11 @@
 	var ev membership.Event
 	switch x := in.(type) {
 	case nil:
-		ev = membership.Startup{}
+		ev = membership.Started{}
 	case tick:
 		ev = membership.Tick{}
 	case membership.Message:
-		ev = membership.Heard{Source: address(from), Message: x}
+		ev = membership.MessageReceived{Source: address(from), Message: x}
 	case membership.Event:
 		ev = x
 	}
@@ -293,7 +293,7 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case membership.Send:
-			to, ok := p.w.at[a.At]
+			to, ok := p.w.at[a.Address]
 			if !ok {
 				continue
 			}
@@ -302,7 +302,7 @@
 				x.size = len(codec.AppendMessage(nil, a.Message)) + sealed.Size
 			}
 			out = append(out, x)
-		case membership.Changed:
+		case membership.MemberChanged:
 			i := index(a.Name)
 			if living := !a.State.Ended(); living != p.believed[i] {
 				p.believed[i] = living
@@ -310,9 +310,9 @@
 					p.w.changed(p.self, i, living)
 				}
 			}
-		case membership.Noticed:
-			p.notices[a.What]++
-		case membership.Done:
+		case membership.Notice:
+			p.notices[a.Kind]++
+		case membership.LeaveCompleted:
 			p.done = true
 		}
 	}
@@ -325,7 +325,7 @@
 }
 
 // leave has a gateway go in an orderly way.
-var leave = membership.Leave{}
+var leave = membership.LeaveRequested{}
 
 // dead tells whether it holds another one dead, and not gone in an orderly way.
 func (p *swim) dead(other int) bool {
--- a/internal/experiments/statestore/cluster.go
+++ b/internal/experiments/statestore/cluster.go
@@ -77,7 +77,7 @@
 	var err error
 	if m.streams, err = streams.Listen("127.0.0.1:0", streams.Settings{
 		Node: name, Start: uint64(begin.UnixMicro()), Keys: []sealed.Key{key}, Buffers: buffers, Fds: fds,
-		Route: func(to string) (string, bool) {
+		AddressOf: func(to string) (string, bool) {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			at, known := c.routes[to]
--- a/internal/floatingip/floating.go
+++ b/internal/floatingip/floating.go
@@ -75,7 +75,7 @@
 	log      zerolog.Logger
 
 	loop    *datagrams.Loop
-	origins *sealed.Order[uint8]
+	origins *sealed.ReplayGuard[uint8]
 	groups  []*group
 	last    vrrp.Health
 	limit   *rate.Limiter
@@ -108,12 +108,12 @@
 	}
 	sp := &Speaker{
 		settings: s, clock: clock, address: address, health: health, log: log, loop: loop,
-		origins: sealed.NewOrder[uint8](start, 0), limit: rate.NewLimiter(dropsLogged, dropsBurst),
+		origins: sealed.NewReplayGuard[uint8](start, 0), limit: rate.NewLimiter(dropsLogged, dropsBurst),
 	}
 	for _, g := range s.Groups {
 		sp.groups = append(sp.groups, &group{Group: g, machine: vrrp.New(g.Machine)})
 	}
-	go loop.Run((*owner)(sp))
+	go loop.Run((*loopHandler)(sp))
 	return sp, nil
 }
 
@@ -121,16 +121,16 @@
 func (s *Speaker) Addr() netip.AddrPort { return s.loop.Addr() }
 
 // Broken counts errors of the socket that came instead of a datagram.
-func (s *Speaker) Broken() int64 { return s.loop.Broken.Load() }
+func (s *Speaker) Broken() int64 { return s.loop.SocketErrors.Load() }
 
 // ask runs a function on the speaker's goroutine and waits for it. It tells whether it ran.
-func (s *Speaker) ask(do func()) bool { return s.loop.Ask(do) }
+func (s *Speaker) ask(do func()) bool { return s.loop.Do(do) }
 
 // owner is the speaker as its loop sees it.
-type owner Speaker
+type loopHandler Speaker
 
 // Begin starts every group.
-func (o *owner) Begin() {
+func (o *loopHandler) Start() {
 	s := (*Speaker)(o)
 	s.look()
 	for _, g := range s.groups {
@@ -139,7 +139,7 @@
 }
 
 // Next is the next time that a machine wants to look at the clock.
-func (o *owner) Next() (next time.Time) {
+func (o *loopHandler) NextTimer() (next time.Time) {
 	for _, g := range o.groups {
 		if at, ok := g.machine.Next(); ok {
 			if t := o.clock.Time(at); next.IsZero() || t.Before(next) {
@@ -151,10 +151,10 @@
 }
 
 // Receive takes in one datagram.
-func (o *owner) Receive(b []byte, from netip.AddrPort) { (*Speaker)(o).receive(b, from) }
+func (o *loopHandler) HandleDatagram(b []byte, from netip.AddrPort) { (*Speaker)(o).receive(b, from) }
 
 // Look has the machines look at the clock.
-func (o *owner) Look() {
+func (o *loopHandler) CheckTimers() {
 	s := (*Speaker)(o)
 	s.look()
 	now := s.clock.Now()
@@ -215,11 +215,11 @@
 
 func (s *Speaker) advertise(g *group, a vrrp.Advertise) {
 	for _, p := range s.settings.Peers {
-		o := s.origins.Next()
+		o := s.origins.NextID()
 		b, err := codec.Append(nil, codec.Message{
 			VRID: g.Machine.VRID, Priority: a.Priority, Interval: int64(a.Interval), Addresses: g.Addresses,
 			Trailer: codec.Trailer{
-				Sender: s.settings.Node, Receiver: p.Node, Start: o.Start, Sequence: o.Sequence, Known: s.origins.Known(p.Node),
+				Sender: s.settings.Node, Receiver: p.Node, Start: o.Start, Sequence: o.Sequence, ReceiverStart: s.origins.KnownStart(p.Node),
 			},
 		}, s.settings.Bind.Addr(), p.Address.Addr(), s.settings.Keys[0])
 		s.send(b, err, p.Address, &s.Counts.Sent)
@@ -239,7 +239,7 @@
 
 func (s *Speaker) announce(g *group) {
 	for _, to := range s.settings.Announce {
-		o := s.origins.Next()
+		o := s.origins.NextID()
 		b, err := codec.AppendAnnouncement(nil, codec.Announcement{
 			VRID: g.Machine.VRID, Sender: s.settings.Node, Start: o.Start, Sequence: o.Sequence, Listen: g.Listen,
 			Addresses: g.Addresses,
@@ -291,7 +291,7 @@
 	if m.Sender != peer.Node || m.Receiver != s.settings.Node {
 		return nil, none, codec.WrongPeer
 	}
-	fresh, moved := s.origins.Take(m.Sender, sealed.Origin{Start: m.Start, Sequence: m.Sequence}, m.Known)
+	fresh, moved := s.origins.Accept(m.Sender, sealed.MessageID{Start: m.Start, Sequence: m.Sequence}, m.ReceiverStart)
 	if moved {
 		s.Counts.Moved.Add(1)
 		s.log.Warn().Uint8("peer", m.Sender).Msg("peers know a later start of this gateway: its clock was set back; moved past it")
@@ -326,7 +326,7 @@
 			byName[g.Name] = g
 		}
 		s.settings = next
-		s.origins.Forget(func(node uint8) bool {
+		s.origins.Retain(func(node uint8) bool {
 			return slices.ContainsFunc(next.Peers, func(p Peer) bool { return p.Node == node })
 		})
 		for _, g := range s.groups {
--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -222,7 +222,7 @@
 func (m *members) names() []string { return *m.living.Load() }
 
 // changed keeps the list of members that live.
-func (m *members) changed(c membership.Changed) {
+func (m *members) changed(c membership.MemberChanged) {
 	if c.Name == m.g.ops.Members.Node {
 		return
 	}
@@ -230,9 +230,9 @@
 		m.noted(c)
 	}
 	if b := m.g.bookings; b != nil && c.State.Ended() {
-		b.GatewayEnded(c.Name, c.Life)
-	} else if b != nil && c.Life > 0 {
-		b.GatewayEnded(c.Name, c.Life-1) // whatever it was before
+		b.GatewayEnded(c.Name, c.Generation)
+	} else if b != nil && c.Generation > 0 {
+		b.GatewayEnded(c.Name, c.Generation-1) // whatever it was before
 	}
 	var next []string
 	for _, name := range m.names() {
--- a/internal/gateway/maintain.go
+++ b/internal/gateway/maintain.go
@@ -429,8 +429,8 @@
 }
 
 // noted keeps who there is.
-func (m *members) noted(c membership.Changed) {
-	x := maintenance.Member{Name: c.Name, Zone: c.Meta.Zone, Life: c.Life}
+func (m *members) noted(c membership.MemberChanged) {
+	x := maintenance.Member{Name: c.Name, Zone: c.Meta.Zone, Life: c.Generation}
 	switch c.State {
 	case membership.Dead:
 		x.Presence = maintenance.Dead
@@ -439,7 +439,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if last, known := m.known[c.Name]; known && last.Life > c.Life {
+	if last, known := m.known[c.Name]; known && last.Life > c.Generation {
 		return
 	}
 	m.known[c.Name] = x
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -26,7 +26,7 @@
 // members is the gateway's part in the membership. A nil one is a gateway without.
 type members struct {
 	g        *Gateway
-	peers    *gossip.Peers
+	peers    *gossip.Agent
 	settings atomic.Uint64 // digest of the settings in force
 	draining atomic.Bool
 	living   atomic.Pointer[[]string]
@@ -137,13 +137,13 @@
 	c := &m.peers.Counts
 	line := m.g.log.Info().Int64("sent", c.Sent.Load()).Int64("sent_bytes", c.SentBytes.Load()).Int64("send_failed", c.SendFailed.Load()).
 		Int64("received", c.Received.Load()).Int64("changes", c.Changes.Load()).Int64("deaths", c.Deaths.Load()).
-		Int64("refutations", c.Refutations.Load()).Int64("path_changes", c.Cuts.Load())
-	for fault := codec.Sound + 1; fault < codec.Faults; fault++ {
+		Int64("refutations", c.Refutations.Load()).Int64("path_changes", c.PathChanges.Load())
+	for fault := codec.NoFault + 1; fault < codec.FaultCount; fault++ {
 		if n := c.Dropped[fault].Load(); n > 0 {
 			line = line.Int64("dropped_"+codec.FaultNames[fault], n)
 		}
 	}
-	for what := range membership.Notices {
+	for what := range membership.NoticeCount {
 		if n := c.Noticed[what].Load(); n > 0 {
 			line = line.Int64("noticed_"+what.String(), n)
 		}
@@ -151,6 +151,6 @@
 	line.Msg("members counters")
 	x := &m.peers.Streams.Counts
 	m.g.log.Info().Int64("opened", x.Opened.Load()).Int64("accepted", x.Accepted.Load()).Int64("failed", x.Failed.Load()).
-		Int64("refused", x.Refused.Load()).Int64("sent", x.Sent.Load()).Int64("sent_bytes", x.SentBytes.Load()).
+		Int64("refused", x.Rejected.Load()).Int64("sent", x.Sent.Load()).Int64("sent_bytes", x.SentBytes.Load()).
 		Int64("received", x.Received.Load()).Int64("dropped", x.Dropped.Load()).Int64("lost", x.Lost.Load()).Msg("streams counters")
 }
--- a/internal/gateway/questions_test.go
+++ b/internal/gateway/questions_test.go
@@ -141,7 +141,7 @@
 // The words for states and conditions in answers are those that they always were.
 func TestWordsGolden(t *testing.T) {
 	var all strings.Builder
-	for state := range membership.States {
+	for state := range membership.StateCount {
 		fmt.Fprintln(&all, "members state:", state)
 	}
 	for _, state := range []vrrp.State{vrrp.Initialize, vrrp.Backup, vrrp.Active} {
--- a/internal/golden/datagrams_test.go
+++ b/internal/golden/datagrams_test.go
@@ -17,23 +17,23 @@
 	ip6, ip6b     = netip.MustParseAddr("2001:db8::1"), netip.MustParseAddr("2001:db8::2")
 	address4      = netip.AddrPortFrom(ip4, 7946)
 	address6      = netip.AddrPortFrom(ip6, 7947)
-	goldenTrailer = sealed.Trailer{Key: 1, Sender: 3, Receiver: 4, Start: 1_790_000_000_000_000, Sequence: 6, Known: 1_790_000_000_000_007}
+	goldenTrailer = sealed.Trailer{Key: 1, Sender: 3, Receiver: 4, Start: 1_790_000_000_000_000, Sequence: 6, ReceiverStart: 1_790_000_000_000_007}
 )
 
 // memberMessage is a message of membership with every field set and a record in every state.
 func memberMessage(kind membership.Kind) membership.Message {
 	return membership.Message{
-		Kind: kind, From: "gw-1", Life: 1_790_000_000_000_001, Incarnation: 3, To: "gw-2", ToLife: 1_790_000_000_000_002, Number: 77,
-		Target: "gw-3", TargetAt: address6, Origin: "gw-4", OriginNumber: 9, Direct: true, Digest: 0xfeedfacecafebeef,
+		Kind: kind, From: "gw-1", Generation: 1_790_000_000_000_001, Incarnation: 3, To: "gw-2", ToGeneration: 1_790_000_000_000_002, Number: 77,
+		Target: "gw-3", TargetAddress: address6, Origin: "gw-4", OriginNumber: 9, DirectPingReceived: true, Digest: 0xfeedfacecafebeef,
 		Records: []membership.Record{
-			{Name: "gw-1", At: address4, Life: 5, Incarnation: 1, State: membership.Alive, Meta: membership.Meta{
-				Zone: "a", Weight: 7, Version: "0.3.0", Settings: 12, Flags: membership.Draining | membership.StoodStill | membership.NoDisk}},
-			{Name: "gw-3", At: address6, Life: 6, State: membership.Suspect, By: "gw-1", Meta: membership.Meta{Flags: membership.Draining}},
-			{Name: "gw-4", At: address4, Life: 7, State: membership.Dead, By: "gw-2", Meta: membership.Meta{Flags: membership.StoodStill}},
-			{Name: "gw-5", At: address4, Life: 8, State: membership.Left, Meta: membership.Meta{Flags: membership.NoDisk}},
+			{Name: "gw-1", Address: address4, Generation: 5, Incarnation: 1, State: membership.Alive, Meta: membership.Meta{
+				Zone: "a", Weight: 7, Version: "0.3.0", Settings: 12, Flags: membership.Draining | membership.Stalled | membership.NoDisk}},
+			{Name: "gw-3", Address: address6, Generation: 6, State: membership.Suspect, ReportedBy: "gw-1", Meta: membership.Meta{Flags: membership.Draining}},
+			{Name: "gw-4", Address: address4, Generation: 7, State: membership.Dead, ReportedBy: "gw-2", Meta: membership.Meta{Flags: membership.Stalled}},
+			{Name: "gw-5", Address: address4, Generation: 8, State: membership.Left, Meta: membership.Meta{Flags: membership.NoDisk}},
 		},
-		Cuts: []membership.Cut{
-			{By: "gw-1", Peer: "gw-3", Life: 9, Number: 2, Unheard: true}, {By: "gw-1", Peer: "gw-5", Life: 9, Number: 3, Deaf: true},
+		Paths: []membership.PathState{
+			{Reporter: "gw-1", Peer: "gw-3", Generation: 9, Number: 2, OutboundLost: true}, {Reporter: "gw-1", Peer: "gw-5", Generation: 9, Number: 3, InboundLost: true},
 		},
 	}
 }
@@ -43,7 +43,7 @@
 		name string
 		kind membership.Kind
 	}{
-		{"ping", membership.Ping}, {"ack", membership.Ack}, {"ping-for", membership.PingFor}, {"nack", membership.Nack}, {"refuse", membership.Refuse},
+		{"ping", membership.Ping}, {"ack", membership.Ack}, {"ping-for", membership.IndirectPing}, {"nack", membership.Nack}, {"refuse", membership.Reject},
 	}
 	if last := kinds[len(kinds)-1].kind; (last + 1).Known() {
 		t.Errorf("kind %d has no golden file", last+1)
@@ -57,12 +57,12 @@
 			}
 			file := golden(t, "members/"+c.name, encoded)
 			got, trailer, fault := members.Parse(file, "golden", []sealed.Key{key})
-			if fault != members.Sound || trailer != goldenTrailer || !reflect.DeepEqual(got, want) {
+			if fault != members.NoFault || trailer != goldenTrailer || !reflect.DeepEqual(got, want) {
 				t.Errorf("decoded as %v %+v %+v", fault, trailer, got)
 			}
 			rejectsFlips(t, file, func(b []byte) bool {
 				_, _, fault := members.Parse(b, "golden", []sealed.Key{key})
-				return fault == members.Sound
+				return fault == members.NoFault
 			})
 		})
 	}
--- a/internal/golden/streams_test.go
+++ b/internal/golden/streams_test.go
@@ -66,16 +66,16 @@
 	heard := make(chan string, 1000)
 	a, err := streams.Listen("127.0.0.1:0", streams.Settings{
 		Node: "a", Deployment: "golden", Start: 5, Keys: []sealed.Key{key}, Buffers: transport.NewBuffers(16 << 20), Fds: transport.NewDescriptors(256),
-		Route: func(string) (string, bool) { return peer.Addr().String(), true },
+		AddressOf: func(string) (string, bool) { return peer.Addr().String(), true },
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer a.Close()
-	a.Handle(streams.Copies, func(from string, body []byte) { heard <- from + ": " + string(body) })
+	a.Handle(streams.StateStore, func(from string, body []byte) { heard <- from + ": " + string(body) })
 
 	// From a to b.
-	if err := a.Send(streams.Message{To: "b", Channel: streams.Copies, Body: []byte("what a says")}); err != nil {
+	if err := a.Send(streams.Message{To: "b", Channel: streams.StateStore, Body: []byte("what a says")}); err != nil {
 		t.Fatal(err)
 	}
 	out, err := peer.Accept()
@@ -88,7 +88,7 @@
 	golden(t, "streams/sent-hello", readFrame(t, out))
 	golden(t, "streams/sent-copies", readFrame(t, out))
 	reached := make(chan error, 1)
-	go func() { _, err := a.Reach("b", deadline); reached <- err }()
+	go func() { _, err := a.Ping("b", deadline); reached <- err }()
 	golden(t, "streams/sent-echo", readFrame(t, out))
 
 	// From b to a.
--- a/internal/gossip/peers.go
+++ b/internal/gossip/agent.go
@@ -64,7 +64,7 @@
 const window = 64
 
 // mostSenders bounds how many senders' order is kept. Only who has a key can fill it.
-const mostSenders = 4 * membership.MostMembers
+const mostSenders = 4 * membership.MaxMembers
 
 // sender tells senders apart: two processes may have one name.
 type sender struct {
@@ -74,13 +74,13 @@
 
 // Counts are the counters since the start.
 type Counts struct {
-	Sent, SendFailed, Received, SentBytes, Changes, Deaths, Refutations, Cuts atomic.Int64
-	Dropped                                                                   [codec.Faults]atomic.Int64
-	Noticed                                                                   [membership.Notices]atomic.Int64
+	Sent, SendFailed, Received, SentBytes, Changes, Deaths, Refutations, PathChanges atomic.Int64
+	Dropped                                                                          [codec.FaultCount]atomic.Int64
+	Noticed                                                                          [membership.NoticeCount]atomic.Int64
 }
 
 // Peers takes part in the membership.
-type Peers struct {
+type Agent struct {
 	settings Settings
 	clock    Clock
 	self     func() Self
@@ -88,13 +88,13 @@
 	log      zerolog.Logger
 	loop     *datagrams.Loop
 	machine  *membership.Machine
-	order    *sealed.Order[sender]
+	order    *sealed.ReplayGuard[sender]
 	senders  int
 	limit    *rate.Limiter
 	silent   int64 // drops since the last line about one
 	back     map[netip.AddrPort]netip.AddrPort
 	left     chan struct{}
-	changes  func(membership.Changed)
+	changes  func(membership.MemberChanged)
 	places   sync.Map // name to netip.AddrPort, as advertised
 	ways     atomic.Pointer[map[netip.AddrPort]netip.AddrPort]
 
@@ -106,13 +106,13 @@
 // Start binds the socket and joins. start is the system clock's time, microseconds of Unix time: it tells one life of this
 // gateway from the next. self is asked again whenever the goroutine looks at the clock. changes is told of each change of the
 // view on that goroutine, and must not wait; nil: nobody is.
-func Start(s Settings, clock Clock, start uint64, self func() Self, changes func(membership.Changed), log zerolog.Logger) (*Peers, error) {
-	loop, err := datagrams.Listen(s.Bind, codec.MostSize)
+func Start(s Settings, clock Clock, start uint64, self func() Self, changes func(membership.MemberChanged), log zerolog.Logger) (*Agent, error) {
+	loop, err := datagrams.Listen(s.Bind, codec.MaxSize)
 	if err != nil {
 		return nil, err
 	}
-	p := &Peers{
-		settings: s, clock: clock, self: self, log: log, loop: loop, order: sealed.NewOrder[sender](start, window),
+	p := &Agent{
+		settings: s, clock: clock, self: self, log: log, loop: loop, order: sealed.NewReplayGuard[sender](start, window),
 		limit: rate.NewLimiter(dropsLogged, dropsBurst), left: make(chan struct{}), changes: changes,
 	}
 	p.settings.Advertise = advertised(s, loop.Addr())
@@ -120,16 +120,16 @@
 	p.route()
 	if s.Buffers != nil {
 		if p.Streams, err = streams.Listen(loop.Addr().String(), streams.Settings{
-			Node: s.Node, Deployment: s.Deployment, Start: start, Keys: s.Keys, Route: p.place, Buffers: s.Buffers, Fds: s.Fds,
+			Node: s.Node, Deployment: s.Deployment, Start: start, Keys: s.Keys, AddressOf: p.place, Buffers: s.Buffers, Fds: s.Fds,
 		}); err != nil {
-			loop.Shut()
+			loop.CloseUnstarted()
 			return nil, err
 		}
 	}
 	p.machine = membership.New(membership.Config{
-		Name: s.Node, At: p.settings.Advertise, Life: start, Interval: micros(s.Interval), Join: s.Join, Seed: start | 1, Meta: p.meta(),
+		Name: s.Node, Address: p.settings.Advertise, Generation: start, Interval: micros(s.Interval), Join: s.Join, Seed: start | 1, Meta: p.meta(),
 	})
-	go loop.Run((*owner)(p))
+	go loop.Run((*loopHandler)(p))
 	return p, nil
 }
 
@@ -143,14 +143,14 @@
 func micros(d time.Duration) clock.Micros { return clock.Micros(d.Microseconds()) }
 
 // meta is what the machine tells of this gateway.
-func (p *Peers) meta() membership.Meta {
+func (p *Agent) meta() membership.Meta {
 	return membership.Meta{
 		Zone: p.settings.Zone, Weight: p.settings.Weight, Version: p.told.Version, Settings: p.told.Settings, Flags: p.told.Flags,
 	}
 }
 
 // place is where a member's streams are opened to, also one that is held dead: that may be wrong.
-func (p *Peers) place(name string) (string, bool) {
+func (p *Agent) place(name string) (string, bool) {
 	at, known := p.places.Load(name)
 	if !known {
 		return "", false
@@ -163,7 +163,7 @@
 }
 
 // route makes the way back from the addresses that others are reached at.
-func (p *Peers) route() {
+func (p *Agent) route() {
 	p.ways.Store(&p.settings.Via)
 	p.back = make(map[netip.AddrPort]netip.AddrPort, len(p.settings.Via))
 	for at, via := range p.settings.Via {
@@ -172,16 +172,16 @@
 }
 
 // Addr is where the socket is bound.
-func (p *Peers) Addr() netip.AddrPort { return p.loop.Addr() }
+func (p *Agent) Addr() netip.AddrPort { return p.loop.Addr() }
 
 // owner is the peers as their loop sees them.
-type owner Peers
+type loopHandler Agent
 
 // Begin joins.
-func (o *owner) Begin() { (*Peers)(o).tell(membership.Startup{}) }
+func (o *loopHandler) Start() { (*Agent)(o).tell(membership.Started{}) }
 
 // Next is when the machine wants to look at the clock.
-func (o *owner) Next() time.Time {
+func (o *loopHandler) NextTimer() time.Time {
 	if at, ok := o.machine.Next(); ok {
 		return o.clock.Time(at)
 	}
@@ -189,11 +189,11 @@
 }
 
 // Look has the machine look at the clock, and tells it if the gateway tells other things of itself.
-func (o *owner) Look() {
-	p := (*Peers)(o)
+func (o *loopHandler) CheckTimers() {
+	p := (*Agent)(o)
 	if now := p.self(); now != p.told {
 		p.told = now
-		p.tell(membership.Tell{Meta: p.meta()})
+		p.tell(membership.MetaUpdated{Meta: p.meta()})
 	}
 	if at, ok := p.machine.Next(); ok && p.clock.Now() >= at {
 		p.tell(membership.Tick{})
@@ -201,43 +201,43 @@
 }
 
 // Receive checks one datagram and hands it to the machine.
-func (o *owner) Receive(b []byte, from netip.AddrPort) {
-	p := (*Peers)(o)
+func (o *loopHandler) HandleDatagram(b []byte, from netip.AddrPort) {
+	p := (*Agent)(o)
 	p.Counts.Received.Add(1)
 	m, fault := p.check(b, from)
-	if fault != codec.Sound {
+	if fault != codec.NoFault {
 		p.drop(fault, from)
 		return
 	}
 	if at, known := p.back[from]; known {
 		from = at
 	}
-	p.tell(membership.Heard{Source: from, Message: m})
+	p.tell(membership.MessageReceived{Source: from, Message: m})
 }
 
-func (p *Peers) check(b []byte, from netip.AddrPort) (membership.Message, codec.Fault) {
+func (p *Agent) check(b []byte, from netip.AddrPort) (membership.Message, codec.Fault) {
 	m, t, fault := codec.Parse(b, p.settings.Deployment, p.settings.Keys)
-	if fault != codec.Sound {
+	if fault != codec.NoFault {
 		return m, fault
 	}
 	s := sender{m.From, from}
-	if p.order.Known(s) == 0 {
+	if p.order.KnownStart(s) == 0 {
 		if p.senders++; p.senders > mostSenders {
 			p.senders = 0
-			p.order.Forget(func(sender) bool { return false })
+			p.order.Retain(func(sender) bool { return false })
 		}
 	}
-	fresh, moved := p.order.Take(s, sealed.Origin{Start: t.Start, Sequence: t.Sequence}, t.Known)
+	fresh, moved := p.order.Accept(s, sealed.MessageID{Start: t.Start, Sequence: t.Sequence}, t.ReceiverStart)
 	if moved {
 		p.log.Warn().Str("peer", m.From).Msg("peers know a later start of this gateway: its clock was set back; moved past it")
 	}
 	if !fresh {
 		return m, codec.Replayed
 	}
-	return m, codec.Sound
+	return m, codec.NoFault
 }
 
-func (p *Peers) drop(fault codec.Fault, from netip.AddrPort) {
+func (p *Agent) drop(fault codec.Fault, from netip.AddrPort) {
 	p.Counts.Dropped[fault].Add(1)
 	if !p.limit.Allow() {
 		p.silent++
@@ -248,33 +248,33 @@
 }
 
 // tell hands an event to the machine and carries out what comes of it.
-func (p *Peers) tell(ev membership.Event) {
+func (p *Agent) tell(ev membership.Event) {
 	for _, a := range p.machine.Handle(p.clock.Now(), ev) {
 		switch a := a.(type) {
 		case membership.Send:
 			p.send(a)
-		case membership.Changed:
+		case membership.MemberChanged:
 			p.changed(a)
-		case membership.Path:
-			p.Counts.Cuts.Add(1)
-			p.log.Info().Str("member", a.Cut.Peer).Bool("unheard", a.Cut.Unheard).Bool("deaf", a.Cut.Deaf).Msg("member path")
-		case membership.Noticed:
-			p.Counts.Noticed[a.What].Add(1)
+		case membership.PathChanged:
+			p.Counts.PathChanges.Add(1)
+			p.log.Info().Str("member", a.State.Peer).Bool("unheard", a.State.OutboundLost).Bool("deaf", a.State.InboundLost).Msg("member path")
+		case membership.Notice:
+			p.Counts.Noticed[a.Kind].Add(1)
 			p.noticed(a)
-		case membership.Done:
+		case membership.LeaveCompleted:
 			close(p.left)
 		}
 	}
 }
 
-func (p *Peers) send(a membership.Send) {
-	to := a.At
+func (p *Agent) send(a membership.Send) {
+	to := a.Address
 	if via, known := p.settings.Via[to]; known {
 		to = via
 	}
-	o := p.order.Next()
+	o := p.order.NextID()
 	b, err := codec.Append(nil, a.Message, sealed.Trailer{
-		Start: o.Start, Sequence: o.Sequence, Known: p.order.Known(sender{a.Message.To, to}),
+		Start: o.Start, Sequence: o.Sequence, ReceiverStart: p.order.KnownStart(sender{a.Message.To, to}),
 	}, p.settings.Deployment, p.settings.Keys[0])
 	if err == nil {
 		err = p.loop.Send(b, to)
@@ -287,9 +287,9 @@
 	p.Counts.SentBytes.Add(int64(len(b)))
 }
 
-func (p *Peers) changed(a membership.Changed) {
+func (p *Agent) changed(a membership.MemberChanged) {
 	p.Counts.Changes.Add(1)
-	p.places.Store(a.Name, a.At)
+	p.places.Store(a.Name, a.Address)
 	if a.State == membership.Dead {
 		p.Counts.Deaths.Add(1)
 	}
@@ -297,45 +297,45 @@
 		p.changes(a)
 	}
 	level := p.log.Info()
-	if a.State == membership.Suspect || a.State == a.Was && !a.New {
+	if a.State == membership.Suspect || a.State == a.Previous && !a.NewGeneration {
 		level = p.log.Debug() // most suspicions are refuted; the counters tell of them
 	}
-	level.Str("member", a.Name).Uint64("life", a.Life).Stringer("from", a.Was).Stringer("to", a.State).Bool("new", a.New).
-		Str("by", a.By).Str("at", a.At.String()).Msg("member")
+	level.Str("member", a.Name).Uint64("life", a.Generation).Stringer("from", a.Previous).Stringer("to", a.State).Bool("new", a.NewGeneration).
+		Str("by", a.ReportedBy).Str("at", a.Address.String()).Msg("member")
 }
 
-func (p *Peers) noticed(a membership.Noticed) {
+func (p *Agent) noticed(a membership.Notice) {
 	level := p.log.Warn()
-	if a.What == membership.Refuted {
+	if a.Kind == membership.SuspicionRefuted {
 		p.Counts.Refutations.Add(1)
 		level = p.log.Debug()
 	}
-	if level = level.Stringer("what", a.What); a.By != "" {
-		level = level.Str("by", a.By)
+	if level = level.Stringer("what", a.Kind); a.ReportedBy != "" {
+		level = level.Str("by", a.ReportedBy)
 	}
-	if a.At.IsValid() {
-		level = level.Str("at", a.At.String())
+	if a.Address.IsValid() {
+		level = level.Str("at", a.Address.String())
 	}
-	if a.Life != 0 {
-		level = level.Uint64("life", a.Life)
+	if a.Generation != 0 {
+		level = level.Uint64("life", a.Generation)
 	}
-	if a.For != 0 {
-		level = level.Int64("for_ms", int64(a.For)/1000)
+	if a.StallDuration != 0 {
+		level = level.Int64("for_ms", int64(a.StallDuration)/1000)
 	}
 	level.Msg("membership")
 }
 
 // Reload takes over keys, addresses to join at, ways, zone, weight and interval.
-func (p *Peers) Reload(next Settings) {
-	p.loop.Ask(func() {
+func (p *Agent) Reload(next Settings) {
+	p.loop.Do(func() {
 		next.Node, next.Deployment, next.Bind, next.Advertise = p.settings.Node, p.settings.Deployment, p.settings.Bind, p.settings.Advertise
 		p.settings = next
 		p.route()
 		if p.Streams != nil {
-			p.Streams.Rekey(next.Keys)
+			p.Streams.SetKeys(next.Keys)
 		}
 		p.tell(membership.Reconfigured{Interval: micros(next.Interval), Join: next.Join})
-		p.tell(membership.Tell{Meta: p.meta()})
+		p.tell(membership.MetaUpdated{Meta: p.meta()})
 	})
 }
 
@@ -343,10 +343,10 @@
 const leaveBy = 500 * time.Millisecond
 
 // Leave tells the others that this gateway leaves. It does not wait until they know.
-func (p *Peers) Leave() { p.loop.Ask(func() { p.tell(membership.Leave{}) }) }
+func (p *Agent) Leave() { p.loop.Do(func() { p.tell(membership.LeaveRequested{}) }) }
 
 // Close leaves, and ends the goroutine.
-func (p *Peers) Close() {
+func (p *Agent) Close() {
 	p.Leave()
 	select {
 	case <-p.left:
@@ -360,23 +360,23 @@
 
 // Member is how one member stands, for whoever asks.
 type Member struct {
-	Name        string   `json:"name"`
-	Self        bool     `json:"self,omitempty"`
-	At          string   `json:"at"`
-	Life        uint64   `json:"life"`
-	Incarnation uint32   `json:"incarnation"`
-	State       string   `json:"state"`
-	ForMS       int64    `json:"for_ms"`
-	By          string   `json:"by,omitempty"`
-	HeardMS     int64    `json:"heard_ms_ago"` // -1: never
-	RTTMicros   int64    `json:"rtt_us"`
-	Zone        string   `json:"zone,omitempty"`
-	Weight      uint32   `json:"weight"`
-	Version     string   `json:"version"`
-	Settings    string   `json:"settings"`
-	Differs     bool     `json:"settings_differ"`
-	Flags       []string `json:"flags"`
-	Cut         []string `json:"cut"`
+	Name           string   `json:"name"`
+	Self           bool     `json:"self,omitempty"`
+	Address        string   `json:"at"`
+	Generation     uint64   `json:"life"`
+	Incarnation    uint32   `json:"incarnation"`
+	State          string   `json:"state"`
+	ForMS          int64    `json:"for_ms"`
+	ReportedBy     string   `json:"by,omitempty"`
+	HeardMS        int64    `json:"heard_ms_ago"` // -1: never
+	RTTMicros      int64    `json:"rtt_us"`
+	Zone           string   `json:"zone,omitempty"`
+	Weight         uint32   `json:"weight"`
+	Version        string   `json:"version"`
+	Settings       string   `json:"settings"`
+	SettingsDiffer bool     `json:"settings_differ"`
+	Flags          []string `json:"flags"`
+	BrokenPaths    []string `json:"cut"`
 	// Stream is how long a message over a stream and its answer took, in microseconds, or why there was none; only where asked.
 	StreamMicros int64  `json:"stream_us,omitempty"`
 	StreamFault  string `json:"stream_fault,omitempty"`
@@ -384,41 +384,41 @@
 
 // Status is how this gateway sees everybody.
 type Status struct {
-	Node    string   `json:"node"`
-	LeftOut bool     `json:"left_out"` // another process has its name
-	Health  int      `json:"health"`   // 1: well; it stretches its spans by so much
-	Members []Member `json:"members"`
+	Node        string   `json:"node"`
+	Excluded    bool     `json:"left_out"` // another process has its name
+	LocalHealth int      `json:"health"`   // 1: well; it stretches its spans by so much
+	Members     []Member `json:"members"`
 }
 
 // flagNames are the flags as answers name them.
 var flagNames = []struct {
 	flag membership.Flags
 	name string
-}{{membership.Draining, "draining"}, {membership.StoodStill, "stood still"}, {membership.NoDisk, "no disk"}}
+}{{membership.Draining, "draining"}, {membership.Stalled, "stood still"}, {membership.NoDisk, "no disk"}}
 
 // Status tells how everybody stands.
-func (p *Peers) Status() (s Status) {
-	p.loop.Ask(func() {
+func (p *Agent) Status() (s Status) {
+	p.loop.Do(func() {
 		now := p.clock.Now()
 		own := p.machine.Self()
-		s = Status{Node: own.Name, LeftOut: p.machine.Out(), Health: p.machine.Health(), Members: []Member{}}
+		s = Status{Node: own.Name, Excluded: p.machine.Excluded(), LocalHealth: p.machine.LocalHealth(), Members: []Member{}}
 		for _, v := range p.machine.Members() {
 			m := Member{
-				Name: v.Name, Self: v.Self, At: v.At.String(), Life: v.Life, Incarnation: v.Incarnation, State: v.State.String(),
-				ForMS: int64(now-v.Since) / 1000, By: v.By, HeardMS: -1, RTTMicros: int64(v.RTT), Zone: v.Meta.Zone, Weight: v.Meta.Weight,
-				Version: v.Meta.Version, Settings: hex(v.Meta.Settings), Differs: v.Meta.Settings != own.Meta.Settings,
-				Flags: []string{}, Cut: []string{},
+				Name: v.Name, Self: v.Self, Address: v.Address.String(), Generation: v.Generation, Incarnation: v.Incarnation, State: v.State.String(),
+				ForMS: int64(now-v.Since) / 1000, ReportedBy: v.ReportedBy, HeardMS: -1, RTTMicros: int64(v.RTT), Zone: v.Meta.Zone, Weight: v.Meta.Weight,
+				Version: v.Meta.Version, Settings: hex(v.Meta.Settings), SettingsDiffer: v.Meta.Settings != own.Meta.Settings,
+				Flags: []string{}, BrokenPaths: []string{},
 			}
-			if v.Heard > 0 {
-				m.HeardMS = int64(now-v.Heard) / 1000
+			if v.LastReceived > 0 {
+				m.HeardMS = int64(now-v.LastReceived) / 1000
 			}
 			for _, f := range flagNames {
 				if v.Meta.Flags&f.flag != 0 {
 					m.Flags = append(m.Flags, f.name)
 				}
 			}
-			for _, c := range v.Cuts {
-				m.Cut = append(m.Cut, cut(c)...)
+			for _, c := range v.BrokenPaths {
+				m.BrokenPaths = append(m.BrokenPaths, cut(c)...)
 			}
 			s.Members = append(s.Members, m)
 		}
@@ -436,7 +436,7 @@
 const reachBy = 1500 * time.Millisecond
 
 // StatusWithStreams tells how everybody stands, and tries a stream to each that lives and back.
-func (p *Peers) StatusWithStreams() Status {
+func (p *Agent) StatusWithStreams() Status {
 	s := p.Status()
 	by := time.Now().Add(reachBy)
 	var all sync.WaitGroup
@@ -446,7 +446,7 @@
 			continue
 		}
 		all.Go(func() {
-			took, err := p.Streams.Reach(m.Name, by)
+			took, err := p.Streams.Ping(m.Name, by)
 			if m.StreamMicros = took.Microseconds(); err != nil {
 				m.StreamFault = err.Error()
 			}
@@ -457,12 +457,12 @@
 }
 
 // cut says which directions of a path are cut, as from -> to.
-func cut(c membership.Cut) (all []string) {
-	if c.Unheard {
-		all = append(all, c.By+" -> "+c.Peer)
+func cut(c membership.PathState) (all []string) {
+	if c.OutboundLost {
+		all = append(all, c.Reporter+" -> "+c.Peer)
 	}
-	if c.Deaf {
-		all = append(all, c.Peer+" -> "+c.By)
+	if c.InboundLost {
+		all = append(all, c.Peer+" -> "+c.Reporter)
 	}
 	return all
 }
--- a/internal/gossip/peers_test.go
+++ b/internal/gossip/agent_test.go
@@ -22,18 +22,18 @@
 var key = sealed.Key{Number: 1, Secret: []byte("a secret of sixteen or more")}
 
 // member starts one on loopback. changes get every change of its view.
-func member(t *testing.T, name string, start uint64, join ...netip.AddrPort) (*Peers, chan membership.Changed) {
+func member(t *testing.T, name string, start uint64, join ...netip.AddrPort) (*Agent, chan membership.MemberChanged) {
 	t.Helper()
 	begin := time.Now()
 	clock := Clock{
 		Now:  func() clock.Micros { return clock.Micros(time.Since(begin).Microseconds()) + hour },
 		Time: func(m clock.Micros) time.Time { return begin.Add(time.Duration(m-hour) * time.Microsecond) },
 	}
-	changes := make(chan membership.Changed, 256)
+	changes := make(chan membership.MemberChanged, 256)
 	p, err := Start(Settings{
 		Node: name, Bind: netip.MustParseAddrPort("127.0.0.1:0"), Join: join, Keys: []sealed.Key{key}, Zone: "a", Weight: 2,
 		Interval: 100 * time.Millisecond,
-	}, clock, start, func() Self { return Self{Version: "1", Settings: 7} }, func(c membership.Changed) { changes <- c }, zerolog.New(io.Discard))
+	}, clock, start, func() Self { return Self{Version: "1", Settings: 7} }, func(c membership.MemberChanged) { changes <- c }, zerolog.New(io.Discard))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,7 @@
 	return p, changes
 }
 
-func until(t *testing.T, changes chan membership.Changed, name string, state membership.State) membership.Changed {
+func until(t *testing.T, changes chan membership.MemberChanged, name string, state membership.State) membership.MemberChanged {
 	t.Helper()
 	for late := time.After(20 * time.Second); ; {
 		select {
@@ -61,7 +61,7 @@
 	b, seenB := member(t, "b", 2000, a.Addr())
 	c, seenC := member(t, "c", 3000, a.Addr(), netip.MustParseAddrPort("127.0.0.1:9"))
 	for _, x := range []struct {
-		changes chan membership.Changed
+		changes chan membership.MemberChanged
 		name    string
 	}{{seenA, "b"}, {seenB, "c"}, {seenC, "a"}, {seenC, "b"}} {
 		if r := until(t, x.changes, x.name, membership.Alive); r.Meta.Zone != "a" || r.Meta.Weight != 2 || r.Meta.Version != "1" {
@@ -70,7 +70,7 @@
 	}
 	raw, err := json.Marshal(c.Status())
 	var s Status
-	if err != nil || json.Unmarshal(raw, &s) != nil || len(s.Members) != 3 || !s.Members[0].Self || s.Members[0].ForMS > 60_000 || s.Members[1].Name != "a" || s.Members[2].Differs {
+	if err != nil || json.Unmarshal(raw, &s) != nil || len(s.Members) != 3 || !s.Members[0].Self || s.Members[0].ForMS > 60_000 || s.Members[1].Name != "a" || s.Members[2].SettingsDiffer {
 		t.Errorf("%v %s", err, raw)
 	}
 	stranger, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(a.Addr()))
@@ -78,7 +78,7 @@
 		t.Fatal(err)
 	}
 	defer stranger.Close()
-	ping := membership.Message{Kind: membership.Ping, From: "x", Life: 1, Records: []membership.Record{{Name: "x", At: b.Addr(), Life: 1}}}
+	ping := membership.Message{Kind: membership.Ping, From: "x", Generation: 1, Records: []membership.Record{{Name: "x", Address: b.Addr(), Generation: 1}}}
 	say := func(deployment string, k sealed.Key, sequence uint64) []byte {
 		raw, err := codec.Append(nil, ping, sealed.Trailer{Start: 1, Sequence: sequence}, deployment, k)
 		if err != nil {
--- a/internal/membership/explore_test.go
+++ b/internal/membership/explore_test.go
@@ -49,10 +49,10 @@
 		life = 1<<40 - life
 	}
 	g.m = New(Config{
-		Name: nameOf(g.id), At: addrOf(g.id), Life: life, Interval: interval, Join: []netip.AddrPort{addrOf(0), addrOf(1)},
+		Name: nameOf(g.id), Address: addrOf(g.id), Generation: life, Interval: interval, Join: []netip.AddrPort{addrOf(0), addrOf(1)},
 	})
 	g.lives, g.broken = map[string]uint64{}, ""
-	return g.step(now, Startup{})
+	return g.step(now, Started{})
 }
 
 func (g gateway) step(now int64, ev Event) (modelcheck.Node, []modelcheck.Message) {
@@ -77,12 +77,12 @@
 		switch a := a.(type) {
 		case Send:
 			for i := range g.count {
-				if addrOf(i) == a.At && i != g.id {
+				if addrOf(i) == a.Address && i != g.id {
 					raw, _ := json.Marshal(a.Message)
 					sent = append(sent, modelcheck.Message{To: i, Text: string(raw)})
 				}
 			}
-		case Changed:
+		case MemberChanged:
 			n.judge(a)
 		}
 	}
@@ -90,12 +90,12 @@
 }
 
 // judge holds a change against what came before: an end is final, and only a suspicion leads to a death.
-func (g *gateway) judge(a Changed) {
+func (g *gateway) judge(a MemberChanged) {
 	switch ended := a.State.Ended(); {
-	case !ended && a.Life <= g.lives[a.Name]:
-		g.broken = fmt.Sprintf("life %d of %s ended at %d and is %v again", a.Life, a.Name, g.lives[a.Name], a.State)
+	case !ended && a.Generation <= g.lives[a.Name]:
+		g.broken = fmt.Sprintf("life %d of %s ended at %d and is %v again", a.Generation, a.Name, g.lives[a.Name], a.State)
 	case ended:
-		g.lives[a.Name] = max(g.lives[a.Name], a.Life)
+		g.lives[a.Name] = max(g.lives[a.Name], a.Generation)
 	}
 }
 
@@ -104,7 +104,7 @@
 	if err := json.Unmarshal([]byte(text), &msg); err != nil {
 		panic(err)
 	}
-	return g.step(now, Heard{Source: addrOf(from), Message: msg})
+	return g.step(now, MessageReceived{Source: addrOf(from), Message: msg})
 }
 
 func (g gateway) Wake(now int64) (modelcheck.Node, []modelcheck.Message) { return g.step(now, Tick{}) }
@@ -120,9 +120,9 @@
 
 func (g gateway) Show(now int64) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s/%d[", g.m.self.Name, g.m.self.Life)
+	fmt.Fprintf(&b, "%s/%d[", g.m.self.Name, g.m.self.Generation)
 	for _, v := range g.m.Members()[1:] {
-		fmt.Fprintf(&b, "%s/%d.%d:%v ", v.Name, v.Life, v.Incarnation, v.State)
+		fmt.Fprintf(&b, "%s/%d.%d:%v ", v.Name, v.Generation, v.Incarnation, v.State)
 	}
 	return strings.TrimSpace(b.String()) + "]"
 }
@@ -149,14 +149,14 @@
 				r, known := g.m.Lookup(nameOf(j))
 				// Whoever is believed alive in a life knows that life: a member that was declared dead knows it before it is
 				// believed again.
-				if known && !r.State.Ended() && s.Down[j] == 0 && r.Life > o.m.self.Life && !g.back {
-					return fmt.Errorf("%s believes in life %d of %s, which is in life %d", nameOf(i), r.Life, nameOf(j), o.m.self.Life)
+				if known && !r.State.Ended() && s.Down[j] == 0 && r.Generation > o.m.self.Generation && !g.back {
+					return fmt.Errorf("%s believes in life %d of %s, which is in life %d", nameOf(i), r.Generation, nameOf(j), o.m.self.Generation)
 				}
 				if !s.Whole(delay) || s.Now-s.Calm < settled {
 					continue
 				}
 				switch up := s.Down[j] == 0; {
-				case up && (!known || r.State != Alive || r.Life != o.m.self.Life):
+				case up && (!known || r.State != Alive || r.Generation != o.m.self.Generation):
 					return fmt.Errorf("%s does not know %s long after the last fault: %v", nameOf(i), nameOf(j), r.State)
 				case !up && known && !r.State.Ended():
 					return fmt.Errorf("%s believes that %s is %v, long after its end", nameOf(i), nameOf(j), r.State)
@@ -236,7 +236,7 @@
 			// The few losses of a run may have somebody suspected, and never dead: there is time to say that it lives.
 			o := state.Nodes[j].(gateway)
 			for i := range state.Nodes {
-				if r, known := state.Nodes[i].(gateway).m.Lookup(nameOf(j)); known && r.State == Dead && r.Life == o.m.self.Life && state.Down[i] == 0 {
+				if r, known := state.Nodes[i].(gateway).m.Lookup(nameOf(j)); known && r.State == Dead && r.Generation == o.m.self.Generation && state.Down[i] == 0 {
 					err = fmt.Errorf("%s holds %s dead, which never stood still for long", nameOf(i), nameOf(j))
 				}
 			}
@@ -318,7 +318,7 @@
 
 // without drops the records for which skip holds from a message.
 func without(ev Event, skip func(Record) bool) Event {
-	h, ok := ev.(Heard)
+	h, ok := ev.(MessageReceived)
 	if !ok {
 		return ev
 	}
@@ -368,17 +368,17 @@
 		return without(ev, func(r Record) bool { return r.Name == m.self.Name && r.State.Ended() })
 	}},
 	{name: "the dead come back in the same life", before: func(m *Machine, now clock.Micros, ev Event) Event {
-		if h, ok := ev.(Heard); ok {
-			if e := m.find(h.Message.From); e != nil && e.State == Dead && e.Life == h.Message.Life {
+		if h, ok := ev.(MessageReceived); ok {
+			if e := m.find(h.Message.From); e != nil && e.State == Dead && e.Generation == h.Message.Generation {
 				e.State, e.accusers = Alive, nil
 			}
 		}
 		return ev
 	}},
 	{name: "goes back to an earlier life", before: func(m *Machine, now clock.Micros, ev Event) Event {
-		if h, ok := ev.(Heard); ok {
-			if e := m.find(h.Message.From); e != nil && e.Life > h.Message.Life {
-				e.Life = h.Message.Life
+		if h, ok := ev.(MessageReceived); ok {
+			if e := m.find(h.Message.From); e != nil && e.Generation > h.Message.Generation {
+				e.Generation = h.Message.Generation
 			}
 		}
 		return ev
@@ -386,15 +386,15 @@
 	{name: "makes up a new life for one that is declared dead", after: func(m *Machine, now clock.Micros, out []Action) []Action {
 		for i := range m.members {
 			if e := &m.members[i]; e.State == Dead {
-				e.State, e.Life = Alive, e.Life+1
+				e.State, e.Generation = Alive, e.Generation+1
 			}
 		}
 		return out
 	}},
 	{name: "a new life that is no later than the last", after: func(m *Machine, now clock.Micros, out []Action) []Action {
 		for _, a := range out {
-			if n, ok := a.(Noticed); ok && n.What == Outcast {
-				m.self.Life--
+			if n, ok := a.(Notice); ok && n.Kind == DeclaredDead {
+				m.self.Generation--
 			}
 		}
 		return out
@@ -418,8 +418,8 @@
 		return ev
 	}},
 	{name: "does not listen to the dead, not even about itself", before: func(m *Machine, now clock.Micros, ev Event) Event {
-		if h, ok := ev.(Heard); ok {
-			if e := m.find(h.Message.From); e != nil && e.State == Dead && e.Life == h.Message.Life {
+		if h, ok := ev.(MessageReceived); ok {
+			if e := m.find(h.Message.From); e != nil && e.State == Dead && e.Generation == h.Message.Generation {
 				h.Message.Records = nil
 				return h
 			}
--- a/internal/membership/hear.go
+++ b/internal/membership/hear.go
@@ -13,26 +13,26 @@
 // hear takes in a message.
 func (m *Machine) hear(now clock.Micros, source netip.AddrPort, msg Message) {
 	switch {
-	case msg.From == m.self.Name && msg.Life == m.self.Life:
+	case msg.From == m.self.Name && msg.Generation == m.self.Generation:
 		m.answered(source, msg.From) // its own words: the address is its own
 		return
-	case msg.Kind == Refuse:
+	case msg.Kind == Reject:
 		m.refused(now, msg)
 		return
 	case msg.From == m.self.Name:
-		m.namesake(source, msg.Life)
+		m.namesake(source, msg.Generation)
 		return
 	case msg.To != "" && msg.To != m.self.Name:
 		return
-	case m.out && (msg.Kind != Ack || msg.ToLife != m.self.Life):
+	case m.out && (msg.Kind != Ack || msg.ToGeneration != m.self.Generation):
 		return
 	case m.out:
 		m.out = false
-		m.act(Noticed{What: LetIn, Life: m.self.Life})
+		m.act(Notice{Kind: Readmitted, Generation: m.self.Generation})
 	}
 	m.answered(source, msg.From)
 	e := m.find(msg.From)
-	if e != nil && (msg.Life < e.Life || msg.Life == e.Life && e.State.Ended()) {
+	if e != nil && (msg.Generation < e.Generation || msg.Generation == e.Generation && e.State.Ended()) {
 		// It speaks from a life that is over here, and is believed again only once it knows: the answer tells it. What it says
 		// of this member counts all the same: after a split each holds the other dead.
 		for _, r := range msg.Records {
@@ -40,29 +40,29 @@
 				m.mergeSelf(r)
 			}
 		}
-		if msg.Kind == Ping || msg.Kind == PingFor {
+		if msg.Kind == Ping || msg.Kind == IndirectPing {
 			m.reply(Ack, source, e, msg)
 		}
 		return
 	}
-	if e != nil && e.Life == msg.Life {
-		e.heard, e.digest, e.stranger = now, msg.Digest, msg.ToLife != m.self.Life
+	if e != nil && e.Generation == msg.Generation {
+		e.heard, e.digest, e.stranger = now, msg.Digest, msg.ToGeneration != m.self.Generation
 	}
 	for _, r := range msg.Records {
 		m.merge(now, r, source, msg)
 	}
-	for _, c := range msg.Cuts {
+	for _, c := range msg.Paths {
 		m.mergeCut(c)
 	}
 	e = m.find(msg.From)
-	if e == nil || e.Life != msg.Life {
+	if e == nil || e.Generation != msg.Generation {
 		if e == nil && msg.Kind == Ping { // it knows this member's address, and this one nobody yet
 			m.reply(Ack, source, nil, msg)
 		}
 		return
 	}
 	if e.heard == 0 {
-		e.heard, e.digest, e.stranger = now, msg.Digest, msg.ToLife != m.self.Life
+		e.heard, e.digest, e.stranger = now, msg.Digest, msg.ToGeneration != m.self.Generation
 	}
 	switch msg.Kind {
 	case Ping:
@@ -70,7 +70,7 @@
 			e.pinged = msg.Number
 		}
 		m.reply(Ack, source, e, msg)
-	case PingFor:
+	case IndirectPing:
 		m.errand(now, e, msg)
 	case Ack:
 		if msg.Target == "" {
@@ -86,15 +86,15 @@
 // reply answers a message. One that knows other members than this one is told some of them.
 func (m *Machine) reply(kind Kind, source netip.AddrPort, e *member, to Message) {
 	msg := m.messagePaged(kind, e, to.Digest != m.know())
-	msg.To, msg.ToLife, msg.Number = to.From, 0, to.Number
+	msg.To, msg.ToGeneration, msg.Number = to.From, 0, to.Number
 	if o := m.find(to.Origin); o != nil {
-		msg.Direct = o.pinged == to.OriginNumber
+		msg.DirectPingReceived = o.pinged == to.OriginNumber
 	}
 	at, name := source, ""
-	if e != nil && e.Life == to.Life {
-		at, name, msg.ToLife = e.At, e.Name, e.Life
+	if e != nil && e.Generation == to.Generation {
+		at, name, msg.ToGeneration = e.Address, e.Name, e.Generation
 	}
-	m.act(Send{To: name, At: at, Message: msg})
+	m.act(Send{To: name, Address: at, Message: msg})
 }
 
 // errand asks another one for somebody.
@@ -104,7 +104,7 @@
 	}
 	m.number++
 	m.errands = append(m.errands, errand{
-		number: m.number, target: msg.Target, origin: origin.Name, originAt: origin.At, originNumber: msg.Number, sent: now,
+		number: m.number, target: msg.Target, origin: origin.Name, originAt: origin.Address, originNumber: msg.Number, sent: now,
 	})
 	e := m.find(msg.Target)
 	if e != nil {
@@ -113,7 +113,7 @@
 	}
 	out := m.message(Ping, nil)
 	out.To, out.Number, out.Origin, out.OriginNumber = msg.Target, m.number, origin.Name, msg.Number
-	m.act(Send{To: msg.Target, At: msg.TargetAt, Message: out})
+	m.act(Send{To: msg.Target, Address: msg.TargetAddress, Message: out})
 }
 
 // acked takes in a direct answer.
@@ -128,8 +128,8 @@
 			}
 			m.probing = slices.Delete(m.probing, i, i+1)
 			e.misses = 0
-			if !e.cut.Whole() {
-				m.say(e, Cut{})
+			if !e.cut.Healthy() {
+				m.say(e, PathState{})
 			}
 			return
 		}
@@ -138,10 +138,10 @@
 		if x.number == msg.Number && x.target == e.Name {
 			m.errands = slices.Delete(m.errands, i, i+1)
 			out := m.message(Ack, m.find(x.origin))
-			out.To, out.Number, out.Target, out.Direct = x.origin, x.originNumber, e.Name, msg.Direct
+			out.To, out.Number, out.Target, out.DirectPingReceived = x.origin, x.originNumber, e.Name, msg.DirectPingReceived
 			out.Records = append([]Record{e.Record}, out.Records...)
 			m.fit(&out)
-			m.act(Send{To: x.origin, At: x.originAt, Message: out})
+			m.act(Send{To: x.origin, Address: x.originAt, Message: out})
 			return
 		}
 	}
@@ -152,19 +152,19 @@
 	m.kept(helper.Name, msg.Number)
 	i := slices.IndexFunc(m.probing, func(p probe) bool { return p.number == msg.Number && p.target == msg.Target })
 	e := m.find(msg.Target)
-	if i < 0 || e == nil || e.Life != m.probing[i].life || e.State.Ended() {
+	if i < 0 || e == nil || e.Generation != m.probing[i].life || e.State.Ended() {
 		return
 	}
 	m.probing = slices.Delete(m.probing, i, i+1)
 	e.answered, e.reached = now, helper.Name
 	e.misses++
-	if e.misses < cutAfter*m.Health() {
+	if e.misses < cutAfter*m.LocalHealth() {
 		if !slices.Contains(m.again, e.Name) {
 			m.again = append(m.again, e.Name)
 		}
 		return
 	}
-	if c := (Cut{Unheard: !msg.Direct, Deaf: msg.Direct}); e.cut.Unheard != c.Unheard || e.cut.Deaf != c.Deaf {
+	if c := (PathState{OutboundLost: !msg.DirectPingReceived, InboundLost: msg.DirectPingReceived}); e.cut.OutboundLost != c.OutboundLost || e.cut.InboundLost != c.InboundLost {
 		m.say(e, c)
 	}
 }
@@ -179,27 +179,27 @@
 }
 
 // say tells of the path to another one.
-func (m *Machine) say(e *member, c Cut) {
-	c.By, c.Peer, c.Life, c.Number = m.self.Name, e.Name, m.self.Life, e.cut.Number+1
+func (m *Machine) say(e *member, c PathState) {
+	c.Reporter, c.Peer, c.Generation, c.Number = m.self.Name, e.Name, m.self.Generation, e.cut.Number+1
 	e.cut = c
 	m.mergeCut(c)
-	m.act(Path{c})
+	m.act(PathChanged{c})
 }
 
 // mergeCut takes over what is said of a path, if it is the latest word.
-func (m *Machine) mergeCut(c Cut) {
-	k := path{c.By, c.Peer}
+func (m *Machine) mergeCut(c PathState) {
+	k := path{c.Reporter, c.Peer}
 	i, known := m.cutAt[k]
 	switch {
-	case known && (c.Life < m.cuts[i].Life || c.Life == m.cuts[i].Life && c.Number <= m.cuts[i].Number):
+	case known && (c.Generation < m.cuts[i].Generation || c.Generation == m.cuts[i].Generation && c.Number <= m.cuts[i].Number):
 		return
 	case known:
 		m.cuts[i] = c
-	case m.gone(c.By, c.Life):
+	case m.gone(c.Reporter, c.Generation):
 		return
 	default:
 		if len(m.cuts) >= mostCuts {
-			m.forgetCuts(func(c Cut) bool { return !c.Whole() && !m.gone(c.By, c.Life) })
+			m.forgetCuts(func(c PathState) bool { return !c.Healthy() && !m.gone(c.Reporter, c.Generation) })
 		}
 		if len(m.cuts) >= mostCuts {
 			return
@@ -207,15 +207,15 @@
 		m.cutAt[k] = len(m.cuts)
 		m.cuts = append(m.cuts, c)
 	}
-	m.paths.push(item{by: c.By, peer: c.Peer})
+	m.paths.push(item{by: c.Reporter, peer: c.Peer})
 }
 
 // forgetCuts keeps some of what is said of paths.
-func (m *Machine) forgetCuts(keep func(Cut) bool) {
-	m.cuts = slices.DeleteFunc(m.cuts, func(c Cut) bool { return !keep(c) })
+func (m *Machine) forgetCuts(keep func(PathState) bool) {
+	m.cuts = slices.DeleteFunc(m.cuts, func(c PathState) bool { return !keep(c) })
 	clear(m.cutAt)
 	for i, c := range m.cuts {
-		m.cutAt[path{c.By, c.Peer}] = i
+		m.cutAt[path{c.Reporter, c.Peer}] = i
 	}
 }
 
@@ -229,14 +229,14 @@
 	switch {
 	case e == nil:
 		m.add(now, r)
-	case r.Life < e.Life:
-	case r.Life > e.Life:
-		if !r.State.Ended() && !e.State.Ended() && r.At != e.At {
+	case r.Generation < e.Generation:
+	case r.Generation > e.Generation:
+		if !r.State.Ended() && !e.State.Ended() && r.Address != e.Address {
 			// Two processes of one name, until the known one is seen to have ended. The other one has to wait.
 			if r.Name == msg.From {
-				out := m.message(Refuse, nil)
-				out.To, out.ToLife, out.Target, out.Records = r.Name, r.Life, r.Name, []Record{e.Record}
-				m.act(Send{At: source, Message: out})
+				out := m.message(Reject, nil)
+				out.To, out.ToGeneration, out.Target, out.Records = r.Name, r.Generation, r.Name, []Record{e.Record}
+				m.act(Send{Address: source, Message: out})
 			}
 			return
 		}
@@ -249,7 +249,7 @@
 			if r.Incarnation > e.Incarnation {
 				m.update(now, e, r)
 			}
-			m.suspect(now, e, r.Incarnation, r.By, now)
+			m.suspect(now, e, r.Incarnation, r.ReportedBy, now)
 		}
 	case r.Incarnation > e.Incarnation:
 		m.update(now, e, r)
@@ -258,7 +258,7 @@
 
 // add takes a new member in, or remembers one whose life is over.
 func (m *Machine) add(now clock.Micros, r Record) {
-	if len(m.members) >= MostMembers {
+	if len(m.members) >= MaxMembers {
 		oldest := -1
 		for i := range m.members {
 			if e := &m.members[i]; e.State.Ended() && (oldest < 0 || e.since < m.members[oldest].since) {
@@ -285,7 +285,7 @@
 
 // renew begins another life of a member.
 func (m *Machine) renew(now clock.Micros, e *member, r Record) {
-	e.reached, e.rtt, e.misses, e.cut, e.pinged, e.heard, e.answered = "", 0, 0, Cut{}, 0, 0, 0
+	e.reached, e.rtt, e.misses, e.cut, e.pinged, e.heard, e.answered = "", 0, 0, PathState{}, 0, 0, 0
 	m.renewed(now, e, r, !r.State.Ended())
 }
 
@@ -293,44 +293,44 @@
 	was := e.State
 	e.Record, e.since, e.accusers = r, now, nil
 	if r.State == Suspect { // it is alive until this member has its own reasons, or heard of two
-		e.State, e.By = Alive, ""
+		e.State, e.ReportedBy = Alive, ""
 	}
 	m.digestOld = true
 	m.push(e.Name)
-	m.act(Changed{Record: e.Record, Was: was, New: fresh})
+	m.act(MemberChanged{Record: e.Record, Previous: was, NewGeneration: fresh})
 	if r.State == Suspect {
-		m.suspect(now, e, r.Incarnation, r.By, now)
+		m.suspect(now, e, r.Incarnation, r.ReportedBy, now)
 	}
 }
 
 // update takes over a later word of the same life: it lives, and may tell other things of itself.
 func (m *Machine) update(now clock.Micros, e *member, r Record) {
 	was, before := e.State, e.Meta
-	e.Incarnation, e.Meta, e.At, e.State, e.By, e.accusers = r.Incarnation, r.Meta, r.At, Alive, "", nil
+	e.Incarnation, e.Meta, e.Address, e.State, e.ReportedBy, e.accusers = r.Incarnation, r.Meta, r.Address, Alive, "", nil
 	if was != Alive {
 		e.since = now
 	}
 	m.digestOld = true
 	m.push(e.Name)
 	if was != Alive || before != e.Meta {
-		m.act(Changed{Record: e.Record, Was: was})
+		m.act(MemberChanged{Record: e.Record, Previous: was})
 	}
 }
 
 // mergeSelf hears what others say of this member.
 func (m *Machine) mergeSelf(r Record) {
 	switch {
-	case m.out || r.Life < m.self.Life || m.leaving > 0:
-	case r.Life > m.self.Life && r.At != m.self.At && !r.State.Ended():
-		m.namesake(r.At, r.Life)
-	case r.Life > m.self.Life:
-		m.newLife(r.Life+1, Noticed{What: MovedPast})
+	case m.out || r.Generation < m.self.Generation || m.leaving > 0:
+	case r.Generation > m.self.Generation && r.Address != m.self.Address && !r.State.Ended():
+		m.namesake(r.Address, r.Generation)
+	case r.Generation > m.self.Generation:
+		m.newLife(r.Generation+1, Notice{Kind: ClockSetBack})
 	case r.State.Ended():
-		m.newLife(m.self.Life+1, Noticed{What: Outcast, By: r.By})
+		m.newLife(m.self.Generation+1, Notice{Kind: DeclaredDead, ReportedBy: r.ReportedBy})
 	case r.State == Suspect && r.Incarnation >= m.self.Incarnation:
 		m.self.Incarnation = r.Incarnation
 		m.speak()
-		m.act(Noticed{What: Refuted, By: r.By})
+		m.act(Notice{Kind: SuspicionRefuted, ReportedBy: r.ReportedBy})
 	case r.Incarnation > m.self.Incarnation:
 		m.self.Incarnation = r.Incarnation
 		m.speak()
@@ -338,38 +338,38 @@
 }
 
 // newLife goes on in another life: the last one is over for the others, for good.
-func (m *Machine) newLife(life uint64, why Noticed) {
-	m.self.Life, m.self.Incarnation, m.begun = life, 0, m.seen
+func (m *Machine) newLife(life uint64, why Notice) {
+	m.self.Generation, m.self.Incarnation, m.begun = life, 0, m.seen
 	for i := range m.members {
 		e := &m.members[i]
-		e.cut, e.misses = Cut{}, 0
+		e.cut, e.misses = PathState{}, 0
 	}
 	m.speak()
-	why.Life = life
+	why.Generation = life
 	m.act(why)
 }
 
 // namesake meets another process of this one's name. The one that started later has to go: it is told, and one that hears
 // of an earlier one does not go for that alone, as it may be its own past.
 func (m *Machine) namesake(at netip.AddrPort, life uint64) {
-	if m.out || life < m.self.Life || at == m.self.At {
+	if m.out || life < m.self.Generation || at == m.self.Address {
 		return
 	}
-	out := m.message(Refuse, nil)
-	out.To, out.ToLife, out.Target, out.Records = m.self.Name, life, m.self.Name, []Record{m.self}
-	m.act(Send{At: at, Message: out})
-	m.act(Noticed{What: Namesake, At: at, Life: life})
+	out := m.message(Reject, nil)
+	out.To, out.ToGeneration, out.Target, out.Records = m.self.Name, life, m.self.Name, []Record{m.self}
+	m.act(Send{Address: at, Message: out})
+	m.act(Notice{Kind: NameConflict, Address: at, Generation: life})
 }
 
 // refused hears that the name is taken.
 func (m *Machine) refused(now clock.Micros, msg Message) {
-	if msg.Target != m.self.Name || msg.ToLife != m.self.Life || len(msg.Records) == 0 || m.leaving > 0 {
+	if msg.Target != m.self.Name || msg.ToGeneration != m.self.Generation || len(msg.Records) == 0 || m.leaving > 0 {
 		return
 	}
 	switch holder := msg.Records[0]; {
-	case holder.Name != m.self.Name || holder.At == m.self.At:
-	case holder.Life > m.self.Life:
-		m.namesake(holder.At, holder.Life)
+	case holder.Name != m.self.Name || holder.Address == m.self.Address:
+	case holder.Generation > m.self.Generation:
+		m.namesake(holder.Address, holder.Generation)
 	case m.out:
 	default:
 		// Where it was let in already it leaves, so that its namesake is not taken for its past.
@@ -378,16 +378,16 @@
 			if e := m.draw(func(*member) bool { return true }); e != nil {
 				out := m.message(Ping, nil)
 				out.To, out.Records = e.Name, []Record{m.self}
-				m.act(Send{To: e.Name, At: e.At, Message: out})
+				m.act(Send{To: e.Name, Address: e.Address, Message: out})
 			}
 		}
 		m.self.State = Alive
-		m.self.Life++
+		m.self.Generation++
 		m.out, m.nextAsk = true, now+askEvery*m.cfg.Interval/5
 		m.members, m.index, m.cuts, m.cutAt, m.news, m.paths = nil, map[string]int{}, nil, map[path]int{}, news{}, news{}
 		m.order, m.turn, m.again, m.probing, m.errands, m.asks = nil, 0, nil, nil, nil, nil
 		m.joined, m.joinedAs = nil, nil
 		m.digestOld = true
-		m.act(Noticed{What: LeftOut, At: holder.At, Life: holder.Life})
+		m.act(Notice{Kind: Excluded, Address: holder.Address, Generation: holder.Generation})
 	}
 }
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -78,7 +78,7 @@
 	self    Record
 	members []member
 	index   map[string]int // of members
-	cuts    []Cut          // of others' paths and own ones; the latest word on each
+	cuts    []PathState    // of others' paths and own ones; the latest word on each
 	cutAt   map[path]int   // of cuts
 	news    news           // of members
 	paths   news           // of paths; they go out with what is sent anyway
@@ -128,7 +128,7 @@
 	pinged   uint32       // number of its last ping that came directly
 	digest   uint64       // what it knows, as it last said
 	stranger bool         // it does not know this life of this member
-	cut      Cut          // of the path to it, as this member says
+	cut      PathState    // of the path to it, as this member says
 }
 
 // ask is one request to a helper, whose word shows whether this member itself is well.
@@ -145,7 +145,7 @@
 // New makes a member that knows nobody.
 func New(cfg Config) *Machine {
 	m := &Machine{cfg: cfg, index: map[string]int{}, cutAt: map[path]int{}, rng: cfg.Seed, digestOld: true}
-	m.self = Record{Name: cfg.Name, At: cfg.At, Life: cfg.Life, Meta: cfg.Meta}
+	m.self = Record{Name: cfg.Name, Address: cfg.Address, Generation: cfg.Generation, Meta: cfg.Meta}
 	return m
 }
 
@@ -176,15 +176,15 @@
 func (m *Machine) Self() Record { return m.self }
 
 // Out tells that another process has this one's name, and that it takes no part.
-func (m *Machine) Out() bool { return m.out }
+func (m *Machine) Excluded() bool { return m.out }
 
 // StoodStillUntil is until when this member shows that it stood still: whoever holds something by time must not trust what it
 // knew before.
-func (m *Machine) StoodStillUntil() clock.Micros { return m.stoodBy }
+func (m *Machine) StalledUntil() clock.Micros { return m.stoodBy }
 
 // Health is by how much this member stretches its spans, for it misses answers that others get: 1 is well.
-func (m *Machine) Health() int {
-	if m.cfg.Plain {
+func (m *Machine) LocalHealth() int {
+	if m.cfg.WithoutLifeguard {
 		return 1
 	}
 	return 1 + m.health*(mostHealth-1)/1000
@@ -192,13 +192,13 @@
 
 // Members lists how everybody stands, itself first.
 func (m *Machine) Members() []View {
-	all := []View{{Record: m.self, Self: true, Since: m.begun, Heard: m.seen}}
+	all := []View{{Record: m.self, Self: true, Since: m.begun, LastReceived: m.seen}}
 	for i := range m.members {
 		e := &m.members[i]
-		v := View{Record: e.Record, Since: e.since, Heard: e.heard, RTT: e.rtt, Reached: e.reached}
+		v := View{Record: e.Record, Since: e.since, LastReceived: e.heard, RTT: e.rtt, LastHelper: e.reached}
 		for _, c := range m.cuts {
-			if !c.Whole() && (c.By == e.Name || c.Peer == e.Name) && !m.gone(c.By, c.Life) {
-				v.Cuts = append(v.Cuts, c)
+			if !c.Healthy() && (c.Reporter == e.Name || c.Peer == e.Name) && !m.gone(c.Reporter, c.Generation) {
+				v.BrokenPaths = append(v.BrokenPaths, c)
 			}
 		}
 		all = append(all, v)
@@ -209,10 +209,10 @@
 // gone tells whether a life of a member is over, or not known.
 func (m *Machine) gone(name string, life uint64) bool {
 	if name == m.self.Name {
-		return life != m.self.Life
+		return life != m.self.Generation
 	}
 	e := m.find(name)
-	return e == nil || e.Life != life || e.State.Ended()
+	return e == nil || e.Generation != life || e.State.Ended()
 }
 
 // Lookup is what is known of a member; false: nothing.
@@ -286,20 +286,20 @@
 	}
 	m.seen = now
 	switch e := ev.(type) {
-	case Startup:
+	case Started:
 		if !m.running {
 			m.running, m.begun = true, now
 			m.nextProbe, m.nextNews, m.nextAsk = now, now, now
 		}
-	case Leave:
+	case LeaveRequested:
 		if m.running && m.leaving == 0 {
 			m.leave(now)
 		}
-	case Heard:
+	case MessageReceived:
 		if m.running {
 			m.hear(now, e.Source, e.Message)
 		}
-	case Tell:
+	case MetaUpdated:
 		m.tell(e.Meta)
 	case Reconfigured:
 		m.cfg.Interval, m.cfg.Join = e.Interval, e.Join
@@ -315,7 +315,7 @@
 
 // tell changes what the member tells of itself, and has it spread.
 func (m *Machine) tell(meta Meta) {
-	meta.Flags = meta.Flags&^StoodStill | m.self.Meta.Flags&StoodStill
+	meta.Flags = meta.Flags&^Stalled | m.self.Meta.Flags&Stalled
 	if meta != m.self.Meta {
 		m.self.Meta = meta
 		m.speak()
@@ -334,7 +334,7 @@
 func (m *Machine) wake(now clock.Micros) {
 	next, _ := m.Next()
 	late := now - max(next, m.seen)
-	if m.cfg.Plain || late < m.cfg.Interval/2 {
+	if m.cfg.WithoutLifeguard || late < m.cfg.Interval/2 {
 		return
 	}
 	m.quietBy = now + quiet*m.cfg.Interval
@@ -348,11 +348,11 @@
 	}
 	m.probing, m.asks, m.errands = nil, nil, nil
 	m.nextProbe = now
-	if m.self.Meta.Flags&StoodStill == 0 {
-		m.self.Meta.Flags |= StoodStill
+	if m.self.Meta.Flags&Stalled == 0 {
+		m.self.Meta.Flags |= Stalled
 		m.speak()
 	}
-	m.act(Noticed{What: Woke, For: late})
+	m.act(Notice{Kind: ProcessStalled, StallDuration: late})
 }
 
 // leave tells the others, a few times.
@@ -371,8 +371,8 @@
 		m.tickLeaving(now)
 		return
 	}
-	if m.self.Meta.Flags&StoodStill != 0 && now >= m.stoodBy {
-		m.self.Meta.Flags &^= StoodStill
+	if m.self.Meta.Flags&Stalled != 0 && now >= m.stoodBy {
+		m.self.Meta.Flags &^= Stalled
 		m.speak()
 	}
 	if now >= m.nextAsk {
@@ -413,7 +413,7 @@
 	}
 	if m.leaving--; m.leaving == 0 {
 		m.running = false
-		m.act(Done{})
+		m.act(LeaveCompleted{})
 	}
 }
 
@@ -453,7 +453,7 @@
 	for _, at := range m.cfg.Join {
 		if !m.covers(at) {
 			msg := m.message(Ping, nil)
-			m.act(Send{At: at, Message: msg})
+			m.act(Send{Address: at, Message: msg})
 		}
 	}
 	for i := 0; i < len(m.members); {
@@ -463,7 +463,7 @@
 		}
 		i++
 	}
-	m.forgetCuts(func(c Cut) bool { return !m.gone(c.By, c.Life) })
+	m.forgetCuts(func(c PathState) bool { return !m.gone(c.Reporter, c.Generation) })
 }
 
 // covers tells whether somebody who lives has answered from an address.
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -9,7 +9,7 @@
 func (m *Machine) ping(e *member, number uint32, origin string, originNumber uint32) {
 	msg := m.messagePaged(Ping, e, e.digest != 0 && e.digest != m.know())
 	msg.Number, msg.Origin, msg.OriginNumber = number, origin, originNumber
-	m.act(Send{To: e.Name, At: e.At, Message: msg})
+	m.act(Send{To: e.Name, Address: e.Address, Message: msg})
 }
 
 // message makes a message with the news that are due. Whom it accuses it tells so, and whoever is not known here is told who
@@ -18,8 +18,8 @@
 
 // messagePaged fills the room that news leave with a page of all that is known, where asked for.
 func (m *Machine) messagePaged(kind Kind, e *member, paged bool) Message {
-	msg := Message{Kind: kind, From: m.self.Name, Life: m.self.Life, Incarnation: m.self.Incarnation, Digest: m.know()}
-	room := MostMessage - mostHead - len(m.self.Name)
+	msg := Message{Kind: kind, From: m.self.Name, Generation: m.self.Generation, Incarnation: m.self.Incarnation, Digest: m.know()}
+	room := MaxMessageSize - mostHead - len(m.self.Name)
 	has := func(name string) bool {
 		return slices.ContainsFunc(msg.Records, func(r Record) bool { return r.Name == name })
 	}
@@ -35,12 +35,12 @@
 		put(m.self)
 	}
 	if e != nil {
-		msg.To, msg.ToLife = e.Name, e.Life
-		if e.State.Ended() || e.State == Suspect && !m.cfg.Plain {
+		msg.To, msg.ToGeneration = e.Name, e.Generation
+		if e.State.Ended() || e.State == Suspect && !m.cfg.WithoutLifeguard {
 			put(e.Record)
 		}
 	}
-	if kind == Refuse {
+	if kind == Reject {
 		return msg
 	}
 	m.putNews(&msg, has, put, &room)
@@ -91,7 +91,7 @@
 			return full
 		}
 		*room -= size
-		msg.Cuts = append(msg.Cuts, m.cuts[k])
+		msg.Paths = append(msg.Paths, m.cuts[k])
 		return sent
 	})
 }
@@ -99,11 +99,11 @@
 // fit drops the last records of a message that has got too large.
 func (m *Machine) fit(msg *Message) {
 	size := mostHead + len(m.self.Name)
-	for _, c := range msg.Cuts {
-		size += mostCut + len(c.By) + len(c.Peer)
+	for _, c := range msg.Paths {
+		size += mostCut + len(c.Reporter) + len(c.Peer)
 	}
 	for i, r := range msg.Records {
-		if size += sizeOf(r); size > MostMessage {
+		if size += sizeOf(r); size > MaxMessageSize {
 			msg.Records = msg.Records[:i]
 			return
 		}
@@ -113,17 +113,17 @@
 // The sizes of a message's parts as they are written, at the most, in bytes: the head without its own sender's name but with
 // three others, a record and a path without their names.
 const (
-	mostHead    = 2 + 2 + 11 + 6 + 3*(2+MostName) + 11 + 6 + 26 + 6 + 2 + 9
+	mostHead    = 2 + 2 + 11 + 6 + 3*(2+MaxNameLength) + 11 + 6 + 26 + 6 + 2 + 9
 	leastRecord = 40
 	mostCut     = 2 + 4 + 6 + 4 + 11
 )
 
 func sizeOf(r Record) int {
 	address := 2 + 2 + 4 + 4
-	if !r.At.Addr().Is4() {
+	if !r.Address.Addr().Is4() {
 		address += 12
 	}
-	return 3 + 2 + len(r.Name) + address + 11 + 6 + 2 + 2 + len(r.By) + 2 + len(r.Meta.Zone) + 6 + 2 + len(r.Meta.Version) + 9 + 6
+	return 3 + 2 + len(r.Name) + address + 11 + 6 + 2 + 2 + len(r.ReportedBy) + 2 + len(r.Meta.Zone) + 6 + 2 + len(r.Meta.Version) + 9 + 6
 }
 
 // know is a digest of all who live, this member among them, with their lives and latest words. Two with the same one know
@@ -155,7 +155,7 @@
 	for i := range len(r.Name) {
 		h = (h ^ uint64(r.Name[i])) * 1099511628211
 	}
-	for _, x := range []uint64{r.Life, uint64(r.Incarnation)} {
+	for _, x := range []uint64{r.Generation, uint64(r.Incarnation)} {
 		for range 8 {
 			h = (h ^ x&0xff) * 1099511628211
 			x >>= 8
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -52,7 +52,7 @@
 	}
 	for range 2 * (len(m.order) + 1) {
 		if e := m.find(target); e != nil && !e.State.Ended() {
-			p := probe{number: m.number, target: target, life: e.Life, sent: now, next: now + m.cfg.Interval/answerPart, direct: true}
+			p := probe{number: m.number, target: target, life: e.Generation, sent: now, next: now + m.cfg.Interval/answerPart, direct: true}
 			if !slices.ContainsFunc(m.probing, func(q probe) bool { return q.target == target }) {
 				m.probing = append(m.probing, p)
 				m.ping(e, p.number, "", 0)
@@ -99,17 +99,17 @@
 			e.said = true
 			msg := m.message(Nack, m.find(e.origin))
 			msg.To, msg.Number, msg.Target = e.origin, e.originNumber, e.target
-			m.act(Send{To: e.origin, At: e.originAt, Message: msg})
+			m.act(Send{To: e.origin, Address: e.originAt, Message: msg})
 		}
 	}
 	m.errands = slices.DeleteFunc(m.errands, func(e errand) bool { return now >= e.sent+mostHealth*t })
 	var failed []probe
 	m.probing = slices.DeleteFunc(m.probing, func(p probe) bool {
 		e := m.find(p.target)
-		if e == nil || e.Life != p.life || e.State.Ended() {
+		if e == nil || e.Generation != p.life || e.State.Ended() {
 			return true
 		}
-		if now >= p.next && now >= p.sent+t*clock.Micros(m.Health()) {
+		if now >= p.next && now >= p.sent+t*clock.Micros(m.LocalHealth()) {
 			failed = append(failed, p)
 			return true
 		}
@@ -143,9 +143,9 @@
 			return
 		}
 		chosen = append(chosen, e.Name)
-		msg := m.message(PingFor, e)
-		msg.Number, msg.Target, msg.TargetAt = p.number, target.Name, target.At
-		m.act(Send{To: e.Name, At: e.At, Message: msg})
+		msg := m.message(IndirectPing, e)
+		msg.Number, msg.Target, msg.TargetAddress = p.number, target.Name, target.Address
+		m.act(Send{To: e.Name, Address: e.Address, Message: msg})
 		m.asks = append(m.asks, ask{e.Name, p.number, now, false})
 	}
 	if e := m.find(target.reached); e != nil && e.State == Alive {
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -26,12 +26,12 @@
 // nobody is of no use to anybody, however much it says.
 func (m *Machine) deadline(e *member) clock.Micros {
 	t, span := m.cfg.Interval, leastSuspicion*1000
-	if !m.cfg.Plain {
+	if !m.cfg.WithoutLifeguard {
 		needed := max(min(confirmations, m.living()-1), 0)
 		span = mostSuspicion*1000 - (mostSuspicion-leastSuspicion)*confirmed(needed, len(e.accusers)-1)
 	}
-	end := e.started + t*clock.Micros(span)*clock.Micros(m.Health())/1000
-	if !m.cfg.Plain {
+	end := e.started + t*clock.Micros(span)*clock.Micros(m.LocalHealth())/1000
+	if !m.cfg.WithoutLifeguard {
 		end = max(end, e.answered+leastSuspicion*t)
 	}
 	return end
@@ -51,7 +51,7 @@
 	for _, e := range m.suspects() {
 		if now >= m.deadline(e) {
 			r := e.Record
-			r.State, r.By = Dead, m.self.Name
+			r.State, r.ReportedBy = Dead, m.self.Name
 			m.end(now, e, r)
 		}
 	}
@@ -67,27 +67,27 @@
 		return
 	case e.State == Suspect:
 		e.accusers = append(e.accusers, by)
-		e.By = by
+		e.ReportedBy = by
 		m.push(e.Name)
 		return
 	}
 	was := e.State
-	e.State, e.By, e.Incarnation, e.since, e.started, e.accusers = Suspect, by, incarnation, now, since, []string{by}
+	e.State, e.ReportedBy, e.Incarnation, e.since, e.started, e.accusers = Suspect, by, incarnation, now, since, []string{by}
 	m.suspected = append(m.suspected, e.Name)
 	m.push(e.Name)
-	m.act(Changed{Record: e.Record, Was: was})
+	m.act(MemberChanged{Record: e.Record, Previous: was})
 }
 
 // end ends a life.
 func (m *Machine) end(now clock.Micros, e *member, r Record) {
 	was := e.State
-	if e.Life != r.Life {
+	if e.Generation != r.Generation {
 		e.reached, e.rtt = "", 0
 	}
-	e.Record, e.since, e.accusers, e.misses, e.cut = r, now, nil, 0, Cut{}
+	e.Record, e.since, e.accusers, e.misses, e.cut = r, now, nil, 0, PathState{}
 	m.digestOld = true
 	m.push(e.Name)
-	m.act(Changed{Record: r, Was: was})
+	m.act(MemberChanged{Record: r, Previous: was})
 }
 
 // push has a member's record sent on from the beginning.
--- a/internal/protocol/members/members.go
+++ b/internal/protocol/members/members.go
@@ -19,7 +19,7 @@
 )
 
 // MostSize is the size of the largest datagram in bytes.
-const MostSize = membership.MostMessage + sealed.Size
+const MaxSize = membership.MaxMessageSize + sealed.Size
 
 // purpose is what signatures are made for here. The deployment's name is part of it, so that another deployment's messages
 // are not valid even with the same secret.
@@ -30,7 +30,7 @@
 
 // The faults. The later ones are found by whoever knows the members.
 const (
-	Sound      Fault = iota
+	NoFault    Fault = iota
 	BadLength        // too short or too long
 	BadVersion       // another trailer
 	UnknownKey       // signed with a key that is not valid here
@@ -39,11 +39,11 @@
 	BadKind          // a kind that is not known here: of a later version
 	BadValue         // a name, an address or a state that cannot be
 	Replayed         // it came before, or is older than what counts
-	Faults
+	FaultCount
 )
 
 // FaultNames are the faults as counters and logs name them.
-var FaultNames = [Faults]string{
+var FaultNames = [FaultCount]string{
 	"sound", "length", "version", "unknown_key", "mac", "message", "kind", "value", "replayed",
 }
 
@@ -111,11 +111,11 @@
 
 func appendRecord(b []byte, r membership.Record) []byte {
 	b = appendString(b, recordName, r.Name)
-	b = appendAddress(b, recordAt, r.At)
-	b = appendUint(b, recordLife, r.Life)
+	b = appendAddress(b, recordAt, r.Address)
+	b = appendUint(b, recordLife, r.Generation)
 	b = appendUint(b, recordIncarnation, uint64(r.Incarnation))
 	b = appendUint(b, recordState, uint64(r.State))
-	b = appendString(b, recordBy, r.By)
+	b = appendString(b, recordBy, r.ReportedBy)
 	b = appendString(b, recordZone, r.Meta.Zone)
 	b = appendUint(b, recordWeight, uint64(r.Meta.Weight))
 	b = appendString(b, recordVersion, r.Meta.Version)
@@ -123,34 +123,34 @@
 	return appendUint(b, recordFlags, uint64(r.Meta.Flags))
 }
 
-func appendCut(b []byte, c membership.Cut) []byte {
-	b = appendString(b, cutBy, c.By)
+func appendCut(b []byte, c membership.PathState) []byte {
+	b = appendString(b, cutBy, c.Reporter)
 	b = appendString(b, cutPeer, c.Peer)
 	b = appendUint(b, cutNumber, uint64(c.Number))
-	b = appendBool(b, cutUnheard, c.Unheard)
-	b = appendBool(b, cutDeaf, c.Deaf)
-	return appendUint(b, cutLife, c.Life)
+	b = appendBool(b, cutUnheard, c.OutboundLost)
+	b = appendBool(b, cutDeaf, c.InboundLost)
+	return appendUint(b, cutLife, c.Generation)
 }
 
 // AppendMessage writes a message without its trailer.
 func AppendMessage(b []byte, m membership.Message) []byte {
 	b = appendUint(b, fieldKind, uint64(m.Kind))
 	b = appendString(b, fieldFrom, m.From)
-	b = appendUint(b, fieldLife, m.Life)
+	b = appendUint(b, fieldLife, m.Generation)
 	b = appendUint(b, fieldIncarnation, uint64(m.Incarnation))
 	b = appendString(b, fieldTo, m.To)
-	b = appendUint(b, fieldToLife, m.ToLife)
+	b = appendUint(b, fieldToLife, m.ToGeneration)
 	b = appendUint(b, fieldNumber, uint64(m.Number))
 	b = appendString(b, fieldTarget, m.Target)
-	b = appendAddress(b, fieldTargetAt, m.TargetAt)
+	b = appendAddress(b, fieldTargetAt, m.TargetAddress)
 	b = appendString(b, fieldOrigin, m.Origin)
 	b = appendUint(b, fieldOriginNumber, uint64(m.OriginNumber))
-	b = appendBool(b, fieldDirect, m.Direct)
+	b = appendBool(b, fieldDirect, m.DirectPingReceived)
 	b = appendFixed(b, fieldDigest, m.Digest)
 	for _, r := range m.Records {
 		b = appendNested(b, fieldRecords, func(b []byte) []byte { return appendRecord(b, r) })
 	}
-	for _, c := range m.Cuts {
+	for _, c := range m.Paths {
 		b = appendNested(b, fieldCuts, func(b []byte) []byte { return appendCut(b, c) })
 	}
 	return b
@@ -159,19 +159,19 @@
 // Append writes and signs a message of a deployment.
 func Append(b []byte, m membership.Message, t sealed.Trailer, deployment string, key sealed.Key) ([]byte, error) {
 	from := len(b)
-	if b = AppendMessage(b, m); len(b)-from > membership.MostMessage {
+	if b = AppendMessage(b, m); len(b)-from > membership.MaxMessageSize {
 		return b[:from], ErrSize
 	}
 	return sealed.Append(b, from, t, purpose+deployment+"\x00", key), nil
 }
 
-var verdicts = map[sealed.Verdict]Fault{
-	sealed.Sound: Sound, sealed.UnknownKey: UnknownKey, sealed.BadMAC: BadMAC, sealed.BadVersion: BadVersion,
+var verdicts = map[sealed.Fault]Fault{
+	sealed.NoFault: NoFault, sealed.UnknownKey: UnknownKey, sealed.BadMAC: BadMAC, sealed.BadVersion: BadVersion,
 }
 
 // Plausible tells, before any signature is looked at, whether a datagram could be one of ours: garbage must cost little.
 func Plausible(b []byte, keys []sealed.Key) Fault {
-	if len(b) < sealed.Size+2 || len(b) > MostSize {
+	if len(b) < sealed.Size+2 || len(b) > MaxSize {
 		return BadLength
 	}
 	t := b[len(b)-sealed.Size:]
@@ -180,7 +180,7 @@
 	}
 	for _, k := range keys {
 		if k.Number == t[1] {
-			return Sound
+			return NoFault
 		}
 	}
 	return UnknownKey
@@ -189,17 +189,17 @@
 // Parse reads a datagram and checks all that can be told without knowing the members. Nothing of a datagram with a fault is
 // to be believed.
 func Parse(b []byte, deployment string, keys []sealed.Key) (m membership.Message, t sealed.Trailer, f Fault) {
-	if f = Plausible(b, keys); f != Sound {
+	if f = Plausible(b, keys); f != NoFault {
 		return m, t, f
 	}
 	t, v := sealed.Parse(b, purpose+deployment+"\x00", keys)
-	if v != sealed.Sound {
+	if v != sealed.NoFault {
 		return m, sealed.Trailer{}, verdicts[v]
 	}
-	if m, f = ParseMessage(b[:len(b)-sealed.Size]); f != Sound {
+	if m, f = ParseMessage(b[:len(b)-sealed.Size]); f != NoFault {
 		return membership.Message{}, sealed.Trailer{}, f
 	}
-	return m, t, Sound
+	return m, t, NoFault
 }
 
 // reader takes fields off the front of a message. The first fault stays.
@@ -209,7 +209,7 @@
 }
 
 func (r *reader) fail(f Fault) {
-	if r.fault == Sound {
+	if r.fault == NoFault {
 		r.fault = f
 	}
 	r.b = nil
@@ -308,10 +308,10 @@
 // nested reads a message in a message.
 func (r *reader) nested(t protowire.Type, read func(*reader)) {
 	inner := reader{b: r.bytes(t)}
-	if r.fault != Sound {
+	if r.fault != NoFault {
 		return
 	}
-	if read(&inner); inner.fault != Sound {
+	if read(&inner); inner.fault != NoFault {
 		r.fail(inner.fault)
 	}
 }
@@ -345,23 +345,23 @@
 	r.each(func(n protowire.Number, t protowire.Type) bool {
 		switch n {
 		case recordName:
-			x.Name = r.text(t, membership.MostName)
+			x.Name = r.text(t, membership.MaxNameLength)
 		case recordAt:
-			x.At = r.address(t)
+			x.Address = r.address(t)
 		case recordLife:
-			x.Life = r.uint(t, math.MaxInt64)
+			x.Generation = r.uint(t, math.MaxInt64)
 		case recordIncarnation:
 			x.Incarnation = r.uint32(t)
 		case recordState:
-			x.State = membership.State(r.uint(t, uint64(membership.States)-1))
+			x.State = membership.State(r.uint(t, uint64(membership.StateCount)-1))
 		case recordBy:
-			x.By = r.text(t, membership.MostName)
+			x.ReportedBy = r.text(t, membership.MaxNameLength)
 		case recordZone:
-			x.Meta.Zone = r.text(t, membership.MostZone)
+			x.Meta.Zone = r.text(t, membership.MaxZoneLength)
 		case recordWeight:
 			x.Meta.Weight = r.uint32(t)
 		case recordVersion:
-			x.Meta.Version = r.text(t, membership.MostVersion)
+			x.Meta.Version = r.text(t, membership.MaxVersionLength)
 		case recordSettings:
 			x.Meta.Settings = r.fixed(t)
 		case recordFlags:
@@ -371,33 +371,33 @@
 		}
 		return true
 	})
-	if x.Name == "" || !x.At.IsValid() || x.Life == 0 || x.State == membership.Suspect && x.By == "" {
+	if x.Name == "" || !x.Address.IsValid() || x.Generation == 0 || x.State == membership.Suspect && x.ReportedBy == "" {
 		r.fail(BadValue)
 	}
 	return x
 }
 
-func (r *reader) cut() (c membership.Cut) {
+func (r *reader) cut() (c membership.PathState) {
 	r.each(func(n protowire.Number, t protowire.Type) bool {
 		switch n {
 		case cutBy:
-			c.By = r.text(t, membership.MostName)
+			c.Reporter = r.text(t, membership.MaxNameLength)
 		case cutPeer:
-			c.Peer = r.text(t, membership.MostName)
+			c.Peer = r.text(t, membership.MaxNameLength)
 		case cutNumber:
 			c.Number = r.uint32(t)
 		case cutUnheard:
-			c.Unheard = r.bool(t)
+			c.OutboundLost = r.bool(t)
 		case cutDeaf:
-			c.Deaf = r.bool(t)
+			c.InboundLost = r.bool(t)
 		case cutLife:
-			c.Life = r.uint(t, math.MaxInt64)
+			c.Generation = r.uint(t, math.MaxInt64)
 		default:
 			return false
 		}
 		return true
 	})
-	if c.By == "" || c.Peer == "" || c.Life == 0 {
+	if c.Reporter == "" || c.Peer == "" || c.Generation == 0 {
 		r.fail(BadValue)
 	}
 	return c
@@ -412,45 +412,45 @@
 		case fieldKind:
 			kind = r.uint(t, math.MaxUint32)
 		case fieldFrom:
-			m.From = r.text(t, membership.MostName)
+			m.From = r.text(t, membership.MaxNameLength)
 		case fieldLife:
-			m.Life = r.uint(t, math.MaxInt64)
+			m.Generation = r.uint(t, math.MaxInt64)
 		case fieldIncarnation:
 			m.Incarnation = r.uint32(t)
 		case fieldTo:
-			m.To = r.text(t, membership.MostName)
+			m.To = r.text(t, membership.MaxNameLength)
 		case fieldToLife:
-			m.ToLife = r.uint(t, math.MaxInt64)
+			m.ToGeneration = r.uint(t, math.MaxInt64)
 		case fieldNumber:
 			m.Number = r.uint32(t)
 		case fieldTarget:
-			m.Target = r.text(t, membership.MostName)
+			m.Target = r.text(t, membership.MaxNameLength)
 		case fieldTargetAt:
-			m.TargetAt = r.address(t)
+			m.TargetAddress = r.address(t)
 		case fieldOrigin:
-			m.Origin = r.text(t, membership.MostName)
+			m.Origin = r.text(t, membership.MaxNameLength)
 		case fieldOriginNumber:
 			m.OriginNumber = r.uint32(t)
 		case fieldDirect:
-			m.Direct = r.bool(t)
+			m.DirectPingReceived = r.bool(t)
 		case fieldDigest:
 			m.Digest = r.fixed(t)
 		case fieldRecords:
 			r.nested(t, func(r *reader) { m.Records = append(m.Records, r.record()) })
 		case fieldCuts:
-			r.nested(t, func(r *reader) { m.Cuts = append(m.Cuts, r.cut()) })
+			r.nested(t, func(r *reader) { m.Paths = append(m.Paths, r.cut()) })
 		default:
 			return false
 		}
 		return true
 	})
 	switch m.Kind = membership.Kind(min(kind, math.MaxUint8)); {
-	case r.fault != Sound:
+	case r.fault != NoFault:
 		return membership.Message{}, r.fault
 	case !m.Kind.Known():
 		return membership.Message{}, BadKind
-	case m.From == "" || m.Life == 0 || m.Kind == membership.PingFor && (m.Target == "" || !m.TargetAt.IsValid()):
+	case m.From == "" || m.Generation == 0 || m.Kind == membership.IndirectPing && (m.Target == "" || !m.TargetAddress.IsValid()):
 		return membership.Message{}, BadValue
 	}
-	return m, Sound
+	return m, NoFault
 }
--- a/internal/protocol/members/members_test.go
+++ b/internal/protocol/members/members_test.go
@@ -24,20 +24,20 @@
 
 func full() membership.Message {
 	return membership.Message{
-		Kind: membership.PingFor, From: "gw-1", Life: 1_790_000_000_000_000, Incarnation: 3, To: "gw-2", ToLife: 1_790_000_000_000_001,
-		Number: 77, Target: "gw-3", TargetAt: at6, Origin: "gw-4", OriginNumber: 9, Direct: true, Digest: 0xfeedfacecafebeef,
+		Kind: membership.IndirectPing, From: "gw-1", Generation: 1_790_000_000_000_000, Incarnation: 3, To: "gw-2", ToGeneration: 1_790_000_000_000_001,
+		Number: 77, Target: "gw-3", TargetAddress: at6, Origin: "gw-4", OriginNumber: 9, DirectPingReceived: true, Digest: 0xfeedfacecafebeef,
 		Records: []membership.Record{
-			{Name: "gw-3", At: at4, Life: 5, Incarnation: 1, State: membership.Suspect, By: "gw-1", Meta: membership.Meta{
+			{Name: "gw-3", Address: at4, Generation: 5, Incarnation: 1, State: membership.Suspect, ReportedBy: "gw-1", Meta: membership.Meta{
 				Zone: "a", Weight: 7, Version: "0.3.0", Settings: 12, Flags: membership.Draining | membership.NoDisk}},
-			{Name: "gw-5", At: at6, Life: 6, State: membership.Left},
+			{Name: "gw-5", Address: at6, Generation: 6, State: membership.Left},
 		},
-		Cuts: []membership.Cut{{By: "gw-1", Peer: "gw-3", Life: 8, Number: 2, Unheard: true}, {By: "gw-1", Peer: "gw-5", Life: 8, Number: 2, Deaf: true}},
+		Paths: []membership.PathState{{Reporter: "gw-1", Peer: "gw-3", Generation: 8, Number: 2, OutboundLost: true}, {Reporter: "gw-1", Peer: "gw-5", Generation: 8, Number: 2, InboundLost: true}},
 	}
 }
 
 // The generated code of api/members.proto reads what is written here, and writes what is read here.
 func TestSameAsGenerated(t *testing.T) {
-	for _, m := range []membership.Message{full(), {Kind: membership.Ping, From: "a", Life: 1}} {
+	for _, m := range []membership.Message{full(), {Kind: membership.Ping, From: "a", Generation: 1}} {
 		b := AppendMessage(nil, m)
 		var g api.Message
 		if err := proto.Unmarshal(b, &g); err != nil {
@@ -50,18 +50,18 @@
 		if err != nil || !bytes.Equal(again, b) {
 			t.Errorf("%v\n%x\n%x", err, b, again)
 		}
-		if got, fault := ParseMessage(again); fault != Sound || !reflect.DeepEqual(got, m) {
+		if got, fault := ParseMessage(again); fault != NoFault || !reflect.DeepEqual(got, m) {
 			t.Errorf("%v\n%+v\n%+v", fault, got, m)
 		}
 	}
 }
 
 func TestFaults(t *testing.T) {
-	good, err := Append(nil, full(), sealed.Trailer{Start: 1, Sequence: 2, Known: 3}, "here", key1)
+	good, err := Append(nil, full(), sealed.Trailer{Start: 1, Sequence: 2, ReceiverStart: 3}, "here", key1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m, tr, f := Parse(good, "here", []sealed.Key{key2, key1}); f != Sound || !reflect.DeepEqual(m, full()) || tr.Known != 3 {
+	if m, tr, f := Parse(good, "here", []sealed.Key{key2, key1}); f != NoFault || !reflect.DeepEqual(m, full()) || tr.ReceiverStart != 3 {
 		t.Fatalf("%v %+v %+v", f, m, tr)
 	}
 	change := func(do func(*membership.Message)) []byte {
@@ -92,14 +92,14 @@
 		{"no sender", change(func(m *membership.Message) { m.From = "" }), BadValue},
 		{"a long name", change(func(m *membership.Message) { m.From = strings.Repeat("x", 41) }), BadValue},
 		{"a name with a line break", change(func(m *membership.Message) { m.From = "a\nb" }), BadValue},
-		{"no life", change(func(m *membership.Message) { m.Life = 0 }), BadValue},
+		{"no life", change(func(m *membership.Message) { m.Generation = 0 }), BadValue},
 		{"nobody to ask", change(func(m *membership.Message) { m.Target = "" }), BadValue},
 		{"a record without a name", change(func(m *membership.Message) { m.Records[0].Name = "" }), BadValue},
-		{"a record from nowhere", change(func(m *membership.Message) { m.Records[0].At = netip.AddrPort{} }), BadValue},
-		{"a port of 0", change(func(m *membership.Message) { m.Records[0].At = netip.AddrPortFrom(at4.Addr(), 0) }), BadValue},
+		{"a record from nowhere", change(func(m *membership.Message) { m.Records[0].Address = netip.AddrPort{} }), BadValue},
+		{"a port of 0", change(func(m *membership.Message) { m.Records[0].Address = netip.AddrPortFrom(at4.Addr(), 0) }), BadValue},
 		{"a state that is none", change(func(m *membership.Message) { m.Records[0].State = 4 }), BadValue},
-		{"accused by nobody", change(func(m *membership.Message) { m.Records[0].By = "" }), BadValue},
-		{"a path from nobody", change(func(m *membership.Message) { m.Cuts[0].By = "" }), BadValue},
+		{"accused by nobody", change(func(m *membership.Message) { m.Records[0].ReportedBy = "" }), BadValue},
+		{"a path from nobody", change(func(m *membership.Message) { m.Paths[0].Reporter = "" }), BadValue},
 	} {
 		if m, _, f := Parse(c.b, "here", []sealed.Key{key1, key2}); f != c.want || m.From != "" {
 			t.Errorf("%s: %v, want %v", c.name, f, c.want)
@@ -110,7 +110,7 @@
 	}
 	// Fields of a later version are skipped, in the message and in its records.
 	later := protowire.AppendString(protowire.AppendTag(AppendMessage(nil, full()), 99, protowire.BytesType), "news")
-	if m, f := ParseMessage(later); f != Sound || !reflect.DeepEqual(m, full()) {
+	if m, f := ParseMessage(later); f != NoFault || !reflect.DeepEqual(m, full()) {
 		t.Errorf("%v %+v", f, m)
 	}
 	long := full()
@@ -128,10 +128,10 @@
 	f.Add([]byte{8, 1, 18, 1, 'a', 24, 1})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, fault := ParseMessage(b)
-		if fault != Sound {
+		if fault != NoFault {
 			return
 		}
-		if again, fault := ParseMessage(AppendMessage(nil, m)); fault != Sound || !reflect.DeepEqual(m, again) {
+		if again, fault := ParseMessage(AppendMessage(nil, m)); fault != NoFault || !reflect.DeepEqual(m, again) {
 			t.Errorf("%v\n%+v\n%+v", fault, m, again)
 		}
 	})
--- a/internal/protocol/sealed/order.go
+++ b/internal/protocol/sealed/replay.go
@@ -2,7 +2,7 @@
 
 // Origin says which message of a sender this is: when the sender started, by its system clock, and the how-manieth it is
 // since then. Both together only grow, also over restarts.
-type Origin struct {
+type MessageID struct {
 	Start    uint64 // microseconds of Unix time
 	Sequence uint64
 }
@@ -10,31 +10,31 @@
 // Order keeps the senders' messages in order: one that came before, or again, or too late, is told from a new one. It is
 // bounded by the number of senders, which its user bounds. It guards against replays, and without a window against messages
 // that overtake each other, too.
-type Order[K comparable] struct {
-	self   Origin
+type ReplayGuard[K comparable] struct {
+	self   MessageID
 	window uint64 // how many messages may overtake one that still counts; 64 at most
 	last   map[K]*heard
 }
 
 // heard is what came of one sender: the latest message, and which of the ones before it.
 type heard struct {
-	Origin
+	MessageID
 	seen uint64 // bit i: the message i before the latest has come
 }
 
 // NewOrder makes the account of a gateway that started at a time of its system clock.
-func NewOrder[K comparable](start, window uint64) *Order[K] {
-	return &Order[K]{self: Origin{Start: start}, window: min(window, 64), last: map[K]*heard{}}
+func NewReplayGuard[K comparable](start, window uint64) *ReplayGuard[K] {
+	return &ReplayGuard[K]{self: MessageID{Start: start}, window: min(window, 64), last: map[K]*heard{}}
 }
 
 // Next is the origin of the next message sent.
-func (o *Order[K]) Next() Origin {
+func (o *ReplayGuard[K]) NextID() MessageID {
 	o.self.Sequence++
 	return o.self
 }
 
 // Known is the start of a sender as last heard, 0 if it never was. It is told to that sender in every message.
-func (o *Order[K]) Known(sender K) uint64 {
+func (o *ReplayGuard[K]) KnownStart(sender K) uint64 {
 	if h := o.last[sender]; h != nil {
 		return h.Start
 	}
@@ -44,7 +44,7 @@
 // Take notes an authentic message and tells whether it is new. known is what its sender knows of this gateway's own start:
 // if that is later than the start in use, the system time was set back while the gateway was down, and its peers would
 // take it for its own past. It then counts as started just after what they know, told by moved.
-func (o *Order[K]) Take(sender K, at Origin, known uint64) (fresh, moved bool) {
+func (o *ReplayGuard[K]) Accept(sender K, at MessageID, known uint64) (fresh, moved bool) {
 	h := o.last[sender]
 	if h == nil {
 		h = &heard{}
@@ -59,16 +59,16 @@
 	return true, moved
 }
 
-func (h *heard) take(at Origin, window uint64) bool {
+func (h *heard) take(at MessageID, window uint64) bool {
 	switch {
 	case at.Start < h.Start:
 		return false
 	case at.Start > h.Start:
-		h.Origin, h.seen = at, 1
+		h.MessageID, h.seen = at, 1
 		return true
 	case at.Sequence > h.Sequence:
 		h.seen = h.seen<<(at.Sequence-h.Sequence) | 1 // a shift by 64 or more leaves nothing
-		h.Origin = at
+		h.MessageID = at
 		return true
 	}
 	bit := uint64(1) << (h.Sequence - at.Sequence)
@@ -80,7 +80,7 @@
 }
 
 // Forget drops senders that are not to be kept.
-func (o *Order[K]) Forget(keep func(sender K) bool) {
+func (o *ReplayGuard[K]) Retain(keep func(sender K) bool) {
 	for s := range o.last {
 		if !keep(s) {
 			delete(o.last, s)
--- a/internal/protocol/sealed/sealed.go
+++ b/internal/protocol/sealed/sealed.go
@@ -27,18 +27,18 @@
 const Version = 1
 
 // Verdict is what is found of a signature.
-type Verdict uint8
+type Fault uint8
 
 // The verdicts.
 const (
-	Sound      Verdict = iota
-	UnknownKey         // signed with a key that is not valid here
-	BadMAC             // signed with another secret, or changed on the way
-	BadVersion         // another trailer
+	NoFault    Fault = iota
+	UnknownKey       // signed with a key that is not valid here
+	BadMAC           // signed with another secret, or changed on the way
+	BadVersion       // another trailer
 )
 
 // Sum is the signature over b. The purpose keeps signatures made for other ends with the same secret from being valid.
-func (k Key) Sum(purpose string, b []byte) []byte {
+func (k Key) MAC(purpose string, b []byte) []byte {
 	h := hmac.New(sha256.New, k.Secret)
 	h.Write([]byte(purpose))
 	h.Write(b)
@@ -46,11 +46,11 @@
 }
 
 // Verify checks the signature at the end of b.
-func Verify(purpose string, b []byte, number uint8, keys []Key) Verdict {
+func Verify(purpose string, b []byte, number uint8, keys []Key) Fault {
 	for _, k := range keys {
 		if k.Number == number {
-			if hmac.Equal(k.Sum(purpose, b[:len(b)-MACSize]), b[len(b)-MACSize:]) {
-				return Sound
+			if hmac.Equal(k.MAC(purpose, b[:len(b)-MACSize]), b[len(b)-MACSize:]) {
+				return NoFault
 			}
 			return BadMAC
 		}
@@ -60,12 +60,12 @@
 
 // Trailer is what stands behind every message.
 type Trailer struct {
-	Key      uint8  // which of the keys signs it
-	Sender   uint8  // the sender's number, where gateways have numbers
-	Receiver uint8  // whom it is for, likewise
-	Start    uint64 // when the sender started, microseconds of Unix time
-	Sequence uint64 // of the sender's messages since then
-	Known    uint64 // the receiver's start as its sender knows it; 0: never heard
+	Key           uint8  // which of the keys signs it
+	Sender        uint8  // the sender's number, where gateways have numbers
+	Receiver      uint8  // whom it is for, likewise
+	Start         uint64 // when the sender started, microseconds of Unix time
+	Sequence      uint64 // of the sender's messages since then
+	ReceiverStart uint64 // the receiver's start as its sender knows it; 0: never heard
 }
 
 // Append writes the trailer behind the message that begins at from, and signs all of it.
@@ -73,21 +73,21 @@
 	b = append(b, Version, key.Number, t.Sender, t.Receiver)
 	b = binary.BigEndian.AppendUint64(b, t.Start)
 	b = binary.BigEndian.AppendUint64(b, t.Sequence)
-	b = binary.BigEndian.AppendUint64(b, t.Known)
-	return append(b, key.Sum(purpose, b[from:])...)
+	b = binary.BigEndian.AppendUint64(b, t.ReceiverStart)
+	return append(b, key.MAC(purpose, b[from:])...)
 }
 
 // Parse reads and checks the trailer at the end of b, which must have Size bytes at least.
-func Parse(b []byte, purpose string, keys []Key) (Trailer, Verdict) {
+func Parse(b []byte, purpose string, keys []Key) (Trailer, Fault) {
 	t := b[len(b)-Size:]
 	if t[0] != Version {
 		return Trailer{}, BadVersion
 	}
-	if v := Verify(purpose, b, t[1], keys); v != Sound {
+	if v := Verify(purpose, b, t[1], keys); v != NoFault {
 		return Trailer{}, v
 	}
 	return Trailer{
 		Key: t[1], Sender: t[2], Receiver: t[3], Start: binary.BigEndian.Uint64(t[4:]),
-		Sequence: binary.BigEndian.Uint64(t[12:]), Known: binary.BigEndian.Uint64(t[20:]),
-	}, Sound
+		Sequence: binary.BigEndian.Uint64(t[12:]), ReceiverStart: binary.BigEndian.Uint64(t[20:]),
+	}, NoFault
 }
--- a/internal/protocol/sealed/sealed_test.go
+++ b/internal/protocol/sealed/sealed_test.go
@@ -9,10 +9,10 @@
 func TestOrder(t *testing.T) {
 	for _, window := range []uint64{0, 4} {
 		late := window > 0 // whether one that was overtaken still counts
-		o := NewOrder[uint8](100, window)
+		o := NewReplayGuard[uint8](100, window)
 		take := func(start, seq, known uint64, fresh, moved bool) {
 			t.Helper()
-			if f, m := o.Take(2, Origin{start, seq}, known); f != fresh || m != moved {
+			if f, m := o.Accept(2, MessageID{start, seq}, known); f != fresh || m != moved {
 				t.Errorf("window %d: %d/%d: %v %v", window, start, seq, f, m)
 			}
 		}
@@ -27,16 +27,16 @@
 		take(50, 5, 100, false, false) // overtaken by too many
 		take(51, 1, 100, true, false)  // started again
 		take(50, 10, 100, false, false)
-		if o.Known(2) != 51 || o.Known(3) != 0 {
-			t.Errorf("known %d, %d", o.Known(2), o.Known(3))
+		if o.KnownStart(2) != 51 || o.KnownStart(3) != 0 {
+			t.Errorf("known %d, %d", o.KnownStart(2), o.KnownStart(3))
 		}
 		// They know a later life of this gateway: its clock was set back. It moves past that, once.
 		take(51, 2, 900, true, true)
-		if n := o.Next(); n.Start != 901 || n.Sequence != 1 {
+		if n := o.NextID(); n.Start != 901 || n.Sequence != 1 {
 			t.Errorf("%+v", n)
 		}
 		take(51, 3, 900, true, false)
-		o.Forget(func(s uint8) bool { return s != 2 })
+		o.Retain(func(s uint8) bool { return s != 2 })
 		take(1, 1, 0, true, false)
 		take(1, 1<<40, 0, true, false)
 		take(1, 2, 0, false, false)
@@ -47,7 +47,7 @@
 func TestOrderOfMany(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
-		o := NewOrder[string](1, 64)
+		o := NewReplayGuard[string](1, 64)
 		const n = 300
 		due := make([][]uint64, n+64)
 		for i := range n { // each arrives up to 60 places late, some twice
@@ -61,7 +61,7 @@
 		counted := map[uint64]int{}
 		for _, now := range due {
 			for _, seq := range now {
-				if fresh, _ := o.Take("a", Origin{1, seq}, 0); fresh {
+				if fresh, _ := o.Accept("a", MessageID{1, seq}, 0); fresh {
 					counted[seq]++
 				}
 			}
@@ -76,22 +76,22 @@
 
 func TestSeal(t *testing.T) {
 	a, b := Key{1, []byte("a secret of sixteen or more")}, Key{2, []byte("another secret, also long enough")}
-	want := Trailer{Key: 1, Sender: 3, Receiver: 4, Start: 5, Sequence: 6, Known: 7}
+	want := Trailer{Key: 1, Sender: 3, Receiver: 4, Start: 5, Sequence: 6, ReceiverStart: 7}
 	all := Append([]byte("before message"), len("before "), want, "purpose", a)[len("before "):]
-	if got, v := Parse(all, "purpose", []Key{b, a}); v != Sound || got != want {
+	if got, v := Parse(all, "purpose", []Key{b, a}); v != NoFault || got != want {
 		t.Errorf("%v %+v", v, got)
 	}
 	for i := range len(all) * 8 {
 		bad := bytes.Clone(all)
 		bad[i/8] ^= 1 << (i % 8)
-		if _, v := Parse(bad, "purpose", []Key{a, b}); v == Sound {
+		if _, v := Parse(bad, "purpose", []Key{a, b}); v == NoFault {
 			t.Errorf("bit %d flipped unnoticed", i)
 		}
 	}
 	for _, c := range []struct {
 		purpose string
 		keys    []Key
-		want    Verdict
+		want    Fault
 	}{{"other", []Key{a}, BadMAC}, {"purpose", []Key{b}, UnknownKey}, {"purpose", nil, UnknownKey}, {"purpose", []Key{{1, b.Secret}}, BadMAC}} {
 		if _, v := Parse(all, c.purpose, c.keys); v != c.want {
 			t.Errorf("%s %v: %v", c.purpose, c.keys, v)
--- a/internal/protocol/vrrp/announce.go
+++ b/internal/protocol/vrrp/announce.go
@@ -42,7 +42,7 @@
 	for _, x := range a.Addresses {
 		b = append16(b, x)
 	}
-	return append(b, key.Sum(purpose, b[start:])...), nil
+	return append(b, key.MAC(purpose, b[start:])...), nil
 }
 
 func append16(b []byte, a netip.Addr) []byte {
@@ -66,7 +66,7 @@
 	if len(b) != announceHead+16*n+macSize {
 		return a, BadLength
 	}
-	if v := sealed.Verify(purpose, b, b[5], keys); v != sealed.Sound {
+	if v := sealed.Verify(purpose, b, b[5], keys); v != sealed.NoFault {
 		return a, verdicts[v]
 	}
 	a = Announcement{
--- a/internal/protocol/vrrp/message.go
+++ b/internal/protocol/vrrp/message.go
@@ -83,8 +83,8 @@
 }
 
 // verdicts are the faults that a signature has.
-var verdicts = map[sealed.Verdict]Fault{
-	sealed.Sound: Sound, sealed.UnknownKey: UnknownKey, sealed.BadMAC: BadMAC, sealed.BadVersion: BadVersion,
+var verdicts = map[sealed.Fault]Fault{
+	sealed.NoFault: Sound, sealed.UnknownKey: UnknownKey, sealed.BadMAC: BadMAC, sealed.BadVersion: BadVersion,
 }
 
 // Error makes a fault an error.
@@ -156,7 +156,7 @@
 		return m, BadChecksum
 	}
 	t, verdict := sealed.Parse(b, purpose, keys)
-	if verdict != sealed.Sound {
+	if verdict != sealed.NoFault {
 		return m, verdicts[verdict]
 	}
 	m = Message{VRID: b[1], Priority: b[2], Interval: int64(interval) * centisecond, Trailer: t}
--- a/internal/protocol/vrrp/message_test.go
+++ b/internal/protocol/vrrp/message_test.go
@@ -20,7 +20,7 @@
 func sample() Message {
 	return Message{
 		VRID: 51, Priority: 200, Interval: 100_000, Addresses: []netip.Addr{netip.MustParseAddr("192.0.2.10")},
-		Trailer: Trailer{Key: 1, Sender: 1, Receiver: 2, Start: 1_700_000_000_000_000, Sequence: 7, Known: 9},
+		Trailer: Trailer{Key: 1, Sender: 1, Receiver: 2, Start: 1_700_000_000_000_000, Sequence: 7, ReceiverStart: 9},
 	}
 }
 
@@ -79,7 +79,7 @@
 	b[6], b[7] = 0, 0
 	sum := checksum(b[:body], true, from4, to4)
 	b[6], b[7] = byte(sum>>8), byte(sum)
-	copy(b[len(b)-macSize:], key1.Sum(purpose, b[:len(b)-macSize]))
+	copy(b[len(b)-macSize:], key1.MAC(purpose, b[:len(b)-macSize]))
 	return b
 }
 
--- a/internal/raftnode/node.go
+++ b/internal/raftnode/node.go
@@ -113,7 +113,7 @@
 		return nil, err
 	}
 	n.shards.setCount(n.host.Shards())
-	peerStreams.Handle(streams.Copies, n.packetReceived)
+	peerStreams.Handle(streams.StateStore, n.packetReceived)
 	n.goroutines.Go(n.runEventLoop)
 	n.goroutines.Go(n.runDiskWriter)
 	n.goroutines.Go(n.runBulkSender)
--- a/internal/raftnode/packets.go
+++ b/internal/raftnode/packets.go
@@ -139,7 +139,7 @@
 // returns false.
 func (n *Node) sendPacket(packet raftstore.Send, wait func(size int) bool) {
 	if len(packet.Body) <= partSize && wait(len(packet.Body)) {
-		n.sendMessage(streams.Message{To: packet.To, Channel: streams.Copies, Body: append([]byte{completePacket}, packet.Body...)})
+		n.sendMessage(streams.Message{To: packet.To, Channel: streams.StateStore, Body: append([]byte{completePacket}, packet.Body...)})
 		return
 	}
 	header := partHeader{packet: n.lastPacket.Add(1), parts: uint32((len(packet.Body) + partSize - 1) / partSize)}
@@ -148,7 +148,7 @@
 			return
 		}
 		message := append(header.append(make([]byte, 0, partHeaderSize+len(part))), part...)
-		if !n.sendMessage(streams.Message{To: packet.To, Channel: streams.Copies, Body: message, Keep: true}) {
+		if !n.sendMessage(streams.Message{To: packet.To, Channel: streams.StateStore, Body: message, NoDrop: true}) {
 			return // the parts that have arrived are useless; the host sends the packet again
 		}
 		header.position++
--- a/internal/raftnode/packets_test.go
+++ b/internal/raftnode/packets_test.go
@@ -57,7 +57,7 @@
 	a, b := listen(t, "a", time.UnixMicro(1), route), listen(t, "b", time.UnixMicro(1), route)
 	routes["b"] = b.Addr()
 	messages := make(chan string, 10)
-	b.Handle(streams.Copies, func(_ string, body []byte) { messages <- string(body) })
+	b.Handle(streams.StateStore, func(_ string, body []byte) { messages <- string(body) })
 	sender, receiver := &Node{streams: a}, &reassembler{}
 	for _, c := range []struct {
 		name, body string
--- a/internal/streams/frame.go
+++ b/internal/streams/frame.go
@@ -41,11 +41,11 @@
 }
 
 func readHello(b []byte) (from, to string, ok bool) {
-	if len(b) == 0 || int(b[0]) > MostName || len(b) < 1+int(b[0]) {
+	if len(b) == 0 || int(b[0]) > MaxNameLength || len(b) < 1+int(b[0]) {
 		return "", "", false
 	}
 	from, to = string(b[1:1+b[0]]), string(b[1+b[0]:])
-	return from, to, from != "" && len(to) <= MostName
+	return from, to, from != "" && len(to) <= MaxNameLength
 }
 
 // writer is the end of a stream that speaks.
@@ -97,7 +97,7 @@
 		return 0, nil, err
 	}
 	size := int(binary.BigEndian.Uint32(head[:]))
-	if size < 1+sealed.Size || size > 1+MostBody+sealed.Size {
+	if size < 1+sealed.Size || size > 1+MaxBody+sealed.Size {
 		return 0, nil, errFrame
 	}
 	by = time.Now().Add(stuckBy)
@@ -117,7 +117,7 @@
 		return 0, nil, err
 	}
 	t, verdict := sealed.Parse(b, r.purpose, *r.x.keys.Load())
-	if verdict != sealed.Sound || t.Sequence != r.sequence+1 || r.sequence > 0 && t.Start != r.start || b[0] >= byte(Channels) {
+	if verdict != sealed.NoFault || t.Sequence != r.sequence+1 || r.sequence > 0 && t.Start != r.start || b[0] >= byte(ChannelCount) {
 		r.release()
 		return 0, nil, errFrame
 	}
--- a/internal/streams/peer.go
+++ b/internal/streams/peer.go
@@ -24,15 +24,15 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	size := len(m.Body)
-	for i := 0; i < len(p.queue) && p.bytes+size > MostQueued; {
-		if p.queue[i].Keep {
+	for i := 0; i < len(p.queue) && p.bytes+size > MaxQueued; {
+		if p.queue[i].NoDrop {
 			i++
 			continue
 		}
 		dropped = append(dropped, p.queue[i])
 		p.forget(i)
 	}
-	if p.bytes+size > MostQueued || !p.x.s.Buffers.Reserve(size) {
+	if p.bytes+size > MaxQueued || !p.x.s.Buffers.Reserve(size) {
 		return dropped, ErrFull
 	}
 	p.queue, p.bytes = append(p.queue, m), p.bytes+size
@@ -120,7 +120,7 @@
 	for {
 		if !p.await() {
 			shut()
-			p.lose(p.take(MostQueued+MostBody), false)
+			p.lose(p.take(MaxQueued+MaxBody), false)
 			return
 		}
 		if w != nil && !w.c.Quiet() {
@@ -133,7 +133,7 @@
 			next, err := p.x.open(p.name)
 			if err != nil {
 				p.x.Counts.Failed.Add(1)
-				p.lose(p.take(MostQueued+MostBody), false)
+				p.lose(p.take(MaxQueued+MaxBody), false)
 				rest()
 				continue
 			}
--- a/internal/streams/streams.go
+++ b/internal/streams/streams.go
@@ -18,13 +18,13 @@
 )
 
 // MostBody is the size of the largest message, in bytes.
-const MostBody = 1 << 20
+const MaxBody = 1 << 20
 
 // MostQueued is how many bytes may wait for one peer.
-const MostQueued = 4 << 20
+const MaxQueued = 4 << 20
 
 // MostName is the length of the longest name, in bytes.
-const MostName = 40
+const MaxNameLength = 40
 
 // mostWritten is how many bytes of waiting messages are written together.
 const mostWritten = 256 << 10
@@ -61,8 +61,8 @@
 	hello Channel = iota
 	echo
 	echoed
-	Copies
-	Channels
+	StateStore
+	ChannelCount
 )
 
 // Message is what is sent.
@@ -71,15 +71,15 @@
 	Channel Channel
 	Body    []byte
 	// Keep has it never give way to later messages; without, the oldest are dropped where too much waits.
-	Keep bool
+	NoDrop bool
 	// Lost is told once if it is known not to have been handed over whole; it may have arrived all the same if sent. It must
 	// not wait. May be nil. A message of which nothing is told may be lost too, with the machine that it was under way to.
-	Lost func(sent bool)
+	OnLost func(sent bool)
 }
 
 func (m *Message) lost(sent bool) {
-	if m.Lost != nil {
-		m.Lost(sent)
+	if m.OnLost != nil {
+		m.OnLost(sent)
 	}
 }
 
@@ -89,14 +89,14 @@
 	Deployment string
 	Start      uint64 // microseconds of Unix time
 	Keys       []sealed.Key
-	Route      func(name string) (addr string, known bool)
+	AddressOf  func(name string) (addr string, known bool)
 	Buffers    *transport.Buffers // the memory that waiting messages are taken from
 	Fds        *transport.Descriptors
 }
 
 // Counts are the counters since the start.
 type Counts struct {
-	Opened, Accepted, Failed, Refused, Sent, SentBytes, Received, Dropped, Lost atomic.Int64
+	Opened, Accepted, Failed, Rejected, Sent, SentBytes, Received, Dropped, Lost atomic.Int64
 }
 
 // Streams are all streams of one gateway.
@@ -107,7 +107,7 @@
 	keys     atomic.Pointer[[]sealed.Key]
 	listener *transport.Listener
 	accepted chan struct{}
-	handlers [Channels]atomic.Pointer[func(from string, body []byte)]
+	handlers [ChannelCount]atomic.Pointer[func(from string, body []byte)]
 	hellos   chan struct{}
 	quit     chan struct{}
 	done     sync.WaitGroup
@@ -126,7 +126,7 @@
 		s: s, accepted: make(chan struct{}), hellos: make(chan struct{}, mostHellos), quit: make(chan struct{}),
 		peers: map[string]*peer{}, inbound: map[*transport.Conn]struct{}{}, echoes: map[uint64]chan struct{}{},
 	}
-	x.Rekey(s.Keys)
+	x.SetKeys(s.Keys)
 	var err error
 	if x.listener, err = transport.Listen(bind, s.Buffers, s.Fds); err != nil {
 		return nil, err
@@ -145,7 +145,7 @@
 func (x *Streams) Addr() string { return x.listener.Addr() }
 
 // Rekey changes the keys; the first one signs. Streams that were signed with one that is gone end and are opened anew.
-func (x *Streams) Rekey(keys []sealed.Key) {
+func (x *Streams) SetKeys(keys []sealed.Key) {
 	keys = slices.Clone(keys)
 	x.keys.Store(&keys)
 }
@@ -158,7 +158,7 @@
 
 // Send has a message sent, and does not wait. Where it returns an error nothing was sent, and Lost is not told.
 func (x *Streams) Send(m Message) error {
-	if len(m.Body) > MostBody {
+	if len(m.Body) > MaxBody {
 		return ErrSize
 	}
 	x.mu.Lock()
@@ -183,7 +183,7 @@
 }
 
 // Reach sends a message to a peer and waits for its answer on the stream back. It returns how long both took.
-func (x *Streams) Reach(name string, by time.Time) (time.Duration, error) {
+func (x *Streams) Ping(name string, by time.Time) (time.Duration, error) {
 	answer := make(chan struct{}, 1)
 	x.mu.Lock()
 	x.echoNo++
@@ -198,7 +198,7 @@
 	begin := time.Now()
 	lost := make(chan struct{}, 1)
 	body := appendNumber(nil, number)
-	if err := x.Send(Message{To: name, Channel: echo, Body: body, Lost: func(bool) { lost <- struct{}{} }}); err != nil {
+	if err := x.Send(Message{To: name, Channel: echo, Body: body, OnLost: func(bool) { lost <- struct{}{} }}); err != nil {
 		return 0, err
 	}
 	late := time.NewTimer(time.Until(by))
@@ -260,7 +260,7 @@
 	x.mu.Lock()
 	if x.closed || !stays {
 		x.mu.Unlock()
-		x.Counts.Refused.Add(1)
+		x.Counts.Rejected.Add(1)
 		return
 	}
 	x.inbound[c] = struct{}{}
@@ -273,13 +273,13 @@
 	select {
 	case x.hellos <- struct{}{}:
 	default:
-		x.Counts.Refused.Add(1)
+		x.Counts.Rejected.Add(1)
 		return
 	}
 	in, err := x.greet(c)
 	<-x.hellos
 	if err != nil {
-		x.Counts.Refused.Add(1)
+		x.Counts.Rejected.Add(1)
 		return
 	}
 	x.Counts.Accepted.Add(1)
@@ -287,7 +287,7 @@
 		channel, body, err := in.next(time.Now().Add(silentBy))
 		if err != nil {
 			if errors.Is(err, errFrame) {
-				x.Counts.Refused.Add(1)
+				x.Counts.Rejected.Add(1)
 			}
 			return
 		}
@@ -324,7 +324,7 @@
 
 // open opens a stream to a peer.
 func (x *Streams) open(name string) (*writer, error) {
-	addr, known := x.s.Route(name)
+	addr, known := x.s.AddressOf(name)
 	if !known {
 		return nil, ErrUnknown
 	}
--- a/internal/streams/streams_test.go
+++ b/internal/streams/streams_test.go
@@ -46,12 +46,12 @@
 	var err error
 	e.Streams, err = Listen("127.0.0.1:0", Settings{
 		Node: name, Start: 5, Keys: keys, Buffers: e.buffers, Fds: transport.NewDescriptors(256),
-		Route: func(name string) (string, bool) { to, known := e.routes[name]; return to, known },
+		AddressOf: func(name string) (string, bool) { to, known := e.routes[name]; return to, known },
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	e.Handle(Copies, func(from string, body []byte) { e.got <- from + ":" + string(body) })
+	e.Handle(StateStore, func(from string, body []byte) { e.got <- from + ":" + string(body) })
 	t.Cleanup(e.Close)
 	return e
 }
@@ -84,7 +84,7 @@
 	a, b, way := pair(t)
 	say := func(body string) {
 		t.Helper()
-		if err := a.Send(Message{To: "b", Channel: Copies, Body: []byte(body)}); err != nil {
+		if err := a.Send(Message{To: "b", Channel: StateStore, Body: []byte(body)}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -94,29 +94,29 @@
 	for i := range 100 {
 		b.want(t, fmt.Sprint("a:", i))
 	}
-	large := string(bytes.Repeat([]byte("x"), MostBody))
+	large := string(bytes.Repeat([]byte("x"), MaxBody))
 	say(large)
 	b.want(t, "a:"+large)
-	if took, err := a.Reach("b", time.Now().Add(late)); err != nil || took <= 0 {
+	if took, err := a.Ping("b", time.Now().Add(late)); err != nil || took <= 0 {
 		t.Fatal(took, err)
 	}
 	for _, c := range []struct {
 		m    Message
 		want error
-	}{{Message{To: "b", Body: make([]byte, MostBody+1)}, ErrSize}} {
+	}{{Message{To: "b", Body: make([]byte, MaxBody+1)}, ErrSize}} {
 		if err := a.Send(c.m); !errors.Is(err, c.want) {
 			t.Errorf("%v", err)
 		}
 	}
 	told := make(chan bool, 1)
-	a.Send(Message{To: "nobody", Channel: Copies, Lost: func(sent bool) { told <- sent }})
+	a.Send(Message{To: "nobody", Channel: StateStore, OnLost: func(sent bool) { told <- sent }})
 	if <-told {
 		t.Error("sent to nobody")
 	}
 	// A reset ends the stream; the next message opens another one.
 	way.Reset()
 	until(t, "a stream after the reset", func() bool {
-		a.Send(Message{To: "b", Channel: Copies, Body: []byte("again")})
+		a.Send(Message{To: "b", Channel: StateStore, Body: []byte("again")})
 		select {
 		case got := <-b.got:
 			return got == "a:again"
@@ -126,10 +126,10 @@
 	})
 	// Keys change in three steps and nothing stops.
 	for _, x := range []*end{a, b} {
-		x.Rekey([]sealed.Key{first, second})
+		x.SetKeys([]sealed.Key{first, second})
 	}
 	for _, x := range []*end{a, b} {
-		x.Rekey([]sealed.Key{second})
+		x.SetKeys([]sealed.Key{second})
 	}
 	for len(b.got) > 0 {
 		<-b.got
@@ -143,17 +143,17 @@
 // sent is told, also at the end.
 func TestStall(t *testing.T) {
 	a, b, way := pair(t)
-	a.Send(Message{To: "b", Channel: Copies, Body: []byte("first")})
+	a.Send(Message{To: "b", Channel: StateStore, Body: []byte("first")})
 	b.want(t, "a:first")
 	way.Set(fake.Fate{Stall: true}, fake.Fate{})
-	if _, err := a.Reach("b", time.Now().Add(50*time.Millisecond)); !errors.Is(err, ErrSilent) {
+	if _, err := a.Ping("b", time.Now().Add(50*time.Millisecond)); !errors.Is(err, ErrSilent) {
 		t.Errorf("%v", err)
 	}
 	var lost, kept atomic.Int64
 	body := make([]byte, 512<<10)
 	sent := 0
 	for a.Counts.Dropped.Load() < 3 { // until the kernels' and the relay's buffers are full, and the queue
-		if err := a.Send(Message{To: "b", Channel: Copies, Body: body, Lost: func(bool) { lost.Add(1) }}); err != nil {
+		if err := a.Send(Message{To: "b", Channel: StateStore, Body: body, OnLost: func(bool) { lost.Add(1) }}); err != nil {
 			t.Fatal(err)
 		}
 		if sent++; sent > 1000 {
@@ -162,14 +162,14 @@
 	}
 	var err error
 	for n := 0; err == nil; n++ {
-		if err = a.Send(Message{To: "b", Channel: Copies, Body: body, Keep: true, Lost: func(bool) { kept.Add(1) }}); n > 20 {
+		if err = a.Send(Message{To: "b", Channel: StateStore, Body: body, NoDrop: true, OnLost: func(bool) { kept.Add(1) }}); n > 20 {
 			t.Fatal("a full queue takes all")
 		}
 	}
 	if !errors.Is(err, ErrFull) || kept.Load() != 0 {
 		t.Errorf("%v, %d that may not give way did", err, kept.Load())
 	}
-	if held := a.buffers.Held(); held > MostQueued {
+	if held := a.buffers.Held(); held > MaxQueued {
 		t.Errorf("%d bytes wait", held)
 	}
 	begin := time.Now()
@@ -177,7 +177,7 @@
 	if took := time.Since(begin); took > stuckBy/2 {
 		t.Errorf("the end took %v", took)
 	}
-	if lost.Load() < 3 || kept.Load() < MostQueued/int64(len(body))-1 {
+	if lost.Load() < 3 || kept.Load() < MaxQueued/int64(len(body))-1 {
 		t.Errorf("%d and %d told", lost.Load(), kept.Load())
 	}
 	if err := a.Send(Message{To: "b"}); !errors.Is(err, ErrClosed) {
@@ -193,8 +193,8 @@
 	for range 200 {
 		a, b, _ := pair(t)
 		for range 20 {
-			a.Send(Message{To: "b", Channel: Copies, Body: []byte("x")})
-			b.Send(Message{To: "a", Channel: Copies, Body: []byte("x")})
+			a.Send(Message{To: "b", Channel: StateStore, Body: []byte("x")})
+			b.Send(Message{To: "a", Channel: StateStore, Body: []byte("x")})
 		}
 		<-b.got
 		begin := time.Now()
@@ -211,9 +211,9 @@
 	b := newEnd(t, "b", first)
 	frames := func(key sealed.Key, to string, greeting []byte, change func([]byte) []byte) []byte {
 		w := &writer{x: &Streams{}, purpose: purpose("", greeting)}
-		w.x.Rekey([]sealed.Key{key})
+		w.x.SetKeys([]sealed.Key{key})
 		w.add(hello, appendHello(nil, "a", to))
-		w.add(Copies, []byte("taken"))
+		w.add(StateStore, []byte("taken"))
 		return change(w.b)
 	}
 	same := func(b []byte) []byte { return b }
@@ -247,13 +247,13 @@
 			if err := conn.ReadFull(greeting, time.Now().Add(late)); err != nil {
 				t.Fatal(err)
 			}
-			refused := b.Counts.Refused.Load()
+			refused := b.Counts.Rejected.Load()
 			conn.Write(time.Now().Add(late), net.Buffers{frames(c.key, c.to, greeting, c.change)})
 			if c.taken {
 				b.want(t, "a:taken")
 				return
 			}
-			until(t, "it is refused", func() bool { return b.Counts.Refused.Load() > refused })
+			until(t, "it is refused", func() bool { return b.Counts.Rejected.Load() > refused })
 			if len(b.got) > 0 {
 				t.Errorf("taken: %s", <-b.got)
 			}
