--- a/internal/gateway/told_test.go
+++ b/internal/gateway/told_test.go
@@ -35,7 +35,7 @@
 				if now < sweepAt {
 					continue
 				}
-				for _, a := range r.Step(now, policy.Timer{Token: "sweep"}) {
+				for _, a := range r.Step(now, policy.Timer{Kind: policy.TimerSweep}) {
 					switch a := a.(type) {
 					case policy.SetTimer:
 						sweepAt = a.At
--- a/internal/policy/api.go
+++ b/internal/policy/api.go
@@ -128,8 +128,20 @@
 // Dropped tells that the client is gone and the request over.
 type ClientDisconnected struct{ ID string }
 
-// Timer is a timer set by SetTimer that has come due.
-type Timer struct{ Token string }
+// TimerKind says what a timer is for.
+type TimerKind uint8
+
+// The kinds of timers.
+const (
+	TimerRequest TimerKind = iota // the end of one request
+	TimerSweep                    // the periodic sweep over all servers and groups
+)
+
+// Timer tells that a timer set by SetTimer has come due.
+type Timer struct {
+	Kind      TimerKind
+	RequestID string // of a TimerRequest
+}
 
 // Probed is the result of one Probe.
 type HealthCheckEnded struct {
@@ -256,10 +268,10 @@
 	Attempt int
 }
 
-// SetTimer asks for a Timer event at a clock time.
+// SetTimer asks for the event Timer at the clock time At.
 type SetTimer struct {
 	At    clock.Micros
-	Token string
+	Timer Timer
 }
 
 // Probe asks a server how it is.
--- a/internal/policy/brain.go
+++ b/internal/policy/brain.go
@@ -61,7 +61,7 @@
 		servedFrom: now,
 	}
 	r.adopt(set)
-	r.at(now+r.sweepSpan(), "sweep")
+	r.setTimer(now+r.sweepSpan(), Timer{Kind: TimerSweep})
 	if r.set.ListSubscribed {
 		r.askList()
 	}
@@ -116,12 +116,11 @@
 			r.close(q)
 		}
 	case Timer:
-		if e.Token == "sweep" {
+		switch e.Kind {
+		case TimerSweep:
 			r.sweep()
-		} else if q := r.requests[e.Token]; q != nil && r.now < r.end(q) && len(q.attempts) > 0 {
-			r.at(r.end(q), q.id)
-		} else if q != nil {
-			r.finish(q)
+		case TimerRequest:
+			r.requestTimer(e.RequestID)
 		}
 	case HealthCheckEnded:
 		r.probed(e)
@@ -131,6 +130,18 @@
 	return r.take()
 }
 
+// requestTimer ends a request at its end, or halfway to it if nothing was sent for it by then.
+func (r *Router) requestTimer(id string) {
+	q := r.requests[id]
+	switch {
+	case q == nil:
+	case r.now < r.end(q) && len(q.attempts) > 0:
+		r.setTimer(r.end(q), Timer{RequestID: id})
+	default:
+		r.finish(q)
+	}
+}
+
 func (r *Router) sweepSpan() clock.Micros { return max(r.set.Tick, r.minAim/sweepsPerAim) }
 
 // ---- requests ----
@@ -158,7 +169,8 @@
 	if c.Need == NeedSession && e.SinceWrite > 0 { // the commit that it must see comes with the request
 		q.need = r.now - e.SinceWrite
 	}
-	r.at(max(min(r.end(q), r.now+e.TimeLeft/2-r.set.Tick), r.now+1), q.id)
+	halfway := r.now + e.TimeLeft/2 - r.set.Tick
+	r.setTimer(max(min(r.end(q), halfway), r.now+1), Timer{RequestID: q.id})
 	r.enqueue(q)
 	r.dispatch(q.group)
 }
@@ -968,7 +980,7 @@
 
 // sweep does what time alone calls for.
 func (r *Router) sweep() {
-	r.at(r.now+r.sweepSpan(), "sweep")
+	r.setTimer(r.now+r.sweepSpan(), Timer{Kind: TimerSweep})
 	if r.set.ListSubscribed && r.asking && r.now-r.askAt > max(r.set.SubscribeWithin/4, r.set.ConnectTimeout) {
 		r.askFailed()
 	}
--- a/internal/policy/brain_test.go
+++ b/internal/policy/brain_test.go
@@ -688,7 +688,7 @@
 			g.arrive("q", class)
 			var at clock.Micros
 			for _, a := range g.acts {
-				if s, ok := a.(policy.SetTimer); ok && s.Token == "q" {
+				if s, ok := a.(policy.SetTimer); ok && s.Timer.RequestID == "q" {
 					at = s.At
 				}
 			}
@@ -696,18 +696,18 @@
 				t.Fatalf("class %d: its timer is at %d", class, at-origin)
 			}
 			g.now = at
-			g.step(policy.Timer{Token: "q"})
+			g.step(policy.Timer{RequestID: "q"})
 			for _, a := range g.acts { // half of its time is over, and an attempt is out
-				if s, ok := a.(policy.SetTimer); ok && s.Token == "q" && ending(g.acts, "q") == "" {
+				if s, ok := a.(policy.SetTimer); ok && s.Timer.RequestID == "q" && ending(g.acts, "q") == "" {
 					g.now = s.At
-					g.step(policy.Timer{Token: "q"})
+					g.step(policy.Timer{RequestID: "q"})
 					break
 				}
 			}
 			if ending(g.acts, "q") == "" {
 				t.Errorf("class %d with %d members has no final answer at its end", class, members)
 			}
-			g.step(policy.Timer{Token: "q"})
+			g.step(policy.Timer{RequestID: "q"})
 			if ending(g.acts, "q") != "" {
 				t.Errorf("class %d was answered twice", class)
 			}
@@ -725,7 +725,7 @@
 	g.fresh(1, 0)
 	g.arrive("w", unsafeWrite)
 	g.now += 1995 * ms
-	g.step(policy.Timer{Token: "w"})
+	g.step(policy.Timer{RequestID: "w"})
 	g.wantEnd("w", "fail")
 }
 
@@ -874,7 +874,7 @@
 		r, _ := policy.New(origin, seed, set)
 		r.Step(origin, policy.EndpointUpdate{Form: policy.ListFailed})
 		for now := origin; now < origin+1000*ms; now += 5 * ms {
-			if count[policy.Watch](r.Step(now, policy.Timer{Token: "sweep"})) > 0 {
+			if count[policy.Watch](r.Step(now, policy.Timer{Kind: policy.TimerSweep})) > 0 {
 				spans[now] = true
 				break
 			}
@@ -902,7 +902,7 @@
 			r.Step(now, policy.EndpointUpdate{Form: policy.ListFailed})
 			for {
 				now += 5 * ms
-				if count[policy.Watch](r.Step(now, policy.Timer{Token: "sweep"})) > 0 {
+				if count[policy.Watch](r.Step(now, policy.Timer{Kind: policy.TimerSweep})) > 0 {
 					break
 				}
 			}
@@ -954,7 +954,7 @@
 	g := newRig(t, policy.Settings{})
 	for _, ev := range []policy.Event{
 		policy.Arrival{ID: "a", Class: 3}, policy.Arrival{ID: "b", Class: -1}, policy.ClientDisconnected{ID: "nobody"},
-		policy.Outcome{ID: "nobody"}, policy.Timer{Token: ""}, policy.Timer{Token: "nobody"}, policy.HealthCheckEnded{Server: 9},
+		policy.Outcome{ID: "nobody"}, policy.Timer{RequestID: ""}, policy.Timer{RequestID: "nobody"}, policy.HealthCheckEnded{Server: 9},
 		policy.AnswerStarted{ID: "nobody"}, policy.PeerMessage{Data: []byte{1}},
 		policy.EndpointUpdate{Form: policy.ListFailed}, policy.EndpointUpdate{Form: policy.ListFull, Endpoints: []policy.Endpoint{{}}},
 	} {
@@ -1147,7 +1147,7 @@
 	g.group(2)
 	timer := func(id string) clock.Micros {
 		for _, a := range g.acts {
-			if s, ok := a.(policy.SetTimer); ok && s.Token == id {
+			if s, ok := a.(policy.SetTimer); ok && s.Timer.RequestID == id {
 				return s.At - origin
 			}
 		}
@@ -1165,9 +1165,9 @@
 		t.Errorf("looked at after %d us of 2 s", held)
 	}
 	g.now = origin + at
-	g.step(policy.Timer{Token: "w19"})
+	g.step(policy.Timer{RequestID: "w19"})
 	g.wantEnd("w19", "refuse")
-	g.step(policy.Timer{Token: "out"})
+	g.step(policy.Timer{RequestID: "out"})
 	g.wantEnd("out", "")
 	if end := timer("out"); end < 1900*ms || end >= 2000*ms {
 		t.Errorf("then ends after %d us of 2 s", end)
--- a/internal/policy/fleet_test.go
+++ b/internal/policy/fleet_test.go
@@ -59,7 +59,7 @@
 		}
 		for i, g := range f.rigs {
 			g.now = now
-			f.note(g, g.step(policy.Timer{Token: "sweep"}))
+			f.note(g, g.step(policy.Timer{Kind: policy.TimerSweep}))
 			if f.rng.Float64() < rate*0.025*f.share[i] {
 				f.n++
 				f.note(g, g.arrive(fmt.Sprint("a", f.n), anyRead))
--- a/internal/policy/harness_test.go
+++ b/internal/policy/harness_test.go
@@ -72,7 +72,7 @@
 
 // sweep lets time pass and the router look around.
 func (g *rig) sweep(d clock.Micros) []policy.Action {
-	return g.after(d).step(policy.Timer{Token: "sweep"})
+	return g.after(d).step(policy.Timer{Kind: policy.TimerSweep})
 }
 
 // member is a warm, ready member of group 1.
--- a/internal/policy/property_test.go
+++ b/internal/policy/property_test.go
@@ -245,7 +245,7 @@
 		for i, a := range w.timer {
 			if a.At <= w.now {
 				w.timer = append(w.timer[:i:i], w.timer[i+1:]...)
-				w.step(policy.Timer{Token: a.Token})
+				w.step(a.Timer)
 				fired = true
 				break
 			}
--- a/internal/policy/state.go
+++ b/internal/policy/state.go
@@ -312,9 +312,9 @@
 	return out
 }
 
-func (r *Router) do(a Action)                     { r.acts = append(r.acts, a) }
-func (r *Router) at(t clock.Micros, token string) { r.do(SetTimer{At: t, Token: token}) }
-func (r *Router) log(format string, a ...any)     { r.do(Log{Text: fmt.Sprintf(format, a...)}) }
+func (r *Router) do(a Action)                       { r.acts = append(r.acts, a) }
+func (r *Router) setTimer(at clock.Micros, t Timer) { r.do(SetTimer{At: at, Timer: t}) }
+func (r *Router) log(format string, a ...any)       { r.do(Log{Text: fmt.Sprintf(format, a...)}) }
 
 // random is a splitmix64 sequence.
 type random struct{ state uint64 }
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -135,7 +135,7 @@
 		if !ok {
 			return
 		}
-		c.step(policy.Timer{Token: t})
+		c.step(t)
 		c.handlePending()
 	}
 }
@@ -296,7 +296,7 @@
 				q.attempts[a.Attempt].Cancel()
 			}
 		case policy.SetTimer:
-			c.timers.set(a.At, a.Token)
+			c.timers.set(a.At, a.Timer)
 		case policy.HealthCheck:
 			c.Counts.HealthChecksSent++
 			c.servers.HealthCheck(a.Server, c.now, c.now+c.inForce.Settings.ConnectTimeout)
--- a/internal/routing/core_test.go
+++ b/internal/routing/core_test.go
@@ -301,7 +301,7 @@
 		at    clock.Micros
 		token string
 	}{{30, "c"}, {10, "a"}, {30, "d"}, {20, "b"}} {
-		ts.set(x.at, x.token)
+		ts.set(x.at, policy.Timer{RequestID: x.token})
 	}
 	got := ""
 	for {
@@ -309,7 +309,7 @@
 		if !ok {
 			break
 		}
-		got += tok
+		got += tok.RequestID
 	}
 	if got != "abcd" {
 		t.Errorf("order %s", got)
--- a/internal/routing/timers.go
+++ b/internal/routing/timers.go
@@ -4,6 +4,7 @@
 	"container/heap"
 
 	"marblespan/internal/clock"
+	"marblespan/internal/policy"
 )
 
 // timers holds the module's timers by their time, and by their order among equals.
@@ -15,12 +16,12 @@
 type timer struct {
 	at    clock.Micros
 	n     uint64
-	token string
+	event policy.Timer
 }
 
-func (t *timers) set(at clock.Micros, token string) {
+func (t *timers) set(at clock.Micros, event policy.Timer) {
 	t.n++
-	heap.Push(&t.heap, timer{at, t.n, token})
+	heap.Push(&t.heap, timer{at, t.n, event})
 }
 
 func (t *timers) first() (clock.Micros, bool) {
@@ -30,11 +31,11 @@
 	return t.heap[0].at, true
 }
 
-func (t *timers) due(now clock.Micros) (string, bool) {
+func (t *timers) due(now clock.Micros) (policy.Timer, bool) {
 	if len(t.heap) == 0 || t.heap[0].at > now {
-		return "", false
+		return policy.Timer{}, false
 	}
-	return heap.Pop(&t.heap).(timer).token, true
+	return heap.Pop(&t.heap).(timer).event, true
 }
 
 type timerHeap []timer
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -39,7 +39,7 @@
 	case policy.Cancel:
 		b = appendNumber(appendText(beginAction(b, "ABANDON", inst), a.ID), int64(a.Attempt))
 	case policy.SetTimer:
-		b = appendText(appendMillis(beginAction(b, "SET_ALARM", inst), a.At), a.Token)
+		b = appendText(appendMillis(beginAction(b, "SET_ALARM", inst), a.At), timerToken(a.Timer))
 	case policy.HealthCheck:
 		b = appendNumber(beginAction(b, "POLL", inst), int64(a.Server))
 	case policy.CloseIdle:
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -239,7 +239,7 @@
 	case "DROPPED":
 		ev = policy.ClientDisconnected{ID: r.text(1)}
 	case "ALARM":
-		ev = policy.Timer{Token: r.text(1)}
+		ev = timerOf(r.text(1))
 	case "STATUS_BACK":
 		ev = policy.HealthCheckEnded{
 			Server: policy.ServerID(r.unsigned(1, 32)), Result: lookupCode(r, results, 2, "a known outcome"),
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -97,7 +97,8 @@
 			Server: 7, Result: policy.ResultTimeout, Latency: 250_000}}},
 		{`["HEADERS",3,"rq_a",1,7,9.25]`, InstanceEvent{3, policy.AnswerStarted{ID: "rq_a", Attempt: 1}}},
 		{`["DROPPED",3,"rq_a"]`, InstanceEvent{3, policy.ClientDisconnected{ID: "rq_a"}}},
-		{`["ALARM",3,"sw\"eep"]`, InstanceEvent{3, policy.Timer{Token: `sw"eep`}}},
+		{`["ALARM",3,"sw\"eep"]`, InstanceEvent{3, policy.Timer{RequestID: `sw"eep`}}},
+		{`["ALARM",3,"sweep"]`, InstanceEvent{3, policy.Timer{Kind: policy.TimerSweep}}},
 		{`["MAIL",3,2,"68692037"]`, InstanceEvent{3, policy.PeerMessage{From: 2, Data: []byte("hi 7")}}},
 	} {
 		got, err := Decode([]byte(c.line), func(int) *settings.InForce { return f })
@@ -157,7 +158,7 @@
 	got := string(AppendDone(AppendActions(nil, 3, []policy.Action{
 		policy.Send{ID: "rq_a", Server: 4294967295, Until: 8_492_250}, policy.Reject{ID: "rq_a", RetryAfter: 250_000},
 		policy.Reject{ID: `q"`}, policy.Fail{ID: "rq_a"}, policy.Cancel{ID: "rq_a", Attempt: 2},
-		policy.SetTimer{At: 8_912_005, Token: "sweep"}, policy.HealthCheck{Server: 7}, policy.CloseIdle{Server: 7},
+		policy.SetTimer{At: 8_912_005, Timer: policy.Timer{Kind: policy.TimerSweep}}, policy.HealthCheck{Server: 7}, policy.CloseIdle{Server: 7},
 		policy.SendToPeer{To: policy.AllPeers, Data: []byte("hi 7")}, policy.SendToPeer{To: 2, Data: nil}, policy.Log{Text: "two known"},
 		policy.Watch{On: true}, policy.Watch{}, policy.Fetch{},
 	})))
