--- a/internal/experiments/statestore/measure.go
+++ b/internal/experiments/statestore/measure.go
@@ -192,8 +192,8 @@
 // records is how many records a gateway's replicas have.
 func records(o raftstore.Overview) (n int) {
 	for _, g := range o.Groups {
-		if g.Here != nil {
-			n += g.Here.Records
+		if g.Local != nil {
+			n += g.Local.Records
 		}
 	}
 	return n
@@ -212,7 +212,7 @@
 		return err
 	}
 	const shards = 16
-	w := raftstore.Write{Store: 7, Life: 1}
+	w := raftstore.Write{Store: 7, Incarnation: 1}
 	for i := range uint32(shards) {
 		s := &api.Shard{Time: 1}
 		for n := range o.Recover / shards {
@@ -224,8 +224,8 @@
 		if err != nil {
 			return err
 		}
-		w.Groups = append(w.Groups, raftstore.GroupWrite{
-			Group: i + 1, Epoch: 1, Number: uint64(i + 2), Hard: &pb.HardState{Term: new(uint64(2)), Vote: new(uint64(0)), Commit: new(uint64(9))},
+		w.Members = append(w.Members, raftstore.MemberWrite{
+			Group: i + 1, Epoch: 1, Member: uint64(i + 2), HardState: &pb.HardState{Term: new(uint64(2)), Vote: new(uint64(0)), Commit: new(uint64(9))},
 			Snapshot: &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{Index: new(uint64(9)), Term: new(uint64(2)), ConfState: &pb.ConfState{Voters: []uint64{uint64(i + 2), 1000}}}},
 		})
 	}
@@ -250,8 +250,8 @@
 	defer f.Close()
 	r.Opened = time.Since(begin)
 	h, err := raftstore.New(raftstore.Config{
-		Name: "g1", Holds: true, Tick: 100_000, HealAfter: 10_000_000, HealAtOnce: 1, LeastLog: 1 << 20, MostBytes: 1 << 30, MostCalls: 1, Client: 1,
-		NewStore: 1, Founding: 1, Life: 2,
+		Name: "g1", RunsGroups: true, Tick: 100_000, RepairAfter: 10_000_000, MaxRepairs: 1, MinLogBytes: 1 << 20, MaxShardBytes: 1 << 30, MaxCalls: 1, ClientID: 1,
+		NewStoreID: 1, NewClusterID: 1, Incarnation: 2,
 	}, 1, stored, true)
 	if err != nil {
 		return err
@@ -261,7 +261,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	r.InHeap = int64(after.HeapAlloc) - int64(before.HeapAlloc)
-	r.Counted = h.Bytes()
+	r.Counted = h.RecordBytes()
 	runtime.KeepAlive(h)
 	return nil
 }
--- a/internal/golden/copies_test.go
+++ b/internal/golden/copies_test.go
@@ -271,7 +271,7 @@
 
 // A gateway that holds nothing reads the golden news, and sends a call that is the golden one.
 func TestHostReadsAndSends(t *testing.T) {
-	host, err := raftstore.New(raftstore.Config{Name: "gw-9", Tick: 100_000, MostCalls: 10, Client: 11, Life: begun, Maintain: &maintenance.Limits{}}, 1_000_000, nil, true)
+	host, err := raftstore.New(raftstore.Config{Name: "gw-9", Tick: 100_000, MaxCalls: 10, ClientID: 11, Incarnation: begun, Maintenance: &maintenance.Limits{}}, 1_000_000, nil, true)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -279,9 +279,9 @@
 	if news.name != "packet-news" {
 		t.Fatalf("the tenth sample is %s", news.name)
 	}
-	host.Handle(1_000_000, raftstore.Heard{From: "gw-1", Body: golden(t, "copies/packet-news", encode(news.message))})
+	host.Handle(1_000_000, raftstore.PacketReceived{From: "gw-1", Body: golden(t, "copies/packet-news", encode(news.message))})
 	host.Flush()
-	if seen := host.Overview(); seen.Founding != founding || seen.Index != 40 || seen.Copies != 3 || seen.Format != 2 || len(seen.Stores) != 4 || len(seen.Groups) != 3 {
+	if seen := host.Overview(); seen.ClusterID != founding || seen.Index != 40 || seen.VotersPerGroup != 3 || seen.Format != 2 || len(seen.Stores) != 4 || len(seen.Groups) != 3 {
 		t.Errorf("the ledger is read as %+v", seen)
 	}
 	machines := host.Order().Machines
@@ -299,7 +299,7 @@
 		}
 	}
 	put := commands()[0].Put
-	host.Handle(1_000_001, raftstore.Ask{ID: 1, Shard: 1, Command: &api.Command{Put: put}, By: 9_000_000})
+	host.Handle(1_000_001, raftstore.Request{ID: 1, Shard: 1, Command: &api.Command{Put: put}, Deadline: 9_000_000})
 	for _, action := range host.Flush() {
 		if send, is := action.(raftstore.Send); is {
 			golden(t, "copies/host-call", send.Body)
@@ -311,7 +311,7 @@
 
 // Numbers and words that stand in messages and in logs keep their meaning. The states of machines are in TestHostReadsAndSends.
 func TestNumbers(t *testing.T) {
-	for number, status := range []raftstore.Status{raftstore.OK, raftstore.Conflict, raftstore.Full, raftstore.Bad, raftstore.TooLate, raftstore.NotSent, raftstore.TooNew} {
+	for number, status := range []raftstore.Status{raftstore.StatusOK, raftstore.StatusConflict, raftstore.StatusFull, raftstore.StatusInvalid, raftstore.StatusDeadlineExceeded, raftstore.StatusNotSent, raftstore.StatusFormatTooNew} {
 		if int(status) != number {
 			t.Errorf("the status %v is %d, want %d", status, status, number)
 		}
@@ -321,7 +321,7 @@
 			t.Errorf("the verb %d is to be %d", verb, i+1)
 		}
 	}
-	if raftstore.Statuses != 8 || raftstore.FirstFormat != 1 || raftstore.OrderFormat != 2 || raftstore.LedgerGroup != 0 || raftstore.MaintainKey != "maintenance" {
+	if raftstore.Statuses != 8 || raftstore.FirstFormat != 1 || raftstore.MaintenanceFormat != 2 || raftstore.LedgerGroup != 0 || raftstore.MaintenanceKey != "maintenance" {
 		t.Error("the statuses, the formats, the ledger's number or the key of the order have changed")
 	}
 }
--- a/internal/golden/store_test.go
+++ b/internal/golden/store_test.go
@@ -25,7 +25,7 @@
 func largeShardState() *api.Shard {
 	s := shard()
 	for i := range 20 {
-		s.Records = append(s.Records, &api.Record{Key: fmt.Append(nil, "large ", i), Value: bytes.Repeat([]byte{byte(i)}, raftstore.MostValue), Version: uint64(i + 1), ExpiresAt: 90_000_000})
+		s.Records = append(s.Records, &api.Record{Key: fmt.Append(nil, "large ", i), Value: bytes.Repeat([]byte{byte(i)}, raftstore.MaxValueBytes), Version: uint64(i + 1), ExpiresAt: 90_000_000})
 	}
 	return s
 }
@@ -41,16 +41,16 @@
 func storeWrites() []raftstore.Write {
 	all := commands()
 	return []raftstore.Write{
-		{Number: 1, Store: 71, Life: begun, View: encode(ledger()), Retired: []raftstore.Ref{{Group: 1, Epoch: 1, Number: 3}}, Groups: []raftstore.GroupWrite{
-			{Group: 0, Epoch: 1, Number: 1, Snapshot: raftSnapshot(40, encode(ledger()), 1, 4, 5), Entries: raftEntries(41, all[3:]), Hard: hardState(41)},
-			{Group: 1, Epoch: 1, Number: 2, Snapshot: raftSnapshot(50, encode(shard()), 2, 6, 7), Entries: raftEntries(51, all[:3]), Hard: hardState(50)},
-			{Group: 2, Epoch: 1, Number: 3, Hard: hardState(0)},
-			{Group: 2, Epoch: 2, Number: 8, Snapshot: raftSnapshot(60, encode(largeShardState()), 8, 9, 10), Hard: hardState(60)},
-			{Group: 3, Epoch: 1, Number: 12},
+		{Number: 1, Store: 71, Incarnation: begun, Ledger: encode(ledger()), Retired: []raftstore.MemberRef{{Group: 1, Epoch: 1, Member: 3}}, Members: []raftstore.MemberWrite{
+			{Group: 0, Epoch: 1, Member: 1, Snapshot: raftSnapshot(40, encode(ledger()), 1, 4, 5), Entries: raftEntries(41, all[3:]), HardState: hardState(41)},
+			{Group: 1, Epoch: 1, Member: 2, Snapshot: raftSnapshot(50, encode(shard()), 2, 6, 7), Entries: raftEntries(51, all[:3]), HardState: hardState(50)},
+			{Group: 2, Epoch: 1, Member: 3, HardState: hardState(0)},
+			{Group: 2, Epoch: 2, Member: 8, Snapshot: raftSnapshot(60, encode(largeShardState()), 8, 9, 10), HardState: hardState(60)},
+			{Group: 3, Epoch: 1, Member: 12},
 		}},
-		{Number: 2, Store: 71, Life: begun + 1, Retired: []raftstore.Ref{{Group: 2, Epoch: 1, Number: 3}}, Groups: []raftstore.GroupWrite{
-			{Group: 1, Epoch: 1, Number: 2, Entries: raftEntries(52, all[:3]), Hard: hardState(55)},
-			{Group: 2, Epoch: 1, Number: 3, Drop: true},
+		{Number: 2, Store: 71, Incarnation: begun + 1, Retired: []raftstore.MemberRef{{Group: 2, Epoch: 1, Member: 3}}, Members: []raftstore.MemberWrite{
+			{Group: 1, Epoch: 1, Member: 2, Entries: raftEntries(52, all[:3]), HardState: hardState(55)},
+			{Group: 2, Epoch: 1, Member: 3, Delete: true},
 		}},
 	}
 }
@@ -169,40 +169,40 @@
 		t.Fatal(err)
 	}
 	defer file.Close()
-	if file.Sequence() != 2 || stored.Store != 71 || stored.Life != begun+1 || !bytes.Equal(stored.View, encode(ledger())) {
-		t.Errorf("write %d, disk %d, life %d, view %x", file.Sequence(), stored.Store, stored.Life, stored.View)
+	if file.Sequence() != 2 || stored.Store != 71 || stored.Incarnation != begun+1 || !bytes.Equal(stored.Ledger, encode(ledger())) {
+		t.Errorf("write %d, disk %d, life %d, view %x", file.Sequence(), stored.Store, stored.Incarnation, stored.Ledger)
 	}
 	if got, want := fmt.Sprint(stored.Retired), "[{1 1 3} {2 1 3}]"; got != want {
 		t.Errorf("retired are %s, want %s", got, want)
 	}
 	all := commands()
-	want := []raftstore.StoredGroup{
-		{Group: 0, Epoch: 1, Number: 1, Snapshot: raftSnapshot(40, encode(ledger()), 1, 4, 5), Entries: raftEntries(41, all[3:]), Hard: hardState(41)},
-		{Group: 1, Epoch: 1, Number: 2, Snapshot: raftSnapshot(50, encode(shard()), 2, 6, 7), Hard: hardState(55),
+	want := []raftstore.StoredMember{
+		{Group: 0, Epoch: 1, Member: 1, Snapshot: raftSnapshot(40, encode(ledger()), 1, 4, 5), Entries: raftEntries(41, all[3:]), HardState: hardState(41)},
+		{Group: 1, Epoch: 1, Member: 2, Snapshot: raftSnapshot(50, encode(shard()), 2, 6, 7), HardState: hardState(55),
 			Entries: append(raftEntries(51, all[:3])[:1], raftEntries(52, all[:3])...)},
-		{Group: 2, Epoch: 2, Number: 8, Snapshot: raftSnapshot(60, encode(largeShardState()), 8, 9, 10), Hard: hardState(60)},
-		{Group: 3, Epoch: 1, Number: 12},
+		{Group: 2, Epoch: 2, Member: 8, Snapshot: raftSnapshot(60, encode(largeShardState()), 8, 9, 10), HardState: hardState(60)},
+		{Group: 3, Epoch: 1, Member: 12},
 	}
-	if len(stored.Groups) != len(want) {
-		t.Fatalf("%d replicas, want %d", len(stored.Groups), len(want))
+	if len(stored.Members) != len(want) {
+		t.Fatalf("%d replicas, want %d", len(stored.Members), len(want))
 	}
-	for i, g := range stored.Groups {
+	for i, g := range stored.Members {
 		w := want[i]
-		name := fmt.Sprintf("replica %d of group %d", g.Number, g.Group)
-		if g.Group != w.Group || g.Epoch != w.Epoch || g.Number != w.Number || len(g.Entries) != len(w.Entries) {
-			t.Fatalf("%s, epoch %d, with %d entries; want %d, %d, %d with %d", name, g.Epoch, len(g.Entries), w.Number, w.Group, w.Epoch, len(w.Entries))
+		name := fmt.Sprintf("replica %d of group %d", g.Member, g.Group)
+		if g.Group != w.Group || g.Epoch != w.Epoch || g.Member != w.Member || len(g.Entries) != len(w.Entries) {
+			t.Fatalf("%s, epoch %d, with %d entries; want %d, %d, %d with %d", name, g.Epoch, len(g.Entries), w.Member, w.Group, w.Epoch, len(w.Entries))
 		}
-		sameMessage(t, name+": hard state", g.Hard, w.Hard)
+		sameMessage(t, name+": hard state", g.HardState, w.HardState)
 		sameMessage(t, name+": snapshot", g.Snapshot, w.Snapshot)
 		for k := range g.Entries {
 			sameMessage(t, fmt.Sprintf("%s: entry %d", name, k), g.Entries[k], w.Entries[k])
 		}
 	}
-	host, err := raftstore.New(raftstore.Config{Name: "gw-1", Holds: true, Tick: 100_000, LeastLog: 1 << 20, MostBytes: 1 << 20, MostCalls: 10, Client: 1}, 1_000_000, stored, true)
+	host, err := raftstore.New(raftstore.Config{Name: "gw-1", RunsGroups: true, Tick: 100_000, MinLogBytes: 1 << 20, MaxShardBytes: 1 << 20, MaxCalls: 10, ClientID: 1}, 1_000_000, stored, true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if seen := host.Overview(); seen.Store != 71 || seen.Founding != founding || seen.Index < 40 || len(seen.Groups) != 3 {
+	if seen := host.Overview(); seen.Store != 71 || seen.ClusterID != founding || seen.Index < 40 || len(seen.Groups) != 3 {
 		t.Errorf("a gateway starts with %+v", seen)
 	}
 }
--- a/internal/raftgateway/store.go
+++ b/internal/raftgateway/store.go
@@ -52,11 +52,11 @@
 
 // Tell reports for the order of maintenance.
 func (o store) SetMaintenanceReport(life uint64, r maintenance.Report) {
-	o.Node.SetMaintenanceReport(raftstore.Own{Life: life, Report: r})
+	o.Node.SetMaintenanceReport(raftstore.GatewayReport{Incarnation: life, Report: r})
 }
 
-func replicaStatus(r raftstore.ReplicaView) gateway.CopiesReplica {
-	return gateway.CopiesReplica{Number: r.Number, Node: r.Name, Lost: r.Lost}
+func replicaStatus(r raftstore.MemberView) gateway.CopiesReplica {
+	return gateway.CopiesReplica{Number: r.ID, Node: r.Name, Lost: r.Lost}
 }
 
 // hex writes a number that was drawn.
@@ -71,14 +71,14 @@
 func (o store) Status() gateway.CopiesStatus {
 	x := o.Overview()
 	s := gateway.CopiesStatus{
-		Node: o.Name(), Founding: hex(x.Founding), Index: x.Index, Copies: x.Copies, Format: x.Format, Disk: hex(x.Store), Failed: x.Failed, Waiting: x.Calls,
+		Node: o.Name(), Founding: hex(x.ClusterID), Index: x.Index, Copies: x.VotersPerGroup, Format: x.Format, Disk: hex(x.Store), Failed: x.Failed, Waiting: x.PendingCalls,
 		Disks: []gateway.CopiesDisk{}, Groups: []gateway.CopiesGroup{},
 	}
 	for _, d := range x.Stores {
-		s.Disks = append(s.Disks, gateway.CopiesDisk{Number: hex(d.Number), Node: d.Name, Zone: d.Zone, Weight: d.Weight, Gone: d.Gone})
+		s.Disks = append(s.Disks, gateway.CopiesDisk{Number: hex(d.ID), Node: d.Name, Zone: d.Zone, Weight: d.Weight, Gone: d.Removed})
 	}
 	for _, v := range x.Groups {
-		g := gateway.CopiesGroup{Group: v.Group, Epoch: v.Epoch, Lost: v.Lost, Leaving: v.Leaving, Replicas: []gateway.CopiesReplica{}}
+		g := gateway.CopiesGroup{Group: v.Group, Epoch: v.Epoch, Lost: v.Lost, Leaving: v.Removing, Replicas: []gateway.CopiesReplica{}}
 		for _, r := range v.Voters {
 			g.Replicas = append(g.Replicas, replicaStatus(r))
 		}
@@ -86,8 +86,8 @@
 			r := replicaStatus(*v.Adding)
 			g.Adding = &r
 		}
-		if v.Here != nil {
-			here := gateway.CopiesHere(*v.Here)
+		if v.Local != nil {
+			here := gateway.CopiesHere(*v.Local)
 			g.Here = &here
 		}
 		s.Groups = append(s.Groups, g)
@@ -119,9 +119,9 @@
 	if err != nil {
 		return err
 	}
-	c := storeContents{Disk: fmt.Sprintf("%016x", s.Store), Life: s.Life, Groups: []groupContents{}, Retired: len(s.Retired)}
-	for _, g := range s.Groups {
-		x := groupContents{Group: g.Group, Epoch: g.Epoch, Number: g.Number, Term: g.Hard.GetTerm(), Commit: g.Hard.GetCommit()}
+	c := storeContents{Disk: fmt.Sprintf("%016x", s.Store), Life: s.Incarnation, Groups: []groupContents{}, Retired: len(s.Retired)}
+	for _, g := range s.Members {
+		x := groupContents{Group: g.Group, Epoch: g.Epoch, Number: g.Member, Term: g.HardState.GetTerm(), Commit: g.HardState.GetCommit()}
 		if g.Snapshot != nil {
 			x.Snapshot, x.Bytes = g.Snapshot.GetMetadata().GetIndex(), len(g.Snapshot.Data)
 		}
--- a/internal/raftnode/calls.go
+++ b/internal/raftnode/calls.go
@@ -14,19 +14,19 @@
 
 // pendingCalls are the calls that wait for an answer. The event loop owns them.
 type pendingCalls struct {
-	done   map[uint64]func(raftstore.Answer) // by the call's number
+	done   map[uint64]func(raftstore.Response) // by the call's number
 	lastID uint64
 }
 
 // add registers a call and returns its number.
-func (p *pendingCalls) add(done func(raftstore.Answer)) uint64 {
+func (p *pendingCalls) add(done func(raftstore.Response)) uint64 {
 	p.lastID++
 	p.done[p.lastID] = done
 	return p.lastID
 }
 
 // answer gives an answer to the call that it belongs to.
-func (p *pendingCalls) answer(a raftstore.Answer) {
+func (p *pendingCalls) answer(a raftstore.Response) {
 	if done := p.done[a.ID]; done != nil {
 		delete(p.done, a.ID)
 		done(a)
@@ -37,7 +37,7 @@
 func (p *pendingCalls) abandon() {
 	for id, done := range p.done {
 		delete(p.done, id)
-		done(raftstore.Answer{Status: raftstore.TooLate})
+		done(raftstore.Response{Status: raftstore.StatusDeadlineExceeded})
 	}
 }
 
@@ -45,7 +45,7 @@
 type shardAvailability struct {
 	count atomic.Int64 // of shards; 0: no store is known
 	// failedAt is when a shard's last call failed, in microseconds of Unix time; 0: it succeeded.
-	failedAt [raftstore.MostShards + 1]atomic.Int64
+	failedAt [raftstore.MaxShards + 1]atomic.Int64
 }
 
 func (s *shardAvailability) setCount(shards int) { s.count.Store(int64(shards)) }
@@ -70,7 +70,7 @@
 func (s *shardAvailability) record(shard uint32, status raftstore.Status) {
 	at := int64(0)
 	switch status {
-	case raftstore.TooLate, raftstore.NotSent, raftstore.Full:
+	case raftstore.StatusDeadlineExceeded, raftstore.StatusNotSent, raftstore.StatusFull:
 		at = time.Now().UnixMicro()
 	}
 	s.failedAt[shard].Store(at)
@@ -78,9 +78,9 @@
 
 // Submit starts a call. It does not block: if the inbox is full or the node is closing, the answer is NotSent. The event loop calls
 // done with the answer, at the deadline at the latest; done must not block.
-func (n *Node) Submit(call raftstore.Ask, deadline time.Time, done func(raftstore.Answer)) {
+func (n *Node) Submit(call raftstore.Request, deadline time.Time, done func(raftstore.Response)) {
 	submit := func() {
-		call.ID, call.By = n.calls.add(done), n.clock.Now()+micros(time.Until(deadline))
+		call.ID, call.Deadline = n.calls.add(done), n.clock.Now()+micros(time.Until(deadline))
 		n.host.Handle(n.clock.Now(), call)
 	}
 	select {
@@ -89,7 +89,7 @@
 		return
 	default:
 	}
-	done(raftstore.Answer{Status: raftstore.NotSent})
+	done(raftstore.Response{Status: raftstore.StatusNotSent})
 }
 
 // Available tells whether a call about a key is likely to succeed now: the shard's last one did, or it is time to try again.
@@ -106,10 +106,10 @@
 		done(false)
 		return
 	}
-	call := raftstore.Ask{Shard: shard, Command: &api.Command{RaisePosition: &api.RaisePosition{Key: key, Position: position, Ttl: ttl.Microseconds()}}}
-	n.Submit(call, deadline, func(a raftstore.Answer) {
+	call := raftstore.Request{Shard: shard, Command: &api.Command{RaisePosition: &api.RaisePosition{Key: key, Position: position, Ttl: ttl.Microseconds()}}}
+	n.Submit(call, deadline, func(a raftstore.Response) {
 		n.shards.record(shard, a.Status)
-		done(a.Status == raftstore.OK)
+		done(a.Status == raftstore.StatusOK)
 	})
 }
 
@@ -121,20 +121,20 @@
 		done(0, false)
 		return
 	}
-	n.Submit(raftstore.Ask{Shard: shard, Get: &api.Get{Key: key}}, deadline, func(a raftstore.Answer) {
-		done(a.Position, a.Status == raftstore.OK && !a.Lost)
+	n.Submit(raftstore.Request{Shard: shard, Get: &api.Get{Key: key}}, deadline, func(a raftstore.Response) {
+		done(a.Position, a.Status == raftstore.StatusOK && !a.Lost)
 	})
 }
 
 // Call starts a call about a key: a command or, if that is nil, a read. done is called as by Submit; without a store the answer is
 // NotSent.
-func (n *Node) Call(key []byte, command *api.Command, deadline time.Time, done func(raftstore.Answer)) {
+func (n *Node) Call(key []byte, command *api.Command, deadline time.Time, done func(raftstore.Response)) {
 	shard, known := n.shards.shardOf(key)
 	if !known {
-		done(raftstore.Answer{Status: raftstore.NotSent})
+		done(raftstore.Response{Status: raftstore.StatusNotSent})
 		return
 	}
-	call := raftstore.Ask{Shard: shard, Command: command}
+	call := raftstore.Request{Shard: shard, Command: command}
 	if command == nil {
 		call.Get = &api.Get{Key: key}
 	}
--- a/internal/raftnode/commands.go
+++ b/internal/raftnode/commands.go
@@ -33,12 +33,12 @@
 func (n *Node) Bootstrap(shards, voters int, first bool) error {
 	return n.onEventLoop(func(o raftstore.Overview) error {
 		switch {
-		case o.Founding != 0:
+		case o.ClusterID != 0:
 			return ErrStoreExists
 		case o.Store == 0 || o.Failed != "":
 			return ErrNoReplicas
 		}
-		n.host.Handle(n.clock.Now(), raftstore.Found{Shards: shards, Copies: voters, First: first})
+		n.host.Handle(n.clock.Now(), raftstore.BootstrapRequested{Shards: shards, Voters: voters, First: first})
 		return nil
 	})
 }
@@ -46,10 +46,10 @@
 // RemoveStore records that a gateway's disk will never come back. It must be called where the ledger is led.
 func (n *Node) RemoveStore(gateway string) error {
 	return n.onLedgerLeader(func(o raftstore.Overview) error {
-		if !slices.ContainsFunc(o.Stores, func(s raftstore.StoreView) bool { return s.Name == gateway && !s.Gone }) {
+		if !slices.ContainsFunc(o.Stores, func(s raftstore.StoreView) bool { return s.Name == gateway && !s.Removed }) {
 			return fmt.Errorf("state store: no gateway %q stores replicas", gateway)
 		}
-		n.host.Handle(n.clock.Now(), raftstore.Gone{Name: gateway})
+		n.host.Handle(n.clock.Now(), raftstore.StoreRemoved{Name: gateway})
 		return nil
 	})
 }
@@ -61,10 +61,10 @@
 		switch {
 		case shard == raftstore.LedgerGroup || int(shard) >= len(o.Groups):
 			return fmt.Errorf("state store: there is no shard %d, only 1 to %d", shard, len(o.Groups)-1)
-		case n.host.Reported(shard):
+		case n.host.GroupReported(shard):
 			return fmt.Errorf("state store: shard %d has a leader and works; only a shard without one is reset", shard)
 		}
-		n.host.Handle(n.clock.Now(), raftstore.Anew{Shard: shard})
+		n.host.Handle(n.clock.Now(), raftstore.ShardReset{Shard: shard})
 		return nil
 	})
 }
@@ -76,7 +76,7 @@
 			return ErrNoStore
 		}
 		leader := ""
-		if here := o.Groups[raftstore.LedgerGroup].Here; here != nil {
+		if here := o.Groups[raftstore.LedgerGroup].Local; here != nil {
 			leader = here.Leader
 		}
 		switch leader {
@@ -104,24 +104,24 @@
 }
 
 // Report passes this gateway's own state to the host, for the maintenance order.
-func (n *Node) SetMaintenanceReport(own raftstore.Own) { n.enqueue(inboxItem{event: own}) }
+func (n *Node) SetMaintenanceReport(own raftstore.GatewayReport) { n.enqueue(inboxItem{event: own}) }
 
 // SetMaintenanceLimits puts other limits in force.
 func (n *Node) SetMaintenanceLimits(l maintenance.Limits) {
-	n.enqueue(inboxItem{event: raftstore.Limits{Limits: l}})
+	n.enqueue(inboxItem{event: raftstore.LimitsChanged{Limits: l}})
 }
 
 // RunMaintenanceCommand passes an operator's command to the ledger and returns the ledger's reply. Commands run one at a time.
 func (n *Node) RunMaintenanceCommand(command maintenance.Command, deadline time.Time) (reply string, err error) {
 	n.commandMu.Lock()
 	defer n.commandMu.Unlock()
-	a := n.call(raftstore.Ask{Shard: raftstore.LedgerGroup, Command: raftstore.Command(command)}, deadline)
+	a := n.call(raftstore.Request{Shard: raftstore.LedgerGroup, Command: raftstore.MaintenanceCommand(command)}, deadline)
 	switch a.Status {
-	case raftstore.OK:
+	case raftstore.StatusOK:
 		return string(a.Value), nil
-	case raftstore.Conflict, raftstore.Bad:
+	case raftstore.StatusConflict, raftstore.StatusInvalid:
 		return "", errors.New(string(a.Value))
-	case raftstore.TooNew:
+	case raftstore.StatusFormatTooNew:
 		return "", ErrFormatTooOld
 	}
 	return "", ErrNoAnswer
@@ -129,9 +129,9 @@
 
 // MaintenanceListing returns the maintenance order as the ledger's leader has it or, with ErrNoAnswer, as it is known here.
 func (n *Node) MaintenanceListing(deadline time.Time) (maintenance.Listing, error) {
-	a := n.call(raftstore.Ask{Shard: raftstore.LedgerGroup, Get: &api.Get{Key: []byte(raftstore.MaintainKey)}}, deadline)
-	if a.Status == raftstore.OK {
-		return raftstore.ListingOf(a.Value)
+	a := n.call(raftstore.Request{Shard: raftstore.LedgerGroup, Get: &api.Get{Key: []byte(raftstore.MaintenanceKey)}}, deadline)
+	if a.Status == raftstore.StatusOK {
+		return raftstore.DecodeListing(a.Value)
 	}
 	listing := maintenance.Listing{Order: &maintenance.Order{}}
 	n.onEventLoop(func(raftstore.Overview) error { listing.Order = n.host.Order(); return nil })
@@ -139,13 +139,13 @@
 }
 
 // call starts a call and waits for its answer; NotSent if the node closes before.
-func (n *Node) call(call raftstore.Ask, deadline time.Time) raftstore.Answer {
-	answered := make(chan raftstore.Answer, 1)
-	n.Submit(call, deadline, func(a raftstore.Answer) { answered <- a })
+func (n *Node) call(call raftstore.Request, deadline time.Time) raftstore.Response {
+	answered := make(chan raftstore.Response, 1)
+	n.Submit(call, deadline, func(a raftstore.Response) { answered <- a })
 	select {
 	case a := <-answered:
 		return a
 	case <-n.quit:
-		return raftstore.Answer{Status: raftstore.NotSent}
+		return raftstore.Response{Status: raftstore.StatusNotSent}
 	}
 }
--- a/internal/raftnode/disk.go
+++ b/internal/raftnode/disk.go
@@ -36,7 +36,7 @@
 	if err := s.file.Write(w); err != nil {
 		return err
 	}
-	if s.witness == nil || !w.Sure {
+	if s.witness == nil || !w.Recovered {
 		return nil
 	}
 	return s.witness.Record(w.Store, s.file.Sequence())
@@ -44,7 +44,7 @@
 
 // openStorage opens the storage file and the witness, if there are to be any, and reads what is stored. trusted tells whether the
 // file is known to be the one that was written last, which a new file is, too.
-func (n *Node) openStorage() (stored *raftstore.Stored, trusted bool, err error) {
+func (n *Node) openStorage() (stored *raftstore.StoredState, trusted bool, err error) {
 	if !n.settings.HostsReplicas || n.settings.StoragePath == "" {
 		return nil, false, nil
 	}
@@ -66,7 +66,7 @@
 
 // openFile opens the storage file. A damaged one is renamed, so that somebody can look at it: the gateway has lost its disk, and
 // continues with a new file.
-func (n *Node) openFile(path string) (*raftstorage.File, *raftstore.Stored, error) {
+func (n *Node) openFile(path string) (*raftstorage.File, *raftstore.StoredState, error) {
 	file, stored, err := raftstorage.Open(path)
 	var damaged *raftstorage.DamagedError
 	if !errors.As(err, &damaged) {
@@ -94,11 +94,11 @@
 			}
 			if err := n.storage.write(w); err != nil {
 				failed = true
-				n.enqueue(inboxItem{event: raftstore.Failed{Cause: err.Error()}})
+				n.enqueue(inboxItem{event: raftstore.DiskFailed{Cause: err.Error()}})
 				continue
 			}
 			n.Counters.Writes.Add(1)
-			n.enqueue(inboxItem{event: raftstore.Written{Number: w.Number}})
+			n.enqueue(inboxItem{event: raftstore.WriteCompleted{Number: w.Number}})
 		}
 	}
 }
--- a/internal/raftnode/eventloop.go
+++ b/internal/raftnode/eventloop.go
@@ -36,7 +36,7 @@
 			polled = time.Now()
 			n.pollMembers()
 		}
-		timer.Reset(max(time.Until(n.clock.At(n.host.Next())), 0))
+		timer.Reset(max(time.Until(n.clock.At(n.host.NextTick())), 0))
 		select {
 		case <-n.quit:
 			n.calls.abandon()
@@ -47,7 +47,7 @@
 			n.handle(item)
 		}
 		n.handleWaiting(eventBatch - 1)
-		if now := n.clock.Now(); now >= n.host.Next() {
+		if now := n.clock.Now(); now >= n.host.NextTick() {
 			n.host.Handle(now, raftstore.Tick{})
 		}
 		n.carryOut()
@@ -56,9 +56,9 @@
 
 // pollMembers tells the host which gateways are reachable.
 func (n *Node) pollMembers() {
-	n.host.Handle(n.clock.Now(), raftstore.Others{Names: n.settings.Peers()})
+	n.host.Handle(n.clock.Now(), raftstore.PeersChanged{Names: n.settings.Peers()})
 	if n.settings.MaintenanceLimits != nil {
-		n.host.Handle(n.clock.Now(), raftstore.Members{All: n.settings.Members()})
+		n.host.Handle(n.clock.Now(), raftstore.MembershipChanged{Members: n.settings.Members()})
 	}
 }
 
@@ -92,14 +92,14 @@
 			n.send(action)
 		case raftstore.Write:
 			n.storage.writes <- action // it does not block: the host asks for the next write after this one's result
-		case raftstore.Answer:
+		case raftstore.Response:
 			n.Counters.Answers[action.Status].Add(1)
 			n.calls.answer(action)
-		case raftstore.Noticed:
+		case raftstore.Notice:
 			n.logNotice(action)
-		case raftstore.Ordered:
+		case raftstore.OrderChanged:
 			n.settings.OnOrder(action.Index, action.Order)
-		case raftstore.Done:
+		case raftstore.Drained:
 			close(n.leadershipTransferred)
 		}
 	}
--- a/internal/raftnode/node.go
+++ b/internal/raftnode/node.go
@@ -101,7 +101,7 @@
 func Start(settings Settings, clock Clock, peerStreams *streams.Streams, log zerolog.Logger) (*Node, error) {
 	n := &Node{
 		settings: settings, clock: clock, log: log, streams: peerStreams,
-		calls: pendingCalls{done: map[uint64]func(raftstore.Answer){}}, inbox: make(chan inboxItem, maxEvents),
+		calls: pendingCalls{done: map[uint64]func(raftstore.Response){}}, inbox: make(chan inboxItem, maxEvents),
 		storage: storage{writes: make(chan raftstore.Write, 1)}, bulk: make(chan raftstore.Send, maxBulkPackets), quit: make(chan struct{}), leadershipTransferred: make(chan struct{}),
 	}
 	stored, trusted, err := n.openStorage()
@@ -124,9 +124,9 @@
 func (n *Node) hostConfig() raftstore.Config {
 	s := &n.settings
 	return raftstore.Config{
-		Name: s.Node, Zone: s.Zone, Weight: s.Weight, Holds: s.HostsReplicas, Tick: micros(s.Tick), HealAfter: micros(s.RepairAfter),
-		HealAtOnce: s.MaxRepairs, Format: s.RecordFormat, LeastLog: s.MinLogBytes, MostBytes: s.MaxBytes, MostCalls: maxCalls,
-		Client: randomID(), NewStore: randomID(), Founding: randomID(), Life: uint64(time.Now().UnixMicro()), Maintain: s.MaintenanceLimits,
+		Name: s.Node, Zone: s.Zone, Weight: s.Weight, RunsGroups: s.HostsReplicas, Tick: micros(s.Tick), RepairAfter: micros(s.RepairAfter),
+		MaxRepairs: s.MaxRepairs, Format: s.RecordFormat, MinLogBytes: s.MinLogBytes, MaxShardBytes: s.MaxBytes, MaxCalls: maxCalls,
+		ClientID: randomID(), NewStoreID: randomID(), NewClusterID: randomID(), Incarnation: uint64(time.Now().UnixMicro()), Maintenance: s.MaintenanceLimits,
 	}
 }
 
@@ -147,7 +147,7 @@
 
 // TransferLeadership hands over the groups that this gateway leads, and waits until others lead them, a second at most.
 func (n *Node) TransferLeadership() {
-	n.enqueue(inboxItem{event: raftstore.Leave{}})
+	n.enqueue(inboxItem{event: raftstore.DrainRequested{}})
 	select {
 	case <-n.leadershipTransferred:
 	case <-time.After(transferTimeout):
--- a/internal/raftnode/node_test.go
+++ b/internal/raftnode/node_test.go
@@ -146,7 +146,7 @@
 		wantPosition(t, nodes[(i+2)%3], fmt.Sprint("session ", i), uint64(i+1))
 	}
 	wantPosition(t, b, "never stored", 0)
-	if tryRaise(b, bytes.Repeat([]byte("x"), raftstore.MostKey+1), 1) {
+	if tryRaise(b, bytes.Repeat([]byte("x"), raftstore.MaxKeyBytes+1), 1) {
 		t.Error("a key that is too long was stored")
 	}
 	if !b.Available([]byte("session 1")) {
@@ -154,7 +154,7 @@
 	}
 	a.TransferLeadership()
 	for _, g := range a.Overview().Groups {
-		if g.Here != nil && g.Here.Leader == "a" {
+		if g.Local != nil && g.Local.Leader == "a" {
 			t.Errorf("group %d is still led by a", g.Group)
 		}
 	}
@@ -165,11 +165,11 @@
 	restarted := cluster.start(t, "a")
 	wantPosition(t, restarted, "stored while a is away", 5)
 	for _, g := range restarted.Overview().Groups {
-		if g.Here == nil {
+		if g.Local == nil {
 			t.Errorf("group %d has no replica at a after its restart", g.Group)
 		}
 	}
-	if restarted.Counters.Notices[raftstore.Stale].Load()+restarted.Counters.Notices[raftstore.Renumbered].Load() > 0 {
+	if restarted.Counters.Notices[raftstore.NoticeMemberStale].Load()+restarted.Counters.Notices[raftstore.NoticeStoreRenumbered].Load() > 0 {
 		t.Error("the disk of a counts as lost after its restart")
 	}
 }
--- a/internal/raftnode/packets.go
+++ b/internal/raftnode/packets.go
@@ -59,7 +59,7 @@
 	}
 	n.Counters.Received.Add(1)
 	select {
-	case n.inbox <- inboxItem{event: raftstore.Heard{From: from, Body: packet}}:
+	case n.inbox <- inboxItem{event: raftstore.PacketReceived{From: from, Body: packet}}:
 	default:
 		n.Counters.EventsDropped.Add(1)
 	}
--- a/internal/raftnode/status.go
+++ b/internal/raftnode/status.go
@@ -16,7 +16,7 @@
 	EventsDropped                 atomic.Int64 // packets that found the inbox full
 	Writes                        atomic.Int64 // to the storage file
 	Answers                       [raftstore.Statuses]atomic.Int64
-	Notices                       [raftstore.Notices]atomic.Int64
+	Notices                       [raftstore.NoticeKinds]atomic.Int64
 }
 
 // LogCounters logs the counters.
@@ -29,7 +29,7 @@
 			line = line.Int64("answered_"+status.String(), count)
 		}
 	}
-	for notice := range raftstore.Notices {
+	for notice := range raftstore.NoticeKinds {
 		if count := c.Notices[notice].Load(); count > 0 {
 			line = line.Int64("noticed_"+notice.String(), count)
 		}
@@ -38,11 +38,11 @@
 }
 
 // noticeLevel is the log level of a notice: a warning for what an operator should look at.
-func noticeLevel(notice raftstore.Notice) zerolog.Level {
+func noticeLevel(notice raftstore.NoticeKind) zerolog.Level {
 	switch notice {
-	case raftstore.LostGroup, raftstore.DiskLost, raftstore.Foreign, raftstore.Stale, raftstore.StoreGone, raftstore.Renumbered, raftstore.Older:
+	case raftstore.NoticeGroupLost, raftstore.NoticeDiskFailed, raftstore.NoticeForeignCluster, raftstore.NoticeMemberStale, raftstore.NoticeStoreRemoved, raftstore.NoticeStoreRenumbered, raftstore.NoticeFormatTooOld:
 		return zerolog.WarnLevel
-	case raftstore.Sure:
+	case raftstore.NoticeMemberRecovered:
 		return zerolog.DebugLevel
 	}
 	return zerolog.InfoLevel
@@ -52,9 +52,9 @@
 const noticeMessage = "copies"
 
 // logNotice counts and logs what the host has noticed.
-func (n *Node) logNotice(notice raftstore.Noticed) {
-	n.Counters.Notices[notice.What].Add(1)
-	line := n.log.WithLevel(noticeLevel(notice.What)).Stringer("what", notice.What)
+func (n *Node) logNotice(notice raftstore.Notice) {
+	n.Counters.Notices[notice.Kind].Add(1)
+	line := n.log.WithLevel(noticeLevel(notice.Kind)).Stringer("what", notice.Kind)
 	if notice.Epoch > 0 {
 		line = line.Uint32("group", notice.Group).Uint32("epoch", notice.Epoch)
 	}
@@ -91,7 +91,7 @@
 }
 
 func (n *Node) awaitReplicated(timeout time.Duration, fully bool) bool {
-	for deadline := time.Now().Add(timeout); n.Overview().Whole() != fully; time.Sleep(awaitInterval) {
+	for deadline := time.Now().Add(timeout); n.Overview().Complete() != fully; time.Sleep(awaitInterval) {
 		if time.Now().After(deadline) {
 			return false
 		}
--- a/internal/raftnode/status_test.go
+++ b/internal/raftnode/status_test.go
@@ -19,11 +19,11 @@
 		want map[string]any
 	}{
 		{"notice with all fields", func(n *Node) {
-			n.logNotice(raftstore.Noticed{What: raftstore.StoreGone, Group: 2, Epoch: 3, Number: 4, Name: "gw-1", Cause: "full"})
+			n.logNotice(raftstore.Notice{Kind: raftstore.NoticeStoreRemoved, Group: 2, Epoch: 3, Number: 4, Name: "gw-1", Cause: "full"})
 		}, map[string]any{
 			"level": "warn", "message": "copies", "what": "disk_gone", "group": 2.0, "epoch": 3.0, "number": 4.0, "node": "gw-1", "cause": "full",
 		}},
-		{"notice without fields", func(n *Node) { n.logNotice(raftstore.Noticed{What: raftstore.Led}) }, map[string]any{
+		{"notice without fields", func(n *Node) { n.logNotice(raftstore.Notice{Kind: raftstore.NoticeBecameLeader}) }, map[string]any{
 			"level": "info", "message": "copies", "what": "leads",
 		}},
 		{"counters", func(n *Node) {
@@ -33,8 +33,8 @@
 			n.Counters.Received.Store(4)
 			n.Counters.EventsDropped.Store(5)
 			n.Counters.Writes.Store(6)
-			n.Counters.Answers[raftstore.OK].Store(7)
-			n.Counters.Notices[raftstore.StoreGone].Store(8)
+			n.Counters.Answers[raftstore.StatusOK].Store(7)
+			n.Counters.Notices[raftstore.NoticeStoreRemoved].Store(8)
 			n.LogCounters()
 		}, map[string]any{
 			"level": "info", "message": "state store counters", "sent": 1.0, "sent_bytes": 2.0, "not_sent": 3.0, "received": 4.0, "overrun": 5.0,
--- a/internal/raftstorage/file.go
+++ b/internal/raftstorage/file.go
@@ -34,9 +34,9 @@
 //
 // A *DamagedError means that the content cannot be used; raftnode then renames the file, and opens a new one. Any other error says
 // nothing about the content.
-func Open(path string) (*File, *raftstore.Stored, error) {
+func Open(path string) (*File, *raftstore.StoredState, error) {
 	f := &File{}
-	var stored *raftstore.Stored
+	var stored *raftstore.StoredState
 	err := guardContent(path, func() (err error) {
 		// The list of free pages is kept in the file: to rebuild it the library reads all pages on a goroutine of its own, where
 		// nothing recovers from the panic that a damaged page causes.
@@ -56,11 +56,11 @@
 
 // Check reads a file that no process has open for writing, and changes nothing. Its errors are those of Open; a file that does not
 // exist is an error, too.
-func Check(path string) (*raftstore.Stored, error) {
+func Check(path string) (*raftstore.StoredState, error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, fmt.Errorf("raftstorage: %w", err)
 	}
-	var stored *raftstore.Stored
+	var stored *raftstore.StoredState
 	err := guardContent(path, func() error {
 		db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, ReadOnly: true})
 		if err != nil {
--- a/internal/raftstorage/file_test.go
+++ b/internal/raftstorage/file_test.go
@@ -19,43 +19,43 @@
 
 // randomWrite makes a write that fits what is stored, as a host makes them.
 func randomWrite(rng *rand.Rand, image raftstore.Image) raftstore.Write {
-	w := raftstore.Write{Store: max(image.Store, 7), Life: image.Life + uint64(rng.IntN(2))}
+	w := raftstore.Write{Store: max(image.Store, 7), Incarnation: image.Incarnation + uint64(rng.IntN(2))}
 	if image.Store != 0 && rng.IntN(40) == 0 {
 		w.Store++
 		image = raftstore.Image{}
 	}
 	if rng.IntN(4) == 0 {
-		w.View = fmt.Append(nil, "view ", rng.Uint64())
+		w.Ledger = fmt.Append(nil, "view ", rng.Uint64())
 	}
 	if rng.IntN(8) == 0 {
-		w.Retired = []raftstore.Ref{{Group: rng.Uint32N(4), Epoch: 1, Number: rng.Uint64N(9)}}
+		w.Retired = []raftstore.MemberRef{{Group: rng.Uint32N(4), Epoch: 1, Member: rng.Uint64N(9)}}
 	}
 	for group := range uint32(4) {
-		var stored *raftstore.StoredGroup
-		if i := slices.IndexFunc(image.Groups, func(g raftstore.StoredGroup) bool { return g.Group == group }); i >= 0 {
-			stored = &image.Groups[i]
+		var stored *raftstore.StoredMember
+		if i := slices.IndexFunc(image.Members, func(g raftstore.StoredMember) bool { return g.Group == group }); i >= 0 {
+			stored = &image.Members[i]
 		}
 		if write, changed := randomGroupWrite(rng, group, stored); changed {
-			w.Groups = append(w.Groups, write)
+			w.Members = append(w.Members, write)
 		}
 	}
 	return w
 }
 
 // randomGroupWrite makes one replica's part of a write; changed is false if there is none. stored is nil if it is a new replica.
-func randomGroupWrite(rng *rand.Rand, group uint32, stored *raftstore.StoredGroup) (w raftstore.GroupWrite, changed bool) {
-	w = raftstore.GroupWrite{Group: group, Epoch: 1, Number: uint64(group) + 10}
+func randomGroupWrite(rng *rand.Rand, group uint32, stored *raftstore.StoredMember) (w raftstore.MemberWrite, changed bool) {
+	w = raftstore.MemberWrite{Group: group, Epoch: 1, Member: uint64(group) + 10}
 	next := nextIndex(stored)
 	switch rng.IntN(6) {
 	case 0:
 		return w, false
 	case 1:
-		w.Drop = stored != nil && rng.IntN(5) == 0
-		return w, w.Drop
+		w.Delete = stored != nil && rng.IntN(5) == 0
+		return w, w.Delete
 	case 2:
-		w.Keep = rng.IntN(2) == 0
+		w.KeepEntries = rng.IntN(2) == 0
 		index := next + 5
-		if w.Keep && next > 1 {
+		if w.KeepEntries && next > 1 {
 			index = next - 1
 		}
 		w.Snapshot = randomSnapshot(rng, group, index)
@@ -68,12 +68,12 @@
 			next++
 		}
 	}
-	w.Hard = &pb.HardState{Term: new(rng.Uint64N(9)), Vote: new(rng.Uint64N(3)), Commit: new(uint64(0))}
+	w.HardState = &pb.HardState{Term: new(rng.Uint64N(9)), Vote: new(rng.Uint64N(3)), Commit: new(uint64(0))}
 	return w, true
 }
 
 // nextIndex is the index behind what a replica has stored.
-func nextIndex(stored *raftstore.StoredGroup) uint64 {
+func nextIndex(stored *raftstore.StoredMember) uint64 {
 	switch {
 	case stored == nil:
 		return 1
@@ -95,10 +95,10 @@
 }
 
 // describe writes out what is stored, for comparison.
-func describe(s *raftstore.Stored) string {
-	out := fmt.Sprintf("%d %d %s %v", s.Store, s.Life, s.View, s.Retired)
-	for _, g := range s.Groups {
-		out += fmt.Sprintf("\n%d/%d/%d %v", g.Group, g.Epoch, g.Number, g.Hard)
+func describe(s *raftstore.StoredState) string {
+	out := fmt.Sprintf("%d %d %s %v", s.Store, s.Incarnation, s.Ledger, s.Retired)
+	for _, g := range s.Members {
+		out += fmt.Sprintf("\n%d/%d/%d %v", g.Group, g.Epoch, g.Member, g.HardState)
 		if g.Snapshot != nil {
 			out += fmt.Sprintf(" snapshot %v of %d %x", g.Snapshot.Metadata, len(g.Snapshot.Data), g.Snapshot.Data[:min(8, len(g.Snapshot.Data))])
 		}
@@ -130,11 +130,11 @@
 			rng := rand.New(rand.NewPCG(seed, 1))
 			path := filepath.Join(t.TempDir(), "store.db")
 			var image raftstore.Image
-			f := openWant(t, path, describe(image.Stored()))
+			f := openWant(t, path, describe(image.State()))
 			for i := range 60 {
 				w := randomWrite(rng, image)
 				before, _ := os.ReadFile(path)
-				was := describe(image.Stored())
+				was := describe(image.State())
 				if err := f.Write(w); err != nil {
 					t.Fatal(err)
 				}
@@ -142,17 +142,17 @@
 				if i%6 == 0 {
 					f.Close()
 					if i > 0 {
-						checkTornWrites(t, rng, before, path, was, describe(image.Stored()))
+						checkTornWrites(t, rng, before, path, was, describe(image.State()))
 					}
-					f = openWant(t, path, describe(image.Stored()))
+					f = openWant(t, path, describe(image.State()))
 					if f.Sequence() != uint64(i+1) {
 						t.Fatalf("sequence %d, want %d", f.Sequence(), i+1)
 					}
 				}
 			}
 			f.Close()
-			if s, err := Check(path); err != nil || describe(s) != describe(image.Stored()) {
-				t.Fatalf("%v\n%.900s\nwant\n%.900s", err, describe(s), describe(image.Stored()))
+			if s, err := Check(path); err != nil || describe(s) != describe(image.State()) {
+				t.Fatalf("%v\n%.900s\nwant\n%.900s", err, describe(s), describe(image.State()))
 			}
 		})
 	}
@@ -212,7 +212,7 @@
 	rng := rand.New(rand.NewPCG(5, 1))
 	path := filepath.Join(t.TempDir(), "store.db")
 	var image raftstore.Image
-	f := openWant(t, path, describe(image.Stored()))
+	f := openWant(t, path, describe(image.State()))
 	for range 30 {
 		w := randomWrite(rng, image)
 		if err := f.Write(w); err != nil {
@@ -226,7 +226,7 @@
 		t.Fatal(err)
 	}
 	files := 0
-	openContent := func(content []byte) (*File, *raftstore.Stored, error) {
+	openContent := func(content []byte) (*File, *raftstore.StoredState, error) {
 		files++ // a new path each time: the library may keep a file open, and locked, on which it panicked
 		path := fmt.Sprint(path, files)
 		if err := os.WriteFile(path, content, 0o600); err != nil {
@@ -250,7 +250,7 @@
 				t.Fatal(err)
 			}
 			f.Close()
-			if describe(stored) != describe(image.Stored()) {
+			if describe(stored) != describe(image.State()) {
 				t.Fatal("a flipped bit was not noticed")
 			}
 		}
--- a/internal/raftstorage/layout.go
+++ b/internal/raftstorage/layout.go
@@ -50,8 +50,8 @@
 }
 
 // readRef reads a replica's key, which has refSize bytes.
-func readRef(b []byte) raftstore.Ref {
-	return raftstore.Ref{Group: binary.BigEndian.Uint32(b), Epoch: binary.BigEndian.Uint32(b[4:]), Number: binary.BigEndian.Uint64(b[8:])}
+func readRef(b []byte) raftstore.MemberRef {
+	return raftstore.MemberRef{Group: binary.BigEndian.Uint32(b), Epoch: binary.BigEndian.Uint32(b[4:]), Member: binary.BigEndian.Uint64(b[8:])}
 }
 
 // entryKey is the key of a log entry.
--- a/internal/raftstorage/load.go
+++ b/internal/raftstorage/load.go
@@ -12,8 +12,8 @@
 )
 
 // load reads the content of the file. An empty file is new, and has none.
-func (f *File) load() (*raftstore.Stored, error) {
-	stored := &raftstore.Stored{}
+func (f *File) load() (*raftstore.StoredState, error) {
+	stored := &raftstore.StoredState{}
 	err := f.db.View(func(tx *bbolt.Tx) error {
 		facts := tx.Bucket(bucketFacts)
 		if facts == nil {
@@ -31,7 +31,7 @@
 		}
 		return groups.ForEachBucket(func(key []byte) error {
 			replica, err := loadReplica(key, groups.Bucket(key))
-			stored.Groups = append(stored.Groups, replica)
+			stored.Members = append(stored.Members, replica)
 			return err
 		})
 	})
@@ -43,7 +43,7 @@
 }
 
 // loadFacts reads what the file says about itself.
-func (f *File) loadFacts(facts bucket, stored *raftstore.Stored) error {
+func (f *File) loadFacts(facts bucket, stored *raftstore.StoredState) error {
 	version, err := facts.number(keyFormat)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrFormat, err)
@@ -54,7 +54,7 @@
 	for _, number := range []struct {
 		key  []byte
 		into *uint64
-	}{{keyStore, &stored.Store}, {keyIncarnation, &stored.Life}, {keySequence, &f.sequence}} {
+	}{{keyStore, &stored.Store}, {keyIncarnation, &stored.Incarnation}, {keySequence, &f.sequence}} {
 		if *number.into, err = facts.number(number.key); err != nil {
 			return err
 		}
@@ -62,7 +62,7 @@
 	if stored.Store == 0 {
 		return fmt.Errorf("%w: the disk has no number under %q", ErrIncomplete, keyStore)
 	}
-	if stored.View, err = facts.get(keyView); err != nil {
+	if stored.Ledger, err = facts.get(keyView); err != nil {
 		return err
 	}
 	stored.Retired, err = loadRetired(facts)
@@ -70,7 +70,7 @@
 }
 
 // loadRetired reads the replicas that must not take part again.
-func loadRetired(facts bucket) (refs []raftstore.Ref, err error) {
+func loadRetired(facts bucket) (refs []raftstore.MemberRef, err error) {
 	raw, err := facts.get(keyRetired)
 	if err != nil {
 		return nil, err
@@ -85,19 +85,19 @@
 }
 
 // loadReplica reads a replica's bucket.
-func loadReplica(key []byte, raw *bbolt.Bucket) (replica raftstore.StoredGroup, err error) {
+func loadReplica(key []byte, raw *bbolt.Bucket) (replica raftstore.StoredMember, err error) {
 	if len(key) != refSize {
 		return replica, fmt.Errorf("%w: the replica's key %x has %d bytes, want %d", ErrIncomplete, key, len(key), refSize)
 	}
 	ref, values := readRef(key), bucket{raw}
-	replica = raftstore.StoredGroup{Group: ref.Group, Epoch: ref.Epoch, Number: ref.Number}
+	replica = raftstore.StoredMember{Group: ref.Group, Epoch: ref.Epoch, Member: ref.Member}
 	hard := &pb.HardState{}
 	found, err := values.message(keyHardState, hard)
 	if err != nil {
 		return replica, err
 	}
 	if found {
-		replica.Hard = hard
+		replica.HardState = hard
 	}
 	snapshot := &pb.Snapshot{}
 	if found, err = values.message(keySnapshot, snapshot); err != nil {
--- a/internal/raftstorage/write.go
+++ b/internal/raftstorage/write.go
@@ -31,8 +31,8 @@
 	if err := f.writeFacts(bucket{facts}, w); err != nil {
 		return err
 	}
-	for i := range w.Groups {
-		if err := writeReplica(groups, &w.Groups[i]); err != nil {
+	for i := range w.Members {
+		if err := writeReplica(groups, &w.Members[i]); err != nil {
 			return err
 		}
 	}
@@ -42,21 +42,21 @@
 // writeFacts writes what the file says about itself.
 func (f *File) writeFacts(facts bucket, w raftstore.Write) error {
 	err := errors.Join(facts.setNumber(keyFormat, format), facts.setNumber(keyStore, w.Store),
-		facts.setNumber(keyIncarnation, w.Life), facts.setNumber(keySequence, f.sequence+1))
-	if w.View != nil {
-		err = errors.Join(err, facts.set(keyView, w.View))
+		facts.setNumber(keyIncarnation, w.Incarnation), facts.setNumber(keySequence, f.sequence+1))
+	if w.Ledger != nil {
+		err = errors.Join(err, facts.set(keyView, w.Ledger))
 	}
 	retired, readErr := facts.get(keyRetired)
 	for _, ref := range w.Retired {
-		retired = append(retired, replicaKey(ref.Group, ref.Epoch, ref.Number)...)
+		retired = append(retired, replicaKey(ref.Group, ref.Epoch, ref.Member)...)
 	}
 	return errors.Join(err, readErr, facts.set(keyRetired, retired))
 }
 
 // writeReplica writes one replica's part: it is removed, or gets a snapshot, entries and a hard state, each if there is one.
-func writeReplica(groups *bbolt.Bucket, w *raftstore.GroupWrite) error {
-	key := replicaKey(w.Group, w.Epoch, w.Number)
-	if w.Drop {
+func writeReplica(groups *bbolt.Bucket, w *raftstore.MemberWrite) error {
+	key := replicaKey(w.Group, w.Epoch, w.Member)
+	if w.Delete {
 		if groups.Bucket(key) == nil {
 			return nil
 		}
@@ -81,17 +81,17 @@
 	if err := writeEntries(log, w.Entries); err != nil {
 		return err
 	}
-	if w.Hard != nil {
-		return bucket{replica}.setMessage(keyHardState, w.Hard)
+	if w.HardState != nil {
+		return bucket{replica}.setMessage(keyHardState, w.HardState)
 	}
 	return nil
 }
 
 // truncateLog removes the entries that a snapshot replaces: those up to its index or, without Keep, all.
-func truncateLog(log *bbolt.Bucket, w *raftstore.GroupWrite) error {
+func truncateLog(log *bbolt.Bucket, w *raftstore.MemberWrite) error {
 	last := w.Snapshot.GetMetadata().GetIndex()
 	c := log.Cursor()
-	for key, _ := c.First(); key != nil && (!w.Keep || binary.BigEndian.Uint64(key) <= last); key, _ = c.First() {
+	for key, _ := c.First(); key != nil && (!w.KeepEntries || binary.BigEndian.Uint64(key) <= last); key, _ = c.First() {
 		if err := c.Delete(); err != nil {
 			return err
 		}
--- a/internal/raftstore/announce.go
+++ b/internal/raftstore/announce.go
@@ -37,9 +37,9 @@
 	for i := range h.retired {
 		r := &h.retired[i]
 		if x := groupIn(h.view, r.Group); x != nil && x.Epoch == r.Epoch && slices.ContainsFunc(replicas(x), func(y *api.GroupMember) bool {
-			return y.Id == r.Number && !y.Stale
+			return y.Id == r.Member && !y.Stale
 		}) {
-			a.StaleMembers = append(a.StaleMembers, &api.MemberRef{Group: r.Group, Epoch: r.Epoch, Member: r.Number})
+			a.StaleMembers = append(a.StaleMembers, &api.MemberRef{Group: r.Group, Epoch: r.Epoch, Member: r.Member})
 		}
 	}
 	return a
@@ -89,7 +89,7 @@
 			h.facts.reports[r.Group], h.facts.told[r.Group] = r, h.now
 		}
 	}
-	if a == nil || store == 0 || len(a.Name) == 0 || len(a.Name) > MostName {
+	if a == nil || store == 0 || len(a.Name) == 0 || len(a.Name) > MaxNameBytes {
 		return
 	}
 	var changes []*api.Change
@@ -98,7 +98,7 @@
 	case known == nil && a.Format < h.view.Format:
 		if h.tooOld != store {
 			h.tooOld = store
-			h.note(Noticed{What: Older, Number: store, Name: a.Name})
+			h.note(Notice{Kind: NoticeFormatTooOld, Number: store, Name: a.Name})
 		}
 	case known == nil || !known.Removed && (known.Zone != a.Zone || known.Weight != a.Weight || known.Format != a.Format):
 		changes = append(changes, &api.Change{JoinStore: &api.Store{Id: store, Name: a.Name, Zone: a.Zone, Weight: a.Weight, Format: a.Format}})
@@ -138,7 +138,7 @@
 	}
 	h.facts.now = h.now
 	changes := planner{
-		Ledger: g.sm.(*ledger).Ledger, facts: h.facts, tick: h.cfg.Tick, healAfter: h.cfg.HealAfter, healAtOnce: h.cfg.HealAtOnce,
+		Ledger: g.sm.(*ledger).Ledger, facts: h.facts, tick: h.cfg.Tick, healAfter: h.cfg.RepairAfter, healAtOnce: h.cfg.MaxRepairs,
 	}.plan()
 	if h.change(g, changes); len(changes) == 0 {
 		h.planOrder(g)
@@ -146,12 +146,12 @@
 }
 
 // found makes a store with this gateway as its first holder.
-func (h *Host) found(f Found) {
-	if !h.holds || h.failed != "" || h.founding != 0 || f.Shards < 1 || f.Shards > MostShards || f.Copies < 1 {
+func (h *Host) found(f BootstrapRequested) {
+	if !h.holds || h.failed != "" || h.founding != 0 || f.Shards < 1 || f.Shards > MaxShards || f.Voters < 1 {
 		return
 	}
 	l := found(&api.Bootstrap{
-		ClusterId: h.cfg.Founding, Shards: uint32(f.Shards), VotersPerGroup: uint32(f.Copies), First: f.First, Incarnation: h.life,
+		ClusterId: h.cfg.NewClusterID, Shards: uint32(f.Shards), VotersPerGroup: uint32(f.Voters), First: f.First, Incarnation: h.life,
 		Store: &api.Store{Id: h.store, Name: h.cfg.Name, Zone: h.cfg.Zone, Weight: h.cfg.Weight, Format: h.cfg.Format},
 	})
 	h.learn(l.Ledger, true)
@@ -173,7 +173,7 @@
 // anew takes an operator's word that a shard cannot go on. A group that has reported itself lately does go on.
 func (h *Host) anew(shard uint32) {
 	g, x := h.groups[LedgerGroup], groupIn(h.view, shard)
-	if g == nil || !g.led || x == nil || shard == LedgerGroup || h.Reported(shard) {
+	if g == nil || !g.led || x == nil || shard == LedgerGroup || h.GroupReported(shard) {
 		return
 	}
 	p := planner{Ledger: h.view, facts: h.facts, tick: h.cfg.Tick}
@@ -184,7 +184,7 @@
 }
 
 // Reported tells whether a group's leader has told of it lately, where the ledger is led here.
-func (h *Host) Reported(group uint32) bool {
+func (h *Host) GroupReported(group uint32) bool {
 	at, told := h.facts.told[group]
 	return told && h.now-at <= freshFor*h.cfg.Tick
 }
--- a/internal/raftstore/copies.go
+++ b/internal/raftstore/copies.go
@@ -21,20 +21,20 @@
 
 // Bounds of what is stored.
 const (
-	MostShards = 64
-	MostKey    = 256      // bytes
-	MostValue  = 16 << 10 // bytes
-	MostName   = 40       // bytes
+	MaxShards     = 64
+	MaxKeyBytes   = 256      // bytes
+	MaxValueBytes = 16 << 10 // bytes
+	MaxNameBytes  = 40       // bytes
 	// MostSpan is the longest that a record lasts, in microseconds. What was lost is known as such for so long.
-	MostSpan clock.Micros = 24 * 3600 * 1_000_000
+	MaxTTL clock.Micros = 24 * 3600 * 1_000_000
 )
 
 // FirstFormat is the format of records that every version understands, OrderFormat the first one with the order of maintenance in the
 // ledger, and ThisFormat the one that this version knows.
 const (
-	FirstFormat uint32 = 1
-	OrderFormat uint32 = 2
-	ThisFormat         = OrderFormat
+	FirstFormat       uint32 = 1
+	MaintenanceFormat uint32 = 2
+	LatestFormat             = MaintenanceFormat
 )
 
 // recordCost is what a record costs in memory beside its key and value, in bytes, as measured.
@@ -46,54 +46,54 @@
 	Zone   string
 	Weight uint32
 	// Holds says that this gateway holds replicas. One that does not is a client of those that do.
-	Holds bool
+	RunsGroups bool
 	// Tick is the interval of heartbeats; an election begins after 5 to 9 of them without one.
 	Tick clock.Micros
 	// HealAfter is for how long a holder must be silent until its replicas get another one.
-	HealAfter clock.Micros
+	RepairAfter clock.Micros
 	// HealAtOnce is how many groups may get another holder at the same moment.
-	HealAtOnce int
+	MaxRepairs int
 	// LeastLog is how many bytes a log has at the least before a snapshot takes its place.
-	LeastLog int64
+	MinLogBytes int64
 	// MostBytes bounds what the records of one shard cost in memory. A shard that is full refuses new ones.
-	MostBytes int64
+	MaxShardBytes int64
 	// MostCalls bounds the calls that wait for an answer.
-	MostCalls int
+	MaxCalls int
 	// Format is the latest format of records that this gateway understands; 0: ThisFormat. A command of a later one than the
 	// ledger names is refused, and the ledger names one once all holders understand it.
 	Format uint32
 	// Client is a number that no other start of any gateway has: calls are told apart by it. Not 0.
-	Client uint64
+	ClientID uint64
 	// NewStore is the number of the disk where none is found on it. Not 0, and never used before.
-	NewStore uint64
+	NewStoreID uint64
 	// Life tells this start of the disk from the ones before: microseconds of Unix time. A clock that was set back is noticed.
-	Life uint64
+	Incarnation uint64
 	// Maintain is by what limits machines are taken out for work, where this gateway leads the ledger; nil: none is.
-	Maintain *maintenance.Limits
+	Maintenance *maintenance.Limits
 	// Founding is the number of the store that a Found event makes. Not 0.
-	Founding uint64
+	NewClusterID uint64
 }
 
 // Stored is what was found on a disk.
-type Stored struct {
-	Store   uint64 // 0: it is new
-	Life    uint64 // when it was last started
-	View    []byte // the ledger as last known
-	Groups  []StoredGroup
-	Retired []Ref
+type StoredState struct {
+	Store       uint64 // 0: it is new
+	Incarnation uint64 // when it was last started
+	Ledger      []byte // the ledger as last known
+	Members     []StoredMember
+	Retired     []MemberRef
 }
 
 // Ref names a replica.
-type Ref struct {
+type MemberRef struct {
 	Group, Epoch uint32
-	Number       uint64
+	Member       uint64
 }
 
 // StoredGroup is one replica on a disk.
-type StoredGroup struct {
+type StoredMember struct {
 	Group, Epoch uint32
-	Number       uint64
-	Hard         *pb.HardState
+	Member       uint64
+	HardState    *pb.HardState
 	Snapshot     *pb.Snapshot
 	Entries      []*pb.Entry
 }
@@ -105,56 +105,56 @@
 type Tick struct{}
 
 // Heard is a packet, checked and authentic, from a gateway of that name.
-type Heard struct {
+type PacketReceived struct {
 	From string
 	Body []byte
 }
 
 // Written tells that a write, and all before it, is on the disk to stay.
-type Written struct{ Number uint64 }
+type WriteCompleted struct{ Number uint64 }
 
 // Failed tells that the disk can no longer be written. What the replicas here acknowledge from now on could be lost, so they
 // acknowledge nothing, and the ledger has others take their place.
-type Failed struct{ Cause string }
+type DiskFailed struct{ Cause string }
 
 // Ask is a call of this gateway's own: a Command without client and sequence, or a Get. Its Answer carries the ID.
-type Ask struct {
-	ID      uint64
-	Shard   uint32 // counted from 1, see ShardOf; the ledger takes what Command makes, and a Get of MaintainKey
-	Command *api.Command
-	Get     *api.Get
-	By      clock.Micros // when nobody waits for the answer any more
+type Request struct {
+	ID       uint64
+	Shard    uint32 // counted from 1, see ShardOf; the ledger takes what Command makes, and a Get of MaintainKey
+	Command  *api.Command
+	Get      *api.Get
+	Deadline clock.Micros // when nobody waits for the answer any more
 }
 
 // Found makes a new store with this gateway as its first holder, where it knows of none. Without First another one may have been
 // lost before: what is not found in the new one then counts as lost, for as long as a record may last.
-type Found struct {
-	Shards, Copies int
+type BootstrapRequested struct {
+	Shards, Voters int
 	First          bool
 }
 
 // Gone says that a gateway's disk will never come back: an operator's word.
-type Gone struct{ Name string }
+type StoreRemoved struct{ Name string }
 
 // Anew is an operator's word that a shard cannot go on: it is begun anew, and what it held is known as lost.
-type Anew struct{ Shard uint32 }
+type ShardReset struct{ Shard uint32 }
 
 // Leave has this gateway hand over what it leads; Done follows.
-type Leave struct{}
+type DrainRequested struct{}
 
 // Others tells which other gateways there are.
-type Others struct{ Names []string }
-
-func (Tick) event()    {}
-func (Heard) event()   {}
-func (Written) event() {}
-func (Failed) event()  {}
-func (Ask) event()     {}
-func (Found) event()   {}
-func (Gone) event()    {}
-func (Anew) event()    {}
-func (Leave) event()   {}
-func (Others) event()  {}
+type PeersChanged struct{ Names []string }
+
+func (Tick) event()               {}
+func (PacketReceived) event()     {}
+func (WriteCompleted) event()     {}
+func (DiskFailed) event()         {}
+func (Request) event()            {}
+func (BootstrapRequested) event() {}
+func (StoreRemoved) event()       {}
+func (ShardReset) event()         {}
+func (DrainRequested) event()     {}
+func (PeersChanged) event()       {}
 
 // Action is one of the actions below, to be carried out in order.
 type Action interface{ action() }
@@ -170,29 +170,29 @@
 // Write is to be written, in one transaction with one sync. The next one comes only after this one's Written. With another
 // store's number than before, nothing of what was there counts.
 type Write struct {
-	Number  uint64
-	Store   uint64
-	Life    uint64
-	View    []byte // nil: as it was
-	Groups  []GroupWrite
-	Retired []Ref // added to those before
+	Number      uint64
+	Store       uint64
+	Incarnation uint64
+	Ledger      []byte // nil: as it was
+	Members     []MemberWrite
+	Retired     []MemberRef // added to those before
 	// Sure tells that no replica here still asks whether the disk is the one that it was: only then a witness may say so.
-	Sure bool
+	Recovered bool
 }
 
 // GroupWrite is one replica's part of a write, in the order of its fields.
-type GroupWrite struct {
+type MemberWrite struct {
 	Group, Epoch uint32
-	Number       uint64
-	Drop         bool         // it is gone; the rest is empty
+	Member       uint64
+	Delete       bool         // it is gone; the rest is empty
 	Snapshot     *pb.Snapshot // replaces what was before; nil: none
-	Keep         bool         // with a snapshot: the entries behind it stay
+	KeepEntries  bool         // with a snapshot: the entries behind it stay
 	Entries      []*pb.Entry  // they replace those from the first one's index on
-	Hard         *pb.HardState
+	HardState    *pb.HardState
 }
 
 // Answer is what came of an Ask.
-type Answer struct {
+type Response struct {
 	ID       uint64
 	Status   Status
 	Version  uint64
@@ -204,12 +204,12 @@
 	Lost bool
 	// Since is how long ago that was, at the least, and Age how long ago a record that is found was last changed: by the
 	// shard's time, which goes no faster than any clock.
-	Since, Age clock.Micros
+	LostAge, Age clock.Micros
 }
 
 // Noticed tells of a change of state, for log and counters.
-type Noticed struct {
-	What         Notice
+type Notice struct {
+	Kind         NoticeKind
 	Group, Epoch uint32
 	Number       uint64
 	Name         string
@@ -217,27 +217,27 @@
 }
 
 // Done tells that nothing is led from here any more, or that it took too long.
-type Done struct{}
+type Drained struct{}
 
-func (Send) action()    {}
-func (Write) action()   {}
-func (Answer) action()  {}
-func (Noticed) action() {}
-func (Done) action()    {}
+func (Send) action()     {}
+func (Write) action()    {}
+func (Response) action() {}
+func (Notice) action()   {}
+func (Drained) action()  {}
 
 // Status is what came of a call.
 type Status uint8
 
 // The statuses.
 const (
-	OK       Status = iota
-	Conflict        // the record's version is another one; it is in the answer
-	Full            // the shard takes no new records
-	Bad             // the call can never succeed: a key that is too long, a shard that is not there
-	TooLate         // no answer in time; a change may come into force all the same
-	NotSent         // nobody could be asked in time, and no change comes into force
-	TooNew          // some holder does not understand the format of records that it needs
-	notLeader
+	StatusOK               Status = iota
+	StatusConflict                // the record's version is another one; it is in the answer
+	StatusFull                    // the shard takes no new records
+	StatusInvalid                 // the call can never succeed: a key that is too long, a shard that is not there
+	StatusDeadlineExceeded        // no answer in time; a change may come into force all the same
+	StatusNotSent                 // nobody could be asked in time, and no change comes into force
+	StatusFormatTooNew            // some holder does not understand the format of records that it needs
+	statusNotLeader
 	Statuses
 )
 
@@ -247,33 +247,33 @@
 func (s Status) String() string { return statusNames[s] }
 
 // Notice is what may be noticed.
-type Notice uint8
+type NoticeKind uint8
 
 // The notices.
 const (
-	Led        Notice = iota // this gateway leads a group
-	Unled                    // it does so no more
-	Settled                  // a group's voters changed, in the ledger
-	Assigned                 // a group gets another holder, in the ledger
-	LostGroup                // more of a group was lost than it can bear: what was promised in it is lost. In the ledger
-	Joined                   // a disk is known to the ledger
-	StoreGone                // a disk is lost for good, in the ledger
-	Stale                    // the disk here is older than what this replica had acknowledged: the replica must not go on
-	Taken                    // a replica begins here
-	Dropped                  // a replica here is no longer wanted
-	Sure                     // a replica here takes part again after a start
-	DiskLost                 // the disk failed
-	Foreign                  // a packet of another founding
-	Renumbered               // the ledger holds this disk lost: it goes on as another one, empty
-	Raised                   // all holders understand a later format of records, in the ledger
-	Older                    // a gateway does not understand the format of records that is in use: it holds nothing
-	Notices
+	NoticeBecameLeader    NoticeKind = iota // this gateway leads a group
+	NoticeSteppedDown                       // it does so no more
+	NoticeVotersChanged                     // a group's voters changed, in the ledger
+	NoticeMemberAssigned                    // a group gets another holder, in the ledger
+	NoticeGroupLost                         // more of a group was lost than it can bear: what was promised in it is lost. In the ledger
+	NoticeStoreJoined                       // a disk is known to the ledger
+	NoticeStoreRemoved                      // a disk is lost for good, in the ledger
+	NoticeMemberStale                       // the disk here is older than what this replica had acknowledged: the replica must not go on
+	NoticeMemberStarted                     // a replica begins here
+	NoticeMemberStopped                     // a replica here is no longer wanted
+	NoticeMemberRecovered                   // a replica here takes part again after a start
+	NoticeDiskFailed                        // the disk failed
+	NoticeForeignCluster                    // a packet of another founding
+	NoticeStoreRenumbered                   // the ledger holds this disk lost: it goes on as another one, empty
+	NoticeFormatRaised                      // all holders understand a later format of records, in the ledger
+	NoticeFormatTooOld                      // a gateway does not understand the format of records that is in use: it holds nothing
+	NoticeKinds
 )
 
-var noticeNames = [Notices]string{
+var noticeNames = [NoticeKinds]string{
 	"leads", "leads_no_more", "voters", "new_holder", "lost", "joined", "disk_gone", "disk_older", "replica_begins", "replica_ends",
 	"replica_sure", "disk_failed", "another_founding", "disk_renumbered", "format_raised", "format_too_old",
 }
 
 // String is the notice's code in the log.
-func (n Notice) String() string { return noticeNames[n] }
+func (n NoticeKind) String() string { return noticeNames[n] }
--- a/internal/raftstore/golden_test.go
+++ b/internal/raftstore/golden_test.go
@@ -28,14 +28,14 @@
 	for _, c := range []struct {
 		name    string
 		machine machine
-	}{{"shard", newShard(1<<20, ThisFormat, 1, false)}, {"ledger", newLedger()}} {
+	}{{"shard", newShard(1<<20, LatestFormat, 1, false)}, {"ledger", newLedger()}} {
 		t.Run(c.name, func(t *testing.T) {
 			state := goldenState(t, c.name)
 			if err := c.machine.restore(state); err != nil {
 				t.Fatal(err)
 			}
 			if l, is := c.machine.(*ledger); is { // as it would be after a decision about the order
-				l.Order = orderInto(OrderOf(l.Order))
+				l.Order = encodeOrder(DecodeOrder(l.Order))
 			}
 			if got := c.machine.snapshot(); !bytes.Equal(got, state) {
 				t.Errorf("written back as\n%x\nthe golden file has\n%x", got, state)
--- a/internal/raftstore/group.go
+++ b/internal/raftstore/group.go
@@ -93,9 +93,9 @@
 }
 
 // newGroup makes a replica from what is on the disk; without a snapshot it is empty, and waits to be taken in.
-func (h *Host) newGroup(s StoredGroup, sm machine) (*group, error) {
+func (h *Host) newGroup(s StoredMember, sm machine) (*group, error) {
 	g := &group{
-		h: h, id: s.Group, epoch: s.Epoch, number: s.Number, sm: sm, conf: &pb.ConfState{}, hard: &pb.HardState{},
+		h: h, id: s.Group, epoch: s.Epoch, number: s.Member, sm: sm, conf: &pb.ConfState{}, hard: &pb.HardState{},
 		waiting: map[slot]origin{}, asked: map[uint64][]reading{}, snapped: map[uint64]clock.Micros{},
 	}
 	g.log = &storage{raft.NewMemoryStorage(), g}
@@ -104,9 +104,9 @@
 			return nil, err
 		}
 	}
-	if s.Hard != nil {
+	if s.HardState != nil {
 		// The commit comes to the disk with whatever is written next: a snapshot may have gone past it.
-		g.hard = &pb.HardState{Term: new(s.Hard.GetTerm()), Vote: new(s.Hard.GetVote()), Commit: new(max(s.Hard.GetCommit(), g.applied))}
+		g.hard = &pb.HardState{Term: new(s.HardState.GetTerm()), Vote: new(s.HardState.GetVote()), Commit: new(max(s.HardState.GetCommit(), g.applied))}
 		g.log.SetHardState(g.hard)
 	}
 	if err := g.log.Append(s.Entries); err != nil {
@@ -120,7 +120,7 @@
 	}
 	var err error
 	g.node, err = raft.NewRawNode(&raft.Config{
-		ID: s.Number, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: g.log, Applied: g.applied,
+		ID: s.Member, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: g.log, Applied: g.applied,
 		AsyncStorageWrites: true, MaxSizePerMsg: mostPerMessage, MaxInflightMsgs: mostInFlight, MaxUncommittedEntriesSize: mostUncommitted,
 		CheckQuorum: true, PreVote: true, ReadOnlyOption: raft.ReadOnlySafe, Logger: silent{}, DisableProposalForwarding: true,
 		StepDownOnRemoval: true,
@@ -178,10 +178,10 @@
 			g.h.resetUpkeep()
 			g.h.facts = facts{since: g.h.now, heard: map[uint64]clock.Micros{}, lives: map[uint64]uint64{}, reports: map[uint32]*api.GroupReport{}, told: map[uint32]clock.Micros{}, changed: g.h.now}
 		}
-		g.h.note(Noticed{What: Led, Group: g.id, Epoch: g.epoch, Number: g.number})
+		g.h.note(Notice{Kind: NoticeBecameLeader, Group: g.id, Epoch: g.epoch, Number: g.number})
 		return
 	}
-	g.h.note(Noticed{What: Unled, Group: g.id, Epoch: g.epoch, Number: g.number})
+	g.h.note(Notice{Kind: NoticeSteppedDown, Group: g.id, Epoch: g.epoch, Number: g.number})
 	for _, reads := range g.asked { // nobody confirms them any more
 		g.turnAway(reads)
 	}
@@ -193,7 +193,7 @@
 
 func (g *group) turnAway(reads []reading) {
 	for _, r := range reads {
-		g.h.reply(r.origin, &api.Reply{Status: uint32(notLeader), Leader: g.leaderName()})
+		g.h.reply(r.origin, &api.Reply{Status: uint32(statusNotLeader), Leader: g.leaderName()})
 	}
 }
 
@@ -352,7 +352,7 @@
 			g.applyEntry(e)
 		}
 	}
-	if g.logBytes > max(g.h.cfg.LeastLog, g.snapBytes) && g.asking == nil {
+	if g.logBytes > max(g.h.cfg.MinLogBytes, g.snapBytes) && g.asking == nil {
 		data := g.sm.snapshot()
 		if s, err := g.snapshot(data); err == nil {
 			g.logBytes, g.snapBytes = 0, int64(len(data))
@@ -428,19 +428,19 @@
 
 // call takes in a command or a read.
 func (g *group) call(o origin, c *api.Call) {
-	status := OK
+	status := StatusOK
 	switch shard, _ := g.sm.(*shard); {
 	case !g.led || g.asking != nil || g.h.leaving:
-		status = notLeader
+		status = statusNotLeader
 	case c.Command == nil && c.Get == nil, shard == nil && c.Get == nil && c.Command.GetChange().GetMaintenanceCommand() == nil, shard != nil && c.Command.GetChange() != nil:
-		status = Bad
+		status = StatusInvalid
 	case c.Get != nil:
 		g.reads = append(g.reads, reading{o, c.Get.Key})
 		return
 	case len(g.conf.Voters) < int(g.h.view.GetVotersPerGroup()):
-		status = notLeader // nothing is promised before there are as many copies as were promised
+		status = statusNotLeader // nothing is promised before there are as many copies as were promised
 	case c.Command.Format > max(g.h.view.GetFormat(), FirstFormat):
-		status = TooNew
+		status = StatusFormatTooNew
 	default:
 		g.waiting[slot{c.Command.Client, c.Command.Sequence}] = o
 		g.proposed = append(g.proposed, c.Command)
@@ -457,7 +457,7 @@
 				k := slot{c.Client, c.Sequence}
 				if o, waits := g.waiting[k]; waits {
 					delete(g.waiting, k)
-					g.h.reply(o, &api.Reply{Status: uint32(notLeader)})
+					g.h.reply(o, &api.Reply{Status: uint32(statusNotLeader)})
 				}
 			}
 		}
--- a/internal/raftstore/host.go
+++ b/internal/raftstore/host.go
@@ -38,17 +38,17 @@
 	view       *api.Ledger // the latest that is known
 	viewOld    bool        // it is not on the disk yet
 	groups     map[uint32]*group
-	retired    []Ref
+	retired    []MemberRef
 	renumbered uint64 // how often
 	others     []string
-	peers      map[uint64]uint64 // the latest life of each disk that was heard
-	known      map[Ref]entry     // how far others' replicas were heard to be
-	facts      facts             // where this host leads the ledger
+	peers      map[uint64]uint64   // the latest life of each disk that was heard
+	known      map[MemberRef]entry // how far others' replicas were heard to be
+	facts      facts               // where this host leads the ledger
 	upkeep     upkeep
 
 	parts    []part // of the next write
-	drops    []GroupWrite
-	newStale []Ref
+	drops    []MemberWrite
+	newStale []MemberRef
 	writing  []part // of the write that is under way
 	write    uint64 // its number, or the last one's
 	busy     bool   // one is under way
@@ -77,32 +77,32 @@
 
 // New makes a host from what its disk holds. trusted says that the disk is known to be the one that was written last; without
 // it each replica asks the others whether it had gone further, before it takes part.
-func New(cfg Config, now clock.Micros, s *Stored, trusted bool) (*Host, error) {
+func New(cfg Config, now clock.Micros, s *StoredState, trusted bool) (*Host, error) {
 	if cfg.Format == 0 {
-		cfg.Format = ThisFormat
+		cfg.Format = LatestFormat
 	}
 	h := &Host{
-		cfg: cfg, now: now, holds: cfg.Holds, trusted: trusted, groups: map[uint32]*group{}, peers: map[uint64]uint64{},
-		known: map[Ref]entry{}, calls: map[uint64]*call{}, leads: map[uint32]string{}, news: map[string]uint64{},
+		cfg: cfg, now: now, holds: cfg.RunsGroups, trusted: trusted, groups: map[uint32]*group{}, peers: map[uint64]uint64{},
+		known: map[MemberRef]entry{}, calls: map[uint64]*call{}, leads: map[uint32]string{}, news: map[string]uint64{},
 		packets: map[string]*api.Packet{}, nextTick: now, open: map[uint64]bool{}, doneUpTo: 1, view: &api.Ledger{},
 	}
 	if s == nil {
-		s = &Stored{}
+		s = &StoredState{}
 	}
 	if h.holds {
-		if h.store, h.life = s.Store, max(cfg.Life, s.Life+1); h.store == 0 {
-			h.store = cfg.NewStore
+		if h.store, h.life = s.Store, max(cfg.Incarnation, s.Incarnation+1); h.store == 0 {
+			h.store = cfg.NewStoreID
 		}
 	}
-	if len(s.View) > 0 {
+	if len(s.Ledger) > 0 {
 		var view api.Ledger
-		if err := proto.Unmarshal(s.View, &view); err != nil {
+		if err := proto.Unmarshal(s.Ledger, &view); err != nil {
 			return nil, err
 		}
 		h.view, h.founding = &view, view.ClusterId
 	}
 	h.retired = s.Retired
-	for _, x := range s.Groups {
+	for _, x := range s.Members {
 		g, err := h.newGroup(x, h.machine(x.Group, x.Epoch, false))
 		if err != nil {
 			return nil, err
@@ -129,11 +129,11 @@
 	if id == LedgerGroup {
 		return newLedger()
 	}
-	return newShard(h.cfg.MostBytes, h.cfg.Format, epoch, anew)
+	return newShard(h.cfg.MaxShardBytes, h.cfg.Format, epoch, anew)
 }
 
 // Next is when a Tick is due.
-func (h *Host) Next() clock.Micros { return h.nextTick }
+func (h *Host) NextTick() clock.Micros { return h.nextTick }
 
 // Handle takes in one event. What comes of it is told by Flush.
 func (h *Host) Handle(now clock.Micros, ev Event) {
@@ -143,29 +143,29 @@
 		if h.now >= h.nextTick {
 			h.tick()
 		}
-	case Heard:
+	case PacketReceived:
 		h.hear(e)
-	case Written:
+	case WriteCompleted:
 		h.written(e.Number)
-	case Failed:
+	case DiskFailed:
 		h.fail(e.Cause)
-	case Ask:
+	case Request:
 		h.ask(e)
-	case Found:
+	case BootstrapRequested:
 		h.found(e)
-	case Gone:
+	case StoreRemoved:
 		h.gone(e.Name)
-	case Anew:
+	case ShardReset:
 		h.anew(e.Shard)
-	case Others:
+	case PeersChanged:
 		h.others = e.Names
-	case Members:
-		h.upkeep.members = e.All
-	case Own:
+	case MembershipChanged:
+		h.upkeep.members = e.Members
+	case GatewayReport:
 		h.upkeep.own = &e
-	case Limits:
-		h.cfg.Maintain = &e.Limits
-	case Leave:
+	case LimitsChanged:
+		h.cfg.Maintenance = &e.Limits
+	case DrainRequested:
 		if !h.leaving {
 			h.leaving, h.leftBy = true, h.now+leaveTicks*h.cfg.Tick
 			for _, g := range h.inOrder() {
@@ -229,7 +229,7 @@
 	return b
 }
 
-func (h *Host) note(n Noticed) { h.out = append(h.out, n) }
+func (h *Host) note(n Notice) { h.out = append(h.out, n) }
 
 // packet is what goes to another gateway at the end of this moment.
 func (h *Host) packet(to string) *api.Packet {
@@ -269,25 +269,25 @@
 		return
 	}
 	h.write++
-	w := Write{Number: h.write, Store: h.store, Life: h.life, Retired: h.newStale, Groups: h.drops, Sure: h.sure()}
+	w := Write{Number: h.write, Store: h.store, Incarnation: h.life, Retired: h.newStale, Members: h.drops, Recovered: h.sure()}
 	if h.viewOld || !h.begun {
-		w.View, _ = proto.Marshal(h.view)
+		w.Ledger, _ = proto.Marshal(h.view)
 		h.viewOld = false
 	}
 	for _, p := range h.parts {
 		if h.groups[p.g.id] != p.g {
 			continue
 		}
-		x := GroupWrite{Group: p.g.id, Epoch: p.g.epoch, Number: p.g.number}
+		x := MemberWrite{Group: p.g.id, Epoch: p.g.epoch, Member: p.g.number}
 		if m := p.message; m != nil {
 			x.Snapshot, x.Entries = m.Snapshot, m.Entries
 			if m.Term != nil {
-				x.Hard = &pb.HardState{Term: m.Term, Vote: m.Vote, Commit: m.Commit}
+				x.HardState = &pb.HardState{Term: m.Term, Vote: m.Vote, Commit: m.Commit}
 			}
 		} else {
-			x.Snapshot, x.Keep, x.Hard = p.snapshot, true, p.hard
+			x.Snapshot, x.KeepEntries, x.HardState = p.snapshot, true, p.hard
 		}
-		w.Groups = append(w.Groups, x)
+		w.Members = append(w.Members, x)
 	}
 	h.writing, h.parts, h.drops, h.newStale, h.busy = h.parts, nil, nil, nil, true
 	h.out = append(h.out, w)
@@ -326,7 +326,7 @@
 		return
 	}
 	h.failed = cause
-	h.note(Noticed{What: DiskLost, Cause: cause})
+	h.note(Notice{Kind: NoticeDiskFailed, Cause: cause})
 	h.dropAll()
 }
 
@@ -341,7 +341,7 @@
 // drop ends a replica here.
 func (h *Host) drop(g *group) {
 	for _, o := range g.waiting {
-		h.reply(o, &api.Reply{Status: uint32(notLeader)})
+		h.reply(o, &api.Reply{Status: uint32(statusNotLeader)})
 	}
 	g.turnAway(g.reads)
 	for _, reads := range g.asked {
@@ -352,8 +352,8 @@
 	}
 	delete(h.groups, g.id)
 	h.parts = slices.DeleteFunc(h.parts, func(p part) bool { return p.g == g })
-	h.drops = append(h.drops, GroupWrite{Group: g.id, Epoch: g.epoch, Number: g.number, Drop: true})
-	h.note(Noticed{What: Dropped, Group: g.id, Epoch: g.epoch, Number: g.number})
+	h.drops = append(h.drops, MemberWrite{Group: g.id, Epoch: g.epoch, Member: g.number, Delete: true})
+	h.note(Notice{Kind: NoticeMemberStopped, Group: g.id, Epoch: g.epoch, Number: g.number})
 }
 
 // tick lets a tick pass for everything.
@@ -402,7 +402,7 @@
 		}
 	}
 	h.leftBy = 0
-	h.out = append(h.out, Done{})
+	h.out = append(h.out, Drained{})
 }
 
 // balance hands a group to the voter whose place it is, where that one follows closely.
@@ -433,7 +433,7 @@
 }
 
 // hear takes in a packet.
-func (h *Host) hear(e Heard) {
+func (h *Host) hear(e PacketReceived) {
 	var p api.Packet
 	if proto.Unmarshal(e.Body, &p) != nil || p.Version != packetVersion {
 		return
@@ -448,7 +448,7 @@
 	if p.ClusterId != 0 && h.founding != 0 && p.ClusterId != h.founding {
 		if h.foreign == 0 || h.ticks-h.foreign > foreignTicks {
 			h.foreign = max(h.ticks, 1)
-			h.note(Noticed{What: Foreign, Name: e.From})
+			h.note(Notice{Kind: NoticeForeignCluster, Name: e.From})
 		}
 		return
 	}
@@ -507,13 +507,13 @@
 		if g == nil || g.epoch != x.Epoch {
 			continue
 		}
-		h.remember(Ref{x.Group, x.Epoch, m.GetFrom()}, &m)
+		h.remember(MemberRef{x.Group, x.Epoch, m.GetFrom()}, &m)
 		g.heard(&m)
 	}
 }
 
 // remember notes how far another replica is, by what it says itself.
-func (h *Host) remember(r Ref, m *pb.Message) {
+func (h *Host) remember(r MemberRef, m *pb.Message) {
 	if m.GetType() == pb.MsgPreVote || m.GetType() == pb.MsgPreVoteResp {
 		return // these name a term that nobody is in yet
 	}
@@ -534,7 +534,7 @@
 		return
 	}
 	p := h.packet(from)
-	p.RecoveryReplies = append(p.RecoveryReplies, g.answer(x, h.known[Ref{x.Group, x.Epoch, x.Member}]))
+	p.RecoveryReplies = append(p.RecoveryReplies, g.answer(x, h.known[MemberRef{x.Group, x.Epoch, x.Member}]))
 }
 
 func (h *Host) answered(x *api.RecoveryReply) {
@@ -544,7 +544,7 @@
 	}
 	if x.Stale {
 		h.drop(g)
-		h.retire(Ref{Group: x.Group, Epoch: x.Epoch, Number: x.Member})
+		h.retire(MemberRef{Group: x.Group, Epoch: x.Epoch, Member: x.Member})
 		return
 	}
 	g.learnt(x)
--- a/internal/raftstore/ledger.go
+++ b/internal/raftstore/ledger.go
@@ -13,7 +13,7 @@
 // its leader, and are valid by their place in the log: a change that no longer fits what it finds has no effect.
 type ledger struct {
 	*api.Ledger
-	notices []Noticed // of the last entry
+	notices []Notice // of the last entry
 }
 
 func newLedger() *ledger { return &ledger{Ledger: &api.Ledger{}} }
@@ -104,8 +104,8 @@
 	return nil
 }
 
-func (l *ledger) note(what Notice, group, epoch uint32, number uint64, name string) {
-	l.notices = append(l.notices, Noticed{What: what, Group: group, Epoch: epoch, Number: number, Name: name})
+func (l *ledger) note(what NoticeKind, group, epoch uint32, number uint64, name string) {
+	l.notices = append(l.notices, Notice{Kind: what, Group: group, Epoch: epoch, Number: number, Name: name})
 }
 
 func (l *ledger) change(c *api.Change) {
@@ -124,7 +124,7 @@
 		l.spoil(c.MarkStale)
 	case c.RaiseFormat > l.Format && c.RaiseFormat <= understood(l.Ledger):
 		l.Format = c.RaiseFormat
-		l.note(Raised, 0, 0, uint64(c.RaiseFormat), "")
+		l.note(NoticeFormatRaised, 0, 0, uint64(c.RaiseFormat), "")
 	}
 }
 
@@ -147,13 +147,13 @@
 	}
 	l.forget()
 	l.Stores = append(l.Stores, &api.Store{Id: s.Id, Name: s.Name, Zone: s.Zone, Weight: s.Weight, Format: s.Format})
-	l.note(Joined, 0, 0, s.Id, s.Name)
+	l.note(NoticeStoreJoined, 0, 0, s.Id, s.Name)
 }
 
 func (l *ledger) gone(number uint64) {
 	if s := l.store(number); s != nil && !s.Removed {
 		s.Removed = true
-		l.note(StoreGone, 0, 0, number, s.Name)
+		l.note(NoticeStoreRemoved, 0, 0, number, s.Name)
 	}
 }
 
@@ -191,7 +191,7 @@
 		return
 	}
 	g.Adding, g.Removing = &api.GroupMember{Id: l.number(), Store: a.Store, Incarnation: a.Incarnation}, a.Removing
-	l.note(Assigned, a.Group, a.Epoch, g.Adding.Id, s.Name)
+	l.note(NoticeMemberAssigned, a.Group, a.Epoch, g.Adding.Id, s.Name)
 }
 
 // spoil notes that a replica must not go on.
@@ -226,7 +226,7 @@
 		}
 	}
 	g.Voters, g.Adding, g.Removing = next, nil, 0
-	l.note(Settled, s.Group, s.Epoch, 0, "")
+	l.note(NoticeVotersChanged, s.Group, s.Epoch, 0, "")
 }
 
 // renew begins a group anew: what it held is lost, and known to be.
@@ -235,7 +235,7 @@
 	if g == nil || s == nil || s.Removed || r.Group == LedgerGroup || !r.Forced && !beyond(l.Ledger, g) {
 		return
 	}
-	l.note(LostGroup, r.Group, g.Epoch, 0, s.Name)
+	l.note(NoticeGroupLost, r.Group, g.Epoch, 0, s.Name)
 	g.Epoch++
 	n := l.number()
 	g.Voters, g.Adding, g.Removing, g.FirstMember = []*api.GroupMember{{Id: n, Store: r.Store, Incarnation: r.Incarnation}}, nil, 0, n
--- a/internal/raftstore/maintain.go
+++ b/internal/raftstore/maintain.go
@@ -16,35 +16,35 @@
 // beside who holds what.
 
 // Members tells who there is, for the ledger's leader to plan maintenance by.
-type Members struct{ All []maintenance.Member }
+type MembershipChanged struct{ Members []maintenance.Member }
 
 // Limits are by what limits machines are taken out from now on.
-type Limits struct{ maintenance.Limits }
+type LimitsChanged struct{ maintenance.Limits }
 
 // Own is what this gateway reports for the order of maintenance, in a life of its own.
-type Own struct {
-	Life uint64
+type GatewayReport struct {
+	Incarnation uint64
 	maintenance.Report
 }
 
-func (Members) event() {}
-func (Limits) event()  {}
-func (Own) event()     {}
+func (MembershipChanged) event() {}
+func (LimitsChanged) event()     {}
+func (GatewayReport) event()     {}
 
 // Ordered tells that the order of maintenance has changed, as far as is known here. It must not be changed.
-type Ordered struct {
+type OrderChanged struct {
 	Index uint64 // the ledger's
 	Order *maintenance.Order
 }
 
-func (Ordered) action() {}
+func (OrderChanged) action() {}
 
 // MaintainKey is the key of a Get in the ledger that is answered with a listing.
-const MaintainKey = "maintenance"
+const MaintenanceKey = "maintenance"
 
 // Command is an operator's command as a change of the ledger.
-func Command(c maintenance.Command) *api.Command {
-	return &api.Command{Format: OrderFormat, Change: &api.Change{MaintenanceCommand: &api.MaintenanceCommand{
+func MaintenanceCommand(c maintenance.Command) *api.Command {
+	return &api.Command{Format: MaintenanceFormat, Change: &api.Change{MaintenanceCommand: &api.MaintenanceCommand{
 		Verb: uint32(c.Verb), Kind: uint32(c.Kind), Name: c.Name, Group: int64(c.Group), Duration: int64(c.For), Reason: c.Why, RequestedBy: c.By,
 	}}}
 }
@@ -59,7 +59,7 @@
 // sound tells whether a command may stand in the ledger.
 func sound(c *api.MaintenanceCommand) bool {
 	return c.Verb > 0 && c.Verb < uint32(maintenance.Verbs) && c.Kind < uint32(maintenance.Kinds) && len(c.Name) <= maintenance.MostName &&
-		len(c.Reason) <= maintenance.MostWhy && len(c.RequestedBy) <= MostName && c.Duration >= 0
+		len(c.Reason) <= maintenance.MostWhy && len(c.RequestedBy) <= MaxNameBytes && c.Duration >= 0
 }
 
 func stepOut(s maintenance.Step) *api.Command {
@@ -73,7 +73,7 @@
 	if s.Strike.Name != "" {
 		x.Unenroll = &api.Enrolled{Name: s.Strike.Name, Incarnation: s.Strike.Life}
 	}
-	return &api.Command{Format: OrderFormat, Change: &api.Change{MaintenanceStep: x}}
+	return &api.Command{Format: MaintenanceFormat, Change: &api.Change{MaintenanceStep: x}}
 }
 
 func stepIn(x *api.MaintenanceStep) maintenance.Step {
@@ -86,7 +86,7 @@
 }
 
 // OrderOf is an order as the ledger keeps it; nil is an empty one.
-func OrderOf(x *api.Order) *maintenance.Order {
+func DecodeOrder(x *api.Order) *maintenance.Order {
 	o := &maintenance.Order{Held: x.GetPaused(), Numbers: x.GetLastId(), Excused: slices.Clone(x.GetExcused())}
 	for _, m := range x.GetMachines() {
 		o.Machines = append(o.Machines, maintenance.Machine{
@@ -104,7 +104,7 @@
 	return o
 }
 
-func orderInto(o *maintenance.Order) *api.Order {
+func encodeOrder(o *maintenance.Order) *api.Order {
 	x := &api.Order{Paused: o.Held, LastId: o.Numbers, Excused: o.Excused}
 	for _, m := range o.Machines {
 		x.Machines = append(x.Machines, &api.Machine{
@@ -121,9 +121,9 @@
 	return x
 }
 
-func factOut(o *Own, zone string, leads bool) *api.GatewayReport {
+func factOut(o *GatewayReport, zone string, leads bool) *api.GatewayReport {
 	x := &api.GatewayReport{
-		Incarnation: o.Life, Zone: zone, SeenIndex: o.Seen, Ready: o.Ready, Idle: o.Idle, Leads: leads, Load: uint32(max(o.Load, 0)), FloatingIps: o.Floats, Cordoned: o.Apart,
+		Incarnation: o.Incarnation, Zone: zone, SeenIndex: o.Seen, Ready: o.Ready, Idle: o.Idle, Leads: leads, Load: uint32(max(o.Load, 0)), FloatingIps: o.Floats, Cordoned: o.Apart,
 	}
 	for _, s := range o.Servers {
 		x.Servers = append(x.Servers, &api.ServerReport{Group: int64(s.Group), Name: s.Name, Primary: s.Primary, Down: s.Down, WarmingUp: s.Cold, Lagging: s.Behind})
@@ -143,7 +143,7 @@
 
 // upkeep is what the ledger's leader knows for the order of maintenance, and what every gateway knows of itself.
 type upkeep struct {
-	own     *Own
+	own     *GatewayReport
 	members []maintenance.Member
 	facts   map[string]maintenance.GatewayFact
 	at      map[string]clock.Micros // when each was heard
@@ -156,22 +156,22 @@
 // ordered tells of the order where it has changed.
 func (h *Host) ordered() {
 	u := &h.upkeep
-	if h.view.Index == u.told || h.cfg.Maintain == nil {
+	if h.view.Index == u.told || h.cfg.Maintenance == nil {
 		return
 	}
 	first := u.order == nil
 	u.told = h.view.Index
-	next := OrderOf(h.view.Order)
-	if !first && proto.Equal(orderInto(u.order), orderInto(next)) {
+	next := DecodeOrder(h.view.Order)
+	if !first && proto.Equal(encodeOrder(u.order), encodeOrder(next)) {
 		return
 	}
 	u.order = next
-	h.out = append(h.out, Ordered{Index: h.view.Index, Order: next})
+	h.out = append(h.out, OrderChanged{Index: h.view.Index, Order: next})
 }
 
 // fact is what this gateway tells of itself.
 func (h *Host) fact() *api.GatewayReport {
-	if h.upkeep.own == nil || h.cfg.Maintain == nil {
+	if h.upkeep.own == nil || h.cfg.Maintenance == nil {
 		return nil
 	}
 	x := factOut(h.upkeep.own, h.cfg.Zone, slices.ContainsFunc(h.inOrder(), func(g *group) bool { return g.led }))
@@ -231,7 +231,7 @@
 	for id, x := range l.Groups {
 		s := maintenance.ShardFact{Holders: names(l, x), Whole: wholeIn(l, x), Below: belowIn(l, x)}
 		if r := h.facts.reports[uint32(id)]; s.Whole {
-			s.Whole = r != nil && h.Reported(uint32(id)) && r.Epoch == x.Epoch && !r.Joint && !r.Lagging && len(r.Voters) == len(x.Voters)
+			s.Whole = r != nil && h.GroupReported(uint32(id)) && r.Epoch == x.Epoch && !r.Joint && !r.Lagging && len(r.Voters) == len(x.Voters)
 		}
 		f.Shards = append(f.Shards, s)
 	}
@@ -241,11 +241,11 @@
 // planOrder has the order go on, where the ledger is led here and all that was decided is in it.
 func (h *Host) planOrder(g *group) {
 	l := g.sm.(*ledger).Ledger
-	if h.cfg.Maintain == nil || l.Format < OrderFormat || h.leaving {
+	if h.cfg.Maintenance == nil || l.Format < MaintenanceFormat || h.leaving {
 		return
 	}
 	h.facts.told[LedgerGroup] = h.now
-	steps, waits := h.upkeep.planner.Plan(OrderOf(l.Order), h.sight(l), *h.cfg.Maintain)
+	steps, waits := h.upkeep.planner.Plan(DecodeOrder(l.Order), h.sight(l), *h.cfg.Maintenance)
 	h.upkeep.waits = waits
 	var commands []*api.Command
 	for _, s := range steps {
@@ -264,16 +264,16 @@
 }
 
 // ListingOf reads such an answer.
-func ListingOf(b []byte) (maintenance.Listing, error) {
+func DecodeListing(b []byte) (maintenance.Listing, error) {
 	var x api.Listing
 	if err := proto.Unmarshal(b, &x); err != nil {
 		return maintenance.Listing{}, err
 	}
-	return maintenance.Listing{Order: OrderOf(x.Order), Waits: x.Waits, Leader: x.Leader, Now: clock.Micros(x.Time)}, nil
+	return maintenance.Listing{Order: DecodeOrder(x.Order), Waits: x.Waits, Leader: x.Leader, Now: clock.Micros(x.Time)}, nil
 }
 
 // Order is the order of maintenance as far as it is known here.
-func (h *Host) Order() *maintenance.Order { return OrderOf(h.view.Order) }
+func (h *Host) Order() *maintenance.Order { return DecodeOrder(h.view.Order) }
 
 // names lists the gateways that hold a group.
 func names(l *api.Ledger, x *api.Group) (out []string) {
@@ -309,21 +309,21 @@
 
 // maintain carries out what concerns the order of maintenance, and tells what there is to say of it.
 func (l *ledger) maintain(index uint64, c *api.Command) (status Status, text string) {
-	o := OrderOf(l.Order)
+	o := DecodeOrder(l.Order)
 	ok := true
 	if x := c.Change.MaintenanceCommand; x != nil {
 		if !sound(x) {
-			return Bad, "that cannot be said"
+			return StatusInvalid, "that cannot be said"
 		}
 		ok, text = o.Command(clock.Micros(l.Time), index, maintenance.Asker{Client: c.Client, Sequence: c.Sequence}, said(x))
 	} else {
 		o.Step(clock.Micros(l.Time), index, stepIn(c.Change.MaintenanceStep), shards{l.Ledger})
 	}
-	l.Order = orderInto(o)
+	l.Order = encodeOrder(o)
 	if !ok {
-		return Conflict, text
+		return StatusConflict, text
 	}
-	return OK, text
+	return StatusOK, text
 }
 
 // gatewayIn is a gateway's machine in the order that stands in one of some states; nil: none does.
--- a/internal/raftstore/maintain_test.go
+++ b/internal/raftstore/maintain_test.go
@@ -30,7 +30,7 @@
 			continue
 		}
 		m := n.order.Find(maintenance.Gateway, n.name, 0)
-		own := Own{Life: n.startsAt, Report: maintenance.Report{
+		own := GatewayReport{Incarnation: n.startsAt, Report: maintenance.Report{
 			Seen: n.seen, Idle: true, Load: 100, Ready: n.order.Enrolled(n.name) == n.startsAt && (m == nil || !m.Drained()),
 			Servers: []maintenance.ServerReport{{Group: 7, Name: "p", Primary: true}, {Group: 7, Name: "r"}},
 		}}
@@ -39,7 +39,7 @@
 				own.Apart = append(own.Apart, x.ID)
 			}
 		}
-		w.do(n, Members{all})
+		w.do(n, MembershipChanged{all})
 		w.do(n, own)
 	}
 	w.at(w.now+250*ms, w.tellAround)
@@ -48,14 +48,14 @@
 // say has an operator say something at a node, and waits for what comes of it.
 func (w *world) say(n *node, c maintenance.Command) (said string) {
 	answered := false
-	w.call(n, Ask{Shard: LedgerGroup, By: 5 * second, Command: Command(c)}, func(a Answer) { said, answered = string(a.Value), true })
+	w.call(n, Request{Shard: LedgerGroup, Deadline: 5 * second, Command: MaintenanceCommand(c)}, func(a Response) { said, answered = string(a.Value), true })
 	w.until("an operator is answered", 10*second, func() bool { return answered })
 	return said
 }
 
 // away lists the gateways that the latest order has out of service, and checks it.
 func (w *world) away() (out []*maintenance.Machine) {
-	o := OrderOf(w.ledger().GetOrder())
+	o := DecodeOrder(w.ledger().GetOrder())
 	gateways := 0
 	for i := range o.Machines {
 		m := &o.Machines[i]
@@ -115,9 +115,9 @@
 			touched[m.ID] = true
 			if m.Kind == maintenance.Server {
 				w.at(w.now+second, func() {
-					w.call(operator, Ask{Shard: LedgerGroup, By: 5 * second, Command: Command(maintenance.Command{
+					w.call(operator, Request{Shard: LedgerGroup, Deadline: 5 * second, Command: MaintenanceCommand(maintenance.Command{
 						Verb: maintenance.Done, Kind: maintenance.Server, Name: m.Name, Group: m.Group,
-					})}, func(Answer) {})
+					})}, func(Response) {})
 				})
 				continue
 			}
@@ -143,7 +143,7 @@
 				}
 			})
 		}
-		o := OrderOf(w.ledger().GetOrder())
+		o := DecodeOrder(w.ledger().GetOrder())
 		return len(o.Machines) == 6 && !slices.ContainsFunc(o.Machines, func(m maintenance.Machine) bool { return m.State != maintenance.Back })
 	}
 	w.until("all machines are back", 300*second, done)
--- a/internal/raftstore/overview.go
+++ b/internal/raftstore/overview.go
@@ -4,45 +4,45 @@
 
 // Overview is how a host stands, for whoever asks.
 type Overview struct {
-	Founding uint64
-	Index    uint64 // of the ledger that is known
-	Copies   int
-	Format   uint32 // of records, the latest that may be used
-	Store    uint64 // of this gateway's disk; 0: it holds nothing
-	Failed   string // why it holds nothing any more
-	Calls    int    // of its own that wait
-	Stores   []StoreView
-	Groups   []GroupView
+	ClusterID      uint64
+	Index          uint64 // of the ledger that is known
+	VotersPerGroup int
+	Format         uint32 // of records, the latest that may be used
+	Store          uint64 // of this gateway's disk; 0: it holds nothing
+	Failed         string // why it holds nothing any more
+	PendingCalls   int    // of its own that wait
+	Stores         []StoreView
+	Groups         []GroupView
 }
 
 // StoreView is one disk.
 type StoreView struct {
-	Number uint64
-	Name   string
-	Zone   string
-	Weight uint32
-	Gone   bool
+	ID      uint64
+	Name    string
+	Zone    string
+	Weight  uint32
+	Removed bool
 }
 
 // GroupView is one group, as the ledger has it and as it stands here.
 type GroupView struct {
 	Group, Epoch uint32
 	Lost         bool // an earlier epoch was lost, with what was promised in it
-	Voters       []ReplicaView
-	Adding       *ReplicaView
-	Leaving      uint64
-	Here         *HereView // nil: no replica is here
+	Voters       []MemberView
+	Adding       *MemberView
+	Removing     uint64
+	Local        *LocalMember // nil: no replica is here
 }
 
 // ReplicaView is one replica.
-type ReplicaView struct {
-	Number uint64
-	Name   string
-	Lost   bool
+type MemberView struct {
+	ID   uint64
+	Name string
+	Lost bool
 }
 
 // HereView is a replica of this gateway's.
-type HereView struct {
+type LocalMember struct {
 	Number  uint64
 	Leader  string
 	Term    uint64
@@ -57,7 +57,7 @@
 func (h *Host) Shards() int { return max(len(h.view.Groups)-1, 0) }
 
 // Bytes is what the records here count as.
-func (h *Host) Bytes() (n int64) {
+func (h *Host) RecordBytes() (n int64) {
 	for _, g := range h.groups {
 		if s, is := g.sm.(*shard); is {
 			n += s.bytes
@@ -67,9 +67,9 @@
 }
 
 // Whole tells whether every group has all its copies, by the ledger that is known.
-func (o Overview) Whole() bool {
+func (o Overview) Complete() bool {
 	for _, g := range o.Groups {
-		if len(g.Voters) != o.Copies || g.Adding != nil || slices.ContainsFunc(g.Voters, func(r ReplicaView) bool { return r.Lost }) {
+		if len(g.Voters) != o.VotersPerGroup || g.Adding != nil || slices.ContainsFunc(g.Voters, func(r MemberView) bool { return r.Lost }) {
 			return false
 		}
 	}
@@ -79,19 +79,19 @@
 // Overview tells how the host stands.
 func (h *Host) Overview() Overview {
 	o := Overview{
-		Founding: h.founding, Index: h.view.Index, Copies: int(h.view.VotersPerGroup), Format: max(h.view.Format, FirstFormat), Store: h.store, Failed: h.failed, Calls: len(h.calls),
+		ClusterID: h.founding, Index: h.view.Index, VotersPerGroup: int(h.view.VotersPerGroup), Format: max(h.view.Format, FirstFormat), Store: h.store, Failed: h.failed, PendingCalls: len(h.calls),
 	}
 	for _, s := range h.view.Stores {
 		o.Stores = append(o.Stores, StoreView{s.Id, s.Name, s.Zone, s.Weight, s.Removed})
 	}
 	for id, x := range h.view.Groups {
-		v := GroupView{Group: uint32(id), Epoch: x.Epoch, Lost: x.LostAt > 0, Leaving: x.Removing}
+		v := GroupView{Group: uint32(id), Epoch: x.Epoch, Lost: x.LostAt > 0, Removing: x.Removing}
 		for _, r := range replicas(x) {
 			name := ""
 			if s := storeIn(h.view, r.Store); s != nil {
 				name = s.Name
 			}
-			v.Voters = append(v.Voters, ReplicaView{r.Id, name, lostIn(h.view, r)})
+			v.Voters = append(v.Voters, MemberView{r.Id, name, lostIn(h.view, r)})
 		}
 		if x.Adding != nil {
 			last := len(v.Voters) - 1
@@ -99,12 +99,12 @@
 		}
 		if g := h.groups[uint32(id)]; g != nil && g.epoch == x.Epoch {
 			last := g.last()
-			v.Here = &HereView{
+			v.Local = &LocalMember{
 				Number: g.number, Leader: g.leaderName(), Term: g.node.BasicStatus().GetTerm(), Applied: g.applied, Last: last.index,
 				Unsure: g.asking != nil,
 			}
 			if s, is := g.sm.(*shard); is {
-				v.Here.Records, v.Here.Bytes = len(s.records), s.bytes
+				v.Local.Records, v.Local.Bytes = len(s.records), s.bytes
 			}
 		}
 		o.Groups = append(o.Groups, v)
--- a/internal/raftstore/reconcile.go
+++ b/internal/raftstore/reconcile.go
@@ -20,8 +20,8 @@
 	h.facts.changed = h.now
 	h.ordered()
 	for r := range h.known { // of replicas that are no more
-		if x := groupIn(l, r.Group); x == nil || x.Epoch > r.Epoch || x.Epoch == r.Epoch && r.Number < l.NextMember &&
-			!slices.ContainsFunc(replicas(x), func(y *api.GroupMember) bool { return y.Id == r.Number }) {
+		if x := groupIn(l, r.Group); x == nil || x.Epoch > r.Epoch || x.Epoch == r.Epoch && r.Member < l.NextMember &&
+			!slices.ContainsFunc(replicas(x), func(y *api.GroupMember) bool { return y.Id == r.Member }) {
 			delete(h.known, r)
 		}
 	}
@@ -59,12 +59,12 @@
 	if own := storeIn(h.view, h.store); own != nil && own.Removed {
 		// It goes on as a disk that never was: nothing that was said under the old number is asked of it.
 		h.dropAll()
-		if h.store = h.cfg.NewStore + h.renumbered; own.Id == h.store {
+		if h.store = h.cfg.NewStoreID + h.renumbered; own.Id == h.store {
 			h.store++
 		}
 		h.renumbered++
 		h.retired, h.newStale, h.begun = nil, nil, false
-		h.note(Noticed{What: Renumbered, Number: h.store, Name: h.cfg.Name})
+		h.note(Notice{Kind: NoticeStoreRenumbered, Number: h.store, Name: h.cfg.Name})
 		return
 	}
 	for id, x := range h.view.Groups {
@@ -90,8 +90,8 @@
 // begin begins a replica here. Only the one that an epoch began with has a state of its own; any other one is taken in by the
 // group's leader. One that had begun before and is not here any more must not begin again under its number.
 func (h *Host) begin(id uint32, x *api.Group, own *api.GroupMember) {
-	ref := Ref{Group: id, Epoch: x.Epoch, Number: own.Id}
-	was := func(r Ref) bool { return r.Group == id && r.Epoch == x.Epoch && r.Number == own.Id }
+	ref := MemberRef{Group: id, Epoch: x.Epoch, Member: own.Id}
+	was := func(r MemberRef) bool { return r.Group == id && r.Epoch == x.Epoch && r.Member == own.Id }
 	if slices.ContainsFunc(h.retired, was) {
 		return
 	}
@@ -99,14 +99,14 @@
 		h.retire(ref) // it may have begun in an earlier life, which this disk does not know
 		return
 	}
-	s := StoredGroup{Group: id, Epoch: x.Epoch, Number: own.Id}
+	s := StoredMember{Group: id, Epoch: x.Epoch, Member: own.Id}
 	if own.Id == x.FirstMember && len(x.Voters) == 1 {
 		sm := h.machine(id, x.Epoch, x.LostAt > 0)
 		if l, is := sm.(*ledger); is {
 			l.Ledger = proto.Clone(h.view).(*api.Ledger)
 		}
 		s.Snapshot = snapshotAt(1, 1, &pb.ConfState{Voters: []uint64{own.Id}}, sm.snapshot())
-		s.Hard = &pb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(1))}
+		s.HardState = &pb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(1))}
 	} else if x.Adding == nil || x.Adding.Id != own.Id {
 		h.retire(ref)
 		return
@@ -117,9 +117,9 @@
 		return
 	}
 	h.groups[id] = g
-	h.note(Noticed{What: Taken, Group: id, Epoch: x.Epoch, Number: own.Id})
+	h.note(Notice{Kind: NoticeMemberStarted, Group: id, Epoch: x.Epoch, Number: own.Id})
 	if s.Snapshot != nil {
-		h.parts = append(h.parts, part{g: g, snapshot: s.Snapshot, hard: s.Hard})
+		h.parts = append(h.parts, part{g: g, snapshot: s.Snapshot, hard: s.HardState})
 		g.writes++
 		g.node.Campaign()
 	} else { // the disk knows its number from the beginning
@@ -129,7 +129,7 @@
 }
 
 // retire has a replica here never go on.
-func (h *Host) retire(r Ref) {
+func (h *Host) retire(r MemberRef) {
 	h.retired, h.newStale = append(h.retired, r), append(h.newStale, r)
-	h.note(Noticed{What: Stale, Group: r.Group, Epoch: r.Epoch, Number: r.Number})
+	h.note(Notice{Kind: NoticeMemberStale, Group: r.Group, Epoch: r.Epoch, Number: r.Member})
 }
--- a/internal/raftstore/records.go
+++ b/internal/raftstore/records.go
@@ -108,7 +108,7 @@
 		}
 	}
 	if c.Sequence < from.done {
-		return &api.Reply{Status: uint32(Bad), Time: int64(s.now)} // nobody waits for it
+		return &api.Reply{Status: uint32(StatusInvalid), Time: int64(s.now)} // nobody waits for it
 	}
 	if r, again := from.results[c.Sequence]; again {
 		return r
@@ -120,7 +120,7 @@
 	case c.RaisePosition != nil:
 		r = s.mark(c.RaisePosition)
 	default:
-		r = &api.Reply{Status: uint32(Bad)}
+		r = &api.Reply{Status: uint32(StatusInvalid)}
 	}
 	r.Time = int64(s.now)
 	from.results[c.Sequence] = r
@@ -132,9 +132,9 @@
 	old, there := s.records[key]
 	switch {
 	case there && old.mark:
-		return &api.Reply{Status: uint32(Bad)}
+		return &api.Reply{Status: uint32(StatusInvalid)}
 	case p.Conditional && old.version != p.Version:
-		return &api.Reply{Status: uint32(Conflict), Version: old.version}
+		return &api.Reply{Status: uint32(StatusConflict), Version: old.version}
 	case p.Delete:
 		s.remove(key)
 		s.writes++
@@ -148,7 +148,7 @@
 	key := string(m.Key)
 	old, there := s.records[key]
 	if there && !old.mark {
-		return &api.Reply{Status: uint32(Bad)}
+		return &api.Reply{Status: uint32(StatusInvalid)}
 	}
 	r := s.set(key, record{mark: true, position: max(old.position, m.Position), end: max(old.end, s.now+clock.Micros(m.Ttl))})
 	r.Position = s.records[key].position
@@ -162,7 +162,7 @@
 		grown -= cost(key, old)
 	}
 	if grown > s.most && grown > s.bytes {
-		return &api.Reply{Status: uint32(Full), Version: old.version, Position: old.position}
+		return &api.Reply{Status: uint32(StatusFull), Version: old.version, Position: old.position}
 	}
 	s.writes++
 	r.version, r.at = s.writes, s.now
@@ -180,7 +180,7 @@
 // lostSince is when this shard was begun anew because what it held was lost; 0: it was not, or so long ago that nothing of it
 // would be there any more.
 func (s *shard) lostSince() int64 {
-	if s.anew || s.lost > 0 && s.now-s.lost < MostSpan {
+	if s.anew || s.lost > 0 && s.now-s.lost < MaxTTL {
 		return int64(max(s.lost, 1))
 	}
 	return 0
--- a/internal/raftstore/requests.go
+++ b/internal/raftstore/requests.go
@@ -14,7 +14,7 @@
 
 // call is one of this gateway's own, under way.
 type call struct {
-	ask      Ask
+	ask      Request
 	sequence uint64
 	command  *api.Command
 	target   string
@@ -31,20 +31,20 @@
 }
 
 // ask begins a call.
-func (h *Host) ask(a Ask) {
-	order := a.Shard == LedgerGroup && (a.Command.GetChange().GetMaintenanceCommand() != nil || a.Get != nil && string(a.Get.Key) == MaintainKey)
+func (h *Host) ask(a Request) {
+	order := a.Shard == LedgerGroup && (a.Command.GetChange().GetMaintenanceCommand() != nil || a.Get != nil && string(a.Get.Key) == MaintenanceKey)
 	bad := !order && (a.Command == nil && a.Get == nil || int(a.Shard) < 1)
 	if a.Command != nil && !order {
 		p, m := a.Command.Put, a.Command.RaisePosition
-		bad = bad || p == nil && m == nil || p != nil && (len(p.Key) == 0 || len(p.Key) > MostKey || len(p.Value) > MostValue ||
-			p.Ttl <= 0 && !p.Delete || clock.Micros(p.Ttl) > MostSpan) || m != nil && (len(m.Key) == 0 || len(m.Key) > MostKey || m.Ttl <= 0 || clock.Micros(m.Ttl) > MostSpan)
+		bad = bad || p == nil && m == nil || p != nil && (len(p.Key) == 0 || len(p.Key) > MaxKeyBytes || len(p.Value) > MaxValueBytes ||
+			p.Ttl <= 0 && !p.Delete || clock.Micros(p.Ttl) > MaxTTL) || m != nil && (len(m.Key) == 0 || len(m.Key) > MaxKeyBytes || m.Ttl <= 0 || clock.Micros(m.Ttl) > MaxTTL)
 	}
 	switch {
 	case bad || h.founding != 0 && int(a.Shard) >= len(h.view.Groups):
-		h.out = append(h.out, Answer{ID: a.ID, Status: Bad})
+		h.out = append(h.out, Response{ID: a.ID, Status: StatusInvalid})
 		return
-	case len(h.calls) >= h.cfg.MostCalls:
-		h.out = append(h.out, Answer{ID: a.ID, Status: NotSent})
+	case len(h.calls) >= h.cfg.MaxCalls:
+		h.out = append(h.out, Response{ID: a.ID, Status: StatusNotSent})
 		return
 	}
 	c := &call{ask: a, command: a.Command}
@@ -53,7 +53,7 @@
 		c.sequence = h.sequence
 		h.open[c.sequence] = true
 		c.command = proto.Clone(a.Command).(*api.Command)
-		c.command.Client, c.command.Sequence = h.cfg.Client, c.sequence
+		c.command.Client, c.command.Sequence = h.cfg.ClientID, c.sequence
 	}
 	h.nextCall++
 	h.calls[h.nextCall] = c
@@ -87,7 +87,7 @@
 		c.command.MinPending = h.earliest()
 	}
 	if to == h.cfg.Name {
-		h.local = append(h.local, localCall{origin{id: id, by: c.ask.By}, x})
+		h.local = append(h.local, localCall{origin{id: id, by: c.ask.Deadline}, x})
 		return
 	}
 	p := h.packet(to)
@@ -106,7 +106,7 @@
 func (h *Host) serve(o origin, c *api.Call) {
 	g := h.groups[c.Group]
 	if g == nil {
-		h.reply(o, &api.Reply{Status: uint32(notLeader)})
+		h.reply(o, &api.Reply{Status: uint32(statusNotLeader)})
 		return
 	}
 	g.call(o, c)
@@ -130,7 +130,7 @@
 	if c == nil || from != c.target {
 		return
 	}
-	if Status(r.Status) == notLeader {
+	if Status(r.Status) == statusNotLeader {
 		if h.leads[c.ask.Shard] == from {
 			delete(h.leads, c.ask.Shard)
 		}
@@ -144,12 +144,12 @@
 	}
 	h.leads[c.ask.Shard] = from
 	h.over(r.Id, c)
-	a := Answer{
+	a := Response{
 		ID: c.ask.ID, Status: Status(r.Status), Version: r.Version, Value: r.Value, Position: r.Position, Found: r.Found, Lost: r.LostBefore != 0,
 		Age: clock.Micros(r.Age),
 	}
 	if r.LostBefore > 1 {
-		a.Since = max(clock.Micros(r.Time-r.LostBefore), 0)
+		a.LostAge = max(clock.Micros(r.Time-r.LostBefore), 0)
 	}
 	h.out = append(h.out, a)
 }
@@ -165,13 +165,13 @@
 	for _, id := range slices.Sorted(maps.Keys(h.calls)) {
 		c := h.calls[id]
 		switch {
-		case h.now >= c.ask.By:
+		case h.now >= c.ask.Deadline:
 			h.over(id, c)
-			status := TooLate
+			status := StatusDeadlineExceeded
 			if !c.sent {
-				status = NotSent
+				status = StatusNotSent
 			}
-			h.out = append(h.out, Answer{ID: c.ask.ID, Status: status})
+			h.out = append(h.out, Response{ID: c.ask.ID, Status: status})
 		case h.now-c.tried >= retryTicks*h.cfg.Tick:
 			c.hinted = false
 			h.try(id, c, "")
--- a/internal/raftstore/trouble_test.go
+++ b/internal/raftstore/trouble_test.go
@@ -27,7 +27,7 @@
 }
 
 type output struct {
-	Answer
+	Response
 	never bool // nothing is known of it
 }
 
@@ -79,11 +79,11 @@
 				return []any{s}
 			}
 			return []any{next}
-		case o.Status == Conflict:
+		case o.Status == StatusConflict:
 			if s.there && same && o.Version != i.version || !s.there && o.Version == 0 && i.version != 0 {
 				return []any{register{s.there, s.value, o.Version}}
 			}
-		case o.Status == OK:
+		case o.Status == StatusOK:
 			fits := !i.conditional || s.there == (i.version != 0) && (s.version == i.version || s.there && s.version == 0)
 			if fits && o.Version > s.version {
 				return []any{next}
@@ -143,7 +143,7 @@
 func (l *load) one(n *node, caller int, next func()) {
 	w, life := l.w, n.life
 	l.under++
-	end := func(a Answer) {
+	end := func(a Response) {
 		l.under--
 		l.done[a.Status]++
 		next()
@@ -161,14 +161,14 @@
 				w.broken = fmt.Sprintf("%s has not answered a call in time", n.name)
 			}
 			delete(w.calls, id)
-			done(Answer{Status: TooLate})
+			done(Response{Status: StatusDeadlineExceeded})
 		}
 	})
 }
 
 func (l *load) shard(key string) uint32 { return ShardOf([]byte(key), l.w.shards) }
 
-func (l *load) mark(n *node, end func(Answer)) {
+func (l *load) mark(n *node, end func(Response)) {
 	w := l.w
 	key := fmt.Sprint("mark", w.rng.IntN(5))
 	if w.rng.IntN(2) == 0 {
@@ -177,10 +177,10 @@
 			position -= 3 // late, out of order
 		}
 		l.tried[key] = max(l.tried[key], position)
-		w.call(n, Ask{Shard: l.shard(key), By: 3 * second, Command: &api.Command{RaisePosition: &api.RaisePosition{
+		w.call(n, Request{Shard: l.shard(key), Deadline: 3 * second, Command: &api.Command{RaisePosition: &api.RaisePosition{
 			Key: []byte(key), Position: position, Ttl: int64(3600 * second),
-		}}}, func(a Answer) {
-			if a.Status == OK {
+		}}}, func(a Response) {
+			if a.Status == StatusOK {
 				l.promised[key] = max(l.promised[key], position)
 			}
 			end(a)
@@ -188,24 +188,24 @@
 		return
 	}
 	least := l.promised[key]
-	w.call(n, Ask{Shard: l.shard(key), By: 3 * second, Get: &api.Get{Key: []byte(key)}}, func(a Answer) {
+	w.call(n, Request{Shard: l.shard(key), Deadline: 3 * second, Get: &api.Get{Key: []byte(key)}}, func(a Response) {
 		l.judge(key, least, a)
 		end(a)
 	})
 }
 
 // judge holds what is read of a mark against what was promised before the read began.
-func (l *load) judge(key string, least uint64, a Answer) {
-	if a.Status == OK && !a.Lost && (a.Found || least > 0) && (a.Position < least || a.Position > l.tried[key]) {
+func (l *load) judge(key string, least uint64, a Response) {
+	if a.Status == StatusOK && !a.Lost && (a.Found || least > 0) && (a.Position < least || a.Position > l.tried[key]) {
 		l.w.broken = fmt.Sprintf("%s is at %d (found: %v), promised %d, sent %d", key, a.Position, a.Found, least, l.tried[key])
 	}
 }
 
-func (l *load) register(n *node, caller int, end func(Answer)) {
+func (l *load) register(n *node, caller int, end func(Response)) {
 	w := l.w
 	key := fmt.Sprint("key", w.rng.IntN(6))
 	in := input{key: key, read: w.rng.IntN(2) == 0}
-	ask := Ask{Shard: l.shard(key), By: 3 * second, Get: &api.Get{Key: []byte(key)}}
+	ask := Request{Shard: l.shard(key), Deadline: 3 * second, Get: &api.Get{Key: []byte(key)}}
 	if !in.read {
 		in.value = fmt.Sprint("v", w.next)
 		put := &api.Put{Key: []byte(key), Value: []byte(in.value), Ttl: int64(3600 * second)}
@@ -213,19 +213,19 @@
 			in.conditional, in.version = true, l.versions[key]
 			put.Conditional, put.Version = true, in.version
 		}
-		ask = Ask{Shard: ask.Shard, By: ask.By, Command: &api.Command{Put: put}}
-		if n.format > ThisFormat && w.rng.IntN(2) == 0 {
+		ask = Request{Shard: ask.Shard, Deadline: ask.Deadline, Command: &api.Command{Put: put}}
+		if n.format > LatestFormat && w.rng.IntN(2) == 0 {
 			ask.Command.Format = n.format // what an earlier version would not understand
 		}
 	}
 	begun := w.now
-	w.call(n, ask, func(a Answer) {
+	w.call(n, ask, func(a Response) {
 		end(a)
-		if a.Lost || a.Status == NotSent || a.Status == TooNew || a.Status == Full {
+		if a.Lost || a.Status == StatusNotSent || a.Status == StatusFormatTooNew || a.Status == StatusFull {
 			return
 		}
-		o := porcupine.Operation{ClientId: caller, Input: in, Call: int64(begun), Output: output{Answer: a}, Return: int64(w.now)}
-		if a.Status == TooLate {
+		o := porcupine.Operation{ClientId: caller, Input: in, Call: int64(begun), Output: output{Response: a}, Return: int64(w.now)}
+		if a.Status == StatusDeadlineExceeded {
 			o.Output, o.Return = output{never: true}, math.MaxInt64
 			if in.read {
 				return
@@ -233,7 +233,7 @@
 			o.ClientId = len(l.ops) + 100 // its own: it may still be under way when the caller goes on
 		}
 		l.ops = append(l.ops, o)
-		if a.Version > 0 && (a.Found || a.Status == OK && !in.read) {
+		if a.Version > 0 && (a.Found || a.Status == StatusOK && !in.read) {
 			value := in.value
 			if in.read {
 				value = string(a.Value)
@@ -244,7 +244,7 @@
 			}
 			l.values[k] = value
 		}
-		l.written[key] = l.written[key] || a.Status == OK && !in.read
+		l.written[key] = l.written[key] || a.Status == StatusOK && !in.read
 		l.versions[key] = a.Version
 	})
 }
@@ -264,13 +264,13 @@
 func (l *load) check() {
 	w := l.w
 	lost := w.lostShards()
-	read := func(key string) (got Answer) {
+	read := func(key string) (got Response) {
 		for range 5 {
 			answered := false
-			w.call(w.nodes[w.rng.IntN(len(w.nodes))], Ask{Shard: l.shard(key), By: 3 * second, Get: &api.Get{Key: []byte(key)}}, func(a Answer) {
+			w.call(w.nodes[w.rng.IntN(len(w.nodes))], Request{Shard: l.shard(key), Deadline: 3 * second, Get: &api.Get{Key: []byte(key)}}, func(a Response) {
 				got, answered = a, true
 			})
-			if w.until("a read at the end is answered", 10*second, func() bool { return answered }); got.Status == OK {
+			if w.until("a read at the end is answered", 10*second, func() bool { return answered }); got.Status == StatusOK {
 				return got
 			}
 		}
@@ -416,27 +416,27 @@
 	{"two versions of the records together", 5, false, func(w *world) {
 		for _, n := range w.rng.Perm(len(w.nodes)) { // one after the other is given the later one
 			w.crash(w.nodes[n])
-			w.nodes[n].format = ThisFormat + 1
+			w.nodes[n].format = LatestFormat + 1
 			w.run(w.span(10*ms, second))
 			w.start(w.nodes[n])
 			settled(w)
-			if w.ledger().Format > ThisFormat && slices.ContainsFunc(w.holders(), func(n *node) bool { return n.format <= ThisFormat }) {
+			if w.ledger().Format > LatestFormat && slices.ContainsFunc(w.holders(), func(n *node) bool { return n.format <= LatestFormat }) {
 				w.broken = "the later format is allowed before all holders understand it"
 			}
 		}
-		w.until("the later format is allowed", 20*second, func() bool { return w.ledger().Format == ThisFormat+1 })
+		w.until("the later format is allowed", 20*second, func() bool { return w.ledger().Format == LatestFormat+1 })
 		w.run(2 * second)
 		n := w.some()[0] // one is put back to the earlier version, with an empty disk
 		w.crash(n)
 		n.wipe()
-		n.format = ThisFormat
+		n.format = LatestFormat
 		w.start(n)
 		w.run(healAfter + 5*second)
 		for _, g := range n.h.inOrder() {
 			w.broken = fmt.Sprintf("group %d is held by one that does not understand its records", g.id)
 		}
 		w.crash(n)
-		n.format = ThisFormat + 1
+		n.format = LatestFormat + 1
 		w.start(n)
 	}},
 	{"every disk is lost, one after the other", 5, false, func(w *world) {
@@ -621,7 +621,7 @@
 		id := uint32(1 + w.rng.IntN(w.shards))
 		say := func() {
 			if n := w.leaderOf(LedgerGroup); n != nil {
-				w.do(n, Anew{id})
+				w.do(n, ShardReset{id})
 			}
 		}
 		say()
@@ -664,7 +664,7 @@
 	}},
 	{"orderly restarts of all, one after the other", 5, false, func(w *world) {
 		for _, n := range w.holders() {
-			w.do(n, Leave{})
+			w.do(n, DrainRequested{})
 			w.until("leadership is handed over", 5*second, func() bool { return n.done })
 			restart(w, n, w.span(100*ms, second))
 			settled(w)
@@ -768,7 +768,7 @@
 				}
 			}
 			t.Logf("%d seeds in %v, answers: %v", n, time.Since(begin).Round(time.Millisecond), done)
-			if done[OK] == 0 {
+			if done[StatusOK] == 0 {
 				t.Error("nothing was served")
 			}
 		})
@@ -806,11 +806,11 @@
 }
 
 // writes spoils what is written.
-func writes(do func(g *GroupWrite)) func(Write) Write {
+func writes(do func(g *MemberWrite)) func(Write) Write {
 	return func(w Write) Write {
-		w.Groups = slices.Clone(w.Groups)
-		for i := range w.Groups {
-			do(&w.Groups[i])
+		w.Members = slices.Clone(w.Members)
+		for i := range w.Members {
+			do(&w.Members[i])
 		}
 		return w
 	}
@@ -819,31 +819,31 @@
 // Each of these hosts is wrong in one point. The troubles must find a run that shows it.
 var mutants = []mutant{
 	{name: "acknowledges before the disk has it", early: true},
-	{name: "keeps no votes and terms", by: "crashes of one at a time", disk: writes(func(g *GroupWrite) { g.Hard = nil })},
-	{name: "leaves out the last entry of a write", disk: writes(func(g *GroupWrite) {
-		if n := len(g.Entries); n > 1 || n == 1 && g.Hard == nil {
+	{name: "keeps no votes and terms", by: "crashes of one at a time", disk: writes(func(g *MemberWrite) { g.HardState = nil })},
+	{name: "leaves out the last entry of a write", disk: writes(func(g *MemberWrite) {
+		if n := len(g.Entries); n > 1 || n == 1 && g.HardState == nil {
 			g.Entries = g.Entries[:n-1]
 		}
 	})},
-	{name: "does not cut off what was overwritten", disk: writes(func(g *GroupWrite) {
+	{name: "does not cut off what was overwritten", disk: writes(func(g *MemberWrite) {
 		if len(g.Entries) > 1 {
 			g.Entries = g.Entries[1:]
 		}
 	})},
-	{name: "an empty disk goes on under the old numbers", by: "every disk is lost, one after the other", start: func(w *world, n *node, s **Stored, trusted *bool) {
+	{name: "an empty disk goes on under the old numbers", by: "every disk is lost, one after the other", start: func(w *world, n *node, s **StoredState, trusted *bool) {
 		if *s == nil && n.last.Store != 0 {
-			old := n.last.Stored()
-			for i := range old.Groups {
-				g := &old.Groups[i]
-				g.Entries, g.Hard = nil, &pb.HardState{}
+			old := n.last.State()
+			for i := range old.Members {
+				g := &old.Members[i]
+				g.Entries, g.HardState = nil, &pb.HardState{}
 				if g.Snapshot != nil {
-					g.Hard = &pb.HardState{Commit: new(g.Snapshot.GetMetadata().GetIndex())}
+					g.HardState = &pb.HardState{Commit: new(g.Snapshot.GetMetadata().GetIndex())}
 				}
 			}
 			*s, *trusted = old, true
 		}
 	}},
-	{name: "an older copy of the disk is trusted", by: "a copy of the disk is put back", start: func(_ *world, _ *node, _ **Stored, trusted *bool) { *trusted = true }},
+	{name: "an older copy of the disk is trusted", by: "a copy of the disk is put back", start: func(_ *world, _ *node, _ **StoredState, trusted *bool) { *trusted = true }},
 	{name: "carries a call out twice", after: everyShard(func(_ *node, s *shard) { clear(s.clients) })},
 	{name: "carries a late copy of a call out", by: "losses and delay of a second", after: everyShard(func(_ *node, s *shard) {
 		for _, c := range s.clients {
@@ -883,7 +883,7 @@
 		}
 	})},
 	{name: "does not look at the condition", before: func(_ *world, _ *node, ev Event) Event {
-		if a, is := ev.(Ask); is && a.Command.GetPut() != nil {
+		if a, is := ev.(Request); is && a.Command.GetPut() != nil {
 			a.Command.Put.Conditional = false
 		}
 		return ev
@@ -904,17 +904,17 @@
 	})},
 	{name: "what was lost was never there", by: "two of a shard's three disks are lost at once", after: everyShard(func(_ *node, s *shard) { s.lost, s.anew = 0, false })},
 	{name: "a mark may fall", before: func(w *world, _ *node, ev Event) Event {
-		if a, is := ev.(Ask); is && a.Command.GetRaisePosition() != nil && w.rng.IntN(8) == 0 {
+		if a, is := ev.(Request); is && a.Command.GetRaisePosition() != nil && w.rng.IntN(8) == 0 {
 			a.Command.RaisePosition.Position = 0
 		}
 		return ev
 	}},
 	{name: "two writes have one version", after: everyShard(func(_ *node, s *shard) { s.writes &^= 1 })},
 	{name: "a later format is used before all understand it", by: "two versions of the records together", after: everyGroup(func(n *node, g *group) {
-		n.h.view.Format = ThisFormat + 1
+		n.h.view.Format = LatestFormat + 1
 	})},
 	{name: "claims to understand what it does not", by: "two versions of the records together", after: func(_ *world, n *node, out []Action) []Action {
-		n.h.cfg.Format = ThisFormat + 1
+		n.h.cfg.Format = LatestFormat + 1
 		return out
 	}},
 	{name: "an entry is applied by some only", after: everyShard(func(n *node, s *shard) {
@@ -980,7 +980,7 @@
 		n.witness = trusted
 		w.split(map[string]bool{n.name: true}, true, true)
 		w.start(n)
-		if w.broken != "" || len(n.pending) != 1 || n.pending[0].Sure != trusted {
+		if w.broken != "" || len(n.pending) != 1 || n.pending[0].Recovered != trusted {
 			t.Errorf("trusted: %v, %q, %+v", trusted, w.broken, n.pending)
 		}
 	}
@@ -1024,10 +1024,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		h, err := New(Config{Name: "g1", Holds: true, Tick: testTick, MostBytes: 1 << 20, Client: 1, NewStore: 99, Life: 2}, second, &Stored{
-			Store: 11, Life: 1, View: view, Groups: []StoredGroup{{
-				Group: 1, Epoch: 1, Number: 1, Hard: &pb.HardState{Term: new(uint64(3)), Vote: new(uint64(2)), Commit: new(uint64(5))},
-				Snapshot: snapshotAt(5, 3, &pb.ConfState{Voters: old}, newShard(1<<20, ThisFormat, 1, false).snapshot()),
+		h, err := New(Config{Name: "g1", RunsGroups: true, Tick: testTick, MaxShardBytes: 1 << 20, ClientID: 1, NewStoreID: 99, Incarnation: 2}, second, &StoredState{
+			Store: 11, Incarnation: 1, Ledger: view, Members: []StoredMember{{
+				Group: 1, Epoch: 1, Member: 1, HardState: &pb.HardState{Term: new(uint64(3)), Vote: new(uint64(2)), Commit: new(uint64(5))},
+				Snapshot: snapshotAt(5, 3, &pb.ConfState{Voters: old}, newShard(1<<20, LatestFormat, 1, false).snapshot()),
 			}},
 		}, false)
 		if err != nil {
--- a/internal/raftstore/voters.go
+++ b/internal/raftstore/voters.go
@@ -154,7 +154,7 @@
 func (g *group) sure() {
 	a := g.asking
 	g.asking = nil
-	g.h.note(Noticed{What: Sure, Group: g.id, Epoch: g.epoch, Number: g.number})
+	g.h.note(Notice{Kind: NoticeMemberRecovered, Group: g.id, Epoch: g.epoch, Number: g.number})
 	if g.last().before(a.last) {
 		g.floor = a.last
 	}
@@ -166,9 +166,9 @@
 		return // it is empty: it has no vote
 	}
 	entries, _ := g.log.Entries(g.applied+1, g.last().index+1, math.MaxUint64)
-	next, err := g.h.newGroup(StoredGroup{
-		Group: g.id, Epoch: g.epoch, Number: g.number, Snapshot: s, Entries: entries,
-		Hard: &pb.HardState{Term: new(a.term), Vote: new(g.number), Commit: new(g.hard.GetCommit())},
+	next, err := g.h.newGroup(StoredMember{
+		Group: g.id, Epoch: g.epoch, Member: g.number, Snapshot: s, Entries: entries,
+		HardState: &pb.HardState{Term: new(a.term), Vote: new(g.number), Commit: new(g.hard.GetCommit())},
 	}, g.h.machine(g.id, g.epoch, false))
 	if err != nil {
 		g.h.fail(err.Error())
--- a/internal/raftstore/world_test.go
+++ b/internal/raftstore/world_test.go
@@ -37,7 +37,7 @@
 	broken string
 	killAt step // the leader that comes to it is killed; 0: none
 	killed int
-	calls  map[uint64]func(Answer)
+	calls  map[uint64]func(Response)
 	next   uint64
 	notes  []string
 	limits *maintenance.Limits // by which machines are taken out; nil: none is
@@ -88,14 +88,14 @@
 		return p
 	}
 	switch ev := ev.(type) {
-	case Heard:
+	case PacketReceived:
 		p := packet(ev.Body)
 		for _, c := range p.Calls {
 			if g := h.groups[c.Group]; s == beforeSent && c.Command != nil && g != nil && g.led {
 				return true
 			}
 		}
-	case Written:
+	case WriteCompleted:
 		if s == ownSynced {
 			return slices.ContainsFunc(h.inOrder(), func(g *group) bool { return g.led && len(g.waiting) > 0 })
 		}
@@ -103,7 +103,7 @@
 	for _, a := range out {
 		if a, is := a.(Send); is && s >= beforeAnswered {
 			p := packet(a.Body)
-			if slices.ContainsFunc(p.Replies, func(r *api.Reply) bool { return r.Status == uint32(OK) && r.Version > 0 && !r.Found }) {
+			if slices.ContainsFunc(p.Replies, func(r *api.Reply) bool { return r.Status == uint32(StatusOK) && r.Version > 0 && !r.Found }) {
 				return true
 			}
 		}
@@ -179,7 +179,7 @@
 	w := &world{
 		limits: limits,
 		now:    second, rng: rand.New(rand.NewPCG(seed, 3)), cut: map[[2]string]bool{}, mutant: mut, shards: shards, votes: map[string]uint64{},
-		calls: map[uint64]func(Answer){},
+		calls: map[uint64]func(Response){},
 	}
 	cryptorand.Reader = io.Reader(seeded{rand.New(rand.NewPCG(seed, 4))})
 	for i := range holders + clients {
@@ -188,7 +188,7 @@
 	for _, n := range w.nodes {
 		w.start(n)
 	}
-	w.do(w.nodes[0], Found{Shards: shards, Copies: 3, First: true})
+	w.do(w.nodes[0], BootstrapRequested{Shards: shards, Voters: 3, First: true})
 	return w
 }
 
@@ -202,17 +202,17 @@
 	n.life++
 	n.up, n.pause, n.pending, n.inbox, n.done, n.order, n.seen = true, 0, nil, nil, false, &maintenance.Order{}, 0
 	n.startsAt += 1 + w.rng.Uint64N(1000)
-	var s *Stored
+	var s *StoredState
 	trusted := true
 	if n.written {
-		s, trusted = n.disk.Stored(), n.witness
+		s, trusted = n.disk.State(), n.witness
 	}
 	if w.mutant != nil && w.mutant.start != nil {
 		w.mutant.start(w, n, &s, &trusted)
 	}
 	h, err := New(Config{
-		Name: n.name, Zone: n.zone, Weight: 1, Holds: n.holds, Tick: testTick, HealAfter: healAfter, HealAtOnce: 2, LeastLog: 4096, MostBytes: 1 << 20,
-		MostCalls: 100, Client: w.rng.Uint64() | 1, NewStore: w.rng.Uint64() | 1, Founding: w.rng.Uint64() | 1, Life: n.startsAt, Format: n.format, Maintain: w.limits,
+		Name: n.name, Zone: n.zone, Weight: 1, RunsGroups: n.holds, Tick: testTick, RepairAfter: healAfter, MaxRepairs: 2, MinLogBytes: 4096, MaxShardBytes: 1 << 20,
+		MaxCalls: 100, ClientID: w.rng.Uint64() | 1, NewStoreID: w.rng.Uint64() | 1, NewClusterID: w.rng.Uint64() | 1, Incarnation: n.startsAt, Format: n.format, Maintenance: w.limits,
 	}, w.now+n.skew, s, trusted)
 	if err != nil {
 		w.broken = fmt.Sprintf("%s cannot start: %v", n.name, err)
@@ -225,7 +225,7 @@
 			others = append(others, o.name)
 		}
 	}
-	w.do(n, Others{others})
+	w.do(n, PeersChanged{others})
 }
 
 // do hands a node an event, once it runs.
@@ -265,7 +265,7 @@
 
 // arm has the node's next timer wake it.
 func (w *world) arm(n *node) {
-	at := n.h.Next() - n.skew
+	at := n.h.NextTick() - n.skew
 	if n.timer > w.now && n.timer <= at {
 		return
 	}
@@ -287,16 +287,16 @@
 			w.send(n, a)
 		case Write:
 			w.write(n, a)
-		case Answer:
+		case Response:
 			if done := w.calls[a.ID]; done != nil {
 				delete(w.calls, a.ID)
 				done(a)
 			}
-		case Noticed:
-			w.notes = append(w.notes, fmt.Sprintf("%d.%03d %s %v %d/%d %d %s %s", w.now/second, w.now/ms%1000, n.name, a.What, a.Group, a.Epoch, a.Number, a.Name, a.Cause))
-		case Ordered:
+		case Notice:
+			w.notes = append(w.notes, fmt.Sprintf("%d.%03d %s %v %d/%d %d %s %s", w.now/second, w.now/ms%1000, n.name, a.Kind, a.Group, a.Epoch, a.Number, a.Name, a.Cause))
+		case OrderChanged:
 			n.order, n.seen = a.Order, a.Index
-		case Done:
+		case Drained:
 			n.done = true
 		}
 	}
@@ -314,7 +314,7 @@
 	}
 	w.at(w.now+after, func() {
 		if to.up {
-			w.do(to, Heard{n.name, a.Body})
+			w.do(to, PacketReceived{n.name, a.Body})
 		}
 	})
 }
@@ -325,7 +325,7 @@
 	n.pending = append(n.pending, x)
 	early := w.mutant != nil && w.mutant.early
 	if early {
-		w.at(w.now+100, func() { w.do(n, Written{x.Number}) })
+		w.at(w.now+100, func() { w.do(n, WriteCompleted{x.Number}) })
 	}
 	w.at(w.now+500+clock.Micros(w.rng.Int64N(4000)), func() {
 		if !n.up || n.life != life || len(n.pending) == 0 || n.pending[0].Number != x.Number {
@@ -333,7 +333,7 @@
 		}
 		n.pending = n.pending[1:]
 		if n.failing {
-			w.do(n, Failed{"no space is left"})
+			w.do(n, DiskFailed{"no space is left"})
 			return
 		}
 		if w.mutant != nil && w.mutant.disk != nil {
@@ -341,7 +341,7 @@
 		}
 		n.disk, n.written = n.disk.Apply(x), true
 		if !early {
-			w.do(n, Written{x.Number})
+			w.do(n, WriteCompleted{x.Number})
 		}
 	})
 }
@@ -381,10 +381,10 @@
 }
 
 // call begins a call at a node.
-func (w *world) call(n *node, a Ask, done func(Answer)) {
+func (w *world) call(n *node, a Request, done func(Response)) {
 	w.next++
 	a.ID = w.next
-	a.By += w.now + n.skew
+	a.Deadline += w.now + n.skew
 	w.calls[a.ID] = done
 	w.do(n, a)
 }
@@ -457,7 +457,7 @@
 		out += "]"
 	}
 	if g := w.leaderOf(LedgerGroup); g != nil && w.limits != nil {
-		out += fmt.Sprintf("\norder: %+v\n%v", *OrderOf(l.GetOrder()), g.h.upkeep.waits)
+		out += fmt.Sprintf("\norder: %+v\n%v", *DecodeOrder(l.GetOrder()), g.h.upkeep.waits)
 	}
 	for _, n := range w.nodes {
 		out += "\n " + n.name
@@ -486,7 +486,7 @@
 	name   string
 	by     string // the one trouble that shows it; empty: any may
 	early  bool   // writes are told to be on the disk before they are
-	start  func(w *world, n *node, s **Stored, trusted *bool)
+	start  func(w *world, n *node, s **StoredState, trusted *bool)
 	disk   func(Write) Write
 	before func(w *world, n *node, ev Event) Event
 	after  func(w *world, n *node, out []Action) []Action
