--- /dev/null
+++ b/internal/routing/actions.go
@@ -0,0 +1,84 @@
+package routing
+
+import "marblespan/internal/policy"
+
+// perform carries out the router's actions, in order.
+func (c *Core) perform(actions []policy.Action) {
+	for _, action := range actions {
+		switch a := action.(type) {
+		case policy.Send:
+			c.startAttempt(a)
+		case policy.Reject:
+			c.answerOpen(a.ID, Answer{Kind: AnswerRejected, RetryAfter: a.RetryAfter})
+		case policy.Fail:
+			c.answerOpen(a.ID, Answer{Kind: AnswerFailed})
+		case policy.Cancel:
+			c.cancelAttempt(a)
+		case policy.SetTimer:
+			c.timers.set(a.At, a.Timer)
+		case policy.HealthCheck:
+			c.Counts.HealthChecksSent++
+			c.servers.HealthCheck(a.Server, c.now, c.now+c.inForce.Settings.ConnectTimeout)
+		case policy.CloseIdle:
+			c.servers.CloseIdle(a.Server)
+		case policy.Withdraw:
+			c.servers.Withdraw(a.Server)
+		case policy.Forget:
+			c.endpoints.forget(a.Server)
+			c.servers.Forget(a.Server)
+		case policy.Watch:
+			c.watch(a.On)
+		case policy.Fetch:
+			c.Counts.Fetches++
+			c.discovery.Fetch()
+		case policy.Log:
+			c.log.Info().Str("from", "module").Msg(a.Text)
+		case policy.SendToPeer: // gateways have no path to one another for it
+		}
+	}
+}
+
+// startAttempt sends an attempt to its server. It checks once more what policy has decided, because a mistake there could
+// otherwise run a request twice or without end: the request must be open, no other attempt in flight, its deadline not over
+// and MaxAttempts (at least 1) not reached. An attempt that fails the check is not sent; the router is told so by
+// policy.ResultNotSent, after the other actions of its step.
+func (c *Core) startAttempt(a policy.Send) {
+	q := c.requests.byID[a.ID]
+	if q == nil {
+		return
+	}
+	index := len(q.attempts)
+	q.attempts = append(q.attempts, nil)
+	deadline := min(a.Until, q.deadline)
+	if q.closed || q.inFlight > 0 || deadline <= c.now || index >= max(q.inForce.Settings.MaxAttempts, 1) {
+		c.Counts.Outcomes[policy.ResultNotSent]++
+		c.pending = append(c.pending, policy.Outcome{
+			ID: q.id, Attempt: index, Server: a.Server, Result: policy.ResultNotSent, Final: q.closed,
+		})
+		return
+	}
+	c.Counts.Sends[q.counterIndex]++
+	q.inFlight++
+	q.attempts[index] = c.servers.Send(Job{
+		ID: q.id, Attempt: index, Server: a.Server, Payload: q.payload.Share(), SentAt: c.now, Deadline: deadline,
+		NonIdempotent: q.requestClass().Effect == policy.EffectNonIdempotent,
+	})
+}
+
+// cancelAttempt gives up an attempt, unless it has ended already.
+func (c *Core) cancelAttempt(a policy.Cancel) {
+	q := c.requests.byID[a.ID]
+	if q != nil && a.Attempt < len(q.attempts) && q.attempts[a.Attempt] != nil {
+		q.attempts[a.Attempt].Cancel()
+	}
+}
+
+// watch starts a watch from the revision known here, or stops it.
+func (c *Core) watch(on bool) {
+	c.Counts.Watches++
+	if on {
+		c.discovery.Watch(c.endpoints.revision)
+	} else {
+		c.discovery.StopWatch()
+	}
+}
--- a/internal/routing/core_test.go
+++ b/internal/routing/core_test.go
@@ -161,8 +161,8 @@
 	r.want(c, AnswerServed)
 	r.pass(2_000_000)
 	r.want(c, AnswerServed)
-	if p.holders != 0 || r.core.OpenRequests() != 0 || len(r.core.byID) != 0 {
-		t.Errorf("%d holders, %d open, %d kept", p.holders, r.core.OpenRequests(), len(r.core.byID))
+	if p.holders != 0 || r.core.OpenRequests() != 0 || len(r.core.requests.byID) != 0 {
+		t.Errorf("%d holders, %d open, %d kept", p.holders, r.core.OpenRequests(), len(r.core.requests.byID))
 	}
 }
 
@@ -229,8 +229,8 @@
 	r.core.Handle(r.now, ClientDisconnected{Client: c})
 	r.pass(3_000_000)
 	r.want(c)
-	if p.holders != 0 || len(r.core.byID) != 0 {
-		t.Errorf("%d holders, %d kept", p.holders, len(r.core.byID))
+	if p.holders != 0 || len(r.core.requests.byID) != 0 {
+		t.Errorf("%d holders, %d kept", p.holders, len(r.core.requests.byID))
 	}
 }
 
@@ -407,8 +407,8 @@
 	r.end(0, policy.ResultCancelled)
 	r.want(ask())
 	r.end(1, policy.ResultOK)
-	if len(r.core.byClientID) != 0 {
-		t.Errorf("%d names kept", len(r.core.byClientID))
+	if len(r.core.requests.byClientID) != 0 {
+		t.Errorf("%d names kept", len(r.core.requests.byClientID))
 	}
 }
 
--- a/internal/routing/owner.go
+++ b/internal/routing/owner.go
@@ -6,27 +6,16 @@
 	"marblespan/internal/clock"
 )
 
-// queueLength is how many events may wait for the owner before their senders do. A burst of a thousand
-// connections fits; the owner itself never waits on a sender.
+// queueLength is how many events may wait for the owner before Post blocks. A burst of a thousand connections fits; the
+// owner itself never waits for a sender.
 const queueLength = 4096
 
-// Clock is Unix time at its making plus the monotonic time since, so that it never steps back.
-type Clock struct{ start time.Time }
-
-// NewClock makes a clock.
-func NewClock() Clock { return Clock{time.Now()} }
-
-// Now reads the clock.
-func (c Clock) Now() clock.Micros {
-	return clock.Micros(c.start.UnixMicro()) + clock.Micros(time.Since(c.start)/time.Microsecond)
-}
-
-// Time is the moment of a reading, for deadlines.
-func (c Clock) Time(m clock.Micros) time.Time {
-	return c.start.Add(time.Duration(m-clock.Micros(c.start.UnixMicro())) * time.Microsecond)
-}
-
-// Owner runs a Core on one goroutine, behind a queue.
+// Owner runs a Core on one goroutine, that of Run, behind a queue of events. That goroutine alone reads and writes
+// everything in Core: the policy state machine, the queue's receiving end, the timers, the open requests, the counters and
+// the endpoint list (Core.endpoints), including which servers are cordoned. Other goroutines reach it by Post and Call only.
+//
+// The addresses in session.Servers are a copy for the connections' goroutines, guarded by a mutex there. Only the owner's
+// goroutine writes it, through Servers.SetEndpoint and Servers.Forget; the others read it.
 type Owner struct {
 	clock Clock
 	queue chan Event
@@ -34,14 +23,14 @@
 	done  chan struct{}
 }
 
-// NewOwner makes an owner whose queue can be posted to from now on.
+// NewOwner makes an owner whose queue takes events from now on; Run handles them.
 func NewOwner(clock Clock) *Owner {
 	return &Owner{
 		clock: clock, queue: make(chan Event, queueLength), stop: make(chan struct{}), done: make(chan struct{}),
 	}
 }
 
-// Post hands an event to the owner. After the owner has stopped it is dropped.
+// Post queues an event for the owner. It blocks while the queue is full; once the owner has stopped, the event is dropped.
 func (o *Owner) Post(ev Event) {
 	select {
 	case o.queue <- ev:
@@ -49,7 +38,8 @@
 	}
 }
 
-// Ask runs a function on the owner's goroutine and waits for it. It tells whether it ran.
+// Call runs a function on the owner's goroutine and waits for it. It reports whether the function ran; it does not once the
+// owner has stopped. The function must not keep the Core, nor call Post or Call.
 func (o *Owner) Call(do func(*Core)) bool {
 	ran := make(chan struct{})
 	o.Post(Call{func(c *Core) { do(c); close(ran) }})
@@ -61,7 +51,7 @@
 	}
 }
 
-// Run owns the core that start makes until Stop.
+// Run makes a Core by start and drives it until Stop. The calling goroutine becomes the owner's.
 func (o *Owner) Run(start func(now clock.Micros) *Core) {
 	defer close(o.done)
 	c := start(o.clock.Now())
@@ -82,7 +72,8 @@
 	}
 }
 
-// Stop ends Run and waits for it.
+// Stop ends Run and waits for it to return. It may be called once, after Run has been started. Events still queued are
+// dropped.
 func (o *Owner) Stop() {
 	close(o.stop)
 	<-o.done
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,124 +1,101 @@
-// Package routing is the one owner of the decision module. It turns what happened on the sockets into the module's
-// events and the module's actions into sends and answers. It decides nothing and never blocks on a socket: what it
-// asks of the layer above comes back as an event on its queue.
+// Package routing hosts the decisions of package policy in a gateway: it turns what happens on the sockets into events for
+// policy.Router, and the actions that the router returns into attempts, health checks, timers and answers. It makes no
+// routing decision of its own, except the few checks named below, and never blocks on a socket.
+//
+// The goroutine of Owner.Run owns all state: the router, the queue's receiving end, the timers, the open requests and the
+// endpoint list. Package gateway starts it. Package session calls in: its connections post a Request, ClientDisconnected,
+// AttemptEnded or HealthCheckEnded, and its discovery an EndpointListUpdate. Routing calls out through the interfaces Client,
+// Servers and Discovery, which session implements; what they bring about comes back as an event on the queue.
+//
+// Where to look:
+//   - Core.Handle takes in every event and Core.perform carries out every action.
+//   - Core.handleRequest rejects requests that policy must not see: an unknown group, a class that changed, an id in use.
+//   - Core.startAttempt holds back attempts that must not go out, and checks MaxAttempts once more.
+//   - Core.handleAttemptEnded reads an answer of a replica to a read that needs the primary as misdirected.
+//
+// # When a client disconnects
+//
+// Session notices it (client.leave in pending.go) and posts ClientDisconnected. Core.Handle closes the request: nothing that
+// still arrives for it is answered. It then steps the router with policy.ClientDisconnected, which may return policy.Cancel
+// for an attempt in flight; Attempt.Cancel closes or cancels on the server's connection. The attempt still ends in one
+// AttemptEnded, after which Core forgets the request.
+//
+// Writes of an in-doubt class fork off before that: for them client.leave posts nothing here and cancels the claim of the
+// intent instead (package intents). An attempt already sent runs to its end, so that whoever repeats the write finds its
+// result.
 package routing
 
 import (
 	"marblespan/internal/clock"
 	"marblespan/internal/policy"
-	"marblespan/internal/protocol/discovery"
-	"marblespan/internal/settings"
 	"marblespan/internal/transport"
 )
 
-// Payload is what a client asks for, kept for as long as an attempt may need it. Each holder frees it once.
+// Payload is the text of a client's query. It is reference-counted: Share takes one more reference, and the holder of each
+// calls Free once.
 type Payload interface {
 	Share() Payload
 	Free()
 }
 
-// Client is the connection that a request came over. Answer takes over the value, and must not block.
+// Client receives the answer to one request. Answer is called at most once, on the owner's goroutine; it takes over the
+// value and must not block.
 type Client interface{ Answer(Answer) }
 
-// Kind is the kind of a final answer.
+// AnswerKind is the kind of a final answer.
 type AnswerKind uint8
 
 // The kinds of answers.
 const (
-	AnswerServed AnswerKind = iota
-	AnswerRejected
-	AnswerFailed
-	AnswerDuplicateID // its id is that of a request still under way
+	AnswerServed      AnswerKind = iota // a server's answer
+	AnswerRejected                      // not served; it is safe to retry
+	AnswerFailed                        // not served; it may have run
+	AnswerDuplicateID                   // its id is that of a request still open
 )
 
 // Answer is the one final answer to a request.
 type Answer struct {
 	Kind       AnswerKind
-	Value      *transport.Message // of a served request
-	Position   policy.Position    // after it, as its server says; 0: it does not
-	RetryAfter clock.Micros       // advice to a refused client; 0: none
+	Value      *transport.Message // the server's answer; set if Kind is AnswerServed
+	Position   policy.Position    // the server's log position after it; 0: unknown
+	RetryAfter clock.Micros       // advice to a rejected client; 0: none
 }
 
-// Job is one attempt, for the servers' side to carry out.
+// Job is one attempt that Servers carries out.
 type Job struct {
-	ID            string
-	Attempt       int
+	ID            string // the request's, given by Core
+	Attempt       int    // index among the request's attempts
 	Server        policy.ServerID
-	Payload       Payload      // a share of it, freed by whoever carries the job out
-	SentAt        clock.Micros // when the module asked for it
+	Payload       Payload      // a reference of its own, freed by Servers
+	SentAt        clock.Micros // when the router asked for it
 	Deadline      clock.Micros // when to give it up
 	NonIdempotent bool         // it must not run twice: a reset that may have hidden its answer ends its request
 }
 
-// Attempt is an attempt under way. Cancel gives it up, if it still runs; it must not block.
+// Attempt is an attempt in flight. Cancel gives it up if it has not ended; it must not block.
 type Attempt interface{ Cancel() }
 
-// Servers carries out attempts and probes. None of its methods blocks; each job ends in one event.
+// Servers carries out attempts and health checks. Its methods are called on the owner's goroutine only and must not block.
+// Each job ends in one AttemptEnded, each health check in one HealthCheckEnded.
 type Servers interface {
 	Send(Job) Attempt
 	HealthCheck(server policy.ServerID, sent, until clock.Micros)
+	// CloseIdle closes the idle connections to a server.
 	CloseIdle(policy.ServerID)
+	// Withdraw ends the attempts at a server that have not written anything yet as failed to connect.
 	Withdraw(policy.ServerID)
+	// SetEndpoint says at which address a server is.
 	SetEndpoint(server policy.ServerID, endpoint string)
+	// Forget drops the address of a server that nothing is in flight at any more.
 	Forget(server policy.ServerID)
 }
 
-// Discovery asks for the member list. What it brings comes as ListNews.
+// Discovery fetches the endpoint list. Its methods are called on the owner's goroutine only and must not block. What it
+// receives comes back as EndpointListUpdate.
 type Discovery interface {
+	// Watch subscribes to the changes after a revision, in place of an earlier watch.
 	Watch(from int64)
 	StopWatch()
+	// Fetch asks for the complete list once.
 	Fetch()
 }
-
-// Event is one of the events below.
-type Event interface{ event() }
-
-// Request is a client's request, whole.
-type Request struct {
-	Client      Client
-	ClientID    string // the client's; empty: none
-	Payload     Payload
-	InForce     *settings.InForce // the settings it was read by: those that Arrival.Class counts in; nil: those in force
-	Arrival     policy.Arrival    // ID and Left are filled in by the owner
-	ReadAt      clock.Micros      // when its last byte was read
-	Timeout     clock.Micros      // how long the client waits, from then on
-	MinPosition clock.Micros      // the position that it must see; 0: none
-}
-
-// Gone tells that a client left while its request was out.
-type ClientDisconnected struct{ Client Client }
-
-// Ended tells how an attempt ended. Value is there if it was served.
-type AttemptEnded struct {
-	Job      Job
-	Result   policy.Result
-	Latency  clock.Micros
-	Role     policy.Role
-	Position policy.Position
-	Report   policy.LoadReport
-	Value    *transport.Message
-}
-
-// ProbeEnded tells how a probe ended.
-type HealthCheckEnded struct {
-	Server  policy.ServerID
-	Result  policy.Result
-	Latency clock.Micros
-	Report  policy.LoadReport
-}
-
-// ListNews is news of the member list, or of a call for it that failed.
-type EndpointListUpdate struct {
-	List   discovery.List
-	Failed bool
-}
-
-// Inspect runs a function on the owner's goroutine, for counters and shutting down.
-type Call struct{ Do func(*Core) }
-
-func (*Request) event()           {}
-func (ClientDisconnected) event() {}
-func (AttemptEnded) event()       {}
-func (HealthCheckEnded) event()   {}
-func (EndpointListUpdate) event() {}
-func (Call) event()               {}
--- a/internal/routing/timers.go
+++ b/internal/routing/timers.go
@@ -7,23 +7,24 @@
 	"marblespan/internal/policy"
 )
 
-// timers holds the module's timers by their time, and by their order among equals.
+// timers holds the timers that the router has set, by their time and, at the same time, in the order they were set.
 type timers struct {
-	heap timerHeap
-	n    uint64
+	heap         timerHeap
+	lastSequence uint64
 }
 
 type timer struct {
-	at    clock.Micros
-	n     uint64
-	event policy.Timer
+	at       clock.Micros
+	sequence uint64
+	event    policy.Timer
 }
 
 func (t *timers) set(at clock.Micros, event policy.Timer) {
-	t.n++
-	heap.Push(&t.heap, timer{at, t.n, event})
+	t.lastSequence++
+	heap.Push(&t.heap, timer{at, t.lastSequence, event})
 }
 
+// first is the time of the next timer, if one is set.
 func (t *timers) first() (clock.Micros, bool) {
 	if len(t.heap) == 0 {
 		return 0, false
@@ -31,6 +32,7 @@
 	return t.heap[0].at, true
 }
 
+// due takes out the next timer that has come due, and returns it.
 func (t *timers) due(now clock.Micros) (policy.Timer, bool) {
 	if len(t.heap) == 0 || t.heap[0].at > now {
 		return policy.Timer{}, false
@@ -38,11 +40,12 @@
 	return heap.Pop(&t.heap).(timer).event, true
 }
 
+// timerHeap implements heap.Interface.
 type timerHeap []timer
 
 func (h timerHeap) Len() int { return len(h) }
 func (h timerHeap) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].n < h[j].n
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].sequence < h[j].sequence
 }
 func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h *timerHeap) Push(x any)   { *h = append(*h, x.(timer)) }
