--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -128,6 +128,9 @@
 	} {
 		fmt.Fprintf(c.out, "%s %s\n", line[0], lines.Quote(line[1]))
 	}
+	for _, w := range ops.FormerWords() {
+		fmt.Fprintln(c.errs, "marblespan: warning:", w)
+	}
 	where := c.operators()
 	if where == "" {
 		fmt.Fprintf(c.out, "\n# no operators' file: all of it is off\n")
--- /dev/null
+++ b/internal/config/former_test.go
@@ -0,0 +1,100 @@
+package config
+
+import (
+	"fmt"
+	"reflect"
+	"strings"
+	"testing"
+
+	"marblespan/internal/config/lines"
+)
+
+// Each former word stands in a section that there is, is no directive of it any more, and its new word is one.
+func TestFormerWordsTable(t *testing.T) {
+	directives := map[string][]string{}
+	root := reflect.TypeFor[Operators]()
+	for i := range root.NumField() {
+		keyword := root.Field(i).Tag.Get("section")
+		if keyword == "" {
+			continue
+		}
+		section := root.Field(i).Type.Elem()
+		for k := range section.NumField() {
+			directive, _, _ := strings.Cut(section.Field(k).Tag.Get("conf"), ",")
+			directives[keyword] = append(directives[keyword], directive)
+		}
+	}
+	for former, newWord := range formerWords {
+		known := directives[former.section]
+		if former.section == "" {
+			known = lines.Sections(&Operators{})
+		}
+		inSection := func(word string) bool { return strings.Contains(" "+strings.Join(known, " ")+" ", " "+word+" ") }
+		if inSection(former.word) || !inSection(newWord) {
+			t.Errorf("%q in %q: the new word is %q, and there is %v", former.word, former.section, newWord, known)
+		}
+	}
+}
+
+func TestFormerWords(t *testing.T) {
+	for _, c := range []struct {
+		name, text string
+		want       []string // line, former word, new word
+	}{
+		{"none", "control /x\n", nil},
+		{"a section and its directives", "members\nnode a\nbind 127.0.0.2:1\nkey 1 0123456789abcdef\n\ncopies # a comment\nholders all\ncopies 3\nstore memory\n",
+			[]string{"6 copies state-store", "7 holders raft-nodes", "8 copies voters", "9 store storage"}},
+		{"a former directive in the section by its new word", "members\nnode a\nbind 127.0.0.2:1\nkey 1 0123456789abcdef\nstate-store\nholders all\nvoters 3\nstorage memory\n",
+			[]string{"6 holders raft-nodes"}},
+		{"a directive that may be repeated", "members\nnode a\nbind 127.0.0.2:1\nkey 1 0123456789abcdef\nstate-store\nholders a\nraft-nodes b\nholders c\nstorage memory\n",
+			[]string{"6 holders raft-nodes", "8 holders raft-nodes"}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			o, err := ParseOperators("x", c.text)
+			if err != nil {
+				t.Fatal(err)
+			}
+			var got []string
+			for _, w := range o.FormerWords() {
+				got = append(got, fmt.Sprint(w.Line, " ", w.Former, " ", w.New))
+			}
+			if !reflect.DeepEqual(got, c.want) {
+				t.Errorf("%q, want %q", got, c.want)
+			}
+		})
+	}
+}
+
+func TestFormerWordWarning(t *testing.T) {
+	w := FormerWord{File: "m.conf", Line: 7, Former: "holders", New: "raft-nodes"}
+	if got, want := w.String(), "m.conf:7: holders: a former word, which is still taken; the word is now raft-nodes"; got != want {
+		t.Errorf("%q, want %q", got, want)
+	}
+}
+
+// A fault in a line with a former word names the word that stands there.
+func TestFaultsOfFormerWords(t *testing.T) {
+	edit := func(old, new string) string {
+		if !strings.Contains(sampleConf, old) {
+			t.Fatalf("%q is not in the sample", old)
+		}
+		return strings.Replace(sampleConf, old, new, 1)
+	}
+	for _, c := range []struct{ name, text, want string }{
+		{"the new word, then the former", edit("voters 5", "voters 5\n copies 5"), "x:40: copies: given twice, first in line 39"},
+		{"the former word, then the new", edit("voters 5", "copies 5\n voters 5"), "x:40: voters: given twice, first in line 39"},
+		{"both sections", sampleConf + "copies\n", "x:50: copies: given twice"},
+		{"a section with a value", "copies 3\n", "x:1: copies: begins a section and takes no value"},
+		{"a value", edit("voters 5", "copies three"), `x:39: copies: "three" is no whole number, or too large`},
+		{"what a value must be", edit("voters 5", "copies 4"), "x:39: copies: must be one of 1, 3, 5"},
+		{"what values say together", edit("repair-after 30s", "heal-after 1s"), "x:42: heal-after: 1s is below 2s, or 20 heartbeats"},
+		{"a section alone", strings.Replace(edit(memberLines(), ""), "state-store\n", "copies\n", 1), "x:28: copies: there is no members section: the state store runs on members"},
+		{"in another section", edit("zone a", "holders a"), "x:9: holders: is not known here; there is advertise, bind, deployment, interval, join, key, node, via, weight, zone"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if _, err := ParseOperators("x", c.text); err == nil || !strings.Contains("\n"+err.Error()+"\n", "\n"+c.want+"\n") {
+				t.Errorf("%v\nwant\n%s", err, c.want)
+			}
+		})
+	}
+}
--- a/internal/config/lines/decode.go
+++ b/internal/config/lines/decode.go
@@ -27,7 +27,7 @@
 	var slots []reflect.Value
 	for _, x := range all {
 		field, isSlice, ok := section(root, x.Name)
-		if !ok || len(x.Values) > 0 && has(at, x.Name) {
+		if !ok {
 			d.set(at, x)
 			continue
 		}
@@ -91,15 +91,15 @@
 
 func (d *decoder) begin(at reflect.Value, line int) { *where(at) = Where{line, map[string][]int{}} }
 
-// has tells whether a section has a directive. With a value behind it, a word that also begins a section is that directive
-// (copies 3 in a section of copies).
-func has(at reflect.Value, directive string) bool {
-	for i := range at.NumField() {
-		if n, _ := name(at.Type().Field(i)); n == directive {
-			return true
+// Sections lists the keywords that begin the sections of a root struct, in the order of its fields.
+func Sections(root any) (keywords []string) {
+	t := reflect.TypeOf(root).Elem()
+	for i := range t.NumField() {
+		if keyword := t.Field(i).Tag.Get("section"); keyword != "" {
+			keywords = append(keywords, keyword)
 		}
 	}
-	return false
+	return keywords
 }
 
 // section finds the field that a section's keyword fills.
--- a/internal/config/operators.go
+++ b/internal/config/operators.go
@@ -22,13 +22,14 @@
 	lines.Where
 	Control     string       `conf:"control" validate:"max=100"` // a local socket for questions
 	Members     *Members     `section:"members" validate:"-"`
-	StateStore  *StateStore  `section:"copies" validate:"-"`
+	StateStore  *StateStore  `section:"state-store" validate:"-"`
 	VRRP        *VRRP        `section:"vrrp" validate:"-"`
 	Groups      []Group      `section:"group" validate:"-"`
 	InDoubt     []InDoubt    `section:"in-doubt" validate:"-"`
 	Maintenance *Maintenance `section:"maintenance" validate:"-"`
 
-	file string
+	file        string
+	formerWords []FormerWord
 }
 
 // Members is how gateways know who of them is there.
@@ -55,19 +56,19 @@
 // Copies is what gateways hold for each other.
 type StateStore struct {
 	lines.Where
-	RaftNodes    []string      `conf:"holders" validate:"min=1,max=1024,dive,min=1,max=40"` // names, or all
-	Voters       int           `conf:"copies" validate:"oneof=1 3 5"`
+	RaftNodes    []string      `conf:"raft-nodes" validate:"min=1,max=1024,dive,min=1,max=40"` // names, or all
+	Voters       int           `conf:"voters" validate:"oneof=1 3 5"`
 	Shards       int           `conf:"shards" validate:"min=1,max=64"`
-	Storage      []string      `conf:"store" validate:"min=1,max=2"` // memory, or disk and a path
+	Storage      []string      `conf:"storage" validate:"min=1,max=2"` // memory, or disk and a path
 	Witness      string        `conf:"witness" validate:"max=200"`
 	Heartbeat    time.Duration `conf:"heartbeat"`
-	RepairAfter  time.Duration `conf:"heal-after"`
-	MaxRepairs   int           `conf:"heal-at-once" validate:"min=1,max=64"`
-	RepairRate   lines.Size    `conf:"heal-rate" validate:"min=65536"`
+	RepairAfter  time.Duration `conf:"repair-after"`
+	MaxRepairs   int           `conf:"max-repairs" validate:"min=1,max=64"`
+	RepairRate   lines.Size    `conf:"repair-rate" validate:"min=65536"`
 	Memory       lines.Size    `conf:"memory" validate:"min=65536"` // of a shard's records
 	SessionMarks []string      `conf:"session-marks" validate:"max=64"`
-	MarksMode    string        `conf:"marks-order" validate:"oneof=safe fast"`
-	MarksTTL     time.Duration `conf:"marks-last"`
+	MarksMode    string        `conf:"marks-mode" validate:"oneof=safe fast"`
+	MarksTTL     time.Duration `conf:"marks-ttl"`
 }
 
 // Defaults are what a copies section has that it does not name.
@@ -98,9 +99,9 @@
 	Class       string        `title:"true" validate:"required,max=64"`
 	Clients     string        `conf:"clients" validate:"oneof=mark do-not-mark"` // what they ask again
 	Order       string        `conf:"order" validate:"oneof=safe fast"`
-	Retention   time.Duration `conf:"remember"`
-	MaxInFlight int           `conf:"at-once" validate:"min=1,max=16384"`      // bookings in hand
-	Lookup      []string      `conf:"look" validate:"max=2,dive,min=1,max=64"` // a class of reads, and a text that shows that it ran
+	Retention   time.Duration `conf:"retention"`
+	MaxInFlight int           `conf:"max-in-flight" validate:"min=1,max=16384"`  // bookings in hand
+	Lookup      []string      `conf:"lookup" validate:"max=2,dive,min=1,max=64"` // a class of reads, and a text that shows that it ran
 }
 
 // Defaults are what an in-doubt section has that it does not name.
@@ -132,13 +133,13 @@
 // Upkeep is by what limits machines are taken out for work.
 type Maintenance struct {
 	lines.Where
-	MaxGateways     int           `conf:"gateways" validate:"min=1,max=1024"`  // away at once
-	MaxPerZone      int           `conf:"in-zone" validate:"min=1,max=1024"`   // of one zone
-	MaxServers      int           `conf:"servers" validate:"min=1,max=1024"`   // away at once, one of a group at the most
-	KeepReady       int           `conf:"keep-ready" validate:"min=0,max=100"` // ready gateways that a zone keeps
-	MaxLoad         int           `conf:"load" validate:"min=1,max=100"`       // percent that those who stay may have to carry
-	DefaultDuration time.Duration `conf:"for"`                                 // what work takes if the operator has not said
-	SettleTime      time.Duration `conf:"settle"`                              // how long one that is back has to be well
+	MaxGateways     int           `conf:"max-gateways" validate:"min=1,max=1024"` // away at once
+	MaxPerZone      int           `conf:"max-per-zone" validate:"min=1,max=1024"` // of one zone
+	MaxServers      int           `conf:"max-servers" validate:"min=1,max=1024"`  // away at once, one of a group at the most
+	KeepReady       int           `conf:"keep-ready" validate:"min=0,max=100"`    // ready gateways that a zone keeps
+	MaxLoad         int           `conf:"max-load" validate:"min=1,max=100"`      // percent that those who stay may have to carry
+	DefaultDuration time.Duration `conf:"default-duration"`                       // what work takes if the operator has not said
+	SettleTime      time.Duration `conf:"settle-time"`                            // how long one that is back has to be well
 	ReturnWithin    time.Duration `conf:"return-within"`
 	ExcuseAfter     time.Duration `conf:"excuse-after"` // of one that is overdue; 0: never
 	MaxReplicaLag   time.Duration `conf:"behind"`       // from when on a replica counts as behind
@@ -192,7 +193,7 @@
 	PreemptDelay time.Duration  `conf:"preempt-delay" validate:"max=3600000000000"`
 	Track        []Track        `conf:"track" validate:"unique=Condition,dive"`
 	Damping      Damping        `conf:"damp"`
-	DrainTimeout time.Duration  `conf:"let-go" validate:"min=0,max=1000000000"` // how long an orderly end waits for requests under way
+	DrainTimeout time.Duration  `conf:"drain-timeout" validate:"min=0,max=1000000000"` // how long an orderly end waits for requests under way
 }
 
 // Track lowers the priority by a step while a condition holds.
@@ -243,13 +244,15 @@
 // ParseOperators reads the file's content.
 func ParseOperators(file, text string) (*Operators, error) {
 	o := &Operators{file: file}
-	all, faults := lines.Parse(file, text)
-	faults = append(faults, lines.Decode(file, all, o)...)
+	directives, faults := lines.Parse(file, text)
+	o.formerWords = replaceFormerWords(file, directives)
+	faults = append(faults, lines.Decode(file, directives, o)...)
 	if len(faults) == 0 { // what could not be read would only be found missing
 		faults = lines.Check(file, o)
 		faults = append(faults, o.agree()...)
 	}
 	if len(faults) > 0 {
+		nameAsWritten(faults, o.formerWords)
 		slices.SortStableFunc(faults, func(a, b lines.Fault) int { return a.Line - b.Line })
 		return nil, faults
 	}
@@ -309,10 +312,10 @@
 	}
 	if c := o.StateStore; c != nil {
 		if o.Members == nil {
-			at(c.Where, "copies", 0, "there is no members section: copies go to members")
+			at(c.Where, "state-store", 0, "there is no members section: the state store runs on members")
 		}
 		if memory := len(c.Storage) == 1 && c.Storage[0] == "memory"; !memory && !(len(c.Storage) == 2 && c.Storage[0] == "disk" && c.Storage[1] != "") {
-			at(c.Where, "store", 0, "%q is neither memory nor disk and a path", strings.Join(c.Storage, " "))
+			at(c.Where, "storage", 0, "%q is neither memory nor disk and a path", strings.Join(c.Storage, " "))
 		}
 		if c.Witness != "" && c.StoragePath() == "" {
 			at(c.Where, "witness", 0, "there is no disk for it to tell of")
@@ -321,36 +324,36 @@
 			at(c.Where, "heartbeat", 0, "%v is not from %v to %v", c.Heartbeat, minHeartbeat, maxHeartbeat)
 		}
 		if c.RepairAfter < minRepairAfter || c.RepairAfter < 20*c.Heartbeat {
-			at(c.Where, "heal-after", 0, "%v is below %v, or 20 heartbeats", c.RepairAfter, minRepairAfter)
+			at(c.Where, "repair-after", 0, "%v is below %v, or 20 heartbeats", c.RepairAfter, minRepairAfter)
 		}
 		if c.MarksTTL < time.Second || c.MarksTTL > maxMarksTTL {
-			at(c.Where, "marks-last", 0, "%v is not from 1s to %v", c.MarksTTL, maxMarksTTL)
+			at(c.Where, "marks-ttl", 0, "%v is not from 1s to %v", c.MarksTTL, maxMarksTTL)
 		}
 	}
 	classes := map[string]bool{}
 	for _, d := range o.InDoubt {
 		if o.StateStore == nil {
-			at(d.Where, "in-doubt", 0, "there is no copies section: what is promised is kept in copies")
+			at(d.Where, "in-doubt", 0, "there is no state-store section: what is promised is kept in it")
 		}
 		if classes[d.Class] {
 			at(d.Where, "in-doubt", 0, "%s is there twice", d.Class)
 		}
 		classes[d.Class] = true
 		if d.Retention < minRetention || d.Retention > maxRetention {
-			at(d.Where, "remember", 0, "%v is not from %v to %v", d.Retention, minRetention, maxRetention)
+			at(d.Where, "retention", 0, "%v is not from %v to %v", d.Retention, minRetention, maxRetention)
 		}
 	}
 	if u := o.Maintenance; u != nil {
 		if o.StateStore == nil {
-			at(u.Where, "maintenance", 0, "there is no copies section: the order is kept in copies")
+			at(u.Where, "maintenance", 0, "there is no state-store section: the order is kept in it")
 		}
 		if u.DefaultDuration < minWorkDuration || u.DefaultDuration > maxWorkDuration {
-			at(u.Where, "for", 0, "%v is not from %v to %v", u.DefaultDuration, minWorkDuration, maxWorkDuration)
+			at(u.Where, "default-duration", 0, "%v is not from %v to %v", u.DefaultDuration, minWorkDuration, maxWorkDuration)
 		}
 		for _, d := range []struct {
 			name string
 			span time.Duration
-		}{{"settle", u.SettleTime}, {"return-within", u.ReturnWithin}, {"behind", u.MaxReplicaLag}, {"unheard", u.LedgerTimeout}} {
+		}{{"settle-time", u.SettleTime}, {"return-within", u.ReturnWithin}, {"behind", u.MaxReplicaLag}, {"unheard", u.LedgerTimeout}} {
 			if d.span < 0 || d.span > time.Hour {
 				at(u.Where, d.name, 0, "%v is not from 0s to 1h", d.span)
 			}
@@ -405,7 +408,7 @@
 		differ("members bind", m.Bind == n.Bind)
 		differ("members advertise", m.Advertise == n.Advertise)
 	}
-	differ("copies", reflect.DeepEqual(unplaced(o.StateStore), unplaced(next.StateStore)))
+	differ("state-store", reflect.DeepEqual(unplaced(o.StateStore), unplaced(next.StateStore)))
 	differ("in-doubt", reflect.DeepEqual(unlined(o.InDoubt), unlined(next.InDoubt)))
 	differ("maintenance", (o.Maintenance == nil) == (next.Maintenance == nil))
 	differ("vrrp", (o.VRRP == nil) == (next.VRRP == nil))
@@ -450,7 +453,7 @@
 		on = append(on, "members")
 	}
 	if o.StateStore != nil {
-		on = append(on, "copies")
+		on = append(on, "state-store")
 	}
 	for _, d := range o.InDoubt {
 		on = append(on, "in-doubt "+d.Class)
--- a/internal/gateway/floating_test.go
+++ b/internal/gateway/floating_test.go
@@ -390,6 +390,7 @@
 	f := newFleet(t, true, nil, 200)
 	f.settles(0)
 	f.reload(0, func(s string) string { return s + "track draining 100\nlet-go 1s\n" })
+	f.logged(0, "former word in the operators' file", `"former":"let-go","new":"drain-timeout"`)
 	c := f.open(f.floating[0])
 	fl := f.gateways[0].floats
 	fl.giveUp(false)
--- a/internal/gateway/program.go
+++ b/internal/gateway/program.go
@@ -158,6 +158,7 @@
 		g.log.Error().Err(err).Msg("reload failed, the old configuration stays")
 		return
 	}
+	g.warnOfFormerWords(ops)
 	if fixed := append(g.cfg.RestartRequired(next), g.ops.RestartRequired(ops)...); len(fixed) > 0 {
 		g.log.Warn().Strs("keys", fixed).Msg("changed keys that take a restart")
 	}
@@ -226,6 +227,7 @@
 		g.listener.Serve(g.clients.Serve)
 	}()
 	log.Info().Str("listen", g.listener.Addr()).Str("discovery", cfg.Discovery).Str("operators", ops.Summary()).Msg("started")
+	g.warnOfFormerWords(ops)
 	if err := g.startOperators(); err != nil {
 		g.abort()
 		return nil, err
@@ -249,6 +251,13 @@
 	return c
 }
 
+// warnOfFormerWords logs each former word that the operators' file still writes.
+func (g *Gateway) warnOfFormerWords(ops *config.Operators) {
+	for _, w := range ops.FormerWords() {
+		g.log.Warn().Str("file", w.File).Int("line", w.Line).Str("former", w.Former).Str("new", w.New).Msg("former word in the operators' file")
+	}
+}
+
 // startOperators starts what the operators' file switches on.
 func (g *Gateway) startOperators() (err error) {
 	if g.ops.Members != nil {
--- a/internal/testcluster/copies.go
+++ b/internal/testcluster/copies.go
@@ -26,7 +26,7 @@
 	return &Copies{Copies: 3, Shards: 4, Heartbeat: 100 * time.Millisecond, HealAfter: 3 * time.Second}
 }
 
-// section is the copies section of a gateway's operators' file.
+// section is the state-store section of a gateway's operators' file.
 func (c *Copies) section(n *Node) string {
 	var b strings.Builder
 	holders := "all"
@@ -36,11 +36,11 @@
 		}
 		holders += n.f.Nodes[i].Name() + " "
 	}
-	fmt.Fprintf(&b, "copies\n holders %s\n copies %d\n shards %d\n heartbeat %v\n heal-after %v\n heal-at-once 8\n", holders, c.Copies, c.Shards, c.Heartbeat, c.HealAfter)
+	fmt.Fprintf(&b, "state-store\n raft-nodes %s\n voters %d\n shards %d\n heartbeat %v\n repair-after %v\n max-repairs 8\n", holders, c.Copies, c.Shards, c.Heartbeat, c.HealAfter)
 	if c.Memory {
-		fmt.Fprintf(&b, " store memory\n")
+		fmt.Fprintf(&b, " storage memory\n")
 	} else {
-		fmt.Fprintf(&b, " store disk %s\n witness %s\n", n.StoreFile(), n.dir+"/witness")
+		fmt.Fprintf(&b, " storage disk %s\n witness %s\n", n.StoreFile(), n.dir+"/witness")
 	}
 	if n.f.InDoubt != nil {
 		b.WriteString(" memory 16m\n") // for all bookings of a run
@@ -49,7 +49,7 @@
 		fmt.Fprintf(&b, " session-marks %s %s\n", ClassBooking, ClassMine)
 	}
 	if c.Fast {
-		fmt.Fprintf(&b, " marks-order fast\n")
+		fmt.Fprintf(&b, " marks-mode fast\n")
 	}
 	return b.String()
 }
--- a/internal/testcluster/doubt.go
+++ b/internal/testcluster/doubt.go
@@ -16,12 +16,12 @@
 // section is the section of a gateway's operators' file.
 func (d *InDoubt) section() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "in-doubt %s\n remember 5m\n", ClassBooking)
+	fmt.Fprintf(&b, "in-doubt %s\n retention 5m\n", ClassBooking)
 	if d.Safe {
 		b.WriteString(" order safe\n")
 	}
 	if d.Look {
-		fmt.Fprintf(&b, " look %s \"%s\"\n", ClassSeat, There)
+		fmt.Fprintf(&b, " lookup %s \"%s\"\n", ClassSeat, There)
 	}
 	return b.String()
 }
--- a/internal/testcluster/fleet.go
+++ b/internal/testcluster/fleet.go
@@ -65,15 +65,16 @@
 	Dir      string    // for logs and data directories; empty: a temporary one, removed by Close
 	History  io.Writer // where the history goes too; may be nil
 
-	Work       time.Duration // of a request at its server
-	Ramp       time.Duration // for which a server that was started is cold
-	Interval   time.Duration // between VRRP advertisements
-	Probe      time.Duration // of a probe among members; 0: they have no members section
-	Priorities []int         // of each gateway; nil: falling from 200
-	Copies     *Copies       // what they hold for each other; nil: nothing
-	InDoubt    *InDoubt      // what is promised of bookings before they are sent; nil: nothing
-	Maintain   *Maintain     // by what limits machines are taken out for work; nil: none is
-	CutOnMove  bool          // the switch resets flows when the floating address moves
+	Work       time.Duration            // of a request at its server
+	Ramp       time.Duration            // for which a server that was started is cold
+	Interval   time.Duration            // between VRRP advertisements
+	Probe      time.Duration            // of a probe among members; 0: they have no members section
+	Priorities []int                    // of each gateway; nil: falling from 200
+	Copies     *Copies                  // what they hold for each other; nil: nothing
+	InDoubt    *InDoubt                 // what is promised of bookings before they are sent; nil: nothing
+	Maintain   *Maintain                // by what limits machines are taken out for work; nil: none is
+	Rewrite    func(conf string) string // changes each operators' file as it is written; nil: it stays
+	CutOnMove  bool                     // the switch resets flows when the floating address moves
 }
 
 // Defaults are sizes that suit one machine.
--- a/internal/testcluster/maintain.go
+++ b/internal/testcluster/maintain.go
@@ -24,14 +24,14 @@
 // on is shared.
 func (m *Maintain) section() string {
 	var b strings.Builder
-	b.WriteString("maintenance\n load 100\n")
+	b.WriteString("maintenance\n max-load 100\n")
 	for _, x := range []struct {
 		name  string
 		value any
 		set   bool
 	}{
-		{"gateways", m.Gateways, m.Gateways > 0}, {"in-zone", m.InZone, m.InZone > 0}, {"servers", m.Servers, m.Servers > 0},
-		{"settle", m.Settle, m.Settle > 0}, {"return-within", m.Return, m.Return > 0}, {"for", m.For, m.For > 0}, {"unheard", m.Unheard, m.Unheard > 0},
+		{"max-gateways", m.Gateways, m.Gateways > 0}, {"max-per-zone", m.InZone, m.InZone > 0}, {"max-servers", m.Servers, m.Servers > 0},
+		{"settle-time", m.Settle, m.Settle > 0}, {"return-within", m.Return, m.Return > 0}, {"default-duration", m.For, m.For > 0}, {"unheard", m.Unheard, m.Unheard > 0},
 	} {
 		if x.set {
 			fmt.Fprintf(&b, " %s %v\n", x.name, x.value)
--- a/internal/testcluster/node.go
+++ b/internal/testcluster/node.go
@@ -83,7 +83,11 @@
 	if err := os.MkdirAll(filepath.Join(n.dir, "data"), 0o755); err != nil {
 		return err
 	}
-	if err := os.WriteFile(n.Conf(), []byte(n.sections()), 0o600); err != nil {
+	conf := n.sections()
+	if f.Rewrite != nil {
+		conf = f.Rewrite(conf)
+	}
+	if err := os.WriteFile(n.Conf(), []byte(conf), 0o600); err != nil {
 		return err
 	}
 	var known []fake.Target
