--- a/internal/gateway/maintain.go
+++ b/internal/gateway/maintain.go
@@ -87,8 +87,8 @@
 	}
 	span := func(d time.Duration) clock.Micros { return clock.Micros(d.Microseconds()) }
 	return &maintenance.Limits{
-		Gateways: c.MaxGateways, InZone: c.MaxPerZone, Servers: c.MaxServers, Keep: c.KeepReady, Load: c.MaxLoad * 10, Settle: span(c.SettleTime), Return: span(c.ReturnWithin),
-		Excuse: span(c.ExcuseAfter), HealAfter: span(ops.StateStore.RepairAfter),
+		MaxGateways: c.MaxGateways, MaxPerZone: c.MaxPerZone, MaxServers: c.MaxServers, KeepReady: c.KeepReady, MaxLoad: c.MaxLoad * 10, SettleTime: span(c.SettleTime), ReturnWithin: span(c.ReturnWithin),
+		ExcuseAfter: span(c.ExcuseAfter), RepairAfter: span(ops.StateStore.RepairAfter),
 	}
 }
 
@@ -155,13 +155,13 @@
 func (u *upkeep) act(next ordered) {
 	node := u.g.ops.Members.Node
 	u.logChanges(next.Order)
-	if known := next.Enrolled(node); known > u.life && !u.enrolled.Load() {
+	if known := next.EnrolledIncarnation(node); known > u.life && !u.enrolled.Load() {
 		u.life = known + 1 // the clock was set back since the last start
 	}
-	u.enrolled.Store(next.Enrolled(node) == u.life)
+	u.enrolled.Store(next.EnrolledIncarnation(node) == u.life)
 	var aside []string
 	for i := range next.Machines {
-		if m := &next.Machines[i]; m.Kind == maintenance.Server && m.Drained() {
+		if m := &next.Machines[i]; m.Kind == maintenance.Server && m.Cordoned() {
 			aside = append(aside, m.Name)
 		}
 	}
@@ -169,7 +169,7 @@
 		return
 	}
 	m := next.Find(maintenance.Gateway, node, 0)
-	switch leaves := m != nil && m.Drained(); {
+	switch leaves := m != nil && m.Cordoned(); {
 	case u.g.stopping.Load(): // it ends, whatever the order says
 	case leaves && !u.leaving.Load():
 		u.since = time.Now()
@@ -215,7 +215,7 @@
 			groups[m.Group] = true
 		}
 	}
-	r := maintenance.Report{Seen: u.now.index, Load: u.load()}
+	r := maintenance.Report{LedgerIndex: u.now.index, Load: u.load()}
 	open := 0
 	if !u.g.owner.Call(func(c *routing.Core) {
 		open = c.OpenRequests()
@@ -225,14 +225,14 @@
 				primary = s.Endpoint.Primary
 			}
 			r.Servers = append(r.Servers, maintenance.ServerReport{
-				Group: s.Group, Name: s.UID, Primary: primary, Cold: s.InSlowStart,
-				Down:   s.Down || s.State != policy.EndpointReady && u.now.Find(maintenance.Server, s.UID, s.Group) == nil,
-				Behind: !primary && int64(s.Lag) > u.behind.Load(),
+				Group: s.Group, Name: s.UID, Primary: primary, WarmingUp: s.InSlowStart,
+				Down:    s.Down || s.State != policy.EndpointReady && u.now.Find(maintenance.Server, s.UID, s.Group) == nil,
+				Lagging: !primary && int64(s.Lag) > u.behind.Load(),
 			})
 		}
 		for i := range u.now.Machines {
-			if m := &u.now.Machines[i]; m.Kind == maintenance.Server && m.Drained() && c.InFlightAt(m.Name) == 0 {
-				r.Apart = append(r.Apart, m.ID)
+			if m := &u.now.Machines[i]; m.Kind == maintenance.Server && m.Cordoned() && c.InFlightAt(m.Name) == 0 {
+				r.Quiesced = append(r.Quiesced, m.ID)
 			}
 		}
 	}) {
@@ -243,7 +243,7 @@
 	r.Idle = u.leaving.Load() && u.idle(open)
 	for _, s := range u.g.floats.status() {
 		if s.Ready {
-			r.Floats = append(r.Floats, s.Group)
+			r.FloatingGroups = append(r.FloatingGroups, s.Group)
 		}
 	}
 	u.g.store.SetMaintenanceReport(u.life, r)
@@ -272,12 +272,12 @@
 	before := map[uint64]string{}
 	for i := range u.now.Machines {
 		m := &u.now.Machines[i]
-		before[m.ID] = m.Stands(u.now.Held)
+		before[m.ID] = m.StateText(u.now.Paused)
 	}
 	for i := range 2 * len(next.Machines) { // those that are in service again first: what is read in order is never more than there was
 		m := &next.Machines[i%len(next.Machines)]
-		back := m.State == maintenance.Asked || m.State >= maintenance.Back
-		if to := m.Stands(next.Held); before[m.ID] != to && back == (i < len(next.Machines)) {
+		back := m.State == maintenance.Requested || m.State >= maintenance.Back
+		if to := m.StateText(next.Paused); before[m.ID] != to && back == (i < len(next.Machines)) {
 			u.g.log.Info().Str("machine", m.Label()).Stringer("kind", m.Kind).Uint64("number", m.ID).Str("from", before[m.ID]).Str("to", to).Msg("maintenance")
 		}
 	}
@@ -316,15 +316,15 @@
 	if len(words) == 0 {
 		return g.maintenanceList(by)
 	}
-	c := maintenance.Command{By: g.ops.Members.Node, For: clock.Micros(g.ops.Maintenance.DefaultDuration.Microseconds())}
+	c := maintenance.Command{RequestedBy: g.ops.Members.Node, Duration: clock.Micros(g.ops.Maintenance.DefaultDuration.Microseconds())}
 	var err error
 	if c.Verb = map[string]maintenance.Verb{
-		"add": maintenance.Add, "done": maintenance.Done, "drop": maintenance.Drop, "hold": maintenance.Hold, "go": maintenance.Go,
+		"add": maintenance.Add, "done": maintenance.Done, "drop": maintenance.Cancel, "hold": maintenance.Pause, "go": maintenance.Resume,
 	}[words[0]]; c.Verb == 0 {
 		return nil, fmt.Errorf("unknown question %.40q", "maintain "+words[0])
 	}
 	if len(words) > 1 {
-		if c.Name, err = strconv.Unquote(words[1]); err != nil || c.Name == "" || len(c.Name) > maintenance.MostName {
+		if c.Name, err = strconv.Unquote(words[1]); err != nil || c.Name == "" || len(c.Name) > maintenance.MaxNameLength {
 			return nil, fmt.Errorf("%.60s is no machine's name", words[1])
 		}
 	}
@@ -334,12 +334,12 @@
 			return nil, fmt.Errorf("%.20q is no span", words[2])
 		}
 		if d > 0 {
-			c.For = clock.Micros(d.Microseconds())
+			c.Duration = clock.Micros(d.Microseconds())
 		}
 	}
 	if len(words) > 3 {
-		if c.Why, err = strconv.Unquote(strings.Join(words[3:], " ")); err != nil || len(c.Why) > maintenance.MostWhy {
-			return nil, fmt.Errorf("a reason has %d bytes at the most", maintenance.MostWhy)
+		if c.Comment, err = strconv.Unquote(strings.Join(words[3:], " ")); err != nil || len(c.Comment) > maintenance.MaxCommentLength {
+			return nil, fmt.Errorf("a reason has %d bytes at the most", maintenance.MaxCommentLength)
 		}
 	}
 	if c.Name != "" {
@@ -393,12 +393,12 @@
 
 func (g *Gateway) maintenanceList(by time.Time) (MaintainStatus, error) {
 	l, err := g.store.MaintenanceListing(by)
-	s := MaintainStatus{Node: g.ops.Members.Node, Leader: l.Leader, Held: l.Order.Held, Machines: []MaintainedUnit{}}
+	s := MaintainStatus{Node: g.ops.Members.Node, Leader: l.Leader, Held: l.Order.Paused, Machines: []MaintainedUnit{}}
 	for i := range l.Order.Machines {
 		m := &l.Order.Machines[i]
 		x := MaintainedUnit{
-			Machine: m.Name, Kind: m.Kind.String(), Group: m.Group, State: m.Stands(l.Order.Held), WorkMS: int64(m.For) / 1000, Why: m.Why, By: m.By,
-			Waits: l.Waits[m.ID], Place: l.Order.Place(m.ID),
+			Machine: m.Name, Kind: m.Kind.String(), Group: m.Group, State: m.StateText(l.Order.Paused), WorkMS: int64(m.Duration) / 1000, Why: m.Comment, By: m.RequestedBy,
+			Waits: l.Waits[m.ID], Place: l.Order.Position(m.ID),
 		}
 		if err == nil {
 			x.ForMS = max(int64(l.Now-m.Since)/1000, 0)
@@ -421,7 +421,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	own := m.g.ops.Members
-	all = append(all, maintenance.Member{Name: own.Node, Zone: own.Zone, Life: m.g.life})
+	all = append(all, maintenance.Member{Name: own.Node, Zone: own.Zone, Incarnation: m.g.life})
 	for _, x := range m.known {
 		all = append(all, x)
 	}
@@ -430,7 +430,7 @@
 
 // noted keeps who there is.
 func (m *members) noted(c membership.MemberChanged) {
-	x := maintenance.Member{Name: c.Name, Zone: c.Meta.Zone, Life: c.Generation}
+	x := maintenance.Member{Name: c.Name, Zone: c.Meta.Zone, Incarnation: c.Generation}
 	switch c.State {
 	case membership.Dead:
 		x.Presence = maintenance.Dead
@@ -439,7 +439,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if last, known := m.known[c.Name]; known && last.Life > c.Generation {
+	if last, known := m.known[c.Name]; known && last.Incarnation > c.Generation {
 		return
 	}
 	m.known[c.Name] = x
--- a/internal/gateway/questions_test.go
+++ b/internal/gateway/questions_test.go
@@ -65,16 +65,16 @@
 }
 
 func (s *storeDouble) RunMaintenanceCommand(c maintenance.Command, _ time.Time) (string, error) {
-	s.told = fmt.Sprintf("verb %d by %s", c.Verb, c.By)
+	s.told = fmt.Sprintf("verb %d by %s", c.Verb, c.RequestedBy)
 	return "it is so", nil
 }
 
 // Listing has a machine in each state, and one that is overdue.
 func (s *storeDouble) MaintenanceListing(time.Time) (maintenance.Listing, error) {
-	order := &maintenance.Order{Held: true}
+	order := &maintenance.Order{Paused: true}
 	for state := range maintenance.States {
 		order.Machines = append(order.Machines, maintenance.Machine{
-			ID: uint64(state) + 1, Kind: maintenance.Kind(state) % maintenance.Kinds, Name: fmt.Sprint("m-", state), State: state, Since: 1_000_000, For: 60_000_000,
+			ID: uint64(state) + 1, Kind: maintenance.Kind(state) % maintenance.Kinds, Name: fmt.Sprint("m-", state), State: state, Since: 1_000_000, Duration: 60_000_000,
 		})
 	}
 	order.Machines = append(order.Machines, maintenance.Machine{ID: 99, Name: "late", State: maintenance.Out, Overdue: true})
--- a/internal/golden/copies_test.go
+++ b/internal/golden/copies_test.go
@@ -288,11 +288,11 @@
 	if len(machines) != 8 {
 		t.Fatalf("the order is read as %+v", machines)
 	}
-	if first := machines[0]; first.Kind != maintenance.Server || first.State != maintenance.Out || first.Why != "a new kernel" {
+	if first := machines[0]; first.Kind != maintenance.Server || first.State != maintenance.Out || first.Comment != "a new kernel" {
 		t.Errorf("the order is read as %+v", machines)
 	}
 	for i, state := range []maintenance.State{
-		maintenance.Asked, maintenance.Next, maintenance.Leaving, maintenance.Out, maintenance.Returning, maintenance.Back, maintenance.Dropped,
+		maintenance.Requested, maintenance.Next, maintenance.Draining, maintenance.Out, maintenance.Returning, maintenance.Back, maintenance.Canceled,
 	} {
 		if m := machines[i+1]; m.State != state || m.Kind != maintenance.Gateway {
 			t.Errorf("machine %d is read as %+v", m.ID, m)
@@ -316,7 +316,7 @@
 			t.Errorf("the status %v is %d, want %d", status, status, number)
 		}
 	}
-	for i, verb := range []maintenance.Verb{maintenance.Add, maintenance.Done, maintenance.Drop, maintenance.Hold, maintenance.Go} {
+	for i, verb := range []maintenance.Verb{maintenance.Add, maintenance.Done, maintenance.Cancel, maintenance.Pause, maintenance.Resume} {
 		if int(verb) != i+1 {
 			t.Errorf("the verb %d is to be %d", verb, i+1)
 		}
--- a/internal/maintenance/explore_test.go
+++ b/internal/maintenance/explore_test.go
@@ -22,10 +22,10 @@
 
 const group = 7
 
-var testLimits = Limits{Gateways: 1, InZone: 1, Servers: 1, Keep: 1, Load: 900, Settle: 10, Return: 200, HealAfter: 1000}
+var testLimits = Limits{MaxGateways: 1, MaxPerZone: 1, MaxServers: 1, KeepReady: 1, MaxLoad: 900, SettleTime: 10, ReturnWithin: 200, RepairAfter: 1000}
 
 // chain has neighbours share a shard each.
-var chain = []ShardFact{{Holders: []string{"a", "b"}, Whole: true}, {Holders: []string{"b", "c"}, Whole: true}}
+var chain = []ShardStatus{{Hosts: []string{"a", "b"}, Complete: true}, {Hosts: []string{"b", "c"}, Complete: true}}
 
 // gw is one gateway.
 type gw struct {
@@ -34,7 +34,7 @@
 	life     uint64
 	view     *Order // as it knows it
 	seen     uint64
-	mail     *GatewayFact // a report on its way
+	mail     *GatewayStatus // a report on its way
 }
 
 // budget is how often something may happen yet.
@@ -43,7 +43,7 @@
 type proposal struct {
 	step    *Step
 	command *Command
-	asker   Asker
+	asker   ClientSession
 	applied int
 }
 
@@ -55,7 +55,7 @@
 	gws     [3]gw
 	leader  int
 	planner *Planner
-	facts   [3]GatewayFact
+	facts   [3]GatewayStatus
 	known   [3]bool // heard by this leader
 	pending []proposal
 	asked   []string // still to be asked for
@@ -68,14 +68,14 @@
 // mutant spoils one thing.
 type mutant struct {
 	name   string
-	by     string                                // the arrangement that shows it
-	facts  func(w *world, f *Facts)              // what the leader goes by
-	step   func(o *Order, s *Step)               // before it is applied
-	shards func(Shards) Shards                   // by which it is applied
-	asker  func(a *Asker)                        // of a command
-	blind  bool                                  // gateways start on what their disks say
-	drains func(g *gw, m *Machine, d bool) bool  // what a gateway makes of a machine
-	fact   func(w *world, g int, f *GatewayFact) // a gateway's report
+	by     string                                  // the arrangement that shows it
+	facts  func(w *world, f *ClusterView)          // what the leader goes by
+	step   func(o *Order, s *Step)                 // before it is applied
+	shards func(Shards) Shards                     // by which it is applied
+	asker  func(a *ClientSession)                  // of a command
+	blind  bool                                    // gateways start on what their disks say
+	drains func(g *gw, m *Machine, d bool) bool    // what a gateway makes of a machine
+	fact   func(w *world, g int, f *GatewayStatus) // a gateway's report
 }
 
 type model struct {
@@ -89,7 +89,7 @@
 func (m model) Start() *world {
 	w := &world{order: &Order{}, planner: &Planner{}, asked: m.asked, left: m.left}
 	for i := range w.gws {
-		w.order.Roll = append(w.order.Roll, Enrolled{names[i], 1})
+		w.order.Roster = append(w.order.Roster, Enrollment{names[i], 1})
 		w.gws[i] = gw{up: true, life: 1, view: w.order}
 	}
 	for i := range w.gws {
@@ -127,7 +127,7 @@
 func (m model) Show(w *world) string {
 	out := fmt.Sprintf("t=%d i=%d leader %s", w.now, w.index, names[w.leader])
 	for _, x := range w.order.Machines {
-		out += fmt.Sprintf(" %s:%s/%d", x.Name, x.State, x.Turn)
+		out += fmt.Sprintf(" %s:%s/%d", x.Name, x.State, x.Revision)
 	}
 	for i, g := range w.gws {
 		out += fmt.Sprintf(" | %s/%d up:%v busy:%v at:%v seen:%d", names[i], g.life, g.up, g.busy, g.at, g.seen)
@@ -138,13 +138,13 @@
 // serves tells whether a gateway is on the roll, as far as it knows.
 func (m model) serves(w *world, i int) bool {
 	g := &w.gws[i]
-	return g.view.Enrolled(names[i]) == g.life || m.mut != nil && m.mut.blind
+	return g.view.EnrolledIncarnation(names[i]) == g.life || m.mut != nil && m.mut.blind
 }
 
 // drained tells whether a gateway, by what it knows, sends nothing to a machine, or takes nothing new.
 func (m model) drained(g *gw, kind Kind, name string) bool {
 	x := g.view.Find(kind, name, group)
-	d := x != nil && x.Drained()
+	d := x != nil && x.Cordoned()
 	if m.mut != nil && m.mut.drains != nil && x != nil {
 		d = m.mut.drains(g, x, d)
 	}
@@ -152,15 +152,15 @@
 }
 
 // report is what a gateway tells of itself.
-func (m model) report(w *world, i int) *GatewayFact {
+func (m model) report(w *world, i int) *GatewayStatus {
 	g := &w.gws[i]
-	f := &GatewayFact{Name: names[i], Life: g.life, Report: Report{
-		Seen: g.seen, Ready: !m.drained(g, Gateway, names[i]) && m.serves(w, i), Idle: !g.busy && g.at == [2]bool{}, Load: 100,
+	f := &GatewayStatus{Name: names[i], Incarnation: g.life, Report: Report{
+		LedgerIndex: g.seen, Ready: !m.drained(g, Gateway, names[i]) && m.serves(w, i), Idle: !g.busy && g.at == [2]bool{}, Load: 100,
 	}}
 	for s, name := range servers {
 		f.Servers = append(f.Servers, ServerReport{Group: group, Name: name, Primary: s == w.primary})
 		if x := g.view.Find(Server, name, group); x != nil && m.drained(g, Server, name) && !g.at[s] {
-			f.Apart = append(f.Apart, x.ID)
+			f.Quiesced = append(f.Quiesced, x.ID)
 		}
 	}
 	if m.mut != nil && m.mut.fact != nil {
@@ -171,11 +171,11 @@
 
 // plan has the leader decide.
 func (m model) plan(w *world) []Step {
-	f := &Facts{Now: w.now, Known: true, Gateways: slices.Clone(w.facts[:]), Shards: chain}
+	f := &ClusterView{Now: w.now, AllReported: true, Gateways: slices.Clone(w.facts[:]), Shards: chain}
 	for i := range f.Gateways {
 		f.Gateways[i].Name = names[i]
 		if !w.known[i] && f.Gateways[i].Presence == Alive {
-			f.Gateways[i].Presence, f.Known = Silent, false
+			f.Gateways[i].Presence, f.AllReported = Silent, false
 		}
 	}
 	if m.mut != nil && m.mut.facts != nil {
@@ -191,7 +191,7 @@
 	next := w.order.Clone()
 	effect := false
 	if p.step != nil {
-		s, shards := *p.step, Shards(&Facts{Shards: chain})
+		s, shards := *p.step, Shards(&ClusterView{Shards: chain})
 		if m.mut != nil && m.mut.step != nil {
 			m.mut.step(next, &s)
 		}
@@ -205,7 +205,7 @@
 			m.mut.asker(&asker)
 		}
 		next.Command(w.now, w.index, asker, *p.command)
-		effect = !reflect.DeepEqual(w.order.Machines, next.Machines) || w.order.Held != next.Held
+		effect = !reflect.DeepEqual(w.order.Machines, next.Machines) || w.order.Paused != next.Paused
 	}
 	if effect && p.applied > 0 && w.broken == "" && (p.step == nil || p.step.ID > 0) { // the roll is no worse for it
 		w.broken = "an entry had its effect twice"
@@ -224,32 +224,32 @@
 	var away []string
 	for i := range w.order.Machines {
 		x := &w.order.Machines[i]
-		if !x.away() {
+		if !x.inProgress() {
 			continue
 		}
 		if x.Kind == Server {
 			inGroup++
 			continue
 		}
-		if x.counts() {
+		if x.occupiesPlace() {
 			gateways++
 		}
 		for _, name := range away {
-			if (&Facts{Shards: chain}).Shared(name, x.Name) {
+			if (&ClusterView{Shards: chain}).ShareShard(name, x.Name) {
 				return fmt.Errorf("%s and %s are away and share a shard", name, x.Name)
 			}
 		}
 		away = append(away, x.Name)
 	}
 	switch {
-	case gateways > m.limits.Gateways:
+	case gateways > m.limits.MaxGateways:
 		return errors.New("more gateways are away than there are places")
 	case inGroup > 1:
 		return errors.New("two of a group are away")
 	}
 	for i := range w.order.Machines {
 		x := &w.order.Machines[i]
-		if x.State != Out || x.Word {
+		if x.State != Out || x.Overridden {
 			continue
 		}
 		for k, g := range w.gws {
@@ -269,7 +269,7 @@
 
 func (w *world) say(c Command) proposal {
 	w.numbers++
-	return proposal{command: &c, asker: Asker{Client: 1, Sequence: w.numbers}}
+	return proposal{command: &c, asker: ClientSession{Client: 1, Sequence: w.numbers}}
 }
 
 // entries lets something come into the log: at once, later, or at once and once more later.
@@ -294,7 +294,7 @@
 }
 
 func command(v Verb, name string) Command {
-	c := Command{Verb: v, Name: name, Group: group, For: 200}
+	c := Command{Verb: v, Name: name, Group: group, Duration: 200}
 	if slices.Contains(servers[:], name) {
 		c.Kind = Server
 	}
@@ -329,10 +329,10 @@
 		})
 	}
 	for _, x := range w.order.Machines {
-		if w.left.stray > 0 && x.State == Asked { // of a leader that goes by other facts
+		if w.left.stray > 0 && x.State == Requested { // of a leader that goes by other facts
 			add("a stray step for "+x.Name, func(w *world) {
 				w.left.stray--
-				m.enter(w, proposal{step: &Step{ID: x.ID, Turn: x.Turn, To: Next, Gateways: m.limits.Gateways, InZone: m.limits.InZone, Servers: m.limits.Servers}})
+				m.enter(w, proposal{step: &Step{ID: x.ID, Revision: x.Revision, To: Next, MaxGateways: m.limits.MaxGateways, MaxPerZone: m.limits.MaxPerZone, MaxServers: m.limits.MaxServers}})
 			})
 		}
 	}
@@ -341,7 +341,7 @@
 	}
 	m.operatorMoves(w, add)
 	if !m.quiet {
-		add("time", func(w *world) { w.now += testLimits.Settle })
+		add("time", func(w *world) { w.now += testLimits.SettleTime })
 	}
 	return all
 }
@@ -409,9 +409,9 @@
 
 func (w *world) deliver(i int) {
 	g := &w.gws[i]
-	if g.mail.Life >= w.facts[i].Life {
+	if g.mail.Incarnation >= w.facts[i].Incarnation {
 		g.mail.Presence = w.facts[i].Presence
-		if g.mail.Life > w.facts[i].Life {
+		if g.mail.Incarnation > w.facts[i].Incarnation {
 			g.mail.Presence = Alive // membership tells of the new life
 		}
 		w.facts[i], w.known[i] = *g.mail, true
@@ -423,7 +423,7 @@
 func (w *world) lead(i int) {
 	w.leader, w.planner, w.known = i, &Planner{}, [3]bool{}
 	for k := range w.facts {
-		w.facts[k] = GatewayFact{Name: names[k], Life: w.facts[k].Life, Presence: w.facts[k].Presence}
+		w.facts[k] = GatewayStatus{Name: names[k], Incarnation: w.facts[k].Incarnation, Presence: w.facts[k].Presence}
 	}
 }
 
@@ -431,29 +431,29 @@
 	for _, x := range w.order.Machines {
 		i := slices.Index(names[:], x.Name)
 		switch {
-		case x.State == Out && x.Kind == Gateway && w.gws[i].up && w.gws[i].life == x.Life:
+		case x.State == Out && x.Kind == Gateway && w.gws[i].up && w.gws[i].life == x.Incarnation:
 			add("work at "+x.Name, func(w *world) { w.gws[i].up = false })
 		case x.State == Out && x.Kind == Server:
 			m.entries(w, x.Name+" is done", func(w *world) []proposal { return []proposal{w.say(command(Done, x.Name))} }, add)
-		case x.State == Leaving && x.Kind == Gateway && w.left.restart > 0 && w.gws[i].up:
+		case x.State == Draining && x.Kind == Gateway && w.left.restart > 0 && w.gws[i].up:
 			add("restart "+x.Name, func(w *world) { w.left.restart--; w.gws[i].up = false })
 		}
-		if x.away() && w.left.drop > 0 {
+		if x.inProgress() && w.left.drop > 0 {
 			m.entries(w, "drop "+x.Name, func(w *world) []proposal {
 				w.left.drop--
 				w.asked = append(w.asked, x.Name)
-				return []proposal{w.say(command(Drop, x.Name))}
+				return []proposal{w.say(command(Cancel, x.Name))}
 			}, add)
 		}
-		if x.State == Leaving && x.Kind == Server && w.left.word > 0 {
-			add("go "+x.Name, func(w *world) { w.left.word--; m.enter(w, w.say(command(Go, x.Name))) })
+		if x.State == Draining && x.Kind == Server && w.left.word > 0 {
+			add("go "+x.Name, func(w *world) { w.left.word--; m.enter(w, w.say(command(Resume, x.Name))) })
 		}
 	}
 	if w.left.hold > 0 {
-		m.entries(w, "hold", func(w *world) []proposal { w.left.hold--; return []proposal{w.say(Command{Verb: Hold})} }, add)
+		m.entries(w, "hold", func(w *world) []proposal { w.left.hold--; return []proposal{w.say(Command{Verb: Pause})} }, add)
 	}
-	if w.order.Held {
-		add("go", func(w *world) { m.enter(w, w.say(Command{Verb: Go})) })
+	if w.order.Paused {
+		add("go", func(w *world) { m.enter(w, w.say(Command{Verb: Resume})) })
 	}
 	if w.left.promote > 0 {
 		add("promote", func(w *world) { w.left.promote--; w.primary = 1 - w.primary })
@@ -464,8 +464,8 @@
 func (m model) mend(w *world) error {
 	w.asked = nil
 	for range 200 {
-		if w.order.Held {
-			w.pending = append(w.pending, w.say(Command{Verb: Go}))
+		if w.order.Paused {
+			w.pending = append(w.pending, w.say(Command{Verb: Resume}))
 		}
 		for len(w.pending) > 0 {
 			p := w.pending[0]
@@ -488,7 +488,7 @@
 		}
 		waiting := false
 		for _, x := range w.order.Machines {
-			if !x.open() {
+			if !x.active() {
 				continue
 			}
 			waiting = true
@@ -504,7 +504,7 @@
 		if !waiting {
 			return nil
 		}
-		w.now += testLimits.Settle
+		w.now += testLimits.SettleTime
 		for _, s := range m.plan(w) {
 			w.pending = append(w.pending, proposal{step: &s})
 		}
@@ -512,7 +512,7 @@
 	return fmt.Errorf("something waits for ever: %s", m.Show(w))
 }
 
-var wide = func() Limits { l := testLimits; l.Gateways, l.InZone, l.Servers = 2, 2, 2; return l }()
+var wide = func() Limits { l := testLimits; l.MaxGateways, l.MaxPerZone, l.MaxServers = 2, 2, 2; return l }()
 
 var arrangements = []struct {
 	name string
@@ -597,12 +597,12 @@
 // loose sees no shards.
 type loose struct{}
 
-func (loose) Whole(string) bool          { return true }
-func (loose) Shared(string, string) bool { return false }
+func (loose) Complete(string) bool           { return true }
+func (loose) ShareShard(string, string) bool { return false }
 
 // all has every gateway's fact spoilt.
-func all(do func(w *world, i int, g *GatewayFact)) func(*world, *Facts) {
-	return func(w *world, f *Facts) {
+func all(do func(w *world, i int, g *GatewayStatus)) func(*world, *ClusterView) {
+	return func(w *world, f *ClusterView) {
 		for i := range f.Gateways {
 			do(w, i, &f.Gateways[i])
 		}
@@ -610,8 +610,8 @@
 }
 
 // presence has the leader take one for another.
-func presence(from, to Presence) func(*world, *Facts) {
-	return all(func(_ *world, _ int, g *GatewayFact) {
+func presence(from, to Presence) func(*world, *ClusterView) {
+	return all(func(_ *world, _ int, g *GatewayStatus) {
 		if g.Presence == from {
 			g.Presence = to
 		}
@@ -620,20 +620,20 @@
 
 // Each of these is wrong in one point; the arrangement shows it.
 var mutants = []mutant{
-	{name: "takes a word from before it was told", by: "two gateways", facts: all(func(_ *world, _ int, g *GatewayFact) { g.Seen = 1 << 40 })},
-	{name: "does not wait for what is under way", by: "two gateways", facts: all(func(_ *world, _ int, g *GatewayFact) { g.Idle = true })},
+	{name: "takes a word from before it was told", by: "two gateways", facts: all(func(_ *world, _ int, g *GatewayStatus) { g.LedgerIndex = 1 << 40 })},
+	{name: "does not wait for what is under way", by: "two gateways", facts: all(func(_ *world, _ int, g *GatewayStatus) { g.Idle = true })},
 	{name: "carries out a step that was made for another turn", by: "hold and drop", step: func(o *Order, s *Step) {
-		if m := o.numbered(s.ID); m != nil {
-			s.Turn = m.Turn
+		if m := o.byID(s.ID); m != nil {
+			s.Revision = m.Revision
 		}
 	}},
-	{name: "has more places when it is carried out", by: "two places, and shared shards", step: func(_ *Order, s *Step) { s.Gateways, s.InZone = 9, 9 },
+	{name: "has more places when it is carried out", by: "two places, and shared shards", step: func(_ *Order, s *Step) { s.MaxGateways, s.MaxPerZone = 9, 9 },
 		shards: func(Shards) Shards { return loose{} }},
 	{name: "does not see shared shards", by: "two places, and shared shards", shards: func(Shards) Shards { return loose{} }},
 	{name: "does not wait for the dead", by: "a server, a crash and a wrong word", facts: presence(Dead, Left)},
 	{name: "who has not reported has nothing out", by: "a server, a crash and a wrong word", facts: presence(Silent, Left)},
-	{name: "a new leader decides before it has heard anybody", by: "a server, and another leader", facts: func(w *world, f *Facts) {
-		f.Known = true
+	{name: "a new leader decides before it has heard anybody", by: "a server, and another leader", facts: func(w *world, f *ClusterView) {
+		f.AllReported = true
 		for i := range f.Gateways {
 			if !w.known[i] {
 				f.Gateways[i].Presence = Left
@@ -642,21 +642,21 @@
 	}},
 	{name: "gateways start on what their disks say", by: "a server, and a gateway that is ended", blind: true},
 	{name: "gateways take a server for theirs again once it is out", by: "a server, and a gateway that is ended",
-		drains: func(_ *gw, m *Machine, d bool) bool { return d && m.State == Leaving }},
-	{name: "commands count as often as they come", by: "hold and drop", asker: func(a *Asker) { *a = Asker{} }},
+		drains: func(_ *gw, m *Machine, d bool) bool { return d && m.State == Draining }},
+	{name: "commands count as often as they come", by: "hold and drop", asker: func(a *ClientSession) { *a = ClientSession{} }},
 	{name: "servers of one group are strangers", by: "both servers of a group", step: func(o *Order, s *Step) {
 		for i := range o.Machines {
 			o.Machines[i].Group = i
 		}
 	}},
-	{name: "a gateway says that it is apart while something is out", by: "a server, and a gateway that is ended", fact: func(w *world, i int, f *GatewayFact) {
+	{name: "a gateway says that it is apart while something is out", by: "a server, and a gateway that is ended", fact: func(w *world, i int, f *GatewayStatus) {
 		for s, name := range servers {
-			if x := w.gws[i].view.Find(Server, name, group); x != nil && x.Drained() && w.gws[i].at[s] {
-				f.Apart = append(f.Apart, x.ID)
+			if x := w.gws[i].view.Find(Server, name, group); x != nil && x.Cordoned() && w.gws[i].at[s] {
+				f.Quiesced = append(f.Quiesced, x.ID)
 			}
 		}
 	}},
-	{name: "a returned one is waited for without end", by: "a gateway, restarted while it leaves", facts: all(func(_ *world, _ int, g *GatewayFact) { g.Ready = false })},
+	{name: "a returned one is waited for without end", by: "a gateway, restarted while it leaves", facts: all(func(_ *world, _ int, g *GatewayStatus) { g.Ready = false })},
 }
 
 func TestMutantsAreCaught(t *testing.T) {
--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -10,16 +10,16 @@
 
 // Limits are the leader's own file's.
 type Limits struct {
-	Gateways int // away at once
-	InZone   int // of one zone
-	Servers  int // database servers away at once, one of each group at the most
-	Keep     int // ready gateways that a zone keeps
-	Load     int // what those that stay may have to carry, in thousandths of what they can
-	Settle   clock.Micros
-	Return   clock.Micros // after which one that is returning is overdue
-	Excuse   clock.Micros // after which one that is overdue holds nobody up any more; 0: never
+	MaxGateways  int // away at once
+	MaxPerZone   int // of one zone
+	MaxServers   int // database servers away at once, one of each group at the most
+	KeepReady    int // ready gateways that a zone keeps
+	MaxLoad      int // what those that stay may have to carry, in thousandths of what they can
+	SettleTime   clock.Micros
+	ReturnWithin clock.Micros // after which one that is returning is overdue
+	ExcuseAfter  clock.Micros // after which one that is overdue holds nobody up any more; 0: never
 	// HealAfter is after how long a silent holder's shards get another holder: whoever is out for longer moves them first.
-	HealAfter clock.Micros
+	RepairAfter clock.Micros
 }
 
 // Presence is what the leader knows of whether a gateway is there.
@@ -35,75 +35,75 @@
 
 // Member is a gateway as the membership has it.
 type Member struct {
-	Name, Zone string
-	Presence   Presence // Alive, Dead or Left
-	Life       uint64
+	Name, Zone  string
+	Presence    Presence // Alive, Dead or Left
+	Incarnation uint64
 }
 
 // Report is what a gateway tells of itself and of what it sees.
 type Report struct {
-	Seen    uint64 // the ledger's index by which it acts
-	Ready   bool   // it would take something new
-	Idle    bool   // nothing of its own is under way, and no floating address is held
-	Leads   bool   // it leads a shard, or the ledger
-	Load    int    // share of its processors that it uses, in thousandths
-	Floats  []string
-	Apart   []uint64 // machines in the order that it sends nothing to, and has nothing out at
-	Servers []ServerReport
+	LedgerIndex    uint64 // the ledger's index by which it acts
+	Ready          bool   // it would take something new
+	Idle           bool   // nothing of its own is under way, and no floating address is held
+	Leads          bool   // it leads a shard, or the ledger
+	Load           int    // share of its processors that it uses, in thousandths
+	FloatingGroups []string
+	Quiesced       []uint64 // machines in the order that it sends nothing to, and has nothing out at
+	Servers        []ServerReport
 }
 
 // ServerReport is how one gateway sees a database server of a group that the order concerns.
 type ServerReport struct {
-	Group                       int
-	Name                        string
-	Primary, Down, Cold, Behind bool
+	Group                             int
+	Name                              string
+	Primary, Down, WarmingUp, Lagging bool
 }
 
 // GatewayFact is one gateway. The report is the last one of this life.
-type GatewayFact struct {
-	Name, Zone string
-	Life       uint64
-	Presence   Presence
+type GatewayStatus struct {
+	Name, Zone  string
+	Incarnation uint64
+	Presence    Presence
 	Report
 }
 
 // ShardFact is one shard, or the ledger.
-type ShardFact struct {
-	Holders []string
-	Whole   bool // all its copies are there, none is on its way, and its leader says so
-	Below   bool // it has fewer copies than it is to have
+type ShardStatus struct {
+	Hosts           []string
+	Complete        bool // all its copies are there, none is on its way, and its leader says so
+	UnderReplicated bool // it has fewer copies than it is to have
 }
 
 // Facts are what the leader knows beside the order.
-type Facts struct {
-	Now      clock.Micros
-	Known    bool // it has led for long enough to have heard everybody
-	Gateways []GatewayFact
-	Shards   []ShardFact
+type ClusterView struct {
+	Now         clock.Micros
+	AllReported bool // it has led for long enough to have heard everybody
+	Gateways    []GatewayStatus
+	Shards      []ShardStatus
 }
 
 // Whole is Shards by what the leader knows.
-func (f *Facts) Whole(gateway string) bool {
-	return !slices.ContainsFunc(f.Shards, func(s ShardFact) bool { return !s.Whole && slices.Contains(s.Holders, gateway) })
+func (f *ClusterView) Complete(gateway string) bool {
+	return !slices.ContainsFunc(f.Shards, func(s ShardStatus) bool { return !s.Complete && slices.Contains(s.Hosts, gateway) })
 }
 
 // Shared is Shards by what the leader knows.
-func (f *Facts) Shared(a, b string) bool {
-	return slices.ContainsFunc(f.Shards, func(s ShardFact) bool { return slices.Contains(s.Holders, a) && slices.Contains(s.Holders, b) })
+func (f *ClusterView) ShareShard(a, b string) bool {
+	return slices.ContainsFunc(f.Shards, func(s ShardStatus) bool { return slices.Contains(s.Hosts, a) && slices.Contains(s.Hosts, b) })
 }
 
 // holds is how many shards a gateway holds.
-func (f *Facts) holds(gateway string) (n int) {
+func (f *ClusterView) shardCount(gateway string) (n int) {
 	for _, s := range f.Shards {
-		if slices.Contains(s.Holders, gateway) {
+		if slices.Contains(s.Hosts, gateway) {
 			n++
 		}
 	}
 	return n
 }
 
-func (f *Facts) gateway(name string) *GatewayFact {
-	if i := slices.IndexFunc(f.Gateways, func(g GatewayFact) bool { return g.Name == name }); i >= 0 {
+func (f *ClusterView) gateway(name string) *GatewayStatus {
+	if i := slices.IndexFunc(f.Gateways, func(g GatewayStatus) bool { return g.Name == name }); i >= 0 {
 		return &f.Gateways[i]
 	}
 	return nil
@@ -111,7 +111,7 @@
 
 // seen is what all gateways that report say of a server together: the worst of it, and that it is the primary if all that know
 // it say so.
-func (f *Facts) seen(group int, name string) (all ServerReport, known bool) {
+func (f *ClusterView) combinedReport(group int, name string) (all ServerReport, known bool) {
 	all = ServerReport{Group: group, Name: name, Primary: true}
 	for _, g := range f.Gateways {
 		if g.Presence != Alive {
@@ -121,7 +121,7 @@
 			if s.Group == group && s.Name == name {
 				known = true
 				all.Primary = all.Primary && s.Primary
-				all.Down, all.Cold, all.Behind = all.Down || s.Down, all.Cold || s.Cold, all.Behind || s.Behind
+				all.Down, all.WarmingUp, all.Lagging = all.Down || s.Down, all.WarmingUp || s.WarmingUp, all.Lagging || s.Lagging
 			}
 		}
 	}
@@ -129,10 +129,10 @@
 }
 
 // group lists the servers of a group that anybody knows.
-func (f *Facts) group(group int) (names []string) {
+func (f *ClusterView) serversOfGroup(serversOfGroup int) (names []string) {
 	for _, g := range f.Gateways {
 		for _, s := range g.Servers {
-			if g.Presence == Alive && s.Group == group && !slices.Contains(names, s.Name) {
+			if g.Presence == Alive && s.Group == serversOfGroup && !slices.Contains(names, s.Name) {
 				names = append(names, s.Name)
 			}
 		}
@@ -142,8 +142,8 @@
 }
 
 // isPrimary tells whether any gateway takes a server for its group's primary.
-func (f *Facts) isPrimary(group int, name string) bool {
-	return slices.ContainsFunc(f.Gateways, func(g GatewayFact) bool {
+func (f *ClusterView) isPrimary(group int, name string) bool {
+	return slices.ContainsFunc(f.Gateways, func(g GatewayStatus) bool {
 		return g.Presence == Alive && slices.ContainsFunc(g.Servers, func(s ServerReport) bool { return s.Group == group && s.Name == name && s.Primary })
 	})
 }
@@ -175,33 +175,33 @@
 }
 
 // Plan decides what is next. Those that are on their way come first; one more goes only where none of them has a step to make.
-func (p *Planner) Plan(o *Order, f *Facts, l Limits) (steps []Step, waits Waits) {
+func (p *Planner) Plan(o *Order, f *ClusterView, l Limits) (steps []Step, waits Waits) {
 	if p.well == nil {
 		p.well = map[uint64]clock.Micros{}
 	}
 	for id := range p.well {
-		if m := o.numbered(id); m == nil || m.State != Returning {
+		if m := o.byID(id); m == nil || m.State != Returning {
 			delete(p.well, id)
 		}
 	}
 	waits = Waits{}
 	j := judge{o, f, l}
 	for _, name := range o.Excused {
-		if g := f.gateway(name); f.Known && (g == nil || g.Presence != Dead) {
-			steps = append(steps, Step{Unexcused: name})
+		if g := f.gateway(name); f.AllReported && (g == nil || g.Presence != Dead) {
+			steps = append(steps, Step{Unexcuse: name})
 		}
 	}
 	for _, g := range f.Gateways {
-		switch last := o.Enrolled(g.Name); {
-		case g.Presence == Alive && g.Life > last:
-			steps = append(steps, Step{Enroll: Enrolled{g.Name, g.Life}})
-		case g.Presence == Left && last > 0 && last <= g.Life:
-			steps = append(steps, Step{Strike: Enrolled{g.Name, g.Life}})
+		switch last := o.EnrolledIncarnation(g.Name); {
+		case g.Presence == Alive && g.Incarnation > last:
+			steps = append(steps, Step{Enroll: Enrollment{g.Name, g.Incarnation}})
+		case g.Presence == Left && last > 0 && last <= g.Incarnation:
+			steps = append(steps, Step{Unenroll: Enrollment{g.Name, g.Incarnation}})
 		}
 	}
 	for i := range o.Machines {
 		m := &o.Machines[i]
-		if !m.away() {
+		if !m.inProgress() {
 			continue
 		}
 		var to State
@@ -210,7 +210,7 @@
 		switch {
 		case m.State == Next:
 			to, life, why = j.next(m)
-		case m.State == Leaving:
+		case m.State == Draining:
 			to, life, why = j.leaving(m)
 		default:
 			to, life, why = p.away(j, m)
@@ -219,26 +219,26 @@
 			waits[m.ID] = why
 		}
 		switch {
-		case to != m.State || life != 0 && life != m.Life:
-			steps = append(steps, Step{ID: m.ID, Turn: m.Turn, To: to, Life: life})
+		case to != m.State || life != 0 && life != m.Incarnation:
+			steps = append(steps, Step{ID: m.ID, Revision: m.Revision, To: to, Incarnation: life})
 		case !m.Overdue && j.late(m):
-			steps = append(steps, Step{ID: m.ID, Turn: m.Turn, Overdue: true})
-		case m.Overdue && !m.Word && l.Excuse > 0 && f.Now-m.Left > m.For+l.Excuse:
-			steps = append(steps, Step{ID: m.ID, Turn: m.Turn, Word: true})
+			steps = append(steps, Step{ID: m.ID, Revision: m.Revision, Overdue: true})
+		case m.Overdue && !m.Overridden && l.ExcuseAfter > 0 && f.Now-m.OutSince > m.Duration+l.ExcuseAfter:
+			steps = append(steps, Step{ID: m.ID, Revision: m.Revision, Override: true})
 		}
 	}
 	for i := range o.Machines {
 		m := &o.Machines[i]
-		if m.State != Asked {
+		if m.State != Requested {
 			continue
 		}
 		why := j.mayGo(m)
 		if why != "" {
 			waits[m.ID] = why
 		} else if len(steps) == 0 { // what follows is judged on the order after it
-			s := Step{ID: m.ID, Turn: m.Turn, To: Next, Gateways: l.Gateways, InZone: l.InZone, Servers: l.Servers}
+			s := Step{ID: m.ID, Revision: m.Revision, To: Next, MaxGateways: l.MaxGateways, MaxPerZone: l.MaxPerZone, MaxServers: l.MaxServers}
 			if g := f.gateway(m.Name); m.Kind == Gateway && g != nil {
-				s.Zone, s.Life = g.Zone, g.Life
+				s.Zone, s.Incarnation = g.Zone, g.Incarnation
 			}
 			steps = append(steps, s)
 		}
@@ -249,7 +249,7 @@
 // judge looks at one moment.
 type judge struct {
 	o *Order
-	f *Facts
+	f *ClusterView
 	l Limits
 }
 
@@ -257,9 +257,9 @@
 func (j judge) late(m *Machine) bool {
 	switch m.State {
 	case Out:
-		return j.f.Now-m.Left > m.For
+		return j.f.Now-m.OutSince > m.Duration
 	case Returning:
-		return j.f.Now-m.Left > m.For+j.l.Return || j.f.Now-m.Since > j.l.Return
+		return j.f.Now-m.OutSince > m.Duration+j.l.ReturnWithin || j.f.Now-m.Since > j.l.ReturnWithin
 	}
 	return false
 }
@@ -269,7 +269,7 @@
 
 // trouble is what is wrong that is not work itself, as seen for one machine; empty: nothing is. Load is what may be carried.
 func (j judge) trouble(but *Machine, load int) string {
-	if !j.f.Known {
+	if !j.f.AllReported {
 		return "the ledger's leader has not heard everybody yet"
 	}
 	for _, g := range j.f.Gateways {
@@ -284,13 +284,13 @@
 		}
 	}
 	for _, s := range j.f.Shards {
-		if !s.Below || slices.ContainsFunc(s.Holders, func(name string) bool {
+		if !s.UnderReplicated || slices.ContainsFunc(s.Hosts, func(name string) bool {
 			m := j.o.Find(Gateway, name, 0)
-			return m != nil && m.away()
+			return m != nil && m.inProgress()
 		}) {
 			continue
 		}
-		return "a shard of " + strings.Join(s.Holders, ", ") + " has not all its copies"
+		return "a shard of " + strings.Join(s.Hosts, ", ") + " has not all its copies"
 	}
 	return j.overload(nil, load)
 }
@@ -318,10 +318,10 @@
 
 // mayGo tells why a machine has to wait for its turn; empty: it may go.
 func (j judge) mayGo(m *Machine) string {
-	if j.o.Held {
+	if j.o.Paused {
 		return "an operator's go: all are held"
 	}
-	if why := j.trouble(m, j.l.Load); why != "" {
+	if why := j.trouble(m, j.l.MaxLoad); why != "" {
 		return why
 	}
 	if why := j.places(m); why != "" {
@@ -335,17 +335,17 @@
 
 // places tells whether the limits leave no place.
 func (j judge) places(m *Machine) string {
-	s := Step{Gateways: j.l.Gateways, InZone: j.l.InZone, Servers: j.l.Servers}
+	s := Step{MaxGateways: j.l.MaxGateways, MaxPerZone: j.l.MaxPerZone, MaxServers: j.l.MaxServers}
 	if g := j.f.gateway(m.Name); m.Kind == Gateway && g != nil {
 		s.Zone = g.Zone
 	}
-	if j.o.room(m, s) {
+	if j.o.hasPlace(m, s) {
 		return ""
 	}
 	var names []string
 	for i := range j.o.Machines {
-		if x := &j.o.Machines[i]; x.ID != m.ID && x.Kind == m.Kind && x.away() {
-			names = append(names, fmt.Sprintf("%s, which is %s", x.Label(), x.Stands(j.o.Held)))
+		if x := &j.o.Machines[i]; x.ID != m.ID && x.Kind == m.Kind && x.inProgress() {
+			names = append(names, fmt.Sprintf("%s, which is %s", x.Label(), x.StateText(j.o.Paused)))
 		}
 	}
 	return "its turn, after " + strings.Join(names, "; ")
@@ -362,27 +362,27 @@
 			ready++
 		}
 	}
-	if ready < j.l.Keep {
+	if ready < j.l.KeepReady {
 		return fmt.Sprintf("zone %q would be left with %d gateways that are ready", g.Zone, ready)
 	}
-	for _, float := range g.Floats {
-		if !slices.ContainsFunc(j.f.Gateways, func(x GatewayFact) bool {
-			return x.Presence == Alive && x.Ready && x.Name != g.Name && slices.Contains(x.Floats, float)
+	for _, float := range g.FloatingGroups {
+		if !slices.ContainsFunc(j.f.Gateways, func(x GatewayStatus) bool {
+			return x.Presence == Alive && x.Ready && x.Name != g.Name && slices.Contains(x.FloatingGroups, float)
 		}) {
 			return "nobody else could take the floating address of " + float
 		}
 	}
-	if why := j.overload(m, j.l.Load); why != "" {
+	if why := j.overload(m, j.l.MaxLoad); why != "" {
 		return why
 	}
-	if why := j.o.clash(m, j.f); why != "" {
+	if why := j.o.sharedShardConflict(m, j.f); why != "" {
 		return why
 	}
-	if !j.f.Whole(m.Name) && !j.moves(m) {
+	if !j.f.Complete(m.Name) && !j.moves(m) {
 		return "a shard of it has not all its copies"
 	}
 	for _, x := range j.f.Gateways {
-		if x.Name != m.Name && x.Presence != Alive && j.f.Shared(m.Name, x.Name) {
+		if x.Name != m.Name && x.Presence != Alive && j.f.ShareShard(m.Name, x.Name) {
 			return x.Name + " holds a shard that it holds too, and is not there"
 		}
 	}
@@ -391,33 +391,33 @@
 
 // moves tells whether a gateway's shards are on their way to others, because it will be out for longer than they wait for it.
 func (j judge) moves(m *Machine) bool {
-	return m.State == Next && j.f.holds(m.Name) > 0 && m.For > j.l.HealAfter
+	return m.State == Next && j.f.shardCount(m.Name) > 0 && m.Duration > j.l.RepairAfter
 }
 
 // serverMayGo looks at the other servers of its group.
 func (j judge) serverMayGo(m *Machine) string {
-	if _, known := j.f.seen(m.Group, m.Name); !known {
+	if _, known := j.f.combinedReport(m.Group, m.Name); !known {
 		return "no gateway knows such a server"
 	}
 	primary, close := false, ""
-	for _, name := range j.f.group(m.Group) {
+	for _, name := range j.f.serversOfGroup(m.Group) {
 		if name == m.Name {
 			continue
 		}
-		s, _ := j.f.seen(m.Group, name)
+		s, _ := j.f.combinedReport(m.Group, name)
 		switch {
 		case s.Down:
 			return name + " of its group is down"
-		case s.Cold:
+		case s.WarmingUp:
 			return name + " of its group is cold"
-		case s.Behind:
+		case s.Lagging:
 			return name + " of its group is behind"
 		}
 		if close == "" {
 			close = name
 		}
 		primary = primary || s.Primary
-		if x := j.o.Find(Server, name, m.Group); x != nil && x.State == Asked && !s.Primary && j.f.isPrimary(m.Group, m.Name) {
+		if x := j.o.Find(Server, name, m.Group); x != nil && x.State == Requested && !s.Primary && j.f.isPrimary(m.Group, m.Name) {
 			return "replicas go first, and " + name + " is in the order"
 		}
 	}
@@ -432,7 +432,7 @@
 
 // next tells what becomes of one whose turn it is.
 func (j judge) next(m *Machine) (to State, life uint64, why string) {
-	why = j.trouble(m, j.l.Load)
+	why = j.trouble(m, j.l.MaxLoad)
 	if why == "" && m.Kind == Gateway {
 		why = j.gatewayMayGo(m)
 	}
@@ -440,21 +440,21 @@
 		why = j.serverMayGo(m)
 	}
 	if why != "" {
-		return Asked, 0, why
+		return Requested, 0, why
 	}
 	if m.Kind == Server {
-		if j.f.isPrimary(m.Group, m.Name) && !m.Word {
+		if j.f.isPrimary(m.Group, m.Name) && !m.Overridden {
 			return Next, 0, "another primary: promote one of its group, or say go to it"
 		}
-		return Leaving, 0, ""
+		return Draining, 0, ""
 	}
 	switch {
-	case j.f.gateway(m.Name).Life > m.Life:
-		return Asked, 0, "it was started anew"
+	case j.f.gateway(m.Name).Incarnation > m.Incarnation:
+		return Requested, 0, "it was started anew"
 	case j.moves(m):
-		return Next, 0, fmt.Sprintf("%d shards that move to other gateways, for it is out for longer than heal-after", j.f.holds(m.Name))
+		return Next, 0, fmt.Sprintf("%d shards that move to other gateways, for it is out for longer than heal-after", j.f.shardCount(m.Name))
 	}
-	return Leaving, 0, ""
+	return Draining, 0, ""
 }
 
 // leaving tells what becomes of one that ends what it has.
@@ -462,54 +462,54 @@
 	if m.Kind == Server {
 		return j.serverLeaving(m)
 	}
-	if !j.f.Known {
-		return Leaving, 0, "the ledger's leader to have heard everybody"
+	if !j.f.AllReported {
+		return Draining, 0, "the ledger's leader to have heard everybody"
 	}
 	g := j.f.gateway(m.Name)
 	switch {
-	case (g == nil || g.Presence == Dead) && m.Word:
+	case (g == nil || g.Presence == Dead) && m.Overridden:
 		return Out, 0, ""
 	case g == nil || g.Presence == Dead:
-		return Leaving, 0, "an operator's go: it died while it was leaving, and may only be cut off"
-	case g.Presence == Left && g.Life >= m.Life: // it has answered all that it had, as on any orderly end
+		return Draining, 0, "an operator's go: it died while it was leaving, and may only be cut off"
+	case g.Presence == Left && g.Incarnation >= m.Incarnation: // it has answered all that it had, as on any orderly end
 		return Out, 0, ""
-	case g.Life > m.Life:
-		return Asked, 0, "it was started anew while it was leaving"
+	case g.Incarnation > m.Incarnation:
+		return Requested, 0, "it was started anew while it was leaving"
 	case g.Presence == Silent:
-		return Leaving, 0, "its word that nothing is under way"
+		return Draining, 0, "its word that nothing is under way"
 	}
 	// Who is only not heard is no reason to change one's mind.
-	if why := j.trouble(m, j.l.Load+j.l.Load/4); why != "" && !strings.HasSuffix(why, unheard) {
-		return Asked, 0, why
+	if why := j.trouble(m, j.l.MaxLoad+j.l.MaxLoad/4); why != "" && !strings.HasSuffix(why, unheard) {
+		return Requested, 0, why
 	}
 	switch {
-	case g.Life < m.Life || g.Seen < m.At:
-		return Leaving, 0, "its word that it knows"
+	case g.Incarnation < m.Incarnation || g.LedgerIndex < m.ChangeIndex:
+		return Draining, 0, "its word that it knows"
 	case !g.Idle:
-		return Leaving, 0, "what is under way there"
+		return Draining, 0, "what is under way there"
 	case g.Leads:
-		return Leaving, 0, "others to lead what it leads"
+		return Draining, 0, "others to lead what it leads"
 	}
 	return Out, 0, ""
 }
 
 // serverLeaving waits for every gateway to be done with a server.
 func (j judge) serverLeaving(m *Machine) (to State, life uint64, why string) {
-	if why := j.serverMayGo(m); why != "" && !strings.HasPrefix(why, "no gateway knows") && !m.Word {
-		return Asked, 0, why
+	if why := j.serverMayGo(m); why != "" && !strings.HasPrefix(why, "no gateway knows") && !m.Overridden {
+		return Requested, 0, why
 	}
-	if !j.f.Known {
-		return Leaving, 0, "the ledger's leader to have heard everybody"
+	if !j.f.AllReported {
+		return Draining, 0, "the ledger's leader to have heard everybody"
 	}
 	var names, absent []string
-	for _, e := range j.o.Roll {
+	for _, e := range j.o.Roster {
 		g := j.f.gateway(e.Name)
 		there := g != nil && g.Presence == Alive
 		switch {
-		case there && g.Life == e.Life && g.Seen >= m.At && slices.Contains(g.Apart, m.ID):
+		case there && g.Incarnation == e.Incarnation && g.LedgerIndex >= m.ChangeIndex && slices.Contains(g.Quiesced, m.ID):
 		case there:
 			names = append(names, e.Name)
-		case !m.Word && !j.wasOut(e):
+		case !m.Overridden && !j.wasOut(e):
 			absent = append(absent, e.Name)
 		}
 	}
@@ -522,14 +522,14 @@
 	if why == "" {
 		return Out, 0, ""
 	}
-	return Leaving, 0, why
+	return Draining, 0, why
 }
 
 // wasOut tells whether a gateway has had nothing under way since it was last heard: it may be touched, takes nothing, and whatever
 // is started of it enrolls first.
-func (j judge) wasOut(e Enrolled) bool {
+func (j judge) wasOut(e Enrollment) bool {
 	m := j.o.Find(Gateway, e.Name, 0)
-	return m != nil && m.State == Out && m.Life >= e.Life
+	return m != nil && m.State == Out && m.Incarnation >= e.Incarnation
 }
 
 // away tells what becomes of one that is out, or on its way back.
@@ -540,8 +540,8 @@
 	g := j.f.gateway(m.Name)
 	there := g != nil && g.Presence == Alive
 	if m.State == Out {
-		if there && g.Life > m.Life {
-			return Returning, g.Life, ""
+		if there && g.Incarnation > m.Incarnation {
+			return Returning, g.Incarnation, ""
 		}
 		return Out, 0, "the work to be done"
 	}
@@ -550,13 +550,13 @@
 		return Out, 0, "it to come back"
 	case !there:
 		why = "its word"
-	case g.Life > m.Life:
-		return Returning, g.Life, "it to stay: it was started anew"
-	case g.Life < m.Life || g.Seen < m.At:
+	case g.Incarnation > m.Incarnation:
+		return Returning, g.Incarnation, "it to stay: it was started anew"
+	case g.Incarnation < m.Incarnation || g.LedgerIndex < m.ChangeIndex:
 		why = "its word that it knows"
 	case !g.Ready:
 		why = "it to be ready"
-	case !j.f.Whole(m.Name):
+	case !j.f.Complete(m.Name):
 		why = "its shards to have all their copies"
 	}
 	return p.settle(j, m, why)
@@ -566,15 +566,15 @@
 	if m.State == Out {
 		return Out, 0, "the work to be done, and done to be said"
 	}
-	s, known := j.f.seen(m.Group, m.Name)
+	s, known := j.f.combinedReport(m.Group, m.Name)
 	switch {
 	case !known:
 		why = "the list to name it"
 	case s.Down:
 		why = "it to answer everybody"
-	case s.Cold:
+	case s.WarmingUp:
 		why = "it to be warm"
-	case s.Behind:
+	case s.Lagging:
 		why = "it to catch up"
 	}
 	return p.settle(j, m, why)
@@ -591,7 +591,7 @@
 		since = j.f.Now
 		p.well[m.ID] = since
 	}
-	if j.f.Now-since < j.l.Settle {
+	if j.f.Now-since < j.l.SettleTime {
 		return Returning, 0, "it to stay well for a while"
 	}
 	return Back, 0, ""
--- a/internal/raftstore/maintain.go
+++ b/internal/raftstore/maintain.go
@@ -45,98 +45,98 @@
 // Command is an operator's command as a change of the ledger.
 func MaintenanceCommand(c maintenance.Command) *api.Command {
 	return &api.Command{Format: MaintenanceFormat, Change: &api.Change{MaintenanceCommand: &api.MaintenanceCommand{
-		Verb: uint32(c.Verb), Kind: uint32(c.Kind), Name: c.Name, Group: int64(c.Group), Duration: int64(c.For), Reason: c.Why, RequestedBy: c.By,
+		Verb: uint32(c.Verb), Kind: uint32(c.Kind), Name: c.Name, Group: int64(c.Group), Duration: int64(c.Duration), Reason: c.Comment, RequestedBy: c.RequestedBy,
 	}}}
 }
 
 func said(c *api.MaintenanceCommand) maintenance.Command {
 	return maintenance.Command{
-		Verb: maintenance.Verb(c.Verb), Kind: maintenance.Kind(c.Kind), Name: c.Name, Group: int(c.Group), For: clock.Micros(c.Duration),
-		Why: c.Reason, By: c.RequestedBy,
+		Verb: maintenance.Verb(c.Verb), Kind: maintenance.Kind(c.Kind), Name: c.Name, Group: int(c.Group), Duration: clock.Micros(c.Duration),
+		Comment: c.Reason, RequestedBy: c.RequestedBy,
 	}
 }
 
 // sound tells whether a command may stand in the ledger.
 func sound(c *api.MaintenanceCommand) bool {
-	return c.Verb > 0 && c.Verb < uint32(maintenance.Verbs) && c.Kind < uint32(maintenance.Kinds) && len(c.Name) <= maintenance.MostName &&
-		len(c.Reason) <= maintenance.MostWhy && len(c.RequestedBy) <= MaxNameBytes && c.Duration >= 0
+	return c.Verb > 0 && c.Verb < uint32(maintenance.Verbs) && c.Kind < uint32(maintenance.Kinds) && len(c.Name) <= maintenance.MaxNameLength &&
+		len(c.Reason) <= maintenance.MaxCommentLength && len(c.RequestedBy) <= MaxNameBytes && c.Duration >= 0
 }
 
 func stepOut(s maintenance.Step) *api.Command {
 	x := &api.MaintenanceStep{
-		Id: s.ID, Turn: s.Turn, To: uint32(s.To), Incarnation: s.Life, Zone: s.Zone, Overdue: s.Overdue, Forced: s.Word, Unexcused: s.Unexcused,
-		MaxGateways: uint32(s.Gateways), MaxPerZone: uint32(s.InZone), MaxServers: uint32(s.Servers),
+		Id: s.ID, Turn: s.Revision, To: uint32(s.To), Incarnation: s.Incarnation, Zone: s.Zone, Overdue: s.Overdue, Forced: s.Override, Unexcused: s.Unexcuse,
+		MaxGateways: uint32(s.MaxGateways), MaxPerZone: uint32(s.MaxPerZone), MaxServers: uint32(s.MaxServers),
 	}
 	if s.Enroll.Name != "" {
-		x.Enroll = &api.Enrolled{Name: s.Enroll.Name, Incarnation: s.Enroll.Life}
+		x.Enroll = &api.Enrolled{Name: s.Enroll.Name, Incarnation: s.Enroll.Incarnation}
 	}
-	if s.Strike.Name != "" {
-		x.Unenroll = &api.Enrolled{Name: s.Strike.Name, Incarnation: s.Strike.Life}
+	if s.Unenroll.Name != "" {
+		x.Unenroll = &api.Enrolled{Name: s.Unenroll.Name, Incarnation: s.Unenroll.Incarnation}
 	}
 	return &api.Command{Format: MaintenanceFormat, Change: &api.Change{MaintenanceStep: x}}
 }
 
 func stepIn(x *api.MaintenanceStep) maintenance.Step {
 	return maintenance.Step{
-		ID: x.Id, Turn: x.Turn, To: maintenance.State(x.To), Life: x.Incarnation, Zone: x.Zone, Overdue: x.Overdue, Word: x.Forced, Unexcused: x.Unexcused,
-		Enroll:   maintenance.Enrolled{Name: x.GetEnroll().GetName(), Life: x.GetEnroll().GetIncarnation()},
-		Strike:   maintenance.Enrolled{Name: x.GetUnenroll().GetName(), Life: x.GetUnenroll().GetIncarnation()},
-		Gateways: int(x.MaxGateways), InZone: int(x.MaxPerZone), Servers: int(x.MaxServers),
+		ID: x.Id, Revision: x.Turn, To: maintenance.State(x.To), Incarnation: x.Incarnation, Zone: x.Zone, Overdue: x.Overdue, Override: x.Forced, Unexcuse: x.Unexcused,
+		Enroll:      maintenance.Enrollment{Name: x.GetEnroll().GetName(), Incarnation: x.GetEnroll().GetIncarnation()},
+		Unenroll:    maintenance.Enrollment{Name: x.GetUnenroll().GetName(), Incarnation: x.GetUnenroll().GetIncarnation()},
+		MaxGateways: int(x.MaxGateways), MaxPerZone: int(x.MaxPerZone), MaxServers: int(x.MaxServers),
 	}
 }
 
 // OrderOf is an order as the ledger keeps it; nil is an empty one.
 func DecodeOrder(x *api.Order) *maintenance.Order {
-	o := &maintenance.Order{Held: x.GetPaused(), Numbers: x.GetLastId(), Excused: slices.Clone(x.GetExcused())}
+	o := &maintenance.Order{Paused: x.GetPaused(), LastID: x.GetLastId(), Excused: slices.Clone(x.GetExcused())}
 	for _, m := range x.GetMachines() {
 		o.Machines = append(o.Machines, maintenance.Machine{
-			ID: m.Id, Kind: maintenance.Kind(m.Kind), Name: m.Name, Group: int(m.Group), Zone: m.Zone, State: maintenance.State(m.State), Turn: m.Turn,
-			At: m.ChangedIndex, Since: clock.Micros(m.ChangedAt), Left: clock.Micros(m.OutAt), For: clock.Micros(m.Duration), Life: m.Incarnation, Why: m.Reason,
-			By: m.RequestedBy, Overdue: m.Overdue, Word: m.Forced,
+			ID: m.Id, Kind: maintenance.Kind(m.Kind), Name: m.Name, Group: int(m.Group), Zone: m.Zone, State: maintenance.State(m.State), Revision: m.Turn,
+			ChangeIndex: m.ChangedIndex, Since: clock.Micros(m.ChangedAt), OutSince: clock.Micros(m.OutAt), Duration: clock.Micros(m.Duration), Incarnation: m.Incarnation, Comment: m.Reason,
+			RequestedBy: m.RequestedBy, Overdue: m.Overdue, Overridden: m.Forced,
 		})
 	}
 	for _, a := range x.GetAskers() {
-		o.Askers = append(o.Askers, maintenance.Asker{Client: a.Client, Sequence: a.Sequence, OK: a.Ok, Said: a.Message})
+		o.Sessions = append(o.Sessions, maintenance.ClientSession{Client: a.Client, Sequence: a.Sequence, OK: a.Ok, Answer: a.Message})
 	}
 	for _, e := range x.GetEnrolled() {
-		o.Roll = append(o.Roll, maintenance.Enrolled{Name: e.Name, Life: e.Incarnation})
+		o.Roster = append(o.Roster, maintenance.Enrollment{Name: e.Name, Incarnation: e.Incarnation})
 	}
 	return o
 }
 
 func encodeOrder(o *maintenance.Order) *api.Order {
-	x := &api.Order{Paused: o.Held, LastId: o.Numbers, Excused: o.Excused}
+	x := &api.Order{Paused: o.Paused, LastId: o.LastID, Excused: o.Excused}
 	for _, m := range o.Machines {
 		x.Machines = append(x.Machines, &api.Machine{
-			Id: m.ID, Kind: uint32(m.Kind), Name: m.Name, Group: int64(m.Group), Zone: m.Zone, State: uint32(m.State), Turn: m.Turn, ChangedIndex: m.At,
-			ChangedAt: int64(m.Since), OutAt: int64(m.Left), Duration: int64(m.For), Incarnation: m.Life, Reason: m.Why, RequestedBy: m.By, Overdue: m.Overdue, Forced: m.Word,
+			Id: m.ID, Kind: uint32(m.Kind), Name: m.Name, Group: int64(m.Group), Zone: m.Zone, State: uint32(m.State), Turn: m.Revision, ChangedIndex: m.ChangeIndex,
+			ChangedAt: int64(m.Since), OutAt: int64(m.OutSince), Duration: int64(m.Duration), Incarnation: m.Incarnation, Reason: m.Comment, RequestedBy: m.RequestedBy, Overdue: m.Overdue, Forced: m.Overridden,
 		})
 	}
-	for _, a := range o.Askers {
-		x.Askers = append(x.Askers, &api.Asker{Client: a.Client, Sequence: a.Sequence, Ok: a.OK, Message: a.Said})
+	for _, a := range o.Sessions {
+		x.Askers = append(x.Askers, &api.Asker{Client: a.Client, Sequence: a.Sequence, Ok: a.OK, Message: a.Answer})
 	}
-	for _, e := range o.Roll {
-		x.Enrolled = append(x.Enrolled, &api.Enrolled{Name: e.Name, Incarnation: e.Life})
+	for _, e := range o.Roster {
+		x.Enrolled = append(x.Enrolled, &api.Enrolled{Name: e.Name, Incarnation: e.Incarnation})
 	}
 	return x
 }
 
 func factOut(o *GatewayReport, zone string, leads bool) *api.GatewayReport {
 	x := &api.GatewayReport{
-		Incarnation: o.Incarnation, Zone: zone, SeenIndex: o.Seen, Ready: o.Ready, Idle: o.Idle, Leads: leads, Load: uint32(max(o.Load, 0)), FloatingIps: o.Floats, Cordoned: o.Apart,
+		Incarnation: o.Incarnation, Zone: zone, SeenIndex: o.LedgerIndex, Ready: o.Ready, Idle: o.Idle, Leads: leads, Load: uint32(max(o.Load, 0)), FloatingIps: o.FloatingGroups, Cordoned: o.Quiesced,
 	}
 	for _, s := range o.Servers {
-		x.Servers = append(x.Servers, &api.ServerReport{Group: int64(s.Group), Name: s.Name, Primary: s.Primary, Down: s.Down, WarmingUp: s.Cold, Lagging: s.Behind})
+		x.Servers = append(x.Servers, &api.ServerReport{Group: int64(s.Group), Name: s.Name, Primary: s.Primary, Down: s.Down, WarmingUp: s.WarmingUp, Lagging: s.Lagging})
 	}
 	return x
 }
 
-func factIn(name string, x *api.GatewayReport) maintenance.GatewayFact {
-	g := maintenance.GatewayFact{Name: name, Zone: x.Zone, Life: x.Incarnation, Report: maintenance.Report{
-		Seen: x.SeenIndex, Ready: x.Ready, Idle: x.Idle, Leads: x.Leads, Load: int(x.Load), Floats: x.FloatingIps, Apart: x.Cordoned,
+func factIn(name string, x *api.GatewayReport) maintenance.GatewayStatus {
+	g := maintenance.GatewayStatus{Name: name, Zone: x.Zone, Incarnation: x.Incarnation, Report: maintenance.Report{
+		LedgerIndex: x.SeenIndex, Ready: x.Ready, Idle: x.Idle, Leads: x.Leads, Load: int(x.Load), FloatingGroups: x.FloatingIps, Quiesced: x.Cordoned,
 	}}
 	for _, s := range x.Servers {
-		g.Servers = append(g.Servers, maintenance.ServerReport{Group: int(s.Group), Name: s.Name, Primary: s.Primary, Down: s.Down, Cold: s.WarmingUp, Behind: s.Lagging})
+		g.Servers = append(g.Servers, maintenance.ServerReport{Group: int(s.Group), Name: s.Name, Primary: s.Primary, Down: s.Down, WarmingUp: s.WarmingUp, Lagging: s.Lagging})
 	}
 	return g
 }
@@ -145,7 +145,7 @@
 type upkeep struct {
 	own     *GatewayReport
 	members []maintenance.Member
-	facts   map[string]maintenance.GatewayFact
+	facts   map[string]maintenance.GatewayStatus
 	at      map[string]clock.Micros // when each was heard
 	planner maintenance.Planner
 	waits   maintenance.Waits
@@ -182,11 +182,11 @@
 // factFrom takes in what a gateway tells of itself. A late word of a life that is over does not count.
 func (h *Host) factFrom(name string, x *api.GatewayReport) {
 	u := &h.upkeep
-	if last, known := u.facts[name]; x == nil || known && x.Incarnation < last.Life {
+	if last, known := u.facts[name]; x == nil || known && x.Incarnation < last.Incarnation {
 		return
 	}
 	if u.facts == nil {
-		u.facts, u.at = map[string]maintenance.GatewayFact{}, map[string]clock.Micros{}
+		u.facts, u.at = map[string]maintenance.GatewayStatus{}, map[string]clock.Micros{}
 	}
 	u.facts[name], u.at[name] = factIn(name, x), h.now
 }
@@ -199,10 +199,10 @@
 
 // sight is what the leader goes by, beside the order. A gateway that holds something, or that is on the roll, and that nobody
 // knows of, is as good as dead.
-func (h *Host) sight(l *api.Ledger) *maintenance.Facts {
+func (h *Host) sight(l *api.Ledger) *maintenance.ClusterView {
 	u := &h.upkeep
 	h.factFrom(h.cfg.Name, h.fact())
-	f := &maintenance.Facts{Now: clock.Micros(h.groups[LedgerGroup].logTime()), Known: h.now-h.facts.since > freshFor*h.cfg.Tick && len(u.members) > 0}
+	f := &maintenance.ClusterView{Now: clock.Micros(h.groups[LedgerGroup].logTime()), AllReported: h.now-h.facts.since > freshFor*h.cfg.Tick && len(u.members) > 0}
 	all := map[string]maintenance.Member{}
 	for _, s := range l.Stores {
 		if !s.Removed {
@@ -210,17 +210,17 @@
 		}
 	}
 	for _, e := range l.GetOrder().GetEnrolled() {
-		all[e.Name] = maintenance.Member{Name: e.Name, Presence: maintenance.Dead, Life: e.Incarnation}
+		all[e.Name] = maintenance.Member{Name: e.Name, Presence: maintenance.Dead, Incarnation: e.Incarnation}
 	}
 	for _, m := range u.members {
 		all[m.Name] = m
 	}
 	for _, name := range slices.Sorted(maps.Keys(all)) {
 		m, last := all[name], u.facts[name]
-		g := maintenance.GatewayFact{Name: name, Zone: cmp.Or(last.Zone, m.Zone), Life: last.Life, Presence: m.Presence}
+		g := maintenance.GatewayStatus{Name: name, Zone: cmp.Or(last.Zone, m.Zone), Incarnation: last.Incarnation, Presence: m.Presence}
 		switch fresh := last.Name != "" && h.now-u.at[name] <= freshFor*h.cfg.Tick; {
 		case m.Presence == maintenance.Left:
-			g.Life = max(m.Life, last.Life)
+			g.Incarnation = max(m.Incarnation, last.Incarnation)
 		case m.Presence == maintenance.Alive && fresh:
 			g.Report = last.Report
 		case m.Presence == maintenance.Alive:
@@ -229,9 +229,9 @@
 		f.Gateways = append(f.Gateways, g)
 	}
 	for id, x := range l.Groups {
-		s := maintenance.ShardFact{Holders: names(l, x), Whole: wholeIn(l, x), Below: belowIn(l, x)}
-		if r := h.facts.reports[uint32(id)]; s.Whole {
-			s.Whole = r != nil && h.GroupReported(uint32(id)) && r.Epoch == x.Epoch && !r.Joint && !r.Lagging && len(r.Voters) == len(x.Voters)
+		s := maintenance.ShardStatus{Hosts: names(l, x), Complete: wholeIn(l, x), UnderReplicated: belowIn(l, x)}
+		if r := h.facts.reports[uint32(id)]; s.Complete {
+			s.Complete = r != nil && h.GroupReported(uint32(id)) && r.Epoch == x.Epoch && !r.Joint && !r.Lagging && len(r.Voters) == len(x.Voters)
 		}
 		f.Shards = append(f.Shards, s)
 	}
@@ -296,11 +296,11 @@
 // shards is what the ledger itself knows of who holds what, for the order's steps.
 type shards struct{ *api.Ledger }
 
-func (l shards) Whole(gateway string) bool {
+func (l shards) Complete(gateway string) bool {
 	return !slices.ContainsFunc(l.Groups, func(x *api.Group) bool { return slices.Contains(names(l.Ledger, x), gateway) && !wholeIn(l.Ledger, x) })
 }
 
-func (l shards) Shared(a, b string) bool {
+func (l shards) ShareShard(a, b string) bool {
 	return slices.ContainsFunc(l.Groups, func(x *api.Group) bool {
 		all := names(l.Ledger, x)
 		return slices.Contains(all, a) && slices.Contains(all, b)
@@ -315,7 +315,7 @@
 		if !sound(x) {
 			return StatusInvalid, "that cannot be said"
 		}
-		ok, text = o.Command(clock.Micros(l.Time), index, maintenance.Asker{Client: c.Client, Sequence: c.Sequence}, said(x))
+		ok, text = o.Command(clock.Micros(l.Time), index, maintenance.ClientSession{Client: c.Client, Sequence: c.Sequence}, said(x))
 	} else {
 		o.Step(clock.Micros(l.Time), index, stepIn(c.Change.MaintenanceStep), shards{l.Ledger})
 	}
@@ -338,11 +338,11 @@
 
 // awayFor tells for which span a gateway's machine is to be away, where it is about to be, or is; ok is false where it is not.
 func awayFor(l *api.Ledger, name string) (span clock.Micros, ok bool) {
-	m := gatewayIn(l, name, maintenance.Next, maintenance.Leaving, maintenance.Out)
+	m := gatewayIn(l, name, maintenance.Next, maintenance.Draining, maintenance.Out)
 	return clock.Micros(m.GetDuration()), m != nil
 }
 
 // apart tells whether this gateway's own machine is about to be out, or is: it leads nothing then.
 func (h *Host) apart() bool {
-	return gatewayIn(h.view, h.cfg.Name, maintenance.Leaving, maintenance.Out) != nil
+	return gatewayIn(h.view, h.cfg.Name, maintenance.Draining, maintenance.Out) != nil
 }
--- a/internal/raftstore/maintain_test.go
+++ b/internal/raftstore/maintain_test.go
@@ -11,15 +11,15 @@
 )
 
 var testLimits = maintenance.Limits{
-	Gateways: 1, InZone: 1, Servers: 1, Keep: 1, Load: 900, Settle: clock.Micros(second), Return: clock.Micros(30 * second),
-	HealAfter: clock.Micros(healAfter),
+	MaxGateways: 1, MaxPerZone: 1, MaxServers: 1, KeepReady: 1, MaxLoad: 900, SettleTime: clock.Micros(second), ReturnWithin: clock.Micros(30 * second),
+	RepairAfter: clock.Micros(healAfter),
 }
 
 // tellAround has every gateway tell its host of itself, and of who is there, for as long as the world goes on.
 func (w *world) tellAround() {
 	var all []maintenance.Member
 	for _, n := range w.nodes {
-		m := maintenance.Member{Name: n.name, Zone: n.zone, Life: n.startsAt, Presence: maintenance.Alive}
+		m := maintenance.Member{Name: n.name, Zone: n.zone, Incarnation: n.startsAt, Presence: maintenance.Alive}
 		if !n.up {
 			m.Presence = maintenance.Dead
 		}
@@ -31,12 +31,12 @@
 		}
 		m := n.order.Find(maintenance.Gateway, n.name, 0)
 		own := GatewayReport{Incarnation: n.startsAt, Report: maintenance.Report{
-			Seen: n.seen, Idle: true, Load: 100, Ready: n.order.Enrolled(n.name) == n.startsAt && (m == nil || !m.Drained()),
+			LedgerIndex: n.seen, Idle: true, Load: 100, Ready: n.order.EnrolledIncarnation(n.name) == n.startsAt && (m == nil || !m.Cordoned()),
 			Servers: []maintenance.ServerReport{{Group: 7, Name: "p", Primary: true}, {Group: 7, Name: "r"}},
 		}}
 		for i := range n.order.Machines {
-			if x := &n.order.Machines[i]; x.Kind == maintenance.Server && x.Drained() {
-				own.Apart = append(own.Apart, x.ID)
+			if x := &n.order.Machines[i]; x.Kind == maintenance.Server && x.Cordoned() {
+				own.Quiesced = append(own.Quiesced, x.ID)
 			}
 		}
 		w.do(n, MembershipChanged{all})
@@ -59,7 +59,7 @@
 	gateways := 0
 	for i := range o.Machines {
 		m := &o.Machines[i]
-		if m.State > maintenance.Asked && m.State < maintenance.Back {
+		if m.State > maintenance.Requested && m.State < maintenance.Back {
 			out = append(out, m)
 			if m.Kind == maintenance.Gateway {
 				gateways++
@@ -97,12 +97,12 @@
 		if i == 2 {
 			span = 2 * healAfter
 		}
-		if said := w.say(operator, maintenance.Command{Verb: maintenance.Add, Name: n.name, For: clock.Micros(span), By: "g6"}); !strings.Contains(said, "number") {
+		if said := w.say(operator, maintenance.Command{Verb: maintenance.Add, Name: n.name, Duration: clock.Micros(span), RequestedBy: "g6"}); !strings.Contains(said, "number") {
 			return fmt.Sprintf("%q: %s", said, w.broken)
 		}
 	}
-	w.say(operator, maintenance.Command{Verb: maintenance.Add, Kind: maintenance.Server, Name: "r", Group: 7, For: clock.Micros(second)})
-	if said := w.say(operator, maintenance.Command{Verb: maintenance.Add, Name: "g1", For: 1}); !strings.Contains(said, "already") {
+	w.say(operator, maintenance.Command{Verb: maintenance.Add, Kind: maintenance.Server, Name: "r", Group: 7, Duration: clock.Micros(second)})
+	if said := w.say(operator, maintenance.Command{Verb: maintenance.Add, Name: "g1", Duration: 1}); !strings.Contains(said, "already") {
 		return fmt.Sprintf("asked twice: %q, %s", said, w.broken)
 	}
 	kills := 2
@@ -123,7 +123,7 @@
 			}
 			i := slices.IndexFunc(w.nodes, func(n *node) bool { return n.name == m.Name })
 			x := w.nodes[i]
-			if m.For > testLimits.HealAfter && len(x.h.groups) > 0 {
+			if m.Duration > testLimits.RepairAfter && len(x.h.groups) > 0 {
 				w.broken = fmt.Sprintf("%s is out for long and holds %d groups", x.name, len(x.h.groups))
 			}
 			if slices.ContainsFunc(x.h.inOrder(), func(g *group) bool { return g.led }) {
