--- a/cmd/marblespan-raft/main.go
+++ b/cmd/marblespan-raft/main.go
@@ -1,5 +1,5 @@
-// Command marblespan-raft is marblespan with the store of copies in it. The gateway turns into it where the operators' file has a
-// copies section; it is not called by hand.
+// Command marblespan-raft is marblespan with the state store linked in. The program marblespan replaces itself with it if the
+// operators' file has a section for the state store; it is not called by hand.
 package main
 
 import (
--- /dev/null
+++ b/internal/raftgateway/check.go
@@ -0,0 +1,74 @@
+package raftgateway
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"time"
+
+	"marblespan/internal/raftstorage"
+	"marblespan/internal/raftstore"
+)
+
+// storeContents is the summary of a storage file that the command for checks prints.
+type storeContents struct {
+	Disk        string            `json:"disk"`
+	Incarnation uint64            `json:"life"` // microseconds of Unix time at the gateway's latest start
+	Replicas    []replicaContents `json:"groups"`
+	Retired     int               `json:"retired"` // replicas that must not take part again
+}
+
+// replicaContents is the summary of a replica.
+type replicaContents struct {
+	Group         uint32 `json:"group"`
+	Epoch         uint32 `json:"epoch"`
+	Number        uint64 `json:"number"`
+	Term          uint64 `json:"term"`
+	CommitIndex   uint64 `json:"commit"`
+	SnapshotIndex uint64 `json:"snapshot"`
+	SnapshotBytes int    `json:"snapshot_bytes"`
+	LastIndex     uint64 `json:"last"` // of the log or, if that is empty, of the snapshot
+}
+
+// checkStore reads a storage file that no gateway has open, and prints a summary: as JSON or as text. Its errors are those of
+// raftstorage.Check.
+func checkStore(path string, asJSON bool, out io.Writer) error {
+	stored, err := raftstorage.Check(path)
+	if err != nil {
+		return err
+	}
+	contents := contentsOf(stored)
+	if asJSON {
+		return json.NewEncoder(out).Encode(contents)
+	}
+	contents.print(out)
+	return nil
+}
+
+func contentsOf(stored *raftstore.StoredState) storeContents {
+	contents := storeContents{Disk: formatID(stored.Store), Incarnation: stored.Incarnation, Replicas: []replicaContents{}, Retired: len(stored.Retired)}
+	for _, g := range stored.Members {
+		replica := replicaContents{Group: g.Group, Epoch: g.Epoch, Number: g.Member, Term: g.HardState.GetTerm(), CommitIndex: g.HardState.GetCommit()}
+		if g.Snapshot != nil {
+			replica.SnapshotIndex, replica.SnapshotBytes = g.Snapshot.GetMetadata().GetIndex(), len(g.Snapshot.Data)
+		}
+		replica.LastIndex = replica.SnapshotIndex
+		if len(g.Entries) > 0 {
+			replica.LastIndex = g.Entries[len(g.Entries)-1].GetIndex()
+		}
+		contents.Replicas = append(contents.Replicas, replica)
+	}
+	return contents
+}
+
+// print writes the summary as text.
+func (c storeContents) print(out io.Writer) {
+	fmt.Fprintf(out, "disk %s is whole, last started %v\n", c.Disk, time.UnixMicro(int64(c.Incarnation)).UTC().Format(time.RFC3339))
+	for _, r := range c.Replicas {
+		fmt.Fprintf(out, "group %d, epoch %d, replica %d: term %d, committed up to %d of %d, snapshot at %d (%d bytes)\n",
+			r.Group, r.Epoch, r.Number, r.Term, r.CommitIndex, r.LastIndex, r.SnapshotIndex, r.SnapshotBytes)
+	}
+	if c.Retired > 0 {
+		fmt.Fprintf(out, "%d replicas must not take part again: this disk was older than what they had acknowledged\n", c.Retired)
+	}
+}
