--- a/internal/gateway/copies.go
+++ b/internal/gateway/copies.go
@@ -21,27 +21,33 @@
 	"marblespan/internal/streams"
 )
 
-// Store is what a gateway holds for others, and its way to what others hold (internal/raftnode). It stands in a program of its
-// own, for what it links costs memory that a gateway without it must not pay: OpenStore is nil in the smaller one.
+// Store is this gateway's part in the state store (internal/raftnode). It is linked into a program of its own, for what it needs costs
+// memory that a gateway without it must not pay: OpenStore is nil in the smaller program. No method but TransferLeadership, Close,
+// those of operators' commands and of status blocks; functions that are passed as done must not block either.
 type Store interface {
-	// Able tells whether a promise is likely to be had now for a key.
+	// Available tells whether a call about a key is likely to succeed now.
 	Available(key []byte) bool
-	// Raise promises that a number is at least so high. done is told whether it is, and must not wait.
-	RaisePosition(key []byte, to uint64, last time.Duration, by time.Time, done func(bool))
-	// Read reads it. known is false where it could not be had in time, or may have been lost.
-	ReadPosition(key []byte, by time.Time, done func(value uint64, known bool))
+	// RaisePosition raises the position under a key to at least a value, to be kept for ttl. done is called with true if it is stored.
+	RaisePosition(key []byte, position uint64, ttl time.Duration, deadline time.Time, done func(bool))
+	// ReadPosition reads the position under a key. known is false if it could not be read in time, or may have been lost.
+	ReadPosition(key []byte, deadline time.Time, done func(position uint64, known bool))
 	intents.Store
 	Status() CopiesStatus
-	Bootstrap(shards, copies int, first bool) error
+	// Bootstrap makes a new store; first tells that there was none before whose records could be missed.
+	Bootstrap(shards, voters int, first bool) error
+	// RemoveStore records that a gateway's disk will never come back; ResetShard gives up what a shard held. Both must be called where
+	// the ledger is led.
 	RemoveStore(node string) error
 	ResetShard(shard uint32) error
-	// Tell reports what this life of the gateway is and sees, for the order of maintenance. Maintain carries an operator's command to
-	// the ledger and tells what came of it; Listing is the order, which without its leader is what is known here.
-	SetMaintenanceReport(life uint64, r maintenance.Report)
-	RunMaintenanceCommand(c maintenance.Command, by time.Time) (said string, err error)
-	MaintenanceListing(by time.Time) (maintenance.Listing, error)
+	// SetMaintenanceReport passes on what this incarnation of the gateway reports for the maintenance order. RunMaintenanceCommand
+	// passes an operator's command to the ledger and returns its reply; MaintenanceListing is the order as the ledger's leader has it
+	// or, with an error, as it is known here.
+	SetMaintenanceReport(incarnation uint64, r maintenance.Report)
+	RunMaintenanceCommand(c maintenance.Command, deadline time.Time) (reply string, err error)
+	MaintenanceListing(deadline time.Time) (maintenance.Listing, error)
 	SetMaintenanceLimits(maintenance.Limits)
 	LogCounters()
+	// TransferLeadership waits, a second at most, until others lead the groups that are led here.
 	TransferLeadership()
 	Close()
 }
