--- /dev/null
+++ b/internal/indoubt/deadlines.go
@@ -0,0 +1,76 @@
+package indoubt
+
+import "marblespan/internal/clock"
+
+// Next is when a Tick is due; false: at no time, unless another event comes.
+func (r *Resolver) Next() (at clock.Micros, ok bool) {
+	for i := range r.writes {
+		due, waits := r.writes[i].due()
+		if waits && (!ok || due < at) {
+			at, ok = due, true
+		}
+	}
+	return at, ok
+}
+
+// due is when a write has something to do without an event; false: never.
+func (w *write) due() (clock.Micros, bool) {
+	switch w.phase {
+	case awaitingOwner:
+		return min(w.retryAt, w.request.Deadline), true
+	case storingOutcome, rereadingIntent:
+		if w.call.id == 0 {
+			return min(w.retryAt, w.outcomeDeadline), true
+		}
+	case followingWrite:
+		return w.request.Deadline, true
+	case confirmingClaim:
+		return w.sending.attemptDeadline, true
+	case claiming, readingIntent, takingOver, lookingUp:
+		return w.request.Deadline, w.client == clientWaiting // whatever the store does, the client has its answer in time
+	}
+	return 0, false
+}
+
+// handleDue goes on with each write that is due.
+func (r *Resolver) handleDue() {
+	for i := range r.writes {
+		w := &r.writes[i]
+		if at, waits := w.due(); !waits || at > r.now {
+			continue
+		}
+		switch w.phase {
+		case awaitingOwner:
+			r.pollOwner(w)
+		case followingWrite:
+			r.finishInDoubt(w)
+		case claiming, readingIntent, takingOver, lookingUp:
+			r.replyNow(w)
+		case confirmingClaim:
+			r.confirmationTimedOut(w)
+		case storingOutcome, rereadingIntent:
+			r.retryOutcome(w)
+		}
+	}
+}
+
+// replyNow gives a client its final answer by what is known now. Calls of the store that are in flight go on.
+func (r *Resolver) replyNow(w *write) {
+	switch w.phase {
+	case claiming: // nothing was sent, and nothing will be
+		r.reply(w, w.notSentAnswer(), nil)
+	case storingOutcome, rereadingIntent:
+		r.replyByOutcome(w)
+	default:
+		r.reply(w, Failed, nil)
+	}
+}
+
+// shutdownStarted answers every client that does not wait for routing.
+func (r *Resolver) shutdownStarted() {
+	for i := range r.writes {
+		if w := &r.writes[i]; !w.inRouting() && w.phase != finished {
+			r.replyNow(w)
+		}
+	}
+}
--- a/internal/indoubt/explore_test.go
+++ b/internal/indoubt/explore_test.go
@@ -573,7 +573,7 @@
 			return ev
 		}
 		for i := range d.writes {
-			if d.writes[i].call == s.Call {
+			if d.writes[i].call.id == s.Call {
 				do(&d.writes[i], &s)
 			}
 		}
@@ -645,8 +645,8 @@
 		if l, is := ev.(LookupAnswered); is && !l.Found {
 			if e := d.find(l.ID); e != nil && e.phase == lookingUp {
 				r := e.intent
-				r.State, e.phase, e.call = Unsent, readingIntent, 1<<40
-				return StoreReplied{Call: e.call, Version: e.version, Intent: &r}
+				r.State, e.phase, e.call.id = Unsent, readingIntent, 1<<40
+				return StoreReplied{Call: e.call.id, Version: e.version, Intent: &r}
 			}
 		}
 		return ev
--- /dev/null
+++ b/internal/indoubt/in_flight.go
@@ -0,0 +1,28 @@
+package indoubt
+
+import "marblespan/internal/clock"
+
+// InFlightWrite describes one write in flight, for operators.
+type InFlightWrite struct {
+	Key       string
+	RequestID string
+	Class     string
+	Phase     string       // one of phaseNames
+	Age       clock.Micros // since its request came
+	Intent    Intent       // as last known, without the answer
+}
+
+// InFlight lists the writes in flight, in the order in which their requests came.
+func (r *Resolver) InFlight(now clock.Micros) []InFlightWrite {
+	var all []InFlightWrite
+	for i := range r.writes {
+		w := &r.writes[i]
+		view := InFlightWrite{
+			Key: w.request.Key, RequestID: w.request.RequestID, Class: w.request.Class,
+			Phase: phaseNames[w.phase], Age: max(now-w.receivedAt, 0), Intent: w.intent,
+		}
+		view.Intent.Value = nil
+		all = append(all, view)
+	}
+	return all
+}
--- /dev/null
+++ b/internal/indoubt/resolver.go
@@ -0,0 +1,155 @@
+package indoubt
+
+import (
+	"slices"
+
+	"marblespan/internal/clock"
+)
+
+// Resolver has the writes that are in flight at one gateway. Its zero value is not ready; New makes one. It is not safe for
+// concurrent use.
+type Resolver struct {
+	cfg           Config
+	now           clock.Micros
+	lastCall      uint64
+	writes        []write        // in the order in which their requests came
+	endedGateways []GatewayEnded // the latest incarnation of each gateway that is known to have ended
+	actions       []Action       // of the event in hand
+}
+
+// New makes a resolver without writes.
+func New(cfg Config) *Resolver { return &Resolver{cfg: cfg} }
+
+// Clone returns a copy that shares nothing that changes.
+func (r *Resolver) Clone() *Resolver {
+	c := *r
+	c.writes, c.endedGateways, c.actions = slices.Clone(r.writes), slices.Clone(r.endedGateways), nil
+	return &c
+}
+
+// Handle takes in one event and returns the actions that follow from it.
+func (r *Resolver) Handle(now clock.Micros, ev Event) []Action {
+	r.now, r.actions = max(r.now, now), nil
+	r.dispatch(ev)
+	r.handleDue()
+	r.resumeFollowers()
+	r.removeFinished()
+	actions := r.actions
+	r.actions = nil
+	return actions
+}
+
+func (r *Resolver) dispatch(ev Event) {
+	switch ev := ev.(type) {
+	case RequestReceived:
+		r.requestReceived(ev)
+	case StoreReplied:
+		r.storeReplied(ev)
+	case PermissionRequested:
+		r.permissionRequested(ev)
+	case RoutingAnswered:
+		if w := r.find(ev.ID); w != nil && w.inRouting() {
+			r.routingAnswered(w, ev)
+		}
+	case GatewayEnded:
+		r.gatewayEnded(ev)
+	case LookupAnswered:
+		if w := r.find(ev.ID); w != nil && w.phase == lookingUp {
+			r.lookupAnswered(w, ev)
+		}
+	case RequestCanceled:
+		r.requestCanceled(ev.ID)
+	case ShutdownStarted:
+		r.shutdownStarted()
+	case Tick: // handleDue does the rest
+	}
+}
+
+// storeReplied hands the result of a store call to the step that its write is at.
+func (r *Resolver) storeReplied(reply StoreReplied) {
+	if reply.Call == 0 {
+		return
+	}
+	i := slices.IndexFunc(r.writes, func(w write) bool { return w.call.id == reply.Call })
+	if i < 0 {
+		return
+	}
+	w := &r.writes[i]
+	w.call.id = 0
+	switch w.phase {
+	case claiming:
+		r.claimStored(w, reply)
+	case readingIntent:
+		r.intentRead(w, reply)
+	case awaitingOwner:
+		r.intentPolled(w, reply)
+	case takingOver:
+		r.takeoverStored(w, reply)
+	case confirmingClaim:
+		r.claimConfirmed(w, reply)
+	case storingOutcome:
+		r.outcomeStored(w, reply)
+	case rereadingIntent:
+		r.intentReread(w, reply)
+	}
+}
+
+func (r *Resolver) removeFinished() {
+	r.writes = slices.DeleteFunc(r.writes, func(w write) bool {
+		if w.phase == finished {
+			r.emit(Finished{w.request.ID})
+		}
+		return w.phase == finished
+	})
+}
+
+func (r *Resolver) find(id uint64) *write {
+	if i := slices.IndexFunc(r.writes, func(w write) bool { return w.request.ID == id }); i >= 0 {
+		return &r.writes[i]
+	}
+	return nil
+}
+
+func (r *Resolver) emit(a Action) { r.actions = append(r.actions, a) }
+
+func (r *Resolver) logTransition(w *write, t Transition) {
+	r.emit(LogTransition{Transition: t, Key: w.request.Key, RequestID: w.request.RequestID, Intent: w.intent})
+}
+
+// reply gives the client its final answer, once.
+func (r *Resolver) reply(w *write, kind AnswerKind, value []byte) {
+	if w.client == clientWaiting {
+		w.client = clientAnswered
+		r.emit(Reply{ID: w.request.ID, Kind: kind, Value: value})
+	}
+}
+
+// finish replies and forgets a write of which nothing has to be stored.
+func (r *Resolver) finish(w *write, kind AnswerKind, value []byte) {
+	r.reply(w, kind, value)
+	w.phase = finished
+}
+
+// finishInDoubt tells the client that the write may have run, and forgets it.
+func (r *Resolver) finishInDoubt(w *write) {
+	r.logTransition(w, RepliedInDoubt)
+	r.finish(w, Failed, nil)
+}
+
+// put stores the write's intent, on condition that the stored one has the write's version.
+func (r *Resolver) put(w *write, deadline clock.Micros) {
+	r.emit(Put{
+		Call: r.newCall(w), Key: w.request.Key, Version: w.version, Intent: w.intent, Retention: w.request.Policy.Retention, Deadline: deadline,
+	})
+}
+
+func (r *Resolver) get(w *write, deadline clock.Micros) {
+	r.emit(Get{Call: r.newCall(w), Key: w.request.Key, Deadline: deadline})
+}
+
+// newCall makes a new call the one whose reply the write waits for.
+func (r *Resolver) newCall(w *write) uint64 {
+	r.lastCall++
+	w.call = pendingCall{id: r.lastCall, startedAt: r.now}
+	return w.call.id
+}
