--- a/internal/policy/state.go
+++ b/internal/policy/state.go
@@ -11,36 +11,36 @@
 
 // Router decides for one gateway. It is not safe for concurrent use.
 type Router struct {
-	set      *Settings // in force
-	kinds    []*kind   // its classes
-	rng      random
-	now      clock.Micros
-	acts     []Action
-	servers  map[ServerID]*server
-	groups   map[int]*group
-	order    []*group // by id
-	requests map[string]*request
-	sessions *sessions
+	settings   *Settings     // in force
+	classes    []*classState // its classes
+	rng        random
+	now        clock.Micros
+	actions    []Action
+	servers    map[ServerID]*server
+	groups     map[int]*group
+	groupsByID []*group // by id
+	requests   map[string]*request
+	sessions   *sessions
 
 	// work answered since servedFrom; the usual amount from a server in a fall window
-	served, usualServed int64
-	servedFrom          clock.Micros // both in microseconds
-	meanCost            int64        // moving mean of the work of a request
-	retries             int64        // saved-up retries, in thousandths
-	probes              int64        // saved-up probes for freshness, in thousandths
-
-	minAim   clock.Micros // the smallest aim: the pace of sweeps and of looking for a primary
-	maxAim   clock.Micros
-	minBound clock.Micros // the smallest bound: the pace of probes
-
-	subscribed, asking bool
-	askAt, askSpan     clock.Micros
+	workServed, usualWork int64
+	workSince             clock.Micros // both in microseconds
+	meanRequestWork       int64        // moving mean of the work of a request
+	retryTokens           int64        // saved-up retries, in thousandths
+	checkTokens           int64        // saved-up probes for freshness, in thousandths
+
+	minObjective clock.Micros // the smallest aim: the pace of sweeps and of looking for a primary
+	maxObjective clock.Micros
+	minBound     clock.Micros // the smallest bound: the pace of probes
+
+	subscribed, subscribing       bool
+	subscribeAt, subscribeBackOff clock.Micros
 }
 
 // kind is a class, and what has been learned of it.
-type kind struct {
+type classState struct {
 	Class
-	typical clock.Micros // moving mean of the latency of its answers
+	typicalLatency clock.Micros // moving mean of the latency of its answers
 }
 
 // Reconfigure puts other settings in force. A request in hand is finished under those that it came
@@ -49,7 +49,7 @@
 func (r *Router) Reconfigure(now clock.Micros, set Settings) []Action {
 	r.now = max(r.now, now)
 	r.adopt(set)
-	return r.take()
+	return r.takeActions()
 }
 
 // adopt takes settings over. Servers that the list has called gone are judged by the new ones again:
@@ -57,18 +57,18 @@
 // may bind only now, and what was forbidden stays so until the list says ready.
 func (r *Router) adopt(set Settings) {
 	known := map[string]clock.Micros{}
-	for _, k := range r.kinds {
-		known[k.Name] = k.typical
+	for _, k := range r.classes {
+		known[k.Name] = k.typicalLatency
 	}
-	r.set, r.kinds, r.minAim, r.maxAim, r.minBound = &set, nil, 0, 0, 0
+	r.settings, r.classes, r.minObjective, r.maxObjective, r.minBound = &set, nil, 0, 0, 0
 	for _, c := range set.Classes {
-		r.kinds = append(r.kinds, &kind{Class: c, typical: known[c.Name]})
+		r.classes = append(r.classes, &classState{Class: c, typicalLatency: known[c.Name]})
 	}
-	r.readSettings()
-	for _, g := range r.order {
-		for _, s := range g.members {
+	r.normalizeSettings()
+	for _, g := range r.groupsByID {
+		for _, s := range g.servers {
 			if s.state == EndpointRemoved {
-				r.gone(s)
+				r.endpointRemoved(s)
 			}
 		}
 	}
@@ -76,55 +76,55 @@
 
 // server is what this gateway knows of one database server.
 type server struct {
-	id        ServerID
-	group     *group
-	zone      string
-	state     EndpointState
-	forbidden bool // draining or gone, as told: nothing new may be sent
-	listed    bool // the list names it as the primary
-	started   clock.Micros
-
-	pos     Position     // never goes back
-	heardAt clock.Micros // last sign of life
-	roleAt  clock.Micros // time of the newest proof of its role
-	role    Role
-
-	open      []*attempt // attempts out, oldest first
-	busySince clock.Micros
-	limit     int64 // attempts this gateway lets be out at once, in thousandths
-	cutAt     clock.Micros
-	strainAt  clock.Micros
-	strain    int64 // moving mean of latency over aim, in thousandths
-	bad       int64 // moving share of attempts that failed, in thousandths
-
-	suspect   bool // a connection failed or broke: a probe shall tell whether it is down
-	down      bool // its probes fail
-	downAt    clock.Micros
-	downSpan  clock.Micros
-	ejectedAt clock.Micros
-	ejected   bool
-	ejectSpan clock.Micros
-
-	restUntil clock.Micros // it turned a request away as full: left alone until then
-	restSpan  clock.Micros
-
-	missUntil clock.Micros // it turned a read away as too far behind: not tried on hope until then
-	missSpan  clock.Micros
-	writeMiss clock.Micros // last time it turned a write away
-
-	probing    bool
-	probedAt   clock.Micros
-	probeFails int
-
-	sends       []coldSend // sends while cold, within the fall window
-	coldDraw    int64      // a budget below one send is a chance: what was drawn, in thousandths
-	coldDrawnAt clock.Micros
+	id            ServerID
+	group         *group
+	zone          string
+	state         EndpointState
+	excluded      bool // draining or gone, as told: nothing new may be sent
+	listedPrimary bool // the list names it as the primary
+	startedAt     clock.Micros
+
+	position     Position     // never goes back
+	lastSeenAt   clock.Micros // last sign of life
+	roleProvenAt clock.Micros // time of the newest proof of its role
+	role         Role
+
+	inFlight      []*attempt // attempts out, oldest first
+	busySince     clock.Micros
+	limit         int64 // attempts this gateway lets be out at once, in thousandths
+	limitCutAt    clock.Micros
+	latencySeenAt clock.Micros
+	latencyRatio  int64 // moving mean of latency over aim, in thousandths
+	errorShare    int64 // moving share of attempts that failed, in thousandths
+
+	suspect         bool // a connection failed or broke: a probe shall tell whether it is down
+	down            bool // its probes fail
+	downAt          clock.Micros
+	recheckInterval clock.Micros
+	ejectedAt       clock.Micros
+	ejected         bool
+	ejectionTime    clock.Micros
+
+	backOffUntil clock.Micros // it turned a request away as full: left alone until then
+	backOff      clock.Micros
+
+	misdirectedUntil   clock.Micros // it turned a read away as too far behind: not tried on hope until then
+	misdirectedBackOff clock.Micros
+	writeMisdirectedAt clock.Micros // last time it turned a write away
+
+	checking     bool
+	checkedAt    clock.Micros
+	failedChecks int
+
+	slowStartSends   []slowStartSend // sends while cold, within the fall window
+	slowStartDraw    int64           // a budget below one send is a chance: what was drawn, in thousandths
+	slowStartDrawnAt clock.Micros
 }
 
 // coldSend is a send to a cold server, and the work that it may be.
-type coldSend struct {
+type slowStartSend struct {
 	at   clock.Micros
-	cost int64
+	work int64
 }
 
 // Health is what a router knows of its servers, for those who judge whether its gateway is of use.
@@ -137,13 +137,13 @@
 // their primaries are
 // not looked for.
 func (r *Router) Health(lately clock.Micros) (h Health) {
-	for _, g := range r.order {
-		for _, s := range g.members {
-			if r.usable(s) {
+	for _, g := range r.groupsByID {
+		for _, s := range g.servers {
+			if r.inService(s) {
 				h.UsableServers++
 			}
 		}
-		if g.primary == nil && g.askedAt > 0 && r.now-g.askedAt <= lately && len(g.members) > 0 {
+		if g.primary == nil && g.lastRequestAt > 0 && r.now-g.lastRequestAt <= lately && len(g.servers) > 0 {
 			h.GroupsWithoutPrimary++
 		}
 	}
@@ -170,25 +170,25 @@
 			Group:   s.group.id,
 			Zone:    s.zone,
 			State:   s.state,
-			Started: s.started,
-			Primary: s.listed},
+			Started: s.startedAt,
+			Primary: s.listedPrimary},
 		Primary:       s.group.primary == s,
 		Down:          s.down,
-		InSlowStart:   r.warmth(s) < one,
-		Lag:           max(s.heardAt-s.pos, 0),
-		LastRequestAt: s.group.askedAt,
-		InFlight:      len(s.open),
+		InSlowStart:   r.slowStartWeight(s) < one,
+		Lag:           max(s.lastSeenAt-s.position, 0),
+		LastRequestAt: s.group.lastRequestAt,
+		InFlight:      len(s.inFlight),
 	}, true
 }
 
 // group is a primary and its replicas.
 type group struct {
-	id        int
-	members   []*server // by id
-	primary   *server
-	primaryAt clock.Micros // time of the proof that made it the primary
-	waiting   []*request
-	askedAt   clock.Micros // last arrival of a request for it
+	id              int
+	servers         []*server // by id
+	primary         *server
+	primaryProvenAt clock.Micros // time of the proof that made it the primary
+	queue           []*request
+	lastRequestAt   clock.Micros // last arrival of a request for it
 }
 
 // groupOf finds or makes a group.
@@ -197,46 +197,46 @@
 	if g == nil {
 		g = &group{id: id}
 		r.groups[id] = g
-		r.order = append(r.order, g)
-		sort.Slice(r.order, func(i, j int) bool { return r.order[i].id < r.order[j].id })
+		r.groupsByID = append(r.groupsByID, g)
+		sort.Slice(r.groupsByID, func(i, j int) bool { return r.groupsByID[i].id < r.groupsByID[j].id })
 	}
 	return g
 }
 
 // attempt is one send of a request.
 type attempt struct {
-	req      *request
+	request  *request
 	index    int
 	server   *server
 	sentAt   clock.Micros
-	out      bool
+	inFlight bool
 	neverRan bool
 }
 
 // request is one accepted request.
 type request struct {
-	id        string
-	set       *Settings // those that it came under and is finished under, as its class
-	class     *kind
-	group     *group
-	session   *session
-	need      Position // what a replica must have applied; for bounded reads it moves with the clock
-	deadline  clock.Micros
-	aimAt     clock.Micros
-	askUntil  clock.Micros // it waits for reports of replicas until then
-	attempts  []*attempt
-	missed    []ServerID
-	luck      int64 // its draw against limits below one attempt
-	luckUntil clock.Micros
-	waiting   bool
-	done      bool
+	id                 string
+	settings           *Settings // those that it came under and is finished under, as its class
+	class              *classState
+	group              *group
+	session            *session
+	requiredPosition   Position // what a replica must have applied; for bounded reads it moves with the clock
+	deadline           clock.Micros
+	objectiveAt        clock.Micros
+	awaitsCheckUntil   clock.Micros // it waits for reports of replicas until then
+	attempts           []*attempt
+	misdirectedBy      []ServerID
+	admissionDraw      int64 // its draw against limits below one attempt
+	admissionDrawUntil clock.Micros
+	queued             bool
+	done               bool
 }
 
 // outstanding counts the attempts that are out.
-func (q *request) outstanding() int {
+func (req *request) outstanding() int {
 	n := 0
-	for _, a := range q.attempts {
-		if a.out {
+	for _, a := range req.attempts {
+		if a.inFlight {
 			n++
 		}
 	}
@@ -244,8 +244,8 @@
 }
 
 // firstMaybe is the first attempt that ran or may have run, or nil.
-func firstMaybe(q *request) *attempt {
-	for _, a := range q.attempts {
+func firstMaybe(req *request) *attempt {
+	for _, a := range req.attempts {
 		if !a.neverRan {
 			return a
 		}
@@ -254,15 +254,15 @@
 }
 
 // writesSession tells whether the request is a write whose commit its session's reads must see.
-func (q *request) writesSession() bool { return q.class.Need == NeedWrite && q.session != nil }
+func (req *request) writesSession() bool { return req.class.Need == NeedWrite && req.session != nil }
 
 // session is what is remembered of one session.
 type session struct {
-	key       uint64
-	mark      Position // its last commit through this gateway, as far as is known
-	writesOut int      // attempts of its writes that are out
-	replica   ServerID
-	stuck     bool // replica is set
+	key            uint64
+	position       Position // its last commit through this gateway, as far as is known
+	writesInFlight int      // attempts of its writes that are out
+	replica        ServerID
+	sticky         bool // replica is set
 }
 
 // sessions is a store of bounded size that forgets the session first seen longest ago. All of it is
@@ -290,31 +290,31 @@
 		t.ring = append(t.ring, session{})
 	}
 	for range t.ring {
-		if t.ring[t.next].writesOut == 0 {
+		if t.ring[t.next].writesInFlight == 0 {
 			break
 		}
 		t.next = (t.next + 1) % len(t.ring)
 	}
 	s := &t.ring[t.next]
 	t.next = (t.next + 1) % cap(t.ring)
-	t.floor = max(t.floor, s.mark)
+	t.floor = max(t.floor, s.position)
 	if t.byKey[s.key] == s {
 		delete(t.byKey, s.key)
 	}
-	*s = session{key: key, mark: t.floor}
+	*s = session{key: key, position: t.floor}
 	t.byKey[key] = s
 	return s
 }
 
 // take hands over the actions gathered so far.
-func (r *Router) take() (out []Action) {
-	out, r.acts = r.acts, nil
+func (r *Router) takeActions() (out []Action) {
+	out, r.actions = r.actions, nil
 	return out
 }
 
-func (r *Router) do(a Action)                       { r.acts = append(r.acts, a) }
-func (r *Router) setTimer(at clock.Micros, t Timer) { r.do(SetTimer{At: at, Timer: t}) }
-func (r *Router) log(format string, a ...any)       { r.do(Log{Text: fmt.Sprintf(format, a...)}) }
+func (r *Router) emit(a Action)                     { r.actions = append(r.actions, a) }
+func (r *Router) setTimer(at clock.Micros, t Timer) { r.emit(SetTimer{At: at, Timer: t}) }
+func (r *Router) log(format string, a ...any)       { r.emit(Log{Text: fmt.Sprintf(format, a...)}) }
 
 // random is a splitmix64 sequence.
 type random struct{ state uint64 }
