--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -183,7 +183,7 @@
 			return usageError{errors.New("no control socket: name one with --socket, or a file that has one with --conf")}
 		}
 	}
-	return control.Ask(socket, question, into)
+	return control.Query(socket, question, into)
 }
 
 func (c *command) members() *cobra.Command {
--- a/internal/cli/copies.go
+++ b/internal/cli/copies.go
@@ -102,25 +102,25 @@
 }
 
 func (c *command) listCopies(socket string, raw bool) error {
-	var s gateway.CopiesStatus
+	var s gateway.StateStoreStatus
 	if err := c.ask(socket, "copies", &s); err != nil {
 		return err
 	}
 	if raw {
 		return writeJSON(c.out, s)
 	}
-	if s.Founding == "" {
+	if s.BootstrapID == "" {
 		return errors.New("there is no store yet; `marblespan copies found` at one of the holders makes it")
 	}
-	fmt.Fprintf(c.out, "store %s, ledger at %d, %d copies, records of format %d\n", s.Founding, s.Index, s.Copies, s.Format)
+	fmt.Fprintf(c.out, "store %s, ledger at %d, %d copies, records of format %d\n", s.BootstrapID, s.Index, s.Voters, s.Format)
 	if s.Failed != "" {
 		fmt.Fprintf(c.out, "%s holds nothing any more: %s\n", s.Node, s.Failed)
 	}
 	w := tabwriter.NewWriter(c.out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "DISK\tGATEWAY\tZONE\tWEIGHT\tSTATE")
-	for _, d := range s.Disks {
+	for _, d := range s.Stores {
 		state := "there"
-		if d.Gone {
+		if d.Removed {
 			state = "lost"
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\n", d.Number, d.Node, dash(d.Zone), d.Weight, state)
@@ -145,7 +145,7 @@
 		if g.Adding != nil {
 			way = "+" + g.Adding.Node
 			for _, r := range g.Replicas {
-				if r.Number == g.Leaving {
+				if r.Number == g.Removing {
 					way += " -" + r.Node
 				}
 			}
--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -166,7 +166,7 @@
 	self.Self = true
 	unreached, reached := self, other
 	unreached.StreamMicros, unreached.StreamFault, reached.StreamMicros = 700, "timeout", 800
-	replica := gateway.CopiesReplica{Number: 11, Node: "gw-1", Lost: true}
+	replica := gateway.ReplicaStatus{Number: 11, Node: "gw-1", Lost: true}
 	for _, c := range []struct {
 		name, question string
 		args           []string
@@ -191,14 +191,14 @@
 		},
 		{
 			"copies", "copies", []string{"copies"},
-			gateway.CopiesStatus{
-				Node: "gw-1", Founding: "00000000000000aa", Index: 7, Copies: 3, Format: 2, Disk: "00000000000000bb", Failed: "disk full", Waiting: 4,
-				Disks: []gateway.CopiesDisk{{Number: "00000000000000bb", Node: "gw-1", Zone: "a", Weight: 5, Gone: true}},
-				Groups: []gateway.CopiesGroup{{
-					Group: 1, Epoch: 2, Lost: true, Replicas: []gateway.CopiesReplica{replica, {Number: 12, Node: "gw-2"}},
-					Adding: &gateway.CopiesReplica{Number: 13, Node: "gw-3", Lost: true}, Leaving: 12,
-					Here: &gateway.CopiesHere{Number: 11, Leader: "gw-2", Term: 6, Applied: 80, Last: 90, Records: 10, Bytes: 1100, Unsure: true},
-				}, {Replicas: []gateway.CopiesReplica{}, Here: &gateway.CopiesHere{Leader: "gw-2"}}},
+			gateway.StateStoreStatus{
+				Node: "gw-1", BootstrapID: "00000000000000aa", Index: 7, Voters: 3, Format: 2, StoreID: "00000000000000bb", Failed: "disk full", Waiting: 4,
+				Stores: []gateway.StoreStatus{{Number: "00000000000000bb", Node: "gw-1", Zone: "a", Weight: 5, Removed: true}},
+				Groups: []gateway.GroupStatus{{
+					Group: 1, Epoch: 2, Lost: true, Replicas: []gateway.ReplicaStatus{replica, {Number: 12, Node: "gw-2"}},
+					Adding: &gateway.ReplicaStatus{Number: 13, Node: "gw-3", Lost: true}, Removing: 12,
+					Here: &gateway.LocalReplicaStatus{Number: 11, Leader: "gw-2", Term: 6, Applied: 80, Last: 90, Records: 10, Bytes: 1100, Unsure: true},
+				}, {Replicas: []gateway.ReplicaStatus{}, Here: &gateway.LocalReplicaStatus{Leader: "gw-2"}}},
 			}, nil,
 		},
 		{
@@ -212,10 +212,10 @@
 		},
 		{
 			"maintain", "maintain", []string{"maintain", "list"},
-			gateway.MaintainStatus{
-				Node: "gw-1", Leader: "gw-2", Held: true,
-				Machines: []gateway.MaintainedUnit{{
-					Place: 1, Machine: "s-1", Kind: "server", Group: 2, State: "leaving", ForMS: 3000, WorkMS: 1_200_000, Waits: "gw-3 to hear of it", Why: "new disk", By: "gw-1",
+			gateway.MaintenanceStatus{
+				Node: "gw-1", Leader: "gw-2", Paused: true,
+				Machines: []gateway.MachineStatus{{
+					Position: 1, Machine: "s-1", Kind: "server", Group: 2, State: "leaving", ForMS: 3000, WorkMS: 1_200_000, Waits: "gw-3 to hear of it", Comment: "new disk", RequestedBy: "gw-1",
 				}, {Machine: "gw-3", Kind: "gateway", State: "back"}},
 			}, nil,
 		},
--- a/internal/cli/maintain.go
+++ b/internal/cli/maintain.go
@@ -100,7 +100,7 @@
 	return group
 }
 
-func (c *command) maintenance(socket string) (s gateway.MaintainStatus, err error) {
+func (c *command) maintenance(socket string) (s gateway.MaintenanceStatus, err error) {
 	return s, c.ask(socket, "maintain", &s)
 }
 
@@ -115,21 +115,21 @@
 	if s.Leader == "" {
 		fmt.Fprintf(c.out, "the ledger does not answer: this is what %s knows, and nobody goes\n", s.Node)
 	}
-	if s.Held {
+	if s.Paused {
 		fmt.Fprintln(c.out, "all are held")
 	}
 	w := tabwriter.NewWriter(c.out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "PLACE\tMACHINE\tKIND\tSTATE\tFOR\tWORK\tWAITS FOR\tWHY\tASKED AT")
 	for _, m := range s.Machines {
 		place, name := "-", m.Machine
-		if m.Place > 0 {
-			place = strconv.Itoa(m.Place)
+		if m.Position > 0 {
+			place = strconv.Itoa(m.Position)
 		}
 		if m.Kind == "server" {
 			name = fmt.Sprintf("%s of group %d", name, m.Group)
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\t%v\t%s\t%s\t%s\n", place, name, m.Kind, m.State, millis(m.ForMS).Round(time.Second), millis(m.WorkMS), dash(m.Waits),
-			dash(m.Why), dash(m.By))
+			dash(m.Comment), dash(m.RequestedBy))
 	}
 	return w.Flush()
 }
@@ -175,7 +175,7 @@
 }
 
 // machineIn finds the latest machine of a name as an operator writes it.
-func machineIn(s gateway.MaintainStatus, name string) (m gateway.MaintainedUnit, known bool) {
+func machineIn(s gateway.MaintenanceStatus, name string) (m gateway.MachineStatus, known bool) {
 	kind, bare, said := strings.Cut(name, ":")
 	if !said || kind != "gateway" && kind != "server" {
 		kind, bare = "", name
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -16,18 +16,18 @@
 )
 
 // mostAsking is how many questions are answered at a time; the rest wait in the kernel.
-const mostAsking = 2
+const maxConcurrent = 2
 
 // Descriptors is how many the socket may hold at a time.
-const Descriptors = 1 + mostAsking
+const Descriptors = 1 + maxConcurrent
 
 // patience bounds a question and its answer.
-const patience = 2 * time.Second
+const timeout = 2 * time.Second
 
 // mostQuestion is the size of the longest question, in bytes; mostAnswer that of the longest answer.
 const (
-	mostQuestion = 256
-	mostAnswer   = 1 << 20
+	maxQuestionSize = 256
+	maxAnswerSize   = 1 << 20
 )
 
 type reply struct {
@@ -48,7 +48,7 @@
 		if info.Mode()&os.ModeSocket == 0 {
 			return nil, fmt.Errorf("%s is there and no socket", path)
 		}
-		if c, err := net.DialTimeout("unix", path, patience); err == nil {
+		if c, err := net.DialTimeout("unix", path, timeout); err == nil {
 			c.Close()
 			return nil, fmt.Errorf("%s is in use", path)
 		}
@@ -63,8 +63,8 @@
 		return nil, err
 	}
 	s := &Server{listener: l}
-	s.done.Add(mostAsking)
-	for range mostAsking {
+	s.done.Add(maxConcurrent)
+	for range maxConcurrent {
 		go s.serve(answer)
 	}
 	return s, nil
@@ -78,19 +78,19 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(patience / 100) // no descriptor: one that ends frees one
+			time.Sleep(timeout / 100) // no descriptor: one that ends frees one
 			continue
 		}
-		c.SetDeadline(time.Now().Add(patience))
-		line, err := bufio.NewReader(io.LimitReader(c, mostQuestion)).ReadString('\n')
+		c.SetDeadline(time.Now().Add(timeout))
+		line, err := bufio.NewReader(io.LimitReader(c, maxQuestionSize)).ReadString('\n')
 		if err == nil {
-			json.NewEncoder(c).Encode(answered(answer, strings.TrimSpace(line)))
+			json.NewEncoder(c).Encode(replyTo(answer, strings.TrimSpace(line)))
 		}
 		c.Close()
 	}
 }
 
-func answered(answer func(string) (any, error), question string) reply {
+func replyTo(answer func(string) (any, error), question string) reply {
 	v, err := answer(question)
 	if err == nil {
 		var raw []byte
@@ -110,18 +110,18 @@
 }
 
 // Ask asks the gateway behind a socket and reads its answer.
-func Ask(path, question string, into any) error {
-	c, err := net.DialTimeout("unix", path, patience)
+func Query(path, question string, into any) error {
+	c, err := net.DialTimeout("unix", path, timeout)
 	if err != nil {
 		return fmt.Errorf("no gateway answers at %s: %w", path, err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(timeout))
 	if _, err := io.WriteString(c, question+"\n"); err != nil {
 		return err
 	}
 	var r reply
-	if err := json.NewDecoder(io.LimitReader(c, mostAnswer)).Decode(&r); err != nil {
+	if err := json.NewDecoder(io.LimitReader(c, maxAnswerSize)).Decode(&r); err != nil {
 		return fmt.Errorf("the answer cannot be read: %w", err)
 	}
 	if r.Error != "" {
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -22,11 +22,11 @@
 	}
 	var got []int
 	for range 10 {
-		if err := Ask(path, "how", &got); err != nil || len(got) != 2 {
+		if err := Query(path, "how", &got); err != nil || len(got) != 2 {
 			t.Fatalf("%v %v", got, err)
 		}
 	}
-	if err := Ask(path, "what", &got); err == nil || err.Error() != "unknown question what" {
+	if err := Query(path, "what", &got); err == nil || err.Error() != "unknown question what" {
 		t.Errorf("%v", err)
 	}
 	if info, _ := os.Stat(path); info.Mode().Perm() != 0o600 {
@@ -40,13 +40,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Write([]byte(strings.Repeat("x", 10*mostQuestion)))
+	c.Write([]byte(strings.Repeat("x", 10*maxQuestionSize)))
 	if n, _ := c.Read(make([]byte, 10)); n != 0 {
 		t.Error("an answer to no question")
 	}
 	c.Close()
 	s.Close()
-	if err := Ask(path, "how", &got); err == nil || !strings.Contains(err.Error(), "no gateway answers at") {
+	if err := Query(path, "how", &got); err == nil || !strings.Contains(err.Error(), "no gateway answers at") {
 		t.Errorf("%v", err)
 	}
 	(*Server)(nil).Close()
--- a/internal/gateway/client_test.go
+++ b/internal/gateway/client_test.go
@@ -383,7 +383,7 @@
 	if kinds, _ := newest.until('Z'); kinds != "TDCZ" {
 		t.Errorf("the newest got %s", kinds)
 	}
-	if n := w.gateway.fds.Used(); n > 64 {
+	if n := w.gateway.descriptors.Used(); n > 64 {
 		t.Errorf("%d connections open", n)
 	}
 	close(release)
@@ -503,7 +503,7 @@
 func TestCountersArePrinted(t *testing.T) {
 	w := newWorld(t, nil)
 	w.asks(w.dial(), look("a"), "value of a", "")
-	w.gateway.Print()
+	w.gateway.LogCounters()
 	w.logged(`"class":"look"`, `"requests":1`, `"sends":1`, `"served":1`, `"refused":0`)
 	w.logged("outcomes of attempts", `"served":1`)
 	w.logged("outcomes of probes", `"sent":`)
--- a/internal/gateway/questions_test.go
+++ b/internal/gateway/control_test.go
@@ -47,7 +47,7 @@
 	told string
 }
 
-func (s *storeDouble) Status() CopiesStatus { return CopiesStatus{Node: "gw-1"} }
+func (s *storeDouble) Status() StateStoreStatus { return StateStoreStatus{Node: "gw-1"} }
 
 func (s *storeDouble) Bootstrap(shards, copies int, first bool) error {
 	s.told = fmt.Sprintf("found %d shards, %d copies, first %v", shards, copies, first)
@@ -101,7 +101,7 @@
 func TestQuestionsGolden(t *testing.T) {
 	store := &storeDouble{}
 	whole := &Gateway{
-		store: store, bookings: resolverDouble{}, upkeep: &upkeep{},
+		store: store, intents: resolverDouble{}, maintenance: &maintenanceAgent{},
 		ops: &config.Operators{
 			Members: &config.Members{Node: "gw-1"}, StateStore: &config.StateStore{Shards: 16, Voters: 3}, Maintenance: &config.Maintenance{DefaultDuration: 20 * time.Minute},
 		},
@@ -123,7 +123,7 @@
 			var all strings.Builder
 			for _, question := range c.questions {
 				store.told = ""
-				answer, err := c.gateway.answer(question)
+				answer, err := c.gateway.answerQuestion(question)
 				if err != nil {
 					answer = map[string]string{"error": err.Error()}
 				}
--- a/internal/gateway/counters.go
+++ b/internal/gateway/counters.go
@@ -9,12 +9,12 @@
 
 // Print writes all counters to the log: one line for each class, one for each kind of connection's ends, and one
 // for the gateway as a whole.
-func (g *Gateway) Print() {
-	g.owner.Call(g.printOwner)
-	g.printSockets()
+func (g *Gateway) LogCounters() {
+	g.owner.Call(g.logRoutingCounters)
+	g.logConnectionCounters()
 }
 
-func (g *Gateway) printSockets() {
+func (g *Gateway) logConnectionCounters() {
 	g.ends.Each(func(party string, reason transport.Reason, n int64) {
 		g.log.Info().Str("party", party).Stringer("reason", reason).Int64("ended", n).Msg("counter")
 	})
@@ -22,14 +22,14 @@
 	g.log.Info().Int64("empty", c.Empty.Load()).Int64("not_ready", c.NotReady.Load()).
 		Int64("malformed", c.Malformed.Load()).Int64("unsupported", c.Unsupported.Load()).
 		Int64("over_memory", c.OverMemory.Load()).Int("clients", g.clients.Open()).
-		Int("descriptors", g.fds.Used()).Int64("message_bytes", g.buffers.Held()).Msg("counters")
-	g.floats.print()
-	g.members.print()
-	g.printStore()
-	g.printBookings()
+		Int("descriptors", g.descriptors.Used()).Int64("message_bytes", g.buffers.Held()).Msg("counters")
+	g.floating.logCounters()
+	g.members.logCounters()
+	g.logStoreCounters()
+	g.logIntentCounters()
 }
 
-func (g *Gateway) printOwner(c *routing.Core) {
+func (g *Gateway) logRoutingCounters(c *routing.Core) {
 	n := &c.Counts
 	for i, name := range n.ClassNames {
 		line := g.log.Info().Str("class", name).Int64("requests", n.Requests[i]).Int64("sends", n.Sends[i]).
@@ -39,14 +39,14 @@
 		}
 		line.Msg("counters")
 	}
-	named(g.log.Info(), routing.ResultNames[:], n.Outcomes[:]).Msg("outcomes of attempts")
-	named(g.log.Info().Int64("sent", n.HealthChecksSent), routing.ResultNames[:], n.HealthChecks[:]).Msg("outcomes of probes")
-	named(g.log.Info().Int64("watches", n.Watches).Int64("fetches", n.Fetches), routing.ListFormNames[:],
+	addCounts(g.log.Info(), routing.ResultNames[:], n.Outcomes[:]).Msg("outcomes of attempts")
+	addCounts(g.log.Info().Int64("sent", n.HealthChecksSent), routing.ResultNames[:], n.HealthChecks[:]).Msg("outcomes of probes")
+	addCounts(g.log.Info().Int64("watches", n.Watches).Int64("fetches", n.Fetches), routing.ListFormNames[:],
 		n.ListUpdates[:]).Int("open", c.OpenRequests()).Int64("unknown_group", n.UnknownGroup).
 		Int64("class_changed", n.ClassChanged).Int64("not_current", n.StaleAnswers).Int64("settings_reloads", n.Reloads).Msg("member lists")
 }
 
-func named(line *zerolog.Event, names []string, counts []int64) *zerolog.Event {
+func addCounts(line *zerolog.Event, names []string, counts []int64) *zerolog.Event {
 	for i, name := range names {
 		line = line.Int64(name, counts[i])
 	}
--- a/internal/gateway/floating.go
+++ b/internal/gateway/floatingip.go
@@ -20,32 +20,32 @@
 // healthPoll is how often the owner is asked how the gateway is, and healthOld after how long without its answer the
 // gateway counts as not ready: an owner that hangs serves nobody.
 const (
-	healthPoll = 50 * time.Millisecond
-	healthOld  = time.Second
+	healthInterval = 50 * time.Millisecond
+	healthTTL      = time.Second
 )
 
 // groupLately is for how long a group that was asked for counts as in use.
-const groupLately = clock.Micros(30 * time.Second / time.Microsecond)
+const groupInUseFor = clock.Micros(30 * time.Second / time.Microsecond)
 
 // readyRoom is what must fit the messages' budget before the gateway is ready: a request and its answer.
-const readyRoom = 4 * transport.BufferSize
+const minReadyBuffer = 4 * transport.BufferSize
 
 // floats holds the gateway's part in floating addresses: the speaker, and what is served under each tenure. A nil one is
 // a gateway without.
-type floats struct {
-	g        *Gateway
-	speaker  *floatingip.Speaker
-	counts   session.ClientCounts
-	health   atomic.Pointer[healthSeen]
-	stopping atomic.Bool
-	stopped  atomic.Bool                    // every address is let go now
-	groups   atomic.Pointer[[]config.Group] // in force
-	quit     chan struct{}
-	polling  sync.WaitGroup
+type floatingAddresses struct {
+	g           *Gateway
+	speaker     *floatingip.Speaker
+	counts      session.ClientCounts
+	health      atomic.Pointer[healthSeen]
+	stopping    atomic.Bool
+	releasedAll atomic.Bool                    // every address is let go now
+	groups      atomic.Pointer[[]config.Group] // in force
+	quit        chan struct{}
+	polling     sync.WaitGroup
 
-	mu      sync.Mutex
-	tenures map[*tenure]struct{}
-	holding map[string]*tenure // by group
+	mu          sync.Mutex
+	activations map[*activation]struct{}
+	holding     map[string]*activation // by group
 }
 
 type healthSeen struct {
@@ -55,7 +55,7 @@
 
 // tenure is what came over a floating address between one winning and losing of it. Each has its own listener and its own
 // clients, so that winning the address back while the last tenure still answers is no special case.
-type tenure struct {
+type activation struct {
 	clients  *session.Clients
 	listener *transport.Listener
 	freed    chan struct{} // its listener is closed
@@ -63,9 +63,9 @@
 }
 
 // startFloats binds the speaker's socket and begins to take part.
-func startFloats(g *Gateway) (*floats, error) {
-	f := &floats{
-		g: g, quit: make(chan struct{}), tenures: map[*tenure]struct{}{}, holding: map[string]*tenure{},
+func startFloating(g *Gateway) (*floatingAddresses, error) {
+	f := &floatingAddresses{
+		g: g, quit: make(chan struct{}), activations: map[*activation]struct{}{}, holding: map[string]*activation{},
 	}
 	f.health.Store(&healthSeen{at: time.Now()})
 	f.groups.Store(&g.ops.Groups)
@@ -74,10 +74,10 @@
 		Time: func(m clock.Micros) time.Time { return g.clock.Time(clock.Micros(m)) },
 	}
 	var err error
-	if f.speaker, err = floatingip.Start(speakerSettings(g.ops), clock, uint64(time.Now().UnixMicro()), f, f.now, g.log); err != nil {
+	if f.speaker, err = floatingip.Start(speakerSettings(g.ops), clock, uint64(time.Now().UnixMicro()), f, f.currentHealth, g.log); err != nil {
 		return nil, err
 	}
-	g.fds.Hold(1 + len(g.ops.Groups)) // the socket and the listeners
+	g.descriptors.Hold(1 + len(g.ops.Groups)) // the socket and the listeners
 	f.polling.Add(1)
 	go f.poll()
 	return f, nil
@@ -118,12 +118,12 @@
 func micros(d time.Duration) clock.Micros { return clock.Micros(d / time.Microsecond) }
 
 // poll asks the owner how the gateway is. The speaker must not wait for the owner, so it reads what was last heard.
-func (f *floats) poll() {
+func (f *floatingAddresses) poll() {
 	defer f.polling.Done()
-	tick := time.NewTicker(healthPoll)
+	tick := time.NewTicker(healthInterval)
 	defer tick.Stop()
 	for {
-		f.look()
+		f.sampleHealth()
 		select {
 		case <-tick.C:
 		case <-f.quit:
@@ -132,10 +132,10 @@
 	}
 }
 
-func (f *floats) look() {
+func (f *floatingAddresses) sampleHealth() {
 	seen := &healthSeen{}
 	if !f.g.owner.Call(func(c *routing.Core) {
-		h := c.Health(groupLately)
+		h := c.Health(groupInUseFor)
 		seen.Ready = c.Ready() && h.UsableServers > 0
 		seen.Wrong[vrrp.NoServer] = h.UsableServers == 0
 		seen.Wrong[vrrp.NoPrimary] = h.GroupsWithoutPrimary > 0
@@ -143,17 +143,17 @@
 	}) {
 		return
 	}
-	if f.g.buffers.Reserve(readyRoom) {
-		f.g.buffers.Release(readyRoom)
+	if f.g.buffers.Reserve(minReadyBuffer) {
+		f.g.buffers.Release(minReadyBuffer)
 	} else if f.holds() == 0 {
 		seen.Ready = false // one that holds the address keeps it: full of work is not broken
 	}
-	seen.Wrong[vrrp.FewDescriptor] = f.g.fds.Short()
+	seen.Wrong[vrrp.FewDescriptor] = f.g.descriptors.Short()
 	seen.at = time.Now()
 	f.health.Store(seen)
 }
 
-func (f *floats) holds() int {
+func (f *floatingAddresses) holds() int {
 	if f == nil {
 		return 0
 	}
@@ -163,20 +163,20 @@
 }
 
 // now is how the gateway is, for the speaker.
-func (f *floats) now() vrrp.Health {
+func (f *floatingAddresses) currentHealth() vrrp.Health {
 	seen := f.health.Load()
 	h := seen.Health
-	h.Ready = h.Ready && time.Since(seen.at) < healthOld && f.g.upkeep.admits()
+	h.Ready = h.Ready && time.Since(seen.at) < healthTTL && f.g.maintenance.admits()
 	h.Wrong[vrrp.Draining] = f.stopping.Load()
 	return h
 }
 
 // Take opens the floating listener for a new tenure. Should the last tenure's not be closed yet, it is waited for, a few
 // milliseconds at the most.
-func (f *floats) Take(group string, listen netip.AddrPort, gate func() bool) error {
+func (f *floatingAddresses) Take(group string, listen netip.AddrPort, gate func() bool) error {
 	f.mu.Lock()
-	var before []*tenure
-	for t := range f.tenures {
+	var before []*activation
+	for t := range f.activations {
 		before = append(before, t)
 	}
 	f.mu.Unlock()
@@ -185,15 +185,15 @@
 			<-t.freed
 		}
 	}
-	l, err := transport.Listen(listen.String(), f.g.buffers, f.g.fds)
+	l, err := transport.Listen(listen.String(), f.g.buffers, f.g.descriptors)
 	if err != nil {
 		return err
 	}
-	t := &tenure{listener: l, clients: f.g.newClients(&f.counts, f.g.clients.Limits), freed: make(chan struct{})}
+	t := &activation{listener: l, clients: f.g.newClients(&f.counts, f.g.clients.Limits), freed: make(chan struct{})}
 	admits := t.clients.Gate
 	t.clients.Gate = func() bool { return gate() && !t.ending.Load() && (admits == nil || admits()) }
 	f.mu.Lock()
-	f.tenures[t], f.holding[group] = struct{}{}, t
+	f.activations[t], f.holding[group] = struct{}{}, t
 	f.mu.Unlock()
 	go func() {
 		l.Serve(t.clients.Serve)
@@ -204,7 +204,7 @@
 
 // Release closes the floating listener. What was taken is answered as in a stop: idle clients are closed so that they come
 // again where the address is now, the others after their answers, and whoever has sent half a message is not waited for.
-func (f *floats) Release(group string) {
+func (f *floatingAddresses) Release(group string) {
 	f.mu.Lock()
 	t := f.holding[group]
 	delete(f.holding, group)
@@ -216,17 +216,17 @@
 	t.clients.Drain(transport.EndMoved)
 	go func() {
 		<-t.freed
-		time.Sleep(drainCut)
+		time.Sleep(partialMessageGrace)
 		t.clients.CutOff()
 		t.listener.Wait() // every request has its end, by its deadline at the latest
 		f.mu.Lock()
-		delete(f.tenures, t)
+		delete(f.activations, t)
 		f.mu.Unlock()
 	}()
 }
 
 // reload takes over what may change.
-func (f *floats) reload(ops *config.Operators) {
+func (f *floatingAddresses) reload(ops *config.Operators) {
 	if f != nil && ops.VRRP != nil {
 		f.groups.Store(&ops.Groups)
 		f.speaker.Reload(speakerSettings(ops))
@@ -234,11 +234,11 @@
 }
 
 // giveUp releases every address; those that linger for a better holder only the last time.
-func (f *floats) giveUp(last bool) {
+func (f *floatingAddresses) releaseAll(last bool) {
 	if f != nil {
 		f.stopping.Store(true)
-		f.stopped.Store(last)
-		f.finish(last)
+		f.releasedAll.Store(last)
+		f.quiesce(last)
 		f.speaker.GiveUp(last)
 	}
 }
@@ -247,9 +247,9 @@
 // cuts flows when an address moves would leave it in doubt. Harm: for so long new requests are refused unsent. One that lingers
 // moves as soon as a better gateway hears of the drain; until then, or for its let-go, it takes nothing new either, and serves on
 // after that.
-func (f *floats) finish(last bool) {
+func (f *floatingAddresses) quiesce(last bool) {
 	var bound time.Duration
-	var ending []*tenure
+	var ending []*activation
 	f.mu.Lock()
 	for _, g := range *f.groups.Load() {
 		t := f.holding[g.Name]
@@ -260,30 +260,30 @@
 		if last || !slices.ContainsFunc(g.Track, func(t config.Track) bool { return t.Condition == vrrp.ConditionNames[vrrp.Draining] }) {
 			ending, bound = append(ending, t), max(bound, g.DrainTimeout)
 		} else {
-			time.AfterFunc(g.DrainTimeout, func() { t.ending.Store(f.stopped.Load()) })
+			time.AfterFunc(g.DrainTimeout, func() { t.ending.Store(f.releasedAll.Load()) })
 		}
 	}
 	f.mu.Unlock()
-	busy := func(t *tenure) bool { return t.clients.Busy() > 0 }
+	busy := func(t *activation) bool { return t.clients.Busy() > 0 }
 	for late := time.Now().Add(bound); slices.ContainsFunc(ending, busy) && time.Now().Before(late); {
 		time.Sleep(time.Millisecond)
 	}
 }
 
 // open is the number of clients that are left.
-func (f *floats) open() (n int) {
+func (f *floatingAddresses) open() (n int) {
 	if f == nil {
 		return 0
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for t := range f.tenures {
+	for t := range f.activations {
 		n += t.clients.Open()
 	}
 	return n
 }
 
-func (f *floats) close() {
+func (f *floatingAddresses) close() {
 	if f != nil {
 		f.speaker.Close()
 		close(f.quit)
@@ -291,7 +291,7 @@
 	}
 }
 
-func (f *floats) status() []floatingip.Status {
+func (f *floatingAddresses) status() []floatingip.Status {
 	if f == nil {
 		return []floatingip.Status{}
 	}
@@ -299,7 +299,7 @@
 }
 
 // print writes the counters of floating addresses.
-func (f *floats) print() {
+func (f *floatingAddresses) logCounters() {
 	if f == nil {
 		return
 	}
--- a/internal/gateway/floating_test.go
+++ b/internal/gateway/floatingip_test.go
@@ -151,7 +151,7 @@
 	}
 }
 
-func (f *fleet) state(i int) string { return f.gateways[i].floats.status()[0].State }
+func (f *fleet) state(i int) string { return f.gateways[i].floating.status()[0].State }
 
 func (f *fleet) active() (all []int) {
 	for i, g := range f.gateways {
@@ -265,7 +265,7 @@
 		f.served(20)
 		t.Logf("%s: %+v", c.name, f.ledger.Totals())
 	}
-	if n := &f.gateways[0].floats.speaker.Counts.Dropped; n[1].Load() == 0 {
+	if n := &f.gateways[0].floating.speaker.Counts.Dropped; n[1].Load() == 0 {
 		t.Error("no garbage was counted")
 	}
 }
@@ -308,13 +308,13 @@
 
 // holds tells of a gateway's tenures: how many still serve, their clients, and whether it holds the address.
 func (f *fleet) holds(i int) (tenures, clients int, held bool) {
-	fl := f.gateways[i].floats
+	fl := f.gateways[i].floating
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	for t := range fl.tenures {
+	for t := range fl.activations {
 		clients += t.clients.Open()
 	}
-	return len(fl.tenures), clients, len(fl.holding) > 0
+	return len(fl.activations), clients, len(fl.holding) > 0
 }
 
 func (f *fleet) open(addr string) *reading {
@@ -364,7 +364,7 @@
 	second := f.open(f.floating[0])
 	second.Write(query(put("x3")))
 	<-arrived
-	f.gateways[0].floats.giveUp(true)
+	f.gateways[0].floating.releaseAll(true)
 	f.settles(1)
 	release()
 	for c, want := range map[*reading]string{first: "value of x1", second: "value of x3"} {
@@ -392,8 +392,8 @@
 	f.reload(0, func(s string) string { return s + "track draining 100\nlet-go 1s\n" })
 	f.logged(0, "former word in the operators' file", `"former":"let-go","new":"drain-timeout"`)
 	c := f.open(f.floating[0])
-	fl := f.gateways[0].floats
-	fl.giveUp(false)
+	fl := f.gateways[0].floating
+	fl.releaseAll(false)
 	c.Write(query(put("x1")))
 	if kinds, bodies := c.until('E'); !strings.Contains(bodies[0], "C53300\x00") && !strings.Contains(bodies[0], "C57P03\x00") {
 		t.Errorf("%s %q", kinds, bodies)
@@ -421,10 +421,10 @@
 	f := newFleet(t, true, nil, 200)
 	f.settles(0)
 	c := f.open(f.floating[0])
-	fl := f.gateways[0].floats
-	var held *tenure
+	fl := f.gateways[0].floating
+	var held *activation
 	fl.mu.Lock()
-	for x := range fl.tenures {
+	for x := range fl.activations {
 		held = x
 	}
 	fl.mu.Unlock()
@@ -435,7 +435,7 @@
 	late := make(chan struct{}) // as if the clock had run on while the process stood still
 	go func() {
 		defer close(late)
-		f.gateways[0].floats.speaker.Stall(4 * fleetInterval)
+		f.gateways[0].floating.speaker.Stall(4 * fleetInterval)
 	}()
 	eventually(t, func() bool { return !gate() }, func() string { return "the gate stays open while the speaker stands still" })
 	c.Write(query(put("x1")))
--- a/internal/gateway/program.go
+++ b/internal/gateway/gateway.go
@@ -54,55 +54,55 @@
 // The platform kills a gateway no sooner after SIGTERM than the longest deadline, counted as mostPatience where it is
 // longer, plus killSlack. stopMargin of that is left for last answers and for ending.
 const (
-	mostPatience = 3 * time.Second
-	killSlack    = 700 * time.Millisecond
-	stopMargin   = 200 * time.Millisecond
+	maxDeadlineAllowance = 3 * time.Second
+	killGrace            = 700 * time.Millisecond
+	stopMargin           = 200 * time.Millisecond
 )
 
 // drainAfter is the least time after SIGTERM for which the gateway serves as before: the front goes on sending to it for
 // up to 0.4 s, and a connection closed sooner would only be opened again.
-const drainAfter = 450 * time.Millisecond
+const minDrainDelay = 450 * time.Millisecond
 
 // drainLast is how long before it leaves the gateway stops taking requests, so that nearly all are answered by then; the
 // few that are not are failed rather than left without an answer.
-const drainLast = 600 * time.Millisecond
+const drainLead = 600 * time.Millisecond
 
 // drainCut is how much longer messages that have come in part only are waited for. A request is taken with its last byte;
 // until then its client may send it elsewhere, and whoever stops halfway must not hold up the restart.
-const drainCut = 200 * time.Millisecond
+const partialMessageGrace = 200 * time.Millisecond
 
 // drainPoll is how often a stopping gateway looks whether it is done.
-const drainPoll = 10 * time.Millisecond
+const drainInterval = 10 * time.Millisecond
 
 // Gateway is one running gateway.
 type Gateway struct {
-	cfg       *config.Config // as at the start; what may change meanwhile stands below
-	facts     *settings.Live
-	settings  map[string]any // in force, as written
-	reloading sync.Mutex
-	ops       *config.Operators
-	log       zerolog.Logger
-	closeLog  func()
-	clock     routing.Clock
-	owner     *routing.Owner
-	buffers   *transport.Buffers
-	fds       *transport.Descriptors
-	ends      *transport.Ends
-	listener  *transport.Listener
-	clients   *session.Clients
-	servers   *session.Servers
-	discovery *session.Discovery
-	floats    *floats          // nil without a floating address
-	members   *members         // nil without a members section
-	store     Store            // nil without a copies section
-	marks     *marks           // nil where no session is kept
-	bookings  intents.Resolver // nil where none is claimed before it is sent
-	upkeep    *upkeep          // nil without a maintenance section
-	stopping  atomic.Bool
-	life      uint64 // microseconds of Unix time at the start
-	control   *control.Server
-	ready     atomic.Bool
-	accepting chan struct{}
+	cfg         *config.Config // as at the start; what may change meanwhile stands below
+	facts       *settings.Live
+	settings    map[string]any // in force, as written
+	reloading   sync.Mutex
+	ops         *config.Operators
+	log         zerolog.Logger
+	closeLog    func()
+	clock       routing.Clock
+	owner       *routing.Owner
+	buffers     *transport.Buffers
+	descriptors *transport.Descriptors
+	ends        *transport.Ends
+	listener    *transport.Listener
+	clients     *session.Clients
+	servers     *session.Servers
+	discovery   *session.Discovery
+	floating    *floatingAddresses // nil without a floating address
+	members     *members           // nil without a members section
+	store       Store              // nil without a copies section
+	positions   *sessionPositions  // nil where no session is kept
+	intents     intents.Resolver   // nil where none is claimed before it is sent
+	maintenance *maintenanceAgent  // nil without a maintenance section
+	stopping    atomic.Bool
+	incarnation uint64 // microseconds of Unix time at the start
+	control     *control.Server
+	ready       atomic.Bool
+	accepting   chan struct{}
 }
 
 // Load reads both configurations, the platform's and the operators'.
@@ -124,14 +124,14 @@
 	if err != nil {
 		return err
 	}
-	letGo()
+	releaseStartupMemory()
 	var stopped chan struct{}
 	for {
 		select {
 		case s := <-signals:
 			switch s {
 			case syscall.SIGUSR1:
-				g.Print()
+				g.LogCounters()
 			case syscall.SIGHUP:
 				g.Reload(load())
 			default:
@@ -169,9 +169,9 @@
 		g.log.Info().Strs("keys", keys).Msg("settings in force")
 	}
 	g.discovery.Move(next.Discovery)
-	g.floats.reload(ops)
+	g.floating.reload(ops)
 	g.members.reload(ops, next.Settings)
-	g.upkeep.reload(ops)
+	g.maintenance.reload(ops)
 	g.log.Info().Str("discovery", next.Discovery).Msg("reloaded")
 }
 
@@ -184,13 +184,13 @@
 func start(cfg *config.Config, ops *config.Operators, out io.Writer, tune func(*Gateway)) (*Gateway, error) {
 	dropped := &atomic.Int64{}
 	// The log's writer would close what it writes to, and with it standard error, where the last word may be due.
-	w := diode.NewWriter(struct{ io.Writer }{out}, logLines, logPoll, func(missed int) { dropped.Add(int64(missed)) })
+	w := diode.NewWriter(struct{ io.Writer }{out}, logLines, logPoll, func(lost int) { dropped.Add(int64(lost)) })
 	log := zerolog.New(w).With().Timestamp().Str("gateway", cfg.Name).Logger()
 	g := &Gateway{
 		cfg: cfg, facts: settings.NewLive(cfg.InForce), settings: cfg.Settings, ops: ops, log: log, clock: routing.NewClock(), accepting: make(chan struct{}),
-		buffers: transport.NewBuffers(int64(cfg.MemoryMB) << 20 * messageShare / 100),
-		fds:     transport.NewDescriptors(cfg.Sockets),
-		ends:    transport.NewEnds(log),
+		buffers:     transport.NewBuffers(int64(cfg.MemoryMB) << 20 * messageShare / 100),
+		descriptors: transport.NewDescriptors(cfg.Sockets),
+		ends:        transport.NewEnds(log),
 	}
 	g.closeLog = func() {
 		if n := dropped.Load(); n > 0 {
@@ -199,22 +199,22 @@
 		w.Close()
 	}
 	g.owner = routing.NewOwner(g.clock)
-	g.marks = newMarks(ops, g.clock)
-	g.life = uint64(time.Now().UnixMicro())
-	g.bookings = newBookings(g)
-	g.upkeep = newUpkeep(g)
+	g.positions = newSessionPositions(ops, g.clock)
+	g.incarnation = uint64(time.Now().UnixMicro())
+	g.intents = newIntents(g)
+	g.maintenance = newMaintenanceAgent(g)
 	g.clients = g.newClients(&session.ClientCounts{}, session.DefaultTimeouts)
 	g.servers = &session.Servers{
-		Owner: g.owner, InForce: g.facts, Buffers: g.buffers, Fds: g.fds, Ends: g.ends, Clock: g.clock,
+		Owner: g.owner, InForce: g.facts, Buffers: g.buffers, Fds: g.descriptors, Ends: g.ends, Clock: g.clock,
 		User: serverUser, DB: serverDatabase,
 	}
 	g.discovery = &session.Discovery{
-		Addr: cfg.Discovery, Owner: g.owner, Buffers: g.buffers, Fds: g.fds, Ends: g.ends,
+		Addr: cfg.Discovery, Owner: g.owner, Buffers: g.buffers, Fds: g.descriptors, Ends: g.ends,
 		Limits: session.DefaultCallTimeouts,
 	}
 	tune(g)
 	var err error
-	if g.listener, err = transport.Listen(cfg.Listen, g.buffers, g.fds); err != nil {
+	if g.listener, err = transport.Listen(cfg.Listen, g.buffers, g.descriptors); err != nil {
 		g.closeLog()
 		return nil, fmt.Errorf("listen: %w", err)
 	}
@@ -238,15 +238,15 @@
 // newClients makes a set of clients beside the ones there are; they share everything but their listener.
 func (g *Gateway) newClients(counts *session.ClientCounts, limits session.Timeouts) *session.Clients {
 	c := &session.Clients{
-		Owner: g.owner, InForce: g.facts, Buffers: g.buffers, Fds: g.fds, Ends: g.ends, Clock: g.clock,
+		Owner: g.owner, InForce: g.facts, Buffers: g.buffers, Fds: g.descriptors, Ends: g.ends, Clock: g.clock,
 		Ready: g.isReady, Limits: limits, Counts: counts,
 	}
-	if g.marks != nil {
-		c.Marks = g.marks
+	if g.positions != nil {
+		c.Marks = g.positions
 	}
-	c.Bookings = g.bookings
-	if g.upkeep != nil {
-		c.Gate = g.upkeep.takes
+	c.Bookings = g.intents
+	if g.maintenance != nil {
+		c.Gate = g.maintenance.acceptsRequests
 	}
 	return c
 }
@@ -271,44 +271,44 @@
 		}
 	}
 	if g.ops.VRRP != nil {
-		if g.floats, err = startFloats(g); err != nil {
+		if g.floating, err = startFloating(g); err != nil {
 			return fmt.Errorf("vrrp: %w", err)
 		}
 	}
-	g.upkeep.start()
+	g.maintenance.start()
 	if g.ops.Control != "" {
-		if g.control, err = control.Listen(g.ops.Control, g.answer); err != nil {
+		if g.control, err = control.Listen(g.ops.Control, g.answerQuestion); err != nil {
 			return fmt.Errorf("control: %w", err)
 		}
-		g.fds.Hold(control.Descriptors)
+		g.descriptors.Hold(control.Descriptors)
 	}
 	return nil
 }
 
 // answer answers questions on the control socket.
-func (g *Gateway) answer(question string) (any, error) {
+func (g *Gateway) answerQuestion(question string) (any, error) {
 	switch question {
 	case "vrrp status":
-		return g.floats.status(), nil
+		return g.floating.status(), nil
 	case "members":
 		return g.members.status(false)
 	case "members streams":
 		return g.members.status(true)
 	case "intents":
-		return g.intents()
+		return g.intentsStatus()
 	}
 	switch words := strings.Fields(question); {
 	case len(words) > 0 && words[0] == "copies":
-		return g.askStore(words[1:])
+		return g.answerStateStore(words[1:])
 	case len(words) > 0 && words[0] == "maintain":
-		return g.askMaintenance(words[1:])
+		return g.answerMaintenance(words[1:])
 	}
 	return nil, fmt.Errorf("unknown question %.40q", question)
 }
 
 // abort ends a gateway that could not start whole and has served nobody.
 func (g *Gateway) abort() {
-	g.floats.giveUp(true)
+	g.floating.releaseAll(true)
 	g.listener.Close()
 	<-g.accepting
 	g.clients.Drain(transport.EndDrain)
@@ -322,7 +322,7 @@
 
 // isReady tells whether a request could be routed. Once true it stays so.
 func (g *Gateway) isReady() bool {
-	if !g.upkeep.admits() {
+	if !g.maintenance.admits() {
 		return false
 	}
 	if !g.ready.Load() {
@@ -341,41 +341,41 @@
 	if g.store != nil {
 		go g.store.TransferLeadership() // others lead what was led here before anybody misses it
 	}
-	g.floats.giveUp(false)
+	g.floating.releaseAll(false)
 	longest := time.Duration(0)
 	for _, c := range g.facts.Load().Settings.Classes {
 		longest = max(longest, time.Duration(c.Deadline)*time.Microsecond)
 	}
-	leave := min(longest, mostPatience) + killSlack - stopMargin
+	stopBy := min(longest, maxDeadlineAllowance) + killGrace - stopMargin
 	wait := func(end time.Duration, open func() int) {
 		for open() > 0 && time.Since(start) < end {
-			time.Sleep(drainPoll)
+			time.Sleep(drainInterval)
 		}
 	}
 	// Clients use the connections they have for as long as these are open, and may have no other gateway.
-	time.Sleep(drainAfter)
-	wait(leave-drainLast, g.clients.Open)
-	g.floats.giveUp(true)
-	g.members.leave()
+	time.Sleep(minDrainDelay)
+	wait(stopBy-drainLead, g.clients.Open)
+	g.floating.releaseAll(true)
+	g.members.announceLeave()
 	g.clients.Drain(transport.EndDrain)
-	wait(min(time.Since(start)+drainCut, leave), g.clients.Open)
+	wait(min(time.Since(start)+partialMessageGrace, stopBy), g.clients.Open)
 	g.clients.CutOff()
-	wait(leave, g.clients.Busy) // whoever connects for nothing all the time is not waited for
+	wait(stopBy, g.clients.Busy) // whoever connects for nothing all the time is not waited for
 	g.listener.Close()
 	<-g.accepting
-	wait(leave, g.clients.Open) // what was still in the listener's backlog
-	wait(leave, g.floats.open)
-	if g.clients.Open()+g.floats.open() > 0 {
-		if g.bookings != nil {
-			g.bookings.StartShutdown() // routing does not know of those that are not claimed yet
+	wait(stopBy, g.clients.Open) // what was still in the listener's backlog
+	wait(stopBy, g.floating.open)
+	if g.clients.Open()+g.floating.open() > 0 {
+		if g.intents != nil {
+			g.intents.StartShutdown() // routing does not know of those that are not claimed yet
 		}
 		g.owner.Call((*routing.Core).FailAll)
-		wait(leave+stopMargin/2, func() int { return g.clients.Open() + g.floats.open() })
+		wait(stopBy+stopMargin/2, func() int { return g.clients.Open() + g.floating.open() })
 	}
-	g.settleBookings(max(time.Until(start.Add(leave+stopMargin/2)), stopMargin/2))
-	g.owner.Call(g.printOwner)
+	g.settleIntents(max(time.Until(start.Add(stopBy+stopMargin/2)), stopMargin/2))
+	g.owner.Call(g.logRoutingCounters)
 	g.end()
-	g.printSockets()
+	g.logConnectionCounters()
 	g.log.Info().Dur("took_ms", time.Since(start)).Msg("stopped")
 	g.closeLog()
 }
@@ -383,10 +383,10 @@
 // end ends everything that serves no client.
 func (g *Gateway) end() {
 	g.control.Close()
-	g.upkeep.close()
-	g.floats.close()
-	if g.bookings != nil {
-		g.bookings.Close()
+	g.maintenance.close()
+	g.floating.close()
+	if g.intents != nil {
+		g.intents.Close()
 	}
 	if g.store != nil {
 		g.store.Close()
--- a/internal/gateway/bookings.go
+++ b/internal/gateway/intents.go
@@ -10,22 +10,22 @@
 )
 
 // OpenBookings takes bookings in hand. It is set before the gateway starts, by the program that has a store for them.
-var OpenBookings func(intents.Settings) intents.Resolver
+var OpenIntents func(intents.Settings) intents.Resolver
 
 // settleBookings waits, within a bound, until nothing that is in hand has to be said in the store any more.
-func (g *Gateway) settleBookings(bound time.Duration) {
-	if g.bookings != nil {
-		g.bookings.WaitIdle(bound)
+func (g *Gateway) settleIntents(bound time.Duration) {
+	if g.intents != nil {
+		g.intents.WaitIdle(bound)
 	}
 }
 
 // newBookings takes bookings in hand where the operators' file has an in-doubt section; nil: none are.
-func newBookings(g *Gateway) intents.Resolver {
-	if len(g.ops.InDoubt) == 0 || OpenBookings == nil {
+func newIntents(g *Gateway) intents.Resolver {
+	if len(g.ops.InDoubt) == 0 || OpenIntents == nil {
 		return nil
 	}
 	s := intents.Settings{
-		Node: g.ops.Members.Node, Incarnation: g.life, Classes: map[string]intents.Class{}, Log: g.log,
+		Node: g.ops.Members.Node, Incarnation: g.incarnation, Classes: map[string]intents.Class{}, Log: g.log,
 		Now:    func() clock.Micros { return clock.Micros(g.clock.Now()) },
 		ToTime: func(t clock.Micros) time.Time { return g.clock.Time(clock.Micros(t)) },
 		Lookup: func(class, key string, group int, by time.Time, done func(row, answer []byte, ok bool)) {
@@ -44,7 +44,7 @@
 		}
 		s.Classes[d.Class] = c
 	}
-	return OpenBookings(s)
+	return OpenIntents(s)
 }
 
 // IntentsStatus is which bookings a gateway has in hand, for whoever asks.
@@ -68,31 +68,31 @@
 }
 
 // intents answers which bookings are in hand.
-func (g *Gateway) intents() (any, error) {
-	if g.bookings == nil {
+func (g *Gateway) intentsStatus() (any, error) {
+	if g.intents == nil {
 		return nil, errors.New("this gateway has no in-doubt section")
 	}
 	s := IntentsStatus{Node: g.ops.Members.Node, Open: []Intent{}, Counts: map[string]int64{}}
-	for _, v := range g.bookings.InFlight() {
+	for _, v := range g.intents.InFlight() {
 		s.Open = append(s.Open, Intent{
 			Booking: intents.ShortKey(v.Key), ID: v.RequestID, Class: v.Class, Phase: v.Phase, ForMS: int64(v.Age) / 1000, State: v.Intent.State.String(),
 			Owner: v.Intent.Owner, Server: v.Intent.Server, Attempt: v.Intent.ClaimCount,
 		})
 	}
 	for n := range indoubt.Transitions {
-		s.Counts[n.String()] = g.bookings.TransitionCount(n)
+		s.Counts[n.String()] = g.intents.TransitionCount(n)
 	}
 	return s, nil
 }
 
 // printBookings writes the counters of bookings.
-func (g *Gateway) printBookings() {
-	if g.bookings == nil {
+func (g *Gateway) logIntentCounters() {
+	if g.intents == nil {
 		return
 	}
 	line := g.log.Info()
 	for n := range indoubt.Transitions {
-		line = line.Int64(n.String(), g.bookings.TransitionCount(n))
+		line = line.Int64(n.String(), g.intents.TransitionCount(n))
 	}
 	line.Msg("bookings counters")
 }
--- a/internal/gateway/maintain.go
+++ b/internal/gateway/maintenance.go
@@ -22,65 +22,65 @@
 )
 
 // reportEvery is how often a gateway reports for the order of maintenance; a change of the order is acted on at once.
-const reportEvery = 250 * time.Millisecond
+const reportInterval = 250 * time.Millisecond
 
 // roleLately is for how long after a group was asked for its primary counts as known here.
-const roleLately = clock.Micros(5 * time.Second / time.Microsecond)
+const roleFreshness = clock.Micros(5 * time.Second / time.Microsecond)
 
 // lingerFor is for how long a gateway that leaves waits for another one to take a floating address that lingers.
-const lingerFor = 2 * time.Second
+const lingerTimeout = 2 * time.Second
 
 // sayBy is how long an operator's command may take; the control socket waits a little longer.
-const sayBy = 1500 * time.Millisecond
+const commandTimeout = 1500 * time.Millisecond
 
 // upkeep is the gateway's part in the order of maintenance: it takes nothing new when its turn says so, sends servers nothing new
 // when theirs does, and reports. A nil one is a gateway without. What the order is to be is decided where the ledger is led.
-type upkeep struct {
+type maintenanceAgent struct {
 	g     *Gateway
 	began time.Time
 	wake  chan struct{}
 	quit  chan struct{}
 	done  sync.WaitGroup
 
-	next     atomic.Pointer[ordered] // the latest order, not yet acted on
-	unheard  atomic.Int64            // how long a start waits for the ledger, nanoseconds
-	behind   atomic.Int64            // from when on a replica counts as behind, microseconds
-	enrolled atomic.Bool             // the ledger knows this life
-	leaving  atomic.Bool             // nothing new is admitted; a front sees that it is not ready
-	shut     atomic.Bool             // nor is it taken from clients that have a connection
+	next            atomic.Pointer[indexedOrder] // the latest order, not yet acted on
+	ledgerTimeout   atomic.Int64                 // how long a start waits for the ledger, nanoseconds
+	maxReplicaLag   atomic.Int64                 // from when on a replica counts as behind, microseconds
+	enrolled        atomic.Bool                  // the ledger knows this life
+	draining        atomic.Bool                  // nothing new is admitted; a front sees that it is not ready
+	closedToClients atomic.Bool                  // nor is it taken from clients that have a connection
 
 	// By the goroutine only.
-	now    ordered
-	life   uint64
-	since  time.Time // when it began to leave
-	spent  time.Duration
-	spun   time.Time
-	loaded int // in thousandths
+	order         indexedOrder
+	incarnation   uint64
+	drainingSince time.Time // when it began to leave
+	cpuUsed       time.Duration
+	cpuSampledAt  time.Time
+	lastLoad      int // in thousandths
 }
 
 // ordered is an order, and the ledger's index that it is of.
-type ordered struct {
+type indexedOrder struct {
 	index uint64
 	*maintenance.Order
 }
 
 // newUpkeep is the part that the operators' file asks for; nil: none.
-func newUpkeep(g *Gateway) *upkeep {
+func newMaintenanceAgent(g *Gateway) *maintenanceAgent {
 	if g.ops.Maintenance == nil {
 		return nil
 	}
-	u := &upkeep{g: g, began: time.Now(), wake: make(chan struct{}, 1), quit: make(chan struct{}), now: ordered{Order: &maintenance.Order{}}, life: g.life}
+	u := &maintenanceAgent{g: g, began: time.Now(), wake: make(chan struct{}, 1), quit: make(chan struct{}), order: indexedOrder{Order: &maintenance.Order{}}, incarnation: g.incarnation}
 	u.configure(g.ops.Maintenance)
 	return u
 }
 
-func (u *upkeep) configure(c *config.Maintenance) {
-	u.unheard.Store(int64(c.LedgerTimeout))
-	u.behind.Store(c.MaxReplicaLag.Microseconds())
+func (u *maintenanceAgent) configure(c *config.Maintenance) {
+	u.ledgerTimeout.Store(int64(c.LedgerTimeout))
+	u.maxReplicaLag.Store(c.MaxReplicaLag.Microseconds())
 }
 
 // limits says the file's limits in the order's terms.
-func limits(ops *config.Operators) *maintenance.Limits {
+func maintenanceLimits(ops *config.Operators) *maintenance.Limits {
 	c := ops.Maintenance
 	if c == nil || ops.StateStore == nil {
 		return nil
@@ -93,30 +93,30 @@
 }
 
 // start begins to take part.
-func (u *upkeep) start() {
+func (u *maintenanceAgent) start() {
 	if u != nil {
 		u.done.Add(1)
 		go u.run()
 	}
 }
 
-func (u *upkeep) close() {
+func (u *maintenanceAgent) close() {
 	if u != nil {
 		close(u.quit)
 		u.done.Wait()
 	}
 }
 
-func (u *upkeep) reload(ops *config.Operators) {
+func (u *maintenanceAgent) reload(ops *config.Operators) {
 	if u != nil && ops.Maintenance != nil && ops.StateStore != nil {
 		u.configure(ops.Maintenance)
-		u.g.store.SetMaintenanceLimits(*limits(ops))
+		u.g.store.SetMaintenanceLimits(*maintenanceLimits(ops))
 	}
 }
 
 // ordered is told of each change of the order, as the store hears of it. It does not wait.
-func (u *upkeep) ordered(index uint64, o *maintenance.Order) {
-	u.next.Store(&ordered{index, o})
+func (u *maintenanceAgent) orderChanged(index uint64, o *maintenance.Order) {
+	u.next.Store(&indexedOrder{index, o})
 	select {
 	case u.wake <- struct{}{}:
 	default:
@@ -125,16 +125,18 @@
 
 // admits tells whether anything new is to come here. A gateway that starts has to be known to the ledger first, and knows with
 // that which servers are left alone; where the ledger cannot be heard it serves all the same, after a while.
-func (u *upkeep) admits() bool {
-	return u == nil || !u.leaving.Load() && (u.enrolled.Load() || time.Since(u.began) > time.Duration(u.unheard.Load()))
+func (u *maintenanceAgent) admits() bool {
+	return u == nil || !u.draining.Load() && (u.enrolled.Load() || time.Since(u.began) > time.Duration(u.ledgerTimeout.Load()))
 }
 
 // takes tells whether a request is taken.
-func (u *upkeep) takes() bool { return !u.shut.Load() && (u.leaving.Load() || u.admits()) }
+func (u *maintenanceAgent) acceptsRequests() bool {
+	return !u.closedToClients.Load() && (u.draining.Load() || u.admits())
+}
 
-func (u *upkeep) run() {
+func (u *maintenanceAgent) run() {
 	defer u.done.Done()
-	tick := time.NewTicker(reportEvery)
+	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -143,22 +145,22 @@
 		case <-tick.C:
 		case <-u.wake:
 		}
-		if next := u.next.Load(); next != nil && next.index != u.now.index {
-			u.act(*next)
+		if next := u.next.Load(); next != nil && next.index != u.order.index {
+			u.apply(*next)
 		}
-		u.leave()
-		u.report()
+		u.continueDrain()
+		u.sendReport()
 	}
 }
 
 // act does what an order says.
-func (u *upkeep) act(next ordered) {
+func (u *maintenanceAgent) apply(next indexedOrder) {
 	node := u.g.ops.Members.Node
 	u.logChanges(next.Order)
-	if known := next.EnrolledIncarnation(node); known > u.life && !u.enrolled.Load() {
-		u.life = known + 1 // the clock was set back since the last start
+	if known := next.EnrolledIncarnation(node); known > u.incarnation && !u.enrolled.Load() {
+		u.incarnation = known + 1 // the clock was set back since the last start
 	}
-	u.enrolled.Store(next.EnrolledIncarnation(node) == u.life)
+	u.enrolled.Store(next.EnrolledIncarnation(node) == u.incarnation)
 	var aside []string
 	for i := range next.Machines {
 		if m := &next.Machines[i]; m.Kind == maintenance.Server && m.Cordoned() {
@@ -171,67 +173,67 @@
 	m := next.Find(maintenance.Gateway, node, 0)
 	switch leaves := m != nil && m.Cordoned(); {
 	case u.g.stopping.Load(): // it ends, whatever the order says
-	case leaves && !u.leaving.Load():
-		u.since = time.Now()
-		u.leaving.Store(true)
+	case leaves && !u.draining.Load():
+		u.drainingSince = time.Now()
+		u.draining.Store(true)
 		u.g.members.setDraining(true)
-		u.g.floats.giveUp(false)
-	case !leaves && u.leaving.Load():
+		u.g.floating.releaseAll(false)
+	case !leaves && u.draining.Load():
 		u.g.members.setDraining(false)
 		u.g.clients.Resume()
-		u.shut.Store(false)
-		u.leaving.Store(false)
-		u.g.floats.resume()
+		u.closedToClients.Store(false)
+		u.draining.Store(false)
+		u.g.floating.resume()
 	}
-	u.now = next
+	u.order = next
 }
 
 // leave goes on with leaving: fronts and clients have a moment to see it, as on SIGTERM; then idle clients are sent away, and a
 // floating address that nobody has taken is let go.
-func (u *upkeep) leave() {
-	if !u.leaving.Load() || u.g.stopping.Load() {
+func (u *maintenanceAgent) continueDrain() {
+	if !u.draining.Load() || u.g.stopping.Load() {
 		return
 	}
-	if !u.shut.Load() && time.Since(u.since) > drainAfter {
-		u.shut.Store(true)
+	if !u.closedToClients.Load() && time.Since(u.drainingSince) > minDrainDelay {
+		u.closedToClients.Store(true)
 		u.g.clients.Drain(transport.EndMaintenance)
 	}
-	if time.Since(u.since) > lingerFor && u.g.floats.holds() > 0 {
-		u.g.floats.giveUp(true)
+	if time.Since(u.drainingSince) > lingerTimeout && u.g.floating.holds() > 0 {
+		u.g.floating.releaseAll(true)
 	}
 }
 
 // idle tells whether nothing is under way here, and nothing comes any more.
-func (u *upkeep) idle(open int) bool {
-	return u.shut.Load() && open == 0 && u.g.clients.Busy() == 0 && u.g.floats.holds() == 0 && u.g.floats.open() == 0 &&
-		(u.g.bookings == nil || len(u.g.bookings.InFlight()) == 0)
+func (u *maintenanceAgent) idle(open int) bool {
+	return u.closedToClients.Load() && open == 0 && u.g.clients.Busy() == 0 && u.g.floating.holds() == 0 && u.g.floating.open() == 0 &&
+		(u.g.intents == nil || len(u.g.intents.InFlight()) == 0)
 }
 
 // report tells the ledger's leader what this gateway is and sees.
-func (u *upkeep) report() {
+func (u *maintenanceAgent) sendReport() {
 	groups := map[int]bool{}
-	for i := range u.now.Machines {
-		if m := &u.now.Machines[i]; m.Kind == maintenance.Server && m.State < maintenance.Back {
+	for i := range u.order.Machines {
+		if m := &u.order.Machines[i]; m.Kind == maintenance.Server && m.State < maintenance.Back {
 			groups[m.Group] = true
 		}
 	}
-	r := maintenance.Report{LedgerIndex: u.now.index, Load: u.load()}
+	r := maintenance.Report{LedgerIndex: u.order.index, Load: u.sampleLoad()}
 	open := 0
 	if !u.g.owner.Call(func(c *routing.Core) {
 		open = c.OpenRequests()
 		for _, s := range c.Servers(groups) {
 			primary := s.ServerView.Primary
-			if u.g.clock.Now()-s.LastRequestAt > roleLately { // nobody looks for the primary here; the list may know better
+			if u.g.clock.Now()-s.LastRequestAt > roleFreshness { // nobody looks for the primary here; the list may know better
 				primary = s.Endpoint.Primary
 			}
 			r.Servers = append(r.Servers, maintenance.ServerReport{
 				Group: s.Group, Name: s.UID, Primary: primary, WarmingUp: s.InSlowStart,
-				Down:    s.Down || s.State != policy.EndpointReady && u.now.Find(maintenance.Server, s.UID, s.Group) == nil,
-				Lagging: !primary && int64(s.Lag) > u.behind.Load(),
+				Down:    s.Down || s.State != policy.EndpointReady && u.order.Find(maintenance.Server, s.UID, s.Group) == nil,
+				Lagging: !primary && int64(s.Lag) > u.maxReplicaLag.Load(),
 			})
 		}
-		for i := range u.now.Machines {
-			if m := &u.now.Machines[i]; m.Kind == maintenance.Server && m.Cordoned() && c.InFlightAt(m.Name) == 0 {
+		for i := range u.order.Machines {
+			if m := &u.order.Machines[i]; m.Kind == maintenance.Server && m.Cordoned() && c.InFlightAt(m.Name) == 0 {
 				r.Quiesced = append(r.Quiesced, m.ID)
 			}
 		}
@@ -240,39 +242,39 @@
 	}
 	slices.SortFunc(r.Servers, func(a, b maintenance.ServerReport) int { return strings.Compare(a.Name, b.Name) })
 	r.Ready = u.admits() && u.g.isReady() && !u.g.stopping.Load()
-	r.Idle = u.leaving.Load() && u.idle(open)
-	for _, s := range u.g.floats.status() {
+	r.Idle = u.draining.Load() && u.idle(open)
+	for _, s := range u.g.floating.status() {
 		if s.Ready {
 			r.FloatingGroups = append(r.FloatingGroups, s.Group)
 		}
 	}
-	u.g.store.SetMaintenanceReport(u.life, r)
+	u.g.store.SetMaintenanceReport(u.incarnation, r)
 }
 
 // load is the share of its processors that the process has used since it was last asked, in thousandths.
-func (u *upkeep) load() int {
+func (u *maintenanceAgent) sampleLoad() int {
 	var use syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &use) != nil {
 		return 0
 	}
 	spent := time.Duration(use.Utime.Nano() + use.Stime.Nano())
 	now := time.Now()
-	if now.Sub(u.spun) < reportEvery/2 { // too short a time to tell
-		return u.loaded
+	if now.Sub(u.cpuSampledAt) < reportInterval/2 { // too short a time to tell
+		return u.lastLoad
 	}
-	if !u.spun.IsZero() {
-		u.loaded = int(float64(spent-u.spent) * 1000 / (float64(now.Sub(u.spun)) * math.Max(u.g.cfg.Cores, 0.01)))
+	if !u.cpuSampledAt.IsZero() {
+		u.lastLoad = int(float64(spent-u.cpuUsed) * 1000 / (float64(now.Sub(u.cpuSampledAt)) * math.Max(u.g.cfg.Cores, 0.01)))
 	}
-	u.spent, u.spun = spent, now
-	return u.loaded
+	u.cpuUsed, u.cpuSampledAt = spent, now
+	return u.lastLoad
 }
 
 // logChanges tells the log which machines stand elsewhere than before.
-func (u *upkeep) logChanges(next *maintenance.Order) {
+func (u *maintenanceAgent) logChanges(next *maintenance.Order) {
 	before := map[uint64]string{}
-	for i := range u.now.Machines {
-		m := &u.now.Machines[i]
-		before[m.ID] = m.StateText(u.now.Paused)
+	for i := range u.order.Machines {
+		m := &u.order.Machines[i]
+		before[m.ID] = m.StateText(u.order.Paused)
 	}
 	for i := range 2 * len(next.Machines) { // those that are in service again first: what is read in order is never more than there was
 		m := &next.Machines[i%len(next.Machines)]
@@ -284,35 +286,35 @@
 }
 
 // MaintainStatus is the order of maintenance, for whoever asks.
-type MaintainStatus struct {
-	Node     string           `json:"node"`             // the asked gateway
-	Leader   string           `json:"leader,omitempty"` // of the ledger; empty: it has not answered, and this is what is known here
-	Held     bool             `json:"held"`
-	Machines []MaintainedUnit `json:"machines"`
+type MaintenanceStatus struct {
+	Node     string          `json:"node"`             // the asked gateway
+	Leader   string          `json:"leader,omitempty"` // of the ledger; empty: it has not answered, and this is what is known here
+	Paused   bool            `json:"held"`
+	Machines []MachineStatus `json:"machines"`
 }
 
 // MaintainedUnit is one machine in the order.
-type MaintainedUnit struct {
-	Place   int    `json:"place,omitempty"` // among those that are in hand; 0: it is done with
-	Machine string `json:"machine"`
-	Kind    string `json:"kind"`
-	Group   int    `json:"group,omitempty"`
-	State   string `json:"state"`
-	ForMS   int64  `json:"for_ms"` // it is in this state
-	WorkMS  int64  `json:"work_ms"`
-	Waits   string `json:"waits,omitempty"`
-	Why     string `json:"why,omitempty"`
-	By      string `json:"by,omitempty"`
+type MachineStatus struct {
+	Position    int    `json:"place,omitempty"` // among those that are in hand; 0: it is done with
+	Machine     string `json:"machine"`
+	Kind        string `json:"kind"`
+	Group       int    `json:"group,omitempty"`
+	State       string `json:"state"`
+	ForMS       int64  `json:"for_ms"` // it is in this state
+	WorkMS      int64  `json:"work_ms"`
+	Waits       string `json:"waits,omitempty"`
+	Comment     string `json:"why,omitempty"`
+	RequestedBy string `json:"by,omitempty"`
 }
 
 var errNoMaintenance = errors.New("this gateway has no maintenance section")
 
 // askMaintenance answers what operators say and ask about maintenance.
-func (g *Gateway) askMaintenance(words []string) (any, error) {
-	if g.upkeep == nil || g.store == nil {
+func (g *Gateway) answerMaintenance(words []string) (any, error) {
+	if g.maintenance == nil || g.store == nil {
 		return nil, errNoMaintenance
 	}
-	by := time.Now().Add(sayBy)
+	by := time.Now().Add(commandTimeout)
 	if len(words) == 0 {
 		return g.maintenanceList(by)
 	}
@@ -359,7 +361,7 @@
 	}
 	c.Name = name
 	order := &maintenance.Order{}
-	if o := g.upkeep.next.Load(); o != nil {
+	if o := g.maintenance.next.Load(); o != nil {
 		order = o.Order
 	}
 	gateway := name == g.ops.Members.Node || g.members.knows(name) || order.Find(maintenance.Gateway, name, 0) != nil
@@ -391,14 +393,14 @@
 	return nil
 }
 
-func (g *Gateway) maintenanceList(by time.Time) (MaintainStatus, error) {
+func (g *Gateway) maintenanceList(by time.Time) (MaintenanceStatus, error) {
 	l, err := g.store.MaintenanceListing(by)
-	s := MaintainStatus{Node: g.ops.Members.Node, Leader: l.Leader, Held: l.Order.Paused, Machines: []MaintainedUnit{}}
+	s := MaintenanceStatus{Node: g.ops.Members.Node, Leader: l.Leader, Paused: l.Order.Paused, Machines: []MachineStatus{}}
 	for i := range l.Order.Machines {
 		m := &l.Order.Machines[i]
-		x := MaintainedUnit{
-			Machine: m.Name, Kind: m.Kind.String(), Group: m.Group, State: m.StateText(l.Order.Paused), WorkMS: int64(m.Duration) / 1000, Why: m.Comment, By: m.RequestedBy,
-			Waits: l.Waits[m.ID], Place: l.Order.Position(m.ID),
+		x := MachineStatus{
+			Machine: m.Name, Kind: m.Kind.String(), Group: m.Group, State: m.StateText(l.Order.Paused), WorkMS: int64(m.Duration) / 1000, Comment: m.Comment, RequestedBy: m.RequestedBy,
+			Waits: l.Waits[m.ID], Position: l.Order.Position(m.ID),
 		}
 		if err == nil {
 			x.ForMS = max(int64(l.Now-m.Since)/1000, 0)
@@ -417,11 +419,11 @@
 }
 
 // present lists who there is, this gateway among them.
-func (m *members) present() (all []maintenance.Member) {
+func (m *members) presences() (all []maintenance.Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	own := m.g.ops.Members
-	all = append(all, maintenance.Member{Name: own.Node, Zone: own.Zone, Incarnation: m.g.life})
+	all = append(all, maintenance.Member{Name: own.Node, Zone: own.Zone, Incarnation: m.g.incarnation})
 	for _, x := range m.known {
 		all = append(all, x)
 	}
@@ -429,7 +431,7 @@
 }
 
 // noted keeps who there is.
-func (m *members) noted(c membership.MemberChanged) {
+func (m *members) recordPresence(c membership.MemberChanged) {
 	x := maintenance.Member{Name: c.Name, Zone: c.Meta.Zone, Incarnation: c.Generation}
 	switch c.State {
 	case membership.Dead:
@@ -446,12 +448,12 @@
 }
 
 // resume takes part again in floating addresses that were given up.
-func (f *floats) resume() {
+func (f *floatingAddresses) resume() {
 	if f == nil {
 		return
 	}
 	f.stopping.Store(false)
-	f.stopped.Store(false)
+	f.releasedAll.Store(false)
 	f.mu.Lock()
 	for _, t := range f.holding {
 		t.ending.Store(false)
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -26,10 +26,10 @@
 // members is the gateway's part in the membership. A nil one is a gateway without.
 type members struct {
 	g        *Gateway
-	peers    *gossip.Agent
+	gossip   *gossip.Agent
 	settings atomic.Uint64 // digest of the settings in force
 	draining atomic.Bool
-	living   atomic.Pointer[[]string]
+	alive    atomic.Pointer[[]string]
 
 	mu    sync.Mutex
 	known map[string]maintenance.Member // all others that were ever seen; nil: nobody asks
@@ -37,22 +37,22 @@
 
 func startMembers(g *Gateway) (*members, error) {
 	m := &members{g: g}
-	if g.upkeep != nil {
+	if g.maintenance != nil {
 		m.known = map[string]maintenance.Member{}
 	}
 	m.settings.Store(digest(g.settings))
-	m.living.Store(&[]string{})
+	m.alive.Store(&[]string{})
 	clock := gossip.Clock{
 		Now:  func() clock.Micros { return clock.Micros(g.clock.Now()) },
 		Time: func(t clock.Micros) time.Time { return g.clock.Time(clock.Micros(t)) },
 	}
 	var err error
 	s := peersSettings(g.ops)
-	s.Buffers, s.Fds = g.buffers, g.fds
-	if m.peers, err = gossip.Start(s, clock, g.life, m.self, m.changed, g.log); err != nil {
+	s.Buffers, s.Fds = g.buffers, g.descriptors
+	if m.gossip, err = gossip.Start(s, clock, g.incarnation, m.self, m.memberChanged, g.log); err != nil {
 		return nil, err
 	}
-	g.fds.Hold(2) // a socket and a listener
+	g.descriptors.Hold(2) // a socket and a listener
 	return m, nil
 }
 
@@ -95,7 +95,7 @@
 func (m *members) reload(ops *config.Operators, settings map[string]any) {
 	if m != nil && ops.Members != nil {
 		m.settings.Store(digest(settings))
-		m.peers.Reload(peersSettings(ops))
+		m.gossip.Reload(peersSettings(ops))
 	}
 }
 
@@ -107,15 +107,15 @@
 }
 
 // leave tells the others that it goes, without a wait.
-func (m *members) leave() {
+func (m *members) announceLeave() {
 	if m != nil {
-		m.peers.Leave()
+		m.gossip.Leave()
 	}
 }
 
 func (m *members) close() {
 	if m != nil {
-		m.peers.Close()
+		m.gossip.Close()
 	}
 }
 
@@ -124,17 +124,17 @@
 		return nil, errors.New("this gateway has no members section")
 	}
 	if streams {
-		return m.peers.StatusWithStreams(), nil
+		return m.gossip.StatusWithStreams(), nil
 	}
-	return m.peers.Status(), nil
+	return m.gossip.Status(), nil
 }
 
 // print writes the counters of the membership.
-func (m *members) print() {
+func (m *members) logCounters() {
 	if m == nil {
 		return
 	}
-	c := &m.peers.Counts
+	c := &m.gossip.Counts
 	line := m.g.log.Info().Int64("sent", c.Sent.Load()).Int64("sent_bytes", c.SentBytes.Load()).Int64("send_failed", c.SendFailed.Load()).
 		Int64("received", c.Received.Load()).Int64("changes", c.Changes.Load()).Int64("deaths", c.Deaths.Load()).
 		Int64("refutations", c.Refutations.Load()).Int64("path_changes", c.PathChanges.Load())
@@ -149,7 +149,7 @@
 		}
 	}
 	line.Msg("members counters")
-	x := &m.peers.Streams.Counts
+	x := &m.gossip.Streams.Counts
 	m.g.log.Info().Int64("opened", x.Opened.Load()).Int64("accepted", x.Accepted.Load()).Int64("failed", x.Failed.Load()).
 		Int64("refused", x.Rejected.Load()).Int64("sent", x.Sent.Load()).Int64("sent_bytes", x.SentBytes.Load()).
 		Int64("received", x.Received.Load()).Int64("dropped", x.Dropped.Load()).Int64("lost", x.Lost.Load()).Msg("streams counters")
--- a/internal/gateway/rest_linux.go
+++ b/internal/gateway/startupmemory_linux.go
@@ -11,7 +11,7 @@
 // command line, the readers of configuration and all else that only a start needs do not stay resident. It guards small
 // gateways, whose memory limit counts them. It may harm the first requests by the few microseconds that each page takes to
 // be mapped again. Only mappings that cannot have been written to are touched.
-func letGo() {
+func releaseStartupMemory() {
 	self, err := os.Executable()
 	if err != nil {
 		return
--- a/internal/gateway/copies.go
+++ b/internal/gateway/statestore.go
@@ -32,7 +32,7 @@
 	// ReadPosition reads the position under a key. known is false if it could not be read in time, or may have been lost.
 	ReadPosition(key []byte, deadline time.Time, done func(position uint64, known bool))
 	intents.Store
-	Status() CopiesStatus
+	Status() StateStoreStatus
 	// Bootstrap makes a new store; first tells that there was none before whose records could be missed.
 	Bootstrap(shards, voters int, first bool) error
 	// RemoveStore records that a gateway's disk will never come back; ResetShard gives up what a shard held. Both must be called where
@@ -54,17 +54,17 @@
 
 // StoreSettings is what a store is opened with.
 type StoreSettings struct {
-	Copies     *config.StateStore
+	StateStore *config.StateStore
 	Node, Zone string
 	Weight     uint32
 	Clock      routing.Clock
 	Streams    *streams.Streams
-	Others     func() []string
+	LivePeers  func() []string
 	Log        zerolog.Logger
 	// Maintain is nil where no machine is taken out for work; Members and Ordered are of use otherwise only.
-	Maintain *maintenance.Limits
-	Members  func() []maintenance.Member
-	Ordered  func(index uint64, o *maintenance.Order)
+	MaintenanceLimits *maintenance.Limits
+	Members           func() []maintenance.Member
+	OnOrder           func(index uint64, o *maintenance.Order)
 }
 
 // OpenStore opens one. It is set before the gateway starts, by the program that has it.
@@ -75,22 +75,22 @@
 
 // marks keeps sessions' last commits in the store. Before the store is there nothing is kept, and every read of a kept session
 // must see all there is.
-type marks struct {
-	clock   routing.Clock
-	classes map[string]bool
-	fast    bool // an answer does not wait for its promise
-	last    time.Duration
-	store   atomic.Pointer[Store]
-
-	Promised, Unkept, Asked, Found, Unknown, Ahead atomic.Int64
+type sessionPositions struct {
+	clock     routing.Clock
+	classes   map[string]bool
+	fast      bool // an answer does not wait for its promise
+	retention time.Duration
+	store     atomic.Pointer[Store]
+
+	Promised, NotStored, Lookups, Found, Unknown, Ahead atomic.Int64
 }
 
 // newMarks are the marks that the operators' file asks for; nil: none.
-func newMarks(ops *config.Operators, clock routing.Clock) *marks {
+func newSessionPositions(ops *config.Operators, clock routing.Clock) *sessionPositions {
 	if ops.StateStore == nil || len(ops.StateStore.SessionMarks) == 0 {
 		return nil
 	}
-	m := &marks{clock: clock, classes: map[string]bool{}, fast: ops.StateStore.MarksMode == "fast", last: ops.StateStore.MarksTTL}
+	m := &sessionPositions{clock: clock, classes: map[string]bool{}, fast: ops.StateStore.MarksMode == "fast", retention: ops.StateStore.MarksTTL}
 	for _, class := range ops.StateStore.SessionMarks {
 		m.classes[class] = true
 	}
@@ -98,27 +98,27 @@
 }
 
 // Concerns tells whether a class's sessions are kept.
-func (m *marks) Concerns(class string) bool { return m.classes[class] }
+func (m *sessionPositions) Concerns(class string) bool { return m.classes[class] }
 
 // Able tells whether a session's mark is likely to be promised now. Where answers do not wait for it, it need not be.
-func (m *marks) Able(group int, session uint64) bool {
+func (m *sessionPositions) Able(group int, session uint64) bool {
 	s := m.store.Load()
-	return m.fast || s != nil && (*s).Available(markKey(group, session))
+	return m.fast || s != nil && (*s).Available(sessionKey(group, session))
 }
 
 // markKey names a session of a group.
-func markKey(group int, session uint64) []byte {
+func sessionKey(group int, session uint64) []byte {
 	b := binary.BigEndian.AppendUint32([]byte("session "), uint32(group))
 	return binary.BigEndian.AppendUint64(b, session)
 }
 
 // Promise keeps a commit.
-func (m *marks) Promise(group int, session uint64, position policy.Position, by time.Time, done func(bool)) {
+func (m *sessionPositions) Promise(group int, session uint64, position policy.Position, by time.Time, done func(bool)) {
 	kept := func(ok bool) {
 		if ok {
 			m.Promised.Add(1)
 		} else {
-			m.Unkept.Add(1)
+			m.NotStored.Add(1)
 		}
 		if !m.fast {
 			done(ok)
@@ -132,20 +132,20 @@
 		kept(false)
 		return
 	}
-	(*s).RaisePosition(markKey(group, session), uint64(position), m.last, by, kept)
+	(*s).RaisePosition(sessionKey(group, session), uint64(position), m.retention, by, kept)
 }
 
 // Needed tells the position that a session's read must see. Where that cannot be had it is all there is: the primary has it. So
 // it is where a mark lies ahead of everything, as after a failover that has lost commits: nobody waits for what will not come.
-func (m *marks) Needed(group int, session uint64, by time.Time, done func(policy.Position)) {
-	m.Asked.Add(1)
+func (m *sessionPositions) Needed(group int, session uint64, by time.Time, done func(policy.Position)) {
+	m.Lookups.Add(1)
 	s := m.store.Load()
 	if s == nil {
 		m.Unknown.Add(1)
 		done(m.clock.Now())
 		return
 	}
-	(*s).ReadPosition(markKey(group, session), by, func(value uint64, known bool) {
+	(*s).ReadPosition(sessionKey(group, session), by, func(value uint64, known bool) {
 		now, position := m.clock.Now(), policy.Position(value)
 		switch {
 		case !known:
@@ -168,26 +168,26 @@
 		return errors.New("this program has no store; marblespan-raft has")
 	}
 	s, err := OpenStore(StoreSettings{
-		Copies: c, Node: g.ops.Members.Node, Zone: g.ops.Members.Zone, Weight: g.ops.Members.Weight, Clock: g.clock,
-		Streams: g.members.peers.Streams, Others: g.members.names, Log: g.log,
-		Maintain: limits(g.ops), Members: g.members.present, Ordered: g.upkeep.ordered,
+		StateStore: c, Node: g.ops.Members.Node, Zone: g.ops.Members.Zone, Weight: g.ops.Members.Weight, Clock: g.clock,
+		Streams: g.members.gossip.Streams, LivePeers: g.members.names, Log: g.log,
+		MaintenanceLimits: maintenanceLimits(g.ops), Members: g.members.presences, OnOrder: g.maintenance.orderChanged,
 	})
 	if err != nil {
 		return err
 	}
 	g.store = s
-	g.fds.Hold(2) // its files
-	if g.marks != nil {
-		g.marks.store.Store(&g.store)
+	g.descriptors.Hold(2) // its files
+	if g.positions != nil {
+		g.positions.store.Store(&g.store)
 	}
-	if g.bookings != nil {
-		g.bookings.SetStore(s)
+	if g.intents != nil {
+		g.intents.SetStore(s)
 	}
 	return nil
 }
 
 // askStore answers questions about copies.
-func (g *Gateway) askStore(words []string) (any, error) {
+func (g *Gateway) answerStateStore(words []string) (any, error) {
 	if g.store == nil {
 		return nil, errors.New("this gateway has no copies section")
 	}
@@ -213,29 +213,29 @@
 }
 
 // printStore writes the counters of copies and marks.
-func (g *Gateway) printStore() {
+func (g *Gateway) logStoreCounters() {
 	if g.store != nil {
 		g.store.LogCounters()
 	}
-	if m := g.marks; m != nil {
-		g.log.Info().Int64("promised", m.Promised.Load()).Int64("unkept", m.Unkept.Load()).Int64("asked", m.Asked.Load()).
+	if m := g.positions; m != nil {
+		g.log.Info().Int64("promised", m.Promised.Load()).Int64("unkept", m.NotStored.Load()).Int64("asked", m.Lookups.Load()).
 			Int64("found", m.Found.Load()).Int64("unknown", m.Unknown.Load()).Int64("ahead", m.Ahead.Load()).
 			Int64("refused_unsent", g.clients.Counts.Unmarked.Load()).Msg("session marks counters")
 	}
 }
 
 // names lists the other members that live.
-func (m *members) names() []string { return *m.living.Load() }
+func (m *members) names() []string { return *m.alive.Load() }
 
 // changed keeps the list of members that live.
-func (m *members) changed(c membership.MemberChanged) {
+func (m *members) memberChanged(c membership.MemberChanged) {
 	if c.Name == m.g.ops.Members.Node {
 		return
 	}
 	if m.known != nil {
-		m.noted(c)
+		m.recordPresence(c)
 	}
-	if b := m.g.bookings; b != nil && c.State.Ended() {
+	if b := m.g.intents; b != nil && c.State.Ended() {
 		b.GatewayEnded(c.Name, c.Generation)
 	} else if b != nil && c.Generation > 0 {
 		b.GatewayEnded(c.Name, c.Generation-1) // whatever it was before
@@ -249,5 +249,5 @@
 	if !c.State.Ended() {
 		next = append(next, c.Name)
 	}
-	m.living.Store(&next)
+	m.alive.Store(&next)
 }
--- a/internal/raftgateway/status.go
+++ b/internal/raftgateway/status.go
@@ -8,15 +8,15 @@
 )
 
 // Status is the state of the store as this gateway knows it.
-func (s store) Status() gateway.CopiesStatus {
+func (s store) Status() gateway.StateStoreStatus {
 	o := s.Overview()
-	status := gateway.CopiesStatus{
-		Node: s.Name(), Founding: optionalID(o.ClusterID), Index: o.Index, Copies: o.VotersPerGroup, Format: o.Format, Disk: optionalID(o.Store),
+	status := gateway.StateStoreStatus{
+		Node: s.Name(), BootstrapID: optionalID(o.ClusterID), Index: o.Index, Voters: o.VotersPerGroup, Format: o.Format, StoreID: optionalID(o.Store),
 		Failed: o.Failed, Waiting: o.PendingCalls,
-		Disks: []gateway.CopiesDisk{}, Groups: []gateway.CopiesGroup{}, // [] in JSON, not null
+		Stores: []gateway.StoreStatus{}, Groups: []gateway.GroupStatus{}, // [] in JSON, not null
 	}
 	for _, d := range o.Stores {
-		status.Disks = append(status.Disks, gateway.CopiesDisk{Number: optionalID(d.ID), Node: d.Name, Zone: d.Zone, Weight: d.Weight, Gone: d.Removed})
+		status.Stores = append(status.Stores, gateway.StoreStatus{Number: optionalID(d.ID), Node: d.Name, Zone: d.Zone, Weight: d.Weight, Removed: d.Removed})
 	}
 	for _, g := range o.Groups {
 		status.Groups = append(status.Groups, groupStatus(g))
@@ -24,8 +24,8 @@
 	return status
 }
 
-func groupStatus(g raftstore.GroupView) gateway.CopiesGroup {
-	status := gateway.CopiesGroup{Group: g.Group, Epoch: g.Epoch, Lost: g.Lost, Leaving: g.Removing, Replicas: []gateway.CopiesReplica{}}
+func groupStatus(g raftstore.GroupView) gateway.GroupStatus {
+	status := gateway.GroupStatus{Group: g.Group, Epoch: g.Epoch, Lost: g.Lost, Removing: g.Removing, Replicas: []gateway.ReplicaStatus{}}
 	for _, r := range g.Voters {
 		status.Replicas = append(status.Replicas, replicaStatus(r))
 	}
@@ -33,15 +33,15 @@
 		status.Adding = new(replicaStatus(*g.Adding))
 	}
 	if h := g.Local; h != nil {
-		status.Here = &gateway.CopiesHere{
+		status.Here = &gateway.LocalReplicaStatus{
 			Number: h.Number, Leader: h.Leader, Term: h.Term, Applied: h.Applied, Last: h.Last, Records: h.Records, Bytes: h.Bytes, Unsure: h.Unsure,
 		}
 	}
 	return status
 }
 
-func replicaStatus(r raftstore.MemberView) gateway.CopiesReplica {
-	return gateway.CopiesReplica{Number: r.ID, Node: r.Name, Lost: r.Lost}
+func replicaStatus(r raftstore.MemberView) gateway.ReplicaStatus {
+	return gateway.ReplicaStatus{Number: r.ID, Node: r.Name, Lost: r.Lost}
 }
 
 // formatID writes a drawn number: that of a store or of a disk.
--- a/internal/raftgateway/store.go
+++ b/internal/raftgateway/store.go
@@ -29,7 +29,7 @@
 func Register() {
 	gateway.OpenStore = openStore
 	gateway.CheckStore = checkStore
-	gateway.OpenBookings = func(s intents.Settings) intents.Resolver { return intents.New(s) }
+	gateway.OpenIntents = func(s intents.Settings) intents.Resolver { return intents.New(s) }
 }
 
 // store is a node with the methods that the gateway expects.
@@ -42,12 +42,12 @@
 		At:  func(t clock.Micros) time.Time { return s.Clock.Time(clock.Micros(t)) },
 	}
 	format, _ := strconv.ParseUint(Format, 10, 32) // 0 if it is empty: this version's
-	c := s.Copies
+	c := s.StateStore
 	node, err := raftnode.Start(raftnode.Settings{
 		Node: s.Node, Zone: s.Zone, Weight: s.Weight, HostsReplicas: c.RunsRaftNode(s.Node), StoragePath: c.StoragePath(), WitnessPath: c.Witness,
 		Tick: c.Heartbeat, RepairAfter: c.RepairAfter, MaxRepairs: c.MaxRepairs, RepairRate: int(c.RepairRate),
-		MaxBytes: int64(c.Memory), MinLogBytes: minLogBytes, RecordFormat: uint32(format), Peers: s.Others,
-		MaintenanceLimits: s.Maintain, Members: s.Members, OnOrder: s.Ordered,
+		MaxBytes: int64(c.Memory), MinLogBytes: minLogBytes, RecordFormat: uint32(format), Peers: s.LivePeers,
+		MaintenanceLimits: s.MaintenanceLimits, Members: s.Members, OnOrder: s.OnOrder,
 	}, nodeClock, s.Streams, s.Log)
 	if err != nil {
 		return nil, err
