--- a/internal/membership/explore_test.go
+++ b/internal/membership/explore_test.go
@@ -129,7 +129,7 @@
 
 // settled is how long after the last fault everybody must know everybody again: an ask of the dead, a probe and a suspicion of
 // its longest, and what the news take.
-const settled = (askEvery + 3*mostSuspicion) * interval
+const settled = (rejoinIntervals + 3*maxSuspicionIntervals) * interval
 
 func invariant(w *modelcheck.World) func(*modelcheck.State) error {
 	return func(s *modelcheck.State) error {
@@ -329,20 +329,20 @@
 // Each of these machines is wrong in one point. The walks must find a run that shows it, or the invariants are worth nothing.
 var mutants = []mutant{
 	{name: "never suspects", after: func(m *Machine, now clock.Micros, out []Action) []Action {
-		for i := range m.probing {
-			m.probing[i].sent = now
+		for i := range m.probes {
+			m.probes[i].sent = now
 		}
 		return out
 	}},
 	{name: "a suspicion never ends", after: func(m *Machine, now clock.Micros, out []Action) []Action {
 		for i := range m.members {
-			m.members[i].started = now
+			m.members[i].suspectedSince = now
 		}
 		return out
 	}},
 	{name: "a suspicion kills at once", after: func(m *Machine, now clock.Micros, out []Action) []Action {
 		for i := range m.members {
-			m.members[i].started, m.members[i].answered = now-99*interval, 0
+			m.members[i].suspectedSince, m.members[i].lastAck = now-99*interval, 0
 		}
 		return out
 	}},
@@ -350,7 +350,7 @@
 		return without(ev, func(r Record) bool { return r.Name == m.self.Name && r.State == Suspect })
 	}},
 	{name: "says that it lives in the same words", after: func(m *Machine, now clock.Micros, out []Action) []Action {
-		m.self.Incarnation, m.digestOld = 0, true
+		m.self.Incarnation, m.digestStale = 0, true
 		for i := range out {
 			if s, ok := out[i].(Send); ok {
 				s.Message.Incarnation = 0
@@ -409,11 +409,11 @@
 		if next, ok := m.Next(); ok && now > next+interval {
 			for i := range m.members {
 				if e := &m.members[i]; e.State == Alive {
-					e.State, e.started, e.answered, e.accusers = Suspect, 1, 0, []string{m.self.Name}
+					e.State, e.suspectedSince, e.lastAck, e.accusers = Suspect, 1, 0, []string{m.self.Name}
 					m.suspected = append(m.suspected, e.Name)
 				}
 			}
-			m.seen, m.quietBy = now, 0
+			m.lastEvent, m.accuseFrom = now, 0
 		}
 		return ev
 	}},
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -7,50 +7,50 @@
 
 // ping asks a member, for this one itself or for another.
 func (m *Machine) ping(e *member, number uint32, origin string, originNumber uint32) {
-	msg := m.messagePaged(Ping, e, e.digest != 0 && e.digest != m.know())
+	msg := m.newSyncMessage(Ping, e, e.digest != 0 && e.digest != m.viewDigest())
 	msg.Number, msg.Origin, msg.OriginNumber = number, origin, originNumber
-	m.act(Send{To: e.Name, Address: e.Address, Message: msg})
+	m.emit(Send{To: e.Name, Address: e.Address, Message: msg})
 }
 
 // message makes a message with the news that are due. Whom it accuses it tells so, and whoever is not known here is told who
 // speaks.
-func (m *Machine) message(kind Kind, e *member) Message { return m.messagePaged(kind, e, false) }
+func (m *Machine) newMessage(kind Kind, e *member) Message { return m.newSyncMessage(kind, e, false) }
 
 // messagePaged fills the room that news leave with a page of all that is known, where asked for.
-func (m *Machine) messagePaged(kind Kind, e *member, paged bool) Message {
-	msg := Message{Kind: kind, From: m.self.Name, Generation: m.self.Generation, Incarnation: m.self.Incarnation, Digest: m.know()}
-	room := MaxMessageSize - mostHead - len(m.self.Name)
+func (m *Machine) newSyncMessage(kind Kind, e *member, sync bool) Message {
+	msg := Message{Kind: kind, From: m.self.Name, Generation: m.self.Generation, Incarnation: m.self.Incarnation, Digest: m.viewDigest()}
+	room := MaxMessageSize - maxHeaderSize - len(m.self.Name)
 	has := func(name string) bool {
 		return slices.ContainsFunc(msg.Records, func(r Record) bool { return r.Name == name })
 	}
-	put := func(r Record) bool {
-		if size := sizeOf(r); room >= size && !has(r.Name) {
+	add := func(r Record) bool {
+		if size := recordSize(r); room >= size && !has(r.Name) {
 			room -= size
 			msg.Records = append(msg.Records, r)
 			return true
 		}
 		return false
 	}
-	if e == nil || e.stranger {
-		put(m.self)
+	if e == nil || e.unaware {
+		add(m.self)
 	}
 	if e != nil {
 		msg.To, msg.ToGeneration = e.Name, e.Generation
 		if e.State.Ended() || e.State == Suspect && !m.cfg.WithoutLifeguard {
-			put(e.Record)
+			add(e.Record)
 		}
 	}
 	if kind == Reject {
 		return msg
 	}
-	m.putNews(&msg, has, put, &room)
-	if paged {
+	m.appendGossip(&msg, has, add, &room)
+	if sync {
 		for range len(m.members) + 1 {
-			m.page = (m.page + 1) % (len(m.members) + 1)
-			if m.page == len(m.members) {
-				put(m.self)
-			} else if r := m.members[m.page].Record; !put(r) && !has(r.Name) {
-				m.page-- // it comes first next time
+			m.syncPage = (m.syncPage + 1) % (len(m.members) + 1)
+			if m.syncPage == len(m.members) {
+				add(m.self)
+			} else if r := m.members[m.syncPage].Record; !add(r) && !has(r.Name) {
+				m.syncPage-- // it comes first next time
 				break
 			}
 		}
@@ -59,51 +59,51 @@
 }
 
 // putNews puts in what was sent least often so far: of members first, of paths where there is room left.
-func (m *Machine) putNews(msg *Message, has func(string) bool, put func(Record) bool, room *int) {
-	if m.news.empty() && m.paths.empty() {
+func (m *Machine) appendGossip(msg *Message, has func(string) bool, add func(Record) bool, room *int) {
+	if m.memberGossip.empty() && m.pathGossip.empty() {
 		return
 	}
-	rounds := bits.Len(uint(m.living() + 1))
-	m.news.take(spread*rounds, func(x item) verdict {
+	rounds := bits.Len(uint(m.countAlive() + 1))
+	m.memberGossip.take(retransmitMultiplier*rounds, func(x broadcast) offerResult {
 		r := m.self
 		if x.name != m.self.Name {
 			e := m.find(x.name)
 			if e == nil {
-				return nothing
+				return offerObsolete
 			}
 			r = e.Record
 		}
 		switch {
-		case has(r.Name), put(r):
-			return sent
-		case *room < leastRecord:
-			return full
+		case has(r.Name), add(r):
+			return offerSent
+		case *room < minRecordSize:
+			return offerFull
 		}
-		return waits
+		return offerTooLarge
 	})
-	m.paths.take(rounds, func(x item) verdict {
-		k, known := m.cutAt[path{x.by, x.peer}]
+	m.pathGossip.take(rounds, func(x broadcast) offerResult {
+		k, known := m.pathIndex[pathKey{x.reporter, x.peer}]
 		if !known {
-			return nothing
+			return offerObsolete
 		}
-		size := mostCut + len(x.by) + len(x.peer)
+		size := maxPathSize + len(x.reporter) + len(x.peer)
 		if *room < size {
-			return full
+			return offerFull
 		}
 		*room -= size
-		msg.Paths = append(msg.Paths, m.cuts[k])
-		return sent
+		msg.Paths = append(msg.Paths, m.pathStates[k])
+		return offerSent
 	})
 }
 
 // fit drops the last records of a message that has got too large.
-func (m *Machine) fit(msg *Message) {
-	size := mostHead + len(m.self.Name)
+func (m *Machine) truncateRecords(msg *Message) {
+	size := maxHeaderSize + len(m.self.Name)
 	for _, c := range msg.Paths {
-		size += mostCut + len(c.Reporter) + len(c.Peer)
+		size += maxPathSize + len(c.Reporter) + len(c.Peer)
 	}
 	for i, r := range msg.Records {
-		if size += sizeOf(r); size > MaxMessageSize {
+		if size += recordSize(r); size > MaxMessageSize {
 			msg.Records = msg.Records[:i]
 			return
 		}
@@ -113,12 +113,12 @@
 // The sizes of a message's parts as they are written, at the most, in bytes: the head without its own sender's name but with
 // three others, a record and a path without their names.
 const (
-	mostHead    = 2 + 2 + 11 + 6 + 3*(2+MaxNameLength) + 11 + 6 + 26 + 6 + 2 + 9
-	leastRecord = 40
-	mostCut     = 2 + 4 + 6 + 4 + 11
+	maxHeaderSize = 2 + 2 + 11 + 6 + 3*(2+MaxNameLength) + 11 + 6 + 26 + 6 + 2 + 9
+	minRecordSize = 40
+	maxPathSize   = 2 + 4 + 6 + 4 + 11
 )
 
-func sizeOf(r Record) int {
+func recordSize(r Record) int {
 	address := 2 + 2 + 4 + 4
 	if !r.Address.Addr().Is4() {
 		address += 12
@@ -128,19 +128,19 @@
 
 // know is a digest of all who live, this member among them, with their lives and latest words. Two with the same one know
 // the same.
-func (m *Machine) know() uint64 {
-	if !m.digestOld {
+func (m *Machine) viewDigest() uint64 {
+	if !m.digestStale {
 		return m.digest
 	}
-	m.digestOld = false
-	m.digest, m.alive = 0, 0
+	m.digestStale = false
+	m.digest, m.aliveOthers = 0, 0
 	if !m.self.State.Ended() {
-		m.digest = mark(m.self)
+		m.digest = recordHash(m.self)
 	}
 	for i := range m.members {
 		if e := &m.members[i]; !e.State.Ended() {
-			m.digest ^= mark(e.Record)
-			m.alive++
+			m.digest ^= recordHash(e.Record)
+			m.aliveOthers++
 		}
 	}
 	if m.digest == 0 {
@@ -150,7 +150,7 @@
 }
 
 // mark is FNV-1a over a record's name, life and incarnation, mixed once more, for marks are put together by exclusive or.
-func mark(r Record) uint64 {
+func recordHash(r Record) uint64 {
 	h := uint64(14695981039346656037)
 	for i := range len(r.Name) {
 		h = (h ^ uint64(r.Name[i])) * 1099511628211
--- a/internal/membership/news.go
+++ b/internal/membership/news.go
@@ -3,41 +3,41 @@
 import "slices"
 
 // item is a piece of news: a member's name, or a path.
-type item struct{ name, by, peer string }
+type broadcast struct{ name, reporter, peer string }
 
 // news is what is still to be sent on, what was sent least often first.
-type news struct {
-	levels [][]item     // by how often it was sent; some are out of date, see at
-	at     map[item]int // how often each was sent
+type gossipQueue struct {
+	levels    [][]broadcast     // by how often it was sent; some are out of date, see at
+	transmits map[broadcast]int // how often each was sent
 }
 
-func (n *news) clone() news {
-	c := news{levels: make([][]item, len(n.levels)), at: make(map[item]int, len(n.at))}
+func (n *gossipQueue) clone() gossipQueue {
+	c := gossipQueue{levels: make([][]broadcast, len(n.levels)), transmits: make(map[broadcast]int, len(n.transmits))}
 	for i := range n.levels {
 		c.levels[i] = slices.Clone(n.levels[i])
 	}
-	for x, k := range n.at {
-		c.at[x] = k
+	for x, k := range n.transmits {
+		c.transmits[x] = k
 	}
 	return c
 }
 
 // empty tells that there is nothing to send on.
-func (n *news) empty() bool { return len(n.at) == 0 }
+func (n *gossipQueue) empty() bool { return len(n.transmits) == 0 }
 
 // push has a piece of news sent on from the beginning.
-func (n *news) push(x item) {
-	if k, waits := n.at[x]; waits && k == 0 {
+func (n *gossipQueue) enqueue(x broadcast) {
+	if k, waits := n.transmits[x]; waits && k == 0 {
 		return
 	}
-	if n.at == nil {
-		n.at = map[item]int{}
+	if n.transmits == nil {
+		n.transmits = map[broadcast]int{}
 	}
-	n.at[x] = 0
-	n.put(0, x)
+	n.transmits[x] = 0
+	n.appendLevel(0, x)
 }
 
-func (n *news) put(level int, x item) {
+func (n *gossipQueue) appendLevel(level int, x broadcast) {
 	for len(n.levels) <= level {
 		n.levels = append(n.levels, nil)
 	}
@@ -45,53 +45,53 @@
 }
 
 // verdict is what becomes of a piece of news that is offered.
-type verdict uint8
+type offerResult uint8
 
 const (
-	sent    verdict = iota // it goes out with this message
-	waits                  // there is no room for it; perhaps for a smaller one
-	nothing                // there is nothing to tell any more
-	full                   // there is no room for any
+	offerSent     offerResult = iota // it goes out with this message
+	offerTooLarge                    // there is no room for it; perhaps for a smaller one
+	offerObsolete                    // there is nothing to tell any more
+	offerFull                        // there is no room for any
 )
 
 // take offers what was sent least often, piece by piece, until there is no room left. What was sent so often is forgotten.
-func (n *news) take(often int, offer func(item) verdict) {
-	var moved []item
-	var from []int
-	over := false
-	for level := 0; level < len(n.levels) && !over; level++ {
-		list, done := n.levels[level], 0
-		var kept []item
-		for ; done < len(list) && !over; done++ {
-			x := list[done]
-			if k, waits := n.at[x]; !waits || k != level {
+func (n *gossipQueue) take(limit int, offer func(broadcast) offerResult) {
+	var transmitted []broadcast
+	var levels []int
+	stop := false
+	for level := 0; level < len(n.levels) && !stop; level++ {
+		queued, done := n.levels[level], 0
+		var remaining []broadcast
+		for ; done < len(queued) && !stop; done++ {
+			item := queued[done]
+			if count, waits := n.transmits[item]; !waits || count != level {
 				continue // it was begun anew, or told enough
 			}
-			switch offer(x) {
-			case sent:
-				moved, from = append(moved, x), append(from, level)
-			case nothing:
-				delete(n.at, x)
-			case full:
-				over = true
-				kept = append(kept, x)
+			switch offer(item) {
+			case offerSent:
+				transmitted, levels = append(transmitted, item), append(levels, level)
+			case offerObsolete:
+				delete(n.transmits, item)
+			case offerFull:
+				stop = true
+				remaining = append(remaining, item)
 			default:
-				kept = append(kept, x)
+				remaining = append(remaining, item)
 			}
 		}
-		if n.levels[level] = list[done:]; len(kept) > 0 && done < len(list) {
-			kept = append(kept, list[done:]...)
+		if n.levels[level] = queued[done:]; len(remaining) > 0 && done < len(queued) {
+			remaining = append(remaining, queued[done:]...)
 		}
-		if len(kept) > 0 {
-			n.levels[level] = kept
+		if len(remaining) > 0 {
+			n.levels[level] = remaining
 		}
 	}
-	for i, x := range moved {
-		if level := from[i] + 1; level < often {
-			n.at[x] = level
-			n.put(level, x)
+	for i, item := range transmitted {
+		if level := levels[i] + 1; level < limit {
+			n.transmits[item] = level
+			n.appendLevel(level, item)
 		} else {
-			delete(n.at, x)
+			delete(n.transmits, item)
 		}
 	}
 }
