--- a/internal/floatingip/floating.go
+++ b/internal/floatingip/floating.go
@@ -9,7 +9,6 @@
 	"time"
 
 	"github.com/rs/zerolog"
-	"golang.org/x/time/rate"
 
 	"marblespan/internal/clock"
 	"marblespan/internal/datagrams"
@@ -59,13 +58,6 @@
 	Time func(clock.Micros) time.Time
 }
 
-// dropsLogged and dropsBurst bound the log lines about messages that are dropped: a flood of garbage must not become a
-// flood of lines. What is not logged is still counted.
-const (
-	dropsLogged = 1 // a second
-	dropsBurst  = 5
-)
-
 // Speaker takes part in VRRP for all groups of a gateway.
 type Speaker struct {
 	settings Settings
@@ -78,8 +70,7 @@
 	origins *sealed.ReplayGuard[uint8]
 	groups  []*group
 	last    vrrp.Health
-	limit   *rate.Limiter
-	silent  int64 // drops since the last line about one
+	drops   *datagrams.DropLog
 
 	Counts Counts
 }
@@ -87,7 +78,7 @@
 // Counts are the speaker's counters since its start.
 type Counts struct {
 	Sent, SendFailed, Received, Announced, Tenures, Moved atomic.Int64
-	Dropped                                               [codec.Faults]atomic.Int64
+	Dropped                                               [sealed.FaultCount]atomic.Int64
 	Lost                                                  [vrrp.Causes]atomic.Int64 // by cause
 }
 
@@ -108,7 +99,7 @@
 	}
 	sp := &Speaker{
 		settings: s, clock: clock, address: address, health: health, log: log, loop: loop,
-		origins: sealed.NewReplayGuard[uint8](start, 0), limit: rate.NewLimiter(dropsLogged, dropsBurst),
+		origins: sealed.NewReplayGuard[uint8](start, 0), drops: datagrams.NewDropLog(log, "vrrp message dropped"),
 	}
 	for _, g := range s.Groups {
 		sp.groups = append(sp.groups, &group{Group: g, machine: vrrp.New(g.Machine)})
@@ -252,7 +243,7 @@
 func (s *Speaker) receive(b []byte, from netip.AddrPort) {
 	s.Counts.Received.Add(1)
 	g, m, fault := s.check(b, from)
-	if fault != codec.Sound {
+	if fault != sealed.NoFault {
 		s.drop(fault, from)
 		return
 	}
@@ -260,7 +251,7 @@
 }
 
 // check does the cheap checks first: strangers cost no signature.
-func (s *Speaker) check(b []byte, from netip.AddrPort) (*group, codec.Message, codec.Fault) {
+func (s *Speaker) check(b []byte, from netip.AddrPort) (*group, codec.Message, sealed.Fault) {
 	var none codec.Message
 	var peer *Peer
 	for i := range s.settings.Peers {
@@ -269,11 +260,11 @@
 		}
 	}
 	if peer == nil {
-		return nil, none, codec.WrongSource
+		return nil, none, sealed.WrongSource
 	}
 	vrid, ok := codec.VRID(b)
 	if !ok {
-		return nil, none, codec.BadLength
+		return nil, none, sealed.BadLength
 	}
 	var g *group
 	for _, x := range s.groups {
@@ -282,14 +273,14 @@
 		}
 	}
 	if g == nil {
-		return nil, none, codec.UnknownVRID
+		return nil, none, sealed.UnknownVRID
 	}
 	m, fault := codec.Parse(b, g.Addresses[0].Is4(), from.Addr(), s.settings.Bind.Addr(), s.settings.Keys)
-	if fault != codec.Sound {
+	if fault != sealed.NoFault {
 		return nil, none, fault
 	}
 	if m.Sender != peer.Node || m.Receiver != s.settings.Node {
-		return nil, none, codec.WrongPeer
+		return nil, none, sealed.WrongPeer
 	}
 	fresh, moved := s.origins.Accept(m.Sender, sealed.MessageID{Start: m.Start, Sequence: m.Sequence}, m.ReceiverStart)
 	if moved {
@@ -297,23 +288,18 @@
 		s.log.Warn().Uint8("peer", m.Sender).Msg("peers know a later start of this gateway: its clock was set back; moved past it")
 	}
 	if !fresh {
-		return nil, none, codec.Replayed
+		return nil, none, sealed.Replayed
 	}
 	if !slices.Equal(m.Addresses, g.Addresses) {
-		return nil, none, codec.OtherAddress
+		return nil, none, sealed.OtherAddress
 	}
-	return g, m, codec.Sound
+	return g, m, sealed.NoFault
 }
 
-func (s *Speaker) drop(fault codec.Fault, from netip.AddrPort) {
+// drop counts and logs a datagram that check rejected.
+func (s *Speaker) drop(fault sealed.Fault, from netip.AddrPort) {
 	s.Counts.Dropped[fault].Add(1)
-	if !s.limit.Allow() {
-		s.silent++
-		return
-	}
-	s.log.Warn().Str("peer", from.String()).Str("fault", codec.FaultNames[fault]).Int64("not_logged", s.silent).
-		Msg("vrrp message dropped")
-	s.silent = 0
+	s.drops.Dropped(fault.Name(), from)
 }
 
 // Reload takes over new peers, keys, announcements and the machines' settings. A group's name, addresses and listener
--- a/internal/floatingip/floating_test.go
+++ b/internal/floatingip/floating_test.go
@@ -13,6 +13,7 @@
 
 	"marblespan/internal/clock"
 	"marblespan/internal/fake"
+	"marblespan/internal/protocol/sealed"
 	codec "marblespan/internal/protocol/vrrp"
 	"marblespan/internal/vrrp"
 )
@@ -173,7 +174,7 @@
 	// A gateway that was forgotten is a stranger from now on.
 	p.speakers[1].Reload(p.settings(1, 100, oldKey))
 	eventually(t, "a message with a key that is gone counts", func() bool {
-		return p.speakers[1].Counts.Dropped[codec.UnknownKey].Load() > 0 && p.holders[1].holds()
+		return p.speakers[1].Counts.Dropped[sealed.UnknownKey].Load() > 0 && p.holders[1].holds()
 	})
 }
 
@@ -197,16 +198,16 @@
 	}
 	counts := &p.speakers[1].Counts
 	for _, c := range []struct {
-		fault codec.Fault
+		fault sealed.Fault
 		b     []byte
 	}{
-		{codec.UnknownVRID, message(func(m *codec.Message) { m.VRID = 8 })},
-		{codec.WrongPeer, message(func(m *codec.Message) { m.Sender = 3 })},
-		{codec.WrongPeer, message(func(m *codec.Message) { m.Receiver = 1 })},
-		{codec.OtherAddress, message(func(m *codec.Message) { m.Addresses = []netip.Addr{netip.MustParseAddr("192.0.2.11")} })},
-		{codec.Replayed, message(func(m *codec.Message) { m.Sequence = 4 })},
-		{codec.BadLength, []byte{1, 9, 3}},
-		{codec.BadVersion, make([]byte, 100)[:0]},
+		{sealed.UnknownVRID, message(func(m *codec.Message) { m.VRID = 8 })},
+		{sealed.WrongPeer, message(func(m *codec.Message) { m.Sender = 3 })},
+		{sealed.WrongPeer, message(func(m *codec.Message) { m.Receiver = 1 })},
+		{sealed.OtherAddress, message(func(m *codec.Message) { m.Addresses = []netip.Addr{netip.MustParseAddr("192.0.2.11")} })},
+		{sealed.Replayed, message(func(m *codec.Message) { m.Sequence = 4 })},
+		{sealed.BadLength, []byte{1, 9, 3}},
+		{sealed.BadVersion, make([]byte, 100)[:0]},
 	} {
 		before := counts.Dropped[c.fault].Load()
 		if len(c.b) == 0 {
@@ -214,7 +215,7 @@
 			c.b[0] = 0x21
 		}
 		p.path.Inject(0, 1, c.b)
-		eventually(t, "not counted: "+codec.FaultNames[c.fault], func() bool { return counts.Dropped[c.fault].Load() == before+1 })
+		eventually(t, "not counted: "+c.fault.Name(), func() bool { return counts.Dropped[c.fault].Load() == before+1 })
 	}
 	stranger, err := net.DialUDP("udp4", nil, p.ends[1])
 	if err != nil {
@@ -222,16 +223,16 @@
 	}
 	defer stranger.Close()
 	stranger.Write(message(func(m *codec.Message) { m.Sequence = 9 }))
-	eventually(t, "a stranger is not counted", func() bool { return counts.Dropped[codec.WrongSource].Load() == 1 })
+	eventually(t, "a stranger is not counted", func() bool { return counts.Dropped[sealed.WrongSource].Load() == 1 })
 	if !p.holders[1].holds() || p.holders[1].taken != 1 {
 		t.Error("one of these messages moved the address")
 	}
 	good := message(func(m *codec.Message) { m.Sequence = 10 })
 	p.path.Inject(0, 1, good)
 	eventually(t, "a good one does nothing", func() bool { return !p.holders[1].holds() })
-	before := counts.Dropped[codec.Replayed].Load()
+	before := counts.Dropped[sealed.Replayed].Load()
 	p.path.Inject(0, 1, good)
-	eventually(t, "a replay is not counted", func() bool { return counts.Dropped[codec.Replayed].Load() == before+1 })
+	eventually(t, "a replay is not counted", func() bool { return counts.Dropped[sealed.Replayed].Load() == before+1 })
 }
 
 // A listener that cannot be opened gives the address to the next one.
--- a/internal/gateway/floatingip.go
+++ b/internal/gateway/floatingip.go
@@ -10,6 +10,7 @@
 	"marblespan/internal/clock"
 	"marblespan/internal/config"
 	"marblespan/internal/floatingip"
+	"marblespan/internal/protocol/sealed"
 	codec "marblespan/internal/protocol/vrrp"
 	"marblespan/internal/routing"
 	"marblespan/internal/session"
@@ -307,9 +308,9 @@
 	line := f.g.log.Info().Int64("sent", c.Sent.Load()).Int64("send_failed", c.SendFailed.Load()).
 		Int64("received", c.Received.Load()).Int64("announced", c.Announced.Load()).Int64("tenures", c.Tenures.Load()).
 		Int64("start_moved", c.Moved.Load()).Int64("socket_errors", f.speaker.Broken()).Int64("moved_requests", f.counts.Moved.Load()).Int("clients", f.open())
-	for fault := codec.Sound + 1; fault < codec.Faults; fault++ {
+	for fault := sealed.NoFault + 1; fault < sealed.FaultCount; fault++ {
 		if n := c.Dropped[fault].Load(); n > 0 {
-			line = line.Int64("dropped_"+codec.FaultNames[fault], n)
+			line = line.Int64("dropped_"+fault.Name(), n)
 		}
 	}
 	for cause := range vrrp.Causes {
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -16,7 +16,6 @@
 	"marblespan/internal/gossip"
 	"marblespan/internal/maintenance"
 	"marblespan/internal/membership"
-	codec "marblespan/internal/protocol/members"
 	"marblespan/internal/protocol/sealed"
 )
 
@@ -138,9 +137,9 @@
 	line := m.g.log.Info().Int64("sent", c.Sent.Load()).Int64("sent_bytes", c.SentBytes.Load()).Int64("send_failed", c.SendFailed.Load()).
 		Int64("received", c.Received.Load()).Int64("changes", c.Changes.Load()).Int64("deaths", c.Deaths.Load()).
 		Int64("refutations", c.Refutations.Load()).Int64("path_changes", c.PathChanges.Load())
-	for fault := codec.NoFault + 1; fault < codec.FaultCount; fault++ {
+	for fault := sealed.NoFault + 1; fault < sealed.FaultCount; fault++ {
 		if n := c.Dropped[fault].Load(); n > 0 {
-			line = line.Int64("dropped_"+codec.FaultNames[fault], n)
+			line = line.Int64("dropped_"+fault.Name(), n)
 		}
 	}
 	for what := range membership.NoticeCount {
--- a/internal/golden/datagrams_test.go
+++ b/internal/golden/datagrams_test.go
@@ -57,12 +57,12 @@
 			}
 			file := golden(t, "members/"+c.name, encoded)
 			got, trailer, fault := members.Parse(file, "golden", []sealed.Key{key})
-			if fault != members.NoFault || trailer != goldenTrailer || !reflect.DeepEqual(got, want) {
+			if fault != sealed.NoFault || trailer != goldenTrailer || !reflect.DeepEqual(got, want) {
 				t.Errorf("decoded as %v %+v %+v", fault, trailer, got)
 			}
 			rejectsFlips(t, file, func(b []byte) bool {
 				_, _, fault := members.Parse(b, "golden", []sealed.Key{key})
-				return fault == members.NoFault
+				return fault == sealed.NoFault
 			})
 		})
 	}
@@ -80,13 +80,13 @@
 				t.Fatal(err)
 			}
 			file := golden(t, "vrrp/"+c.name, encoded)
-			parse := func(b []byte) (vrrp.Message, vrrp.Fault) {
+			parse := func(b []byte) (vrrp.Message, sealed.Fault) {
 				return vrrp.Parse(b, c.addresses[0].Is4(), ip6, ip6b, []vrrp.Key{key})
 			}
-			if got, fault := parse(file); fault != vrrp.Sound || !reflect.DeepEqual(got, want) {
+			if got, fault := parse(file); fault != sealed.NoFault || !reflect.DeepEqual(got, want) {
 				t.Errorf("decoded as %v %+v", fault, got)
 			}
-			rejectsFlips(t, file, func(b []byte) bool { _, fault := parse(b); return fault == vrrp.Sound })
+			rejectsFlips(t, file, func(b []byte) bool { _, fault := parse(b); return fault == sealed.NoFault })
 		})
 	}
 }
@@ -100,12 +100,12 @@
 		t.Fatal(err)
 	}
 	file := golden(t, "vrrp/announcement", encoded)
-	if got, fault := vrrp.ParseAnnouncement(file, []vrrp.Key{key}); fault != vrrp.Sound || !reflect.DeepEqual(got, want) {
+	if got, fault := vrrp.ParseAnnouncement(file, []vrrp.Key{key}); fault != sealed.NoFault || !reflect.DeepEqual(got, want) {
 		t.Errorf("decoded as %v %+v", fault, got)
 	}
 	rejectsFlips(t, file, func(b []byte) bool {
 		_, fault := vrrp.ParseAnnouncement(b, []vrrp.Key{key})
-		return fault == vrrp.Sound
+		return fault == sealed.NoFault
 	})
 }
 
--- a/internal/gossip/agent.go
+++ b/internal/gossip/agent.go
@@ -10,7 +10,6 @@
 	"time"
 
 	"github.com/rs/zerolog"
-	"golang.org/x/time/rate"
 
 	"marblespan/internal/clock"
 	"marblespan/internal/datagrams"
@@ -52,13 +51,6 @@
 	Flags    membership.Flags
 }
 
-// dropsLogged and dropsBurst bound the log lines about datagrams that are dropped: a flood of garbage must not become a
-// flood of lines. What is not logged is still counted.
-const (
-	dropsLogged = 1 // a second
-	dropsBurst  = 5
-)
-
 // window is how many messages of a sender may overtake one that still counts: an answer that took longer than the next one
 // is an answer all the same.
 const window = 64
@@ -75,7 +67,7 @@
 // Counts are the counters since the start.
 type Counts struct {
 	Sent, SendFailed, Received, SentBytes, Changes, Deaths, Refutations, PathChanges atomic.Int64
-	Dropped                                                                          [codec.FaultCount]atomic.Int64
+	Dropped                                                                          [sealed.FaultCount]atomic.Int64
 	Noticed                                                                          [membership.NoticeCount]atomic.Int64
 }
 
@@ -90,8 +82,7 @@
 	machine  *membership.Machine
 	order    *sealed.ReplayGuard[sender]
 	senders  int
-	limit    *rate.Limiter
-	silent   int64 // drops since the last line about one
+	drops    *datagrams.DropLog
 	back     map[netip.AddrPort]netip.AddrPort
 	left     chan struct{}
 	changes  func(membership.MemberChanged)
@@ -113,7 +104,7 @@
 	}
 	p := &Agent{
 		settings: s, clock: clock, self: self, log: log, loop: loop, order: sealed.NewReplayGuard[sender](start, window),
-		limit: rate.NewLimiter(dropsLogged, dropsBurst), left: make(chan struct{}), changes: changes,
+		drops: datagrams.NewDropLog(log, "members message dropped"), left: make(chan struct{}), changes: changes,
 	}
 	p.settings.Advertise = advertised(s, loop.Addr())
 	p.told = self()
@@ -205,7 +196,7 @@
 	p := (*Agent)(o)
 	p.Counts.Received.Add(1)
 	m, fault := p.check(b, from)
-	if fault != codec.NoFault {
+	if fault != sealed.NoFault {
 		p.drop(fault, from)
 		return
 	}
@@ -215,9 +206,9 @@
 	p.tell(membership.MessageReceived{Source: from, Message: m})
 }
 
-func (p *Agent) check(b []byte, from netip.AddrPort) (membership.Message, codec.Fault) {
+func (p *Agent) check(b []byte, from netip.AddrPort) (membership.Message, sealed.Fault) {
 	m, t, fault := codec.Parse(b, p.settings.Deployment, p.settings.Keys)
-	if fault != codec.NoFault {
+	if fault != sealed.NoFault {
 		return m, fault
 	}
 	s := sender{m.From, from}
@@ -232,19 +223,15 @@
 		p.log.Warn().Str("peer", m.From).Msg("peers know a later start of this gateway: its clock was set back; moved past it")
 	}
 	if !fresh {
-		return m, codec.Replayed
+		return m, sealed.Replayed
 	}
-	return m, codec.NoFault
+	return m, sealed.NoFault
 }
 
-func (p *Agent) drop(fault codec.Fault, from netip.AddrPort) {
+// drop counts and logs a datagram that check rejected.
+func (p *Agent) drop(fault sealed.Fault, from netip.AddrPort) {
 	p.Counts.Dropped[fault].Add(1)
-	if !p.limit.Allow() {
-		p.silent++
-		return
-	}
-	p.log.Warn().Str("peer", from.String()).Str("fault", codec.FaultNames[fault]).Int64("not_logged", p.silent).Msg("members message dropped")
-	p.silent = 0
+	p.drops.Dropped(fault.Name(), from)
 }
 
 // tell hands an event to the machine and carries out what comes of it.
--- a/internal/gossip/agent_test.go
+++ b/internal/gossip/agent_test.go
@@ -91,29 +91,29 @@
 	unknown, _ := codec.Append(nil, later, sealed.Trailer{Start: 1, Sequence: 9}, "", key)
 	for _, x := range []struct {
 		raw  []byte
-		want codec.Fault
+		want sealed.Fault
 	}{
-		{[]byte("garbage"), codec.BadLength},
-		{make([]byte, 1200), codec.BadVersion},
-		{make([]byte, 9000), codec.BadLength},
-		{say("elsewhere", key, 1), codec.BadMAC},
-		{say("", sealed.Key{Number: 2, Secret: key.Secret}, 1), codec.UnknownKey},
-		{unknown, codec.BadKind},
+		{[]byte("garbage"), sealed.BadLength},
+		{make([]byte, 1200), sealed.BadVersion},
+		{make([]byte, 9000), sealed.BadLength},
+		{say("elsewhere", key, 1), sealed.BadMAC},
+		{say("", sealed.Key{Number: 2, Secret: key.Secret}, 1), sealed.UnknownKey},
+		{unknown, sealed.BadKind},
 	} {
 		before := a.Counts.Dropped[x.want].Load()
 		stranger.Write(x.raw)
 		for late := time.Now().Add(20 * time.Second); a.Counts.Dropped[x.want].Load() == before; time.Sleep(time.Millisecond) {
 			if time.Now().After(late) {
-				t.Fatalf("%v is not counted", codec.FaultNames[x.want])
+				t.Fatalf("%v is not counted", x.want.Name())
 			}
 		}
 	}
 	good := say("", key, 1)
-	before := a.Counts.Dropped[codec.Replayed].Load()
+	before := a.Counts.Dropped[sealed.Replayed].Load()
 	stranger.Write(good)
 	stranger.Write(good) // a replay
 	until(t, seenA, "x", membership.Alive)
-	for late := time.Now().Add(20 * time.Second); a.Counts.Dropped[codec.Replayed].Load() == before; time.Sleep(time.Millisecond) {
+	for late := time.Now().Add(20 * time.Second); a.Counts.Dropped[sealed.Replayed].Load() == before; time.Sleep(time.Millisecond) {
 		if time.Now().After(late) {
 			t.Fatal("a replay is not counted")
 		}
--- a/internal/protocol/members/members.go
+++ b/internal/protocol/members/members.go
@@ -25,31 +25,6 @@
 // are not valid even with the same secret.
 const purpose = "marblespan members 1\x00"
 
-// Fault is why a datagram is dropped.
-type Fault uint8
-
-// The faults. The later ones are found by whoever knows the members.
-const (
-	NoFault    Fault = iota
-	BadLength        // too short or too long
-	BadVersion       // another trailer
-	UnknownKey       // signed with a key that is not valid here
-	BadMAC           // signed with another secret, for another deployment, or changed on the way
-	BadMessage       // not a message as api/members.proto has it
-	BadKind          // a kind that is not known here: of a later version
-	BadValue         // a name, an address or a state that cannot be
-	Replayed         // it came before, or is older than what counts
-	FaultCount
-)
-
-// FaultNames are the faults as counters and logs name them.
-var FaultNames = [FaultCount]string{
-	"sound", "length", "version", "unknown_key", "mac", "message", "kind", "value", "replayed",
-}
-
-// Error makes a fault an error.
-func (f Fault) Error() string { return "message dropped: " + FaultNames[f] }
-
 // ErrSize tells that a message is too large to be sent.
 var ErrSize = errors.New("a message of more than 1140 bytes")
 
@@ -165,51 +140,47 @@
 	return sealed.Append(b, from, t, purpose+deployment+"\x00", key), nil
 }
 
-var verdicts = map[sealed.Fault]Fault{
-	sealed.NoFault: NoFault, sealed.UnknownKey: UnknownKey, sealed.BadMAC: BadMAC, sealed.BadVersion: BadVersion,
-}
-
 // Plausible tells, before any signature is looked at, whether a datagram could be one of ours: garbage must cost little.
-func Plausible(b []byte, keys []sealed.Key) Fault {
+func Plausible(b []byte, keys []sealed.Key) sealed.Fault {
 	if len(b) < sealed.Size+2 || len(b) > MaxSize {
-		return BadLength
+		return sealed.BadLength
 	}
 	t := b[len(b)-sealed.Size:]
 	if t[0] != sealed.Version {
-		return BadVersion
+		return sealed.BadVersion
 	}
 	for _, k := range keys {
 		if k.Number == t[1] {
-			return NoFault
+			return sealed.NoFault
 		}
 	}
-	return UnknownKey
+	return sealed.UnknownKey
 }
 
 // Parse reads a datagram and checks all that can be told without knowing the members. Nothing of a datagram with a fault is
 // to be believed.
-func Parse(b []byte, deployment string, keys []sealed.Key) (m membership.Message, t sealed.Trailer, f Fault) {
-	if f = Plausible(b, keys); f != NoFault {
+func Parse(b []byte, deployment string, keys []sealed.Key) (m membership.Message, t sealed.Trailer, f sealed.Fault) {
+	if f = Plausible(b, keys); f != sealed.NoFault {
 		return m, t, f
 	}
 	t, v := sealed.Parse(b, purpose+deployment+"\x00", keys)
 	if v != sealed.NoFault {
-		return m, sealed.Trailer{}, verdicts[v]
+		return m, sealed.Trailer{}, v
 	}
-	if m, f = ParseMessage(b[:len(b)-sealed.Size]); f != NoFault {
+	if m, f = ParseMessage(b[:len(b)-sealed.Size]); f != sealed.NoFault {
 		return membership.Message{}, sealed.Trailer{}, f
 	}
-	return m, t, NoFault
+	return m, t, sealed.NoFault
 }
 
 // reader takes fields off the front of a message. The first fault stays.
 type reader struct {
 	b     []byte
-	fault Fault
+	fault sealed.Fault
 }
 
-func (r *reader) fail(f Fault) {
-	if r.fault == NoFault {
+func (r *reader) fail(f sealed.Fault) {
+	if r.fault == sealed.NoFault {
 		r.fault = f
 	}
 	r.b = nil
@@ -220,7 +191,7 @@
 	for len(r.b) > 0 {
 		n, t, size := protowire.ConsumeTag(r.b)
 		if size < 0 {
-			r.fail(BadMessage)
+			r.fail(sealed.BadMessage)
 			return
 		}
 		r.b = r.b[size:]
@@ -228,7 +199,7 @@
 			continue
 		}
 		if size = protowire.ConsumeFieldValue(n, t, r.b); size < 0 {
-			r.fail(BadMessage)
+			r.fail(sealed.BadMessage)
 			return
 		}
 		r.b = r.b[size:]
@@ -237,7 +208,7 @@
 
 func (r *reader) want(t, have protowire.Type) bool {
 	if t != have {
-		r.fail(BadMessage)
+		r.fail(sealed.BadMessage)
 	}
 	return t == have
 }
@@ -249,11 +220,11 @@
 	}
 	v, size := protowire.ConsumeVarint(r.b)
 	if size < 0 {
-		r.fail(BadMessage)
+		r.fail(sealed.BadMessage)
 		return 0
 	}
 	if r.b = r.b[size:]; v > most {
-		r.fail(BadValue)
+		r.fail(sealed.BadValue)
 		return 0
 	}
 	return v
@@ -269,7 +240,7 @@
 	}
 	v, size := protowire.ConsumeFixed64(r.b)
 	if size < 0 {
-		r.fail(BadMessage)
+		r.fail(sealed.BadMessage)
 		return 0
 	}
 	r.b = r.b[size:]
@@ -282,7 +253,7 @@
 	}
 	v, size := protowire.ConsumeBytes(r.b)
 	if size < 0 {
-		r.fail(BadMessage)
+		r.fail(sealed.BadMessage)
 		return nil
 	}
 	r.b = r.b[size:]
@@ -293,12 +264,12 @@
 func (r *reader) text(t protowire.Type, most int) string {
 	s := string(r.bytes(t))
 	if len(s) > most || !utf8.ValidString(s) {
-		r.fail(BadValue)
+		r.fail(sealed.BadValue)
 		return ""
 	}
 	for _, c := range s {
 		if c < ' ' || c == 0x7f {
-			r.fail(BadValue)
+			r.fail(sealed.BadValue)
 			return ""
 		}
 	}
@@ -308,10 +279,10 @@
 // nested reads a message in a message.
 func (r *reader) nested(t protowire.Type, read func(*reader)) {
 	inner := reader{b: r.bytes(t)}
-	if r.fault != NoFault {
+	if r.fault != sealed.NoFault {
 		return
 	}
-	if read(&inner); inner.fault != NoFault {
+	if read(&inner); inner.fault != sealed.NoFault {
 		r.fail(inner.fault)
 	}
 }
@@ -325,7 +296,7 @@
 			case addressIP:
 				var ok bool
 				if ip, ok = netip.AddrFromSlice(r.bytes(t)); !ok {
-					r.fail(BadValue)
+					r.fail(sealed.BadValue)
 				}
 			case addressPort:
 				port = r.uint(t, math.MaxUint16)
@@ -335,7 +306,7 @@
 			return true
 		})
 		if at = netip.AddrPortFrom(ip, uint16(port)); !ip.IsValid() || ip.Is4In6() || port == 0 {
-			r.fail(BadValue)
+			r.fail(sealed.BadValue)
 		}
 	})
 	return at
@@ -372,7 +343,7 @@
 		return true
 	})
 	if x.Name == "" || !x.Address.IsValid() || x.Generation == 0 || x.State == membership.Suspect && x.ReportedBy == "" {
-		r.fail(BadValue)
+		r.fail(sealed.BadValue)
 	}
 	return x
 }
@@ -398,13 +369,13 @@
 		return true
 	})
 	if c.Reporter == "" || c.Peer == "" || c.Generation == 0 {
-		r.fail(BadValue)
+		r.fail(sealed.BadValue)
 	}
 	return c
 }
 
 // ParseMessage reads a message without its trailer.
-func ParseMessage(b []byte) (m membership.Message, f Fault) {
+func ParseMessage(b []byte) (m membership.Message, f sealed.Fault) {
 	r := &reader{b: b}
 	kind := uint64(0)
 	r.each(func(n protowire.Number, t protowire.Type) bool {
@@ -445,12 +416,12 @@
 		return true
 	})
 	switch m.Kind = membership.Kind(min(kind, math.MaxUint8)); {
-	case r.fault != NoFault:
+	case r.fault != sealed.NoFault:
 		return membership.Message{}, r.fault
 	case !m.Kind.Known():
-		return membership.Message{}, BadKind
+		return membership.Message{}, sealed.BadKind
 	case m.From == "" || m.Generation == 0 || m.Kind == membership.IndirectPing && (m.Target == "" || !m.TargetAddress.IsValid()):
-		return membership.Message{}, BadValue
+		return membership.Message{}, sealed.BadValue
 	}
-	return m, NoFault
+	return m, sealed.NoFault
 }
--- a/internal/protocol/members/members_test.go
+++ b/internal/protocol/members/members_test.go
@@ -50,7 +50,7 @@
 		if err != nil || !bytes.Equal(again, b) {
 			t.Errorf("%v\n%x\n%x", err, b, again)
 		}
-		if got, fault := ParseMessage(again); fault != NoFault || !reflect.DeepEqual(got, m) {
+		if got, fault := ParseMessage(again); fault != sealed.NoFault || !reflect.DeepEqual(got, m) {
 			t.Errorf("%v\n%+v\n%+v", fault, got, m)
 		}
 	}
@@ -61,7 +61,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m, tr, f := Parse(good, "here", []sealed.Key{key2, key1}); f != NoFault || !reflect.DeepEqual(m, full()) || tr.ReceiverStart != 3 {
+	if m, tr, f := Parse(good, "here", []sealed.Key{key2, key1}); f != sealed.NoFault || !reflect.DeepEqual(m, full()) || tr.ReceiverStart != 3 {
 		t.Fatalf("%v %+v %+v", f, m, tr)
 	}
 	change := func(do func(*membership.Message)) []byte {
@@ -75,42 +75,42 @@
 	for _, c := range []struct {
 		name string
 		b    []byte
-		want Fault
+		want sealed.Fault
 	}{
-		{"nothing", nil, BadLength},
-		{"a trailer only", good[len(good)-sealed.Size:], BadLength},
-		{"far too long", make([]byte, 9000), BadLength},
-		{"another trailer", set(good, len(good)-sealed.Size, 2), BadVersion},
-		{"unknown key", set(good, len(good)-sealed.Size+1, 3), UnknownKey},
-		{"another key's number", set(good, len(good)-sealed.Size+1, 2), BadMAC},
-		{"changed", set(good, 5, good[5]^1), BadMAC},
-		{"no message", raw([]byte{0xff, 0xff, 0xff}), BadMessage},
-		{"a field of another type", raw(protowire.AppendVarint(protowire.AppendTag(nil, fieldFrom, protowire.VarintType), 1)), BadMessage},
-		{"cut off", raw(AppendMessage(nil, full())[:30]), BadMessage},
-		{"a later kind", change(func(m *membership.Message) { m.Kind = 99 }), BadKind},
-		{"no kind", change(func(m *membership.Message) { m.Kind = 0 }), BadKind},
-		{"no sender", change(func(m *membership.Message) { m.From = "" }), BadValue},
-		{"a long name", change(func(m *membership.Message) { m.From = strings.Repeat("x", 41) }), BadValue},
-		{"a name with a line break", change(func(m *membership.Message) { m.From = "a\nb" }), BadValue},
-		{"no life", change(func(m *membership.Message) { m.Generation = 0 }), BadValue},
-		{"nobody to ask", change(func(m *membership.Message) { m.Target = "" }), BadValue},
-		{"a record without a name", change(func(m *membership.Message) { m.Records[0].Name = "" }), BadValue},
-		{"a record from nowhere", change(func(m *membership.Message) { m.Records[0].Address = netip.AddrPort{} }), BadValue},
-		{"a port of 0", change(func(m *membership.Message) { m.Records[0].Address = netip.AddrPortFrom(at4.Addr(), 0) }), BadValue},
-		{"a state that is none", change(func(m *membership.Message) { m.Records[0].State = 4 }), BadValue},
-		{"accused by nobody", change(func(m *membership.Message) { m.Records[0].ReportedBy = "" }), BadValue},
-		{"a path from nobody", change(func(m *membership.Message) { m.Paths[0].Reporter = "" }), BadValue},
+		{"nothing", nil, sealed.BadLength},
+		{"a trailer only", good[len(good)-sealed.Size:], sealed.BadLength},
+		{"far too long", make([]byte, 9000), sealed.BadLength},
+		{"another trailer", set(good, len(good)-sealed.Size, 2), sealed.BadVersion},
+		{"unknown key", set(good, len(good)-sealed.Size+1, 3), sealed.UnknownKey},
+		{"another key's number", set(good, len(good)-sealed.Size+1, 2), sealed.BadMAC},
+		{"changed", set(good, 5, good[5]^1), sealed.BadMAC},
+		{"no message", raw([]byte{0xff, 0xff, 0xff}), sealed.BadMessage},
+		{"a field of another type", raw(protowire.AppendVarint(protowire.AppendTag(nil, fieldFrom, protowire.VarintType), 1)), sealed.BadMessage},
+		{"cut off", raw(AppendMessage(nil, full())[:30]), sealed.BadMessage},
+		{"a later kind", change(func(m *membership.Message) { m.Kind = 99 }), sealed.BadKind},
+		{"no kind", change(func(m *membership.Message) { m.Kind = 0 }), sealed.BadKind},
+		{"no sender", change(func(m *membership.Message) { m.From = "" }), sealed.BadValue},
+		{"a long name", change(func(m *membership.Message) { m.From = strings.Repeat("x", 41) }), sealed.BadValue},
+		{"a name with a line break", change(func(m *membership.Message) { m.From = "a\nb" }), sealed.BadValue},
+		{"no life", change(func(m *membership.Message) { m.Generation = 0 }), sealed.BadValue},
+		{"nobody to ask", change(func(m *membership.Message) { m.Target = "" }), sealed.BadValue},
+		{"a record without a name", change(func(m *membership.Message) { m.Records[0].Name = "" }), sealed.BadValue},
+		{"a record from nowhere", change(func(m *membership.Message) { m.Records[0].Address = netip.AddrPort{} }), sealed.BadValue},
+		{"a port of 0", change(func(m *membership.Message) { m.Records[0].Address = netip.AddrPortFrom(at4.Addr(), 0) }), sealed.BadValue},
+		{"a state that is none", change(func(m *membership.Message) { m.Records[0].State = 4 }), sealed.BadValue},
+		{"accused by nobody", change(func(m *membership.Message) { m.Records[0].ReportedBy = "" }), sealed.BadValue},
+		{"a path from nobody", change(func(m *membership.Message) { m.Paths[0].Reporter = "" }), sealed.BadValue},
 	} {
 		if m, _, f := Parse(c.b, "here", []sealed.Key{key1, key2}); f != c.want || m.From != "" {
 			t.Errorf("%s: %v, want %v", c.name, f, c.want)
 		}
 	}
-	if _, _, f := Parse(good, "elsewhere", []sealed.Key{key1}); f != BadMAC {
+	if _, _, f := Parse(good, "elsewhere", []sealed.Key{key1}); f != sealed.BadMAC {
 		t.Errorf("another deployment's: %v", f)
 	}
 	// Fields of a later version are skipped, in the message and in its records.
 	later := protowire.AppendString(protowire.AppendTag(AppendMessage(nil, full()), 99, protowire.BytesType), "news")
-	if m, f := ParseMessage(later); f != NoFault || !reflect.DeepEqual(m, full()) {
+	if m, f := ParseMessage(later); f != sealed.NoFault || !reflect.DeepEqual(m, full()) {
 		t.Errorf("%v %+v", f, m)
 	}
 	long := full()
@@ -128,10 +128,10 @@
 	f.Add([]byte{8, 1, 18, 1, 'a', 24, 1})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, fault := ParseMessage(b)
-		if fault != NoFault {
+		if fault != sealed.NoFault {
 			return
 		}
-		if again, fault := ParseMessage(AppendMessage(nil, m)); fault != NoFault || !reflect.DeepEqual(m, again) {
+		if again, fault := ParseMessage(AppendMessage(nil, m)); fault != sealed.NoFault || !reflect.DeepEqual(m, again) {
 			t.Errorf("%v\n%+v\n%+v", fault, m, again)
 		}
 	})
--- a/internal/protocol/sealed/sealed.go
+++ b/internal/protocol/sealed/sealed.go
@@ -26,17 +26,6 @@
 // Version is the version of the trailer's layout.
 const Version = 1
 
-// Verdict is what is found of a signature.
-type Fault uint8
-
-// The verdicts.
-const (
-	NoFault    Fault = iota
-	UnknownKey       // signed with a key that is not valid here
-	BadMAC           // signed with another secret, or changed on the way
-	BadVersion       // another trailer
-)
-
 // Sum is the signature over b. The purpose keeps signatures made for other ends with the same secret from being valid.
 func (k Key) MAC(purpose string, b []byte) []byte {
 	h := hmac.New(sha256.New, k.Secret)
--- a/internal/protocol/vrrp/announce.go
+++ b/internal/protocol/vrrp/announce.go
@@ -51,23 +51,23 @@
 }
 
 // ParseAnnouncement reads an announcement and checks its signature.
-func ParseAnnouncement(b []byte, keys []Key) (Announcement, Fault) {
+func ParseAnnouncement(b []byte, keys []Key) (Announcement, sealed.Fault) {
 	var a Announcement
 	if len(b) < announceHead+16+macSize {
-		return a, BadLength
+		return a, sealed.BadLength
 	}
 	if !bytes.Equal(b[:4], announceMagic) {
-		return a, BadVersion
+		return a, sealed.BadVersion
 	}
 	n := int(b[7])
 	if n == 0 || n > MostAddresses {
-		return a, BadCount
+		return a, sealed.BadCount
 	}
 	if len(b) != announceHead+16*n+macSize {
-		return a, BadLength
+		return a, sealed.BadLength
 	}
-	if v := sealed.Verify(purpose, b, b[5], keys); v != sealed.NoFault {
-		return a, verdicts[v]
+	if fault := sealed.Verify(purpose, b, b[5], keys); fault != sealed.NoFault {
+		return a, fault
 	}
 	a = Announcement{
 		VRID: b[4], Key: b[5], Sender: b[6], Start: binary.BigEndian.Uint64(b[8:]), Sequence: binary.BigEndian.Uint64(b[16:]),
@@ -76,7 +76,7 @@
 	for i := range n {
 		a.Addresses = append(a.Addresses, from16(b[announceHead+16*i:]))
 	}
-	return a, Sound
+	return a, sealed.NoFault
 }
 
 func from16(b []byte) netip.Addr { return netip.AddrFrom16([16]byte(b[:16])).Unmap() }
--- a/internal/protocol/vrrp/message.go
+++ b/internal/protocol/vrrp/message.go
@@ -53,43 +53,6 @@
 // Trailer is what the project adds behind the RFC's message.
 type Trailer = sealed.Trailer
 
-// Fault is why a message is dropped.
-type Fault uint8
-
-// The faults. The later ones are found by whoever knows the settings.
-const (
-	Sound        Fault = iota
-	BadLength          // it does not end where its counts say, or not at all
-	BadVersion         // not VRRP version 3, or another trailer
-	BadType            // no advertisement
-	BadCount           // no address, or too many
-	BadReserved        // bits are set that must not be
-	BadInterval        // an interval of 0
-	BadChecksum        // damaged
-	UnknownKey         // signed with a key that is not valid here
-	BadMAC             // signed with another secret, or changed on the way
-	WrongSource        // from an address that is no peer's, or another peer's
-	WrongPeer          // from or for another number
-	Replayed           // it, or a later one, came before
-	UnknownVRID        // of a group that is not configured here
-	OtherAddress       // of another address list than this group's
-	Faults
-)
-
-// FaultNames are the faults as counters and logs name them.
-var FaultNames = [Faults]string{
-	"sound", "length", "version", "type", "count", "reserved", "interval", "checksum", "unknown_key", "mac",
-	"source", "peer", "replayed", "vrid", "address",
-}
-
-// verdicts are the faults that a signature has.
-var verdicts = map[sealed.Fault]Fault{
-	sealed.NoFault: Sound, sealed.UnknownKey: UnknownKey, sealed.BadMAC: BadMAC, sealed.BadVersion: BadVersion,
-}
-
-// Error makes a fault an error.
-func (f Fault) Error() string { return "message dropped: " + FaultNames[f] }
-
 // ErrAddresses tells that a message cannot be written because of its address list.
 var ErrAddresses = errors.New("between 1 and 16 addresses of one family")
 
@@ -122,49 +85,49 @@
 
 // Parse reads a message of an IPv4 or IPv6 group and checks all that can be told without the settings, its signature among
 // it. Nothing of a message with a fault is to be believed.
-func Parse(b []byte, four bool, from, to netip.Addr, keys []Key) (Message, Fault) {
+func Parse(b []byte, four bool, from, to netip.Addr, keys []Key) (Message, sealed.Fault) {
 	var m Message
 	size := 16
 	if four {
 		size = 4
 	}
 	if len(b) < headSize+size+trailerSize+macSize || len(b) > MostSize {
-		return m, BadLength
+		return m, sealed.BadLength
 	}
 	if b[0]>>4 != version {
-		return m, BadVersion
+		return m, sealed.BadVersion
 	}
 	if b[0]&0xf != typeAdvert {
-		return m, BadType
+		return m, sealed.BadType
 	}
 	n := int(b[3])
 	if n == 0 || n > MostAddresses {
-		return m, BadCount
+		return m, sealed.BadCount
 	}
 	body := headSize + n*size
 	if len(b) != body+trailerSize+macSize {
-		return m, BadLength
+		return m, sealed.BadLength
 	}
 	interval := binary.BigEndian.Uint16(b[4:])
 	if interval>>12 != 0 {
-		return m, BadReserved // the RFC has receivers ignore them; here no sender sets them
+		return m, sealed.BadReserved // the RFC has receivers ignore them; here no sender sets them
 	}
 	if interval == 0 {
-		return m, BadInterval
+		return m, sealed.BadInterval
 	}
 	if checksum(b[:body], four, from, to) != 0 {
-		return m, BadChecksum
+		return m, sealed.BadChecksum
 	}
-	t, verdict := sealed.Parse(b, purpose, keys)
-	if verdict != sealed.NoFault {
-		return m, verdicts[verdict]
+	t, fault := sealed.Parse(b, purpose, keys)
+	if fault != sealed.NoFault {
+		return m, fault
 	}
 	m = Message{VRID: b[1], Priority: b[2], Interval: int64(interval) * centisecond, Trailer: t}
 	for i := range n {
 		a, _ := netip.AddrFromSlice(b[headSize+i*size : headSize+(i+1)*size])
 		m.Addresses = append(m.Addresses, a)
 	}
-	return m, Sound
+	return m, sealed.NoFault
 }
 
 // VRID tells the group that a message claims to be of, before anything is checked: the group's family decides how to
--- a/internal/protocol/vrrp/message_test.go
+++ b/internal/protocol/vrrp/message_test.go
@@ -6,6 +6,7 @@
 	"crypto/sha256"
 	"encoding/hex"
 	"errors"
+	"marblespan/internal/protocol/sealed"
 	"net/netip"
 	"slices"
 	"testing"
@@ -58,13 +59,13 @@
 	for _, m := range []Message{sample(), six} {
 		b := written(t, m)
 		got, fault := Parse(b, m.Addresses[0].Is4(), from4, to4, []Key{key2, key1})
-		if fault != Sound || got.VRID != m.VRID || got.Priority != m.Priority || got.Interval != m.Interval ||
+		if fault != sealed.NoFault || got.VRID != m.VRID || got.Priority != m.Priority || got.Interval != m.Interval ||
 			!slices.Equal(got.Addresses, m.Addresses) || got.Trailer != m.Trailer {
 			t.Errorf("%v %+v", fault, got)
 		}
 	}
 	// An IPv6 group's checksum covers the addresses that it travelled between.
-	if _, fault := Parse(written(t, six), false, to4, netip.MustParseAddr("127.0.0.9"), []Key{key1}); fault != BadChecksum {
+	if _, fault := Parse(written(t, six), false, to4, netip.MustParseAddr("127.0.0.9"), []Key{key1}); fault != sealed.BadChecksum {
 		t.Errorf("%v", fault)
 	}
 }
@@ -89,26 +90,26 @@
 	for _, c := range []struct {
 		name string
 		b    []byte
-		want Fault
+		want sealed.Fault
 	}{
-		{"nothing", nil, BadLength},
-		{"a head only", good[:8], BadLength},
-		{"one byte short", good[:len(good)-1], BadLength},
-		{"one byte more", append(bytes.Clone(good), 0), BadLength},
-		{"far too long", make([]byte, 9000), BadLength},
-		{"version 2", change(good, set(0, 0x21)), BadVersion},
-		{"type 2", change(good, set(0, 0x32)), BadType},
-		{"no address", change(good, set(3, 0)), BadCount},
-		{"17 addresses", change(good, set(3, 17)), BadCount},
-		{"more addresses than there are", change(good, set(3, 2)), BadLength},
-		{"reserved bits", change(good, set(4, 0x10)), BadReserved},
-		{"interval 0", change(good, set(5, 0)), BadInterval},
-		{"damaged", set(10, 9)(bytes.Clone(good)), BadChecksum},
-		{"another trailer", change(good, set(12, 2)), BadVersion},
-		{"unknown key", change(good, set(13, 3)), UnknownKey},
-		{"another key's number", change(good, set(13, 2)), BadMAC},
-		{"another sequence", set(12+19, 8)(bytes.Clone(good)), BadMAC},
-		{"another signature", set(len(good)-1, good[len(good)-1]^1)(bytes.Clone(good)), BadMAC},
+		{"nothing", nil, sealed.BadLength},
+		{"a head only", good[:8], sealed.BadLength},
+		{"one byte short", good[:len(good)-1], sealed.BadLength},
+		{"one byte more", append(bytes.Clone(good), 0), sealed.BadLength},
+		{"far too long", make([]byte, 9000), sealed.BadLength},
+		{"version 2", change(good, set(0, 0x21)), sealed.BadVersion},
+		{"type 2", change(good, set(0, 0x32)), sealed.BadType},
+		{"no address", change(good, set(3, 0)), sealed.BadCount},
+		{"17 addresses", change(good, set(3, 17)), sealed.BadCount},
+		{"more addresses than there are", change(good, set(3, 2)), sealed.BadLength},
+		{"reserved bits", change(good, set(4, 0x10)), sealed.BadReserved},
+		{"interval 0", change(good, set(5, 0)), sealed.BadInterval},
+		{"damaged", set(10, 9)(bytes.Clone(good)), sealed.BadChecksum},
+		{"another trailer", change(good, set(12, 2)), sealed.BadVersion},
+		{"unknown key", change(good, set(13, 3)), sealed.UnknownKey},
+		{"another key's number", change(good, set(13, 2)), sealed.BadMAC},
+		{"another sequence", set(12+19, 8)(bytes.Clone(good)), sealed.BadMAC},
+		{"another signature", set(len(good)-1, good[len(good)-1]^1)(bytes.Clone(good)), sealed.BadMAC},
 	} {
 		if m, fault := Parse(c.b, true, from4, to4, []Key{key1, key2}); fault != c.want || m.VRID != 0 {
 			t.Errorf("%s: %v, want %v", c.name, fault, c.want)
@@ -118,7 +119,7 @@
 	for i := range len(good) * 8 {
 		b := bytes.Clone(good)
 		b[i/8] ^= 1 << (i % 8)
-		if _, fault := Parse(b, true, from4, to4, []Key{key1}); fault == Sound {
+		if _, fault := Parse(b, true, from4, to4, []Key{key1}); fault == sealed.NoFault {
 			t.Errorf("bit %d flipped unnoticed", i)
 		}
 	}
@@ -161,7 +162,7 @@
 		}
 		for _, x := range [][]byte{b, signed} {
 			m, fault := Parse(x, four, from4, to4, []Key{key1})
-			if fault != Sound {
+			if fault != sealed.NoFault {
 				continue
 			}
 			again, err := Append(nil, m, from4, to4, key1)
@@ -182,18 +183,18 @@
 		t.Fatal(len(b), err)
 	}
 	got, fault := ParseAnnouncement(b, []Key{key1})
-	if fault != Sound || got.Listen != a.Listen || !slices.Equal(got.Addresses, a.Addresses) || got.Sequence != 4 || got.Sender != 3 {
+	if fault != sealed.NoFault || got.Listen != a.Listen || !slices.Equal(got.Addresses, a.Addresses) || got.Sequence != 4 || got.Sender != 3 {
 		t.Errorf("%v %+v", fault, got)
 	}
 	for i := range b {
 		x := bytes.Clone(b)
 		x[i] ^= 1
-		if _, fault := ParseAnnouncement(x, []Key{key1}); fault == Sound {
+		if _, fault := ParseAnnouncement(x, []Key{key1}); fault == sealed.NoFault {
 			t.Errorf("byte %d changed unnoticed", i)
 		}
 	}
 	for n := range b {
-		if _, fault := ParseAnnouncement(b[:n], []Key{key1}); fault == Sound {
+		if _, fault := ParseAnnouncement(b[:n], []Key{key1}); fault == sealed.NoFault {
 			t.Errorf("cut to %d unnoticed", n)
 		}
 	}
