--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -88,7 +88,7 @@
 		c.handleAttemptEnded(e)
 	case HealthCheckEnded:
 		c.Counts.HealthChecks[e.Result]++
-		c.step(policy.HealthCheckEnded{Server: e.Server, Result: e.Result, Latency: e.Latency, LoadReport: e.Report})
+		c.step(policy.HealthCheckEnded{Server: e.Server, Result: e.Result, Latency: e.Latency, LoadReport: e.LoadReport})
 	case EndpointListUpdate:
 		c.updateEndpointList(e, listForm(e))
 	case Call:
--- a/internal/routing/core_test.go
+++ b/internal/routing/core_test.go
@@ -34,7 +34,7 @@
 	cancelled []int
 	withdrawn []policy.ServerID
 	probes    []policy.ServerID
-	places    map[policy.ServerID]string
+	endpoints map[policy.ServerID]string
 }
 
 type fakeAttempt struct {
@@ -53,12 +53,12 @@
 }
 func (s *fakeServers) CloseIdle(policy.ServerID)                 {}
 func (s *fakeServers) Withdraw(id policy.ServerID)               { s.withdrawn = append(s.withdrawn, id) }
-func (s *fakeServers) Forget(id policy.ServerID)                 { delete(s.places, id) }
-func (s *fakeServers) SetEndpoint(id policy.ServerID, at string) { s.places[id] = at }
+func (s *fakeServers) Forget(id policy.ServerID)                 { delete(s.endpoints, id) }
+func (s *fakeServers) SetEndpoint(id policy.ServerID, at string) { s.endpoints[id] = at }
 
-type fakeDiscovery struct{ from []int64 }
+type fakeDiscovery struct{ watchedFrom []int64 }
 
-func (d *fakeDiscovery) Watch(from int64) { d.from = append(d.from, from) }
+func (d *fakeDiscovery) Watch(from int64) { d.watchedFrom = append(d.watchedFrom, from) }
 func (d *fakeDiscovery) StopWatch()       {}
 func (d *fakeDiscovery) Fetch()           {}
 
@@ -66,18 +66,18 @@
 
 func (c *fakeClient) Answer(a Answer) { c.answers = append(c.answers, a) }
 
-// fakePayload counts its holders.
-type fakePayload struct{ holders int }
+// fakePayload counts the references to it.
+type fakePayload struct{ references int }
 
-func (p *fakePayload) Share() Payload { p.holders++; return p }
-func (p *fakePayload) Free()          { p.holders-- }
+func (p *fakePayload) Share() Payload { p.references++; return p }
+func (p *fakePayload) Free()          { p.references-- }
 
-type rig struct {
-	t       *testing.T
-	now     clock.Micros
-	core    *Core
-	servers *fakeServers
-	disc    *fakeDiscovery
+type harness struct {
+	t         *testing.T
+	now       clock.Micros
+	core      *Core
+	servers   *fakeServers
+	discovery *fakeDiscovery
 }
 
 func entry(uid string, state discovery.State, primary bool) discovery.Entry {
@@ -87,23 +87,23 @@
 	}
 }
 
-func newRig(t *testing.T) *rig {
+func newHarness(t *testing.T) *harness {
 	t.Helper()
 	facts, err := settings.Parse([]byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, now: start, servers: &fakeServers{places: map[policy.ServerID]string{}}, disc: &fakeDiscovery{}}
+	r := &harness{t: t, now: start, servers: &fakeServers{endpoints: map[policy.ServerID]string{}}, discovery: &fakeDiscovery{}}
 	known := EndpointListUpdate{List: discovery.List{Rev: 41, All: true, Entries: []discovery.Entry{
 		entry("p", discovery.Ready, true), entry("a", discovery.Ready, false), entry("b", discovery.Ready, false),
 	}}}
-	r.core = NewCore(r.now, 5, facts, known, r.servers, r.disc, zerolog.Nop())
+	r.core = NewCore(r.now, 5, facts, known, r.servers, r.discovery, zerolog.Nop())
 	return r
 }
 
-// pass lets time pass, with every timer at its time.
-func (r *rig) pass(span clock.Micros) {
-	end := r.now + span
+// advance moves the clock on, with every timer at its time.
+func (r *harness) advance(interval clock.Micros) {
+	end := r.now + interval
 	for {
 		at, ok := r.core.NextTimer()
 		if !ok || at > end {
@@ -115,16 +115,16 @@
 	r.now = end
 }
 
-func (r *rig) request(class int, wait clock.Micros) (*fakeClient, *fakePayload) {
-	c, p := &fakeClient{}, &fakePayload{holders: 1}
+func (r *harness) request(class int, wait clock.Micros) (*fakeClient, *fakePayload) {
+	c, p := &fakeClient{}, &fakePayload{references: 1}
 	r.core.Handle(r.now, &Request{
 		Client: c, Payload: p, Arrival: policy.Arrival{Class: class, Group: 7}, ReadAt: r.now, Timeout: wait,
 	})
 	return c, p
 }
 
-// end tells how the n-th job ended; the servers' side frees its share.
-func (r *rig) end(n int, res policy.Result) {
+// endAttempt ends the n-th job and frees its payload, as Servers does.
+func (r *harness) endAttempt(n int, res policy.Result) {
 	j := r.servers.jobs[n]
 	j.Payload.Free()
 	var value *transport.Message
@@ -134,7 +134,7 @@
 	r.core.Handle(r.now, AttemptEnded{Job: j, Result: res, Latency: r.now - j.SentAt, Value: value})
 }
 
-func (r *rig) want(c *fakeClient, kinds ...AnswerKind) {
+func (r *harness) wantAnswers(c *fakeClient, kinds ...AnswerKind) {
 	r.t.Helper()
 	if len(c.answers) != len(kinds) {
 		r.t.Fatalf("%d answers, want %d: %+v", len(c.answers), len(kinds), c.answers)
@@ -147,7 +147,7 @@
 }
 
 func TestServedOnceAndForgotten(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	c, p := r.request(0, 900_000)
 	if len(r.servers.jobs) != 1 {
 		t.Fatalf("%d sends", len(r.servers.jobs))
@@ -156,129 +156,133 @@
 	if j.Deadline > r.now+900_000 || j.Deadline <= r.now || j.SentAt != r.now {
 		t.Errorf("sent at %d until %d, now %d", j.SentAt, j.Deadline, r.now)
 	}
-	r.pass(20_000)
-	r.end(0, policy.ResultOK)
-	r.want(c, AnswerServed)
-	r.pass(2_000_000)
-	r.want(c, AnswerServed)
-	if p.holders != 0 || r.core.OpenRequests() != 0 || len(r.core.requests.byID) != 0 {
-		t.Errorf("%d holders, %d open, %d kept", p.holders, r.core.OpenRequests(), len(r.core.requests.byID))
+	r.advance(20_000)
+	r.endAttempt(0, policy.ResultOK)
+	r.wantAnswers(c, AnswerServed)
+	r.advance(2_000_000)
+	r.wantAnswers(c, AnswerServed)
+	if p.references != 0 || r.core.OpenRequests() != 0 || len(r.core.requests.byID) != 0 {
+		t.Errorf("%d references, %d open, %d kept", p.references, r.core.OpenRequests(), len(r.core.requests.byID))
 	}
 }
 
-// An answer is final for the module too. Were it not told so, each one would leave an attempt that it counts as out
-// for good, and soon no server would have room.
+// An answer is final for the router too. Were it not told so, each one would leave an attempt that it counts as in flight for
+// good, and soon no server would have capacity left.
 func TestAnswersLeaveNothingOut(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	for n := range 1000 {
 		c, _ := r.request(0, 900_000)
 		if len(r.servers.jobs) != n+1 {
 			t.Fatalf("request %d was not sent", n)
 		}
-		r.pass(10_000)
-		r.end(n, policy.ResultOK)
-		r.want(c, AnswerServed)
+		r.advance(10_000)
+		r.endAttempt(n, policy.ResultOK)
+		r.wantAnswers(c, AnswerServed)
 	}
 }
 
-// An unsafe request that may have run is failed, never refused and never sent again; one that never ran is.
-func TestOutcomesDecideWhatIsTold(t *testing.T) {
+// A non-idempotent request that may have run is failed, never rejected and never sent again; one that never ran is.
+func TestOutcomeDecidesTheAnswer(t *testing.T) {
+	const read, write = 0, 1 // classes
 	for _, c := range []struct {
-		class int
-		res   policy.Result
-		again bool
-		kind  AnswerKind
+		name      string
+		class     int
+		result    policy.Result
+		sentAgain bool
+		kind      AnswerKind
 	}{
-		{1, policy.ResultReset, false, AnswerFailed}, {1, policy.ResultError, false, AnswerFailed},
-		{1, policy.ResultTimeout, false, AnswerFailed}, {1, policy.ResultConnectFailed, true, AnswerRejected},
-		{1, policy.ResultOverloaded, true, AnswerRejected}, {0, policy.ResultReset, true, AnswerRejected},
+		{"write reset", write, policy.ResultReset, false, AnswerFailed},
+		{"write error", write, policy.ResultError, false, AnswerFailed},
+		{"write timeout", write, policy.ResultTimeout, false, AnswerFailed},
+		{"write not connected", write, policy.ResultConnectFailed, true, AnswerRejected},
+		{"write on an overloaded server", write, policy.ResultOverloaded, true, AnswerRejected},
+		{"read reset", read, policy.ResultReset, true, AnswerRejected},
 	} {
-		r := newRig(t)
-		client, p := r.request(c.class, 1_000_000)
-		r.pass(10_000)
-		r.end(0, c.res)
-		r.pass(200_000)
-		if again := len(r.servers.jobs) > 1; again != c.again {
-			t.Errorf("%s of class %d: sent again %v", ResultNames[c.res], c.class, again)
-		}
-		for n := 1; n < len(r.servers.jobs); n++ {
-			if n < 4 {
-				r.end(n, policy.ResultConnectFailed)
-				r.pass(200_000)
+		t.Run(c.name, func(t *testing.T) {
+			r := newHarness(t)
+			client, _ := r.request(c.class, 1_000_000)
+			r.advance(10_000)
+			r.endAttempt(0, c.result)
+			r.advance(200_000)
+			if sentAgain := len(r.servers.jobs) > 1; sentAgain != c.sentAgain {
+				t.Errorf("%s of class %d: sent again %v", ResultNames[c.result], c.class, sentAgain)
 			}
-		}
-		r.pass(2_000_000)
-		r.want(client, c.kind)
-		if n := len(r.servers.jobs); n > 4 {
-			t.Errorf("%d attempts of four allowed", n)
-		}
-		_ = p
+			for n := 1; n < min(len(r.servers.jobs), 4); n++ {
+				r.endAttempt(n, policy.ResultConnectFailed)
+				r.advance(200_000)
+			}
+			r.advance(2_000_000)
+			r.wantAnswers(client, c.kind)
+			if n := len(r.servers.jobs); n > 4 {
+				t.Errorf("%d attempts of four allowed", n)
+			}
+		})
 	}
 }
 
-// What the client leaves behind is cancelled, and its late outcome is still taken in, answered to nobody.
-func TestClientGone(t *testing.T) {
-	r := newRig(t)
+// The attempt of a client that disconnects is cancelled; its late outcome is still taken in, and answered to nobody.
+func TestClientDisconnected(t *testing.T) {
+	r := newHarness(t)
 	c, p := r.request(1, 1_000_000)
-	r.pass(10_000)
+	r.advance(10_000)
 	r.core.Handle(r.now, ClientDisconnected{Client: c})
 	if len(r.servers.cancelled) != 1 {
 		t.Fatalf("%d cancels", len(r.servers.cancelled))
 	}
-	r.end(0, policy.ResultOK)
+	r.endAttempt(0, policy.ResultOK)
 	r.core.Handle(r.now, ClientDisconnected{Client: c})
-	r.pass(3_000_000)
-	r.want(c)
-	if p.holders != 0 || len(r.core.requests.byID) != 0 {
-		t.Errorf("%d holders, %d kept", p.holders, len(r.core.requests.byID))
+	r.advance(3_000_000)
+	r.wantAnswers(c)
+	if p.references != 0 || len(r.core.requests.byID) != 0 {
+		t.Errorf("%d references, %d kept", p.references, len(r.core.requests.byID))
 	}
 }
 
-// Time that passed between the reading and the owner's turn is taken off the client's patience.
+// Time spent in the owner's queue is taken off the client's timeout.
 func TestQueueTimeCounts(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	c := &fakeClient{}
 	r.core.Handle(r.now, &Request{
-		Client: c, Payload: &fakePayload{holders: 1}, Arrival: policy.Arrival{Class: 1, Group: 7},
+		Client: c, Payload: &fakePayload{references: 1}, Arrival: policy.Arrival{Class: 1, Group: 7},
 		ReadAt: r.now - 400_000, Timeout: 1_000_000,
 	})
 	if u := r.servers.jobs[0].Deadline; u > r.now+600_000 || u < r.now+500_000 {
 		t.Errorf("given up after %d us, want just under 600000", u-r.now)
 	}
-	r.pass(600_000)
-	r.want(c, AnswerFailed)
+	r.advance(600_000)
+	r.wantAnswers(c, AnswerFailed)
 }
 
-func TestUnknownGroupIsRefusedAtOnce(t *testing.T) {
-	r := newRig(t)
-	c, p := &fakeClient{}, &fakePayload{holders: 1}
+func TestUnknownGroupIsRejected(t *testing.T) {
+	r := newHarness(t)
+	c, p := &fakeClient{}, &fakePayload{references: 1}
 	r.core.Handle(r.now, &Request{
 		Client: c, Payload: p, Arrival: policy.Arrival{Class: 1, Group: 99}, ReadAt: r.now, Timeout: 1_000_000,
 	})
-	r.want(c, AnswerRejected)
-	if p.holders != 0 || r.core.Counts.UnknownGroup != 1 {
-		t.Errorf("%d holders, %d counted", p.holders, r.core.Counts.UnknownGroup)
+	r.wantAnswers(c, AnswerRejected)
+	if p.references != 0 || r.core.Counts.UnknownGroup != 1 {
+		t.Errorf("%d references, %d counted", p.references, r.core.Counts.UnknownGroup)
 	}
 }
 
-func TestListNews(t *testing.T) {
-	r := newRig(t)
-	if len(r.disc.from) != 1 || r.disc.from[0] != 41 {
-		t.Fatalf("watched from %v, want the version of the list it had", r.disc.from)
+func TestEndpointListUpdates(t *testing.T) {
+	r := newHarness(t)
+	if len(r.discovery.watchedFrom) != 1 || r.discovery.watchedFrom[0] != 41 {
+		t.Fatalf("watched from %v, want the version of the list it had", r.discovery.watchedFrom)
 	}
-	if len(r.servers.places) != 3 || !r.core.Ready() {
-		t.Fatalf("%v placed", r.servers.places)
+	if len(r.servers.endpoints) != 3 || !r.core.Ready() {
+		t.Fatalf("%v placed", r.servers.endpoints)
 	}
 	moved := entry("a", discovery.Draining, false)
 	moved.Endpoint = "127.0.0.9:1"
 	r.core.Handle(r.now, EndpointListUpdate{List: discovery.List{Rev: 42, Entries: []discovery.Entry{moved}}})
-	if len(r.servers.places) != 3 || r.servers.places[2] != "127.0.0.9:1" {
-		t.Errorf("a server that moved is %v", r.servers.places)
+	if len(r.servers.endpoints) != 3 || r.servers.endpoints[2] != "127.0.0.9:1" {
+		t.Errorf("a server that moved is %v", r.servers.endpoints)
 	}
 	r.core.Handle(r.now, EndpointListUpdate{Failed: true})
-	r.pass(5_000_000)
-	if len(r.disc.from) < 2 || r.disc.from[1] != 42 {
-		t.Errorf("asked again from %v", r.disc.from)
+	r.advance(5_000_000)
+	if len(r.discovery.watchedFrom) < 2 || r.discovery.watchedFrom[1] != 42 {
+		t.Errorf("asked again from %v", r.discovery.watchedFrom)
 	}
 	// A draining server gets nothing new.
 	for range 30 {
@@ -336,7 +340,7 @@
 }
 
 func TestOwnerStops(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	o := NewOwner(NewClock())
 	go o.Run(func(clock.Micros) *Core { return r.core })
 	ran := false
@@ -352,28 +356,28 @@
 	}
 }
 
-// On a long day servers are replaced without end: nothing stays of one that is gone, and one that comes back while an
-// attempt is out at it is still the same.
+// Servers are replaced without end: nothing stays of one that was removed. One that comes back while an attempt is in flight at
+// it keeps its number.
 func TestReplacedServersAreForgotten(t *testing.T) {
-	r := newRig(t)
-	tell := func(entries ...discovery.Entry) {
+	r := newHarness(t)
+	update := func(entries ...discovery.Entry) {
 		r.core.Handle(r.now, EndpointListUpdate{List: discovery.List{Rev: 42, Entries: entries}})
-		r.pass(100_000)
+		r.advance(100_000)
 	}
-	r.pass(100_000)
-	tell(entry("never", discovery.Gone, false))
+	r.advance(100_000)
+	update(entry("never", discovery.Gone, false))
 	before := len(r.core.endpoints.idByUID)
 	for i := range 500 {
 		uid := "s" + strconv.Itoa(i)
-		tell(entry(uid, discovery.Ready, false))
-		tell(entry(uid, discovery.Draining, false))
-		tell(entry(uid, discovery.Gone, false))
+		update(entry(uid, discovery.Ready, false))
+		update(entry(uid, discovery.Draining, false))
+		update(entry(uid, discovery.Gone, false))
 	}
-	r.pass(1_000_000)
+	r.advance(1_000_000)
 	if m := r.core.endpoints; len(m.idByUID) != before || len(m.uidByID) != before || len(m.listed) != before ||
-		len(r.servers.places) != before {
+		len(r.servers.endpoints) != before {
 		t.Errorf("%d numbers, %d uids, %d live and %d places kept, want %d", len(m.idByUID), len(m.uidByID), len(m.listed),
-			len(r.servers.places), before)
+			len(r.servers.endpoints), before)
 	}
 	for len(r.servers.jobs) == 0 || r.servers.jobs[len(r.servers.jobs)-1].Server == 1 {
 		r.request(0, 900_000)
@@ -381,41 +385,41 @@
 	last := len(r.servers.jobs) - 1
 	id := r.servers.jobs[last].Server
 	uid := r.core.endpoints.uidByID[id]
-	tell(entry(uid, discovery.Gone, false))
-	tell(entry(uid, discovery.Ready, false))
+	update(entry(uid, discovery.Gone, false))
+	update(entry(uid, discovery.Ready, false))
 	if r.core.endpoints.idByUID[uid] != id {
 		t.Error("a server that came back while an attempt was out got another number")
 	}
-	r.end(last, policy.ResultOK)
+	r.endAttempt(last, policy.ResultOK)
 }
 
-// What a client calls its requests is remembered for just as long as anything is out for them.
-func TestNamesInUse(t *testing.T) {
-	r := newRig(t)
-	ask := func() *fakeClient {
+// A client's id for a request is kept for just as long as the request is open or in flight.
+func TestClientIDsInUse(t *testing.T) {
+	r := newHarness(t)
+	request := func() *fakeClient {
 		c := &fakeClient{}
 		r.core.Handle(r.now, &Request{
-			Client: c, ClientID: "x", Payload: &fakePayload{holders: 1}, ReadAt: r.now, Timeout: 1_000_000,
+			Client: c, ClientID: "x", Payload: &fakePayload{references: 1}, ReadAt: r.now, Timeout: 1_000_000,
 			Arrival: policy.Arrival{Class: 1, Group: 7},
 		})
 		return c
 	}
-	first := ask()
-	r.want(ask(), AnswerDuplicateID)
+	first := request()
+	r.wantAnswers(request(), AnswerDuplicateID)
 	r.core.Handle(r.now, ClientDisconnected{Client: first})
-	r.want(ask(), AnswerDuplicateID) // its attempt is still out
-	r.end(0, policy.ResultCancelled)
-	r.want(ask())
-	r.end(1, policy.ResultOK)
+	r.wantAnswers(request(), AnswerDuplicateID) // its attempt is still in flight
+	r.endAttempt(0, policy.ResultCancelled)
+	r.wantAnswers(request())
+	r.endAttempt(1, policy.ResultOK)
 	if len(r.core.requests.byClientID) != 0 {
 		t.Errorf("%d names kept", len(r.core.requests.byClientID))
 	}
 }
 
-// A request read under other settings is placed by its class's name, and refused, unsent, if that class needs other data
-// now or is no more. The counters keep each class's place.
+// A request read under other settings gets its class by name, and is rejected unsent if that class needs other data now or is
+// no more. Each class keeps its index among the counters.
 func TestClassesAreFoundByNameAfterAChange(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	old := r.core.inForce
 	next := *old
 	next.ClassNames = []string{"extra", old.ClassNames[1], old.ClassNames[0]}
@@ -424,15 +428,15 @@
 	next.Settings.Classes = []policy.Class{c[0], c[1], c[0]}
 	next.Settings.Classes[0].Name = "extra"
 	r.core.Reconfigure(&next)
-	ask := func(facts *settings.InForce, class int) *fakeClient {
+	request := func(facts *settings.InForce, class int) *fakeClient {
 		f := &fakeClient{}
 		r.core.Handle(r.now, &Request{
-			Client: f, Payload: &fakePayload{holders: 1}, InForce: facts, Arrival: policy.Arrival{Class: class, Group: 7},
+			Client: f, Payload: &fakePayload{references: 1}, InForce: facts, Arrival: policy.Arrival{Class: class, Group: 7},
 			ReadAt: r.now, Timeout: 1_000_000,
 		})
 		return f
 	}
-	ask(old, 0)
+	request(old, 0)
 	if n := r.core.Counts; n.Requests[0] != 1 || n.ClassNames[2] != "extra" || n.ClassChanged != 0 {
 		t.Errorf("%+v", n)
 	}
@@ -441,24 +445,24 @@
 	other.Settings.Classes = []policy.Class{c[1], c[1]}
 	r.core.Reconfigure(&other)
 	sends := len(r.servers.jobs)
-	r.want(ask(old, 0), AnswerRejected)   // no more
-	r.want(ask(&next, 0), AnswerRejected) // a write now
+	r.wantAnswers(request(old, 0), AnswerRejected)   // no more
+	r.wantAnswers(request(&next, 0), AnswerRejected) // a write now
 	if n := r.core.Counts; n.ClassChanged != 2 || len(r.servers.jobs) != sends {
 		t.Errorf("%d strays, %d sent", n.ClassChanged, len(r.servers.jobs)-sends)
 	}
 }
 
-// A server that operators set aside gets nothing new, whatever the list says meanwhile, and is cold once it is put back. What discovery
-// has told of itself stays as it was.
-func TestServersSetAside(t *testing.T) {
-	r := newRig(t)
-	aside := func(uids ...string) { r.core.Handle(r.now, Call{Do: func(c *Core) { c.SetCordoned(uids) }}) }
+// A cordoned server gets nothing new, whatever the list says meanwhile, and is in slow start once it is uncordoned. The state
+// on the list is kept.
+func TestCordonedServers(t *testing.T) {
+	r := newHarness(t)
+	cordon := func(uids ...string) { r.core.Handle(r.now, Call{Do: func(c *Core) { c.SetCordoned(uids) }}) }
 	sentTo := func(rounds int) map[string]bool {
 		out := map[string]bool{}
 		for range rounds {
 			from := len(r.servers.jobs)
 			r.request(0, 900_000)
-			r.pass(400_000)
+			r.advance(400_000)
 			for _, j := range r.servers.jobs[from:] {
 				out[r.core.endpoints.uidByID[j.Server]] = true
 				r.core.Handle(r.now, AttemptEnded{Job: j, Result: policy.ResultOK, Latency: 1000, Role: policy.RoleReplica, Position: r.now})
@@ -469,27 +473,27 @@
 	if to := sentTo(40); !to["a"] || !to["b"] {
 		t.Fatalf("before: %v", to)
 	}
-	aside("a", "unknown")
+	cordon("a", "unknown")
 	if to := sentTo(40); to["a"] || !to["b"] || r.core.InFlightAt("a") != 0 {
-		t.Errorf("set aside: %v", to)
+		t.Errorf("cordoned: %v", to)
 	}
 	r.core.Handle(r.now, EndpointListUpdate{List: discovery.List{Rev: 42, Entries: []discovery.Entry{entry("a", discovery.Ready, false), entry("unknown", discovery.Ready, false)}}})
 	if to := sentTo(40); to["a"] || to["unknown"] {
-		t.Errorf("set aside, and on the list again: %v", to)
+		t.Errorf("cordoned, and on the list again: %v", to)
 	}
-	aside()
+	cordon()
 	view := func(uid string) policy.ServerView { v, _ := r.core.viewOf(uid); return v }
 	if v := view("a"); !v.InSlowStart || v.State != policy.EndpointReady {
-		t.Errorf("put back: %+v", v)
+		t.Errorf("uncordoned: %+v", v)
 	}
 	if to := sentTo(40); !to["a"] {
-		t.Errorf("put back: %v", to)
+		t.Errorf("uncordoned: %v", to)
 	}
-	aside("b")
+	cordon("b")
 	r.core.Handle(r.now, EndpointListUpdate{List: discovery.List{Rev: 43, Entries: []discovery.Entry{entry("b", discovery.Draining, false)}}})
-	aside()
+	cordon()
 	if v := view("b"); v.State != policy.EndpointDraining {
-		t.Errorf("put back, and the list has it drain: %+v", v)
+		t.Errorf("uncordoned, and draining on the list: %+v", v)
 	}
 	if group, known := r.core.GroupOf("a"); !known || group != 7 {
 		t.Errorf("group %d, %v", group, known)
@@ -499,19 +503,19 @@
 	}
 }
 
-// A read that must be current is not served by the answer of one that says that it is a replica: it was taken for the primary by an
-// old list. The read goes on, and other reads have such answers.
+// A read that needs current data is not served by the answer of a server that says it is a replica, which an old list named as
+// primary: it is sent again. Other reads take such answers.
 func TestAnswersOfReplicas(t *testing.T) {
 	for need, want := range map[string]int{"strong": 0, "eventual": 1} {
 		facts, err := settings.Parse([]byte(strings.Replace(testSettings, `"eventual"`, `"`+need+`"`, 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := newRig(t)
+		r := newHarness(t)
 		r.core.Reconfigure(facts)
 		c, _ := r.request(0, 900_000)
 		if len(r.servers.jobs) == 0 {
-			r.pass(100_000)
+			r.advance(100_000)
 		}
 		j := r.servers.jobs[0]
 		r.core.Handle(r.now, AttemptEnded{Job: j, Result: policy.ResultOK, Latency: 1000, Role: policy.RoleReplica, Position: r.now})
@@ -521,7 +525,7 @@
 		for _, j := range r.servers.jobs[1:] {
 			r.core.Handle(r.now, AttemptEnded{Job: j, Result: policy.ResultOK, Latency: 1000, Role: policy.RolePrimary, Position: r.now})
 		}
-		r.pass(1_000_000)
+		r.advance(1_000_000)
 		if len(c.answers) != 1 {
 			t.Errorf("%s: %d answers in the end", need, len(c.answers))
 		}
--- a/internal/routing/events.go
+++ b/internal/routing/events.go
@@ -28,21 +28,21 @@
 
 // AttemptEnded says how an attempt ended. Value is set if Result is policy.ResultOK.
 type AttemptEnded struct {
-	Job      Job
-	Result   policy.Result
-	Latency  clock.Micros
-	Role     policy.Role
-	Position policy.Position
-	Report   policy.LoadReport
-	Value    *transport.Message
+	Job        Job
+	Result     policy.Result
+	Latency    clock.Micros
+	Role       policy.Role
+	Position   policy.Position
+	LoadReport policy.LoadReport
+	Value      *transport.Message
 }
 
 // HealthCheckEnded says how a health check ended.
 type HealthCheckEnded struct {
-	Server  policy.ServerID
-	Result  policy.Result
-	Latency clock.Micros
-	Report  policy.LoadReport
+	Server     policy.ServerID
+	Result     policy.Result
+	Latency    clock.Micros
+	LoadReport policy.LoadReport
 }
 
 // EndpointListUpdate is the endpoint list or changes to it (List.All tells which), or a call for it that failed.
--- a/internal/routing/requests.go
+++ b/internal/routing/requests.go
@@ -154,7 +154,7 @@
 	}
 	c.step(policy.Outcome{
 		ID: q.id, Attempt: e.Job.Attempt, Server: e.Job.Server, Result: e.Result, Final: final, Latency: e.Latency,
-		Role: e.Role, Position: e.Position, LoadReport: e.Report,
+		Role: e.Role, Position: e.Position, LoadReport: e.LoadReport,
 	})
 	c.requests.forgetIfDone(q)
 }
--- a/internal/session/server_conn_test.go
+++ b/internal/session/server_conn_test.go
@@ -227,8 +227,8 @@
 	now := r.servers.Clock.Now()
 	r.servers.HealthCheck(1, now, now+5_000_000)
 	p := (<-r.told).(routing.HealthCheckEnded)
-	if p.Result != policy.ResultOK || p.Report.Position != 1_796_133_629_826_000 || p.Report.Role != policy.RolePrimary ||
-		p.Report.Util != 250 {
+	if p.Result != policy.ResultOK || p.LoadReport.Position != 1_796_133_629_826_000 || p.LoadReport.Role != policy.RolePrimary ||
+		p.LoadReport.Util != 250 {
 		t.Errorf("%+v", p)
 	}
 }
@@ -404,8 +404,8 @@
 			string(fake.Row([]byte("v"))) + message('Z', "I")))
 	})
 	r.servers.Send(r.job("a"))
-	if e := r.ended(); e.Result != policy.ResultOK || e.Report.HasPosition {
-		t.Errorf("ended with %s, report %+v", routing.ResultNames[e.Result], e.Report)
+	if e := r.ended(); e.Result != policy.ResultOK || e.LoadReport.HasPosition {
+		t.Errorf("ended with %s, report %+v", routing.ResultNames[e.Result], e.LoadReport)
 	}
 	if r.servers.report("x0=1796133629.826,x1=zero").HasPosition {
 		t.Error("half a report was believed")
--- a/internal/session/servers.go
+++ b/internal/session/servers.go
@@ -214,13 +214,13 @@
 	latency := s.Clock.Now() - t.SentAt
 	if t.probe {
 		s.Owner.Post(routing.HealthCheckEnded{
-			Server: t.Server, Result: e.result, Latency: latency, Report: s.report(e.report),
+			Server: t.Server, Result: e.result, Latency: latency, LoadReport: s.report(e.report),
 		})
 		return
 	}
 	t.Payload.Free()
 	out := routing.AttemptEnded{
-		Job: t.Job, Result: e.result, Latency: latency, Role: roles[e.params.Role], Report: s.report(e.params.Load),
+		Job: t.Job, Result: e.result, Latency: latency, Role: roles[e.params.Role], LoadReport: s.report(e.params.Load),
 		Value: e.value,
 	}
 	if pos, err := settings.ParseScaled(e.params.Position, 3); err == nil {
@@ -236,7 +236,7 @@
 	var rep policy.LoadReport
 	fields, ok := postgres.LoadFields(text)
 	for _, f := range fields {
-		ok = ok && settings.SetReportField(&rep, f.Name, f.Value, 0) == nil
+		ok = ok && settings.SetLoadReportField(&rep, f.Name, f.Value, 0) == nil
 	}
 	if !ok {
 		return policy.LoadReport{}
--- a/internal/settings/decimal.go
+++ b/internal/settings/decimal.go
@@ -12,15 +12,15 @@
 	errOutOfRange = errors.New("not a number within range")
 )
 
-// maxWholePart bounds the part of a number before its point, so that it fits an int64 when scaled by up to 10^5; scaled by
+// maxIntegerPart bounds the part of a number before its point, so that it fits an int64 when scaled by up to 10^5; scaled by
 // 10^6, as positions in seconds are, it fits up to 9.2e12.
-const maxWholePart = 1e13
+const maxIntegerPart = 1e13
 
 // maxExponentForm bounds the absolute value of a number with an exponent.
 const maxExponentForm = 1e15
 
 // ParseScaled reads a decimal number as a whole number of 10^-digits, rounded down. The part before the point may be up to
-// maxWholePart.
+// maxIntegerPart.
 func ParseScaled(text string, digits int) (int64, error) {
 	if strings.ContainsAny(text, "eE") {
 		value, err := strconv.ParseFloat(text, 64)
@@ -30,9 +30,9 @@
 		text = strconv.FormatFloat(value, 'f', digits, 64)
 	}
 	negative := strings.HasPrefix(text, "-")
-	whole, fraction, _ := strings.Cut(strings.TrimPrefix(text, "-"), ".")
-	value, err := strconv.ParseInt(whole, 10, 64)
-	if err != nil || value < 0 || value > maxWholePart {
+	integer, fraction, _ := strings.Cut(strings.TrimPrefix(text, "-"), ".")
+	value, err := strconv.ParseInt(integer, 10, 64)
+	if err != nil || value < 0 || value > maxIntegerPart {
 		return 0, errOutOfRange
 	}
 	value, exact, err := appendFraction(value, fraction, digits)
--- a/internal/settings/loadreport.go
+++ b/internal/settings/loadreport.go
@@ -30,7 +30,7 @@
 
 // SetReportField sets one field of a load report, by the platform's name for it. A position is counted in seconds from
 // epoch. Fields of unknown names are skipped; a value that is no number is an error.
-func SetReportField(report *policy.LoadReport, field, value string, epoch clock.Micros) error {
+func SetLoadReportField(loadReport *policy.LoadReport, field, value string, epoch clock.Micros) error {
 	digits, known := fieldDigits(field)
 	if !known {
 		return nil
@@ -41,16 +41,16 @@
 	}
 	switch field {
 	case fieldPosition:
-		report.Position, report.HasPosition = epoch+clock.Micros(number), true
+		loadReport.Position, loadReport.HasPosition = epoch+clock.Micros(number), true
 	case fieldRole:
-		report.Role = policy.RoleReplica
+		loadReport.Role = policy.RoleReplica
 		if number == rolePrimary {
-			report.Role = policy.RolePrimary
+			loadReport.Role = policy.RolePrimary
 		}
 	case fieldQueue:
-		report.Queue, report.HasQueue = number, true
+		loadReport.Queue, loadReport.HasQueue = number, true
 	case fieldUtilization:
-		report.Util, report.HasUtil = number, true
+		loadReport.Util, loadReport.HasUtil = number, true
 	}
 	return nil
 }
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -23,7 +23,7 @@
 		return nil, fmt.Errorf("settings cannot be read: %w", err)
 	}
 	// Where several keys are at fault, the first in this order is reported.
-	p := parser{out: &InForce{ClassIndex: map[string]int{}, ReportFields: wire.Report.Fields}}
+	p := parser{out: &InForce{ClassIndex: map[string]int{}, LoadReportFields: wire.LoadReport.Fields}}
 	p.readClasses(wire.Classes, &wire.Family)
 	p.checkTenants(wire.Tenants)
 	p.readDeployment(&wire)
@@ -62,7 +62,7 @@
 	class := policy.Class{
 		Name:             wire.Name,
 		Need:             policy.NeedWrite,
-		Effect:           lookupWord(p, key+"effect", effects, wire.Effect),
+		Effect:           lookupEnum(p, key+"effect", effects, wire.Effect),
 		LatencyObjective: p.micros(key+"aim_ms", wire.LatencyObjective),
 		Deadline:         p.micros(key+"give_up_ms", wire.Deadline),
 		PriorityWeight:   p.thousandths(key+"points", wire.PriorityWeight),
@@ -86,7 +86,7 @@
 	if class.Deadline == 0 {
 		p.warn(key+"give_up_ms", "missing or 0: no request could be answered")
 	}
-	if ttl := p.micros(key+"key_ttl_ms", wire.IdempotencyKeyTTL); wire.Effect == effectKeyed && ttl == 0 {
+	if ttl := p.micros(key+"key_ttl_ms", wire.IdempotencyKeyTTL); wire.Effect == effectIdempotencyKey && ttl == 0 {
 		p.warn(key+"key_ttl_ms", "missing or 0: no repeat could be told")
 	}
 	return class
@@ -125,11 +125,11 @@
 	out.Keepalive = p.micros("policy_limits.keepalive_ms", wire.Limits.Keepalive)
 	s.Gateways, s.Ordinal, s.Zone = wire.Gateways, wire.Ordinal, wire.Zone
 	s.Tick = p.micros("granularity_ms", wire.Tick)
-	s.FreshnessCheck = lookupWord(p, "family_info.checks", freshnessChecks, family.FreshnessCheck)
+	s.FreshnessCheck = lookupEnum(p, "family_info.checks", freshnessChecks, family.FreshnessCheck)
 	s.FreshnessCheckWait = p.micros("family_info.wait_ms", family.FreshnessCheckWait)
 	s.SessionPositionsCarried = family.SessionPositions == positionsCarried
 	s.AnswersCarryPosition = family.AnswersCarryPosition
-	s.ListSubscribed = lookupWord(p, "membership_mode", membershipModes, wire.MembershipMode)
+	s.ListSubscribed = lookupEnum(p, "membership_mode", membershipModes, wire.MembershipMode)
 }
 
 // readLimits reads what the gateway can and may do.
@@ -164,10 +164,10 @@
 
 // lookupWord looks a word up in a table. One that is missing or unknown gets the zero value, which is the strictest; an
 // unknown one is warned of.
-func lookupWord[T any](p *parser, key string, table map[string]T, word string) T {
-	value, ok := table[word]
-	if !ok && word != "" {
-		p.warn(key, "%.40q is not known", word)
+func lookupEnum[T any](p *parser, key string, table map[string]T, text string) T {
+	value, ok := table[text]
+	if !ok && text != "" {
+		p.warn(key, "%.40q is not known", text)
 	}
 	return value
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -17,13 +17,13 @@
 // InForce is one set of settings, read and checked. Policy gets Settings; the rest is for the gateway and the simulator's
 // wire.
 type InForce struct {
-	Settings      policy.Settings
-	ClassIndex    map[string]int // index into Settings.Classes, by the class's name
-	ClassNames    []string       // by index
-	ReportFields  []string       // names of the values of a load report on the simulator's wire, in order
-	PositionEpoch clock.Micros   // the time from which the simulator counts log positions
-	Keepalive     clock.Micros   // database servers close a connection that was idle for so long; 0: unknown
-	Warnings      []*KeyError    // what was missing or not understood, and has been read in its strictest sense
+	Settings         policy.Settings
+	ClassIndex       map[string]int // index into Settings.Classes, by the class's name
+	ClassNames       []string       // by index
+	LoadReportFields []string       // names of the values of a load report on the simulator's wire, in order
+	PositionEpoch    clock.Micros   // the time from which the simulator counts log positions
+	Keepalive        clock.Micros   // database servers close a connection that was idle for so long; 0: unknown
+	Warnings         []*KeyError    // what was missing or not understood, and has been read in its strictest sense
 }
 
 // Live holds the settings in force. They may be replaced while the gateway runs.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -50,7 +50,7 @@
 	for field, value := range map[string]string{
 		"x0": "1796133629.802", "x1": "1", "cpu_share": "0.464", "pending": "3", "mystery": "x",
 	} {
-		if err := SetReportField(&rep, field, value, 0); err != nil {
+		if err := SetLoadReportField(&rep, field, value, 0); err != nil {
 			t.Errorf("%s: %v", field, err)
 		}
 	}
@@ -61,7 +61,7 @@
 	if rep != want {
 		t.Errorf("%+v", rep)
 	}
-	if SetReportField(&rep, "x0", "late", 0) == nil {
+	if SetLoadReportField(&rep, "x0", "late", 0) == nil {
 		t.Error("a position that is no number was taken")
 	}
 }
--- a/internal/settings/wire.go
+++ b/internal/settings/wire.go
@@ -5,18 +5,18 @@
 // wireSettings are the settings as the platform writes them. Its keys stand in the tags; the fields have the names that
 // policy.Settings gives them.
 type wireSettings struct {
-	Classes        []wireClass  `json:"classes"`
-	Tenants        []wireTenant `json:"realms"`
-	Gateways       int          `json:"balancers"`
-	Ordinal        int          `json:"ordinal"`
-	Tick           wireNumber   `json:"granularity_ms"`
-	Zone           string       `json:"locality"`
-	MembershipMode string       `json:"membership_mode"`
-	Family         wireFamily   `json:"family_info"`
-	Limits         wireLimits   `json:"policy_limits"`
-	Costs          wireCosts    `json:"costs"`
-	Report         wireReport   `json:"report"`
-	Rules          wireRules    `json:"rules"`
+	Classes        []wireClass    `json:"classes"`
+	Tenants        []wireTenant   `json:"realms"`
+	Gateways       int            `json:"balancers"`
+	Ordinal        int            `json:"ordinal"`
+	Tick           wireNumber     `json:"granularity_ms"`
+	Zone           string         `json:"locality"`
+	MembershipMode string         `json:"membership_mode"`
+	Family         wireFamily     `json:"family_info"`
+	Limits         wireLimits     `json:"policy_limits"`
+	Costs          wireCosts      `json:"costs"`
+	LoadReport     wireLoadReport `json:"report"`
+	Rules          wireRules      `json:"rules"`
 }
 
 // wireClass is a class of requests. What data it needs stands in wireFamily.
@@ -66,8 +66,8 @@
 	CrossZone wireNumber `json:"cross_zone"`
 }
 
-// wireReport describes load reports.
-type wireReport struct {
+// wireLoadReport describes load reports.
+type wireLoadReport struct {
 	Fields []string `json:"fields"`
 }
 
@@ -94,15 +94,15 @@
 	return nil
 }
 
-// effectKeyed is the effect of a class whose servers drop repeats by an idempotency key, within a window of time.
-const effectKeyed = "guarded"
+// effectIdempotencyKey is the effect of a class whose servers drop repeats by an idempotency key, within a window of time.
+const effectIdempotencyKey = "guarded"
 
 // positionsCarried says that session reads carry the log position of their session's last write.
 const positionsCarried = "brought"
 
 var effects = map[string]policy.Effect{
 	"free": policy.EffectIdempotent, "single_shot": policy.EffectNonIdempotent,
-	effectKeyed: policy.EffectNonIdempotent, // read in the strictest sense: never repeated, in spite of its key
+	effectIdempotencyKey: policy.EffectNonIdempotent, // read in the strictest sense: never repeated, in spite of its key
 }
 
 var needs = map[string]policy.Need{
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -321,11 +321,11 @@
 		r.fail(i, "a load report")
 		return rep
 	}
-	for k, field := range f.ReportFields {
+	for k, field := range f.LoadReportFields {
 		if sub.absent(k) {
 			continue
 		}
-		if err := settings.SetReportField(&rep, field, string(sub.vals[k]), f.PositionEpoch); err != nil {
+		if err := settings.SetLoadReportField(&rep, field, string(sub.vals[k]), f.PositionEpoch); err != nil {
 			sub.fail(k, "a number")
 		}
 	}
