--- /dev/null
+++ b/internal/membership/digest.go
@@ -0,0 +1,53 @@
+package membership
+
+// viewDigest is a digest of all alive members, this one among them, with their generations and incarnations. Two members with
+// the same digest have the same view. It is never 0, which stands for a digest not known yet.
+func (m *Machine) viewDigest() uint64 {
+	if !m.digestStale {
+		return m.digest
+	}
+	m.digestStale = false
+	m.digest, m.aliveOthers = 0, 0
+	if !m.self.State.Ended() {
+		m.digest = recordHash(m.self)
+	}
+	for i := range m.members {
+		if e := &m.members[i]; !e.State.Ended() {
+			m.digest ^= recordHash(e.Record)
+			m.aliveOthers++
+		}
+	}
+	if m.digest == 0 {
+		m.digest = 1
+	}
+	return m.digest
+}
+
+// countAlive counts the other members that have not ended.
+func (m *Machine) countAlive() int {
+	m.viewDigest()
+	return m.aliveOthers
+}
+
+// The offset basis and the prime of 64-bit FNV-1a.
+const (
+	fnvOffset uint64 = 14695981039346656037
+	fnvPrime         = 1099511628211
+)
+
+// recordHash is FNV-1a over a record's name, generation and incarnation. It is mixed once more, as the hashes of a view are
+// combined by exclusive or.
+func recordHash(r Record) uint64 {
+	h := fnvOffset
+	for i := range len(r.Name) {
+		h = (h ^ uint64(r.Name[i])) * fnvPrime
+	}
+	for _, value := range []uint64{r.Generation, uint64(r.Incarnation)} {
+		for range 8 {
+			h = (h ^ value&0xff) * fnvPrime
+			value >>= 8
+		}
+	}
+	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
+	return h ^ h>>27
+}
--- a/internal/membership/explore_test.go
+++ b/internal/membership/explore_test.go
@@ -330,7 +330,7 @@
 var mutants = []mutant{
 	{name: "never suspects", after: func(m *Machine, now clock.Micros, out []Action) []Action {
 		for i := range m.probes {
-			m.probes[i].sent = now
+			m.probes[i].sentAt = now
 		}
 		return out
 	}},
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -1,169 +1,128 @@
 package membership
 
 import (
+	"maps"
 	"net/netip"
 	"slices"
 
 	"marblespan/internal/clock"
 )
 
-// probes is how many others a member asks in an interval. A death is first noticed by whoever asks next, so this sets how
-// soon that is; its price is so many pings and answers.
-const probesPerInterval = 3
-
-// helpers is how many others are asked to ask, where there is no direct answer.
-const indirectProbeHelpers = 3
-
-// The parts of an interval: a direct answer is waited for, and helpers are waited for, half of it each; a helper says after
-// a quarter that it has had no answer, so that its word comes in time.
-const (
-	directAckFraction = 2
-	nackFraction      = 4
-)
-
-// The bounds of a suspicion in intervals, counted from the ping that was not answered: the least is for one that so many
-// others confirm, the most for one that nobody does.
-const (
-	minSuspicionIntervals = 6
-	maxSuspicionIntervals = 18
-	maxConfirmations      = 3
-)
-
-// spread times the logarithm of the number of members is how often a piece of news is sent on.
-const retransmitMultiplier = 3
-
-// newsPart is the part of an interval after which news are sent out of turn, to newsTo others.
-const (
-	gossipFraction = 4
-	gossipNodes    = 2
-)
-
-// askEvery is how many intervals go between two asks of the dead, and of addresses that nobody has answered from.
-const rejoinIntervals = 25
-
-// eagerAsks is how often a member that knows nobody asks every interval; later it asks as seldom as the dead are asked.
-const eagerJoinAttempts = 10
+// retainEndedFor is how long an ended member is remembered.
+const retainEndedFor clock.Micros = 3_600_000_000
 
-// mostHealth bounds by how much a member that is ill itself stretches its spans. healthSamples is over how many answers of
-// helpers that is measured.
+// A member that leaves tells leaveNodes others in each of leaveRounds rounds.
 const (
-	maxLocalHealth     = 9
-	localHealthSamples = 16
+	leaveRounds = 4
+	leaveNodes  = 6
 )
 
-// cutAfter is how many pings in a row must fail directly, and be answered by way of helpers, before a path counts as cut.
-const pathLostAfter = 3
-
-// mostCuts bounds what is kept of others' paths.
-const maxPaths = 8192
-
-// quiet is for how many intervals a member that stood still accuses nobody; it shows itself as such ten times as long.
+// A member that was stalled accuses nobody for stallGraceIntervals; it shows itself as such for stalledShownIntervals. It was
+// stalled if its timer ran late by an interval divided by stallDivisor.
 const (
 	stallGraceIntervals   = 2
 	stalledShownIntervals = 10 * stallGraceIntervals
+	stallDivisor          = 2
 )
 
-// forgetAfter is how long the end of a life is remembered.
-const retainEndedFor clock.Micros = 3_600_000_000
-
-// leaveRounds is how often a member that leaves tells leaveTo others, a quarter interval apart.
-const (
-	leaveRounds = 4
-	leaveNodes  = 6
-)
-
-// Machine is one member's state. Its zero value is of no use; New makes one.
+// Machine is one member's state. Its zero value is of no use; New makes one. It is not safe for concurrent use.
 type Machine struct {
-	cfg          Config
-	self         Record
-	members      []member
-	index        map[string]int  // of members
-	pathStates   []PathState     // of others' paths and own ones; the latest word on each
-	pathIndex    map[pathKey]int // of cuts
-	memberGossip gossipQueue     // of members
-	pathGossip   gossipQueue     // of paths; they go out with what is sent anyway
-	rng          uint64
-
-	lastEvent       clock.Micros // last time anything was handled
-	generationStart clock.Micros // start of its present life
+	cfg  Config
+	self Record
+	view
+	gossip
+	detector
+	joining
+
+	lastEvent       clock.Micros // when anything was handled last
+	generationStart clock.Micros
 	running         bool
-	excluded        bool // another has its name
-	leaveRoundsLeft int  // rounds left; 0: it does not leave
-	nextProbe       clock.Micros
-	nextGossip      clock.Micros
-	nextRejoin      clock.Micros
-	joinAttempts    int // asks to join so far
+	excluded        bool // another process owns its name
+	leaveRoundsLeft int  // 0: it does not leave
 	accuseFrom      clock.Micros
 	stalledUntil    clock.Micros
-	helperMisses    int // missing answers of helpers, in thousandths of all
-	lastNumber      uint32
-	probeOrder      []string // whom to ask in turn
-	probeTurn       int
-	reprobe         []string // whom to ask out of turn, for a path that may be cut
-	probes          []probe
-	relayedPings    []relayedPing
-	helperRequests  []helperRequest
-	joinSources     []netip.AddrPort // addresses that somebody, or this member itself, has answered from
-	joinNames       []string
-	syncPage        int // of what is sent to those who know other members
-	lastDeadPinged  int
-	suspected       []string // every suspect, and some that are none any more
-	digest          uint64
-	aliveOthers     int  // how many others live
-	digestStale     bool // the two above are to be counted anew
-	actions         []Action
+	randomState     uint64
+	actions         []Action // of the event in hand
+}
+
+// view is what is known of others.
+type view struct {
+	members     []member
+	index       map[string]int  // place in members by name
+	pathStates  []PathState     // the latest report of each reporter on each path, this member's own among them
+	pathIndex   map[pathKey]int // place in pathStates
+	digest      uint64          // of all alive members, see viewDigest
+	aliveOthers int             // how many others have not ended
+	digestStale bool            // digest and aliveOthers are to be computed again
+}
+
+// gossip is what is still to be spread.
+type gossip struct {
+	memberGossip gossipQueue // of records; it has messages sent out of turn
+	pathGossip   gossipQueue // of path reports; they go out with what is sent anyway
+	nextGossip   clock.Micros
+	syncPage     int // next of members to be sent to those whose view differs
+}
+
+// detector is the state of the failure detector.
+type detector struct {
+	nextProbe      clock.Micros
+	lastNumber     uint32   // of the pings sent
+	probeOrder     []string // whom to probe in turn
+	probeTurn      int      // next of probeOrder
+	reprobe        []string // whom to probe out of turn, as the path to them may be lost
+	probes         []probe
+	relayedPings   []relayedPing
+	helperRequests []helperRequest
+	helperMisses   int      // helpers' missing answers, in thousandths of all
+	suspected      []string // every suspect, and some that are none any more
+}
+
+// joining is what is under way to find members, and to find ended ones again.
+type joining struct {
+	nextRejoin     clock.Micros
+	joinAttempts   int
+	joinSources    []netip.AddrPort // addresses to join at that have answered
+	joinNames      []string         // who answered, at the same places
+	lastDeadPinged int
 }
 
-// member is another one, as this one knows it.
+// member is another member, as this one knows it.
 type member struct {
 	Record
 	stateSince     clock.Micros
-	lastReceived   clock.Micros // last word from itself
-	lastAck        clock.Micros // last answer to a question of this member, or of a helper's that it had asked
+	lastReceived   clock.Micros // last message from itself
+	lastAck        clock.Micros // last answer to a probe, its own or by a helper
 	rtt            clock.Micros
-	suspectedSince clock.Micros // of the suspicion: the ping that was not answered
-	accusers       []string     // who suspect it, one more than confirmations at the most
+	suspectedSince clock.Micros // when the probe began that was not answered
+	accusers       []string     // who suspect it, maxConfirmations+1 at the most
 	lastHelper     string       // the helper that reached it last
-	indirectOnly   int          // pings in a row that were answered by way of helpers only
+	indirectOnly   int          // probes in a row that were answered by way of helpers only
 	lastDirectPing uint32       // number of its last ping that came directly
-	digest         uint64       // what it knows, as it last said
-	unaware        bool         // it does not know this life of this member
-	path           PathState    // of the path to it, as this member says
-}
-
-// ask is one request to a helper, whose word shows whether this member itself is well.
-type helperRequest struct {
-	helper   string
-	number   uint32
-	sentAt   clock.Micros
-	answered bool
+	digest         uint64       // of its view, as it last sent it
+	unaware        bool         // it does not know this generation of this member
+	path           PathState    // of the path to it, as this member reports it
 }
 
-// path is who says something of the path to whom.
+// pathKey is who reports on the path to whom.
 type pathKey struct{ reporter, peer string }
 
 // New makes a member that knows nobody.
 func New(cfg Config) *Machine {
-	m := &Machine{cfg: cfg, index: map[string]int{}, pathIndex: map[pathKey]int{}, rng: cfg.Seed, digestStale: true}
+	m := &Machine{cfg: cfg, randomState: cfg.Seed}
+	m.index, m.pathIndex, m.digestStale = map[string]int{}, map[pathKey]int{}, true
 	m.self = Record{Name: cfg.Name, Address: cfg.Address, Generation: cfg.Generation, Meta: cfg.Meta}
 	return m
 }
 
-// Clone is a copy that goes its own way.
+// Clone is an independent copy, for tests and the model checker.
 func (m *Machine) Clone() *Machine {
 	c := *m
 	c.members = slices.Clone(m.members)
 	for i := range c.members {
 		c.members[i].accusers = slices.Clone(c.members[i].accusers)
 	}
-	c.index = make(map[string]int, len(m.index))
-	for name, i := range m.index {
-		c.index[name] = i
-	}
-	c.pathIndex = make(map[pathKey]int, len(m.pathIndex))
-	for k, i := range m.pathIndex {
-		c.pathIndex[k] = i
-	}
+	c.index, c.pathIndex = cloneMap(m.index), cloneMap(m.pathIndex)
 	c.pathStates, c.memberGossip, c.pathGossip = slices.Clone(m.pathStates), m.memberGossip.clone(), m.pathGossip.clone()
 	c.probeOrder, c.reprobe = slices.Clone(m.probeOrder), slices.Clone(m.reprobe)
 	c.probes, c.relayedPings, c.helperRequests = slices.Clone(m.probes), slices.Clone(m.relayedPings), slices.Clone(m.helperRequests)
@@ -172,17 +131,25 @@
 	return &c
 }
 
+// cloneMap copies a map; unlike maps.Clone it never returns nil, so that the copy can be written to.
+func cloneMap[K comparable](from map[K]int) map[K]int {
+	c := make(map[K]int, len(from))
+	maps.Copy(c, from)
+	return c
+}
+
 // Self is what this member tells of itself.
 func (m *Machine) Self() Record { return m.self }
 
-// Out tells that another process has this one's name, and that it takes no part.
+// Excluded tells that another process owns this member's name, and that it takes no part.
 func (m *Machine) Excluded() bool { return m.excluded }
 
-// StoodStillUntil is until when this member shows that it stood still: whoever holds something by time must not trust what it
+// StalledUntil is until when this member shows that it was stalled: whoever holds something by time must not trust what it
 // knew before.
 func (m *Machine) StalledUntil() clock.Micros { return m.stalledUntil }
 
-// Health is by how much this member stretches its spans, for it misses answers that others get: 1 is well.
+// LocalHealth is Lifeguard's local health multiplier: by how much this member stretches its timeouts because it misses
+// answers that others get. 1 is healthy, maxLocalHealth the worst.
 func (m *Machine) LocalHealth() int {
 	if m.cfg.WithoutLifeguard {
 		return 1
@@ -190,15 +157,15 @@
 	return 1 + m.helperMisses*(maxLocalHealth-1)/1000
 }
 
-// Members lists how everybody stands, itself first.
+// Members lists all members as this one sees them, itself first.
 func (m *Machine) Members() []View {
 	all := []View{{Record: m.self, Self: true, Since: m.generationStart, LastReceived: m.lastEvent}}
 	for i := range m.members {
 		e := &m.members[i]
 		v := View{Record: e.Record, Since: e.stateSince, LastReceived: e.lastReceived, RTT: e.rtt, LastHelper: e.lastHelper}
-		for _, c := range m.pathStates {
-			if !c.Healthy() && (c.Reporter == e.Name || c.Peer == e.Name) && !m.generationOver(c.Reporter, c.Generation) {
-				v.BrokenPaths = append(v.BrokenPaths, c)
+		for _, p := range m.pathStates {
+			if !p.Healthy() && (p.Reporter == e.Name || p.Peer == e.Name) && !m.generationOver(p.Reporter, p.Generation) {
+				v.BrokenPaths = append(v.BrokenPaths, p)
 			}
 		}
 		all = append(all, v)
@@ -206,7 +173,7 @@
 	return all
 }
 
-// gone tells whether a life of a member is over, or not known.
+// generationOver tells whether a generation of a member has ended, or is not known.
 func (m *Machine) generationOver(name string, generation uint64) bool {
 	if name == m.self.Name {
 		return generation != m.self.Generation
@@ -215,7 +182,7 @@
 	return e == nil || e.Generation != generation || e.State.Ended()
 }
 
-// Lookup is what is known of a member; false: nothing.
+// Lookup is the record of another member; false: it is not known.
 func (m *Machine) Lookup(name string) (Record, bool) {
 	if e := m.find(name); e != nil {
 		return e.Record, true
@@ -223,6 +190,7 @@
 	return Record{}, false
 }
 
+// find is another member by its name, or nil. The pointer is valid until a member is added or removed.
 func (m *Machine) find(name string) *member {
 	if i, ok := m.index[name]; ok {
 		return &m.members[i]
@@ -230,25 +198,36 @@
 	return nil
 }
 
-// living counts the others whose lives have not ended.
-func (m *Machine) countAlive() int {
-	m.viewDigest()
-	return m.aliveOthers
-}
-
 // random draws a number below n. Without a seed it is always 0.
 func (m *Machine) random(n int) int {
 	if m.cfg.Seed == 0 || n <= 1 {
 		return 0
 	}
-	m.rng += 0x9e3779b97f4a7c15 // splitmix64, Steele, Lea and Flood 2014
-	z := m.rng
+	m.randomState += 0x9e3779b97f4a7c15 // splitmix64, Steele, Lea and Flood 2014
+	z := m.randomState
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
 	z = (z ^ z>>27) * 0x94d049bb133111eb
 	return int((z ^ z>>31) >> 1 % uint64(n))
 }
 
-// Next is when a Tick is due.
+// pickAlive draws one of the members that have not ended, of those that pass; nil: there is none.
+func (m *Machine) pickAlive(pass func(*member) bool) *member {
+	var candidates []*member
+	for i := range m.members {
+		if e := &m.members[i]; !e.State.Ended() && pass(e) {
+			candidates = append(candidates, e)
+		}
+	}
+	if len(candidates) == 0 {
+		return nil
+	}
+	return candidates[m.random(len(candidates))]
+}
+
+// anyMember lets every member pass.
+func anyMember(*member) bool { return true }
+
+// Next is when a Tick is due; false: never, as the member has not started or has left.
 func (m *Machine) Next() (clock.Micros, bool) {
 	if !m.running {
 		return 0, false
@@ -266,9 +245,9 @@
 	for _, p := range m.probes {
 		next = min(next, p.nextStep)
 	}
-	for _, e := range m.relayedPings {
-		if !e.nackSent {
-			next = min(next, e.sent+m.cfg.Interval/nackFraction)
+	for _, r := range m.relayedPings {
+		if !r.nackSent {
+			next = min(next, r.sentAt+m.cfg.Interval/nackDivisor)
 		}
 	}
 	for _, e := range m.currentSuspects() {
@@ -277,7 +256,8 @@
 	return next, true
 }
 
-// Handle takes in one event. Time never goes back: an earlier time counts as the last one.
+// Handle takes in one event and returns what is to be done, in order. Time never goes back: an earlier time counts as the
+// last one. After each event the machine does all that is due.
 func (m *Machine) Handle(now clock.Micros, ev Event) []Action {
 	now = max(now, m.lastEvent)
 	m.actions = nil
@@ -287,10 +267,7 @@
 	m.lastEvent = now
 	switch e := ev.(type) {
 	case Started:
-		if !m.running {
-			m.running, m.generationStart = true, now
-			m.nextProbe, m.nextGossip, m.nextRejoin = now, now, now
-		}
+		m.start(now)
 	case LeaveRequested:
 		if m.running && m.leaveRoundsLeft == 0 {
 			m.startLeaving(now)
@@ -313,28 +290,21 @@
 
 func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
-// tell changes what the member tells of itself, and has it spread.
-func (m *Machine) updateMeta(meta Meta) {
-	meta.Flags = meta.Flags&^Stalled | m.self.Meta.Flags&Stalled
-	if meta != m.self.Meta {
-		m.self.Meta = meta
-		m.bumpIncarnation()
+func (m *Machine) start(now clock.Micros) {
+	if m.running {
+		return
 	}
+	m.running, m.generationStart = true, now
+	m.nextProbe, m.nextGossip, m.nextRejoin = now, now, now
 }
 
-// speak has this member's own record spread as its latest word.
-func (m *Machine) bumpIncarnation() {
-	m.self.Incarnation++
-	m.digestStale = true
-	m.gossipMember(m.self.Name)
-}
-
-// wake looks whether the process stood still. What lies unread must be read before anybody is judged, so for a while nobody
-// is; others were not late to one that could not listen, so their spans go on where they were.
+// detectStall checks whether the process did not run for a while. What lies unread in the socket must be read before anybody
+// is accused, so for some time nobody is. Others were not late to one that could not listen, so their deadlines move on by
+// the pause.
 func (m *Machine) detectStall(now clock.Micros) {
 	due, _ := m.Next()
 	late := now - max(due, m.lastEvent)
-	if m.cfg.WithoutLifeguard || late < m.cfg.Interval/2 {
+	if m.cfg.WithoutLifeguard || late < m.cfg.Interval/stallDivisor {
 		return
 	}
 	m.accuseFrom = now + stallGraceIntervals*m.cfg.Interval
@@ -355,28 +325,24 @@
 	m.emit(Notice{Kind: ProcessStalled, StallDuration: late})
 }
 
-// leave tells the others, a few times.
-func (m *Machine) startLeaving(now clock.Micros) {
-	m.self.State = Left
-	m.digestStale = true
-	m.leaveRoundsLeft, m.nextGossip = leaveRounds, now
-	m.memberGossip, m.pathGossip = gossipQueue{}, gossipQueue{}
-	m.gossipMember(m.self.Name)
+// clearStall takes the Stalled flag back when its time is over.
+func (m *Machine) clearStall(now clock.Micros) {
+	if m.self.Meta.Flags&Stalled != 0 && now >= m.stalledUntil {
+		m.self.Meta.Flags &^= Stalled
+		m.bumpIncarnation()
+	}
 }
 
-// tick does what is due.
+// tick does all that is due.
 func (m *Machine) tick(now clock.Micros) {
-	t := m.cfg.Interval
 	if m.leaveRoundsLeft > 0 {
 		m.tickLeaving(now)
 		return
 	}
-	if m.self.Meta.Flags&Stalled != 0 && now >= m.stalledUntil {
-		m.self.Meta.Flags &^= Stalled
-		m.bumpIncarnation()
-	}
+	m.clearStall(now)
 	if now >= m.nextRejoin {
 		m.rejoin(now)
+		m.forgetEnded(now)
 	}
 	if m.excluded {
 		return
@@ -384,78 +350,29 @@
 	m.advanceProbes(now)
 	m.expireSuspicions(now)
 	if now >= m.nextProbe {
-		if m.nextProbe += t / probesPerInterval; m.nextProbe <= now {
-			m.nextProbe = now + t/probesPerInterval
+		between := m.cfg.Interval / probesPerInterval
+		if m.nextProbe += between; m.nextProbe <= now {
+			m.nextProbe = now + between
 		}
 		m.startProbe(now)
 	}
 	if !m.memberGossip.empty() && now >= m.nextGossip {
-		m.nextGossip = now + t/gossipFraction
-		for range gossipNodes {
-			if e := m.pickAlive(func(*member) bool { return true }); e != nil {
-				m.ping(e, 0, "", 0)
-			}
-		}
+		m.sendGossip(now)
 	}
 }
 
-func (m *Machine) tickLeaving(now clock.Micros) {
-	if now < m.nextGossip {
-		return
-	}
-	m.nextGossip = now + m.cfg.Interval/gossipFraction
-	chosen := map[string]bool{}
-	for range leaveNodes {
-		if e := m.pickAlive(func(e *member) bool { return !chosen[e.Name] }); e != nil {
-			chosen[e.Name] = true
+// sendGossip spreads what is new out of turn, by pings that wait for no answer.
+func (m *Machine) sendGossip(now clock.Micros) {
+	m.nextGossip = now + m.cfg.Interval/gossipDivisor
+	for range gossipNodes {
+		if e := m.pickAlive(anyMember); e != nil {
 			m.ping(e, 0, "", 0)
 		}
 	}
-	if m.leaveRoundsLeft--; m.leaveRoundsLeft == 0 {
-		m.running = false
-		m.emit(LeaveCompleted{})
-	}
-}
-
-// draw picks one of the living at random, of those that pass.
-func (m *Machine) pickAlive(pass func(*member) bool) *member {
-	var all []*member
-	for i := range m.members {
-		if e := &m.members[i]; !e.State.Ended() && pass(e) {
-			all = append(all, e)
-		}
-	}
-	if len(all) == 0 {
-		return nil
-	}
-	return all[m.random(len(all))]
 }
 
-// askAround asks one of the dead, and an address to join at that nobody has answered from: halves that were parted find each
-// other again by it, in any order.
-func (m *Machine) rejoin(now clock.Micros) {
-	every := m.cfg.Interval
-	if m.countAlive() > 0 || m.joinAttempts >= eagerJoinAttempts && !m.excluded {
-		every *= rejoinIntervals
-	}
-	m.nextRejoin = now + every
-	m.joinAttempts++
-	var dead []*member
-	for i := range m.members {
-		if e := &m.members[i]; e.State == Dead && !m.excluded {
-			dead = append(dead, e)
-		}
-	}
-	if len(dead) > 0 {
-		m.lastDeadPinged++
-		m.ping(dead[m.lastDeadPinged%len(dead)], 0, "", 0)
-	}
-	for _, at := range m.cfg.Join {
-		if !m.joinAddressCovered(at) {
-			msg := m.newMessage(Ping, nil)
-			m.emit(Send{Address: at, Message: msg})
-		}
-	}
+// forgetEnded removes members that ended long ago, and the path reports of ended reporters.
+func (m *Machine) forgetEnded(now clock.Micros) {
 	for i := 0; i < len(m.members); {
 		if e := &m.members[i]; e.State.Ended() && now-e.stateSince > retainEndedFor {
 			m.removeMember(i)
@@ -463,27 +380,33 @@
 		}
 		i++
 	}
-	m.retainPaths(func(c PathState) bool { return !m.generationOver(c.Reporter, c.Generation) })
+	m.retainPaths(func(p PathState) bool { return !m.generationOver(p.Reporter, p.Generation) })
 }
 
-// covers tells whether somebody who lives has answered from an address.
-func (m *Machine) joinAddressCovered(at netip.AddrPort) bool {
-	i := slices.Index(m.joinSources, at)
-	if i < 0 || m.excluded {
-		return false
-	}
-	name := m.joinNames[i]
-	if name == m.self.Name {
-		return true
-	}
-	e := m.find(name)
-	return e != nil && !e.State.Ended()
+// startLeaving begins to tell the others that this member leaves.
+func (m *Machine) startLeaving(now clock.Micros) {
+	m.self.State = Left
+	m.digestStale = true
+	m.leaveRoundsLeft, m.nextGossip = leaveRounds, now
+	m.memberGossip, m.pathGossip = gossipQueue{}, gossipQueue{}
+	m.gossipMember(m.self.Name)
 }
 
-func (m *Machine) removeMember(i int) {
-	delete(m.index, m.members[i].Name)
-	m.members = slices.Delete(m.members, i, i+1)
-	for j := i; j < len(m.members); j++ {
-		m.index[m.members[j].Name] = j
+// tickLeaving tells some others that this member leaves, and stops after the last round.
+func (m *Machine) tickLeaving(now clock.Micros) {
+	if now < m.nextGossip {
+		return
+	}
+	m.nextGossip = now + m.cfg.Interval/gossipDivisor
+	chosen := map[string]bool{}
+	for range leaveNodes {
+		if e := m.pickAlive(func(e *member) bool { return !chosen[e.Name] }); e != nil {
+			chosen[e.Name] = true
+			m.ping(e, 0, "", 0)
+		}
+	}
+	if m.leaveRoundsLeft--; m.leaveRoundsLeft == 0 {
+		m.running = false
+		m.emit(LeaveCompleted{})
 	}
 }
--- /dev/null
+++ b/internal/membership/merge.go
@@ -0,0 +1,130 @@
+package membership
+
+import (
+	"net/netip"
+	"slices"
+
+	"marblespan/internal/clock"
+)
+
+// This file merges records of other members into the view. The later generation wins, within it the higher incarnation; a
+// suspicion overrides being alive in the same incarnation, and an end is final.
+
+// mergeRecord takes over a record if it is later than what is known. source and msg are where it came from.
+func (m *Machine) mergeRecord(now clock.Micros, record Record, source netip.AddrPort, msg Message) {
+	if record.Name == m.self.Name {
+		m.mergeSelf(record)
+		return
+	}
+	known := m.find(record.Name)
+	switch {
+	case known == nil:
+		m.addMember(now, record)
+	case record.Generation < known.Generation:
+	case record.Generation > known.Generation:
+		m.mergeNewGeneration(now, known, record, source, msg)
+	case known.State.Ended():
+	case record.State.Ended():
+		m.endGeneration(now, known, record)
+	case record.State == Suspect && record.Incarnation < known.Incarnation:
+	case record.State == Suspect:
+		if record.Incarnation > known.Incarnation {
+			m.updateMember(now, known, record)
+		}
+		m.suspect(now, known, record.Incarnation, record.ReportedBy, now)
+	case record.Incarnation > known.Incarnation:
+		m.updateMember(now, known, record)
+	}
+}
+
+// mergeNewGeneration takes over a later generation of a known member. At another address it is another process of the same
+// name, which has to wait until the known one has ended; if it speaks for itself it is told so.
+func (m *Machine) mergeNewGeneration(now clock.Micros, known *member, record Record, source netip.AddrPort, msg Message) {
+	conflict := !record.State.Ended() && !known.State.Ended() && record.Address != known.Address
+	switch {
+	case !conflict:
+		m.startMemberGeneration(now, known, record)
+	case record.Name == msg.From:
+		m.reject(source, record.Name, record.Generation, known.Record)
+	}
+}
+
+// reject tells a process that another one owns its name.
+func (m *Machine) reject(to netip.AddrPort, name string, generation uint64, owner Record) {
+	out := m.newMessage(Reject, nil)
+	out.To, out.ToGeneration, out.Target, out.Records = name, generation, name, []Record{owner}
+	m.emit(Send{Address: to, Message: out})
+}
+
+// addMember takes in a member that was not known, also one that has ended already. A full table gives up the member that
+// ended first; where none has ended the new one is left out.
+func (m *Machine) addMember(now clock.Micros, r Record) {
+	if len(m.members) >= MaxMembers && !m.removeOldestEnded() {
+		return
+	}
+	m.index[r.Name] = len(m.members)
+	m.members = append(m.members, member{Record: r})
+	if !r.State.Ended() {
+		m.scheduleProbe(r.Name)
+	}
+	m.adoptRecord(now, &m.members[len(m.members)-1], r, true)
+}
+
+// removeOldestEnded removes the member that ended first. It tells whether there was one.
+func (m *Machine) removeOldestEnded() bool {
+	oldest := -1
+	for i := range m.members {
+		if e := &m.members[i]; e.State.Ended() && (oldest < 0 || e.stateSince < m.members[oldest].stateSince) {
+			oldest = i
+		}
+	}
+	if oldest < 0 {
+		return false
+	}
+	m.removeMember(oldest)
+	return true
+}
+
+// removeMember forgets the member at a place of the table.
+func (m *Machine) removeMember(i int) {
+	delete(m.index, m.members[i].Name)
+	m.members = slices.Delete(m.members, i, i+1)
+	for j := i; j < len(m.members); j++ {
+		m.index[m.members[j].Name] = j
+	}
+}
+
+// startMemberGeneration begins a later generation of a known member.
+func (m *Machine) startMemberGeneration(now clock.Micros, e *member, r Record) {
+	e.lastHelper, e.rtt, e.indirectOnly, e.path, e.lastDirectPing, e.lastReceived, e.lastAck = "", 0, 0, PathState{}, 0, 0, 0
+	m.adoptRecord(now, e, r, !r.State.Ended())
+}
+
+// adoptRecord takes over a record whole. A suspect counts as alive first, and its accuser as one of those who confirm it.
+func (m *Machine) adoptRecord(now clock.Micros, e *member, r Record, newGeneration bool) {
+	previous := e.State
+	e.Record, e.stateSince, e.accusers = r, now, nil
+	if r.State == Suspect {
+		e.State, e.ReportedBy = Alive, ""
+	}
+	m.digestStale = true
+	m.gossipMember(e.Name)
+	m.emit(MemberChanged{Record: e.Record, Previous: previous, NewGeneration: newGeneration})
+	if r.State == Suspect {
+		m.suspect(now, e, r.Incarnation, r.ReportedBy, now)
+	}
+}
+
+// updateMember takes over a later incarnation of the same generation: the member is alive, and its metadata may differ.
+func (m *Machine) updateMember(now clock.Micros, e *member, r Record) {
+	previous, previousMeta := e.State, e.Meta
+	e.Incarnation, e.Meta, e.Address, e.State, e.ReportedBy, e.accusers = r.Incarnation, r.Meta, r.Address, Alive, "", nil
+	if previous != Alive {
+		e.stateSince = now
+	}
+	m.digestStale = true
+	m.gossipMember(e.Name)
+	if previous != Alive || previousMeta != e.Meta {
+		m.emit(MemberChanged{Record: e.Record, Previous: previous})
+	}
+}
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -6,9 +6,17 @@
 	"marblespan/internal/clock"
 )
 
-// This file is what becomes of a member that does not answer: suspicion, its deadline, and its end.
+// This file is what becomes of a member that does not answer: suspicion, its deadline, and death.
 
-// suspects lists whom anybody accuses.
+// The bounds of a suspicion in intervals, counted from the ping that was not answered: the minimum is for one that
+// maxConfirmations others confirm, the maximum for one that nobody does.
+const (
+	minSuspicionIntervals = 6
+	maxSuspicionIntervals = 18
+	maxConfirmations      = 3
+)
+
+// currentSuspects lists the members that anybody suspects.
 func (m *Machine) currentSuspects() (all []*member) {
 	m.suspected = slices.DeleteFunc(m.suspected, func(name string) bool {
 		e := m.find(name)
@@ -21,29 +29,31 @@
 	return all
 }
 
-// deadline is when a suspicion becomes a death: the sooner the more others confirm it, the later the more this member itself
-// misses, and never while the suspected one has answered here within the least span. To be heard is not enough: one that hears
-// nobody is of no use to anybody, however much it says.
+// suspicionDeadline is when a suspicion becomes a death: sooner the more others confirm it, later the worse this member's
+// local health, and never while the suspect has answered a probe within the minimum. Messages that are no answers do not
+// count: a member that receives nothing is of no use, however much it sends.
 func (m *Machine) suspicionDeadline(e *member) clock.Micros {
-	t, intervals := m.cfg.Interval, minSuspicionIntervals*1000
+	thousandths := minSuspicionIntervals * 1000
 	if !m.cfg.WithoutLifeguard {
 		needed := max(min(maxConfirmations, m.countAlive()-1), 0)
-		intervals = maxSuspicionIntervals*1000 - (maxSuspicionIntervals-minSuspicionIntervals)*confirmationScore(needed, len(e.accusers)-1)
+		score := confirmationScore(needed, len(e.accusers)-1)
+		thousandths = maxSuspicionIntervals*1000 - (maxSuspicionIntervals-minSuspicionIntervals)*score
 	}
-	end := e.suspectedSince + t*clock.Micros(intervals)*clock.Micros(m.LocalHealth())/1000
+	deadline := e.suspectedSince + m.cfg.Interval*clock.Micros(thousandths)*clock.Micros(m.LocalHealth())/1000
 	if !m.cfg.WithoutLifeguard {
-		end = max(end, e.lastAck+minSuspicionIntervals*t)
+		deadline = max(deadline, e.lastAck+minSuspicionIntervals*m.cfg.Interval)
 	}
-	return end
+	return deadline
 }
 
-// confirmed is how far a suspicion is confirmed, in thousandths: the logarithm of its accusers as Lifeguard has it.
+// confirmationScore is how far a suspicion is confirmed, in thousandths: log(have+1)/log(needed+1), as Lifeguard has it.
+// needed is maxConfirmations at the most.
 func confirmationScore(needed, have int) int {
 	table := [][]int{{1000}, {0, 1000}, {0, 631, 1000}, {0, 500, 792, 1000}}[needed]
 	return table[max(min(have, needed), 0)]
 }
 
-// expire declares dead whom nobody has found alive in time.
+// expireSuspicions declares dead the suspects that nobody has found alive in time.
 func (m *Machine) expireSuspicions(now clock.Micros) {
 	if now < m.accuseFrom {
 		return
@@ -57,28 +67,30 @@
 	}
 }
 
-// suspect notes that somebody accuses a member, and spreads it for as long as that confirms anything.
-func (m *Machine) suspect(now clock.Micros, e *member, incarnation uint32, by string, since clock.Micros) {
-	if by == e.Name || slices.Contains(e.accusers, by) && e.State == Suspect {
+// suspect takes in that somebody, or this member itself, accuses another one since a time. A further accuser confirms a
+// suspicion, and is spread as long as that shortens its deadline.
+func (m *Machine) suspect(now clock.Micros, e *member, incarnation uint32, accuser string, since clock.Micros) {
+	if accuser == e.Name || slices.Contains(e.accusers, accuser) && e.State == Suspect {
 		return
 	}
 	switch {
 	case e.State == Suspect && len(e.accusers) > maxConfirmations:
 		return
 	case e.State == Suspect:
-		e.accusers = append(e.accusers, by)
-		e.ReportedBy = by
+		e.accusers = append(e.accusers, accuser)
+		e.ReportedBy = accuser
 		m.gossipMember(e.Name)
 		return
 	}
 	previous := e.State
-	e.State, e.ReportedBy, e.Incarnation, e.stateSince, e.suspectedSince, e.accusers = Suspect, by, incarnation, now, since, []string{by}
+	e.State, e.ReportedBy, e.Incarnation, e.stateSince = Suspect, accuser, incarnation, now
+	e.suspectedSince, e.accusers = since, []string{accuser}
 	m.suspected = append(m.suspected, e.Name)
 	m.gossipMember(e.Name)
 	m.emit(MemberChanged{Record: e.Record, Previous: previous})
 }
 
-// end ends a life.
+// endGeneration takes over a record that ends a generation: its member is dead, or has left.
 func (m *Machine) endGeneration(now clock.Micros, e *member, r Record) {
 	previous := e.State
 	if e.Generation != r.Generation {
@@ -89,6 +101,3 @@
 	m.gossipMember(e.Name)
 	m.emit(MemberChanged{Record: r, Previous: previous})
 }
-
-// push has a member's record sent on from the beginning.
-func (m *Machine) gossipMember(name string) { m.memberGossip.enqueue(broadcast{name: name}) }
