--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -29,7 +29,7 @@
 
 const good = "vrrp\nnode 1\nbind 127.0.0.2:1112\nkey 1 \"a secret nobody sees\"\ngroup counters\nvrid 5\naddress 192.0.2.1\nlisten 127.0.0.2:1\n"
 
-const withCopies = "members\nnode a\nbind 127.0.0.2:7946\nkey 1 \"a secret nobody sees\"\ncopies\nholders all\nstore memory\n"
+const withStateStore = "members\nnode a\nbind 127.0.0.2:7946\nkey 1 \"a secret nobody sees\"\nstate-store\nraft-nodes all\nstorage memory\n"
 
 func TestCommandLines(t *testing.T) {
 	platform := map[string]string{"PROXY_CONFIG": filepath.Join("..", "..", "deploy", "sample.json")}
@@ -49,11 +49,15 @@
 		{"half a command", nil, []string{"vrrp"}, 2, "", "vrrp needs a command: status"},
 		{"no socket", nil, []string{"vrrp", "status"}, 2, "", "no control socket"},
 		{"nobody there", nil, []string{"vrrp", "status", "--socket", "/nowhere"}, 1, "", "no gateway answers at /nowhere"},
-		{"copies of nobody", nil, []string{"copies", "--socket", "/nowhere"}, 1, "", "no gateway answers at /nowhere"},
-		{"anew without a shard", nil, []string{"copies", "anew", "x"}, 2, "", "is no shard's number"},
-		{"gone without a name", nil, []string{"copies", "gone"}, 2, "", "copies gone takes the name of a gateway"},
-		{"check without the program for it", nil, []string{"copies", "check", "/nowhere"}, 1, "", "copies need marblespan-raft beside this program"},
-		{"a gateway without the program for it", platform, []string{"--conf", conf(t, withCopies)}, 1, "", "copies need marblespan-raft beside this program"},
+		{"the state store of nobody", nil, []string{"state-store", "--socket", "/nowhere"}, 1, "", "no gateway answers at /nowhere"},
+		{"reset-shard without a shard", nil, []string{"state-store", "reset-shard", "x"}, 2, "", "is no shard's number"},
+		{"remove-store without a name", nil, []string{"state-store", "remove-store"}, 2, "", "state-store remove-store takes the name of a gateway"},
+		{"a former command", nil, []string{"copies", "anew", "x"}, 2, "", "is no shard's number"},
+		{"a former command without a name", nil, []string{"copies", "gone"}, 2, "", "copies gone takes the name of a gateway"},
+		{"a former command without the program for it", nil, []string{"copies", "check", "/nowhere"}, 1, "", "the state store needs marblespan-raft beside this program"},
+		{"a former command in the other group", nil, []string{"maintain", "anew"}, 2, "", `maintain takes no arguments, and has ["anew"]`},
+		{"check without the program for it", nil, []string{"state-store", "check", "/nowhere"}, 1, "", "the state store needs marblespan-raft beside this program"},
+		{"a gateway without the program for it", platform, []string{"--conf", conf(t, withStateStore)}, 1, "", "the state store needs marblespan-raft beside this program"},
 		{"no configuration", nil, []string{}, 1, "", "marblespan: PROXY_CONFIG: not set"},
 		{"no configuration", nil, []string{"gateway"}, 1, "", "marblespan: PROXY_CONFIG: not set"},
 		{"check without a file", platform, []string{"check"}, 0, "# no operators' file: all of it is off", ""},
--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -132,8 +132,9 @@
 	}
 }
 
-// askDouble runs a command against a control socket that gives one answer, and tells what it was asked and what was printed.
-func askDouble(t *testing.T, answer any, args ...string) (question, out string) {
+// askDouble runs a command against a control socket that gives one answer, and returns what it was asked and what was printed
+// there and as errors.
+func askDouble(t *testing.T, answer any, args ...string) (question, out, errs string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "s")
 	server, err := control.Listen(path, func(q string) (any, error) {
@@ -145,10 +146,10 @@
 	}
 	code, out, errs := run(t, nil, append(args, "--socket", path)...)
 	server.Close()
-	if code != 0 || errs != "" {
+	if code != 0 {
 		t.Errorf("%v: exit %d: %s", args, code, errs)
 	}
-	return question, out
+	return question, out, errs
 }
 
 // member is one with a value in each field, but for those that only a try of streams fills.
@@ -190,7 +191,7 @@
 			}}, nil,
 		},
 		{
-			"copies", "copies", []string{"copies"},
+			"state-store", "copies", []string{"state-store"},
 			gateway.StateStoreStatus{
 				Node: "gw-1", BootstrapID: "00000000000000aa", Index: 7, Voters: 3, Format: 2, StoreID: "00000000000000bb", Failed: "disk full", Waiting: 4,
 				Stores: []gateway.StoreStatus{{Number: "00000000000000bb", Node: "gw-1", Zone: "a", Weight: 5, Removed: true}},
@@ -211,7 +212,7 @@
 			}, nil,
 		},
 		{
-			"maintain", "maintain", []string{"maintain", "list"},
+			"maintenance", "maintain", []string{"maintenance", "list"},
 			gateway.MaintenanceStatus{
 				Node: "gw-1", Leader: "gw-2", Paused: true,
 				Machines: []gateway.MachineStatus{{
@@ -241,27 +242,74 @@
 				t.Errorf("the golden file is read as %+v, %v", read.Elem(), err)
 			}
 
-			question, out := askDouble(t, c.answer, append(c.args, "--json")...)
-			if question != c.question {
-				t.Errorf("asked %q", question)
+			question, out, errs := askDouble(t, c.answer, append(c.args, "--json")...)
+			if question != c.question || errs != "" {
+				t.Errorf("asked %q, with errors %q", question, errs)
 			}
 			compareGolden(t, c.name+".json", out)
-			_, out = askDouble(t, c.answer, c.args...)
+			_, out, errs = askDouble(t, c.answer, c.args...)
+			if errs != "" {
+				t.Errorf("errors %q", errs)
+			}
 			compareGolden(t, c.name+".txt", out)
 		})
 	}
 }
 
-// Each command that is answered by a sentence asks what it always asked.
+// Each command that is answered by a sentence asks what it always asked, also by the words that it had in earlier versions: these
+// say the new ones once, on standard error.
 func TestQuestionsGolden(t *testing.T) {
-	var all strings.Builder
-	for _, args := range [][]string{
-		{"copies", "found"}, {"copies", "found", "--first"}, {"copies", "gone", "gw 2"}, {"copies", "anew", "3"},
-		{"maintain", "add", "gw-1"}, {"maintain", "add", "server:s-1", "--for", "30m", "--why", "new disk"},
-		{"maintain", "done", "gw-1"}, {"maintain", "drop", "gw-1"}, {"maintain", "hold"}, {"maintain", "go"}, {"maintain", "go", "gw-1"},
+	var all, allFormer strings.Builder
+	for _, c := range []struct{ args, former []string }{
+		{[]string{"state-store", "bootstrap"}, []string{"copies", "found"}},
+		{[]string{"state-store", "bootstrap", "--first"}, []string{"copies", "found", "--first"}},
+		{[]string{"state-store", "remove-store", "gw 2"}, []string{"copies", "gone", "gw 2"}},
+		{[]string{"state-store", "reset-shard", "3"}, []string{"copies", "anew", "3"}},
+		{[]string{"maintenance", "add", "gw-1"}, []string{"maintain", "add", "gw-1"}},
+		{
+			[]string{"maintenance", "add", "server:s-1", "--for", "30m", "--why", "new disk"},
+			[]string{"maintain", "add", "server:s-1", "--for", "30m", "--why", "new disk"},
+		},
+		{[]string{"maintenance", "done", "gw-1"}, []string{"maintain", "done", "gw-1"}},
+		{[]string{"maintenance", "cancel", "gw-1"}, []string{"maintain", "drop", "gw-1"}},
+		{[]string{"maintenance", "pause"}, []string{"maintain", "hold"}},
+		{[]string{"maintenance", "resume"}, []string{"maintain", "go"}},
+		{[]string{"maintenance", "resume", "gw-1"}, []string{"maintain", "go", "gw-1"}},
 	} {
-		question, out := askDouble(t, "a sentence", args...)
-		fmt.Fprintf(&all, "%q asks %q and prints %q\n", args, question, out)
+		question, out, errs := askDouble(t, "a sentence", c.args...)
+		fmt.Fprintf(&all, "%q asks %q and prints %q\n", c.args, question, out)
+		if errs != "" {
+			t.Errorf("%q: errors %q", c.args, errs)
+		}
+		question, out, errs = askDouble(t, "a sentence", c.former...)
+		fmt.Fprintf(&allFormer, "%q asks %q and prints %q\n    %s", c.former, question, out, errs)
 	}
 	compareGolden(t, "questions.txt", all.String())
+	compareGolden(t, "questions-former.txt", allFormer.String())
+}
+
+// Former words that print a table or JSON say the new ones on standard error alone.
+func TestFormerCommandsPrintTheSame(t *testing.T) {
+	for _, c := range []struct {
+		args, former []string
+		answer       any
+		warning      string
+	}{
+		{[]string{"state-store"}, []string{"copies"}, gateway.StateStoreStatus{BootstrapID: "aa"}, "Command \"copies\" is deprecated, use: marblespan state-store\n"},
+		{[]string{"maintenance"}, []string{"maintain"}, gateway.MaintenanceStatus{Paused: true}, "Command \"maintain\" is deprecated, use: marblespan maintenance\n"},
+		{
+			[]string{"maintenance", "list"}, []string{"maintain", "list"}, gateway.MaintenanceStatus{Paused: true},
+			"Command \"list\" is deprecated, use: marblespan maintenance list\n",
+		},
+	} {
+		for _, flags := range [][]string{nil, {"--json"}} {
+			t.Run(strings.Join(append(c.former, flags...), " "), func(t *testing.T) {
+				question, out, _ := askDouble(t, c.answer, append(c.args, flags...)...)
+				formerQuestion, formerOut, warning := askDouble(t, c.answer, append(c.former, flags...)...)
+				if formerQuestion != question || formerOut != out || warning != c.warning {
+					t.Errorf("asked %q and printed %q, with errors %q", formerQuestion, formerOut, warning)
+				}
+			})
+		}
+	}
 }
--- /dev/null
+++ b/internal/cli/members.go
@@ -0,0 +1,71 @@
+package cli
+
+import (
+	"fmt"
+	"strings"
+	"text/tabwriter"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"marblespan/internal/gossip"
+)
+
+func (c *command) members() *cobra.Command {
+	var streams bool
+	cmd := &cobra.Command{Use: "members", Short: "Ask a running gateway which gateways are members, and how they are", Args: noArguments}
+	q := c.newQuery(cmd.Flags())
+	cmd.Flags().BoolVar(&streams, "streams", false, "try a stream to each of them and back, which datagrams do not show")
+	cmd.RunE = func(*cobra.Command, []string) error { return q.printMembers(streams) }
+	return cmd
+}
+
+func (q *query) printMembers(streams bool) error {
+	var s gossip.Status
+	question, streamColumn := "members", ""
+	if streams {
+		question, streamColumn = "members streams", "\tSTREAM"
+	}
+	if err := q.ask(question, &s); err != nil {
+		return err
+	}
+	if q.json {
+		return writeJSON(q.out, s)
+	}
+	if s.Excluded {
+		fmt.Fprintf(q.out, "another process has the name %s; this one takes no part\n", s.Node)
+	}
+	if s.LocalHealth > 1 {
+		fmt.Fprintf(q.out, "%s misses answers that others get, and waits %d times as long\n", s.Node, s.LocalHealth)
+	}
+	w := tabwriter.NewWriter(q.out, 0, 8, 2, ' ', 0)
+	fmt.Fprintln(w, "NAME\tSTATE\tFOR\tSAYS\tLIFE\tAT\tHEARD\tROUND TRIP\tZONE\tWEIGHT\tVERSION\tSETTINGS\tFLAGS\tCUT"+streamColumn)
+	for _, m := range s.Members {
+		fmt.Fprint(w, memberRow(m))
+		switch {
+		case m.StreamFault != "":
+			fmt.Fprintf(w, "\t%s", m.StreamFault)
+		case streams:
+			fmt.Fprintf(w, "\t%s", roundTrip(m.StreamMicros))
+		}
+		fmt.Fprintln(w)
+	}
+	return w.Flush()
+}
+
+// memberRow is a member's row of the table, but for the column of streams.
+func memberRow(m gossip.Member) string {
+	name, lastHeard, settings := m.Name, "-", "same"
+	if m.Self {
+		name += " (this one)"
+	} else if m.HeardMS >= 0 {
+		lastHeard = milliseconds(m.HeardMS).String()
+	}
+	if m.SettingsDiffer {
+		settings = "differ"
+	}
+	started := time.UnixMicro(int64(m.Generation)).UTC().Format("2006-01-02T15:04:05.000")
+	return fmt.Sprintf("%s\t%s\t%v\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s", name, m.State, milliseconds(m.ForMS), orDash(m.ReportedBy),
+		started, m.Address, lastHeard, roundTrip(m.RTTMicros), orDash(m.Zone), m.Weight,
+		orDash(m.Version), settings, orDash(strings.Join(m.Flags, ",")), orDash(strings.Join(m.BrokenPaths, ",")))
+}
--- /dev/null
+++ b/internal/cli/statestore.go
@@ -0,0 +1,184 @@
+package cli
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"syscall"
+	"text/tabwriter"
+
+	"github.com/spf13/cobra"
+
+	"marblespan/internal/config"
+	"marblespan/internal/gateway"
+)
+
+// raftProgram is the program that has the state store, beside this one.
+const raftProgram = "marblespan-raft"
+
+// execRaftProgram replaces this process by the program that has the state store. It returns only if that fails.
+func execRaftProgram(args []string) error {
+	self, err := os.Executable()
+	if err != nil {
+		return err
+	}
+	path := filepath.Join(filepath.Dir(self), raftProgram)
+	if err := syscall.Exec(path, append([]string{path}, args...), os.Environ()); err != nil {
+		return fmt.Errorf("the state store needs %s beside this program: %w", raftProgram, err)
+	}
+	return nil
+}
+
+// needsRaftProgram tells whether the gateway that is to run has a state-store section, which this program cannot serve.
+func needsRaftProgram(operators *config.Operators) bool {
+	return gateway.OpenStore == nil && operators != nil && operators.StateStore != nil
+}
+
+func (c *command) stateStore() *cobra.Command {
+	group := &cobra.Command{Use: "state-store", Short: "Ask a running gateway how the gateways' replicated state is", Args: noArguments}
+	q := c.newQuery(group.PersistentFlags())
+	group.RunE = func(*cobra.Command, []string) error { return q.printStateStore() }
+	group.AddCommand(q.bootstrap(), q.removeStore(), q.resetShard(), q.checkStore())
+	return group
+}
+
+func (q *query) bootstrap() *cobra.Command {
+	var first bool
+	cmd := &cobra.Command{
+		Use: "bootstrap", Short: "Make a new store, with the asked gateway as its first Raft node", Args: noArguments,
+		Long: "Makes a new store, with the asked gateway as its first Raft node; the others join by themselves. What is not found in it\n" +
+			"counts as lost for a day, unless --first says that there was none before.",
+		RunE: func(*cobra.Command, []string) error {
+			if first {
+				return q.printSentence("copies found first")
+			}
+			return q.printSentence("copies found")
+		},
+	}
+	cmd.Flags().BoolVar(&first, "first", false, "there was no store before whose records could be missed")
+	return cmd
+}
+
+func (q *query) removeStore() *cobra.Command {
+	return &cobra.Command{
+		Use: "remove-store NODE", Short: "Say that a gateway's disk will never come back, where the ledger is led", Args: oneArgument("the name of a gateway"),
+		RunE: func(_ *cobra.Command, args []string) error {
+			return q.printSentence("copies gone " + strconv.Quote(args[0]))
+		},
+	}
+}
+
+func (q *query) resetShard() *cobra.Command {
+	return &cobra.Command{
+		Use: "reset-shard SHARD", Short: "Reset a shard that cannot go on, where the ledger is led: its records are lost, and known to be", Args: oneArgument("the number of a shard"),
+		RunE: func(_ *cobra.Command, args []string) error {
+			shard, err := strconv.ParseUint(args[0], 10, 32)
+			if err != nil {
+				return usageError{fmt.Errorf("%q is no shard's number", args[0])}
+			}
+			return q.printSentence(fmt.Sprint("copies anew ", shard))
+		},
+	}
+}
+
+func (q *query) checkStore() *cobra.Command {
+	return &cobra.Command{
+		Use: "check FILE", Short: "Read the file of a store that is not running, and tell whether it is whole", Args: oneArgument("a file"),
+		RunE: func(_ *cobra.Command, args []string) error {
+			if gateway.CheckStore != nil {
+				return gateway.CheckStore(args[0], q.json, q.out)
+			}
+			// The words are the new ones in any case: the warning about former ones has been printed here.
+			words := []string{"state-store", "check", "--json=" + strconv.FormatBool(q.json), "--", args[0]}
+			return execRaftProgram(words)
+		},
+	}
+}
+
+func (q *query) printStateStore() error {
+	var s gateway.StateStoreStatus
+	if err := q.ask("copies", &s); err != nil {
+		return err
+	}
+	if q.json {
+		return writeJSON(q.out, s)
+	}
+	if s.BootstrapID == "" {
+		return errors.New("there is no store yet; `marblespan state-store bootstrap` at one of the Raft nodes makes it")
+	}
+	fmt.Fprintf(q.out, "store %s, ledger at %d, %d copies, records of format %d\n", s.BootstrapID, s.Index, s.Voters, s.Format)
+	if s.Failed != "" {
+		fmt.Fprintf(q.out, "%s holds nothing any more: %s\n", s.Node, s.Failed)
+	}
+	if err := q.printStores(s.Stores); err != nil {
+		return err
+	}
+	return q.printRaftGroups(s.Groups)
+}
+
+func (q *query) printStores(stores []gateway.StoreStatus) error {
+	w := tabwriter.NewWriter(q.out, 0, 8, 2, ' ', 0)
+	fmt.Fprintln(w, "DISK\tGATEWAY\tZONE\tWEIGHT\tSTATE")
+	for _, d := range stores {
+		state := "there"
+		if d.Removed {
+			state = "lost"
+		}
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\n", d.Number, d.Node, orDash(d.Zone), d.Weight, state)
+	}
+	return w.Flush()
+}
+
+func (q *query) printRaftGroups(groups []gateway.GroupStatus) error {
+	w := tabwriter.NewWriter(q.out, 0, 8, 2, ' ', 0)
+	fmt.Fprintln(w, "SHARD\tEPOCH\tHOLDERS\tUNDER WAY\tLEADER\tBEHIND\tRECORDS\tBYTES")
+	for _, g := range groups {
+		name := strconv.Itoa(int(g.Group))
+		if g.Group == 0 {
+			name = "ledger"
+		}
+		leader, behind, records, bytes := "-", "-", "-", "-"
+		if here := g.Here; here != nil {
+			leader, behind = orDash(here.Leader), fmt.Sprint(here.Last-here.Applied)
+			records, bytes = fmt.Sprint(here.Records), fmt.Sprint(here.Bytes)
+			if here.Unsure {
+				leader = "asks the others"
+			}
+		}
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\n", name, g.Epoch, replicaNames(g), orDash(membershipChange(g)), leader, behind, records, bytes)
+	}
+	return w.Flush()
+}
+
+// replicaNames lists the gateways that have a replica of a group.
+func replicaNames(g gateway.GroupStatus) string {
+	var names []string
+	for _, r := range g.Replicas {
+		name := r.Node
+		if r.Lost {
+			name += " (lost)"
+		}
+		names = append(names, name)
+	}
+	return strings.Join(names, ",")
+}
+
+// membershipChange says which replicas are being added and removed, and whether the group's records were lost before.
+func membershipChange(g gateway.GroupStatus) string {
+	change := ""
+	if g.Adding != nil {
+		change = "+" + g.Adding.Node
+		for _, r := range g.Replicas {
+			if r.Number == g.Removing {
+				change += " -" + r.Node
+			}
+		}
+	}
+	if g.Lost {
+		change = strings.TrimSpace(change + " lost before")
+	}
+	return change
+}
--- /dev/null
+++ b/internal/cli/vrrp.go
@@ -0,0 +1,42 @@
+package cli
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+	"text/tabwriter"
+
+	"github.com/spf13/cobra"
+
+	"marblespan/internal/floatingip"
+)
+
+func (c *command) vrrp() *cobra.Command {
+	group := &cobra.Command{
+		Use: "vrrp", Short: "Floating addresses", Args: noArguments,
+		RunE: func(*cobra.Command, []string) error { return usageError{errors.New("vrrp needs a command: status")} },
+	}
+	status := &cobra.Command{Use: "status", Short: "Ask a running gateway which addresses it holds", Args: noArguments}
+	q := c.newQuery(status.Flags())
+	status.RunE = func(*cobra.Command, []string) error { return q.printFloatingAddresses() }
+	group.AddCommand(status)
+	return group
+}
+
+func (q *query) printFloatingAddresses() error {
+	var all []floatingip.Status
+	if err := q.ask("vrrp status", &all); err != nil {
+		return err
+	}
+	if q.json {
+		return writeJSON(q.out, all)
+	}
+	w := tabwriter.NewWriter(q.out, 0, 8, 2, ' ', 0)
+	fmt.Fprintln(w, "GROUP\tVRID\tADDRESSES\tSTATE\tFOR\tPRIORITY\tREADY\tWRONG\tHOLDER\tTENURE\tHELD BACK")
+	for _, s := range all {
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%v\t%d of %d\t%s\t%s\t%s\t%d\t%v\n", s.Group, s.VRID, strings.Join(s.Addresses, ","),
+			s.State, milliseconds(s.ForMS), s.Priority, s.Settings, yesOrNo(s.Ready), orDash(strings.Join(s.Wrong, ",")), orDash(s.Holder),
+			s.Tenure, milliseconds(s.HeldMS))
+	}
+	return w.Flush()
+}
--- a/internal/testcluster/copies.go
+++ b/internal/testcluster/copies.go
@@ -98,7 +98,7 @@
 
 // Copies asks a gateway how copies stand.
 func (n *Node) Copies() (v CopiesView, err error) {
-	out, err := exec.Command(n.f.Binary, "copies", "--json", "--socket", n.Socket()).Output()
+	out, err := exec.Command(n.f.Binary, "state-store", "--json", "--socket", n.Socket()).Output()
 	if err == nil {
 		err = json.Unmarshal(out, &v)
 	}
@@ -107,7 +107,7 @@
 
 // Found makes a new store at a gateway; first says that there was none before.
 func (n *Node) Found(first bool) error {
-	args := []string{"copies", "found", "--socket", n.Socket()}
+	args := []string{"state-store", "bootstrap", "--socket", n.Socket()}
 	if first {
 		args = append(args, "--first")
 	}
@@ -119,7 +119,7 @@
 
 // Gone says at a gateway that another one's disk will not come back.
 func (n *Node) Gone(other *Node) error {
-	if out, err := exec.Command(n.f.Binary, "copies", "gone", other.Name(), "--socket", n.Socket()).CombinedOutput(); err != nil {
+	if out, err := exec.Command(n.f.Binary, "state-store", "remove-store", other.Name(), "--socket", n.Socket()).CombinedOutput(); err != nil {
 		return fmt.Errorf("%w: %s", err, out)
 	}
 	return nil
--- a/internal/testcluster/copies_test.go
+++ b/internal/testcluster/copies_test.go
@@ -229,7 +229,7 @@
 		{"a damaged disk", false, false, func(f *Fleet) error {
 			n := f.Nodes[3]
 			checked := func(want string) error {
-				out, err := exec.Command(f.Binary, "copies", "check", n.StoreFile()).CombinedOutput()
+				out, err := exec.Command(f.Binary, "state-store", "check", n.StoreFile()).CombinedOutput()
 				if !strings.Contains(string(out), want) || (err == nil) != (want == "is whole") {
 					return fmt.Errorf("%s is not what is told of the file: %s, %v", want, out, err)
 				}
--- a/internal/testcluster/maintain.go
+++ b/internal/testcluster/maintain.go
@@ -76,7 +76,7 @@
 
 // Order asks a gateway for the order of maintenance.
 func (n *Node) Order() (o Order, err error) {
-	out, err := exec.Command(n.f.Binary, "maintain", "list", "--json", "--socket", n.Socket()).Output()
+	out, err := exec.Command(n.f.Binary, "maintenance", "list", "--json", "--socket", n.Socket()).Output()
 	if err == nil {
 		err = json.Unmarshal(out, &o)
 	}
@@ -85,7 +85,7 @@
 
 // Say says something about maintenance at a gateway, as an operator does.
 func (n *Node) Say(args ...string) (string, error) {
-	out, err := exec.Command(n.f.Binary, append([]string{"maintain", "--socket", n.Socket()}, args...)...).CombinedOutput()
+	out, err := exec.Command(n.f.Binary, append([]string{"maintenance", "--socket", n.Socket()}, args...)...).CombinedOutput()
 	text := strings.TrimSpace(string(out))
 	if err != nil {
 		return text, fmt.Errorf("maintain %s at gateway %d: %w: %s", strings.Join(args, " "), n.Number, err, text)
--- a/internal/testcluster/maintain_test.go
+++ b/internal/testcluster/maintain_test.go
@@ -146,19 +146,19 @@
 			}); err != nil {
 				return err
 			}
-			if _, err := f.SayAnywhere("hold"); err != nil {
+			if _, err := f.SayAnywhere("pause"); err != nil {
 				return err
 			}
 			if err := until(f, "r1", "held", "asked"); err != nil {
 				return err
 			}
-			if _, err := f.SayAnywhere("drop", "r1"); err != nil {
+			if _, err := f.SayAnywhere("cancel", "r1"); err != nil {
 				return err
 			}
 			if _, err := f.SayAnywhere("done", "g5"); err != nil {
 				return err
 			}
-			if _, err := f.SayAnywhere("go"); err != nil {
+			if _, err := f.SayAnywhere("resume"); err != nil {
 				return err
 			}
 			return work(f, At{})
