--- a/internal/experiments/statestore/cluster.go
+++ b/internal/experiments/statestore/cluster.go
@@ -63,7 +63,7 @@
 		c.close()
 		return nil, err
 	}
-	if !first.AwaitFullyReplicated(2 * time.Minute) {
+	if !first.AwaitComplete(2 * time.Minute) {
 		c.close()
 		return nil, fmt.Errorf("%d gateways with %d copies of %d shards were not whole within two minutes", s.nodes, s.copies, s.shards)
 	}
@@ -94,8 +94,8 @@
 		path = filepath.Join(c.dir, name+".db")
 	}
 	m.holders, err = raftnode.Start(raftnode.Settings{
-		Node: name, Weight: 1, HostsReplicas: true, StoragePath: path, Tick: 100 * time.Millisecond, RepairAfter: s.healAfter, MaxRepairs: 4, RepairRate: 64 << 20,
-		MaxBytes: 1 << 30, MinLogBytes: 1 << 20, Peers: c.names,
+		Node: name, Weight: 1, RunsGroups: true, StoragePath: path, Tick: 100 * time.Millisecond, RepairAfter: s.healAfter, MaxRepairs: 4, RepairRate: 64 << 20,
+		MaxShardBytes: 1 << 30, MinLogBytes: 1 << 20, Peers: c.names,
 	}, raftnode.Clock{
 		Now: func() clock.Micros { return clock.Micros(time.Since(begin).Microseconds()) + 1 },
 		At:  func(t clock.Micros) time.Time { return begin.Add(time.Duration(t-1) * time.Microsecond) },
--- a/internal/experiments/statestore/measure.go
+++ b/internal/experiments/statestore/measure.go
@@ -158,11 +158,11 @@
 	c.end(c.most())
 	done := make(chan *load)
 	go func() { done <- c.load(light, 3*time.Second+o.Span, o.Heal) }()
-	if !c.nodes[0].holders.AwaitUnderReplicated(30 * time.Second) {
+	if !c.nodes[0].holders.AwaitIncomplete(30 * time.Second) {
 		return h, fmt.Errorf("nobody has noticed the loss")
 	}
 	begin := time.Now()
-	if !c.nodes[0].holders.AwaitFullyReplicated(2 * time.Minute) {
+	if !c.nodes[0].holders.AwaitComplete(2 * time.Minute) {
 		return h, fmt.Errorf("the copies of %d records were not whole again", o.Heal)
 	}
 	h.Took = time.Since(begin)
--- a/internal/raftgateway/check.go
+++ b/internal/raftgateway/check.go
@@ -12,14 +12,14 @@
 
 // storeContents is the summary of a storage file that the command for checks prints.
 type storeContents struct {
-	Disk        string            `json:"disk"`
-	Incarnation uint64            `json:"life"` // microseconds of Unix time at the gateway's latest start
-	Replicas    []replicaContents `json:"groups"`
-	Retired     int               `json:"retired"` // replicas that must not take part again
+	Disk        string           `json:"disk"`
+	Incarnation uint64           `json:"life"` // microseconds of Unix time at the gateway's latest start
+	Members     []memberContents `json:"groups"`
+	Retired     int              `json:"retired"` // members that must not take part again
 }
 
-// replicaContents is the summary of a replica.
-type replicaContents struct {
+// memberContents is the summary of a group member.
+type memberContents struct {
 	Group         uint32 `json:"group"`
 	Epoch         uint32 `json:"epoch"`
 	Number        uint64 `json:"number"`
@@ -46,17 +46,17 @@
 }
 
 func contentsOf(stored *raftstore.StoredState) storeContents {
-	contents := storeContents{Disk: formatID(stored.Store), Incarnation: stored.Incarnation, Replicas: []replicaContents{}, Retired: len(stored.Retired)}
+	contents := storeContents{Disk: formatID(stored.Store), Incarnation: stored.Incarnation, Members: []memberContents{}, Retired: len(stored.Retired)}
 	for _, g := range stored.Members {
-		replica := replicaContents{Group: g.Group, Epoch: g.Epoch, Number: g.Member, Term: g.HardState.GetTerm(), CommitIndex: g.HardState.GetCommit()}
+		member := memberContents{Group: g.Group, Epoch: g.Epoch, Number: g.Member, Term: g.HardState.GetTerm(), CommitIndex: g.HardState.GetCommit()}
 		if g.Snapshot != nil {
-			replica.SnapshotIndex, replica.SnapshotBytes = g.Snapshot.GetMetadata().GetIndex(), len(g.Snapshot.Data)
+			member.SnapshotIndex, member.SnapshotBytes = g.Snapshot.GetMetadata().GetIndex(), len(g.Snapshot.Data)
 		}
-		replica.LastIndex = replica.SnapshotIndex
+		member.LastIndex = member.SnapshotIndex
 		if len(g.Entries) > 0 {
-			replica.LastIndex = g.Entries[len(g.Entries)-1].GetIndex()
+			member.LastIndex = g.Entries[len(g.Entries)-1].GetIndex()
 		}
-		contents.Replicas = append(contents.Replicas, replica)
+		contents.Members = append(contents.Members, member)
 	}
 	return contents
 }
@@ -64,11 +64,11 @@
 // print writes the summary as text.
 func (c storeContents) print(out io.Writer) {
 	fmt.Fprintf(out, "disk %s is whole, last started %v\n", c.Disk, time.UnixMicro(int64(c.Incarnation)).UTC().Format(time.RFC3339))
-	for _, r := range c.Replicas {
-		fmt.Fprintf(out, "group %d, epoch %d, replica %d: term %d, committed up to %d of %d, snapshot at %d (%d bytes)\n",
+	for _, r := range c.Members {
+		fmt.Fprintf(out, "group %d, epoch %d, member %d: term %d, committed up to %d of %d, snapshot at %d (%d bytes)\n",
 			r.Group, r.Epoch, r.Number, r.Term, r.CommitIndex, r.LastIndex, r.SnapshotIndex, r.SnapshotBytes)
 	}
 	if c.Retired > 0 {
-		fmt.Fprintf(out, "%d replicas must not take part again: this disk was older than what they had acknowledged\n", c.Retired)
+		fmt.Fprintf(out, "%d members must not take part again: this disk was older than what they had acknowledged\n", c.Retired)
 	}
 }
--- a/internal/raftgateway/check_test.go
+++ b/internal/raftgateway/check_test.go
@@ -19,7 +19,7 @@
 func TestContentsGolden(t *testing.T) {
 	want := storeContents{
 		Disk: "00000000000000bb", Incarnation: 1_767_225_600_000_000, Retired: 1,
-		Replicas: []replicaContents{{Group: 2, Epoch: 3, Number: 4, Term: 5, CommitIndex: 6, SnapshotIndex: 7, SnapshotBytes: 8, LastIndex: 9}},
+		Members: []memberContents{{Group: 2, Epoch: 3, Number: 4, Term: 5, CommitIndex: 6, SnapshotIndex: 7, SnapshotBytes: 8, LastIndex: 9}},
 	}
 	golden, err := os.ReadFile(filepath.Join("testdata", "contents.json"))
 	if err != nil {
@@ -63,9 +63,9 @@
 		want, err  string
 	}{
 		{"text", path, false, "disk 00000000000000bb is whole, last started 2026-01-01T00:00:00Z\n" +
-			"group 1, epoch 2, replica 3: term 0, committed up to 0 of 0, snapshot at 0 (0 bytes)\n" +
-			"group 2, epoch 3, replica 4: term 5, committed up to 8 of 9, snapshot at 7 (8 bytes)\n" +
-			"1 replicas must not take part again: this disk was older than what they had acknowledged\n", ""},
+			"group 1, epoch 2, member 3: term 0, committed up to 0 of 0, snapshot at 0 (0 bytes)\n" +
+			"group 2, epoch 3, member 4: term 5, committed up to 8 of 9, snapshot at 7 (8 bytes)\n" +
+			"1 members must not take part again: this disk was older than what they had acknowledged\n", ""},
 		{"JSON", path, true, `{"disk":"00000000000000bb","life":1767225600000000,"groups":[` +
 			`{"group":1,"epoch":2,"number":3,"term":0,"commit":0,"snapshot":0,"snapshot_bytes":0,"last":0},` +
 			`{"group":2,"epoch":3,"number":4,"term":5,"commit":8,"snapshot":7,"snapshot_bytes":8,"last":9}],"retired":1}` + "\n", ""},
--- a/internal/raftgateway/records.go
+++ b/internal/raftgateway/records.go
@@ -20,7 +20,7 @@
 	raftstore.StatusFormatTooNew:     indoubt.NotApplied,
 }
 
-// replyFrom translates an answer of the state store.
+// replyFrom translates a response of the state store.
 func replyFrom(a raftstore.Response) intents.StoreReply {
 	return intents.StoreReply{
 		Result: resultOf[a.Status], Version: a.Version, Value: a.Value, Found: a.Found, PossiblyLost: a.Lost,
--- a/internal/raftgateway/status.go
+++ b/internal/raftgateway/status.go
@@ -27,10 +27,10 @@
 func groupStatus(g raftstore.GroupView) gateway.GroupStatus {
 	status := gateway.GroupStatus{Group: g.Group, Epoch: g.Epoch, Lost: g.Lost, Removing: g.Removing, Replicas: []gateway.ReplicaStatus{}}
 	for _, r := range g.Voters {
-		status.Replicas = append(status.Replicas, replicaStatus(r))
+		status.Replicas = append(status.Replicas, memberStatus(r))
 	}
 	if g.Adding != nil {
-		status.Adding = new(replicaStatus(*g.Adding))
+		status.Adding = new(memberStatus(*g.Adding))
 	}
 	if h := g.Local; h != nil {
 		status.Here = &gateway.LocalReplicaStatus{
@@ -40,7 +40,7 @@
 	return status
 }
 
-func replicaStatus(r raftstore.MemberView) gateway.ReplicaStatus {
+func memberStatus(r raftstore.MemberView) gateway.ReplicaStatus {
 	return gateway.ReplicaStatus{Number: r.ID, Node: r.Name, Lost: r.Lost}
 }
 
--- a/internal/raftgateway/store.go
+++ b/internal/raftgateway/store.go
@@ -2,7 +2,7 @@
 // marblespan-raft links it, since what it needs costs memory that a gateway without a state store must not pay: Register gives the
 // gateway the functions that open and check a store.
 //
-// It has no state and no goroutines of its own: a store is a raftnode.Node, whose answers this package translates into the
+// It has no state and no goroutines of its own: a store is a raftnode.Node, whose responses this package translates into the
 // gateway's terms on the goroutine that has them.
 package raftgateway
 
@@ -44,9 +44,9 @@
 	format, _ := strconv.ParseUint(Format, 10, 32) // 0 if it is empty: this version's
 	c := s.StateStore
 	node, err := raftnode.Start(raftnode.Settings{
-		Node: s.Node, Zone: s.Zone, Weight: s.Weight, HostsReplicas: c.RunsRaftNode(s.Node), StoragePath: c.StoragePath(), WitnessPath: c.Witness,
+		Node: s.Node, Zone: s.Zone, Weight: s.Weight, RunsGroups: c.RunsRaftNode(s.Node), StoragePath: c.StoragePath(), WitnessPath: c.Witness,
 		Tick: c.Heartbeat, RepairAfter: c.RepairAfter, MaxRepairs: c.MaxRepairs, RepairRate: int(c.RepairRate),
-		MaxBytes: int64(c.Memory), MinLogBytes: minLogBytes, RecordFormat: uint32(format), Peers: s.LivePeers,
+		MaxShardBytes: int64(c.Memory), MinLogBytes: minLogBytes, RecordFormat: uint32(format), Peers: s.LivePeers,
 		MaintenanceLimits: s.MaintenanceLimits, Members: s.Members, OnOrder: s.OnOrder,
 	}, nodeClock, s.Streams, s.Log)
 	if err != nil {
--- a/internal/raftnode/calls.go
+++ b/internal/raftnode/calls.go
@@ -12,7 +12,7 @@
 // retryPause is how long a shard whose last call failed counts as unavailable before one caller may try it again.
 const retryBackoff = 500 * time.Millisecond
 
-// pendingCalls are the calls that wait for an answer. The event loop owns them.
+// pendingCalls are the calls that wait for a response. The event loop owns them.
 type pendingCalls struct {
 	done   map[uint64]func(raftstore.Response) // by the call's number
 	lastID uint64
@@ -25,15 +25,15 @@
 	return p.lastID
 }
 
-// answer gives an answer to the call that it belongs to.
-func (p *pendingCalls) answer(a raftstore.Response) {
+// complete passes a response to the call that it belongs to.
+func (p *pendingCalls) complete(a raftstore.Response) {
 	if done := p.done[a.ID]; done != nil {
 		delete(p.done, a.ID)
 		done(a)
 	}
 }
 
-// abandon answers all calls with TooLate: the node is closing, and they may have been carried out.
+// abandon completes all calls with StatusDeadlineExceeded: the node is closing, and they may have been carried out.
 func (p *pendingCalls) abandon() {
 	for id, done := range p.done {
 		delete(p.done, id)
@@ -41,7 +41,7 @@
 	}
 }
 
-// shardAvailability tells which shards are likely to answer. It may be used from any goroutine.
+// shardAvailability tells which shards are likely to respond. It may be used from any goroutine.
 type shardAvailability struct {
 	count atomic.Int64 // of shards; 0: no store is known
 	// failedAt is when a shard's last call failed, in microseconds of Unix time; 0: it succeeded.
@@ -76,8 +76,8 @@
 	s.failedAt[shard].Store(at)
 }
 
-// Submit starts a call. It does not block: if the inbox is full or the node is closing, the answer is NotSent. The event loop calls
-// done with the answer, at the deadline at the latest; done must not block.
+// Submit starts a call. It does not block: if the inbox is full or the node is closing, the status is StatusNotSent. The event loop
+// calls done with the response, at the deadline at the latest; done must not block.
 func (n *Node) Submit(call raftstore.Request, deadline time.Time, done func(raftstore.Response)) {
 	submit := func() {
 		call.ID, call.Deadline = n.calls.add(done), n.clock.Now()+micros(time.Until(deadline))
@@ -126,8 +126,8 @@
 	})
 }
 
-// Call starts a call about a key: a command or, if that is nil, a read. done is called as by Submit; without a store the answer is
-// NotSent.
+// Call starts a call about a key: a command or, if that is nil, a read. done is called as by Submit; without a store the status
+// is StatusNotSent.
 func (n *Node) Call(key []byte, command *api.Command, deadline time.Time, done func(raftstore.Response)) {
 	shard, known := n.shards.shardOf(key)
 	if !known {
--- a/internal/raftnode/commands.go
+++ b/internal/raftnode/commands.go
@@ -20,23 +20,23 @@
 	ErrStoreExists = errors.New("state store: bootstrapped already")
 	// ErrNoStore means that no store has been bootstrapped yet, as far as this gateway knows.
 	ErrNoStore = errors.New("state store: there is none yet; bootstrap it first")
-	// ErrNoReplicas means that this gateway stores no replicas, by its settings or after a fault of its disk.
-	ErrNoReplicas = errors.New("state store: this gateway stores no replicas")
+	// ErrNoMembers means that this gateway has no members of Raft groups, by its settings or after a fault of its disk.
+	ErrNoMembers = errors.New("state store: this gateway runs no Raft groups")
 	// ErrNoAnswer means that the ledger has not answered in time. The command may still come into force, and may be repeated.
 	ErrNoAnswer = errors.New("state store: the ledger has not answered in time; the command may still come into force, and may be repeated")
-	// ErrFormatTooOld means that a gateway with replicas runs a version that has no maintenance order.
-	ErrFormatTooOld = errors.New("state store: a gateway with replicas runs a version without maintenance orders; update it first")
+	// ErrFormatTooOld means that a gateway that runs Raft groups has a version without maintenance orders.
+	ErrFormatTooOld = errors.New("state store: a gateway that runs Raft groups has a version without maintenance orders; update it first")
 )
 
 // Bootstrap makes a new store of so many shards with so many voters each. first tells that there was no store before whose records
-// could be missed. It returns ErrStoreExists, ErrNoReplicas or ErrClosing if there can be none.
+// could be missed. It returns ErrStoreExists, ErrNoMembers or ErrClosing if there can be none.
 func (n *Node) Bootstrap(shards, voters int, first bool) error {
 	return n.onEventLoop(func(o raftstore.Overview) error {
 		switch {
 		case o.ClusterID != 0:
 			return ErrStoreExists
 		case o.Store == 0 || o.Failed != "":
-			return ErrNoReplicas
+			return ErrNoMembers
 		}
 		n.host.Handle(n.clock.Now(), raftstore.BootstrapRequested{Shards: shards, Voters: voters, First: first})
 		return nil
@@ -47,7 +47,7 @@
 func (n *Node) RemoveStore(gateway string) error {
 	return n.onLedgerLeader(func(o raftstore.Overview) error {
 		if !slices.ContainsFunc(o.Stores, func(s raftstore.StoreView) bool { return s.Name == gateway && !s.Removed }) {
-			return fmt.Errorf("state store: no gateway %q stores replicas", gateway)
+			return fmt.Errorf("state store: no gateway %q runs Raft groups", gateway)
 		}
 		n.host.Handle(n.clock.Now(), raftstore.StoreRemoved{Name: gateway})
 		return nil
@@ -138,7 +138,7 @@
 	return listing, ErrNoAnswer
 }
 
-// call starts a call and waits for its answer; NotSent if the node closes before.
+// call starts a call and waits for its response; the status is StatusNotSent if the node closes before.
 func (n *Node) call(call raftstore.Request, deadline time.Time) raftstore.Response {
 	answered := make(chan raftstore.Response, 1)
 	n.Submit(call, deadline, func(a raftstore.Response) { answered <- a })
--- a/internal/raftnode/disk.go
+++ b/internal/raftnode/disk.go
@@ -13,7 +13,7 @@
 // storage is the storage file with its witness. Start opens them; from then on the disk writer alone writes to them, until Close
 // has waited for its end.
 type storage struct {
-	file    *raftstorage.File    // nil: replicas are in memory only
+	file    *raftstorage.File    // nil: the groups are in memory only
 	witness *raftstorage.Witness // nil: none
 	writes  chan raftstore.Write // to the disk writer; the host has at most one write under way
 }
@@ -45,7 +45,7 @@
 // openStorage opens the storage file and the witness, if there are to be any, and reads what is stored. trusted tells whether the
 // file is known to be the one that was written last, which a new file is, too.
 func (n *Node) openStorage() (stored *raftstore.StoredState, trusted bool, err error) {
-	if !n.settings.HostsReplicas || n.settings.StoragePath == "" {
+	if !n.settings.RunsGroups || n.settings.StoragePath == "" {
 		return nil, false, nil
 	}
 	if n.storage.file, stored, err = n.openFile(n.settings.StoragePath); err != nil {
@@ -81,7 +81,7 @@
 }
 
 // runDiskWriter writes to the storage file. After a fault it writes nothing more; the host is told, and the node continues without
-// replicas. It ends when quit is closed.
+// members. It ends when quit is closed.
 func (n *Node) runDiskWriter() {
 	failed := false
 	for {
--- a/internal/raftnode/eventloop.go
+++ b/internal/raftnode/eventloop.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// runEventLoop owns the host and the pending calls. It ends when quit is closed, and answers the calls that still wait.
+// runEventLoop owns the host and the pending calls. It ends when quit is closed, and completes the calls that still wait.
 func (n *Node) runEventLoop() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -93,8 +93,8 @@
 		case raftstore.Write:
 			n.storage.writes <- action // it does not block: the host asks for the next write after this one's result
 		case raftstore.Response:
-			n.Counters.Answers[action.Status].Add(1)
-			n.calls.answer(action)
+			n.Counters.Responses[action.Status].Add(1)
+			n.calls.complete(action)
 		case raftstore.Notice:
 			n.logNotice(action)
 		case raftstore.OrderChanged:
--- a/internal/raftnode/node.go
+++ b/internal/raftnode/node.go
@@ -4,7 +4,7 @@
 //
 // Start starts three goroutines, each for the lifetime of the node, which end when Close closes quit:
 //
-//   - the event loop (runEventLoop) owns the host and the calls that wait for an answer. Everything that needs them is passed to it
+//   - the event loop (runEventLoop) owns the host and the calls that wait for a response. Everything that needs them is passed to it
 //     through the inbox: events, and functions from other goroutines.
 //   - the disk writer (runDiskWriter) owns the storage file and the witness. Nothing else writes to them.
 //   - the bulk sender (runBulkSender) sends snapshots and other large packets at the rate that repair may use.
@@ -32,18 +32,18 @@
 type Settings struct {
 	Node, Zone string
 	Weight     uint32
-	// HostsReplicas tells whether this gateway stores replicas; without them it sends its calls to those that do.
-	HostsReplicas bool
-	// StoragePath is the storage file; empty: replicas are kept in memory only, and a restart counts as a lost disk.
+	// RunsGroups tells whether this gateway has members of the Raft groups; without them it sends its calls to those that do.
+	RunsGroups bool
+	// StoragePath is the storage file; empty: the groups are kept in memory only, and a restart counts as a lost disk.
 	StoragePath string
 	// WitnessPath is the file that records the storage's latest write (see raftstorage.Witness); empty: none.
-	WitnessPath string
-	Tick        time.Duration // of Raft's timers
-	RepairAfter time.Duration // how long a gateway is silent before its replicas are replaced
-	MaxRepairs  int           // repairs at the same time
-	RepairRate  int           // bytes a second for large packets
-	MaxBytes    int64         // memory of a shard's records
-	MinLogBytes int64         // a log shorter than this is not replaced by a snapshot
+	WitnessPath   string
+	Tick          time.Duration // of Raft's timers
+	RepairAfter   time.Duration // how long a gateway is silent before its members are replaced
+	MaxRepairs    int           // repairs at the same time
+	RepairRate    int           // bytes a second for large packets
+	MaxShardBytes int64         // memory of a shard's records
+	MinLogBytes   int64         // a log shorter than this is not replaced by a snapshot
 	// RecordFormat is the latest format of records that this gateway understands; 0: this version's.
 	RecordFormat uint32
 	Peers        func() []string // names of the gateways that are reachable; called once a second by the event loop
@@ -58,7 +58,7 @@
 // The bounds of the queues, and how many events are handled before their results are carried out.
 const (
 	maxEvents      = 4096   // in the inbox
-	maxCalls       = 20_000 // that wait for an answer
+	maxCalls       = 20_000 // that wait for a response
 	maxBulkPackets = 32     // that wait for the bulk sender
 	eventBatch     = 512
 )
@@ -124,8 +124,8 @@
 func (n *Node) hostConfig() raftstore.Config {
 	s := &n.settings
 	return raftstore.Config{
-		Name: s.Node, Zone: s.Zone, Weight: s.Weight, RunsGroups: s.HostsReplicas, Tick: micros(s.Tick), RepairAfter: micros(s.RepairAfter),
-		MaxRepairs: s.MaxRepairs, Format: s.RecordFormat, MinLogBytes: s.MinLogBytes, MaxShardBytes: s.MaxBytes, MaxCalls: maxCalls,
+		Name: s.Node, Zone: s.Zone, Weight: s.Weight, RunsGroups: s.RunsGroups, Tick: micros(s.Tick), RepairAfter: micros(s.RepairAfter),
+		MaxRepairs: s.MaxRepairs, Format: s.RecordFormat, MinLogBytes: s.MinLogBytes, MaxShardBytes: s.MaxShardBytes, MaxCalls: maxCalls,
 		ClientID: randomID(), NewStoreID: randomID(), NewClusterID: randomID(), Incarnation: uint64(time.Now().UnixMicro()), Maintenance: s.MaintenanceLimits,
 	}
 }
@@ -154,7 +154,7 @@
 	}
 }
 
-// Close ends the goroutines, waits for them and closes the files. Calls that still wait are answered with TooLate. It may be called
+// Close ends the goroutines, waits for them and closes the files. Calls that still wait get StatusDeadlineExceeded. It may be called
 // more than once.
 func (n *Node) Close() {
 	n.closeOnce.Do(func() { close(n.quit) })
--- a/internal/raftnode/node_test.go
+++ b/internal/raftnode/node_test.go
@@ -69,8 +69,8 @@
 	x := listen(t, name, begin, c.route)
 	c.setRoute(name, x.Addr())
 	n, err := Start(Settings{
-		Node: name, Weight: 1, HostsReplicas: true, StoragePath: filepath.Join(c.dir, name), WitnessPath: filepath.Join(c.dir, name+".witness"),
-		Tick: 50 * time.Millisecond, RepairAfter: 2 * time.Second, MaxRepairs: 8, RepairRate: 8 << 20, MaxBytes: 16 << 20, MinLogBytes: 8 << 10,
+		Node: name, Weight: 1, RunsGroups: true, StoragePath: filepath.Join(c.dir, name), WitnessPath: filepath.Join(c.dir, name+".witness"),
+		Tick: 50 * time.Millisecond, RepairAfter: 2 * time.Second, MaxRepairs: 8, RepairRate: 8 << 20, MaxShardBytes: 16 << 20, MinLogBytes: 8 << 10,
 		Peers: func() []string { return []string{"a", "b", "c"} },
 	}, Clock{
 		Now: func() clock.Micros { return clock.Micros(time.Since(begin).Microseconds()) + 1 },
@@ -132,8 +132,8 @@
 	if err := a.Bootstrap(4, 3, true); err != nil {
 		t.Fatal(err)
 	}
-	if !a.AwaitFullyReplicated(testTimeout) || !c.AwaitFullyReplicated(testTimeout) {
-		t.Fatalf("not fully replicated: %+v", a.Overview())
+	if !a.AwaitComplete(testTimeout) || !c.AwaitComplete(testTimeout) {
+		t.Fatalf("not complete: %+v", a.Overview())
 	}
 	if err := b.Bootstrap(4, 3, true); !errors.Is(err, ErrStoreExists) {
 		t.Errorf("bootstrapped twice: %v, want %v", err, ErrStoreExists)
@@ -166,7 +166,7 @@
 	wantPosition(t, restarted, "stored while a is away", 5)
 	for _, g := range restarted.Overview().Groups {
 		if g.Local == nil {
-			t.Errorf("group %d has no replica at a after its restart", g.Group)
+			t.Errorf("group %d has no member at a after its restart", g.Group)
 		}
 	}
 	if restarted.Counters.Notices[raftstore.NoticeMemberStale].Load()+restarted.Counters.Notices[raftstore.NoticeStoreRenumbered].Load() > 0 {
--- a/internal/raftnode/status.go
+++ b/internal/raftnode/status.go
@@ -15,7 +15,7 @@
 	Received                      atomic.Int64 // packets
 	EventsDropped                 atomic.Int64 // packets that found the inbox full
 	Writes                        atomic.Int64 // to the storage file
-	Answers                       [raftstore.Statuses]atomic.Int64
+	Responses                     [raftstore.Statuses]atomic.Int64
 	Notices                       [raftstore.NoticeKinds]atomic.Int64
 }
 
@@ -25,7 +25,7 @@
 	line := n.log.Info().Int64("sent", c.Sent.Load()).Int64("sent_bytes", c.SentBytes.Load()).Int64("not_sent", c.SendFailures.Load()).
 		Int64("received", c.Received.Load()).Int64("overrun", c.EventsDropped.Load()).Int64("writes", c.Writes.Load())
 	for status := range raftstore.Statuses {
-		if count := c.Answers[status].Load(); count > 0 {
+		if count := c.Responses[status].Load(); count > 0 {
 			line = line.Int64("answered_"+status.String(), count)
 		}
 	}
@@ -76,22 +76,22 @@
 	return o
 }
 
-// awaitInterval is how often AwaitFullyReplicated and AwaitUnderReplicated look.
+// awaitInterval is how often AwaitComplete and AwaitIncomplete poll.
 const awaitInterval = 5 * time.Millisecond
 
-// AwaitFullyReplicated waits until every group has all its voters, by the ledger that is known here. It returns false if that takes
+// AwaitComplete waits until every group has all its voters, by the ledger that is known here. It returns false if that takes
 // longer than timeout.
-func (n *Node) AwaitFullyReplicated(timeout time.Duration) bool {
-	return n.awaitReplicated(timeout, true)
+func (n *Node) AwaitComplete(timeout time.Duration) bool {
+	return n.awaitComplete(timeout, true)
 }
 
-// AwaitUnderReplicated waits until some group lacks a voter. It returns false if that takes longer than timeout.
-func (n *Node) AwaitUnderReplicated(timeout time.Duration) bool {
-	return n.awaitReplicated(timeout, false)
+// AwaitIncomplete waits until some group lacks a voter. It returns false if that takes longer than timeout.
+func (n *Node) AwaitIncomplete(timeout time.Duration) bool {
+	return n.awaitComplete(timeout, false)
 }
 
-func (n *Node) awaitReplicated(timeout time.Duration, fully bool) bool {
-	for deadline := time.Now().Add(timeout); n.Overview().Complete() != fully; time.Sleep(awaitInterval) {
+func (n *Node) awaitComplete(timeout time.Duration, complete bool) bool {
+	for deadline := time.Now().Add(timeout); n.Overview().Complete() != complete; time.Sleep(awaitInterval) {
 		if time.Now().After(deadline) {
 			return false
 		}
--- a/internal/raftnode/status_test.go
+++ b/internal/raftnode/status_test.go
@@ -33,7 +33,7 @@
 			n.Counters.Received.Store(4)
 			n.Counters.EventsDropped.Store(5)
 			n.Counters.Writes.Store(6)
-			n.Counters.Answers[raftstore.StatusOK].Store(7)
+			n.Counters.Responses[raftstore.StatusOK].Store(7)
 			n.Counters.Notices[raftstore.NoticeStoreRemoved].Store(8)
 			n.LogCounters()
 		}, map[string]any{
--- a/internal/raftstorage/file.go
+++ b/internal/raftstorage/file.go
@@ -1,6 +1,6 @@
-// Package raftstorage keeps a gateway's replicas in one file (go.etcd.io/bbolt): one transaction with one sync for each
+// Package raftstorage keeps a gateway's members of the Raft groups in one file (go.etcd.io/bbolt): one transaction with one sync for each
 // raftstore.Write. Every value has a checksum over its key and itself, so that damage is noticed. A file that is damaged anywhere
-// counts as damaged as a whole: its gateway has lost its disk, and fetches its replicas from the others.
+// counts as damaged as a whole: its gateway has lost its disk, and gets the content from the other members.
 //
 // internal/raftnode opens the file and is the only writer (see Open); the command that checks a store reads a file that is not in
 // use with Check. The layout is in layout.go; the decisions about what counts as damaged are in File.load and guardContent.
--- a/internal/raftstorage/file_test.go
+++ b/internal/raftstorage/file_test.go
@@ -35,15 +35,15 @@
 		if i := slices.IndexFunc(image.Members, func(g raftstore.StoredMember) bool { return g.Group == group }); i >= 0 {
 			stored = &image.Members[i]
 		}
-		if write, changed := randomGroupWrite(rng, group, stored); changed {
+		if write, changed := randomMemberWrite(rng, group, stored); changed {
 			w.Members = append(w.Members, write)
 		}
 	}
 	return w
 }
 
-// randomGroupWrite makes one replica's part of a write; changed is false if there is none. stored is nil if it is a new replica.
-func randomGroupWrite(rng *rand.Rand, group uint32, stored *raftstore.StoredMember) (w raftstore.MemberWrite, changed bool) {
+// randomMemberWrite makes one member's part of a write; changed is false if there is none. stored is nil if it is a new member.
+func randomMemberWrite(rng *rand.Rand, group uint32, stored *raftstore.StoredMember) (w raftstore.MemberWrite, changed bool) {
 	w = raftstore.MemberWrite{Group: group, Epoch: 1, Member: uint64(group) + 10}
 	next := nextIndex(stored)
 	switch rng.IntN(6) {
@@ -72,7 +72,7 @@
 	return w, true
 }
 
-// nextIndex is the index behind what a replica has stored.
+// nextIndex is the index behind what a member has stored.
 func nextIndex(stored *raftstore.StoredMember) uint64 {
 	switch {
 	case stored == nil:
@@ -292,7 +292,7 @@
 			facts, err := tx.CreateBucket(bucketFacts)
 			return errors.Join(err, bucket{facts}.setNumber(keyFormat, format+1))
 		}), ErrFormat},
-		{"without replicas' bucket", contentOf(t, func(tx *bbolt.Tx) error {
+		{"without members' bucket", contentOf(t, func(tx *bbolt.Tx) error {
 			facts, err := tx.CreateBucket(bucketFacts)
 			return errors.Join(err, bucket{facts}.setNumber(keyFormat, format), bucket{facts}.setNumber(keyStore, 7))
 		}), ErrIncomplete},
--- a/internal/raftstorage/layout.go
+++ b/internal/raftstorage/layout.go
@@ -17,9 +17,9 @@
 //	facts             about the whole file
 //	  format, store, life, sequence: numbers
 //	  view            the ledger as last known
-//	  retired         replicas that must not take part again, refSize bytes each
+//	  retired         members that must not take part again, refSize bytes each
 //	groups
-//	  (replicaKey)    a bucket for each replica
+//	  (memberKey)     a bucket for each member
 //	    hard          Raft's hard state
 //	    snapshot      the snapshot's metadata
 //	    pieces        the snapshot's data, by pieceKey
@@ -39,17 +39,17 @@
 	keySnapshot    = []byte("snapshot")
 )
 
-// refSize is the size of a replica's key in bytes.
+// refSize is the size of a member's key in bytes.
 const refSize = 4 + 4 + 8
 
-// replicaKey is the key of a replica.
-func replicaKey(group, epoch uint32, number uint64) []byte {
+// memberKey is the key of a member.
+func memberKey(group, epoch uint32, number uint64) []byte {
 	b := binary.BigEndian.AppendUint32(make([]byte, 0, refSize), group)
 	b = binary.BigEndian.AppendUint32(b, epoch)
 	return binary.BigEndian.AppendUint64(b, number)
 }
 
-// readRef reads a replica's key, which has refSize bytes.
+// readRef reads a member's key, which has refSize bytes.
 func readRef(b []byte) raftstore.MemberRef {
 	return raftstore.MemberRef{Group: binary.BigEndian.Uint32(b), Epoch: binary.BigEndian.Uint32(b[4:]), Member: binary.BigEndian.Uint64(b[8:])}
 }
--- a/internal/raftstorage/load.go
+++ b/internal/raftstorage/load.go
@@ -30,8 +30,8 @@
 			return fmt.Errorf("%w: there is no bucket %q", ErrIncomplete, bucketGroups)
 		}
 		return groups.ForEachBucket(func(key []byte) error {
-			replica, err := loadReplica(key, groups.Bucket(key))
-			stored.Members = append(stored.Members, replica)
+			member, err := loadMember(key, groups.Bucket(key))
+			stored.Members = append(stored.Members, member)
 			return err
 		})
 	})
@@ -69,7 +69,7 @@
 	return err
 }
 
-// loadRetired reads the replicas that must not take part again.
+// loadRetired reads the members that must not take part again.
 func loadRetired(facts bucket) (refs []raftstore.MemberRef, err error) {
 	raw, err := facts.get(keyRetired)
 	if err != nil {
@@ -84,33 +84,33 @@
 	return refs, nil
 }
 
-// loadReplica reads a replica's bucket.
-func loadReplica(key []byte, raw *bbolt.Bucket) (replica raftstore.StoredMember, err error) {
+// loadMember reads a member's bucket.
+func loadMember(key []byte, raw *bbolt.Bucket) (member raftstore.StoredMember, err error) {
 	if len(key) != refSize {
-		return replica, fmt.Errorf("%w: the replica's key %x has %d bytes, want %d", ErrIncomplete, key, len(key), refSize)
+		return member, fmt.Errorf("%w: the member's key %x has %d bytes, want %d", ErrIncomplete, key, len(key), refSize)
 	}
 	ref, values := readRef(key), bucket{raw}
-	replica = raftstore.StoredMember{Group: ref.Group, Epoch: ref.Epoch, Member: ref.Member}
+	member = raftstore.StoredMember{Group: ref.Group, Epoch: ref.Epoch, Member: ref.Member}
 	hard := &pb.HardState{}
 	found, err := values.message(keyHardState, hard)
 	if err != nil {
-		return replica, err
+		return member, err
 	}
 	if found {
-		replica.HardState = hard
+		member.HardState = hard
 	}
 	snapshot := &pb.Snapshot{}
 	if found, err = values.message(keySnapshot, snapshot); err != nil {
-		return replica, err
+		return member, err
 	}
 	if found {
 		if snapshot.Data, err = loadPieces(raw.Bucket(bucketPieces)); err != nil {
-			return replica, err
+			return member, err
 		}
-		replica.Snapshot = snapshot
+		member.Snapshot = snapshot
 	}
-	replica.Entries, err = loadLog(raw.Bucket(bucketLog))
-	return replica, err
+	member.Entries, err = loadLog(raw.Bucket(bucketLog))
+	return member, err
 }
 
 // loadPieces joins the pieces of a snapshot's data.
--- a/internal/raftstorage/witness.go
+++ b/internal/raftstorage/witness.go
@@ -8,7 +8,7 @@
 )
 
 // Witness is a small file that records the storage's latest write. It is on a file system that is empty after a start of the
-// machine (/run). A process that restarts recognizes by it that the storage file is the one that it left, and its replicas need not
+// machine (/run). A process that restarts recognizes by it that the storage file is the one that it left, and its members need not
 // ask the others for their latest state. After a start of the machine, or with an older copy of the storage file, it does not match.
 //
 // The goroutine that writes the storage file (see Open) also writes the witness.
--- a/internal/raftstorage/write.go
+++ b/internal/raftstorage/write.go
@@ -32,7 +32,7 @@
 		return err
 	}
 	for i := range w.Members {
-		if err := writeReplica(groups, &w.Members[i]); err != nil {
+		if err := writeMember(groups, &w.Members[i]); err != nil {
 			return err
 		}
 	}
@@ -48,25 +48,25 @@
 	}
 	retired, readErr := facts.get(keyRetired)
 	for _, ref := range w.Retired {
-		retired = append(retired, replicaKey(ref.Group, ref.Epoch, ref.Member)...)
+		retired = append(retired, memberKey(ref.Group, ref.Epoch, ref.Member)...)
 	}
 	return errors.Join(err, readErr, facts.set(keyRetired, retired))
 }
 
-// writeReplica writes one replica's part: it is removed, or gets a snapshot, entries and a hard state, each if there is one.
-func writeReplica(groups *bbolt.Bucket, w *raftstore.MemberWrite) error {
-	key := replicaKey(w.Group, w.Epoch, w.Member)
+// writeMember writes one member's part: it is removed, or gets a snapshot, entries and a hard state, each if there is one.
+func writeMember(groups *bbolt.Bucket, w *raftstore.MemberWrite) error {
+	key := memberKey(w.Group, w.Epoch, w.Member)
 	if w.Delete {
 		if groups.Bucket(key) == nil {
 			return nil
 		}
 		return groups.DeleteBucket(key)
 	}
-	replica, err := groups.CreateBucketIfNotExists(key)
+	member, err := groups.CreateBucketIfNotExists(key)
 	if err != nil {
 		return err
 	}
-	log, err := replica.CreateBucketIfNotExists(bucketLog)
+	log, err := member.CreateBucketIfNotExists(bucketLog)
 	if err != nil {
 		return err
 	}
@@ -74,7 +74,7 @@
 		if err := truncateLog(log, w); err != nil {
 			return err
 		}
-		if err := writeSnapshot(replica, w.Snapshot); err != nil {
+		if err := writeSnapshot(member, w.Snapshot); err != nil {
 			return err
 		}
 	}
@@ -82,7 +82,7 @@
 		return err
 	}
 	if w.HardState != nil {
-		return bucket{replica}.setMessage(keyHardState, w.HardState)
+		return bucket{member}.setMessage(keyHardState, w.HardState)
 	}
 	return nil
 }
@@ -99,14 +99,14 @@
 	return nil
 }
 
-// writeSnapshot replaces a replica's snapshot: its data in pieces, then its metadata.
-func writeSnapshot(replica *bbolt.Bucket, snapshot *pb.Snapshot) error {
-	if replica.Bucket(bucketPieces) != nil {
-		if err := replica.DeleteBucket(bucketPieces); err != nil {
+// writeSnapshot replaces a member's snapshot: its data in pieces, then its metadata.
+func writeSnapshot(member *bbolt.Bucket, snapshot *pb.Snapshot) error {
+	if member.Bucket(bucketPieces) != nil {
+		if err := member.DeleteBucket(bucketPieces); err != nil {
 			return err
 		}
 	}
-	pieces, err := replica.CreateBucket(bucketPieces)
+	pieces, err := member.CreateBucket(bucketPieces)
 	if err != nil {
 		return err
 	}
@@ -117,7 +117,7 @@
 		}
 		number++
 	}
-	return bucket{replica}.setMessage(keySnapshot, &pb.Snapshot{Metadata: snapshot.GetMetadata()})
+	return bucket{member}.setMessage(keySnapshot, &pb.Snapshot{Metadata: snapshot.GetMetadata()})
 }
 
 // writeEntries appends entries to a log. Those that it has from the first one's index on go before.
