--- a/internal/indoubt/words_test.go
+++ b/internal/indoubt/in_flight_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Answers name the phases of a booking by the words that they always did, in the order of the phases.
+// The control socket names the phases of a write by these words, in the order of the phases.
 func TestPhaseWordsGolden(t *testing.T) {
 	got := strings.Join(phaseNames[:], "\n") + "\n"
 	if want, err := os.ReadFile(filepath.Join("testdata", "phases.txt")); err != nil || got != string(want) {
--- /dev/null
+++ b/internal/indoubt/mutants_test.go
@@ -0,0 +1,183 @@
+package indoubt
+
+import (
+	"slices"
+	"strings"
+	"testing"
+
+	"marblespan/internal/modelcheck"
+)
+
+// mutant is a resolver that is wrong in one point: it changes an event before the resolver takes it in, or the actions after.
+type mutant struct {
+	name   string
+	before func(d *Resolver, ev Event) Event
+	after  func(d *Resolver, out []Action) []Action
+}
+
+// Each of these resolvers is wrong in one point. The random walks must find it.
+var mutants = []mutant{
+	{name: "shuts down without an answer to clients that wait for the store", before: func(_ *Resolver, ev Event) Event {
+		if _, is := ev.(ShutdownStarted); is {
+			return nil
+		}
+		return ev
+	}},
+	{name: "a claim with an unknown result counts as stored", before: onStoreReply(func(e *write, s *StoreReplied) {
+		if e.phase == claiming && s.Result == Unknown {
+			s.Result, s.Version = OK, 1
+		}
+	})},
+	{name: "a claim that met a conflict counts as stored", before: onStoreReply(func(e *write, s *StoreReplied) {
+		if e.phase == claiming && s.Result == Conflict {
+			s.Result = OK
+		}
+	})},
+	{name: "an intent in doubt is claimed anew", before: readAs(InDoubt, Unsent)},
+	{name: "another gateway's open intent is claimed anew", before: readAs(Open, Unsent)},
+	{name: "a repeat is claimed whatever is stored", before: func(_ *Resolver, ev Event) Event {
+		if a, is := ev.(RequestReceived); is && a.Repeat {
+			a.Repeat = false
+			return a
+		}
+		return ev
+	}, after: onAction(func(_ *Resolver, p Put) Action {
+		if p.Intent.State == Open {
+			p.Version = anyVersion
+		}
+		return p
+	})},
+	{name: "the gateway that takes over sends", before: onStoreReply(func(e *write, s *StoreReplied) {
+		if e.phase == takingOver && s.Result == OK {
+			e.phase, e.intent.State = claiming, Open
+		}
+	})},
+	{name: "a write that a lookup does not find has not run", before: func(d *Resolver, ev Event) Event {
+		if l, is := ev.(LookupAnswered); is && !l.Found {
+			if e := d.find(l.ID); e != nil && e.phase == lookingUp {
+				r := e.intent
+				r.State, e.phase, e.call.id = Unsent, readingIntent, 1<<40
+				return StoreReplied{Call: e.call.id, Version: e.version, Intent: &r}
+			}
+		}
+		return ev
+	}},
+	{name: "a write that may have run is reported unsent", before: func(_ *Resolver, ev Event) Event {
+		if t, is := ev.(RoutingAnswered); is && t.Kind == Failed {
+			t.Kind = Rejected
+			return t
+		}
+		return ev
+	}},
+	{name: "intents are stored whatever their version", after: onAction(func(_ *Resolver, p Put) Action {
+		p.Version = anyVersion
+		return p
+	})},
+	{name: "a lost intent never existed", before: onStoreReply(func(_ *write, s *StoreReplied) { s.PossiblyLost = false })},
+	{name: "a routed write is released when its client cancels", before: func(d *Resolver, ev Event) Event {
+		if g, is := ev.(RequestCanceled); is {
+			if e := d.find(g.ID); e != nil && e.phase == routed {
+				return RoutingAnswered{ID: g.ID, Kind: Rejected}
+			}
+		}
+		return ev
+	}},
+	{name: "a repeat is rejected", after: onAction(func(_ *Resolver, r Reply) Action {
+		if r.Kind == Failed {
+			r.Kind = Rejected
+		}
+		return r
+	})},
+	{name: "an answer is given twice", after: func(_ *Resolver, out []Action) []Action {
+		for _, a := range out {
+			if r, is := a.(Reply); is {
+				return append(out, r)
+			}
+		}
+		return out
+	}},
+	{name: "followers are forgotten", before: func(d *Resolver, ev Event) Event {
+		d.writes = slices.DeleteFunc(d.writes, func(e write) bool { return e.phase == followingWrite })
+		return ev
+	}},
+	{name: "no answer where the write is in doubt", after: func(_ *Resolver, out []Action) []Action {
+		return slices.DeleteFunc(out, func(a Action) bool {
+			r, is := a.(Reply)
+			return is && r.Kind == Failed
+		})
+	}},
+}
+
+// onStoreReply changes the replies of the store before a resolver takes them in.
+func onStoreReply(do func(e *write, s *StoreReplied)) func(*Resolver, Event) Event {
+	return func(d *Resolver, ev Event) Event {
+		s, is := ev.(StoreReplied)
+		if !is {
+			return ev
+		}
+		for i := range d.writes {
+			if d.writes[i].call.id == s.Call {
+				do(&d.writes[i], &s)
+			}
+		}
+		return s
+	}
+}
+
+// onAction changes one kind of action.
+func onAction[A Action](do func(d *Resolver, a A) Action) func(*Resolver, []Action) []Action {
+	return func(d *Resolver, out []Action) []Action {
+		for i, x := range out {
+			if a, is := x.(A); is {
+				out[i] = do(d, a)
+			}
+		}
+		return out
+	}
+}
+
+// readAs has each intent of one state be read as one of another.
+func readAs(state, into State) func(*Resolver, Event) Event {
+	return onStoreReply(func(_ *write, s *StoreReplied) {
+		if s.Intent != nil && s.Intent.State == state {
+			r := *s.Intent
+			r.State = into
+			s.Intent = &r
+		}
+	})
+}
+
+// weightedModel makes ticks and moves of the client rarer than all others.
+type weightedModel struct{ model }
+
+func (m weightedModel) Moves(w *world) (all []modelcheck.Move[*world]) {
+	for _, mv := range m.model.Moves(w) {
+		all = append(all, mv)
+		if !strings.HasPrefix(mv.Name, "tick") && !strings.HasPrefix(mv.Name, "the client") && !strings.HasPrefix(mv.Name, "request at") {
+			all = append(all, mv, mv, mv)
+		}
+	}
+	return all
+}
+
+func TestMutantsAreCaught(t *testing.T) {
+	if stateDivisor > 1 {
+		t.Skip("the same runs as without the race detector, many times slower")
+	}
+	for _, mut := range mutants {
+		t.Run(mut.name, func(t *testing.T) {
+			t.Parallel()
+			for _, a := range scenarios {
+				m := a.model
+				m.mutant = &mut
+				for seed := range uint64(4 * walksPerScenario) {
+					if made, broken := modelcheck.Walk[*world](weightedModel{m}, seed, maxSteps); broken != nil {
+						t.Logf("%q, seed %d, after %d moves: %v", a.name, seed, made, broken.Err)
+						return
+					}
+				}
+			}
+			t.Error("not caught")
+		})
+	}
+}
