--- a/internal/intents/intents_test.go
+++ b/internal/intents/intents_test.go
@@ -16,168 +16,202 @@
 	"marblespan/internal/indoubt"
 )
 
-// late is when a test gives up.
-const late = 20 * time.Second
-
-// kept is a store in memory, as its contract has it.
-type kept struct {
-	mu       sync.Mutex
-	versions uint64
-	records  map[string]StoreReply
+// testTimeout is when a test gives up waiting.
+const testTimeout = 20 * time.Second
+
+// memoryStore is a Store in memory.
+type memoryStore struct {
+	mu          sync.Mutex
+	lastVersion uint64
+	values      map[string]StoreReply
 }
 
-func (k *kept) Put(key, value []byte, version uint64, _ time.Duration, _ time.Time, done func(StoreReply)) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.records[string(key)].Version != version {
+func newMemoryStore() *memoryStore { return &memoryStore{values: map[string]StoreReply{}} }
+
+func (m *memoryStore) Put(key, value []byte, version uint64, _ time.Duration, _ time.Time, done func(StoreReply)) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.values[string(key)].Version != version {
 		go done(StoreReply{Result: indoubt.Conflict})
 		return
 	}
-	k.versions++
-	k.records[string(key)] = StoreReply{Version: k.versions, Value: value, Found: true}
-	go done(StoreReply{Version: k.versions})
+	m.lastVersion++
+	m.values[string(key)] = StoreReply{Version: m.lastVersion, Value: value, Found: true}
+	go done(StoreReply{Version: m.lastVersion})
 }
 
-func (k *kept) Get(key []byte, _ time.Time, done func(StoreReply)) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	go done(k.records[string(key)])
+func (m *memoryStore) Get(key []byte, _ time.Time, done func(StoreReply)) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	go done(m.values[string(key)])
 }
 
-// asker is the client's side of one booking.
-type asker struct {
+// testClient is a Client that hands each call to the test.
+type testClient struct {
 	routed, dropped chan bool
 	reply           chan indoubt.AnswerKind
-	value           string
+	value           string // of the reply
 }
 
-func (a *asker) Route() { a.routed <- true }
-func (a *asker) Drop()  { a.dropped <- true }
-func (a *asker) Reply(kind indoubt.AnswerKind, value []byte) {
-	a.value = string(value)
-	a.reply <- kind
+func newTestClient() *testClient {
+	return &testClient{routed: make(chan bool, 1), dropped: make(chan bool, 1), reply: make(chan indoubt.AnswerKind, 2)}
 }
 
-func newAsker() *asker {
-	return &asker{make(chan bool, 1), make(chan bool, 1), make(chan indoubt.AnswerKind, 2), ""}
+func (c *testClient) Route() { c.routed <- true }
+func (c *testClient) Drop()  { c.dropped <- true }
+func (c *testClient) Reply(kind indoubt.AnswerKind, value []byte) {
+	c.value = string(value)
+	c.reply <- kind
 }
 
-func gateway(t *testing.T, name string, store Store, look func(done func(row, answer []byte, ok bool))) *Service {
+// startService starts the service of one gateway. Without a store it has none; without a lookup its class has none.
+func startService(t *testing.T, name string, store Store, lookup func(done func(row, answer []byte, ok bool))) *Service {
 	t.Helper()
 	begin := time.Now()
-	b := New(Settings{
-		Node: name, Incarnation: 1, Log: zerolog.New(io.Discard), Now: func() clock.Micros { return clock.Micros(time.Since(begin).Microseconds()) },
-		Classes: map[string]Class{"order": {Policy: indoubt.Policy{RepeatsMarked: true, HasLookup: look != nil, Retention: 60_000_000, MaxInFlight: 4}, LookupClass: "seat", LookupText: "there"}},
-		ToTime:  func(m clock.Micros) time.Time { return begin.Add(time.Duration(m) * time.Microsecond) },
-		Lookup:  func(_, _ string, _ int, _ time.Time, done func(row, answer []byte, ok bool)) { go look(done) },
+	s := New(Settings{
+		Node: name, Incarnation: 1, Log: zerolog.New(io.Discard),
+		Now:    func() clock.Micros { return clock.Micros(time.Since(begin).Microseconds()) },
+		ToTime: func(m clock.Micros) time.Time { return begin.Add(time.Duration(m) * time.Microsecond) },
+		Classes: map[string]Class{"order": {
+			Policy:      indoubt.Policy{RepeatsMarked: true, HasLookup: lookup != nil, Retention: 60_000_000, MaxInFlight: 4},
+			LookupClass: "seat", LookupText: "there",
+		}},
+		Lookup: func(_, _ string, _ int, _ time.Time, done func(row, answer []byte, ok bool)) { go lookup(done) },
 	})
 	if store != nil {
-		b.SetStore(store)
+		s.SetStore(store)
 	}
-	t.Cleanup(b.Close)
-	return b
+	t.Cleanup(s.Close)
+	return s
 }
 
-func ask(b *Service, a *asker, words string, repeat bool) Write {
-	x := b.NewWrite(Request{ID: "r", Class: "order", Group: 7, Key: words, Statement: []byte(words), Repeat: repeat, Deadline: time.Now().Add(late)}, a)
-	x.Begin()
-	return x
+// begin requests a write.
+func begin(s *Service, client *testClient, statement string, repeat bool) Write {
+	w := s.NewWrite(Request{
+		ID: "r", Class: "order", Group: 7, Key: statement, Statement: []byte(statement), Repeat: repeat, Deadline: time.Now().Add(testTimeout),
+	}, client)
+	w.Begin()
+	return w
 }
 
-func wait[T any](t *testing.T, from chan T, what string) (v T) {
+func receive[T any](t *testing.T, from chan T, what string) (v T) {
 	t.Helper()
 	select {
 	case v = <-from:
-	case <-time.After(late):
-		t.Fatalf("%s never came", what)
+	case <-time.After(testTimeout):
+		t.Fatalf("no %s in %v", what, testTimeout)
 	}
 	return v
 }
 
-// A booking is claimed, let go out, answered and kept; asked again at another gateway it has the same answer. One whose gateway
-// has ended is taken over, and a read shows whether it ran.
-func TestBookings(t *testing.T) {
-	store := &kept{records: map[string]StoreReply{}}
-	shows := func(done func(row, answer []byte, ok bool)) { done([]byte("is there"), []byte("read"), true) }
-	a, b, c := gateway(t, "a", store, nil), gateway(t, "b", store, nil), gateway(t, "c", store, shows)
-	first := newAsker()
-	x := ask(a, first, "one", false)
-	wait(t, first.routed, "its way")
-	if !x.MaySend(context.Background(), "p", time.Now().Add(late)) {
-		t.Fatal("not let go out")
-	}
-	x.RoutingAnswered(indoubt.Served, []byte("answer"))
-	if k := wait(t, first.reply, "its answer"); k != indoubt.Served {
-		t.Errorf("%v", k)
-	}
-	if !a.WaitIdle(late) {
-		t.Fatal("never settled")
-	}
-	again := newAsker()
-	ask(b, again, "one", true)
-	if k := wait(t, again.reply, "the known answer"); k != indoubt.Served || again.value != "answer" {
-		t.Errorf("%v %q", k, again.value)
-	}
-	wait(t, again.dropped, "the word that it is not routed")
-
-	second := newAsker()
-	y := ask(a, second, "two", false)
-	wait(t, second.routed, "its way")
+// A write is claimed, permitted, answered and its outcome stored; a repeat at another gateway gets the same answer, and is not routed.
+func TestRepeatGetsStoredAnswer(t *testing.T) {
+	store := newMemoryStore()
+	a, b := startService(t, "a", store, nil), startService(t, "b", store, nil)
+	first := newTestClient()
+	w := begin(a, first, "one", false)
+	receive(t, first.routed, "route")
+	if !w.MaySend(context.Background(), "p", time.Now().Add(testTimeout)) {
+		t.Fatal("the attempt was not permitted")
+	}
+	w.RoutingAnswered(indoubt.Served, []byte("answer"))
+	if kind := receive(t, first.reply, "reply"); kind != indoubt.Served {
+		t.Errorf("reply %v, want %v", kind, indoubt.Served)
+	}
+	if !a.WaitIdle(testTimeout) {
+		t.Fatal("the outcome was never stored")
+	}
+	repeat := newTestClient()
+	begin(b, repeat, "one", true)
+	if kind := receive(t, repeat.reply, "reply to the repeat"); kind != indoubt.Served || repeat.value != "answer" {
+		t.Errorf("reply to the repeat %v %q, want %v %q", kind, repeat.value, indoubt.Served, "answer")
+	}
+	receive(t, repeat.dropped, "drop of the repeat")
+}
+
+// While a gateway has a write in routing, a lookup answers a repeat at another one; the write of a client that has canceled is not
+// permitted any more.
+func TestLookupAnswersRepeat(t *testing.T) {
+	store := newMemoryStore()
+	lookup := func(done func(row, answer []byte, ok bool)) { done([]byte("is there"), []byte("read"), true) }
+	a, c := startService(t, "a", store, nil), startService(t, "c", store, lookup)
+	first := newTestClient()
+	w := begin(a, first, "two", false)
+	receive(t, first.routed, "route")
 	if v := a.InFlight(); len(v) != 1 || v[0].Phase != "under_way" || v[0].Intent.State != indoubt.Open {
-		t.Errorf("%+v", v)
+		t.Errorf("in flight: %+v, want one that is under way and open", v)
 	}
-	y.Cancel()
-	shown := newAsker()
-	ask(c, shown, "two", true)
-	if k := wait(t, shown.reply, "what a read shows"); k != indoubt.Served || shown.value != "read" {
-		t.Errorf("%v %q", k, shown.value)
+	w.Cancel()
+	repeat := newTestClient()
+	begin(c, repeat, "two", true)
+	if kind := receive(t, repeat.reply, "reply to the repeat"); kind != indoubt.Served || repeat.value != "read" {
+		t.Errorf("reply to the repeat %v %q, want %v %q", kind, repeat.value, indoubt.Served, "read")
 	}
-	if y.MaySend(context.Background(), "p", time.Now().Add(late)) {
-		t.Error("let go out, though its client has gone")
+	if w.MaySend(context.Background(), "p", time.Now().Add(testTimeout)) {
+		t.Error("an attempt was permitted, though its client has canceled")
 	}
+}
 
-	third := newAsker()
-	ask(a, third, "three", false)
-	wait(t, third.routed, "its way")
+// The write of a gateway that has ended is taken over when its client asks again: without a lookup it stays in doubt.
+func TestRepeatTakesOverFromEndedGateway(t *testing.T) {
+	store := newMemoryStore()
+	a, b := startService(t, "a", store, nil), startService(t, "b", store, nil)
+	first := newTestClient()
+	begin(a, first, "three", false)
+	receive(t, first.routed, "route")
 	b.GatewayEnded("a", 1)
-	taken := newAsker()
-	ask(b, taken, "three", true)
-	if k := wait(t, taken.reply, "a word"); k != indoubt.Failed {
-		t.Errorf("%v", k)
+	repeat := newTestClient()
+	begin(b, repeat, "three", true)
+	if kind := receive(t, repeat.reply, "reply to the repeat"); kind != indoubt.Failed {
+		t.Errorf("reply to the repeat %v, want %v", kind, indoubt.Failed)
 	}
-	var r indoubt.Intent
-	if s := store.records[Key("order", 7, []byte("three"))]; json.Unmarshal(s.Value, &r) != nil || r.State != indoubt.InDoubt || r.Owner != "a" || r.SettledBy != "b" {
-		t.Errorf("%+v", r)
-	}
-	none := newAsker()
-	ask(gateway(t, "d", nil, nil), none, "four", false)
-	if k := wait(t, none.reply, "a refusal without a store"); k != indoubt.Rejected {
-		t.Errorf("%v", k)
+	var intent indoubt.Intent
+	stored := store.values[Key("order", 7, []byte("three"))]
+	if err := json.Unmarshal(stored.Value, &intent); err != nil || intent.State != indoubt.InDoubt || intent.Owner != "a" || intent.SettledBy != "b" {
+		t.Errorf("%v, stored %+v, want one in doubt of a, settled by b", err, intent)
 	}
 }
 
-// Of each class as many bookings are in hand as the file allows; the next one is refused, and a repeat hears that it may have run.
-func TestAtOnce(t *testing.T) {
-	b := gateway(t, "a", &kept{records: map[string]StoreReply{}}, nil)
-	for _, words := range []string{"one", "two", "three", "four"} {
-		a := newAsker()
-		ask(b, a, words, false)
-		wait(t, a.routed, "its way")
-	}
-	for repeat, want := range map[bool]indoubt.AnswerKind{false: indoubt.Rejected, true: indoubt.Failed} {
-		a := newAsker()
-		ask(b, a, "five", repeat)
-		if k := wait(t, a.reply, "its answer"); k != want {
-			t.Errorf("asked again: %v; %v, want %v", repeat, k, want)
-		}
-		wait(t, a.dropped, "the word that it is not routed")
+// Without a store a write cannot be claimed, and is rejected.
+func TestRejectedWithoutStore(t *testing.T) {
+	client := newTestClient()
+	begin(startService(t, "d", nil, nil), client, "four", false)
+	if kind := receive(t, client.reply, "reply"); kind != indoubt.Rejected {
+		t.Errorf("reply %v, want %v", kind, indoubt.Rejected)
 	}
-	if n := b.TransitionCount(indoubt.TooManyInFlight); n != 2 {
-		t.Errorf("noticed %d times", n)
+}
+
+// Beyond the class's maximum in flight a write is rejected, and a repeat is told that it may have run.
+func TestMaxInFlight(t *testing.T) {
+	s := startService(t, "a", newMemoryStore(), nil)
+	for _, statement := range []string{"one", "two", "three", "four"} {
+		client := newTestClient()
+		begin(s, client, statement, false)
+		receive(t, client.routed, "route")
+	}
+	for _, c := range []struct {
+		name   string
+		repeat bool
+		want   indoubt.AnswerKind
+	}{
+		{"first request", false, indoubt.Rejected},
+		{"repeat", true, indoubt.Failed},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			client := newTestClient()
+			begin(s, client, "five", c.repeat)
+			if kind := receive(t, client.reply, "reply"); kind != c.want {
+				t.Errorf("reply %v, want %v", kind, c.want)
+			}
+			receive(t, client.dropped, "drop")
+		})
+	}
+	if n := s.TransitionCount(indoubt.TooManyInFlight); n != 2 {
+		t.Errorf("%d transitions counted, want 2", n)
 	}
 }
 
-// What is kept of a booking is JSON under a key made of its words, as earlier versions have it.
+// An intent is stored as JSON under a key made of its write's statement, as earlier versions store it.
 func TestLayoutOfRecords(t *testing.T) {
 	key := Key("put", 2, []byte("the words"))
 	if got, want := hex.EncodeToString([]byte(key)), "626f6f6b696e6720154611b754480b8f5ef6219b62ba7243e4c0f98d7e87919227945f109ee61220"; got != want {
--- /dev/null
+++ b/internal/intents/service.go
@@ -0,0 +1,205 @@
+package intents
+
+import (
+	"bytes"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"golang.org/x/time/rate"
+
+	"marblespan/internal/clock"
+	"marblespan/internal/indoubt"
+)
+
+// The durations of indoubt.Config.
+const (
+	sendWindow     = 250 * time.Millisecond
+	pollInterval   = 100 * time.Millisecond
+	ownerGrace     = 500 * time.Millisecond
+	outcomeTimeout = 5 * time.Second
+)
+
+// idlePollInterval is how often WaitIdle looks whether writes are in flight.
+const idlePollInterval = 5 * time.Millisecond
+
+// Service drives the resolver of one gateway. It implements Resolver.
+type Service struct {
+	settings         Settings
+	logLimiter       *rate.Limiter
+	transitionCounts [indoubt.Transitions]atomic.Int64
+	store            atomic.Pointer[Store]
+	lastID           atomic.Uint64
+
+	mu    sync.Mutex
+	queue []func()      // for the goroutine; bounded by the writes in flight
+	wake  chan struct{} // has a message while queue may have entries
+
+	quit    chan struct{} // closed by Close
+	running sync.WaitGroup
+
+	// Of the goroutine only.
+	resolver *indoubt.Resolver
+	writes   map[uint64]*write
+}
+
+// New makes a service and starts its goroutine, which Close ends.
+func New(settings Settings) *Service {
+	s := &Service{
+		settings: settings, logLimiter: rate.NewLimiter(maxLogLines, 2*maxLogLines),
+		wake: make(chan struct{}, 1), quit: make(chan struct{}), writes: map[uint64]*write{},
+		resolver: indoubt.New(indoubt.Config{
+			Gateway: settings.Node, Incarnation: settings.Incarnation, SendWindow: micros(sendWindow), PollInterval: micros(pollInterval),
+			OwnerGrace: micros(ownerGrace), OutcomeTimeout: micros(outcomeTimeout),
+		}),
+	}
+	s.running.Go(s.run)
+	return s
+}
+
+// Close ends the goroutine and waits for it. Writes in flight get no answer any more.
+func (s *Service) Close() {
+	close(s.quit)
+	s.running.Wait()
+}
+
+// Covers tells whether writes of a class are claimed before they are sent.
+func (s *Service) Covers(class string) bool {
+	_, covered := s.settings.Classes[class]
+	return covered
+}
+
+// SetStore sets the store. Before it is set every write is rejected.
+func (s *Service) SetStore(store Store) { s.store.Store(&store) }
+
+// GatewayEnded tells that an incarnation of a gateway, and all before it, have ended.
+func (s *Service) GatewayEnded(gateway string, incarnation uint64) {
+	s.postEvent(indoubt.GatewayEnded{Gateway: gateway, Incarnation: incarnation})
+}
+
+// StartShutdown gives each client that does not wait for routing its final answer.
+func (s *Service) StartShutdown() { s.postEvent(indoubt.ShutdownStarted{}) }
+
+// InFlight lists the writes in flight; after Close there are none.
+func (s *Service) InFlight() []indoubt.InFlightWrite {
+	listed := make(chan []indoubt.InFlightWrite, 1)
+	s.post(func() { listed <- s.resolver.InFlight(s.settings.Now()) })
+	select {
+	case all := <-listed:
+		return all
+	case <-s.quit:
+		return nil
+	}
+}
+
+// WaitIdle waits until no write is in flight, at most for timeout, and tells whether none is.
+func (s *Service) WaitIdle(timeout time.Duration) bool {
+	for deadline := time.Now().Add(timeout); len(s.InFlight()) > 0; time.Sleep(idlePollInterval) {
+		if time.Now().After(deadline) {
+			return false
+		}
+	}
+	return true
+}
+
+// post has the goroutine call do. It never blocks: the goroutine of routing calls it.
+func (s *Service) post(do func()) {
+	s.mu.Lock()
+	s.queue = append(s.queue, do)
+	s.mu.Unlock()
+	select {
+	case s.wake <- struct{}{}:
+	default:
+	}
+}
+
+func (s *Service) postEvent(ev indoubt.Event) { s.post(func() { s.handle(ev) }) }
+
+// run is the goroutine.
+func (s *Service) run() {
+	timer := time.NewTimer(time.Hour)
+	defer timer.Stop()
+	for {
+		if at, due := s.resolver.Next(); due {
+			timer.Reset(max(time.Until(s.settings.ToTime(at)), 0))
+		}
+		select {
+		case <-s.quit:
+			return
+		case <-timer.C:
+			s.handle(indoubt.Tick{})
+		case <-s.wake:
+		}
+		for _, do := range s.takeQueue() {
+			do()
+		}
+	}
+}
+
+func (s *Service) takeQueue() []func() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	queue := s.queue
+	s.queue = nil
+	return queue
+}
+
+// handle gives the resolver an event and carries out its actions.
+func (s *Service) handle(ev indoubt.Event) {
+	for _, action := range s.resolver.Handle(s.settings.Now(), ev) {
+		s.perform(action)
+	}
+}
+
+func (s *Service) perform(action indoubt.Action) {
+	switch a := action.(type) {
+	case indoubt.Put:
+		s.put(a)
+	case indoubt.Get:
+		s.get(a)
+	case indoubt.Route:
+		if w := s.writes[a.ID]; w != nil {
+			w.routed = true
+			w.client.Route()
+		}
+	case indoubt.Permit:
+		if w := s.writes[a.ID]; w != nil && w.permission != nil {
+			w.permission <- a.Granted
+			w.permission = nil
+		}
+	case indoubt.Reply:
+		if w := s.writes[a.ID]; w != nil {
+			w.client.Reply(a.Kind, a.Value)
+		}
+	case indoubt.LookUp:
+		s.lookUp(a)
+	case indoubt.Finished:
+		if w := s.writes[a.ID]; w != nil && !w.routed {
+			w.client.Drop()
+		}
+		delete(s.writes, a.ID)
+	case indoubt.LogTransition:
+		s.logTransition(a)
+	}
+}
+
+// lookUp reads the row that a write has written if it ran.
+func (s *Service) lookUp(l indoubt.LookUp) {
+	w := s.writes[l.ID]
+	class := s.settings.Classes[w.request.Class]
+	s.settings.Lookup(class.LookupClass, w.request.Key, w.request.Group, s.settings.ToTime(l.Deadline), func(row, answer []byte, ok bool) {
+		s.postEvent(indoubt.LookupAnswered{ID: l.ID, Found: ok && class.shows(row, w.request.Value), Value: answer})
+	})
+}
+
+// shows tells whether a row that a lookup has read shows that a write of a value ran.
+func (c Class) shows(row, written []byte) bool {
+	if c.LookupText != "" {
+		return bytes.Contains(row, []byte(c.LookupText))
+	}
+	return bytes.Equal(row, written)
+}
+
+func micros(d time.Duration) clock.Micros { return clock.Micros(d.Microseconds()) }
+
+func duration(m clock.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
--- /dev/null
+++ b/internal/intents/store.go
@@ -0,0 +1,79 @@
+package intents
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+
+	"marblespan/internal/indoubt"
+)
+
+// keyPrefix begins the key of each intent in the store. It is part of what is stored, and never changes.
+const keyPrefix = "booking "
+
+// shortKeyBytes is how many bytes at a key's end tell writes apart in logs and commands.
+const shortKeyBytes = 8
+
+// Key is the key of a write's intent in the store. Two requests with the same class, group and statement are the same write.
+func Key(class string, group int, statement []byte) string {
+	sum := sha256.New()
+	fmt.Fprintf(sum, "%q %d ", class, group)
+	sum.Write(statement)
+	return keyPrefix + string(sum.Sum(nil))
+}
+
+// ShortKey is a key as logs and commands show it, in hexadecimal.
+func ShortKey(key string) string {
+	if len(key) < 2*shortKeyBytes {
+		return key
+	}
+	return hex.EncodeToString([]byte(key[len(key)-shortKeyBytes:]))
+}
+
+func (s *Service) put(p indoubt.Put) {
+	store := s.store.Load()
+	raw, err := json.Marshal(&p.Intent)
+	if store == nil || err != nil {
+		s.notApplied(p.Call)
+		return
+	}
+	(*store).Put([]byte(p.Key), raw, p.Version, duration(p.Retention), s.settings.ToTime(p.Deadline), s.storeReplied(p.Call))
+}
+
+func (s *Service) get(g indoubt.Get) {
+	store := s.store.Load()
+	if store == nil {
+		s.notApplied(g.Call)
+		return
+	}
+	(*store).Get([]byte(g.Key), s.settings.ToTime(g.Deadline), s.storeReplied(g.Call))
+}
+
+func (s *Service) notApplied(call uint64) {
+	s.postEvent(indoubt.StoreReplied{Call: call, Result: indoubt.NotApplied})
+}
+
+// storeReplied is what a store calls with the result of a call.
+func (s *Service) storeReplied(call uint64) func(StoreReply) {
+	return func(reply StoreReply) {
+		ev := indoubt.StoreReplied{
+			Call: call, Result: reply.Result, Version: reply.Version,
+			PossiblyLost: reply.PossiblyLost, Age: micros(reply.Age), SinceLoss: micros(reply.SinceLoss),
+		}
+		if reply.Found {
+			ev.Intent = parseIntent(reply.Value)
+		}
+		s.postEvent(ev)
+	}
+}
+
+// parseIntent reads a stored intent. Of one that this version of the gateway cannot read only its existence is known: its write may
+// have run.
+func parseIntent(value []byte) *indoubt.Intent {
+	var intent indoubt.Intent
+	if json.Unmarshal(value, &intent) != nil {
+		return &indoubt.Intent{State: indoubt.InDoubt}
+	}
+	return &intent
+}
--- /dev/null
+++ b/internal/intents/write.go
@@ -0,0 +1,66 @@
+package intents
+
+import (
+	"context"
+	"time"
+
+	"marblespan/internal/indoubt"
+)
+
+// write is one request for a write. It implements Write.
+type write struct {
+	service *Service
+	id      uint64
+	request Request
+	client  Client
+
+	// Of the service's goroutine only.
+	routed     bool
+	permission chan bool // of the attempt that waits; nil: none does
+}
+
+// NewWrite makes a write, of which nothing happens before Begin.
+func (s *Service) NewWrite(request Request, client Client) Write {
+	return &write{service: s, id: s.lastID.Add(1), request: request, client: client}
+}
+
+// Begin claims the write. Its Client is told at once, or later, to route it, or its answer.
+func (w *write) Begin() {
+	s, request := w.service, &w.request
+	deadline := s.settings.Now() + micros(time.Until(request.Deadline))
+	s.post(func() {
+		s.writes[w.id] = w
+		s.handle(indoubt.RequestReceived{
+			ID: w.id, Key: Key(request.Class, request.Group, request.Statement), RequestID: request.ID, Class: request.Class,
+			Group: request.Group, Repeat: request.Repeat, Deadline: deadline, Policy: s.settings.Classes[request.Class].Policy,
+		})
+	})
+}
+
+// RoutingAnswered takes the final answer of routing. Value is nil if it is larger than MaxStoredAnswer.
+func (w *write) RoutingAnswered(kind indoubt.AnswerKind, value []byte) {
+	w.service.postEvent(indoubt.RoutingAnswered{ID: w.id, Kind: kind, Value: value, ValueComplete: value != nil})
+}
+
+// Cancel tells that the client waits no longer.
+func (w *write) Cancel() { w.service.postEvent(indoubt.RequestCanceled{ID: w.id}) }
+
+// MaySend asks whether the last byte of an attempt may be written now, and waits for the permission until the deadline.
+func (w *write) MaySend(ctx context.Context, server string, deadline time.Time) bool {
+	s, permission := w.service, make(chan bool, 1)
+	until := s.settings.Now() + micros(time.Until(deadline))
+	s.post(func() {
+		w.permission = permission
+		s.handle(indoubt.PermissionRequested{ID: w.id, Server: server, Deadline: until})
+	})
+	timeout := time.NewTimer(time.Until(deadline))
+	defer timeout.Stop()
+	select {
+	case granted := <-permission:
+		return granted
+	case <-ctx.Done():
+	case <-timeout.C:
+	case <-s.quit:
+	}
+	return false
+}
