--- /dev/null
+++ b/internal/raftstore/apply.go
@@ -0,0 +1,77 @@
+package raftstore
+
+import (
+	"fmt"
+
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	api "marblespan/api/raftstorepb"
+)
+
+// apply carries entries out.
+func (g *group) apply(entries []*pb.Entry) {
+	for _, e := range entries {
+		g.applied = e.GetIndex()
+		g.logBytes += int64(len(e.Data)) + 16
+		switch e.GetType() {
+		case pb.EntryConfChange, pb.EntryConfChangeV2:
+			g.applyConfChange(e)
+		default:
+			g.applyEntry(e)
+		}
+	}
+	if g.logBytes > max(g.host.cfg.MinLogBytes, g.snapshotBytes) && g.recovery == nil {
+		data := g.sm.snapshot()
+		if s, err := g.snapshot(data); err == nil {
+			g.logBytes, g.snapshotBytes = 0, int64(len(data))
+			g.host.disk.parts = append(g.host.disk.parts, writePart{group: g, snapshot: s})
+			g.durable.pendingWrites++
+		}
+	}
+}
+
+func (g *group) applyConfChange(e *pb.Entry) {
+	if e.GetType() == pb.EntryConfChange {
+		var c pb.ConfChange
+		if proto.Unmarshal(e.Data, &c) == nil {
+			g.conf = g.node.ApplyConfChange(&c)
+		}
+	} else {
+		var c pb.ConfChangeV2
+		if proto.Unmarshal(e.Data, &c) == nil {
+			g.conf = g.node.ApplyConfChange(&c)
+		}
+	}
+}
+
+func (g *group) applyEntry(e *pb.Entry) {
+	if len(e.Data) == 0 {
+		return
+	}
+	var x api.Entry
+	if proto.Unmarshal(e.Data, &x) != nil {
+		return // nobody can read it
+	}
+	for _, c := range x.Commands {
+		if c.Format > g.host.cfg.Format { // whoever understands it goes on otherwise than this replica would
+			g.host.failDisk(fmt.Sprintf("group %d: %v", g.id, errFormatTooNew))
+			return
+		}
+	}
+	for i, r := range g.sm.apply(e.GetIndex(), &x) {
+		k := commandID{x.Commands[i].Client, x.Commands[i].Sequence}
+		if o, waits := g.clients.waiting[k]; waits {
+			delete(g.clients.waiting, k)
+			g.host.reply(o, r)
+		}
+	}
+	if l, is := g.sm.(*ledger); is {
+		g.host.adoptLedger(l.Ledger, false)
+		if g.isLeader {
+			for _, n := range l.notices {
+				g.host.emitNotice(n)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/raftstore/diskwriter.go
@@ -0,0 +1,95 @@
+package raftstore
+
+import (
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+)
+
+// diskWriter is the state of the writes to this gateway's disk. One write is under way at a time; what comes together meanwhile goes
+// into the next one.
+type diskWriter struct {
+	failure      string      // why the disk is not written any more; empty: it is
+	parts        []writePart // of the next write
+	deletes      []MemberWrite
+	newlyRetired []MemberRef
+	retired      []MemberRef // all of them
+	ledgerDirty  bool        // the latest ledger is not on the disk yet
+	inFlight     []writePart // of the write that is under way
+	lastWrite    uint64      // number of the write that is under way, or of the last one
+	busy         bool        // a write is under way
+	started      bool        // the first write is done, so that this incarnation is on the disk
+}
+
+// writePart is one member's part of a write, and what goes out once it is on the disk.
+type writePart struct {
+	group     *group
+	message   *pb.Message // of the Raft library; nil: a snapshot that this package has made
+	snapshot  *pb.Snapshot
+	hardState *pb.HardState // with a snapshot that a member starts with
+	responses []*pb.Message
+}
+
+// nextWrite begins a write of all that waits, if none is under way. The first one of a life only says so.
+func (h *Host) startWrite() {
+	if !h.runsGroups || h.disk.busy || h.disk.failure != "" || len(h.disk.parts)+len(h.disk.deletes)+len(h.disk.newlyRetired) == 0 && !h.disk.ledgerDirty && h.disk.started {
+		return
+	}
+	h.disk.lastWrite++
+	w := Write{Number: h.disk.lastWrite, Store: h.store, Incarnation: h.incarnation, Retired: h.disk.newlyRetired, Members: h.disk.deletes, Recovered: h.recovered()}
+	if h.disk.ledgerDirty || !h.disk.started {
+		w.Ledger, _ = proto.Marshal(h.ledger)
+		h.disk.ledgerDirty = false
+	}
+	for _, p := range h.disk.parts {
+		if h.groups[p.group.id] != p.group {
+			continue
+		}
+		x := MemberWrite{Group: p.group.id, Epoch: p.group.epoch, Member: p.group.member}
+		if m := p.message; m != nil {
+			x.Snapshot, x.Entries = m.Snapshot, m.Entries
+			if m.Term != nil {
+				x.HardState = &pb.HardState{Term: m.Term, Vote: m.Vote, Commit: m.Commit}
+			}
+		} else {
+			x.Snapshot, x.KeepEntries, x.HardState = p.snapshot, true, p.hardState
+		}
+		w.Members = append(w.Members, x)
+	}
+	h.disk.inFlight, h.disk.parts, h.disk.deletes, h.disk.newlyRetired, h.disk.busy = h.disk.parts, nil, nil, nil, true
+	h.out.actions = append(h.out.actions, w)
+}
+
+// written goes on with what waited for a write.
+func (h *Host) writeCompleted(number uint64) {
+	if number != h.disk.lastWrite || !h.disk.busy {
+		return
+	}
+	h.disk.busy, h.disk.started = false, true
+	parts := h.disk.inFlight
+	h.disk.inFlight = nil
+	for _, p := range parts {
+		if h.groups[p.group.id] == p.group {
+			p.group.durable.pendingWrites--
+			p.group.writeCompleted(p)
+			p.group.processReady()
+		}
+	}
+}
+
+// fail stops holding: what is on the disk from now on is not known.
+func (h *Host) failDisk(cause string) {
+	if h.disk.failure != "" || !h.runsGroups {
+		return
+	}
+	h.disk.failure = cause
+	h.emitNotice(Notice{Kind: NoticeDiskFailed, Cause: cause})
+	h.stopAllMembers()
+}
+
+// dropAll ends all replicas here, without a word to the disk.
+func (h *Host) stopAllMembers() {
+	for _, g := range h.sortedGroups() {
+		h.stopMember(g)
+	}
+	h.disk.parts, h.disk.deletes, h.disk.inFlight, h.disk.busy = nil, nil, nil, false
+}
--- /dev/null
+++ b/internal/raftstore/durability.go
@@ -0,0 +1,148 @@
+package raftstore
+
+import (
+	"fmt"
+	"math"
+	"slices"
+
+	"go.etcd.io/raft/v3"
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	api "marblespan/api/raftstorepb"
+)
+
+// write puts a message's part into the next write, or deals with it at once where nothing has to be on the disk.
+func (g *group) queueWrite(m *pb.Message) {
+	same := m.Term == nil || m.GetTerm() == g.durable.hardState.GetTerm() && m.GetVote() == g.durable.hardState.GetVote() && !g.commitsConfChange(m.GetCommit())
+	if len(m.Entries) == 0 && m.Snapshot == nil && same && g.durable.pendingWrites == 0 {
+		g.finishWrite(writePart{group: g, message: m, responses: m.Responses})
+		return
+	}
+	g.durable.pendingWrites++
+	g.host.disk.parts = append(g.host.disk.parts, writePart{group: g, message: m, responses: m.Responses})
+}
+
+// changesVoters tells whether a commit goes past a change of the voters that the disk does not know to be committed.
+func (g *group) commitsConfChange(commit uint64) bool {
+	last, _ := g.log.LastIndex()
+	for ; g.durable.scanned < commit; g.durable.scanned++ {
+		var e []*pb.Entry
+		if g.durable.scanned < last {
+			e, _ = g.log.Entries(g.durable.scanned+1, g.durable.scanned+2, math.MaxUint64)
+		}
+		if len(e) == 0 || e[0].GetType() != pb.EntryNormal { // one that is not here yet may be one
+			g.durable.lastConfChange = g.durable.scanned + 1
+		}
+	}
+	return g.durable.lastConfChange > g.durable.commit
+}
+
+// applyKept applies what is committed. A change of the voters waits until the disk has its commit: a replica that forgot it in a
+// restart would have the voters of before, and if it was alone then, elect itself.
+func (g *group) applyDurable() {
+	for len(g.pendingApplies) > 0 {
+		m := g.pendingApplies[0]
+		if slices.ContainsFunc(m.Entries, func(e *pb.Entry) bool { return e.GetType() != pb.EntryNormal && e.GetIndex() > g.durable.commit }) {
+			return
+		}
+		g.pendingApplies = g.pendingApplies[1:]
+		g.apply(m.Entries)
+		g.deliverResponses(m.Responses)
+	}
+}
+
+// written is told once a part is on the disk.
+func (g *group) writeCompleted(p writePart) {
+	if m := p.message; m != nil {
+		g.durable.commit = max(g.durable.commit, m.GetCommit(), m.Snapshot.GetMetadata().GetIndex())
+	}
+	g.finishWrite(p)
+	g.applyDurable()
+}
+
+// done goes on after a part that is on the disk, or need not be.
+func (g *group) finishWrite(part writePart) {
+	m := part.message
+	if m == nil { // a snapshot of our own
+		if first, _ := g.log.FirstIndex(); part.snapshot.GetMetadata().GetIndex() > first+retainedEntries {
+			g.log.Compact(part.snapshot.GetMetadata().GetIndex() - retainedEntries)
+		}
+		return
+	}
+	if m.Snapshot != nil {
+		if err := g.restore(m.Snapshot); err != nil {
+			g.host.failDisk(fmt.Sprintf("group %d: a snapshot cannot be read: %v", g.id, err))
+			return
+		}
+	}
+	if err := g.log.Append(m.Entries); err != nil {
+		g.host.failDisk(fmt.Sprintf("group %d: %v", g.id, err))
+		return
+	}
+	if m.Term != nil {
+		g.durable.hardState = &pb.HardState{Term: new(m.GetTerm()), Vote: new(m.GetVote()), Commit: new(m.GetCommit())}
+		g.log.SetHardState(g.durable.hardState)
+		messages := g.durable.heldMessages
+		g.durable.heldMessages = nil
+		for _, m := range messages {
+			g.sendOnceTermDurable(m)
+		}
+	}
+	g.deliverResponses(part.responses)
+}
+
+// sendInTerm sends a message once the term that it speaks in is on the disk. The library lets a candidate's requests and a new
+// leader's entries go before that, and counts only its own vote after it; two other votes make a leader whose disk knows nothing of
+// its term. Restarted, it would be voted for again in that term, and put other entries in the places of the first ones.
+func (g *group) sendOnceTermDurable(m *pb.Message) {
+	if t := m.GetType(); t != pb.MsgPreVote && t != pb.MsgPreVoteResp && m.GetTerm() > g.durable.hardState.GetTerm() {
+		g.durable.heldMessages = append(g.durable.heldMessages, m)
+		return
+	}
+	g.send(m)
+}
+
+// respond hands on what waited for a write or for entries to be applied.
+func (g *group) deliverResponses(all []*pb.Message) {
+	for _, m := range all {
+		if m.GetTo() == g.member {
+			g.node.Step(m)
+		} else {
+			g.send(m)
+		}
+	}
+}
+
+// send sends a message to another replica. One that is not sure of itself yet says nothing.
+func (g *group) send(m *pb.Message) {
+	if g.recovery != nil {
+		return
+	}
+	to := g.host.gatewayOf(g.id, m.GetTo())
+	if to == "" || to == g.host.cfg.Name {
+		return
+	}
+	raw, err := proto.Marshal(m)
+	if err != nil {
+		return
+	}
+	x := &api.RaftMessage{Group: g.id, Epoch: g.epoch, Message: raw}
+	if m.GetType() == pb.MsgSnap {
+		g.leading.snapshotSentAt[m.GetTo()] = g.host.now
+		g.host.sendBulk(to, x)
+		return
+	}
+	p := g.host.packetFor(to)
+	p.Raft = append(p.Raft, x)
+}
+
+// heard takes in a message of another replica.
+func (g *group) receive(m *pb.Message) {
+	if g.recovery != nil || m.GetTo() != g.member || raft.IsLocalMsg(m.GetType()) {
+		return
+	}
+	if g.mayReceive(m) {
+		g.node.Step(m) // what is of no use is dropped by the library
+	}
+}
--- /dev/null
+++ b/internal/raftstore/faults_test.go
@@ -0,0 +1,1043 @@
+package raftstore
+
+import (
+	"flag"
+	"fmt"
+	"math"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/anishathalye/porcupine"
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	api "marblespan/api/raftstorepb"
+	"marblespan/internal/clock"
+)
+
+var seedCount = flag.Int("seeds", 0, "how many seeds of each trouble are run; 0: as many as CI has time for")
+
+// input and output are one operation on a register.
+type input struct {
+	key, value  string
+	read        bool
+	conditional bool
+	version     uint64
+}
+
+type output struct {
+	Response
+	unknown bool // nothing is known of it
+}
+
+type register struct {
+	exists  bool
+	value   string
+	version uint64 // 0: not known
+}
+
+// registers is what a history of records must fit: one register for each key.
+var registers = (&porcupine.NondeterministicModel{
+	Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
+		keys := map[string][]porcupine.Operation{}
+		for _, o := range all {
+			k := o.Input.(input).key
+			keys[k] = append(keys[k], o)
+		}
+		var out [][]porcupine.Operation
+		for _, list := range keys {
+			out = append(out, list)
+		}
+		return out
+	},
+	Init: func() []any { return []any{register{}} },
+	Step: func(state, in, out any) []any {
+		s, i, o := state.(register), in.(input), out.(output)
+		same := s.exists && (s.version == 0 || s.version == o.Version)
+		next := register{true, i.value, o.Version}
+		switch {
+		case i.read && o.unknown:
+			return []any{s}
+		case i.read && o.Found:
+			if same && s.value == string(o.Value) {
+				return []any{register{true, s.value, o.Version}}
+			}
+		case i.read:
+			if !s.exists {
+				return []any{s}
+			}
+		case o.unknown:
+			next.version = 0
+			if i.conditional && s.exists != (i.version != 0) {
+				return []any{s}
+			}
+			if i.conditional && s.version != i.version {
+				if s.version == 0 && s.exists {
+					return []any{s, next}
+				}
+				return []any{s}
+			}
+			return []any{next}
+		case o.Status == StatusConflict:
+			if s.exists && same && o.Version != i.version || !s.exists && o.Version == 0 && i.version != 0 {
+				return []any{register{s.exists, s.value, o.Version}}
+			}
+		case o.Status == StatusOK:
+			fits := !i.conditional || s.exists == (i.version != 0) && (s.version == i.version || s.exists && s.version == 0)
+			if fits && o.Version > s.version {
+				return []any{next}
+			}
+		}
+		return nil
+	},
+	Equal: func(a, b any) bool { return a == b },
+}).ToModel()
+
+// load has callers write and read until it is stopped, and remembers what they were promised.
+type workload struct {
+	sim        *simulation
+	stopped    bool
+	inFlight   int
+	operations []porcupine.Operation
+	versions   map[string]uint64 // last seen, by key
+	values     map[string]string // of each key and version
+	promised   map[string]uint64 // marks
+	maxSent    map[string]uint64 // the highest position that was sent
+	written    map[string]bool   // registers that were promised
+	statuses   map[Status]int
+}
+
+func (w *simulation) startWorkload(callers int) *workload {
+	l := &workload{
+		sim: w, versions: map[string]uint64{}, values: map[string]string{}, promised: map[string]uint64{}, maxSent: map[string]uint64{},
+		written: map[string]bool{}, statuses: map[Status]int{},
+	}
+	for i := range callers {
+		w.schedule(w.now+clock.Micros(i)*ms, func() { l.next(i) })
+	}
+	return l
+}
+
+// stop waits until nothing is under way.
+func (l *workload) stop() {
+	l.stopped = true
+	l.sim.advanceUntil("all calls are answered", 20*second, func() bool { return l.inFlight == 0 })
+}
+
+func (l *workload) next(caller int) {
+	w := l.sim
+	if l.stopped {
+		return
+	}
+	n := w.gateways[w.rng.IntN(len(w.gateways))]
+	next := func() { w.schedule(w.now+clock.Micros(w.rng.Int64N(int64(40*ms))), func() { l.next(caller) }) }
+	if !n.up || n.pausedUntil > w.now {
+		next()
+		return
+	}
+	l.startCall(n, caller, next)
+}
+
+// one makes one call.
+func (l *workload) startCall(n *simGateway, caller int, next func()) {
+	w, life := l.sim, n.starts
+	l.inFlight++
+	end := func(a Response) {
+		l.inFlight--
+		l.statuses[a.Status]++
+		next()
+	}
+	if w.rng.IntN(3) == 0 {
+		l.callPosition(n, end)
+	} else {
+		l.callRegister(n, caller, end)
+	}
+	// A gateway that ends takes its callers with it: nothing more is known of their calls.
+	id := w.next
+	w.schedule(w.now+6*second, func() {
+		if done := w.calls[id]; done != nil {
+			if n.starts == life && n.up && n.pausedUntil < w.now-5*second {
+				w.failure = fmt.Sprintf("%s has not answered a call in time", n.name)
+			}
+			delete(w.calls, id)
+			done(Response{Status: StatusDeadlineExceeded})
+		}
+	})
+}
+
+func (l *workload) shard(key string) uint32 { return ShardOf([]byte(key), l.sim.shards) }
+
+func (l *workload) callPosition(n *simGateway, end func(Response)) {
+	w := l.sim
+	key := fmt.Sprint("mark", w.rng.IntN(5))
+	if w.rng.IntN(2) == 0 {
+		position := l.maxSent[key] + 1 + w.rng.Uint64N(3)
+		if position > 3 && w.rng.IntN(3) == 0 {
+			position -= 3 // late, out of order
+		}
+		l.maxSent[key] = max(l.maxSent[key], position)
+		w.call(n, Request{Shard: l.shard(key), Deadline: 3 * second, Command: &api.Command{RaisePosition: &api.RaisePosition{
+			Key: []byte(key), Position: position, Ttl: int64(3600 * second),
+		}}}, func(a Response) {
+			if a.Status == StatusOK {
+				l.promised[key] = max(l.promised[key], position)
+			}
+			end(a)
+		})
+		return
+	}
+	least := l.promised[key]
+	w.call(n, Request{Shard: l.shard(key), Deadline: 3 * second, Get: &api.Get{Key: []byte(key)}}, func(a Response) {
+		l.checkPosition(key, least, a)
+		end(a)
+	})
+}
+
+// judge holds what is read of a mark against what was promised before the read began.
+func (l *workload) checkPosition(key string, least uint64, a Response) {
+	if a.Status == StatusOK && !a.Lost && (a.Found || least > 0) && (a.Position < least || a.Position > l.maxSent[key]) {
+		l.sim.failure = fmt.Sprintf("%s is at %d (found: %v), promised %d, sent %d", key, a.Position, a.Found, least, l.maxSent[key])
+	}
+}
+
+func (l *workload) callRegister(n *simGateway, caller int, end func(Response)) {
+	w := l.sim
+	key := fmt.Sprint("key", w.rng.IntN(6))
+	in := input{key: key, read: w.rng.IntN(2) == 0}
+	ask := Request{Shard: l.shard(key), Deadline: 3 * second, Get: &api.Get{Key: []byte(key)}}
+	if !in.read {
+		in.value = fmt.Sprint("v", w.next)
+		put := &api.Put{Key: []byte(key), Value: []byte(in.value), Ttl: int64(3600 * second)}
+		if w.rng.IntN(2) == 0 {
+			in.conditional, in.version = true, l.versions[key]
+			put.Conditional, put.Version = true, in.version
+		}
+		ask = Request{Shard: ask.Shard, Deadline: ask.Deadline, Command: &api.Command{Put: put}}
+		if n.format > LatestFormat && w.rng.IntN(2) == 0 {
+			ask.Command.Format = n.format // what an earlier version would not understand
+		}
+	}
+	begun := w.now
+	w.call(n, ask, func(a Response) {
+		end(a)
+		if a.Lost || a.Status == StatusNotSent || a.Status == StatusFormatTooNew || a.Status == StatusFull {
+			return
+		}
+		o := porcupine.Operation{ClientId: caller, Input: in, Call: int64(begun), Output: output{Response: a}, Return: int64(w.now)}
+		if a.Status == StatusDeadlineExceeded {
+			o.Output, o.Return = output{unknown: true}, math.MaxInt64
+			if in.read {
+				return
+			}
+			o.ClientId = len(l.operations) + 100 // its own: it may still be under way when the caller goes on
+		}
+		l.operations = append(l.operations, o)
+		if a.Version > 0 && (a.Found || a.Status == StatusOK && !in.read) {
+			value := in.value
+			if in.read {
+				value = string(a.Value)
+			}
+			k := fmt.Sprint(key, " ", a.Version)
+			if last, known := l.values[k]; known && last != value {
+				w.failure = fmt.Sprintf("version %d of %s is %s and %s", a.Version, key, last, value)
+			}
+			l.values[k] = value
+		}
+		l.written[key] = l.written[key] || a.Status == StatusOK && !in.read
+		l.versions[key] = a.Version
+	})
+}
+
+// lostShards lists the shards that were begun anew.
+func (w *simulation) lostShards() map[uint32]bool {
+	out := map[uint32]bool{}
+	for id, g := range w.ledger().Groups {
+		if g.Epoch > 1 {
+			out[uint32(id)] = true
+		}
+	}
+	return out
+}
+
+// check looks, once all is well again, whether everything that was promised is there, on every replica alike.
+func (l *workload) checkAll() {
+	w := l.sim
+	lost := w.lostShards()
+	read := func(key string) (got Response) {
+		for range 5 {
+			answered := false
+			w.call(w.gateways[w.rng.IntN(len(w.gateways))], Request{Shard: l.shard(key), Deadline: 3 * second, Get: &api.Get{Key: []byte(key)}}, func(a Response) {
+				got, answered = a, true
+			})
+			if w.advanceUntil("a read at the end is answered", 10*second, func() bool { return answered }); got.Status == StatusOK {
+				return got
+			}
+		}
+		w.failure = fmt.Sprintf("%s cannot be read at the end: %v", key, got.Status)
+		return got
+	}
+	for key := range l.maxSent {
+		if l.checkPosition(key, l.promised[key], read(key)); w.failure != "" {
+			return
+		}
+	}
+	for key := range l.written {
+		if a := read(key); !a.Found && !a.Lost && w.failure == "" {
+			w.failure = fmt.Sprintf("%s was promised and is not there", key)
+		}
+	}
+	var ops []porcupine.Operation
+	for _, o := range l.operations {
+		if !lost[l.shard(o.Input.(input).key)] {
+			ops = append(ops, o)
+		}
+	}
+	if w.failure == "" && porcupine.CheckOperationsTimeout(registers, ops, 20*time.Second) == porcupine.Illegal {
+		w.failure = fmt.Sprintf("no order explains the %d answers", len(ops))
+	}
+	w.advance(5 * second) // so that followers have applied all
+	for id, g := range w.ledger().Groups {
+		states := map[uint64]string{} // by what is applied: an entry may just be on its way
+		for _, n := range w.gateways {
+			if x := n.host.groups[uint32(id)]; x != nil && n.up && slices.ContainsFunc(g.Voters, func(r *api.GroupMember) bool { return r.Id == x.member }) {
+				state := string(x.sm.snapshot())
+				if other, known := states[x.applied]; known && other != state && w.failure == "" {
+					w.failure = fmt.Sprintf("group %d has two states at %d: %s", id, x.applied, describeDifference(other, state))
+				}
+				states[x.applied] = state
+			}
+		}
+		if len(states) > 2 && w.failure == "" {
+			w.failure = fmt.Sprintf("group %d is at %d different entries", id, len(states))
+		}
+	}
+}
+
+// split cuts a set of nodes from all others, one way or both.
+func (w *simulation) partition(part map[string]bool, out, in bool) {
+	for _, a := range w.gateways {
+		for _, b := range w.gateways {
+			if part[a.name] && !part[b.name] {
+				w.partitioned[[2]string{a.name, b.name}] = out
+				w.partitioned[[2]string{b.name, a.name}] = in
+			}
+		}
+	}
+}
+
+func (w *simulation) restoreNetwork() {
+	clear(w.partitioned)
+	w.loss, w.maxDelay = 0, 0
+}
+
+// leaderOf is the node that leads a group.
+func (w *simulation) leaderOf(id uint32) *simGateway {
+	for _, n := range w.gateways {
+		if n.up && n.host.groups[id] != nil && n.host.groups[id].isLeader {
+			return n
+		}
+	}
+	return nil
+}
+
+func (w *simulation) storeGateways() (all []*simGateway) {
+	for _, n := range w.gateways {
+		if n.runsGroups {
+			all = append(all, n)
+		}
+	}
+	return all
+}
+
+// some are a few holders, fewer than a majority.
+func (w *simulation) minority() (out []*simGateway) {
+	all := w.storeGateways()
+	for _, i := range w.rng.Perm(len(all))[:1+w.rng.IntN((len(all)-1)/2)] {
+		out = append(out, all[i])
+	}
+	return out
+}
+
+func (w *simulation) randomDuration(least, most clock.Micros) clock.Micros {
+	return least + clock.Micros(w.rng.Int64N(int64(most-least)))
+}
+
+// trouble is one kind of it.
+type fault struct {
+	name    string
+	stores  int
+	mayLose bool // promised records may be lost, and known to be
+	inject  func(w *simulation)
+}
+
+func restart(w *simulation, n *simGateway, away clock.Micros) {
+	w.crash(n)
+	w.advance(away)
+	w.start(n)
+}
+
+func awaitComplete(w *simulation) { w.advanceUntil("all groups are whole", 60*second, w.isComplete) }
+
+var faults = []fault{
+	{"calm", 5, false, func(w *simulation) { w.advance(5 * second) }},
+	{"crashes of one at a time", 5, false, func(w *simulation) {
+		for range 6 {
+			n := w.minority()[0]
+			n.trusted = w.rng.IntN(3) > 0
+			restart(w, n, w.randomDuration(10*ms, 3*second))
+			w.advance(w.randomDuration(ms, 2*second))
+		}
+	}},
+	{"leaders killed at any moment", 5, false, func(w *simulation) {
+		for range 10 {
+			if n := w.leaderOf(uint32(w.rng.IntN(w.shards + 1))); n != nil {
+				w.advance(w.randomDuration(0, 20*ms))
+				restart(w, n, w.randomDuration(10*ms, second))
+			}
+			w.advance(w.randomDuration(ms, 500*ms))
+		}
+	}},
+	{"the leader is killed at each step of a write", 5, false, func(w *simulation) {
+		for at := beforeReplication; at < writeSteps; at++ {
+			if w.killAt = at; !w.advanceUntil("a leader comes to that step", 20*second, func() bool { return w.killAt == 0 }) {
+				return
+			}
+			w.advance(w.randomDuration(100*ms, 2*second))
+			for _, n := range w.gateways {
+				if !n.up {
+					n.trusted = w.rng.IntN(2) == 0
+					w.start(n)
+				}
+			}
+			awaitComplete(w)
+		}
+	}},
+	{"two versions of the records together", 5, false, func(w *simulation) {
+		for _, n := range w.rng.Perm(len(w.gateways)) { // one after the other is given the later one
+			w.crash(w.gateways[n])
+			w.gateways[n].format = LatestFormat + 1
+			w.advance(w.randomDuration(10*ms, second))
+			w.start(w.gateways[n])
+			awaitComplete(w)
+			if w.ledger().Format > LatestFormat && slices.ContainsFunc(w.storeGateways(), func(n *simGateway) bool { return n.format <= LatestFormat }) {
+				w.failure = "the later format is allowed before all holders understand it"
+			}
+		}
+		w.advanceUntil("the later format is allowed", 20*second, func() bool { return w.ledger().Format == LatestFormat+1 })
+		w.advance(2 * second)
+		n := w.minority()[0] // one is put back to the earlier version, with an empty disk
+		w.crash(n)
+		n.wipe()
+		n.format = LatestFormat
+		w.start(n)
+		w.advance(repairAfter + 5*second)
+		for _, g := range n.host.sortedGroups() {
+			w.failure = fmt.Sprintf("group %d is held by one that does not understand its records", g.id)
+		}
+		w.crash(n)
+		n.format = LatestFormat + 1
+		w.start(n)
+	}},
+	{"every disk is lost, one after the other", 5, false, func(w *simulation) {
+		for _, n := range w.storeGateways() {
+			w.crash(n)
+			n.wipe()
+			w.advance(w.randomDuration(0, 2*second))
+			w.start(n)
+			awaitComplete(w)
+		}
+	}},
+	{"one comes back without its disk within the same second", 3, false, func(w *simulation) {
+		for range 3 {
+			n := w.minority()[0]
+			w.crash(n)
+			n.wipe()
+			w.advance(20 * ms)
+			w.start(n)
+			awaitComplete(w)
+		}
+	}},
+	{"a copy of the disk is put back", 4, false, func(w *simulation) {
+		for range 3 {
+			n := w.storeGateways()[w.rng.IntN(4)]
+			n.backup = n.disk
+			w.advance(w.randomDuration(100*ms, 5*second))
+			w.crash(n)
+			n.disk, n.trusted = n.backup, false
+			w.advance(w.randomDuration(0, second))
+			w.start(n)
+			awaitComplete(w)
+		}
+	}},
+	{"a copy is put back while another one is away", 3, false, func(w *simulation) {
+		n, other := w.gateways[w.rng.IntN(3)], (*simGateway)(nil)
+		for other == nil || other == n {
+			other = w.gateways[w.rng.IntN(3)]
+		}
+		n.backup = n.disk
+		w.advance(w.randomDuration(second, 3*second))
+		w.crash(n)
+		w.crash(other)
+		n.disk, n.trusted = n.backup, false
+		w.start(n)
+		w.advance(3 * second)
+		w.start(other)
+	}},
+	{"cuts", 5, false, func(w *simulation) {
+		for range 6 {
+			part := map[string]bool{}
+			for _, n := range w.minority() {
+				part[n.name] = true
+			}
+			which := w.rng.IntN(3)
+			w.partition(part, which != 1, which != 2)
+			w.advance(w.randomDuration(200*ms, 4*second))
+			w.restoreNetwork()
+			w.advance(w.randomDuration(ms, second))
+		}
+	}},
+	{"a leader that is heard by nobody, or hears nobody", 5, false, func(w *simulation) {
+		for range 4 {
+			if n := w.leaderOf(uint32(w.rng.IntN(w.shards + 1))); n != nil {
+				one := w.rng.IntN(2) == 0
+				w.partition(map[string]bool{n.name: true}, one, !one)
+			}
+			w.advance(w.randomDuration(second, 4*second))
+			w.restoreNetwork()
+			w.advance(second)
+		}
+	}},
+	{"a leader that its callers reach, and no other holder does", 5, false, func(w *simulation) {
+		for range 8 {
+			if n := w.leaderOf(uint32(1 + w.rng.IntN(w.shards))); n != nil {
+				for _, o := range w.storeGateways() {
+					w.partitioned[[2]string{n.name, o.name}], w.partitioned[[2]string{o.name, n.name}] = true, true
+				}
+			}
+			w.advance(1500 * ms)
+			w.restoreNetwork()
+			w.advance(500 * ms)
+		}
+	}},
+	{"one is cut off for longer than heal-after, and returns", 5, false, func(w *simulation) {
+		for range 2 {
+			w.partition(map[string]bool{w.storeGateways()[w.rng.IntN(5)].name: true}, true, true)
+			w.advance(repairAfter + w.randomDuration(second, 8*second))
+			w.restoreNetwork()
+			w.advance(second)
+		}
+	}},
+	{"one dies for good during a partition", 6, false, func(w *simulation) {
+		part := map[string]bool{}
+		for _, n := range w.minority() {
+			part[n.name] = true
+		}
+		w.partition(part, true, true)
+		n := w.minority()[0]
+		w.crash(n)
+		w.advance(repairAfter + w.randomDuration(0, 6*second))
+		w.restoreNetwork()
+		w.advance(w.randomDuration(0, 3*second))
+		n.wipe()
+		w.start(n)
+	}},
+	{"losses and delay of a second", 5, false, func(w *simulation) {
+		w.loss, w.maxDelay = 0.3, second
+		w.advance(15 * second)
+		w.restoreNetwork()
+	}},
+	{"pauses of 5 s", 5, false, func(w *simulation) {
+		for range 3 {
+			if n := w.leaderOf(uint32(w.rng.IntN(w.shards + 1))); n != nil {
+				n.pausedUntil = w.now + 5*second
+			}
+			w.advance(7 * second)
+		}
+	}},
+	{"disks that fail", 6, false, func(w *simulation) {
+		for range 2 {
+			n := w.minority()[0]
+			n.failing = true
+			w.advance(10 * second)
+			awaitComplete(w)
+			w.crash(n)
+			n.wipe()
+			w.start(n)
+			awaitComplete(w)
+		}
+	}},
+	{"46 % of nine are killed", 9, true, func(w *simulation) {
+		all := w.storeGateways()
+		var dead []*simGateway
+		for _, i := range w.rng.Perm(9)[:4] {
+			w.crash(all[i])
+			dead = append(dead, all[i])
+		}
+		w.advance(w.randomDuration(second, 4*second))
+		for _, n := range dead {
+			w.start(n)
+		}
+	}},
+	{"all restart at once", 5, false, func(w *simulation) {
+		for range 2 {
+			trusted := w.rng.IntN(2) == 0
+			for _, n := range w.gateways {
+				w.crash(n)
+				n.trusted = trusted
+			}
+			w.advance(w.randomDuration(0, 2*second))
+			for _, n := range w.gateways {
+				w.schedule(w.now+w.randomDuration(0, 500*ms), func() { w.start(n) })
+			}
+			w.advance(3 * second)
+		}
+	}},
+	{"two of a shard's three disks are lost at once", 6, true, func(w *simulation) {
+		g := w.ledger().Groups[1+w.rng.IntN(w.shards)]
+		var lost []*simGateway
+		ledgers := 0
+		for _, r := range g.Voters[:2] {
+			name := findStore(w.ledger(), r.Store).Name
+			i := slices.IndexFunc(w.gateways, func(n *simGateway) bool { return n.name == name })
+			lost = append(lost, w.gateways[i])
+			if w.gateways[i].host.groups[LedgerGroup] != nil {
+				ledgers++
+			}
+		}
+		if ledgers == 2 {
+			return // the ledger would be lost with it
+		}
+		for _, n := range lost {
+			w.crash(n)
+			n.wipe()
+		}
+		w.advance(w.randomDuration(0, 2*second))
+		for _, n := range lost {
+			w.start(n)
+		}
+	}},
+	{"a shard that cannot go on is begun anew by an operator's word", 6, true, func(w *simulation) {
+		id := uint32(1 + w.rng.IntN(w.shards))
+		say := func() {
+			if n := w.leaderOf(LedgerGroup); n != nil {
+				w.handle(n, ShardReset{id})
+			}
+		}
+		say()
+		w.advance(second)
+		if w.ledger().Groups[id].Epoch != 1 {
+			w.failure = "a shard that goes on was begun anew"
+			return
+		}
+		var away []*simGateway
+		for _, r := range w.ledger().Groups[id].Voters {
+			i := slices.IndexFunc(w.gateways, func(n *simGateway) bool { return n.name == findStore(w.ledger(), r.Store).Name })
+			if n := w.gateways[i]; len(away) < 2 && (n.host.groups[LedgerGroup] == nil || len(away) == 0) {
+				w.crash(n)
+				away = append(away, n)
+			}
+		}
+		if len(away) < 2 {
+			return // the ledger would stand still with it
+		}
+		w.advanceUntil("the shard is begun anew", 20*second, func() bool {
+			say()
+			return w.ledger().Groups[id].Epoch == 2
+		})
+		w.advance(w.randomDuration(0, 2*second))
+		for _, n := range away {
+			w.start(n)
+		}
+	}},
+	{"clients whose answers are lost", 5, false, func(w *simulation) {
+		for _, n := range w.storeGateways() {
+			w.partitioned[[2]string{n.name, w.gateways[len(w.gateways)-1].name}] = true
+		}
+		for range 10 {
+			w.loss = 0.4
+			w.advance(second)
+			w.loss = 0
+			w.advance(200 * ms)
+		}
+		w.restoreNetwork()
+	}},
+	{"orderly restarts of all, one after the other", 5, false, func(w *simulation) {
+		for _, n := range w.storeGateways() {
+			w.handle(n, DrainRequested{})
+			w.advanceUntil("leadership is handed over", 5*second, func() bool { return n.drained })
+			restart(w, n, w.randomDuration(100*ms, second))
+			awaitComplete(w)
+		}
+	}},
+	{"everything", 6, false, func(w *simulation) {
+		for range 8 {
+			n := w.minority()[0]
+			switch w.rng.IntN(6) {
+			case 0:
+				n.trusted = w.rng.IntN(2) == 0
+				restart(w, n, w.randomDuration(ms, 4*second))
+			case 1:
+				n.pausedUntil = w.now + w.randomDuration(100*ms, 5*second)
+			case 2:
+				w.partition(map[string]bool{n.name: true}, w.rng.IntN(2) == 0, w.rng.IntN(2) == 0)
+			case 3:
+				w.loss, w.maxDelay = 0.2, w.randomDuration(0, 500*ms)
+			case 4:
+				w.restoreNetwork()
+				awaitComplete(w)
+				w.crash(n)
+				n.wipe()
+				w.start(n)
+				awaitComplete(w)
+			default:
+				w.restoreNetwork()
+				n.clockOffset += w.randomDuration(0, 600*second)
+			}
+			w.advance(w.randomDuration(ms, 3*second))
+		}
+	}},
+}
+
+// play runs one trouble from a seed, and tells what was broken.
+func runFault(x fault, seed uint64, mut *mutant) (broken string, l *workload) {
+	w := newSimulation(seed, x.stores, 2, 3, mut)
+	awaitComplete(w)
+	if w.failure != "" {
+		return w.failure, nil
+	}
+	l = w.startWorkload(6)
+	w.advance(second)
+	x.inject(w)
+	w.restoreNetwork()
+	for _, n := range w.gateways {
+		if !n.up {
+			n.trusted = true
+			w.start(n)
+		}
+	}
+	awaitComplete(w)
+	w.advance(second)
+	l.stop()
+	if lost := w.lostShards(); len(lost) > 0 && !x.mayLose && w.failure == "" {
+		w.failure = fmt.Sprintf("%v lost", lost)
+	}
+	if w.failure == "" {
+		l.checkAll()
+	}
+	if w.failure != "" {
+		return fmt.Sprintf("seed %d: %s", seed, w.failure), l
+	}
+	return "", l
+}
+
+// known are seeds that have found something, beside the first ones.
+var knownSeeds = map[string]uint64{"the leader is killed at each step of a write": 53}
+
+// seeds are the ones that a trouble is run with.
+func (x fault) seeds(n int) (all []uint64) {
+	for seed := range uint64(n) {
+		all = append(all, seed)
+	}
+	if seed, is := knownSeeds[x.name]; is {
+		all = append(all, seed)
+	}
+	return all
+}
+
+// ciSeeds is how many seeds of each trouble CI runs.
+const ciSeeds = 8
+
+// Whatever happens to hosts, disks and network: nothing that was promised is missing, histories are linearizable, no number
+// votes twice in a term, and all is whole again in the end. One after the other, for the library's source of randomness is one.
+func TestFaults(t *testing.T) {
+	n := ciSeeds / raceDivisor
+	if *seedCount > 0 {
+		n = *seedCount
+	}
+	for _, x := range faults {
+		t.Run(x.name, func(t *testing.T) {
+			begin, done := time.Now(), map[Status]int{}
+			for _, seed := range x.seeds(n) {
+				broken, l := runFault(x, seed, nil)
+				if broken != "" {
+					t.Fatal(broken)
+				}
+				for s, k := range l.statuses {
+					done[s] += k
+				}
+			}
+			t.Logf("%d seeds in %v, answers: %v", n, time.Since(begin).Round(time.Millisecond), done)
+			if done[StatusOK] == 0 {
+				t.Error("nothing was served")
+			}
+		})
+	}
+}
+
+// shardsOf are a host's shards.
+func shardsOf(n *simGateway) (all []*shard) {
+	for _, g := range n.host.sortedGroups() {
+		if s, is := g.sm.(*shard); is {
+			all = append(all, s)
+		}
+	}
+	return all
+}
+
+// everyShard spoils the shards of a host after each event.
+func mutateShards(do func(n *simGateway, s *shard)) func(*simulation, *simGateway, []Action) []Action {
+	return func(_ *simulation, n *simGateway, out []Action) []Action {
+		for _, s := range shardsOf(n) {
+			do(n, s)
+		}
+		return out
+	}
+}
+
+// everyGroup spoils the replicas of a host after each event.
+func mutateGroups(do func(n *simGateway, g *group)) func(*simulation, *simGateway, []Action) []Action {
+	return func(_ *simulation, n *simGateway, out []Action) []Action {
+		for _, g := range n.host.sortedGroups() {
+			do(n, g)
+		}
+		return out
+	}
+}
+
+// writes spoils what is written.
+func mutateWrites(do func(g *MemberWrite)) func(Write) Write {
+	return func(w Write) Write {
+		w.Members = slices.Clone(w.Members)
+		for i := range w.Members {
+			do(&w.Members[i])
+		}
+		return w
+	}
+}
+
+// Each of these hosts is wrong in one point. The troubles must find a run that shows it.
+var mutants = []mutant{
+	{name: "acknowledges before the disk has it", acknowledgesEarly: true},
+	{name: "keeps no votes and terms", fault: "crashes of one at a time", disk: mutateWrites(func(g *MemberWrite) { g.HardState = nil })},
+	{name: "leaves out the last entry of a write", disk: mutateWrites(func(g *MemberWrite) {
+		if n := len(g.Entries); n > 1 || n == 1 && g.HardState == nil {
+			g.Entries = g.Entries[:n-1]
+		}
+	})},
+	{name: "does not cut off what was overwritten", disk: mutateWrites(func(g *MemberWrite) {
+		if len(g.Entries) > 1 {
+			g.Entries = g.Entries[1:]
+		}
+	})},
+	{name: "an empty disk goes on under the old numbers", fault: "every disk is lost, one after the other", start: func(w *simulation, n *simGateway, s **StoredState, trusted *bool) {
+		if *s == nil && n.wiped.Store != 0 {
+			old := n.wiped.State()
+			for i := range old.Members {
+				g := &old.Members[i]
+				g.Entries, g.HardState = nil, &pb.HardState{}
+				if g.Snapshot != nil {
+					g.HardState = &pb.HardState{Commit: new(g.Snapshot.GetMetadata().GetIndex())}
+				}
+			}
+			*s, *trusted = old, true
+		}
+	}},
+	{name: "an older copy of the disk is trusted", fault: "a copy of the disk is put back", start: func(_ *simulation, _ *simGateway, _ **StoredState, trusted *bool) { *trusted = true }},
+	{name: "carries a call out twice", after: mutateShards(func(_ *simGateway, s *shard) { clear(s.clients) })},
+	{name: "carries a late copy of a call out", fault: "losses and delay of a second", after: mutateShards(func(_ *simGateway, s *shard) {
+		for _, c := range s.clients {
+			c.minPending = 0
+		}
+	})},
+	{name: "a snapshot forgets the callers", after: func(_ *simulation, n *simGateway, out []Action) []Action {
+		for i, a := range out {
+			s, is := a.(Send)
+			if !is || !s.Bulk {
+				continue
+			}
+			var p api.Packet
+			proto.Unmarshal(s.Body, &p)
+			for _, x := range p.Raft {
+				var m pb.Message
+				var state api.Shard
+				if proto.Unmarshal(x.Message, &m) == nil && x.Group != LedgerGroup && proto.Unmarshal(m.Snapshot.Data, &state) == nil {
+					state.Clients = nil
+					m.Snapshot.Data, _ = proto.Marshal(&state)
+					x.Message, _ = proto.Marshal(&m)
+				}
+			}
+			s.Body, _ = proto.Marshal(&p)
+			out[i] = s
+		}
+		return out
+	}},
+	{name: "reads without asking whether it still leads", fault: "a leader that its callers reach, and no other holder does", after: mutateGroups(func(n *simGateway, g *group) {
+		for no, reads := range g.clients.unconfirmed {
+			for _, r := range reads {
+				if s, is := g.sm.(*shard); is {
+					n.host.reply(r.caller, s.get(r.key))
+				}
+			}
+			delete(g.clients.unconfirmed, no)
+		}
+	})},
+	{name: "does not look at the condition", before: func(_ *simulation, _ *simGateway, ev Event) Event {
+		if a, is := ev.(Request); is && a.Command.GetPut() != nil {
+			a.Command.Put.Conditional = false
+		}
+		return ev
+	}},
+	{name: "promises what is only proposed", after: mutateGroups(func(n *simGateway, g *group) {
+		for k, o := range g.clients.waiting {
+			if s, is := g.sm.(*shard); is {
+				n.host.reply(o, &api.Reply{Version: s.lastVersion + 1})
+				delete(g.clients.waiting, k)
+			}
+		}
+	})},
+	{name: "records end by each one's own clock", after: mutateShards(func(n *simGateway, s *shard) { s.now = max(s.now, n.host.now) })},
+	{name: "the group's time is its leader's clock", fault: "pauses of 5 s", after: mutateGroups(func(n *simGateway, g *group) {
+		if g.isLeader {
+			g.leading.baseTime, g.leading.since = 8*n.host.now, n.host.now
+		}
+	})},
+	{name: "what was lost was never there", fault: "two of a shard's three disks are lost at once", after: mutateShards(func(_ *simGateway, s *shard) { s.lostAt, s.resetPending = 0, false })},
+	{name: "a mark may fall", before: func(w *simulation, _ *simGateway, ev Event) Event {
+		if a, is := ev.(Request); is && a.Command.GetRaisePosition() != nil && w.rng.IntN(8) == 0 {
+			a.Command.RaisePosition.Position = 0
+		}
+		return ev
+	}},
+	{name: "two writes have one version", after: mutateShards(func(_ *simGateway, s *shard) { s.lastVersion &^= 1 })},
+	{name: "a later format is used before all understand it", fault: "two versions of the records together", after: mutateGroups(func(n *simGateway, g *group) {
+		n.host.ledger.Format = LatestFormat + 1
+	})},
+	{name: "claims to understand what it does not", fault: "two versions of the records together", after: func(_ *simulation, n *simGateway, out []Action) []Action {
+		n.host.cfg.Format = LatestFormat + 1
+		return out
+	}},
+	{name: "an entry is applied by some only", after: mutateShards(func(n *simGateway, s *shard) {
+		if n.name == "g2" {
+			s.remove("key1")
+		}
+	})},
+}
+
+func TestMutantsAreCaught(t *testing.T) {
+	if raceDivisor > 1 {
+		t.Skip("the same runs as without the race detector, many times slower")
+	}
+	for _, mut := range mutants {
+		t.Run(mut.name, func(t *testing.T) {
+			for seed := range uint64(80) {
+				for _, x := range faults {
+					if mut.fault != "" && mut.fault != x.name {
+						continue
+					}
+					if broken := runMutant(x, seed, &mut); broken != "" {
+						t.Logf("caught by %q: %.160s", x.name, broken)
+						return
+					}
+				}
+			}
+			t.Error("not caught")
+		})
+	}
+}
+
+// caught plays with a mutant; one that makes the library panic is caught, too.
+func runMutant(x fault, seed uint64, mut *mutant) (broken string) {
+	defer func() {
+		if p := recover(); p != nil {
+			broken = fmt.Sprint("panic: ", p)
+		}
+	}()
+	broken, _ = runFault(x, seed, mut)
+	return broken
+}
+
+// differ shows where two states of a shard differ.
+func describeDifference(a, b string) string {
+	var x, y api.Shard
+	proto.Unmarshal([]byte(a), &x)
+	proto.Unmarshal([]byte(b), &y)
+	x.Records, y.Records = slices.DeleteFunc(x.Records, func(r *api.Record) bool {
+		return slices.ContainsFunc(y.Records, func(o *api.Record) bool { return proto.Equal(r, o) })
+	}), slices.DeleteFunc(slices.Clone(y.Records), func(r *api.Record) bool {
+		return slices.ContainsFunc(x.Records, func(o *api.Record) bool { return proto.Equal(r, o) })
+	})
+	return fmt.Sprintf("%.600v against %.600v", &x, &y)
+}
+
+// As long as a replica asks whether its disk is the one that it was, no write says that it is.
+func TestRecoveringMembersWriteNoConfirmation(t *testing.T) {
+	for _, trusted := range []bool{true, false} {
+		w := newSimulation(1, 3, 0, 2, nil)
+		awaitComplete(w)
+		n := w.gateways[1]
+		w.crash(n)
+		n.trusted = trusted
+		w.partition(map[string]bool{n.name: true}, true, true)
+		w.start(n)
+		if w.failure != "" || len(n.pending) != 1 || n.pending[0].Recovered != trusted {
+			t.Errorf("trusted: %v, %q, %+v", trusted, w.failure, n.pending)
+		}
+	}
+}
+
+// A replica that has started waits for whom it needs, and for nobody else: not for one that the ledger has taken out, which may
+// be gone for good and never answer.
+func TestRecoveryWaitsForTheRightMembers(t *testing.T) {
+	voters := func(numbers ...uint64) (all []*api.GroupMember) {
+		for _, n := range numbers {
+			all = append(all, &api.GroupMember{Id: n, Store: 10 + n})
+		}
+		return all
+	}
+	known := func(of, applied uint64, voters ...uint64) *api.RecoveryReply {
+		return &api.RecoveryReply{Group: 1, Epoch: 1, Member: 1, Peer: of, Term: 3, LastTerm: 3, LastIndex: 9, Applied: applied, Voters: voters}
+	}
+	old := []uint64{1, 2, 3}
+	settled := &api.Group{Epoch: 1, Voters: voters(1, 2, 4)}
+	for _, c := range []struct {
+		name  string
+		group *api.Group
+		heard []*api.RecoveryReply
+		sure  bool
+	}{
+		{"all that the ledger names, one that it took out not", settled, []*api.RecoveryReply{known(2, 5, old...), known(4, 5, old...)}, true},
+		{"one that the ledger names is missing", settled, []*api.RecoveryReply{known(2, 5, old...)}, false},
+		{"one that the ledger names is missing, and was not in the configuration", settled, []*api.RecoveryReply{known(2, 5, old...), known(3, 5, old...)}, false},
+		{"the ledger has not settled it", &api.Group{Epoch: 1, Voters: voters(1, 2, 3), Adding: voters(4)[0], Removing: 3},
+			[]*api.RecoveryReply{known(2, 5, old...), known(4, 5, old...)}, false},
+		{"the ledger may have given up on a voter", &api.Group{Epoch: 1, Voters: voters(1, 2, 4), Adding: voters(6)[0], Removing: 4},
+			[]*api.RecoveryReply{known(2, 8, 1, 2, 5), known(4, 5, old...)}, false},
+		{"a later configuration than the ledger has", settled, []*api.RecoveryReply{known(2, 8, 1, 2, 9), known(4, 5, old...)}, false},
+		{"a later one, and its voter", settled, []*api.RecoveryReply{known(2, 8, 1, 2, 9), known(4, 5, old...), known(9, 8, 1, 2, 9)}, true},
+	} {
+		l := &api.Ledger{ClusterId: 1, Index: 7, VotersPerGroup: 3, NextMember: 7, Groups: []*api.Group{{Epoch: 1}, c.group}}
+		for n := range uint64(9) {
+			l.Stores = append(l.Stores, &api.Store{Id: 11 + n, Name: fmt.Sprint("g", n+1)})
+		}
+		view, err := proto.Marshal(l)
+		if err != nil {
+			t.Fatal(err)
+		}
+		h, err := New(Config{Name: "g1", RunsGroups: true, Tick: testTick, MaxShardBytes: 1 << 20, ClientID: 1, NewStoreID: 99, Incarnation: 2}, second, &StoredState{
+			Store: 11, Incarnation: 1, Ledger: view, Members: []StoredMember{{
+				Group: 1, Epoch: 1, Member: 1, HardState: &pb.HardState{Term: new(uint64(3)), Vote: new(uint64(2)), Commit: new(uint64(5))},
+				Snapshot: snapshotAt(5, 3, &pb.ConfState{Voters: old}, newShard(1<<20, LatestFormat, 1, false).snapshot()),
+			}},
+		}, false)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, k := range c.heard {
+			h.handleRecoveryReply(k)
+		}
+		if sure := h.groups[1].recovery == nil; sure != c.sure {
+			t.Errorf("%s: sure is %v", c.name, sure)
+		}
+	}
+}
--- a/internal/raftstore/golden_test.go
+++ b/internal/raftstore/golden_test.go
@@ -27,7 +27,7 @@
 func TestGoldenStates(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		machine machine
+		machine stateMachine
 	}{{"shard", newShard(1<<20, LatestFormat, 1, false)}, {"ledger", newLedger()}} {
 		t.Run(c.name, func(t *testing.T) {
 			state := goldenState(t, c.name)
--- a/internal/raftstore/ledger.go
+++ b/internal/raftstore/ledger.go
@@ -42,10 +42,10 @@
 		r := &api.Reply{Time: l.Time}
 		switch {
 		case c.Change.GetMaintenanceCommand() != nil || c.Change.GetMaintenanceStep() != nil:
-			status, text := l.maintain(index, c)
+			status, text := l.applyMaintenance(index, c)
 			r.Status, r.Value = uint32(status), []byte(text)
 		case c.Change != nil:
-			l.change(c.Change)
+			l.applyChange(c.Change)
 		}
 		out = append(out, r)
 	}
@@ -57,12 +57,12 @@
 }
 
 // found is the ledger of a new store: its first holder has every group alone, and others are assigned as they join.
-func found(f *api.Bootstrap) *ledger {
+func newBootstrappedLedger(f *api.Bootstrap) *ledger {
 	l := newLedger()
 	l.ClusterId, l.VotersPerGroup, l.Index, l.NextMember = f.ClusterId, f.VotersPerGroup, 1, 1
 	l.Stores = []*api.Store{f.Store}
 	for range f.Shards + 1 {
-		n := l.number()
+		n := l.allocateMember()
 		g := &api.Group{Epoch: 1, Voters: []*api.GroupMember{{Id: n, Store: f.Store.Id, Incarnation: f.Incarnation}}, FirstMember: n}
 		if !f.First {
 			g.LostAt = 1
@@ -73,14 +73,14 @@
 }
 
 // number is a replica's number that was never used before.
-func (l *ledger) number() uint64 {
+func (l *ledger) allocateMember() uint64 {
 	l.NextMember++
 	return l.NextMember - 1
 }
 
-func (l *ledger) store(number uint64) *api.Store { return storeIn(l.Ledger, number) }
+func (l *ledger) store(number uint64) *api.Store { return findStore(l.Ledger, number) }
 
-func storeIn(l *api.Ledger, number uint64) *api.Store {
+func findStore(l *api.Ledger, number uint64) *api.Store {
 	for _, s := range l.GetStores() {
 		if s.Id == number {
 			return s
@@ -91,46 +91,46 @@
 
 // group is a group at an epoch; nil: it is in another one.
 func (l *ledger) group(number, epoch uint32) *api.Group {
-	if g := groupIn(l.Ledger, number); g != nil && g.Epoch == epoch {
+	if g := findGroup(l.Ledger, number); g != nil && g.Epoch == epoch {
 		return g
 	}
 	return nil
 }
 
-func groupIn(l *api.Ledger, number uint32) *api.Group {
+func findGroup(l *api.Ledger, number uint32) *api.Group {
 	if int(number) < len(l.GetGroups()) {
 		return l.Groups[number]
 	}
 	return nil
 }
 
-func (l *ledger) note(what NoticeKind, group, epoch uint32, number uint64, name string) {
+func (l *ledger) addNotice(what NoticeKind, group, epoch uint32, number uint64, name string) {
 	l.notices = append(l.notices, Notice{Kind: what, Group: group, Epoch: epoch, Number: number, Name: name})
 }
 
-func (l *ledger) change(c *api.Change) {
+func (l *ledger) applyChange(c *api.Change) {
 	switch {
 	case c.JoinStore != nil:
-		l.join(c.JoinStore)
+		l.joinStore(c.JoinStore)
 	case c.RemoveStore != 0:
-		l.gone(c.RemoveStore)
+		l.removeStore(c.RemoveStore)
 	case c.AddMember != nil:
-		l.assign(c.AddMember)
+		l.addMember(c.AddMember)
 	case c.SetVoters != nil:
-		l.settle(c.SetVoters)
+		l.setVoters(c.SetVoters)
 	case c.ResetGroup != nil:
-		l.renew(c.ResetGroup)
+		l.resetGroup(c.ResetGroup)
 	case c.MarkStale != nil:
-		l.spoil(c.MarkStale)
-	case c.RaiseFormat > l.Format && c.RaiseFormat <= understood(l.Ledger):
+		l.markStale(c.MarkStale)
+	case c.RaiseFormat > l.Format && c.RaiseFormat <= commonFormat(l.Ledger):
 		l.Format = c.RaiseFormat
-		l.note(NoticeFormatRaised, 0, 0, uint64(c.RaiseFormat), "")
+		l.addNotice(NoticeFormatRaised, 0, 0, uint64(c.RaiseFormat), "")
 	}
 }
 
 // join takes a disk in, or takes over what its gateway tells of itself. A gateway has one disk: with another one the last is
 // gone, by its own word.
-func (l *ledger) join(s *api.Store) {
+func (l *ledger) joinStore(s *api.Store) {
 	if known := l.store(s.Id); known != nil {
 		if !known.Removed && known.Name == s.Name {
 			known.Zone, known.Weight, known.Format = s.Zone, s.Weight, s.Format
@@ -142,26 +142,26 @@
 	}
 	for _, other := range l.Stores {
 		if other.Name == s.Name {
-			l.gone(other.Id)
+			l.removeStore(other.Id)
 		}
 	}
-	l.forget()
+	l.pruneStores()
 	l.Stores = append(l.Stores, &api.Store{Id: s.Id, Name: s.Name, Zone: s.Zone, Weight: s.Weight, Format: s.Format})
-	l.note(NoticeStoreJoined, 0, 0, s.Id, s.Name)
+	l.addNotice(NoticeStoreJoined, 0, 0, s.Id, s.Name)
 }
 
-func (l *ledger) gone(number uint64) {
+func (l *ledger) removeStore(number uint64) {
 	if s := l.store(number); s != nil && !s.Removed {
 		s.Removed = true
-		l.note(NoticeStoreRemoved, 0, 0, number, s.Name)
+		l.addNotice(NoticeStoreRemoved, 0, 0, number, s.Name)
 	}
 }
 
 // forget drops disks that are gone and that no group names any more.
-func (l *ledger) forget() {
+func (l *ledger) pruneStores() {
 	named := map[uint64]bool{}
 	for _, g := range l.Groups {
-		for _, r := range replicas(g) {
+		for _, r := range groupMembers(g) {
 			named[r.Store] = true
 		}
 	}
@@ -169,7 +169,7 @@
 }
 
 // replicas are all replicas of a group, the one that is taken in among them.
-func replicas(g *api.Group) []*api.GroupMember {
+func groupMembers(g *api.Group) []*api.GroupMember {
 	all := slices.Clone(g.Voters)
 	if g.Adding != nil {
 		all = append(all, g.Adding)
@@ -177,27 +177,27 @@
 	return all
 }
 
-func (l *ledger) assign(a *api.AddMember) {
+func (l *ledger) addMember(a *api.AddMember) {
 	g, s := l.group(a.Group, a.Epoch), l.store(a.Store)
 	if g == nil || s == nil || s.Removed {
 		return
 	}
-	leaves := slices.ContainsFunc(g.Voters, func(r *api.GroupMember) bool { return r.Id == a.Removing })
-	whole := len(g.Voters) >= int(l.VotersPerGroup)
-	if leaves != (a.Removing != 0) || whole != leaves {
+	replaces := slices.ContainsFunc(g.Voters, func(r *api.GroupMember) bool { return r.Id == a.Removing })
+	full := len(g.Voters) >= int(l.VotersPerGroup)
+	if replaces != (a.Removing != 0) || full != replaces {
 		return // the number of voters only grows to what it is to be, and never falls
 	}
 	if slices.ContainsFunc(g.Voters, func(r *api.GroupMember) bool { return r.Store == a.Store && !(r.Stale && r.Id == a.Removing) }) {
 		return
 	}
-	g.Adding, g.Removing = &api.GroupMember{Id: l.number(), Store: a.Store, Incarnation: a.Incarnation}, a.Removing
-	l.note(NoticeMemberAssigned, a.Group, a.Epoch, g.Adding.Id, s.Name)
+	g.Adding, g.Removing = &api.GroupMember{Id: l.allocateMember(), Store: a.Store, Incarnation: a.Incarnation}, a.Removing
+	l.addNotice(NoticeMemberAssigned, a.Group, a.Epoch, g.Adding.Id, s.Name)
 }
 
 // spoil notes that a replica must not go on.
-func (l *ledger) spoil(x *api.MemberRef) {
+func (l *ledger) markStale(x *api.MemberRef) {
 	if g := l.group(x.Group, x.Epoch); g != nil {
-		for _, r := range replicas(g) {
+		for _, r := range groupMembers(g) {
 			if r.Id == x.Member {
 				r.Stale = true
 			}
@@ -206,13 +206,13 @@
 }
 
 // settle takes over what a group has carried out: the change that was assigned, as a whole.
-func (l *ledger) settle(s *api.SetVoters) {
+func (l *ledger) setVoters(s *api.SetVoters) {
 	g := l.group(s.Group, s.Epoch)
 	if g == nil || g.Adding == nil {
 		return
 	}
 	var next []*api.GroupMember
-	for _, r := range replicas(g) {
+	for _, r := range groupMembers(g) {
 		if r.Id != g.Removing {
 			next = append(next, r)
 		}
@@ -226,27 +226,27 @@
 		}
 	}
 	g.Voters, g.Adding, g.Removing = next, nil, 0
-	l.note(NoticeVotersChanged, s.Group, s.Epoch, 0, "")
+	l.addNotice(NoticeVotersChanged, s.Group, s.Epoch, 0, "")
 }
 
 // renew begins a group anew: what it held is lost, and known to be.
-func (l *ledger) renew(r *api.ResetGroup) {
+func (l *ledger) resetGroup(r *api.ResetGroup) {
 	g, s := l.group(r.Group, r.Epoch), l.store(r.Store)
-	if g == nil || s == nil || s.Removed || r.Group == LedgerGroup || !r.Forced && !beyond(l.Ledger, g) {
+	if g == nil || s == nil || s.Removed || r.Group == LedgerGroup || !r.Forced && !quorumLost(l.Ledger, g) {
 		return
 	}
-	l.note(NoticeGroupLost, r.Group, g.Epoch, 0, s.Name)
+	l.addNotice(NoticeGroupLost, r.Group, g.Epoch, 0, s.Name)
 	g.Epoch++
-	n := l.number()
+	n := l.allocateMember()
 	g.Voters, g.Adding, g.Removing, g.FirstMember = []*api.GroupMember{{Id: n, Store: r.Store, Incarnation: r.Incarnation}}, nil, 0, n
 	g.LostAt = max(l.Time, 1)
 }
 
 // beyond tells whether more of a group's voters are gone for good than it can bear.
-func beyond(l *api.Ledger, g *api.Group) bool {
+func quorumLost(l *api.Ledger, g *api.Group) bool {
 	left := 0
 	for _, r := range g.Voters {
-		if !lostIn(l, r) {
+		if !memberLost(l, r) {
 			left++
 		}
 	}
@@ -254,7 +254,7 @@
 }
 
 // lostIn tells whether a replica is lost for good.
-func lostIn(l *api.Ledger, r *api.GroupMember) bool {
-	s := storeIn(l, r.Store)
+func memberLost(l *api.Ledger, r *api.GroupMember) bool {
+	s := findStore(l, r.Store)
 	return r.Stale || s == nil || s.Removed
 }
--- a/internal/raftstore/maintain_test.go
+++ b/internal/raftstore/maintenance_test.go
@@ -12,26 +12,26 @@
 
 var testLimits = maintenance.Limits{
 	MaxGateways: 1, MaxPerZone: 1, MaxServers: 1, KeepReady: 1, MaxLoad: 900, SettleTime: clock.Micros(second), ReturnWithin: clock.Micros(30 * second),
-	RepairAfter: clock.Micros(healAfter),
+	RepairAfter: clock.Micros(repairAfter),
 }
 
 // tellAround has every gateway tell its host of itself, and of who is there, for as long as the world goes on.
-func (w *world) tellAround() {
+func (w *simulation) reportMaintenance() {
 	var all []maintenance.Member
-	for _, n := range w.nodes {
-		m := maintenance.Member{Name: n.name, Zone: n.zone, Incarnation: n.startsAt, Presence: maintenance.Alive}
+	for _, n := range w.gateways {
+		m := maintenance.Member{Name: n.name, Zone: n.zone, Incarnation: n.incarnation, Presence: maintenance.Alive}
 		if !n.up {
 			m.Presence = maintenance.Dead
 		}
 		all = append(all, m)
 	}
-	for _, n := range w.nodes {
+	for _, n := range w.gateways {
 		if !n.up {
 			continue
 		}
 		m := n.order.Find(maintenance.Gateway, n.name, 0)
-		own := GatewayReport{Incarnation: n.startsAt, Report: maintenance.Report{
-			LedgerIndex: n.seen, Idle: true, Load: 100, Ready: n.order.EnrolledIncarnation(n.name) == n.startsAt && (m == nil || !m.Cordoned()),
+		own := GatewayReport{Incarnation: n.incarnation, Report: maintenance.Report{
+			LedgerIndex: n.seenIndex, Idle: true, Load: 100, Ready: n.order.EnrolledIncarnation(n.name) == n.incarnation && (m == nil || !m.Cordoned()),
 			Servers: []maintenance.ServerReport{{Group: 7, Name: "p", Primary: true}, {Group: 7, Name: "r"}},
 		}}
 		for i := range n.order.Machines {
@@ -39,22 +39,22 @@
 				own.Quiesced = append(own.Quiesced, x.ID)
 			}
 		}
-		w.do(n, MembershipChanged{all})
-		w.do(n, own)
+		w.handle(n, MembershipChanged{all})
+		w.handle(n, own)
 	}
-	w.at(w.now+250*ms, w.tellAround)
+	w.schedule(w.now+250*ms, w.reportMaintenance)
 }
 
 // say has an operator say something at a node, and waits for what comes of it.
-func (w *world) say(n *node, c maintenance.Command) (said string) {
+func (w *simulation) runCommand(n *simGateway, c maintenance.Command) (said string) {
 	answered := false
 	w.call(n, Request{Shard: LedgerGroup, Deadline: 5 * second, Command: MaintenanceCommand(c)}, func(a Response) { said, answered = string(a.Value), true })
-	w.until("an operator is answered", 10*second, func() bool { return answered })
+	w.advanceUntil("an operator is answered", 10*second, func() bool { return answered })
 	return said
 }
 
 // away lists the gateways that the latest order has out of service, and checks it.
-func (w *world) away() (out []*maintenance.Machine) {
+func (w *simulation) machinesAway() (out []*maintenance.Machine) {
 	o := DecodeOrder(w.ledger().GetOrder())
 	gateways := 0
 	for i := range o.Machines {
@@ -66,8 +66,8 @@
 			}
 		}
 	}
-	if gateways > 1 && w.broken == "" {
-		w.broken = fmt.Sprintf("%d gateways are away: %+v", gateways, out)
+	if gateways > 1 && w.failure == "" {
+		w.failure = fmt.Sprintf("%d gateways are away: %+v", gateways, out)
 	}
 	return out
 }
@@ -75,69 +75,69 @@
 // The order in the ledger: all gateways and a server are taken out one after the other, whoever leads the ledger dies on the way,
 // and nothing that was promised is missing; one that is out for long holds nothing by then.
 func TestMaintenance(t *testing.T) {
-	n := 6 / fewer
-	if *seeds > 0 {
-		n = *seeds
+	n := 6 / raceDivisor
+	if *seedCount > 0 {
+		n = *seedCount
 	}
 	for seed := range uint64(max(n, 1)) {
-		if broken := maintain(seed); broken != "" {
+		if broken := runMaintenance(seed); broken != "" {
 			t.Fatalf("seed %d: %s", seed, broken)
 		}
 	}
 }
 
-func maintain(seed uint64) string {
-	w := newWorldWith(seed, 5, 1, 3, nil, &testLimits)
-	w.tellAround()
-	settled(w)
-	l := w.load(4)
-	operator := w.nodes[len(w.nodes)-1]
-	for i, n := range w.holders() {
+func runMaintenance(seed uint64) string {
+	w := newSimulationWithLimits(seed, 5, 1, 3, nil, &testLimits)
+	w.reportMaintenance()
+	awaitComplete(w)
+	l := w.startWorkload(4)
+	operator := w.gateways[len(w.gateways)-1]
+	for i, n := range w.storeGateways() {
 		span := 2 * second
 		if i == 2 {
-			span = 2 * healAfter
+			span = 2 * repairAfter
 		}
-		if said := w.say(operator, maintenance.Command{Verb: maintenance.Add, Name: n.name, Duration: clock.Micros(span), RequestedBy: "g6"}); !strings.Contains(said, "number") {
-			return fmt.Sprintf("%q: %s", said, w.broken)
+		if said := w.runCommand(operator, maintenance.Command{Verb: maintenance.Add, Name: n.name, Duration: clock.Micros(span), RequestedBy: "g6"}); !strings.Contains(said, "number") {
+			return fmt.Sprintf("%q: %s", said, w.failure)
 		}
 	}
-	w.say(operator, maintenance.Command{Verb: maintenance.Add, Kind: maintenance.Server, Name: "r", Group: 7, Duration: clock.Micros(second)})
-	if said := w.say(operator, maintenance.Command{Verb: maintenance.Add, Name: "g1", Duration: 1}); !strings.Contains(said, "already") {
-		return fmt.Sprintf("asked twice: %q, %s", said, w.broken)
+	w.runCommand(operator, maintenance.Command{Verb: maintenance.Add, Kind: maintenance.Server, Name: "r", Group: 7, Duration: clock.Micros(second)})
+	if said := w.runCommand(operator, maintenance.Command{Verb: maintenance.Add, Name: "g1", Duration: 1}); !strings.Contains(said, "already") {
+		return fmt.Sprintf("asked twice: %q, %s", said, w.failure)
 	}
 	kills := 2
 	touched := map[uint64]bool{}
 	done := func() bool {
-		for _, m := range w.away() {
+		for _, m := range w.machinesAway() {
 			if m.State != maintenance.Out || touched[m.ID] {
 				continue
 			}
 			touched[m.ID] = true
 			if m.Kind == maintenance.Server {
-				w.at(w.now+second, func() {
+				w.schedule(w.now+second, func() {
 					w.call(operator, Request{Shard: LedgerGroup, Deadline: 5 * second, Command: MaintenanceCommand(maintenance.Command{
 						Verb: maintenance.Done, Kind: maintenance.Server, Name: m.Name, Group: m.Group,
 					})}, func(Response) {})
 				})
 				continue
 			}
-			i := slices.IndexFunc(w.nodes, func(n *node) bool { return n.name == m.Name })
-			x := w.nodes[i]
-			if m.Duration > testLimits.RepairAfter && len(x.h.groups) > 0 {
-				w.broken = fmt.Sprintf("%s is out for long and holds %d groups", x.name, len(x.h.groups))
+			i := slices.IndexFunc(w.gateways, func(n *simGateway) bool { return n.name == m.Name })
+			x := w.gateways[i]
+			if m.Duration > testLimits.RepairAfter && len(x.host.groups) > 0 {
+				w.failure = fmt.Sprintf("%s is out for long and holds %d groups", x.name, len(x.host.groups))
 			}
-			if slices.ContainsFunc(x.h.inOrder(), func(g *group) bool { return g.led }) {
-				w.broken = x.name + " is out and leads"
+			if slices.ContainsFunc(x.host.sortedGroups(), func(g *group) bool { return g.isLeader }) {
+				w.failure = x.name + " is out and leads"
 			}
 			w.crash(x)
-			x.witness = w.rng.IntN(2) == 0
-			w.at(w.now+w.span(100*ms, second), func() { w.start(x) })
+			x.trusted = w.rng.IntN(2) == 0
+			w.schedule(w.now+w.randomDuration(100*ms, second), func() { w.start(x) })
 		}
-		if g := w.leaderOf(LedgerGroup); g != nil && kills > 0 && len(w.away()) > 0 && w.rng.IntN(40) == 0 {
+		if g := w.leaderOf(LedgerGroup); g != nil && kills > 0 && len(w.machinesAway()) > 0 && w.rng.IntN(40) == 0 {
 			kills--
 			w.crash(g)
-			g.witness = true
-			w.at(w.now+w.span(100*ms, second), func() {
+			g.trusted = true
+			w.schedule(w.now+w.randomDuration(100*ms, second), func() {
 				if !g.up {
 					w.start(g)
 				}
@@ -146,10 +146,10 @@
 		o := DecodeOrder(w.ledger().GetOrder())
 		return len(o.Machines) == 6 && !slices.ContainsFunc(o.Machines, func(m maintenance.Machine) bool { return m.State != maintenance.Back })
 	}
-	w.until("all machines are back", 300*second, done)
-	settled(w)
-	if l.stop(); w.broken == "" {
-		l.check()
+	w.advanceUntil("all machines are back", 300*second, done)
+	awaitComplete(w)
+	if l.stop(); w.failure == "" {
+		l.checkAll()
 	}
-	return w.broken
+	return w.failure
 }
--- a/internal/raftstore/norace_test.go
+++ b/internal/raftstore/norace_test.go
@@ -2,4 +2,4 @@
 
 package raftstore
 
-const fewer = 1
+const raceDivisor = 1
--- a/internal/raftstore/overview.go
+++ b/internal/raftstore/overview.go
@@ -1,6 +1,8 @@
 package raftstore
 
-import "slices"
+import (
+	"slices"
+)
 
 // Overview is how a host stands, for whoever asks.
 type Overview struct {
@@ -54,7 +56,7 @@
 }
 
 // Shards is how many shards the store has; 0: none is known.
-func (h *Host) Shards() int { return max(len(h.view.Groups)-1, 0) }
+func (h *Host) Shards() int { return max(len(h.ledger.Groups)-1, 0) }
 
 // Bytes is what the records here count as.
 func (h *Host) RecordBytes() (n int64) {
@@ -78,36 +80,36 @@
 
 // Overview tells how the host stands.
 func (h *Host) Overview() Overview {
-	o := Overview{
-		ClusterID: h.founding, Index: h.view.Index, VotersPerGroup: int(h.view.VotersPerGroup), Format: max(h.view.Format, FirstFormat), Store: h.store, Failed: h.failed, PendingCalls: len(h.calls),
+	overview := Overview{
+		ClusterID: h.clusterID, Index: h.ledger.Index, VotersPerGroup: int(h.ledger.VotersPerGroup), Format: max(h.ledger.Format, FirstFormat), Store: h.store, Failed: h.disk.failure, PendingCalls: len(h.calls.pending),
 	}
-	for _, s := range h.view.Stores {
-		o.Stores = append(o.Stores, StoreView{s.Id, s.Name, s.Zone, s.Weight, s.Removed})
+	for _, s := range h.ledger.Stores {
+		overview.Stores = append(overview.Stores, StoreView{s.Id, s.Name, s.Zone, s.Weight, s.Removed})
 	}
-	for id, x := range h.view.Groups {
+	for id, x := range h.ledger.Groups {
 		v := GroupView{Group: uint32(id), Epoch: x.Epoch, Lost: x.LostAt > 0, Removing: x.Removing}
-		for _, r := range replicas(x) {
+		for _, r := range groupMembers(x) {
 			name := ""
-			if s := storeIn(h.view, r.Store); s != nil {
+			if s := findStore(h.ledger, r.Store); s != nil {
 				name = s.Name
 			}
-			v.Voters = append(v.Voters, MemberView{r.Id, name, lostIn(h.view, r)})
+			v.Voters = append(v.Voters, MemberView{r.Id, name, memberLost(h.ledger, r)})
 		}
 		if x.Adding != nil {
 			last := len(v.Voters) - 1
 			v.Adding, v.Voters = &v.Voters[last], slices.Clip(v.Voters[:last])
 		}
 		if g := h.groups[uint32(id)]; g != nil && g.epoch == x.Epoch {
-			last := g.last()
+			last := g.lastPosition()
 			v.Local = &LocalMember{
-				Number: g.number, Leader: g.leaderName(), Term: g.node.BasicStatus().GetTerm(), Applied: g.applied, Last: last.index,
-				Unsure: g.asking != nil,
+				Number: g.member, Leader: g.leaderName(), Term: g.node.BasicStatus().GetTerm(), Applied: g.applied, Last: last.index,
+				Unsure: g.recovery != nil,
 			}
 			if s, is := g.sm.(*shard); is {
 				v.Local.Records, v.Local.Bytes = len(s.records), s.bytes
 			}
 		}
-		o.Groups = append(o.Groups, v)
+		overview.Groups = append(overview.Groups, v)
 	}
-	return o
+	return overview
 }
--- a/internal/raftstore/reconcile.go
+++ b/internal/raftstore/reconcile.go
@@ -9,34 +9,32 @@
 	api "marblespan/api/raftstorepb"
 )
 
-// This file brings the replicas that a host runs in line with the ledger.
-
 // learn takes over a later ledger, and has the replicas here be what it says.
-func (h *Host) learn(l *api.Ledger, founded bool) {
-	if h.founding != 0 && l.ClusterId != h.founding || l.ClusterId == 0 || l.Index <= h.view.Index {
+func (h *Host) adoptLedger(l *api.Ledger, founded bool) {
+	if h.clusterID != 0 && l.ClusterId != h.clusterID || l.ClusterId == 0 || l.Index <= h.ledger.Index {
 		return
 	}
-	h.view, h.founding, h.viewOld = proto.Clone(l).(*api.Ledger), l.ClusterId, true
-	h.facts.changed = h.now
-	h.ordered()
-	for r := range h.known { // of replicas that are no more
-		if x := groupIn(l, r.Group); x == nil || x.Epoch > r.Epoch || x.Epoch == r.Epoch && r.Member < l.NextMember &&
-			!slices.ContainsFunc(replicas(x), func(y *api.GroupMember) bool { return y.Id == r.Member }) {
-			delete(h.known, r)
+	h.ledger, h.clusterID, h.disk.ledgerDirty = proto.Clone(l).(*api.Ledger), l.ClusterId, true
+	h.placement.ledgerChangedAt = h.now
+	h.notifyOrder()
+	for r := range h.peers.progress { // of replicas that are no more
+		if x := findGroup(l, r.Group); x == nil || x.Epoch > r.Epoch || x.Epoch == r.Epoch && r.Member < l.NextMember &&
+			!slices.ContainsFunc(groupMembers(x), func(y *api.GroupMember) bool { return y.Id == r.Member }) {
+			delete(h.peers.progress, r)
 		}
 	}
 	h.reconcile()
-	if g := h.groups[LedgerGroup]; founded || g != nil && g.led {
-		for _, name := range h.everybody() {
-			h.tellNews(name)
+	if g := h.groups[LedgerGroup]; founded || g != nil && g.isLeader {
+		for _, name := range h.otherGateways() {
+			h.sendLedger(name)
 		}
 	}
 }
 
 // everybody lists the other gateways that are known.
-func (h *Host) everybody() []string {
-	names := slices.Clone(h.others)
-	for _, s := range h.view.Stores {
+func (h *Host) otherGateways() []string {
+	names := slices.Clone(h.peers.names)
+	for _, s := range h.ledger.Stores {
 		if !s.Removed && s.Name != h.cfg.Name {
 			names = append(names, s.Name)
 		}
@@ -45,91 +43,109 @@
 	return slices.Compact(names)
 }
 
-func (h *Host) tellNews(to string) {
-	if h.founding != 0 {
-		h.packet(to).LedgerUpdate = h.view
+func (h *Host) sendLedger(to string) {
+	if h.clusterID != 0 {
+		h.packetFor(to).LedgerUpdate = h.ledger
 	}
 }
 
 // reconcile begins the replicas that the ledger wants here, and ends those that it does not.
 func (h *Host) reconcile() {
-	if !h.holds || h.failed != "" {
+	if !h.runsGroups || h.disk.failure != "" {
 		return
 	}
-	if own := storeIn(h.view, h.store); own != nil && own.Removed {
+	if own := findStore(h.ledger, h.store); own != nil && own.Removed {
 		// It goes on as a disk that never was: nothing that was said under the old number is asked of it.
-		h.dropAll()
+		h.stopAllMembers()
 		if h.store = h.cfg.NewStoreID + h.renumbered; own.Id == h.store {
 			h.store++
 		}
 		h.renumbered++
-		h.retired, h.newStale, h.begun = nil, nil, false
-		h.note(Notice{Kind: NoticeStoreRenumbered, Number: h.store, Name: h.cfg.Name})
+		h.disk.retired, h.disk.newlyRetired, h.disk.started = nil, nil, false
+		h.emitNotice(Notice{Kind: NoticeStoreRenumbered, Number: h.store, Name: h.cfg.Name})
 		return
 	}
-	for id, x := range h.view.Groups {
+	for id, x := range h.ledger.Groups {
 		var own *api.GroupMember
-		for _, r := range replicas(x) {
+		for _, r := range groupMembers(x) {
 			if r.Store == h.store && !r.Stale && (own == nil || r.Id > own.Id) {
 				own = r
 			}
 		}
 		g := h.groups[uint32(id)]
-		if g != nil && (own == nil || g.epoch != x.Epoch || !slices.ContainsFunc(replicas(x), func(r *api.GroupMember) bool {
-			return r.Id == g.number
+		if g != nil && (own == nil || g.epoch != x.Epoch || !slices.ContainsFunc(groupMembers(x), func(r *api.GroupMember) bool {
+			return r.Id == g.member
 		})) {
-			h.drop(g)
+			h.stopMember(g)
 			g = nil
 		}
 		if own != nil && g == nil {
-			h.begin(uint32(id), x, own)
+			h.startMember(uint32(id), x, own)
 		}
 	}
 }
 
 // begin begins a replica here. Only the one that an epoch began with has a state of its own; any other one is taken in by the
 // group's leader. One that had begun before and is not here any more must not begin again under its number.
-func (h *Host) begin(id uint32, x *api.Group, own *api.GroupMember) {
-	ref := MemberRef{Group: id, Epoch: x.Epoch, Member: own.Id}
-	was := func(r MemberRef) bool { return r.Group == id && r.Epoch == x.Epoch && r.Member == own.Id }
-	if slices.ContainsFunc(h.retired, was) {
+func (h *Host) startMember(groupID uint32, assigned *api.Group, own *api.GroupMember) {
+	ref := MemberRef{Group: groupID, Epoch: assigned.Epoch, Member: own.Id}
+	was := func(r MemberRef) bool { return r.Group == groupID && r.Epoch == assigned.Epoch && r.Member == own.Id }
+	if slices.ContainsFunc(h.disk.retired, was) {
 		return
 	}
-	if !h.trusted && own.Incarnation != h.life {
-		h.retire(ref) // it may have begun in an earlier life, which this disk does not know
+	if !h.diskTrusted && own.Incarnation != h.incarnation {
+		h.retireMember(ref) // it may have begun in an earlier life, which this disk does not know
 		return
 	}
-	s := StoredMember{Group: id, Epoch: x.Epoch, Member: own.Id}
-	if own.Id == x.FirstMember && len(x.Voters) == 1 {
-		sm := h.machine(id, x.Epoch, x.LostAt > 0)
+	s := StoredMember{Group: groupID, Epoch: assigned.Epoch, Member: own.Id}
+	if own.Id == assigned.FirstMember && len(assigned.Voters) == 1 {
+		sm := h.newStateMachine(groupID, assigned.Epoch, assigned.LostAt > 0)
 		if l, is := sm.(*ledger); is {
-			l.Ledger = proto.Clone(h.view).(*api.Ledger)
+			l.Ledger = proto.Clone(h.ledger).(*api.Ledger)
 		}
 		s.Snapshot = snapshotAt(1, 1, &pb.ConfState{Voters: []uint64{own.Id}}, sm.snapshot())
 		s.HardState = &pb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(1))}
-	} else if x.Adding == nil || x.Adding.Id != own.Id {
-		h.retire(ref)
+	} else if assigned.Adding == nil || assigned.Adding.Id != own.Id {
+		h.retireMember(ref)
 		return
 	}
-	g, err := h.newGroup(s, h.machine(id, x.Epoch, false))
+	group, err := h.newGroup(s, h.newStateMachine(groupID, assigned.Epoch, false))
 	if err != nil {
-		h.fail(err.Error())
+		h.failDisk(err.Error())
 		return
 	}
-	h.groups[id] = g
-	h.note(Notice{Kind: NoticeMemberStarted, Group: id, Epoch: x.Epoch, Number: own.Id})
+	h.groups[groupID] = group
+	h.emitNotice(Notice{Kind: NoticeMemberStarted, Group: groupID, Epoch: assigned.Epoch, Number: own.Id})
 	if s.Snapshot != nil {
-		h.parts = append(h.parts, part{g: g, snapshot: s.Snapshot, hard: s.HardState})
-		g.writes++
-		g.node.Campaign()
+		h.disk.parts = append(h.disk.parts, writePart{group: group, snapshot: s.Snapshot, hardState: s.HardState})
+		group.durable.pendingWrites++
+		group.node.Campaign()
 	} else { // the disk knows its number from the beginning
-		h.parts = append(h.parts, part{g: g, message: &pb.Message{Term: new(uint64(0)), Vote: new(uint64(0)), Commit: new(uint64(0))}})
-		g.writes++
+		h.disk.parts = append(h.disk.parts, writePart{group: group, message: &pb.Message{Term: new(uint64(0)), Vote: new(uint64(0)), Commit: new(uint64(0))}})
+		group.durable.pendingWrites++
+	}
+}
+
+// drop ends a replica here.
+func (h *Host) stopMember(g *group) {
+	for _, o := range g.clients.waiting {
+		h.reply(o, &api.Reply{Status: uint32(statusNotLeader)})
+	}
+	g.rejectReads(g.clients.reads)
+	for _, reads := range g.clients.unconfirmed {
+		g.rejectReads(reads)
+	}
+	for _, d := range g.clients.confirmed {
+		g.rejectReads(d.reads)
 	}
+	delete(h.groups, g.id)
+	h.disk.parts = slices.DeleteFunc(h.disk.parts, func(p writePart) bool { return p.group == g })
+	h.disk.deletes = append(h.disk.deletes, MemberWrite{Group: g.id, Epoch: g.epoch, Member: g.member, Delete: true})
+	h.emitNotice(Notice{Kind: NoticeMemberStopped, Group: g.id, Epoch: g.epoch, Number: g.member})
 }
 
 // retire has a replica here never go on.
-func (h *Host) retire(r MemberRef) {
-	h.retired, h.newStale = append(h.retired, r), append(h.newStale, r)
-	h.note(Notice{Kind: NoticeMemberStale, Group: r.Group, Epoch: r.Epoch, Number: r.Member})
+func (h *Host) retireMember(r MemberRef) {
+	h.disk.retired, h.disk.newlyRetired = append(h.disk.retired, r), append(h.disk.newlyRetired, r)
+	h.emitNotice(Notice{Kind: NoticeMemberStale, Group: r.Group, Epoch: r.Epoch, Number: r.Member})
 }
--- /dev/null
+++ b/internal/raftstore/shard.go
@@ -0,0 +1,265 @@
+package raftstore
+
+import (
+	"bytes"
+	"errors"
+	"maps"
+	"slices"
+
+	"google.golang.org/protobuf/proto"
+
+	api "marblespan/api/raftstorepb"
+	"marblespan/internal/clock"
+)
+
+// clientSpan is for how long a client's last results are kept after its last command.
+const clientRetention clock.Micros = 600 * 1_000_000
+
+// errFormat tells of records that only a later version understands.
+var errFormatTooNew = errors.New("these records are of a later version")
+
+// record is one record of a shard.
+type record struct {
+	value      []byte
+	version    uint64 // of the shard, the last write's; no two writes have the same
+	position   uint64
+	isPosition bool
+	expiresAt  clock.Micros
+	changedAt  clock.Micros // when it was last changed
+}
+
+// client is what is kept of one caller, so that a call that comes again has one effect.
+type client struct {
+	lastSeen   clock.Micros
+	results    map[uint64]*api.Reply // by sequence, for as long as it may ask again
+	minPending uint64                // nothing of an earlier sequence is carried out any more: it is a copy that came late
+}
+
+// shard is the machine of one shard.
+type shard struct {
+	maxBytes     int64 // bytes
+	now          clock.Micros
+	lostAt       clock.Micros // when this epoch began, because the one before was lost; 0: none was
+	resetPending bool         // the next entry's time is when it began
+	lastVersion  uint64
+	records      map[string]record
+	expiries     []expiry // a heap; some are out of date
+	clients      map[uint64]*client
+	bytes        int64
+	maxFormat    uint32 // the latest format of records that is understood here
+	usedFormat   uint32 // the latest that was used
+}
+
+// epochBits is where the epoch stands in a version, so that versions grow over the loss of a shard, too.
+const epochBits = 40
+
+func newShard(maxBytes int64, knows, epoch uint32, resetPending bool) *shard {
+	return &shard{maxBytes: maxBytes, maxFormat: knows, resetPending: resetPending, lastVersion: uint64(epoch) << epochBits, records: map[string]record{}, clients: map[uint64]*client{}}
+}
+
+func (s *shard) time() clock.Micros { return s.now }
+
+func recordBytes(key string, r record) int64 { return int64(len(key)+len(r.value)) + recordOverhead }
+
+func (s *shard) apply(_ uint64, e *api.Entry) []*api.Reply {
+	s.now = max(s.now, clock.Micros(e.Time))
+	if s.resetPending {
+		s.lostAt, s.resetPending = s.now, false
+	}
+	s.expire()
+	var out []*api.Reply
+	for _, c := range e.Commands {
+		s.usedFormat = max(s.usedFormat, c.Format)
+		out = append(out, s.applyCommand(c))
+	}
+	return out
+}
+
+// command carries one out, unless it has been.
+func (s *shard) applyCommand(command *api.Command) *api.Reply {
+	caller := s.clients[command.Client]
+	if caller == nil {
+		caller = &client{results: map[uint64]*api.Reply{}}
+		s.clients[command.Client] = caller
+	}
+	caller.lastSeen = s.now
+	if command.MinPending > caller.minPending {
+		caller.minPending = command.MinPending
+		for sequence := range caller.results {
+			if sequence < command.MinPending {
+				delete(caller.results, sequence)
+			}
+		}
+	}
+	if command.Sequence < caller.minPending {
+		return &api.Reply{Status: uint32(StatusInvalid), Time: int64(s.now)} // nobody waits for it
+	}
+	if r, again := caller.results[command.Sequence]; again {
+		return r
+	}
+	var r *api.Reply
+	switch {
+	case command.Put != nil:
+		r = s.put(command.Put)
+	case command.RaisePosition != nil:
+		r = s.raisePosition(command.RaisePosition)
+	default:
+		r = &api.Reply{Status: uint32(StatusInvalid)}
+	}
+	r.Time = int64(s.now)
+	caller.results[command.Sequence] = r
+	return r
+}
+
+func (s *shard) put(p *api.Put) *api.Reply {
+	key := string(p.Key)
+	old, there := s.records[key]
+	switch {
+	case there && old.isPosition:
+		return &api.Reply{Status: uint32(StatusInvalid)}
+	case p.Conditional && old.version != p.Version:
+		return &api.Reply{Status: uint32(StatusConflict), Version: old.version}
+	case p.Delete:
+		s.remove(key)
+		s.lastVersion++
+		return &api.Reply{Version: s.lastVersion}
+	}
+	return s.set(key, record{value: bytes.Clone(p.Value), expiresAt: s.now + clock.Micros(p.Ttl)})
+}
+
+// mark raises a number; it never falls, whatever order marks come in.
+func (s *shard) raisePosition(m *api.RaisePosition) *api.Reply {
+	key := string(m.Key)
+	old, there := s.records[key]
+	if there && !old.isPosition {
+		return &api.Reply{Status: uint32(StatusInvalid)}
+	}
+	r := s.set(key, record{isPosition: true, position: max(old.position, m.Position), expiresAt: max(old.expiresAt, s.now+clock.Micros(m.Ttl))})
+	r.Position = s.records[key].position
+	return r
+}
+
+func (s *shard) set(key string, r record) *api.Reply {
+	old, there := s.records[key]
+	grown := s.bytes + recordBytes(key, r)
+	if there {
+		grown -= recordBytes(key, old)
+	}
+	if grown > s.maxBytes && grown > s.bytes {
+		return &api.Reply{Status: uint32(StatusFull), Version: old.version, Position: old.position}
+	}
+	s.lastVersion++
+	r.version, r.changedAt = s.lastVersion, s.now
+	s.bytes, s.records[key] = grown, r
+	if !there || r.expiresAt < old.expiresAt {
+		s.pushExpiry(expiry{r.expiresAt, key}) // a later end is found when the earlier one has come
+	}
+	reply := &api.Reply{Version: r.version}
+	if !there {
+		reply.LostBefore = s.lostBefore()
+	}
+	return reply
+}
+
+// lostSince is when this shard was begun anew because what it held was lost; 0: it was not, or so long ago that nothing of it
+// would be there any more.
+func (s *shard) lostBefore() int64 {
+	if s.resetPending || s.lostAt > 0 && s.now-s.lostAt < MaxTTL {
+		return int64(max(s.lostAt, 1))
+	}
+	return 0
+}
+
+func (s *shard) remove(key string) {
+	if r, there := s.records[key]; there {
+		s.bytes -= recordBytes(key, r)
+		delete(s.records, key)
+	}
+}
+
+// expire takes away what has ended, by the time of the log.
+func (s *shard) expire() {
+	for len(s.expiries) > 0 && s.expiries[0].at <= s.now {
+		e := s.popExpiry()
+		if r, there := s.records[e.key]; there && r.expiresAt <= s.now {
+			s.remove(e.key)
+		} else if there {
+			s.pushExpiry(expiry{r.expiresAt, e.key})
+		}
+	}
+	for number, c := range s.clients {
+		if s.now-c.lastSeen > clientRetention {
+			delete(s.clients, number)
+		}
+	}
+}
+
+// due tells whether a record has ended by a leader's clock: an entry is wanted that says so.
+func (s *shard) hasExpired(now clock.Micros) bool {
+	return len(s.expiries) > 0 && s.expiries[0].at <= now
+}
+
+// get reads a record.
+func (s *shard) get(key []byte) *api.Reply {
+	out := &api.Reply{Time: int64(s.now)}
+	r, there := s.records[string(key)]
+	if there {
+		out.Found, out.Value, out.Version, out.Position, out.Age = true, r.value, r.version, r.position, int64(s.now-r.changedAt)
+	}
+	// Of a number that was raised since, nobody knows whether it had been higher.
+	if !there || r.isPosition {
+		out.LostBefore = s.lostBefore()
+	}
+	return out
+}
+
+func (s *shard) snapshot() []byte {
+	out := &api.Shard{Time: int64(s.now), LostAt: int64(s.lostAt), LastVersion: s.lastVersion, Format: s.usedFormat}
+	if s.resetPending {
+		out.LostAt = -1
+	}
+	for _, key := range slices.Sorted(maps.Keys(s.records)) {
+		r := s.records[key]
+		out.Records = append(out.Records, &api.Record{
+			Key: []byte(key), Value: r.value, Version: r.version, Position: r.position, IsPosition: r.isPosition, ExpiresAt: int64(r.expiresAt), ChangedAt: int64(r.changedAt),
+		})
+	}
+	for _, number := range slices.Sorted(maps.Keys(s.clients)) {
+		c := s.clients[number]
+		x := &api.Client{Id: number, LastSeen: int64(c.lastSeen), MinPending: c.minPending}
+		for _, sequence := range slices.Sorted(maps.Keys(c.results)) {
+			r := c.results[sequence]
+			x.Results = append(x.Results, &api.Result{Sequence: sequence, Status: r.Status, Version: r.Version, Position: r.Position, LostBefore: r.LostBefore})
+		}
+		out.Clients = append(out.Clients, x)
+	}
+	b, _ := proto.Marshal(out) // it has no text that could be at fault
+	return b
+}
+
+func (s *shard) restore(b []byte) error {
+	var in api.Shard
+	if err := proto.Unmarshal(b, &in); err != nil {
+		return err
+	}
+	if in.Format > s.maxFormat {
+		return errFormatTooNew
+	}
+	*s = *newShard(s.maxBytes, s.maxFormat, 0, in.LostAt < 0)
+	s.usedFormat = in.Format
+	s.now, s.lostAt, s.lastVersion = clock.Micros(in.Time), clock.Micros(max(in.LostAt, 0)), in.LastVersion
+	for _, x := range in.Records {
+		r := record{value: x.Value, version: x.Version, position: x.Position, isPosition: x.IsPosition, expiresAt: clock.Micros(x.ExpiresAt), changedAt: clock.Micros(x.ChangedAt)}
+		s.records[string(x.Key)] = r
+		s.bytes += recordBytes(string(x.Key), r)
+		s.pushExpiry(expiry{r.expiresAt, string(x.Key)})
+	}
+	for _, x := range in.Clients {
+		c := &client{lastSeen: clock.Micros(x.LastSeen), minPending: x.MinPending, results: map[uint64]*api.Reply{}}
+		for _, r := range x.Results {
+			c.results[r.Sequence] = &api.Reply{Status: r.Status, Version: r.Version, Position: r.Position, LostBefore: r.LostBefore, Time: in.Time}
+		}
+		s.clients[x.Id] = c
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/raftstore/simulation_test.go
@@ -0,0 +1,493 @@
+package raftstore
+
+import (
+	"container/heap"
+	cryptorand "crypto/rand"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"slices"
+
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	api "marblespan/api/raftstorepb"
+	"marblespan/internal/clock"
+	"marblespan/internal/maintenance"
+)
+
+const (
+	ms     clock.Micros = 1000
+	second              = 1000 * ms
+)
+
+// world is a number of hosts on a made-up clock, network and disks. Everything in it comes from its seed.
+type simulation struct {
+	now         clock.Micros
+	rng         *rand.Rand
+	gateways    []*simGateway
+	events      eventQueue
+	lastOrder   uint64
+	partitioned map[[2]string]bool
+	loss        float64
+	maxDelay    clock.Micros // at most, beside the usual
+	mutant      *mutant
+	shards      int
+	votes       map[string]uint64 // whom a replica voted for, by group, epoch, number and term
+	failure     string
+	killAt      writeStep // the leader that comes to it is killed; 0: none
+	killed      int
+	calls       map[uint64]func(Response)
+	next        uint64
+	notices     []string
+	limits      *maintenance.Limits // by which machines are taken out; nil: none is
+}
+
+// node is one gateway.
+type simGateway struct {
+	name        string
+	zone        string
+	runsGroups  bool
+	host        *Host
+	up          bool
+	starts      int
+	pausedUntil clock.Micros // it stands still until then
+	disk        Image
+	written     bool // whether anything was
+	pending     []Write
+	backup      Image
+	wiped       Image // what was wiped
+	trusted     bool  // a restart is trusted
+	failing     bool
+	clockOffset clock.Micros // of its clock
+	timerAt     clock.Micros
+	drained     bool
+	inbox       []func()
+	incarnation uint64
+	order       *maintenance.Order // as it was last told
+	seenIndex   uint64
+	format      uint32 // of records, the latest that it understands; 0: the only one there is
+}
+
+// step is one of a write's, at its shard's leader.
+type writeStep int
+
+const (
+	beforeReplication writeStep = 1 + iota
+	leaderSynced
+	beforeReply
+	afterReply
+	writeSteps
+)
+
+// at tells whether a host has come to a step: by what it has heard and what it wants done, none of which is done yet.
+func (s writeStep) reached(h *Host, ev Event, out []Action) bool {
+	packet := func(body []byte) *api.Packet {
+		p := &api.Packet{}
+		proto.Unmarshal(body, p)
+		return p
+	}
+	switch ev := ev.(type) {
+	case PacketReceived:
+		p := packet(ev.Body)
+		for _, c := range p.Calls {
+			if g := h.groups[c.Group]; s == beforeReplication && c.Command != nil && g != nil && g.isLeader {
+				return true
+			}
+		}
+	case WriteCompleted:
+		if s == leaderSynced {
+			return slices.ContainsFunc(h.sortedGroups(), func(g *group) bool { return g.isLeader && len(g.clients.waiting) > 0 })
+		}
+	}
+	for _, a := range out {
+		if a, is := a.(Send); is && s >= beforeReply {
+			p := packet(a.Body)
+			if slices.ContainsFunc(p.Replies, func(r *api.Reply) bool { return r.Status == uint32(StatusOK) && r.Version > 0 && !r.Found }) {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+type scheduledEvent struct {
+	at    clock.Micros
+	order uint64
+	do    func()
+}
+
+type eventQueue []scheduledEvent
+
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
+}
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(scheduledEvent)) }
+func (q *eventQueue) Pop() any {
+	old := *q
+	x := old[len(old)-1]
+	*q = old[:len(old)-1]
+	return x
+}
+
+func (w *simulation) schedule(schedule clock.Micros, do func()) {
+	w.lastOrder++
+	heap.Push(&w.events, scheduledEvent{schedule, w.lastOrder, do})
+}
+
+func (w *simulation) advance(span clock.Micros) {
+	end := w.now + span
+	for len(w.events) > 0 && w.events[0].at <= end && w.failure == "" {
+		x := heap.Pop(&w.events).(scheduledEvent)
+		w.now = max(w.now, x.at)
+		x.do()
+	}
+	w.now = end
+}
+
+// until lets time pass until something holds.
+func (w *simulation) advanceUntil(what string, most clock.Micros, holds func() bool) bool {
+	for end := w.now + most; w.now < end && w.failure == ""; {
+		if holds() {
+			return true
+		}
+		w.advance(50 * ms)
+	}
+	if w.failure == "" {
+		w.failure = fmt.Sprintf("not within %d s: %s; %s", most/second, what, w.describe())
+	}
+	return false
+}
+
+// seeded is the library's source of randomness.
+type seeded struct{ *rand.Rand }
+
+func (s seeded) Read(b []byte) (int, error) {
+	for i := range b {
+		b[i] = byte(s.Uint32())
+	}
+	return len(b), nil
+}
+
+func newSimulation(seed uint64, holders, clients, shards int, mut *mutant) *simulation {
+	return newSimulationWithLimits(seed, holders, clients, shards, mut, nil)
+}
+
+func newSimulationWithLimits(seed uint64, holders, clients, shards int, mut *mutant, limits *maintenance.Limits) *simulation {
+	w := &simulation{
+		limits: limits,
+		now:    second, rng: rand.New(rand.NewPCG(seed, 3)), partitioned: map[[2]string]bool{}, mutant: mut, shards: shards, votes: map[string]uint64{},
+		calls: map[uint64]func(Response){},
+	}
+	cryptorand.Reader = io.Reader(seeded{rand.New(rand.NewPCG(seed, 4))})
+	for i := range holders + clients {
+		w.gateways = append(w.gateways, &simGateway{name: fmt.Sprint("g", i+1), zone: fmt.Sprint("z", i%3), runsGroups: i < holders, trusted: true, clockOffset: clock.Micros(w.rng.IntN(1000)) * second})
+	}
+	for _, n := range w.gateways {
+		w.start(n)
+	}
+	w.handle(w.gateways[0], BootstrapRequested{Shards: shards, Voters: 3, First: true})
+	return w
+}
+
+const (
+	testTick    = 100 * ms
+	repairAfter = 5 * second
+)
+
+// start begins a node's next life from what is on its disk.
+func (w *simulation) start(n *simGateway) {
+	n.starts++
+	n.up, n.pausedUntil, n.pending, n.inbox, n.drained, n.order, n.seenIndex = true, 0, nil, nil, false, &maintenance.Order{}, 0
+	n.incarnation += 1 + w.rng.Uint64N(1000)
+	var s *StoredState
+	trusted := true
+	if n.written {
+		s, trusted = n.disk.State(), n.trusted
+	}
+	if w.mutant != nil && w.mutant.start != nil {
+		w.mutant.start(w, n, &s, &trusted)
+	}
+	h, err := New(Config{
+		Name: n.name, Zone: n.zone, Weight: 1, RunsGroups: n.runsGroups, Tick: testTick, RepairAfter: repairAfter, MaxRepairs: 2, MinLogBytes: 4096, MaxShardBytes: 1 << 20,
+		MaxCalls: 100, ClientID: w.rng.Uint64() | 1, NewStoreID: w.rng.Uint64() | 1, NewClusterID: w.rng.Uint64() | 1, Incarnation: n.incarnation, Format: n.format, Maintenance: w.limits,
+	}, w.now+n.clockOffset, s, trusted)
+	if err != nil {
+		w.failure = fmt.Sprintf("%s cannot start: %v", n.name, err)
+		return
+	}
+	n.host, n.timerAt = h, 0
+	var others []string
+	for _, o := range w.gateways {
+		if o != n {
+			others = append(others, o.name)
+		}
+	}
+	w.handle(n, PeersChanged{others})
+}
+
+// do hands a node an event, once it runs.
+func (w *simulation) handle(n *simGateway, ev Event) {
+	life := n.starts
+	step := func() {
+		if !n.up || n.starts != life {
+			return
+		}
+		if w.mutant != nil && w.mutant.before != nil {
+			ev = w.mutant.before(w, n, ev)
+		}
+		if ev != nil {
+			n.host.Handle(w.now+n.clockOffset, ev)
+		}
+		out := n.host.Flush()
+		if w.mutant != nil && w.mutant.after != nil {
+			out = append(w.mutant.after(w, n, out), n.host.Flush()...)
+		}
+		reached := w.killAt > 0 && w.killAt.reached(n.host, ev, out)
+		if !reached || w.killAt == afterReply {
+			w.carryOut(n, out)
+		}
+		if reached {
+			w.killAt, w.killed = 0, w.killed+1
+			w.crash(n)
+			return
+		}
+		w.armTimer(n)
+	}
+	if n.pausedUntil > w.now {
+		w.schedule(n.pausedUntil, step)
+		return
+	}
+	step()
+}
+
+// arm has the node's next timer wake it.
+func (w *simulation) armTimer(n *simGateway) {
+	at := n.host.NextTick() - n.clockOffset
+	if n.timerAt > w.now && n.timerAt <= at {
+		return
+	}
+	n.timerAt = max(at, w.now)
+	life, due := n.starts, n.timerAt
+	w.schedule(due, func() {
+		if n.starts == life && n.up && n.timerAt == due {
+			n.timerAt = 0
+			w.handle(n, Tick{})
+		}
+	})
+}
+
+func (w *simulation) carryOut(n *simGateway, out []Action) {
+	for _, a := range out {
+		switch a := a.(type) {
+		case Send:
+			w.checkVotes(a.Body)
+			w.send(n, a)
+		case Write:
+			w.write(n, a)
+		case Response:
+			if done := w.calls[a.ID]; done != nil {
+				delete(w.calls, a.ID)
+				done(a)
+			}
+		case Notice:
+			w.notices = append(w.notices, fmt.Sprintf("%d.%03d %s %v %d/%d %d %s %s", w.now/second, w.now/ms%1000, n.name, a.Kind, a.Group, a.Epoch, a.Number, a.Name, a.Cause))
+		case OrderChanged:
+			n.order, n.seenIndex = a.Order, a.Index
+		case Drained:
+			n.drained = true
+		}
+	}
+}
+
+func (w *simulation) send(n *simGateway, a Send) {
+	i := slices.IndexFunc(w.gateways, func(o *simGateway) bool { return o.name == a.To })
+	if i < 0 || w.partitioned[[2]string{n.name, a.To}] || w.loss > 0 && w.rng.Float64() < w.loss {
+		return
+	}
+	to := w.gateways[i]
+	after := 200 + clock.Micros(w.rng.Int64N(1800))
+	if w.maxDelay > 0 {
+		after += clock.Micros(w.rng.Int64N(int64(w.maxDelay)))
+	}
+	w.schedule(w.now+after, func() {
+		if to.up {
+			w.handle(to, PacketReceived{n.name, a.Body})
+		}
+	})
+}
+
+// write puts a write on the disk after a while. A crash before that loses it, or not, as disks do.
+func (w *simulation) write(n *simGateway, x Write) {
+	life := n.starts
+	n.pending = append(n.pending, x)
+	early := w.mutant != nil && w.mutant.acknowledgesEarly
+	if early {
+		w.schedule(w.now+100, func() { w.handle(n, WriteCompleted{x.Number}) })
+	}
+	w.schedule(w.now+500+clock.Micros(w.rng.Int64N(4000)), func() {
+		if !n.up || n.starts != life || len(n.pending) == 0 || n.pending[0].Number != x.Number {
+			return
+		}
+		n.pending = n.pending[1:]
+		if n.failing {
+			w.handle(n, DiskFailed{"no space is left"})
+			return
+		}
+		if w.mutant != nil && w.mutant.disk != nil {
+			x = w.mutant.disk(x)
+		}
+		n.disk, n.written = n.disk.Apply(x), true
+		if !early {
+			w.handle(n, WriteCompleted{x.Number})
+		}
+	})
+}
+
+// crash ends a node without a word.
+func (w *simulation) crash(n *simGateway) {
+	if !n.up {
+		return
+	}
+	n.up = false
+	if len(n.pending) > 0 && w.rng.IntN(2) == 0 && !n.failing && !(w.mutant != nil && w.mutant.acknowledgesEarly) {
+		n.disk, n.written = n.disk.Apply(n.pending[0]), true
+	}
+	n.pending = nil
+}
+
+// wipe takes a node's disk away.
+func (n *simGateway) wipe() { n.wiped = n.disk; n.disk, n.written, n.failing = Image{}, false, false }
+
+// watch holds what is sent against what may never be sent: two votes of one number in a term.
+func (w *simulation) checkVotes(body []byte) {
+	var p api.Packet
+	if proto.Unmarshal(body, &p) != nil {
+		return
+	}
+	for _, x := range p.Raft {
+		var m pb.Message
+		if proto.Unmarshal(x.Message, &m) != nil || m.GetType() != pb.MsgVoteResp || m.GetReject() {
+			continue
+		}
+		k := fmt.Sprint(x.Group, x.Epoch, m.GetFrom(), m.GetTerm())
+		if last, voted := w.votes[k]; voted && last != m.GetTo() {
+			w.failure = fmt.Sprintf("replica %d of group %d voted for %d and %d in term %d", m.GetFrom(), x.Group, last, m.GetTo(), m.GetTerm())
+		}
+		w.votes[k] = m.GetTo()
+	}
+}
+
+// call begins a call at a node.
+func (w *simulation) call(n *simGateway, a Request, done func(Response)) {
+	w.next++
+	a.ID = w.next
+	a.Deadline += w.now + n.clockOffset
+	w.calls[a.ID] = done
+	w.handle(n, a)
+}
+
+// ledger is the latest that any node that runs knows.
+func (w *simulation) ledger() (l *api.Ledger) {
+	for _, n := range w.gateways {
+		if n.up && (l == nil || n.host.ledger.Index > l.Index) {
+			l = n.host.ledger
+		}
+	}
+	return l
+}
+
+// whole tells whether every group has all its copies, somebody leads it, and nothing is under way.
+func (w *simulation) isComplete() bool {
+	l := w.ledger()
+	if l == nil || len(l.Groups) != w.shards+1 {
+		return false
+	}
+	for id, g := range l.Groups {
+		leads := 0
+		for _, n := range w.gateways {
+			x := (*group)(nil)
+			if n.up {
+				x = n.host.groups[uint32(id)]
+			}
+			if x == nil || x.epoch != g.Epoch {
+				continue
+			}
+			if x.recovery != nil {
+				return false
+			}
+			if x.isLeader {
+				leads++
+				if len(x.conf.Voters) != 3 || len(x.conf.VotersOutgoing)+len(x.conf.Learners) > 0 {
+					return false
+				}
+			}
+		}
+		for _, r := range g.Voters {
+			runs := slices.ContainsFunc(w.gateways, func(n *simGateway) bool {
+				return n.up && n.host.groups[uint32(id)] != nil && n.host.groups[uint32(id)].member == r.Id
+			})
+			if memberLost(l, r) || !runs {
+				return false
+			}
+		}
+		if len(g.Voters) != 3 || g.Adding != nil || leads != 1 {
+			return false
+		}
+	}
+	return true
+}
+
+func (w *simulation) describe() string {
+	l := w.ledger()
+	out := fmt.Sprintf("ledger at %d:", l.GetIndex())
+	for id, g := range l.GetGroups() {
+		out += fmt.Sprintf(" [%d/%d", id, g.Epoch)
+		for _, r := range g.Voters {
+			out += fmt.Sprintf(" %d@%s", r.Id, findStore(l, r.Store).GetName())
+			if memberLost(l, r) {
+				out += "!"
+			}
+		}
+		if g.Adding != nil {
+			out += fmt.Sprintf(" +%d@%s -%d", g.Adding.Id, findStore(l, g.Adding.Store).GetName(), g.Removing)
+		}
+		out += "]"
+	}
+	if g := w.leaderOf(LedgerGroup); g != nil && w.limits != nil {
+		out += fmt.Sprintf("\norder: %+v\n%v", *DecodeOrder(l.GetOrder()), g.host.maintenance.waits)
+	}
+	for _, n := range w.gateways {
+		out += "\n " + n.name
+		if !n.up {
+			out += " down"
+			continue
+		}
+		for _, g := range n.host.sortedGroups() {
+			out += fmt.Sprintf(" %d/%d#%d", g.id, g.epoch, g.member)
+			if g.isLeader {
+				out += fmt.Sprintf("L%v", g.conf.Voters)
+			}
+			if g.recovery != nil {
+				out += fmt.Sprintf("?%v", *g.recovery)
+			}
+		}
+	}
+	for _, n := range w.notices[max(0, len(w.notices)-25):] {
+		out += "\n  " + n
+	}
+	return out
+}
+
+// mutant spoils one thing about a host.
+type mutant struct {
+	name              string
+	fault             string // the one trouble that shows it; empty: any may
+	acknowledgesEarly bool   // writes are told to be on the disk before they are
+	start             func(w *simulation, n *simGateway, s **StoredState, trusted *bool)
+	disk              func(Write) Write
+	before            func(w *simulation, n *simGateway, ev Event) Event
+	after             func(w *simulation, n *simGateway, out []Action) []Action
+}
--- a/internal/raftstore/snapshot.go
+++ b/internal/raftstore/snapshot.go
@@ -9,11 +9,11 @@
 // storage is the log as the library reads it. Snapshots are made when one is wanted, not kept.
 type storage struct {
 	*raft.MemoryStorage
-	g *group
+	group *group
 }
 
 // Snapshot is the state now.
-func (s *storage) Snapshot() (*pb.Snapshot, error) { return s.g.snapshot(s.g.sm.snapshot()) }
+func (s *storage) Snapshot() (*pb.Snapshot, error) { return s.group.snapshot(s.group.sm.snapshot()) }
 
 func (g *group) snapshot(data []byte) (*pb.Snapshot, error) {
 	term, err := g.log.Term(g.applied)
@@ -30,7 +30,7 @@
 }
 
 // bare is a snapshot without its data, as the log keeps it.
-func bare(s *pb.Snapshot) *pb.Snapshot { return &pb.Snapshot{Metadata: s.GetMetadata()} }
+func withoutData(s *pb.Snapshot) *pb.Snapshot { return &pb.Snapshot{Metadata: s.GetMetadata()} }
 
 // restore takes a snapshot over.
 func (g *group) restore(s *pb.Snapshot) error {
@@ -38,6 +38,6 @@
 		return err
 	}
 	g.applied, g.conf = s.GetMetadata().GetIndex(), proto.Clone(s.GetMetadata().GetConfState()).(*pb.ConfState)
-	g.logBytes, g.snapBytes = 0, int64(len(s.Data))
-	return g.log.ApplySnapshot(bare(s))
+	g.logBytes, g.snapshotBytes = 0, int64(len(s.Data))
+	return g.log.ApplySnapshot(withoutData(s))
 }
