--- a/internal/simhost/host.go
+++ b/internal/simhost/host.go
@@ -113,7 +113,7 @@
 	case simwire.StopInstance:
 		delete(h.instances, m.Instance)
 	case simwire.EndpointSheet:
-		h.sheets[m.Number], h.sheetSent[m.Number] = m.Members, true
+		h.sheets[m.Number], h.sheetSent[m.Number] = m.Endpoints, true
 	case simwire.EndpointListChanged:
 		news := policy.EndpointUpdate{Form: m.Form}
 		if m.Form != policy.ListFailed {
--- /dev/null
+++ b/internal/simwire/row.go
@@ -0,0 +1,119 @@
+package simwire
+
+import (
+	"encoding/json"
+	"fmt"
+	"strconv"
+
+	"marblespan/internal/clock"
+	"marblespan/internal/settings"
+)
+
+// row reads the values of one message by their index and remembers the first defect; after one, values read are zero.
+type row struct {
+	values []json.RawMessage
+	err    error
+}
+
+func (r *row) fail(i int, want string) {
+	if r.err == nil {
+		r.err = fmt.Errorf("value %d is not %s", i, want)
+	}
+}
+
+// absent reports whether a value is null or not there at all.
+func (r *row) absent(i int) bool { return i >= len(r.values) || string(r.values[i]) == "null" }
+
+func (r *row) integer(i int) int64 {
+	if !r.absent(i) {
+		if value, err := strconv.ParseInt(string(r.values[i]), 10, 64); err == nil {
+			return value
+		}
+	}
+	r.fail(i, "a whole number")
+	return 0
+}
+
+// integerOr reads an integer; an absent one is the default.
+func (r *row) integerOr(i int, byDefault int64) int64 {
+	if r.absent(i) {
+		return byDefault
+	}
+	return r.integer(i)
+}
+
+// unsigned reads an integer from 0 up that fits a number of bits.
+func (r *row) unsigned(i int, bits int) uint64 {
+	if !r.absent(i) {
+		if value, err := strconv.ParseUint(string(r.values[i]), 10, bits); err == nil {
+			return value
+		}
+	}
+	r.fail(i, "a whole number from 0 up")
+	return 0
+}
+
+// maxCount bounds a count.
+const maxCount = 1 << 31
+
+// count reads an integer from 0 to maxCount.
+func (r *row) count(i int) int {
+	value := r.integer(i)
+	if value < 0 || value > maxCount {
+		r.fail(i, "a small whole number")
+		return 0
+	}
+	return int(value)
+}
+
+// seed reads any integer, also one past 63 bits or below zero.
+func (r *row) seed(i int) uint64 {
+	if !r.absent(i) {
+		if value, err := strconv.ParseUint(string(r.values[i]), 10, 64); err == nil {
+			return value
+		}
+	}
+	return uint64(r.integer(i))
+}
+
+func (r *row) text(i int) string {
+	var text string
+	if r.absent(i) || json.Unmarshal(r.values[i], &text) != nil {
+		r.fail(i, "a text")
+	}
+	return text
+}
+
+func (r *row) boolean(i int) bool {
+	var value bool
+	if r.absent(i) || json.Unmarshal(r.values[i], &value) != nil {
+		r.fail(i, "true or false")
+	}
+	return value
+}
+
+// micros reads milliseconds with a fraction; an absent value is 0.
+func (r *row) micros(i int) clock.Micros {
+	if r.absent(i) {
+		return 0
+	}
+	return clock.Micros(r.scaled(i, 3))
+}
+
+// scaled reads a number that is there as a whole number of 10^-digits.
+func (r *row) scaled(i, digits int) int64 {
+	value, err := settings.ParseScaled(string(r.values[i]), digits)
+	if err != nil {
+		r.fail(i, "a number")
+	}
+	return value
+}
+
+// lookupCode reads a code and looks it up in a table; want names what the codes stand for.
+func lookupCode[T any](r *row, table map[int64]T, i int, want string) T {
+	value, ok := table[r.integer(i)]
+	if !ok {
+		r.fail(i, want)
+	}
+	return value
+}
--- /dev/null
+++ b/internal/simwire/words.go
@@ -0,0 +1,63 @@
+package simwire
+
+import "marblespan/internal/policy"
+
+// The names of messages to the routers.
+const (
+	nameBatchBegin          = "TICK"
+	nameBatchEnd            = "FLUSH"
+	nameEndpointSheet       = "LEDGER"
+	nameStartInstance       = "START"
+	nameStopInstance        = "POWER_OFF"
+	nameEndpointListChanged = "REGISTRY"
+	nameArrival             = "JOB_IN"
+	nameAnswerStarted       = "HEADERS"
+	nameOutcome             = "RESPONSE"
+	nameClientDisconnected  = "DROPPED"
+	nameTimer               = "ALARM"
+	nameHealthCheckEnded    = "STATUS_BACK"
+	namePeerMessage         = "MAIL"
+)
+
+// The names of actions and replies.
+const (
+	nameSend        = "TRY"
+	nameReject      = "SAY_NO"
+	nameFail        = "FINISH_ERROR"
+	nameCancel      = "ABANDON"
+	nameSetTimer    = "SET_ALARM"
+	nameHealthCheck = "POLL"
+	nameCloseIdle   = "CLOSE_IDLE"
+	nameSendToPeer  = "MEMO_TO"
+	nameLog         = "WRITE_LOG"
+	nameWatch       = "STREAM_CHANGES"
+	nameFetch       = "SNAPSHOT"
+	nameFault       = "BROKEN"
+	nameReplyEnd    = "YIELD"
+)
+
+// Codes of the wire.
+var (
+	results = map[int64]policy.Result{
+		200: policy.ResultOK, 500: policy.ResultError, 503: policy.ResultOverloaded, 504: policy.ResultTimeout,
+		502: policy.ResultConnectFailed, 598: policy.ResultReset, 499: policy.ResultCancelled,
+		410: policy.ResultNotSent, 404: policy.ResultMisdirected,
+	}
+	endpointStates = map[int64]policy.EndpointState{
+		0: policy.EndpointRemoved, 1: policy.EndpointReady, 2: policy.EndpointDraining,
+	}
+	listForms = map[int64]policy.ListForm{
+		0: policy.ListDelta, 4: policy.ListFull, 1: policy.ListCached, 3: policy.ListFailed,
+	}
+	roles = map[int64]policy.Role{0: policy.RoleUnknown, 1: policy.RolePrimary, 2: policy.RoleReplica}
+)
+
+// roleCodes is how many codes a role takes up in a response's note: the note is the position, in milliseconds, times this,
+// plus the role's code.
+const roleCodes = 4
+
+// flagClientRetry is the bit of an arrival's flags that says that the client repeats itself.
+const flagClientRetry = 2
+
+// sweepToken is the wire's name of the sweep timer; every other timer is named by its request's id.
+const sweepToken = "sweep"
