--- a/internal/simhost/host.go
+++ b/internal/simhost/host.go
@@ -1,5 +1,6 @@
-// Package simhost hosts many routers behind the bench's wire: it routes each batch's events to the instance
-// they name, writes the actions back, and keeps the instances apart. It decides nothing.
+// Package simhost hosts many routers behind the simulator's wire: it routes each event of a batch to the instance that it
+// names, writes the actions back, and keeps the instances apart. It makes no decision. Command simhost calls Run, whose
+// goroutine owns all state; there is no other. The main steps are host.handleLine, host.handleMessage and host.guard.
 package simhost
 
 import (
@@ -14,151 +15,202 @@
 	"marblespan/internal/simwire"
 )
 
-// maxLine bounds one line of input; a batch may be megabytes long, and a list is one line.
-const maxLine = 64 << 20
+// Sizes of buffers, in bytes.
+const (
+	maxLine       = 64 << 20 // one line of input: an endpoint sheet is one line
+	initialLine   = 1 << 20
+	writtenAtOnce = 1 << 16
+)
+
+// What is wrong with the order of lines, or with an event, whatever its instance.
+var (
+	errNestedBatch     = errors.New("a batch began inside a batch")
+	errNoBatchToEnd    = errors.New("a batch ended that had not begun")
+	errOutsideBatch    = errors.New("an event stands outside a batch")
+	errUnfinishedBatch = errors.New("input ended inside a batch")
+)
 
+// instance is one simulated gateway.
 type instance struct {
-	facts  *settings.InForce
-	router *policy.Router
-	broken bool // it has faulted: its events are passed over until it starts anew
+	settings *settings.InForce
+	router   *policy.Router
+	broken   bool // it has had a fault: its events are skipped until it is started again
+}
+
+// sheet is the endpoint sheet last sent under a number.
+type sheet struct {
+	endpoints []policy.Endpoint
+	sent      bool
 }
 
-// Host runs every instance of one process.
-type Host struct {
-	now       clock.Micros
+// host runs every instance of one process.
+type host struct {
+	now       clock.Micros // of the batch
 	inBatch   bool
-	sheets    [simwire.MaxSheets][]policy.Endpoint
-	sheetSent [simwire.MaxSheets]bool
+	sheets    [simwire.MaxSheets]sheet
 	instances map[int]*instance
-	out       []byte
+	reply     []byte // to the batch, so far
 }
 
-// Run serves batches from in until it ends and writes replies to out. A defect that belongs to one instance is
-// told on complaints and goes out as that instance's fault; the others go on. Any other defect ends the run.
+// Run serves batches from in until it ends and writes a reply to each to out. A defect that belongs to one instance is
+// reported on complaints and in the reply as that instance's fault; the others go on. Any other defect ends the run.
 func Run(in io.Reader, out, complaints io.Writer) error {
-	h := &Host{instances: map[int]*instance{}}
+	h := &host{instances: map[int]*instance{}}
 	lines := bufio.NewScanner(in)
-	lines.Buffer(make([]byte, 1<<20), maxLine)
-	w := bufio.NewWriterSize(out, 1<<16)
-	for n := 1; lines.Scan(); n++ {
+	lines.Buffer(make([]byte, initialLine), maxLine)
+	w := bufio.NewWriterSize(out, writtenAtOnce)
+	for number := 1; lines.Scan(); number++ {
 		if len(lines.Bytes()) == 0 {
 			continue
 		}
-		done, err := h.line(lines.Bytes())
+		done, err := h.handleLine(lines.Bytes())
 		var fault *simwire.FaultError
 		switch {
 		case errors.As(err, &fault):
-			fmt.Fprintf(complaints, "simhost: line %d: %v\n", n, err)
-			h.out = simwire.AppendFault(h.out, fault.Instance, fault.Text)
-			h.instances[fault.Instance] = &instance{broken: true}
+			fmt.Fprintf(complaints, "simhost: line %d: %v\n", number, err)
+			h.breakInstance(fault)
 		case err != nil:
-			return fmt.Errorf("line %d: %w", n, err)
+			return fmt.Errorf("line %d: %w", number, err)
 		case done:
-			if _, err := w.Write(simwire.AppendDone(h.out)); err != nil {
-				return err
-			}
-			if err := w.Flush(); err != nil {
+			if err := h.sendReply(w); err != nil {
 				return err
 			}
-			h.out = h.out[:0]
 		}
 	}
 	if err := lines.Err(); err != nil {
 		return err
 	}
 	if h.inBatch {
-		return errors.New("input ended inside a batch")
+		return errUnfinishedBatch
 	}
 	return nil
 }
 
-// line handles one line of input and tells whether it ended a batch.
-func (h *Host) line(raw []byte) (bool, error) {
-	msg, err := simwire.Decode(raw, h.factsOf)
-	var fault *simwire.FaultError
-	if errors.As(err, &fault) && h.isBroken(fault.Instance) {
-		return false, nil
+// breakInstance puts a fault into the reply. The instance's events are skipped until it is started again.
+func (h *host) breakInstance(fault *simwire.FaultError) {
+	h.reply = simwire.AppendFault(h.reply, fault.Instance, fault.Text)
+	h.instances[fault.Instance] = &instance{broken: true}
+}
+
+// sendReply writes the reply to a batch and begins the next one.
+func (h *host) sendReply(w *bufio.Writer) error {
+	if _, err := w.Write(simwire.AppendDone(h.reply)); err != nil {
+		return err
 	}
-	if err != nil && fault != nil && !h.inBatch {
-		return false, errors.New(err.Error()) // no reply is under way that could carry the fault
+	if err := w.Flush(); err != nil {
+		return err
 	}
-	if err != nil {
+	h.reply = h.reply[:0]
+	return nil
+}
+
+// handleLine handles one line of input and reports whether it ended a batch.
+func (h *host) handleLine(line []byte) (batchEnded bool, err error) {
+	message, err := simwire.Decode(line, h.settingsOf)
+	var fault *simwire.FaultError
+	isFault := errors.As(err, &fault)
+	switch {
+	case isFault && h.isBroken(fault.Instance):
+		return false, nil
+	case isFault && !h.inBatch:
+		return false, errors.New(err.Error()) // not a fault of the instance: there is no reply that could carry it
+	case err != nil:
 		return false, err
 	}
-	switch m := msg.(type) {
+	switch m := message.(type) {
 	case simwire.BatchBegin:
 		if h.inBatch {
-			return false, errors.New("a batch began inside a batch")
+			return false, errNestedBatch
 		}
 		h.now, h.inBatch = m.Now, true
 		return false, nil
 	case simwire.BatchEnd:
 		if !h.inBatch {
-			return false, errors.New("a batch ended that had not begun")
+			return false, errNoBatchToEnd
 		}
 		h.inBatch = false
 		return true, nil
 	}
 	if !h.inBatch {
-		return false, errors.New("an event stands outside a batch")
+		return false, errOutsideBatch
 	}
-	switch m := msg.(type) {
+	return false, h.handleMessage(message)
+}
+
+// handleMessage handles a message inside a batch.
+func (h *host) handleMessage(message simwire.Message) error {
+	switch m := message.(type) {
 	case simwire.StartInstance:
-		h.instances[m.Instance] = &instance{facts: m.Settings}
-		return false, h.guard(m.Instance, func(in *instance) []policy.Action {
-			r, first := policy.New(h.now, m.Seed, m.Settings.Settings)
-			in.router = r
-			return first
-		})
+		return h.start(m)
 	case simwire.StopInstance:
 		delete(h.instances, m.Instance)
 	case simwire.EndpointSheet:
-		h.sheets[m.Number], h.sheetSent[m.Number] = m.Endpoints, true
+		h.sheets[m.Number] = sheet{endpoints: m.Endpoints, sent: true}
 	case simwire.EndpointListChanged:
-		news := policy.EndpointUpdate{Form: m.Form}
-		if m.Form != policy.ListFailed {
-			if !h.sheetSent[m.Sheet] && !h.isBroken(m.Instance) {
-				return false, &simwire.FaultError{Instance: m.Instance, Text: "a list names a sheet never sent"}
-			}
-			news.Endpoints = h.sheets[m.Sheet]
-		}
-		return false, h.step(m.Instance, news)
+		return h.updateEndpointList(m)
 	case simwire.InstanceEvent:
-		return false, h.step(m.Instance, m.Event)
+		return h.step(m.Instance, m.Event)
+	}
+	return nil
+}
+
+// start starts an instance, in place of an earlier one of its number.
+func (h *host) start(m simwire.StartInstance) error {
+	h.instances[m.Instance] = &instance{settings: m.Settings}
+	return h.guard(m.Instance, func(in *instance) []policy.Action {
+		router, first := policy.New(h.now, m.Seed, m.Settings.Settings)
+		in.router = router
+		return first
+	})
+}
+
+// updateEndpointList gives an instance the entries of a sheet.
+func (h *host) updateEndpointList(m simwire.EndpointListChanged) error {
+	update := policy.EndpointUpdate{Form: m.Form}
+	if m.Form != policy.ListFailed {
+		named := h.sheets[m.Sheet]
+		if !named.sent && !h.isBroken(m.Instance) {
+			return &simwire.FaultError{Instance: m.Instance, Text: "a list names a sheet never sent"}
+		}
+		update.Endpoints = named.endpoints
 	}
-	return false, nil
+	return h.step(m.Instance, update)
 }
 
-func (h *Host) factsOf(inst int) *settings.InForce {
-	if in := h.instances[inst]; in != nil {
-		return in.facts
+// settingsOf is the settings of a started instance; nil if there is none.
+func (h *host) settingsOf(number int) *settings.InForce {
+	if in := h.instances[number]; in != nil {
+		return in.settings
 	}
 	return nil
 }
 
-func (h *Host) isBroken(inst int) bool {
-	in := h.instances[inst]
+// isBroken reports whether an instance has had a fault since it was last started.
+func (h *host) isBroken(number int) bool {
+	in := h.instances[number]
 	return in != nil && in.broken
 }
 
-func (h *Host) step(inst int, ev policy.Event) error {
-	return h.guard(inst, func(in *instance) []policy.Action { return in.router.Step(h.now, ev) })
+// step gives an instance's router one event.
+func (h *host) step(number int, event policy.Event) error {
+	return h.guard(number, func(in *instance) []policy.Action { return in.router.Step(h.now, event) })
 }
 
-// guard runs one decision of an instance and turns a panic of the module into that instance's fault.
-func (h *Host) guard(inst int, decide func(*instance) []policy.Action) (err error) {
-	in := h.instances[inst]
+// guard runs one decision of an instance and puts its actions into the reply. A panic of the router becomes that instance's
+// fault. A broken instance decides nothing.
+func (h *host) guard(number int, decide func(*instance) []policy.Action) (err error) {
+	in := h.instances[number]
 	if in == nil {
-		return &simwire.FaultError{Instance: inst, Text: "an event for an instance that was never started"}
+		return &simwire.FaultError{Instance: number, Text: "an event for an instance that was never started"}
 	}
 	if in.broken {
 		return nil
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			err = &simwire.FaultError{Instance: inst, Text: fmt.Sprintf("the module panicked: %v", p)}
+			err = &simwire.FaultError{Instance: number, Text: fmt.Sprintf("the module panicked: %v", p)}
 		}
 	}()
-	h.out = simwire.AppendActions(h.out, inst, decide(in))
+	h.reply = simwire.AppendActions(h.reply, number, decide(in))
 	return nil
 }
