--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -63,10 +63,10 @@
 
 // unwritten lists the directives that no line names, of a section and of those in it; of several of a kind it looks at the first.
 func unwritten(section reflect.Value) (missing []string) {
-	where := section.FieldByName("Where").Interface().(lines.Where)
+	where := section.FieldByName("Source").Interface().(lines.Source)
 	for i := range section.NumField() {
 		tag, value := section.Type().Field(i).Tag, section.Field(i)
-		if directive, _, _ := strings.Cut(tag.Get("conf"), ","); directive != "" && where.At(directive, 0) == where.Line {
+		if directive, _, _ := strings.Cut(tag.Get("conf"), ","); directive != "" && where.LineOf(directive, 0) == where.Line {
 			missing = append(missing, directive)
 		}
 		if tag.Get("section") == "" {
--- a/internal/config/lines/check.go
+++ b/internal/config/lines/check.go
@@ -15,7 +15,7 @@
 var checker = sync.OnceValue(func() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
-		if n, _ := name(f); n != "" {
+		if n, _ := directiveName(f); n != "" {
 			return n
 		}
 		return f.Name
@@ -23,7 +23,7 @@
 	return v
 })
 
-var inField = regexp.MustCompile(`^[^.]*\.([^.\[]+)(?:\[(\d+)\])?`)
+var fieldNamespace = regexp.MustCompile(`^[^.]*\.([^.\[]+)(?:\[(\d+)\])?`)
 
 // Check tells what a struct's validate tags forbid, each with the line it was read from. It looks at the values of a root
 // and of its sections.
@@ -34,11 +34,11 @@
 		if !errors.As(checker().Struct(v.Addr().Interface()), &wrong) {
 			return
 		}
-		w := where(v)
+		w := sourceOf(v)
 		for _, e := range wrong {
-			m := inField.FindStringSubmatch(e.Namespace())
+			m := fieldNamespace.FindStringSubmatch(e.Namespace())
 			i, _ := strconv.Atoi(m[2])
-			faults = append(faults, Fault{file, w.At(m[1], i), m[1], reason(e)})
+			faults = append(faults, Fault{file, w.LineOf(m[1], i), m[1], describeViolation(e)})
 		}
 	}
 	root := reflect.ValueOf(from).Elem()
@@ -60,7 +60,7 @@
 }
 
 // reason words what a tag forbids.
-func reason(e validator.FieldError) string {
+func describeViolation(e validator.FieldError) string {
 	n := e.Param()
 	counted := map[reflect.Kind]string{reflect.Slice: " of them", reflect.String: " characters"}[e.Kind()]
 	switch e.Tag() {
--- a/internal/config/lines/decode.go
+++ b/internal/config/lines/decode.go
@@ -15,34 +15,34 @@
 //	section:"name"       a pointer to a struct, or a slice of structs, each filled by one section
 //	title:"true"         in a section's struct: the value on the line that begins the section
 //
-// A section's struct embeds Where, which tells the lines it was read from. A type with a method Defaults is filled by it
+// A section's struct embeds Source, which tells the lines it was read from. A type with a method Defaults is filled by it
 // first. All faults are told at once.
-func Decode(file string, all []Directive, into any) Faults {
-	d := decoder{file: file}
+func Decode(file string, directives []Directive, into any) Faults {
+	decoder := decoder{file: file}
 	root := reflect.ValueOf(into).Elem()
-	defaults(root)
+	applyDefaults(root)
 	at := root
-	d.begin(at, 0)
+	decoder.beginSection(at, 0)
 	var begun []reflect.Value // slices may move their elements as they grow; they are set at the end
 	var slots []reflect.Value
-	for _, x := range all {
-		field, isSlice, ok := section(root, x.Name)
+	for _, x := range directives {
+		field, isSlice, ok := sectionField(root, x.Name)
 		if !ok {
-			d.set(at, x)
+			decoder.setDirective(at, x)
 			continue
 		}
 		kind := field.Type().Elem()
 		fresh := reflect.New(kind)
-		defaults(fresh.Elem())
+		applyDefaults(fresh.Elem())
 		at = fresh.Elem()
-		d.begin(at, x.Line)
-		d.title(at, x)
+		decoder.beginSection(at, x.Line)
+		decoder.setTitle(at, x)
 		if isSlice {
 			begun, slots = append(begun, fresh.Elem()), append(slots, field)
 			continue
 		}
 		if !field.IsNil() {
-			d.fault(x, "given twice")
+			decoder.fault(x, "given twice")
 			continue
 		}
 		field.Set(fresh)
@@ -50,17 +50,17 @@
 	for i, v := range begun {
 		slots[i].Set(reflect.Append(slots[i], v))
 	}
-	return d.faults
+	return decoder.faults
 }
 
-// Where tells which lines a section was read from.
-type Where struct {
+// Source tells which lines a section was read from.
+type Source struct {
 	Line int // of the line that begins it; 0 for what stands before all sections
 	at   map[string][]int
 }
 
 // At is the line of a directive, of the i-th where it may be repeated, or else that of the section.
-func (w Where) At(directive string, i int) int {
+func (w Source) LineOf(directive string, i int) int {
 	if list := w.at[directive]; i < len(list) {
 		return list[i]
 	}
@@ -76,20 +76,22 @@
 	d.faults = append(d.faults, Fault{d.file, x.Line, x.Name, fmt.Sprintf(format, a...)})
 }
 
-func defaults(v reflect.Value) {
+func applyDefaults(v reflect.Value) {
 	if x, ok := v.Addr().Interface().(interface{ Defaults() }); ok {
 		x.Defaults()
 	}
 }
 
-func where(v reflect.Value) *Where {
-	if f := v.FieldByName("Where"); f.IsValid() {
-		return f.Addr().Interface().(*Where)
+func sourceOf(v reflect.Value) *Source {
+	if f := v.FieldByName("Source"); f.IsValid() {
+		return f.Addr().Interface().(*Source)
 	}
-	return &Where{}
+	return &Source{}
 }
 
-func (d *decoder) begin(at reflect.Value, line int) { *where(at) = Where{line, map[string][]int{}} }
+func (d *decoder) beginSection(at reflect.Value, line int) {
+	*sourceOf(at) = Source{line, map[string][]int{}}
+}
 
 // Sections lists the keywords that begin the sections of a root struct, in the order of its fields.
 func Sections(root any) (keywords []string) {
@@ -103,7 +105,7 @@
 }
 
 // section finds the field that a section's keyword fills.
-func section(root reflect.Value, name string) (field reflect.Value, isSlice, ok bool) {
+func sectionField(root reflect.Value, name string) (field reflect.Value, isSlice, ok bool) {
 	for i := range root.NumField() {
 		if root.Type().Field(i).Tag.Get("section") == name {
 			f := root.Field(i)
@@ -113,7 +115,7 @@
 	return reflect.Value{}, false, false
 }
 
-func (d *decoder) title(at reflect.Value, x Directive) {
+func (d *decoder) setTitle(at reflect.Value, x Directive) {
 	for i := range at.NumField() {
 		if at.Type().Field(i).Tag.Get("title") == "true" {
 			if len(x.Values) != 1 {
@@ -130,20 +132,20 @@
 }
 
 // name is the directive that sets a field, and whether it is a secret.
-func name(f reflect.StructField) (string, bool) {
+func directiveName(f reflect.StructField) (string, bool) {
 	tag, option, _ := strings.Cut(f.Tag.Get("conf"), ",")
 	return tag, option == "secret"
 }
 
-func (d *decoder) set(at reflect.Value, x Directive) {
+func (d *decoder) setDirective(at reflect.Value, x Directive) {
 	var known []string
 	for i := range at.NumField() {
-		n, _ := name(at.Type().Field(i))
+		n, _ := directiveName(at.Type().Field(i))
 		if n == "" {
 			continue
 		}
 		if known = append(known, n); n == x.Name {
-			d.assign(at, at.Field(i), x)
+			d.assignDirective(at, at.Field(i), x)
 			return
 		}
 	}
@@ -151,8 +153,8 @@
 	d.fault(x, "is not known here; there is %s", strings.Join(known, ", "))
 }
 
-func (d *decoder) assign(at, field reflect.Value, x Directive) {
-	w := where(at)
+func (d *decoder) assignDirective(at, field reflect.Value, x Directive) {
+	w := sourceOf(at)
 	repeats := field.Kind() == reflect.Slice
 	if !repeats && len(w.at[x.Name]) > 0 {
 		d.fault(x, "given twice, first in line %d", w.at[x.Name][0])
@@ -160,7 +162,7 @@
 	}
 	if !repeats {
 		w.at[x.Name] = append(w.at[x.Name], x.Line)
-		d.value(field, x, x.Values)
+		d.parseValues(field, x, x.Values)
 		return
 	}
 	// A repeated directive may also have several plain values in a line.
@@ -174,14 +176,14 @@
 	for _, values := range lists {
 		w.at[x.Name] = append(w.at[x.Name], x.Line)
 		fresh := reflect.New(field.Type().Elem()).Elem()
-		defaults(fresh)
-		d.value(fresh, x, values)
+		applyDefaults(fresh)
+		d.parseValues(fresh, x, values)
 		field.Set(reflect.Append(field, fresh))
 	}
 }
 
 // value reads one directive's values into a field, or into the fields of a struct.
-func (d *decoder) value(field reflect.Value, x Directive, values []string) {
+func (d *decoder) parseValues(field reflect.Value, x Directive, values []string) {
 	parts := []reflect.Value{field}
 	if kindOf(field.Type()) == composite {
 		parts = parts[:0]
@@ -190,17 +192,17 @@
 		}
 	}
 	if len(values) != len(parts) {
-		d.fault(x, "takes %s, and has %d", plural(len(parts), "value"), len(values))
+		d.fault(x, "takes %s, and has %d", countOf(len(parts), "value"), len(values))
 		return
 	}
 	for i, part := range parts {
-		if err := read(part, values[i]); err != nil {
+		if err := parseValue(part, values[i]); err != nil {
 			d.fault(x, "%s %v", strconv.Quote(values[i]), err)
 		}
 	}
 }
 
-func plural(n int, word string) string {
+func countOf(n int, word string) string {
 	if n == 1 {
 		return "1 " + word
 	}
--- a/internal/config/lines/lines.go
+++ b/internal/config/lines/lines.go
@@ -51,7 +51,7 @@
 }
 
 // mostLine bounds a line's length, in bytes.
-const mostLine = 4096
+const maxLineBytes = 4096
 
 // row is one line as the grammar sees it.
 type row struct {
@@ -80,13 +80,13 @@
 		if trimmed := strings.TrimSpace(line); trimmed == "" || trimmed[0] == '#' {
 			continue
 		}
-		if len(line) > mostLine {
-			faults = append(faults, Fault{file, i + 1, "", fmt.Sprintf("the line has over %d bytes", mostLine)})
+		if len(line) > maxLineBytes {
+			faults = append(faults, Fault{file, i + 1, "", fmt.Sprintf("the line has over %d bytes", maxLineBytes)})
 			continue
 		}
 		r, err := grammar().ParseString("", line)
 		if err != nil {
-			faults = append(faults, Fault{file, i + 1, "", wording(err)})
+			faults = append(faults, Fault{file, i + 1, "", describeSyntaxError(err)})
 			continue
 		}
 		all = append(all, Directive{i + 1, r.Name, r.Values})
@@ -94,7 +94,7 @@
 	return all, faults
 }
 
-func wording(err error) string {
+func describeSyntaxError(err error) string {
 	var at participle.Error
 	if errors.As(err, &at) {
 		return fmt.Sprintf("column %d: %s", at.Position().Column, strings.TrimPrefix(at.Message(), "lexer: "))
--- a/internal/config/lines/lines_test.go
+++ b/internal/config/lines/lines_test.go
@@ -9,7 +9,7 @@
 
 // all has a field of each type that settings may have.
 type all struct {
-	Where
+	Source
 	Text   string        `conf:"text"`
 	On     bool          `conf:"on"`
 	Span   time.Duration `conf:"span"`
@@ -37,15 +37,15 @@
 		v.Prefix.Bits() != 8 || len(v.Pairs) != 2 || v.Pairs[0].Size != 1<<30 || strings.Join(v.Words, "") != "xyz" {
 		t.Errorf("%+v", v)
 	}
-	if v.At("word", 2) != 11 || v.At("word", 9) != 0 {
-		t.Errorf("lines %d, %d", v.At("word", 2), v.At("word", 9))
+	if v.LineOf("word", 2) != 11 || v.LineOf("word", 9) != 0 {
+		t.Errorf("lines %d, %d", v.LineOf("word", 2), v.LineOf("word", 9))
 	}
 	var b strings.Builder
 	if Print(&b, &v); !strings.Contains(b.String(), "size 64k\n") || !strings.Contains(b.String(), "pair a 1g\n") {
 		t.Error(b.String())
 	}
 	for _, text := range []string{"size 64x", "size -1", "size 9999999999g", "count 1e3", "small 256", "prefix 10.0.0.0", "span -1s", "span 7",
-		"on 1", "pair a", "pair a 1 2", "text", strings.Repeat("x", mostLine+1)} {
+		"on 1", "pair a", "pair a 1 2", "text", strings.Repeat("x", maxLineBytes+1)} {
 		ds, faults := Parse("x", text)
 		if faults = append(faults, Decode("x", ds, &all{})...); len(faults) != 1 || faults[0].Line != 1 {
 			t.Errorf("%.40s: %v", text, faults)
--- a/internal/config/lines/print.go
+++ b/internal/config/lines/print.go
@@ -7,7 +7,7 @@
 )
 
 // hidden stands in for a secret.
-const hidden = "********"
+const hiddenSecret = "********"
 
 // Print writes what is in force, defaults among it, as Parse reads it; only secrets are hidden.
 func Print(w io.Writer, from any) error {
@@ -53,7 +53,7 @@
 
 func (p *printer) fields(v reflect.Value, indent string) {
 	for i := range v.NumField() {
-		directive, secret := name(v.Type().Field(i))
+		directive, secret := directiveName(v.Type().Field(i))
 		if directive == "" {
 			continue
 		}
@@ -80,9 +80,9 @@
 	}
 	out := ""
 	for i, part := range parts {
-		text := Quote(write(part))
+		text := Quote(formatValue(part))
 		if secret && i == len(parts)-1 {
-			text = hidden
+			text = hiddenSecret
 		}
 		out += " " + text
 	}
--- a/internal/config/lines/value.go
+++ b/internal/config/lines/value.go
@@ -34,20 +34,20 @@
 }
 
 // read reads one value into a field of one of the types that settings have.
-func read(field reflect.Value, text string) error {
+func parseValue(field reflect.Value, text string) error {
 	if u, ok := field.Addr().Interface().(encoding.TextUnmarshaler); ok {
 		if text == "" || u.UnmarshalText([]byte(text)) != nil {
-			return fmt.Errorf("is no %s", typeName(field.Type()))
+			return fmt.Errorf("is no %s", describeType(field.Type()))
 		}
 		return nil
 	}
 	switch field.Type() {
 	case durationType:
-		v, err := duration(text)
+		v, err := parseDuration(text)
 		field.SetInt(int64(v))
 		return err
 	case sizeType:
-		v, err := size(text)
+		v, err := parseSize(text)
 		field.SetInt(v)
 		return err
 	}
@@ -81,7 +81,7 @@
 	return nil
 }
 
-func typeName(t reflect.Type) string {
+func describeType(t reflect.Type) string {
 	switch t.String() {
 	case "netip.AddrPort":
 		return "address with a port, such as 127.0.0.1:6433"
@@ -94,7 +94,7 @@
 }
 
 // duration reads a span of time, which must name its unit: "100" of what?
-func duration(text string) (time.Duration, error) {
+func parseDuration(text string) (time.Duration, error) {
 	v, err := time.ParseDuration(text)
 	if err != nil || strings.TrimLeft(text, "0123456789") == "" && text != "0" {
 		return 0, errors.New("is no span of time with a unit, such as 100ms, 2s or 5m")
@@ -107,7 +107,7 @@
 
 var units = map[byte]int64{'k': 1 << 10, 'm': 1 << 20, 'g': 1 << 30}
 
-func size(text string) (int64, error) {
+func parseSize(text string) (int64, error) {
 	number, unit := text, int64(1)
 	if n := len(text); n > 0 && units[text[n-1]|0x20] > 0 {
 		number, unit = text[:n-1], units[text[n-1]|0x20]
@@ -120,7 +120,7 @@
 }
 
 // write is the inverse of read.
-func write(field reflect.Value) string {
+func formatValue(field reflect.Value) string {
 	if m, ok := field.Interface().(encoding.TextMarshaler); ok {
 		b, err := m.MarshalText()
 		if err != nil {
--- a/internal/config/operators.go
+++ b/internal/config/operators.go
@@ -19,7 +19,7 @@
 
 // Operators is the operators' own file. What it does not name is off; without the file everything in it is.
 type Operators struct {
-	lines.Where
+	lines.Source
 	Control     string       `conf:"control" validate:"max=100"` // a local socket for questions
 	Members     *Members     `section:"members" validate:"-"`
 	StateStore  *StateStore  `section:"state-store" validate:"-"`
@@ -34,7 +34,7 @@
 
 // Members is how gateways know who of them is there.
 type Members struct {
-	lines.Where
+	lines.Source
 	Node       string           `conf:"node" validate:"required,max=40,printascii"`
 	Deployment string           `conf:"deployment" validate:"max=40"`
 	Bind       netip.AddrPort   `conf:"bind" validate:"required"`
@@ -55,7 +55,7 @@
 
 // Copies is what gateways hold for each other.
 type StateStore struct {
-	lines.Where
+	lines.Source
 	RaftNodes    []string      `conf:"raft-nodes" validate:"min=1,max=1024,dive,min=1,max=40"` // names, or all
 	Voters       int           `conf:"voters" validate:"oneof=1 3 5"`
 	Shards       int           `conf:"shards" validate:"min=1,max=64"`
@@ -95,7 +95,7 @@
 
 // InDoubt is what is promised of the bookings of a class before they are sent.
 type InDoubt struct {
-	lines.Where
+	lines.Source
 	Class       string        `title:"true" validate:"required,max=64"`
 	Clients     string        `conf:"clients" validate:"oneof=mark do-not-mark"` // what they ask again
 	Order       string        `conf:"order" validate:"oneof=safe fast"`
@@ -132,7 +132,7 @@
 
 // Upkeep is by what limits machines are taken out for work.
 type Maintenance struct {
-	lines.Where
+	lines.Source
 	MaxGateways     int           `conf:"max-gateways" validate:"min=1,max=1024"` // away at once
 	MaxPerZone      int           `conf:"max-per-zone" validate:"min=1,max=1024"` // of one zone
 	MaxServers      int           `conf:"max-servers" validate:"min=1,max=1024"`  // away at once, one of a group at the most
@@ -160,7 +160,7 @@
 
 // VRRP is how gateways speak with each other about floating addresses.
 type VRRP struct {
-	lines.Where
+	lines.Source
 	Node     uint8            `conf:"node" validate:"required"`
 	Bind     netip.AddrPort   `conf:"bind" validate:"required"`
 	Peers    []Peer           `conf:"peer" validate:"max=16,unique=Node,unique=Address"`
@@ -182,7 +182,7 @@
 
 // Group is one floating address, or several that move together.
 type Group struct {
-	lines.Where
+	lines.Source
 	Name         string         `title:"true" validate:"required,max=40"`
 	VRID         uint8          `conf:"vrid" validate:"required"`
 	Addresses    []netip.Addr   `conf:"address" validate:"min=1,max=16,unique"`
@@ -264,28 +264,28 @@
 
 // agree checks what several directives say together.
 func (o *Operators) agree() (faults lines.Faults) {
-	at := func(w lines.Where, directive string, i int, format string, a ...any) {
+	at := func(w lines.Source, directive string, i int, format string, a ...any) {
 		faults = append(faults, lines.Fault{
-			File: o.file, Line: w.At(directive, i), Directive: directive, Text: fmt.Sprintf(format, a...),
+			File: o.file, Line: w.LineOf(directive, i), Directive: directive, Text: fmt.Sprintf(format, a...),
 		})
 	}
 	if v := o.VRRP; v != nil {
 		for i, p := range v.Peers {
 			if p.Node == v.Node {
-				at(v.Where, "peer", i, "%d is this gateway's own number", p.Node)
+				at(v.Source, "peer", i, "%d is this gateway's own number", p.Node)
 			}
 			if p.Address == v.Bind {
-				at(v.Where, "peer", i, "%v is this gateway's own address", p.Address)
+				at(v.Source, "peer", i, "%v is this gateway's own address", p.Address)
 			}
 			if p.Address.Addr().Is4() != v.Bind.Addr().Is4() {
-				at(v.Where, "peer", i, "%v is of another family than bind", p.Address)
+				at(v.Source, "peer", i, "%v is of another family than bind", p.Address)
 			}
 		}
 		if v.Bind.Addr().IsUnspecified() {
-			at(v.Where, "bind", 0, "%v is no address that peers could know this gateway by", v.Bind)
+			at(v.Source, "bind", 0, "%v is no address that peers could know this gateway by", v.Bind)
 		}
 		if len(o.Groups) == 0 {
-			at(v.Where, "vrrp", 0, "there is no group to hold an address for")
+			at(v.Source, "vrrp", 0, "there is no group to hold an address for")
 		}
 	}
 	if m := o.Members; m != nil {
@@ -294,99 +294,99 @@
 			own = m.Bind
 		}
 		if own.Addr().IsUnspecified() || own.Port() == 0 {
-			at(m.Where, "bind", 0, "%v is no address that others could know this gateway by; name one with advertise", own)
+			at(m.Source, "bind", 0, "%v is no address that others could know this gateway by; name one with advertise", own)
 		}
 		if m.Interval < minProbeInterval || m.Interval > maxProbeInterval {
-			at(m.Where, "interval", 0, "%v is not from %v to %v", m.Interval, minProbeInterval, maxProbeInterval)
+			at(m.Source, "interval", 0, "%v is not from %v to %v", m.Interval, minProbeInterval, maxProbeInterval)
 		}
 		for i, j := range m.Join {
 			if j.Addr().Is4() != m.Bind.Addr().Is4() {
-				at(m.Where, "join", i, "%v is of another family than bind", j)
+				at(m.Source, "join", i, "%v is of another family than bind", j)
 			}
 		}
 		for i, v := range m.Via {
 			if v.Via.Addr().Is4() != m.Bind.Addr().Is4() {
-				at(m.Where, "via", i, "%v is of another family than bind", v.Via)
+				at(m.Source, "via", i, "%v is of another family than bind", v.Via)
 			}
 		}
 	}
 	if c := o.StateStore; c != nil {
 		if o.Members == nil {
-			at(c.Where, "state-store", 0, "there is no members section: the state store runs on members")
+			at(c.Source, "state-store", 0, "there is no members section: the state store runs on members")
 		}
 		if memory := len(c.Storage) == 1 && c.Storage[0] == "memory"; !memory && !(len(c.Storage) == 2 && c.Storage[0] == "disk" && c.Storage[1] != "") {
-			at(c.Where, "storage", 0, "%q is neither memory nor disk and a path", strings.Join(c.Storage, " "))
+			at(c.Source, "storage", 0, "%q is neither memory nor disk and a path", strings.Join(c.Storage, " "))
 		}
 		if c.Witness != "" && c.StoragePath() == "" {
-			at(c.Where, "witness", 0, "there is no disk for it to tell of")
+			at(c.Source, "witness", 0, "there is no disk for it to tell of")
 		}
 		if c.Heartbeat < minHeartbeat || c.Heartbeat > maxHeartbeat {
-			at(c.Where, "heartbeat", 0, "%v is not from %v to %v", c.Heartbeat, minHeartbeat, maxHeartbeat)
+			at(c.Source, "heartbeat", 0, "%v is not from %v to %v", c.Heartbeat, minHeartbeat, maxHeartbeat)
 		}
 		if c.RepairAfter < minRepairAfter || c.RepairAfter < 20*c.Heartbeat {
-			at(c.Where, "repair-after", 0, "%v is below %v, or 20 heartbeats", c.RepairAfter, minRepairAfter)
+			at(c.Source, "repair-after", 0, "%v is below %v, or 20 heartbeats", c.RepairAfter, minRepairAfter)
 		}
 		if c.MarksTTL < time.Second || c.MarksTTL > maxMarksTTL {
-			at(c.Where, "marks-ttl", 0, "%v is not from 1s to %v", c.MarksTTL, maxMarksTTL)
+			at(c.Source, "marks-ttl", 0, "%v is not from 1s to %v", c.MarksTTL, maxMarksTTL)
 		}
 	}
 	classes := map[string]bool{}
 	for _, d := range o.InDoubt {
 		if o.StateStore == nil {
-			at(d.Where, "in-doubt", 0, "there is no state-store section: what is promised is kept in it")
+			at(d.Source, "in-doubt", 0, "there is no state-store section: what is promised is kept in it")
 		}
 		if classes[d.Class] {
-			at(d.Where, "in-doubt", 0, "%s is there twice", d.Class)
+			at(d.Source, "in-doubt", 0, "%s is there twice", d.Class)
 		}
 		classes[d.Class] = true
 		if d.Retention < minRetention || d.Retention > maxRetention {
-			at(d.Where, "retention", 0, "%v is not from %v to %v", d.Retention, minRetention, maxRetention)
+			at(d.Source, "retention", 0, "%v is not from %v to %v", d.Retention, minRetention, maxRetention)
 		}
 	}
 	if u := o.Maintenance; u != nil {
 		if o.StateStore == nil {
-			at(u.Where, "maintenance", 0, "there is no state-store section: the order is kept in it")
+			at(u.Source, "maintenance", 0, "there is no state-store section: the order is kept in it")
 		}
 		if u.DefaultDuration < minWorkDuration || u.DefaultDuration > maxWorkDuration {
-			at(u.Where, "default-duration", 0, "%v is not from %v to %v", u.DefaultDuration, minWorkDuration, maxWorkDuration)
+			at(u.Source, "default-duration", 0, "%v is not from %v to %v", u.DefaultDuration, minWorkDuration, maxWorkDuration)
 		}
 		for _, d := range []struct {
 			name string
 			span time.Duration
 		}{{"settle-time", u.SettleTime}, {"return-within", u.ReturnWithin}, {"behind", u.MaxReplicaLag}, {"unheard", u.LedgerTimeout}} {
 			if d.span < 0 || d.span > time.Hour {
-				at(u.Where, d.name, 0, "%v is not from 0s to 1h", d.span)
+				at(u.Source, d.name, 0, "%v is not from 0s to 1h", d.span)
 			}
 		}
 		if u.ExcuseAfter < 0 || u.ExcuseAfter > maxWorkDuration {
-			at(u.Where, "excuse-after", 0, "%v is not from 0s to %v", u.ExcuseAfter, maxWorkDuration)
+			at(u.Source, "excuse-after", 0, "%v is not from 0s to %v", u.ExcuseAfter, maxWorkDuration)
 		}
 	}
 	vrids, names, listens := map[uint8]string{}, map[string]bool{}, map[netip.AddrPort]string{}
 	for _, g := range o.Groups {
 		if o.VRRP == nil {
-			at(g.Where, "group", 0, "there is no vrrp section")
+			at(g.Source, "group", 0, "there is no vrrp section")
 		}
 		if other, ok := vrids[g.VRID]; ok {
-			at(g.Where, "vrid", 0, "%d is that of group %s too", g.VRID, other)
+			at(g.Source, "vrid", 0, "%d is that of group %s too", g.VRID, other)
 		}
 		if other, ok := listens[g.Listen]; ok {
-			at(g.Where, "listen", 0, "%v is that of group %s too", g.Listen, other)
+			at(g.Source, "listen", 0, "%v is that of group %s too", g.Listen, other)
 		}
 		if names[g.Name] {
-			at(g.Where, "group", 0, "%s is there twice", g.Name)
+			at(g.Source, "group", 0, "%s is there twice", g.Name)
 		}
 		vrids[g.VRID], names[g.Name], listens[g.Listen] = g.Name, true, g.Name
 		for i, a := range g.Addresses {
 			if a.Is4() != g.Addresses[0].Is4() {
-				at(g.Where, "address", i, "%v is of another family than the first", a)
+				at(g.Source, "address", i, "%v is of another family than the first", a)
 			}
 		}
 		if g.Interval < minAdvertisementInterval || g.Interval > maxAdvertisementInterval || g.Interval%minAdvertisementInterval != 0 {
-			at(g.Where, "interval", 0, "%v is no multiple of 10ms from 10ms to 40.95s", g.Interval)
+			at(g.Source, "interval", 0, "%v is no multiple of 10ms from 10ms to 40.95s", g.Interval)
 		}
 		if g.Damping.InitialHold > g.Damping.MaxHold {
-			at(g.Where, "damp", 0, "the first hold, %v, is longer than the longest, %v", g.Damping.InitialHold, g.Damping.MaxHold)
+			at(g.Source, "damp", 0, "the first hold, %v, is longer than the longest, %v", g.Damping.InitialHold, g.Damping.MaxHold)
 		}
 	}
 	return faults
@@ -430,7 +430,7 @@
 // unlined are sections without the lines that they stand in.
 func unlined(all []InDoubt) (out []InDoubt) {
 	for _, d := range all {
-		d.Where = lines.Where{}
+		d.Source = lines.Source{}
 		out = append(out, d)
 	}
 	return out
@@ -442,7 +442,7 @@
 		return StateStore{}
 	}
 	x := *c
-	x.Where = lines.Where{}
+	x.Source = lines.Source{}
 	return x
 }
 
