--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,3 @@
-// Package config reads, checks and defaults the gateway's configuration. It is the only place that does.
 package config
 
 import (
--- /dev/null
+++ b/internal/config/members.go
@@ -0,0 +1,65 @@
+package config
+
+import (
+	"net/netip"
+	"time"
+
+	"marblespan/internal/config/lines"
+)
+
+// The interval between the probes of members, and its bounds.
+const (
+	defaultProbeInterval = 200 * time.Millisecond
+	minProbeInterval     = 50 * time.Millisecond
+	maxProbeInterval     = 10 * time.Second
+)
+
+// Members is the section members: how gateways know which of them are alive.
+type Members struct {
+	lines.Source
+	Node       string           `conf:"node" validate:"required,max=40,printascii"`
+	Deployment string           `conf:"deployment" validate:"max=40"`
+	Bind       netip.AddrPort   `conf:"bind" validate:"required"`
+	Advertise  netip.AddrPort   `conf:"advertise"` // where others reach it, if not at bind
+	Join       []netip.AddrPort `conf:"join" validate:"max=64"`
+	Keys       []Key            `conf:"key,secret" validate:"min=1,max=4,unique=Number,dive"`
+	Zone       string           `conf:"zone" validate:"max=20"`
+	Weight     uint32           `conf:"weight"`
+	Interval   time.Duration    `conf:"interval"`
+	Via        []Via            `conf:"via" validate:"max=1024,unique=At"`
+}
+
+// Via is where an address that a member advertises is reached from here.
+type Via struct{ At, Via netip.AddrPort }
+
+// Key is a shared secret. The first one signs; all are accepted.
+type Key struct {
+	Number uint8
+	Secret string `validate:"min=16,max=256"`
+}
+
+// Defaults are what the section has that it does not name.
+func (m *Members) Defaults() { m.Weight, m.Interval = 1, defaultProbeInterval }
+
+func (m *Members) check(faults *faultList) {
+	own := m.Advertise
+	if !own.IsValid() {
+		own = m.Bind
+	}
+	if own.Addr().IsUnspecified() || own.Port() == 0 {
+		faults.add(m.Source, "bind", 0, "%v is no address that others could know this gateway by; name one with advertise", own)
+	}
+	if m.Interval < minProbeInterval || m.Interval > maxProbeInterval {
+		faults.add(m.Source, "interval", 0, "%v is not from %v to %v", m.Interval, minProbeInterval, maxProbeInterval)
+	}
+	for i, address := range m.Join {
+		if address.Addr().Is4() != m.Bind.Addr().Is4() {
+			faults.add(m.Source, "join", i, "%v is of another family than bind", address)
+		}
+	}
+	for i, v := range m.Via {
+		if v.Via.Addr().Is4() != m.Bind.Addr().Is4() {
+			faults.add(m.Source, "via", i, "%v is of another family than bind", v.Via)
+		}
+	}
+}
