--- a/internal/gateway/client_test.go
+++ b/internal/gateway/client_test.go
@@ -449,7 +449,7 @@
 // A client that never starts up, and one that stops in the middle of a message, are ended; one that idles is closed.
 func TestClientTimeouts(t *testing.T) {
 	w := newWorld(t, nil, func(g *Gateway) {
-		g.clients.Limits.Newcomer, g.clients.Limits.Message = 300*time.Millisecond, 100*time.Millisecond
+		g.clients.Limits.FirstRequest, g.clients.Limits.Message = 300*time.Millisecond, 100*time.Millisecond
 		g.clients.Limits.Idle = 300 * time.Millisecond
 	})
 	for name, sent := range map[string][]byte{
@@ -513,7 +513,7 @@
 // A client that sends bad statements is answered each time, ever later, and then ended; its like at full speed costs
 // nobody else anything.
 func TestRepeatedBadStatements(t *testing.T) {
-	w := newWorld(t, nil, func(g *Gateway) { g.clients.Limits.Pause = time.Millisecond })
+	w := newWorld(t, nil, func(g *Gateway) { g.clients.Limits.Backoff = time.Millisecond })
 	bad := w.raw()
 	go func() {
 		for range 300 {
@@ -592,7 +592,7 @@
 
 // A stop waits for requests under way and for no message that has come in part only, whatever is sent behind it.
 func TestStopDoesNotWaitForHalfMessages(t *testing.T) {
-	w := newWorld(t, func(c *config.Config) {}, func(g *Gateway) { g.clients.Limits.Newcomer = patience })
+	w := newWorld(t, func(c *config.Config) {}, func(g *Gateway) { g.clients.Limits.FirstRequest = patience })
 	hold, arrived, release := holding(t)
 	w.primary.SetHandle(hold)
 	silent, half, halfStart := w.open(), w.raw(), w.open()
--- a/internal/gateway/floatingip.go
+++ b/internal/gateway/floatingip.go
@@ -191,8 +191,8 @@
 		return err
 	}
 	t := &activation{listener: l, clients: f.g.newClients(&f.counts, f.g.clients.Limits), freed: make(chan struct{})}
-	admits := t.clients.Gate
-	t.clients.Gate = func() bool { return gate() && !t.ending.Load() && (admits == nil || admits()) }
+	admits := t.clients.MayAdmit
+	t.clients.MayAdmit = func() bool { return gate() && !t.ending.Load() && (admits == nil || admits()) }
 	f.mu.Lock()
 	f.activations[t], f.holding[group] = struct{}{}, t
 	f.mu.Unlock()
@@ -307,7 +307,7 @@
 	c := &f.speaker.Counts
 	line := f.g.log.Info().Int64("sent", c.Sent.Load()).Int64("send_failed", c.SendFailed.Load()).
 		Int64("received", c.Received.Load()).Int64("announced", c.Announced.Load()).Int64("tenures", c.Tenures.Load()).
-		Int64("start_moved", c.Moved.Load()).Int64("socket_errors", f.speaker.Broken()).Int64("moved_requests", f.counts.Moved.Load()).Int("clients", f.open())
+		Int64("start_moved", c.Moved.Load()).Int64("socket_errors", f.speaker.Broken()).Int64("moved_requests", f.counts.AddressMoved.Load()).Int("clients", f.open())
 	for fault := sealed.NoFault + 1; fault < sealed.FaultCount; fault++ {
 		if n := c.Dropped[fault].Load(); n > 0 {
 			line = line.Int64("dropped_"+fault.Name(), n)
--- a/internal/gateway/floatingip_test.go
+++ b/internal/gateway/floatingip_test.go
@@ -428,7 +428,7 @@
 		held = x
 	}
 	fl.mu.Unlock()
-	gate := held.clients.Gate
+	gate := held.clients.MayAdmit
 	if !gate() {
 		t.Fatal("the gate of the holder is shut")
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -168,7 +168,7 @@
 		g.owner.Call(func(c *routing.Core) { c.Reconfigure(next.InForce) })
 		g.log.Info().Strs("keys", keys).Msg("settings in force")
 	}
-	g.discovery.Move(next.Discovery)
+	g.discovery.SetAddress(next.Discovery)
 	g.floating.reload(ops)
 	g.members.reload(ops, next.Settings)
 	g.maintenance.reload(ops)
@@ -242,11 +242,11 @@
 		Ready: g.isReady, Limits: limits, Counts: counts,
 	}
 	if g.positions != nil {
-		c.Marks = g.positions
+		c.SessionPositions = g.positions
 	}
-	c.Bookings = g.intents
+	c.InDoubtWrites = g.intents
 	if g.maintenance != nil {
-		c.Gate = g.maintenance.acceptsRequests
+		c.MayAdmit = g.maintenance.acceptsRequests
 	}
 	return c
 }
--- a/internal/gateway/statestore.go
+++ b/internal/gateway/statestore.go
@@ -98,10 +98,10 @@
 }
 
 // Concerns tells whether a class's sessions are kept.
-func (m *sessionPositions) Concerns(class string) bool { return m.classes[class] }
+func (m *sessionPositions) Covers(class string) bool { return m.classes[class] }
 
 // Able tells whether a session's mark is likely to be promised now. Where answers do not wait for it, it need not be.
-func (m *sessionPositions) Able(group int, session uint64) bool {
+func (m *sessionPositions) CanStore(group int, session uint64) bool {
 	s := m.store.Load()
 	return m.fast || s != nil && (*s).Available(sessionKey(group, session))
 }
@@ -113,7 +113,7 @@
 }
 
 // Promise keeps a commit.
-func (m *sessionPositions) Promise(group int, session uint64, position policy.Position, by time.Time, done func(bool)) {
+func (m *sessionPositions) Store(group int, session uint64, position policy.Position, by time.Time, done func(bool)) {
 	kept := func(ok bool) {
 		if ok {
 			m.Promised.Add(1)
@@ -137,7 +137,7 @@
 
 // Needed tells the position that a session's read must see. Where that cannot be had it is all there is: the primary has it. So
 // it is where a mark lies ahead of everything, as after a failover that has lost commits: nobody waits for what will not come.
-func (m *sessionPositions) Needed(group int, session uint64, by time.Time, done func(policy.Position)) {
+func (m *sessionPositions) Required(group int, session uint64, by time.Time, done func(policy.Position)) {
 	m.Lookups.Add(1)
 	s := m.store.Load()
 	if s == nil {
@@ -220,7 +220,7 @@
 	if m := g.positions; m != nil {
 		g.log.Info().Int64("promised", m.Promised.Load()).Int64("unkept", m.NotStored.Load()).Int64("asked", m.Lookups.Load()).
 			Int64("found", m.Found.Load()).Int64("unknown", m.Unknown.Load()).Int64("ahead", m.Ahead.Load()).
-			Int64("refused_unsent", g.clients.Counts.Unmarked.Load()).Msg("session marks counters")
+			Int64("refused_unsent", g.clients.Counts.PositionNotStored.Load()).Msg("session marks counters")
 	}
 }
 
--- a/internal/session/client.go
+++ b/internal/session/client.go
@@ -23,20 +23,20 @@
 
 // Timeouts are the time limits of client connections.
 type Timeouts struct {
-	Newcomer time.Duration // from the accept until a first whole request
-	Message  time.Duration // from a later message's first byte until its last
-	Idle     time.Duration // a client long idle may sit on a machine that is cut off
-	Answer   time.Duration // a client that does not read its answer
-	Linger   time.Duration // after the end of the sending side, for the client to read what it was told
-	Pause    time.Duration // before the next message of a client that has sent a bad one, doubling
+	FirstRequest time.Duration // from the accept until a first whole request
+	Message      time.Duration // from a later message's first byte until its last
+	Idle         time.Duration // a client long idle may sit on a machine that is cut off
+	Answer       time.Duration // a client that does not read its answer
+	Linger       time.Duration // after the end of the sending side, for the client to read what it was told
+	Backoff      time.Duration // before the next message of a client that has sent a bad one, doubling
 }
 
 // DefaultTimeouts are the limits of a gateway in service. A connection may be closed after 2 s without a request, and one
 // that never sends a whole one is owed its end within 3 s; a request is small and comes at once, in however many pieces.
 // One that has asked may idle for long: it gives way when descriptors run short, or when too many idle with it.
 var DefaultTimeouts = Timeouts{
-	Newcomer: 2500 * time.Millisecond, Message: 2500 * time.Millisecond, Idle: 5 * time.Minute, Answer: 5 * time.Second,
-	Linger: 200 * time.Millisecond, Pause: 10 * time.Millisecond,
+	FirstRequest: 2500 * time.Millisecond, Message: 2500 * time.Millisecond, Idle: 5 * time.Minute, Answer: 5 * time.Second,
+	Linger: 200 * time.Millisecond, Backoff: 10 * time.Millisecond,
 }
 
 // maxBadMessages is how many bad messages a connection may send, each behind a pause twice as long as the one before: the
@@ -55,26 +55,26 @@
 const shortLinger = 20 * time.Millisecond
 
 // largestAnswer bounds a message of an answer: the largest value, in hex, and its head.
-const largestAnswer = 130 << 10
+const maxAnswerMessage = 130 << 10
 
 // lingerBytes bounds what is passed over after a last word.
-const lingerBytes = 1 << 20
+const maxLingerBytes = 1 << 20
 
 // Clients serves all client connections.
 type Clients struct {
-	Owner   Queue
-	InForce *settings.Live
-	Buffers *transport.Buffers
-	Fds     *transport.Descriptors
-	Ends    *transport.Ends
-	Clock   routing.Clock
-	Ready   func() bool // whether a request could be routed
-	Gate    func() bool // whether a request may still be taken; nil: always
-	Marks   Marks       // nil: sessions are kept nowhere but here
+	Owner            Queue
+	InForce          *settings.Live
+	Buffers          *transport.Buffers
+	Fds              *transport.Descriptors
+	Ends             *transport.Ends
+	Clock            routing.Clock
+	Ready            func() bool      // whether a request could be routed
+	MayAdmit         func() bool      // whether a request may still be taken; nil: always
+	SessionPositions SessionPositions // nil: sessions are kept nowhere but here
 	// Bookings are claimed before they are sent; nil: none are.
-	Bookings intents.Resolver
-	Limits   Timeouts
-	Counts   *ClientCounts
+	InDoubtWrites intents.Resolver
+	Limits        Timeouts
+	Counts        *ClientCounts
 
 	mu       sync.Mutex
 	open     map[*client]struct{}
@@ -87,7 +87,7 @@
 
 // ClientCounts count what clients sent that never became a request.
 type ClientCounts struct {
-	Empty, NotReady, Malformed, OverMemory, Unsupported, Moved, Unmarked atomic.Int64
+	Empty, NotReady, Malformed, OverMemory, Unsupported, AddressMoved, PositionNotStored atomic.Int64
 }
 
 // client is one client's connection. Its queries are answered in their order; each is asked as soon as it has come.
@@ -119,10 +119,10 @@
 func (s *Clients) Serve(conn *transport.Conn, stays bool) {
 	since := time.Now()
 	if !stays {
-		s.refuseConnection(conn, since)
+		s.rejectConnection(conn, since)
 		return
 	}
-	c := &client{all: s, conn: conn, answerReady: make(chan struct{}, 1), newBy: since.Add(s.Limits.Newcomer)}
+	c := &client{all: s, conn: conn, answerReady: make(chan struct{}, 1), newBy: since.Add(s.Limits.FirstRequest)}
 	s.mu.Lock()
 	if s.open == nil {
 		s.open = map[*client]struct{}{}
@@ -162,7 +162,7 @@
 }
 
 // refuseConnection tells a client for which there is no descriptor to come again.
-func (s *Clients) refuseConnection(conn *transport.Conn, since time.Time) {
+func (s *Clients) rejectConnection(conn *transport.Conn, since time.Time) {
 	remote := conn.Remote()
 	refusal := postgres.AppendError(nil, true, postgres.CodeRefused, "too many clients already", 0)
 	if _, err := conn.Write(since.Add(s.Limits.Linger), net.Buffers{refusal}); err == nil {
@@ -175,11 +175,11 @@
 // linger ends a connection's sending side and waits for the client to close. A request that arrives in this very moment
 // would otherwise turn the close into a reset, which takes answers with it that the client has not read yet.
 func (s *Clients) linger(conn *transport.Conn) {
-	span := s.Limits.Linger
+	timeout := s.Limits.Linger
 	if s.Fds.Short() {
-		span = min(span, shortLinger)
+		timeout = min(timeout, shortLinger)
 	}
-	conn.Linger(time.Now().Add(span), lingerBytes)
+	conn.Linger(time.Now().Add(timeout), maxLingerBytes)
 }
 
 // Drain closes idle connections now and every other one after its answer, for a reason that their log lines give.
@@ -254,7 +254,7 @@
 	}
 }
 
-func (c *client) rest(on bool) {
+func (c *client) setResting(on bool) {
 	c.mu.Lock()
 	c.resting = on
 	c.mu.Unlock()
@@ -290,7 +290,7 @@
 }
 
 // by is when the client must have done what it is given a time for. A newcomer has one time for everything.
-func (c *client) by(limit time.Duration) time.Time {
+func (c *client) deadline(limit time.Duration) time.Time {
 	if !c.known {
 		return c.newBy
 	}
@@ -304,12 +304,12 @@
 		kind = transport.Asked
 	}
 	c.all.Fds.Park(c, kind)
-	c.rest(true)
+	c.setResting(true)
 	defer func() {
-		c.rest(false)
+		c.setResting(false)
 		c.all.Fds.Unpark(c)
 	}()
-	deadline := c.by(c.all.Limits.Idle)
+	deadline := c.deadline(c.all.Limits.Idle)
 	pending := func() bool { return c.isClosing() || c.isCut() }
 	late := false
 	for {
@@ -351,12 +351,12 @@
 	if c.badMessages++; c.badMessages >= maxBadMessages {
 		return c.end(errors.New("too many bad messages"))
 	}
-	return c.pause(c.all.Limits.Pause << c.badMessages)
+	return c.backOff(c.all.Limits.Backoff << c.badMessages)
 }
 
 // pause makes the client wait before its next message is read. Answers go out meanwhile, and its leaving is noticed.
-func (c *client) pause(span time.Duration) (transport.Reason, error) {
-	for end := time.Now().Add(span); ; {
+func (c *client) backOff(delay time.Duration) (transport.Reason, error) {
+	for end := time.Now().Add(delay); ; {
 		if reason, err := c.flush(); err != nil {
 			return reason, err
 		}
@@ -373,7 +373,7 @@
 
 // run serves start-up and then one message after another.
 func (c *client) run(process uint32) (transport.Reason, error) {
-	defer c.leave()
+	defer c.abandonQueries()
 	if reason, err := c.startup(process); err != nil {
 		return reason, err
 	}
@@ -401,7 +401,7 @@
 			reason, err = c.idle(postgres.HeaderSize)
 		}
 		if err == nil {
-			reason, err = c.message()
+			reason, err = c.handleMessage()
 		}
 		switch {
 		case c.brokenBy != nil:
@@ -424,19 +424,19 @@
 }
 
 // message reads one message whose head has come. Whatever is to be said of it takes its place in the queue.
-func (c *client) message() (transport.Reason, error) {
+func (c *client) handleMessage() (transport.Reason, error) {
 	h, err := postgres.ParseHeader(c.conn.Peek(postgres.HeaderSize))
 	if err != nil {
 		return c.reject(err)
 	}
-	by := c.by(c.all.Limits.Message)
+	by := c.deadline(c.all.Limits.Message)
 	if err := c.conn.Skip(postgres.HeaderSize); err != nil {
 		return transport.ReasonOf(err), err
 	}
 	switch h.Type {
 	case postgres.TypeQuery:
 		if !c.skipping {
-			return c.query(h.Body, by)
+			return c.handleQuery(h.Body, by)
 		}
 		return reasoned(c.conn.SkipBy(h.Body, by, c.interrupted))
 	case postgres.TypeTerminate:
--- a/internal/session/crossing_test.go
+++ b/internal/session/crossing_test.go
@@ -38,7 +38,7 @@
 		Settings:   policy.Settings{Classes: []policy.Class{{Name: "look", Need: policy.NeedAny}, {Name: "put", Need: policy.NeedWrite}}},
 		ClassIndex: map[string]int{"look": 0, "put": 1}, ClassNames: []string{"look", "put"},
 	})
-	c.all.Limits.Pause = patience
+	c.all.Limits.Backoff = patience
 	return x
 }
 
@@ -104,7 +104,7 @@
 	ended := make(chan transport.Reason, 1)
 	go func() {
 		reason, _ := x.c.serveMessages()
-		x.c.leave()
+		x.c.abandonQueries()
 		ended <- reason
 	}()
 	for range maxPipelined {
@@ -191,7 +191,7 @@
 	x.arrives(false)
 	x.c.all.open = map[*client]struct{}{x.c: {}}
 	x.c.all.CutOff()
-	if reason, err := x.c.message(); err != nil {
+	if reason, err := x.c.handleMessage(); err != nil {
 		t.Fatalf("ended with %v, %v", reason, err)
 	}
 	if r := x.asked(); r.ClientID != "x" {
@@ -313,7 +313,7 @@
 	e, reason, err := l.exchange(answered)
 	answered.conn = l
 	answered.Cancel()
-	if reason, err := l.settle(answered, e, reason, err); reason != carryOn || err != nil {
+	if reason, err := l.finishTask(answered, e, reason, err); reason != carryOn || err != nil {
 		t.Fatal(reason, err)
 	}
 	if e := r.ended(); e.Result != policy.ResultOK {
@@ -371,14 +371,16 @@
 }
 
 // slowMarks tells the position that a session's read needs when the test wants it.
-type slowMarks struct {
-	Marks
+type slowPositions struct {
+	SessionPositions
 	needed func(policy.Position)
 }
 
-func (*slowMarks) Concerns(string) bool { return true }
+func (*slowPositions) Covers(string) bool { return true }
 
-func (m *slowMarks) Needed(_ int, _ uint64, _ time.Time, done func(policy.Position)) { m.needed = done }
+func (m *slowPositions) Required(_ int, _ uint64, _ time.Time, done func(policy.Position)) {
+	m.needed = done
+}
 
 // leavingQueue has the client leave as its request is handed over.
 type leavingQueue struct {
@@ -402,19 +404,19 @@
 			facts := *x.c.all.InForce.Load()
 			facts.Settings.Classes[0].Need = policy.NeedSession
 			x.c.all.InForce.Store(&facts)
-			marks := &slowMarks{}
-			x.c.all.Marks = marks
+			marks := &slowPositions{}
+			x.c.all.SessionPositions = marks
 			x.peer.Write(lookStatement("x"))
 			if reason, err := x.c.idle(postgres.HeaderSize); err != nil {
 				t.Fatal(reason, err)
 			}
-			if reason, err := x.c.message(); err != nil {
+			if reason, err := x.c.handleMessage(); err != nil {
 				t.Fatal(reason, err)
 			}
 			if late {
-				x.c.all.Owner = leavingQueue{poster(x.told), x.c.leave}
+				x.c.all.Owner = leavingQueue{poster(x.told), x.c.abandonQueries}
 			} else {
-				x.c.leave()
+				x.c.abandonQueries()
 			}
 			marks.needed(1)
 			close(x.told)
--- a/internal/session/discovery.go
+++ b/internal/session/discovery.go
@@ -40,28 +40,28 @@
 	Ends    *transport.Ends
 	Limits  CallTimeouts
 
-	mu       sync.Mutex
-	watch    *call // the newest, or the whole list that comes before it
-	previous *call // a watch at the address before, until the new one has told its list
-	wanted   bool  // the module has asked for a watch
-	unheard  bool  // nothing was heard from this address yet: its versions may be others
-	calls    map[*call]struct{}
-	running  sync.WaitGroup
+	mu          sync.Mutex
+	watch       *call // the newest, or the whole list that comes before it
+	previous    *call // a watch at the address before, until the new one has told its list
+	wanted      bool  // the module has asked for a watch
+	unconfirmed bool  // nothing was heard from this address yet: its versions may be others
+	calls       map[*call]struct{}
+	running     sync.WaitGroup
 
 	// telling is held while news is handed to the owner, so that it goes there in order: no list of the previous address
 	// behind one of the new, no list behind the failure that came after it. It is taken before mu.
-	telling sync.Mutex
+	posting sync.Mutex
 }
 
 // call is one call to discovery.
 type call struct {
-	all   *Discovery
-	addr  string
-	watch bool
-	leads bool // a watch follows behind the whole list that this call brings
-	ctx   context.Context
-	stop  context.CancelFunc
-	told  bool // the answer has brought a list
+	all          *Discovery
+	addr         string
+	watch        bool
+	thenWatch    bool // a watch follows behind the whole list that this call brings
+	ctx          context.Context
+	stop         context.CancelFunc
+	listReceived bool // the answer has brought a list
 
 	mu   sync.Mutex
 	conn *transport.Conn
@@ -73,18 +73,18 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.wanted = true
-	d.ask(from)
+	d.startWatch(from)
 }
 
 // ask starts the watch in place of the one before. The caller holds the lock.
-func (d *Discovery) ask(from int64) {
+func (d *Discovery) startWatch(from int64) {
 	d.watch.cancel()
-	d.watch = d.start(!d.unheard, d.unheard, from)
+	d.watch = d.start(!d.unconfirmed, d.unconfirmed, from)
 }
 
 // Move asks another address from now on, whatever time the module has planned to ask again. The watch at the previous
 // address goes on until the new one has told its list; then, or when it ends, nothing more is told of it.
-func (d *Discovery) Move(addr string) {
+func (d *Discovery) SetAddress(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if addr == d.Addr {
@@ -93,9 +93,9 @@
 	if d.previous == nil {
 		d.previous, d.watch = d.watch, nil
 	}
-	d.Addr, d.unheard = addr, true
+	d.Addr, d.unconfirmed = addr, true
 	if d.wanted {
-		d.ask(0)
+		d.startWatch(0)
 	}
 }
 
@@ -130,7 +130,7 @@
 
 // start begins a call. The caller holds the lock.
 func (d *Discovery) start(watch, leads bool, from int64) *call {
-	c := &call{all: d, addr: d.Addr, watch: watch, leads: leads}
+	c := &call{all: d, addr: d.Addr, watch: watch, thenWatch: leads}
 	c.ctx, c.stop = context.WithCancel(context.Background())
 	if d.calls == nil {
 		d.calls = map[*call]struct{}{}
@@ -161,7 +161,7 @@
 		return reason != transport.EndDone // a single fetch
 	}
 	d.watch = nil
-	if reason == transport.EndDone && c.leads {
+	if reason == transport.EndDone && c.thenWatch {
 		d.watch = d.start(true, false, rev)
 		return false
 	}
@@ -183,8 +183,8 @@
 	}
 	c.stop()
 	d.Ends.End(transport.Discovery, c.addr, reason, since, 0, err)
-	d.telling.Lock()
-	defer d.telling.Unlock()
+	d.posting.Lock()
+	defer d.posting.Unlock()
 	if d.ended(c, rev, reason) {
 		d.Owner.Post(routing.EndpointListUpdate{Failed: true})
 	}
@@ -218,7 +218,7 @@
 	if _, err := conn.Write(deadline, net.Buffers{discovery.Request(c.addr, c.watch, from)}); err != nil {
 		return 0, transport.ReasonOf(err), err
 	}
-	a := &answer{call: c, from: from, deadline: deadline, response: discovery.NewResponse()}
+	a := &discoveryAnswer{call: c, from: from, deadline: deadline, response: discovery.NewResponse()}
 	if reason, err := a.read(conn); err != nil {
 		return 0, reason, err
 	}
@@ -229,12 +229,12 @@
 	if err != nil {
 		return 0, transport.EndProtocol, err
 	}
-	c.tell(list)
+	c.postList(list)
 	return list.Rev, transport.EndDone, nil
 }
 
 // answer is an answer of discovery as it comes in.
-type answer struct {
+type discoveryAnswer struct {
 	call     *call
 	from     int64 // the version that a watch was asked to go on from
 	deadline time.Time
@@ -248,7 +248,7 @@
 
 // read reads up to the answer's end. Only an orderly close ends an answer without a length: one that is reset has
 // broken off.
-func (a *answer) read(conn *transport.Conn) (transport.Reason, error) {
+func (a *discoveryAnswer) read(conn *transport.Conn) (transport.Reason, error) {
 	for !a.response.Done() {
 		err := conn.Wait(1, a.deadline, a.call.cancelled)
 		if errors.Is(err, io.EOF) && a.response.Close(a.line) == nil {
@@ -273,7 +273,7 @@
 
 // line takes one line of the body. A watch has until Silence after each of its lines for the next one, however many
 // pieces that comes in: bytes alone are no sign of life.
-func (a *answer) line(text []byte) error {
+func (a *discoveryAnswer) line(text []byte) error {
 	switch {
 	case a.response.Status != discovery.StatusOK:
 		return nil
@@ -296,31 +296,31 @@
 // first, nothing has changed since the version asked for.
 func (c *call) change(change []byte, from int64) error {
 	if change == nil {
-		if !c.told {
-			c.tell(discovery.List{Rev: from})
+		if !c.listReceived {
+			c.postList(discovery.List{Rev: from})
 		}
 		return nil
 	}
 	list, err := discovery.ParseList(change)
 	if err == nil {
-		c.tell(list)
+		c.postList(list)
 	}
 	return err
 }
 
 // tell hands a list to the owner, unless another call has taken this one's place. The first list of a new address
 // ends the watch at the previous one.
-func (c *call) tell(list discovery.List) {
+func (c *call) postList(list discovery.List) {
 	d := c.all
-	c.told = true
-	d.telling.Lock()
-	defer d.telling.Unlock()
+	c.listReceived = true
+	d.posting.Lock()
+	defer d.posting.Unlock()
 	if c.cancelled() {
 		return
 	}
 	d.mu.Lock()
 	if c != d.previous {
-		d.unheard = false
+		d.unconfirmed = false
 		d.previous.cancel()
 		d.previous = nil
 	}
--- a/internal/session/discovery_test.go
+++ b/internal/session/discovery_test.go
@@ -218,7 +218,7 @@
 	previous.say(headOpen + oneServer + "\n")
 	s.wantList(41)
 	moved := listenLoopback(t)
-	s.client.Move(moved.Addr().String())
+	s.client.SetAddress(moved.Addr().String())
 	acceptCall(t, moved).reset()
 	s.wantFailure()
 	previous.say(oneDrained)
@@ -260,7 +260,7 @@
 	s.client.Watch(40)
 	out := s.call() // nothing has been answered yet
 	moved := listenLoopback(t)
-	s.client.Move(moved.Addr().String())
+	s.client.SetAddress(moved.Addr().String())
 	c := acceptCall(t, moved)
 	c.say(headOpen + oneServer)
 	c.Close()
--- a/internal/session/pending.go
+++ b/internal/session/pending.go
@@ -25,34 +25,34 @@
 
 // pendingQuery is one query's place in the order of answers. It stands for its client at the owner.
 type pendingQuery struct {
-	client  *client
-	text    []byte          // what the gateway itself says to it
-	answer  *routing.Answer // what the owner has left; guarded by the client's lock, as gone is
-	gone    bool
-	reserve int // bytes set aside for it
-	mark    *mark
+	client       *client
+	text         []byte          // what the gateway itself says to it
+	answer       *routing.Answer // what the owner has left; guarded by the client's lock, as gone is
+	disconnected bool
+	reserve      int // bytes set aside for it
+	position     *writePosition
 
-	claim   intents.Write    // of a booking that must be claimed before it is sent; nil: it need not be
-	request *routing.Request // that goes out once it is claimed
-	held    *routing.Answer  // routing's, until the claim's answer is given; guarded by the client's lock
+	write         intents.Write    // of a booking that must be claimed before it is sent; nil: it need not be
+	request       *routing.Request // that goes out once it is claimed
+	routingAnswer *routing.Answer  // routing's, until the claim's answer is given; guarded by the client's lock
 }
 
 // Marks keeps the last commit of sessions where every gateway finds it. None of its methods blocks; what is to be done is told
 // once, on any goroutine.
-type Marks interface {
+type SessionPositions interface {
 	// Concerns tells whether a class's sessions are kept.
-	Concerns(class string) bool
+	Covers(class string) bool
 	// Able tells whether a session's mark is likely to be promised now.
-	Able(group int, session uint64) bool
+	CanStore(group int, session uint64) bool
 	// Promise keeps a commit. done is told whether it is kept.
-	Promise(group int, session uint64, position policy.Position, by time.Time, done func(bool))
+	Store(group int, session uint64, position policy.Position, by time.Time, done func(bool))
 	// Needed tells the position that a session's read must see; 0: none.
-	Needed(group int, session uint64, by time.Time, done func(policy.Position))
+	Required(group int, session uint64, by time.Time, done func(policy.Position))
 }
 
 // mark is what is to be kept of a write before its client hears that it ran.
-type mark struct {
-	marks   Marks
+type writePosition struct {
+	store   SessionPositions
 	group   int
 	session uint64
 	by      time.Time
@@ -60,8 +60,8 @@
 
 // Answer takes the final answer from routing. Where the booking is claimed, what is told to its client follows from that.
 func (q *pendingQuery) Answer(a routing.Answer) {
-	if q.claim == nil {
-		q.answered(a)
+	if q.write == nil {
+		q.storePositionAndDeliver(a)
 		return
 	}
 	kind, value := indoubt.Failed, []byte(nil)
@@ -75,15 +75,15 @@
 		kind = indoubt.Rejected
 	}
 	q.client.mu.Lock()
-	gone := q.gone
+	gone := q.disconnected
 	if !gone {
-		q.held = &a
+		q.routingAnswer = &a
 	}
 	q.client.mu.Unlock()
 	if gone {
 		a.Value.Free()
 	}
-	q.claim.RoutingAnswered(kind, value)
+	q.write.RoutingAnswered(kind, value)
 }
 
 // Route sends a booking that is claimed on its way.
@@ -96,8 +96,8 @@
 func (q *pendingQuery) Reply(kind indoubt.AnswerKind, value []byte) {
 	c := q.client
 	c.mu.Lock()
-	held := q.held
-	q.held = nil
+	held := q.routingAnswer
+	q.routingAnswer = nil
 	c.mu.Unlock()
 	a := routing.Answer{Kind: routing.AnswerFailed}
 	switch {
@@ -112,13 +112,13 @@
 	if held != nil {
 		held.Value.Free()
 	}
-	q.answered(a)
+	q.storePositionAndDeliver(a)
 }
 
 // answered takes the answer that the client is to have. That of a write whose commit is to be kept waits for that: if it is not,
 // the client must not rely on it.
-func (q *pendingQuery) answered(a routing.Answer) {
-	if q.mark == nil || a.Kind != routing.AnswerServed {
+func (q *pendingQuery) storePositionAndDeliver(a routing.Answer) {
+	if q.position == nil || a.Kind != routing.AnswerServed {
 		q.deliver(a)
 		return
 	}
@@ -126,7 +126,7 @@
 	if position == 0 {
 		position = q.client.all.Clock.Now() // it was written before now
 	}
-	q.mark.marks.Promise(q.mark.group, q.mark.session, position, q.mark.by, func(kept bool) {
+	q.position.store.Store(q.position.group, q.position.session, position, q.position.by, func(kept bool) {
 		if !kept {
 			a.Value.Free()
 			a = routing.Answer{Kind: routing.AnswerFailed}
@@ -140,7 +140,7 @@
 	c := q.client
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if q.gone {
+	if q.disconnected {
 		a.Value.Free()
 		return
 	}
@@ -184,7 +184,7 @@
 }
 
 // answered tells whether the oldest query has its answer.
-func (c *client) answered() bool {
+func (c *client) answerDue() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.queue) > 0 && (c.queue[0].answer != nil || c.queue[0].text != nil)
@@ -192,14 +192,14 @@
 
 // flush writes the answers that are due, in the order of their queries.
 func (c *client) flush() (transport.Reason, error) {
-	for c.answered() {
+	for c.answerDue() {
 		c.mu.Lock()
 		q := c.queue[0]
 		if c.queue = c.queue[1:]; len(c.queue) == 0 {
 			c.queue = nil
 		}
 		c.mu.Unlock()
-		reason, err := c.pass(q)
+		reason, err := c.writeAnswer(q)
 		c.all.Buffers.Release(q.reserve)
 		if err != nil {
 			return reason, err
@@ -209,7 +209,7 @@
 }
 
 // pass writes one answer.
-func (c *client) pass(q *pendingQuery) (transport.Reason, error) {
+func (c *client) writeAnswer(q *pendingQuery) (transport.Reason, error) {
 	if q.answer == nil {
 		return reasoned(c.write(q.text))
 	}
@@ -248,7 +248,7 @@
 	if c.readingStopped || c.waiting() >= maxPipelined {
 		return c.watchUnread()
 	}
-	pending := func() bool { return c.answered() || c.isCut() }
+	pending := func() bool { return c.answerDue() || c.isCut() }
 	n := postgres.HeaderSize
 	for {
 		err := c.conn.Wait(n, time.Now().Add(c.all.Limits.Idle), pending)
@@ -260,11 +260,11 @@
 			return transport.EndPeerGone, err
 		default:
 			h, err := postgres.ParseHeader(c.conn.Peek(postgres.HeaderSize))
-			whole := postgres.HeaderSize + h.Body
-			if err != nil || whole > transport.BufferSize || c.conn.Buffered() >= whole {
+			size := postgres.HeaderSize + h.Body
+			if err != nil || size > transport.BufferSize || c.conn.Buffered() >= size {
 				return 0, nil
 			}
-			n = whole
+			n = size
 		}
 	}
 }
@@ -272,7 +272,7 @@
 // watchUnread is watch while nothing more is read. What the client has sent stays where it is, and its leaving shows in
 // the state of the connection only.
 func (c *client) watchUnread() (transport.Reason, error) {
-	for !c.answered() {
+	for !c.answerDue() {
 		if c.conn.PeerClosed() {
 			return transport.EndPeerGone, io.EOF
 		}
@@ -282,8 +282,8 @@
 }
 
 // awaitAnswer waits until an answer was left, or for a span.
-func (c *client) awaitAnswer(span time.Duration) {
-	wait := time.NewTimer(span)
+func (c *client) awaitAnswer(timeout time.Duration) {
+	wait := time.NewTimer(timeout)
 	defer wait.Stop()
 	select {
 	case <-c.answerReady:
@@ -292,18 +292,18 @@
 }
 
 // leave tells the owner that the client is gone; answers that have come or still come are dropped.
-func (c *client) leave() {
+func (c *client) abandonQueries() {
 	c.mu.Lock()
 	queue := c.queue
 	c.queue = nil
 	for _, q := range queue {
-		q.gone = true
+		q.disconnected = true
 		if q.answer != nil {
 			q.answer.Value.Free()
 		}
-		if q.held != nil {
-			q.held.Value.Free()
-			q.held = nil
+		if q.routingAnswer != nil {
+			q.routingAnswer.Value.Free()
+			q.routingAnswer = nil
 		}
 	}
 	c.mu.Unlock()
@@ -311,8 +311,8 @@
 		c.all.Buffers.Release(q.reserve)
 		switch {
 		case q.text != nil || q.answer != nil:
-		case q.claim != nil: // what has gone out is still waited for: whoever asks again has its answer
-			q.claim.Cancel()
+		case q.write != nil: // what has gone out is still waited for: whoever asks again has its answer
+			q.write.Cancel()
 		default:
 			c.all.Owner.Post(routing.ClientDisconnected{Client: q})
 		}
@@ -323,10 +323,10 @@
 type received struct {
 	text      *transport.Message
 	reserve   int               // bytes
-	facts     *settings.InForce // in force when it was read
+	inForce   *settings.InForce // in force when it was read
 	arrival   policy.Arrival
 	statement postgres.Statement
-	claims    bool // it must be claimed before it is sent
+	inDoubt   bool // it must be claimed before it is sent
 }
 
 // release gives back what a query holds that goes no further.
@@ -336,26 +336,26 @@
 }
 
 // query reads one query and asks it.
-func (c *client) query(body int, by time.Time) (transport.Reason, error) {
+func (c *client) handleQuery(body int, by time.Time) (transport.Reason, error) {
 	in, reason, err := c.receive(body, by)
 	if in == nil {
 		return reason, err
 	}
 	fault, code := "", ""
-	in.facts = c.all.InForce.Load()
-	in.arrival, in.statement, fault, code = c.read(in.facts, in.text, body)
+	in.inForce = c.all.InForce.Load()
+	in.arrival, in.statement, fault, code = c.parseRequest(in.inForce, in.text, body)
 	if code != "" || in.statement.ID == "" {
 		c.release(in)
 		return c.respondUnrouted(code, fault)
 	}
-	bookings := c.all.Bookings
-	in.claims = in.statement.Write && bookings != nil && bookings.Covers(in.statement.Class)
+	bookings := c.all.InDoubtWrites
+	in.inDoubt = in.statement.Write && bookings != nil && bookings.Covers(in.statement.Class)
 	c.known = true
 	if !c.admit(in) {
 		c.release(in)
 		return 0, nil
 	}
-	c.ask(in)
+	c.submit(in)
 	return 0, nil
 }
 
@@ -404,17 +404,17 @@
 // admit tells whether a request may be taken, and refuses it unsent where it may not. What is asked again and is known to all
 // gateways may have run: it is looked up, and never refused here.
 func (c *client) admit(in *received) bool {
-	known := in.claims && in.statement.Repeat
+	known := in.inDoubt && in.statement.Repeat
 	switch {
 	case known:
-	case c.all.Gate != nil && !c.all.Gate():
+	case c.all.MayAdmit != nil && !c.all.MayAdmit():
 		// The process stood still, and another gateway may have the address by now: the client may ask there.
-		c.all.Counts.Moved.Add(1)
+		c.all.Counts.AddressMoved.Add(1)
 		c.respondError(postgres.CodeRefused, "the address has moved to another gateway")
 		c.CloseIdle(transport.EndMoved)
 		return false
-	case c.marked(in) && in.statement.Write && !c.all.Marks.Able(in.arrival.Group, in.arrival.Session):
-		c.all.Counts.Unmarked.Add(1)
+	case c.storesPosition(in) && in.statement.Write && !c.all.SessionPositions.CanStore(in.arrival.Group, in.arrival.Session):
+		c.all.Counts.PositionNotStored.Add(1)
 		c.respondError(postgres.CodeRefused, "the session's commit could not be kept")
 		return false
 	}
@@ -422,58 +422,58 @@
 }
 
 // marked tells whether the last commit of a request's session is kept where every gateway finds it.
-func (c *client) marked(in *received) bool {
-	return c.all.Marks != nil && in.arrival.HasSession && c.all.Marks.Concerns(in.statement.Class)
+func (c *client) storesPosition(in *received) bool {
+	return c.all.SessionPositions != nil && in.arrival.HasSession && c.all.SessionPositions.Covers(in.statement.Class)
 }
 
 // ask puts a request into the order of answers and sends it on its way.
-func (c *client) ask(in *received) {
+func (c *client) submit(in *received) {
 	wait := in.statement.Wait
 	q := &pendingQuery{client: c, reserve: in.reserve}
 	r := &routing.Request{
-		Client: q, ClientID: in.statement.ID, Payload: &query{text: in.text, statement: in.statement}, InForce: in.facts,
+		Client: q, ClientID: in.statement.ID, Payload: &query{text: in.text, statement: in.statement}, InForce: in.inForce,
 		Arrival: in.arrival, ReadAt: c.all.Clock.Now(),
 		Timeout: clock.Micros(wait) * 1000, MinPosition: clock.Micros(in.statement.After) * 1000,
 	}
 	patience := time.Duration(wait) * time.Millisecond
-	marked, group, session := c.marked(in), in.arrival.Group, in.arrival.Session
+	marked, group, session := c.storesPosition(in), in.arrival.Group, in.arrival.Session
 	if marked && in.statement.Write {
-		q.mark = &mark{c.all.Marks, group, session, time.Now().Add(patience)}
+		q.position = &writePosition{c.all.SessionPositions, group, session, time.Now().Add(patience)}
 	}
 	c.push(q)
 	if !marked || in.statement.Write {
-		c.send(q, r, in.claims)
+		c.dispatch(q, r, in.inDoubt)
 		return
 	}
-	c.all.Marks.Needed(group, session, time.Now().Add(patience/markPart), func(needed policy.Position) {
+	c.all.SessionPositions.Required(group, session, time.Now().Add(patience/positionWaitShare), func(needed policy.Position) {
 		r.MinPosition = max(r.MinPosition, needed)
-		q.route(r)
+		q.postUnlessDisconnected(r)
 	})
 }
 
 // route hands a request to routing that had to wait before. Its client may have left meanwhile, and routing must hear of that
 // behind the request, if it hears of the request at all.
-func (q *pendingQuery) route(r *routing.Request) {
-	if q.isGone() {
+func (q *pendingQuery) postUnlessDisconnected(r *routing.Request) {
+	if q.isDisconnected() {
 		r.Payload.Free()
 		return
 	}
 	owner := q.client.all.Owner
 	owner.Post(r)
-	if q.isGone() {
+	if q.isDisconnected() {
 		owner.Post(routing.ClientDisconnected{Client: q})
 	}
 }
 
 // isGone tells whether the client has left.
-func (q *pendingQuery) isGone() bool {
+func (q *pendingQuery) isDisconnected() bool {
 	q.client.mu.Lock()
 	defer q.client.mu.Unlock()
-	return q.gone
+	return q.disconnected
 }
 
 // send hands a request to routing, a booking that must be claimed first to the desk of bookings.
-func (c *client) send(q *pendingQuery, r *routing.Request, claims bool) {
+func (c *client) dispatch(q *pendingQuery, r *routing.Request, claims bool) {
 	if !claims {
 		c.all.Owner.Post(r)
 		return
@@ -482,19 +482,19 @@
 	st := &payload.statement
 	words, wrote := postgres.Words(bytes.Join(payload.text.From(0), nil))
 	q.request = r
-	q.claim = c.all.Bookings.NewWrite(intents.Request{
+	q.write = c.all.InDoubtWrites.NewWrite(intents.Request{
 		ID: st.ID, Class: st.Class, Group: st.Group, Key: st.Key, Statement: words, Value: wrote, Repeat: st.Repeat,
 		Deadline: time.Now().Add(time.Duration(st.Wait) * time.Millisecond),
 	}, q)
-	payload.claim = q.claim
-	q.claim.Begin()
+	payload.write = q.write
+	q.write.Begin()
 }
 
 // markPart is the part of its time that a read waits for its session's mark: what is left goes to the primary, which needs none.
-const markPart = 4
+const positionWaitShare = 4
 
 // read makes a request of a query's text. An empty query makes none; for a bad one it tells the fault and its code.
-func (c *client) read(facts *settings.InForce, text *transport.Message, body int) (
+func (c *client) parseRequest(facts *settings.InForce, text *transport.Message, body int) (
 	a policy.Arrival, st postgres.Statement, fault, code string,
 ) {
 	if body <= transport.BufferSize && postgres.IsEmpty(text.First()) {
--- a/internal/session/query.go
+++ b/internal/session/query.go
@@ -13,7 +13,7 @@
 type query struct {
 	text      *transport.Message
 	statement postgres.Statement
-	claim     intents.Write // that must still be this gateway's when the last byte goes out; nil: none is needed
+	write     intents.Write // that must still be this gateway's when the last byte goes out; nil: none is needed
 }
 
 // Share adds a holder.
--- a/internal/session/server_conn.go
+++ b/internal/session/server_conn.go
@@ -36,7 +36,7 @@
 		return false
 	}
 	l.current = t
-	t.carriedBy(l)
+	t.setConn(l)
 	l.conn.Wake()
 	return true
 }
@@ -90,7 +90,7 @@
 			result, reason = policy.ResultCancelled, transport.EndAbandoned
 		}
 		l.all.Ends.End(transport.Server, l.endpoint.endpoint, reason, since, 0, err)
-		l.all.finish(first, ended{result: result})
+		l.all.postEnded(first, taskResult{result: result})
 		return
 	}
 	for {
@@ -110,10 +110,10 @@
 
 // connect dials and starts up, within the connect timeout.
 func (l *serverConn) connect(t *task) (policy.Result, transport.Reason, error) {
-	t.carriedBy(l)
+	t.setConn(l)
 	clock := l.all.Clock
 	by := clock.Time(min(clock.Now()+l.all.InForce.Load().Settings.ConnectTimeout, t.Deadline))
-	conn, err := transport.Dial(t.ctx, l.endpoint.endpoint, by, l.all.Buffers, l.all.Fds, t.probe)
+	conn, err := transport.Dial(t.ctx, l.endpoint.endpoint, by, l.all.Buffers, l.all.Fds, t.healthCheck)
 	if err != nil {
 		return policy.ResultConnectFailed, transport.DialReason(err), err
 	}
@@ -124,7 +124,7 @@
 		return policy.ResultConnectFailed, transport.ReasonOf(err), err
 	}
 	reply := postgres.Reply{Starting: true}
-	if _, err := l.read(&reply, by, t, nil); err != nil {
+	if _, err := l.readReply(&reply, by, t, nil); err != nil {
 		reason := transport.ReasonOf(err)
 		if errors.Is(err, transport.ErrDeadline) {
 			reason = transport.EndUnreachable
@@ -163,27 +163,27 @@
 		return transport.EndPeerClosed, nil
 	}
 	e, reason, err := l.exchange(t)
-	return l.settle(t, e, reason, err)
+	return l.finishTask(t, e, reason, err)
 }
 
 // settle keeps the connection or closes it, and tells the owner how its task ended.
-func (l *serverConn) settle(t *task, e ended, reason transport.Reason, err error) (transport.Reason, error) {
+func (l *serverConn) finishTask(t *task, e taskResult, reason transport.Reason, err error) (transport.Reason, error) {
 	l.served++
 	if reason != carryOn {
 		l.end()
 		switch {
-		case t.probe && e.result == policy.ResultTimeout:
+		case t.healthCheck && e.result == policy.ResultTimeout:
 			// The machine is cut off: when it is back its kernel knows none of the idle siblings, and a request on
 			// one of them would be lost like this probe. Harm: some new handshakes too many.
-			closeAll(l.endpoint)
+			closeIdleConns(l.endpoint)
 		case e.result == policy.ResultReset && l.served > 1:
 			l.endpoint.suspectedAt.Store(int64(l.all.Clock.Now()))
-			if t.probe { // only the kept connection is known to be dead; a new one tells whether the server is
+			if t.healthCheck { // only the kept connection is known to be dead; a new one tells whether the server is
 				l.all.dial(t, l.endpoint)
 				return reason, err
 			}
 		}
-		l.all.finish(t, e)
+		l.all.postEnded(t, e)
 		return reason, err
 	}
 	l.mu.Lock()
@@ -202,7 +202,7 @@
 		l.all.Fds.Park(l, transport.Kept)
 		l.endpoint.idle.Put(l)
 	}
-	l.all.finish(t, e)
+	l.all.postEnded(t, e)
 	return carryOn, nil
 }
 
@@ -217,7 +217,7 @@
 }
 
 // errUnasked tells of a message that no request called for.
-var errUnasked = errors.New("a message that nobody asked for")
+var errUnsolicited = errors.New("a message that nobody asked for")
 
 // idle waits for the next task. What the server sends or ends meanwhile is noticed at once.
 func (l *serverConn) idle() (transport.Reason, error) {
@@ -235,7 +235,7 @@
 			l.closing = true // from here on no task is taken
 		}
 		l.mu.Unlock()
-		unasked := errors.Is(err, errUnasked)
+		unasked := errors.Is(err, errUnsolicited)
 		switch {
 		case next != nil && !unasked:
 			l.all.Fds.Unpark(l)
@@ -261,10 +261,10 @@
 func (l *serverConn) skipAsync() error {
 	h, err := postgres.ParseHeader(l.conn.Peek(postgres.HeaderSize))
 	if err != nil || h.Type != postgres.TypeParameterStatus && h.Type != postgres.TypeNotice {
-		return errUnasked
+		return errUnsolicited
 	}
 	if err := l.conn.SkipBy(postgres.HeaderSize+h.Body, time.Now().Add(DefaultTimeouts.Message), nil); err != nil {
-		return errors.Join(errUnasked, err)
+		return errors.Join(errUnsolicited, err)
 	}
 	return nil
 }
@@ -274,45 +274,45 @@
 
 // withdrawn tells whether a task may not begin here any more.
 func (l *serverConn) withdrawn(t *task) bool {
-	return !t.probe && (t.since != l.endpoint.withdrawals.Load() || l.all.endpointOf(t.Server) != l.endpoint)
+	return !t.healthCheck && (t.withdrawalsAtSend != l.endpoint.withdrawals.Load() || l.all.endpointOf(t.Server) != l.endpoint)
 }
 
 // exchange writes a request and reads its answer.
-func (l *serverConn) exchange(t *task) (ended, transport.Reason, error) {
+func (l *serverConn) exchange(t *task) (taskResult, transport.Reason, error) {
 	if l.withdrawn(t) {
-		return ended{result: policy.ResultConnectFailed}, transport.EndReplaced, errWithdrawn
+		return taskResult{result: policy.ResultConnectFailed}, transport.EndReplaced, errWithdrawn
 	}
 	clock := l.all.Clock
 	until := clock.Time(t.Deadline)
 	var parts net.Buffers
 	var total int64
 	var value *transport.Message
-	if t.probe {
+	if t.healthCheck {
 		q := postgres.AppendQuery(nil, postgres.LoadQuery)
 		parts, total = net.Buffers{q}, int64(len(q))
 	} else {
 		parts, total = t.Payload.(*query).parts(int64(max(t.Deadline-clock.Now(), 1000)) / 1000)
 		value = l.all.Buffers.NewMessage()
 	}
-	if reason, err := l.put(t, parts, total, until); err != nil {
+	if reason, err := l.writeRequest(t, parts, total, until); err != nil {
 		value.Free()
 		if t.cancelled() {
-			return ended{result: policy.ResultCancelled}, transport.EndAbandoned, nil
+			return taskResult{result: policy.ResultCancelled}, transport.EndAbandoned, nil
 		}
-		return ended{result: policy.ResultConnectFailed}, reason, err
+		return taskResult{result: policy.ResultConnectFailed}, reason, err
 	}
 	var reply postgres.Reply
-	report, err := l.read(&reply, until, t, value)
-	e, reason := ended{params: reply.Params, report: report}, carryOn
+	report, err := l.readReply(&reply, until, t, value)
+	e, reason := taskResult{params: reply.Params, loadReport: report}, carryOn
 	switch {
 	case errors.Is(err, errProtocol): // spoilt: it may have run, and nothing that it said is believed
-		e, reason = ended{result: policy.ResultError}, transport.EndProtocol
+		e, reason = taskResult{result: policy.ResultError}, transport.EndProtocol
 	case reply.Served():
 		e.result, e.value = policy.ResultOK, value
 	case reply.Code != "":
 		e.result = resultOf(reply.Code, false)
 	case errors.Is(err, errStalled):
-		e, reason = ended{result: policy.ResultError}, transport.EndProtocol
+		e, reason = taskResult{result: policy.ResultError}, transport.EndProtocol
 	case errors.Is(err, transport.ErrWoken):
 		e.result, reason = policy.ResultCancelled, transport.EndAbandoned
 	case errors.Is(err, transport.ErrDeadline):
@@ -330,11 +330,11 @@
 }
 
 // errBarred tells that a booking may not be sent from here any more.
-var errBarred = errors.New("the booking is claimed by another gateway, or its claim could not be confirmed")
+var errFenced = errors.New("the booking is claimed by another gateway, or its claim could not be confirmed")
 
 // put writes a request. Of one that needs a claim the last byte is held back until the claim is known to be this gateway's: a
 // server begins with the last byte, and this gateway may have stood still before any of the others.
-func (l *serverConn) put(t *task, parts net.Buffers, total int64, until time.Time) (transport.Reason, error) {
+func (l *serverConn) writeRequest(t *task, parts net.Buffers, total int64, until time.Time) (transport.Reason, error) {
 	write := func(parts net.Buffers, total int64) (transport.Reason, error) {
 		if n, err := l.conn.Write(until, parts); n < total {
 			return transport.ReasonOf(err), err
@@ -342,7 +342,7 @@
 		return 0, nil
 	}
 	q, _ := t.Payload.(*query)
-	if q == nil || q.claim == nil {
+	if q == nil || q.write == nil {
 		return write(parts, total)
 	}
 	at := len(parts) - 1
@@ -351,8 +351,8 @@
 	if reason, err := write(parts, total-1); err != nil {
 		return reason, err
 	}
-	if !q.claim.MaySend(t.ctx, l.endpoint.endpoint, until) {
-		return transport.EndAbandoned, errBarred
+	if !q.write.MaySend(t.ctx, l.endpoint.endpoint, until) {
+		return transport.EndAbandoned, errFenced
 	}
 	return write(net.Buffers{last}, 1)
 }
@@ -366,7 +366,7 @@
 // read reads messages up to ReadyForQuery. What belongs to the value goes into value; of a probe's row it returns
 // the text. An answer that has begun must go on: one that stops for longer than a connection may take to come up is
 // spoilt, and its request need not wait for its own end. Harm: a machine that is held up in the middle of an answer.
-func (l *serverConn) read(reply *postgres.Reply, by time.Time, t *task, value *transport.Message) (string, error) {
+func (l *serverConn) readReply(reply *postgres.Reply, by time.Time, t *task, value *transport.Message) (string, error) {
 	row := ""
 	for !reply.Ready {
 		due := by
@@ -384,9 +384,9 @@
 		if err != nil {
 			return row, errors.Join(errProtocol, err)
 		}
-		whole := postgres.HeaderSize + h.Body
-		head := min(whole, transport.BufferSize)
-		if whole > head && (h.Type != postgres.TypeDataRow || value == nil || whole > largestAnswer) {
+		size := postgres.HeaderSize + h.Body
+		head := min(size, transport.BufferSize)
+		if size > head && (h.Type != postgres.TypeDataRow || value == nil || size > maxAnswerMessage) {
 			return row, errors.Join(errProtocol, errors.New("a message is too large"))
 		}
 		due = l.stall(by)
@@ -401,12 +401,12 @@
 		case h.Type == postgres.TypeDataRow && value == nil:
 			row = postgres.RowValue(seen[postgres.HeaderSize:])
 		case value != nil && postgres.Passes(h.Type):
-			if err := l.fill(value, whole, by, t); err != nil {
+			if err := l.readValue(value, size, by, t); err != nil {
 				return row, err
 			}
 			continue
 		}
-		if err := l.conn.Skip(whole); err != nil {
+		if err := l.conn.Skip(size); err != nil {
 			return row, err
 		}
 		if reply.Fatal {
@@ -418,17 +418,17 @@
 
 // fill reads a message into the value, a buffer at a time. A large one waits here until there is memory for it: what
 // is held already goes out to its clients whatever happens here.
-func (l *serverConn) fill(value *transport.Message, whole int, by time.Time, t *task) error {
-	if err := value.Grow(whole, by, t.cancelled); err != nil {
+func (l *serverConn) readValue(value *transport.Message, remaining int, by time.Time, t *task) error {
+	if err := value.Grow(remaining, by, t.cancelled); err != nil {
 		return err
 	}
-	for whole > 0 {
-		n := min(whole, transport.BufferSize)
+	for remaining > 0 {
+		n := min(remaining, transport.BufferSize)
 		due := l.stall(by)
 		if err := l.conn.Fill(value, n, due, t.cancelled); err != nil {
 			return stalled(err, due, by)
 		}
-		whole -= n
+		remaining -= n
 	}
 	return nil
 }
--- a/internal/session/server_conn_test.go
+++ b/internal/session/server_conn_test.go
@@ -206,7 +206,7 @@
 // A value larger than what was set aside for it would break the memory budget.
 func TestOversizedAnswer(t *testing.T) {
 	r := newRig(t)
-	r.server.SetHandle(func(q *fake.Query) { q.Serve(make([]byte, largestAnswer)) })
+	r.server.SetHandle(func(q *fake.Query) { q.Serve(make([]byte, maxAnswerMessage)) })
 	r.servers.Send(r.job("a"))
 	if e := r.ended(); e.Result != policy.ResultError || e.Value != nil {
 		t.Errorf("ended with %s", routing.ResultNames[e.Result])
@@ -407,7 +407,7 @@
 	if e := r.ended(); e.Result != policy.ResultOK || e.LoadReport.HasPosition {
 		t.Errorf("ended with %s, report %+v", routing.ResultNames[e.Result], e.LoadReport)
 	}
-	if r.servers.report("x0=1796133629.826,x1=zero").HasPosition {
+	if r.servers.parseLoadReport("x0=1796133629.826,x1=zero").HasPosition {
 		t.Error("half a report was believed")
 	}
 }
--- a/internal/session/servers.go
+++ b/internal/session/servers.go
@@ -56,10 +56,10 @@
 // task is one attempt or one probe.
 type task struct {
 	routing.Job
-	probe bool
-	since int64 // the withdrawals at its endpoint when it was sent
-	ctx   context.Context
-	stop  context.CancelFunc
+	healthCheck       bool
+	withdrawalsAtSend int64 // the withdrawals at its endpoint when it was sent
+	ctx               context.Context
+	stop              context.CancelFunc
 
 	mu   sync.Mutex
 	conn *serverConn // that carries it out, once it is connected
@@ -79,7 +79,7 @@
 func (t *task) cancelled() bool { return t.ctx.Err() != nil }
 
 // carriedBy notes the connection that a cancel has to reach.
-func (t *task) carriedBy(l *serverConn) {
+func (t *task) setConn(l *serverConn) {
 	t.mu.Lock()
 	t.conn = l
 	t.mu.Unlock()
@@ -97,14 +97,14 @@
 	}
 	s.mu.Unlock()
 	if old != nil && old.endpoint != endpoint {
-		closeAll(old)
+		closeIdleConns(old)
 	}
 }
 
 // CloseIdle closes the idle connections to a server.
 func (s *Servers) CloseIdle(server policy.ServerID) {
 	if p := s.endpointOf(server); p != nil {
-		closeAll(p)
+		closeIdleConns(p)
 	}
 }
 
@@ -123,11 +123,11 @@
 	delete(s.endpoints, server)
 	s.mu.Unlock()
 	if p != nil {
-		closeAll(p)
+		closeIdleConns(p)
 	}
 }
 
-func closeAll(p *serverEndpoint) {
+func closeIdleConns(p *serverEndpoint) {
 	for _, l := range p.idle.TakeAll() {
 		l.CloseIdle(transport.EndReplaced)
 	}
@@ -155,7 +155,7 @@
 // Probe asks a server for its load report.
 func (s *Servers) HealthCheck(server policy.ServerID, sent, until clock.Micros) {
 	t := newTask(routing.Job{Server: server, SentAt: sent, Deadline: until})
-	t.probe = true
+	t.healthCheck = true
 	s.start(t)
 }
 
@@ -163,10 +163,10 @@
 func (s *Servers) start(t *task) {
 	p := s.endpointOf(t.Server)
 	if p == nil { // never listed: nothing can have run there
-		go s.finish(t, ended{result: policy.ResultConnectFailed}) // the owner must not wait on its own queue
+		go s.postEnded(t, taskResult{result: policy.ResultConnectFailed}) // the owner must not wait on its own queue
 		return
 	}
-	t.since = p.withdrawals.Load()
+	t.withdrawalsAtSend = p.withdrawals.Load()
 	suspected := p.suspectedAt.Load()
 	for !t.NonIdempotent || int64(s.Clock.Now()-suspectFor) >= suspected {
 		l, ok := p.idle.Take()
@@ -201,26 +201,26 @@
 }
 
 // ended is how a task ended.
-type ended struct {
-	result policy.Result
-	params postgres.Params
-	report string
-	value  *transport.Message
+type taskResult struct {
+	result     policy.Result
+	params     postgres.Params
+	loadReport string
+	value      *transport.Message
 }
 
 // finish tells the owner how a task ended.
-func (s *Servers) finish(t *task, e ended) {
+func (s *Servers) postEnded(t *task, e taskResult) {
 	t.stop()
 	latency := s.Clock.Now() - t.SentAt
-	if t.probe {
+	if t.healthCheck {
 		s.Owner.Post(routing.HealthCheckEnded{
-			Server: t.Server, Result: e.result, Latency: latency, LoadReport: s.report(e.report),
+			Server: t.Server, Result: e.result, Latency: latency, LoadReport: s.parseLoadReport(e.loadReport),
 		})
 		return
 	}
 	t.Payload.Free()
 	out := routing.AttemptEnded{
-		Job: t.Job, Result: e.result, Latency: latency, Role: roles[e.params.Role], LoadReport: s.report(e.params.Load),
+		Job: t.Job, Result: e.result, Latency: latency, Role: roles[e.params.Role], LoadReport: s.parseLoadReport(e.params.Load),
 		Value: e.value,
 	}
 	if pos, err := settings.ParseScaled(e.params.Position, 3); err == nil {
@@ -232,7 +232,7 @@
 var roles = map[string]policy.Role{"primary": policy.RolePrimary, "replica": policy.RoleReplica}
 
 // report reads a load report. One of which any part cannot be read says nothing.
-func (s *Servers) report(text string) policy.LoadReport {
+func (s *Servers) parseLoadReport(text string) policy.LoadReport {
 	var rep policy.LoadReport
 	fields, ok := postgres.LoadFields(text)
 	for _, f := range fields {
