--- a/cmd/marblespan-bench/main.go
+++ b/cmd/marblespan-bench/main.go
@@ -285,7 +285,7 @@
 	cmd := &cobra.Command{
 		Use: "copies", Short: "Measure what gateways hold for each other", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if o.Callers < 1 || o.Heal < 1000 || o.Recover < 1000 || o.Deaths < 1 || o.Span < 100*time.Millisecond {
+			if o.Callers < 1 || o.RepairedRecords < 1000 || o.StoredRecords < 1000 || o.LeaderFaults < 1 || o.LoadDuration < 100*time.Millisecond {
 				return fmt.Errorf("needs a caller, a death, a thousand records and 100ms at least")
 			}
 			if !quiet {
@@ -300,12 +300,12 @@
 	}
 	flags := cmd.Flags()
 	flags.StringVar(&o.Binary, "binary", beside(), "the gateway's program")
-	flags.DurationVar(&o.Span, "span", o.Span, "of each load")
+	flags.DurationVar(&o.LoadDuration, "span", o.LoadDuration, "of each load")
 	flags.IntVar(&o.Callers, "callers", o.Callers, "that promise at the same time")
-	flags.IntVar(&o.Heal, "heal", o.Heal, "records that are healed")
-	flags.IntVar(&o.Recover, "recover", o.Recover, "records that a start reads")
-	flags.IntVar(&o.Deaths, "deaths", o.Deaths, "of a leader, of each kind")
-	flags.IntSliceVar(&o.Rest, "rest", o.Rest, "numbers of gateways at rest")
+	flags.IntVar(&o.RepairedRecords, "heal", o.RepairedRecords, "records that are healed")
+	flags.IntVar(&o.StoredRecords, "recover", o.StoredRecords, "records that a start reads")
+	flags.IntVar(&o.LeaderFaults, "deaths", o.LeaderFaults, "of a leader, of each kind")
+	flags.IntSliceVar(&o.IdleGateways, "rest", o.IdleGateways, "numbers of gateways at rest")
 	flags.StringVar(&out, "out", "", "a folder for tables and chart")
 	flags.BoolVar(&quiet, "quiet", false, "no progress on standard error")
 	return cmd
--- a/internal/experiments/statestore/copies_test.go
+++ b/internal/experiments/statestore/copies_test.go
@@ -17,7 +17,7 @@
 			t.Errorf("%+v", l)
 		}
 	}
-	o := Options{Callers: 8, Heal: 500, Recover: 1600, Span: 300 * time.Millisecond}
+	o := Options{Callers: 8, RepairedRecords: 500, StoredRecords: 1600, LoadDuration: 300 * time.Millisecond}
 	h, err := healed(o, false)
 	if err != nil || h.Took <= 0 || h.Failed > 0 {
 		t.Fatalf("%+v %v", h, err)
@@ -26,7 +26,7 @@
 	if err := r.recover(o); err != nil || r.OnDisk <= 0 || r.Counted <= 0 || r.Opened <= 0 {
 		t.Errorf("%+v %v", r, err)
 	}
-	r.Heals, r.Rest, o.Rest = []Heal{h}, []int64{7}, []int{3}
+	r.Heals, r.Rest, o.IdleGateways = []Heal{h}, []int64{7}, []int{3}
 	var b strings.Builder
 	if err := Write(&b, t.TempDir(), o, r); err != nil || !strings.Contains(b.String(), "7 bytes a second and gateway with 3 gateways") {
 		t.Errorf("%v\n%s", err, b.String())
--- a/internal/experiments/statestore/measure.go
+++ b/internal/experiments/statestore/measure.go
@@ -21,21 +21,21 @@
 
 // Options say what is measured.
 type Options struct {
-	Binary   string
-	Span     time.Duration // of each load
-	Callers  int
-	Heal     int // records that are healed
-	Recover  int // records that a start reads
-	Deaths   int // of a leader, of each kind
-	Rest     []int
-	Seed     uint64
-	Progress io.Writer
+	Binary          string
+	LoadDuration    time.Duration // of each load
+	Callers         int
+	RepairedRecords int // records that are healed
+	StoredRecords   int // records that a start reads
+	LeaderFaults    int // of a leader, of each kind
+	IdleGateways    []int
+	Seed            uint64
+	Progress        io.Writer
 }
 
 // Defaults are the sizes of the operators' question.
 func Defaults() Options {
 	return Options{
-		Binary: "bin/marblespan", Span: 5 * time.Second, Callers: 256, Heal: 100_000, Recover: 1_000_000, Deaths: 10, Rest: []int{3, 9, 32},
+		Binary: "bin/marblespan", LoadDuration: 5 * time.Second, Callers: 256, RepairedRecords: 100_000, StoredRecords: 1_000_000, LeaderFaults: 10, IdleGateways: []int{3, 9, 32},
 		Seed: 1, Progress: io.Discard,
 	}
 }
@@ -84,7 +84,7 @@
 	for _, disk := range []bool{false, true} {
 		for _, s := range []shape{{1, 1, 16, disk, time.Hour}, {3, 3, 1, disk, time.Hour}, {3, 3, 16, disk, time.Hour}, {3, 3, 64, disk, time.Hour}, {5, 5, 16, disk, time.Hour}} {
 			for _, callers := range []int{1, o.Callers} {
-				l, err := one(s, callers, o.Span)
+				l, err := one(s, callers, o.LoadDuration)
 				if err != nil {
 					return r, err
 				}
@@ -101,7 +101,7 @@
 		r.Heals = append(r.Heals, h)
 		fmt.Fprintf(o.Progress, "disk %v: %d records healed in %v\n", disk, h.Records, h.Took)
 	}
-	for _, n := range o.Rest {
+	for _, n := range o.IdleGateways {
 		c, err := newCluster(shape{n, 3, 16, false, time.Hour})
 		if err != nil {
 			return r, err
@@ -116,7 +116,7 @@
 	if err := r.recover(o); err != nil {
 		return r, err
 	}
-	fmt.Fprintf(o.Progress, "%d records read in %v\n", o.Recover, r.Opened+r.Made)
+	fmt.Fprintf(o.Progress, "%d records read in %v\n", o.StoredRecords, r.Opened+r.Made)
 	for _, kind := range []string{"kill", "term", "stop"} {
 		g, err := gaps(o, kind)
 		if err != nil {
@@ -146,24 +146,24 @@
 		return h, err
 	}
 	defer c.close()
-	h = Heal{Disk: disk, Records: o.Heal}
+	h = Heal{Disk: disk, Records: o.RepairedRecords}
 	for begin := time.Now(); ; {
-		l := c.load(o.Callers, time.Second, o.Heal)
+		l := c.load(o.Callers, time.Second, o.RepairedRecords)
 		if o := c.nodes[0].holders.Overview(); records(o)*len(c.nodes) >= h.Records*3*9/10 || time.Since(begin) > time.Minute || l.promised.Load() == 0 {
 			break
 		}
 	}
 	const light = 8
-	h.Before = c.load(light, o.Span, o.Heal).spans
+	h.Before = c.load(light, o.LoadDuration, o.RepairedRecords).spans
 	c.end(c.most())
 	done := make(chan *load)
-	go func() { done <- c.load(light, 3*time.Second+o.Span, o.Heal) }()
+	go func() { done <- c.load(light, 3*time.Second+o.LoadDuration, o.RepairedRecords) }()
 	if !c.nodes[0].holders.AwaitIncomplete(30 * time.Second) {
 		return h, fmt.Errorf("nobody has noticed the loss")
 	}
 	begin := time.Now()
 	if !c.nodes[0].holders.AwaitComplete(2 * time.Minute) {
-		return h, fmt.Errorf("the copies of %d records were not whole again", o.Heal)
+		return h, fmt.Errorf("the copies of %d records were not whole again", o.RepairedRecords)
 	}
 	h.Took = time.Since(begin)
 	l := <-done
@@ -215,7 +215,7 @@
 	w := raftstore.Write{Store: 7, Incarnation: 1}
 	for i := range uint32(shards) {
 		s := &api.Shard{Time: 1}
-		for n := range o.Recover / shards {
+		for n := range o.StoredRecords / shards {
 			s.Records = append(s.Records, &api.Record{
 				Key: fmt.Appendf(nil, "session %08d", n*shards+int(i)), IsPosition: true, Position: uint64(1_700_000_000_000_000 + n), Version: uint64(n), ExpiresAt: 1 << 50,
 			})
@@ -279,7 +279,7 @@
 	g = Gap{Kind: kind, Spans: report.NewSpans()}
 	l := f.Load(testcluster.LoadOptions{Bookers: 4, Mine: 2, Think: 10 * time.Millisecond})
 	defer l.Stop()
-	for range o.Deaths {
+	for range o.LeaderFaults {
 		n := f.LeaderOf(1)
 		if n == nil {
 			time.Sleep(time.Second)
@@ -391,7 +391,7 @@
 
 func (r Result) tables(w io.Writer, o Options) error {
 	fmt.Fprintf(w, "# What gateways hold for each other, measured\n\nLoopback. Gateways' adapters with their streams and disks in one process, but for the last table. "+
-		"Times in ms.\n\nPromises, %v each; one copy is the baseline of a gateway with its own file.\n\n", o.Span)
+		"Times in ms.\n\nPromises, %v each; one copy is the baseline of a gateway with its own file.\n\n", o.LoadDuration)
 	var rows [][]string
 	for _, l := range r.Loads {
 		rows = append(rows, []string{place(l.Disk), fmt.Sprint(l.Copies), fmt.Sprint(l.Shards), fmt.Sprint(l.Callers), fmt.Sprintf("%.0f", l.Rate),
@@ -411,12 +411,12 @@
 	}
 	fmt.Fprintf(w, "\nAt rest, three copies of 16 shards: ")
 	var parts []string
-	for i, n := range o.Rest {
+	for i, n := range o.IdleGateways {
 		parts = append(parts, fmt.Sprintf("%d bytes a second and gateway with %d gateways", r.Rest[i], n))
 	}
 	fmt.Fprintf(w, "%s.\n\nA start with %d records in 16 shards: %.2f s to read the file, %.2f s to make the replicas. A record costs %d bytes on the disk, %d in memory, "+
-		"and counts as %d.\n\n", strings.Join(parts, ", "), o.Recover, r.Opened.Seconds(), r.Made.Seconds(), r.OnDisk/int64(o.Recover),
-		r.InHeap/int64(o.Recover), r.Counted/int64(o.Recover))
+		"and counts as %d.\n\n", strings.Join(parts, ", "), o.StoredRecords, r.Opened.Seconds(), r.Made.Seconds(), r.OnDisk/int64(o.StoredRecords),
+		r.InHeap/int64(o.StoredRecords), r.Counted/int64(o.StoredRecords))
 	fmt.Fprintf(w, "Five real gateways, 16 shards, heartbeats every 100 ms: from a leader's end until its shards have another one, by their logs.\n\n")
 	rows = nil
 	for _, g := range r.Gaps {
