--- a/internal/experiments/statestore/cluster.go
+++ b/internal/experiments/statestore/cluster.go
@@ -1,5 +1,9 @@
-// Package statestore measures what gateways hold for each other: the adapters with their streams and disks on loopback, several in
-// this process, and real gateways where their death is what is measured.
+// Package statestore measures the state store: raftnode nodes with their streams and storage files on the loopback interface, several
+// in this process, and real gateways where the time after their failure is what is measured. marblespan-bench calls Run and Write.
+//
+// A cluster and its load belong to one goroutine; load starts others, which end before it returns. The measurements are in load.go
+// (writes), repair.go (a gateway lost for good), idle.go (traffic without writes), startup.go (reading a storage file) and failover.go
+// (shards without a leader).
 package statestore
 
 import (
@@ -7,178 +11,157 @@
 	"io"
 	"os"
 	"path/filepath"
+	"slices"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"github.com/rs/zerolog"
 
 	"marblespan/internal/clock"
-	"marblespan/internal/experiments/report"
 	"marblespan/internal/protocol/sealed"
 	"marblespan/internal/raftnode"
 	"marblespan/internal/streams"
 	"marblespan/internal/transport"
 )
 
+// completeTimeout is how long a cluster may take until all groups have all voters.
+const completeTimeout = 2 * time.Minute
+
+// neverRepair is a time without a sign of life that no measurement lasts.
+const neverRepair = time.Hour
+
 var key = sealed.Key{Number: 1, Secret: []byte("the secret of this measurement")}
 
-// cluster is several adapters that know each other.
+// cluster is several nodes that know each other.
 type cluster struct {
-	dir    string
-	nodes  []*member
-	mu     sync.Mutex
-	routes map[string]string
+	dir     string
+	members []*member
+
+	mu        sync.Mutex
+	addresses map[string]string // of streams, by name
 }
 
-// member is one of them.
+// member is one node with its streams.
 type member struct {
 	name    string
 	streams *streams.Streams
-	holders *raftnode.Node
+	node    *raftnode.Node
 }
 
 // shape is what a cluster is made of.
 type shape struct {
-	nodes, copies, shards int
-	disk                  bool
-	healAfter             time.Duration
+	nodes, voters, shards int
+	disk                  bool // the groups are in storage files, not in memory
+	repairAfter           time.Duration
 }
 
-// newCluster starts one and waits until all copies are there.
-func newCluster(s shape) (*cluster, error) {
-	dir, err := os.MkdirTemp("", "copies")
+// newCluster starts a cluster and waits until all groups have all voters. close ends it.
+func newCluster(s shape) (c *cluster, err error) {
+	dir, err := os.MkdirTemp("", "state-store")
 	if err != nil {
 		return nil, err
 	}
-	c := &cluster{dir: dir, routes: map[string]string{}}
+	c = &cluster{dir: dir, addresses: map[string]string{}}
+	defer func() {
+		if err != nil {
+			c.close()
+			c = nil
+		}
+	}()
 	for i := range s.nodes {
 		if err := c.add(s, fmt.Sprint("g", i+1)); err != nil {
-			c.close()
-			return nil, err
+			return c, err
 		}
 	}
-	first := c.nodes[0].holders
-	if err := first.Bootstrap(s.shards, s.copies, true); err != nil {
-		c.close()
-		return nil, err
+	first := c.members[0].node
+	if err := first.Bootstrap(s.shards, s.voters, true); err != nil {
+		return c, err
 	}
-	if !first.AwaitComplete(2 * time.Minute) {
-		c.close()
-		return nil, fmt.Errorf("%d gateways with %d copies of %d shards were not whole within two minutes", s.nodes, s.copies, s.shards)
+	if !first.AwaitComplete(completeTimeout) {
+		return c, fmt.Errorf("statestore: %d gateways with %d shards of %d voters: some are missing after %v", s.nodes, s.shards, s.voters, completeTimeout)
 	}
 	return c, nil
 }
 
+// add starts a node.
 func (c *cluster) add(s shape, name string) error {
-	m := &member{name: name}
 	begin := time.Now()
-	buffers, fds := transport.NewBuffers(256<<20), transport.NewDescriptors(8192)
-	var err error
-	if m.streams, err = streams.Listen("127.0.0.1:0", streams.Settings{
-		Node: name, Start: uint64(begin.UnixMicro()), Keys: []sealed.Key{key}, Buffers: buffers, Fds: fds,
-		AddressOf: func(to string) (string, bool) {
-			c.mu.Lock()
-			defer c.mu.Unlock()
-			at, known := c.routes[to]
-			return at, known
-		},
-	}); err != nil {
+	memberStreams, err := streams.Listen("127.0.0.1:0", streams.Settings{
+		Node: name, Start: uint64(begin.UnixMicro()), Keys: []sealed.Key{key}, Buffers: transport.NewBuffers(256 << 20),
+		Fds: transport.NewDescriptors(8192), AddressOf: c.addressOf,
+	})
+	if err != nil {
 		return err
 	}
-	c.mu.Lock()
-	c.routes[name] = m.streams.Addr()
-	c.mu.Unlock()
+	c.setAddress(name, memberStreams.Addr())
 	path := ""
 	if s.disk {
 		path = filepath.Join(c.dir, name+".db")
 	}
-	m.holders, err = raftnode.Start(raftnode.Settings{
-		Node: name, Weight: 1, RunsGroups: true, StoragePath: path, Tick: 100 * time.Millisecond, RepairAfter: s.healAfter, MaxRepairs: 4, RepairRate: 64 << 20,
-		MaxShardBytes: 1 << 30, MinLogBytes: 1 << 20, Peers: c.names,
+	node, err := raftnode.Start(raftnode.Settings{
+		Node: name, Weight: 1, RunsGroups: true, StoragePath: path, Tick: 100 * time.Millisecond, RepairAfter: s.repairAfter, MaxRepairs: 4,
+		RepairRate: 64 << 20, MaxShardBytes: 1 << 30, MinLogBytes: 1 << 20, Peers: c.names,
 	}, raftnode.Clock{
 		Now: func() clock.Micros { return clock.Micros(time.Since(begin).Microseconds()) + 1 },
 		At:  func(t clock.Micros) time.Time { return begin.Add(time.Duration(t-1) * time.Microsecond) },
-	}, m.streams, zerolog.New(io.Discard))
+	}, memberStreams, zerolog.New(io.Discard))
 	if err != nil {
-		m.streams.Close()
+		memberStreams.Close()
 		return err
 	}
-	c.nodes = append(c.nodes, m)
+	c.members = append(c.members, &member{name, memberStreams, node})
 	return nil
 }
 
+func (c *cluster) addressOf(name string) (string, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	address, known := c.addresses[name]
+	return address, known
+}
+
+func (c *cluster) setAddress(name, address string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.addresses[name] = address
+}
+
+func (c *cluster) removeAddress(name string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.addresses, name)
+}
+
 func (c *cluster) names() (all []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for name := range c.routes {
+	for name := range c.addresses {
 		all = append(all, name)
 	}
 	return all
 }
 
-// end ends one as a crash of its machine would: nobody hears of it.
-func (c *cluster) end(i int) {
-	m := c.nodes[i]
-	c.mu.Lock()
-	delete(c.routes, m.name)
-	c.mu.Unlock()
+// crash ends a node without notice to the others, as a crash of its machine would.
+func (c *cluster) crash(i int) {
+	m := c.members[i]
+	c.removeAddress(m.name)
 	m.streams.Close()
-	m.holders.Close()
-	c.nodes = append(c.nodes[:i], c.nodes[i+1:]...)
+	m.node.Close()
+	c.members = slices.Delete(c.members, i, i+1)
 }
 
+// close ends all nodes and removes their files.
 func (c *cluster) close() {
-	for len(c.nodes) > 0 {
-		c.end(0)
+	for len(c.members) > 0 {
+		c.crash(0)
 	}
 	os.RemoveAll(c.dir)
 }
 
-// sent is how many bytes all have written to streams.
-func (c *cluster) sent() (n int64) {
-	for _, m := range c.nodes {
+// sentBytes is how many bytes all nodes have written to streams.
+func (c *cluster) sentBytes() (n int64) {
+	for _, m := range c.members {
 		n += m.streams.Counts.SentBytes.Load()
 	}
 	return n
 }
-
-// load promises marks from callers at all gateways for a span, each one after the other, and collects how long each took.
-type load struct {
-	promised, failed atomic.Int64
-	spans            *report.Spans
-	took             time.Duration
-}
-
-func (c *cluster) load(callers int, span time.Duration, keys int) *load {
-	l := &load{spans: report.NewSpans()}
-	var mu sync.Mutex
-	var done sync.WaitGroup
-	begin := time.Now()
-	for i := range callers {
-		m := c.nodes[i%len(c.nodes)]
-		done.Go(func() {
-			answer := make(chan bool, 1)
-			var own []int64
-			for n := 0; time.Since(begin) < span; n++ {
-				asked := time.Now()
-				m.holders.RaisePosition(fmt.Appendf(nil, "session %d", (n*callers+i)%keys), uint64(n+1), time.Hour, asked.Add(5*time.Second), func(ok bool) { answer <- ok })
-				if !<-answer {
-					l.failed.Add(1)
-					time.Sleep(time.Millisecond)
-					continue
-				}
-				l.promised.Add(1)
-				own = append(own, time.Since(asked).Microseconds())
-			}
-			mu.Lock()
-			defer mu.Unlock()
-			for _, x := range own {
-				l.spans.Add(x)
-			}
-		})
-	}
-	done.Wait()
-	l.took = time.Since(begin)
-	return l
-}
--- a/internal/raftnode/node.go
+++ b/internal/raftnode/node.go
@@ -102,7 +102,8 @@
 	n := &Node{
 		settings: settings, clock: clock, log: log, streams: peerStreams,
 		calls: pendingCalls{done: map[uint64]func(raftstore.Response){}}, inbox: make(chan inboxItem, maxEvents),
-		storage: storage{writes: make(chan raftstore.Write, 1)}, bulk: make(chan raftstore.Send, maxBulkPackets), quit: make(chan struct{}), leadershipTransferred: make(chan struct{}),
+		storage: storage{writes: make(chan raftstore.Write, 1)}, bulk: make(chan raftstore.Send, maxBulkPackets),
+		quit: make(chan struct{}), leadershipTransferred: make(chan struct{}),
 	}
 	stored, trusted, err := n.openStorage()
 	if err != nil {
