--- a/internal/indoubt/actions.go
+++ b/internal/indoubt/actions.go
@@ -38,8 +38,8 @@
 	Value []byte // of a served write; nil: as in RoutingAnswered
 }
 
-// LookUp asks for a read at the primary, as of now, that shows whether a write ran. LookupAnswered answers it.
-type LookUp struct {
+// Lookup asks for a read at the primary, as of now, that shows whether a write ran. LookupAnswered answers it.
+type Lookup struct {
 	ID       uint64
 	Key      string
 	Deadline clock.Micros
@@ -61,7 +61,7 @@
 func (Route) action()         {}
 func (Permit) action()        {}
 func (Reply) action()         {}
-func (LookUp) action()        {}
+func (Lookup) action()        {}
 func (Finished) action()      {}
 func (LogTransition) action() {}
 
--- a/internal/indoubt/events.go
+++ b/internal/indoubt/events.go
@@ -74,7 +74,7 @@
 // ShutdownStarted tells that this gateway is about to stop: whoever waits for anything but routing gets its final answer at once.
 type ShutdownStarted struct{}
 
-// LookupAnswered is the result of LookUp.
+// LookupAnswered is the result of Lookup.
 type LookupAnswered struct {
 	ID    uint64
 	Found bool   // the write ran. If false, it may still run
--- a/internal/indoubt/indoubt.go
+++ b/internal/indoubt/indoubt.go
@@ -11,11 +11,11 @@
 // A write whose gateway died is resolved only when a client asks again, at any gateway; without a repeat its intent stays open
 // until its retention ends. The repeat's claim conflicts with the stored intent, and then (takeover.go):
 //
-//	claimStored (Conflict) -> readIntent -> intentRead -> awaitOwner -> takeOver -> takeoverStored -> lookUp -> lookupAnswered
+//	claimStored (Conflict) -> readIntent -> intentRead -> awaitOwner -> takeOver -> takeoverStored -> lookupOrFinish -> lookupAnswered
 //	  -> storeOutcome
 //
 // Each step may end the chain early: the intent has the answer already (intentRead), the owner is alive and stores its outcome
-// (awaitOwner polls for it), or no lookup can tell (lookUp), in which case the client is told that the write may have run.
+// (awaitOwner polls for it), or no lookup can tell (lookupOrFinish), in which case the client is told that the write may have run.
 // requestCanceled (cancel.go) is the branch for a client that stops waiting: what was begun for it is still brought to an end.
 //
 // The package is a pure state machine: events (events.go) go in, actions (actions.go) come out. It owns no clock, socket or
--- a/internal/indoubt/model_test.go
+++ b/internal/indoubt/model_test.go
@@ -175,7 +175,7 @@
 			w.permit(m, g, a)
 		case Reply:
 			w.reply(g, a)
-		case LookUp:
+		case Lookup:
 			w.lookups = append(w.lookups, clientRequest{gateway: g, incarnation: w.incarnations[g], id: a.ID})
 		}
 	}
--- a/internal/indoubt/takeover.go
+++ b/internal/indoubt/takeover.go
@@ -5,7 +5,7 @@
 // This file resolves a write that another gateway, or an earlier incarnation of this one, has claimed. It begins only when a client
 // asks again and its claim meets the stored intent:
 //
-//	readIntent -> intentRead -> awaitOwner -> takeOver -> takeoverStored -> lookUp -> lookupAnswered -> storeOutcome
+//	readIntent -> intentRead -> awaitOwner -> takeOver -> takeoverStored -> lookupOrFinish -> lookupAnswered -> storeOutcome
 
 // readIntent reads the intent that a claim or a takeover met in place of the one that it expected.
 func (r *Resolver) readIntent(w *write) {
@@ -36,7 +36,7 @@
 		}
 		r.awaitOwner(w)
 	default:
-		r.lookUp(w)
+		r.lookupOrFinish(w)
 	}
 }
 
@@ -71,8 +71,8 @@
 		r.takeOver(w)
 		return
 	}
-	if !w.takeover.lookedUp && r.canLookUp(w) { // the owner may be dead, and not yet be known to be
-		w.takeover.lookedUp = true
+	if !w.takeover.lookupStarted && r.lookupPossible(w) { // the owner may be dead, and not yet be known to be
+		w.takeover.lookupStarted = true
 		r.startLookup(w)
 		return
 	}
@@ -145,7 +145,7 @@
 	case OK:
 		w.version = reply.Version
 		r.logTransition(w, TakenOver)
-		r.lookUp(w)
+		r.lookupOrFinish(w)
 	case Conflict:
 		r.readIntent(w)
 	default:
@@ -153,14 +153,14 @@
 	}
 }
 
-// canLookUp tells whether a lookup exists for the class, and somebody waits for its result.
-func (r *Resolver) canLookUp(w *write) bool {
+// lookupPossible tells whether a lookup exists for the class, and somebody waits for its result.
+func (r *Resolver) lookupPossible(w *write) bool {
 	return w.request.Policy.HasLookup && w.client == clientWaiting && r.now < w.request.Deadline
 }
 
-// lookUp asks a lookup whether a write that is in doubt has run. Without one the client hears that it may have.
-func (r *Resolver) lookUp(w *write) {
-	if !r.canLookUp(w) {
+// lookupOrFinish asks a lookup whether a write that is in doubt has run. Without one the client hears that it may have.
+func (r *Resolver) lookupOrFinish(w *write) {
+	if !r.lookupPossible(w) {
 		r.finishInDoubt(w)
 		return
 	}
@@ -169,7 +169,7 @@
 
 func (r *Resolver) startLookup(w *write) {
 	w.phase = lookingUp
-	r.emit(LookUp{ID: w.request.ID, Key: w.request.Key, Deadline: w.request.Deadline})
+	r.emit(Lookup{ID: w.request.ID, Key: w.request.Key, Deadline: w.request.Deadline})
 }
 
 // lookupAnswered settles a write that a lookup has found. One that it has not found may still run: its bytes may be on their way.
--- a/internal/indoubt/write.go
+++ b/internal/indoubt/write.go
@@ -99,7 +99,7 @@
 type takeover struct {
 	ownerDeadline clock.Micros // from then on the owner cannot store an outcome any more
 	reclaimed     bool         // the intent was gone, and was claimed anew; this is done once
-	lookedUp      bool         // a lookup was asked while the owner may still store the outcome; this is done once
+	lookupStarted bool         // a lookup was asked while the owner may still store the outcome; this is done once
 }
 
 // mayBeRepeat tells whether the request may repeat an earlier one.
--- a/internal/intents/service.go
+++ b/internal/intents/service.go
@@ -152,39 +152,39 @@
 }
 
 func (s *Service) perform(action indoubt.Action) {
-	switch a := action.(type) {
+	switch action := action.(type) {
 	case indoubt.Put:
-		s.put(a)
+		s.put(action)
 	case indoubt.Get:
-		s.get(a)
+		s.get(action)
 	case indoubt.Route:
-		if w := s.writes[a.ID]; w != nil {
+		if w := s.writes[action.ID]; w != nil {
 			w.routed = true
 			w.client.Route()
 		}
 	case indoubt.Permit:
-		if w := s.writes[a.ID]; w != nil && w.permission != nil {
-			w.permission <- a.Granted
+		if w := s.writes[action.ID]; w != nil && w.permission != nil {
+			w.permission <- action.Granted
 			w.permission = nil
 		}
 	case indoubt.Reply:
-		if w := s.writes[a.ID]; w != nil {
-			w.client.Reply(a.Kind, a.Value)
+		if w := s.writes[action.ID]; w != nil {
+			w.client.Reply(action.Kind, action.Value)
 		}
-	case indoubt.LookUp:
-		s.lookUp(a)
+	case indoubt.Lookup:
+		s.startLookup(action)
 	case indoubt.Finished:
-		if w := s.writes[a.ID]; w != nil && !w.routed {
+		if w := s.writes[action.ID]; w != nil && !w.routed {
 			w.client.Drop()
 		}
-		delete(s.writes, a.ID)
+		delete(s.writes, action.ID)
 	case indoubt.LogTransition:
-		s.logTransition(a)
+		s.logTransition(action)
 	}
 }
 
-// lookUp reads the row that a write has written if it ran.
-func (s *Service) lookUp(l indoubt.LookUp) {
+// startLookup reads the row that a write has written if it ran.
+func (s *Service) startLookup(l indoubt.Lookup) {
 	w := s.writes[l.ID]
 	class := s.settings.Classes[w.request.Class]
 	s.settings.Lookup(class.LookupClass, w.request.Key, w.request.Group, s.settings.ToTime(l.Deadline), func(row, answer []byte, ok bool) {
