--- a/internal/config/config.go
+++ b/internal/config/platform.go
@@ -30,13 +30,16 @@
 	defaultSockets  = 1024
 )
 
-// The least that the gateway can work with.
+// The bounds of the limits: the least that the gateway can work with, and more than any machine has.
 const (
+	maxCores    = 1024
 	minMemoryMB = 32
+	maxMemoryMB = 1 << 20
 	minSockets  = 64
+	maxSockets  = 1 << 20
 )
 
-// Config is all that a gateway is told at its start.
+// Config is the platform's configuration: all that a gateway is told at its start.
 type Config struct {
 	Name         string
 	Listen       string
@@ -45,7 +48,7 @@
 	Cores        float64
 	MemoryMB     int
 	Sockets      int
-	KnownServers discovery.List
+	KnownServers discovery.List // that discovery had told before the start
 	InForce      *settings.InForce
 	Settings     map[string]any // as written, to tell what a reload changes
 }
@@ -68,6 +71,7 @@
 	return Parse(raw, env)
 }
 
+// wireConfig is the file, with the platform's keys.
 type wireConfig struct {
 	Name      *string         `json:"name"`
 	Listen    *string         `json:"listen"`
@@ -78,18 +82,18 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
+// wireLimits are what the platform grants the gateway.
 type wireLimits struct {
 	Cores    *float64 `json:"cores"`
 	MemoryMB *int     `json:"memory_mb"`
 	Sockets  *int     `json:"sockets"`
 }
 
-// Parse reads the configuration file's content. What it leaves out the environment may say.
+// Parse reads the configuration file's content. What it leaves out the environment may say. Its errors are *settings.KeyError.
 func Parse(raw []byte, env func(string) string) (*Config, error) {
 	var w wireConfig
 	if err := json.Unmarshal(raw, &w); err != nil {
-		var kind *json.UnmarshalTypeError
-		if errors.As(err, &kind) && kind.Field != "" {
+		if kind, ok := errors.AsType[*json.UnmarshalTypeError](err); ok && kind.Field != "" {
 			return nil, faulty(kind.Field, "is a %s, not of the type expected", kind.Value)
 		}
 		return nil, faulty(envConfig, "the file is not a JSON object: %v", err)
@@ -99,76 +103,93 @@
 		Discovery: choose(w.Discovery, env(envDiscovery)), Cores: defaultCores, MemoryMB: defaultMemoryMB,
 		Sockets: defaultSockets,
 	}
-	for _, a := range []struct{ key, value string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
-		if a.value == "" {
-			return nil, faulty(a.key, "missing")
+	for _, step := range []func(wireConfig) error{c.checkAddresses, c.readSeed, c.readLimits, c.readKnownServers, c.readSettings} {
+		if err := step(w); err != nil {
+			return nil, err
 		}
-		if err := checkAddress(a.value); err != nil {
-			return nil, faulty(a.key, "%q is no address: %v", a.value, err)
+	}
+	return c, nil
+}
+
+func (c *Config) checkAddresses(wireConfig) error {
+	for _, address := range []struct{ key, value string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
+		if address.value == "" {
+			return faulty(address.key, "missing")
+		}
+		if err := checkAddress(address.value); err != nil {
+			return faulty(address.key, "%q is no address: %v", address.value, err)
 		}
 	}
+	return nil
+}
+
+func (c *Config) readSeed(w wireConfig) (err error) {
 	if w.Seed == nil {
-		return nil, faulty("seed", "missing")
+		return faulty("seed", "missing")
 	}
-	seed, err := strconv.ParseUint(*w.Seed, 16, 64)
-	if err != nil {
-		return nil, faulty("seed", "%.40q is not a hexadecimal number of 64 bits", *w.Seed)
+	if c.Seed, err = strconv.ParseUint(*w.Seed, 16, 64); err != nil {
+		return faulty("seed", "%.40q is not a hexadecimal number of 64 bits", *w.Seed)
 	}
-	c.Seed = seed
-	if err := c.limits(w.Limits); err != nil {
-		return nil, err
+	return nil
+}
+
+func (c *Config) readLimits(w wireConfig) error {
+	limits := w.Limits
+	if limits.Cores != nil {
+		if c.Cores = *limits.Cores; c.Cores <= 0 || c.Cores > maxCores {
+			return faulty("limits.cores", "%v is not above 0", c.Cores)
+		}
 	}
-	if present(w.Known) {
-		if c.KnownServers, err = discovery.ParseList(w.Known); err != nil {
-			return nil, faulty("known", "%v", err)
+	if limits.MemoryMB != nil {
+		if c.MemoryMB = *limits.MemoryMB; c.MemoryMB < minMemoryMB || c.MemoryMB > maxMemoryMB {
+			return faulty("limits.memory_mb", "%d is not from %d up", c.MemoryMB, minMemoryMB)
 		}
 	}
+	if limits.Sockets != nil {
+		if c.Sockets = *limits.Sockets; c.Sockets < minSockets || c.Sockets > maxSockets {
+			return faulty("limits.sockets", "%d is not from %d up", c.Sockets, minSockets)
+		}
+	}
+	return nil
+}
+
+func (c *Config) readKnownServers(w wireConfig) (err error) {
+	if !present(w.Known) {
+		return nil
+	}
+	if c.KnownServers, err = discovery.ParseList(w.Known); err != nil {
+		return faulty("known", "%v", err)
+	}
+	return nil
+}
+
+func (c *Config) readSettings(w wireConfig) (err error) {
 	if !present(w.Settings) {
-		return nil, faulty("settings", "missing")
+		return faulty("settings", "missing")
 	}
 	if c.InForce, err = settings.Parse(w.Settings); err != nil {
-		var fault *settings.KeyError
-		if errors.As(err, &fault) {
-			return nil, faulty("settings."+fault.Key, "%s", fault.Text)
+		if fault, ok := errors.AsType[*settings.KeyError](err); ok {
+			return faulty("settings."+fault.Key, "%s", fault.Text)
 		}
-		return nil, faulty("settings", "%v", err)
+		return faulty("settings", "%v", err)
 	}
-	if warnings := c.InForce.Warnings; len(warnings) > 0 { // the simulator's wire takes them; an operator's file is to be mended
-		return nil, faulty("settings."+warnings[0].Key, "%s", warnings[0].Text)
+	if warnings := c.InForce.Warnings; len(warnings) > 0 { // the simulator's wire takes them; the platform's file is to be corrected
+		return faulty("settings."+warnings[0].Key, "%s", warnings[0].Text)
 	}
 	// In the simulator a pushed list comes by itself. Over sockets it comes on a watch, which has to be opened.
 	if s := &c.InForce.Settings; !s.ListSubscribed {
 		s.ListSubscribed, s.ListPushed = true, true
 	}
 	if len(c.InForce.ClassNames) == 0 {
-		return nil, faulty("settings.classes", "names no class")
+		return faulty("settings.classes", "names no class")
 	}
 	if err := json.Unmarshal(w.Settings, &c.Settings); err != nil {
-		return nil, faulty("settings", "%v", err)
-	}
-	return c, nil
-}
-
-func (c *Config) limits(w wireLimits) error {
-	if w.Cores != nil {
-		if c.Cores = *w.Cores; c.Cores <= 0 || c.Cores > 1024 {
-			return faulty("limits.cores", "%v is not above 0", c.Cores)
-		}
-	}
-	if w.MemoryMB != nil {
-		if c.MemoryMB = *w.MemoryMB; c.MemoryMB < minMemoryMB || c.MemoryMB > 1<<20 {
-			return faulty("limits.memory_mb", "%d is not from %d up", c.MemoryMB, minMemoryMB)
-		}
-	}
-	if w.Sockets != nil {
-		if c.Sockets = *w.Sockets; c.Sockets < minSockets || c.Sockets > 1<<20 {
-			return faulty("limits.sockets", "%d is not from %d up", c.Sockets, minSockets)
-		}
+		return faulty("settings", "%v", err)
 	}
 	return nil
 }
 
-// Fixed lists the keys whose values in next differ from those in force and cannot be taken over by a running gateway.
+// RestartRequired lists the keys whose values in next differ from those in force and cannot be taken over by a running gateway.
 // The seed and the list last known only matter at a start.
 func (c *Config) RestartRequired(next *Config) []string {
 	var keys []string
@@ -210,6 +231,7 @@
 	return keys
 }
 
+// choose is what the file gives, or else the fallback.
 func choose(given *string, fallback string) string {
 	if given != nil && *given != "" {
 		return *given
@@ -217,6 +239,7 @@
 	return fallback
 }
 
+// present tells whether the file has a key, and not as null.
 func present(raw json.RawMessage) bool { return len(raw) > 0 && !bytes.Equal(raw, []byte("null")) }
 
 func checkAddress(addr string) error {
