--- a/internal/maintenance/explore_test.go
+++ b/internal/maintenance/explore_test.go
@@ -107,7 +107,7 @@
 }
 
 func (m model) Key(w *world) string {
-	text := fmt.Sprint(w.now, w.index, *w.order, w.leader, w.planner.well, w.facts, w.known, w.asked, w.primary, w.left, w.broken)
+	text := fmt.Sprint(w.now, w.index, *w.order, w.leader, w.planner.healthySince, w.facts, w.known, w.asked, w.primary, w.left, w.broken)
 	for _, g := range w.gws {
 		text += fmt.Sprint(g.up, g.busy, g.at, g.life, g.seen)
 		if g.mail != nil {
--- /dev/null
+++ b/internal/maintenance/reason.go
@@ -0,0 +1,150 @@
+package maintenance
+
+import (
+	"strconv"
+	"strings"
+)
+
+// Cause is why a machine waits.
+type Cause uint8
+
+// The causes. The first of them hold a machine back before its turn, or turn it back; the others say what a machine whose turn it
+// is waits for.
+const (
+	NoCause Cause = iota // it does not wait
+
+	// What concerns all machines.
+	AllPaused
+	LeaderUninformed // before a machine goes
+	GatewayDead
+	GatewaySilent
+	ShardUnderReplicated
+	NoGatewayLeft
+	TooMuchLoad
+	PlacesTaken
+
+	// What concerns a gateway.
+	GatewayNotThere
+	ZoneNotReady
+	NoOtherForAddress
+	SharedShard
+	ShardIncomplete
+
+	// What concerns a server.
+	ServerUnknown
+	PeerDown
+	PeerWarmingUp
+	PeerLagging
+	ReplicaFirst
+	OnlyServer
+	NoPrimary
+
+	// What a machine whose turn it is waits for.
+	OtherPrimary
+	Restarted
+	ShardsMigrating
+	LeaderInforming // while a machine drains
+	DiedWhileDraining
+	RestartedWhileDraining
+	IdleReport
+	CurrentReport
+	InFlight
+	LeadershipTransfer
+	ServerQuiescence
+	GatewaysUnreachable
+	ServerQuiescenceAndUnreachable
+	Work
+	ServerWork
+	Return
+	Stability
+	AnyReport
+	Readiness
+	ShardsRestored
+	OnList
+	Answers
+	WarmUp
+	CatchUp
+	Settling
+	causeCount
+)
+
+// reasonTexts are what operators read. {subject} is Reason.Subject, {quoted} the same in quotes, {detail} Reason.Detail and {count}
+// Reason.Count.
+var reasonTexts = [causeCount]string{
+	AllPaused:            "an operator's go: all are held",
+	LeaderUninformed:     "the ledger's leader has not heard everybody yet",
+	GatewayDead:          "{subject} is dead",
+	GatewaySilent:        "{subject} has not reported lately",
+	ShardUnderReplicated: "a shard of {subject} has not all its copies",
+	NoGatewayLeft:        "no gateway would be left",
+	TooMuchLoad:          "those that stay would have to carry {count} % of what they can",
+	PlacesTaken:          "its turn, after {subject}",
+
+	GatewayNotThere:   "it is not there",
+	ZoneNotReady:      "zone {quoted} would be left with {count} gateways that are ready",
+	NoOtherForAddress: "nobody else could take the floating address of {subject}",
+	SharedShard:       "{subject} holds a shard that it holds too, and is {detail}",
+	ShardIncomplete:   "a shard of it has not all its copies",
+
+	ServerUnknown: "no gateway knows such a server",
+	PeerDown:      "{subject} of its group is down",
+	PeerWarmingUp: "{subject} of its group is cold",
+	PeerLagging:   "{subject} of its group is behind",
+	ReplicaFirst:  "replicas go first, and {subject} is in the order",
+	OnlyServer:    "it is the only server of its group",
+	NoPrimary:     "its group has no primary that all gateways know",
+
+	OtherPrimary:           "another primary: promote one of its group, or say go to it",
+	Restarted:              "it was started anew",
+	ShardsMigrating:        "{count} shards that move to other gateways, for it is out for longer than heal-after",
+	LeaderInforming:        "the ledger's leader to have heard everybody",
+	DiedWhileDraining:      "an operator's go: it died while it was leaving, and may only be cut off",
+	RestartedWhileDraining: "it was started anew while it was leaving",
+	IdleReport:             "its word that nothing is under way",
+	CurrentReport:          "its word that it knows",
+	InFlight:               "what is under way there",
+	LeadershipTransfer:     "others to lead what it leads",
+	ServerQuiescence:       "the word of {subject} that nothing is out there",
+	GatewaysUnreachable:    "{detail} cannot be reached and may still send there: say go if it cannot",
+	ServerQuiescenceAndUnreachable: "the word of {subject} that nothing is out there; " +
+		"{detail} cannot be reached and may still send there: say go if it cannot",
+	Work:           "the work to be done",
+	ServerWork:     "the work to be done, and done to be said",
+	Return:         "it to come back",
+	Stability:      "it to stay: it was started anew",
+	AnyReport:      "its word",
+	Readiness:      "it to be ready",
+	ShardsRestored: "its shards to have all their copies",
+	OnList:         "the list to name it",
+	Answers:        "it to answer everybody",
+	WarmUp:         "it to be warm",
+	CatchUp:        "it to catch up",
+	Settling:       "it to stay well for a while",
+}
+
+// Reason is why a machine waits. The zero Reason is none.
+type Reason struct {
+	Cause   Cause
+	Subject string // the machine, machines, zone or group that it is about
+	Detail  string // what more there is to say of the subject, or other machines
+	Count   int    // gateways, shards or percent, by the cause
+}
+
+// because is a reason that needs no more than its cause.
+func because(c Cause) Reason { return Reason{Cause: c} }
+
+// about is a reason with a subject.
+func about(c Cause, subject string) Reason { return Reason{Cause: c, Subject: subject} }
+
+// exists tells whether there is a reason to wait.
+func (r Reason) exists() bool { return r.Cause != NoCause }
+
+// String is the reason as operators read it; none is empty.
+func (r Reason) String() string {
+	if r.Cause >= causeCount {
+		return ""
+	}
+	return strings.NewReplacer(
+		"{subject}", r.Subject, "{quoted}", strconv.Quote(r.Subject), "{detail}", r.Detail, "{count}", strconv.Itoa(r.Count),
+	).Replace(reasonTexts[r.Cause])
+}
