--- a/internal/raftnode/calls.go
+++ b/internal/raftnode/calls.go
@@ -76,12 +76,13 @@
 	s.failedAt[shard].Store(at)
 }
 
-// Submit starts a call. It does not block: if the inbox is full or the node is closing, the status is StatusNotSent. The event loop
-// calls done with the response, at the deadline at the latest; done must not block.
-func (n *Node) Submit(call raftstore.Request, deadline time.Time, done func(raftstore.Response)) {
+// Submit starts a call. It does not block: if the inbox is full or the node is closing, it calls done itself, with StatusNotSent.
+// Otherwise the event loop calls done with the response, at the deadline at the latest, or when the node closes; a call that is still
+// in the inbox then gets no response. done must not block.
+func (n *Node) Submit(request raftstore.Request, deadline time.Time, done func(raftstore.Response)) {
 	submit := func() {
-		call.ID, call.Deadline = n.calls.add(done), n.clock.Now()+micros(time.Until(deadline))
-		n.host.Handle(n.clock.Now(), call)
+		request.ID, request.Deadline = n.calls.add(done), n.clock.Now()+micros(time.Until(deadline))
+		n.host.Handle(n.clock.Now(), request)
 	}
 	select {
 	case <-n.quit:
@@ -106,8 +107,8 @@
 		done(false)
 		return
 	}
-	call := raftstore.Request{Shard: shard, Command: &api.Command{RaisePosition: &api.RaisePosition{Key: key, Position: position, Ttl: ttl.Microseconds()}}}
-	n.Submit(call, deadline, func(a raftstore.Response) {
+	request := raftstore.Request{Shard: shard, Command: &api.Command{RaisePosition: &api.RaisePosition{Key: key, Position: position, Ttl: ttl.Microseconds()}}}
+	n.Submit(request, deadline, func(a raftstore.Response) {
 		n.shards.record(shard, a.Status)
 		done(a.Status == raftstore.StatusOK)
 	})
@@ -134,9 +135,9 @@
 		done(raftstore.Response{Status: raftstore.StatusNotSent})
 		return
 	}
-	call := raftstore.Request{Shard: shard, Command: command}
+	request := raftstore.Request{Shard: shard, Command: command}
 	if command == nil {
-		call.Get = &api.Get{Key: key}
+		request.Get = &api.Get{Key: key}
 	}
-	n.Submit(call, deadline, done)
+	n.Submit(request, deadline, done)
 }
--- a/internal/raftnode/commands.go
+++ b/internal/raftnode/commands.go
@@ -115,7 +115,7 @@
 func (n *Node) RunMaintenanceCommand(command maintenance.Command, deadline time.Time) (reply string, err error) {
 	n.commandMu.Lock()
 	defer n.commandMu.Unlock()
-	a := n.call(raftstore.Request{Shard: raftstore.LedgerGroup, Command: raftstore.MaintenanceCommand(command)}, deadline)
+	a := n.submitAndWait(raftstore.Request{Shard: raftstore.LedgerGroup, Command: raftstore.MaintenanceCommand(command)}, deadline)
 	switch a.Status {
 	case raftstore.StatusOK:
 		return string(a.Value), nil
@@ -129,7 +129,7 @@
 
 // MaintenanceListing returns the maintenance order as the ledger's leader has it or, with ErrNoAnswer, as it is known here.
 func (n *Node) MaintenanceListing(deadline time.Time) (maintenance.Listing, error) {
-	a := n.call(raftstore.Request{Shard: raftstore.LedgerGroup, Get: &api.Get{Key: []byte(raftstore.MaintenanceKey)}}, deadline)
+	a := n.submitAndWait(raftstore.Request{Shard: raftstore.LedgerGroup, Get: &api.Get{Key: []byte(raftstore.MaintenanceKey)}}, deadline)
 	if a.Status == raftstore.StatusOK {
 		return raftstore.DecodeListing(a.Value)
 	}
@@ -138,10 +138,10 @@
 	return listing, ErrNoAnswer
 }
 
-// call starts a call and waits for its response; the status is StatusNotSent if the node closes before.
-func (n *Node) call(call raftstore.Request, deadline time.Time) raftstore.Response {
+// submitAndWait starts a call and waits for its response; the status is StatusNotSent if the node closes before.
+func (n *Node) submitAndWait(submitAndWait raftstore.Request, deadline time.Time) raftstore.Response {
 	answered := make(chan raftstore.Response, 1)
-	n.Submit(call, deadline, func(a raftstore.Response) { answered <- a })
+	n.Submit(submitAndWait, deadline, func(a raftstore.Response) { answered <- a })
 	select {
 	case a := <-answered:
 		return a
--- a/internal/raftnode/node.go
+++ b/internal/raftnode/node.go
@@ -155,7 +155,7 @@
 	}
 }
 
-// Close ends the goroutines, waits for them and closes the files. Calls that still wait get StatusDeadlineExceeded. It may be called
+// Close ends the goroutines, waits for them and closes the files. Calls that the host has get StatusDeadlineExceeded. It may be called
 // more than once.
 func (n *Node) Close() {
 	n.closeOnce.Do(func() { close(n.quit) })
