--- a/internal/indoubt/model_test.go
+++ b/internal/indoubt/model_test.go
@@ -265,6 +265,9 @@
 	return nil
 }
 
+// addMove adds what follows from one event to the moves of a state.
+type addMove func(name string, do func(w *world))
+
 // Moves are all events that can happen next.
 func (m model) Moves(w *world) (all []modelcheck.Move[*world]) {
 	add := func(name string, do func(w *world)) {
@@ -279,6 +282,15 @@
 	for i, x := range w.attempts {
 		m.attemptMoves(w, i, x, add)
 	}
+	m.lookupMoves(w, add)
+	for g := range w.resolvers {
+		m.gatewayMoves(w, g, add)
+	}
+	m.environmentMoves(w, add)
+	return all
+}
+
+func (m model) lookupMoves(w *world, add addMove) {
 	for i, l := range w.lookups {
 		if w.down[l.gateway] || l.incarnation != w.incarnations[l.gateway] {
 			continue
@@ -288,48 +300,60 @@
 			m.handle(w, l.gateway, LookupAnswered{ID: l.id, Found: w.effectVisible, Value: []byte("answer")})
 		})
 	}
-	for g := range w.resolvers {
-		if w.down[g] {
-			add(fmt.Sprint("start g", g), func(w *world) { m.boot(w, g) })
-			continue
-		}
-		if at, due := w.resolvers[g].Next(); due && at <= lastTick {
-			add(fmt.Sprint("tick g", g), func(w *world) {
-				w.now = max(w.now, at)
-				m.handle(w, g, Tick{})
-			})
-		}
-		if w.budget.crashes > 0 {
-			add(fmt.Sprint("crash g", g), func(w *world) {
-				w.budget.crashes--
-				w.down[g] = true
-				w.lookups = slices.DeleteFunc(w.lookups, func(l clientRequest) bool { return l.gateway == g })
-				for i := range w.attempts {
-					if x := &w.attempts[i]; x.gateway == g && x.stage < inKernel {
-						x.stage = ended
-					}
-				}
-			})
-		}
-		if w.budget.shutdowns > 0 {
-			add(fmt.Sprint("shutdown of g", g), func(w *world) {
-				w.budget.shutdowns--
-				m.handle(w, g, ShutdownStarted{})
-				for _, a := range w.requests {
-					routes := slices.ContainsFunc(w.attempts, func(x attempt) bool { return x.gateway == g && x.id == a.id && x.incarnation == a.incarnation })
-					if a.gateway == g && a.incarnation == w.incarnations[g] && !a.answered && !a.canceled && !routes && w.broken == "" {
-						w.broken = fmt.Sprintf("request %d has no answer at the shutdown", a.id)
-					}
-				}
-			})
+}
+
+// gatewayMoves are the start, the ticks, the crash and the shutdown of a gateway, and a report to the other one that it ended.
+func (m model) gatewayMoves(w *world, g int, add addMove) {
+	if w.down[g] {
+		add(fmt.Sprint("start g", g), func(w *world) { m.boot(w, g) })
+		return
+	}
+	if at, due := w.resolvers[g].Next(); due && at <= lastTick {
+		add(fmt.Sprint("tick g", g), func(w *world) {
+			w.now = max(w.now, at)
+			m.handle(w, g, Tick{})
+		})
+	}
+	if w.budget.crashes > 0 {
+		add(fmt.Sprint("crash g", g), func(w *world) { w.crash(g) })
+	}
+	if w.budget.shutdowns > 0 {
+		add(fmt.Sprint("shutdown of g", g), func(w *world) { m.shutDown(w, g) })
+	}
+	if w.budget.endReports > 0 {
+		add(fmt.Sprint("report that g", g, " ended"), func(w *world) {
+			w.budget.endReports--
+			m.handle(w, 1-g, GatewayEnded{Gateway: fmt.Sprint("g", g), Incarnation: uint64(w.incarnations[g])})
+		})
+	}
+}
+
+// crash ends a gateway's incarnation, with its lookups and the attempts whose last byte is not written.
+func (w *world) crash(g int) {
+	w.budget.crashes--
+	w.down[g] = true
+	w.lookups = slices.DeleteFunc(w.lookups, func(l clientRequest) bool { return l.gateway == g })
+	for i := range w.attempts {
+		if x := &w.attempts[i]; x.gateway == g && x.stage < inKernel {
+			x.stage = ended
 		}
-		if w.budget.endReports > 0 {
-			add(fmt.Sprint("report that g", g, " ended"), func(w *world) {
-				w.budget.endReports--
-				m.handle(w, 1-g, GatewayEnded{Gateway: fmt.Sprint("g", g), Incarnation: uint64(w.incarnations[g])})
-			})
+	}
+}
+
+// shutDown starts a gateway's shutdown: each client that does not wait for routing must have its answer then.
+func (m model) shutDown(w *world, g int) {
+	w.budget.shutdowns--
+	m.handle(w, g, ShutdownStarted{})
+	for _, a := range w.requests {
+		routes := slices.ContainsFunc(w.attempts, func(x attempt) bool { return x.gateway == g && x.id == a.id && x.incarnation == a.incarnation })
+		if a.gateway == g && a.incarnation == w.incarnations[g] && !a.answered && !a.canceled && !routes && w.broken == "" {
+			w.broken = fmt.Sprintf("request %d has no answer at the shutdown", a.id)
 		}
 	}
+}
+
+// environmentMoves are a pause of everything, a loss of the store, and a failover to a primary without the write.
+func (m model) environmentMoves(w *world, add addMove) {
 	if w.budget.pauses > 0 {
 		add("time passes", func(w *world) {
 			w.budget.pauses--
@@ -348,10 +372,9 @@
 			w.effectVisible = false
 		})
 	}
-	return all
 }
 
-func (m model) clientMoves(w *world, add func(string, func(*world))) {
+func (m model) clientMoves(w *world, add addMove) {
 	n := len(w.requests)
 	if n > 0 {
 		last := w.requests[n-1]
@@ -409,7 +432,7 @@
 
 const anyVersion = ^uint64(0)
 
-func (m model) callMoves(w *world, i int, c storeCall, add func(string, func(*world))) {
+func (m model) callMoves(w *world, i int, c storeCall, add addMove) {
 	id := c.put.Call + c.get.Call
 	alive := !w.down[c.gateway] && c.incarnation == w.incarnations[c.gateway]
 	end := func(w *world, s StoreReplied) {
@@ -453,7 +476,7 @@
 	}
 }
 
-func (m model) attemptMoves(w *world, i int, x attempt, add func(string, func(*world))) {
+func (m model) attemptMoves(w *world, i int, x attempt, add addMove) {
 	alive := !w.down[x.gateway] && x.incarnation == w.incarnations[x.gateway]
 	end := func(w *world, t RoutingAnswered) {
 		w.attempts[i].stage = ended
--- a/internal/indoubt/mutants_test.go
+++ b/internal/indoubt/mutants_test.go
@@ -11,8 +11,8 @@
 // mutant is a resolver that is wrong in one point: it changes an event before the resolver takes it in, or the actions after.
 type mutant struct {
 	name   string
-	before func(d *Resolver, ev Event) Event
-	after  func(d *Resolver, out []Action) []Action
+	before func(resolver *Resolver, ev Event) Event
+	after  func(resolver *Resolver, out []Action) []Action
 }
 
 // Each of these resolvers is wrong in one point. The random walks must find it.
@@ -23,13 +23,13 @@
 		}
 		return ev
 	}},
-	{name: "a claim with an unknown result counts as stored", before: onStoreReply(func(e *write, s *StoreReplied) {
-		if e.phase == claiming && s.Result == Unknown {
+	{name: "a claim with an unknown result counts as stored", before: onStoreReply(func(w *write, s *StoreReplied) {
+		if w.phase == claiming && s.Result == Unknown {
 			s.Result, s.Version = OK, 1
 		}
 	})},
-	{name: "a claim that met a conflict counts as stored", before: onStoreReply(func(e *write, s *StoreReplied) {
-		if e.phase == claiming && s.Result == Conflict {
+	{name: "a claim that met a conflict counts as stored", before: onStoreReply(func(w *write, s *StoreReplied) {
+		if w.phase == claiming && s.Result == Conflict {
 			s.Result = OK
 		}
 	})},
@@ -47,17 +47,17 @@
 		}
 		return p
 	})},
-	{name: "the gateway that takes over sends", before: onStoreReply(func(e *write, s *StoreReplied) {
-		if e.phase == takingOver && s.Result == OK {
-			e.phase, e.intent.State = claiming, Open
+	{name: "the gateway that takes over sends", before: onStoreReply(func(w *write, s *StoreReplied) {
+		if w.phase == takingOver && s.Result == OK {
+			w.phase, w.intent.State = claiming, Open
 		}
 	})},
-	{name: "a write that a lookup does not find has not run", before: func(d *Resolver, ev Event) Event {
+	{name: "a write that a lookup does not find has not run", before: func(resolver *Resolver, ev Event) Event {
 		if l, is := ev.(LookupAnswered); is && !l.Found {
-			if e := d.find(l.ID); e != nil && e.phase == lookingUp {
-				r := e.intent
-				r.State, e.phase, e.call.id = Unsent, readingIntent, 1<<40
-				return StoreReplied{Call: e.call.id, Version: e.version, Intent: &r}
+			if w := resolver.find(l.ID); w != nil && w.phase == lookingUp {
+				r := w.intent
+				r.State, w.phase, w.call.id = Unsent, readingIntent, 1<<40
+				return StoreReplied{Call: w.call.id, Version: w.version, Intent: &r}
 			}
 		}
 		return ev
@@ -74,9 +74,9 @@
 		return p
 	})},
 	{name: "a lost intent never existed", before: onStoreReply(func(_ *write, s *StoreReplied) { s.PossiblyLost = false })},
-	{name: "a routed write is released when its client cancels", before: func(d *Resolver, ev Event) Event {
+	{name: "a routed write is released when its client cancels", before: func(resolver *Resolver, ev Event) Event {
 		if g, is := ev.(RequestCanceled); is {
-			if e := d.find(g.ID); e != nil && e.phase == routed {
+			if w := resolver.find(g.ID); w != nil && w.phase == routed {
 				return RoutingAnswered{ID: g.ID, Kind: Rejected}
 			}
 		}
@@ -96,8 +96,8 @@
 		}
 		return out
 	}},
-	{name: "followers are forgotten", before: func(d *Resolver, ev Event) Event {
-		d.writes = slices.DeleteFunc(d.writes, func(e write) bool { return e.phase == followingWrite })
+	{name: "followers are forgotten", before: func(resolver *Resolver, ev Event) Event {
+		resolver.writes = slices.DeleteFunc(resolver.writes, func(w write) bool { return w.phase == followingWrite })
 		return ev
 	}},
 	{name: "no answer where the write is in doubt", after: func(_ *Resolver, out []Action) []Action {
@@ -109,15 +109,15 @@
 }
 
 // onStoreReply changes the replies of the store before a resolver takes them in.
-func onStoreReply(do func(e *write, s *StoreReplied)) func(*Resolver, Event) Event {
-	return func(d *Resolver, ev Event) Event {
+func onStoreReply(do func(w *write, s *StoreReplied)) func(*Resolver, Event) Event {
+	return func(resolver *Resolver, ev Event) Event {
 		s, is := ev.(StoreReplied)
 		if !is {
 			return ev
 		}
-		for i := range d.writes {
-			if d.writes[i].call.id == s.Call {
-				do(&d.writes[i], &s)
+		for i := range resolver.writes {
+			if resolver.writes[i].call.id == s.Call {
+				do(&resolver.writes[i], &s)
 			}
 		}
 		return s
@@ -125,11 +125,11 @@
 }
 
 // onAction changes one kind of action.
-func onAction[A Action](do func(d *Resolver, a A) Action) func(*Resolver, []Action) []Action {
-	return func(d *Resolver, out []Action) []Action {
+func onAction[A Action](do func(resolver *Resolver, a A) Action) func(*Resolver, []Action) []Action {
+	return func(resolver *Resolver, out []Action) []Action {
 		for i, x := range out {
 			if a, is := x.(A); is {
-				out[i] = do(d, a)
+				out[i] = do(resolver, a)
 			}
 		}
 		return out
