--- /dev/null
+++ b/internal/policy/endpoints_test.go
@@ -0,0 +1,234 @@
+package policy_test
+
+import (
+	"fmt"
+	"testing"
+
+	"marblespan/internal/clock"
+	"marblespan/internal/policy"
+)
+
+func TestDrainsAreObeyedAtOnce(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		news  policy.EndpointUpdate
+		loose bool
+		open  bool // may still be sent to
+	}{
+		{"draining", policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{
+			{Server: 2, Group: 1, State: policy.EndpointDraining}}}, false, false},
+		{"gone", policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{
+			{Server: 2, Group: 1, State: policy.EndpointRemoved}}}, false, false},
+		{"left out of a full list", policy.EndpointUpdate{Form: policy.ListFull, Endpoints: []policy.Endpoint{
+			endpoint(1, true)}}, false, false},
+		{"gone where only draining binds", policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{
+			{Server: 2, Group: 1, State: policy.EndpointRemoved}}}, true, true},
+		{"draining where only draining binds", policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{
+			{Server: 2, Group: 1, State: policy.EndpointDraining}}}, true, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			set := settings()
+			set.RemovedStayUsable = c.loose
+			g := newGateway(t, set)
+			g.group(2)
+			g.fresh(1, 0)
+			g.fresh(2, 0)
+			g.step(c.news)
+			g.arrive("q", anyRead)
+			if got := sent(g.acts, "q"); len(got) != 1 || (got[0] == 2) != c.open {
+				t.Errorf("sent to %v", got)
+			}
+		})
+	}
+}
+
+// A server that the list excludes gets nothing more: what waits for a connection there is withdrawn at once.
+// Where only draining binds, removal alone withdraws nothing. What was to go to a server that has restarted
+// since is withdrawn too.
+func TestUnstartedAttemptsAreWithdrawn(t *testing.T) {
+	for _, c := range []struct {
+		onlyDraining bool
+		state        policy.EndpointState
+		started      clock.Micros
+		want         int
+	}{
+		{false, policy.EndpointDraining, 0, 1}, {false, policy.EndpointRemoved, 0, 1}, {true, policy.EndpointDraining, 0, 1},
+		{true, policy.EndpointRemoved, 0, 0}, {false, policy.EndpointReady, 0, 0}, {false, policy.EndpointReady, origin, 1},
+	} {
+		set := settings()
+		set.RemovedStayUsable = c.onlyDraining
+		g := newGateway(t, set)
+		g.group(3)
+		m := endpoint(2, false)
+		m.State, m.Started = c.state, c.started
+		n := 0
+		for _, a := range g.step(policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{m}}) {
+			if w, is := a.(policy.Withdraw); is && w.Server == 2 {
+				n++
+			}
+		}
+		if n != c.want {
+			t.Errorf("%+v: taken back %d times", c, n)
+		}
+	}
+}
+
+// Where only draining binds, a list may drop running servers for a while: they stay in use. One that is truly
+// removed must still leave memory, or it is checked for ever.
+func TestRemovedServersAreForgottenOnlyWhenOutOfReach(t *testing.T) {
+	set := settings()
+	set.RemovedStayUsable = true
+	g := newGateway(t, set)
+	g.group(3)
+	g.step(policy.EndpointUpdate{Form: policy.ListFull}) // an empty list
+	last := map[policy.ServerID]clock.Micros{}
+	served := 0
+	for i := 0; i < 4000; i++ {
+		id := fmt.Sprint("g", i)
+		if got := sent(g.arrive(id, anyRead), id); len(got) == 1 {
+			res := policy.ResultOK
+			if got[0] == 3 {
+				res = policy.ResultConnectFailed
+			} else {
+				served++
+			}
+			last[got[0]] = g.now - origin
+			g.outcome(id, 0, got[0], res)
+		}
+		g.step(policy.ClientDisconnected{ID: id})
+		for _, a := range g.sweep(25 * ms) {
+			if p, ok := a.(policy.HealthCheck); ok {
+				last[p.Server] = g.now - origin
+				res := policy.ResultOK
+				if p.Server == 3 {
+					res = policy.ResultConnectFailed
+				}
+				g.step(policy.HealthCheckEnded{Server: p.Server, Result: res})
+			}
+		}
+	}
+	if served < 3900 {
+		t.Errorf("%d of 4000 reads were served while the list was empty", served)
+	}
+	if last[3] > 30_000*ms {
+		t.Errorf("a server that is removed and out of reach was still tried %d s on", last[3]/1000/ms)
+	}
+}
+
+func TestSubscription(t *testing.T) {
+	set := settings()
+	set.ListSubscribed = true
+	g := newGateway(t, set)
+	if count[policy.Watch](g.acts) != 1 {
+		t.Fatal("it does not subscribe at its start")
+	}
+	g.group(2)
+	asks := func(span clock.Micros) (n int, last clock.Micros) {
+		for end := g.now + span; g.now < end; {
+			if count[policy.Watch](g.sweep(25*ms)) > 0 {
+				n, last = n+1, g.now
+				g.after(5 * ms).step(policy.EndpointUpdate{Form: policy.ListFailed})
+			}
+		}
+		return n, last
+	}
+	g.step(policy.EndpointUpdate{Form: policy.ListFailed})
+	early, _ := asks(2000 * ms)
+	late, last := asks(20_000 * ms)
+	if early < 2 || late < 20 || late > 50 {
+		t.Errorf("%d attempts to subscribe in the first 2 s of failure, %d in the next 20 s", early, late)
+	}
+	if g.now-last > 1000*ms {
+		t.Error("it stopped subscribing")
+	}
+	for i := 0; i < 400; i++ {
+		if count[policy.Watch](g.sweep(25*ms)) > 0 {
+			break
+		}
+	}
+	g.step(policy.EndpointUpdate{Form: policy.ListDelta})
+	if n, _ := asks(8000 * ms); n != 0 {
+		t.Errorf("%d attempts to subscribe with a subscription that stands", n)
+	}
+	// Two gateways with different seeds do not subscribe in step.
+	spans := map[clock.Micros]bool{}
+	for seed := uint64(1); seed < 9; seed++ {
+		r, _ := policy.New(origin, seed, set)
+		r.Step(origin, policy.EndpointUpdate{Form: policy.ListFailed})
+		for now := origin; now < origin+1000*ms; now += 5 * ms {
+			if count[policy.Watch](r.Step(now, policy.Timer{Kind: policy.TimerSweep})) > 0 {
+				spans[now] = true
+				break
+			}
+		}
+	}
+	if len(spans) < 4 {
+		t.Errorf("eight gateways subscribe again at only %d moments", len(spans))
+	}
+}
+
+// Attempts to subscribe that fail are made ever more seldom, and yet often enough: whatever failed before, a
+// change counts as known 6 s after discovery had it and could be reached. internal/gateway adds these
+// intervals to the time limits of the calls.
+func TestSubscribeBackOff(t *testing.T) {
+	set := settings()
+	set.ListSubscribed = true
+	const askings = 8
+	var sum [askings]clock.Micros
+	longest := clock.Micros(0)
+	const seeds = 64
+	for seed := uint64(1); seed <= seeds; seed++ {
+		r, _ := policy.New(origin, seed, set)
+		now := origin
+		for n := range sum {
+			failed := now
+			r.Step(now, policy.EndpointUpdate{Form: policy.ListFailed})
+			for {
+				now += 5 * ms
+				if count[policy.Watch](r.Step(now, policy.Timer{Kind: policy.TimerSweep})) > 0 {
+					break
+				}
+			}
+			sum[n] += now - failed
+			longest = max(longest, now-failed)
+		}
+	}
+	if first, last := sum[0]/seeds, sum[askings-1]/seeds; last < first*2 {
+		t.Errorf("the first pause is %d ms in the mean, the last %d", first/ms, last/ms)
+	}
+	if longest > 950*ms {
+		t.Errorf("a pause of %d ms", longest/ms)
+	}
+}
+
+// A pushed list counts as known here at once: a watch that ends is opened again with the next sweep, and only
+// what fails again waits.
+func TestPushedListIsSubscribedToAtOnce(t *testing.T) {
+	set := settings()
+	set.ListSubscribed, set.ListPushed = true, true
+	g := newGateway(t, set)
+	g.group(2)
+	g.step(policy.EndpointUpdate{Form: policy.ListDelta})
+	g.step(policy.EndpointUpdate{Form: policy.ListFailed})
+	if count[policy.Watch](g.sweep(1*ms)) != 1 {
+		t.Error("it is not subscribed to again at once")
+	}
+	g.step(policy.EndpointUpdate{Form: policy.ListFailed})
+	if count[policy.Watch](g.sweep(1*ms)) != 0 {
+		t.Error("a second failure in a row is followed by an attempt without a back-off")
+	}
+}
+
+// An attempt to subscribe that is never answered counts as failed.
+func TestUnansweredSubscribeIsRepeated(t *testing.T) {
+	set := settings()
+	set.ListSubscribed = true
+	g := newGateway(t, set)
+	n := 0
+	for i := 0; i < 400; i++ {
+		n += count[policy.Watch](g.sweep(25 * ms))
+	}
+	if n < 1 {
+		t.Error("it never subscribed again")
+	}
+}
--- a/internal/policy/fleet_test.go
+++ b/internal/policy/fleet_test.go
@@ -11,20 +11,20 @@
 
 // fleet is many routers that share nothing but the servers: rules that bind them together are asserted on their sum.
 type fleet struct {
-	rigs  []*rig
+	rigs  []*gateway
 	share []float64 // of the traffic, a router each
 	rng   *rand.Rand
 	n     int
 	due   []reply
 	sends map[policy.ServerID][]clock.Micros
-	stand func(clock.Micros) float64 // attempts that one server answers in a second; the others it turns away
+	stand func(clock.Micros) float64 // attempts that one server answers in a second; the others it rejects
 	spent map[policy.ServerID]float64
 	tries map[string]int
 }
 
 type reply struct {
 	at clock.Micros
-	g  *rig
+	g  *gateway
 	id string
 	s  policy.ServerID
 	n  int
@@ -37,7 +37,7 @@
 		spent: map[policy.ServerID]float64{}, tries: map[string]int{}, stand: func(clock.Micros) float64 { return 1e6 }}
 	set.Gateways = n
 	for i := 0; i < n; i++ {
-		g := &rig{t: t, now: origin}
+		g := &gateway{t: t, now: origin}
 		g.r, g.acts = policy.New(g.now, uint64(i+1), set)
 		g.group(members)
 		f.rigs = append(f.rigs, g)
@@ -80,7 +80,7 @@
 	}
 }
 
-func (f *fleet) note(g *rig, acts []policy.Action) {
+func (f *fleet) note(g *gateway, acts []policy.Action) {
 	for _, a := range acts {
 		if s, ok := a.(policy.Send); ok {
 			f.sends[s.Server] = append(f.sends[s.Server], g.now)
@@ -95,9 +95,9 @@
 	g.all = nil
 }
 
-// A budget of one send a window each is hundreds from hundreds of gateways. A newcomer must stand the sum of them,
-// the few busy ones and the many quiet ones, and must still be eased in.
-func TestColdBudgetHoldsForTheSumOfGateways(t *testing.T) {
+// A budget of one send a window each is hundreds from hundreds of gateways. A server in slow start must stand the sum of
+// them, the few busy ones and the many with little traffic, and must still get requests.
+func TestSlowStartBudgetHoldsForAllGateways(t *testing.T) {
 	for _, c := range []struct {
 		n       int
 		restart bool // half of the gateways start as the servers do, and have measured nothing
@@ -121,7 +121,7 @@
 			}
 			var news []policy.Endpoint
 			for id := policy.ServerID(2); id <= replicas+1; id++ {
-				m := member(id, false)
+				m := endpoint(id, false)
 				m.Started = started
 				news = append(news, m)
 			}
@@ -131,7 +131,7 @@
 		f.stand = func(now clock.Micros) float64 {
 			return capacity * (0.25 + 0.75*float64(now-started)/float64(set.SlowStartWindow))
 		}
-		f.run(9_000*ms, 400) // the whole group is cold, and all want it
+		f.run(9_000*ms, 400) // the whole group is in slow start, and all gateways want it
 		total := 0
 		for id := policy.ServerID(2); id <= replicas+1; id++ {
 			at := f.sends[id]
@@ -144,7 +144,7 @@
 				warmth := float64(set.SlowStartMinWeight)/1000 + 0.75*float64(at[i]-started)/float64(set.SlowStartWindow)
 				most := float64(set.OverloadFactor) / 1000 * warmth * capacity * float64(set.OverloadWindow) / 1e6
 				if float64(k-i) > most {
-					t.Fatalf("%+v: %d sends to cold server %d within a fall window, it stands %.0f", c, k-i, id, most)
+					t.Fatalf("%+v: %d sends to server %d in slow start within an overload window, it stands %.0f", c, k-i, id, most)
 				}
 			}
 		}
@@ -154,12 +154,12 @@
 	}
 }
 
-// One attempt out for each of hundreds of gateways buries a server though each has little out. Below one attempt the
+// One attempt in flight from each of hundreds of gateways overloads a server though each has few. Below one attempt the
 // limit is a chance; it recovers when answers are quick again, or with time alone.
 func TestQuietGatewayHoldsBackByChance(t *testing.T) {
 	set := settings()
 	set.Gateways = 200
-	g := newRig(t, set)
+	g := newGateway(t, set)
 	g.group(2)
 	n := 0
 	share := func(reads int, res policy.Result) float64 {
@@ -203,19 +203,19 @@
 	}
 }
 
-// A limited server must not starve the busy gateways: each of their requests has the same chance as a quiet one's.
+// A limited server must not starve the busy gateways: each of their requests has the same chance as one of a gateway with little traffic.
 func TestBusyGatewayHasTheSameChance(t *testing.T) {
 	shares := map[clock.Micros]float64{}
 	for _, gap := range []clock.Micros{25 * ms, 1000 * ms} {
 		set := settings()
 		set.Gateways, set.CanHealthCheck = 200, false
-		g := newRig(t, set)
+		g := newGateway(t, set)
 		g.group(1)
 		went, reads := 0, 400
 		for i := 0; i < reads+40; i++ {
 			id := fmt.Sprint("w", i)
 			got := sent(g.after(gap).arrive(id, freshRead), id)
-			res, took, wait := policy.ResultOK, 165*ms, 20*ms // neither strained nor at ease
+			res, took, wait := policy.ResultOK, 165*ms, 20*ms // between the low and the high latency ratio
 			if i < 40 {
 				res, took, wait = policy.ResultTimeout, 400*ms, 400*ms
 			}
@@ -234,13 +234,13 @@
 	}
 }
 
-// A write that draws badly at a limited primary must not be late for it: it has nowhere else to go.
-func TestWritesDrawAgainWithinTheirAim(t *testing.T) {
+// A write that loses its draw at a limited primary must not be late for it: it has nowhere else to go.
+func TestWritesDrawAgainWithinTheirObjective(t *testing.T) {
 	set := settings()
 	set.Gateways, set.CanHealthCheck = 200, false
-	g := newRig(t, set)
+	g := newGateway(t, set)
 	g.group(1)
-	aim := set.Classes[unsafeWrite].LatencyObjective
+	aim := set.Classes[nonIdempotentWrite].LatencyObjective
 	for i := 0; i < 40; i++ {
 		id := fmt.Sprint("t", i)
 		if len(sent(g.after(500*ms).arrive(id, freshRead), id)) > 0 {
@@ -251,7 +251,7 @@
 	went, first := 0, 0
 	for i := 0; i < 100; i++ {
 		id := fmt.Sprint("w", i)
-		n := len(sent(g.after(500*ms).arrive(id, unsafeWrite), id))
+		n := len(sent(g.after(500*ms).arrive(id, nonIdempotentWrite), id))
 		first += n
 		for wait := clock.Micros(0); n == 0 && wait < aim; wait += 25 * ms {
 			n = len(sent(g.sweep(25*ms), id))
@@ -263,7 +263,7 @@
 		}
 	}
 	if went < 40 || went < 5*first {
-		t.Errorf("of 100 writes at a limited primary %d went at once and %d within their aim", first, went)
+		t.Errorf("of 100 writes at a limited primary %d went at once and %d within their objective", first, went)
 	}
 }
 
@@ -273,7 +273,7 @@
 	for _, class := range []int{freshRead, boundedRead} {
 		set := settings()
 		set.Gateways, set.CanHealthCheck = 200, false
-		g := newRig(t, set)
+		g := newGateway(t, set)
 		g.group(1) // no replica: bounded reads have only the primary
 		aim := set.Classes[class].LatencyObjective
 		for i := 0; i < 300; i++ {
--- a/internal/policy/harness_test.go
+++ b/internal/policy/harness_test.go
@@ -18,8 +18,8 @@
 	boundedRead
 	sessionRead
 	freshRead
-	unsafeWrite
-	lateRead // bounded, with worth after its aim
+	nonIdempotentWrite
+	lateRead // bounded, with a weight after its objective
 )
 
 func settings() policy.Settings {
@@ -39,12 +39,12 @@
 	}
 	s.Classes[boundedRead].StalenessBound = 800 * ms
 	s.Classes[lateRead].StalenessBound, s.Classes[lateRead].LateWeight = 800*ms, 200
-	s.Classes[unsafeWrite].LateWeight = 700
+	s.Classes[nonIdempotentWrite].LateWeight = 700
 	return s
 }
 
-// rig drives one router and keeps what it did.
-type rig struct {
+// gateway drives one router and records its actions.
+type gateway struct {
 	t    *testing.T
 	r    *policy.Router
 	now  clock.Micros
@@ -52,85 +52,85 @@
 	all  []policy.Action
 }
 
-func newRig(t *testing.T, set policy.Settings) *rig {
-	g := &rig{t: t, now: origin}
+func newGateway(t *testing.T, set policy.Settings) *gateway {
+	g := &gateway{t: t, now: origin}
 	g.r, g.acts = policy.New(g.now, 7, set)
 	g.all = append(g.all, g.acts...)
 	return g
 }
 
-func (g *rig) step(ev policy.Event) []policy.Action {
+func (g *gateway) step(ev policy.Event) []policy.Action {
 	g.acts = g.r.Step(g.now, ev)
 	g.all = append(g.all, g.acts...)
 	return g.acts
 }
 
-func (g *rig) after(d clock.Micros) *rig {
+func (g *gateway) after(d clock.Micros) *gateway {
 	g.now += d
 	return g
 }
 
-// sweep lets time pass and the router look around.
-func (g *rig) sweep(d clock.Micros) []policy.Action {
+// sweep lets time pass and delivers the sweep timer.
+func (g *gateway) sweep(d clock.Micros) []policy.Action {
 	return g.after(d).step(policy.Timer{Kind: policy.TimerSweep})
 }
 
-// member is a warm, ready member of group 1.
-func member(id policy.ServerID, primary bool) policy.Endpoint {
+// endpoint is a ready server of group 1 past its slow start.
+func endpoint(id policy.ServerID, primary bool) policy.Endpoint {
 	return policy.Endpoint{Server: id, Group: 1, State: policy.EndpointReady, Primary: primary}
 }
 
 // group lists server 1 as the primary and the others as replicas.
-func (g *rig) group(n int) {
+func (g *gateway) group(n int) {
 	var ms []policy.Endpoint
 	for id := 1; id <= n; id++ {
-		ms = append(ms, member(policy.ServerID(id), id == 1))
+		ms = append(ms, endpoint(policy.ServerID(id), id == 1))
 	}
 	g.step(policy.EndpointUpdate{Form: policy.ListCached, Endpoints: ms})
 }
 
 // fresh reports a server's position, so long ago.
-func (g *rig) fresh(id policy.ServerID, ago clock.Micros) {
+func (g *gateway) fresh(id policy.ServerID, ago clock.Micros) {
 	role := policy.RoleReplica
 	if id == 1 {
 		role = policy.RolePrimary
 	}
-	g.probed(id, role, g.now-ago)
+	g.checked(id, role, g.now-ago)
 }
 
 // newFreshPair is a router over a primary, server 1, and a replica, server 2, both known to be fresh now.
-func newFreshPair(t *testing.T) *rig {
-	g := newRig(t, settings())
+func newFreshPair(t *testing.T) *gateway {
+	g := newGateway(t, settings())
 	g.group(2)
 	g.fresh(1, 0)
 	g.fresh(2, 0)
 	return g
 }
 
-func (g *rig) probed(id policy.ServerID, role policy.Role, pos policy.Position) {
+func (g *gateway) checked(id policy.ServerID, role policy.Role, pos policy.Position) {
 	g.step(policy.HealthCheckEnded{
 		Server: id, Result: policy.ResultOK,
 		LoadReport: policy.LoadReport{Position: pos, HasPosition: true, Role: role},
 	})
 }
 
-func (g *rig) arrive(id string, class int) []policy.Action {
+func (g *gateway) arrive(id string, class int) []policy.Action {
 	return g.step(policy.Arrival{ID: id, Class: class, Group: 1, TimeLeft: 2000 * ms})
 }
 
-func (g *rig) arriveOf(id string, class int, session uint64) []policy.Action {
+func (g *gateway) arriveOf(id string, class int, session uint64) []policy.Action {
 	return g.step(policy.Arrival{ID: id, Class: class, Group: 1, TimeLeft: 2000 * ms, Session: session, HasSession: true})
 }
 
-func (g *rig) outcome(id string, attempt int, server policy.ServerID, res policy.Result) []policy.Action {
+func (g *gateway) outcome(id string, attempt int, server policy.ServerID, res policy.Result) []policy.Action {
 	return g.step(policy.Outcome{
 		ID: id, Attempt: attempt, Server: server, Result: res, Final: res == policy.ResultOK, Latency: 50 * ms,
 	})
 }
 
-// readPast plays one any read: the bad member ends each attempt with res at once, the others answer. It returns how
-// many attempts met the bad member.
-func (g *rig) readPast(id string, bad policy.ServerID, res policy.Result) int {
+// readPast plays one any read: the bad server ends each attempt with res at once, the others answer. It returns how
+// many attempts met the bad server.
+func (g *gateway) readPast(id string, bad policy.ServerID, res policy.Result) int {
 	tries := 0
 	acts := g.arrive(id, anyRead)
 	for n := 0; n < 6; n++ {
@@ -159,13 +159,13 @@
 	return out
 }
 
-// ending returns "refuse", "fail" or "" for a request.
+// ending returns "reject", "fail" or "" for a request.
 func ending(acts []policy.Action, id string) string {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case policy.Reject:
 			if a.ID == id {
-				return "refuse"
+				return "reject"
 			}
 		case policy.Fail:
 			if a.ID == id {
@@ -186,7 +186,7 @@
 	return n
 }
 
-func (g *rig) wantSent(id string, want ...policy.ServerID) {
+func (g *gateway) wantSent(id string, want ...policy.ServerID) {
 	g.t.Helper()
 	got := sent(g.acts, id)
 	if len(got) != len(want) {
@@ -199,7 +199,7 @@
 	}
 }
 
-func (g *rig) wantEnd(id, want string) {
+func (g *gateway) wantEnd(id, want string) {
 	g.t.Helper()
 	if got := ending(g.acts, id); got != want {
 		g.t.Fatalf("%s: ended by %q, want %q", id, got, want)
--- a/internal/policy/property_test.go
+++ b/internal/policy/property_test.go
@@ -9,7 +9,7 @@
 	"marblespan/internal/policy"
 )
 
-// world remembers what was told to and done by one router, and asserts the rules on each action. It models no
+// world records the events and actions of one router, and asserts the rules on each action. It models no
 // server: outcomes, positions, roles and lists are random, only legal.
 type world struct {
 	t     *testing.T
@@ -18,38 +18,38 @@
 	rng   *rand.Rand
 	r     *policy.Router
 	now   clock.Micros
-	reqs  map[string]*wreq
+	reqs  map[string]*modelRequest
 	order []string
-	srv   map[policy.ServerID]*wsrv
+	srv   map[policy.ServerID]*modelServer
 	ids   []policy.ServerID
 	timer []policy.SetTimer
 	probe []policy.ServerID
 	n     int
 }
 
-type wreq struct {
+type modelRequest struct {
 	class    int
 	group    int
 	deadline clock.Micros
 	arrived  clock.Micros
 	need     policy.Position
-	tries    []*wtry
+	tries    []*modelAttempt
 	over     bool // ended by the router, by a final outcome or by the client
 	answered int
 }
 
-type wtry struct {
+type modelAttempt struct {
 	server policy.ServerID
 	at     clock.Micros
 	out    bool
 	never  bool
 }
 
-type wsrv struct {
+type modelServer struct {
 	group   int
 	state   policy.EndpointState
-	known   policy.Position // highest position told
-	wasTold bool            // told to be primary, or listed so, and not denied since
+	known   policy.Position // highest position reported
+	wasTold bool            // reported or listed as the primary, and not denied since
 }
 
 func (w *world) fail(format string, a ...any) {
@@ -66,7 +66,7 @@
 			q := w.ending(a.ID)
 			for _, t := range q.tries {
 				if !t.never && w.set.Classes[q.class].Effect == policy.EffectNonIdempotent {
-					w.fail("%s: an unsafe request that may have run was refused", a.ID)
+					w.fail("%s: a non-idempotent request that may have run was rejected", a.ID)
 				}
 			}
 		case policy.Fail:
@@ -83,14 +83,14 @@
 		case policy.HealthCheck:
 			s := w.srv[a.Server]
 			if s == nil {
-				w.fail("probe of %d, never listed", a.Server)
+				w.fail("health check of %d, never listed", a.Server)
 			}
 			w.probe = append(w.probe, a.Server)
 		}
 	}
 }
 
-func (w *world) ending(id string) *wreq {
+func (w *world) ending(id string) *modelRequest {
 	q := w.reqs[id]
 	if q == nil || q.over {
 		w.fail("%s: a final answer to a request that is over", id)
@@ -120,9 +120,9 @@
 	for _, t := range q.tries {
 		switch {
 		case t.out && !w.set.CanHedge:
-			w.fail("%s: two attempts out", a.ID)
+			w.fail("%s: two attempts in flight", a.ID)
 		case !t.never && c.Effect == policy.EffectNonIdempotent:
-			w.fail("%s: an unsafe request that may have run was sent again", a.ID)
+			w.fail("%s: a non-idempotent request that may have run was sent again", a.ID)
 		}
 	}
 	if w.set.FreshnessCheck == policy.FreshnessCheckNone && !s.wasTold {
@@ -137,7 +137,7 @@
 			w.fail("%s: a read that needs %d went to %d, known at %d", a.ID, need-origin, a.Server, s.known-origin)
 		}
 	}
-	q.tries = append(q.tries, &wtry{server: a.Server, at: w.now, out: true})
+	q.tries = append(q.tries, &modelAttempt{server: a.Server, at: w.now, out: true})
 }
 
 func (w *world) step(ev policy.Event) { w.do(w.r.Step(w.now, ev)) }
@@ -148,7 +148,7 @@
 	class := w.rng.Intn(len(w.set.Classes))
 	c := w.set.Classes[class]
 	e := policy.Arrival{ID: id, Class: class, Group: 1 + w.rng.Intn(2), TimeLeft: c.Deadline * clock.Micros(20+w.rng.Intn(80)) / 100}
-	q := &wreq{class: class, group: e.Group, deadline: w.now + e.TimeLeft, arrived: w.now}
+	q := &modelRequest{class: class, group: e.Group, deadline: w.now + e.TimeLeft, arrived: w.now}
 	if c.Need == policy.NeedSession && w.set.SessionPositionsCarried && w.rng.Intn(2) == 0 {
 		e.SinceWrite = clock.Micros(w.rng.Intn(900)+1) * ms
 		q.need = w.now - e.SinceWrite
@@ -238,7 +238,7 @@
 	w.step(p)
 }
 
-// due delivers the timers that have come, as the wire does: at the first tick at or after their time.
+// due delivers the timers that have come due, as the wire does: at the first tick at or after their time.
 func (w *world) due() {
 	for fired := true; fired; {
 		fired = false
@@ -290,14 +290,14 @@
 		set.Gateways, set.CanCancel, set.CanSendRetryAfter = []int{1, 2, 3, 40, 250}[seed%5], seed%4 != 0, seed%3 == 0
 		set.MaxAttempts = 1 + int(seed%8)
 		w := &world{t: t, seed: seed, set: set, rng: rng, now: origin,
-			reqs: map[string]*wreq{}, srv: map[policy.ServerID]*wsrv{}}
+			reqs: map[string]*modelRequest{}, srv: map[policy.ServerID]*modelServer{}}
 		r, acts := policy.New(w.now, uint64(seed), set)
 		w.r = r
 		w.do(acts)
 		var list []policy.Endpoint
 		for id := policy.ServerID(1); id <= 8; id++ {
 			g := 1 + int(id)%2
-			w.srv[id] = &wsrv{group: g, state: policy.EndpointReady, wasTold: id <= 2}
+			w.srv[id] = &modelServer{group: g, state: policy.EndpointReady, wasTold: id <= 2}
 			w.ids = append(w.ids, id)
 			list = append(list, policy.Endpoint{Server: id, Group: g, State: policy.EndpointReady, Primary: id <= 2})
 		}
--- a/internal/policy/shape_test.go
+++ b/internal/policy/shape_test.go
@@ -39,8 +39,8 @@
 	return slices.DeleteFunc(all, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
 }
 
-// Every file of the package stands under policy in the deploy file, and nothing else does: what decides is all in one package. The
-// operators read it at night, so its lines are short.
+// Every file of the package stands under policy in the deploy file, and nothing else does: all decisions are in one
+// package. The operators read it at night, so its lines are short.
 func TestModuleShape(t *testing.T) {
 	var want []string
 	for _, name := range packageFiles(t) {
