--- a/internal/policy/health.go
+++ b/internal/policy/health.go
@@ -45,7 +45,7 @@
 		if !ran {
 			s.startedAt = max(s.startedAt, r.now)
 		}
-		r.log("server %d is back, cold: %v", s.id, !ran)
+		r.log("server %d is back, in slow start: %v", s.id, !ran)
 	}
 }
 
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -155,7 +155,7 @@
 	for i, c := range r.classes {
 		raiseTo(&c.Deadline, s.Tick, "deadline")
 		if c.LatencyObjective <= 0 || c.LatencyObjective > c.Deadline {
-			r.log("class %d: aim read as its deadline", i)
+			r.log("class %d: latency objective read as its deadline", i)
 			c.LatencyObjective = c.Deadline
 		}
 		if r.minObjective == 0 || c.LatencyObjective < r.minObjective {
