--- a/internal/protocol/sealed/replay.go
+++ b/internal/protocol/sealed/replay.go
@@ -1,89 +1,95 @@
 package sealed
 
-// Origin says which message of a sender this is: when the sender started, by its system clock, and the how-manieth it is
-// since then. Both together only grow, also over restarts.
+import "maps"
+
+// maxWindow is how many messages may overtake one that still counts, at the most: one bit of senderWindow.seen each.
+const maxWindow = 64
+
+// MessageID identifies a message of a sender. Of two messages of one sender the later one has the larger ID, also over
+// restarts.
 type MessageID struct {
-	Start    uint64 // microseconds of Unix time
-	Sequence uint64
+	Start    uint64 // when the sender started by its system clock, microseconds of Unix time
+	Sequence uint64 // of the sender's messages since then, from 1
 }
 
-// Order keeps the senders' messages in order: one that came before, or again, or too late, is told from a new one. It is
-// bounded by the number of senders, which its user bounds. It guards against replays, and without a window against messages
-// that overtake each other, too.
+// ReplayGuard numbers the messages of this gateway, and tells new messages of others from duplicates, replays and late ones
+// (an anti-replay window as of RFC 4303, for each sender). It keeps some words for each sender; its user bounds their number
+// by Retain. It is not safe for concurrent use.
 type ReplayGuard[K comparable] struct {
-	self   MessageID
-	window uint64 // how many messages may overtake one that still counts; 64 at most
-	last   map[K]*heard
+	self    MessageID // of the last message sent
+	window  uint64
+	senders map[K]*senderWindow
 }
 
-// heard is what came of one sender: the latest message, and which of the ones before it.
-type heard struct {
+// senderWindow is what was received of one sender: the latest message, and which of those before it.
+type senderWindow struct {
 	MessageID
-	seen uint64 // bit i: the message i before the latest has come
+	seen uint64 // bit i: the message i before the latest was received
 }
 
-// NewOrder makes the account of a gateway that started at a time of its system clock.
+// NewReplayGuard makes the guard of a gateway that started at a time of its system clock, microseconds of Unix time. window
+// is how many messages may overtake one that still counts, 64 at the most; with 0 none may.
 func NewReplayGuard[K comparable](start, window uint64) *ReplayGuard[K] {
-	return &ReplayGuard[K]{self: MessageID{Start: start}, window: min(window, 64), last: map[K]*heard{}}
+	return &ReplayGuard[K]{self: MessageID{Start: start}, window: min(window, maxWindow), senders: map[K]*senderWindow{}}
 }
 
-// Next is the origin of the next message sent.
-func (o *ReplayGuard[K]) NextID() MessageID {
-	o.self.Sequence++
-	return o.self
+// NextID is the ID of the next message sent.
+func (g *ReplayGuard[K]) NextID() MessageID {
+	g.self.Sequence++
+	return g.self
 }
 
-// Known is the start of a sender as last heard, 0 if it never was. It is told to that sender in every message.
-func (o *ReplayGuard[K]) KnownStart(sender K) uint64 {
-	if h := o.last[sender]; h != nil {
-		return h.Start
+// KnownStart is the start of a sender by its latest message; 0: none was received. Every message to that sender carries it as
+// Trailer.ReceiverStart.
+func (g *ReplayGuard[K]) KnownStart(sender K) uint64 {
+	if w := g.senders[sender]; w != nil {
+		return w.Start
 	}
 	return 0
 }
 
-// Take notes an authentic message and tells whether it is new. known is what its sender knows of this gateway's own start:
-// if that is later than the start in use, the system time was set back while the gateway was down, and its peers would
-// take it for its own past. It then counts as started just after what they know, told by moved.
-func (o *ReplayGuard[K]) Accept(sender K, at MessageID, known uint64) (fresh, moved bool) {
-	h := o.last[sender]
-	if h == nil {
-		h = &heard{}
-		o.last[sender] = h
+// Accept takes in the ID of an authentic message and tells whether the message is new. knownStart is the Trailer.ReceiverStart
+// of the message, this gateway's own start as the sender knows it. If that is later than the start in use the system clock was
+// set back while the gateway was down, and peers would take its messages for replays. The gateway then uses a start just after
+// the one they know, and Accept reports it by movedOn.
+func (g *ReplayGuard[K]) Accept(sender K, id MessageID, knownStart uint64) (fresh, movedOn bool) {
+	window := g.senders[sender]
+	if window == nil {
+		window = &senderWindow{}
+		g.senders[sender] = window
 	}
-	if !h.take(at, o.window) {
+	if !window.accept(id, g.window) {
 		return false, false
 	}
-	if known > o.self.Start {
-		o.self.Start, moved = known+1, true
+	if knownStart > g.self.Start {
+		g.self.Start, movedOn = knownStart+1, true
 	}
-	return true, moved
+	return true, movedOn
 }
 
-func (h *heard) take(at MessageID, window uint64) bool {
+// accept tells whether a message is new, and notes it.
+func (w *senderWindow) accept(id MessageID, window uint64) bool {
 	switch {
-	case at.Start < h.Start:
+	case id.Start < w.Start:
 		return false
-	case at.Start > h.Start:
-		h.MessageID, h.seen = at, 1
+	case id.Start > w.Start:
+		w.MessageID, w.seen = id, 1
 		return true
-	case at.Sequence > h.Sequence:
-		h.seen = h.seen<<(at.Sequence-h.Sequence) | 1 // a shift by 64 or more leaves nothing
-		h.MessageID = at
+	case id.Sequence > w.Sequence:
+		w.seen = w.seen<<(id.Sequence-w.Sequence) | 1 // a shift by 64 or more leaves nothing
+		w.MessageID = id
 		return true
 	}
-	bit := uint64(1) << (h.Sequence - at.Sequence)
-	if h.Sequence-at.Sequence >= window || h.seen&bit != 0 {
+	behind := w.Sequence - id.Sequence
+	bit := uint64(1) << behind
+	if behind >= window || w.seen&bit != 0 {
 		return false
 	}
-	h.seen |= bit
+	w.seen |= bit
 	return true
 }
 
-// Forget drops senders that are not to be kept.
-func (o *ReplayGuard[K]) Retain(keep func(sender K) bool) {
-	for s := range o.last {
-		if !keep(s) {
-			delete(o.last, s)
-		}
-	}
+// Retain drops the senders that are not to be kept.
+func (g *ReplayGuard[K]) Retain(keep func(sender K) bool) {
+	maps.DeleteFunc(g.senders, func(sender K, _ *senderWindow) bool { return !keep(sender) })
 }
--- a/internal/protocol/sealed/sealed.go
+++ b/internal/protocol/sealed/sealed.go
@@ -1,6 +1,12 @@
-// Package sealed is what all datagrams between gateways have in common: keys that change in service, a trailer that tells a
-// message's sender and its place in order, a signature over all of it, and the account of what came before. It works on bytes
-// only.
+// Package sealed is what all datagrams and stream frames between gateways have in common: shared keys that can be changed in
+// service, a signed trailer that identifies a message and its sender, a guard against replays, and the list of faults for
+// which a datagram is dropped. It works on bytes only.
+//
+// The way of a datagram: datagrams.Loop reads it and calls its Handler, the agent of internal/gossip or the speaker of
+// internal/floatingip. There receive or HandleDatagram calls check, which has the protocol's codec parse the message and,
+// by Parse of this package, verify its signature; then ReplayGuard.Accept tells whether it is new. The first fault found
+// is returned as a Fault. A forged datagram fails in Verify with UnknownKey or BadMAC. drop counts it under its fault and logs
+// it by datagrams.DropLog.
 package sealed
 
 import (
@@ -10,13 +16,13 @@
 )
 
 // Key is one of the secrets that the gateways share. Several may be valid at once, so that they change without a gap: the
-// new one is made known everywhere first, then used for signing, and the old one removed last.
+// new one is added everywhere first, then used for signing, and the old one removed last.
 type Key struct {
 	Number uint8
 	Secret []byte
 }
 
-// The sizes of a trailer without and with its signature, and of the signature alone, in bytes.
+// The sizes in bytes: of a trailer without its signature, of the signature, and of both, the sealed end of a message.
 const (
 	TrailerSize = 28
 	MACSize     = sha256.Size
@@ -26,7 +32,8 @@
 // Version is the version of the trailer's layout.
 const Version = 1
 
-// Sum is the signature over b. The purpose keeps signatures made for other ends with the same secret from being valid.
+// MAC is the signature over b, an HMAC-SHA-256. The purpose is part of it, so that signatures made for another protocol with
+// the same secret are not valid.
 func (k Key) MAC(purpose string, b []byte) []byte {
 	h := hmac.New(sha256.New, k.Secret)
 	h.Write([]byte(purpose))
@@ -34,7 +41,7 @@
 	return h.Sum(nil)
 }
 
-// Verify checks the signature at the end of b.
+// Verify checks the signature at the end of b by the key of a number. Its faults are UnknownKey and BadMAC.
 func Verify(purpose string, b []byte, number uint8, keys []Key) Fault {
 	for _, k := range keys {
 		if k.Number == number {
@@ -47,17 +54,17 @@
 	return UnknownKey
 }
 
-// Trailer is what stands behind every message.
+// Trailer is what follows every message.
 type Trailer struct {
 	Key           uint8  // which of the keys signs it
-	Sender        uint8  // the sender's number, where gateways have numbers
-	Receiver      uint8  // whom it is for, likewise
+	Sender        uint8  // the sender's node number, where nodes have numbers (VRRP)
+	Receiver      uint8  // the receiver's node number, likewise
 	Start         uint64 // when the sender started, microseconds of Unix time
 	Sequence      uint64 // of the sender's messages since then
-	ReceiverStart uint64 // the receiver's start as its sender knows it; 0: never heard
+	ReceiverStart uint64 // the receiver's start as the sender knows it; 0: not known
 }
 
-// Append writes the trailer behind the message that begins at from, and signs all of it.
+// Append writes the trailer behind the message that begins at b[from], and signs both.
 func Append(b []byte, from int, t Trailer, purpose string, key Key) []byte {
 	b = append(b, Version, key.Number, t.Sender, t.Receiver)
 	b = binary.BigEndian.AppendUint64(b, t.Start)
@@ -66,7 +73,8 @@
 	return append(b, key.MAC(purpose, b[from:])...)
 }
 
-// Parse reads and checks the trailer at the end of b, which must have Size bytes at least.
+// Parse reads and checks the trailer at the end of b, which must have Size bytes at least. Its faults are BadVersion and those
+// of Verify; with a fault the trailer is empty.
 func Parse(b []byte, purpose string, keys []Key) (Trailer, Fault) {
 	t := b[len(b)-Size:]
 	if t[0] != Version {
--- a/internal/protocol/sealed/sealed_test.go
+++ b/internal/protocol/sealed/sealed_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestOrder(t *testing.T) {
+func TestReplayGuard(t *testing.T) {
 	for _, window := range []uint64{0, 4} {
 		late := window > 0 // whether one that was overtaken still counts
 		o := NewReplayGuard[uint8](100, window)
@@ -44,7 +44,7 @@
 }
 
 // Whatever the order of arrival, none counts twice, and none that at most 63 others have overtaken is missed.
-func TestOrderOfMany(t *testing.T) {
+func TestReplayGuardRandomOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
 		o := NewReplayGuard[string](1, 64)
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestSeal(t *testing.T) {
+func TestTrailer(t *testing.T) {
 	a, b := Key{1, []byte("a secret of sixteen or more")}, Key{2, []byte("another secret, also long enough")}
 	want := Trailer{Key: 1, Sender: 3, Receiver: 4, Start: 5, Sequence: 6, ReceiverStart: 7}
 	all := Append([]byte("before message"), len("before "), want, "purpose", a)[len("before "):]
