--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -7,14 +7,14 @@
 		return m.digest
 	}
 	m.digestStale = false
-	m.digest, m.aliveOthers = 0, 0
+	m.digest, m.alivePeers = 0, 0
 	if !m.self.State.Ended() {
 		m.digest = recordHash(m.self)
 	}
 	for i := range m.members {
 		if e := &m.members[i]; !e.State.Ended() {
 			m.digest ^= recordHash(e.Record)
-			m.aliveOthers++
+			m.alivePeers++
 		}
 	}
 	if m.digest == 0 {
@@ -26,7 +26,7 @@
 // countAlive counts the other members that have not ended.
 func (m *Machine) countAlive() int {
 	m.viewDigest()
-	return m.aliveOthers
+	return m.alivePeers
 }
 
 // The offset basis and the prime of 64-bit FNV-1a.
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -13,15 +13,15 @@
 // answered.
 const rejoinIntervals = 25
 
-// eagerJoinAttempts is how often a member that knows nobody tries to join in every interval; later it tries as seldom as it
+// fastJoinAttempts is how often a member that knows nobody tries to join in every interval; later it tries as seldom as it
 // pings the dead.
-const eagerJoinAttempts = 10
+const fastJoinAttempts = 10
 
 // rejoin pings one of the dead, and the addresses to join at that no alive member has answered from. Halves that were
 // partitioned find each other again by it, whichever half tries first.
 func (m *Machine) rejoin(now clock.Micros) {
 	every := m.cfg.Interval
-	if m.countAlive() > 0 || m.joinAttempts >= eagerJoinAttempts && !m.excluded {
+	if m.countAlive() > 0 || m.joinAttempts >= fastJoinAttempts && !m.excluded {
 		every *= rejoinIntervals
 	}
 	m.nextRejoin = now + every
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -52,8 +52,8 @@
 	pathStates  []PathState     // the latest report of each reporter on each path, this member's own among them
 	pathIndex   map[pathKey]int // place in pathStates
 	digest      uint64          // of all alive members, see viewDigest
-	aliveOthers int             // how many others have not ended
-	digestStale bool            // digest and aliveOthers are to be computed again
+	alivePeers  int             // how many others have not ended
+	digestStale bool            // digest and alivePeers are to be computed again
 }
 
 // gossip is what is still to be spread.
@@ -165,7 +165,7 @@
 		v := View{Record: e.Record, Since: e.stateSince, LastReceived: e.lastReceived, RTT: e.rtt, LastHelper: e.lastHelper}
 		for _, p := range m.pathStates {
 			if !p.Healthy() && (p.Reporter == e.Name || p.Peer == e.Name) && !m.generationOver(p.Reporter, p.Generation) {
-				v.BrokenPaths = append(v.BrokenPaths, p)
+				v.LostPaths = append(v.LostPaths, p)
 			}
 		}
 		all = append(all, v)
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -55,7 +55,7 @@
 		Message: Message{
 			Kind: kind, From: m.self.Name, Generation: m.self.Generation, Incarnation: m.self.Incarnation, Digest: m.viewDigest(),
 		},
-		room: MaxMessageSize - maxHeaderSize - len(m.self.Name),
+		freeBytes: MaxMessageSize - maxHeaderSize - len(m.self.Name),
 	}
 	if to == nil || to.unaware {
 		b.add(m.self)
@@ -76,10 +76,10 @@
 	return b.Message
 }
 
-// messageBuilder is a message being filled. room is how many bytes are left for records and path reports.
+// messageBuilder is a message being filled. freeBytes is how many bytes are left for records and path reports.
 type messageBuilder struct {
 	Message
-	room int
+	freeBytes int
 }
 
 // has tells whether the message has a record of a name.
@@ -90,10 +90,10 @@
 // add adds a record that is not in the message yet. It tells whether it did.
 func (b *messageBuilder) add(r Record) bool {
 	size := recordSize(r)
-	if size > b.room || b.has(r.Name) {
+	if size > b.freeBytes || b.has(r.Name) {
 		return false
 	}
-	b.room -= size
+	b.freeBytes -= size
 	b.Records = append(b.Records, r)
 	return true
 }
@@ -101,10 +101,10 @@
 // addPath adds a path report if there is room for it. It tells whether it did.
 func (b *messageBuilder) addPath(p PathState) bool {
 	size := pathSize(p.Reporter, p.Peer)
-	if size > b.room {
+	if size > b.freeBytes {
 		return false
 	}
-	b.room -= size
+	b.freeBytes -= size
 	b.Paths = append(b.Paths, p)
 	return true
 }
@@ -132,7 +132,7 @@
 	switch {
 	case b.has(name), b.add(record):
 		return offerSent
-	case b.room < minRecordSize:
+	case b.freeBytes < minRecordSize:
 		return offerFull
 	}
 	return offerTooLarge
--- a/internal/membership/modelcheck_test.go
+++ b/internal/membership/modelcheck_test.go
@@ -19,147 +19,149 @@
 	delay    = 1
 )
 
-// mutant spoils one thing about the machine: before an event, or the actions that come of it.
+// mutant breaks one thing about the machine: its state or event before it handles it, or the actions that come of it.
 type mutant struct {
-	name   string
-	before func(m *Machine, now clock.Micros, ev Event) Event
-	after  func(m *Machine, now clock.Micros, out []Action) []Action
+	name         string
+	alterEvent   func(m *Machine, now clock.Micros, ev Event) Event
+	alterActions func(m *Machine, now clock.Micros, out []Action) []Action
 }
 
-// gateway is one machine of the explored world.
-type gateway struct {
-	id, count int
-	mut       *mutant
-	m         *Machine
-	lives     map[string]uint64 // the latest life that it has seen end, by name
-	broken    string            // what it did that it must not do
-	back      bool              // its clock is set back between two lives
+// modelNode is one machine of the model.
+type modelNode struct {
+	id, nodes        int
+	mutant           *mutant
+	machine          *Machine
+	endedGenerations map[string]uint64 // the latest generation that it has seen end, by name
+	violation        string            // the invariant that it violated itself; empty: none
+	clockSetBack     bool              // its clock is set back between two generations
 }
 
-func nameOf(i int) string { return string(rune('a' + i)) }
+func nodeName(i int) string { return string(rune('a' + i)) }
 
-func addrOf(i int) netip.AddrPort {
+func nodeAddress(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 1)
 }
 
-func (g gateway) Boot(now int64) (modelcheck.Node, []modelcheck.Message) {
-	// Lives are as far apart as clocks make them: a machine that makes new lives of its own stays below its next start.
-	life := uint64(now) * 1000
-	if g.back {
-		life = 1<<40 - life
+func (g modelNode) Boot(now int64) (modelcheck.Node, []modelcheck.Message) {
+	// Generations are as far apart as clocks make them: a machine that starts new ones of its own stays below its next start.
+	generation := uint64(now) * 1000
+	if g.clockSetBack {
+		generation = 1<<40 - generation
 	}
-	g.m = New(Config{
-		Name: nameOf(g.id), Address: addrOf(g.id), Generation: life, Interval: interval, Join: []netip.AddrPort{addrOf(0), addrOf(1)},
+	g.machine = New(Config{
+		Name: nodeName(g.id), Address: nodeAddress(g.id), Generation: generation, Interval: interval, Join: []netip.AddrPort{nodeAddress(0), nodeAddress(1)},
 	})
-	g.lives, g.broken = map[string]uint64{}, ""
+	g.endedGenerations, g.violation = map[string]uint64{}, ""
 	return g.step(now, Started{})
 }
 
-func (g gateway) step(now int64, ev Event) (modelcheck.Node, []modelcheck.Message) {
+func (g modelNode) step(now int64, ev Event) (modelcheck.Node, []modelcheck.Message) {
 	n := g
-	n.m = g.m.Clone()
-	if n.mut != nil && n.mut.before != nil {
-		ev = n.mut.before(n.m, clock.Micros(now), ev)
+	n.machine = g.machine.Clone()
+	if n.mutant != nil && n.mutant.alterEvent != nil {
+		ev = n.mutant.alterEvent(n.machine, clock.Micros(now), ev)
 	}
 	var out []Action
 	if ev != nil {
-		out = n.m.Handle(clock.Micros(now), ev)
+		out = n.machine.Handle(clock.Micros(now), ev)
 	}
-	if n.mut != nil && n.mut.after != nil {
-		out = n.mut.after(n.m, clock.Micros(now), out)
+	if n.mutant != nil && n.mutant.alterActions != nil {
+		out = n.mutant.alterActions(n.machine, clock.Micros(now), out)
 	}
-	n.lives = map[string]uint64{}
-	for k, v := range g.lives {
-		n.lives[k] = v
+	n.endedGenerations = map[string]uint64{}
+	for k, v := range g.endedGenerations {
+		n.endedGenerations[k] = v
 	}
 	var sent []modelcheck.Message
 	for _, a := range out {
 		switch a := a.(type) {
 		case Send:
-			for i := range g.count {
-				if addrOf(i) == a.Address && i != g.id {
+			for i := range g.nodes {
+				if nodeAddress(i) == a.Address && i != g.id {
 					raw, _ := json.Marshal(a.Message)
 					sent = append(sent, modelcheck.Message{To: i, Text: string(raw)})
 				}
 			}
 		case MemberChanged:
-			n.judge(a)
+			n.checkChange(a)
 		}
 	}
 	return n, sent
 }
 
-// judge holds a change against what came before: an end is final, and only a suspicion leads to a death.
-func (g *gateway) judge(a MemberChanged) {
+// checkChange compares a change with what came before: the end of a generation is final.
+func (g *modelNode) checkChange(a MemberChanged) {
 	switch ended := a.State.Ended(); {
-	case !ended && a.Generation <= g.lives[a.Name]:
-		g.broken = fmt.Sprintf("life %d of %s ended at %d and is %v again", a.Generation, a.Name, g.lives[a.Name], a.State)
+	case !ended && a.Generation <= g.endedGenerations[a.Name]:
+		g.violation = fmt.Sprintf("generation %d of %s is %[4]v after generation %[3]d had ended", a.Generation, a.Name, g.endedGenerations[a.Name], a.State)
 	case ended:
-		g.lives[a.Name] = max(g.lives[a.Name], a.Generation)
+		g.endedGenerations[a.Name] = max(g.endedGenerations[a.Name], a.Generation)
 	}
 }
 
-func (g gateway) Deliver(now int64, from int, text string) (modelcheck.Node, []modelcheck.Message) {
+func (g modelNode) Deliver(now int64, from int, text string) (modelcheck.Node, []modelcheck.Message) {
 	var msg Message
 	if err := json.Unmarshal([]byte(text), &msg); err != nil {
 		panic(err)
 	}
-	return g.step(now, MessageReceived{Source: addrOf(from), Message: msg})
+	return g.step(now, MessageReceived{Source: nodeAddress(from), Message: msg})
 }
 
-func (g gateway) Wake(now int64) (modelcheck.Node, []modelcheck.Message) { return g.step(now, Tick{}) }
+func (g modelNode) Wake(now int64) (modelcheck.Node, []modelcheck.Message) {
+	return g.step(now, Tick{})
+}
 
-func (g gateway) Next() (int64, bool) {
-	at, ok := g.m.Next()
+func (g modelNode) Next() (int64, bool) {
+	at, ok := g.machine.Next()
 	return int64(at), ok
 }
 
-func (g gateway) Key(now int64) string {
-	return fmt.Sprintf("%+v", g.m.Members()) + fmt.Sprint(g.m.self, g.broken)
+func (g modelNode) Key(now int64) string {
+	return fmt.Sprintf("%+v", g.machine.Members()) + fmt.Sprint(g.machine.self, g.violation)
 }
 
-func (g gateway) Show(now int64) string {
+func (g modelNode) Show(now int64) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s/%d[", g.m.self.Name, g.m.self.Generation)
-	for _, v := range g.m.Members()[1:] {
+	fmt.Fprintf(&b, "%s/%d[", g.machine.self.Name, g.machine.self.Generation)
+	for _, v := range g.machine.Members()[1:] {
 		fmt.Fprintf(&b, "%s/%d.%d:%v ", v.Name, v.Generation, v.Incarnation, v.State)
 	}
 	return strings.TrimSpace(b.String()) + "]"
 }
 
-// settled is how long after the last fault everybody must know everybody again: an ask of the dead, a probe and a suspicion of
-// its longest, and what the news take.
-const settled = (rejoinIntervals + 3*maxSuspicionIntervals) * interval
+// convergeTime is how long after the last fault all must know each other again: a ping to the dead, a probe and the longest
+// suspicion, and the time that gossip takes.
+const convergeTime = (rejoinIntervals + 3*maxSuspicionIntervals) * interval
 
 func invariant(w *modelcheck.World) func(*modelcheck.State) error {
 	return func(s *modelcheck.State) error {
 		for i := range s.Nodes {
-			g := s.Nodes[i].(gateway)
+			g := s.Nodes[i].(modelNode)
 			if s.Down[i] != 0 {
 				continue
 			}
-			if g.broken != "" {
-				return fmt.Errorf("%s: %s", nameOf(i), g.broken)
+			if g.violation != "" {
+				return fmt.Errorf("%s: %s", nodeName(i), g.violation)
 			}
 			for j := range s.Nodes {
 				if i == j {
 					continue
 				}
-				o := s.Nodes[j].(gateway)
-				r, known := g.m.Lookup(nameOf(j))
-				// Whoever is believed alive in a life knows that life: a member that was declared dead knows it before it is
-				// believed again.
-				if known && !r.State.Ended() && s.Down[j] == 0 && r.Generation > o.m.self.Generation && !g.back {
-					return fmt.Errorf("%s believes in life %d of %s, which is in life %d", nameOf(i), r.Generation, nameOf(j), o.m.self.Generation)
+				o := s.Nodes[j].(modelNode)
+				r, known := g.machine.Lookup(nodeName(j))
+				// A member that is believed alive in a generation is in that generation itself: one that was declared dead
+				// learns of it before it is believed again.
+				if known && !r.State.Ended() && s.Down[j] == 0 && r.Generation > o.machine.self.Generation && !g.clockSetBack {
+					return fmt.Errorf("%s believes generation %d of %s alive, which is in generation %d", nodeName(i), r.Generation, nodeName(j), o.machine.self.Generation)
 				}
-				if !s.Whole(delay) || s.Now-s.Calm < settled {
+				if !s.Whole(delay) || s.Now-s.Calm < convergeTime {
 					continue
 				}
 				switch up := s.Down[j] == 0; {
-				case up && (!known || r.State != Alive || r.Generation != o.m.self.Generation):
-					return fmt.Errorf("%s does not know %s long after the last fault: %v", nameOf(i), nameOf(j), r.State)
+				case up && (!known || r.State != Alive || r.Generation != o.machine.self.Generation):
+					return fmt.Errorf("%s does not hold %s alive long after the last fault: %v", nodeName(i), nodeName(j), r.State)
 				case !up && known && !r.State.Ended():
-					return fmt.Errorf("%s believes that %s is %v, long after its end", nameOf(i), nameOf(j), r.State)
+					return fmt.Errorf("%s holds %s %v long after its end", nodeName(i), nodeName(j), r.State)
 				}
 			}
 		}
@@ -167,16 +169,16 @@
 	}
 }
 
-type setting struct {
-	name   string
-	nodes  int
-	faults modelcheck.Faults
-	down   int64 // how long a crashed one stays away; 0: for good
-	back   bool  // clocks are set back while it is away
+type scenario struct {
+	name         string
+	nodes        int
+	faults       modelcheck.Faults
+	downFor      int64 // how long a crashed node stays down; 0: for good
+	clockSetBack bool  // its clock is set back while it is down
 }
 
-var settings = []setting{
-	{"three, calm", 3, modelcheck.Faults{}, 0, false},
+var scenarios = []scenario{
+	{"three, no fault", 3, modelcheck.Faults{}, 0, false},
 	{"three, a crash for good", 3, modelcheck.Faults{Crash: 1}, 0, false},
 	{"three, a crash and a restart", 3, modelcheck.Faults{Crash: 1}, 30 * interval, false},
 	{"three, a quick restart", 3, modelcheck.Faults{Crash: 2}, interval / 2, false},
@@ -184,45 +186,45 @@
 	{"three, a quick restart with the clock set back", 3, modelcheck.Faults{Crash: 2}, interval / 2, true},
 	{"three, pauses", 3, modelcheck.Faults{Pause: 2}, 0, false},
 	{"three, losses", 3, modelcheck.Faults{Lose: 6}, 0, false},
-	{"three, late and doubled", 3, modelcheck.Faults{Late: 3, Duplicate: 3}, 0, false},
-	{"three, one parted", 3, modelcheck.Faults{Part: 2}, 0, false},
-	{"four, partings and a crash", 4, modelcheck.Faults{Part: 3, Crash: 1, Lose: 2}, 9 * interval, false},
-	{"four, all of it", 4, modelcheck.Faults{Lose: 4, Late: 2, Duplicate: 2, Crash: 1, Pause: 1}, 20 * interval, false},
+	{"three, delayed and duplicated", 3, modelcheck.Faults{Late: 3, Duplicate: 3}, 0, false},
+	{"three, one partitioned", 3, modelcheck.Faults{Part: 2}, 0, false},
+	{"four, partitions and a crash", 4, modelcheck.Faults{Part: 3, Crash: 1, Lose: 2}, 9 * interval, false},
+	{"four, all faults", 4, modelcheck.Faults{Lose: 4, Late: 2, Duplicate: 2, Crash: 1, Pause: 1}, 20 * interval, false},
 	{"four, two crashes and a pause", 4, modelcheck.Faults{Crash: 2, Pause: 1, Lose: 2}, 9 * interval, false},
 }
 
-func (s setting) world(mut *mutant) *modelcheck.World {
+func (s scenario) world(mut *mutant) *modelcheck.World {
 	w := &modelcheck.World{
-		Delay: delay, LateBy: interval, PauseFor: []int64{2 * interval, 12 * interval, 40 * interval}, DownFor: s.down, Faults: s.faults,
-		PartFor: 30 * interval, Calm: settled,
+		Delay: delay, LateBy: interval, PauseFor: []int64{2 * interval, 12 * interval, 40 * interval}, DownFor: s.downFor, Faults: s.faults,
+		PartFor: 30 * interval, Calm: convergeTime,
 	}
 	for i := range s.nodes {
-		w.Nodes = append(w.Nodes, gateway{id: i, count: s.nodes, mut: mut, back: s.back})
+		w.Nodes = append(w.Nodes, modelNode{id: i, nodes: s.nodes, mutant: mut, clockSetBack: s.clockSetBack})
 	}
 	w.Invariant = invariant(w)
 	return w
 }
 
-// room bounds how many walks are made at a time: other packages' tests run real processes beside, which are not to starve.
-var room = make(chan bool, 2)
+// walkSlots bounds how many walks run at a time, as the tests of other packages run real processes beside.
+var walkSlots = make(chan bool, 2)
 
-// walk makes one run of moves drawn at random, faults more seldom than all else, until long after the last of them.
-func walk(s setting, mut *mutant, seed uint64) error {
-	room <- true
-	defer func() { <-room }()
-	w := s.world(mut)
+// randomWalk makes one run of moves drawn at random, faults less often than others, until long after the last fault.
+func randomWalk(sc scenario, mut *mutant, seed uint64) error {
+	walkSlots <- true
+	defer func() { <-walkSlots }()
+	w := sc.world(mut)
 	rng := rand.New(rand.NewPCG(seed, 11))
 	state := w.Start()
-	stood := make([]bool, s.nodes)
-	for steps := 0; state.Now < 2*settled+100*interval || state.Now-state.Calm < settled+interval; steps++ {
+	disturbed := make([]bool, sc.nodes)
+	for steps := 0; state.Now < 2*convergeTime+100*interval || state.Now-state.Calm < convergeTime+interval; steps++ {
 		moves := w.Moves(state)
 		if len(moves) == 0 {
 			return nil
 		}
 		faulty := func(m modelcheck.Move[*modelcheck.State]) bool { return m.To.Left != state.Left }
-		usual := slices.DeleteFunc(slices.Clone(moves), faulty)
-		if calm := state.Now > settled+60*interval; calm || rng.IntN(150) > 0 || len(usual) == len(moves) {
-			moves = usual
+		faultless := slices.DeleteFunc(slices.Clone(moves), faulty)
+		if calm := state.Now > convergeTime+60*interval; calm || rng.IntN(150) > 0 || len(faultless) == len(moves) {
+			moves = faultless
 		} else {
 			moves = slices.DeleteFunc(slices.Clone(moves), func(m modelcheck.Move[*modelcheck.State]) bool { return !faulty(m) })
 		}
@@ -230,14 +232,14 @@
 		state = m.To
 		err := w.Invariant(state)
 		for j := range state.Nodes {
-			if stood[j] = stood[j] || state.Paused[j]-state.Now > 3*interval || slices.Max(state.Parted) > 0; stood[j] || state.Down[j] != 0 {
+			if disturbed[j] = disturbed[j] || state.Paused[j]-state.Now > 3*interval || slices.Max(state.Parted) > 0; disturbed[j] || state.Down[j] != 0 {
 				continue
 			}
-			// The few losses of a run may have somebody suspected, and never dead: there is time to say that it lives.
-			o := state.Nodes[j].(gateway)
+			// The few losses of a run may have a member suspected, but never declared dead: there is time to refute it.
+			o := state.Nodes[j].(modelNode)
 			for i := range state.Nodes {
-				if r, known := state.Nodes[i].(gateway).m.Lookup(nameOf(j)); known && r.State == Dead && r.Generation == o.m.self.Generation && state.Down[i] == 0 {
-					err = fmt.Errorf("%s holds %s dead, which never stood still for long", nameOf(i), nameOf(j))
+				if r, known := state.Nodes[i].(modelNode).machine.Lookup(nodeName(j)); known && r.State == Dead && r.Generation == o.machine.self.Generation && state.Down[i] == 0 {
+					err = fmt.Errorf("%s holds %s dead, which was never stalled or partitioned for long", nodeName(i), nodeName(j))
 				}
 			}
 		}
@@ -248,15 +250,15 @@
 	return nil
 }
 
-// walks is how many runs each setting gets.
-const walks = 5
+// walksPerScenario is how many random walks each scenario gets.
+const walksPerScenario = 5
 
-func TestWalks(t *testing.T) {
-	for _, s := range settings {
+func TestRandomWalks(t *testing.T) {
+	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
-			for seed := range uint64(walks / fewer) {
-				if err := walk(s, nil, seed); err != nil {
+			for seed := range uint64(walksPerScenario / runDivisor) {
+				if err := randomWalk(s, nil, seed); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -264,60 +266,61 @@
 	}
 }
 
-// narrow is a world in which what is usual happens in one order, and a fault may come at every place of a span: breadth first
-// all of these runs are looked at, where with every order of messages it would not get past the first moments.
-type narrow struct {
+// singleOrder is a world in which moves without a fault happen in one order, and a fault may come at every moment between two
+// times. Breadth first all of these runs are checked; with every order of messages the search would not get past the first
+// moments.
+type singleOrder struct {
 	*modelcheck.World
 	from, to int64
 }
 
-func (n narrow) Moves(s *modelcheck.State) (out []modelcheck.Move[*modelcheck.State]) {
-	if s.Now > n.to+n.Calm+interval {
+func (o singleOrder) Moves(s *modelcheck.State) (out []modelcheck.Move[*modelcheck.State]) {
+	if s.Now > o.to+o.Calm+interval {
 		return nil
 	}
-	for _, m := range n.World.Moves(s) {
-		if faulty := m.To.Left != s.Left; faulty && s.Now >= n.from && s.Now < n.to || !faulty && len(out) == 0 {
+	for _, m := range o.World.Moves(s) {
+		if faulty := m.To.Left != s.Left; faulty && s.Now >= o.from && s.Now < o.to || !faulty && len(out) == 0 {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-// One fault, at every place of an interval in which three or four members know each other, and a second one at the
-// same places: nothing is broken on the way, and everybody knows everybody long after it.
-func TestEveryPlace(t *testing.T) {
-	if fewer > 1 {
+// One fault, at every moment of an interval in which three or four members know each other, and a second one at the same
+// moments: no invariant is violated on the way, and all know each other long after it.
+func TestFaultAtEveryMoment(t *testing.T) {
+	if runDivisor > 1 {
 		t.Skip("the same states as without the race detector, many times slower")
 	}
 	for _, c := range []struct {
-		setting
-		span int64
+		scenario
+		window int64
 	}{
-		{setting{"three, a crash and a restart", 3, modelcheck.Faults{Crash: 1}, 30 * interval, false}, interval},
-		{setting{"three, a pause", 3, modelcheck.Faults{Pause: 1}, 0, false}, interval / 2},
-		{setting{"three, losses", 3, modelcheck.Faults{Lose: 2}, 0, false}, interval},
-		{setting{"three, one late or doubled", 3, modelcheck.Faults{Late: 1, Duplicate: 1}, 0, false}, interval},
-		{setting{"four, a loss", 4, modelcheck.Faults{Lose: 1}, 0, false}, interval},
+		{scenario{"three, a crash and a restart", 3, modelcheck.Faults{Crash: 1}, 30 * interval, false}, interval},
+		{scenario{"three, a pause", 3, modelcheck.Faults{Pause: 1}, 0, false}, interval / 2},
+		{scenario{"three, losses", 3, modelcheck.Faults{Lose: 2}, 0, false}, interval},
+		{scenario{"three, one delayed or duplicated", 3, modelcheck.Faults{Late: 1, Duplicate: 1}, 0, false}, interval},
+		{scenario{"four, a loss", 4, modelcheck.Faults{Lose: 1}, 0, false}, interval},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			room <- true
-			defer func() { <-room }()
-			n := narrow{World: c.world(nil), from: 10 * interval, to: 10*interval + c.span}
+			walkSlots <- true
+			defer func() { <-walkSlots }()
+			n := singleOrder{World: c.world(nil), from: 10 * interval, to: 10*interval + c.window}
 			res := modelcheck.Run(n, modelcheck.Limits{})
 			t.Logf("%d states, %d moves, depth %d", res.States, res.Moves, res.Depth)
 			if res.Broken != nil {
 				t.Error(res.Broken)
 			}
 			if !res.Whole || res.States < res.Depth+100 {
-				t.Error("it has not looked at all places")
+				t.Errorf("got %d states, depth %d, complete %v: want all moments checked", res.States, res.Depth, res.Whole)
 			}
 		})
 	}
 }
 
-// without drops the records for which skip holds from a message.
-func without(ev Event, skip func(Record) bool) Event {
+// withoutRecords drops the records for which skip holds from a message.
+func withoutRecords(ev Event, skip func(Record) bool) Event {
 	h, ok := ev.(MessageReceived)
 	if !ok {
 		return ev
@@ -326,30 +329,30 @@
 	return h
 }
 
-// Each of these machines is wrong in one point. The walks must find a run that shows it, or the invariants are worth nothing.
+// Each of these machines is wrong in one point. The walks must find a run that shows it, or the invariants prove nothing.
 var mutants = []mutant{
-	{name: "never suspects", after: func(m *Machine, now clock.Micros, out []Action) []Action {
+	{name: "never suspects", alterActions: func(m *Machine, now clock.Micros, out []Action) []Action {
 		for i := range m.probes {
 			m.probes[i].sentAt = now
 		}
 		return out
 	}},
-	{name: "a suspicion never ends", after: func(m *Machine, now clock.Micros, out []Action) []Action {
+	{name: "a suspicion never ends", alterActions: func(m *Machine, now clock.Micros, out []Action) []Action {
 		for i := range m.members {
 			m.members[i].suspectedSince = now
 		}
 		return out
 	}},
-	{name: "a suspicion kills at once", after: func(m *Machine, now clock.Micros, out []Action) []Action {
+	{name: "a suspicion kills at once", alterActions: func(m *Machine, now clock.Micros, out []Action) []Action {
 		for i := range m.members {
 			m.members[i].suspectedSince, m.members[i].lastAck = now-99*interval, 0
 		}
 		return out
 	}},
-	{name: "does not say that it lives", before: func(m *Machine, now clock.Micros, ev Event) Event {
-		return without(ev, func(r Record) bool { return r.Name == m.self.Name && r.State == Suspect })
+	{name: "does not refute a suspicion", alterEvent: func(m *Machine, now clock.Micros, ev Event) Event {
+		return withoutRecords(ev, func(r Record) bool { return r.Name == m.self.Name && r.State == Suspect })
 	}},
-	{name: "says that it lives in the same words", after: func(m *Machine, now clock.Micros, out []Action) []Action {
+	{name: "refutes without a higher incarnation", alterActions: func(m *Machine, now clock.Micros, out []Action) []Action {
 		m.self.Incarnation, m.digestStale = 0, true
 		for i := range out {
 			if s, ok := out[i].(Send); ok {
@@ -364,10 +367,10 @@
 		}
 		return out
 	}},
-	{name: "does not believe that it was declared dead", before: func(m *Machine, now clock.Micros, ev Event) Event {
-		return without(ev, func(r Record) bool { return r.Name == m.self.Name && r.State.Ended() })
+	{name: "ignores that it was declared dead", alterEvent: func(m *Machine, now clock.Micros, ev Event) Event {
+		return withoutRecords(ev, func(r Record) bool { return r.Name == m.self.Name && r.State.Ended() })
 	}},
-	{name: "the dead come back in the same life", before: func(m *Machine, now clock.Micros, ev Event) Event {
+	{name: "the dead come back in the same generation", alterEvent: func(m *Machine, now clock.Micros, ev Event) Event {
 		if h, ok := ev.(MessageReceived); ok {
 			if e := m.find(h.Message.From); e != nil && e.State == Dead && e.Generation == h.Message.Generation {
 				e.State, e.accusers = Alive, nil
@@ -375,7 +378,7 @@
 		}
 		return ev
 	}},
-	{name: "goes back to an earlier life", before: func(m *Machine, now clock.Micros, ev Event) Event {
+	{name: "goes back to an earlier generation", alterEvent: func(m *Machine, now clock.Micros, ev Event) Event {
 		if h, ok := ev.(MessageReceived); ok {
 			if e := m.find(h.Message.From); e != nil && e.Generation > h.Message.Generation {
 				e.Generation = h.Message.Generation
@@ -383,7 +386,7 @@
 		}
 		return ev
 	}},
-	{name: "makes up a new life for one that is declared dead", after: func(m *Machine, now clock.Micros, out []Action) []Action {
+	{name: "makes up a new generation for a dead member", alterActions: func(m *Machine, now clock.Micros, out []Action) []Action {
 		for i := range m.members {
 			if e := &m.members[i]; e.State == Dead {
 				e.State, e.Generation = Alive, e.Generation+1
@@ -391,7 +394,7 @@
 		}
 		return out
 	}},
-	{name: "a new life that is no later than the last", after: func(m *Machine, now clock.Micros, out []Action) []Action {
+	{name: "a new generation that is no later than the last", alterActions: func(m *Machine, now clock.Micros, out []Action) []Action {
 		for _, a := range out {
 			if n, ok := a.(Notice); ok && n.Kind == DeclaredDead {
 				m.self.Generation--
@@ -399,13 +402,13 @@
 		}
 		return out
 	}},
-	{name: "never asks to be let in", after: func(m *Machine, now clock.Micros, out []Action) []Action {
+	{name: "never joins", alterActions: func(m *Machine, now clock.Micros, out []Action) []Action {
 		return slices.DeleteFunc(out, func(a Action) bool { s, ok := a.(Send); return ok && s.To == "" && s.Message.Kind == Ping })
 	}},
-	{name: "answers nobody whom it does not know", after: func(m *Machine, now clock.Micros, out []Action) []Action {
+	{name: "does not answer unknown members", alterActions: func(m *Machine, now clock.Micros, out []Action) []Action {
 		return slices.DeleteFunc(out, func(a Action) bool { s, ok := a.(Send); return ok && s.To == "" })
 	}},
-	{name: "judges on waking what lies unread", before: func(m *Machine, now clock.Micros, ev Event) Event {
+	{name: "accuses after a stall what lies unread", alterEvent: func(m *Machine, now clock.Micros, ev Event) Event {
 		if next, ok := m.Next(); ok && now > next+interval {
 			for i := range m.members {
 				if e := &m.members[i]; e.State == Alive {
@@ -417,7 +420,7 @@
 		}
 		return ev
 	}},
-	{name: "does not listen to the dead, not even about itself", before: func(m *Machine, now clock.Micros, ev Event) Event {
+	{name: "ignores what the dead say of it", alterEvent: func(m *Machine, now clock.Micros, ev Event) Event {
 		if h, ok := ev.(MessageReceived); ok {
 			if e := m.find(h.Message.From); e != nil && e.State == Dead && e.Generation == h.Message.Generation {
 				h.Message.Records = nil
@@ -426,21 +429,21 @@
 		}
 		return ev
 	}},
-	{name: "tells nobody that he is accused", before: func(m *Machine, now clock.Micros, ev Event) Event {
-		return without(ev, func(r Record) bool { return r.Name == m.self.Name })
+	{name: "tells no suspect that it is suspected", alterEvent: func(m *Machine, now clock.Micros, ev Event) Event {
+		return withoutRecords(ev, func(r Record) bool { return r.Name == m.self.Name })
 	}},
 }
 
 func TestMutantsAreCaught(t *testing.T) {
-	if fewer > 1 {
+	if runDivisor > 1 {
 		t.Skip("the same runs as without the race detector, many times slower")
 	}
 	for _, mut := range mutants {
 		t.Run(mut.name, func(t *testing.T) {
 			t.Parallel()
-			for seed := range uint64(walks) {
-				for _, s := range settings {
-					if err := walk(s, &mut, seed); err != nil {
+			for seed := range uint64(walksPerScenario) {
+				for _, s := range scenarios {
+					if err := randomWalk(s, &mut, seed); err != nil {
 						t.Logf("caught by %q: %.160s", s.name, err)
 						return
 					}
--- a/internal/membership/norace_test.go
+++ b/internal/membership/norace_test.go
@@ -2,4 +2,4 @@
 
 package membership
 
-const fewer = 1
+const runDivisor = 1
--- a/internal/membership/race_test.go
+++ b/internal/membership/race_test.go
@@ -2,5 +2,5 @@
 
 package membership
 
-// fewer divides the number of runs: the race detector makes each many times slower, and the machine has one goroutine.
+// runDivisor divides the number of runs: the race detector makes each many times slower, and the machine has one goroutine.
 const fewer = 8
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -99,12 +99,12 @@
 	m.self.State = Alive
 	m.self.Generation++
 	m.excluded, m.nextRejoin = true, now+rejoinIntervals*m.cfg.Interval/excludedRejoinFraction
-	m.forgetOthers()
+	m.forgetMembers()
 	m.emit(Notice{Kind: Excluded, Address: owner.Address, Generation: owner.Generation})
 }
 
-// forgetOthers drops all that is known of others, and all that is under way with them.
-func (m *Machine) forgetOthers() {
+// forgetMembers drops all that is known of others, and all that is under way with them.
+func (m *Machine) forgetMembers() {
 	m.members, m.index, m.digestStale = nil, map[string]int{}, true
 	m.pathStates, m.pathIndex = nil, map[pathKey]int{}
 	m.memberGossip, m.pathGossip = gossipQueue{}, gossipQueue{}
