--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -155,9 +155,9 @@
 // member is one with a value in each field, but for those that only a try of streams fills.
 func member(name string) gossip.Member {
 	return gossip.Member{
-		Name: name, Address: "192.0.2.3:7946", Generation: 1_767_225_600_000_000, Incarnation: 2, State: "suspect", ForMS: 3000, ReportedBy: "gw-3", HeardMS: 400,
+		Name: name, Address: "192.0.2.3:7946", Generation: 1_767_225_600_000_000, Incarnation: 2, State: "suspect", ForMS: 3000, ReportedBy: "gw-3", LastReceivedMS: 400,
 		RTTMicros: 500, Zone: "b", Weight: 6, Version: "1.2.3", Settings: "00000000000000ff", SettingsDiffer: true, Flags: []string{"draining", "no disk"},
-		BrokenPaths: []string{"gw-1 -> gw-2"},
+		LostPaths: []string{"gw-1 -> gw-2"},
 	}
 }
 
--- a/internal/cli/members.go
+++ b/internal/cli/members.go
@@ -58,8 +58,8 @@
 	name, lastHeard, settings := m.Name, "-", "same"
 	if m.Self {
 		name += " (this one)"
-	} else if m.HeardMS >= 0 {
-		lastHeard = milliseconds(m.HeardMS).String()
+	} else if m.LastReceivedMS >= 0 {
+		lastHeard = milliseconds(m.LastReceivedMS).String()
 	}
 	if m.SettingsDiffer {
 		settings = "differ"
@@ -67,5 +67,5 @@
 	started := time.UnixMicro(int64(m.Generation)).UTC().Format("2006-01-02T15:04:05.000")
 	return fmt.Sprintf("%s\t%s\t%v\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s", name, m.State, milliseconds(m.ForMS), orDash(m.ReportedBy),
 		started, m.Address, lastHeard, roundTrip(m.RTTMicros), orDash(m.Zone), m.Weight,
-		orDash(m.Version), settings, orDash(strings.Join(m.Flags, ",")), orDash(strings.Join(m.BrokenPaths, ",")))
+		orDash(m.Version), settings, orDash(strings.Join(m.Flags, ",")), orDash(strings.Join(m.LostPaths, ",")))
 }
--- /dev/null
+++ b/internal/gossip/loop.go
@@ -0,0 +1,188 @@
+package gossip
+
+import (
+	"net/netip"
+	"time"
+
+	"marblespan/internal/membership"
+	codec "marblespan/internal/protocol/members"
+	"marblespan/internal/protocol/sealed"
+)
+
+// This file is what the agent's goroutine does: datagrams and timers become events of the machine, and the machine's actions
+// are carried out.
+
+// replayWindow is how many messages of a sender may overtake one that still counts: an ack that took longer than the next one
+// is an ack all the same.
+const replayWindow = 64
+
+// maxSenders bounds how many senders the replay guard keeps. Only who has a key can fill it.
+const maxSenders = 4 * membership.MaxMembers
+
+// sender identifies the sender of datagrams. Its address is part of it, as two processes may have one name.
+type sender struct {
+	name    string
+	address netip.AddrPort
+}
+
+// loopHandler is the agent as its loop calls it.
+type loopHandler struct{ *Agent }
+
+// Start joins.
+func (h loopHandler) Start() { h.handle(membership.Started{}) }
+
+// NextTimer is when the machine's next timer is due.
+func (h loopHandler) NextTimer() time.Time {
+	if at, ok := h.machine.Next(); ok {
+		return h.clock.Time(at)
+	}
+	return time.Time{}
+}
+
+// CheckTimers tells the machine of changes of the gateway itself, and has it do what is due.
+func (h loopHandler) CheckTimers() {
+	if now := h.self(); now != h.lastSelf {
+		h.lastSelf = now
+		h.handle(membership.MetaUpdated{Meta: h.meta()})
+	}
+	if at, ok := h.machine.Next(); ok && h.clock.Now() >= at {
+		h.handle(membership.Tick{})
+	}
+}
+
+// HandleDatagram checks one datagram and hands its message to the machine, or drops it.
+func (h loopHandler) HandleDatagram(b []byte, from netip.AddrPort) {
+	h.Counts.Received.Add(1)
+	msg, fault := h.check(b, from)
+	if fault != sealed.NoFault {
+		h.drop(fault, from)
+		return
+	}
+	if advertised, known := h.advertisedOf[from]; known {
+		from = advertised
+	}
+	h.handle(membership.MessageReceived{Source: from, Message: msg})
+}
+
+// check parses a datagram and verifies that it is authentic (codec.Parse) and new. Forged datagrams, replays and garbage have
+// a fault.
+func (a *Agent) check(b []byte, source netip.AddrPort) (membership.Message, sealed.Fault) {
+	msg, trailer, fault := codec.Parse(b, a.settings.Deployment, a.settings.Keys)
+	if fault != sealed.NoFault {
+		return msg, fault
+	}
+	from := sender{msg.From, source}
+	a.reserveSender(from)
+	fresh, movedOn := a.replay.Accept(from, sealed.MessageID{Start: trailer.Start, Sequence: trailer.Sequence}, trailer.ReceiverStart)
+	if movedOn {
+		a.log.Warn().Str("peer", msg.From).Msg("peers know a later start of this gateway: its clock was set back; moved past it")
+	}
+	if !fresh {
+		return msg, sealed.Replayed
+	}
+	return msg, sealed.NoFault
+}
+
+// reserveSender counts a sender that the replay guard does not know. Where there are too many all are forgotten.
+func (a *Agent) reserveSender(from sender) {
+	if a.replay.KnownStart(from) != 0 {
+		return
+	}
+	if a.senderCount++; a.senderCount > maxSenders {
+		a.senderCount = 0
+		a.replay.Retain(func(sender) bool { return false })
+	}
+}
+
+// drop counts and logs a datagram that check rejected.
+func (a *Agent) drop(fault sealed.Fault, from netip.AddrPort) {
+	a.Counts.Dropped[fault].Add(1)
+	a.drops.Dropped(fault.Name(), from)
+}
+
+// handle hands an event to the machine and carries out the actions that come of it.
+func (a *Agent) handle(ev membership.Event) {
+	for _, action := range a.machine.Handle(a.clock.Now(), ev) {
+		switch action := action.(type) {
+		case membership.Send:
+			a.send(action)
+		case membership.MemberChanged:
+			a.memberChanged(action)
+		case membership.PathChanged:
+			a.pathChanged(action.State)
+		case membership.Notice:
+			a.noticed(action)
+		case membership.LeaveCompleted:
+			close(a.leaveDone)
+		}
+	}
+}
+
+// send signs a message and writes it to the socket. One that cannot be sent is counted; the machine deals with it as with any
+// lost message.
+func (a *Agent) send(s membership.Send) {
+	to := s.Address
+	if via, known := a.settings.Via[to]; known {
+		to = via
+	}
+	id := a.replay.NextID()
+	b, err := codec.Append(nil, s.Message, sealed.Trailer{
+		Start: id.Start, Sequence: id.Sequence, ReceiverStart: a.replay.KnownStart(sender{s.Message.To, to}),
+	}, a.settings.Deployment, a.settings.Keys[0])
+	if err == nil {
+		err = a.loop.Send(b, to)
+	}
+	if err != nil {
+		a.Counts.SendFailed.Add(1)
+		return
+	}
+	a.Counts.Sent.Add(1)
+	a.Counts.SentBytes.Add(int64(len(b)))
+}
+
+// memberChanged counts and logs a change of the view, and tells the gateway of it.
+func (a *Agent) memberChanged(c membership.MemberChanged) {
+	a.Counts.Changes.Add(1)
+	a.addresses.Store(c.Name, c.Address)
+	if c.State == membership.Dead {
+		a.Counts.Deaths.Add(1)
+	}
+	if a.onChange != nil {
+		a.onChange(c)
+	}
+	line := a.log.Info()
+	if c.State == membership.Suspect || c.State == c.Previous && !c.NewGeneration {
+		line = a.log.Debug() // most suspicions are refuted; the counters show how many
+	}
+	line.Str("member", c.Name).Uint64("life", c.Generation).Stringer("from", c.Previous).Stringer("to", c.State).Bool("new", c.NewGeneration).
+		Str("by", c.ReportedBy).Str("at", c.Address.String()).Msg("member")
+}
+
+// pathChanged counts and logs a change of this member's own report on a path.
+func (a *Agent) pathChanged(p membership.PathState) {
+	a.Counts.PathChanges.Add(1)
+	a.log.Info().Str("member", p.Peer).Bool("unheard", p.OutboundLost).Bool("deaf", p.InboundLost).Msg("member path")
+}
+
+// noticed counts and logs what the machine has found out about this member.
+func (a *Agent) noticed(n membership.Notice) {
+	a.Counts.Noticed[n.Kind].Add(1)
+	line := a.log.Warn()
+	if n.Kind == membership.SuspicionRefuted {
+		a.Counts.Refutations.Add(1)
+		line = a.log.Debug()
+	}
+	if line = line.Stringer("what", n.Kind); n.ReportedBy != "" {
+		line = line.Str("by", n.ReportedBy)
+	}
+	if n.Address.IsValid() {
+		line = line.Str("at", n.Address.String())
+	}
+	if n.Generation != 0 {
+		line = line.Uint64("life", n.Generation)
+	}
+	if n.StallDuration != 0 {
+		line = line.Int64("for_ms", int64(n.StallDuration)/1000)
+	}
+	line.Msg("membership")
+}
