--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -252,6 +252,6 @@
 	Since        clock.Micros // start of the present state
 	LastReceived clock.Micros // last message from itself; 0: never
 	RTT          clock.Micros // of the last ping that was answered directly; 0: none was
-	LostPaths  []PathState  // paths between it and others that either side reports as lost
+	LostPaths    []PathState  // paths between it and others that either side reports as lost
 	LastHelper   string       // the helper that reached it last; empty: none did
 }
