--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -15,14 +15,14 @@
 //
 // # When a client disconnects
 //
-// Session notices it (client.leave in pending.go) and posts ClientDisconnected. Core.Handle closes the request: nothing that
-// still arrives for it is answered. It then steps the router with policy.ClientDisconnected, which may return policy.Cancel
-// for an attempt in flight; Attempt.Cancel closes or cancels on the server's connection. The attempt still ends in one
-// AttemptEnded, after which Core forgets the request.
+// Session notices it and calls client.abandonQueries (answers.go), which posts ClientDisconnected for each open query.
+// Core.Handle closes the request, so that nothing which still arrives for it is answered, and steps the router with
+// policy.ClientDisconnected. The router may return policy.Cancel for the attempt in flight; Attempt.Cancel (session's
+// task.Cancel) then breaks off the dial or the server's connection. The attempt still ends in one AttemptEnded, after which
+// Core forgets the request.
 //
-// Writes of an in-doubt class fork off before that: for them client.leave posts nothing here and cancels the claim of the
-// intent instead (package intents). An attempt already sent runs to its end, so that whoever repeats the write finds its
-// result.
+// In-doubt writes fork off before that: for them client.abandonQueries posts nothing here and calls intents.Write.Cancel
+// instead. An attempt already sent runs to its end, so that whoever repeats the write finds its result.
 package routing
 
 import (
--- a/internal/session/crossing_test.go
+++ b/internal/session/crossing_test.go
@@ -304,7 +304,7 @@
 // A task that is given up in the very moment in which its answer was read whole leaves a connection that is not used again.
 // Fails without the look for the abort in settle.
 func TestAbandonedBehindItsAnswer(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	answered := newTask(r.job("a"))
 	l := &serverConn{all: r.servers, endpoint: r.servers.endpointOf(1), current: answered}
 	if _, _, err := l.connect(answered); err != nil {
@@ -330,7 +330,7 @@
 // A task that is given up between the connection's coming up and the first byte is not sent: the server never sees it. Fails
 // without the look for the abort in Write.
 func TestAbandonedBeforeItsFirstByte(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	task := newTask(r.job("a"))
 	l := &serverConn{all: r.servers, endpoint: r.servers.endpointOf(1), current: task}
 	if _, _, err := l.connect(task); err != nil {
@@ -357,7 +357,7 @@
 			q.Write(postgres.AppendError(nil, false, postgres.CodeRefused, "full", 0))
 		},
 	} {
-		r := newRig(t)
+		r := newHarness(t)
 		r.server.SetHandle(handle)
 		job := r.job("a")
 		job.Deadline = job.SentAt + 4*clock.Micros(patience/time.Microsecond)
@@ -439,7 +439,7 @@
 	l net.Listener
 }
 
-func newSlowServer(t *testing.T, r *rig) *slowServer {
+func newSlowServer(t *testing.T, r *harness) *slowServer {
 	s := &slowServer{t, listenLoopback(t)}
 	r.servers.SetEndpoint(1, s.l.Addr().String())
 	return s
@@ -467,13 +467,13 @@
 // A server that the list takes out, or moves, while a connection to it comes up gets no byte of a request on it: the attempt
 // never ran, and may go elsewhere. What is sent to it after its return does. Fails without withdrawn in exchange.
 func TestWithdrawnWhileAConnectionComesUp(t *testing.T) {
-	for name, change := range map[string]func(*rig){
-		"taken out": func(r *rig) { r.servers.Withdraw(1) },
-		"moved":     func(r *rig) { r.servers.SetEndpoint(1, r.server.Addr()) },
+	for name, change := range map[string]func(*harness){
+		"taken out": func(r *harness) { r.servers.Withdraw(1) },
+		"moved":     func(r *harness) { r.servers.SetEndpoint(1, r.server.Addr()) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t)
-			r.facts(func(f *settings.InForce) { f.Settings.ConnectTimeout = clock.Micros(patience / time.Microsecond) })
+			r := newHarness(t)
+			r.changeSettings(func(f *settings.InForce) { f.Settings.ConnectTimeout = clock.Micros(patience / time.Microsecond) })
 			slow := newSlowServer(t, r)
 			r.servers.Send(r.job("a"))
 			nc := slow.accept()
@@ -499,8 +499,8 @@
 // The time that a server is told is what is left when its first byte is written, not when its connection was asked for.
 // Fails where the time is taken before the connection is up.
 func TestTimeToldIsWhatIsLeft(t *testing.T) {
-	r := newRig(t)
-	r.facts(func(f *settings.InForce) { f.Settings.ConnectTimeout = clock.Micros(patience / time.Microsecond) })
+	r := newHarness(t)
+	r.changeSettings(func(f *settings.InForce) { f.Settings.ConnectTimeout = clock.Micros(patience / time.Microsecond) })
 	slow := newSlowServer(t, r)
 	job := r.job("a")
 	r.servers.Send(job)
--- a/internal/session/discovery.go
+++ b/internal/session/discovery.go
@@ -19,21 +19,22 @@
 // CallTimeouts are the time limits of calls to discovery.
 type CallTimeouts struct {
 	Connect time.Duration // until the connection is up
-	Answer  time.Duration // from then on, until the whole list or the first line of a watch has come
+	Answer  time.Duration // from then on, until the complete list or the first line of a watch
 	Silence time.Duration // between two lines of a watch; an empty one comes every 2 s
 }
 
-// DefaultCallTimeouts are the limits of a gateway in service. Whatever failed before, a change counts as known 6 s after
-// discovery had it and could be reached. Within that time a watch that has fallen silent has to be noticed, and the next
-// call answered; likewise a call that hangs has to be given up, and the next one answered. internal/gateway adds both sums
-// up in a test, with the pauses of the module.
+// DefaultCallTimeouts are the limits of a gateway in service. Whatever failed before, a change counts as known 6 s after discovery
+// had it and could be reached. Within that time a watch that has fallen silent has to be noticed, and the next call answered;
+// likewise a call that hangs has to be given up, and the next one answered. A test of package gateway adds both sums up, with the
+// router's pauses.
 var DefaultCallTimeouts = CallTimeouts{
 	Connect: 400 * time.Millisecond, Answer: 2 * time.Second, Silence: 2800 * time.Millisecond,
 }
 
-// Discovery asks for the member list, and watches it on a connection that stays open.
+// Discovery fetches the endpoint list, and watches it on a connection that stays open. It implements routing.Discovery. Each call
+// has a goroutine of its own (Discovery.start), which ends with the call; Close waits for all.
 type Discovery struct {
-	Addr    string // where it listens; Move changes it
+	Addr    string // where discovery listens; SetAddress changes it
 	Owner   Queue
 	Buffers *transport.Buffers
 	Fds     *transport.Descriptors
@@ -41,15 +42,15 @@
 	Limits  CallTimeouts
 
 	mu          sync.Mutex
-	watch       *call // the newest, or the whole list that comes before it
-	previous    *call // a watch at the address before, until the new one has told its list
-	wanted      bool  // the module has asked for a watch
-	unconfirmed bool  // nothing was heard from this address yet: its versions may be others
+	watch       *call // the newest, or the complete list that is fetched before it
+	previous    *call // a watch at the previous address, until the new one has sent its list
+	wanted      bool  // the router has asked for a watch
+	unconfirmed bool  // this address has not answered yet: its revisions may differ
 	calls       map[*call]struct{}
 	running     sync.WaitGroup
 
-	// telling is held while news is handed to the owner, so that it goes there in order: no list of the previous address
-	// behind one of the new, no list behind the failure that came after it. It is taken before mu.
+	// posting is held while an update is posted to the owner, so that updates arrive in order: no list of the previous
+	// address after one of the new, no list after the failure that followed it. It is locked before mu.
 	posting sync.Mutex
 }
 
@@ -58,17 +59,17 @@
 	all          *Discovery
 	addr         string
 	watch        bool
-	thenWatch    bool // a watch follows behind the whole list that this call brings
+	thenWatch    bool // a watch follows the complete list that this call fetches
 	ctx          context.Context
 	stop         context.CancelFunc
-	listReceived bool // the answer has brought a list
+	listReceived bool // the answer has contained a list
 
 	mu   sync.Mutex
 	conn *transport.Conn
 }
 
-// Watch asks for the changes after a version; a watch under way is replaced. An address that was not heard yet is asked
-// for its whole list first.
+// Watch subscribes to the changes after a revision, in place of a watch in progress. An address that has not answered yet is
+// asked for its complete list first.
 func (d *Discovery) Watch(from int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -76,14 +77,14 @@
 	d.startWatch(from)
 }
 
-// ask starts the watch in place of the one before. The caller holds the lock.
+// startWatch starts a watch in place of the one before. The caller holds mu.
 func (d *Discovery) startWatch(from int64) {
 	d.watch.cancel()
 	d.watch = d.start(!d.unconfirmed, d.unconfirmed, from)
 }
 
-// Move asks another address from now on, whatever time the module has planned to ask again. The watch at the previous
-// address goes on until the new one has told its list; then, or when it ends, nothing more is told of it.
+// SetAddress asks another address from now on, whenever the router has planned to ask again. The watch at the previous address
+// goes on until the new one has sent its list; then, or when it ends, nothing more is posted from it.
 func (d *Discovery) SetAddress(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -109,7 +110,7 @@
 	d.watch, d.previous = nil, nil
 }
 
-// Fetch asks for the whole list once.
+// Fetch asks for the complete list once.
 func (d *Discovery) Fetch() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -128,7 +129,7 @@
 	d.running.Wait()
 }
 
-// start begins a call. The caller holds the lock.
+// start begins a call on a goroutine of its own. The caller holds mu.
 func (d *Discovery) start(watch, leads bool, from int64) *call {
 	c := &call{all: d, addr: d.Addr, watch: watch, thenWatch: leads}
 	c.ctx, c.stop = context.WithCancel(context.Background())
@@ -144,9 +145,8 @@
 	return c
 }
 
-// ended forgets a call, lets the watch follow behind the list that leads to it, and tells whether the module must
-// hear of a failure: not of a call that another has taken the place of, nor of one to the previous address while the new
-// one is being asked.
+// ended forgets a call, lets the watch follow the list that leads to it, and reports whether the router must hear of a failure:
+// not of a call that another has replaced, nor of one to the previous address while the new one is being asked.
 func (d *Discovery) ended(c *call, rev int64, reason transport.Reason) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -168,7 +168,7 @@
 	return reason != transport.EndDone
 }
 
-// serve carries a call out and notes its end.
+// serve carries a call out and logs its end.
 func (c *call) serve(from int64) {
 	d := c.all
 	since := time.Now()
@@ -190,7 +190,7 @@
 	}
 }
 
-// cancel ends the call; nothing more is told of it.
+// cancel ends the call; nothing more is posted from it.
 func (c *call) cancel() {
 	if c == nil {
 		return
@@ -205,7 +205,7 @@
 
 func (c *call) cancelled() bool { return c.ctx.Err() != nil }
 
-// run carries the call out. Of a whole list it returns the version.
+// run carries the call out. Of a complete list it returns the revision.
 func (c *call) run(from int64) (int64, transport.Reason, error) {
 	conn, err := transport.Dial(c.ctx, c.addr, time.Now().Add(c.all.Limits.Connect), c.all.Buffers, c.all.Fds, true)
 	if err != nil {
@@ -233,17 +233,17 @@
 	return list.Rev, transport.EndDone, nil
 }
 
-// answer is an answer of discovery as it comes in.
+// discoveryAnswer is an answer of discovery as it is read.
 type discoveryAnswer struct {
 	call     *call
-	from     int64 // the version that a watch was asked to go on from
+	from     int64 // the revision that a watch was asked to start from
 	deadline time.Time
 	response *discovery.Response
 	objects  discovery.Objects // of a watch: the change under way
-	body     []byte            // of a whole list
+	body     []byte            // of a complete list
 }
 
-// errListTooLong tells of a whole list beyond discovery.MaxList.
+// errListTooLong is a complete list beyond discovery.MaxList.
 var errListTooLong = errors.New("the list is too long")
 
 // read reads up to the answer's end. Only an orderly close ends an answer without a length: one that is reset has
@@ -271,8 +271,8 @@
 	return 0, nil
 }
 
-// line takes one line of the body. A watch has until Silence after each of its lines for the next one, however many
-// pieces that comes in: bytes alone are no sign of life.
+// line takes one line of the body. After each of its lines a watch has CallTimeouts.Silence for the next one, in however many
+// pieces that arrives: bytes alone are no sign of life.
 func (a *discoveryAnswer) line(text []byte) error {
 	switch {
 	case a.response.Status != discovery.StatusOK:
@@ -292,8 +292,8 @@
 	return a.call.change(change, a.from)
 }
 
-// change takes a change of a watch. None stands for an empty line, which only says that the watch stands; where it is the
-// first, nothing has changed since the version asked for.
+// change takes a change of a watch. No change stands for an empty line, which only says that the watch is alive; as the first
+// line it says that nothing has changed since the revision asked for.
 func (c *call) change(change []byte, from int64) error {
 	if change == nil {
 		if !c.listReceived {
@@ -308,8 +308,8 @@
 	return err
 }
 
-// tell hands a list to the owner, unless another call has taken this one's place. The first list of a new address
-// ends the watch at the previous one.
+// postList posts a list to the owner, unless another call has replaced this one. The first list of a new address ends the watch
+// at the previous one.
 func (c *call) postList(list discovery.List) {
 	d := c.all
 	c.listReceived = true
@@ -327,7 +327,7 @@
 	unasked := c == d.previous && d.watch == nil
 	d.mu.Unlock()
 	d.Owner.Post(routing.EndpointListUpdate{List: list})
-	if unasked { // the module takes the list for a sign that it is subscribed; but the new address has failed
+	if unasked { // the router takes the list as a sign of a watch; but the new address has failed
 		d.Owner.Post(routing.EndpointListUpdate{Failed: true})
 	}
 }
--- a/internal/session/lookup.go
+++ b/internal/session/lookup.go
@@ -11,7 +11,7 @@
 	"marblespan/internal/routing"
 )
 
-// lookup is the client of a read of the gateway's own.
+// lookup is the routing.Client of a read of the gateway's own.
 type lookup struct {
 	done func(row, answer []byte, ok bool)
 }
@@ -27,13 +27,13 @@
 	l.done(row, answer, answer != nil)
 }
 
-// Lookup reads a key as of now, as a client would, which shows whether a booking ran. done is told the row and the answer that the
-// booking itself would have had; it must not block.
+// Lookup reads a key as of now, as a client would, which shows whether an in-doubt write has run. It passes to done the row, and
+// the answer that the write itself would have had; done is called once and must not block.
 func (s *Clients) Lookup(class, key string, group int, by time.Time, done func(row, answer []byte, ok bool)) {
-	facts := s.InForce.Load()
-	index, known := facts.ClassIndex[class]
+	inForce := s.InForce.Load()
+	index, known := inForce.ClassIndex[class]
 	wait := time.Until(by).Milliseconds()
-	if !known || facts.IsWrite(index) || wait <= 0 {
+	if !known || inForce.IsWrite(index) || wait <= 0 {
 		done(nil, nil, false)
 		return
 	}
@@ -49,7 +49,7 @@
 	}
 	now := s.Clock.Now()
 	s.Owner.Post(&routing.Request{
-		Client: &lookup{done}, ClientID: id, Payload: &query{text: text, statement: st}, InForce: facts, ReadAt: now, MinPosition: now,
+		Client: &lookup{done}, ClientID: id, Payload: &query{text: text, statement: st}, InForce: inForce, ReadAt: now, MinPosition: now,
 		Arrival: policy.Arrival{Class: index, Group: group}, Timeout: clock.Micros(wait) * 1000,
 	})
 }
--- a/internal/session/query.go
+++ b/internal/session/query.go
@@ -9,23 +9,23 @@
 	"marblespan/internal/transport"
 )
 
-// query is a client's statement, kept for as long as an attempt may need it.
+// query is a client's statement, kept for as long as an attempt may need it. It is the routing.Payload of its request.
 type query struct {
 	text      *transport.Message
 	statement postgres.Statement
-	write     intents.Write // that must still be this gateway's when the last byte goes out; nil: none is needed
+	write     intents.Write // must still be claimed by this gateway when the last byte is sent; nil: it is no in-doubt write
 }
 
-// Share adds a holder.
+// Share takes one more reference.
 func (q *query) Share() routing.Payload {
 	q.text.Share()
 	return q
 }
 
-// Free ends one holder's use.
+// Free ends one reference.
 func (q *query) Free() { q.text.Free() }
 
-// parts is the message to a server: the statement as it came, but for the time that the gateway waits.
+// parts is the message to a server: the statement as received, but for the time that the gateway waits. It returns its size too.
 func (q *query) parts(waitMillis int64) (net.Buffers, int64) {
 	head, from := q.statement.AppendQueryHead(nil, q.text.First(), q.text.Size(), waitMillis)
 	parts := append(net.Buffers{head}, q.text.From(from)...)
--- /dev/null
+++ b/internal/session/requests.go
@@ -0,0 +1,204 @@
+package session
+
+import (
+	"bytes"
+	"errors"
+	"hash/fnv"
+	"io"
+	"strconv"
+	"time"
+
+	"marblespan/internal/clock"
+	"marblespan/internal/intents"
+	"marblespan/internal/policy"
+	"marblespan/internal/protocol/postgres"
+	"marblespan/internal/routing"
+	"marblespan/internal/settings"
+	"marblespan/internal/transport"
+)
+
+// received is a query that has been read completely, with the memory reserved for it and its answer.
+type received struct {
+	text      *transport.Message
+	reserve   int               // bytes
+	inForce   *settings.InForce // in force when it was read
+	arrival   policy.Arrival
+	statement postgres.Statement
+	inDoubt   bool // an in-doubt write, which must be claimed before it is sent
+}
+
+// release frees a query that goes no further.
+func (c *client) release(in *received) {
+	in.text.Free()
+	c.all.Buffers.Release(in.reserve)
+}
+
+// handleQuery reads one query and submits it.
+func (c *client) handleQuery(body int, by time.Time) (transport.Reason, error) {
+	in, reason, err := c.receive(body, by)
+	if in == nil {
+		return reason, err
+	}
+	fault, code := "", ""
+	in.inForce = c.all.InForce.Load()
+	in.arrival, in.statement, fault, code = c.parseRequest(in.inForce, in.text, body)
+	if code != "" || in.statement.ID == "" {
+		c.release(in)
+		return c.respondUnrouted(code, fault)
+	}
+	resolver := c.all.InDoubtWrites
+	in.inDoubt = in.statement.Write && resolver != nil && resolver.Covers(in.statement.Class)
+	c.known = true
+	if !c.admit(in) {
+		c.release(in)
+		return 0, nil
+	}
+	c.submit(in)
+	return 0, nil
+}
+
+// receive reads a query's text. It returns none where that did not arrive completely, or nobody waits for it any more, or there
+// is no memory for it, which the client is told.
+func (c *client) receive(body int, by time.Time) (*received, transport.Reason, error) {
+	// Of the answer only a first buffer is reserved. A larger one waits at its server's connection until there is memory for
+	// it: were the largest reserved for every request, a small gateway would reject requests for memory that nobody uses.
+	in := &received{reserve: body + transport.BufferSize}
+	if !c.all.Buffers.Reserve(in.reserve) {
+		c.all.Counts.OverMemory.Add(1)
+		c.respondError(postgres.CodeRefused, "the gateway has no memory left for this")
+		reason, err := reasoned(c.conn.SkipBy(body, by, c.interrupted))
+		return nil, reason, err
+	}
+	in.text = c.all.Buffers.NewMessage()
+	if err := c.conn.Fill(in.text, body, by, c.interrupted); err != nil {
+		c.release(in)
+		if transport.ReasonOf(err) == transport.EndTimeout {
+			c.end(errors.New("the message did not come in time"))
+		}
+		return nil, transport.ReasonOf(err), err
+	}
+	if c.sentAhead() && c.conn.PeerClosed() { // its close lies behind what it has sent: nobody waits for this any more
+		c.release(in)
+		return nil, transport.EndPeerGone, io.EOF
+	}
+	return in, 0, nil
+}
+
+// parseRequest makes a request of a query's text. For a bad one it returns what is wrong and the code of the error; an empty
+// query makes no request and is no error.
+func (c *client) parseRequest(inForce *settings.InForce, text *transport.Message, body int) (
+	a policy.Arrival, st postgres.Statement, fault, code string,
+) {
+	if body <= transport.BufferSize && postgres.IsEmpty(text.First()) {
+		if !c.all.Ready() {
+			return a, st, "no server is known yet", postgres.CodeNotReady
+		}
+		return a, st, "", ""
+	}
+	st, err := postgres.ParseStatement(text.From(0))
+	if err != nil {
+		return a, st, err.Error(), postgres.CodeProtocol
+	}
+	class, ok := inForce.ClassIndex[st.Class]
+	if !ok {
+		return a, st, "class " + strconv.Quote(st.Class) + " is not known", postgres.CodeBadValue
+	}
+	if st.Write != inForce.IsWrite(class) {
+		return a, st, "class " + strconv.Quote(st.Class) + " is not for such statements", postgres.CodeBadValue
+	}
+	a = policy.Arrival{Class: class, Group: st.Group, ClientRetry: st.Repeat}
+	if inForce.HasSession(class) {
+		sum := fnv.New64a()
+		sum.Write([]byte(st.Key))
+		a.Session, a.HasSession = sum.Sum64(), true
+	}
+	return a, st, "", ""
+}
+
+// respondUnrouted answers a query that makes no request: an empty or a bad one.
+func (c *client) respondUnrouted(code, fault string) (transport.Reason, error) {
+	switch code {
+	case "":
+		c.all.Counts.Empty.Add(1)
+		c.enqueueResponse(postgres.AppendEmptyAnswer(nil))
+	case postgres.CodeNotReady:
+		c.all.Counts.NotReady.Add(1)
+		c.respondError(code, fault)
+	default:
+		return c.rejectStatement(code, fault)
+	}
+	return 0, nil
+}
+
+// admit reports whether a request may be submitted, and rejects it unsent if not. The repeat of an in-doubt write may have run
+// already: it is looked up, and never rejected here.
+func (c *client) admit(in *received) bool {
+	known := in.inDoubt && in.statement.Repeat
+	switch {
+	case known:
+	case c.all.MayAdmit != nil && !c.all.MayAdmit():
+		// The process was suspended, and another gateway may have the address by now: the client may connect there.
+		c.all.Counts.AddressMoved.Add(1)
+		c.respondError(postgres.CodeRefused, "the address has moved to another gateway")
+		c.CloseIdle(transport.EndMoved)
+		return false
+	case c.storesPosition(in) && in.statement.Write && !c.all.SessionPositions.CanStore(in.arrival.Group, in.arrival.Session):
+		c.all.Counts.PositionNotStored.Add(1)
+		c.respondError(postgres.CodeRefused, "the session's commit could not be kept")
+		return false
+	}
+	return true
+}
+
+// storesPosition reports whether the log position of a request's session is stored where every gateway finds it.
+func (c *client) storesPosition(in *received) bool {
+	return c.all.SessionPositions != nil && in.arrival.HasSession && c.all.SessionPositions.Covers(in.statement.Class)
+}
+
+// submit puts a request into the order of answers and sends it on its way. A read of a session whose position is stored first
+// waits for that position.
+func (c *client) submit(in *received) {
+	wait := in.statement.Wait
+	q := &pendingQuery{client: c, reserve: in.reserve}
+	r := &routing.Request{
+		Client: q, ClientID: in.statement.ID, Payload: &query{text: in.text, statement: in.statement}, InForce: in.inForce,
+		Arrival: in.arrival, ReadAt: c.all.Clock.Now(),
+		Timeout: clock.Micros(wait) * 1000, MinPosition: clock.Micros(in.statement.After) * 1000,
+	}
+	patience := time.Duration(wait) * time.Millisecond
+	storesPosition, group, session := c.storesPosition(in), in.arrival.Group, in.arrival.Session
+	if storesPosition && in.statement.Write {
+		q.position = &writePosition{c.all.SessionPositions, group, session, time.Now().Add(patience)}
+	}
+	c.push(q)
+	if !storesPosition || in.statement.Write {
+		c.dispatch(q, r, in.inDoubt)
+		return
+	}
+	c.all.SessionPositions.Required(group, session, time.Now().Add(patience/positionWaitShare), func(needed policy.Position) {
+		r.MinPosition = max(r.MinPosition, needed)
+		q.postUnlessDisconnected(r)
+	})
+}
+
+// positionWaitShare is the divisor of a read's time that gives how long it waits for its session's position. The rest is left for
+// the primary, which needs no position.
+const positionWaitShare = 4
+
+// dispatch posts a request to routing. An in-doubt write goes to its resolver instead, which claims it first.
+func (c *client) dispatch(q *pendingQuery, r *routing.Request, inDoubt bool) {
+	if !inDoubt {
+		c.all.Owner.Post(r)
+		return
+	}
+	payload := r.Payload.(*query)
+	st := &payload.statement
+	words, wrote := postgres.Words(bytes.Join(payload.text.From(0), nil))
+	q.request = r
+	q.write = c.all.InDoubtWrites.NewWrite(intents.Request{
+		ID: st.ID, Class: st.Class, Group: st.Group, Key: st.Key, Statement: words, Value: wrote, Repeat: st.Repeat,
+		Deadline: time.Now().Add(time.Duration(st.Wait) * time.Millisecond),
+	}, q)
+	payload.write = q.write
+	q.write.Begin()
+}
--- a/internal/session/server_conn.go
+++ b/internal/session/server_conn.go
@@ -13,19 +13,20 @@
 	"marblespan/internal/transport"
 )
 
-// serverConn is one connection to a database server. One request at a time travels on it.
+// serverConn is one connection to a database server. It carries out one task at a time. Its goroutine alone reads and writes the
+// socket; the fields behind mu are shared with those that assign tasks, cancel them or ask for its end.
 type serverConn struct {
 	all      *Servers
 	endpoint *serverEndpoint
 	conn     *transport.Conn
 
 	mu      sync.Mutex
-	current *task // what it carries out; nil while it is idle
+	current *task // being carried out; nil while idle
 	closing bool
 	reason  transport.Reason
 	served  int
 
-	answered atomic.Int64 // the clock's reading at its last whole answer
+	answered atomic.Int64 // when its last complete answer was read, as clock.Micros
 }
 
 // assign gives an idle connection its next task, unless it is about to close.
@@ -41,7 +42,7 @@
 	return true
 }
 
-// abort ends the task under way, if it still is that one.
+// abort breaks the connection off if it still carries out the task.
 func (l *serverConn) abort(t *task) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,14 +71,14 @@
 	return l.current
 }
 
-// disturbed tells an idle connection that something was left for it.
+// disturbed reports whether an idle connection has been given a task or asked to close.
 func (l *serverConn) disturbed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.current != nil || l.closing
 }
 
-// run connects, carries out the first task, and then whatever it is given, until the connection ends.
+// run connects, carries out the first task, and then whatever is assigned, until the connection ends.
 func (l *serverConn) run(first *task) {
 	defer l.all.remove(l)
 	since := time.Now()
@@ -105,7 +106,7 @@
 	l.all.Ends.End(transport.Server, l.endpoint.endpoint, reason, since, l.served, err)
 }
 
-// carryOn stands for the reason of a connection that has not ended.
+// carryOn takes the place of the reason for a connection that has not ended.
 const carryOn = transport.Reason(255)
 
 // connect dials and starts up, within the connect timeout.
@@ -140,7 +141,7 @@
 	return policy.ResultOK, 0, nil
 }
 
-// resultOf maps the code of an error to its outcome. Before the start-up is over nothing can have run.
+// resultOf maps the code of an error to the result. Before the start-up is complete nothing can have run.
 func resultOf(code string, starting bool) policy.Result {
 	switch {
 	case code == postgres.CodeRefused:
@@ -153,11 +154,11 @@
 	return policy.ResultError
 }
 
-// carryOut does the current task and tells the owner how it ended. A connection whose task did not end with the
-// server's own ReadyForQuery is closed before anybody hears of it.
+// carryOut carries out the current task and tells the owner how it ended. A connection whose task did not end with the server's
+// ReadyForQuery is closed before the owner hears of it.
 func (l *serverConn) carryOut() (transport.Reason, error) {
 	t := l.task()
-	if l.served > 0 && !l.conn.Quiet() { // closed under our eyes: nothing was written, so another may be tried
+	if l.served > 0 && !l.conn.Quiet() { // closed by the server: nothing was written, so another connection may be tried
 		l.end()
 		l.all.dial(t, l.endpoint)
 		return transport.EndPeerClosed, nil
@@ -166,7 +167,7 @@
 	return l.finishTask(t, e, reason, err)
 }
 
-// settle keeps the connection or closes it, and tells the owner how its task ended.
+// finishTask closes the connection or returns it to the pool, and tells the owner how its task ended.
 func (l *serverConn) finishTask(t *task, e taskResult, reason transport.Reason, err error) (transport.Reason, error) {
 	l.served++
 	if reason != carryOn {
@@ -174,11 +175,11 @@
 		switch {
 		case t.healthCheck && e.result == policy.ResultTimeout:
 			// The machine is cut off: when it is back its kernel knows none of the idle siblings, and a request on
-			// one of them would be lost like this probe. Harm: some new handshakes too many.
+			// one of them would be lost like this check. The price is some handshakes too many.
 			closeIdleConns(l.endpoint)
 		case e.result == policy.ResultReset && l.served > 1:
 			l.endpoint.suspectedAt.Store(int64(l.all.Clock.Now()))
-			if t.healthCheck { // only the kept connection is known to be dead; a new one tells whether the server is
+			if t.healthCheck { // only this connection is known to be dead; a new one shows whether the server is
 				l.all.dial(t, l.endpoint)
 				return reason, err
 			}
@@ -190,9 +191,9 @@
 	l.current = nil
 	switch {
 	case l.closing:
-	case l.conn.Aborted(): // the task was given up in the very moment in which it was done
+	case l.conn.Aborted(): // the task was cancelled at the moment it was done
 		l.closing, l.reason = true, transport.EndAbandoned
-	case l.all.endpointOf(l.endpoint.server) != l.endpoint: // the list has moved the server meanwhile
+	case l.all.endpointOf(l.endpoint.server) != l.endpoint: // the server has another address by now
 		l.closing, l.reason = true, transport.EndReplaced
 	}
 	closing := l.closing
@@ -216,10 +217,10 @@
 	l.conn.Close()
 }
 
-// errUnasked tells of a message that no request called for.
+// errUnsolicited is a message from a server that no request called for.
 var errUnsolicited = errors.New("a message that nobody asked for")
 
-// idle waits for the next task. What the server sends or ends meanwhile is noticed at once.
+// idle waits for the next task. What the server sends, and its close, is noticed at once.
 func (l *serverConn) idle() (transport.Reason, error) {
 	deadline := time.Now().Add(l.all.idleAfter())
 	for {
@@ -232,7 +233,7 @@
 		l.mu.Lock()
 		next, closing, reason := l.current, l.closing, l.reason
 		if next == nil {
-			l.closing = true // from here on no task is taken
+			l.closing = true // from here on assign fails
 		}
 		l.mu.Unlock()
 		unasked := errors.Is(err, errUnsolicited)
@@ -250,14 +251,14 @@
 			reason = transport.ReasonOf(err)
 		}
 		l.end()
-		if next != nil { // given in this very moment: another connection takes it
+		if next != nil { // assigned at this moment: another connection takes it
 			l.all.dial(next, l.endpoint)
 		}
 		return reason, err
 	}
 }
 
-// skipAsync passes over a message that may come between requests; any other ends the connection.
+// skipAsync skips a message that a server may send between requests; any other ends the connection.
 func (l *serverConn) skipAsync() error {
 	h, err := postgres.ParseHeader(l.conn.Peek(postgres.HeaderSize))
 	if err != nil || h.Type != postgres.TypeParameterStatus && h.Type != postgres.TypeNotice {
@@ -269,10 +270,10 @@
 	return nil
 }
 
-// errWithdrawn tells that a server was taken out, or has moved, before the first byte of an attempt went there.
+// errWithdrawn says that a server was withdrawn, or has another address, before the first byte of an attempt went there.
 var errWithdrawn = errors.New("withdrawn before its first byte")
 
-// withdrawn tells whether a task may not begin here any more.
+// withdrawn reports whether a task may not begin here any more.
 func (l *serverConn) withdrawn(t *task) bool {
 	return !t.healthCheck && (t.withdrawalsAtSend != l.endpoint.withdrawals.Load() || l.all.endpointOf(t.Server) != l.endpoint)
 }
@@ -305,7 +306,7 @@
 	report, err := l.readReply(&reply, until, t, value)
 	e, reason := taskResult{params: reply.Params, loadReport: report}, carryOn
 	switch {
-	case errors.Is(err, errProtocol): // spoilt: it may have run, and nothing that it said is believed
+	case errors.Is(err, errProtocol): // malformed: it may have run, and nothing in the answer is used
 		e, reason = taskResult{result: policy.ResultError}, transport.EndProtocol
 	case reply.Served():
 		e.result, e.value = policy.ResultOK, value
@@ -321,7 +322,7 @@
 		e.result, reason = policy.ResultReset, transport.ReasonOf(err)
 	}
 	if reason == carryOn && (err != nil || l.conn.Buffered() > 0) {
-		reason = transport.EndServerFailed // more came than belongs to the answer: it must not become the next one's
+		reason = transport.EndServerFailed // more came than belongs to the answer: it must not count for the next one
 	}
 	if e.value == nil {
 		value.Free()
@@ -329,11 +330,11 @@
 	return e, reason, err
 }
 
-// errBarred tells that a booking may not be sent from here any more.
+// errFenced says that an in-doubt write may not be sent from here any more: its claim is not confirmed.
 var errFenced = errors.New("the booking is claimed by another gateway, or its claim could not be confirmed")
 
-// put writes a request. Of one that needs a claim the last byte is held back until the claim is known to be this gateway's: a
-// server begins with the last byte, and this gateway may have stood still before any of the others.
+// writeRequest writes a request. Of an in-doubt write the last byte is held back until the write is known to be claimed by this
+// gateway: a server begins with the last byte, and this process may have been suspended before any of the others.
 func (l *serverConn) writeRequest(t *task, parts net.Buffers, total int64, until time.Time) (transport.Reason, error) {
 	write := func(parts net.Buffers, total int64) (transport.Reason, error) {
 		if n, err := l.conn.Write(until, parts); n < total {
@@ -360,12 +361,12 @@
 // errProtocol marks what a server must not send.
 var errProtocol = errors.New("protocol broken")
 
-// errStalled tells of an answer that has begun and then stopped. What it told in whole messages holds.
+// errStalled is an answer that has begun and then stopped. What it said in complete messages holds.
 var errStalled = errors.New("the answer stopped in its middle")
 
-// read reads messages up to ReadyForQuery. What belongs to the value goes into value; of a probe's row it returns
-// the text. An answer that has begun must go on: one that stops for longer than a connection may take to come up is
-// spoilt, and its request need not wait for its own end. Harm: a machine that is held up in the middle of an answer.
+// readReply reads messages up to ReadyForQuery. What belongs to the answer goes into value; of a health check's row it returns
+// the text. An answer that has begun must go on: one that stops for longer than the connect timeout counts as malformed, and its
+// request need not wait for its deadline. The price is an answer lost where a machine is held up in the middle of it.
 func (l *serverConn) readReply(reply *postgres.Reply, by time.Time, t *task, value *transport.Message) (string, error) {
 	row := ""
 	for !reply.Ready {
@@ -416,8 +417,8 @@
 	return row, nil
 }
 
-// fill reads a message into the value, a buffer at a time. A large one waits here until there is memory for it: what
-// is held already goes out to its clients whatever happens here.
+// readValue reads a message into the value, a buffer at a time. A large one waits here until there is memory for it; answers that
+// are in memory already go out to their clients meanwhile.
 func (l *serverConn) readValue(value *transport.Message, remaining int, by time.Time, t *task) error {
 	if err := value.Grow(remaining, by, t.cancelled); err != nil {
 		return err
@@ -433,7 +434,7 @@
 	return nil
 }
 
-// stall is when an answer that has begun and stops counts as spoilt.
+// stall is when an answer that has begun and stops counts as malformed.
 func (l *serverConn) stall(by time.Time) time.Time {
 	due := time.Now().Add(time.Duration(l.all.InForce.Load().Settings.ConnectTimeout) * time.Microsecond)
 	if due.After(by) {
@@ -442,7 +443,7 @@
 	return due
 }
 
-// stalled tells an answer that stopped from one that did not come in time.
+// stalled tells an answer that stopped from one that did not arrive in time.
 func stalled(err error, due, by time.Time) error {
 	if errors.Is(err, transport.ErrDeadline) && due.Before(by) {
 		return errStalled
@@ -451,3 +452,6 @@
 }
 
 var _ routing.Attempt = (*task)(nil)
+
+// maxAnswerMessage bounds one message of an answer, in bytes: the largest value, in hex, and its header.
+const maxAnswerMessage = 130 << 10
--- a/internal/session/server_conn_test.go
+++ b/internal/session/server_conn_test.go
@@ -17,7 +17,7 @@
 )
 
 // rig is the servers' side alone, with an owner that does nothing but be told.
-type rig struct {
+type harness struct {
 	t       *testing.T
 	servers *Servers
 	server  *fake.Server
@@ -27,13 +27,13 @@
 // patience bounds every wait for an event; only a test that fails reaches it.
 const patience = 20 * time.Second
 
-func newRig(t *testing.T) *rig {
+func newHarness(t *testing.T) *harness {
 	t.Helper()
 	server, err := fake.NewServer("primary")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, server: server, told: make(chan routing.Event, 64)}
+	r := &harness{t: t, server: server, told: make(chan routing.Event, 64)}
 	facts := &settings.InForce{Settings: policy.Settings{ConnectTimeout: 250_000}, Keepalive: 30_000_000}
 	r.servers = &Servers{
 		Owner: poster(r.told), InForce: settings.NewLive(facts), Buffers: transport.NewBuffers(1 << 24),
@@ -49,7 +49,7 @@
 }
 
 // facts puts changed settings in force.
-func (r *rig) facts(change func(*settings.InForce)) {
+func (r *harness) changeSettings(change func(*settings.InForce)) {
 	next := *r.servers.InForce.Load()
 	change(&next)
 	r.servers.InForce.Store(&next)
@@ -60,7 +60,7 @@
 
 func (p poster) Post(ev routing.Event) { p <- ev }
 
-func (r *rig) job(id string) routing.Job {
+func (r *harness) job(id string) routing.Job {
 	text := r.servers.Buffers.NewMessage()
 	text.Append([]byte("/* id=" + id + ",c=x,d=5000,cluster=1 */ SELECT content FROM kv WHERE name = 'k'\x00"))
 	st, err := postgres.ParseStatement(text.From(0))
@@ -73,7 +73,7 @@
 	}
 }
 
-func (r *rig) ended() routing.AttemptEnded {
+func (r *harness) ended() routing.AttemptEnded {
 	r.t.Helper()
 	select {
 	case ev := <-r.told:
@@ -85,7 +85,7 @@
 }
 
 // idleConn returns the connection that has carried out one task and is idle now.
-func (r *rig) idleConn() *serverConn {
+func (r *harness) idleConn() *serverConn {
 	r.t.Helper()
 	r.servers.Send(r.job("first"))
 	if e := r.ended(); e.Result != policy.ResultOK {
@@ -101,7 +101,7 @@
 // The server has closed, the kernel knows, and the task came before the goroutine saw it: written now, the request would
 // end as a reset that may have run. It must go out on another connection instead.
 func TestTaskOnAConnectionThatHasJustClosed(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	first := newTask(r.job("first"))
 	defer first.Payload.Free()
 	l := &serverConn{all: r.servers, endpoint: r.servers.endpointOf(1), current: first, served: 1}
@@ -122,7 +122,7 @@
 
 // A task given to a connection in the very moment in which it ends is carried out by another.
 func TestTaskGivenToAnEndingLink(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	l := r.idleConn()
 	done := make(chan struct{})
 	l.mu.Lock() // the goroutine wakes up to a closed connection, and finds the task there
@@ -144,7 +144,7 @@
 
 // A server that the list moves while an attempt is out there gets nothing new at its old place.
 func TestMovedWhileBusy(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	other, err := fake.NewServer("primary")
 	if err != nil {
 		t.Fatal(err)
@@ -176,7 +176,7 @@
 
 // An idle connection to a place that the list has left is closed.
 func TestMovedWhileIdle(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.servers.endpointOf(1).idle.Put(r.idleConn())
 	r.servers.SetEndpoint(1, "127.0.0.1:9")
 	select {
@@ -188,7 +188,7 @@
 
 // A cancel while the connection is still coming up, and one of an attempt to a server never listed.
 func TestCancelBeforeAnythingIsWritten(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	task := newTask(r.job("a"))
 	task.Cancel()
 	r.servers.start(task)
@@ -205,7 +205,7 @@
 
 // A value larger than what was set aside for it would break the memory budget.
 func TestOversizedAnswer(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.server.SetHandle(func(q *fake.Query) { q.Serve(make([]byte, maxAnswerMessage)) })
 	r.servers.Send(r.job("a"))
 	if e := r.ended(); e.Result != policy.ResultError || e.Value != nil {
@@ -216,7 +216,7 @@
 
 // What a server says of itself reaches the module with the outcome, in its units.
 func TestAnswerCarriesRoleAndPosition(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.server.Position.Store(1_796_133_629_826)
 	r.servers.Send(r.job("a"))
 	e := r.ended()
@@ -235,7 +235,7 @@
 
 // The module may ask for the end of idle connections; one that is at work ends after its answer.
 func TestCloseIdle(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	arrived, release := make(chan struct{}, 2), make(chan struct{})
 	r.server.SetHandle(func(q *fake.Query) {
 		if q.ID() == "slow" {
@@ -268,7 +268,7 @@
 // A probe that gets no word closes the idle connections beside its own: the machine may be cut off, and when it is back
 // its kernel knows none of them.
 func TestSilentProbeClosesSiblings(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	arrived, release := make(chan struct{}, 2), make(chan struct{})
 	r.server.SetHandle(func(q *fake.Query) {
 		arrived <- struct{}{}
@@ -303,7 +303,7 @@
 // Between requests a server may tell a parameter's new value; any other message ends the connection, and a task that was
 // given in that moment is carried out on another.
 func TestUnaskedMessages(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	queries := make(chan *fake.Query, 4)
 	r.server.SetHandle(func(q *fake.Query) {
 		queries <- q
@@ -352,7 +352,7 @@
 		"an answer without its end":     claims + message('T', whole[5:5+26+4])[:20],
 		"noise before the end":          claims + whole + "\x00\x00\x00\x00\x00\x00\x00",
 	} {
-		r := newRig(t)
+		r := newHarness(t)
 		r.server.SetHandle(func(q *fake.Query) { q.Write([]byte(raw)) })
 		r.servers.Send(r.job("a"))
 		e := r.ended()
@@ -371,7 +371,7 @@
 
 // What comes right behind a good answer belongs to nobody. It is never taken for the next request's answer.
 func TestSurplusBehindAnAnswer(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	whole := string(fake.Row([]byte("first"))) + message('Z', "I")
 	r.server.SetHandle(func(q *fake.Query) {
 		if q.ID() == "first" {
@@ -398,7 +398,7 @@
 
 // A good answer with a load report that cannot be read is served; of such a report nothing is believed.
 func TestUnreadableReport(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.server.SetHandle(func(q *fake.Query) {
 		q.Write([]byte(message('S', "load\x00x0=1796133629.826,\xff\x00") + message('S', "load") +
 			string(fake.Row([]byte("v"))) + message('Z', "I")))
@@ -414,7 +414,7 @@
 
 // Where kept connections are reset under requests, what may not be repeated goes out on a new one.
 func TestDoubtedConnections(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.server.SetHandle(func(q *fake.Query) {
 		if q.ID() == "reset" {
 			q.Hangup()
@@ -453,7 +453,7 @@
 
 // A probe that is reset on a kept connection tells nothing of the server: it is asked again on a new one.
 func TestProbeResetOnAKeptConnection(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.servers.endpointOf(1).idle.Put(r.idleConn())
 	r.server.SetProbe(func(q *fake.Query) bool {
 		if q.Conn == 1 {
--- a/internal/session/servers.go
+++ b/internal/session/servers.go
@@ -16,7 +16,12 @@
 	"marblespan/internal/transport"
 )
 
-// Servers keeps the connections to the database servers and carries out attempts and probes on them.
+// Servers holds the connections to the database servers and carries out attempts and health checks on them. The exported fields
+// are set before the first use. Its routing.Servers methods are called by the owner's goroutine; each connection has a goroutine
+// of its own (Servers.dial), which ends with the connection.
+//
+// The addresses in endpoints are a copy of those on routing's endpoint list, for the connections' goroutines. Only SetEndpoint
+// and Forget write it, called by the owner's goroutine; mu guards it.
 type Servers struct {
 	Owner   Queue
 	InForce *settings.Live
@@ -34,38 +39,38 @@
 	closed    bool
 }
 
-// Queue is where the owner of the module takes its events from.
+// Queue takes events for the owner's goroutine; it is a routing.Owner.
 type Queue interface{ Post(routing.Event) }
 
-// serverEndpoint is where a server is, and the idle connections there.
+// serverEndpoint is the address of a server, with the idle connections there.
 type serverEndpoint struct {
 	server      policy.ServerID
 	endpoint    string
 	idle        transport.Pool[*serverConn]
-	suspectedAt atomic.Int64 // the clock's reading when a kept connection was last reset under a request
-	// withdrawals counts how often what had not begun here was taken back.
+	suspectedAt atomic.Int64 // when an idle connection was last reset under a request
+	// withdrawals counts calls of Withdraw: a task that was sent before the last one may not begin.
 	withdrawals atomic.Int64
 }
 
-// suspectFor is how long no kept connection is trusted with what must not run twice after one was reset under a request,
-// and later only those that have answered since. It guards against servers, machines back from being cut off and paths
-// to them that have dropped kept connections without a word. Closing all of them instead would cost handshakes on a path
-// that resets at random. Harm: some handshakes too many for writes in the seconds after a server's death.
+// suspectFor is how long idle connections to a server are not trusted with what must not run twice, after one was reset under a
+// request; later only those are that have answered since. It guards against servers, machines back from being cut off and
+// paths to them that have dropped idle connections without a word. Closing all of them instead would cost handshakes on a path
+// that resets at random. The price is some handshakes too many for writes in the seconds after a server's death.
 const suspectFor = 5 * clock.Micros(time.Second/time.Microsecond)
 
-// task is one attempt or one probe.
+// task is one attempt or one health check. It implements routing.Attempt.
 type task struct {
 	routing.Job
 	healthCheck       bool
-	withdrawalsAtSend int64 // the withdrawals at its endpoint when it was sent
+	withdrawalsAtSend int64 // serverEndpoint.withdrawals when it was sent
 	ctx               context.Context
 	stop              context.CancelFunc
 
 	mu   sync.Mutex
-	conn *serverConn // that carries it out, once it is connected
+	conn *serverConn // that carries it out, while or after it connects
 }
 
-// Cancel gives the attempt up, in whatever state it is.
+// Cancel gives the task up, in whatever state it is. It does not block.
 func (t *task) Cancel() {
 	t.stop()
 	t.mu.Lock()
@@ -78,14 +83,14 @@
 
 func (t *task) cancelled() bool { return t.ctx.Err() != nil }
 
-// carriedBy notes the connection that a cancel has to reach.
+// setConn notes the connection that a cancel has to reach.
 func (t *task) setConn(l *serverConn) {
 	t.mu.Lock()
 	t.conn = l
 	t.mu.Unlock()
 }
 
-// Place tells where a server is. Idle connections to another place are closed.
+// SetEndpoint says at which address a server is. Idle connections to a former address are closed.
 func (s *Servers) SetEndpoint(server policy.ServerID, endpoint string) {
 	s.mu.Lock()
 	if s.endpoints == nil {
@@ -108,15 +113,15 @@
 	}
 }
 
-// Withdraw has every attempt at a server that has not written its first byte end as one that could not connect: it may be
-// sent elsewhere.
+// Withdraw has every attempt at a server that has not written its first byte end as one that could not connect: it may be sent
+// elsewhere.
 func (s *Servers) Withdraw(server policy.ServerID) {
 	if p := s.endpointOf(server); p != nil {
 		p.withdrawals.Add(1)
 	}
 }
 
-// Forget drops a server's place once nothing is out there. Its idle connections are closed.
+// Forget drops a server's address once nothing is in flight there. Its idle connections are closed.
 func (s *Servers) Forget(server policy.ServerID) {
 	s.mu.Lock()
 	p := s.endpoints[server]
@@ -127,12 +132,14 @@
 	}
 }
 
+// closeIdleConns closes the idle connections to an address.
 func closeIdleConns(p *serverEndpoint) {
 	for _, l := range p.idle.TakeAll() {
 		l.CloseIdle(transport.EndReplaced)
 	}
 }
 
+// endpointOf is the address of a server; nil if there is none.
 func (s *Servers) endpointOf(server policy.ServerID) *serverEndpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,7 +159,7 @@
 	return t
 }
 
-// Probe asks a server for its load report.
+// HealthCheck asks a server for its load report.
 func (s *Servers) HealthCheck(server policy.ServerID, sent, until clock.Micros) {
 	t := newTask(routing.Job{Server: server, SentAt: sent, Deadline: until})
 	t.healthCheck = true
@@ -163,7 +170,7 @@
 func (s *Servers) start(t *task) {
 	p := s.endpointOf(t.Server)
 	if p == nil { // never listed: nothing can have run there
-		go s.postEnded(t, taskResult{result: policy.ResultConnectFailed}) // the owner must not wait on its own queue
+		go s.postEnded(t, taskResult{result: policy.ResultConnectFailed}) // the owner must not wait for its own queue
 		return
 	}
 	t.withdrawalsAtSend = p.withdrawals.Load()
@@ -184,11 +191,12 @@
 	s.dial(t, p)
 }
 
+// dial starts a connection for a task. The goroutine of the connection ends when the connection does; Close waits for it.
 func (s *Servers) dial(t *task, p *serverEndpoint) {
 	l := &serverConn{all: s, endpoint: p, current: t}
 	s.mu.Lock()
 	s.conns[l] = struct{}{}
-	if s.closed { // a connection that broke during Close hands its task on
+	if s.closed { // the task of a connection that broke during Close
 		t.stop()
 		l.closing, l.reason = true, transport.EndDrain
 	}
@@ -200,7 +208,7 @@
 	}()
 }
 
-// ended is how a task ended.
+// taskResult is how a task ended.
 type taskResult struct {
 	result     policy.Result
 	params     postgres.Params
@@ -208,7 +216,7 @@
 	value      *transport.Message
 }
 
-// finish tells the owner how a task ended.
+// postEnded tells the owner how a task ended.
 func (s *Servers) postEnded(t *task, e taskResult) {
 	t.stop()
 	latency := s.Clock.Now() - t.SentAt
@@ -231,7 +239,7 @@
 
 var roles = map[string]policy.Role{"primary": policy.RolePrimary, "replica": policy.RoleReplica}
 
-// report reads a load report. One of which any part cannot be read says nothing.
+// parseLoadReport reads a load report. One of which any field cannot be read counts as empty.
 func (s *Servers) parseLoadReport(text string) policy.LoadReport {
 	var rep policy.LoadReport
 	fields, ok := postgres.LoadFields(text)
@@ -244,7 +252,7 @@
 	return rep
 }
 
-// Close gives up what is still out, closes every connection and waits for the ends. Nothing may be started any more.
+// Close cancels what is in flight, closes every connection and waits for their goroutines. Nothing may be started afterwards.
 func (s *Servers) Close() {
 	s.mu.Lock()
 	s.closed = true
