--- a/internal/config/lines/check.go
+++ b/internal/config/lines/check.go
@@ -23,26 +23,13 @@
 	return v
 })
 
+// fieldNamespace matches what the checker calls a field: the struct, the directive, and its index where it is repeated.
 var fieldNamespace = regexp.MustCompile(`^[^.]*\.([^.\[]+)(?:\[(\d+)\])?`)
 
-// Check tells what a struct's validate tags forbid, each with the line it was read from. It looks at the values of a root
-// and of its sections.
+// Check tells what the validate tags of a root and of its sections forbid, each with the line that it was read from.
 func Check(file string, from any) Faults {
-	var faults Faults
-	one := func(v reflect.Value) {
-		var wrong validator.ValidationErrors
-		if !errors.As(checker().Struct(v.Addr().Interface()), &wrong) {
-			return
-		}
-		w := sourceOf(v)
-		for _, e := range wrong {
-			m := fieldNamespace.FindStringSubmatch(e.Namespace())
-			i, _ := strconv.Atoi(m[2])
-			faults = append(faults, Fault{file, w.LineOf(m[1], i), m[1], describeViolation(e)})
-		}
-	}
 	root := reflect.ValueOf(from).Elem()
-	one(root)
+	faults := checkStruct(file, root)
 	for i := range root.NumField() {
 		if root.Type().Field(i).Tag.Get("section") == "" {
 			continue
@@ -50,16 +37,32 @@
 		switch f := root.Field(i); {
 		case f.Kind() == reflect.Slice:
 			for k := range f.Len() {
-				one(f.Index(k))
+				faults = append(faults, checkStruct(file, f.Index(k))...)
 			}
 		case !f.IsNil():
-			one(f.Elem())
+			faults = append(faults, checkStruct(file, f.Elem())...)
 		}
 	}
 	return faults
 }
 
-// reason words what a tag forbids.
+// checkStruct checks the directives of one section, or those before all sections.
+func checkStruct(file string, section reflect.Value) (faults Faults) {
+	violations, ok := errors.AsType[validator.ValidationErrors](checker().Struct(section.Addr().Interface()))
+	if !ok {
+		return nil
+	}
+	source := sourceOf(section)
+	for _, violation := range violations {
+		match := fieldNamespace.FindStringSubmatch(violation.Namespace())
+		directive := match[1]
+		index, _ := strconv.Atoi(match[2])
+		faults = append(faults, Fault{file, source.LineOf(directive, index), directive, describeViolation(violation)})
+	}
+	return faults
+}
+
+// describeViolation says what a validate tag demands.
 func describeViolation(e validator.FieldError) string {
 	n := e.Param()
 	counted := map[reflect.Kind]string{reflect.Slice: " of them", reflect.String: " characters"}[e.Kind()]
--- a/internal/config/lines/lines.go
+++ b/internal/config/lines/lines.go
@@ -1,6 +1,8 @@
 // Package lines reads settings in the manner of classic daemons: one directive a line, a name and its values; sections begin
 // with a keyword line and last until the next one; # begins a comment; a value with blanks or # stands in double quotes. It
-// knows no setting: what there is to set is told by the fields of a struct, see Decode.
+// knows no setting: what there is to set is told by the fields of a struct. Package config is its caller: Parse makes
+// directives of a text, Decode fills the struct with them, Check applies its validate tags, and Print writes what is in force.
+// The package keeps no state but the parser and the checker, which are made once and safe for all goroutines.
 package lines
 
 import (
@@ -28,6 +30,7 @@
 	Text      string
 }
 
+// Error is file:line: directive: what is wrong.
 func (f Fault) Error() string {
 	where := f.File
 	if f.Line > 0 {
@@ -42,6 +45,7 @@
 // Faults are all that is wrong with a file, in the order of its lines.
 type Faults []Fault
 
+// Error is a line for each fault.
 func (f Faults) Error() string {
 	all := make([]string, len(f))
 	for i := range f {
@@ -50,10 +54,10 @@
 	return strings.Join(all, "\n")
 }
 
-// mostLine bounds a line's length, in bytes.
+// maxLineBytes bounds a line's length, in bytes.
 const maxLineBytes = 4096
 
-// row is one line as the grammar sees it.
+// row is a line as the grammar sees it.
 type row struct {
 	Name   string   `parser:"@Word"`
 	Values []string `parser:"@(Word | String)*"`
@@ -94,9 +98,9 @@
 	return all, faults
 }
 
+// describeSyntaxError says at which column a line is wrong, and what is.
 func describeSyntaxError(err error) string {
-	var at participle.Error
-	if errors.As(err, &at) {
+	if at, ok := errors.AsType[participle.Error](err); ok {
 		return fmt.Sprintf("column %d: %s", at.Position().Column, strings.TrimPrefix(at.Message(), "lexer: "))
 	}
 	return err.Error()
--- a/internal/config/lines/print.go
+++ b/internal/config/lines/print.go
@@ -6,7 +6,7 @@
 	"reflect"
 )
 
-// hidden stands in for a secret.
+// hiddenSecret stands in for a secret.
 const hiddenSecret = "********"
 
 // Print writes what is in force, defaults among it, as Parse reads it; only secrets are hidden.
@@ -30,6 +30,7 @@
 	return p.err
 }
 
+// printer writes lines until one cannot be written.
 type printer struct {
 	w   io.Writer
 	err error
@@ -71,14 +72,7 @@
 }
 
 func (p *printer) values(f reflect.Value, secret bool) string {
-	parts := []reflect.Value{f}
-	if kindOf(f.Type()) == composite {
-		parts = parts[:0]
-		for i := range f.NumField() {
-			parts = append(parts, f.Field(i))
-		}
-	}
-	out := ""
+	parts, out := partsOf(f), ""
 	for i, part := range parts {
 		text := Quote(formatValue(part))
 		if secret && i == len(parts)-1 {
--- a/internal/config/lines/value.go
+++ b/internal/config/lines/value.go
@@ -13,11 +13,12 @@
 // Size is a number of bytes: a number, or one with k, m or g behind it for the powers of 1,024.
 type Size int64
 
+// kind tells how many values a directive of a type takes.
 type kind uint8
 
 const (
-	plain     kind = iota
-	composite      // a struct whose fields are the values of a directive
+	plain     kind = iota // one value
+	composite             // a struct whose fields are the values of a directive
 )
 
 var (
@@ -33,7 +34,7 @@
 	return plain
 }
 
-// read reads one value into a field of one of the types that settings have.
+// parseValue reads one value into a field of one of the types that settings have.
 func parseValue(field reflect.Value, text string) error {
 	if u, ok := field.Addr().Interface().(encoding.TextUnmarshaler); ok {
 		if text == "" || u.UnmarshalText([]byte(text)) != nil {
@@ -81,6 +82,7 @@
 	return nil
 }
 
+// describeType says what a value of a type looks like.
 func describeType(t reflect.Type) string {
 	switch t.String() {
 	case "netip.AddrPort":
@@ -93,7 +95,7 @@
 	return t.String()
 }
 
-// duration reads a span of time, which must name its unit: "100" of what?
+// parseDuration reads a duration, which must name its unit: "100" of what?
 func parseDuration(text string) (time.Duration, error) {
 	v, err := time.ParseDuration(text)
 	if err != nil || strings.TrimLeft(text, "0123456789") == "" && text != "0" {
@@ -105,8 +107,10 @@
 	return v, nil
 }
 
+// units are the suffixes of sizes, in bytes.
 var units = map[byte]int64{'k': 1 << 10, 'm': 1 << 20, 'g': 1 << 30}
 
+// parseSize reads a number of bytes.
 func parseSize(text string) (int64, error) {
 	number, unit := text, int64(1)
 	if n := len(text); n > 0 && units[text[n-1]|0x20] > 0 {
@@ -119,7 +123,7 @@
 	return v * unit, nil
 }
 
-// write is the inverse of read.
+// formatValue is the inverse of parseValue.
 func formatValue(field reflect.Value) string {
 	if m, ok := field.Interface().(encoding.TextMarshaler); ok {
 		b, err := m.MarshalText()
