--- a/internal/experiments/statestore/cluster.go
+++ b/internal/experiments/statestore/cluster.go
@@ -88,7 +88,7 @@
 	begin := time.Now()
 	memberStreams, err := streams.Listen("127.0.0.1:0", streams.Settings{
 		Node: name, Start: uint64(begin.UnixMicro()), Keys: []sealed.Key{key}, Buffers: transport.NewBuffers(256 << 20),
-		Fds: transport.NewDescriptors(8192), AddressOf: c.addressOf,
+		Descriptors: transport.NewDescriptors(8192), AddressOf: c.addressOf,
 	})
 	if err != nil {
 		return err
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -149,7 +149,7 @@
 	}
 	line.Msg("members counters")
 	x := &m.gossip.Streams.Counts
-	m.g.log.Info().Int64("opened", x.Opened.Load()).Int64("accepted", x.Accepted.Load()).Int64("failed", x.Failed.Load()).
+	m.g.log.Info().Int64("opened", x.Opened.Load()).Int64("accepted", x.Accepted.Load()).Int64("failed", x.DialsFailed.Load()).
 		Int64("refused", x.Rejected.Load()).Int64("sent", x.Sent.Load()).Int64("sent_bytes", x.SentBytes.Load()).
 		Int64("received", x.Received.Load()).Int64("dropped", x.Dropped.Load()).Int64("lost", x.Lost.Load()).Msg("streams counters")
 }
--- a/internal/golden/streams_test.go
+++ b/internal/golden/streams_test.go
@@ -65,7 +65,7 @@
 	defer peer.Close()
 	heard := make(chan string, 1000)
 	a, err := streams.Listen("127.0.0.1:0", streams.Settings{
-		Node: "a", Deployment: "golden", Start: 5, Keys: []sealed.Key{key}, Buffers: transport.NewBuffers(16 << 20), Fds: transport.NewDescriptors(256),
+		Node: "a", Deployment: "golden", Start: 5, Keys: []sealed.Key{key}, Buffers: transport.NewBuffers(16 << 20), Descriptors: transport.NewDescriptors(256),
 		AddressOf: func(string) (string, bool) { return peer.Addr().String(), true },
 	})
 	if err != nil {
--- a/internal/gossip/agent.go
+++ b/internal/gossip/agent.go
@@ -108,7 +108,7 @@
 	a.updateRoutes()
 	if s.Buffers != nil {
 		if a.Streams, err = streams.Listen(loop.Addr().String(), streams.Settings{
-			Node: s.Node, Deployment: s.Deployment, Start: startTime, Keys: s.Keys, AddressOf: a.streamAddress, Buffers: s.Buffers, Fds: s.Fds,
+			Node: s.Node, Deployment: s.Deployment, Start: startTime, Keys: s.Keys, AddressOf: a.streamAddress, Buffers: s.Buffers, Descriptors: s.Fds,
 		}); err != nil {
 			loop.CloseUnstarted()
 			return nil, err
--- a/internal/raftnode/node_test.go
+++ b/internal/raftnode/node_test.go
@@ -28,7 +28,7 @@
 	t.Helper()
 	x, err := streams.Listen("127.0.0.1:0", streams.Settings{
 		Node: name, Start: uint64(start.UnixMicro()), Keys: []sealed.Key{{Number: 1, Secret: []byte("a secret of sixteen or more")}},
-		Buffers: transport.NewBuffers(64 << 20), Fds: transport.NewDescriptors(256), AddressOf: route,
+		Buffers: transport.NewBuffers(64 << 20), Descriptors: transport.NewDescriptors(256), AddressOf: route,
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/streams/frame.go
+++ b/internal/streams/frame.go
@@ -17,16 +17,16 @@
 const greetingSize = 1 + 16
 
 // errFrame is a frame that is not signed as it must be, or not understood.
-var errFrame = errors.New("a frame that is not valid")
+var errInvalidFrame = errors.New("a frame that is not valid")
 
 // purpose keeps what is signed for one stream from being valid on another.
 func purpose(deployment string, greeting []byte) string {
 	return "marblespan streams\x00" + deployment + "\x00" + string(greeting)
 }
 
-func appendNumber(b []byte, n uint64) []byte { return binary.BigEndian.AppendUint64(b, n) }
+func appendPingNumber(b []byte, n uint64) []byte { return binary.BigEndian.AppendUint64(b, n) }
 
-func readNumber(b []byte) (uint64, bool) {
+func readPingNumber(b []byte) (uint64, bool) {
 	if len(b) != 8 {
 		return 0, false
 	}
@@ -50,86 +50,86 @@
 
 // writer is the end of a stream that speaks.
 type writer struct {
-	x        *Streams
-	c        *transport.Conn
+	streams  *Streams
+	conn     *transport.Conn
 	purpose  string
 	sequence uint64
-	b        []byte
+	buffer   []byte
 }
 
 // add writes a frame behind those that wait to go out.
-func (w *writer) add(channel Channel, body []byte) {
+func (w *writer) appendFrame(channel Channel, body []byte) {
 	w.sequence++
-	w.b = binary.BigEndian.AppendUint32(w.b, uint32(1+len(body)+sealed.Size))
-	from := len(w.b)
-	w.b = append(w.b, byte(channel))
-	w.b = append(w.b, body...)
-	w.b = sealed.Append(w.b, from, sealed.Trailer{Start: w.x.s.Start, Sequence: w.sequence}, w.purpose, (*w.x.keys.Load())[0])
+	w.buffer = binary.BigEndian.AppendUint32(w.buffer, uint32(1+len(body)+sealed.Size))
+	from := len(w.buffer)
+	w.buffer = append(w.buffer, byte(channel))
+	w.buffer = append(w.buffer, body...)
+	w.buffer = sealed.Append(w.buffer, from, sealed.Trailer{Start: w.streams.settings.Start, Sequence: w.sequence}, w.purpose, (*w.streams.keys.Load())[0])
 }
 
 // flush hands what was added to the kernel.
 func (w *writer) flush() error {
-	n, err := w.c.Write(time.Now().Add(stuckBy), net.Buffers{w.b})
-	w.x.Counts.SentBytes.Add(n)
-	w.b = w.b[:0]
-	if cap(w.b) > mostWritten { // a large message's room is not kept
-		w.b = nil
+	n, err := w.conn.Write(time.Now().Add(writeTimeout), net.Buffers{w.buffer})
+	w.streams.Counts.SentBytes.Add(n)
+	w.buffer = w.buffer[:0]
+	if cap(w.buffer) > maxBatchBytes { // a large message's room is not kept
+		w.buffer = nil
 	}
 	return err
 }
 
 // reader is the end of a stream that listens.
 type reader struct {
-	x        *Streams
-	c        *transport.Conn
-	purpose  string
-	from     string
-	start    uint64
-	sequence uint64
-	b        []byte
-	reserved int
+	streams   *Streams
+	conn      *transport.Conn
+	purpose   string
+	peerName  string
+	peerStart uint64
+	sequence  uint64
+	buffer    []byte
+	reserved  int
 }
 
 // next reads a frame. Its body is valid until release.
 func (r *reader) next(by time.Time) (Channel, []byte, error) {
 	var head [4]byte
-	if err := r.c.ReadFull(head[:], by); err != nil {
+	if err := r.conn.ReadFull(head[:], by); err != nil {
 		return 0, nil, err
 	}
 	size := int(binary.BigEndian.Uint32(head[:]))
 	if size < 1+sealed.Size || size > 1+MaxBody+sealed.Size {
-		return 0, nil, errFrame
+		return 0, nil, errInvalidFrame
 	}
-	by = time.Now().Add(stuckBy)
-	for !r.x.s.Buffers.Reserve(size) { // what frees memory is an answer written, a matter of milliseconds
+	by = time.Now().Add(writeTimeout)
+	for !r.streams.settings.Buffers.Reserve(size) { // what frees memory is an answer written, a matter of milliseconds
 		if time.Now().After(by) {
 			return 0, nil, transport.ErrDeadline
 		}
 		time.Sleep(time.Millisecond)
 	}
 	r.reserved = size
-	if cap(r.b) < size {
-		r.b = make([]byte, size)
+	if cap(r.buffer) < size {
+		r.buffer = make([]byte, size)
 	}
-	b := r.b[:size]
-	if err := r.c.ReadFull(b, by); err != nil {
+	b := r.buffer[:size]
+	if err := r.conn.ReadFull(b, by); err != nil {
 		r.release()
 		return 0, nil, err
 	}
-	t, verdict := sealed.Parse(b, r.purpose, *r.x.keys.Load())
-	if verdict != sealed.NoFault || t.Sequence != r.sequence+1 || r.sequence > 0 && t.Start != r.start || b[0] >= byte(ChannelCount) {
+	t, verdict := sealed.Parse(b, r.purpose, *r.streams.keys.Load())
+	if verdict != sealed.NoFault || t.Sequence != r.sequence+1 || r.sequence > 0 && t.Start != r.peerStart || b[0] >= byte(ChannelCount) {
 		r.release()
-		return 0, nil, errFrame
+		return 0, nil, errInvalidFrame
 	}
-	r.start, r.sequence = t.Start, t.Sequence
+	r.peerStart, r.sequence = t.Start, t.Sequence
 	return Channel(b[0]), b[1 : size-sealed.Size], nil
 }
 
 // release gives back what a frame held.
 func (r *reader) release() {
-	r.x.s.Buffers.Release(r.reserved)
+	r.streams.settings.Buffers.Release(r.reserved)
 	r.reserved = 0
-	if cap(r.b) > mostWritten {
-		r.b = nil
+	if cap(r.buffer) > maxBatchBytes {
+		r.buffer = nil
 	}
 }
--- a/internal/streams/peer.go
+++ b/internal/streams/peer.go
@@ -9,33 +9,33 @@
 
 // peer is another gateway, and what waits for it.
 type peer struct {
-	x    *Streams
-	name string
-	wake chan struct{}
+	streams *Streams
+	name    string
+	wake    chan struct{}
 
-	mu    sync.Mutex
-	queue []Message
-	bytes int
-	conn  *transport.Conn // the open stream, for abort
+	mu          sync.Mutex
+	queue       []Message
+	queuedBytes int
+	conn        *transport.Conn // the open stream, for abort
 }
 
 // put has a message wait. Where too much waits already the oldest that may give way do; they are handed back.
-func (p *peer) put(m Message) (dropped []Message, err error) {
+func (p *peer) enqueue(m Message) (dropped []Message, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	size := len(m.Body)
-	for i := 0; i < len(p.queue) && p.bytes+size > MaxQueued; {
+	for i := 0; i < len(p.queue) && p.queuedBytes+size > MaxQueued; {
 		if p.queue[i].NoDrop {
 			i++
 			continue
 		}
 		dropped = append(dropped, p.queue[i])
-		p.forget(i)
+		p.removeQueued(i)
 	}
-	if p.bytes+size > MaxQueued || !p.x.s.Buffers.Reserve(size) {
-		return dropped, ErrFull
+	if p.queuedBytes+size > MaxQueued || !p.streams.settings.Buffers.Reserve(size) {
+		return dropped, ErrQueueFull
 	}
-	p.queue, p.bytes = append(p.queue, m), p.bytes+size
+	p.queue, p.queuedBytes = append(p.queue, m), p.queuedBytes+size
 	select {
 	case p.wake <- struct{}{}:
 	default:
@@ -44,26 +44,26 @@
 }
 
 // forget takes one out of the queue, and gives its memory back.
-func (p *peer) forget(i int) {
+func (p *peer) removeQueued(i int) {
 	size := len(p.queue[i].Body)
-	p.bytes -= size
-	p.x.s.Buffers.Release(size)
+	p.queuedBytes -= size
+	p.streams.settings.Buffers.Release(size)
 	p.queue = append(p.queue[:i], p.queue[i+1:]...)
 }
 
 // take takes out what is written together.
-func (p *peer) take(most int) (all []Message) {
+func (p *peer) dequeue(limit int) (all []Message) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n, size := 0, 0
-	for n < len(p.queue) && (n == 0 || size+len(p.queue[n].Body) <= most) {
+	for n < len(p.queue) && (n == 0 || size+len(p.queue[n].Body) <= limit) {
 		size += len(p.queue[n].Body)
 		n++
 	}
 	all = append(all, p.queue[:n]...)
-	p.queue, p.bytes = append(p.queue[:0], p.queue[n:]...), p.bytes-size
+	p.queue, p.queuedBytes = append(p.queue[:0], p.queue[n:]...), p.queuedBytes-size
 	clear(p.queue[len(p.queue):cap(p.queue)])
-	p.x.s.Buffers.Release(size)
+	p.streams.settings.Buffers.Release(size)
 	return all
 }
 
@@ -77,12 +77,12 @@
 }
 
 // hold notes which stream is open. It tells whether it may be used.
-func (p *peer) hold(c *transport.Conn) bool {
+func (p *peer) setConn(c *transport.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.conn = c
 	select {
-	case <-p.x.quit:
+	case <-p.streams.quit:
 		return false
 	default:
 		return true
@@ -90,88 +90,88 @@
 }
 
 // lose tells of messages that did not go out.
-func (p *peer) lose(all []Message, sent bool) {
-	p.x.Counts.Lost.Add(int64(len(all)))
+func (p *peer) reportLost(all []Message, sent bool) {
+	p.streams.Counts.Lost.Add(int64(len(all)))
 	for i := range all {
-		all[i].lost(sent)
+		all[i].notifyLost(sent)
 	}
 }
 
 // run writes what waits, until there has been nothing for long.
 func (p *peer) run() {
-	defer p.x.done.Done()
+	defer p.streams.peersDone.Done()
 	var w *writer
 	shut := func() {
 		if w != nil {
-			p.hold(nil)
-			w.c.Close()
+			p.setConn(nil)
+			w.conn.Close()
 			w = nil
 		}
 	}
 	defer shut()
-	pause, opened := leastPause, time.Time{}
+	pause, opened := minBackoff, time.Time{}
 	rest := func() {
 		select {
 		case <-time.After(pause):
-		case <-p.x.quit:
+		case <-p.streams.quit:
 		}
-		pause = min(2*pause, mostPause)
+		pause = min(2*pause, maxBackoff)
 	}
 	for {
-		if !p.await() {
+		if !p.awaitMessages() {
 			shut()
-			p.lose(p.take(MaxQueued+MaxBody), false)
+			p.reportLost(p.dequeue(MaxQueued+MaxBody), false)
 			return
 		}
-		if w != nil && !w.c.Quiet() {
+		if w != nil && !w.conn.Quiet() {
 			shut() // the peer has closed it; at once, if it does not take it
-			if time.Since(opened) < mostPause {
+			if time.Since(opened) < maxBackoff {
 				rest()
 			}
 		}
 		if w == nil {
-			next, err := p.x.open(p.name)
+			next, err := p.streams.dial(p.name)
 			if err != nil {
-				p.x.Counts.Failed.Add(1)
-				p.lose(p.take(MaxQueued+MaxBody), false)
+				p.streams.Counts.DialsFailed.Add(1)
+				p.reportLost(p.dequeue(MaxQueued+MaxBody), false)
 				rest()
 				continue
 			}
 			w, opened = next, time.Now()
-			if !p.hold(w.c) {
+			if !p.setConn(w.conn) {
 				continue
 			}
-			p.x.Counts.Opened.Add(1)
-			w.add(hello, appendHello(nil, p.x.s.Node, p.name))
+			p.streams.Counts.Opened.Add(1)
+			w.appendFrame(hello, appendHello(nil, p.streams.settings.Node, p.name))
 		}
 		select {
-		case <-p.x.quit: // an abort before the next write's deadline is set would not end it
+		case <-p.streams.quit: // an abort before the next write's deadline is set would not end it
 			continue
 		default:
 		}
-		all := p.take(mostWritten)
+		all := p.dequeue(maxBatchBytes)
 		for i := range all {
-			w.add(all[i].Channel, all[i].Body)
+			w.appendFrame(all[i].Channel, all[i].Body)
 		}
 		if err := w.flush(); err != nil {
 			shut()
-			p.lose(all, true)
+			p.reportLost(all, true)
 			continue
 		}
-		p.x.Counts.Sent.Add(int64(len(all)))
-		if time.Since(opened) > mostPause {
-			pause = leastPause
+		p.streams.Counts.Sent.Add(int64(len(all)))
+		if time.Since(opened) > maxBackoff {
+			pause = minBackoff
 		}
 	}
 }
 
 // await waits until something is to be sent. It tells whether the goroutine goes on.
-func (p *peer) await() bool {
-	idle := time.NewTimer(idleBy)
+func (p *peer) awaitMessages() bool {
+	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
 	for {
 		select {
-		case <-p.x.quit:
+		case <-p.streams.quit:
 			return false
 		default:
 		}
@@ -183,25 +183,25 @@
 		}
 		select {
 		case <-p.wake:
-		case <-p.x.quit:
+		case <-p.streams.quit:
 		case <-idle.C:
-			if p.end() {
+			if p.removeIfIdle() {
 				return false
 			}
-			idle.Reset(idleBy)
+			idle.Reset(idleTimeout)
 		}
 	}
 }
 
 // end takes the peer out, unless something has come for it.
-func (p *peer) end() bool {
-	p.x.mu.Lock()
-	defer p.x.mu.Unlock()
+func (p *peer) removeIfIdle() bool {
+	p.streams.mu.Lock()
+	defer p.streams.mu.Unlock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.queue) > 0 {
 		return false
 	}
-	delete(p.x.peers, p.name)
+	delete(p.streams.peers, p.name)
 	return true
 }
--- a/internal/streams/streams.go
+++ b/internal/streams/streams.go
@@ -27,30 +27,30 @@
 const MaxNameLength = 40
 
 // mostWritten is how many bytes of waiting messages are written together.
-const mostWritten = 256 << 10
+const maxBatchBytes = 256 << 10
 
 // mostHellos is how many connections may be about to say who they are; further ones are closed. Strangers cost no more.
-const mostHellos = 16
+const maxHandshakes = 16
 
 // The times. A stream that has nothing to carry is closed after idleBy; one that does not take a message within stuckBy is
 // given up, and the next message opens another. The pause between two attempts grows from the least to the most.
 const (
-	dialBy     = time.Second
-	helloBy    = 2 * time.Second
-	stuckBy    = 5 * time.Second
-	idleBy     = time.Minute
-	silentBy   = 3 * idleBy
-	leastPause = 20 * time.Millisecond
-	mostPause  = time.Second
+	dialTimeout      = time.Second
+	handshakeTimeout = 2 * time.Second
+	writeTimeout     = 5 * time.Second
+	idleTimeout      = time.Minute
+	readTimeout      = 3 * idleTimeout
+	minBackoff       = 20 * time.Millisecond
+	maxBackoff       = time.Second
 )
 
 // The errors of Send and Reach.
 var (
-	ErrFull    = errors.New("too much waits for this peer")
-	ErrUnknown = errors.New("nobody knows where this peer is")
-	ErrSize    = errors.New("the message is too large")
-	ErrClosed  = errors.New("closed")
-	ErrSilent  = errors.New("no answer in time")
+	ErrQueueFull   = errors.New("too much waits for this peer")
+	ErrUnknownPeer = errors.New("nobody knows where this peer is")
+	ErrTooLarge    = errors.New("the message is too large")
+	ErrClosed      = errors.New("closed")
+	ErrTimeout     = errors.New("no answer in time")
 )
 
 // Channel tells the users of a stream apart.
@@ -59,8 +59,8 @@
 // The channels. Hello, Echo and Echoed are the package's own.
 const (
 	hello Channel = iota
-	echo
-	echoed
+	ping
+	pong
 	StateStore
 	ChannelCount
 )
@@ -77,65 +77,65 @@
 	OnLost func(sent bool)
 }
 
-func (m *Message) lost(sent bool) {
+func (m *Message) notifyLost(handedOver bool) {
 	if m.OnLost != nil {
-		m.OnLost(sent)
+		m.OnLost(handedOver)
 	}
 }
 
 // Settings are who this gateway is, and where others are.
 type Settings struct {
-	Node       string
-	Deployment string
-	Start      uint64 // microseconds of Unix time
-	Keys       []sealed.Key
-	AddressOf  func(name string) (addr string, known bool)
-	Buffers    *transport.Buffers // the memory that waiting messages are taken from
-	Fds        *transport.Descriptors
+	Node        string
+	Deployment  string
+	Start       uint64 // microseconds of Unix time
+	Keys        []sealed.Key
+	AddressOf   func(name string) (addr string, known bool)
+	Buffers     *transport.Buffers // the memory that waiting messages are taken from
+	Descriptors *transport.Descriptors
 }
 
 // Counts are the counters since the start.
 type Counts struct {
-	Opened, Accepted, Failed, Rejected, Sent, SentBytes, Received, Dropped, Lost atomic.Int64
+	Opened, Accepted, DialsFailed, Rejected, Sent, SentBytes, Received, Dropped, Lost atomic.Int64
 }
 
 // Streams are all streams of one gateway.
 type Streams struct {
 	Counts Counts
 
-	s        Settings
-	keys     atomic.Pointer[[]sealed.Key]
-	listener *transport.Listener
-	accepted chan struct{}
-	handlers [ChannelCount]atomic.Pointer[func(from string, body []byte)]
-	hellos   chan struct{}
-	quit     chan struct{}
-	done     sync.WaitGroup
+	settings   Settings
+	keys       atomic.Pointer[[]sealed.Key]
+	listener   *transport.Listener
+	acceptDone chan struct{}
+	handlers   [ChannelCount]atomic.Pointer[func(from string, body []byte)]
+	handshakes chan struct{}
+	quit       chan struct{}
+	peersDone  sync.WaitGroup
 
-	mu      sync.Mutex
-	closed  bool
-	peers   map[string]*peer
-	inbound map[*transport.Conn]struct{}
-	echoes  map[uint64]chan struct{}
-	echoNo  uint64
+	mu       sync.Mutex
+	closed   bool
+	peers    map[string]*peer
+	inbound  map[*transport.Conn]struct{}
+	pings    map[uint64]chan struct{}
+	lastPing uint64
 }
 
 // Listen listens at an address, host and port.
 func Listen(bind string, s Settings) (*Streams, error) {
 	x := &Streams{
-		s: s, accepted: make(chan struct{}), hellos: make(chan struct{}, mostHellos), quit: make(chan struct{}),
-		peers: map[string]*peer{}, inbound: map[*transport.Conn]struct{}{}, echoes: map[uint64]chan struct{}{},
+		settings: s, acceptDone: make(chan struct{}), handshakes: make(chan struct{}, maxHandshakes), quit: make(chan struct{}),
+		peers: map[string]*peer{}, inbound: map[*transport.Conn]struct{}{}, pings: map[uint64]chan struct{}{},
 	}
 	x.SetKeys(s.Keys)
 	var err error
-	if x.listener, err = transport.Listen(bind, s.Buffers, s.Fds); err != nil {
+	if x.listener, err = transport.Listen(bind, s.Buffers, s.Descriptors); err != nil {
 		return nil, err
 	}
 	x.listener.Calls = true
-	x.Handle(echo, x.answerEcho)
-	x.Handle(echoed, x.heardEcho)
+	x.Handle(ping, x.answerPing)
+	x.Handle(pong, x.handlePong)
 	go func() {
-		defer close(x.accepted)
+		defer close(x.acceptDone)
 		x.listener.Serve(x.serve)
 	}()
 	return x, nil
@@ -159,7 +159,7 @@
 // Send has a message sent, and does not wait. Where it returns an error nothing was sent, and Lost is not told.
 func (x *Streams) Send(m Message) error {
 	if len(m.Body) > MaxBody {
-		return ErrSize
+		return ErrTooLarge
 	}
 	x.mu.Lock()
 	if x.closed {
@@ -168,16 +168,16 @@
 	}
 	p := x.peers[m.To]
 	if p == nil {
-		p = &peer{x: x, name: m.To, wake: make(chan struct{}, 1)}
+		p = &peer{streams: x, name: m.To, wake: make(chan struct{}, 1)}
 		x.peers[m.To] = p
-		x.done.Add(1)
+		x.peersDone.Add(1)
 		go p.run()
 	}
-	dropped, err := p.put(m)
+	dropped, err := p.enqueue(m)
 	x.mu.Unlock()
 	x.Counts.Dropped.Add(int64(len(dropped)))
 	for i := range dropped {
-		dropped[i].lost(false)
+		dropped[i].notifyLost(false)
 	}
 	return err
 }
@@ -186,19 +186,19 @@
 func (x *Streams) Ping(name string, by time.Time) (time.Duration, error) {
 	answer := make(chan struct{}, 1)
 	x.mu.Lock()
-	x.echoNo++
-	number := x.echoNo
-	x.echoes[number] = answer
+	x.lastPing++
+	number := x.lastPing
+	x.pings[number] = answer
 	x.mu.Unlock()
 	defer func() {
 		x.mu.Lock()
-		delete(x.echoes, number)
+		delete(x.pings, number)
 		x.mu.Unlock()
 	}()
 	begin := time.Now()
 	lost := make(chan struct{}, 1)
-	body := appendNumber(nil, number)
-	if err := x.Send(Message{To: name, Channel: echo, Body: body, OnLost: func(bool) { lost <- struct{}{} }}); err != nil {
+	body := appendPingNumber(nil, number)
+	if err := x.Send(Message{To: name, Channel: ping, Body: body, OnLost: func(bool) { lost <- struct{}{} }}); err != nil {
 		return 0, err
 	}
 	late := time.NewTimer(time.Until(by))
@@ -209,22 +209,22 @@
 	case <-lost:
 		return 0, errors.New("no stream can be opened to it, or it broke")
 	case <-late.C:
-		return 0, ErrSilent
+		return 0, ErrTimeout
 	}
 }
 
-func (x *Streams) answerEcho(from string, body []byte) {
-	x.Send(Message{To: from, Channel: echoed, Body: slices.Clone(body)}) // whoever asked sees that nothing comes
+func (x *Streams) answerPing(from string, body []byte) {
+	x.Send(Message{To: from, Channel: pong, Body: slices.Clone(body)}) // whoever asked sees that nothing comes
 }
 
-func (x *Streams) heardEcho(_ string, body []byte) {
-	number, ok := readNumber(body)
+func (x *Streams) handlePong(_ string, body []byte) {
+	number, ok := readPingNumber(body)
 	if !ok {
 		return
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if answer := x.echoes[number]; answer != nil {
+	if answer := x.pings[number]; answer != nil {
 		select {
 		case answer <- struct{}{}:
 		default:
@@ -249,8 +249,8 @@
 	}
 	x.mu.Unlock()
 	x.listener.Close()
-	<-x.accepted
-	x.done.Wait()
+	<-x.acceptDone
+	x.peersDone.Wait()
 	x.listener.Wait()
 }
 
@@ -271,62 +271,62 @@
 		x.mu.Unlock()
 	}()
 	select {
-	case x.hellos <- struct{}{}:
+	case x.handshakes <- struct{}{}:
 	default:
 		x.Counts.Rejected.Add(1)
 		return
 	}
-	in, err := x.greet(c)
-	<-x.hellos
+	in, err := x.acceptHandshake(c)
+	<-x.handshakes
 	if err != nil {
 		x.Counts.Rejected.Add(1)
 		return
 	}
 	x.Counts.Accepted.Add(1)
 	for {
-		channel, body, err := in.next(time.Now().Add(silentBy))
+		channel, body, err := in.next(time.Now().Add(readTimeout))
 		if err != nil {
-			if errors.Is(err, errFrame) {
+			if errors.Is(err, errInvalidFrame) {
 				x.Counts.Rejected.Add(1)
 			}
 			return
 		}
 		x.Counts.Received.Add(1)
 		if handler := x.handlers[channel].Load(); handler != nil {
-			(*handler)(in.from, body)
+			(*handler)(in.peerName, body)
 		}
 		in.release()
 	}
 }
 
 // greet draws the number that binds a stream, and hears who speaks.
-func (x *Streams) greet(c *transport.Conn) (*reader, error) {
+func (x *Streams) acceptHandshake(c *transport.Conn) (*reader, error) {
 	greeting := make([]byte, greetingSize)
 	greeting[0] = version
 	rand.Read(greeting[1:]) // it never fails
-	by := time.Now().Add(helloBy)
+	by := time.Now().Add(handshakeTimeout)
 	if _, err := c.Write(by, net.Buffers{greeting}); err != nil {
 		return nil, err
 	}
-	in := &reader{x: x, c: c, purpose: purpose(x.s.Deployment, greeting)}
+	in := &reader{streams: x, conn: c, purpose: purpose(x.settings.Deployment, greeting)}
 	channel, body, err := in.next(by)
 	if err != nil {
 		return nil, err
 	}
 	defer in.release()
 	from, to, ok := readHello(body)
-	if !ok || channel != hello || to != x.s.Node || from == x.s.Node {
-		return nil, errFrame
+	if !ok || channel != hello || to != x.settings.Node || from == x.settings.Node {
+		return nil, errInvalidFrame
 	}
-	in.from = from
+	in.peerName = from
 	return in, nil
 }
 
 // open opens a stream to a peer.
-func (x *Streams) open(name string) (*writer, error) {
-	addr, known := x.s.AddressOf(name)
+func (x *Streams) dial(name string) (*writer, error) {
+	addr, known := x.settings.AddressOf(name)
 	if !known {
-		return nil, ErrUnknown
+		return nil, ErrUnknownPeer
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -337,17 +337,17 @@
 		case <-ctx.Done():
 		}
 	}()
-	c, err := transport.Dial(ctx, addr, time.Now().Add(dialBy), x.s.Buffers, x.s.Fds, false)
+	c, err := transport.Dial(ctx, addr, time.Now().Add(dialTimeout), x.settings.Buffers, x.settings.Descriptors, false)
 	if err != nil {
 		return nil, err
 	}
 	greeting := make([]byte, greetingSize)
-	if err = c.ReadFull(greeting, time.Now().Add(helloBy)); err == nil && greeting[0] != version {
-		err = errFrame
+	if err = c.ReadFull(greeting, time.Now().Add(handshakeTimeout)); err == nil && greeting[0] != version {
+		err = errInvalidFrame
 	}
 	if err != nil {
 		c.Close()
 		return nil, err
 	}
-	return &writer{x: x, c: c, purpose: purpose(x.s.Deployment, greeting)}, nil
+	return &writer{streams: x, conn: c, purpose: purpose(x.settings.Deployment, greeting)}, nil
 }
--- a/internal/streams/streams_test.go
+++ b/internal/streams/streams_test.go
@@ -45,7 +45,7 @@
 	e := &end{got: make(chan string, 1000), buffers: transport.NewBuffers(16 << 20), routes: map[string]string{}}
 	var err error
 	e.Streams, err = Listen("127.0.0.1:0", Settings{
-		Node: name, Start: 5, Keys: keys, Buffers: e.buffers, Fds: transport.NewDescriptors(256),
+		Node: name, Start: 5, Keys: keys, Buffers: e.buffers, Descriptors: transport.NewDescriptors(256),
 		AddressOf: func(name string) (string, bool) { to, known := e.routes[name]; return to, known },
 	})
 	if err != nil {
@@ -103,7 +103,7 @@
 	for _, c := range []struct {
 		m    Message
 		want error
-	}{{Message{To: "b", Body: make([]byte, MaxBody+1)}, ErrSize}} {
+	}{{Message{To: "b", Body: make([]byte, MaxBody+1)}, ErrTooLarge}} {
 		if err := a.Send(c.m); !errors.Is(err, c.want) {
 			t.Errorf("%v", err)
 		}
@@ -146,7 +146,7 @@
 	a.Send(Message{To: "b", Channel: StateStore, Body: []byte("first")})
 	b.want(t, "a:first")
 	way.Set(fake.Fate{Stall: true}, fake.Fate{})
-	if _, err := a.Ping("b", time.Now().Add(50*time.Millisecond)); !errors.Is(err, ErrSilent) {
+	if _, err := a.Ping("b", time.Now().Add(50*time.Millisecond)); !errors.Is(err, ErrTimeout) {
 		t.Errorf("%v", err)
 	}
 	var lost, kept atomic.Int64
@@ -166,7 +166,7 @@
 			t.Fatal("a full queue takes all")
 		}
 	}
-	if !errors.Is(err, ErrFull) || kept.Load() != 0 {
+	if !errors.Is(err, ErrQueueFull) || kept.Load() != 0 {
 		t.Errorf("%v, %d that may not give way did", err, kept.Load())
 	}
 	if held := a.buffers.Held(); held > MaxQueued {
@@ -174,7 +174,7 @@
 	}
 	begin := time.Now()
 	a.Close()
-	if took := time.Since(begin); took > stuckBy/2 {
+	if took := time.Since(begin); took > writeTimeout/2 {
 		t.Errorf("the end took %v", took)
 	}
 	if lost.Load() < 3 || kept.Load() < MaxQueued/int64(len(body))-1 {
@@ -200,7 +200,7 @@
 		begin := time.Now()
 		b.Close()
 		a.Close()
-		if took := time.Since(begin); took > stuckBy {
+		if took := time.Since(begin); took > writeTimeout {
 			t.Fatalf("the end took %v", took)
 		}
 	}
@@ -210,11 +210,11 @@
 func TestStrangers(t *testing.T) {
 	b := newEnd(t, "b", first)
 	frames := func(key sealed.Key, to string, greeting []byte, change func([]byte) []byte) []byte {
-		w := &writer{x: &Streams{}, purpose: purpose("", greeting)}
-		w.x.SetKeys([]sealed.Key{key})
-		w.add(hello, appendHello(nil, "a", to))
-		w.add(StateStore, []byte("taken"))
-		return change(w.b)
+		w := &writer{streams: &Streams{}, purpose: purpose("", greeting)}
+		w.streams.SetKeys([]sealed.Key{key})
+		w.appendFrame(hello, appendHello(nil, "a", to))
+		w.appendFrame(StateStore, []byte("taken"))
+		return change(w.buffer)
 	}
 	same := func(b []byte) []byte { return b }
 	var recorded []byte
