--- a/internal/session/client.go
+++ b/internal/session/client.go
@@ -192,33 +192,33 @@
 
 // handleMessage reads one message whose header has arrived. The answer, if it has one, takes its place in the queue.
 func (c *client) handleMessage() (transport.Reason, error) {
-	h, err := postgres.ParseHeader(c.conn.Peek(postgres.HeaderSize))
+	header, err := postgres.ParseHeader(c.conn.Peek(postgres.HeaderSize))
 	if err != nil {
 		return c.reject(err)
 	}
-	by := c.deadline(c.all.Limits.Message)
+	deadline := c.deadline(c.all.Limits.Message)
 	if err := c.conn.Skip(postgres.HeaderSize); err != nil {
 		return transport.ReasonOf(err), err
 	}
-	switch h.Type {
+	switch header.Type {
 	case postgres.TypeQuery:
 		if !c.skipping {
-			return c.handleQuery(h.Body, by)
+			return c.handleQuery(header.Body, deadline)
 		}
-		return reasoned(c.conn.SkipBy(h.Body, by, c.interrupted))
+		return reasoned(c.conn.SkipBy(header.Body, deadline, c.interrupted))
 	case postgres.TypeTerminate:
 		return transport.EndTerminate, io.EOF
 	case postgres.TypeSync:
 		c.skipping = false
 		c.enqueueResponse(postgres.AppendReady(nil))
-		return reasoned(c.conn.SkipBy(h.Body, by, c.interrupted))
+		return reasoned(c.conn.SkipBy(header.Body, deadline, c.interrupted))
 	case 'P', 'B', 'D', 'E', 'C', 'F', 'H', 'd', 'c', 'f':
-		if err = c.conn.SkipBy(h.Body, by, c.interrupted); err != nil || c.skipping || h.Type == 'H' || h.Type >= 'a' {
+		if err = c.conn.SkipBy(header.Body, deadline, c.interrupted); err != nil || c.skipping || header.Type == 'H' || header.Type >= 'a' {
 			return reasoned(err)
 		}
 		c.all.Counts.Unsupported.Add(1)
 		out := postgres.AppendError(nil, false, postgres.CodeUnsupported, "only simple queries are served here", 0)
-		if h.Type == 'F' {
+		if header.Type == 'F' {
 			out = postgres.AppendReady(out)
 		} else {
 			c.skipping = true
@@ -226,7 +226,7 @@
 		c.enqueueResponse(out)
 		return c.penalize()
 	}
-	return c.reject(errors.New("message of unknown type " + strconv.Quote(string(h.Type))))
+	return c.reject(errors.New("message of unknown type " + strconv.Quote(string(header.Type))))
 }
 
 // idle waits for n bytes between requests. What has arrived already is served, even if the connection has been asked to close.
--- a/internal/session/client_test.go
+++ b/internal/session/client_test.go
@@ -34,7 +34,7 @@
 	return &client{all: all, conn: conn, answerReady: make(chan struct{}, 1), known: true}, peer
 }
 
-// A connection that is asked to close while a request has already reached the machine serves that request first.
+// A connection that is asked to close after a request has reached the kernel serves that request first.
 func TestClosingDoesNotCutOffARequest(t *testing.T) {
 	c, peer := idleClient(t)
 	if _, err := peer.Write([]byte("Q")); err != nil { // the rest is still on its way
--- a/internal/session/clients.go
+++ b/internal/session/clients.go
@@ -79,34 +79,34 @@
 		s.rejectConnection(conn, since)
 		return
 	}
-	c := &client{all: s, conn: conn, answerReady: make(chan struct{}, 1), newBy: since.Add(s.Limits.FirstRequest)}
+	opened := &client{all: s, conn: conn, answerReady: make(chan struct{}, 1), newBy: since.Add(s.Limits.FirstRequest)}
 	s.mu.Lock()
 	if s.open == nil {
 		s.open = map[*client]struct{}{}
 	}
-	s.open[c] = struct{}{}
+	s.open[opened] = struct{}{}
 	if s.cut {
-		c.cutOff(since)
+		opened.cutOff(since)
 	}
 	s.started++
 	process := s.started
 	s.mu.Unlock()
 	remote := conn.Remote()
-	reason, err := c.run(process)
-	s.Fds.Unpark(c)
+	reason, err := opened.run(process)
+	s.Fds.Unpark(opened)
 	switch reason {
 	case transport.EndMoved:
-		c.announceClose("the address has moved to another gateway")
+		opened.announceClose("the address has moved to another gateway")
 	case transport.EndMaintenance:
-		c.announceClose("the gateway is about to be out for maintenance")
+		opened.announceClose("the gateway is about to be out for maintenance")
 	case transport.EndIdle, transport.EndRoom, transport.EndDrain, transport.EndTimeout:
 		s.linger(conn)
 	}
 	conn.Close()
 	s.mu.Lock()
-	delete(s.open, c)
+	delete(s.open, opened)
 	s.mu.Unlock()
-	s.Ends.End(transport.Client, remote, reason, since, c.served, err)
+	s.Ends.End(transport.Client, remote, reason, since, opened.served, err)
 }
 
 // rejectConnection tells a client for which there is no descriptor to connect again.
--- a/internal/session/discovery_test.go
+++ b/internal/session/discovery_test.go
@@ -17,7 +17,7 @@
 type scriptedDiscovery struct {
 	t        *testing.T
 	listener net.Listener
-	news     chan routing.Event
+	updates  chan routing.Event
 	client   *Discovery
 }
 
@@ -29,9 +29,9 @@
 
 func newScriptedDiscovery(t *testing.T, limits CallTimeouts) *scriptedDiscovery {
 	t.Helper()
-	s := &scriptedDiscovery{t: t, listener: listenLoopback(t), news: make(chan routing.Event, 64)}
+	s := &scriptedDiscovery{t: t, listener: listenLoopback(t), updates: make(chan routing.Event, 64)}
 	s.client = &Discovery{
-		Addr: s.listener.Addr().String(), Owner: poster(s.news), Buffers: transport.NewBuffers(1 << 24),
+		Addr: s.listener.Addr().String(), Owner: poster(s.updates), Buffers: transport.NewBuffers(1 << 24),
 		Fds: transport.NewDescriptors(1024), Ends: transport.NewEnds(zerolog.Nop()), Limits: limits,
 	}
 	t.Cleanup(s.client.Close)
@@ -83,29 +83,29 @@
 	c.Close()
 }
 
-// next is the next news for the owner.
-func (s *scriptedDiscovery) next() routing.EndpointListUpdate {
+// nextUpdate is the next update posted to the owner.
+func (s *scriptedDiscovery) nextUpdate() routing.EndpointListUpdate {
 	s.t.Helper()
 	select {
-	case ev := <-s.news:
+	case ev := <-s.updates:
 		return ev.(routing.EndpointListUpdate)
 	case <-time.After(patience):
-		s.t.Fatal("nothing was told")
+		s.t.Fatal("no update was posted")
 		return routing.EndpointListUpdate{}
 	}
 }
 
 func (s *scriptedDiscovery) wantList(rev int64) {
 	s.t.Helper()
-	if n := s.next(); n.Failed || n.List.Rev != rev {
-		s.t.Fatalf("told %+v, want version %d", n, rev)
+	if n := s.nextUpdate(); n.Failed || n.List.Rev != rev {
+		s.t.Fatalf("posted %+v, want revision %d", n, rev)
 	}
 }
 
 func (s *scriptedDiscovery) wantFailure() {
 	s.t.Helper()
-	if n := s.next(); !n.Failed {
-		s.t.Fatalf("told %+v, want a failure", n)
+	if n := s.nextUpdate(); !n.Failed {
+		s.t.Fatalf("posted %+v, want a failure", n)
 	}
 }
 
@@ -149,7 +149,7 @@
 	s.wantList(41)
 }
 
-// What is cut in the middle is no list, whatever way the answer says its length.
+// A truncated answer is no list, in whatever way it gives its length.
 func TestListCutInTheMiddle(t *testing.T) {
 	for _, head := range []string{
 		headOpen, "HTTP/1.1 200 OK\r\nContent-Length: 106\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6a\r\n",
@@ -163,9 +163,9 @@
 	}
 }
 
-// A watch has failed whose first line does not come in time, although its head and some bytes of it have: each piece by
-// itself would put its end off for ever. A later line has as long.
-func TestWatchThatDripsHasFailed(t *testing.T) {
+// A watch whose first line does not arrive in time has failed, although its header and some bytes have arrived: with a new
+// deadline for each piece it would never end. A later line has as long.
+func TestSlowWatchHasFailed(t *testing.T) {
 	short := CallTimeouts{Connect: patience, Answer: 150 * time.Millisecond, Silence: 150 * time.Millisecond}
 	for _, before := range []string{"", oneServer + "\n"} {
 		s := newScriptedDiscovery(t, short)
@@ -190,8 +190,8 @@
 	}
 }
 
-// A whole list has one time for all of its pieces.
-func TestListThatDripsHasFailed(t *testing.T) {
+// A complete list has one deadline for all of its pieces.
+func TestSlowListHasFailed(t *testing.T) {
 	s := newScriptedDiscovery(t, CallTimeouts{Connect: patience, Answer: 150 * time.Millisecond, Silence: patience})
 	s.client.Fetch()
 	c := s.call()
@@ -209,8 +209,8 @@
 	s.wantFailure()
 }
 
-// While a new address fails, the watch at the previous one goes on. What it tells is taken, but it is no sign that the new
-// address is watched: the module has to hear of the failure again, or nobody would ask there.
+// While a new address fails, the watch at the previous one goes on. What it sends is used, but it is no sign that the new address
+// is watched: the router has to hear of the failure again, or nobody would try there.
 func TestPreviousAddressIsNoSignOfTheNewOne(t *testing.T) {
 	s := newScriptedDiscovery(t, generous)
 	s.client.Watch(40)
@@ -237,7 +237,7 @@
 	}
 }
 
-// A new watch that tells its list before the one before has ended leaves one watch, and no failure.
+// A new watch that sends its list before the previous one has ended leaves one watch, and no failure.
 func TestNewWatchBeforeTheOldOneEnds(t *testing.T) {
 	s := newScriptedDiscovery(t, generous)
 	s.client.Watch(40)
@@ -253,9 +253,8 @@
 	s.wantList(43)
 }
 
-// An address that is moved while a call is out is asked at once, and what the call to the one before still brings is not
-// told.
-func TestMoveWhileACallIsOut(t *testing.T) {
+// An address that is set during a call is asked at once, and what the call to the previous one still brings is not posted.
+func TestSetAddressDuringACall(t *testing.T) {
 	s := newScriptedDiscovery(t, generous)
 	s.client.Watch(40)
 	out := s.call() // nothing has been answered yet
--- a/internal/session/lookup.go
+++ b/internal/session/lookup.go
@@ -29,10 +29,10 @@
 
 // Lookup reads a key as of now, as a client would, which shows whether an in-doubt write has run. It passes to done the row, and
 // the answer that the write itself would have had; done is called once and must not block.
-func (s *Clients) Lookup(class, key string, group int, by time.Time, done func(row, answer []byte, ok bool)) {
+func (s *Clients) Lookup(class, key string, group int, deadline time.Time, done func(row, answer []byte, ok bool)) {
 	inForce := s.InForce.Load()
 	index, known := inForce.ClassIndex[class]
-	wait := time.Until(by).Milliseconds()
+	wait := time.Until(deadline).Milliseconds()
 	if !known || inForce.IsWrite(index) || wait <= 0 {
 		done(nil, nil, false)
 		return
--- a/internal/session/pending.go
+++ b/internal/session/pending.go
@@ -39,10 +39,10 @@
 
 // writePosition says where the log position of a write is stored, before its client hears that it has run.
 type writePosition struct {
-	store   SessionPositions
-	group   int
-	session uint64
-	by      time.Time
+	store    SessionPositions
+	group    int
+	session  uint64
+	deadline time.Time
 }
 
 // Answer takes the final answer from routing, on the owner's goroutine. For an in-doubt write the resolver decides what its
@@ -114,7 +114,7 @@
 	if position == 0 {
 		position = q.client.all.Clock.Now() // it was written before now
 	}
-	q.position.store.Store(q.position.group, q.position.session, position, q.position.by, func(stored bool) {
+	q.position.store.Store(q.position.group, q.position.session, position, q.position.deadline, func(stored bool) {
 		if !stored {
 			a.Value.Free()
 			a = routing.Answer{Kind: routing.AnswerFailed}
--- a/internal/session/crossing_test.go
+++ b/internal/session/race_test.go
@@ -19,20 +19,20 @@
 	"marblespan/internal/transport"
 )
 
-// crossing is a client's connection without a goroutine of its own: the test calls its steps one by one and lets things
+// clientHarness is a client's connection without a goroutine of its own: the test calls its steps one by one and lets things
 // happen between two of them.
-type crossing struct {
-	t    *testing.T
-	c    *client
-	peer *net.TCPConn
-	told chan routing.Event
+type clientHarness struct {
+	t      *testing.T
+	c      *client
+	peer   *net.TCPConn
+	events chan routing.Event
 }
 
-func newCrossing(t *testing.T) *crossing {
+func newClientHarness(t *testing.T) *clientHarness {
 	t.Helper()
 	c, peer := idleClient(t)
-	x := &crossing{t: t, c: c, peer: peer.(*net.TCPConn), told: make(chan routing.Event, 1024)}
-	c.all.Owner, c.all.Clock, c.all.Buffers = poster(x.told), routing.NewClock(), transport.NewBuffers(1<<24)
+	x := &clientHarness{t: t, c: c, peer: peer.(*net.TCPConn), events: make(chan routing.Event, 1024)}
+	c.all.Owner, c.all.Clock, c.all.Buffers = poster(x.events), routing.NewClock(), transport.NewBuffers(1<<24)
 	c.all.Counts = &ClientCounts{}
 	c.all.InForce = settings.NewLive(&settings.InForce{
 		Settings:   policy.Settings{Classes: []policy.Class{{Name: "look", Need: policy.NeedAny}, {Name: "put", Need: policy.NeedWrite}}},
@@ -52,8 +52,8 @@
 		strings.Repeat("01", transport.BufferSize)+"') RETURNING content")
 }
 
-// arrives waits until all that the peer has written is in our kernel.
-func (x *crossing) arrives(closed bool) {
+// awaitArrival waits until all that the peer has written is in our kernel.
+func (x *clientHarness) awaitArrival(closed bool) {
 	x.t.Helper()
 	for end := time.Now().Add(patience); x.c.conn.Quiet() || closed && !x.c.conn.PeerClosed(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -62,44 +62,44 @@
 	}
 }
 
-// asked is the next request that was handed to the owner.
-func (x *crossing) asked() *routing.Request {
+// nextRequest is the next request that was posted to the owner.
+func (x *clientHarness) nextRequest() *routing.Request {
 	x.t.Helper()
 	select {
-	case ev := <-x.told:
+	case ev := <-x.events:
 		return ev.(*routing.Request)
 	case <-time.After(patience):
-		x.t.Fatal("nothing was asked")
+		x.t.Fatal("no request was posted")
 		return nil
 	}
 }
 
-// served has the owner's answer left for a request.
-func (x *crossing) served(r *routing.Request, text string) {
+// serve delivers an answer to a request.
+func (x *clientHarness) serve(r *routing.Request, text string) {
 	value := x.c.all.Buffers.NewMessage()
 	value.Append([]byte(text))
 	r.Client.Answer(routing.Answer{Kind: routing.AnswerServed, Value: value})
 }
 
-// A client that sends much at once and goes: none of it is asked once its close is here, although the close lies behind bytes
-// that nobody has read. Fails without the look for it in query.
-func TestNothingIsAskedForAClientThatHasGone(t *testing.T) {
-	x := newCrossing(t)
+// A client sends much at once and disconnects: no request is posted once its close has arrived, although the close lies behind
+// unread bytes. Fails without the check for it in receive.
+func TestNoRequestForADisconnectedClient(t *testing.T) {
+	x := newClientHarness(t)
 	x.peer.Write(bytes.Repeat(lookStatement("x"), 200))
 	x.peer.Close()
-	x.arrives(true)
+	x.awaitArrival(true)
 	if reason, err := x.c.serveMessages(); err == nil || reason != transport.EndPeerGone {
 		t.Errorf("ended with %v, %v", reason, err)
 	}
-	if n := len(x.told); n != 0 {
+	if n := len(x.events); n != 0 {
 		t.Errorf("%d events for the owner", n)
 	}
 }
 
-// A client whose requests fill its part of the queue is not read from; its leaving is noticed all the same, and each of its
-// requests is given up. Fails without the look for it in watchUnread.
-func TestLeavingIsNoticedWhileNothingIsRead(t *testing.T) {
-	x := newCrossing(t)
+// A client with maxPipelined open requests is not read from; its disconnect is noticed all the same, and each of its requests is
+// cancelled. Fails without the check for it in watchUnread.
+func TestDisconnectIsNoticedWhileNothingIsRead(t *testing.T) {
+	x := newClientHarness(t)
 	x.peer.Write(bytes.Repeat(lookStatement("x"), 4*maxPipelined))
 	ended := make(chan transport.Reason, 1)
 	go func() {
@@ -108,30 +108,30 @@
 		ended <- reason
 	}()
 	for range maxPipelined {
-		x.asked()
+		x.nextRequest()
 	}
 	x.peer.Close()
 	if reason := <-ended; reason != transport.EndPeerGone {
 		t.Errorf("ended with %v", reason)
 	}
 	for range maxPipelined {
-		if _, gone := (<-x.told).(routing.ClientDisconnected); !gone {
-			t.Fatal("a request was asked behind the close")
+		if _, gone := (<-x.events).(routing.ClientDisconnected); !gone {
+			t.Fatal("a request was posted after the close")
 		}
 	}
 }
 
-// While a bad message makes its sender wait, the answers to what it asked before go out, and its leaving is noticed. Fails
-// where the pause sleeps.
-func TestPauseLetsAnswersOutAndSeesTheClose(t *testing.T) {
-	x := newCrossing(t)
+// During the backoff after a bad message, the answers to earlier requests are written, and a disconnect is noticed. Fails where
+// the backoff only sleeps.
+func TestBackoffLetsAnswersOutAndSeesTheClose(t *testing.T) {
+	x := newClientHarness(t)
 	x.peer.Write(append(lookStatement("x"), postgres.AppendQuery(nil, "DROP TABLE kv")...))
 	ended := make(chan transport.Reason, 1)
 	go func() {
 		reason, _ := x.c.serveMessages()
 		ended <- reason
 	}()
-	x.served(x.asked(), "the answer")
+	x.serve(x.nextRequest(), "the answer")
 	var got []byte
 	for rest := make([]byte, 256); !bytes.Contains(got, []byte(postgres.CodeProtocol)) || !bytes.HasSuffix(got, postgres.AppendReady(nil)); {
 		n, err := x.peer.Read(rest)
@@ -156,7 +156,7 @@
 // An answer goes out while the next message, longer than a buffer, is still on its way in. Fails where Fill is not
 // interrupted for it.
 func TestAnswerWhileALargeMessageComesIn(t *testing.T) {
-	x := newCrossing(t)
+	x := newClientHarness(t)
 	large := largeStatement("y")
 	x.peer.Write(append(lookStatement("x"), large[:transport.BufferSize+100]...))
 	ended := make(chan struct{})
@@ -164,49 +164,48 @@
 		defer close(ended)
 		x.c.serveMessages()
 	}()
-	first := x.asked()
-	x.served(first, "the answer")
+	first := x.nextRequest()
+	x.serve(first, "the answer")
 	got := make([]byte, len("the answer"))
 	if _, err := io.ReadFull(x.peer, got); err != nil || string(got) != "the answer" {
 		t.Fatalf("read %q, %v", got, err)
 	}
 	x.peer.Write(large[transport.BufferSize+100:])
-	if r := x.asked(); r.ClientID != "y" {
-		t.Errorf("then asked %q", r.ClientID)
+	if r := x.nextRequest(); r.ClientID != "y" {
+		t.Errorf("then %q was requested", r.ClientID)
 	}
 	x.peer.Close()
 	<-ended
 }
 
-// A stop that comes between a request's head and its body takes the request in: it has come whole. Fails where a cut ends
-// the reading at once.
-func TestCutBetweenHeadAndBody(t *testing.T) {
-	x := newCrossing(t)
+// A CutOff between the header of a request and its body, which has arrived, takes the request in. Fails where it ends the reading
+// at once.
+func TestCutOffBetweenHeaderAndBody(t *testing.T) {
+	x := newClientHarness(t)
 	large := largeStatement("x")
 	x.peer.Write(large[:postgres.HeaderSize])
 	if reason, err := x.c.idle(postgres.HeaderSize); err != nil {
 		t.Fatal(reason, err)
 	}
 	x.peer.Write(large[postgres.HeaderSize:])
-	x.arrives(false)
+	x.awaitArrival(false)
 	x.c.all.open = map[*client]struct{}{x.c: {}}
 	x.c.all.CutOff()
 	if reason, err := x.c.handleMessage(); err != nil {
 		t.Fatalf("ended with %v, %v", reason, err)
 	}
-	if r := x.asked(); r.ClientID != "x" {
-		t.Errorf("asked %q", r.ClientID)
+	if r := x.nextRequest(); r.ClientID != "x" {
+		t.Errorf("%q was requested", r.ClientID)
 	}
 }
 
-// The rest of a message that does not come ends the connection soon after the cut, wherever it stopped: within the head, or
-// behind it.
-func TestCutEndsHalfMessages(t *testing.T) {
+// A message whose rest does not arrive ends the connection soon after CutOff, whether it stopped within the header or after it.
+func TestCutOffEndsIncompleteMessages(t *testing.T) {
 	for _, part := range []int{1, postgres.HeaderSize + 20} {
-		x := newCrossing(t)
+		x := newClientHarness(t)
 		x.c.all.open = map[*client]struct{}{x.c: {}}
 		x.peer.Write(lookStatement("x")[:part])
-		x.arrives(false)
+		x.awaitArrival(false)
 		ended := make(chan error, 1)
 		go func() {
 			_, err := x.c.serveMessages()
@@ -225,10 +224,10 @@
 	}
 }
 
-// A resting connection is closed, and a request arrives in that very moment: it is not read and sent on, and the client sees
-// an orderly end, after which it may ask again elsewhere. Fails without linger in Serve.
+// An idle connection is closed, and a request arrives at that moment: it is not forwarded, and the client sees an orderly end,
+// after which it may send the request elsewhere. Fails without linger in Serve.
 func TestRequestCrossesTheCloseOfARestingConnection(t *testing.T) {
-	x := newCrossing(t)
+	x := newClientHarness(t)
 	x.c.all.Limits.Linger = patience
 	startup := postgres.AppendStartup(nil, "backend", "store")
 	x.peer.Write(startup)
@@ -247,18 +246,18 @@
 	}
 	x.peer.Close()
 	<-served
-	if n := len(x.told); n != 0 {
+	if n := len(x.events); n != 0 {
 		t.Errorf("%d events for the owner", n)
 	}
 }
 
-// A client for which there is no room reads its refusal whole and an orderly end, whatever it has sent by then. Fails
-// without linger in turnAway.
-func TestRefusalBeforeTheStartUpIsRead(t *testing.T) {
-	x := newCrossing(t)
+// A client for which there is no descriptor reads its complete rejection and an orderly end, whatever it has sent by then. Fails
+// without linger in rejectConnection.
+func TestRejectionBeforeTheStartUpIsRead(t *testing.T) {
+	x := newClientHarness(t)
 	x.c.all.Limits.Linger = patience
 	x.peer.Write(append(postgres.AppendStartup(nil, "backend", "store"), lookStatement("x")...))
-	x.arrives(false)
+	x.awaitArrival(false)
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
@@ -272,7 +271,7 @@
 	<-served
 }
 
-func (x *crossing) readReady() {
+func (x *clientHarness) readReady() {
 	x.t.Helper()
 	x.peer.SetReadDeadline(time.Now().Add(patience))
 	for {
@@ -293,7 +292,7 @@
 	}
 }
 
-func (x *crossing) readEnd() {
+func (x *clientHarness) readEnd() {
 	x.t.Helper()
 	x.peer.SetReadDeadline(time.Now().Add(patience))
 	if n, err := x.peer.Read(make([]byte, 1)); n != 0 || err != io.EOF {
@@ -301,8 +300,8 @@
 	}
 }
 
-// A task that is given up in the very moment in which its answer was read whole leaves a connection that is not used again.
-// Fails without the look for the abort in settle.
+// A task that is cancelled at the moment its complete answer was read leaves a connection that is not used again. Fails without
+// the check for the abort in finishTask.
 func TestAbandonedBehindItsAnswer(t *testing.T) {
 	r := newHarness(t)
 	answered := newTask(r.job("a"))
@@ -316,7 +315,7 @@
 	if reason, err := l.finishTask(answered, e, reason, err); reason != carryOn || err != nil {
 		t.Fatal(reason, err)
 	}
-	if e := r.ended(); e.Result != policy.ResultOK {
+	if e := r.attemptEnded(); e.Result != policy.ResultOK {
 		t.Errorf("the answer was lost: %d", e.Result)
 	}
 	if _, ok := r.servers.endpointOf(1).idle.Take(); ok {
@@ -327,8 +326,8 @@
 	}
 }
 
-// A task that is given up between the connection's coming up and the first byte is not sent: the server never sees it. Fails
-// without the look for the abort in Write.
+// A task that is cancelled after the connection was made and before the first byte is not sent: the server never sees it. Fails
+// without the check for the abort in Write.
 func TestAbandonedBeforeItsFirstByte(t *testing.T) {
 	r := newHarness(t)
 	task := newTask(r.job("a"))
@@ -348,7 +347,7 @@
 	}
 }
 
-// An answer that is complete but for ReadyForQuery is passed on soon, not at the request's end; likewise an error.
+// An answer that is complete but for ReadyForQuery is forwarded soon, not at the request's deadline; likewise an error.
 func TestAnswerWithoutReadyForQuery(t *testing.T) {
 	for want, handle := range map[policy.Result]func(*fake.Query){
 		policy.ResultOK:    func(q *fake.Query) { q.Write(fake.Row([]byte("v"))) },
@@ -362,7 +361,7 @@
 		job := r.job("a")
 		job.Deadline = job.SentAt + 4*clock.Micros(patience/time.Microsecond)
 		r.servers.Send(job)
-		if e := r.ended(); e.Result != want {
+		if e := r.attemptEnded(); e.Result != want {
 			t.Errorf("ended with %d, want %d", e.Result, want)
 		} else {
 			e.Value.Free()
@@ -370,42 +369,42 @@
 	}
 }
 
-// slowMarks tells the position that a session's read needs when the test wants it.
+// slowPositions returns the position that a session's read requires when the test wants it.
 type slowPositions struct {
 	SessionPositions
-	needed func(policy.Position)
+	required func(policy.Position)
 }
 
 func (*slowPositions) Covers(string) bool { return true }
 
 func (m *slowPositions) Required(_ int, _ uint64, _ time.Time, done func(policy.Position)) {
-	m.needed = done
+	m.required = done
 }
 
-// leavingQueue has the client leave as its request is handed over.
-type leavingQueue struct {
+// disconnectingQueue has the client disconnect as its request is posted.
+type disconnectingQueue struct {
 	poster
 	leave func()
 }
 
-func (q leavingQueue) Post(ev routing.Event) {
+func (q disconnectingQueue) Post(ev routing.Event) {
 	if _, is := ev.(*routing.Request); is {
 		q.leave()
 	}
 	q.poster.Post(ev)
 }
 
-// A read that waits for its session's mark is not routed once its client has left; where it leaves in the very moment, routing
-// hears of that behind the request, not before it. Fails without the looks at gone in route.
-func TestClientLeavesWhileAMarkIsAwaited(t *testing.T) {
+// A read that waits for its session's position is not posted once its client has disconnected; where it disconnects at that
+// moment, routing hears of it after the request, not before. Fails without the checks in postUnlessDisconnected.
+func TestDisconnectWhileAPositionIsAwaited(t *testing.T) {
 	for name, late := range map[string]bool{"before": false, "in the moment": true} {
 		t.Run(name, func(t *testing.T) {
-			x := newCrossing(t)
+			x := newClientHarness(t)
 			facts := *x.c.all.InForce.Load()
 			facts.Settings.Classes[0].Need = policy.NeedSession
 			x.c.all.InForce.Store(&facts)
-			marks := &slowPositions{}
-			x.c.all.SessionPositions = marks
+			positions := &slowPositions{}
+			x.c.all.SessionPositions = positions
 			x.peer.Write(lookStatement("x"))
 			if reason, err := x.c.idle(postgres.HeaderSize); err != nil {
 				t.Fatal(reason, err)
@@ -414,26 +413,26 @@
 				t.Fatal(reason, err)
 			}
 			if late {
-				x.c.all.Owner = leavingQueue{poster(x.told), x.c.abandonQueries}
+				x.c.all.Owner = disconnectingQueue{poster(x.events), x.c.abandonQueries}
 			} else {
 				x.c.abandonQueries()
 			}
-			marks.needed(1)
-			close(x.told)
+			positions.required(1)
+			close(x.events)
 			routed, gone := false, false
-			for ev := range x.told {
+			for ev := range x.events {
 				_, isRequest := ev.(*routing.Request)
 				routed = routed || isRequest
 				gone = !isRequest // the last event counts
 			}
 			if !gone || routed != late {
-				t.Errorf("routed %v, and then told that the client is gone: %v", routed, gone)
+				t.Errorf("posted %v, and then the disconnect: %v", routed, gone)
 			}
 		})
 	}
 }
 
-// slowServer accepts connections and leaves it to the test when they come up.
+// slowServer accepts connections; the test decides when their start-up completes.
 type slowServer struct {
 	t *testing.T
 	l net.Listener
@@ -464,8 +463,9 @@
 // admitted is a server's answer to a start-up.
 var admitted = []byte{'R', 0, 0, 0, 8, 0, 0, 0, 0, 'Z', 0, 0, 0, 5, 'I'}
 
-// A server that the list takes out, or moves, while a connection to it comes up gets no byte of a request on it: the attempt
-// never ran, and may go elsewhere. What is sent to it after its return does. Fails without withdrawn in exchange.
+// A server that is removed from the list, or gets another address, while a connection to it is being made gets no byte of a
+// request on it: the attempt never ran, and may be sent elsewhere. What is sent after its return arrives. Fails without
+// withdrawn in exchange.
 func TestWithdrawnWhileAConnectionComesUp(t *testing.T) {
 	for name, change := range map[string]func(*harness){
 		"taken out": func(r *harness) { r.servers.Withdraw(1) },
@@ -479,7 +479,7 @@
 			nc := slow.accept()
 			change(r)
 			nc.Write(admitted)
-			if e := r.ended(); e.Result != policy.ResultConnectFailed {
+			if e := r.attemptEnded(); e.Result != policy.ResultConnectFailed {
 				t.Errorf("ended with %s", routing.ResultNames[e.Result])
 			}
 			if got, _ := io.ReadAll(nc); len(got) > 0 {
@@ -487,7 +487,7 @@
 			}
 			r.servers.SetEndpoint(1, r.server.Addr())
 			r.servers.Send(r.job("b"))
-			if e := r.ended(); e.Result != policy.ResultOK {
+			if e := r.attemptEnded(); e.Result != policy.ResultOK {
 				t.Errorf("after the return: %s", routing.ResultNames[e.Result])
 			} else {
 				e.Value.Free()
@@ -496,9 +496,9 @@
 	}
 }
 
-// The time that a server is told is what is left when its first byte is written, not when its connection was asked for.
-// Fails where the time is taken before the connection is up.
-func TestTimeToldIsWhatIsLeft(t *testing.T) {
+// The time sent to a server is what is left when its first byte is written, not when the connection was begun. Fails where it is
+// computed before the connection is up.
+func TestTimeSentIsWhatIsLeft(t *testing.T) {
 	r := newHarness(t)
 	r.changeSettings(func(f *settings.InForce) { f.Settings.ConnectTimeout = clock.Micros(patience / time.Microsecond) })
 	slow := newSlowServer(t, r)
@@ -519,10 +519,10 @@
 	if _, err := io.ReadFull(nc, body); err != nil {
 		t.Fatal(err)
 	}
-	told, err := strconv.Atoi((&fake.Query{SQL: string(body)}).Field("d"))
-	if most := int(job.Deadline-job.SentAt-late) / 1000; err != nil || told > most || told < most/2 {
-		t.Errorf("told %d ms (%v), %d are left", told, err, most)
+	sent, err := strconv.Atoi((&fake.Query{SQL: string(body)}).Field("d"))
+	if maxLeft := int(job.Deadline-job.SentAt-late) / 1000; err != nil || sent > maxLeft || sent < maxLeft/2 {
+		t.Errorf("sent %d ms (%v), %d are left", sent, err, maxLeft)
 	}
 	nc.Close()
-	r.ended()
+	r.attemptEnded()
 }
--- a/internal/session/requests.go
+++ b/internal/session/requests.go
@@ -34,8 +34,8 @@
 }
 
 // handleQuery reads one query and submits it.
-func (c *client) handleQuery(body int, by time.Time) (transport.Reason, error) {
-	in, reason, err := c.receive(body, by)
+func (c *client) handleQuery(body int, deadline time.Time) (transport.Reason, error) {
+	in, reason, err := c.receive(body, deadline)
 	if in == nil {
 		return reason, err
 	}
@@ -59,18 +59,18 @@
 
 // receive reads a query's text. It returns none where that did not arrive completely, or nobody waits for it any more, or there
 // is no memory for it, which the client is told.
-func (c *client) receive(body int, by time.Time) (*received, transport.Reason, error) {
+func (c *client) receive(body int, deadline time.Time) (*received, transport.Reason, error) {
 	// Of the answer only a first buffer is reserved. A larger one waits at its server's connection until there is memory for
 	// it: were the largest reserved for every request, a small gateway would reject requests for memory that nobody uses.
 	in := &received{reserve: body + transport.BufferSize}
 	if !c.all.Buffers.Reserve(in.reserve) {
 		c.all.Counts.OverMemory.Add(1)
 		c.respondError(postgres.CodeRefused, "the gateway has no memory left for this")
-		reason, err := reasoned(c.conn.SkipBy(body, by, c.interrupted))
+		reason, err := reasoned(c.conn.SkipBy(body, deadline, c.interrupted))
 		return nil, reason, err
 	}
 	in.text = c.all.Buffers.NewMessage()
-	if err := c.conn.Fill(in.text, body, by, c.interrupted); err != nil {
+	if err := c.conn.Fill(in.text, body, deadline, c.interrupted); err != nil {
 		c.release(in)
 		if transport.ReasonOf(err) == transport.EndTimeout {
 			c.end(errors.New("the message did not come in time"))
--- a/internal/session/server_conn.go
+++ b/internal/session/server_conn.go
@@ -113,19 +113,19 @@
 func (l *serverConn) connect(t *task) (policy.Result, transport.Reason, error) {
 	t.setConn(l)
 	clock := l.all.Clock
-	by := clock.Time(min(clock.Now()+l.all.InForce.Load().Settings.ConnectTimeout, t.Deadline))
-	conn, err := transport.Dial(t.ctx, l.endpoint.endpoint, by, l.all.Buffers, l.all.Fds, t.healthCheck)
+	deadline := clock.Time(min(clock.Now()+l.all.InForce.Load().Settings.ConnectTimeout, t.Deadline))
+	conn, err := transport.Dial(t.ctx, l.endpoint.endpoint, deadline, l.all.Buffers, l.all.Fds, t.healthCheck)
 	if err != nil {
 		return policy.ResultConnectFailed, transport.DialReason(err), err
 	}
 	l.mu.Lock()
 	l.conn = conn
 	l.mu.Unlock()
-	if _, err := conn.Write(by, net.Buffers{postgres.AppendStartup(nil, l.all.User, l.all.DB)}); err != nil {
+	if _, err := conn.Write(deadline, net.Buffers{postgres.AppendStartup(nil, l.all.User, l.all.DB)}); err != nil {
 		return policy.ResultConnectFailed, transport.ReasonOf(err), err
 	}
 	reply := postgres.Reply{Starting: true}
-	if _, err := l.readReply(&reply, by, t, nil); err != nil {
+	if _, err := l.readReply(&reply, deadline, t, nil); err != nil {
 		reason := transport.ReasonOf(err)
 		if errors.Is(err, transport.ErrDeadline) {
 			reason = transport.EndUnreachable
@@ -168,23 +168,23 @@
 }
 
 // finishTask closes the connection or returns it to the pool, and tells the owner how its task ended.
-func (l *serverConn) finishTask(t *task, e taskResult, reason transport.Reason, err error) (transport.Reason, error) {
+func (l *serverConn) finishTask(t *task, result taskResult, reason transport.Reason, err error) (transport.Reason, error) {
 	l.served++
 	if reason != carryOn {
 		l.end()
 		switch {
-		case t.healthCheck && e.result == policy.ResultTimeout:
+		case t.healthCheck && result.result == policy.ResultTimeout:
 			// The machine is cut off: when it is back its kernel knows none of the idle siblings, and a request on
 			// one of them would be lost like this check. The price is some handshakes too many.
 			closeIdleConns(l.endpoint)
-		case e.result == policy.ResultReset && l.served > 1:
+		case result.result == policy.ResultReset && l.served > 1:
 			l.endpoint.suspectedAt.Store(int64(l.all.Clock.Now()))
 			if t.healthCheck { // only this connection is known to be dead; a new one shows whether the server is
 				l.all.dial(t, l.endpoint)
 				return reason, err
 			}
 		}
-		l.all.postEnded(t, e)
+		l.all.postEnded(t, result)
 		return reason, err
 	}
 	l.mu.Lock()
@@ -203,7 +203,7 @@
 		l.all.Fds.Park(l, transport.Kept)
 		l.endpoint.idle.Put(l)
 	}
-	l.all.postEnded(t, e)
+	l.all.postEnded(t, result)
 	return carryOn, nil
 }
 
@@ -303,31 +303,31 @@
 		return taskResult{result: policy.ResultConnectFailed}, reason, err
 	}
 	var reply postgres.Reply
-	report, err := l.readReply(&reply, until, t, value)
-	e, reason := taskResult{params: reply.Params, loadReport: report}, carryOn
+	loadReport, err := l.readReply(&reply, until, t, value)
+	result, reason := taskResult{params: reply.Params, loadReport: loadReport}, carryOn
 	switch {
 	case errors.Is(err, errProtocol): // malformed: it may have run, and nothing in the answer is used
-		e, reason = taskResult{result: policy.ResultError}, transport.EndProtocol
+		result, reason = taskResult{result: policy.ResultError}, transport.EndProtocol
 	case reply.Served():
-		e.result, e.value = policy.ResultOK, value
+		result.result, result.value = policy.ResultOK, value
 	case reply.Code != "":
-		e.result = resultOf(reply.Code, false)
+		result.result = resultOf(reply.Code, false)
 	case errors.Is(err, errStalled):
-		e, reason = taskResult{result: policy.ResultError}, transport.EndProtocol
+		result, reason = taskResult{result: policy.ResultError}, transport.EndProtocol
 	case errors.Is(err, transport.ErrWoken):
-		e.result, reason = policy.ResultCancelled, transport.EndAbandoned
+		result.result, reason = policy.ResultCancelled, transport.EndAbandoned
 	case errors.Is(err, transport.ErrDeadline):
-		e.result, reason = policy.ResultTimeout, transport.EndTimeout
+		result.result, reason = policy.ResultTimeout, transport.EndTimeout
 	default:
-		e.result, reason = policy.ResultReset, transport.ReasonOf(err)
+		result.result, reason = policy.ResultReset, transport.ReasonOf(err)
 	}
 	if reason == carryOn && (err != nil || l.conn.Buffered() > 0) {
 		reason = transport.EndServerFailed // more came than belongs to the answer: it must not count for the next one
 	}
-	if e.value == nil {
+	if result.value == nil {
 		value.Free()
 	}
-	return e, reason, err
+	return result, reason, err
 }
 
 // errFenced says that an in-doubt write may not be sent from here any more: its claim is not confirmed.
@@ -367,42 +367,42 @@
 // readReply reads messages up to ReadyForQuery. What belongs to the answer goes into value; of a health check's row it returns
 // the text. An answer that has begun must go on: one that stops for longer than the connect timeout counts as malformed, and its
 // request need not wait for its deadline. The price is an answer lost where a machine is held up in the middle of it.
-func (l *serverConn) readReply(reply *postgres.Reply, by time.Time, t *task, value *transport.Message) (string, error) {
+func (l *serverConn) readReply(reply *postgres.Reply, deadline time.Time, t *task, value *transport.Message) (string, error) {
 	row := ""
 	for !reply.Ready {
-		due := by
+		due := deadline
 		if reply.Begun() {
-			due = l.stall(by)
+			due = l.stall(deadline)
 		}
 		if err := l.conn.Wait(1, due, t.cancelled); err != nil {
-			return row, stalled(err, due, by)
+			return row, stalled(err, due, deadline)
 		}
-		due = l.stall(by)
+		due = l.stall(deadline)
 		if err := l.conn.Wait(postgres.HeaderSize, due, t.cancelled); err != nil {
-			return row, stalled(err, due, by)
+			return row, stalled(err, due, deadline)
 		}
-		h, err := postgres.ParseHeader(l.conn.Peek(postgres.HeaderSize))
+		header, err := postgres.ParseHeader(l.conn.Peek(postgres.HeaderSize))
 		if err != nil {
 			return row, errors.Join(errProtocol, err)
 		}
-		size := postgres.HeaderSize + h.Body
+		size := postgres.HeaderSize + header.Body
 		head := min(size, transport.BufferSize)
-		if size > head && (h.Type != postgres.TypeDataRow || value == nil || size > maxAnswerMessage) {
+		if size > head && (header.Type != postgres.TypeDataRow || value == nil || size > maxAnswerMessage) {
 			return row, errors.Join(errProtocol, errors.New("a message is too large"))
 		}
-		due = l.stall(by)
+		due = l.stall(deadline)
 		if err := l.conn.Wait(head, due, t.cancelled); err != nil {
-			return row, stalled(err, due, by)
+			return row, stalled(err, due, deadline)
 		}
 		seen := l.conn.Peek(head)
-		if err := reply.Take(h, seen[postgres.HeaderSize:]); err != nil {
+		if err := reply.Take(header, seen[postgres.HeaderSize:]); err != nil {
 			return row, errors.Join(errProtocol, err)
 		}
 		switch {
-		case h.Type == postgres.TypeDataRow && value == nil:
+		case header.Type == postgres.TypeDataRow && value == nil:
 			row = postgres.RowValue(seen[postgres.HeaderSize:])
-		case value != nil && postgres.Passes(h.Type):
-			if err := l.readValue(value, size, by, t); err != nil {
+		case value != nil && postgres.Passes(header.Type):
+			if err := l.readValue(value, size, deadline, t); err != nil {
 				return row, err
 			}
 			continue
@@ -419,15 +419,15 @@
 
 // readValue reads a message into the value, a buffer at a time. A large one waits here until there is memory for it; answers that
 // are in memory already go out to their clients meanwhile.
-func (l *serverConn) readValue(value *transport.Message, remaining int, by time.Time, t *task) error {
-	if err := value.Grow(remaining, by, t.cancelled); err != nil {
+func (l *serverConn) readValue(value *transport.Message, remaining int, deadline time.Time, t *task) error {
+	if err := value.Grow(remaining, deadline, t.cancelled); err != nil {
 		return err
 	}
 	for remaining > 0 {
 		n := min(remaining, transport.BufferSize)
-		due := l.stall(by)
+		due := l.stall(deadline)
 		if err := l.conn.Fill(value, n, due, t.cancelled); err != nil {
-			return stalled(err, due, by)
+			return stalled(err, due, deadline)
 		}
 		remaining -= n
 	}
@@ -435,17 +435,17 @@
 }
 
 // stall is when an answer that has begun and stops counts as malformed.
-func (l *serverConn) stall(by time.Time) time.Time {
+func (l *serverConn) stall(deadline time.Time) time.Time {
 	due := time.Now().Add(time.Duration(l.all.InForce.Load().Settings.ConnectTimeout) * time.Microsecond)
-	if due.After(by) {
-		return by
+	if due.After(deadline) {
+		return deadline
 	}
 	return due
 }
 
 // stalled tells an answer that stopped from one that did not arrive in time.
-func stalled(err error, due, by time.Time) error {
-	if errors.Is(err, transport.ErrDeadline) && due.Before(by) {
+func stalled(err error, due, deadline time.Time) error {
+	if errors.Is(err, transport.ErrDeadline) && due.Before(deadline) {
 		return errStalled
 	}
 	return err
--- a/internal/session/server_conn_test.go
+++ b/internal/session/server_conn_test.go
@@ -16,12 +16,12 @@
 	"marblespan/internal/transport"
 )
 
-// rig is the servers' side alone, with an owner that does nothing but be told.
+// harness is a Servers with an owner that only records events.
 type harness struct {
 	t       *testing.T
 	servers *Servers
 	server  *fake.Server
-	told    chan routing.Event
+	events  chan routing.Event
 }
 
 // patience bounds every wait for an event; only a test that fails reaches it.
@@ -33,10 +33,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &harness{t: t, server: server, told: make(chan routing.Event, 64)}
+	r := &harness{t: t, server: server, events: make(chan routing.Event, 64)}
 	facts := &settings.InForce{Settings: policy.Settings{ConnectTimeout: 250_000}, Keepalive: 30_000_000}
 	r.servers = &Servers{
-		Owner: poster(r.told), InForce: settings.NewLive(facts), Buffers: transport.NewBuffers(1 << 24),
+		Owner: poster(r.events), InForce: settings.NewLive(facts), Buffers: transport.NewBuffers(1 << 24),
 		Fds: transport.NewDescriptors(1024), Ends: transport.NewEnds(zerolog.Nop()), Clock: routing.NewClock(),
 		User: "backend", DB: "store",
 	}
@@ -48,7 +48,7 @@
 	return r
 }
 
-// facts puts changed settings in force.
+// changeSettings puts changed settings in force.
 func (r *harness) changeSettings(change func(*settings.InForce)) {
 	next := *r.servers.InForce.Load()
 	change(&next)
@@ -73,13 +73,13 @@
 	}
 }
 
-func (r *harness) ended() routing.AttemptEnded {
+func (r *harness) attemptEnded() routing.AttemptEnded {
 	r.t.Helper()
 	select {
-	case ev := <-r.told:
+	case ev := <-r.events:
 		return ev.(routing.AttemptEnded)
 	case <-time.After(patience):
-		r.t.Fatal("nothing was told")
+		r.t.Fatal("nothing was posted")
 		return routing.AttemptEnded{}
 	}
 }
@@ -88,7 +88,7 @@
 func (r *harness) idleConn() *serverConn {
 	r.t.Helper()
 	r.servers.Send(r.job("first"))
-	if e := r.ended(); e.Result != policy.ResultOK {
+	if e := r.attemptEnded(); e.Result != policy.ResultOK {
 		r.t.Fatalf("the first attempt ended with %d", e.Result)
 	}
 	l, ok := r.servers.endpointOf(1).idle.Take()
@@ -112,7 +112,7 @@
 	<-r.server.Closed
 	l.current = newTask(r.job("second"))
 	l.carryOut() // here, where no goroutine of its own sees the end first
-	if e := r.ended(); e.Result != policy.ResultOK {
+	if e := r.attemptEnded(); e.Result != policy.ResultOK {
 		t.Errorf("ended with %s", routing.ResultNames[e.Result])
 	}
 	if n := r.server.Opened(); n != 2 {
@@ -120,8 +120,8 @@
 	}
 }
 
-// A task given to a connection in the very moment in which it ends is carried out by another.
-func TestTaskGivenToAnEndingLink(t *testing.T) {
+// A task assigned to a connection at the moment it ends is carried out by another.
+func TestTaskAssignedToAnEndingConnection(t *testing.T) {
 	r := newHarness(t)
 	l := r.idleConn()
 	done := make(chan struct{})
@@ -134,7 +134,7 @@
 	<-done
 	l.current = newTask(r.job("second"))
 	l.mu.Unlock()
-	if e := r.ended(); e.Result != policy.ResultOK {
+	if e := r.attemptEnded(); e.Result != policy.ResultOK {
 		t.Errorf("ended with %s", routing.ResultNames[e.Result])
 	}
 	if n := len(r.server.Queries()); n != 2 {
@@ -142,8 +142,8 @@
 	}
 }
 
-// A server that the list moves while an attempt is out there gets nothing new at its old place.
-func TestMovedWhileBusy(t *testing.T) {
+// A server that gets another address while an attempt is in flight gets nothing new at the former one.
+func TestEndpointChangedWhileBusy(t *testing.T) {
 	r := newHarness(t)
 	other, err := fake.NewServer("primary")
 	if err != nil {
@@ -160,7 +160,7 @@
 	<-arrived
 	r.servers.SetEndpoint(1, other.Addr())
 	close(release)
-	if e := r.ended(); e.Result != policy.ResultOK {
+	if e := r.attemptEnded(); e.Result != policy.ResultOK {
 		t.Errorf("ended with %s", routing.ResultNames[e.Result])
 	}
 	select { // the connection to the old place does not linger
@@ -169,13 +169,13 @@
 		t.Fatal("the connection to the old place stays")
 	}
 	r.servers.Send(r.job("b"))
-	if e := r.ended(); e.Result != policy.ResultOK || len(other.Queries()) != 1 {
+	if e := r.attemptEnded(); e.Result != policy.ResultOK || len(other.Queries()) != 1 {
 		t.Errorf("ended with %s, %d statements at the new place", routing.ResultNames[e.Result], len(other.Queries()))
 	}
 }
 
-// An idle connection to a place that the list has left is closed.
-func TestMovedWhileIdle(t *testing.T) {
+// An idle connection to a former address is closed.
+func TestEndpointChangedWhileIdle(t *testing.T) {
 	r := newHarness(t)
 	r.servers.endpointOf(1).idle.Put(r.idleConn())
 	r.servers.SetEndpoint(1, "127.0.0.1:9")
@@ -186,54 +186,54 @@
 	}
 }
 
-// A cancel while the connection is still coming up, and one of an attempt to a server never listed.
+// A cancel while the connection is being made, and one of an attempt to a server never listed.
 func TestCancelBeforeAnythingIsWritten(t *testing.T) {
 	r := newHarness(t)
 	task := newTask(r.job("a"))
 	task.Cancel()
 	r.servers.start(task)
-	if e := r.ended(); e.Result != policy.ResultCancelled || len(r.server.Queries()) != 0 {
+	if e := r.attemptEnded(); e.Result != policy.ResultCancelled || len(r.server.Queries()) != 0 {
 		t.Errorf("ended with %s, %d statements", routing.ResultNames[e.Result], len(r.server.Queries()))
 	}
 	job := r.job("b")
 	job.Server = 9
 	r.servers.Send(job)
-	if e := r.ended(); e.Result != policy.ResultConnectFailed {
+	if e := r.attemptEnded(); e.Result != policy.ResultConnectFailed {
 		t.Errorf("ended with %s", routing.ResultNames[e.Result])
 	}
 }
 
-// A value larger than what was set aside for it would break the memory budget.
+// A value larger than what was reserved for it would exceed the memory budget.
 func TestOversizedAnswer(t *testing.T) {
 	r := newHarness(t)
 	r.server.SetHandle(func(q *fake.Query) { q.Serve(make([]byte, maxAnswerMessage)) })
 	r.servers.Send(r.job("a"))
-	if e := r.ended(); e.Result != policy.ResultError || e.Value != nil {
+	if e := r.attemptEnded(); e.Result != policy.ResultError || e.Value != nil {
 		t.Errorf("ended with %s", routing.ResultNames[e.Result])
 	}
 	<-r.server.Closed
 }
 
-// What a server says of itself reaches the module with the outcome, in its units.
+// Role, position and load that a server reports reach the owner with the outcome, in its units.
 func TestAnswerCarriesRoleAndPosition(t *testing.T) {
 	r := newHarness(t)
 	r.server.Position.Store(1_796_133_629_826)
 	r.servers.Send(r.job("a"))
-	e := r.ended()
+	e := r.attemptEnded()
 	if e.Role != policy.RolePrimary || e.Position != 1_796_133_629_826_000 {
 		t.Errorf("role %d at %d", e.Role, e.Position)
 	}
 	e.Value.Free()
 	now := r.servers.Clock.Now()
 	r.servers.HealthCheck(1, now, now+5_000_000)
-	p := (<-r.told).(routing.HealthCheckEnded)
+	p := (<-r.events).(routing.HealthCheckEnded)
 	if p.Result != policy.ResultOK || p.LoadReport.Position != 1_796_133_629_826_000 || p.LoadReport.Role != policy.RolePrimary ||
 		p.LoadReport.Util != 250 {
 		t.Errorf("%+v", p)
 	}
 }
 
-// The module may ask for the end of idle connections; one that is at work ends after its answer.
+// The router may close idle connections; a busy one ends after its answer.
 func TestCloseIdle(t *testing.T) {
 	r := newHarness(t)
 	arrived, release := make(chan struct{}, 2), make(chan struct{})
@@ -247,7 +247,7 @@
 	r.servers.Send(r.job("slow"))
 	<-arrived
 	r.servers.Send(r.job("quick"))
-	if e := r.ended(); e.Job.ID != "quick" || e.Result != policy.ResultOK {
+	if e := r.attemptEnded(); e.Job.ID != "quick" || e.Result != policy.ResultOK {
 		t.Fatalf("%s ended with %s", e.Job.ID, routing.ResultNames[e.Result])
 	}
 	r.servers.CloseIdle(1)
@@ -260,14 +260,14 @@
 		t.Fatal("the idle connection stays")
 	}
 	close(release)
-	if e := r.ended(); e.Job.ID != "slow" || e.Result != policy.ResultOK {
+	if e := r.attemptEnded(); e.Job.ID != "slow" || e.Result != policy.ResultOK {
 		t.Errorf("%s ended with %s", e.Job.ID, routing.ResultNames[e.Result])
 	}
 }
 
-// A probe that gets no word closes the idle connections beside its own: the machine may be cut off, and when it is back
-// its kernel knows none of them.
-func TestSilentProbeClosesSiblings(t *testing.T) {
+// A health check without an answer closes the other idle connections to the server: the machine may be cut off, and when it is
+// back its kernel knows none of them.
+func TestSilentHealthCheckClosesSiblings(t *testing.T) {
 	r := newHarness(t)
 	arrived, release := make(chan struct{}, 2), make(chan struct{})
 	r.server.SetHandle(func(q *fake.Query) {
@@ -281,15 +281,15 @@
 	<-arrived
 	close(release)
 	for range 2 {
-		if e := r.ended(); e.Result != policy.ResultOK {
+		if e := r.attemptEnded(); e.Result != policy.ResultOK {
 			t.Fatalf("ended with %s", routing.ResultNames[e.Result])
 		}
 	}
 	r.server.Mute.Store(true)
 	now := r.servers.Clock.Now()
 	r.servers.HealthCheck(1, now, now+100_000)
-	if p := (<-r.told).(routing.HealthCheckEnded); p.Result != policy.ResultTimeout {
-		t.Errorf("the probe ended with %s", routing.ResultNames[p.Result])
+	if p := (<-r.events).(routing.HealthCheckEnded); p.Result != policy.ResultTimeout {
+		t.Errorf("the health check ended with %s", routing.ResultNames[p.Result])
 	}
 	for range 2 {
 		select {
@@ -300,9 +300,9 @@
 	}
 }
 
-// Between requests a server may tell a parameter's new value; any other message ends the connection, and a task that was
-// given in that moment is carried out on another.
-func TestUnaskedMessages(t *testing.T) {
+// Between requests a server may send a parameter's new value; any other message ends the connection, and a task that was
+// assigned at that moment is carried out on another.
+func TestUnsolicitedMessages(t *testing.T) {
 	r := newHarness(t)
 	queries := make(chan *fake.Query, 4)
 	r.server.SetHandle(func(q *fake.Query) {
@@ -313,7 +313,7 @@
 	first := <-queries
 	first.Write([]byte("S\x00\x00\x00\x08a\x00b\x00"))
 	r.servers.Send(r.job("second"))
-	if e := r.ended(); e.Result != policy.ResultOK {
+	if e := r.attemptEnded(); e.Result != policy.ResultOK {
 		t.Fatalf("behind a parameter's value: ended with %s", routing.ResultNames[e.Result])
 	}
 	second := <-queries
@@ -322,7 +322,7 @@
 	second.Write([]byte("E\x00\x00\x00\x05\x00"))
 	l.current = newTask(r.job("third"))
 	l.mu.Unlock()
-	if e := r.ended(); e.Result != policy.ResultOK {
+	if e := r.attemptEnded(); e.Result != policy.ResultOK {
 		t.Errorf("given as an error came: ended with %s", routing.ResultNames[e.Result])
 	}
 	if third := <-queries; third.Conn == second.Conn {
@@ -336,9 +336,9 @@
 	return string([]byte{kind, byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)}) + body
 }
 
-// A spoilt answer is one attempt that may have run: nothing that it said is believed, and its connection is never used
-// again. None of them may hold its request up until its end.
-func TestSpoiltAnswers(t *testing.T) {
+// A malformed answer is an attempt that may have run: nothing in it is used, and its connection is never used again. None of them
+// may hold its request up until the deadline.
+func TestMalformedAnswers(t *testing.T) {
 	whole := string(fake.Row([]byte("v")))
 	claims := message('S', "role\x00primary\x00") + message('S', "applied_ms\x001796133629826\x00")
 	for name, raw := range map[string]string{
@@ -355,7 +355,7 @@
 		r := newHarness(t)
 		r.server.SetHandle(func(q *fake.Query) { q.Write([]byte(raw)) })
 		r.servers.Send(r.job("a"))
-		e := r.ended()
+		e := r.attemptEnded()
 		if e.Result != policy.ResultError || e.Role != policy.RoleUnknown || e.Position != 0 || e.Value != nil {
 			t.Errorf("%s: ended with %s, role %d at %d", name, routing.ResultNames[e.Result], e.Role, e.Position)
 		}
@@ -369,7 +369,7 @@
 	}
 }
 
-// What comes right behind a good answer belongs to nobody. It is never taken for the next request's answer.
+// What follows directly after a good answer is never taken for the next request's answer.
 func TestSurplusBehindAnAnswer(t *testing.T) {
 	r := newHarness(t)
 	whole := string(fake.Row([]byte("first"))) + message('Z', "I")
@@ -382,7 +382,7 @@
 	})
 	for _, id := range []string{"first", "second"} {
 		r.servers.Send(r.job(id))
-		e := r.ended()
+		e := r.attemptEnded()
 		if e.Result != policy.ResultOK {
 			t.Fatalf("%s ended with %s", id, routing.ResultNames[e.Result])
 		}
@@ -396,15 +396,15 @@
 	}
 }
 
-// A good answer with a load report that cannot be read is served; of such a report nothing is believed.
-func TestUnreadableReport(t *testing.T) {
+// A good answer with a load report that cannot be read is served; nothing of the report is used.
+func TestUnreadableLoadReport(t *testing.T) {
 	r := newHarness(t)
 	r.server.SetHandle(func(q *fake.Query) {
 		q.Write([]byte(message('S', "load\x00x0=1796133629.826,\xff\x00") + message('S', "load") +
 			string(fake.Row([]byte("v"))) + message('Z', "I")))
 	})
 	r.servers.Send(r.job("a"))
-	if e := r.ended(); e.Result != policy.ResultOK || e.LoadReport.HasPosition {
+	if e := r.attemptEnded(); e.Result != policy.ResultOK || e.LoadReport.HasPosition {
 		t.Errorf("ended with %s, report %+v", routing.ResultNames[e.Result], e.LoadReport)
 	}
 	if r.servers.parseLoadReport("x0=1796133629.826,x1=zero").HasPosition {
@@ -412,8 +412,8 @@
 	}
 }
 
-// Where kept connections are reset under requests, what may not be repeated goes out on a new one.
-func TestDoubtedConnections(t *testing.T) {
+// Where idle connections are reset under requests, what is not idempotent is sent on a new one.
+func TestSuspectedConnections(t *testing.T) {
 	r := newHarness(t)
 	r.server.SetHandle(func(q *fake.Query) {
 		if q.ID() == "reset" {
@@ -426,7 +426,7 @@
 		job := r.job(id)
 		job.NonIdempotent = once
 		r.servers.Send(job)
-		e := r.ended()
+		e := r.attemptEnded()
 		e.Value.Free()
 		return e.Result
 	}
@@ -451,8 +451,8 @@
 	}
 }
 
-// A probe that is reset on a kept connection tells nothing of the server: it is asked again on a new one.
-func TestProbeResetOnAKeptConnection(t *testing.T) {
+// A health check that is reset on an idle connection says nothing about the server: it is repeated on a new one.
+func TestHealthCheckResetOnAnIdleConnection(t *testing.T) {
 	r := newHarness(t)
 	r.servers.endpointOf(1).idle.Put(r.idleConn())
 	r.server.SetProbe(func(q *fake.Query) bool {
@@ -464,12 +464,12 @@
 	})
 	now := r.servers.Clock.Now()
 	r.servers.HealthCheck(1, now, now+5_000_000)
-	if p := (<-r.told).(routing.HealthCheckEnded); p.Result != policy.ResultOK {
-		t.Errorf("the probe ended with %s", routing.ResultNames[p.Result])
+	if p := (<-r.events).(routing.HealthCheckEnded); p.Result != policy.ResultOK {
+		t.Errorf("the health check ended with %s", routing.ResultNames[p.Result])
 	}
 	r.server.SetProbe(func(q *fake.Query) bool { q.Hangup(); return true })
 	r.servers.HealthCheck(1, now, now+5_000_000)
-	if p := (<-r.told).(routing.HealthCheckEnded); p.Result != policy.ResultReset {
+	if p := (<-r.events).(routing.HealthCheckEnded); p.Result != policy.ResultReset {
 		t.Errorf("with every connection reset it ended with %s", routing.ResultNames[p.Result])
 	}
 }
--- a/internal/session/servers.go
+++ b/internal/session/servers.go
@@ -217,21 +217,21 @@
 }
 
 // postEnded tells the owner how a task ended.
-func (s *Servers) postEnded(t *task, e taskResult) {
+func (s *Servers) postEnded(t *task, result taskResult) {
 	t.stop()
 	latency := s.Clock.Now() - t.SentAt
 	if t.healthCheck {
 		s.Owner.Post(routing.HealthCheckEnded{
-			Server: t.Server, Result: e.result, Latency: latency, LoadReport: s.parseLoadReport(e.loadReport),
+			Server: t.Server, Result: result.result, Latency: latency, LoadReport: s.parseLoadReport(result.loadReport),
 		})
 		return
 	}
 	t.Payload.Free()
 	out := routing.AttemptEnded{
-		Job: t.Job, Result: e.result, Latency: latency, Role: roles[e.params.Role], LoadReport: s.parseLoadReport(e.params.Load),
-		Value: e.value,
+		Job: t.Job, Result: result.result, Latency: latency, Role: roles[result.params.Role], LoadReport: s.parseLoadReport(result.params.Load),
+		Value: result.value,
 	}
-	if pos, err := settings.ParseScaled(e.params.Position, 3); err == nil {
+	if pos, err := settings.ParseScaled(result.params.Position, 3); err == nil {
 		out.Position = policy.Position(pos)
 	}
 	s.Owner.Post(out)
@@ -241,15 +241,15 @@
 
 // parseLoadReport reads a load report. One of which any field cannot be read counts as empty.
 func (s *Servers) parseLoadReport(text string) policy.LoadReport {
-	var rep policy.LoadReport
+	var loadReport policy.LoadReport
 	fields, ok := postgres.LoadFields(text)
 	for _, f := range fields {
-		ok = ok && settings.SetLoadReportField(&rep, f.Name, f.Value, 0) == nil
+		ok = ok && settings.SetLoadReportField(&loadReport, f.Name, f.Value, 0) == nil
 	}
 	if !ok {
 		return policy.LoadReport{}
 	}
-	return rep
+	return loadReport
 }
 
 // Close cancels what is in flight, closes every connection and waits for their goroutines. Nothing may be started afterwards.
