--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,8 @@
-// Package cli is the command line of marblespan: one command for the gateway and a few that look at it from outside.
+// Package cli is the command line of marblespan, and of marblespan-raft, which has the state store too: the command for the gateway
+// itself, and those that ask a running one over its control socket. Main is what both programs call.
+//
+// Each command has a file; query is what those that ask have in common; formerCommands has the words of earlier versions. The
+// package keeps no state between calls.
 package cli
 
 import (
@@ -12,7 +16,6 @@
 	"github.com/spf13/cobra"
 
 	"marblespan/internal/config"
-	"marblespan/internal/config/lines"
 	"marblespan/internal/gateway"
 )
 
@@ -25,7 +28,7 @@
 // usageError is a command line that cannot be understood.
 type usageError struct{ error }
 
-// Main runs the command line and returns its exit code.
+// Main runs the command line and returns its exit code: 0, exitFault or exitUsage.
 func Main(args []string, env func(string) string, out, errs io.Writer) int {
 	c := command{env: env, out: out, errs: errs, args: args}
 	root := c.root()
@@ -33,15 +36,13 @@
 	root.SetOut(out)
 	root.SetErr(errs)
 	err := root.Execute()
-	var usage usageError
-	switch {
-	case err == nil:
+	if err == nil {
 		return 0
-	case errors.As(err, &usage), strings.HasPrefix(err.Error(), "unknown command"):
-		printError(errs, err)
-		return exitUsage
 	}
 	printError(errs, err)
+	if _, ok := errors.AsType[usageError](err); ok || strings.HasPrefix(err.Error(), "unknown command") { // cobra's has no type
+		return exitUsage
+	}
 	return exitFault
 }
 
@@ -52,14 +53,16 @@
 	}
 }
 
+// command is one call of the program.
 type command struct {
 	env  func(string) string
-	out  io.Writer
-	errs io.Writer
-	conf string // --conf
+	out  io.Writer // standard output
+	errs io.Writer // standard error
+	conf string    // --conf
 	args []string
 }
 
+// noArguments and oneArgument say what arguments a command takes, in the words of this package's errors.
 func noArguments(cmd *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return usageError{fmt.Errorf("%s takes no arguments, and has %q", cmd.CommandPath(), args)}
@@ -97,54 +100,30 @@
 	return root
 }
 
-// operators is the path of the operators' file; empty: there is none.
-func (c *command) operators() string {
+// operatorsPath is the path of the operators' file; empty: there is none.
+func (c *command) operatorsPath() string {
 	if c.conf != "" {
 		return c.conf
 	}
 	return c.env(config.EnvOperators)
 }
 
+// load reads both configurations. The gateway calls it again on SIGHUP.
 func (c *command) load() (*config.Config, *config.Operators, error) {
-	cfg, err := config.Load(c.env)
-	ops, fault := config.LoadOperators(c.operators())
-	return cfg, ops, errors.Join(err, fault) // both are read in any case, so that all faults are told at once
+	platform, platformErr := config.Load(c.env)
+	operators, operatorsErr := config.LoadOperators(c.operatorsPath())
+	return platform, operators, errors.Join(platformErr, operatorsErr) // both are read in any case, so that all faults are told at once
 }
 
+// gateway runs the gateway until it is told to stop.
 func (c *command) gateway(*cobra.Command, []string) error {
-	if ops, err := config.LoadOperators(c.operators()); err == nil && needsRaftProgram(ops) {
+	if operators, err := config.LoadOperators(c.operatorsPath()); err == nil && needsRaftProgram(operators) {
 		return execRaftProgram(c.args)
 	}
 	zerolog.TimeFieldFormat = "2006-01-02T15:04:05.000Z07:00"
 	return gateway.Run(c.load, c.errs)
 }
 
-func (c *command) check(*cobra.Command, []string) error {
-	cfg, ops, err := c.load()
-	if err != nil {
-		return err
-	}
-	fmt.Fprintf(c.out, "# the platform's configuration\n")
-	for _, line := range [][2]string{
-		{"name", cfg.Name}, {"listen", cfg.Listen}, {"discovery", cfg.Discovery},
-		{"limits.cores", fmt.Sprint(cfg.Cores)}, {"limits.memory_mb", fmt.Sprint(cfg.MemoryMB)},
-		{"limits.sockets", fmt.Sprint(cfg.Sockets)}, {"known", fmt.Sprint(len(cfg.KnownServers.Entries), " servers")},
-		{"settings.classes", strings.Join(cfg.InForce.ClassNames, " ")},
-	} {
-		fmt.Fprintf(c.out, "%s %s\n", line[0], lines.Quote(line[1]))
-	}
-	for _, w := range ops.FormerWords() {
-		fmt.Fprintln(c.errs, "marblespan: warning:", w)
-	}
-	where := c.operators()
-	if where == "" {
-		fmt.Fprintf(c.out, "\n# no operators' file: all of it is off\n")
-		return nil
-	}
-	fmt.Fprintf(c.out, "\n# the operators' file, %s\n", where)
-	return ops.Print(c.out)
-}
-
 func (c *command) version(*cobra.Command, []string) error {
 	revision := ""
 	if info, ok := debug.ReadBuildInfo(); ok {
--- a/internal/cli/query.go
+++ b/internal/cli/query.go
@@ -20,6 +20,7 @@
 	json   bool   // --json
 }
 
+// newQuery adds the flags that all queries have.
 func (c *command) newQuery(flags *pflag.FlagSet) *query {
 	q := &query{command: c}
 	flags.StringVar(&q.socket, "socket", "", "the gateway's control socket (default: as the operators' file says)")
@@ -32,7 +33,7 @@
 func (q *query) ask(question string, into any) error {
 	socket := q.socket
 	if socket == "" {
-		operators, err := config.LoadOperators(q.operators())
+		operators, err := config.LoadOperators(q.operatorsPath())
 		if err != nil {
 			return err
 		}
@@ -53,6 +54,7 @@
 	return err
 }
 
+// writeJSON prints an answer as it came, indented.
 func writeJSON(w io.Writer, v any) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
--- a/internal/testcluster/copies_test.go
+++ b/internal/testcluster/copies_test.go
@@ -268,7 +268,12 @@
 			return down(f, n, "kill", func() error { return nil })
 		}},
 		{"46 % of nine are killed", false, false, play("at 0s kill 1,2,3,4 for 1s")},
-		{"all are killed at once, their files in former words", false, false, play("at 0s kill all for 100ms")},
+		{"all are killed at once, their files in former words", false, false, func(f *Fleet) error {
+			if err := play("at 0s kill all for 100ms")(f); err != nil {
+				return err
+			}
+			return warnsOfFormerWords(f)
+		}},
 		{"all are killed at once, with their disks", false, true, func(f *Fleet) error {
 			if err := during(f, "at 0s kill all", func() error {
 				for _, n := range f.Nodes {
@@ -323,6 +328,22 @@
 		" max-repairs ", " heal-at-once ", " storage ", " store ").Replace(conf)
 }
 
+// warnsOfFormerWords looks for the warnings of withFormerWords in the log of each gateway.
+func warnsOfFormerWords(f *Fleet) error {
+	for _, n := range f.Nodes {
+		log, err := os.ReadFile(filepath.Join(n.dir, "log"))
+		if err != nil {
+			return err
+		}
+		for _, words := range [][2]string{{"copies", "state-store"}, {"holders", "raft-nodes"}, {"copies", "voters"}, {"heal-after", "repair-after"}} {
+			if want := fmt.Sprintf(`"former":%q,"new":%q`, words[0], words[1]); !strings.Contains(string(log), want) {
+				return fmt.Errorf("%s does not warn: %s", n.Name(), want)
+			}
+		}
+	}
+	return nil
+}
+
 // ordeal starts a fleet with copies, has something done to it under load, and checks what happened once it has come to rest.
 // Meanwhile is a fault that lasts all along; empty: none does.
 func ordeal(t *testing.T, name string, o Options, load LoadOptions, meanwhile string, do func(*Fleet) error) {
