--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -19,20 +19,23 @@
 // Where the decisions stand:
 //
 //   - Whether a server may be used: inService (drains, removals, health checks) and hasCapacity (back-off,
-//     concurrency limit, slow start). Ejection is looked at only in candidateReplicas.
+//     concurrency limit, slow start). Of the placements only candidateReplicas looks at ejection.
 //   - Which replica: the freshness gate in placeRead, then drawReplica with the session's sticky replica.
 //   - Down servers and health checks: healthCheckDue, healthCheckEnded, markDown, observeAlive.
 //   - The concurrency limit: observeLatency and cutLimit. Slow start: slowStartWeight, withinSlowStartBudget.
 //   - Outliers: detectOutlier ejects; the sweep only ends ejections (unejectExpired).
 //   - Retries are bounded in four places: mayRetry (attempts left, none in flight, no harm in a second run),
 //     takeRetryToken (the budget), placeOnPrimary (half of a write's attempts while no primary is known), and
-//     routing.Core, which checks attempts and deadline again before it sends and ends what it does not
-//     send as ResultNotSent.
-//   - Every final answer that is not a served one passes through finish; only what was served, and the
-//     disconnect of its client, end a request without it.
+//     routing.Core, which checks attempts, deadline and attempts in flight again before it sends, and ends
+//     what it does not send as ResultNotSent.
+//   - Every final answer that is not a served one passes through finish. Only an answer that was served, or
+//     the disconnect of its client, ends a request without it.
 //
-// One decision on answers is made outside: routing.Core turns a fresh read that a server answered
-// as a replica into ResultMisdirected before it gets here.
+// Package routing decides four things itself, before the router hears of them: it turns a fresh read that
+// a server answered as a replica into ResultMisdirected; it rejects requests of groups that no list has
+// named, of classes that changed on the way, and with the id of a request still in hand; it keeps a server
+// that operators cordon draining whatever the list says; and it fails what is still unanswered when the
+// gateway stops.
 package policy
 
 import (
