--- a/internal/intents/service.go
+++ b/internal/intents/service.go
@@ -74,11 +74,11 @@
 
 // GatewayEnded tells that an incarnation of a gateway, and all before it, have ended.
 func (s *Service) GatewayEnded(gateway string, incarnation uint64) {
-	s.postEvent(indoubt.GatewayEnded{Gateway: gateway, Incarnation: incarnation})
+	s.post(func() { s.handle(indoubt.GatewayEnded{Gateway: gateway, Incarnation: incarnation}) })
 }
 
 // StartShutdown gives each client that does not wait for routing its final answer.
-func (s *Service) StartShutdown() { s.postEvent(indoubt.ShutdownStarted{}) }
+func (s *Service) StartShutdown() { s.post(func() { s.handle(indoubt.ShutdownStarted{}) }) }
 
 // InFlight lists the writes in flight; after Close there are none.
 func (s *Service) InFlight() []indoubt.InFlightWrite {
@@ -102,7 +102,8 @@
 	return true
 }
 
-// post has the goroutine call do. It never blocks: the goroutine of routing calls it.
+// post has the goroutine call do. It never blocks: the goroutine of routing calls it. An event is made into an indoubt.Event within do:
+// passed in as one it would take an allocation more.
 func (s *Service) post(do func()) {
 	s.mu.Lock()
 	s.queue = append(s.queue, do)
@@ -113,8 +114,6 @@
 	}
 }
 
-func (s *Service) postEvent(ev indoubt.Event) { s.post(func() { s.handle(ev) }) }
-
 // run is the goroutine.
 func (s *Service) run() {
 	timer := time.NewTimer(time.Hour)
@@ -188,7 +187,8 @@
 	w := s.writes[l.ID]
 	class := s.settings.Classes[w.request.Class]
 	s.settings.Lookup(class.LookupClass, w.request.Key, w.request.Group, s.settings.ToTime(l.Deadline), func(row, answer []byte, ok bool) {
-		s.postEvent(indoubt.LookupAnswered{ID: l.ID, Found: ok && class.shows(row, w.request.Value), Value: answer})
+		found := ok && class.shows(row, w.request.Value)
+		s.post(func() { s.handle(indoubt.LookupAnswered{ID: l.ID, Found: found, Value: answer}) })
 	})
 }
 
--- a/internal/intents/store.go
+++ b/internal/intents/store.go
@@ -51,7 +51,7 @@
 }
 
 func (s *Service) notApplied(call uint64) {
-	s.postEvent(indoubt.StoreReplied{Call: call, Result: indoubt.NotApplied})
+	s.post(func() { s.handle(indoubt.StoreReplied{Call: call, Result: indoubt.NotApplied}) })
 }
 
 // storeReplied is what a store calls with the result of a call.
@@ -64,7 +64,7 @@
 		if reply.Found {
 			ev.Intent = parseIntent(reply.Value)
 		}
-		s.postEvent(ev)
+		s.post(func() { s.handle(ev) })
 	}
 }
 
--- a/internal/intents/write.go
+++ b/internal/intents/write.go
@@ -39,11 +39,15 @@
 
 // RoutingAnswered takes the final answer of routing. Value is nil if it is larger than MaxStoredAnswer.
 func (w *write) RoutingAnswered(kind indoubt.AnswerKind, value []byte) {
-	w.service.postEvent(indoubt.RoutingAnswered{ID: w.id, Kind: kind, Value: value, ValueComplete: value != nil})
+	w.service.post(func() {
+		w.service.handle(indoubt.RoutingAnswered{ID: w.id, Kind: kind, Value: value, ValueComplete: value != nil})
+	})
 }
 
 // Cancel tells that the client waits no longer.
-func (w *write) Cancel() { w.service.postEvent(indoubt.RequestCanceled{ID: w.id}) }
+func (w *write) Cancel() {
+	w.service.post(func() { w.service.handle(indoubt.RequestCanceled{ID: w.id}) })
+}
 
 // MaySend asks whether the last byte of an attempt may be written now, and waits for the permission until the deadline.
 func (w *write) MaySend(ctx context.Context, server string, deadline time.Time) bool {
