--- a/cmd/marblespan/main_test.go
+++ b/cmd/marblespan/main_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -79,7 +80,7 @@
 	return l.Addr().String()
 }
 
-// Whatever is wrong with the start is told in one plain line, with the key, and a non-zero exit.
+// Whatever is wrong at the start is reported in one plain line that names the key, with a non-zero exit code.
 func TestBadStarts(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -93,12 +94,14 @@
 		{"address in use", sample(t, map[string]any{"listen": taken.Addr().String()}), "1", "address already in use"},
 		{"argument", "", "argument", "unknown command"},
 	} {
-		out, err := gateway(t, c.config, c.mode).CombinedOutput()
-		exit, ok := err.(*exec.ExitError)
-		if !ok || exit.ExitCode() <= 0 || exit.ExitCode() > 2 || !strings.Contains(string(out), c.want) ||
-			strings.Contains(string(out), "goroutine ") {
-			t.Errorf("%s: %v\n%s", c.name, err, out)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			out, err := gateway(t, c.config, c.mode).CombinedOutput()
+			exit, ok := errors.AsType[*exec.ExitError](err)
+			if !ok || exit.ExitCode() <= 0 || exit.ExitCode() > 2 || !strings.Contains(string(out), c.want) ||
+				strings.Contains(string(out), "goroutine ") {
+				t.Errorf("%v\n%s", err, out)
+			}
+		})
 	}
 }
 
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -68,13 +68,15 @@
 		{"the gateway tells them too", nil, []string{"--conf", bad}, 1, "", bad + ":1: contrl: is not known here"},
 		{"named by the environment", map[string]string{"MARBLESPAN_CONF": bad}, []string{"check"}, 1, "", bad + ":1: contrl"},
 	} {
-		code, out, errs := run(t, c.env, c.args...)
-		if code != c.code || !strings.Contains(out, c.out) || !strings.Contains(errs, c.errs) || (c.errs == "") != (errs == "") {
-			t.Errorf("%s: exit %d\n%s\n%s", c.name, code, out, errs)
-		}
-		if strings.Contains(out+errs, "nobody sees") {
-			t.Errorf("%s shows a secret", c.name)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			code, out, errs := run(t, c.env, c.args...)
+			if code != c.code || !strings.Contains(out, c.out) || !strings.Contains(errs, c.errs) || (c.errs == "") != (errs == "") {
+				t.Errorf("exit %d\n%s\n%s", code, out, errs)
+			}
+			if strings.Contains(out+errs, "nobody sees") {
+				t.Error("it shows a secret")
+			}
+		})
 	}
 }
 
--- a/internal/config/operators_test.go
+++ b/internal/config/operators_test.go
@@ -159,30 +159,31 @@
 		{"open quote", edit(`blank.sock"`, "blank.sock"), `x:2: column 9: invalid input text "\"/tmp/with blank..."`},
 		{"no vrrp", "group a\nvrid 1\naddress 1.2.3.4\nlisten 127.0.0.1:1\n", `x:1: group: there is no vrrp section`},
 		{"no group", "vrrp\nnode 1\nbind 127.0.0.1:1\nkey 1 0123456789abcdef\n", `x:1: vrrp: there is no group to hold an address for`},
-		{"copies without members", edit(memberLines(), ""), `x:28: state-store: there is no members section: the state store runs on members`},
-		{"an even number of copies", edit("voters 5", "voters 4"), `x:39: voters: must be one of 1, 3, 5`},
+		{"a state store without members", edit(memberLines(), ""), `x:28: state-store: there is no members section: the state store runs on members`},
+		{"an even number of voters", edit("voters 5", "voters 4"), `x:39: voters: must be one of 1, 3, 5`},
 		{"a disk without a path", edit("storage disk /var/c.db", "storage disk"), `x:40: storage: "disk" is neither memory nor disk and a path`},
 		{"a witness of nothing", edit("storage disk /var/c.db", "storage memory"), `x:41: witness: there is no disk for it to tell of`},
-		{"healing at each restart", edit("repair-after 30s", "repair-after 1s"), `x:42: repair-after: 1s is below 2s, or 20 heartbeats`},
+		{"a repair at each restart", edit("repair-after 30s", "repair-after 1s"), `x:42: repair-after: 1s is below 2s, or 20 heartbeats`},
 		{"a heartbeat", edit("repair-after 30s", "heartbeat 3s"), `x:42: heartbeat: 3s is not from 20ms to 2s`},
 		{"marks for ever", edit("repair-after 30s", "marks-ttl 25h"), `x:42: marks-ttl: 25h0m0s is not from 1s to 24h0m0s`},
-		{"remembered too shortly", edit("retention 1m", "retention 1s"), `x:48: retention: 1s is not from 10s to 24h0m0s`},
+		{"a retention that is too short", edit("retention 1m", "retention 1s"), `x:48: retention: 1s is not from 10s to 24h0m0s`},
 		{"clients that do neither", edit("clients do-not-mark", "clients maybe"), `x:46: clients: must be one of mark, do-not-mark`},
 		{"a class twice", sampleConf + "in-doubt order\n", `x:50: in-doubt: order is there twice`},
-		{"claims without copies", "in-doubt order\n", `x:1: in-doubt: there is no state-store section: what is promised is kept in it`},
-		{"an order without copies", "maintenance\n", `x:1: maintenance: there is no state-store section: the order is kept in it`},
+		{"in-doubt writes without a state store", "in-doubt order\n", `x:1: in-doubt: there is no state-store section: what is promised is kept in it`},
+		{"maintenance without a state store", "maintenance\n", `x:1: maintenance: there is no state-store section: the order is kept in it`},
 		{"work that takes no time", sampleConf + "maintenance\n default-duration 1ms\n", `x:51: default-duration: 1ms is not from 1s to 168h0m0s`},
 		{"a load of more than all", sampleConf + "maintenance\n max-load 101\n", `x:51: max-load: must be 100 or less`},
 		{"bytes", "control \x01\n", `x:1: column 9: invalid input text "\x01"`},
 	} {
-		_, err := ParseOperators("x", c.text)
-		if err == nil || !strings.Contains("\n"+err.Error()+"\n", "\n"+c.want+"\n") {
-			t.Errorf("%s:\n%v\nwant\n%s", c.name, err, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			_, err := ParseOperators("x", c.text)
+			if err == nil || !strings.Contains("\n"+err.Error()+"\n", "\n"+c.want+"\n") {
+				t.Errorf("%v\nwant\n%s", err, c.want)
+			}
+		})
 	}
 	_, err := ParseOperators("x", "a 1\nb 2\nvrrp 3\n")
-	var faults lines.Faults
-	if !errors.As(err, &faults) || len(faults) != 3 || faults[2].Line != 3 {
+	if faults, ok := errors.AsType[lines.Faults](err); !ok || len(faults) != 3 || faults[2].Line != 3 {
 		t.Errorf("%v", err)
 	}
 	if _, err := LoadOperators(filepath.Join(t.TempDir(), "none")); err == nil ||
@@ -210,10 +211,10 @@
 	}
 }
 
-func TestOperatorsFixed(t *testing.T) {
+func TestOperatorsRestartRequired(t *testing.T) {
 	a, _ := ParseOperators("x", sampleConf)
-	may, _ := ParseOperators("x", strings.NewReplacer("priority 200", "priority 9", "peer 3", "peer 4", "key 2", "key 3").Replace(sampleConf))
-	if fixed := a.RestartRequired(may); len(fixed) != 0 {
+	reloadable, _ := ParseOperators("x", strings.NewReplacer("priority 200", "priority 9", "peer 3", "peer 4", "key 2", "key 3").Replace(sampleConf))
+	if fixed := a.RestartRequired(reloadable); len(fixed) != 0 {
 		t.Errorf("%v", fixed)
 	}
 	other, _ := ParseOperators("x", strings.NewReplacer("node 1", "node 9", "vrid 51", "vrid 9", "control", "# ").Replace(sampleConf))
@@ -230,8 +231,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		o, err := ParseOperators("x", text)
 		if err != nil {
-			var faults lines.Faults
-			if !errors.As(err, &faults) || len(faults) == 0 {
+			if faults, ok := errors.AsType[lines.Faults](err); !ok || len(faults) == 0 {
 				t.Fatalf("%T %v", err, err)
 			}
 			return
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"errors"
+	"fmt"
 	"os"
 	"path/filepath"
 	"strings"
@@ -113,11 +114,12 @@
 		{"settings.realms", tenants("a", 0.5, "a", 0.5), "settings.realms[1].name"},
 		{"settings.realms", tenants("", 0.5), "settings.realms[0].name"},
 	} {
-		_, err := Parse(change(t, c.path, c.value), none)
-		var fault *settings.KeyError
-		if !errors.As(err, &fault) || fault.Key != c.key {
-			t.Errorf("%s = %v: %v, want the key %s named", c.path, c.value, err, c.key)
-		}
+		t.Run(fmt.Sprintf("%s=%v", c.path, c.value), func(t *testing.T) {
+			_, err := Parse(change(t, c.path, c.value), none)
+			if fault, ok := errors.AsType[*settings.KeyError](err); !ok || fault.Key != c.key {
+				t.Errorf("%v, want the key %s named", err, c.key)
+			}
+		})
 	}
 }
 
