--- a/internal/raftstore/actions.go
+++ b/internal/raftstore/actions.go
@@ -7,73 +7,73 @@
 	"marblespan/internal/maintenance"
 )
 
-// Action is one of the actions below, to be carried out in order.
+// Action is an output of Host.Flush: one of the types in this file. Actions are carried out in order.
 type Action interface{ action() }
 
 // Send sends a packet. It may be lost.
 type Send struct {
-	To   string
+	To   string // the receiver's name
 	Body []byte
-	// Bulk is a packet whose sending may take its time: it heals something and nobody waits for it.
+	// Bulk marks a packet that may be sent slowly: it is part of a repair and no caller waits for it.
 	Bulk bool
 }
 
-// Write is to be written, in one transaction with one sync. The next one comes only after this one's Written. With another
-// store's number than before, nothing of what was there counts.
+// Write is to be written in one transaction with one sync. The next one comes only after this one's WriteCompleted. With another Store
+// than before, everything that was on the disk is void.
 type Write struct {
 	Number      uint64
 	Store       uint64
 	Incarnation uint64
-	Ledger      []byte // nil: as it was
+	Ledger      []byte // nil: unchanged
 	Members     []MemberWrite
-	Retired     []MemberRef // added to those before
-	// Sure tells that no replica here still asks whether the disk is the one that it was: only then a witness may say so.
+	Retired     []MemberRef // in addition to earlier ones
+	// Recovered says that no member here is still in recovery. Only then may the witness file confirm this disk.
 	Recovered bool
 }
 
-// GroupWrite is one replica's part of a write, in the order of its fields.
+// MemberWrite is one member's part of a Write. Its fields are applied in their order.
 type MemberWrite struct {
 	Group, Epoch uint32
 	Member       uint64
-	Delete       bool         // it is gone; the rest is empty
-	Snapshot     *pb.Snapshot // replaces what was before; nil: none
-	KeepEntries  bool         // with a snapshot: the entries behind it stay
-	Entries      []*pb.Entry  // they replace those from the first one's index on
+	Delete       bool         // the member is deleted; the rest is empty
+	Snapshot     *pb.Snapshot // replaces what was there; nil: none
+	KeepEntries  bool         // with a snapshot: later entries stay
+	Entries      []*pb.Entry  // replace those from the first one's index on
 	HardState    *pb.HardState
 }
 
-// Answer is what came of an Ask.
+// Response is the result of a Request.
 type Response struct {
 	ID       uint64
 	Status   Status
-	Version  uint64
+	Version  uint64 // of the record; with StatusConflict, the one that it has
 	Value    []byte
 	Position uint64
 	Found    bool
-	// Lost tells that a record that is not found may have been there, and lost: nobody may take it for one that never was. A number
-	// that is found may have been higher.
+	// Lost says, of a record that is not found, that it may have existed and been lost; and of a position that is found, that it may
+	// have been higher.
 	Lost bool
-	// Since is how long ago that was, at the least, and Age how long ago a record that is found was last changed: by the
-	// shard's time, which goes no faster than any clock.
+	// LostAge is how long ago that was, at least, and Age how long ago a found record was last changed, in microseconds of the shard's
+	// time, which never runs faster than a clock.
 	LostAge, Age clock.Micros
 }
 
-// Noticed tells of a change of state, for log and counters.
+// Notice reports a change of state, for logs and counters.
 type Notice struct {
 	Kind         NoticeKind
 	Group, Epoch uint32
-	Number       uint64
-	Name         string
+	Number       uint64 // of the member, store or format that it is about
+	Name         string // of a gateway
 	Cause        string
 }
 
-// Ordered tells that the order of maintenance has changed, as far as is known here. It must not be changed.
+// OrderChanged reports that the order of maintenance has changed, as far as is known here. The order is shared: it must not be changed.
 type OrderChanged struct {
-	Index uint64 // the ledger's
+	Index uint64 // of the ledger
 	Order *maintenance.Order
 }
 
-// Done tells that nothing is led from here any more, or that it took too long.
+// Drained follows DrainRequested: this gateway leads no group any more, or the time for that is over.
 type Drained struct{}
 
 func (Send) action()         {}
--- a/internal/raftstore/apply.go
+++ b/internal/raftstore/apply.go
@@ -9,7 +9,7 @@
 	api "marblespan/api/raftstorepb"
 )
 
-// apply carries entries out.
+// apply applies committed entries, and has a snapshot written once the log is large enough.
 func (g *group) apply(entries []*pb.Entry) {
 	for _, e := range entries {
 		g.applied = e.GetIndex()
@@ -31,6 +31,7 @@
 	}
 }
 
+// applyConfChange applies a change of the group's voters and learners.
 func (g *group) applyConfChange(e *pb.Entry) {
 	if e.GetType() == pb.EntryConfChange {
 		var c pb.ConfChange
@@ -45,16 +46,17 @@
 	}
 }
 
+// applyEntry applies the commands of one entry and replies to those of their callers that wait here.
 func (g *group) applyEntry(e *pb.Entry) {
 	if len(e.Data) == 0 {
 		return
 	}
 	var x api.Entry
 	if proto.Unmarshal(e.Data, &x) != nil {
-		return // nobody can read it
+		return // no member can decode it
 	}
 	for _, c := range x.Commands {
-		if c.Format > g.host.cfg.Format { // whoever understands it goes on otherwise than this replica would
+		if c.Format > g.host.cfg.Format { // members that understand it would diverge from this one
 			g.host.failDisk(fmt.Sprintf("group %d: %v", g.id, errFormatTooNew))
 			return
 		}
--- a/internal/raftstore/calls.go
+++ b/internal/raftstore/calls.go
@@ -25,47 +25,62 @@
 	return callTable{pending: map[uint64]*call{}, openSequences: map[uint64]bool{}, minPending: 1, leaders: map[uint32]string{}}
 }
 
-// call is one of this gateway's own, under way.
+// call is one call of this gateway's own that is under way.
 type call struct {
 	request     Request
-	sequence    uint64
-	command     *api.Command
-	target      string
+	sequence    uint64       // of the command
+	command     *api.Command // nil: a read
+	target      string       // the gateway that it was last sent to
 	attemptedAt clock.Micros
-	rotation    int
-	sent        bool
-	hinted      bool
+	rotation    int  // counts the candidates that were tried in turn
+	sent        bool // it was sent at least once, so that a command may have taken effect
+	hinted      bool // the last reply's hint was followed
 }
 
-// localCall is one that this gateway answers itself.
+// localCall is a call to a group that this gateway leads itself.
 type localCall struct {
 	caller caller
 	call   *api.Call
 }
 
-// ask begins a call.
-func (h *Host) startCall(a Request) {
-	order := a.Shard == LedgerGroup && (a.Command.GetChange().GetMaintenanceCommand() != nil || a.Get != nil && string(a.Get.Key) == MaintenanceKey)
-	bad := !order && (a.Command == nil && a.Get == nil || int(a.Shard) < 1)
-	if a.Command != nil && !order {
-		p, m := a.Command.Put, a.Command.RaisePosition
-		bad = bad || p == nil && m == nil || p != nil && (len(p.Key) == 0 || len(p.Key) > MaxKeyBytes || len(p.Value) > MaxValueBytes ||
-			p.Ttl <= 0 && !p.Delete || clock.Micros(p.Ttl) > MaxTTL) || m != nil && (len(m.Key) == 0 || len(m.Key) > MaxKeyBytes || m.Ttl <= 0 || clock.Micros(m.Ttl) > MaxTTL)
+// validRequest tells whether a request can be carried out by some group: maintenance by the ledger, anything else by a shard.
+func validRequest(r Request) bool {
+	if r.Shard == LedgerGroup {
+		return r.Command.GetChange().GetMaintenanceCommand() != nil || r.Get != nil && string(r.Get.Key) == MaintenanceKey
 	}
+	if r.Command == nil {
+		return r.Get != nil
+	}
+	put, raise := r.Command.Put, r.Command.RaisePosition
+	switch {
+	case put == nil && raise == nil:
+		return false
+	case put != nil && !(validKey(put.Key) && len(put.Value) <= MaxValueBytes && (put.Delete || put.Ttl > 0) && clock.Micros(put.Ttl) <= MaxTTL):
+		return false
+	case raise != nil && !(validKey(raise.Key) && raise.Ttl > 0 && clock.Micros(raise.Ttl) <= MaxTTL):
+		return false
+	}
+	return true
+}
+
+func validKey(key []byte) bool { return len(key) > 0 && len(key) <= MaxKeyBytes }
+
+// startCall checks a request and sends it as a call.
+func (h *Host) startCall(request Request) {
 	switch {
-	case bad || h.clusterID != 0 && int(a.Shard) >= len(h.ledger.Groups):
-		h.out.actions = append(h.out.actions, Response{ID: a.ID, Status: StatusInvalid})
+	case !validRequest(request) || h.clusterID != 0 && int(request.Shard) >= len(h.ledger.Groups):
+		h.out.actions = append(h.out.actions, Response{ID: request.ID, Status: StatusInvalid})
 		return
 	case len(h.calls.pending) >= h.cfg.MaxCalls:
-		h.out.actions = append(h.out.actions, Response{ID: a.ID, Status: StatusNotSent})
+		h.out.actions = append(h.out.actions, Response{ID: request.ID, Status: StatusNotSent})
 		return
 	}
-	c := &call{request: a, command: a.Command}
-	if a.Command != nil {
+	c := &call{request: request, command: request.Command}
+	if request.Command != nil {
 		h.calls.lastSequence++
 		c.sequence = h.calls.lastSequence
 		h.calls.openSequences[c.sequence] = true
-		c.command = proto.Clone(a.Command).(*api.Command)
+		c.command = proto.Clone(request.Command).(*api.Command)
 		c.command.Client, c.command.Sequence = h.cfg.ClientID, c.sequence
 	}
 	h.calls.lastID++
@@ -73,7 +88,8 @@
 	h.sendCall(h.calls.lastID, c, "")
 }
 
-// try sends a call to whoever leads its shard, or may know who does.
+// sendCall sends a call to the gateway that leads its group, or that may know which one does: the hint, the leader that a member here
+// knows, the one that answered last, or else the candidates in turn.
 func (h *Host) sendCall(callID uint64, pending *call, hint string) {
 	if pending.attemptedAt = h.now; h.clusterID == 0 {
 		return
@@ -107,7 +123,7 @@
 	p.Calls = append(p.Calls, message)
 }
 
-// earliest is the first sequence that this gateway still waits for.
+// minPendingSequence is the first sequence whose result this gateway still waits for.
 func (h *Host) minPendingSequence() uint64 {
 	for h.calls.minPending < h.calls.lastSequence && !h.calls.openSequences[h.calls.minPending] {
 		h.calls.minPending++
@@ -115,29 +131,29 @@
 	return h.calls.minPending
 }
 
-// serve takes in a call at a replica.
-func (h *Host) handleCall(o caller, c *api.Call) {
+// handleCall hands a call to the member that runs here.
+func (h *Host) handleCall(caller caller, c *api.Call) {
 	g := h.groups[c.Group]
 	if g == nil {
-		h.reply(o, &api.Reply{Status: uint32(statusNotLeader)})
+		h.reply(caller, &api.Reply{Status: uint32(statusNotLeader)})
 		return
 	}
-	g.handleCall(o, c)
+	g.handleCall(caller, c)
 }
 
-// reply sends a result to whoever asked.
-func (h *Host) reply(o caller, r *api.Reply) {
+// reply sends a result to its caller.
+func (h *Host) reply(caller caller, r *api.Reply) {
 	r = proto.Clone(r).(*api.Reply)
-	r.Id = o.id
-	if o.node == "" {
+	r.Id = caller.id
+	if caller.node == "" {
 		h.handleReply(h.cfg.Name, r)
 		return
 	}
-	p := h.packetFor(o.node)
+	p := h.packetFor(caller.node)
 	p.Replies = append(p.Replies, r)
 }
 
-// replied takes in the result of a call.
+// handleReply handles the result of one of this gateway's own calls.
 func (h *Host) handleReply(from string, r *api.Reply) {
 	c := h.calls.pending[r.Id]
 	if c == nil || from != c.target {
@@ -148,32 +164,32 @@
 			delete(h.calls.leaders, c.request.Shard)
 		}
 		if r.Leader != "" && r.Leader != from && !c.hinted {
-			c.hinted = true // once; else two that are wrong could send it to and fro
+			c.hinted = true // only once: two gateways with wrong hints could send it back and forth
 			h.sendCall(r.Id, c, r.Leader)
 		} else {
-			c.attemptedAt = h.now - (retryTicks-1)*h.cfg.Tick // an election takes some ticks; not all of them are to be waited for
+			c.attemptedAt = h.now - (retryTicks-1)*h.cfg.Tick // try again after one tick: an election may be under way
 		}
 		return
 	}
 	h.calls.leaders[c.request.Shard] = from
 	h.finishCall(r.Id, c)
-	a := Response{
+	response := Response{
 		ID: c.request.ID, Status: Status(r.Status), Version: r.Version, Value: r.Value, Position: r.Position, Found: r.Found, Lost: r.LostBefore != 0,
 		Age: clock.Micros(r.Age),
 	}
 	if r.LostBefore > 1 {
-		a.LostAge = max(clock.Micros(r.Time-r.LostBefore), 0)
+		response.LostAge = max(clock.Micros(r.Time-r.LostBefore), 0)
 	}
-	h.out.actions = append(h.out.actions, a)
+	h.out.actions = append(h.out.actions, response)
 }
 
-// over forgets a call.
+// finishCall removes a call.
 func (h *Host) finishCall(id uint64, c *call) {
 	delete(h.calls.pending, id)
 	delete(h.calls.openSequences, c.sequence)
 }
 
-// retry looks after calls that are not answered.
+// retryCalls ends calls whose deadline has passed, and sends calls again that have had no reply for retryTicks.
 func (h *Host) retryCalls() {
 	for _, id := range slices.Sorted(maps.Keys(h.calls.pending)) {
 		c := h.calls.pending[id]
--- a/internal/raftstore/clientqueue.go
+++ b/internal/raftstore/clientqueue.go
@@ -9,23 +9,23 @@
 	"marblespan/internal/clock"
 )
 
-// origin is who waits for a result.
+// caller is who waits for a result.
 type caller struct {
 	node     string // empty: this gateway
 	id       uint64
 	deadline clock.Micros
 }
 
-// slot tells commands apart.
+// commandID identifies a command.
 type commandID struct{ client, sequence uint64 }
 
-// reading is a read that waits until the group has confirmed who leads.
+// pendingRead is a read that waits for a quorum to confirm the leader (read index).
 type pendingRead struct {
 	caller
 	key []byte
 }
 
-// due are reads that are answered once an index is applied.
+// confirmedReads are reads that are answered once their index is applied.
 type confirmedReads struct {
 	index uint64
 	reads []pendingRead
@@ -41,8 +41,8 @@
 	confirmed   []confirmedReads         // in the order of their indexes
 }
 
-// call takes in a command or a read.
-func (g *group) handleCall(o caller, c *api.Call) {
+// handleCall takes in a command or a read, or rejects it.
+func (g *group) handleCall(caller caller, c *api.Call) {
 	status := StatusOK
 	switch shard, _ := g.sm.(*shard); {
 	case !g.isLeader || g.recovery != nil || g.host.shutdown.draining:
@@ -50,21 +50,21 @@
 	case c.Command == nil && c.Get == nil, shard == nil && c.Get == nil && c.Command.GetChange().GetMaintenanceCommand() == nil, shard != nil && c.Command.GetChange() != nil:
 		status = StatusInvalid
 	case c.Get != nil:
-		g.clients.reads = append(g.clients.reads, pendingRead{o, c.Get.Key})
+		g.clients.reads = append(g.clients.reads, pendingRead{caller, c.Get.Key})
 		return
 	case len(g.conf.Voters) < int(g.host.ledger.GetVotersPerGroup()):
-		status = statusNotLeader // nothing is promised before there are as many copies as were promised
+		status = statusNotLeader // nothing is promised before the group is complete
 	case c.Command.Format > max(g.host.ledger.GetFormat(), FirstFormat):
 		status = StatusFormatTooNew
 	default:
-		g.clients.waiting[commandID{c.Command.Client, c.Command.Sequence}] = o
+		g.clients.waiting[commandID{c.Command.Client, c.Command.Sequence}] = caller
 		g.clients.proposed = append(g.clients.proposed, c.Command)
 		return
 	}
-	g.host.reply(o, &api.Reply{Status: uint32(status), Leader: g.leaderName()})
+	g.host.reply(caller, &api.Reply{Status: uint32(status), Leader: g.leaderName()})
 }
 
-// propose puts all commands of a moment into one entry, and has one question confirm all reads of it.
+// flushProposals puts all commands that have come together into one entry, and requests one read index for all reads.
 func (g *group) flushProposals() {
 	if len(g.clients.proposed) > 0 && g.isLeader {
 		if !g.proposeEntry(g.clients.proposed) {
@@ -86,13 +86,13 @@
 	}
 }
 
-// enter proposes an entry. It tells whether the library took it.
+// proposeEntry proposes an entry. It tells whether the Raft library accepted it.
 func (g *group) proposeEntry(commands []*api.Command) bool {
 	raw, err := proto.Marshal(&api.Entry{Time: int64(g.groupTime()), Commands: commands})
 	return err == nil && g.node.Propose(raw) == nil
 }
 
-// answerReads answers the reads whose time has come.
+// answerConfirmedReads answers the reads whose index is applied.
 func (g *group) answerConfirmedReads() {
 	for len(g.clients.confirmed) > 0 && g.clients.confirmed[0].index <= g.applied {
 		for _, r := range g.clients.confirmed[0].reads {
@@ -107,20 +107,23 @@
 	}
 }
 
+// rejectReads replies that this member does not lead the group.
 func (g *group) rejectReads(reads []pendingRead) {
 	for _, r := range reads {
 		g.host.reply(r.caller, &api.Reply{Status: uint32(statusNotLeader), Leader: g.leaderName()})
 	}
 }
 
-// logTime is the group's time by the leader that runs: it goes on from where it was by how long this one has led, so that no
-// clock that was set has any say in it, and a time without a leader does not count.
+// groupTime is the group's time on its leader: the time at its election plus how long it has led. So a clock that was set does not matter,
+// and time without a leader does not count.
 func (g *group) groupTime() clock.Micros {
 	return max(g.sm.time(), g.leading.baseTime+g.host.now-g.leading.since)
 }
 
+// appendNumber encodes the number of a read index request.
 func appendNumber(b []byte, n uint64) []byte { return binary.BigEndian.AppendUint64(b, n) }
 
+// decodeNumber is its reverse; 0: not such a number.
 func decodeNumber(b []byte) uint64 {
 	if len(b) != 8 {
 		return 0
--- a/internal/raftstore/confchange.go
+++ b/internal/raftstore/confchange.go
@@ -8,15 +8,15 @@
 	"go.etcd.io/raft/v3/tracker"
 )
 
-// reshape brings the group's replicas nearer to what the ledger has assigned.
+// proposeConfChange proposes the next change of the voters that brings the group closer to its placement in the ledger.
 func (g *group) proposeConfChange() {
-	x := findGroup(g.host.ledger, g.id)
-	if x == nil || x.Epoch != g.epoch || len(g.conf.VotersOutgoing) > 0 {
+	assigned := findGroup(g.host.ledger, g.id)
+	if assigned == nil || assigned.Epoch != g.epoch || len(g.conf.VotersOutgoing) > 0 {
 		return
 	}
-	want, learner := targetVoters(x), uint64(0)
-	if x.Adding != nil && !slices.Contains(g.conf.Voters, x.Adding.Id) {
-		learner = x.Adding.Id
+	want, learner := targetVoters(assigned), uint64(0)
+	if assigned.Adding != nil && !slices.Contains(g.conf.Voters, assigned.Adding.Id) {
+		learner = assigned.Adding.Id
 	}
 	var changes []*pb.ConfChangeSingle
 	change := func(t pb.ConfChangeType, number uint64) {
@@ -30,13 +30,13 @@
 	switch {
 	case learner == 0:
 		// Nobody is taken in. What the ledger no longer names goes, once enough others are there.
-		if x.Adding != nil {
+		if assigned.Adding != nil {
 			break
 		}
 	case !slices.Contains(g.conf.Learners, learner):
 		change(pb.ConfChangeAddLearnerNode, learner)
 	case g.isCaughtUp(learner):
-		// In one step: the new one votes, and whoever leaves does not. There are never fewer voters than before.
+		// One joint change: the new member votes and the one that it replaces does not. There are never fewer voters than before.
 		change(pb.ConfChangeAddNode, learner)
 		for _, n := range g.conf.Voters {
 			if !slices.Contains(want, n) {
@@ -45,23 +45,24 @@
 		}
 	}
 	if len(changes) > 0 {
-		g.node.ProposeConfChange(&pb.ConfChangeV2{Changes: changes}) // one at a time; the library refuses the next
+		g.node.ProposeConfChange(&pb.ConfChangeV2{Changes: changes}) // one at a time: the library rejects the next
 	}
 }
 
-// near tells whether a replica has nearly all that is committed.
+// isCaughtUp tells whether a member is active and at most maxLearnerLag entries behind.
 func (g *group) isCaughtUp(number uint64) bool {
 	last, _ := g.log.LastIndex()
-	near := false
+	caughtUp := false
 	g.node.WithProgress(func(id uint64, _ raft.ProgressType, pr tracker.Progress) {
 		if id == number {
-			near = pr.RecentActive && pr.Match+maxLearnerLag >= last
+			caughtUp = pr.RecentActive && pr.Match+maxLearnerLag >= last
 		}
 	})
-	return near
+	return caughtUp
 }
 
-// handOver has the replica lead that is nearest. It tells whether there is one.
+// transferLeadership has the Raft library transfer the leadership to a member; 0: to the active one with the longest log. It tells whether
+// there is one.
 func (g *group) transferLeadership(to uint64) bool {
 	if to == 0 {
 		best := uint64(0)
--- a/internal/raftstore/diskwriter.go
+++ b/internal/raftstore/diskwriter.go
@@ -29,7 +29,8 @@
 	responses []*pb.Message
 }
 
-// nextWrite begins a write of all that waits, if none is under way. The first one of a life only says so.
+// startWrite starts a write of everything that waits, unless one is under way. The first write of an incarnation takes place even if
+// nothing waits: it makes the incarnation durable.
 func (h *Host) startWrite() {
 	if !h.runsGroups || h.disk.busy || h.disk.failure != "" || len(h.disk.parts)+len(h.disk.deletes)+len(h.disk.newlyRetired) == 0 && !h.disk.ledgerDirty && h.disk.started {
 		return
@@ -59,7 +60,7 @@
 	h.out.actions = append(h.out.actions, w)
 }
 
-// written goes on with what waited for a write.
+// writeCompleted continues with what waited for a write.
 func (h *Host) writeCompleted(number uint64) {
 	if number != h.disk.lastWrite || !h.disk.busy {
 		return
@@ -76,7 +77,7 @@
 	}
 }
 
-// fail stops holding: what is on the disk from now on is not known.
+// failDisk stops all members here, since the content of the disk is unknown from now on.
 func (h *Host) failDisk(cause string) {
 	if h.disk.failure != "" || !h.runsGroups {
 		return
@@ -86,7 +87,7 @@
 	h.stopAllMembers()
 }
 
-// dropAll ends all replicas here, without a word to the disk.
+// stopAllMembers stops all members here without writing that to the disk.
 func (h *Host) stopAllMembers() {
 	for _, g := range h.sortedGroups() {
 		h.stopMember(g)
--- a/internal/raftstore/durability.go
+++ b/internal/raftstore/durability.go
@@ -12,7 +12,7 @@
 	api "marblespan/api/raftstorepb"
 )
 
-// write puts a message's part into the next write, or deals with it at once where nothing has to be on the disk.
+// queueWrite adds a message's entries and hard state to the next write. Where nothing has to be durable, it continues at once.
 func (g *group) queueWrite(m *pb.Message) {
 	same := m.Term == nil || m.GetTerm() == g.durable.hardState.GetTerm() && m.GetVote() == g.durable.hardState.GetVote() && !g.commitsConfChange(m.GetCommit())
 	if len(m.Entries) == 0 && m.Snapshot == nil && same && g.durable.pendingWrites == 0 {
@@ -23,7 +23,7 @@
 	g.host.disk.parts = append(g.host.disk.parts, writePart{group: g, message: m, responses: m.Responses})
 }
 
-// changesVoters tells whether a commit goes past a change of the voters that the disk does not know to be committed.
+// commitsConfChange tells whether a commit covers a change of the voters that is not committed on the disk yet.
 func (g *group) commitsConfChange(commit uint64) bool {
 	last, _ := g.log.LastIndex()
 	for ; g.durable.scanned < commit; g.durable.scanned++ {
@@ -31,15 +31,15 @@
 		if g.durable.scanned < last {
 			e, _ = g.log.Entries(g.durable.scanned+1, g.durable.scanned+2, math.MaxUint64)
 		}
-		if len(e) == 0 || e[0].GetType() != pb.EntryNormal { // one that is not here yet may be one
+		if len(e) == 0 || e[0].GetType() != pb.EntryNormal { // an entry that is not in the log yet may be a change
 			g.durable.lastConfChange = g.durable.scanned + 1
 		}
 	}
 	return g.durable.lastConfChange > g.durable.commit
 }
 
-// applyKept applies what is committed. A change of the voters waits until the disk has its commit: a replica that forgot it in a
-// restart would have the voters of before, and if it was alone then, elect itself.
+// applyDurable applies committed entries. A change of the voters waits until its commit is on the disk: a member that forgot it in a restart
+// would have the old voters, and, if it was the only one of them, elect itself.
 func (g *group) applyDurable() {
 	for len(g.pendingApplies) > 0 {
 		m := g.pendingApplies[0]
@@ -52,7 +52,7 @@
 	}
 }
 
-// written is told once a part is on the disk.
+// writeCompleted handles a part of a write that is on the disk now.
 func (g *group) writeCompleted(p writePart) {
 	if m := p.message; m != nil {
 		g.durable.commit = max(g.durable.commit, m.GetCommit(), m.Snapshot.GetMetadata().GetIndex())
@@ -61,10 +61,10 @@
 	g.applyDurable()
 }
 
-// done goes on after a part that is on the disk, or need not be.
+// finishWrite continues after a part of a write that is on the disk, or does not have to be.
 func (g *group) finishWrite(part writePart) {
 	m := part.message
-	if m == nil { // a snapshot of our own
+	if m == nil { // a snapshot made by this package
 		if first, _ := g.log.FirstIndex(); part.snapshot.GetMetadata().GetIndex() > first+retainedEntries {
 			g.log.Compact(part.snapshot.GetMetadata().GetIndex() - retainedEntries)
 		}
@@ -92,9 +92,9 @@
 	g.deliverResponses(part.responses)
 }
 
-// sendInTerm sends a message once the term that it speaks in is on the disk. The library lets a candidate's requests and a new
-// leader's entries go before that, and counts only its own vote after it; two other votes make a leader whose disk knows nothing of
-// its term. Restarted, it would be voted for again in that term, and put other entries in the places of the first ones.
+// sendOnceTermDurable sends a message once its term is on the disk. The Raft library lets a candidate's vote requests and a new leader's
+// entries go earlier, and holds back only the candidate's own vote; two other votes then make a leader whose disk does not know its term.
+// After a restart it could be elected again in the same term, and put other entries in the places of the first ones.
 func (g *group) sendOnceTermDurable(m *pb.Message) {
 	if t := m.GetType(); t != pb.MsgPreVote && t != pb.MsgPreVoteResp && m.GetTerm() > g.durable.hardState.GetTerm() {
 		g.durable.heldMessages = append(g.durable.heldMessages, m)
@@ -103,7 +103,7 @@
 	g.send(m)
 }
 
-// respond hands on what waited for a write or for entries to be applied.
+// deliverResponses sends the messages that waited for a write, or for entries to be applied.
 func (g *group) deliverResponses(all []*pb.Message) {
 	for _, m := range all {
 		if m.GetTo() == g.member {
@@ -114,7 +114,7 @@
 	}
 }
 
-// send sends a message to another replica. One that is not sure of itself yet says nothing.
+// send sends a message to another member. A member in recovery sends nothing.
 func (g *group) send(m *pb.Message) {
 	if g.recovery != nil {
 		return
@@ -137,12 +137,12 @@
 	p.Raft = append(p.Raft, x)
 }
 
-// heard takes in a message of another replica.
+// receive handles a message of another member.
 func (g *group) receive(m *pb.Message) {
 	if g.recovery != nil || m.GetTo() != g.member || raft.IsLocalMsg(m.GetType()) {
 		return
 	}
 	if g.mayReceive(m) {
-		g.node.Step(m) // what is of no use is dropped by the library
+		g.node.Step(m) // the library drops what does not apply
 	}
 }
--- a/internal/raftstore/events.go
+++ b/internal/raftstore/events.go
@@ -6,60 +6,62 @@
 	"marblespan/internal/maintenance"
 )
 
-// Event is one of the events below.
+// Event is an input of Host.Handle: one of the types in this file.
 type Event interface{ event() }
 
-// Tick tells that time has passed. It comes when Next says, and may come oftener.
+// Tick says that time has passed. It is due at Host.NextTick and may come more often.
 type Tick struct{}
 
-// Heard is a packet, checked and authentic, from a gateway of that name.
+// PacketReceived is a packet from another gateway, already authenticated.
 type PacketReceived struct {
-	From string
+	From string // the sender's name
 	Body []byte
 }
 
-// Written tells that a write, and all before it, is on the disk to stay.
+// WriteCompleted says that a Write, and all writes before it, are durable.
 type WriteCompleted struct{ Number uint64 }
 
-// Failed tells that the disk can no longer be written. What the replicas here acknowledge from now on could be lost, so they
-// acknowledge nothing, and the ledger has others take their place.
+// DiskFailed says that the disk cannot be written any more. The members here stop, since what they acknowledge from now on could be
+// lost, and the ledger has others take their place.
 type DiskFailed struct{ Cause string }
 
-// Ask is a call of this gateway's own: a Command without client and sequence, or a Get. Its Answer carries the ID.
+// Request is a call by this gateway itself: a Command without client and sequence, or a Get. Its Response carries the same ID.
 type Request struct {
-	ID       uint64
-	Shard    uint32 // counted from 1, see ShardOf; the ledger takes what Command makes, and a Get of MaintainKey
-	Command  *api.Command
-	Get      *api.Get
-	Deadline clock.Micros // when nobody waits for the answer any more
+	ID      uint64
+	Shard   uint32 // from 1, see ShardOf; LedgerGroup takes a MaintenanceCommand, and a Get of MaintenanceKey
+	Command *api.Command
+	Get     *api.Get
+	// Deadline is when the caller stops waiting for the response.
+	Deadline clock.Micros
 }
 
-// Found makes a new store with this gateway as its first holder, where it knows of none. Without First another one may have been
-// lost before: what is not found in the new one then counts as lost, for as long as a record may last.
+// BootstrapRequested makes a new state store with this gateway's disk as its first store. It has no effect where a state store is known
+// already. Unless First is set, an earlier state store may have been lost: for MaxTTL, a record that is not found in the new one
+// counts as possibly lost.
 type BootstrapRequested struct {
-	Shards, Voters int
+	Shards, Voters int // number of shards, and of voters of each group
 	First          bool
 }
 
-// Gone says that a gateway's disk will never come back: an operator's word.
+// StoreRemoved is an operator's statement that a gateway's disk will never come back.
 type StoreRemoved struct{ Name string }
 
-// Anew is an operator's word that a shard cannot go on: it is begun anew, and what it held is known as lost.
+// ShardReset is an operator's statement that a shard cannot recover: it restarts empty, and what it held is known as lost.
 type ShardReset struct{ Shard uint32 }
 
-// Leave has this gateway hand over what it leads; Done follows.
+// DrainRequested has this gateway hand over the leadership of its groups. Drained follows.
 type DrainRequested struct{}
 
-// Others tells which other gateways there are.
+// PeersChanged lists the names of the other gateways.
 type PeersChanged struct{ Names []string }
 
-// Members tells who there is, for the ledger's leader to plan maintenance by.
+// MembershipChanged lists the gateways that membership knows, for planning maintenance on the ledger's leader.
 type MembershipChanged struct{ Members []maintenance.Member }
 
-// Limits are by what limits machines are taken out from now on.
+// LimitsChanged sets the limits of maintenance.
 type LimitsChanged struct{ maintenance.Limits }
 
-// Own is what this gateway reports for the order of maintenance, in a life of its own.
+// GatewayReport is this gateway's report for maintenance, with the gateway's own incarnation (not its store's).
 type GatewayReport struct {
 	Incarnation uint64
 	maintenance.Report
--- a/internal/raftstore/expiry.go
+++ b/internal/raftstore/expiry.go
@@ -4,12 +4,13 @@
 	"marblespan/internal/clock"
 )
 
-// ending is when a record may end.
+// expiry is when a record may expire: a node of the heap.
 type expiry struct {
 	at  clock.Micros
 	key string
 }
 
+// pushExpiry adds to the heap.
 func (s *shard) pushExpiry(e expiry) {
 	s.expiries = append(s.expiries, e)
 	for i := len(s.expiries) - 1; i > 0; {
@@ -22,6 +23,7 @@
 	}
 }
 
+// popExpiry takes the earliest expiry off the heap.
 func (s *shard) popExpiry() expiry {
 	first, n := s.expiries[0], len(s.expiries)-1
 	s.expiries[0] = s.expiries[n]
--- a/internal/raftstore/group.go
+++ b/internal/raftstore/group.go
@@ -11,7 +11,7 @@
 	"marblespan/internal/clock"
 )
 
-// The library's settings. Election time-outs are drawn from electionTicks to twice that.
+// Settings of the Raft library. Election time-outs are drawn from electionTicks to twice that.
 const (
 	electionTicks       = 5
 	heartbeatTicks      = 1
@@ -20,14 +20,14 @@
 	maxUncommittedBytes = 16 << 20
 )
 
-// keepEntries stay in the log before a snapshot, for replicas that are a little behind. A snapshot is written once the log since
-// the last one is larger than that one.
+// retainedEntries is how many entries before a snapshot stay in the log, for members that are a little behind. A snapshot is written once
+// the log since the last one is larger than that one.
 const retainedEntries = 512
 
-// nearEntries is how far behind a replica may be to become a voter.
+// maxLearnerLag is how many entries a learner may be behind to become a voter.
 const maxLearnerLag = 16
 
-// snapshotTicks is after how long a snapshot that was sent counts as lost.
+// snapshotTimeoutTicks is after how long a sent snapshot counts as lost.
 const snapshotTimeoutTicks = 100
 
 // group is this gateway's member of one Raft group.
@@ -73,7 +73,7 @@
 	snapshotSentAt map[uint64]clock.Micros // by the member that it was sent to
 }
 
-// newGroup makes a replica from what is on the disk; without a snapshot it is empty, and waits to be taken in.
+// newGroup makes a member from what is on the disk. Without a snapshot it is empty and waits for the group's leader to add it.
 func (h *Host) newGroup(stored StoredMember, sm stateMachine) (*group, error) {
 	member := &group{
 		host: h, id: stored.Group, epoch: stored.Epoch, member: stored.Member, sm: sm, conf: &pb.ConfState{}, durable: durableState{hardState: &pb.HardState{}},
@@ -87,7 +87,7 @@
 		}
 	}
 	if stored.HardState != nil {
-		// The commit comes to the disk with whatever is written next: a snapshot may have gone past it.
+		// The commit on the disk may be behind the snapshot: it is written with whatever is written next.
 		member.durable.hardState = &pb.HardState{Term: new(stored.HardState.GetTerm()), Vote: new(stored.HardState.GetVote()), Commit: new(max(stored.HardState.GetCommit(), member.applied))}
 		member.log.SetHardState(member.durable.hardState)
 	}
@@ -110,7 +110,7 @@
 	return member, err
 }
 
-// pump carries out what the library wants done now.
+// processReady carries out what the Raft library wants done now.
 func (g *group) processReady() {
 	for g.node.HasReady() {
 		rd := g.node.Ready()
@@ -137,25 +137,25 @@
 	}
 }
 
-// turned takes over who leads.
+// leadershipChanged records who leads the group, and starts or ends the leadership of this member.
 func (g *group) leadershipChanged(s *raft.SoftState) {
 	g.leaderID = s.Lead
-	led := s.RaftState == raft.StateLeader
-	if led == g.isLeader {
+	leads := s.RaftState == raft.StateLeader
+	if leads == g.isLeader {
 		return
 	}
-	g.isLeader = led
-	if led {
+	g.isLeader = leads
+	if leads {
 		g.leading.since, g.leading.baseTime, g.leading.expiredAt = g.host.now, g.sm.time(), g.host.now
 		if g.id == LedgerGroup {
 			g.host.resetMaintenance()
-			g.host.placement = placementFacts{leaderSince: g.host.now, heartbeatAt: map[uint64]clock.Micros{}, incarnations: map[uint64]uint64{}, groupReports: map[uint32]*api.GroupReport{}, reportedAt: map[uint32]clock.Micros{}, ledgerChangedAt: g.host.now}
+			g.host.placement = newPlacementFacts(g.host.now)
 		}
 		g.host.emitNotice(Notice{Kind: NoticeBecameLeader, Group: g.id, Epoch: g.epoch, Number: g.member})
 		return
 	}
 	g.host.emitNotice(Notice{Kind: NoticeSteppedDown, Group: g.id, Epoch: g.epoch, Number: g.member})
-	for _, reads := range g.clients.unconfirmed { // nobody confirms them any more
+	for _, reads := range g.clients.unconfirmed { // no quorum will confirm them now
 		g.rejectReads(reads)
 	}
 	clear(g.clients.unconfirmed)
@@ -164,7 +164,7 @@
 	clear(g.leading.snapshotSentAt)
 }
 
-// leaderName is the gateway that leads, as far as is known here.
+// leaderName is the gateway that leads the group, as far as is known here; empty: not known.
 func (g *group) leaderName() string {
 	if g.isLeader {
 		return g.host.cfg.Name
@@ -172,7 +172,7 @@
 	return g.host.gatewayOf(g.id, g.leaderID)
 }
 
-// tick lets the library's time pass, and looks after what a leader has to.
+// tick lets one tick pass for the member; a leader also looks after expired records, lost snapshots and changes of the voters.
 func (g *group) tick() {
 	if g.recovery != nil {
 		g.queryPeers()
@@ -205,7 +205,7 @@
 	g.proposeConfChange()
 }
 
-// report is what the ledger's leader is told.
+// groupReport is the report of the group to the ledger's leader.
 func (g *group) groupReport() *api.GroupReport {
 	r := &api.GroupReport{
 		Group: g.id, Epoch: g.epoch, Term: g.node.BasicStatus().GetTerm(), Voters: g.conf.Voters, Learners: g.conf.Learners,
--- a/internal/raftstore/heartbeat.go
+++ b/internal/raftstore/heartbeat.go
@@ -6,7 +6,7 @@
 	api "marblespan/api/raftstorepb"
 )
 
-// announce tells the ledger's leader, or whoever may know it, of this gateway and of the groups that it leads.
+// sendHeartbeat reports this gateway, its store and the groups that it leads to the ledger's leader, or to a gateway that may know it.
 func (h *Host) sendHeartbeat() {
 	to := h.calls.leaders[LedgerGroup]
 	if g := h.groups[LedgerGroup]; g != nil && g.recovery == nil {
@@ -17,7 +17,7 @@
 		h.recordGatewayReport(h.cfg.Name, h.gatewayReport())
 		return
 	}
-	if h.ticks%(4*storeHeartbeatTicks) == 0 || to == "" { // who was the leader may be none any more
+	if h.ticks%(4*storeHeartbeatTicks) == 0 || to == "" { // the known leader may not lead any more
 		to = h.nextCandidate(LedgerGroup, int(h.ticks/storeHeartbeatTicks))
 	}
 	if to == "" {
@@ -27,6 +27,7 @@
 	p.StoreHeartbeat, p.GroupReports, p.GatewayReport = h.storeHeartbeat(), h.groupReports(), h.gatewayReport()
 }
 
+// storeHeartbeat is the report of this gateway's store; nil: it has none.
 func (h *Host) storeHeartbeat() *api.StoreHeartbeat {
 	if !h.runsGroups {
 		return nil
@@ -43,6 +44,7 @@
 	return a
 }
 
+// groupReports are the reports of the groups that this gateway leads.
 func (h *Host) groupReports() (all []*api.GroupReport) {
 	for _, g := range h.sortedGroups() {
 		if g.isLeader {
@@ -52,7 +54,7 @@
 	return all
 }
 
-// turn is one of the gateways that may know of a group, in turn: its replicas, and where none is known everybody.
+// nextCandidate is the n-th gateway to ask about a group, in turn: one of the group's members' gateways, or any gateway if none is known.
 func (h *Host) nextCandidate(id uint32, n int) string {
 	var names []string
 	if x := findGroup(h.ledger, id); x != nil {
@@ -76,16 +78,23 @@
 	return names[n%len(names)]
 }
 
-// heardOf takes in what a holder tells the ledger's leader.
+// recordGroupReport records the report of a group's leader, unless a later leader has reported already.
+func (h *Host) recordGroupReport(r *api.GroupReport) {
+	last := h.placement.groupReports[r.Group]
+	if last == nil || last.Epoch < r.Epoch || last.Epoch == r.Epoch && last.Term <= r.Term {
+		h.placement.groupReports[r.Group], h.placement.reportedAt[r.Group] = r, h.now
+	}
+}
+
+// handleHeartbeat records a store's heartbeat and group reports, where the ledger is led here, and proposes the changes of the ledger that
+// follow directly: a new or changed store, a failed disk, stale members.
 func (h *Host) handleHeartbeat(store, incarnation uint64, heartbeat *api.StoreHeartbeat, reports []*api.GroupReport) {
 	ledger := h.groups[LedgerGroup]
 	if ledger == nil || !ledger.isLeader || ledger.recovery != nil {
 		return
 	}
 	for _, r := range reports {
-		if last := h.placement.groupReports[r.Group]; last == nil || last.Epoch < r.Epoch || last.Epoch == r.Epoch && last.Term <= r.Term {
-			h.placement.groupReports[r.Group], h.placement.reportedAt[r.Group] = r, h.now
-		}
+		h.recordGroupReport(r)
 	}
 	if heartbeat == nil || store == 0 || len(heartbeat.Name) == 0 || len(heartbeat.Name) > MaxNameBytes {
 		return
--- a/internal/raftstore/host.go
+++ b/internal/raftstore/host.go
@@ -11,8 +11,8 @@
 	"marblespan/internal/clock"
 )
 
-// The spans of a host, in ticks: after retryTicks a call is tried elsewhere; leaveTicks bound a leave; after balanceTicks of
-// leading a group is handed to the replica that should.
+// Durations in ticks: a call that has no reply is sent elsewhere after retryTicks; a graceful shutdown takes at most drainTimeoutTicks; a
+// leader checks after leaderBalanceTicks whether another member should lead; a notice about another cluster comes once in foreignNoticeTicks.
 const (
 	retryTicks         = 3
 	drainTimeoutTicks  = 10
@@ -45,8 +45,9 @@
 	shutdown    shutdown
 }
 
-// New makes a host from what its disk holds. trusted says that the disk is known to be the one that was written last; without
-// it each replica asks the others whether it had gone further, before it takes part.
+// New makes a host from what its disk holds; nil is an empty disk. trusted says that the disk is known to hold the last write of its last
+// start. Without it, each member asks the others how far it had got before it takes part (recovery). An error means that the stored
+// state cannot be read, or needs a later version.
 func New(cfg Config, now clock.Micros, stored *StoredState, trusted bool) (*Host, error) {
 	if cfg.Format == 0 {
 		cfg.Format = LatestFormat
@@ -59,41 +60,51 @@
 		stored = &StoredState{}
 	}
 	if host.runsGroups {
-		if host.store, host.incarnation = stored.Store, max(cfg.Incarnation, stored.Incarnation+1); host.store == 0 {
+		host.store, host.incarnation = stored.Store, max(cfg.Incarnation, stored.Incarnation+1)
+		if host.store == 0 {
 			host.store = cfg.NewStoreID
 		}
 	}
 	if len(stored.Ledger) > 0 {
-		var view api.Ledger
-		if err := proto.Unmarshal(stored.Ledger, &view); err != nil {
+		var ledger api.Ledger
+		if err := proto.Unmarshal(stored.Ledger, &ledger); err != nil {
 			return nil, err
 		}
-		host.ledger, host.clusterID = &view, view.ClusterId
+		host.ledger, host.clusterID = &ledger, ledger.ClusterId
 	}
 	host.disk.retired = stored.Retired
-	for _, x := range stored.Members {
-		g, err := host.newGroup(x, host.newStateMachine(x.Group, x.Epoch, false))
+	if err := host.restoreMembers(stored.Members); err != nil {
+		return nil, err
+	}
+	host.disk.started = !host.runsGroups
+	host.notifyOrder()
+	return host, nil
+}
+
+// restoreMembers makes the members that are on the disk and applies what is committed in their logs.
+func (h *Host) restoreMembers(stored []StoredMember) error {
+	for _, x := range stored {
+		g, err := h.newGroup(x, h.newStateMachine(x.Group, x.Epoch, false))
 		if err != nil {
-			return nil, err
+			return err
 		}
-		host.groups[x.Group] = g
+		h.groups[x.Group] = g
 	}
-	for _, id := range slices.Sorted(maps.Keys(host.groups)) {
-		g := host.groups[id]
-		g.recovery = &recovery{} // so that what is committed already is applied, and nothing is said
+	for _, g := range h.sortedGroups() {
+		g.recovery = &recovery{} // while it is set, nothing is sent
 		g.processReady()
-		if host.disk.failure != "" {
-			return nil, errors.New(host.disk.failure)
+		if h.disk.failure != "" {
+			return errors.New(h.disk.failure)
 		}
-		if g.recovery = nil; !trusted {
+		g.recovery = nil
+		if !h.diskTrusted {
 			g.startRecovery()
 		}
 	}
-	host.disk.started = !host.runsGroups
-	host.notifyOrder()
-	return host, nil
+	return nil
 }
 
+// newStateMachine makes an empty state machine for a group; reset says that the shard's earlier epoch was lost.
 func (h *Host) newStateMachine(id, epoch uint32, reset bool) stateMachine {
 	if id == LedgerGroup {
 		return newLedger()
@@ -101,10 +112,10 @@
 	return newShard(h.cfg.MaxShardBytes, h.cfg.Format, epoch, reset)
 }
 
-// Next is when a Tick is due.
+// NextTick is when the next Tick is due.
 func (h *Host) NextTick() clock.Micros { return h.nextTick }
 
-// Handle takes in one event. What comes of it is told by Flush.
+// Handle takes in one event. What follows from it is returned by Flush.
 func (h *Host) Handle(now clock.Micros, next Event) {
 	h.now = max(h.now, now)
 	switch event := next.(type) {
@@ -135,19 +146,11 @@
 	case LimitsChanged:
 		h.cfg.Maintenance = &event.Limits
 	case DrainRequested:
-		if !h.shutdown.draining {
-			h.shutdown.draining, h.shutdown.deadline = true, h.now+drainTimeoutTicks*h.cfg.Tick
-			for _, g := range h.sortedGroups() {
-				if g.isLeader {
-					g.transferLeadership(0)
-				}
-			}
-			h.finishDrain()
-		}
+		h.startDrain()
 	}
 }
 
-// inOrder are the replicas by group.
+// sortedGroups lists the members that run here, in the order of their groups.
 func (h *Host) sortedGroups() (all []*group) {
 	for _, id := range slices.Sorted(maps.Keys(h.groups)) {
 		all = append(all, h.groups[id])
@@ -155,9 +158,9 @@
 	return all
 }
 
-// Flush carries out what has come together, and returns what is to be done.
+// Flush proposes what has come together since the last one, and returns the actions to carry out, in order.
 func (h *Host) Flush() []Action {
-	for range 8 { // what is answered here may lead to more; there is always a next time
+	for range 8 { // replies may cause more local calls; what is left after that is done by the next Flush
 		for _, l := range h.calls.local {
 			h.handleCall(l.caller, l.call)
 		}
@@ -171,28 +174,17 @@
 		}
 	}
 	h.startWrite()
-	for _, to := range slices.Sorted(maps.Keys(h.out.packets)) {
-		if p := h.out.packets[to]; h.disk.started {
-			h.out.actions = append(h.out.actions, Send{To: to, Body: h.encodePacket(p)})
-		}
-	}
-	clear(h.out.packets)
-	if h.disk.started {
-		for _, s := range h.out.bulk {
-			h.out.actions = append(h.out.actions, s)
-		}
-	}
-	h.out.bulk = nil
-	out := h.out.actions
+	h.sendPackets()
+	actions := h.out.actions
 	h.out.actions = nil
-	return out
+	return actions
 }
 
-// tick lets a tick pass for everything.
+// tick lets one tick pass in all parts of the host.
 func (h *Host) tick() {
 	h.ticks++
 	h.nextTick += h.cfg.Tick
-	if h.nextTick <= h.now { // it stood still: elections and leaders judge by what they hear from now on
+	if h.nextTick <= h.now { // the process stood still: missed ticks are not made up for, or an election would begin at once
 		h.nextTick = h.now + h.cfg.Tick
 	}
 	for _, g := range h.sortedGroups() {
@@ -200,7 +192,7 @@
 			continue
 		}
 		g.tick()
-		if g.isLeader && !h.shutdown.draining && h.ticks%leaderBalanceTicks == uint64(g.id)%leaderBalanceTicks && h.now-g.leading.since >= leaderBalanceTicks*h.cfg.Tick {
+		if h.balanceIsDue(g) {
 			h.balanceLeader(g)
 		}
 	}
@@ -210,12 +202,8 @@
 	if g := h.groups[LedgerGroup]; g != nil && g.isLeader && g.recovery == nil {
 		h.planPlacement(g)
 	}
-	if h.isCordoned() { // at each tick, for the library forgets now and then which others are active
-		for _, g := range h.sortedGroups() {
-			if g.isLeader && len(g.conf.Voters) > 1 && g.node.BasicStatus().LeadTransferee == 0 {
-				g.transferLeadership(0)
-			}
-		}
+	if h.isCordoned() {
+		h.shedLeadership()
 	}
 	h.retryCalls()
 	if h.shutdown.draining {
@@ -223,7 +211,13 @@
 	}
 }
 
-// balance hands a group to the voter whose place it is, where that one follows closely.
+// balanceIsDue tells whether it is a group's turn to be checked by balanceLeader: once in leaderBalanceTicks, each at its own tick.
+func (h *Host) balanceIsDue(g *group) bool {
+	return g.isLeader && !h.shutdown.draining && h.ticks%leaderBalanceTicks == uint64(g.id)%leaderBalanceTicks &&
+		h.now-g.leading.since >= leaderBalanceTicks*h.cfg.Tick
+}
+
+// balanceLeader transfers the leadership of a group to the voter that ranks first for it, if that one is caught up.
 func (h *Host) balanceLeader(g *group) {
 	x := findGroup(h.ledger, g.id)
 	if x == nil || x.Epoch != g.epoch || x.Adding != nil {
@@ -235,7 +229,7 @@
 		if s == nil || memberLost(h.ledger, r) {
 			continue
 		}
-		if _, apart := maintenanceDuration(h.ledger, s.Name); !apart {
+		if _, cordoned := maintenanceDuration(h.ledger, s.Name); !cordoned {
 			stores = append(stores, s)
 		}
 	}
--- a/internal/raftstore/image.go
+++ b/internal/raftstore/image.go
@@ -8,15 +8,15 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Image is what a disk holds after a row of writes: what every kind of disk must come to.
+// Image is the content of a disk after a sequence of writes. It defines what every implementation of a disk must come to.
 type Image struct {
 	Store, Incarnation uint64
 	Ledger             []byte
-	Members            []StoredMember // in the order of group, epoch and number
+	Members            []StoredMember // sorted by group, epoch and member
 	Retired            []MemberRef
 }
 
-// Apply makes the image that a write leads to. The one before stays as it was.
+// Apply is the image after a write. The receiver is left as it was.
 func (i Image) Apply(w Write) Image {
 	if w.Store != i.Store {
 		i = Image{Store: w.Store}
@@ -58,7 +58,7 @@
 	return i
 }
 
-// Stored is what a start finds on a disk with this content.
+// State is what a start finds on a disk with this content.
 func (i Image) State() *StoredState {
 	s := &StoredState{Store: i.Store, Incarnation: i.Incarnation, Ledger: i.Ledger, Retired: slices.Clone(i.Retired)}
 	for _, g := range i.Members {
--- a/internal/raftstore/ledger.go
+++ b/internal/raftstore/ledger.go
@@ -9,11 +9,11 @@
 	"marblespan/internal/clock"
 )
 
-// ledger is the machine of the ledger: which stores there are, and who holds which group. Its decisions are made in plan, by
-// its leader, and are valid by their place in the log: a change that no longer fits what it finds has no effect.
+// ledger is the state machine of the ledger: which stores there are, and which groups have members on them. Its changes are planned by the
+// leader (planner.plan) and checked here, when they are applied: a change that does not fit the state any more has no effect.
 type ledger struct {
 	*api.Ledger
-	notices []Notice // of the last entry
+	notices []Notice // that the last entry caused
 }
 
 func newLedger() *ledger { return &ledger{Ledger: &api.Ledger{}} }
@@ -21,7 +21,7 @@
 func (l *ledger) time() clock.Micros { return clock.Micros(l.Time) }
 
 func (l *ledger) snapshot() []byte {
-	b, _ := proto.Marshal(l.Ledger) // names are checked when they come in
+	b, _ := proto.Marshal(l.Ledger) // names are checked when they come in, so it cannot fail
 	return b
 }
 
@@ -51,12 +51,12 @@
 	}
 	before.(*api.Ledger).Time = l.Time
 	if !proto.Equal(before, l.Ledger) {
-		l.Index = index // whoever knows this index knows all of it
+		l.Index = index // a ledger of this index has all changes so far
 	}
 	return out
 }
 
-// found is the ledger of a new store: its first holder has every group alone, and others are assigned as they join.
+// newBootstrappedLedger is the ledger of a new state store: its first store has the only voter of every group, and more are added as stores join.
 func newBootstrappedLedger(f *api.Bootstrap) *ledger {
 	l := newLedger()
 	l.ClusterId, l.VotersPerGroup, l.Index, l.NextMember = f.ClusterId, f.VotersPerGroup, 1, 1
@@ -72,7 +72,7 @@
 	return l
 }
 
-// number is a replica's number that was never used before.
+// allocateMember is a member number that was never used before.
 func (l *ledger) allocateMember() uint64 {
 	l.NextMember++
 	return l.NextMember - 1
@@ -80,6 +80,7 @@
 
 func (l *ledger) store(number uint64) *api.Store { return findStore(l.Ledger, number) }
 
+// findStore is the store of a number; nil: there is none.
 func findStore(l *api.Ledger, number uint64) *api.Store {
 	for _, s := range l.GetStores() {
 		if s.Id == number {
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// group is a group at an epoch; nil: it is in another one.
+// group is a group if it is in that epoch; nil: it is not.
 func (l *ledger) group(number, epoch uint32) *api.Group {
 	if g := findGroup(l.Ledger, number); g != nil && g.Epoch == epoch {
 		return g
@@ -97,6 +98,7 @@
 	return nil
 }
 
+// findGroup is the group of a number; nil: there is none.
 func findGroup(l *api.Ledger, number uint32) *api.Group {
 	if int(number) < len(l.GetGroups()) {
 		return l.Groups[number]
@@ -108,6 +110,7 @@
 	l.notices = append(l.notices, Notice{Kind: what, Group: group, Epoch: epoch, Number: number, Name: name})
 }
 
+// applyChange applies one change, if it fits the state.
 func (l *ledger) applyChange(c *api.Change) {
 	switch {
 	case c.JoinStore != nil:
@@ -128,8 +131,8 @@
 	}
 }
 
-// join takes a disk in, or takes over what its gateway tells of itself. A gateway has one disk: with another one the last is
-// gone, by its own word.
+// joinStore adds a store, or updates what its gateway reports of it. A gateway has one store: when it comes with another one, the earlier
+// one is lost.
 func (l *ledger) joinStore(s *api.Store) {
 	if known := l.store(s.Id); known != nil {
 		if !known.Removed && known.Name == s.Name {
@@ -138,7 +141,7 @@
 		return
 	}
 	if s.Format < l.Format {
-		return // it would not understand what it was given
+		return // it could not read the records
 	}
 	for _, other := range l.Stores {
 		if other.Name == s.Name {
@@ -150,6 +153,7 @@
 	l.addNotice(NoticeStoreJoined, 0, 0, s.Id, s.Name)
 }
 
+// removeStore records that a store is lost for good.
 func (l *ledger) removeStore(number uint64) {
 	if s := l.store(number); s != nil && !s.Removed {
 		s.Removed = true
@@ -157,7 +161,7 @@
 	}
 }
 
-// forget drops disks that are gone and that no group names any more.
+// pruneStores drops removed stores that no group refers to any more.
 func (l *ledger) pruneStores() {
 	named := map[uint64]bool{}
 	for _, g := range l.Groups {
@@ -168,7 +172,7 @@
 	l.Stores = slices.DeleteFunc(l.Stores, func(s *api.Store) bool { return s.Removed && !named[s.Id] })
 }
 
-// replicas are all replicas of a group, the one that is taken in among them.
+// groupMembers are all members of a group, with the one that is being added.
 func groupMembers(g *api.Group) []*api.GroupMember {
 	all := slices.Clone(g.Voters)
 	if g.Adding != nil {
@@ -177,6 +181,7 @@
 	return all
 }
 
+// addMember has a group add a member, in place of another one if it is complete.
 func (l *ledger) addMember(a *api.AddMember) {
 	g, s := l.group(a.Group, a.Epoch), l.store(a.Store)
 	if g == nil || s == nil || s.Removed {
@@ -185,7 +190,7 @@
 	replaces := slices.ContainsFunc(g.Voters, func(r *api.GroupMember) bool { return r.Id == a.Removing })
 	full := len(g.Voters) >= int(l.VotersPerGroup)
 	if replaces != (a.Removing != 0) || full != replaces {
-		return // the number of voters only grows to what it is to be, and never falls
+		return // members are added until the group is complete and replaced after that
 	}
 	if slices.ContainsFunc(g.Voters, func(r *api.GroupMember) bool { return r.Store == a.Store && !(r.Stale && r.Id == a.Removing) }) {
 		return
@@ -194,7 +199,7 @@
 	l.addNotice(NoticeMemberAssigned, a.Group, a.Epoch, g.Adding.Id, s.Name)
 }
 
-// spoil notes that a replica must not go on.
+// markStale records that a member must not run again.
 func (l *ledger) markStale(x *api.MemberRef) {
 	if g := l.group(x.Group, x.Epoch); g != nil {
 		for _, r := range groupMembers(g) {
@@ -205,7 +210,7 @@
 	}
 }
 
-// settle takes over what a group has carried out: the change that was assigned, as a whole.
+// setVoters records that a group has carried out its pending change, as a whole.
 func (l *ledger) setVoters(s *api.SetVoters) {
 	g := l.group(s.Group, s.Epoch)
 	if g == nil || g.Adding == nil {
@@ -229,7 +234,7 @@
 	l.addNotice(NoticeVotersChanged, s.Group, s.Epoch, 0, "")
 }
 
-// renew begins a group anew: what it held is lost, and known to be.
+// resetGroup restarts a group empty in its next epoch: what it held is lost, and known as lost.
 func (l *ledger) resetGroup(r *api.ResetGroup) {
 	g, s := l.group(r.Group, r.Epoch), l.store(r.Store)
 	if g == nil || s == nil || s.Removed || r.Group == LedgerGroup || !r.Forced && !quorumLost(l.Ledger, g) {
@@ -242,7 +247,7 @@
 	g.LostAt = max(l.Time, 1)
 }
 
-// beyond tells whether more of a group's voters are gone for good than it can bear.
+// quorumLost tells whether so many of a group's voters are lost for good that the rest is no majority.
 func quorumLost(l *api.Ledger, g *api.Group) bool {
 	left := 0
 	for _, r := range g.Voters {
@@ -253,7 +258,7 @@
 	return left < len(g.Voters)/2+1
 }
 
-// lostIn tells whether a replica is lost for good.
+// memberLost tells whether a member is lost for good.
 func memberLost(l *api.Ledger, r *api.GroupMember) bool {
 	s := findStore(l, r.Store)
 	return r.Stale || s == nil || s.Removed
--- a/internal/raftstore/logger.go
+++ b/internal/raftstore/logger.go
@@ -4,7 +4,7 @@
 	"fmt"
 )
 
-// silent is a logger for the library: what matters is in this package's own notices.
+// discardLogger drops what the Raft library logs: what matters is in this package's notices. Its panics stay panics.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any) {}
--- a/internal/raftstore/maintenance.go
+++ b/internal/raftstore/maintenance.go
@@ -12,22 +12,23 @@
 	"marblespan/internal/maintenance"
 )
 
-// MaintainKey is the key of a Get in the ledger that is answered with a listing.
+// MaintenanceKey is the key of a Get in the ledger whose result is a listing of the order of maintenance, see DecodeListing.
 const MaintenanceKey = "maintenance"
 
-// upkeep is what the ledger's leader knows for the order of maintenance, and what every gateway knows of itself.
+// maintenanceState is the part of the host for maintenance (internal/maintenance): the order is part of the ledger, and the ledger's leader
+// plans it after the placement.
 type maintenanceState struct {
 	own           *GatewayReport
 	members       []maintenance.Member
 	reports       map[string]maintenance.GatewayStatus
-	reportedAt    map[string]clock.Micros // when each was heard
+	reportedAt    map[string]clock.Micros // when each of them came
 	planner       maintenance.Planner
 	waits         maintenance.Waits
-	notifiedIndex uint64 // the ledger's index whose order was last told
+	notifiedIndex uint64 // the ledger's index at the last notifyOrder
 	order         *maintenance.Order
 }
 
-// ordered tells of the order where it has changed.
+// notifyOrder reports the order of maintenance where it has changed.
 func (h *Host) notifyOrder() {
 	u := &h.maintenance
 	if h.ledger.Index == u.notifiedIndex || h.cfg.Maintenance == nil {
@@ -43,7 +44,7 @@
 	h.out.actions = append(h.out.actions, OrderChanged{Index: h.ledger.Index, Order: next})
 }
 
-// fact is what this gateway tells of itself.
+// gatewayReport is this gateway's report for maintenance; nil: there is none.
 func (h *Host) gatewayReport() *api.GatewayReport {
 	if h.maintenance.own == nil || h.cfg.Maintenance == nil {
 		return nil
@@ -53,7 +54,7 @@
 	return x
 }
 
-// factFrom takes in what a gateway tells of itself. A late word of a life that is over does not count.
+// recordGatewayReport records a gateway's report. One of an earlier incarnation is ignored.
 func (h *Host) recordGatewayReport(name string, x *api.GatewayReport) {
 	u := &h.maintenance
 	if last, known := u.reports[name]; x == nil || known && x.Incarnation < last.Incarnation {
@@ -65,14 +66,14 @@
 	u.reports[name], u.reportedAt[name] = decodeReport(name, x), h.now
 }
 
-// resetUpkeep has a new leader begin without what it may have known before.
+// resetMaintenance has a new leader start without what it knew before.
 func (h *Host) resetMaintenance() {
 	u := &h.maintenance
 	u.reports, u.reportedAt, u.planner, u.waits = nil, nil, maintenance.Planner{}, nil
 }
 
-// sight is what the leader goes by, beside the order. A gateway that holds something, or that is on the roll, and that nobody
-// knows of, is as good as dead.
+// maintenanceFacts is what the leader plans maintenance by, beside the order. A gateway that has a store or is on the roster, and that
+// membership does not know, counts as dead.
 func (h *Host) maintenanceFacts(ledger *api.Ledger) *maintenance.ClusterView {
 	state := &h.maintenance
 	h.recordGatewayReport(h.cfg.Name, h.gatewayReport())
@@ -112,7 +113,7 @@
 	return facts
 }
 
-// planOrder has the order go on, where the ledger is led here and all that was decided is in it.
+// planMaintenance proposes the next steps of the order of maintenance.
 func (h *Host) planMaintenance(g *group) {
 	l := g.sm.(*ledger).Ledger
 	if h.cfg.Maintenance == nil || l.Format < MaintenanceFormat || h.shutdown.draining {
@@ -130,7 +131,7 @@
 	}
 }
 
-// listing answers a read of the order.
+// encodeListing is the result of a Get of MaintenanceKey.
 func (h *Host) encodeListing(l *api.Ledger) []byte {
 	x := &api.Listing{Order: l.Order, Leader: h.cfg.Name, Time: int64(h.groups[LedgerGroup].groupTime()), Waits: h.maintenance.waits}
 	b, _ := proto.Marshal(x)
@@ -140,7 +141,7 @@
 // Order is the order of maintenance as far as it is known here.
 func (h *Host) Order() *maintenance.Order { return DecodeOrder(h.ledger.Order) }
 
-// names lists the gateways that hold a group.
+// gatewaysOf lists the gateways that a group has members on.
 func gatewaysOf(l *api.Ledger, x *api.Group) (out []string) {
 	for _, r := range groupMembers(x) {
 		if s := findStore(l, r.Store); s != nil && !slices.Contains(out, s.Name) {
@@ -150,15 +151,15 @@
 	return out
 }
 
-// belowIn tells whether a group has fewer copies than it is to have, by the ledger, and wholeIn whether it has all and none is on
-// its way.
+// isBelowTarget tells whether a group has fewer voters than it is to have, by the ledger.
 func isBelowTarget(l *api.Ledger, x *api.Group) bool {
 	return len(x.Voters) < int(l.VotersPerGroup) || slices.ContainsFunc(x.Voters, func(r *api.GroupMember) bool { return memberLost(l, r) })
 }
 
+// isComplete tells whether a group has all its voters and no change is pending, by the ledger.
 func isComplete(l *api.Ledger, x *api.Group) bool { return x.Adding == nil && !isBelowTarget(l, x) }
 
-// shards is what the ledger itself knows of who holds what, for the order's steps.
+// shardPlacement is the placement as the steps of the order of maintenance see it.
 type shardPlacement struct{ *api.Ledger }
 
 func (l shardPlacement) Complete(gateway string) bool {
@@ -174,7 +175,7 @@
 	})
 }
 
-// maintain carries out what concerns the order of maintenance, and tells what there is to say of it.
+// applyMaintenance applies an operator's command or a step of the order of maintenance. The text is for the operator.
 func (l *ledger) applyMaintenance(index uint64, c *api.Command) (status Status, text string) {
 	o := DecodeOrder(l.Order)
 	ok := true
@@ -193,7 +194,7 @@
 	return StatusOK, text
 }
 
-// gatewayIn is a gateway's machine in the order that stands in one of some states; nil: none does.
+// findMachine is a gateway's machine in the order if it is in one of some states; nil: it is not.
 func findMachine(l *api.Ledger, name string, states ...maintenance.State) *api.Machine {
 	for _, m := range l.GetOrder().GetMachines() {
 		if maintenance.Kind(m.Kind) == maintenance.Gateway && m.Name == name && slices.Contains(states, maintenance.State(m.State)) {
@@ -203,13 +204,13 @@
 	return nil
 }
 
-// awayFor tells for which span a gateway's machine is to be away, where it is about to be, or is; ok is false where it is not.
+// maintenanceDuration is how long a gateway's machine is to be out, if it is about to be or is; else ok is false.
 func maintenanceDuration(l *api.Ledger, name string) (span clock.Micros, ok bool) {
 	m := findMachine(l, name, maintenance.Next, maintenance.Draining, maintenance.Out)
 	return clock.Micros(m.GetDuration()), m != nil
 }
 
-// apart tells whether this gateway's own machine is about to be out, or is: it leads nothing then.
+// isCordoned tells whether this gateway's own machine is draining or out. It leads no group then.
 func (h *Host) isCordoned() bool {
 	return findMachine(h.ledger, h.cfg.Name, maintenance.Draining, maintenance.Out) != nil
 }
--- a/internal/raftstore/outbox.go
+++ b/internal/raftstore/outbox.go
@@ -1,6 +1,9 @@
 package raftstore
 
 import (
+	"maps"
+	"slices"
+
 	"google.golang.org/protobuf/proto"
 
 	api "marblespan/api/raftstorepb"
@@ -13,10 +16,10 @@
 	actions []Action
 }
 
-// packetVersion is that of the packets' layout.
+// packetVersion is the version of the packets' layout.
 const packetVersion = 1
 
-// seal fills in a packet's head and writes it.
+// encodePacket fills in a packet's header and encodes it.
 func (h *Host) encodePacket(p *api.Packet) []byte {
 	p.Version, p.ClusterId, p.Store, p.Incarnation, p.LedgerIndex = packetVersion, h.clusterID, h.store, h.incarnation, h.ledger.Index
 	if g := h.groups[LedgerGroup]; g != nil && g.recovery == nil {
@@ -26,9 +29,10 @@
 	return b
 }
 
+// emitNotice adds a notice to the actions.
 func (h *Host) emitNotice(n Notice) { h.out.actions = append(h.out.actions, n) }
 
-// packet is what goes to another gateway at the end of this moment.
+// packetFor is the packet that the next Flush sends to a gateway; it is made if there is none yet.
 func (h *Host) packetFor(to string) *api.Packet {
 	p := h.out.packets[to]
 	if p == nil {
@@ -38,12 +42,12 @@
 	return p
 }
 
-// bulk sends something large by itself.
+// sendBulk sends a large Raft message in a packet of its own.
 func (h *Host) sendBulk(to string, x *api.RaftMessage) {
 	h.out.bulk = append(h.out.bulk, Send{To: to, Body: h.encodePacket(&api.Packet{Raft: []*api.RaftMessage{x}}), Bulk: true})
 }
 
-// holder is the gateway that has a replica; empty: not known.
+// gatewayOf is the name of the gateway that a member of a group runs on; empty: not known.
 func (h *Host) gatewayOf(id uint32, number uint64) string {
 	if number == 0 {
 		return ""
@@ -59,3 +63,19 @@
 	}
 	return ""
 }
+
+// sendPackets turns what has come together into Send actions. Before this incarnation is on the disk, packets are dropped.
+func (h *Host) sendPackets() {
+	for _, to := range slices.Sorted(maps.Keys(h.out.packets)) {
+		if p := h.out.packets[to]; h.disk.started {
+			h.out.actions = append(h.out.actions, Send{To: to, Body: h.encodePacket(p)})
+		}
+	}
+	clear(h.out.packets)
+	if h.disk.started {
+		for _, s := range h.out.bulk {
+			h.out.actions = append(h.out.actions, s)
+		}
+	}
+	h.out.bulk = nil
+}
--- a/internal/raftstore/overview.go
+++ b/internal/raftstore/overview.go
@@ -4,20 +4,20 @@
 	"slices"
 )
 
-// Overview is how a host stands, for whoever asks.
+// Overview is a host's state for operators.
 type Overview struct {
 	ClusterID      uint64
-	Index          uint64 // of the ledger that is known
+	Index          uint64 // of the latest known ledger
 	VotersPerGroup int
-	Format         uint32 // of records, the latest that may be used
-	Store          uint64 // of this gateway's disk; 0: it holds nothing
-	Failed         string // why it holds nothing any more
-	PendingCalls   int    // of its own that wait
+	Format         uint32 // the latest record format that may be used
+	Store          uint64 // this gateway's; 0: it has none
+	Failed         string // why the disk is not written any more; empty: it is
+	PendingCalls   int    // this gateway's own
 	Stores         []StoreView
 	Groups         []GroupView
 }
 
-// StoreView is one disk.
+// StoreView is one store.
 type StoreView struct {
 	ID      uint64
 	Name    string
@@ -26,39 +26,39 @@
 	Removed bool
 }
 
-// GroupView is one group, as the ledger has it and as it stands here.
+// GroupView is one group, as in the ledger and as seen here.
 type GroupView struct {
 	Group, Epoch uint32
-	Lost         bool // an earlier epoch was lost, with what was promised in it
+	Lost         bool // an earlier epoch was lost, with its records
 	Voters       []MemberView
 	Adding       *MemberView
 	Removing     uint64
-	Local        *LocalMember // nil: no replica is here
+	Local        *LocalMember // nil: no member runs here
 }
 
-// ReplicaView is one replica.
+// MemberView is one group member.
 type MemberView struct {
 	ID   uint64
 	Name string
 	Lost bool
 }
 
-// HereView is a replica of this gateway's.
+// LocalMember is a member that runs on this gateway.
 type LocalMember struct {
 	Number  uint64
 	Leader  string
 	Term    uint64
 	Applied uint64
-	Last    uint64 // index of the log
+	Last    uint64 // index of the last log entry
 	Records int
-	Bytes   int64 // that its records cost
-	Unsure  bool  // it has started, and asks the others whether its disk is the one that it was
+	Bytes   int64 // memory cost of its records
+	Unsure  bool  // it is in recovery after a restart
 }
 
-// Shards is how many shards the store has; 0: none is known.
+// Shards is how many shards there are; 0: no state store is known.
 func (h *Host) Shards() int { return max(len(h.ledger.Groups)-1, 0) }
 
-// Bytes is what the records here count as.
+// RecordBytes is the memory cost of the records here, in bytes.
 func (h *Host) RecordBytes() (n int64) {
 	for _, g := range h.groups {
 		if s, is := g.sm.(*shard); is {
@@ -68,7 +68,7 @@
 	return n
 }
 
-// Whole tells whether every group has all its copies, by the ledger that is known.
+// Complete tells whether every group has all its voters and no change is pending, by the ledger that is known.
 func (o Overview) Complete() bool {
 	for _, g := range o.Groups {
 		if len(g.Voters) != o.VotersPerGroup || g.Adding != nil || slices.ContainsFunc(g.Voters, func(r MemberView) bool { return r.Lost }) {
@@ -78,7 +78,7 @@
 	return len(o.Groups) > 0
 }
 
-// Overview tells how the host stands.
+// Overview describes the host's state.
 func (h *Host) Overview() Overview {
 	overview := Overview{
 		ClusterID: h.clusterID, Index: h.ledger.Index, VotersPerGroup: int(h.ledger.VotersPerGroup), Format: max(h.ledger.Format, FirstFormat), Store: h.store, Failed: h.disk.failure, PendingCalls: len(h.calls.pending),
--- a/internal/raftstore/placement.go
+++ b/internal/raftstore/placement.go
@@ -5,26 +5,33 @@
 	"marblespan/internal/clock"
 )
 
-// The spans by which the ledger's leader judges, in ticks: a holder that announced itself within freshFor can take replicas; one
-// change of placement that is not needed follows another after calmFor.
+// Durations in ticks by which the ledger's leader plans: stores send a heartbeat every storeHeartbeatTicks; a store whose last heartbeat is
+// at most freshTicks old can get members; members are rebalanced once the ledger has not changed for calmTicks.
 const (
 	storeHeartbeatTicks = 5
 	freshTicks          = 3 * storeHeartbeatTicks
 	calmTicks           = 20
 )
 
-// facts are what the ledger's leader has heard beside the ledger.
+// placementFacts is what the ledger's leader knows beside the ledger. A new leader starts with nothing.
 type placementFacts struct {
 	now             clock.Micros
-	leaderSince     clock.Micros                // since it leads
-	heartbeatAt     map[uint64]clock.Micros     // last word of each store
-	incarnations    map[uint64]uint64           // its life, by that word
-	groupReports    map[uint32]*api.GroupReport // of each group's leader, the latest
-	reportedAt      map[uint32]clock.Micros     // when that came
-	ledgerChangedAt clock.Micros                // when the ledger last changed
+	leaderSince     clock.Micros                // when this gateway was elected
+	heartbeatAt     map[uint64]clock.Micros     // of each store, the last one
+	incarnations    map[uint64]uint64           // of each store, by its last heartbeat
+	groupReports    map[uint32]*api.GroupReport // of each group, the latest
+	reportedAt      map[uint32]clock.Micros     // when each of them came
+	ledgerChangedAt clock.Micros
 }
 
-// change proposes changes of the ledger. They are checked again where they are applied.
+func newPlacementFacts(now clock.Micros) placementFacts {
+	return placementFacts{
+		leaderSince: now, heartbeatAt: map[uint64]clock.Micros{}, incarnations: map[uint64]uint64{}, groupReports: map[uint32]*api.GroupReport{},
+		reportedAt: map[uint32]clock.Micros{}, ledgerChangedAt: now,
+	}
+}
+
+// proposeChanges proposes changes of the ledger. Each is checked again when it is applied.
 func (h *Host) proposeChanges(g *group, changes []*api.Change) {
 	if len(changes) == 0 || h.shutdown.draining {
 		return
@@ -36,7 +43,7 @@
 	g.proposeEntry(commands)
 }
 
-// planLedger decides who holds what, where this host leads the ledger and all that it has decided is in it.
+// planPlacement plans the placement, where this host leads the ledger and has applied all of its log.
 func (h *Host) planPlacement(g *group) {
 	if last, _ := g.log.LastIndex(); g.applied < last {
 		return
@@ -55,7 +62,7 @@
 	}
 }
 
-// found makes a store with this gateway as its first holder.
+// bootstrap makes a new state store with this gateway's disk as its first store.
 func (h *Host) bootstrap(f BootstrapRequested) {
 	if !h.runsGroups || h.disk.failure != "" || h.clusterID != 0 || f.Shards < 1 || f.Shards > MaxShards || f.Voters < 1 {
 		return
@@ -67,7 +74,7 @@
 	h.adoptLedger(l.Ledger, true)
 }
 
-// gone takes an operator's word that a gateway's disk will not come back.
+// removeStore proposes that the stores of a gateway are lost for good.
 func (h *Host) removeStore(name string) {
 	g := h.groups[LedgerGroup]
 	if g == nil || !g.isLeader {
@@ -80,7 +87,7 @@
 	}
 }
 
-// anew takes an operator's word that a shard cannot go on. A group that has reported itself lately does go on.
+// resetShard proposes that a shard restarts empty. A shard whose leader has reported recently is left alone.
 func (h *Host) resetShard(shard uint32) {
 	g, x := h.groups[LedgerGroup], findGroup(h.ledger, shard)
 	if g == nil || !g.isLeader || x == nil || shard == LedgerGroup || h.GroupReported(shard) {
@@ -93,7 +100,7 @@
 	}
 }
 
-// Reported tells whether a group's leader has told of it lately, where the ledger is led here.
+// GroupReported tells whether a group's leader has reported the group recently. It is only known where the ledger is led.
 func (h *Host) GroupReported(group uint32) bool {
 	at, reported := h.placement.reportedAt[group]
 	return reported && h.now-at <= freshTicks*h.cfg.Tick
--- a/internal/raftstore/planner.go
+++ b/internal/raftstore/planner.go
@@ -8,7 +8,7 @@
 	"marblespan/internal/clock"
 )
 
-// planner decides who holds what. It keeps nothing: what it has decided is in the ledger.
+// planner plans the placement from the ledger and what its leader knows beside it. It keeps no state.
 type planner struct {
 	*api.Ledger
 	placementFacts
@@ -17,22 +17,22 @@
 	changes           []*api.Change
 }
 
-// plan is what is to be changed now. None of it rests on a holder's silence alone but what healAfter allows.
+// plan returns the changes to propose now. A store that is only silent loses its members after repairAfter, and not before.
 func (p planner) plan() []*api.Change {
-	moving := 0
+	replacing := 0
 	for number, g := range p.Groups {
 		p.confirmVoters(uint32(number), g)
 		if g.Adding != nil && g.Removing != 0 {
-			moving++
+			replacing++
 		}
 	}
 	if len(p.changes) > 0 {
-		return p.changes // what follows is judged on the ledger after it
+		return p.changes // plan the rest on the ledger that has them
 	}
 	for number, g := range p.Groups {
-		p.repair(uint32(number), g, &moving)
+		p.repair(uint32(number), g, &replacing)
 	}
-	if len(p.changes) == 0 && moving == 0 {
+	if len(p.changes) == 0 && replacing == 0 {
 		p.rebalance()
 	}
 	if f := commonFormat(p.Ledger); f > max(p.Format, FirstFormat) {
@@ -41,18 +41,18 @@
 	return p.changes
 }
 
-// understood is the latest format of records that all holders understand.
+// commonFormat is the latest record format that all stores understand.
 func commonFormat(l *api.Ledger) uint32 {
 	oldest := uint32(0)
 	for _, s := range l.Stores {
-		if f := max(s.Format, FirstFormat); !s.Removed && (oldest == 0 || f < oldest) { // the first versions name none
+		if f := max(s.Format, FirstFormat); !s.Removed && (oldest == 0 || f < oldest) { // the first versions do not send one
 			oldest = f
 		}
 	}
 	return oldest
 }
 
-// target is what a group's voters are to be once what is assigned is carried out.
+// targetVoters are the voters that a group is to have once its pending change is done, sorted.
 func targetVoters(g *api.Group) (out []uint64) {
 	for _, r := range groupMembers(g) {
 		if r.Id != g.Removing {
@@ -63,7 +63,7 @@
 	return out
 }
 
-// settle takes over what a group reports to have carried out.
+// confirmVoters records in the ledger what a group's leader reports as done.
 func (p *planner) confirmVoters(number uint32, g *api.Group) {
 	r := p.groupReports[number]
 	if g.Adding == nil || r == nil || r.Epoch != g.Epoch || r.Joint {
@@ -75,16 +75,16 @@
 	}
 }
 
-// silent tells whether a store's holder has said nothing for so long.
+// isSilent tells whether a store's last heartbeat is longer ago than duration.
 func (p *planner) isSilent(store uint64, duration clock.Micros) bool {
 	return p.now-max(p.heartbeatAt[store], p.leaderSince) > duration
 }
 
-// fresh lists the stores that can take replicas now.
+// freshStores lists the stores that can get members now.
 func (p *planner) freshStores() (out []*api.Store) {
 	for _, s := range p.Stores {
-		if _, apart := maintenanceDuration(p.Ledger, s.Name); apart {
-			continue // it is about to be out for work, or is
+		if _, cordoned := maintenanceDuration(p.Ledger, s.Name); cordoned {
+			continue // its machine is about to be out for maintenance, or is
 		}
 		if at, known := p.heartbeatAt[s.Id]; !s.Removed && known && p.now-at <= freshTicks*p.tick {
 			out = append(out, s)
@@ -93,21 +93,22 @@
 	return out
 }
 
-// away tells whether a replica has to be replaced: also before its machine is out for longer than a silent one is waited for.
+// needsReplacement tells whether a member must be replaced: it is lost, silent for too long, or its machine is about to be out for
+// maintenance for longer than repairAfter.
 func (p *planner) needsReplacement(r *api.GroupMember) bool {
 	if s := findStore(p.Ledger, r.Store); s != nil {
-		if duration, apart := maintenanceDuration(p.Ledger, s.Name); apart && duration > p.repairAfter {
+		if duration, cordoned := maintenanceDuration(p.Ledger, s.Name); cordoned && duration > p.repairAfter {
 			return true
 		}
 	}
 	return memberLost(p.Ledger, r) || p.isSilent(r.Store, p.repairAfter)
 }
 
-// heal gives a group the holders that it lacks.
-func (p *planner) repair(id uint32, group *api.Group, moving *int) {
+// repair gives a group a member that it lacks, or replaces one; a group that has lost its quorum is reset.
+func (p *planner) repair(id uint32, group *api.Group, replacing *int) {
 	if quorumLost(p.Ledger, group) {
 		if id == LedgerGroup {
-			return // whoever decides here has a quorum of it
+			return // its leader is planning, so it has a quorum
 		}
 		if all := placeGroup(id, p.freshStores(), 1); len(all) > 0 {
 			p.changes = append(p.changes, &api.Change{ResetGroup: &api.ResetGroup{Group: id, Epoch: group.Epoch, Store: all[0].Id, Incarnation: p.incarnations[all[0].Id]}})
@@ -119,9 +120,9 @@
 	case group.Adding != nil && !p.needsReplacement(group.Adding):
 		return
 	case group.Adding != nil:
-		removing = group.Removing // another one in its place
+		removing = group.Removing // a different store takes its place
 	case len(group.Voters) >= int(p.VotersPerGroup):
-		// A replica that is lost goes before one that is only silent.
+		// Lost members are replaced before silent ones.
 		for _, lost := range []bool{true, false} {
 			for _, r := range group.Voters {
 				if removing == 0 && p.needsReplacement(r) && memberLost(p.Ledger, r) == lost {
@@ -129,22 +130,22 @@
 				}
 			}
 		}
-		if removing == 0 || *moving >= p.maxRepairs {
+		if removing == 0 || *replacing >= p.maxRepairs {
 			return
 		}
-		*moving++
+		*replacing++
 	}
 	if s := p.pickStore(id, group, removing); s != nil {
 		p.changes = append(p.changes, &api.Change{AddMember: &api.AddMember{Group: id, Epoch: group.Epoch, Store: s.Id, Removing: removing, Incarnation: p.incarnations[s.Id]}})
 	}
 }
 
-// pick is the best fresh store for a group's next replica: of a zone that has the fewest, then by score.
+// pickStore picks the best fresh store for a group's next member: in a zone with the fewest members, then by score.
 func (p *planner) pickStore(id uint32, group *api.Group, removing uint64) (best *api.Store) {
 	zones, taken := map[string]int{}, map[uint64]bool{}
 	for _, r := range group.Voters {
 		if r.Id == removing && r.Stale {
-			continue // its gateway is there, and may have another one
+			continue // the store is there and may get another member
 		}
 		taken[r.Store] = true
 		if r.Id == removing {
@@ -162,7 +163,7 @@
 	return best
 }
 
-// drift moves one replica to where it belongs, once all is whole, everybody is there and nothing has changed for a while.
+// rebalance moves one member to the store where it ranks, once all groups are complete, all stores are there and the ledger has been calm.
 func (p *planner) rebalance() {
 	if p.now-p.ledgerChangedAt < calmTicks*p.tick {
 		return
--- a/internal/raftstore/receive.go
+++ b/internal/raftstore/receive.go
@@ -5,8 +5,12 @@
 	"google.golang.org/protobuf/proto"
 
 	api "marblespan/api/raftstorepb"
+	"marblespan/internal/clock"
 )
 
+// forwardedCallTimeout is how long a call of another gateway waits here for its result.
+const forwardedCallTimeout clock.Micros = 10 * 1_000_000
+
 // peerTable is what is known of the other gateways.
 type peerTable struct {
 	names            []string                  // as membership has them
@@ -21,36 +25,16 @@
 	return peerTable{incarnations: map[uint64]uint64{}, progress: map[MemberRef]logPosition{}, ledgerSentAt: map[string]uint64{}}
 }
 
-// hear takes in a packet.
+// receivePacket checks a packet's header and hands on what is in it.
 func (h *Host) receivePacket(event PacketReceived) {
 	var packet api.Packet
 	if proto.Unmarshal(event.Body, &packet) != nil || packet.Version != packetVersion {
 		return
 	}
-	if packet.KnownIncarnation >= h.incarnation && h.runsGroups { // the clock was set back since the last start
-		h.incarnation, h.disk.started = packet.KnownIncarnation+1, false
-	}
-	if packet.Store != 0 && packet.Incarnation < h.peers.incarnations[packet.Store] {
-		h.packetFor(event.From).KnownIncarnation = h.peers.incarnations[packet.Store]
-		return
-	}
-	if packet.ClusterId != 0 && h.clusterID != 0 && packet.ClusterId != h.clusterID {
-		if h.peers.foreignNoticedAt == 0 || h.ticks-h.peers.foreignNoticedAt > foreignNoticeTicks {
-			h.peers.foreignNoticedAt = max(h.ticks, 1)
-			h.emitNotice(Notice{Kind: NoticeForeignCluster, Name: event.From})
-		}
+	if !h.acceptSender(event.From, &packet) {
 		return
 	}
-	if packet.Store != 0 {
-		h.peers.incarnations[packet.Store] = packet.Incarnation
-	}
-	if packet.LedgerUpdate != nil && packet.LedgerUpdate.ClusterId == packet.ClusterId {
-		h.adoptLedger(packet.LedgerUpdate, false)
-	}
-	if packet.LedgerIndex < h.ledger.Index && h.peers.ledgerSentAt[event.From] != h.ticks+1 {
-		h.peers.ledgerSentAt[event.From] = h.ticks + 1 // once a tick and peer
-		h.sendLedger(event.From)
-	}
+	h.exchangeLedger(event.From, &packet)
 	for _, x := range packet.RecoveryQueries {
 		h.handleRecoveryQuery(event.From, x)
 	}
@@ -61,28 +45,68 @@
 		h.receiveRaft(event.From, packet.Raft)
 	}
 	for _, c := range packet.Calls {
-		h.handleCall(caller{node: event.From, id: c.Id, deadline: h.now + 10*1_000_000}, c)
+		h.handleCall(caller{node: event.From, id: c.Id, deadline: h.now + forwardedCallTimeout}, c)
 	}
 	for _, r := range packet.Replies {
 		h.handleReply(event.From, r)
 	}
-	if packet.StoreHeartbeat != nil && packet.StoreHeartbeat.Name != event.From {
-		packet.StoreHeartbeat = nil // nobody speaks for another one
+	h.receiveReports(event.From, &packet)
+}
+
+// acceptSender tells whether a packet is of this cluster and of its sender's latest incarnation. A sender of an earlier incarnation is
+// told the latest one that is known here.
+func (h *Host) acceptSender(from string, packet *api.Packet) bool {
+	if packet.KnownIncarnation >= h.incarnation && h.runsGroups { // this gateway's clock was set back since the last start
+		h.incarnation, h.disk.started = packet.KnownIncarnation+1, false
+	}
+	if packet.Store != 0 && packet.Incarnation < h.peers.incarnations[packet.Store] {
+		h.packetFor(from).KnownIncarnation = h.peers.incarnations[packet.Store]
+		return false
+	}
+	if packet.ClusterId != 0 && h.clusterID != 0 && packet.ClusterId != h.clusterID {
+		if h.peers.foreignNoticedAt == 0 || h.ticks-h.peers.foreignNoticedAt > foreignNoticeTicks {
+			h.peers.foreignNoticedAt = max(h.ticks, 1)
+			h.emitNotice(Notice{Kind: NoticeForeignCluster, Name: from})
+		}
+		return false
+	}
+	if packet.Store != 0 {
+		h.peers.incarnations[packet.Store] = packet.Incarnation
+	}
+	return true
+}
+
+// exchangeLedger takes over a later ledger, and sends the own one to a sender that has an earlier one, at most once a tick.
+func (h *Host) exchangeLedger(from string, packet *api.Packet) {
+	if packet.LedgerUpdate != nil && packet.LedgerUpdate.ClusterId == packet.ClusterId {
+		h.adoptLedger(packet.LedgerUpdate, false)
+	}
+	if packet.LedgerIndex < h.ledger.Index && h.peers.ledgerSentAt[from] != h.ticks+1 {
+		h.peers.ledgerSentAt[from] = h.ticks + 1
+		h.sendLedger(from)
+	}
+}
+
+// receiveReports handles what a packet has for the ledger's leader, and learns who that is.
+func (h *Host) receiveReports(from string, packet *api.Packet) {
+	if packet.StoreHeartbeat != nil && packet.StoreHeartbeat.Name != from {
+		packet.StoreHeartbeat = nil // a gateway may only report its own store
 	}
 	if packet.LedgerLeader != "" && h.groups[LedgerGroup] == nil {
 		h.calls.leaders[LedgerGroup] = packet.LedgerLeader
 	}
 	if packet.GatewayReport != nil {
-		h.recordGatewayReport(event.From, packet.GatewayReport)
+		h.recordGatewayReport(from, packet.GatewayReport)
 	}
 	if g := h.groups[LedgerGroup]; g != nil && !g.isLeader && (packet.GatewayReport != nil || packet.StoreHeartbeat != nil) {
-		h.packetFor(event.From) // so that it knows who leads
+		h.packetFor(from) // its header names the leader
 	}
 	if packet.StoreHeartbeat != nil || len(packet.GroupReports) > 0 {
 		h.handleHeartbeat(packet.Store, packet.Incarnation, packet.StoreHeartbeat, packet.GroupReports)
 	}
 }
 
+// receiveRaft hands Raft messages to the members that run here.
 func (h *Host) receiveRaft(from string, all []*api.RaftMessage) {
 	if !h.disk.started {
 		return
@@ -101,10 +125,10 @@
 	}
 }
 
-// remember notes how far another replica is, by what it says itself.
+// recordProgress records how far another member is, by its own messages, for the replies to its recovery queries.
 func (h *Host) recordProgress(r MemberRef, m *pb.Message) {
 	if m.GetType() == pb.MsgPreVote || m.GetType() == pb.MsgPreVoteResp {
-		return // these name a term that nobody is in yet
+		return // they name a term that no member is in yet
 	}
 	k := h.peers.progress[r]
 	if m.GetTerm() > k.term {
@@ -116,7 +140,7 @@
 	h.peers.progress[r] = k
 }
 
-// asked answers a replica that has started. From now on nothing counts that it said before.
+// handleRecoveryQuery replies to a member that has restarted.
 func (h *Host) handleRecoveryQuery(from string, x *api.RecoveryQuery) {
 	g := h.groups[x.Group]
 	if g == nil || g.epoch != x.Epoch || g.member != x.Peer {
@@ -126,6 +150,7 @@
 	p.RecoveryReplies = append(p.RecoveryReplies, g.recoveryReply(x, h.peers.progress[MemberRef{x.Group, x.Epoch, x.Member}]))
 }
 
+// handleRecoveryReply handles a reply to a member that runs here. A member whose disk turns out to be stale stops for good.
 func (h *Host) handleRecoveryReply(x *api.RecoveryReply) {
 	g := h.groups[x.Group]
 	if g == nil || g.epoch != x.Epoch || g.member != x.Member || g.recovery == nil || g.recovery.replied[x.Peer] {
--- a/internal/raftstore/reconcile.go
+++ b/internal/raftstore/reconcile.go
@@ -9,29 +9,29 @@
 	api "marblespan/api/raftstorepb"
 )
 
-// learn takes over a later ledger, and has the replicas here be what it says.
-func (h *Host) adoptLedger(l *api.Ledger, founded bool) {
+// adoptLedger takes over a later ledger and reconciles the members here with it. bootstrapped says that this gateway has just made it.
+func (h *Host) adoptLedger(l *api.Ledger, bootstrapped bool) {
 	if h.clusterID != 0 && l.ClusterId != h.clusterID || l.ClusterId == 0 || l.Index <= h.ledger.Index {
 		return
 	}
 	h.ledger, h.clusterID, h.disk.ledgerDirty = proto.Clone(l).(*api.Ledger), l.ClusterId, true
 	h.placement.ledgerChangedAt = h.now
 	h.notifyOrder()
-	for r := range h.peers.progress { // of replicas that are no more
+	for r := range h.peers.progress { // forget members that do not exist any more
 		if x := findGroup(l, r.Group); x == nil || x.Epoch > r.Epoch || x.Epoch == r.Epoch && r.Member < l.NextMember &&
 			!slices.ContainsFunc(groupMembers(x), func(y *api.GroupMember) bool { return y.Id == r.Member }) {
 			delete(h.peers.progress, r)
 		}
 	}
 	h.reconcile()
-	if g := h.groups[LedgerGroup]; founded || g != nil && g.isLeader {
+	if g := h.groups[LedgerGroup]; bootstrapped || g != nil && g.isLeader {
 		for _, name := range h.otherGateways() {
 			h.sendLedger(name)
 		}
 	}
 }
 
-// everybody lists the other gateways that are known.
+// otherGateways lists the names of all other gateways that are known.
 func (h *Host) otherGateways() []string {
 	names := slices.Clone(h.peers.names)
 	for _, s := range h.ledger.Stores {
@@ -43,19 +43,20 @@
 	return slices.Compact(names)
 }
 
+// sendLedger sends the ledger to a gateway.
 func (h *Host) sendLedger(to string) {
 	if h.clusterID != 0 {
 		h.packetFor(to).LedgerUpdate = h.ledger
 	}
 }
 
-// reconcile begins the replicas that the ledger wants here, and ends those that it does not.
+// reconcile starts the members that the ledger places here and stops those that it does not.
 func (h *Host) reconcile() {
 	if !h.runsGroups || h.disk.failure != "" {
 		return
 	}
 	if own := findStore(h.ledger, h.store); own != nil && own.Removed {
-		// It goes on as a disk that never was: nothing that was said under the old number is asked of it.
+		// The ledger counts this disk as lost. It goes on as a new, empty store: nothing is owed under the old number.
 		h.stopAllMembers()
 		if h.store = h.cfg.NewStoreID + h.renumbered; own.Id == h.store {
 			h.store++
@@ -85,8 +86,8 @@
 	}
 }
 
-// begin begins a replica here. Only the one that an epoch began with has a state of its own; any other one is taken in by the
-// group's leader. One that had begun before and is not here any more must not begin again under its number.
+// startMember starts a member here. Only the first member of an epoch starts with a state of its own; any other one is empty until the
+// group's leader adds it. A member that ran before and is not on the disk any more must not start again under its number.
 func (h *Host) startMember(groupID uint32, assigned *api.Group, own *api.GroupMember) {
 	ref := MemberRef{Group: groupID, Epoch: assigned.Epoch, Member: own.Id}
 	was := func(r MemberRef) bool { return r.Group == groupID && r.Epoch == assigned.Epoch && r.Member == own.Id }
@@ -94,7 +95,7 @@
 		return
 	}
 	if !h.diskTrusted && own.Incarnation != h.incarnation {
-		h.retireMember(ref) // it may have begun in an earlier life, which this disk does not know
+		h.retireMember(ref) // it may have run in an earlier incarnation that this copy of the disk does not have
 		return
 	}
 	s := StoredMember{Group: groupID, Epoch: assigned.Epoch, Member: own.Id}
@@ -120,13 +121,13 @@
 		h.disk.parts = append(h.disk.parts, writePart{group: group, snapshot: s.Snapshot, hardState: s.HardState})
 		group.durable.pendingWrites++
 		group.node.Campaign()
-	} else { // the disk knows its number from the beginning
+	} else { // so that the disk has the member from its start
 		h.disk.parts = append(h.disk.parts, writePart{group: group, message: &pb.Message{Term: new(uint64(0)), Vote: new(uint64(0)), Commit: new(uint64(0))}})
 		group.durable.pendingWrites++
 	}
 }
 
-// drop ends a replica here.
+// stopMember stops a member here, deletes it from the disk and rejects the calls that wait at it.
 func (h *Host) stopMember(g *group) {
 	for _, o := range g.clients.waiting {
 		h.reply(o, &api.Reply{Status: uint32(statusNotLeader)})
@@ -144,7 +145,7 @@
 	h.emitNotice(Notice{Kind: NoticeMemberStopped, Group: g.id, Epoch: g.epoch, Number: g.member})
 }
 
-// retire has a replica here never go on.
+// retireMember has a member never run on this disk again. The next heartbeat tells the ledger's leader.
 func (h *Host) retireMember(r MemberRef) {
 	h.disk.retired, h.disk.newlyRetired = append(h.disk.retired, r), append(h.disk.newlyRetired, r)
 	h.emitNotice(Notice{Kind: NoticeMemberStale, Group: r.Group, Epoch: r.Epoch, Number: r.Member})
--- a/internal/raftstore/recovery.go
+++ b/internal/raftstore/recovery.go
@@ -11,41 +11,42 @@
 	api "marblespan/api/raftstorepb"
 )
 
-// entry is a place in a log.
+// logPosition is the position of an entry in a log.
 type logPosition struct{ term, index uint64 }
 
+// before tells whether a log that ends at e is behind one that ends at f.
 func (e logPosition) before(f logPosition) bool {
 	return e.term < f.term || e.term == f.term && e.index < f.index
 }
 
-// last is the log's last place.
+// lastPosition is the position of the last entry.
 func (g *group) lastPosition() (e logPosition) {
 	e.index, _ = g.log.LastIndex()
 	e.term, _ = g.log.Term(e.index)
 	return e
 }
 
-// asking is what a replica has heard of the others since its start. Its disk may be an older copy of what it was: then it has
-// forgotten what it acknowledged, and for whom it voted. Nothing of the sort can be missed once all others have answered:
-// whoever leads knows what this one acknowledged; what was committed is in the log of one that answers, and nobody gets this
-// one's vote who has less than the longest of their logs; and the terms in which it may have voted are known to them.
+// recovery is what a member has learned from the others since its start. Its disk may be an older copy; then the member has forgotten what
+// it acknowledged and for whom it voted. Once all the others have replied, that is safe: the leader knows what this member acknowledged;
+// what was committed is in the log of a member that replied, and this member votes for nobody with less than the longest of their logs;
+// and the terms in which it may have voted are known to them.
 type recovery struct {
 	replied       map[uint64]bool
-	applied       uint64            // the latest configuration that was heard of
-	voters        []uint64          // in it
-	pendingVoters map[uint64]uint64 // those that changes behind it make voters, and the index of each change
+	applied       uint64            // index of the latest configuration that any member knows
+	voters        []uint64          // of that configuration
+	pendingVoters map[uint64]uint64 // members that later entries make voters, with the entry's index
 	maxTerm       uint64
 	maxLast       logPosition
 }
 
-// members are the replicas that a configuration names as voters.
+// confVoters are the members that a configuration names as voters, sorted.
 func confVoters(c *pb.ConfState) []uint64 {
 	all := slices.Concat(c.GetVoters(), c.GetVotersOutgoing())
 	slices.Sort(all)
 	return slices.Compact(all)
 }
 
-// unsure has the replica ask all others before it takes part again.
+// startRecovery has the member ask all others before it takes part again.
 func (g *group) startRecovery() {
 	g.recovery = &recovery{replied: map[uint64]bool{g.member: true}, applied: g.applied, voters: confVoters(g.conf), pendingVoters: map[uint64]uint64{}}
 	for _, x := range g.pendingVoters() {
@@ -54,7 +55,7 @@
 	g.queryPeers()
 }
 
-// laterVoters are the replicas that changes in the log make voters, and that are not applied yet.
+// pendingVoters are the members that log entries which are not applied yet make voters.
 func (g *group) pendingVoters() (all []*api.PendingVoter) {
 	last, _ := g.log.LastIndex()
 	first, _ := g.log.FirstIndex()
@@ -75,103 +76,103 @@
 	return all
 }
 
-// askAround asks those that have not answered. It is sure once all have that count: the voters of the latest configuration that
-// anybody knows, those that a change behind it may have made voters, and those that the ledger has settled. Whose disk is lost
-// for good is not waited for.
+// queryPeers queries the members that have not replied yet, and ends the recovery if no reply is missing that is required. Required are the
+// voters of the latest configuration that any member knows, those that a later log entry may have made voters, and those that the
+// ledger has confirmed. A member whose disk is lost for good is not waited for.
 //
-// Nor is one that the ledger has taken out: it settles a change only once a leader has applied the whole of it, which is then in
-// the logs of a majority of the voters before and of those after. They are asked, all of them, so that of two things one holds
-// for whatever the one taken out may know and they do not: it is of an earlier term than they answer with, or it needed a
-// majority of them. While the ledger has a change under way, one that it does not name may be one that it gave up on, and a
-// voter all the same.
+// Nor is a member that the ledger has taken out. The ledger confirms a change only once a leader has applied all of it, so that it is in
+// the logs of a majority of the voters before and of those after. All of the latter are queried. So whatever only the removed member
+// knows is either of an earlier term than they reply with, or needed a majority of them. While the ledger has a change pending, a member
+// that it does not name may be one that it gave up on but that is a voter all the same; so it is waited for.
 func (g *group) queryPeers() {
-	a := g.recovery
-	var names []*api.GroupMember
-	settled := false
+	state := g.recovery
+	var members []*api.GroupMember
+	confirmed := false
 	if x := findGroup(g.host.ledger, g.id); x != nil && x.Epoch == g.epoch {
-		names, settled = groupMembers(x), x.Adding == nil
+		members, confirmed = groupMembers(x), x.Adding == nil
 	}
 	required := map[uint64]bool{}
-	for _, r := range names {
-		required[r.Id] = settled
+	for _, r := range members {
+		required[r.Id] = confirmed
 	}
-	wanted := func(n uint64) bool {
+	mayCount := func(n uint64) bool {
 		_, named := required[n]
-		return named || !settled || n >= g.host.ledger.NextMember
+		return named || !confirmed || n >= g.host.ledger.NextMember
 	}
-	for _, n := range a.voters {
-		if wanted(n) {
+	for _, n := range state.voters {
+		if mayCount(n) {
 			required[n] = true
 		}
 	}
-	for n, index := range a.pendingVoters {
-		if index > a.applied && wanted(n) { // else it is in the configuration, or left it again
+	for n, index := range state.pendingVoters {
+		if index > state.applied && mayCount(n) { // else the configuration has it, or it has left again
 			required[n] = true
 		}
 	}
-	waits := len(a.voters) == 0 // its copy is from before it was taken in: it has to hear who is in the group at all
+	waiting := len(state.voters) == 0 // the disk is from before the member was added: it must learn who is in the group
 	for _, n := range slices.Sorted(maps.Keys(required)) {
-		i := slices.IndexFunc(names, func(r *api.GroupMember) bool { return r.Id == n })
-		if a.replied[n] || i >= 0 && memberLost(g.host.ledger, names[i]) {
+		i := slices.IndexFunc(members, func(r *api.GroupMember) bool { return r.Id == n })
+		if state.replied[n] || i >= 0 && memberLost(g.host.ledger, members[i]) {
 			continue
 		}
-		waits = waits || required[n]
+		waiting = waiting || required[n]
 		if to := g.host.gatewayOf(g.id, n); to != "" && to != g.host.cfg.Name {
 			last := g.lastPosition()
 			p := g.host.packetFor(to)
 			p.RecoveryQueries = append(p.RecoveryQueries, &api.RecoveryQuery{Group: g.id, Epoch: g.epoch, Member: g.member, Peer: n, Term: g.durable.hardState.GetTerm(), Index: last.index})
 		}
 	}
-	if !waits {
+	if !waiting {
 		g.finishRecovery()
 	}
 }
 
-// answer tells another replica that has started what is known here.
-func (g *group) recoveryReply(x *api.RecoveryQuery, k logPosition) *api.RecoveryReply {
+// recoveryReply is the reply to a member that has restarted; known is what that member is known to have acknowledged.
+func (g *group) recoveryReply(x *api.RecoveryQuery, known logPosition) *api.RecoveryReply {
 	last := g.lastPosition()
 	return &api.RecoveryReply{
-		Group: x.Group, Epoch: x.Epoch, Member: x.Member, Peer: x.Peer, Stale: logPosition{x.Term, x.Index}.before(k),
+		Group: x.Group, Epoch: x.Epoch, Member: x.Member, Peer: x.Peer, Stale: logPosition{x.Term, x.Index}.before(known),
 		Term: g.durable.hardState.GetTerm(), LastTerm: last.term, LastIndex: last.index, Applied: g.applied, Voters: confVoters(g.conf), PendingVoters: g.pendingVoters(),
 	}
 }
 
-// learnt takes such an answer in.
-func (g *group) handleRecoveryReply(x *api.RecoveryReply) {
-	a := g.recovery
-	a.replied[x.Peer] = true
-	a.maxTerm = max(a.maxTerm, x.Term)
-	if e := (logPosition{x.LastTerm, x.LastIndex}); a.maxLast.before(e) {
-		a.maxLast = e
+// handleRecoveryReply records a reply.
+func (g *group) handleRecoveryReply(reply *api.RecoveryReply) {
+	state := g.recovery
+	state.replied[reply.Peer] = true
+	state.maxTerm = max(state.maxTerm, reply.Term)
+	if e := (logPosition{reply.LastTerm, reply.LastIndex}); state.maxLast.before(e) {
+		state.maxLast = e
 	}
-	if x.Applied > a.applied {
-		a.applied, a.voters = x.Applied, x.Voters
+	if reply.Applied > state.applied {
+		state.applied, state.voters = reply.Applied, reply.Voters
 	}
-	for _, y := range x.PendingVoters {
-		a.pendingVoters[y.Member] = max(a.pendingVoters[y.Member], y.Index)
+	for _, y := range reply.PendingVoters {
+		state.pendingVoters[y.Member] = max(state.pendingVoters[y.Member], y.Index)
 	}
 	g.queryPeers()
 }
 
-// sure has the replica take part again. In the latest term that anybody is in it may have voted already, so it does not now.
+// finishRecovery has the member take part again. It may have voted already in the latest term that any member is in, so it does not vote in
+// that term: it restarts with a vote for itself.
 func (g *group) finishRecovery() {
-	a := g.recovery
+	state := g.recovery
 	g.recovery = nil
 	g.host.emitNotice(Notice{Kind: NoticeMemberRecovered, Group: g.id, Epoch: g.epoch, Number: g.member})
-	if g.lastPosition().before(a.maxLast) {
-		g.minLog = a.maxLast
+	if g.lastPosition().before(state.maxLast) {
+		g.minLog = state.maxLast
 	}
-	if a.maxTerm < g.durable.hardState.GetTerm() || len(g.conf.GetVoters()) == 1 || a.maxTerm == g.durable.hardState.GetTerm() && g.durable.hardState.GetVote() != 0 || len(a.replied) == 1 {
+	if state.maxTerm < g.durable.hardState.GetTerm() || len(g.conf.GetVoters()) == 1 || state.maxTerm == g.durable.hardState.GetTerm() && g.durable.hardState.GetVote() != 0 || len(state.replied) == 1 {
 		return
 	}
 	s, err := g.snapshot(g.sm.snapshot())
 	if err != nil {
-		return // it is empty: it has no vote
+		return // the member is empty: it has no vote
 	}
 	entries, _ := g.log.Entries(g.applied+1, g.lastPosition().index+1, math.MaxUint64)
 	next, err := g.host.newGroup(StoredMember{
 		Group: g.id, Epoch: g.epoch, Member: g.member, Snapshot: s, Entries: entries,
-		HardState: &pb.HardState{Term: new(a.maxTerm), Vote: new(g.member), Commit: new(g.durable.hardState.GetCommit())},
+		HardState: &pb.HardState{Term: new(state.maxTerm), Vote: new(g.member), Commit: new(g.durable.hardState.GetCommit())},
 	}, g.host.newStateMachine(g.id, g.epoch, false))
 	if err != nil {
 		g.host.failDisk(err.Error())
@@ -184,7 +185,7 @@
 	next.durable.pendingWrites++
 }
 
-// fit tells whether a message may be taken in by one that knows how far others are: no vote for less than that.
+// mayReceive tells whether a message may be handled: no vote for a log that is behind minLog.
 func (g *group) mayReceive(m *pb.Message) bool {
 	if g.minLog == (logPosition{}) || m.GetType() != pb.MsgVote && m.GetType() != pb.MsgPreVote {
 		return true
@@ -192,7 +193,7 @@
 	return !(logPosition{m.GetLogTerm(), m.GetIndex()}).before(g.minLog)
 }
 
-// sure tells whether no replica here asks the others.
+// recovered tells whether no member here is in recovery.
 func (h *Host) recovered() bool {
 	for _, g := range h.groups {
 		if g.recovery != nil {
--- a/internal/raftstore/shard.go
+++ b/internal/raftstore/shard.go
@@ -12,53 +12,55 @@
 	"marblespan/internal/clock"
 )
 
-// clientSpan is for how long a client's last results are kept after its last command.
+// clientRetention is how long a client's last results are kept after its last command, in microseconds.
 const clientRetention clock.Micros = 600 * 1_000_000
 
-// errFormat tells of records that only a later version understands.
+// errFormatTooNew reports records of a format that only a later version understands.
 var errFormatTooNew = errors.New("these records are of a later version")
 
 // record is one record of a shard.
 type record struct {
 	value      []byte
-	version    uint64 // of the shard, the last write's; no two writes have the same
+	version    uint64 // of the shard at its last write; no two writes have the same
 	position   uint64
 	isPosition bool
 	expiresAt  clock.Micros
-	changedAt  clock.Micros // when it was last changed
+	changedAt  clock.Micros
 }
 
-// client is what is kept of one caller, so that a call that comes again has one effect.
+// client is what is kept of one caller, so that a command that comes twice is applied once.
 type client struct {
 	lastSeen   clock.Micros
-	results    map[uint64]*api.Reply // by sequence, for as long as it may ask again
-	minPending uint64                // nothing of an earlier sequence is carried out any more: it is a copy that came late
+	results    map[uint64]*api.Reply // by sequence, for as long as the command may come again
+	minPending uint64                // a command of an earlier sequence is a late duplicate and is not applied
 }
 
-// shard is the machine of one shard.
+// shard is the state machine of one shard.
 type shard struct {
-	maxBytes     int64 // bytes
+	maxBytes     int64
 	now          clock.Micros
-	lostAt       clock.Micros // when this epoch began, because the one before was lost; 0: none was
-	resetPending bool         // the next entry's time is when it began
+	lostAt       clock.Micros // when this epoch began, because the quorum of the one before was lost; 0: it was not
+	resetPending bool         // such an epoch has just begun: the next entry sets lostAt
 	lastVersion  uint64
 	records      map[string]record
-	expiries     []expiry // a heap; some are out of date
+	expiries     []expiry // a heap; a record that was given a later expiry is found when the earlier one comes
 	clients      map[uint64]*client
 	bytes        int64
-	maxFormat    uint32 // the latest format of records that is understood here
-	usedFormat   uint32 // the latest that was used
+	maxFormat    uint32 // the latest record format that is understood here
+	usedFormat   uint32 // the latest record format in the shard
 }
 
-// epochBits is where the epoch stands in a version, so that versions grow over the loss of a shard, too.
+// epochBits is where the epoch starts in a version, so that versions keep growing when a shard is lost and reset.
 const epochBits = 40
 
+// newShard makes an empty shard.
 func newShard(maxBytes int64, knows, epoch uint32, resetPending bool) *shard {
 	return &shard{maxBytes: maxBytes, maxFormat: knows, resetPending: resetPending, lastVersion: uint64(epoch) << epochBits, records: map[string]record{}, clients: map[uint64]*client{}}
 }
 
 func (s *shard) time() clock.Micros { return s.now }
 
+// recordBytes is the memory cost of a record, in bytes.
 func recordBytes(key string, r record) int64 { return int64(len(key)+len(r.value)) + recordOverhead }
 
 func (s *shard) apply(_ uint64, e *api.Entry) []*api.Reply {
@@ -75,7 +77,7 @@
 	return out
 }
 
-// command carries one out, unless it has been.
+// applyCommand applies a command, unless it has been applied already.
 func (s *shard) applyCommand(command *api.Command) *api.Reply {
 	caller := s.clients[command.Client]
 	if caller == nil {
@@ -92,7 +94,7 @@
 		}
 	}
 	if command.Sequence < caller.minPending {
-		return &api.Reply{Status: uint32(StatusInvalid), Time: int64(s.now)} // nobody waits for it
+		return &api.Reply{Status: uint32(StatusInvalid), Time: int64(s.now)} // a late duplicate: nobody waits for the result
 	}
 	if r, again := caller.results[command.Sequence]; again {
 		return r
@@ -111,6 +113,7 @@
 	return r
 }
 
+// put writes or deletes a record, if its condition holds.
 func (s *shard) put(p *api.Put) *api.Reply {
 	key := string(p.Key)
 	old, there := s.records[key]
@@ -127,7 +130,7 @@
 	return s.set(key, record{value: bytes.Clone(p.Value), expiresAt: s.now + clock.Micros(p.Ttl)})
 }
 
-// mark raises a number; it never falls, whatever order marks come in.
+// raisePosition raises a position. It never falls, whatever order the commands come in.
 func (s *shard) raisePosition(m *api.RaisePosition) *api.Reply {
 	key := string(m.Key)
 	old, there := s.records[key]
@@ -139,6 +142,7 @@
 	return r
 }
 
+// set stores a record, if there is capacity.
 func (s *shard) set(key string, r record) *api.Reply {
 	old, there := s.records[key]
 	grown := s.bytes + recordBytes(key, r)
@@ -152,7 +156,7 @@
 	r.version, r.changedAt = s.lastVersion, s.now
 	s.bytes, s.records[key] = grown, r
 	if !there || r.expiresAt < old.expiresAt {
-		s.pushExpiry(expiry{r.expiresAt, key}) // a later end is found when the earlier one has come
+		s.pushExpiry(expiry{r.expiresAt, key}) // a later expiry is found when the earlier one has come
 	}
 	reply := &api.Reply{Version: r.version}
 	if !there {
@@ -161,8 +165,8 @@
 	return reply
 }
 
-// lostSince is when this shard was begun anew because what it held was lost; 0: it was not, or so long ago that nothing of it
-// would be there any more.
+// lostBefore is when this shard was reset because its quorum was lost; 0: it was not, or so long ago that all of its records would have
+// expired.
 func (s *shard) lostBefore() int64 {
 	if s.resetPending || s.lostAt > 0 && s.now-s.lostAt < MaxTTL {
 		return int64(max(s.lostAt, 1))
@@ -170,6 +174,7 @@
 	return 0
 }
 
+// remove deletes a record.
 func (s *shard) remove(key string) {
 	if r, there := s.records[key]; there {
 		s.bytes -= recordBytes(key, r)
@@ -177,7 +182,7 @@
 	}
 }
 
-// expire takes away what has ended, by the time of the log.
+// expire deletes records and clients that have expired by the time of the log.
 func (s *shard) expire() {
 	for len(s.expiries) > 0 && s.expiries[0].at <= s.now {
 		e := s.popExpiry()
@@ -194,7 +199,7 @@
 	}
 }
 
-// due tells whether a record has ended by a leader's clock: an entry is wanted that says so.
+// hasExpired tells whether a record has expired by the leader's time, so that an entry is needed to delete it.
 func (s *shard) hasExpired(now clock.Micros) bool {
 	return len(s.expiries) > 0 && s.expiries[0].at <= now
 }
@@ -206,7 +211,7 @@
 	if there {
 		out.Found, out.Value, out.Version, out.Position, out.Age = true, r.value, r.version, r.position, int64(s.now-r.changedAt)
 	}
-	// Of a number that was raised since, nobody knows whether it had been higher.
+	// A position that was raised since may have been higher before.
 	if !there || r.isPosition {
 		out.LostBefore = s.lostBefore()
 	}
@@ -233,7 +238,7 @@
 		}
 		out.Clients = append(out.Clients, x)
 	}
-	b, _ := proto.Marshal(out) // it has no text that could be at fault
+	b, _ := proto.Marshal(out) // it has no strings, so it cannot fail
 	return b
 }
 
--- a/internal/raftstore/snapshot.go
+++ b/internal/raftstore/snapshot.go
@@ -6,15 +6,16 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// storage is the log as the library reads it. Snapshots are made when one is wanted, not kept.
+// storage is the Raft library's Storage. Snapshots are made when they are asked for, not kept.
 type storage struct {
 	*raft.MemoryStorage
 	group *group
 }
 
-// Snapshot is the state now.
+// Snapshot is a snapshot of the state now.
 func (s *storage) Snapshot() (*pb.Snapshot, error) { return s.group.snapshot(s.group.sm.snapshot()) }
 
+// snapshot makes a snapshot with this data at the applied index.
 func (g *group) snapshot(data []byte) (*pb.Snapshot, error) {
 	term, err := g.log.Term(g.applied)
 	if err != nil {
@@ -29,10 +30,10 @@
 	}}
 }
 
-// bare is a snapshot without its data, as the log keeps it.
+// withoutData is a snapshot without its data, as the log keeps it.
 func withoutData(s *pb.Snapshot) *pb.Snapshot { return &pb.Snapshot{Metadata: s.GetMetadata()} }
 
-// restore takes a snapshot over.
+// restore takes over a snapshot.
 func (g *group) restore(s *pb.Snapshot) error {
 	if err := g.sm.restore(s.Data); err != nil {
 		return err
--- a/internal/raftstore/statemachine.go
+++ b/internal/raftstore/statemachine.go
@@ -5,12 +5,12 @@
 	"marblespan/internal/clock"
 )
 
-// machine is what a group's replicas keep, changed by the entries of its log only.
+// stateMachine is the replicated state of a group. Only the entries of the group's log change it.
 type stateMachine interface {
-	// apply carries an entry out. It returns a result for each of its commands.
+	// apply applies the entry at an index. It returns a reply for each of its commands.
 	apply(index uint64, e *api.Entry) []*api.Reply
 	snapshot() []byte
 	restore(b []byte) error
-	// time is that of the last entry.
+	// time is the time of the last entry.
 	time() clock.Micros
 }
--- a/internal/raftstore/status.go
+++ b/internal/raftstore/status.go
@@ -1,48 +1,48 @@
 package raftstore
 
-// Status is what came of a call.
+// Status is the outcome of a call.
 type Status uint8
 
 // The statuses.
 const (
 	StatusOK               Status = iota
-	StatusConflict                // the record's version is another one; it is in the answer
+	StatusConflict                // the record has another version, which is in the response
 	StatusFull                    // the shard takes no new records
-	StatusInvalid                 // the call can never succeed: a key that is too long, a shard that is not there
-	StatusDeadlineExceeded        // no answer in time; a change may come into force all the same
-	StatusNotSent                 // nobody could be asked in time, and no change comes into force
-	StatusFormatTooNew            // some holder does not understand the format of records that it needs
-	statusNotLeader
-	Statuses
+	StatusInvalid                 // the call can never succeed: a key that is too long, a shard that does not exist
+	StatusDeadlineExceeded        // no result in time; a change may still take effect
+	StatusNotSent                 // no member could be reached in time; no change takes effect
+	StatusFormatTooNew            // some store does not understand the record format that the command needs
+	statusNotLeader               // on the wire only: the caller tries another gateway
+	Statuses                      // how many there are
 )
 
 var statusNames = [Statuses]string{"ok", "conflict", "full", "bad", "too_late", "not_sent", "too_new", "not_leader"}
 
-// String is the status's name in logs.
+// String is the status's name in counters.
 func (s Status) String() string { return statusNames[s] }
 
-// Notice is what may be noticed.
+// NoticeKind is the kind of a Notice. Notices "in the ledger" are given by its leader.
 type NoticeKind uint8
 
-// The notices.
+// The kinds of notices.
 const (
 	NoticeBecameLeader    NoticeKind = iota // this gateway leads a group
-	NoticeSteppedDown                       // it does so no more
+	NoticeSteppedDown                       // it does not lead the group any more
 	NoticeVotersChanged                     // a group's voters changed, in the ledger
-	NoticeMemberAssigned                    // a group gets another holder, in the ledger
-	NoticeGroupLost                         // more of a group was lost than it can bear: what was promised in it is lost. In the ledger
-	NoticeStoreJoined                       // a disk is known to the ledger
-	NoticeStoreRemoved                      // a disk is lost for good, in the ledger
-	NoticeMemberStale                       // the disk here is older than what this replica had acknowledged: the replica must not go on
-	NoticeMemberStarted                     // a replica begins here
-	NoticeMemberStopped                     // a replica here is no longer wanted
-	NoticeMemberRecovered                   // a replica here takes part again after a start
-	NoticeDiskFailed                        // the disk failed
-	NoticeForeignCluster                    // a packet of another founding
-	NoticeStoreRenumbered                   // the ledger holds this disk lost: it goes on as another one, empty
-	NoticeFormatRaised                      // all holders understand a later format of records, in the ledger
-	NoticeFormatTooOld                      // a gateway does not understand the format of records that is in use: it holds nothing
-	NoticeKinds
+	NoticeMemberAssigned                    // a group gets a new member, in the ledger
+	NoticeGroupLost                         // a group lost its quorum for good and restarts empty, in the ledger
+	NoticeStoreJoined                       // a store joined, in the ledger
+	NoticeStoreRemoved                      // a store is lost for good, in the ledger
+	NoticeMemberStale                       // the disk here is older than what this member had acknowledged: it must not run again
+	NoticeMemberStarted                     // a member starts here
+	NoticeMemberStopped                     // a member here is not wanted any more
+	NoticeMemberRecovered                   // a member here takes part again after a restart
+	NoticeDiskFailed                        // the disk here failed
+	NoticeForeignCluster                    // a packet of another state store came in
+	NoticeStoreRenumbered                   // the ledger counts this disk as lost: it goes on as a new, empty store
+	NoticeFormatRaised                      // all stores understand a later record format, in the ledger
+	NoticeFormatTooOld                      // a gateway does not understand the record format in use: its store may not join
+	NoticeKinds                             // how many there are
 )
 
 var noticeNames = [NoticeKinds]string{
@@ -50,5 +50,5 @@
 	"replica_sure", "disk_failed", "another_founding", "disk_renumbered", "format_raised", "format_too_old",
 }
 
-// String is the notice's code in the log.
+// String is the kind's code in the log and in counters.
 func (n NoticeKind) String() string { return noticeNames[n] }
