--- a/internal/golden/copies_test.go
+++ b/internal/golden/copies_test.go
@@ -22,15 +22,15 @@
 // order is an order of maintenance with a machine of each kind and one in each state.
 func order() *api.Order {
 	o := &api.Order{
-		Paused: true, LastId: 8, Excused: []string{"gw-7"}, Askers: []*api.Asker{{Client: 11, Sequence: 2, Ok: true, Message: "gw-1 is number 1 in the order"}},
-		Enrolled: []*api.Enrolled{{Name: "gw-1", Incarnation: begun + 1}},
+		Paused: true, LastId: 8, Excused: []string{"gw-7"}, Sessions: []*api.ClientSession{{Client: 11, Sequence: 2, Ok: true, Answer: "gw-1 is number 1 in the order"}},
+		Roster: []*api.Enrollment{{Name: "gw-1", Incarnation: begun + 1}},
 		Machines: []*api.Machine{{
-			Id: 20, Kind: 1, Name: "db-1", Group: -1, Zone: "a", State: 3, Turn: 4, ChangedIndex: 17, ChangedAt: 1_000, OutAt: 900, Duration: 600_000_000, Incarnation: begun, Reason: "a new kernel",
+			Id: 20, Kind: 1, Name: "db-1", Group: -1, Zone: "a", State: 3, Revision: 4, ChangeIndex: 17, Since: 1_000, OutSince: 900, Duration: 600_000_000, Incarnation: begun, Comment: "a new kernel",
 			RequestedBy: "gw-2", Overdue: true,
 		}},
 	}
 	for state := range uint32(7) {
-		o.Machines = append(o.Machines, &api.Machine{Id: uint64(2 + state), Name: fmt.Sprint("gw-", state), State: state, Forced: state == 3})
+		o.Machines = append(o.Machines, &api.Machine{Id: uint64(2 + state), Name: fmt.Sprint("gw-", state), State: state, Overridden: state == 3})
 	}
 	return o
 }
@@ -86,13 +86,13 @@
 		{ResetGroup: &api.ResetGroup{Group: 1, Epoch: 2, Store: 72, Incarnation: begun, Forced: true}},
 		{MarkStale: &api.MemberRef{Group: 1, Epoch: 2, Member: 7}},
 		{RaiseFormat: 2},
-		{MaintenanceCommand: &api.MaintenanceCommand{Verb: 2, Kind: 1, Name: "db-2", Group: 2, Duration: 600_000_000, Reason: "a new disk", RequestedBy: "gw-3"}},
-		{MaintenanceStep: &api.MaintenanceStep{Id: 2, Turn: 3, To: 1, Incarnation: begun, Zone: "a", MaxGateways: 4, MaxPerZone: 5, MaxServers: 6}},
+		{MaintenanceCommand: &api.MaintenanceCommand{Verb: 2, Kind: 1, Name: "db-2", Group: 2, Duration: 600_000_000, Comment: "a new disk", RequestedBy: "gw-3"}},
+		{MaintenanceStep: &api.MaintenanceStep{Id: 2, Revision: 3, To: 1, Incarnation: begun, Zone: "a", MaxGateways: 4, MaxPerZone: 5, MaxServers: 6}},
 		{MaintenanceStep: &api.MaintenanceStep{Id: 5, Overdue: true}},
-		{MaintenanceStep: &api.MaintenanceStep{Id: 5, Forced: true}},
-		{MaintenanceStep: &api.MaintenanceStep{Unexcused: "gw-7"}},
-		{MaintenanceStep: &api.MaintenanceStep{Enroll: &api.Enrolled{Name: "gw-2", Incarnation: begun + 2}}},
-		{MaintenanceStep: &api.MaintenanceStep{Unenroll: &api.Enrolled{Name: "gw-1", Incarnation: begun + 1}}},
+		{MaintenanceStep: &api.MaintenanceStep{Id: 5, Override: true}},
+		{MaintenanceStep: &api.MaintenanceStep{Unexcuse: "gw-7"}},
+		{MaintenanceStep: &api.MaintenanceStep{Enroll: &api.Enrollment{Name: "gw-2", Incarnation: begun + 2}}},
+		{MaintenanceStep: &api.MaintenanceStep{Unenroll: &api.Enrollment{Name: "gw-1", Incarnation: begun + 1}}},
 	} {
 		all = append(all, &api.Command{Client: 13, Sequence: uint64(len(all)), Format: 2, Change: change})
 	}
@@ -172,7 +172,7 @@
 		}})},
 		{"packet-past", packet(&api.Packet{KnownIncarnation: begun + 1})},
 		{"packet-fact", packet(&api.Packet{GatewayReport: &api.GatewayReport{
-			Incarnation: begun, Zone: "b", SeenIndex: 40, Ready: true, Load: 250, FloatingIps: []string{"192.0.2.10"}, Cordoned: []uint64{1},
+			Incarnation: begun, Zone: "b", LedgerIndex: 40, Ready: true, Load: 250, FloatingGroups: []string{"192.0.2.10"}, Quiesced: []uint64{1},
 			Servers: []*api.ServerReport{{Group: 2, Name: "db-1", Primary: true}, {Name: "db-2", Down: true}, {Name: "db-3", WarmingUp: true}, {Name: "db-4", Lagging: true}},
 		}})},
 		{"packet-fact-idle", packet(&api.Packet{GatewayReport: &api.GatewayReport{Incarnation: begun, Idle: true}})},
--- a/internal/raftstore/maintenance.go
+++ b/internal/raftstore/maintenance.go
@@ -78,39 +78,56 @@
 	state := &h.maintenance
 	h.recordGatewayReport(h.cfg.Name, h.gatewayReport())
 	facts := &maintenance.ClusterView{Now: clock.Micros(h.groups[LedgerGroup].groupTime()), AllReported: h.now-h.placement.leaderSince > freshTicks*h.cfg.Tick && len(state.members) > 0}
+	members := h.expectedMembers(ledger)
+	for _, name := range slices.Sorted(maps.Keys(members)) {
+		facts.Gateways = append(facts.Gateways, h.gatewayStatus(members[name]))
+	}
+	for id := range ledger.Groups {
+		facts.Shards = append(facts.Shards, h.shardStatus(ledger, uint32(id)))
+	}
+	return facts
+}
+
+// expectedMembers are the gateways that membership knows, and, as dead, those that only the ledger knows.
+func (h *Host) expectedMembers(ledger *api.Ledger) map[string]maintenance.Member {
 	all := map[string]maintenance.Member{}
-	for _, shard := range ledger.Stores {
-		if !shard.Removed {
-			all[shard.Name] = maintenance.Member{Name: shard.Name, Zone: shard.Zone, Presence: maintenance.Dead}
+	for _, s := range ledger.Stores {
+		if !s.Removed {
+			all[s.Name] = maintenance.Member{Name: s.Name, Zone: s.Zone, Presence: maintenance.Dead}
 		}
 	}
-	for _, e := range ledger.GetOrder().GetEnrolled() {
+	for _, e := range ledger.GetOrder().GetRoster() {
 		all[e.Name] = maintenance.Member{Name: e.Name, Presence: maintenance.Dead, Incarnation: e.Incarnation}
 	}
-	for _, m := range state.members {
+	for _, m := range h.maintenance.members {
 		all[m.Name] = m
 	}
-	for _, name := range slices.Sorted(maps.Keys(all)) {
-		m, last := all[name], state.reports[name]
-		g := maintenance.GatewayStatus{Name: name, Zone: cmp.Or(last.Zone, m.Zone), Incarnation: last.Incarnation, Presence: m.Presence}
-		switch fresh := last.Name != "" && h.now-state.reportedAt[name] <= freshTicks*h.cfg.Tick; {
-		case m.Presence == maintenance.Left:
-			g.Incarnation = max(m.Incarnation, last.Incarnation)
-		case m.Presence == maintenance.Alive && fresh:
-			g.Report = last.Report
-		case m.Presence == maintenance.Alive:
-			g.Presence = maintenance.Silent
-		}
-		facts.Gateways = append(facts.Gateways, g)
+	return all
+}
+
+// gatewayStatus is a gateway's last report, if it is recent, with what membership says.
+func (h *Host) gatewayStatus(m maintenance.Member) maintenance.GatewayStatus {
+	last := h.maintenance.reports[m.Name]
+	status := maintenance.GatewayStatus{Name: m.Name, Zone: cmp.Or(last.Zone, m.Zone), Incarnation: last.Incarnation, Presence: m.Presence}
+	switch fresh := last.Name != "" && h.now-h.maintenance.reportedAt[m.Name] <= freshTicks*h.cfg.Tick; {
+	case m.Presence == maintenance.Left:
+		status.Incarnation = max(m.Incarnation, last.Incarnation)
+	case m.Presence == maintenance.Alive && fresh:
+		status.Report = last.Report
+	case m.Presence == maintenance.Alive:
+		status.Presence = maintenance.Silent
 	}
-	for id, x := range ledger.Groups {
-		shard := maintenance.ShardStatus{Hosts: gatewaysOf(ledger, x), Complete: isComplete(ledger, x), UnderReplicated: isBelowTarget(ledger, x)}
-		if r := h.placement.groupReports[uint32(id)]; shard.Complete {
-			shard.Complete = r != nil && h.GroupReported(uint32(id)) && r.Epoch == x.Epoch && !r.Joint && !r.Lagging && len(r.Voters) == len(x.Voters)
-		}
-		facts.Shards = append(facts.Shards, shard)
+	return status
+}
+
+// shardStatus is a group's state for maintenance: by the ledger, and complete only if its leader has reported so recently.
+func (h *Host) shardStatus(ledger *api.Ledger, id uint32) maintenance.ShardStatus {
+	x := ledger.Groups[id]
+	status := maintenance.ShardStatus{Hosts: gatewaysOf(ledger, x), Complete: isComplete(ledger, x), UnderReplicated: isBelowTarget(ledger, x)}
+	if r := h.placement.groupReports[id]; status.Complete {
+		status.Complete = r != nil && h.GroupReported(id) && r.Epoch == x.Epoch && !r.Joint && !r.Lagging && len(r.Voters) == len(x.Voters)
 	}
-	return facts
+	return status
 }
 
 // planMaintenance proposes the next steps of the order of maintenance.
--- a/internal/raftstore/maintenance_codec.go
+++ b/internal/raftstore/maintenance_codec.go
@@ -13,40 +13,40 @@
 // MaintenanceCommand is an operator's command as a change of the ledger.
 func MaintenanceCommand(c maintenance.Command) *api.Command {
 	return &api.Command{Format: MaintenanceFormat, Change: &api.Change{MaintenanceCommand: &api.MaintenanceCommand{
-		Verb: uint32(c.Verb), Kind: uint32(c.Kind), Name: c.Name, Group: int64(c.Group), Duration: int64(c.Duration), Reason: c.Comment, RequestedBy: c.RequestedBy,
+		Verb: uint32(c.Verb), Kind: uint32(c.Kind), Name: c.Name, Group: int64(c.Group), Duration: int64(c.Duration), Comment: c.Comment, RequestedBy: c.RequestedBy,
 	}}}
 }
 
 func decodeCommand(c *api.MaintenanceCommand) maintenance.Command {
 	return maintenance.Command{
 		Verb: maintenance.Verb(c.Verb), Kind: maintenance.Kind(c.Kind), Name: c.Name, Group: int(c.Group), Duration: clock.Micros(c.Duration),
-		Comment: c.Reason, RequestedBy: c.RequestedBy,
+		Comment: c.Comment, RequestedBy: c.RequestedBy,
 	}
 }
 
 // validCommand tells whether an operator's command may be applied.
 func validCommand(c *api.MaintenanceCommand) bool {
 	return c.Verb > 0 && c.Verb < uint32(maintenance.Verbs) && c.Kind < uint32(maintenance.Kinds) && len(c.Name) <= maintenance.MaxNameLength &&
-		len(c.Reason) <= maintenance.MaxCommentLength && len(c.RequestedBy) <= MaxNameBytes && c.Duration >= 0
+		len(c.Comment) <= maintenance.MaxCommentLength && len(c.RequestedBy) <= MaxNameBytes && c.Duration >= 0
 }
 
 func encodeStep(s maintenance.Step) *api.Command {
 	x := &api.MaintenanceStep{
-		Id: s.ID, Turn: s.Revision, To: uint32(s.To), Incarnation: s.Incarnation, Zone: s.Zone, Overdue: s.Overdue, Forced: s.Override, Unexcused: s.Unexcuse,
+		Id: s.ID, Revision: s.Revision, To: uint32(s.To), Incarnation: s.Incarnation, Zone: s.Zone, Overdue: s.Overdue, Override: s.Override, Unexcuse: s.Unexcuse,
 		MaxGateways: uint32(s.MaxGateways), MaxPerZone: uint32(s.MaxPerZone), MaxServers: uint32(s.MaxServers),
 	}
 	if s.Enroll.Name != "" {
-		x.Enroll = &api.Enrolled{Name: s.Enroll.Name, Incarnation: s.Enroll.Incarnation}
+		x.Enroll = &api.Enrollment{Name: s.Enroll.Name, Incarnation: s.Enroll.Incarnation}
 	}
 	if s.Unenroll.Name != "" {
-		x.Unenroll = &api.Enrolled{Name: s.Unenroll.Name, Incarnation: s.Unenroll.Incarnation}
+		x.Unenroll = &api.Enrollment{Name: s.Unenroll.Name, Incarnation: s.Unenroll.Incarnation}
 	}
 	return &api.Command{Format: MaintenanceFormat, Change: &api.Change{MaintenanceStep: x}}
 }
 
 func decodeStep(x *api.MaintenanceStep) maintenance.Step {
 	return maintenance.Step{
-		ID: x.Id, Revision: x.Turn, To: maintenance.State(x.To), Incarnation: x.Incarnation, Zone: x.Zone, Overdue: x.Overdue, Override: x.Forced, Unexcuse: x.Unexcused,
+		ID: x.Id, Revision: x.Revision, To: maintenance.State(x.To), Incarnation: x.Incarnation, Zone: x.Zone, Overdue: x.Overdue, Override: x.Override, Unexcuse: x.Unexcuse,
 		Enroll:      maintenance.Enrollment{Name: x.GetEnroll().GetName(), Incarnation: x.GetEnroll().GetIncarnation()},
 		Unenroll:    maintenance.Enrollment{Name: x.GetUnenroll().GetName(), Incarnation: x.GetUnenroll().GetIncarnation()},
 		MaxGateways: int(x.MaxGateways), MaxPerZone: int(x.MaxPerZone), MaxServers: int(x.MaxServers),
@@ -58,15 +58,15 @@
 	o := &maintenance.Order{Paused: x.GetPaused(), LastID: x.GetLastId(), Excused: slices.Clone(x.GetExcused())}
 	for _, m := range x.GetMachines() {
 		o.Machines = append(o.Machines, maintenance.Machine{
-			ID: m.Id, Kind: maintenance.Kind(m.Kind), Name: m.Name, Group: int(m.Group), Zone: m.Zone, State: maintenance.State(m.State), Revision: m.Turn,
-			ChangeIndex: m.ChangedIndex, Since: clock.Micros(m.ChangedAt), OutSince: clock.Micros(m.OutAt), Duration: clock.Micros(m.Duration), Incarnation: m.Incarnation, Comment: m.Reason,
-			RequestedBy: m.RequestedBy, Overdue: m.Overdue, Overridden: m.Forced,
+			ID: m.Id, Kind: maintenance.Kind(m.Kind), Name: m.Name, Group: int(m.Group), Zone: m.Zone, State: maintenance.State(m.State), Revision: m.Revision,
+			ChangeIndex: m.ChangeIndex, Since: clock.Micros(m.Since), OutSince: clock.Micros(m.OutSince), Duration: clock.Micros(m.Duration), Incarnation: m.Incarnation, Comment: m.Comment,
+			RequestedBy: m.RequestedBy, Overdue: m.Overdue, Overridden: m.Overridden,
 		})
 	}
-	for _, a := range x.GetAskers() {
-		o.Sessions = append(o.Sessions, maintenance.ClientSession{Client: a.Client, Sequence: a.Sequence, OK: a.Ok, Answer: a.Message})
+	for _, a := range x.GetSessions() {
+		o.Sessions = append(o.Sessions, maintenance.ClientSession{Client: a.Client, Sequence: a.Sequence, OK: a.Ok, Answer: a.Answer})
 	}
-	for _, e := range x.GetEnrolled() {
+	for _, e := range x.GetRoster() {
 		o.Roster = append(o.Roster, maintenance.Enrollment{Name: e.Name, Incarnation: e.Incarnation})
 	}
 	return o
@@ -76,22 +76,22 @@
 	x := &api.Order{Paused: o.Paused, LastId: o.LastID, Excused: o.Excused}
 	for _, m := range o.Machines {
 		x.Machines = append(x.Machines, &api.Machine{
-			Id: m.ID, Kind: uint32(m.Kind), Name: m.Name, Group: int64(m.Group), Zone: m.Zone, State: uint32(m.State), Turn: m.Revision, ChangedIndex: m.ChangeIndex,
-			ChangedAt: int64(m.Since), OutAt: int64(m.OutSince), Duration: int64(m.Duration), Incarnation: m.Incarnation, Reason: m.Comment, RequestedBy: m.RequestedBy, Overdue: m.Overdue, Forced: m.Overridden,
+			Id: m.ID, Kind: uint32(m.Kind), Name: m.Name, Group: int64(m.Group), Zone: m.Zone, State: uint32(m.State), Revision: m.Revision, ChangeIndex: m.ChangeIndex,
+			Since: int64(m.Since), OutSince: int64(m.OutSince), Duration: int64(m.Duration), Incarnation: m.Incarnation, Comment: m.Comment, RequestedBy: m.RequestedBy, Overdue: m.Overdue, Overridden: m.Overridden,
 		})
 	}
 	for _, a := range o.Sessions {
-		x.Askers = append(x.Askers, &api.Asker{Client: a.Client, Sequence: a.Sequence, Ok: a.OK, Message: a.Answer})
+		x.Sessions = append(x.Sessions, &api.ClientSession{Client: a.Client, Sequence: a.Sequence, Ok: a.OK, Answer: a.Answer})
 	}
 	for _, e := range o.Roster {
-		x.Enrolled = append(x.Enrolled, &api.Enrolled{Name: e.Name, Incarnation: e.Incarnation})
+		x.Roster = append(x.Roster, &api.Enrollment{Name: e.Name, Incarnation: e.Incarnation})
 	}
 	return x
 }
 
 func encodeReport(o *GatewayReport, zone string, leads bool) *api.GatewayReport {
 	x := &api.GatewayReport{
-		Incarnation: o.Incarnation, Zone: zone, SeenIndex: o.LedgerIndex, Ready: o.Ready, Idle: o.Idle, Leads: leads, Load: uint32(max(o.Load, 0)), FloatingIps: o.FloatingGroups, Cordoned: o.Quiesced,
+		Incarnation: o.Incarnation, Zone: zone, LedgerIndex: o.LedgerIndex, Ready: o.Ready, Idle: o.Idle, Leads: leads, Load: uint32(max(o.Load, 0)), FloatingGroups: o.FloatingGroups, Quiesced: o.Quiesced,
 	}
 	for _, s := range o.Servers {
 		x.Servers = append(x.Servers, &api.ServerReport{Group: int64(s.Group), Name: s.Name, Primary: s.Primary, Down: s.Down, WarmingUp: s.WarmingUp, Lagging: s.Lagging})
@@ -101,7 +101,7 @@
 
 func decodeReport(name string, x *api.GatewayReport) maintenance.GatewayStatus {
 	g := maintenance.GatewayStatus{Name: name, Zone: x.Zone, Incarnation: x.Incarnation, Report: maintenance.Report{
-		LedgerIndex: x.SeenIndex, Ready: x.Ready, Idle: x.Idle, Leads: x.Leads, Load: int(x.Load), FloatingGroups: x.FloatingIps, Quiesced: x.Cordoned,
+		LedgerIndex: x.LedgerIndex, Ready: x.Ready, Idle: x.Idle, Leads: x.Leads, Load: int(x.Load), FloatingGroups: x.FloatingGroups, Quiesced: x.Quiesced,
 	}}
 	for _, s := range x.Servers {
 		g.Servers = append(g.Servers, maintenance.ServerReport{Group: int(s.Group), Name: s.Name, Primary: s.Primary, Down: s.Down, WarmingUp: s.WarmingUp, Lagging: s.Lagging})
--- a/internal/raftstore/placement.go
+++ b/internal/raftstore/placement.go
@@ -95,8 +95,9 @@
 	}
 	p := planner{Ledger: h.ledger, placementFacts: h.placement, tick: h.cfg.Tick}
 	p.now = h.now
-	if all := placeGroup(shard, p.freshStores(), 1); len(all) > 0 {
-		h.proposeChanges(g, []*api.Change{{ResetGroup: &api.ResetGroup{Group: shard, Epoch: x.Epoch, Store: all[0].Id, Incarnation: h.placement.incarnations[all[0].Id], Forced: true}}})
+	if reset := p.resetGroup(shard, x); reset != nil {
+		reset.Forced = true
+		h.proposeChanges(g, []*api.Change{{ResetGroup: reset}})
 	}
 }
 
--- a/internal/raftstore/planner.go
+++ b/internal/raftstore/planner.go
@@ -110,8 +110,8 @@
 		if id == LedgerGroup {
 			return // its leader is planning, so it has a quorum
 		}
-		if all := placeGroup(id, p.freshStores(), 1); len(all) > 0 {
-			p.changes = append(p.changes, &api.Change{ResetGroup: &api.ResetGroup{Group: id, Epoch: group.Epoch, Store: all[0].Id, Incarnation: p.incarnations[all[0].Id]}})
+		if reset := p.resetGroup(id, group); reset != nil {
+			p.changes = append(p.changes, &api.Change{ResetGroup: reset})
 		}
 		return
 	}
@@ -122,22 +122,43 @@
 	case group.Adding != nil:
 		removing = group.Removing // a different store takes its place
 	case len(group.Voters) >= int(p.VotersPerGroup):
-		// Lost members are replaced before silent ones.
-		for _, lost := range []bool{true, false} {
-			for _, r := range group.Voters {
-				if removing == 0 && p.needsReplacement(r) && memberLost(p.Ledger, r) == lost {
-					removing = r.Id
-				}
-			}
-		}
+		removing = p.voterToReplace(group)
 		if removing == 0 || *replacing >= p.maxRepairs {
 			return
 		}
 		*replacing++
 	}
 	if s := p.pickStore(id, group, removing); s != nil {
-		p.changes = append(p.changes, &api.Change{AddMember: &api.AddMember{Group: id, Epoch: group.Epoch, Store: s.Id, Removing: removing, Incarnation: p.incarnations[s.Id]}})
+		p.addMember(id, group, s, removing)
+	}
+}
+
+// resetGroup restarts a group on the fresh store that ranks first for it; nil: there is none.
+func (p *planner) resetGroup(id uint32, group *api.Group) *api.ResetGroup {
+	stores := placeGroup(id, p.freshStores(), 1)
+	if len(stores) == 0 {
+		return nil
 	}
+	return &api.ResetGroup{Group: id, Epoch: group.Epoch, Store: stores[0].Id, Incarnation: p.incarnations[stores[0].Id]}
+}
+
+// addMember adds the change that has a group add a member on a store, in place of another member unless that is 0.
+func (p *planner) addMember(id uint32, group *api.Group, s *api.Store, removing uint64) {
+	p.changes = append(p.changes, &api.Change{AddMember: &api.AddMember{
+		Group: id, Epoch: group.Epoch, Store: s.Id, Removing: removing, Incarnation: p.incarnations[s.Id],
+	}})
+}
+
+// voterToReplace is a voter that must be replaced: a lost one before one that is only silent; 0: none must.
+func (p *planner) voterToReplace(group *api.Group) uint64 {
+	for _, lost := range []bool{true, false} {
+		for _, m := range group.Voters {
+			if p.needsReplacement(m) && memberLost(p.Ledger, m) == lost {
+				return m.Id
+			}
+		}
+	}
+	return 0
 }
 
 // pickStore picks the best fresh store for a group's next member: in a zone with the fewest members, then by score.
@@ -179,21 +200,24 @@
 			return
 		}
 		ideal := placeGroup(uint32(number), stores, int(p.VotersPerGroup))
-		in := func(store uint64) bool {
-			return slices.ContainsFunc(ideal, func(s *api.Store) bool { return s.Id == store })
+		if m, s := misplaced(g.Voters, ideal); m != nil {
+			p.addMember(uint32(number), g, s, m.Id)
+			return
 		}
-		for _, r := range g.Voters {
-			if in(r.Store) {
-				continue
-			}
-			for _, s := range ideal {
-				if !slices.ContainsFunc(g.Voters, func(r *api.GroupMember) bool { return r.Store == s.Id }) {
-					p.changes = append(p.changes, &api.Change{AddMember: &api.AddMember{
-						Group: uint32(number), Epoch: g.Epoch, Store: s.Id, Removing: r.Id, Incarnation: p.incarnations[s.Id],
-					}})
-					return
-				}
+	}
+}
+
+// misplaced is the first voter that is not on one of the ideal stores, and the first ideal store without a voter; nil: there is none.
+func misplaced(voters []*api.GroupMember, ideal []*api.Store) (*api.GroupMember, *api.Store) {
+	for _, m := range voters {
+		if slices.ContainsFunc(ideal, func(s *api.Store) bool { return s.Id == m.Store }) {
+			continue
+		}
+		for _, s := range ideal {
+			if !slices.ContainsFunc(voters, func(other *api.GroupMember) bool { return other.Store == s.Id }) {
+				return m, s
 			}
 		}
 	}
+	return nil, nil
 }
