--- a/internal/raftstore/faults_test.go
+++ b/internal/raftstore/faults_test.go
@@ -16,7 +16,7 @@
 	"marblespan/internal/clock"
 )
 
-var seedCount = flag.Int("seeds", 0, "how many seeds of each trouble are run; 0: as many as CI has time for")
+var seedCount = flag.Int("seeds", 0, "how many seeds of each fault are run; 0: as many as CI has time for")
 
 // input and output are one operation on a register.
 type input struct {
@@ -28,7 +28,7 @@
 
 type output struct {
 	Response
-	unknown bool // nothing is known of it
+	unknown bool // the result is not known
 }
 
 type register struct {
@@ -37,7 +37,7 @@
 	version uint64 // 0: not known
 }
 
-// registers is what a history of records must fit: one register for each key.
+// registers is the model of a history of records: one register for each key.
 var registers = (&porcupine.NondeterministicModel{
 	Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
 		keys := map[string][]porcupine.Operation{}
@@ -94,7 +94,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }).ToModel()
 
-// load has callers write and read until it is stopped, and remembers what they were promised.
+// workload has callers write and read until it is stopped, and records what was acknowledged to them.
 type workload struct {
 	sim        *simulation
 	stopped    bool
@@ -102,9 +102,9 @@
 	operations []porcupine.Operation
 	versions   map[string]uint64 // last seen, by key
 	values     map[string]string // of each key and version
-	promised   map[string]uint64 // marks
+	promised   map[string]uint64 // positions that were acknowledged
 	maxSent    map[string]uint64 // the highest position that was sent
-	written    map[string]bool   // registers that were promised
+	written    map[string]bool   // registers whose writes were acknowledged
 	statuses   map[Status]int
 }
 
@@ -119,7 +119,7 @@
 	return l
 }
 
-// stop waits until nothing is under way.
+// stop ends the workload and waits for all calls.
 func (l *workload) stop() {
 	l.stopped = true
 	l.sim.advanceUntil("all calls are answered", 20*second, func() bool { return l.inFlight == 0 })
@@ -139,7 +139,7 @@
 	l.startCall(n, caller, next)
 }
 
-// one makes one call.
+// startCall makes one call.
 func (l *workload) startCall(n *simGateway, caller int, next func()) {
 	w, life := l.sim, n.starts
 	l.inFlight++
@@ -153,7 +153,7 @@
 	} else {
 		l.callRegister(n, caller, end)
 	}
-	// A gateway that ends takes its callers with it: nothing more is known of their calls.
+	// A gateway that crashes takes its callers with it: the results of their calls are not known.
 	id := w.next
 	w.schedule(w.now+6*second, func() {
 		if done := w.calls[id]; done != nil {
@@ -194,10 +194,10 @@
 	})
 }
 
-// judge holds what is read of a mark against what was promised before the read began.
+// checkPosition compares a position that was read with what was acknowledged before the read began.
 func (l *workload) checkPosition(key string, least uint64, a Response) {
 	if a.Status == StatusOK && !a.Lost && (a.Found || least > 0) && (a.Position < least || a.Position > l.maxSent[key]) {
-		l.sim.failure = fmt.Sprintf("%s is at %d (found: %v), promised %d, sent %d", key, a.Position, a.Found, least, l.maxSent[key])
+		l.sim.failure = fmt.Sprintf("%s is at %d (found: %v), acknowledged %d, sent %d", key, a.Position, a.Found, least, l.maxSent[key])
 	}
 }
 
@@ -215,7 +215,7 @@
 		}
 		ask = Request{Shard: ask.Shard, Deadline: ask.Deadline, Command: &api.Command{Put: put}}
 		if n.format > LatestFormat && w.rng.IntN(2) == 0 {
-			ask.Command.Format = n.format // what an earlier version would not understand
+			ask.Command.Format = n.format // which an earlier version does not understand
 		}
 	}
 	begun := w.now
@@ -230,7 +230,7 @@
 			if in.read {
 				return
 			}
-			o.ClientId = len(l.operations) + 100 // its own: it may still be under way when the caller goes on
+			o.ClientId = len(l.operations) + 100 // a client of its own: it may still be under way when the caller makes its next call
 		}
 		l.operations = append(l.operations, o)
 		if a.Version > 0 && (a.Found || a.Status == StatusOK && !in.read) {
@@ -249,7 +249,7 @@
 	})
 }
 
-// lostShards lists the shards that were begun anew.
+// lostShards lists the shards that were reset.
 func (w *simulation) lostShards() map[uint32]bool {
 	out := map[uint32]bool{}
 	for id, g := range w.ledger().Groups {
@@ -260,7 +260,7 @@
 	return out
 }
 
-// check looks, once all is well again, whether everything that was promised is there, on every replica alike.
+// checkAll checks, once all groups are complete again, that everything that was acknowledged is there, and that members have the same state.
 func (l *workload) checkAll() {
 	w := l.sim
 	lost := w.lostShards()
@@ -284,7 +284,7 @@
 	}
 	for key := range l.written {
 		if a := read(key); !a.Found && !a.Lost && w.failure == "" {
-			w.failure = fmt.Sprintf("%s was promised and is not there", key)
+			w.failure = fmt.Sprintf("%s was acknowledged and is not there", key)
 		}
 	}
 	var ops []porcupine.Operation
@@ -298,7 +298,7 @@
 	}
 	w.advance(5 * second) // so that followers have applied all
 	for id, g := range w.ledger().Groups {
-		states := map[uint64]string{} // by what is applied: an entry may just be on its way
+		states := map[uint64]string{} // by the applied index: an entry may be under way
 		for _, n := range w.gateways {
 			if x := n.host.groups[uint32(id)]; x != nil && n.up && slices.ContainsFunc(g.Voters, func(r *api.GroupMember) bool { return r.Id == x.member }) {
 				state := string(x.sm.snapshot())
@@ -314,7 +314,7 @@
 	}
 }
 
-// split cuts a set of nodes from all others, one way or both.
+// partition cuts a set of gateways off from all others, in one direction or both.
 func (w *simulation) partition(part map[string]bool, out, in bool) {
 	for _, a := range w.gateways {
 		for _, b := range w.gateways {
@@ -331,7 +331,7 @@
 	w.loss, w.maxDelay = 0, 0
 }
 
-// leaderOf is the node that leads a group.
+// leaderOf is the gateway that leads a group; nil: none does.
 func (w *simulation) leaderOf(id uint32) *simGateway {
 	for _, n := range w.gateways {
 		if n.up && n.host.groups[id] != nil && n.host.groups[id].isLeader {
@@ -350,7 +350,7 @@
 	return all
 }
 
-// some are a few holders, fewer than a majority.
+// minority is a random minority of the gateways with a store.
 func (w *simulation) minority() (out []*simGateway) {
 	all := w.storeGateways()
 	for _, i := range w.rng.Perm(len(all))[:1+w.rng.IntN((len(all)-1)/2)] {
@@ -363,11 +363,11 @@
 	return least + clock.Micros(w.rng.Int64N(int64(most-least)))
 }
 
-// trouble is one kind of it.
+// fault is one kind of fault.
 type fault struct {
 	name    string
 	stores  int
-	mayLose bool // promised records may be lost, and known to be
+	mayLose bool // acknowledged records may be lost, and known as lost
 	inject  func(w *simulation)
 }
 
@@ -377,10 +377,10 @@
 	w.start(n)
 }
 
-func awaitComplete(w *simulation) { w.advanceUntil("all groups are whole", 60*second, w.isComplete) }
+func awaitComplete(w *simulation) { w.advanceUntil("all groups are complete", 60*second, w.isComplete) }
 
 var faults = []fault{
-	{"calm", 5, false, func(w *simulation) { w.advance(5 * second) }},
+	{"no fault", 5, false, func(w *simulation) { w.advance(5 * second) }},
 	{"crashes of one at a time", 5, false, func(w *simulation) {
 		for range 6 {
 			n := w.minority()[0]
@@ -414,26 +414,26 @@
 		}
 	}},
 	{"two versions of the records together", 5, false, func(w *simulation) {
-		for _, n := range w.rng.Perm(len(w.gateways)) { // one after the other is given the later one
+		for _, n := range w.rng.Perm(len(w.gateways)) { // one after the other gets the later version
 			w.crash(w.gateways[n])
 			w.gateways[n].format = LatestFormat + 1
 			w.advance(w.randomDuration(10*ms, second))
 			w.start(w.gateways[n])
 			awaitComplete(w)
 			if w.ledger().Format > LatestFormat && slices.ContainsFunc(w.storeGateways(), func(n *simGateway) bool { return n.format <= LatestFormat }) {
-				w.failure = "the later format is allowed before all holders understand it"
+				w.failure = "the later format is allowed before all stores understand it"
 			}
 		}
 		w.advanceUntil("the later format is allowed", 20*second, func() bool { return w.ledger().Format == LatestFormat+1 })
 		w.advance(2 * second)
-		n := w.minority()[0] // one is put back to the earlier version, with an empty disk
+		n := w.minority()[0] // one goes back to the earlier version, with an empty disk
 		w.crash(n)
 		n.wipe()
 		n.format = LatestFormat
 		w.start(n)
 		w.advance(repairAfter + 5*second)
 		for _, g := range n.host.sortedGroups() {
-			w.failure = fmt.Sprintf("group %d is held by one that does not understand its records", g.id)
+			w.failure = fmt.Sprintf("group %d has a member that does not understand its records", g.id)
 		}
 		w.crash(n)
 		n.format = LatestFormat + 1
@@ -458,7 +458,7 @@
 			awaitComplete(w)
 		}
 	}},
-	{"a copy of the disk is put back", 4, false, func(w *simulation) {
+	{"an older copy of the disk is restored", 4, false, func(w *simulation) {
 		for range 3 {
 			n := w.storeGateways()[w.rng.IntN(4)]
 			n.backup = n.disk
@@ -470,7 +470,7 @@
 			awaitComplete(w)
 		}
 	}},
-	{"a copy is put back while another one is away", 3, false, func(w *simulation) {
+	{"an older copy is restored while another gateway is down", 3, false, func(w *simulation) {
 		n, other := w.gateways[w.rng.IntN(3)], (*simGateway)(nil)
 		for other == nil || other == n {
 			other = w.gateways[w.rng.IntN(3)]
@@ -484,7 +484,7 @@
 		w.advance(3 * second)
 		w.start(other)
 	}},
-	{"cuts", 5, false, func(w *simulation) {
+	{"partitions", 5, false, func(w *simulation) {
 		for range 6 {
 			part := map[string]bool{}
 			for _, n := range w.minority() {
@@ -520,7 +520,7 @@
 			w.advance(500 * ms)
 		}
 	}},
-	{"one is cut off for longer than heal-after, and returns", 5, false, func(w *simulation) {
+	{"one is partitioned for longer than repair-after, and returns", 5, false, func(w *simulation) {
 		for range 2 {
 			w.partition(map[string]bool{w.storeGateways()[w.rng.IntN(5)].name: true}, true, true)
 			w.advance(repairAfter + w.randomDuration(second, 8*second))
@@ -606,7 +606,7 @@
 			}
 		}
 		if ledgers == 2 {
-			return // the ledger would be lost with it
+			return // the ledger would be lost, too
 		}
 		for _, n := range lost {
 			w.crash(n)
@@ -617,7 +617,7 @@
 			w.start(n)
 		}
 	}},
-	{"a shard that cannot go on is begun anew by an operator's word", 6, true, func(w *simulation) {
+	{"a shard without a quorum is reset by an operator", 6, true, func(w *simulation) {
 		id := uint32(1 + w.rng.IntN(w.shards))
 		say := func() {
 			if n := w.leaderOf(LedgerGroup); n != nil {
@@ -627,7 +627,7 @@
 		say()
 		w.advance(second)
 		if w.ledger().Groups[id].Epoch != 1 {
-			w.failure = "a shard that goes on was begun anew"
+			w.failure = "a shard that has a quorum was reset"
 			return
 		}
 		var away []*simGateway
@@ -639,9 +639,9 @@
 			}
 		}
 		if len(away) < 2 {
-			return // the ledger would stand still with it
+			return // the ledger would have no quorum
 		}
-		w.advanceUntil("the shard is begun anew", 20*second, func() bool {
+		w.advanceUntil("the shard is reset", 20*second, func() bool {
 			say()
 			return w.ledger().Groups[id].Epoch == 2
 		})
@@ -699,7 +699,7 @@
 	}},
 }
 
-// play runs one trouble from a seed, and tells what was broken.
+// runFault runs one fault from a seed, and returns what failed; empty: nothing did.
 func runFault(x fault, seed uint64, mut *mutant) (broken string, l *workload) {
 	w := newSimulation(seed, x.stores, 2, 3, mut)
 	awaitComplete(w)
@@ -731,10 +731,10 @@
 	return "", l
 }
 
-// known are seeds that have found something, beside the first ones.
+// knownSeeds are seeds that have found something, beside the first ones.
 var knownSeeds = map[string]uint64{"the leader is killed at each step of a write": 53}
 
-// seeds are the ones that a trouble is run with.
+// seeds are the ones that a fault is run with.
 func (x fault) seeds(n int) (all []uint64) {
 	for seed := range uint64(n) {
 		all = append(all, seed)
@@ -745,11 +745,11 @@
 	return all
 }
 
-// ciSeeds is how many seeds of each trouble CI runs.
+// ciSeeds is how many seeds of each fault CI runs.
 const ciSeeds = 8
 
-// Whatever happens to hosts, disks and network: nothing that was promised is missing, histories are linearizable, no number
-// votes twice in a term, and all is whole again in the end. One after the other, for the library's source of randomness is one.
+// Whatever happens to hosts, disks and network: nothing that was acknowledged is missing, histories are linearizable, no member votes
+// twice in a term, and all groups are complete in the end. Not in parallel, since the Raft library has one source of randomness.
 func TestFaults(t *testing.T) {
 	n := ciSeeds / raceDivisor
 	if *seedCount > 0 {
@@ -775,7 +775,7 @@
 	}
 }
 
-// shardsOf are a host's shards.
+// shardsOf lists the shards on a gateway.
 func shardsOf(n *simGateway) (all []*shard) {
 	for _, g := range n.host.sortedGroups() {
 		if s, is := g.sm.(*shard); is {
@@ -785,7 +785,7 @@
 	return all
 }
 
-// everyShard spoils the shards of a host after each event.
+// mutateShards changes the shards of a host after each event.
 func mutateShards(do func(n *simGateway, s *shard)) func(*simulation, *simGateway, []Action) []Action {
 	return func(_ *simulation, n *simGateway, out []Action) []Action {
 		for _, s := range shardsOf(n) {
@@ -795,7 +795,7 @@
 	}
 }
 
-// everyGroup spoils the replicas of a host after each event.
+// mutateGroups changes the members of a host after each event.
 func mutateGroups(do func(n *simGateway, g *group)) func(*simulation, *simGateway, []Action) []Action {
 	return func(_ *simulation, n *simGateway, out []Action) []Action {
 		for _, g := range n.host.sortedGroups() {
@@ -805,7 +805,7 @@
 	}
 }
 
-// writes spoils what is written.
+// mutateWrites changes what is written.
 func mutateWrites(do func(g *MemberWrite)) func(Write) Write {
 	return func(w Write) Write {
 		w.Members = slices.Clone(w.Members)
@@ -816,7 +816,7 @@
 	}
 }
 
-// Each of these hosts is wrong in one point. The troubles must find a run that shows it.
+// Hosts with a mutant are wrong in one point. The faults must find a run that shows it.
 var mutants = []mutant{
 	{name: "acknowledges before the disk has it", acknowledgesEarly: true},
 	{name: "keeps no votes and terms", fault: "crashes of one at a time", disk: mutateWrites(func(g *MemberWrite) { g.HardState = nil })},
@@ -843,9 +843,9 @@
 			*s, *trusted = old, true
 		}
 	}},
-	{name: "an older copy of the disk is trusted", fault: "a copy of the disk is put back", start: func(_ *simulation, _ *simGateway, _ **StoredState, trusted *bool) { *trusted = true }},
-	{name: "carries a call out twice", after: mutateShards(func(_ *simGateway, s *shard) { clear(s.clients) })},
-	{name: "carries a late copy of a call out", fault: "losses and delay of a second", after: mutateShards(func(_ *simGateway, s *shard) {
+	{name: "an older copy of the disk is trusted", fault: "an older copy of the disk is restored", start: func(_ *simulation, _ *simGateway, _ **StoredState, trusted *bool) { *trusted = true }},
+	{name: "applies a command twice", after: mutateShards(func(_ *simGateway, s *shard) { clear(s.clients) })},
+	{name: "applies a late duplicate of a command", fault: "losses and delay of a second", after: mutateShards(func(_ *simGateway, s *shard) {
 		for _, c := range s.clients {
 			c.minPending = 0
 		}
@@ -872,7 +872,7 @@
 		}
 		return out
 	}},
-	{name: "reads without asking whether it still leads", fault: "a leader that its callers reach, and no other holder does", after: mutateGroups(func(n *simGateway, g *group) {
+	{name: "reads without confirming its leadership", fault: "a leader that its callers reach, and no other holder does", after: mutateGroups(func(n *simGateway, g *group) {
 		for no, reads := range g.clients.unconfirmed {
 			for _, r := range reads {
 				if s, is := g.sm.(*shard); is {
@@ -888,7 +888,7 @@
 		}
 		return ev
 	}},
-	{name: "promises what is only proposed", after: mutateGroups(func(n *simGateway, g *group) {
+	{name: "acknowledges what is only proposed", after: mutateGroups(func(n *simGateway, g *group) {
 		for k, o := range g.clients.waiting {
 			if s, is := g.sm.(*shard); is {
 				n.host.reply(o, &api.Reply{Version: s.lastVersion + 1})
@@ -903,7 +903,7 @@
 		}
 	})},
 	{name: "what was lost was never there", fault: "two of a shard's three disks are lost at once", after: mutateShards(func(_ *simGateway, s *shard) { s.lostAt, s.resetPending = 0, false })},
-	{name: "a mark may fall", before: func(w *simulation, _ *simGateway, ev Event) Event {
+	{name: "a position may fall", before: func(w *simulation, _ *simGateway, ev Event) Event {
 		if a, is := ev.(Request); is && a.Command.GetRaisePosition() != nil && w.rng.IntN(8) == 0 {
 			a.Command.RaisePosition.Position = 0
 		}
@@ -946,7 +946,7 @@
 	}
 }
 
-// caught plays with a mutant; one that makes the library panic is caught, too.
+// runMutant runs a fault with a mutant. One that makes the Raft library panic counts as caught.
 func runMutant(x fault, seed uint64, mut *mutant) (broken string) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -957,7 +957,7 @@
 	return broken
 }
 
-// differ shows where two states of a shard differ.
+// describeDifference shows where two states of a shard differ.
 func describeDifference(a, b string) string {
 	var x, y api.Shard
 	proto.Unmarshal([]byte(a), &x)
@@ -970,24 +970,26 @@
 	return fmt.Sprintf("%.600v against %.600v", &x, &y)
 }
 
-// As long as a replica asks whether its disk is the one that it was, no write says that it is.
+// While a member is in recovery, no write confirms the disk to the witness.
 func TestRecoveringMembersWriteNoConfirmation(t *testing.T) {
 	for _, trusted := range []bool{true, false} {
-		w := newSimulation(1, 3, 0, 2, nil)
-		awaitComplete(w)
-		n := w.gateways[1]
-		w.crash(n)
-		n.trusted = trusted
-		w.partition(map[string]bool{n.name: true}, true, true)
-		w.start(n)
-		if w.failure != "" || len(n.pending) != 1 || n.pending[0].Recovered != trusted {
-			t.Errorf("trusted: %v, %q, %+v", trusted, w.failure, n.pending)
-		}
+		t.Run(fmt.Sprint("trusted ", trusted), func(t *testing.T) {
+			w := newSimulation(1, 3, 0, 2, nil)
+			awaitComplete(w)
+			n := w.gateways[1]
+			w.crash(n)
+			n.trusted = trusted
+			w.partition(map[string]bool{n.name: true}, true, true)
+			w.start(n)
+			if w.failure != "" || len(n.pending) != 1 || n.pending[0].Recovered != trusted {
+				t.Errorf("trusted: %v, %q, %+v", trusted, w.failure, n.pending)
+			}
+		})
 	}
 }
 
-// A replica that has started waits for whom it needs, and for nobody else: not for one that the ledger has taken out, which may
-// be gone for good and never answer.
+// A member in recovery waits for the replies that it needs and for no others: not for that of a member that the ledger has removed, which
+// may never come.
 func TestRecoveryWaitsForTheRightMembers(t *testing.T) {
 	voters := func(numbers ...uint64) (all []*api.GroupMember) {
 		for _, n := range numbers {
@@ -1001,10 +1003,10 @@
 	old := []uint64{1, 2, 3}
 	settled := &api.Group{Epoch: 1, Voters: voters(1, 2, 4)}
 	for _, c := range []struct {
-		name  string
-		group *api.Group
-		heard []*api.RecoveryReply
-		sure  bool
+		name      string
+		group     *api.Group
+		replies   []*api.RecoveryReply
+		recovered bool
 	}{
 		{"all that the ledger names, one that it took out not", settled, []*api.RecoveryReply{known(2, 5, old...), known(4, 5, old...)}, true},
 		{"one that the ledger names is missing", settled, []*api.RecoveryReply{known(2, 5, old...)}, false},
@@ -1016,28 +1018,30 @@
 		{"a later configuration than the ledger has", settled, []*api.RecoveryReply{known(2, 8, 1, 2, 9), known(4, 5, old...)}, false},
 		{"a later one, and its voter", settled, []*api.RecoveryReply{known(2, 8, 1, 2, 9), known(4, 5, old...), known(9, 8, 1, 2, 9)}, true},
 	} {
-		l := &api.Ledger{ClusterId: 1, Index: 7, VotersPerGroup: 3, NextMember: 7, Groups: []*api.Group{{Epoch: 1}, c.group}}
-		for n := range uint64(9) {
-			l.Stores = append(l.Stores, &api.Store{Id: 11 + n, Name: fmt.Sprint("g", n+1)})
-		}
-		view, err := proto.Marshal(l)
-		if err != nil {
-			t.Fatal(err)
-		}
-		h, err := New(Config{Name: "g1", RunsGroups: true, Tick: testTick, MaxShardBytes: 1 << 20, ClientID: 1, NewStoreID: 99, Incarnation: 2}, second, &StoredState{
-			Store: 11, Incarnation: 1, Ledger: view, Members: []StoredMember{{
-				Group: 1, Epoch: 1, Member: 1, HardState: &pb.HardState{Term: new(uint64(3)), Vote: new(uint64(2)), Commit: new(uint64(5))},
-				Snapshot: snapshotAt(5, 3, &pb.ConfState{Voters: old}, newShard(1<<20, LatestFormat, 1, false).snapshot()),
-			}},
-		}, false)
-		if err != nil {
-			t.Fatal(err)
-		}
-		for _, k := range c.heard {
-			h.handleRecoveryReply(k)
-		}
-		if sure := h.groups[1].recovery == nil; sure != c.sure {
-			t.Errorf("%s: sure is %v", c.name, sure)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			l := &api.Ledger{ClusterId: 1, Index: 7, VotersPerGroup: 3, NextMember: 7, Groups: []*api.Group{{Epoch: 1}, c.group}}
+			for n := range uint64(9) {
+				l.Stores = append(l.Stores, &api.Store{Id: 11 + n, Name: fmt.Sprint("g", n+1)})
+			}
+			view, err := proto.Marshal(l)
+			if err != nil {
+				t.Fatal(err)
+			}
+			h, err := New(Config{Name: "g1", RunsGroups: true, Tick: testTick, MaxShardBytes: 1 << 20, ClientID: 1, NewStoreID: 99, Incarnation: 2}, second, &StoredState{
+				Store: 11, Incarnation: 1, Ledger: view, Members: []StoredMember{{
+					Group: 1, Epoch: 1, Member: 1, HardState: &pb.HardState{Term: new(uint64(3)), Vote: new(uint64(2)), Commit: new(uint64(5))},
+					Snapshot: snapshotAt(5, 3, &pb.ConfState{Voters: old}, newShard(1<<20, LatestFormat, 1, false).snapshot()),
+				}},
+			}, false)
+			if err != nil {
+				t.Fatal(err)
+			}
+			for _, k := range c.replies {
+				h.handleRecoveryReply(k)
+			}
+			if recovered := h.groups[1].recovery == nil; recovered != c.recovered {
+				t.Errorf("recovered is %v", recovered)
+			}
+		})
 	}
 }
--- a/internal/raftstore/maintenance_test.go
+++ b/internal/raftstore/maintenance_test.go
@@ -15,7 +15,7 @@
 	RepairAfter: clock.Micros(repairAfter),
 }
 
-// tellAround has every gateway tell its host of itself, and of who is there, for as long as the world goes on.
+// reportMaintenance hands every host its gateway's report and the membership, again and again.
 func (w *simulation) reportMaintenance() {
 	var all []maintenance.Member
 	for _, n := range w.gateways {
@@ -45,7 +45,7 @@
 	w.schedule(w.now+250*ms, w.reportMaintenance)
 }
 
-// say has an operator say something at a node, and waits for what comes of it.
+// runCommand runs an operator's command at a gateway and returns the answer.
 func (w *simulation) runCommand(n *simGateway, c maintenance.Command) (said string) {
 	answered := false
 	w.call(n, Request{Shard: LedgerGroup, Deadline: 5 * second, Command: MaintenanceCommand(c)}, func(a Response) { said, answered = string(a.Value), true })
@@ -53,7 +53,7 @@
 	return said
 }
 
-// away lists the gateways that the latest order has out of service, and checks it.
+// machinesAway lists the machines that the latest order has out of service, and checks that at most one is a gateway.
 func (w *simulation) machinesAway() (out []*maintenance.Machine) {
 	o := DecodeOrder(w.ledger().GetOrder())
 	gateways := 0
@@ -72,8 +72,8 @@
 	return out
 }
 
-// The order in the ledger: all gateways and a server are taken out one after the other, whoever leads the ledger dies on the way,
-// and nothing that was promised is missing; one that is out for long holds nothing by then.
+// The order in the ledger: all gateways and a server are taken out one after the other, the ledger's leader is killed on the way, and
+// nothing that was acknowledged is missing. A gateway that is out for long runs no members by then.
 func TestMaintenance(t *testing.T) {
 	n := 6 / raceDivisor
 	if *seedCount > 0 {
@@ -124,7 +124,7 @@
 			i := slices.IndexFunc(w.gateways, func(n *simGateway) bool { return n.name == m.Name })
 			x := w.gateways[i]
 			if m.Duration > testLimits.RepairAfter && len(x.host.groups) > 0 {
-				w.failure = fmt.Sprintf("%s is out for long and holds %d groups", x.name, len(x.host.groups))
+				w.failure = fmt.Sprintf("%s is out for long and runs members of %d groups", x.name, len(x.host.groups))
 			}
 			if slices.ContainsFunc(x.host.sortedGroups(), func(g *group) bool { return g.isLeader }) {
 				w.failure = x.name + " is out and leads"
--- a/internal/raftstore/simulation_test.go
+++ b/internal/raftstore/simulation_test.go
@@ -21,7 +21,7 @@
 	second              = 1000 * ms
 )
 
-// world is a number of hosts on a made-up clock, network and disks. Everything in it comes from its seed.
+// simulation runs hosts on a simulated clock, network and disks. Everything in it follows from its seed.
 type simulation struct {
 	now         clock.Micros
 	rng         *rand.Rand
@@ -30,20 +30,20 @@
 	lastOrder   uint64
 	partitioned map[[2]string]bool
 	loss        float64
-	maxDelay    clock.Micros // at most, beside the usual
+	maxDelay    clock.Micros // added to the usual delay, at most
 	mutant      *mutant
 	shards      int
-	votes       map[string]uint64 // whom a replica voted for, by group, epoch, number and term
+	votes       map[string]uint64 // whom a member voted for, by group, epoch, member and term
 	failure     string
-	killAt      writeStep // the leader that comes to it is killed; 0: none
+	killAt      writeStep // the leader that reaches it is killed; 0: none
 	killed      int
 	calls       map[uint64]func(Response)
 	next        uint64
 	notices     []string
-	limits      *maintenance.Limits // by which machines are taken out; nil: none is
+	limits      *maintenance.Limits // of maintenance; nil: there is none
 }
 
-// node is one gateway.
+// simGateway is one gateway.
 type simGateway struct {
 	name        string
 	zone        string
@@ -51,25 +51,25 @@
 	host        *Host
 	up          bool
 	starts      int
-	pausedUntil clock.Micros // it stands still until then
+	pausedUntil clock.Micros // it handles no events until then
 	disk        Image
-	written     bool // whether anything was
+	written     bool // something was written
 	pending     []Write
 	backup      Image
-	wiped       Image // what was wiped
-	trusted     bool  // a restart is trusted
+	wiped       Image // the disk before wipe
+	trusted     bool  // the next start trusts the disk
 	failing     bool
-	clockOffset clock.Micros // of its clock
+	clockOffset clock.Micros // of its clock, against the simulation's
 	timerAt     clock.Micros
 	drained     bool
 	inbox       []func()
 	incarnation uint64
-	order       *maintenance.Order // as it was last told
+	order       *maintenance.Order // of the last OrderChanged
 	seenIndex   uint64
-	format      uint32 // of records, the latest that it understands; 0: the only one there is
+	format      uint32 // the latest record format that it understands; 0: LatestFormat
 }
 
-// step is one of a write's, at its shard's leader.
+// writeStep is a step of a write at its shard's leader.
 type writeStep int
 
 const (
@@ -80,7 +80,7 @@
 	writeSteps
 )
 
-// at tells whether a host has come to a step: by what it has heard and what it wants done, none of which is done yet.
+// at tells whether a host has reached a step, by the event and the actions, which are not carried out yet.
 func (s writeStep) reached(h *Host, ev Event, out []Action) bool {
 	packet := func(body []byte) *api.Packet {
 		p := &api.Packet{}
@@ -147,7 +147,7 @@
 	w.now = end
 }
 
-// until lets time pass until something holds.
+// advanceUntil advances the time until a condition holds. If it does not hold in time, the simulation has failed.
 func (w *simulation) advanceUntil(what string, most clock.Micros, holds func() bool) bool {
 	for end := w.now + most; w.now < end && w.failure == ""; {
 		if holds() {
@@ -161,7 +161,7 @@
 	return false
 }
 
-// seeded is the library's source of randomness.
+// seeded is the Raft library's source of randomness.
 type seeded struct{ *rand.Rand }
 
 func (s seeded) Read(b []byte) (int, error) {
@@ -197,7 +197,7 @@
 	repairAfter = 5 * second
 )
 
-// start begins a node's next life from what is on its disk.
+// start starts a gateway from its disk, in its next incarnation.
 func (w *simulation) start(n *simGateway) {
 	n.starts++
 	n.up, n.pausedUntil, n.pending, n.inbox, n.drained, n.order, n.seenIndex = true, 0, nil, nil, false, &maintenance.Order{}, 0
@@ -228,7 +228,7 @@
 	w.handle(n, PeersChanged{others})
 }
 
-// do hands a node an event, once it runs.
+// handle hands a gateway an event, once it is not paused.
 func (w *simulation) handle(n *simGateway, ev Event) {
 	life := n.starts
 	step := func() {
@@ -263,7 +263,7 @@
 	step()
 }
 
-// arm has the node's next timer wake it.
+// armTimer schedules the gateway's next tick.
 func (w *simulation) armTimer(n *simGateway) {
 	at := n.host.NextTick() - n.clockOffset
 	if n.timerAt > w.now && n.timerAt <= at {
@@ -319,7 +319,7 @@
 	})
 }
 
-// write puts a write on the disk after a while. A crash before that loses it, or not, as disks do.
+// write writes to the disk after a while. A crash before that may lose the write or not, as with a real disk.
 func (w *simulation) write(n *simGateway, x Write) {
 	life := n.starts
 	n.pending = append(n.pending, x)
@@ -346,7 +346,7 @@
 	})
 }
 
-// crash ends a node without a word.
+// crash ends a gateway without a shutdown.
 func (w *simulation) crash(n *simGateway) {
 	if !n.up {
 		return
@@ -358,10 +358,10 @@
 	n.pending = nil
 }
 
-// wipe takes a node's disk away.
+// wipe empties a gateway's disk.
 func (n *simGateway) wipe() { n.wiped = n.disk; n.disk, n.written, n.failing = Image{}, false, false }
 
-// watch holds what is sent against what may never be sent: two votes of one number in a term.
+// checkVotes checks that no member votes for two others in a term.
 func (w *simulation) checkVotes(body []byte) {
 	var p api.Packet
 	if proto.Unmarshal(body, &p) != nil {
@@ -374,13 +374,13 @@
 		}
 		k := fmt.Sprint(x.Group, x.Epoch, m.GetFrom(), m.GetTerm())
 		if last, voted := w.votes[k]; voted && last != m.GetTo() {
-			w.failure = fmt.Sprintf("replica %d of group %d voted for %d and %d in term %d", m.GetFrom(), x.Group, last, m.GetTo(), m.GetTerm())
+			w.failure = fmt.Sprintf("member %d of group %d voted for %d and %d in term %d", m.GetFrom(), x.Group, last, m.GetTo(), m.GetTerm())
 		}
 		w.votes[k] = m.GetTo()
 	}
 }
 
-// call begins a call at a node.
+// call makes a request at a gateway. Its deadline counts from now.
 func (w *simulation) call(n *simGateway, a Request, done func(Response)) {
 	w.next++
 	a.ID = w.next
@@ -389,7 +389,7 @@
 	w.handle(n, a)
 }
 
-// ledger is the latest that any node that runs knows.
+// ledger is the latest one that any running gateway knows.
 func (w *simulation) ledger() (l *api.Ledger) {
 	for _, n := range w.gateways {
 		if n.up && (l == nil || n.host.ledger.Index > l.Index) {
@@ -399,7 +399,7 @@
 	return l
 }
 
-// whole tells whether every group has all its copies, somebody leads it, and nothing is under way.
+// isComplete tells whether every group has all its voters and one leader, and no change or recovery is under way.
 func (w *simulation) isComplete() bool {
 	l := w.ledger()
 	if l == nil || len(l.Groups) != w.shards+1 {
@@ -481,11 +481,11 @@
 	return out
 }
 
-// mutant spoils one thing about a host.
+// mutant makes one thing about hosts wrong.
 type mutant struct {
 	name              string
-	fault             string // the one trouble that shows it; empty: any may
-	acknowledgesEarly bool   // writes are told to be on the disk before they are
+	fault             string // the one fault that shows it; empty: any may
+	acknowledgesEarly bool   // writes are reported as completed before they are
 	start             func(w *simulation, n *simGateway, s **StoredState, trusted *bool)
 	disk              func(Write) Write
 	before            func(w *simulation, n *simGateway, ev Event) Event
