--- a/internal/raftgateway/status.go
+++ b/internal/raftgateway/status.go
@@ -34,7 +34,7 @@
 	}
 	if h := g.Local; h != nil {
 		status.Here = &gateway.LocalReplicaStatus{
-			Number: h.Number, Leader: h.Leader, Term: h.Term, Applied: h.Applied, Last: h.Last, Records: h.Records, Bytes: h.Bytes, Unsure: h.Unsure,
+			Number: h.Number, Leader: h.Leader, Term: h.Term, Applied: h.Applied, Last: h.Last, Records: h.Records, Bytes: h.Bytes, Unsure: h.Recovering,
 		}
 	}
 	return status
--- a/internal/raftstore/durability.go
+++ b/internal/raftstore/durability.go
@@ -83,8 +83,8 @@
 	if m.Term != nil {
 		g.durable.hardState = &pb.HardState{Term: new(m.GetTerm()), Vote: new(m.GetVote()), Commit: new(m.GetCommit())}
 		g.log.SetHardState(g.durable.hardState)
-		messages := g.durable.heldMessages
-		g.durable.heldMessages = nil
+		messages := g.durable.unsentMessages
+		g.durable.unsentMessages = nil
 		for _, m := range messages {
 			g.sendOnceTermDurable(m)
 		}
@@ -97,7 +97,7 @@
 // After a restart it could be elected again in the same term, and put other entries in the places of the first ones.
 func (g *group) sendOnceTermDurable(m *pb.Message) {
 	if t := m.GetType(); t != pb.MsgPreVote && t != pb.MsgPreVoteResp && m.GetTerm() > g.durable.hardState.GetTerm() {
-		g.durable.heldMessages = append(g.durable.heldMessages, m)
+		g.durable.unsentMessages = append(g.durable.unsentMessages, m)
 		return
 	}
 	g.send(m)
--- a/internal/raftstore/group.go
+++ b/internal/raftstore/group.go
@@ -60,7 +60,7 @@
 	hardState      *pb.HardState // as on the disk; only the commit there may be lower
 	commit         uint64        // the commit that is on the disk
 	pendingWrites  int           // parts of writes that are not on the disk yet
-	heldMessages   []*pb.Message // that wait until their term is on the disk
+	unsentMessages []*pb.Message // that wait until their term is on the disk
 	scanned        uint64        // committed entries up to here were searched for changes of the voters
 	lastConfChange uint64        // index of the last such change among them
 }
--- a/internal/raftstore/overview.go
+++ b/internal/raftstore/overview.go
@@ -45,14 +45,14 @@
 
 // LocalMember is a member that runs on this gateway.
 type LocalMember struct {
-	Number  uint64
-	Leader  string
-	Term    uint64
-	Applied uint64
-	Last    uint64 // index of the last log entry
-	Records int
-	Bytes   int64 // memory cost of its records
-	Unsure  bool  // it is in recovery after a restart
+	Number     uint64
+	Leader     string
+	Term       uint64
+	Applied    uint64
+	Last       uint64 // index of the last log entry
+	Records    int
+	Bytes      int64 // memory cost of its records
+	Recovering bool  // it is in recovery after a restart
 }
 
 // Shards is how many shards there are; 0: no state store is known.
@@ -103,7 +103,7 @@
 			last := g.lastPosition()
 			v.Local = &LocalMember{
 				Number: g.member, Leader: g.leaderName(), Term: g.node.BasicStatus().GetTerm(), Applied: g.applied, Last: last.index,
-				Unsure: g.recovery != nil,
+				Recovering: g.recovery != nil,
 			}
 			if s, is := g.sm.(*shard); is {
 				v.Local.Records, v.Local.Bytes = len(s.records), s.bytes
