--- a/internal/streams/frame.go
+++ b/internal/streams/frame.go
@@ -10,16 +10,16 @@
 	"marblespan/internal/transport"
 )
 
-// version is that of the streams' layout.
+// version is the version of the layout of greetings and frames.
 const version = 1
 
-// greetingSize is the listener's first word in bytes: the version and a number drawn for this stream.
+// greetingSize is the size of the listener's greeting in bytes: the version and a random number for this stream.
 const greetingSize = 1 + 16
 
-// errFrame is a frame that is not signed as it must be, or not understood.
-var errInvalidFrame = errors.New("a frame that is not valid")
+// errInvalidFrame is a frame that is forged, out of order or malformed, or a hello that is not for this gateway.
+var errInvalidFrame = errors.New("streams: frame is not valid")
 
-// purpose keeps what is signed for one stream from being valid on another.
+// purpose is what frames are signed for: it keeps those of one stream from being valid on another.
 func purpose(deployment string, greeting []byte) string {
 	return "marblespan streams\x00" + deployment + "\x00" + string(greeting)
 }
@@ -33,7 +33,7 @@
 	return binary.BigEndian.Uint64(b), true
 }
 
-// appendHello writes who speaks to whom.
+// appendHello writes the first frame's body: the names of sender and receiver.
 func appendHello(b []byte, from, to string) []byte {
 	b = append(b, byte(len(from)))
 	b = append(b, from...)
@@ -48,7 +48,7 @@
 	return from, to, from != "" && len(to) <= MaxNameLength
 }
 
-// writer is the end of a stream that speaks.
+// writer is the sending end of a stream. It belongs to the goroutine of its peer.
 type writer struct {
 	streams  *Streams
 	conn     *transport.Conn
@@ -57,7 +57,7 @@
 	buffer   []byte
 }
 
-// add writes a frame behind those that wait to go out.
+// appendFrame adds a frame to the buffer: its length (4 bytes), channel, body and signed trailer.
 func (w *writer) appendFrame(channel Channel, body []byte) {
 	w.sequence++
 	w.buffer = binary.BigEndian.AppendUint32(w.buffer, uint32(1+len(body)+sealed.Size))
@@ -67,18 +67,18 @@
 	w.buffer = sealed.Append(w.buffer, from, sealed.Trailer{Start: w.streams.settings.Start, Sequence: w.sequence}, w.purpose, (*w.streams.keys.Load())[0])
 }
 
-// flush hands what was added to the kernel.
+// flush writes the buffer to the socket.
 func (w *writer) flush() error {
 	n, err := w.conn.Write(time.Now().Add(writeTimeout), net.Buffers{w.buffer})
 	w.streams.Counts.SentBytes.Add(n)
 	w.buffer = w.buffer[:0]
-	if cap(w.buffer) > maxBatchBytes { // a large message's room is not kept
+	if cap(w.buffer) > maxBatchBytes { // the buffer of a large message is not kept
 		w.buffer = nil
 	}
 	return err
 }
 
-// reader is the end of a stream that listens.
+// reader is the receiving end of a stream. It belongs to the goroutine of serve.
 type reader struct {
 	streams   *Streams
 	conn      *transport.Conn
@@ -90,19 +90,19 @@
 	reserved  int
 }
 
-// next reads a frame. Its body is valid until release.
-func (r *reader) next(by time.Time) (Channel, []byte, error) {
+// next reads a frame and checks its signature and order. Its body is valid until release.
+func (r *reader) next(deadline time.Time) (Channel, []byte, error) {
 	var head [4]byte
-	if err := r.conn.ReadFull(head[:], by); err != nil {
+	if err := r.conn.ReadFull(head[:], deadline); err != nil {
 		return 0, nil, err
 	}
 	size := int(binary.BigEndian.Uint32(head[:]))
 	if size < 1+sealed.Size || size > 1+MaxBody+sealed.Size {
 		return 0, nil, errInvalidFrame
 	}
-	by = time.Now().Add(writeTimeout)
+	deadline = time.Now().Add(writeTimeout)
 	for !r.streams.settings.Buffers.Reserve(size) { // what frees memory is an answer written, a matter of milliseconds
-		if time.Now().After(by) {
+		if time.Now().After(deadline) {
 			return 0, nil, transport.ErrDeadline
 		}
 		time.Sleep(time.Millisecond)
@@ -112,20 +112,20 @@
 		r.buffer = make([]byte, size)
 	}
 	b := r.buffer[:size]
-	if err := r.conn.ReadFull(b, by); err != nil {
+	if err := r.conn.ReadFull(b, deadline); err != nil {
 		r.release()
 		return 0, nil, err
 	}
-	t, verdict := sealed.Parse(b, r.purpose, *r.streams.keys.Load())
-	if verdict != sealed.NoFault || t.Sequence != r.sequence+1 || r.sequence > 0 && t.Start != r.peerStart || b[0] >= byte(ChannelCount) {
+	trailer, fault := sealed.Parse(b, r.purpose, *r.streams.keys.Load())
+	if fault != sealed.NoFault || trailer.Sequence != r.sequence+1 || r.sequence > 0 && trailer.Start != r.peerStart || b[0] >= byte(ChannelCount) {
 		r.release()
 		return 0, nil, errInvalidFrame
 	}
-	r.peerStart, r.sequence = t.Start, t.Sequence
+	r.peerStart, r.sequence = trailer.Start, trailer.Sequence
 	return Channel(b[0]), b[1 : size-sealed.Size], nil
 }
 
-// release gives back what a frame held.
+// release gives back the memory of a frame.
 func (r *reader) release() {
 	r.streams.settings.Buffers.Release(r.reserved)
 	r.reserved = 0
--- /dev/null
+++ b/internal/streams/inbound.go
@@ -0,0 +1,79 @@
+package streams
+
+import (
+	"crypto/rand"
+	"errors"
+	"net"
+	"time"
+
+	"marblespan/internal/transport"
+)
+
+// serve receives one inbound stream, from its handshake until it ends. admitted tells whether there is a descriptor for it in
+// the budget of calls.
+func (x *Streams) serve(conn *transport.Conn, admitted bool) {
+	defer conn.Close()
+	x.mu.Lock()
+	if x.closed || !admitted {
+		x.mu.Unlock()
+		x.Counts.Rejected.Add(1)
+		return
+	}
+	x.inbound[conn] = struct{}{}
+	x.mu.Unlock()
+	defer func() {
+		x.mu.Lock()
+		delete(x.inbound, conn)
+		x.mu.Unlock()
+	}()
+	select {
+	case x.handshakes <- struct{}{}:
+	default:
+		x.Counts.Rejected.Add(1)
+		return
+	}
+	in, err := x.acceptHandshake(conn)
+	<-x.handshakes
+	if err != nil {
+		x.Counts.Rejected.Add(1)
+		return
+	}
+	x.Counts.Accepted.Add(1)
+	for {
+		channel, body, err := in.next(time.Now().Add(readTimeout))
+		if err != nil {
+			if errors.Is(err, errInvalidFrame) {
+				x.Counts.Rejected.Add(1)
+			}
+			return
+		}
+		x.Counts.Received.Add(1)
+		if handler := x.handlers[channel].Load(); handler != nil {
+			(*handler)(in.peerName, body)
+		}
+		in.release()
+	}
+}
+
+// acceptHandshake sends the greeting with the random number that binds the stream, and reads the hello that names its sender.
+func (x *Streams) acceptHandshake(c *transport.Conn) (*reader, error) {
+	greeting := make([]byte, greetingSize)
+	greeting[0] = version
+	rand.Read(greeting[1:]) // it never fails
+	deadline := time.Now().Add(handshakeTimeout)
+	if _, err := c.Write(deadline, net.Buffers{greeting}); err != nil {
+		return nil, err
+	}
+	in := &reader{streams: x, conn: c, purpose: purpose(x.settings.Deployment, greeting)}
+	channel, body, err := in.next(deadline)
+	if err != nil {
+		return nil, err
+	}
+	defer in.release()
+	from, to, ok := readHello(body)
+	if !ok || channel != hello || to != x.settings.Node || from == x.settings.Node {
+		return nil, errInvalidFrame
+	}
+	in.peerName = from
+	return in, nil
+}
--- a/internal/streams/streams.go
+++ b/internal/streams/streams.go
@@ -1,13 +1,17 @@
-// Package streams carries what gateways say to each other and what is too large for a datagram: one stream each way between
-// two that need it, opened by whoever has something to say. Frames are signed with the keys of all datagrams, and bound to a
-// number that the listener draws, so that a recorded stream is of no use. It knows no message and decides nothing.
+// Package streams carries messages between gateways that are too large for a datagram: one TCP stream in each direction
+// between two gateways, opened by whoever has something to send. Frames are signed with the keys of the datagrams and bound to
+// a random number of the listener, so that a recorded stream is of no use. The package knows no message and decides nothing.
+//
+// internal/gossip makes the Streams of a gateway; internal/raftnode sends and receives by Send and Handle. All methods may be
+// called from any goroutine.
+//
+// Goroutines: one accepts connections, from Listen until Close; one serves each inbound stream (serve), until the stream ends
+// or Close aborts it; one sends to each peer (peer.run), from the first message until there was none for idleTimeout, or
+// Close. Close waits for all of them.
 package streams
 
 import (
-	"context"
-	"crypto/rand"
 	"errors"
-	"net"
 	"slices"
 	"sync"
 	"sync/atomic"
@@ -17,23 +21,25 @@
 	"marblespan/internal/transport"
 )
 
-// MostBody is the size of the largest message, in bytes.
+// MaxBody is the size of the largest message, in bytes.
 const MaxBody = 1 << 20
 
-// MostQueued is how many bytes may wait for one peer.
+// MaxQueued is how many bytes may be queued for one peer.
 const MaxQueued = 4 << 20
 
-// MostName is the length of the longest name, in bytes.
+// MaxNameLength is the length of the longest name of a gateway, in bytes.
 const MaxNameLength = 40
 
-// mostWritten is how many bytes of waiting messages are written together.
+// maxBatchBytes is how many bytes of queued messages are written together. Larger buffers are not kept.
 const maxBatchBytes = 256 << 10
 
-// mostHellos is how many connections may be about to say who they are; further ones are closed. Strangers cost no more.
+// maxHandshakes is how many inbound connections may be in their handshake; further ones are closed. It bounds what strangers
+// cost.
 const maxHandshakes = 16
 
-// The times. A stream that has nothing to carry is closed after idleBy; one that does not take a message within stuckBy is
-// given up, and the next message opens another. The pause between two attempts grows from the least to the most.
+// The timeouts. A stream without messages is closed by its sender after idleTimeout, and by its receiver after readTimeout; one
+// that does not take a batch within writeTimeout is given up, and the next message opens another. The backoff between two
+// attempts doubles from minBackoff to maxBackoff.
 const (
 	dialTimeout      = time.Second
 	handshakeTimeout = 2 * time.Second
@@ -44,19 +50,20 @@
 	maxBackoff       = time.Second
 )
 
-// The errors of Send and Reach.
+// The errors of Send and Ping.
 var (
-	ErrQueueFull   = errors.New("too much waits for this peer")
-	ErrUnknownPeer = errors.New("nobody knows where this peer is")
-	ErrTooLarge    = errors.New("the message is too large")
-	ErrClosed      = errors.New("closed")
-	ErrTimeout     = errors.New("no answer in time")
+	ErrQueueFull   = errors.New("streams: the queue of the peer is full")
+	ErrUnknownPeer = errors.New("streams: the address of the peer is not known")
+	ErrTooLarge    = errors.New("streams: the message is larger than 1 MiB")
+	ErrClosed      = errors.New("streams: closed")
+	ErrTimeout     = errors.New("streams: no answer in time")
+	ErrUnreachable = errors.New("streams: no stream can be opened to the peer, or it broke")
 )
 
-// Channel tells the users of a stream apart.
+// Channel tells the kinds of messages on a stream apart. It is one byte on the wire.
 type Channel uint8
 
-// The channels. Hello, Echo and Echoed are the package's own.
+// The channels. hello, ping and pong are the package's own. ChannelCount is how many there are.
 const (
 	hello Channel = iota
 	ping
@@ -65,16 +72,17 @@
 	ChannelCount
 )
 
-// Message is what is sent.
+// Message is one message to send.
 type Message struct {
 	To      string
 	Channel Channel
 	Body    []byte
-	// Keep has it never give way to later messages; without, the oldest are dropped where too much waits.
+	// NoDrop keeps the message in a full queue; without it, the oldest messages give way to later ones.
 	NoDrop bool
-	// Lost is told once if it is known not to have been handed over whole; it may have arrived all the same if sent. It must
-	// not wait. May be nil. A message of which nothing is told may be lost too, with the machine that it was under way to.
-	OnLost func(sent bool)
+	// OnLost is called once if the message is known not to have been handed to the kernel completely. With handedOver it was
+	// in part, and may have arrived all the same. It must not wait, and may be nil. A message for which it is not called may
+	// be lost too, with the machine that it was under way to.
+	OnLost func(handedOver bool)
 }
 
 func (m *Message) notifyLost(handedOver bool) {
@@ -83,14 +91,14 @@
 	}
 }
 
-// Settings are who this gateway is, and where others are.
+// Settings are those of one gateway. AddressOf is called on the goroutines that send.
 type Settings struct {
 	Node        string
 	Deployment  string
-	Start       uint64 // microseconds of Unix time
-	Keys        []sealed.Key
+	Start       uint64       // when the gateway started, microseconds of Unix time
+	Keys        []sealed.Key // the first one signs, all are accepted
 	AddressOf   func(name string) (addr string, known bool)
-	Buffers     *transport.Buffers // the memory that waiting messages are taken from
+	Buffers     *transport.Buffers // the memory that queued and received messages are taken from
 	Descriptors *transport.Descriptors
 }
 
@@ -120,7 +128,7 @@
 	lastPing uint64
 }
 
-// Listen listens at an address, host and port.
+// Listen listens at an address, host and port, and starts the goroutine that accepts connections. It ends in Close.
 func Listen(bind string, s Settings) (*Streams, error) {
 	x := &Streams{
 		settings: s, acceptDone: make(chan struct{}), handshakes: make(chan struct{}, maxHandshakes), quit: make(chan struct{}),
@@ -144,19 +152,19 @@
 // Addr is where it listens.
 func (x *Streams) Addr() string { return x.listener.Addr() }
 
-// Rekey changes the keys; the first one signs. Streams that were signed with one that is gone end and are opened anew.
+// SetKeys changes the keys; the first one signs. Streams signed with a key that was removed end, and are opened again.
 func (x *Streams) SetKeys(keys []sealed.Key) {
 	keys = slices.Clone(keys)
 	x.keys.Store(&keys)
 }
 
-// Handle has a channel's messages handed over, on the goroutine of the stream that they come on. The body is valid until the
-// handler returns.
+// Handle sets the handler of a channel's messages. It is called on the goroutine of the stream that they come on; the body is
+// valid until it returns.
 func (x *Streams) Handle(c Channel, handler func(from string, body []byte)) {
 	x.handlers[c].Store(&handler)
 }
 
-// Send has a message sent, and does not wait. Where it returns an error nothing was sent, and Lost is not told.
+// Send queues a message, and does not wait. Where it returns an error nothing was queued, and OnLost is not called.
 func (x *Streams) Send(m Message) error {
 	if len(m.Body) > MaxBody {
 		return ErrTooLarge
@@ -170,8 +178,7 @@
 	if p == nil {
 		p = &peer{streams: x, name: m.To, wake: make(chan struct{}, 1)}
 		x.peers[m.To] = p
-		x.peersDone.Add(1)
-		go p.run()
+		x.peersDone.Go(p.run)
 	}
 	dropped, err := p.enqueue(m)
 	x.mu.Unlock()
@@ -182,57 +189,7 @@
 	return err
 }
 
-// Reach sends a message to a peer and waits for its answer on the stream back. It returns how long both took.
-func (x *Streams) Ping(name string, by time.Time) (time.Duration, error) {
-	answer := make(chan struct{}, 1)
-	x.mu.Lock()
-	x.lastPing++
-	number := x.lastPing
-	x.pings[number] = answer
-	x.mu.Unlock()
-	defer func() {
-		x.mu.Lock()
-		delete(x.pings, number)
-		x.mu.Unlock()
-	}()
-	begin := time.Now()
-	lost := make(chan struct{}, 1)
-	body := appendPingNumber(nil, number)
-	if err := x.Send(Message{To: name, Channel: ping, Body: body, OnLost: func(bool) { lost <- struct{}{} }}); err != nil {
-		return 0, err
-	}
-	late := time.NewTimer(time.Until(by))
-	defer late.Stop()
-	select {
-	case <-answer:
-		return time.Since(begin), nil
-	case <-lost:
-		return 0, errors.New("no stream can be opened to it, or it broke")
-	case <-late.C:
-		return 0, ErrTimeout
-	}
-}
-
-func (x *Streams) answerPing(from string, body []byte) {
-	x.Send(Message{To: from, Channel: pong, Body: slices.Clone(body)}) // whoever asked sees that nothing comes
-}
-
-func (x *Streams) handlePong(_ string, body []byte) {
-	number, ok := readPingNumber(body)
-	if !ok {
-		return
-	}
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if answer := x.pings[number]; answer != nil {
-		select {
-		case answer <- struct{}{}:
-		default:
-		}
-	}
-}
-
-// Close ends all streams. What waits is lost.
+// Close ends all streams and waits for their goroutines. Queued messages are lost.
 func (x *Streams) Close() {
 	x.mu.Lock()
 	if x.closed {
@@ -253,101 +210,3 @@
 	x.peersDone.Wait()
 	x.listener.Wait()
 }
-
-// serve takes in one stream.
-func (x *Streams) serve(c *transport.Conn, stays bool) {
-	defer c.Close()
-	x.mu.Lock()
-	if x.closed || !stays {
-		x.mu.Unlock()
-		x.Counts.Rejected.Add(1)
-		return
-	}
-	x.inbound[c] = struct{}{}
-	x.mu.Unlock()
-	defer func() {
-		x.mu.Lock()
-		delete(x.inbound, c)
-		x.mu.Unlock()
-	}()
-	select {
-	case x.handshakes <- struct{}{}:
-	default:
-		x.Counts.Rejected.Add(1)
-		return
-	}
-	in, err := x.acceptHandshake(c)
-	<-x.handshakes
-	if err != nil {
-		x.Counts.Rejected.Add(1)
-		return
-	}
-	x.Counts.Accepted.Add(1)
-	for {
-		channel, body, err := in.next(time.Now().Add(readTimeout))
-		if err != nil {
-			if errors.Is(err, errInvalidFrame) {
-				x.Counts.Rejected.Add(1)
-			}
-			return
-		}
-		x.Counts.Received.Add(1)
-		if handler := x.handlers[channel].Load(); handler != nil {
-			(*handler)(in.peerName, body)
-		}
-		in.release()
-	}
-}
-
-// greet draws the number that binds a stream, and hears who speaks.
-func (x *Streams) acceptHandshake(c *transport.Conn) (*reader, error) {
-	greeting := make([]byte, greetingSize)
-	greeting[0] = version
-	rand.Read(greeting[1:]) // it never fails
-	by := time.Now().Add(handshakeTimeout)
-	if _, err := c.Write(by, net.Buffers{greeting}); err != nil {
-		return nil, err
-	}
-	in := &reader{streams: x, conn: c, purpose: purpose(x.settings.Deployment, greeting)}
-	channel, body, err := in.next(by)
-	if err != nil {
-		return nil, err
-	}
-	defer in.release()
-	from, to, ok := readHello(body)
-	if !ok || channel != hello || to != x.settings.Node || from == x.settings.Node {
-		return nil, errInvalidFrame
-	}
-	in.peerName = from
-	return in, nil
-}
-
-// open opens a stream to a peer.
-func (x *Streams) dial(name string) (*writer, error) {
-	addr, known := x.settings.AddressOf(name)
-	if !known {
-		return nil, ErrUnknownPeer
-	}
-	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	go func() {
-		select {
-		case <-x.quit:
-			cancel()
-		case <-ctx.Done():
-		}
-	}()
-	c, err := transport.Dial(ctx, addr, time.Now().Add(dialTimeout), x.settings.Buffers, x.settings.Descriptors, false)
-	if err != nil {
-		return nil, err
-	}
-	greeting := make([]byte, greetingSize)
-	if err = c.ReadFull(greeting, time.Now().Add(handshakeTimeout)); err == nil && greeting[0] != version {
-		err = errInvalidFrame
-	}
-	if err != nil {
-		c.Close()
-		return nil, err
-	}
-	return &writer{streams: x, conn: c, purpose: purpose(x.settings.Deployment, greeting)}, nil
-}
