--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -53,6 +53,7 @@
 		{"reset-shard without a shard", nil, []string{"state-store", "reset-shard", "x"}, 2, "", "is no shard's number"},
 		{"remove-store without a name", nil, []string{"state-store", "remove-store"}, 2, "", "state-store remove-store takes the name of a gateway"},
 		{"a former command", nil, []string{"copies", "anew", "x"}, 2, "", "is no shard's number"},
+		{"help of a former command", nil, []string{"copies", "found", "--help"}, 0, "Makes a new store", "use: marblespan state-store bootstrap\n"},
 		{"a former command without a name", nil, []string{"copies", "gone"}, 2, "", "copies gone takes the name of a gateway"},
 		{"a former command without the program for it", nil, []string{"copies", "check", "/nowhere"}, 1, "", "the state store needs marblespan-raft beside this program"},
 		{"a former command in the other group", nil, []string{"maintain", "anew"}, 2, "", `maintain takes no arguments, and has ["anew"]`},
--- a/internal/cli/intents.go
+++ b/internal/cli/intents.go
@@ -20,7 +20,7 @@
 
 func (q *query) printIntents() error {
 	var s gateway.IntentsStatus
-	if err := q.ask("intents", &s); err != nil {
+	if err := q.fetch("intents", &s); err != nil {
 		return err
 	}
 	if q.json {
--- a/internal/cli/maintenance.go
+++ b/internal/cli/maintenance.go
@@ -118,7 +118,7 @@
 }
 
 func (q *query) maintenanceStatus() (s gateway.MaintenanceStatus, err error) {
-	return s, q.ask("maintain", &s)
+	return s, q.fetch("maintain", &s)
 }
 
 func (q *query) printMaintenance() error {
--- a/internal/cli/members.go
+++ b/internal/cli/members.go
@@ -26,7 +26,7 @@
 	if streams {
 		question, streamColumn = "members streams", "\tSTREAM"
 	}
-	if err := q.ask(question, &s); err != nil {
+	if err := q.fetch(question, &s); err != nil {
 		return err
 	}
 	if q.json {
@@ -55,17 +55,17 @@
 
 // memberRow is a member's row of the table, but for the column of streams.
 func memberRow(m gossip.Member) string {
-	name, lastHeard, settings := m.Name, "-", "same"
+	name, lastReceived, settings := m.Name, "-", "same"
 	if m.Self {
 		name += " (this one)"
 	} else if m.LastReceivedMS >= 0 {
-		lastHeard = milliseconds(m.LastReceivedMS).String()
+		lastReceived = milliseconds(m.LastReceivedMS).String()
 	}
 	if m.SettingsDiffer {
 		settings = "differ"
 	}
 	started := time.UnixMicro(int64(m.Generation)).UTC().Format("2006-01-02T15:04:05.000")
 	return fmt.Sprintf("%s\t%s\t%v\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s", name, m.State, milliseconds(m.ForMS), orDash(m.ReportedBy),
-		started, m.Address, lastHeard, roundTrip(m.RTTMicros), orDash(m.Zone), m.Weight,
+		started, m.Address, lastReceived, roundTrip(m.RTTMicros), orDash(m.Zone), m.Weight,
 		orDash(m.Version), settings, orDash(strings.Join(m.Flags, ",")), orDash(strings.Join(m.LostPaths, ",")))
 }
--- a/internal/cli/query.go
+++ b/internal/cli/query.go
@@ -28,9 +28,9 @@
 	return q
 }
 
-// ask asks the gateway a question and decodes its answer. The questions are part of what gateways and commands of different
+// fetch asks the gateway a question and decodes its answer. The questions are part of what gateways and commands of different
 // versions say to each other, and keep their words.
-func (q *query) ask(question string, into any) error {
+func (q *query) fetch(question string, into any) error {
 	socket := q.socket
 	if socket == "" {
 		operators, err := config.LoadOperators(q.operatorsPath())
@@ -47,7 +47,7 @@
 // printSentence asks a question that is answered by a sentence, and prints that.
 func (q *query) printSentence(question string) error {
 	var answer string
-	if err := q.ask(question, &answer); err != nil {
+	if err := q.fetch(question, &answer); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintln(q.out, answer)
--- a/internal/cli/statestore.go
+++ b/internal/cli/statestore.go
@@ -100,7 +100,7 @@
 
 func (q *query) printStateStore() error {
 	var s gateway.StateStoreStatus
-	if err := q.ask("copies", &s); err != nil {
+	if err := q.fetch("copies", &s); err != nil {
 		return err
 	}
 	if q.json {
--- a/internal/cli/vrrp.go
+++ b/internal/cli/vrrp.go
@@ -25,7 +25,7 @@
 
 func (q *query) printFloatingAddresses() error {
 	var all []floatingip.Status
-	if err := q.ask("vrrp status", &all); err != nil {
+	if err := q.fetch("vrrp status", &all); err != nil {
 		return err
 	}
 	if q.json {
--- a/internal/config/former.go
+++ b/internal/config/former.go
@@ -7,12 +7,12 @@
 	"marblespan/internal/config/lines"
 )
 
-// sectionAndWord is where a word of the operators' file stands, and the word. A word that begins a section stands in "".
-type sectionAndWord struct{ section, word string }
+// formerKey is a former word and the section that it stands in; "" for one that begins a section.
+type formerKey struct{ section, name string }
 
 // formerWords has the words that earlier versions had, in the sections by their new words, and the words in their place. A
 // file may still write them, with a warning for each.
-var formerWords = map[sectionAndWord]string{
+var formerWords = map[formerKey]string{
 	{"", "copies"}: "state-store",
 
 	{"state-store", "holders"}:      "raft-nodes",
@@ -74,8 +74,8 @@
 // newWordFor finds the new word for a directive that stands in a section. The former word copies has two: with a value, in
 // the section that it began, it was a directive; else it began the section.
 func newWordFor(section string, d lines.Directive) (newWord string, ok bool) {
-	asSection, beginsSection := formerWords[sectionAndWord{"", d.Name}]
-	asDirective, isDirective := formerWords[sectionAndWord{section, d.Name}]
+	asSection, beginsSection := formerWords[formerKey{"", d.Name}]
+	asDirective, isDirective := formerWords[formerKey{section, d.Name}]
 	if isDirective && (len(d.Values) > 0 || !beginsSection) {
 		return asDirective, true
 	}
--- a/internal/config/former_test.go
+++ b/internal/config/former_test.go
@@ -30,8 +30,8 @@
 			known = lines.Sections(&Operators{})
 		}
 		inSection := func(word string) bool { return strings.Contains(" "+strings.Join(known, " ")+" ", " "+word+" ") }
-		if inSection(former.word) || !inSection(newWord) {
-			t.Errorf("%q in %q: the new word is %q, and there is %v", former.word, former.section, newWord, known)
+		if inSection(former.name) || !inSection(newWord) {
+			t.Errorf("%q in %q: the new word is %q, and there is %v", former.name, former.section, newWord, known)
 		}
 	}
 }
--- a/internal/config/lines/value.go
+++ b/internal/config/lines/value.go
@@ -44,40 +44,51 @@
 	}
 	switch field.Type() {
 	case durationType:
-		v, err := parseDuration(text)
-		field.SetInt(int64(v))
+		value, err := parseDuration(text)
+		field.SetInt(int64(value))
 		return err
 	case sizeType:
-		v, err := parseSize(text)
-		field.SetInt(v)
+		value, err := parseSize(text)
+		field.SetInt(value)
 		return err
 	}
+	return parseKind(field, text)
+}
+
+// parseKind reads a value of a type that is no more than its kind. A kind that no setting has is a fault of the program.
+func parseKind(field reflect.Value, text string) error {
 	switch field.Kind() {
 	case reflect.String:
 		field.SetString(text)
+		return nil
 	case reflect.Bool:
-		switch text {
-		case "on", "yes", "true":
-			field.SetBool(true)
-		case "off", "no", "false":
-			field.SetBool(false)
-		default:
-			return errors.New("is neither on nor off")
-		}
+		return parseSwitch(field, text)
 	case reflect.Int, reflect.Int64:
-		v, err := strconv.ParseInt(text, 10, field.Type().Bits())
+		value, err := strconv.ParseInt(text, 10, field.Type().Bits())
 		if err != nil {
 			return errors.New("is no whole number, or too large")
 		}
-		field.SetInt(v)
+		field.SetInt(value)
+		return nil
 	case reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		v, err := strconv.ParseUint(text, 10, field.Type().Bits())
+		value, err := strconv.ParseUint(text, 10, field.Type().Bits())
 		if err != nil {
 			return fmt.Errorf("is no whole number from 0 to %d", ^uint64(0)>>(64-field.Type().Bits()))
 		}
-		field.SetUint(v)
+		field.SetUint(value)
+		return nil
+	}
+	panic("a setting of type " + field.Type().String())
+}
+
+func parseSwitch(field reflect.Value, text string) error {
+	switch text {
+	case "on", "yes", "true":
+		field.SetBool(true)
+	case "off", "no", "false":
+		field.SetBool(false)
 	default:
-		panic("a setting of type " + field.Type().String())
+		return errors.New("is neither on nor off")
 	}
 	return nil
 }
--- a/internal/config/operators_test.go
+++ b/internal/config/operators_test.go
@@ -227,6 +227,7 @@
 func FuzzOperators(f *testing.F) {
 	f.Add(sampleConf)
 	f.Add("vrrp\nnode 300\n")
+	f.Add("maintenance\nfor 5m\ncopies 3\ncopies\ncopies 3\nvoters 3\nin-doubt a\nlook b\n")
 	f.Add("control \"\\\\ \\\" \\n\"")
 	f.Fuzz(func(t *testing.T, text string) {
 		o, err := ParseOperators("x", text)
