--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -42,7 +42,8 @@
 // The harm: some requests wait or end though there was capacity.
 func (r *Router) admissionDraw(req *request) int64 {
 	if r.now >= req.admissionDrawUntil {
-		req.admissionDraw, req.admissionDrawUntil = int64(r.rng.below(one)), r.now+req.class.LatencyObjective
+		req.admissionDraw = int64(r.rng.below(one))
+		req.admissionDrawUntil = r.now + req.class.LatencyObjective
 		if needsPrimary(req) {
 			req.admissionDrawUntil = r.now + req.class.LatencyObjective/primaryDrawsPerObjective
 		}
--- a/internal/policy/attempts.go
+++ b/internal/policy/attempts.go
@@ -40,7 +40,8 @@
 		return
 	}
 	a := req.attempts[e.Attempt]
-	a.inFlight, a.neverRan = false, provesNotRun(e.Result)
+	a.inFlight = false
+	a.neverRan = provesNotRun(e.Result)
 	a.server.inFlight = removeFirst(a.server.inFlight, a)
 	r.learnFromOutcome(a, e)
 	switch {
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -36,12 +36,14 @@
 		return
 	}
 	if e.Form != ListCached && e.Form != ListCordoned {
-		r.subscribed, r.subscribing, r.subscribeBackOff = true, false, 0
+		r.subscribed = true
+		r.subscribing = false
+		r.subscribeBackOff = 0
 	}
 	named := map[ServerID]bool{}
-	for _, m := range e.Endpoints {
-		named[m.Server] = true
-		r.updateEndpoint(m)
+	for _, entry := range e.Endpoints {
+		named[entry.Server] = true
+		r.updateEndpoint(entry)
 	}
 	if e.Form != ListDelta && e.Form != ListCordoned {
 		for _, g := range r.groupsByID {
@@ -66,28 +68,41 @@
 		if e.State == EndpointRemoved {
 			return
 		}
-		s = &server{id: e.Server, group: r.groupOf(e.Group)}
-		s.limit = r.initialLimit()
-		r.servers[e.Server] = s
-		s.group.servers = append(s.group.servers, s)
-		slices.SortFunc(s.group.servers, func(a, b *server) int { return cmp.Compare(a.id, b.id) })
+		s = r.addServer(e.Server, r.groupOf(e.Group))
 	}
-	s.zone, s.listedPrimary = e.Zone, e.Primary
+	s.zone = e.Zone
+	s.listedPrimary = e.Primary
 	if e.Started > s.startedAt {
-		s.startedAt, s.limit = e.Started, min(s.limit, r.initialLimit())
+		s.startedAt = e.Started
+		s.limit = min(s.limit, r.initialLimit())
 		r.emit(Withdraw{Server: s.id})
 	}
 	if e.State == EndpointRemoved {
 		r.endpointRemoved(s)
-	} else if s.state, s.excluded = e.State, false; e.State == EndpointDraining {
+		return
+	}
+	s.state = e.State
+	s.excluded = false
+	if e.State == EndpointDraining {
 		r.exclude(s)
 	}
 }
 
+// addServer makes a server that nothing is known of yet.
+func (r *Router) addServer(id ServerID, g *group) *server {
+	s := &server{id: id, group: g}
+	s.limit = r.initialLimit()
+	r.servers[id] = s
+	g.servers = append(g.servers, s)
+	slices.SortFunc(g.servers, func(a, b *server) int { return cmp.Compare(a.id, b.id) })
+	return s
+}
+
 // endpointRemoved takes a server off the list. That excludes it, unless the settings say that
 // removed servers stay usable.
 func (r *Router) endpointRemoved(s *server) {
-	s.state, s.listedPrimary = EndpointRemoved, false
+	s.state = EndpointRemoved
+	s.listedPrimary = false
 	if !r.settings.RemovedStayUsable {
 		r.exclude(s)
 	}
@@ -125,7 +140,8 @@
 
 // subscribe subscribes to the endpoint list.
 func (r *Router) subscribe() {
-	r.subscribing, r.subscribeAt = true, r.now
+	r.subscribing = true
+	r.subscribeAt = r.now
 	r.emit(Watch{On: true})
 }
 
@@ -133,9 +149,11 @@
 // gateways do not come in step. Where changes count as known at once, the first one comes with the
 // next sweep.
 func (r *Router) subscribeFailed() {
-	r.subscribed, r.subscribing = false, false
+	r.subscribed = false
+	r.subscribing = false
 	if r.subscribeBackOff == 0 && r.settings.ListPushed {
-		r.subscribeBackOff, r.subscribeAt = 1, r.now
+		r.subscribeBackOff = 1
+		r.subscribeAt = r.now
 		return
 	}
 	longest := min(r.settings.SubscribeWithin/4, maxSubscribeBackOff)
--- a/internal/policy/health.go
+++ b/internal/policy/health.go
@@ -39,9 +39,13 @@
 // or a position that it can only have reached since. This avoids slow start for servers that only
 // this gateway could not reach.
 func (r *Router) observeAlive(s *server, ran bool) {
-	s.lastSeenAt, s.failedChecks, s.suspect = r.now, 0, false
+	s.lastSeenAt = r.now
+	s.failedChecks = 0
+	s.suspect = false
 	if s.down {
-		s.down, s.recheckInterval, s.limit = false, 0, one
+		s.down = false
+		s.recheckInterval = 0
+		s.limit = one
 		if !ran {
 			s.startedAt = max(s.startedAt, r.now)
 		}
@@ -54,7 +58,9 @@
 // doubles the interval to the next.
 func (r *Router) markDown(s *server) {
 	if !s.down {
-		s.down, s.downAt, s.recheckInterval = true, r.now, r.settings.ConnectTimeout
+		s.down = true
+		s.downAt = r.now
+		s.recheckInterval = r.settings.ConnectTimeout
 		r.log("server %d is down", s.id)
 	}
 	s.recheckInterval = min(s.recheckInterval*2, r.maxObjective)
@@ -70,7 +76,8 @@
 
 // startHealthCheck asks a server for its load report.
 func (r *Router) startHealthCheck(s *server) {
-	s.checking, s.checkedAt = true, r.now
+	s.checking = true
+	s.checkedAt = r.now
 	r.emit(HealthCheck{Server: s.id})
 }
 
@@ -144,7 +151,8 @@
 		r.dispatch(s.group)
 	case ResultConnectFailed, ResultReset, ResultTimeout:
 		s.suspect = true
-		if s.failedChecks++; s.failedChecks > 1 || s.down {
+		s.failedChecks++
+		if s.failedChecks > 1 || s.down {
 			r.markDown(s)
 		}
 	}
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -20,7 +20,8 @@
 // rejection for overload, and ejects a replica that is far worse than its peers. It never acts
 // where all are as bad. Slowness is left to the concurrency limit.
 func (r *Router) detectOutlier(s *server, failed bool) {
-	if s.errorShare -= s.errorShare / smoothing; failed {
+	s.errorShare -= s.errorShare / smoothing
+	if failed {
 		s.errorShare += one / smoothing
 	}
 	if s.ejected || s.errorShare < outlierErrorShare || s == s.group.primary {
@@ -29,13 +30,15 @@
 	peerSum, peers := int64(0), int64(0)
 	for _, p := range s.group.servers {
 		if p != s && p != s.group.primary && r.inService(p) && !p.ejected {
-			peerSum, peers = peerSum+p.errorShare, peers+1
+			peerSum = peerSum + p.errorShare
+			peers = peers + 1
 		}
 	}
 	if peers == 0 || peerSum/peers*outlierPeerFactor > s.errorShare {
 		return
 	}
-	s.ejected, s.ejectedAt = true, r.now
+	s.ejected = true
+	s.ejectedAt = r.now
 	s.ejectionTime = min(max(s.ejectionTime*2, r.maxObjective), r.maxObjective*maxBackOffFactor)
 	r.log("server %d ejected for %d ms, error share %d", s.id, s.ejectionTime/1000, s.errorShare)
 }
@@ -48,10 +51,13 @@
 // The harm: a server that is sound again is used fully some seconds later.
 func (r *Router) unejectExpired(s *server) {
 	if s.ejected && r.now-s.ejectedAt >= s.ejectionTime {
-		s.ejected, s.limit, s.latencyRatio = false, one, latencyRatioHigh
+		s.ejected = false
+		s.limit = one
+		s.latencyRatio = latencyRatioHigh
 		s.errorShare = outlierErrorShare - 1
 	}
 	if s.limit < one && r.now-s.limitCutAt > r.maxObjective*maxBackOffFactor {
-		s.limit, s.limitCutAt = min(s.limit*2, one), r.now
+		s.limit = min(s.limit*2, one)
+		s.limitCutAt = r.now
 	}
 }
--- a/internal/policy/primary.go
+++ b/internal/policy/primary.go
@@ -42,11 +42,14 @@
 	if role == RoleUnknown || at < s.roleProvenAt {
 		return
 	}
-	s.role, s.roleProvenAt = role, at
+	s.role = role
+	s.roleProvenAt = at
 	switch {
 	case role == RolePrimary && g.primary != s && at >= g.primaryProvenAt:
 		r.log("group %d: primary is %d", g.id, s.id)
-		g.primary, g.primaryProvenAt, s.writeMisdirectedAt = s, at, 0
+		g.primary = s
+		g.primaryProvenAt = at
+		s.writeMisdirectedAt = 0
 		r.dispatch(g)
 	case role == RolePrimary && g.primary == s:
 		g.primaryProvenAt = max(g.primaryProvenAt, at)
--- a/internal/policy/read.go
+++ b/internal/policy/read.go
@@ -61,7 +61,8 @@
 		if s == g.primary || !r.inService(s) {
 			continue
 		}
-		if n++; n%2 == 0 && slices.Contains(candidates, s) {
+		n++
+		if n%2 == 0 && slices.Contains(candidates, s) {
 			out = append(out, s)
 		}
 	}
@@ -177,7 +178,8 @@
 		}
 	}
 	s := from[r.rng.below(len(from))]
-	req.session.replica, req.session.sticky = s.id, true
+	req.session.replica = s.id
+	req.session.sticky = true
 	return s
 }
 
@@ -192,7 +194,8 @@
 	var ahead []*server
 	for _, s := range candidates {
 		if r.now >= s.misdirectedUntil {
-			top, ahead = max(top, s.position), append(ahead, s)
+			top = max(top, s.position)
+			ahead = append(ahead, s)
 		}
 	}
 	return slices.DeleteFunc(ahead, func(s *server) bool { return s.position < top-r.minBound/levelPart })
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -125,11 +125,14 @@
 	for _, k := range r.classes {
 		known[k.Name] = k.typicalLatency
 	}
-	r.settings, r.classes, r.minObjective, r.maxObjective, r.minBound = &settings, nil, 0, 0, 0
+	r.settings = &settings
+	r.classes = nil
 	for _, c := range settings.Classes {
 		r.classes = append(r.classes, &classState{Class: c, typicalLatency: known[c.Name]})
 	}
 	r.normalizeSettings()
+	r.deriveIntervals()
+	r.meanRequestWork = int64(r.minObjective / unseenWorkPart / 2)
 	for _, g := range r.groupsByID {
 		for _, s := range g.servers {
 			if s.state == EndpointRemoved {
@@ -143,34 +146,46 @@
 // with a log line.
 func (r *Router) normalizeSettings() {
 	s := r.settings
-	raiseTo := func(v *clock.Micros, minimum clock.Micros, name string) {
-		if *v < minimum {
-			r.log("setting %s is %d us, read as %d", name, *v, minimum)
-			*v = minimum
-		}
-	}
-	raiseTo(&s.Tick, 1, "tick")
-	raiseTo(&s.ConnectTimeout, s.Tick, "connect timeout")
-	s.Gateways, s.MaxAttempts = max(s.Gateways, 1), max(s.MaxAttempts, 1)
+	r.raiseTo(&s.Tick, 1, "tick")
+	r.raiseTo(&s.ConnectTimeout, s.Tick, "connect timeout")
+	s.Gateways = max(s.Gateways, 1)
+	s.MaxAttempts = max(s.MaxAttempts, 1)
 	for i, c := range r.classes {
-		raiseTo(&c.Deadline, s.Tick, "deadline")
+		r.raiseTo(&c.Deadline, s.Tick, "deadline")
 		if c.LatencyObjective <= 0 || c.LatencyObjective > c.Deadline {
 			r.log("class %d: latency objective read as its deadline", i)
 			c.LatencyObjective = c.Deadline
 		}
+	}
+}
+
+// raiseTo raises a setting that is too small to the minimum.
+func (r *Router) raiseTo(v *clock.Micros, minimum clock.Micros, name string) {
+	if *v < minimum {
+		r.log("setting %s is %d us, read as %d", name, *v, minimum)
+		*v = minimum
+	}
+}
+
+// deriveIntervals finds the intervals that follow from the classes. Without a class the connect
+// timeout stands for the objective, without a bounded one the objective for the bound.
+func (r *Router) deriveIntervals() {
+	r.intervals = intervals{}
+	for _, c := range r.classes {
 		if r.minObjective == 0 || c.LatencyObjective < r.minObjective {
 			r.minObjective = c.LatencyObjective
 		}
 		r.maxObjective = max(r.maxObjective, c.LatencyObjective)
-		if c.Need == NeedBounded && c.StalenessBound > 0 && (r.minBound == 0 || c.StalenessBound < r.minBound) {
+		bounded := c.Need == NeedBounded && c.StalenessBound > 0
+		if bounded && (r.minBound == 0 || c.StalenessBound < r.minBound) {
 			r.minBound = c.StalenessBound
 		}
 	}
 	if r.minObjective == 0 {
-		r.minObjective, r.maxObjective = s.ConnectTimeout, s.ConnectTimeout
+		r.minObjective = r.settings.ConnectTimeout
+		r.maxObjective = r.settings.ConnectTimeout
 	}
 	r.maxObjective = min(r.maxObjective, r.minObjective*objectiveSpread)
-	r.meanRequestWork = int64(r.minObjective / unseenWorkPart / 2)
 	if r.minBound == 0 {
 		r.minBound = r.minObjective
 	}
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -52,7 +52,8 @@
 		s.slowStartSends = s.slowStartSends[1:]
 	}
 	if r.now-s.slowStartDrawnAt >= r.settings.OverloadWindow {
-		s.slowStartDrawnAt, s.slowStartDraw = r.now, int64(r.rng.below(maxSlowStartDraw))
+		s.slowStartDrawnAt = r.now
+		s.slowStartDraw = int64(r.rng.below(maxSlowStartDraw))
 	}
 	used := s.slowStartDraw * r.expectedWork(req) / one
 	for _, send := range s.slowStartSends {
@@ -76,15 +77,18 @@
 func (r *Router) recordWork(req *request) {
 	r.workServed += r.expectedWork(req)
 	r.meanRequestWork += (r.expectedWork(req) - r.meanRequestWork) / smoothing
-	if elapsed := r.now - r.workSince; elapsed >= r.settings.OverloadWindow {
-		servers := int64(0)
-		for _, s := range r.servers {
-			if r.inService(s) {
-				servers++
-			}
+	elapsed := r.now - r.workSince
+	if elapsed < r.settings.OverloadWindow {
+		return
+	}
+	servers := int64(0)
+	for _, s := range r.servers {
+		if r.inService(s) {
+			servers++
 		}
-		mean := r.workServed * int64(r.settings.OverloadWindow) / int64(elapsed) / max(servers, 1)
-		r.usualWork += (mean - r.usualWork) / 2
-		r.workServed, r.workSince = 0, r.now
 	}
+	mean := r.workServed * int64(r.settings.OverloadWindow) / int64(elapsed) / max(servers, 1)
+	r.usualWork += (mean - r.usualWork) / 2
+	r.workServed = 0
+	r.workSince = r.now
 }
--- a/internal/policy/view.go
+++ b/internal/policy/view.go
@@ -42,12 +42,14 @@
 		return v, false
 	}
 	return ServerView{
-		Endpoint: Endpoint{Server: id,
+		Endpoint: Endpoint{
+			Server:  id,
 			Group:   s.group.id,
 			Zone:    s.zone,
 			State:   s.state,
 			Started: s.startedAt,
-			Primary: s.listedPrimary},
+			Primary: s.listedPrimary,
+		},
 		Primary:       s.group.primary == s,
 		Down:          s.down,
 		InSlowStart:   r.slowStartWeight(s) < one,
