--- a/internal/datagrams/datagrams_test.go
+++ b/internal/datagrams/datagrams_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// counter is an owner that counts, and wants to look at the time often.
+// countingHandler counts its calls.
 type countingHandler struct {
-	began, looked, read atomic.Int64
-	last                atomic.Value
-	next                atomic.Int64 // nanoseconds until the next look; 0: none is wanted
+	started, checked, read atomic.Int64
+	last                   atomic.Value
+	next                   atomic.Int64 // nanoseconds until the next timer; 0: there is none
 }
 
-func (c *countingHandler) Start() { c.began.Add(1) }
+func (c *countingHandler) Start() { c.started.Add(1) }
 
 func (c *countingHandler) NextTimer() time.Time {
 	if d := c.next.Load(); d > 0 {
@@ -29,19 +29,19 @@
 	c.last.Store(string(b))
 }
 
-func (c *countingHandler) CheckTimers() { c.looked.Add(1) }
+func (c *countingHandler) CheckTimers() { c.checked.Add(1) }
 
-// Datagrams are read, many before the clock is looked at once; tasks run while nothing comes; the clock is looked at when it is
-// due; an end comes at once.
+// Datagrams are read in batches between two checks of the timers; tasks run while none come; timers are checked when they are
+// due; Close returns at once.
 func TestLoop(t *testing.T) {
-	for _, at := range []string{"127.0.0.1:0", "[::1]:0"} {
-		l, err := Listen(netip.MustParseAddrPort(at), 8)
+	for _, address := range []string{"127.0.0.1:0", "[::1]:0"} {
+		l, err := Listen(netip.MustParseAddrPort(address), 8)
 		if err != nil {
-			t.Skipf("no %s here: %v", at, err)
+			t.Skipf("no %s here: %v", address, err)
 		}
 		c := &countingHandler{}
 		go l.Run(c)
-		if !l.Do(func() {}) || c.began.Load() != 1 {
+		if !l.Do(func() {}) || c.started.Load() != 1 {
 			t.Fatal("a task did not run")
 		}
 		from, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(l.Addr()))
@@ -64,19 +64,19 @@
 			from.Write([]byte("x"))
 		}
 		from.Write([]byte("far too long"))
-		before := c.looked.Load()
+		before := c.checked.Load()
 		close(busy)
 		wait("not all was read", func() bool { return c.read.Load() == n })
-		if looked := c.looked.Load() - before; looked > n/2 {
-			t.Errorf("the clock was looked at %d times for %d datagrams", looked, n)
+		if checks := c.checked.Load() - before; checks > n/2 {
+			t.Errorf("timers were checked %d times for %d datagrams", checks, n)
 		}
 		if got := c.last.Load(); got != "far too l" {
 			t.Errorf("a long datagram came as %q", got)
 		}
-		before = c.looked.Load()
+		before = c.checked.Load()
 		c.next.Store(int64(time.Millisecond))
 		l.Do(func() {})
-		wait("the clock was not looked at", func() bool { return c.looked.Load() > before+2 })
+		wait("timers were not checked", func() bool { return c.checked.Load() > before+2 })
 		l.Close()
 		if l.Do(func() {}) {
 			t.Error("a task ran after the end")
