--- a/internal/floatingip/floating.go
+++ b/internal/floatingip/floating.go
@@ -117,10 +117,10 @@
 // ask runs a function on the speaker's goroutine and waits for it. It tells whether it ran.
 func (s *Speaker) ask(do func()) bool { return s.loop.Do(do) }
 
-// owner is the speaker as its loop sees it.
+// loopHandler is the speaker as its loop calls it.
 type loopHandler Speaker
 
-// Begin starts every group.
+// Start starts every group.
 func (o *loopHandler) Start() {
 	s := (*Speaker)(o)
 	s.look()
@@ -129,7 +129,7 @@
 	}
 }
 
-// Next is the next time that a machine wants to look at the clock.
+// NextTimer is when the next timer of a machine is due.
 func (o *loopHandler) NextTimer() (next time.Time) {
 	for _, g := range o.groups {
 		if at, ok := g.machine.Next(); ok {
@@ -141,10 +141,10 @@
 	return next
 }
 
-// Receive takes in one datagram.
+// HandleDatagram checks one datagram, and hands it to its group's machine or drops it.
 func (o *loopHandler) HandleDatagram(b []byte, from netip.AddrPort) { (*Speaker)(o).receive(b, from) }
 
-// Look has the machines look at the clock.
+// CheckTimers tells the machines of the gateway's health, and has them do what is due.
 func (o *loopHandler) CheckTimers() {
 	s := (*Speaker)(o)
 	s.look()
@@ -250,7 +250,8 @@
 	s.tell(g, vrrp.Heard{From: from.Addr(), Priority: m.Priority, Interval: clock.Micros(m.Interval)})
 }
 
-// check does the cheap checks first: strangers cost no signature.
+// check finds the group of a datagram and verifies that it is of a peer, authentic (codec.Parse) and new. It does the cheap
+// checks first: strangers cost no signature.
 func (s *Speaker) check(b []byte, from netip.AddrPort) (*group, codec.Message, sealed.Fault) {
 	var none codec.Message
 	var peer *Peer
