--- a/internal/session/requests.go
+++ b/internal/session/requests.go
@@ -39,12 +39,12 @@
 	if in == nil {
 		return reason, err
 	}
-	fault, code := "", ""
 	in.inForce = c.all.InForce.Load()
-	in.arrival, in.statement, fault, code = c.parseRequest(in.inForce, in.text, body)
-	if code != "" || in.statement.ID == "" {
+	var fault *requestError
+	in.arrival, in.statement, fault = c.parseRequest(in.inForce, in.text, body)
+	if fault != nil || in.statement.ID == "" {
 		c.release(in)
-		return c.respondUnrouted(code, fault)
+		return c.respondUnrouted(fault)
 	}
 	resolver := c.all.InDoubtWrites
 	in.inDoubt = in.statement.Write && resolver != nil && resolver.Covers(in.statement.Class)
@@ -84,48 +84,58 @@
 	return in, 0, nil
 }
 
-// parseRequest makes a request of a query's text. For a bad one it returns what is wrong and the code of the error; an empty
-// query makes no request and is no error.
+// requestError is what is wrong with a query that makes no request.
+type requestError struct {
+	code string // PostgreSQL error code for the client
+	text string
+}
+
+// parseRequest makes a request of a query's text. An empty query makes none and is no error: its statement has no id.
 func (c *client) parseRequest(inForce *settings.InForce, text *transport.Message, body int) (
-	a policy.Arrival, st postgres.Statement, fault, code string,
+	arrival policy.Arrival, statement postgres.Statement, fault *requestError,
 ) {
 	if body <= transport.BufferSize && postgres.IsEmpty(text.First()) {
 		if !c.all.Ready() {
-			return a, st, "no server is known yet", postgres.CodeNotReady
+			fault = &requestError{postgres.CodeNotReady, "no server is known yet"}
 		}
-		return a, st, "", ""
+		return arrival, statement, fault
 	}
-	st, err := postgres.ParseStatement(text.From(0))
+	statement, err := postgres.ParseStatement(text.From(0))
 	if err != nil {
-		return a, st, err.Error(), postgres.CodeProtocol
+		return arrival, statement, &requestError{postgres.CodeProtocol, err.Error()}
 	}
-	class, ok := inForce.ClassIndex[st.Class]
+	class, ok := inForce.ClassIndex[statement.Class]
 	if !ok {
-		return a, st, "class " + strconv.Quote(st.Class) + " is not known", postgres.CodeBadValue
+		return arrival, statement, badClass(statement.Class, "is not known")
 	}
-	if st.Write != inForce.IsWrite(class) {
-		return a, st, "class " + strconv.Quote(st.Class) + " is not for such statements", postgres.CodeBadValue
+	if statement.Write != inForce.IsWrite(class) {
+		return arrival, statement, badClass(statement.Class, "is not for such statements")
 	}
-	a = policy.Arrival{Class: class, Group: st.Group, ClientRetry: st.Repeat}
+	arrival = policy.Arrival{Class: class, Group: statement.Group, ClientRetry: statement.Repeat}
 	if inForce.HasSession(class) {
 		sum := fnv.New64a()
-		sum.Write([]byte(st.Key))
-		a.Session, a.HasSession = sum.Sum64(), true
+		sum.Write([]byte(statement.Key))
+		arrival.Session, arrival.HasSession = sum.Sum64(), true
 	}
-	return a, st, "", ""
+	return arrival, statement, nil
 }
 
-// respondUnrouted answers a query that makes no request: an empty or a bad one.
-func (c *client) respondUnrouted(code, fault string) (transport.Reason, error) {
-	switch code {
-	case "":
+// badClass is the error of a statement whose class does not fit.
+func badClass(class, problem string) *requestError {
+	return &requestError{postgres.CodeBadValue, "class " + strconv.Quote(class) + " " + problem}
+}
+
+// respondUnrouted answers a query that makes no request: an empty one, without a fault, or a bad one.
+func (c *client) respondUnrouted(fault *requestError) (transport.Reason, error) {
+	switch {
+	case fault == nil:
 		c.all.Counts.Empty.Add(1)
 		c.enqueueResponse(postgres.AppendEmptyAnswer(nil))
-	case postgres.CodeNotReady:
+	case fault.code == postgres.CodeNotReady:
 		c.all.Counts.NotReady.Add(1)
-		c.respondError(code, fault)
+		c.respondError(fault.code, fault.text)
 	default:
-		return c.rejectStatement(code, fault)
+		return c.rejectStatement(fault.code, fault.text)
 	}
 	return 0, nil
 }
