--- a/internal/gateway/client_test.go
+++ b/internal/gateway/client_test.go
@@ -506,8 +506,8 @@
 	w.gateway.LogCounters()
 	w.logged(`"class":"look"`, `"requests":1`, `"sends":1`, `"served":1`, `"refused":0`)
 	w.logged("outcomes of attempts", `"served":1`)
-	w.logged("outcomes of probes", `"sent":`)
-	w.logged("member lists", `"watches":1`)
+	w.logged("outcomes of health checks", `"sent":`)
+	w.logged("endpoint lists", `"watches":1`)
 }
 
 // A client that sends bad statements is answered each time, ever later, and then ended; its like at full speed costs
--- a/internal/gateway/counters.go
+++ b/internal/gateway/counters.go
@@ -16,13 +16,13 @@
 
 func (g *Gateway) logConnectionCounters() {
 	g.ends.Each(func(party string, reason transport.Reason, n int64) {
-		g.log.Info().Str("party", party).Stringer("reason", reason).Int64("ended", n).Msg("counter")
+		g.log.Info().Str("party", party).Stringer("reason", reason).Int64("ended", n).Msg("connections ended")
 	})
 	c := g.clients.Counts
 	g.log.Info().Int64("empty", c.Empty.Load()).Int64("not_ready", c.NotReady.Load()).
 		Int64("malformed", c.Malformed.Load()).Int64("unsupported", c.Unsupported.Load()).
 		Int64("over_memory", c.OverMemory.Load()).Int("clients", g.clients.Open()).
-		Int("descriptors", g.descriptors.Used()).Int64("message_bytes", g.buffers.Held()).Msg("counters")
+		Int("descriptors", g.descriptors.Used()).Int64("message_bytes", g.buffers.Held()).Msg("gateway counters")
 	g.floating.logCounters()
 	g.members.logCounters()
 	g.logStoreCounters()
@@ -37,13 +37,13 @@
 		for k, kind := range routing.AnswerKindNames {
 			line = line.Int64(kind, n.Answers[k][i])
 		}
-		line.Msg("counters")
+		line.Msg("requests by class")
 	}
 	addCounts(g.log.Info(), routing.ResultNames[:], n.Outcomes[:]).Msg("outcomes of attempts")
-	addCounts(g.log.Info().Int64("sent", n.HealthChecksSent), routing.ResultNames[:], n.HealthChecks[:]).Msg("outcomes of probes")
+	addCounts(g.log.Info().Int64("sent", n.HealthChecksSent), routing.ResultNames[:], n.HealthChecks[:]).Msg("outcomes of health checks")
 	addCounts(g.log.Info().Int64("watches", n.Watches).Int64("fetches", n.Fetches), routing.ListFormNames[:],
 		n.ListUpdates[:]).Int("open", c.OpenRequests()).Int64("unknown_group", n.UnknownGroup).
-		Int64("class_changed", n.ClassChanged).Int64("not_current", n.StaleAnswers).Int64("settings_reloads", n.Reloads).Msg("member lists")
+		Int64("class_changed", n.ClassChanged).Int64("not_current", n.StaleAnswers).Int64("settings_reloads", n.Reloads).Msg("endpoint lists")
 }
 
 func addCounts(line *zerolog.Event, names []string, counts []int64) *zerolog.Event {
--- a/internal/gateway/intents.go
+++ b/internal/gateway/intents.go
@@ -94,5 +94,5 @@
 	for n := range indoubt.Transitions {
 		line = line.Int64(n.String(), g.intents.TransitionCount(n))
 	}
-	line.Msg("bookings counters")
+	line.Msg("in-doubt counters")
 }
--- a/internal/gateway/maintenance.go
+++ b/internal/gateway/maintenance.go
@@ -280,7 +280,7 @@
 		m := &next.Machines[i%len(next.Machines)]
 		back := m.State == maintenance.Requested || m.State >= maintenance.Back
 		if to := m.StateText(next.Paused); before[m.ID] != to && back == (i < len(next.Machines)) {
-			u.g.log.Info().Str("machine", m.Label()).Stringer("kind", m.Kind).Uint64("number", m.ID).Str("from", before[m.ID]).Str("to", to).Msg("maintenance")
+			u.g.log.Info().Str("machine", m.Label()).Stringer("kind", m.Kind).Uint64("number", m.ID).Str("from", before[m.ID]).Str("to", to).Msg("maintenance state changed")
 		}
 	}
 }
--- a/internal/gateway/statestore.go
+++ b/internal/gateway/statestore.go
@@ -220,7 +220,7 @@
 	if m := g.positions; m != nil {
 		g.log.Info().Int64("promised", m.Promised.Load()).Int64("unkept", m.NotStored.Load()).Int64("asked", m.Lookups.Load()).
 			Int64("found", m.Found.Load()).Int64("unknown", m.Unknown.Load()).Int64("ahead", m.Ahead.Load()).
-			Int64("refused_unsent", g.clients.Counts.PositionNotStored.Load()).Msg("session marks counters")
+			Int64("refused_unsent", g.clients.Counts.PositionNotStored.Load()).Msg("session position counters")
 	}
 }
 
--- a/internal/testcluster/node.go
+++ b/internal/testcluster/node.go
@@ -211,7 +211,7 @@
 // line takes what a gateway believes out of its log.
 func (n *Node) line(text string) {
 	if !strings.Contains(text, `"message":"vrrp"`) && !strings.Contains(text, `"message":"member`) && !strings.Contains(text, `"message":"copies"`) &&
-		!strings.Contains(text, `"message":"maintenance"`) {
+		!strings.Contains(text, `"message":"maintenance state changed"`) {
 		return
 	}
 	var line struct {
@@ -231,7 +231,7 @@
 		e.What, e.Value = "member "+line.Member, line.By
 	case "membership":
 		e.What, e.Text, e.Value = "itself", line.What, line.By
-	case "maintenance":
+	case "maintenance state changed":
 		e.What, e.Value = "order "+line.Machine, line.From
 	case "copies":
 		e.What, e.Text, e.Value = "copies "+line.What, line.Node, line.Cause
