--- a/internal/gateway/control_test.go
+++ b/internal/gateway/control_test.go
@@ -102,7 +102,7 @@
 	store := &storeDouble{}
 	whole := &Gateway{
 		store: store, intents: resolverDouble{}, maintenance: &maintenanceAgent{},
-		ops: &config.Operators{
+		operators: &config.Operators{
 			Members: &config.Members{Node: "gw-1"}, StateStore: &config.StateStore{Shards: 16, Voters: 3}, Maintenance: &config.Maintenance{DefaultDuration: 20 * time.Minute},
 		},
 	}
--- a/internal/gateway/counters.go
+++ b/internal/gateway/counters.go
@@ -15,7 +15,7 @@
 }
 
 func (g *Gateway) logConnectionCounters() {
-	g.ends.Each(func(party string, reason transport.Reason, n int64) {
+	g.connectionEnds.Each(func(party string, reason transport.Reason, n int64) {
 		g.log.Info().Str("party", party).Stringer("reason", reason).Int64("ended", n).Msg("connections ended")
 	})
 	c := g.clients.Counts
--- a/internal/gateway/floatingip.go
+++ b/internal/gateway/floatingip.go
@@ -69,16 +69,16 @@
 		g: g, quit: make(chan struct{}), activations: map[*activation]struct{}{}, holding: map[string]*activation{},
 	}
 	f.health.Store(&healthSeen{at: time.Now()})
-	f.groups.Store(&g.ops.Groups)
+	f.groups.Store(&g.operators.Groups)
 	clock := floatingip.Clock{
 		Now:  func() clock.Micros { return clock.Micros(g.clock.Now()) },
 		Time: func(m clock.Micros) time.Time { return g.clock.Time(clock.Micros(m)) },
 	}
 	var err error
-	if f.speaker, err = floatingip.Start(speakerSettings(g.ops), clock, uint64(time.Now().UnixMicro()), f, f.currentHealth, g.log); err != nil {
+	if f.speaker, err = floatingip.Start(speakerSettings(g.operators), clock, uint64(time.Now().UnixMicro()), f, f.currentHealth, g.log); err != nil {
 		return nil, err
 	}
-	g.descriptors.Hold(1 + len(g.ops.Groups)) // the socket and the listeners
+	g.descriptors.Hold(1 + len(g.operators.Groups)) // the socket and the listeners
 	f.polling.Add(1)
 	go f.poll()
 	return f, nil
--- a/internal/gateway/floatingip_test.go
+++ b/internal/gateway/floatingip_test.go
@@ -301,7 +301,7 @@
 	}
 	next := *f.gateways[1].cfg
 	next.Discovery = f.disc.Addr()
-	f.gateways[1].Reload(&next, f.gateways[1].ops, nil)
+	f.gateways[1].Reload(&next, f.gateways[1].operators, nil)
 	f.settles(1)
 	f.served(20)
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -384,11 +384,11 @@
 	w := newWorld(t, nil)
 	w.asks(w.dial(), look("a"), "value of a", "")
 	w.cfg.Listen = w.gateway.Addr()
-	if _, err := Start(w.cfg, w.gateway.ops, w.log); err == nil {
+	if _, err := Start(w.cfg, w.gateway.operators, w.log); err == nil {
 		t.Fatal("two gateways under one address")
 	}
 	w.gateway.Stop()
-	w.gateway = must2(Start(w.cfg, w.gateway.ops, w.log))
+	w.gateway = must2(Start(w.cfg, w.gateway.operators, w.log))
 	w.asks(w.dial(), look("b"), "value of b", "")
 }
 
--- a/internal/gateway/intents.go
+++ b/internal/gateway/intents.go
@@ -21,18 +21,18 @@
 
 // newBookings takes bookings in hand where the operators' file has an in-doubt section; nil: none are.
 func newIntents(g *Gateway) intents.Resolver {
-	if len(g.ops.InDoubt) == 0 || OpenIntents == nil {
+	if len(g.operators.InDoubt) == 0 || OpenIntents == nil {
 		return nil
 	}
 	s := intents.Settings{
-		Node: g.ops.Members.Node, Incarnation: g.incarnation, Classes: map[string]intents.Class{}, Log: g.log,
+		Node: g.operators.Members.Node, Incarnation: g.incarnation, Classes: map[string]intents.Class{}, Log: g.log,
 		Now:    func() clock.Micros { return clock.Micros(g.clock.Now()) },
 		ToTime: func(t clock.Micros) time.Time { return g.clock.Time(clock.Micros(t)) },
 		Lookup: func(class, key string, group int, by time.Time, done func(row, answer []byte, ok bool)) {
 			g.clients.Lookup(class, key, group, by, done)
 		},
 	}
-	for _, d := range g.ops.InDoubt {
+	for _, d := range g.operators.InDoubt {
 		c := intents.Class{Policy: indoubt.Policy{
 			RepeatsMarked: d.Clients == "mark", StoreBeforeReply: d.Order == "safe", HasLookup: len(d.Lookup) > 0, Retention: clock.Micros(d.Retention.Microseconds()), MaxInFlight: d.MaxInFlight,
 		}}
@@ -72,7 +72,7 @@
 	if g.intents == nil {
 		return nil, errors.New("this gateway has no in-doubt section")
 	}
-	s := IntentsStatus{Node: g.ops.Members.Node, Open: []Intent{}, Counts: map[string]int64{}}
+	s := IntentsStatus{Node: g.operators.Members.Node, Open: []Intent{}, Counts: map[string]int64{}}
 	for _, v := range g.intents.InFlight() {
 		s.Open = append(s.Open, Intent{
 			Booking: intents.ShortKey(v.Key), ID: v.RequestID, Class: v.Class, Phase: v.Phase, ForMS: int64(v.Age) / 1000, State: v.Intent.State.String(),
--- a/internal/gateway/maintenance.go
+++ b/internal/gateway/maintenance.go
@@ -66,11 +66,11 @@
 
 // newUpkeep is the part that the operators' file asks for; nil: none.
 func newMaintenanceAgent(g *Gateway) *maintenanceAgent {
-	if g.ops.Maintenance == nil {
+	if g.operators.Maintenance == nil {
 		return nil
 	}
 	u := &maintenanceAgent{g: g, began: time.Now(), wake: make(chan struct{}, 1), quit: make(chan struct{}), order: indexedOrder{Order: &maintenance.Order{}}, incarnation: g.incarnation}
-	u.configure(g.ops.Maintenance)
+	u.configure(g.operators.Maintenance)
 	return u
 }
 
@@ -155,7 +155,7 @@
 
 // act does what an order says.
 func (u *maintenanceAgent) apply(next indexedOrder) {
-	node := u.g.ops.Members.Node
+	node := u.g.operators.Members.Node
 	u.logChanges(next.Order)
 	if known := next.EnrolledIncarnation(node); known > u.incarnation && !u.enrolled.Load() {
 		u.incarnation = known + 1 // the clock was set back since the last start
@@ -318,7 +318,7 @@
 	if len(words) == 0 {
 		return g.maintenanceList(by)
 	}
-	c := maintenance.Command{RequestedBy: g.ops.Members.Node, Duration: clock.Micros(g.ops.Maintenance.DefaultDuration.Microseconds())}
+	c := maintenance.Command{RequestedBy: g.operators.Members.Node, Duration: clock.Micros(g.operators.Maintenance.DefaultDuration.Microseconds())}
 	var err error
 	if c.Verb = map[string]maintenance.Verb{
 		"add": maintenance.Add, "done": maintenance.Done, "drop": maintenance.Cancel, "hold": maintenance.Pause, "go": maintenance.Resume,
@@ -364,7 +364,7 @@
 	if o := g.maintenance.next.Load(); o != nil {
 		order = o.Order
 	}
-	gateway := name == g.ops.Members.Node || g.members.knows(name) || order.Find(maintenance.Gateway, name, 0) != nil
+	gateway := name == g.operators.Members.Node || g.members.knows(name) || order.Find(maintenance.Gateway, name, 0) != nil
 	var server bool
 	group := 0
 	if m := order.Find(maintenance.Server, name, -1); m != nil {
@@ -395,7 +395,7 @@
 
 func (g *Gateway) maintenanceList(by time.Time) (MaintenanceStatus, error) {
 	l, err := g.store.MaintenanceListing(by)
-	s := MaintenanceStatus{Node: g.ops.Members.Node, Leader: l.Leader, Paused: l.Order.Paused, Machines: []MachineStatus{}}
+	s := MaintenanceStatus{Node: g.operators.Members.Node, Leader: l.Leader, Paused: l.Order.Paused, Machines: []MachineStatus{}}
 	for i := range l.Order.Machines {
 		m := &l.Order.Machines[i]
 		x := MachineStatus{
@@ -422,7 +422,7 @@
 func (m *members) presences() (all []maintenance.Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	own := m.g.ops.Members
+	own := m.g.operators.Members
 	all = append(all, maintenance.Member{Name: own.Node, Zone: own.Zone, Incarnation: m.g.incarnation})
 	for _, x := range m.known {
 		all = append(all, x)
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -46,7 +46,7 @@
 		Time: func(t clock.Micros) time.Time { return g.clock.Time(clock.Micros(t)) },
 	}
 	var err error
-	s := peersSettings(g.ops)
+	s := peersSettings(g.operators)
 	s.Buffers, s.Fds = g.buffers, g.descriptors
 	if m.gossip, err = gossip.Start(s, clock, g.incarnation, m.self, m.memberChanged, g.log); err != nil {
 		return nil, err
@@ -66,7 +66,7 @@
 // self is what the gateway tells the others of itself.
 func (m *members) self() gossip.Self {
 	s := gossip.Self{Version: Version, Settings: m.settings.Load()}
-	if c := m.g.ops.StateStore; c == nil || c.StoragePath() == "" || !c.RunsRaftNode(m.g.ops.Members.Node) {
+	if c := m.g.operators.StateStore; c == nil || c.StoragePath() == "" || !c.RunsRaftNode(m.g.operators.Members.Node) {
 		s.Flags |= membership.NoDisk
 	}
 	if m.draining.Load() {
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -32,7 +32,7 @@
 func (w *world) reload(addr string) {
 	next := *w.cfg
 	next.Discovery = addr
-	w.gateway.Reload(&next, w.gateway.ops, nil)
+	w.gateway.Reload(&next, w.gateway.operators, nil)
 }
 
 // asked waits for a call and returns its path.
@@ -125,7 +125,7 @@
 	next := *w.cfg
 	next.Name, next.Sockets = "n9", 77
 	for range 3 {
-		w.gateway.Reload(&next, w.gateway.ops, nil)
+		w.gateway.Reload(&next, w.gateway.operators, nil)
 	}
 	w.logged("take a restart", `"name","limits.sockets"`)
 	w.asks(w.dial(), look("d"), "value of d", "")
--- a/internal/gateway/settings_test.go
+++ b/internal/gateway/settings_test.go
@@ -50,7 +50,7 @@
 // load does what SIGHUP does.
 func (w *world) load(settings string) {
 	next, err := w.with(settings)
-	w.gateway.Reload(next, w.gateway.ops, err)
+	w.gateway.Reload(next, w.gateway.operators, err)
 }
 
 // There, back, there again, a faulty file between, and two at once, with reads and writes under way all the time: each
--- a/internal/gateway/startupmemory_linux.go
+++ b/internal/gateway/startupmemory_linux.go
@@ -7,7 +7,7 @@
 	"syscall"
 )
 
-// letGo has the kernel unmap the program's own code and constants, which come back page by page as they are used: the
+// releaseStartupMemory has the kernel unmap the program's own code and constants, which come back page by page as they are used: the
 // command line, the readers of configuration and all else that only a start needs do not stay resident. It guards small
 // gateways, whose memory limit counts them. It may harm the first requests by the few microseconds that each page takes to
 // be mapped again. Only mappings that cannot have been written to are touched.
--- a/internal/gateway/startupmemory_other.go
+++ b/internal/gateway/startupmemory_other.go
@@ -2,5 +2,5 @@
 
 package gateway
 
-// letGo does nothing here.
-func letGo() {}
+// releaseStartupMemory does nothing here.
+func releaseStartupMemory() {}
--- a/internal/gateway/statestore.go
+++ b/internal/gateway/statestore.go
@@ -163,14 +163,14 @@
 
 // startStore opens the store, where the operators' file has one.
 func (g *Gateway) startStore() error {
-	c := g.ops.StateStore
+	c := g.operators.StateStore
 	if OpenStore == nil {
 		return errors.New("this program has no store; marblespan-raft has")
 	}
 	s, err := OpenStore(StoreSettings{
-		StateStore: c, Node: g.ops.Members.Node, Zone: g.ops.Members.Zone, Weight: g.ops.Members.Weight, Clock: g.clock,
+		StateStore: c, Node: g.operators.Members.Node, Zone: g.operators.Members.Zone, Weight: g.operators.Members.Weight, Clock: g.clock,
 		Streams: g.members.gossip.Streams, LivePeers: g.members.names, Log: g.log,
-		MaintenanceLimits: maintenanceLimits(g.ops), Members: g.members.presences, OnOrder: g.maintenance.orderChanged,
+		MaintenanceLimits: maintenanceLimits(g.operators), Members: g.members.presences, OnOrder: g.maintenance.orderChanged,
 	})
 	if err != nil {
 		return err
@@ -195,7 +195,7 @@
 	case len(words) == 0:
 		return g.store.Status(), nil
 	case words[0] == "found" && len(words) <= 2:
-		return "founded", g.store.Bootstrap(g.ops.StateStore.Shards, g.ops.StateStore.Voters, len(words) == 2 && words[1] == "first")
+		return "founded", g.store.Bootstrap(g.operators.StateStore.Shards, g.operators.StateStore.Voters, len(words) == 2 && words[1] == "first")
 	case words[0] == "gone" && len(words) == 2:
 		name, err := strconv.Unquote(words[1])
 		if err != nil {
@@ -229,7 +229,7 @@
 
 // changed keeps the list of members that live.
 func (m *members) memberChanged(c membership.MemberChanged) {
-	if c.Name == m.g.ops.Members.Node {
+	if c.Name == m.g.operators.Members.Node {
 		return
 	}
 	if m.known != nil {
