--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -15,27 +15,28 @@
 	"time"
 )
 
-// mostAsking is how many questions are answered at a time; the rest wait in the kernel.
+// maxConcurrent is how many questions are answered at a time; the rest wait in the kernel's backlog.
 const maxConcurrent = 2
 
-// Descriptors is how many the socket may hold at a time.
+// Descriptors is how many file descriptors the server holds at most: the listener and its connections.
 const Descriptors = 1 + maxConcurrent
 
-// patience bounds a question and its answer.
+// timeout bounds a question and its answer.
 const timeout = 2 * time.Second
 
-// mostQuestion is the size of the longest question, in bytes; mostAnswer that of the longest answer.
+// maxQuestionSize and maxAnswerSize bound a question and an answer, in bytes.
 const (
 	maxQuestionSize = 256
 	maxAnswerSize   = 1 << 20
 )
 
+// reply is what is sent back: one of the two.
 type reply struct {
 	Answer json.RawMessage `json:"answer,omitempty"`
 	Error  string          `json:"error,omitempty"`
 }
 
-// Server answers on a socket of the file system.
+// Server answers questions on a socket of the file system. Its goroutines end with Close.
 type Server struct {
 	listener *net.UnixListener
 	done     sync.WaitGroup
@@ -63,15 +64,13 @@
 		return nil, err
 	}
 	s := &Server{listener: l}
-	s.done.Add(maxConcurrent)
 	for range maxConcurrent {
-		go s.serve(answer)
+		s.done.Go(func() { s.serve(answer) })
 	}
 	return s, nil
 }
 
 func (s *Server) serve(answer func(string) (any, error)) {
-	defer s.done.Done()
 	for {
 		c, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -109,7 +108,8 @@
 	}
 }
 
-// Ask asks the gateway behind a socket and reads its answer.
+// Query asks the gateway behind a socket a question and decodes its answer. An error that the gateway answers with is returned
+// by its text.
 func Query(path, question string, into any) error {
 	c, err := net.DialTimeout("unix", path, timeout)
 	if err != nil {
--- a/internal/gateway/counters.go
+++ b/internal/gateway/counters.go
@@ -7,13 +7,14 @@
 	"marblespan/internal/transport"
 )
 
-// Print writes all counters to the log: one line for each class, one for each kind of connection's ends, and one
-// for the gateway as a whole.
+// LogCounters logs all counters: a line for each class, one for each way in which connections ended, one for the gateway as a
+// whole, and those of the sections that are switched on.
 func (g *Gateway) LogCounters() {
 	g.owner.Call(g.logRoutingCounters)
 	g.logConnectionCounters()
 }
 
+// logConnectionCounters logs what is counted outside the routing owner.
 func (g *Gateway) logConnectionCounters() {
 	g.connectionEnds.Each(func(party string, reason transport.Reason, n int64) {
 		g.log.Info().Str("party", party).Stringer("reason", reason).Int64("ended", n).Msg("connections ended")
@@ -29,6 +30,7 @@
 	g.logIntentCounters()
 }
 
+// logRoutingCounters logs what the routing core counts. It runs on the owner's goroutine.
 func (g *Gateway) logRoutingCounters(c *routing.Core) {
 	n := &c.Counts
 	for i, name := range n.ClassNames {
@@ -46,6 +48,7 @@
 		Int64("class_changed", n.ClassChanged).Int64("not_current", n.StaleAnswers).Int64("settings_reloads", n.Reloads).Msg("endpoint lists")
 }
 
+// addCounts adds a field for each name to a log line.
 func addCounts(line *zerolog.Event, names []string, counts []int64) *zerolog.Event {
 	for i, name := range names {
 		line = line.Int64(name, counts[i])
--- a/internal/gateway/floatingip.go
+++ b/internal/gateway/floatingip.go
@@ -18,28 +18,28 @@
 	"marblespan/internal/vrrp"
 )
 
-// healthPoll is how often the owner is asked how the gateway is, and healthOld after how long without its answer the
+// healthInterval is how often the routing owner is asked for the gateway's health. After healthTTL without its answer the
 // gateway counts as not ready: an owner that hangs serves nobody.
 const (
 	healthInterval = 50 * time.Millisecond
 	healthTTL      = time.Second
 )
 
-// groupLately is for how long a group that was asked for counts as in use.
+// groupInUseFor is for how long after its last request a replication group counts as in use.
 const groupInUseFor = clock.Micros(30 * time.Second / time.Microsecond)
 
-// readyRoom is what must fit the messages' budget before the gateway is ready: a request and its answer.
+// minReadyBuffer is how many bytes must fit the messages' budget before the gateway is ready: a request and its answer.
 const minReadyBuffer = 4 * transport.BufferSize
 
-// floats holds the gateway's part in floating addresses: the speaker, and what is served under each tenure. A nil one is
-// a gateway without.
+// floatingAddresses is the gateway's part in floating addresses: the VRRP speaker, and what is served under each activation. A
+// nil one is a gateway without. Its health poll runs on a goroutine of its own, which close ends.
 type floatingAddresses struct {
 	g           *Gateway
 	speaker     *floatingip.Speaker
 	counts      session.ClientCounts
 	health      atomic.Pointer[healthSeen]
 	stopping    atomic.Bool
-	releasedAll atomic.Bool                    // every address is let go now
+	releasedAll atomic.Bool                    // every address is released
 	groups      atomic.Pointer[[]config.Group] // in force
 	quit        chan struct{}
 	polling     sync.WaitGroup
@@ -49,13 +49,15 @@
 	holding     map[string]*activation // by group
 }
 
+// healthSeen is the gateway's health, and when the routing owner told it.
 type healthSeen struct {
 	vrrp.Health
 	at time.Time
 }
 
-// tenure is what came over a floating address between one winning and losing of it. Each has its own listener and its own
-// clients, so that winning the address back while the last tenure still answers is no special case.
+// activation is one span of time in which this gateway is active for a floating address (Active Router, RFC 9568). Each has
+// its own listener and its own clients, so that winning the address back while requests of the last activation are still in
+// flight is no special case.
 type activation struct {
 	clients  *session.Clients
 	listener *transport.Listener
@@ -63,7 +65,7 @@
 	ending   atomic.Bool   // nothing new is taken
 }
 
-// startFloats binds the speaker's socket and begins to take part.
+// startFloating binds the speaker's socket and begins to take part.
 func startFloating(g *Gateway) (*floatingAddresses, error) {
 	f := &floatingAddresses{
 		g: g, quit: make(chan struct{}), activations: map[*activation]struct{}{}, holding: map[string]*activation{},
@@ -79,12 +81,11 @@
 		return nil, err
 	}
 	g.descriptors.Hold(1 + len(g.operators.Groups)) // the socket and the listeners
-	f.polling.Add(1)
-	go f.poll()
+	f.polling.Go(f.poll)
 	return f, nil
 }
 
-// speakerSettings says the operators' settings in the speaker's terms.
+// speakerSettings translates the operators' settings into the speaker's.
 func speakerSettings(ops *config.Operators) floatingip.Settings {
 	v := ops.VRRP
 	s := floatingip.Settings{Node: v.Node, Bind: v.Bind, Announce: v.Announce}
@@ -118,9 +119,8 @@
 
 func micros(d time.Duration) clock.Micros { return clock.Micros(d / time.Microsecond) }
 
-// poll asks the owner how the gateway is. The speaker must not wait for the owner, so it reads what was last heard.
+// poll samples the health until quit is closed. The speaker must not wait for the routing owner, so it reads the last sample.
 func (f *floatingAddresses) poll() {
-	defer f.polling.Done()
 	tick := time.NewTicker(healthInterval)
 	defer tick.Stop()
 	for {
@@ -133,6 +133,7 @@
 	}
 }
 
+// sampleHealth asks the routing owner for the gateway's health and stores it.
 func (f *floatingAddresses) sampleHealth() {
 	seen := &healthSeen{}
 	if !f.g.owner.Call(func(c *routing.Core) {
@@ -147,13 +148,14 @@
 	if f.g.buffers.Reserve(minReadyBuffer) {
 		f.g.buffers.Release(minReadyBuffer)
 	} else if f.holds() == 0 {
-		seen.Ready = false // one that holds the address keeps it: full of work is not broken
+		seen.Ready = false // a gateway that holds an address keeps it: busy is not broken
 	}
 	seen.Wrong[vrrp.FewDescriptor] = f.g.descriptors.Short()
 	seen.at = time.Now()
 	f.health.Store(seen)
 }
 
+// holds is how many floating addresses this gateway holds.
 func (f *floatingAddresses) holds() int {
 	if f == nil {
 		return 0
@@ -163,7 +165,7 @@
 	return len(f.holding)
 }
 
-// now is how the gateway is, for the speaker.
+// currentHealth is the gateway's health by the last sample, for the speaker. It does not block.
 func (f *floatingAddresses) currentHealth() vrrp.Health {
 	seen := f.health.Load()
 	h := seen.Health
@@ -172,8 +174,8 @@
 	return h
 }
 
-// Take opens the floating listener for a new tenure. Should the last tenure's not be closed yet, it is waited for, a few
-// milliseconds at the most.
+// Take opens the floating listener for a new activation. A listener of an earlier activation that is not closed yet is waited
+// for, a few milliseconds at most.
 func (f *floatingAddresses) Take(group string, listen netip.AddrPort, gate func() bool) error {
 	f.mu.Lock()
 	var before []*activation
@@ -203,14 +205,15 @@
 	return nil
 }
 
-// Release closes the floating listener. What was taken is answered as in a stop: idle clients are closed so that they come
-// again where the address is now, the others after their answers, and whoever has sent half a message is not waited for.
+// Release closes the floating listener. Requests that were taken are answered as in a shutdown: idle clients are closed so
+// that they connect again where the address is now, the others after their answers, and a client that has sent half a message
+// is not waited for.
 func (f *floatingAddresses) Release(group string) {
 	f.mu.Lock()
 	t := f.holding[group]
 	delete(f.holding, group)
 	f.mu.Unlock()
-	if t == nil { // it was never taken
+	if t == nil { // Take never succeeded
 		return
 	}
 	t.listener.Close()
@@ -219,7 +222,7 @@
 		<-t.freed
 		time.Sleep(partialMessageGrace)
 		t.clients.CutOff()
-		t.listener.Wait() // every request has its end, by its deadline at the latest
+		t.listener.Wait() // every request ends by its deadline at the latest
 		f.mu.Lock()
 		delete(f.activations, t)
 		f.mu.Unlock()
@@ -234,7 +237,7 @@
 	}
 }
 
-// giveUp releases every address; those that linger for a better holder only the last time.
+// releaseAll releases every address; those that linger for a better holder only the last time.
 func (f *floatingAddresses) releaseAll(last bool) {
 	if f != nil {
 		f.stopping.Store(true)
@@ -244,10 +247,10 @@
 	}
 }
 
-// finish has the addresses that are about to be given up take nothing new, and waits for what is under way there: a network that
-// cuts flows when an address moves would leave it in doubt. Harm: for so long new requests are refused unsent. One that lingers
-// moves as soon as a better gateway hears of the drain; until then, or for its let-go, it takes nothing new either, and serves on
-// after that.
+// quiesce has the addresses that are about to be released take nothing new, and waits for what is in flight there: a network
+// that cuts flows when an address moves would leave it in doubt. Harm: meanwhile new requests are rejected unsent. An address
+// that lingers moves as soon as a better gateway hears of the drain; until then, or for its drain timeout, it takes nothing
+// new either, and serves on after that.
 func (f *floatingAddresses) quiesce(last bool) {
 	var bound time.Duration
 	var ending []*activation
@@ -271,7 +274,7 @@
 	}
 }
 
-// open is the number of clients that are left.
+// open is how many clients are connected over floating addresses.
 func (f *floatingAddresses) open() (n int) {
 	if f == nil {
 		return 0
@@ -284,6 +287,7 @@
 	return n
 }
 
+// close ends the speaker and the health poll.
 func (f *floatingAddresses) close() {
 	if f != nil {
 		f.speaker.Close()
@@ -292,6 +296,7 @@
 	}
 }
 
+// status is how each address stands, for operators.
 func (f *floatingAddresses) status() []floatingip.Status {
 	if f == nil {
 		return []floatingip.Status{}
@@ -299,7 +304,7 @@
 	return f.speaker.Status()
 }
 
-// print writes the counters of floating addresses.
+// logCounters logs the counters of floating addresses.
 func (f *floatingAddresses) logCounters() {
 	if f == nil {
 		return
--- a/internal/gateway/intents.go
+++ b/internal/gateway/intents.go
@@ -9,17 +9,11 @@
 	"marblespan/internal/intents"
 )
 
-// OpenBookings takes bookings in hand. It is set before the gateway starts, by the program that has a store for them.
+// OpenIntents makes the resolver of in-doubt writes. It is set before the gateway starts, by the program that has a state
+// store (internal/raftgateway).
 var OpenIntents func(intents.Settings) intents.Resolver
 
-// settleBookings waits, within a bound, until nothing that is in hand has to be said in the store any more.
-func (g *Gateway) settleIntents(bound time.Duration) {
-	if g.intents != nil {
-		g.intents.WaitIdle(bound)
-	}
-}
-
-// newBookings takes bookings in hand where the operators' file has an in-doubt section; nil: none are.
+// newIntents makes the resolver where the operators' file has in-doubt sections; nil: there are none.
 func newIntents(g *Gateway) intents.Resolver {
 	if len(g.operators.InDoubt) == 0 || OpenIntents == nil {
 		return nil
@@ -47,27 +41,27 @@
 	return OpenIntents(s)
 }
 
-// IntentsStatus is which bookings a gateway has in hand, for whoever asks.
+// IntentsStatus is the in-doubt writes that a gateway has in flight, as operators read them.
 type IntentsStatus struct {
 	Node   string           `json:"node"`
 	Open   []Intent         `json:"open"`
-	Counts map[string]int64 `json:"counts"` // since the start, by what was noticed
+	Counts map[string]int64 `json:"counts"` // since the start, by transition
 }
 
-// Intent is one booking in hand.
+// Intent is one in-doubt write in flight.
 type Intent struct {
-	Booking string `json:"booking"` // its name in the logs of all gateways
+	Booking string `json:"booking"` // its key, shortened, as in the logs of all gateways
 	ID      string `json:"id"`      // of the request
 	Class   string `json:"class"`
 	Phase   string `json:"phase"`
 	ForMS   int64  `json:"for_ms"`
-	State   string `json:"state,omitempty"` // of its record, as last known
+	State   string `json:"state,omitempty"` // of the intent that is stored, as last known
 	Owner   string `json:"owner,omitempty"`
 	Server  string `json:"server,omitempty"`
 	Attempt uint32 `json:"attempt,omitempty"`
 }
 
-// intents answers which bookings are in hand.
+// intentsStatus lists the in-doubt writes that are in flight.
 func (g *Gateway) intentsStatus() (any, error) {
 	if g.intents == nil {
 		return nil, errors.New("this gateway has no in-doubt section")
@@ -85,7 +79,7 @@
 	return s, nil
 }
 
-// printBookings writes the counters of bookings.
+// logIntentCounters logs the counters of in-doubt writes.
 func (g *Gateway) logIntentCounters() {
 	if g.intents == nil {
 		return
--- a/internal/gateway/maintenance.go
+++ b/internal/gateway/maintenance.go
@@ -21,20 +21,21 @@
 	"marblespan/internal/transport"
 )
 
-// reportEvery is how often a gateway reports for the order of maintenance; a change of the order is acted on at once.
+// reportInterval is how often a gateway reports for the maintenance order; a change of the order is acted on at once.
 const reportInterval = 250 * time.Millisecond
 
-// roleLately is for how long after a group was asked for its primary counts as known here.
+// roleFreshness is for how long after a request to a group its primary counts as known here.
 const roleFreshness = clock.Micros(5 * time.Second / time.Microsecond)
 
-// lingerFor is for how long a gateway that leaves waits for another one to take a floating address that lingers.
+// lingerTimeout is for how long a draining gateway waits for another one to take a floating address that lingers.
 const lingerTimeout = 2 * time.Second
 
-// sayBy is how long an operator's command may take; the control socket waits a little longer.
+// commandTimeout is how long an operator's command may take; the control socket waits a little longer.
 const commandTimeout = 1500 * time.Millisecond
 
-// upkeep is the gateway's part in the order of maintenance: it takes nothing new when its turn says so, sends servers nothing new
-// when theirs does, and reports. A nil one is a gateway without. What the order is to be is decided where the ledger is led.
+// maintenanceAgent is the gateway's part in the maintenance order (internal/maintenance): it admits nothing new when its own
+// turn says so, sends servers nothing new when theirs does, and reports. A nil one is a gateway without. It decides nothing:
+// the order is decided by the ledger's leader. Its loop runs on a goroutine of its own, which close ends.
 type maintenanceAgent struct {
 	g     *Gateway
 	began time.Time
@@ -42,29 +43,29 @@
 	quit  chan struct{}
 	done  sync.WaitGroup
 
-	next            atomic.Pointer[indexedOrder] // the latest order, not yet acted on
+	next            atomic.Pointer[indexedOrder] // the latest order, not yet applied
 	ledgerTimeout   atomic.Int64                 // how long a start waits for the ledger, nanoseconds
 	maxReplicaLag   atomic.Int64                 // from when on a replica counts as behind, microseconds
-	enrolled        atomic.Bool                  // the ledger knows this life
+	enrolled        atomic.Bool                  // the ledger knows this incarnation
 	draining        atomic.Bool                  // nothing new is admitted; a front sees that it is not ready
-	closedToClients atomic.Bool                  // nor is it taken from clients that have a connection
+	closedToClients atomic.Bool                  // nor are requests accepted of clients that have a connection
 
-	// By the goroutine only.
+	// Owned by the loop's goroutine.
 	order         indexedOrder
 	incarnation   uint64
-	drainingSince time.Time // when it began to leave
+	drainingSince time.Time // when it began to drain
 	cpuUsed       time.Duration
 	cpuSampledAt  time.Time
 	lastLoad      int // in thousandths
 }
 
-// ordered is an order, and the ledger's index that it is of.
+// indexedOrder is an order, and the ledger's index that it is of.
 type indexedOrder struct {
 	index uint64
 	*maintenance.Order
 }
 
-// newUpkeep is the part that the operators' file asks for; nil: none.
+// newMaintenanceAgent makes the agent that the operators' file asks for; nil: none.
 func newMaintenanceAgent(g *Gateway) *maintenanceAgent {
 	if g.operators.Maintenance == nil {
 		return nil
@@ -74,32 +75,32 @@
 	return u
 }
 
+// configure puts the section's settings in force.
 func (u *maintenanceAgent) configure(c *config.Maintenance) {
 	u.ledgerTimeout.Store(int64(c.LedgerTimeout))
 	u.maxReplicaLag.Store(c.MaxReplicaLag.Microseconds())
 }
 
-// limits says the file's limits in the order's terms.
+// maintenanceLimits translates the operators' limits into the order's; nil: there is no maintenance.
 func maintenanceLimits(ops *config.Operators) *maintenance.Limits {
 	c := ops.Maintenance
 	if c == nil || ops.StateStore == nil {
 		return nil
 	}
-	span := func(d time.Duration) clock.Micros { return clock.Micros(d.Microseconds()) }
 	return &maintenance.Limits{
-		MaxGateways: c.MaxGateways, MaxPerZone: c.MaxPerZone, MaxServers: c.MaxServers, KeepReady: c.KeepReady, MaxLoad: c.MaxLoad * 10, SettleTime: span(c.SettleTime), ReturnWithin: span(c.ReturnWithin),
-		ExcuseAfter: span(c.ExcuseAfter), RepairAfter: span(ops.StateStore.RepairAfter),
+		MaxGateways: c.MaxGateways, MaxPerZone: c.MaxPerZone, MaxServers: c.MaxServers, KeepReady: c.KeepReady, MaxLoad: c.MaxLoad * 10, SettleTime: micros(c.SettleTime), ReturnWithin: micros(c.ReturnWithin),
+		ExcuseAfter: micros(c.ExcuseAfter), RepairAfter: micros(ops.StateStore.RepairAfter),
 	}
 }
 
-// start begins to take part.
+// start starts the loop.
 func (u *maintenanceAgent) start() {
 	if u != nil {
-		u.done.Add(1)
-		go u.run()
+		u.done.Go(u.run)
 	}
 }
 
+// close ends the loop and waits for it.
 func (u *maintenanceAgent) close() {
 	if u != nil {
 		close(u.quit)
@@ -107,6 +108,7 @@
 	}
 }
 
+// reload takes over what may change.
 func (u *maintenanceAgent) reload(ops *config.Operators) {
 	if u != nil && ops.Maintenance != nil && ops.StateStore != nil {
 		u.configure(ops.Maintenance)
@@ -114,7 +116,7 @@
 	}
 }
 
-// ordered is told of each change of the order, as the store hears of it. It does not wait.
+// orderChanged is called with each change of the order, by the state store's goroutine. It does not block.
 func (u *maintenanceAgent) orderChanged(index uint64, o *maintenance.Order) {
 	u.next.Store(&indexedOrder{index, o})
 	select {
@@ -123,19 +125,21 @@
 	}
 }
 
-// admits tells whether anything new is to come here. A gateway that starts has to be known to the ledger first, and knows with
-// that which servers are left alone; where the ledger cannot be heard it serves all the same, after a while.
+// admits tells whether anything new is to be admitted here. A gateway that starts must first find itself enrolled in the
+// ledger, and knows with that which servers are cordoned; where the ledger cannot be heard it serves all the same after the
+// ledger timeout.
 func (u *maintenanceAgent) admits() bool {
 	return u == nil || !u.draining.Load() && (u.enrolled.Load() || time.Since(u.began) > time.Duration(u.ledgerTimeout.Load()))
 }
 
-// takes tells whether a request is taken.
+// acceptsRequests tells whether a request of a client that is connected is accepted. A draining gateway still accepts them for
+// a moment.
 func (u *maintenanceAgent) acceptsRequests() bool {
 	return !u.closedToClients.Load() && (u.draining.Load() || u.admits())
 }
 
+// run is the agent's loop.
 func (u *maintenanceAgent) run() {
-	defer u.done.Done()
 	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
 	for {
@@ -153,7 +157,7 @@
 	}
 }
 
-// act does what an order says.
+// apply acts on a new order: it cordons servers, and begins or ends draining.
 func (u *maintenanceAgent) apply(next indexedOrder) {
 	node := u.g.operators.Members.Node
 	u.logChanges(next.Order)
@@ -161,24 +165,24 @@
 		u.incarnation = known + 1 // the clock was set back since the last start
 	}
 	u.enrolled.Store(next.EnrolledIncarnation(node) == u.incarnation)
-	var aside []string
+	var cordoned []string
 	for i := range next.Machines {
 		if m := &next.Machines[i]; m.Kind == maintenance.Server && m.Cordoned() {
-			aside = append(aside, m.Name)
+			cordoned = append(cordoned, m.Name)
 		}
 	}
-	if !u.g.owner.Call(func(c *routing.Core) { c.SetCordoned(aside) }) {
+	if !u.g.owner.Call(func(c *routing.Core) { c.SetCordoned(cordoned) }) {
 		return
 	}
 	m := next.Find(maintenance.Gateway, node, 0)
-	switch leaves := m != nil && m.Cordoned(); {
-	case u.g.stopping.Load(): // it ends, whatever the order says
-	case leaves && !u.draining.Load():
+	switch drain := m != nil && m.Cordoned(); {
+	case u.g.stopping.Load(): // it shuts down, whatever the order says
+	case drain && !u.draining.Load():
 		u.drainingSince = time.Now()
 		u.draining.Store(true)
 		u.g.members.setDraining(true)
 		u.g.floating.releaseAll(false)
-	case !leaves && u.draining.Load():
+	case !drain && u.draining.Load():
 		u.g.members.setDraining(false)
 		u.g.clients.Resume()
 		u.closedToClients.Store(false)
@@ -188,8 +192,8 @@
 	u.order = next
 }
 
-// leave goes on with leaving: fronts and clients have a moment to see it, as on SIGTERM; then idle clients are sent away, and a
-// floating address that nobody has taken is let go.
+// continueDrain goes on with draining: fronts and clients have a moment to see it, as on SIGTERM; then idle clients are sent
+// away, and a floating address that nobody has taken is released.
 func (u *maintenanceAgent) continueDrain() {
 	if !u.draining.Load() || u.g.stopping.Load() {
 		return
@@ -203,13 +207,13 @@
 	}
 }
 
-// idle tells whether nothing is under way here, and nothing comes any more.
+// idle tells whether nothing is in flight here, and nothing new is admitted. open is how many requests the routing core has.
 func (u *maintenanceAgent) idle(open int) bool {
 	return u.closedToClients.Load() && open == 0 && u.g.clients.Busy() == 0 && u.g.floating.holds() == 0 && u.g.floating.open() == 0 &&
 		(u.g.intents == nil || len(u.g.intents.InFlight()) == 0)
 }
 
-// report tells the ledger's leader what this gateway is and sees.
+// sendReport reports to the ledger's leader what this gateway is and sees.
 func (u *maintenanceAgent) sendReport() {
 	groups := map[int]bool{}
 	for i := range u.order.Machines {
@@ -223,7 +227,7 @@
 		open = c.OpenRequests()
 		for _, s := range c.Servers(groups) {
 			primary := s.ServerView.Primary
-			if u.g.clock.Now()-s.LastRequestAt > roleFreshness { // nobody looks for the primary here; the list may know better
+			if u.g.clock.Now()-s.LastRequestAt > roleFreshness { // nobody has asked for the primary here lately; the endpoint list may know better
 				primary = s.Endpoint.Primary
 			}
 			r.Servers = append(r.Servers, maintenance.ServerReport{
@@ -251,7 +255,7 @@
 	u.g.store.SetMaintenanceReport(u.incarnation, r)
 }
 
-// load is the share of its processors that the process has used since it was last asked, in thousandths.
+// sampleLoad is the share of its processors that the process has used since the last sample, in thousandths.
 func (u *maintenanceAgent) sampleLoad() int {
 	var use syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &use) != nil {
@@ -259,7 +263,7 @@
 	}
 	spent := time.Duration(use.Utime.Nano() + use.Stime.Nano())
 	now := time.Now()
-	if now.Sub(u.cpuSampledAt) < reportInterval/2 { // too short a time to tell
+	if now.Sub(u.cpuSampledAt) < reportInterval/2 { // too short an interval to measure
 		return u.lastLoad
 	}
 	if !u.cpuSampledAt.IsZero() {
@@ -269,14 +273,14 @@
 	return u.lastLoad
 }
 
-// logChanges tells the log which machines stand elsewhere than before.
+// logChanges logs each machine whose state differs from the last order's.
 func (u *maintenanceAgent) logChanges(next *maintenance.Order) {
 	before := map[uint64]string{}
 	for i := range u.order.Machines {
 		m := &u.order.Machines[i]
 		before[m.ID] = m.StateText(u.order.Paused)
 	}
-	for i := range 2 * len(next.Machines) { // those that are in service again first: what is read in order is never more than there was
+	for i := range 2 * len(next.Machines) { // those that are in service again first, so that a reader of the log never counts more away than there were
 		m := &next.Machines[i%len(next.Machines)]
 		back := m.State == maintenance.Requested || m.State >= maintenance.Back
 		if to := m.StateText(next.Paused); before[m.ID] != to && back == (i < len(next.Machines)) {
@@ -285,7 +289,7 @@
 	}
 }
 
-// MaintainStatus is the order of maintenance, for whoever asks.
+// MaintenanceStatus is the maintenance order, as operators read it.
 type MaintenanceStatus struct {
 	Node     string          `json:"node"`             // the asked gateway
 	Leader   string          `json:"leader,omitempty"` // of the ledger; empty: it has not answered, and this is what is known here
@@ -293,9 +297,9 @@
 	Machines []MachineStatus `json:"machines"`
 }
 
-// MaintainedUnit is one machine in the order.
+// MachineStatus is one machine in the order.
 type MachineStatus struct {
-	Position    int    `json:"place,omitempty"` // among those that are in hand; 0: it is done with
+	Position    int    `json:"place,omitempty"` // among those that are active; 0: its maintenance is over
 	Machine     string `json:"machine"`
 	Kind        string `json:"kind"`
 	Group       int    `json:"group,omitempty"`
@@ -307,56 +311,70 @@
 	RequestedBy string `json:"by,omitempty"`
 }
 
+// errNoMaintenance is the answer of a gateway without a maintenance section.
 var errNoMaintenance = errors.New("this gateway has no maintenance section")
 
-// askMaintenance answers what operators say and ask about maintenance.
+// answerMaintenance answers operators' commands and questions about maintenance.
 func (g *Gateway) answerMaintenance(words []string) (any, error) {
 	if g.maintenance == nil || g.store == nil {
 		return nil, errNoMaintenance
 	}
-	by := time.Now().Add(commandTimeout)
+	deadline := time.Now().Add(commandTimeout)
 	if len(words) == 0 {
-		return g.maintenanceList(by)
+		return g.maintenanceList(deadline)
 	}
-	c := maintenance.Command{RequestedBy: g.operators.Members.Node, Duration: clock.Micros(g.operators.Maintenance.DefaultDuration.Microseconds())}
-	var err error
-	if c.Verb = map[string]maintenance.Verb{
-		"add": maintenance.Add, "done": maintenance.Done, "drop": maintenance.Cancel, "hold": maintenance.Pause, "go": maintenance.Resume,
-	}[words[0]]; c.Verb == 0 {
-		return nil, fmt.Errorf("unknown question %.40q", "maintain "+words[0])
+	command, err := parseMaintenanceCommand(words, micros(g.operators.Maintenance.DefaultDuration))
+	if err != nil {
+		return nil, err
+	}
+	command.RequestedBy = g.operators.Members.Node
+	if command.Name != "" {
+		if err := g.findMachine(&command); err != nil {
+			return nil, err
+		}
+	}
+	return g.store.RunMaintenanceCommand(command, deadline)
+}
+
+// maintenanceVerbs are the verbs by the control socket's words.
+var maintenanceVerbs = map[string]maintenance.Verb{
+	"add": maintenance.Add, "done": maintenance.Done, "drop": maintenance.Cancel, "hold": maintenance.Pause, "go": maintenance.Resume,
+}
+
+// parseMaintenanceCommand reads a verb, a quoted name of a machine, how long the work takes, and a quoted comment; all but the first
+// may be missing. A duration that is missing or 0 is defaultDuration.
+func parseMaintenanceCommand(words []string, defaultDuration clock.Micros) (c maintenance.Command, err error) {
+	c.Duration = defaultDuration
+	if c.Verb = maintenanceVerbs[words[0]]; c.Verb == 0 {
+		return c, fmt.Errorf("unknown question %.40q", "maintain "+words[0])
 	}
 	if len(words) > 1 {
 		if c.Name, err = strconv.Unquote(words[1]); err != nil || c.Name == "" || len(c.Name) > maintenance.MaxNameLength {
-			return nil, fmt.Errorf("%.60s is no machine's name", words[1])
+			return c, fmt.Errorf("%.60s is no machine's name", words[1])
 		}
 	}
 	if len(words) > 2 {
-		d, err := time.ParseDuration(words[2])
-		if err != nil || d < 0 {
-			return nil, fmt.Errorf("%.20q is no span", words[2])
+		duration, err := time.ParseDuration(words[2])
+		if err != nil || duration < 0 {
+			return c, fmt.Errorf("%.20q is no span", words[2])
 		}
-		if d > 0 {
-			c.Duration = clock.Micros(d.Microseconds())
+		if duration > 0 {
+			c.Duration = micros(duration)
 		}
 	}
 	if len(words) > 3 {
 		if c.Comment, err = strconv.Unquote(strings.Join(words[3:], " ")); err != nil || len(c.Comment) > maintenance.MaxCommentLength {
-			return nil, fmt.Errorf("a reason has %d bytes at the most", maintenance.MaxCommentLength)
-		}
-	}
-	if c.Name != "" {
-		if err := g.findMachine(&c); err != nil {
-			return nil, err
+			return c, fmt.Errorf("a reason has %d bytes at the most", maintenance.MaxCommentLength)
 		}
 	}
-	return g.store.RunMaintenanceCommand(c, by)
+	return c, nil
 }
 
-// findMachine tells what kind of machine a name is: a gateway among the members, or a server on the list. Where both have it, or
-// to be sure, "gateway:" or "server:" stands before it.
+// findMachine finds out what kind of machine a name is: a gateway among the members, or a server on the endpoint list. Where
+// both have it, or to be sure, "gateway:" or "server:" stands before it.
 func (g *Gateway) findMachine(c *maintenance.Command) error {
-	kind, name, said := strings.Cut(c.Name, ":")
-	if !said || kind != "gateway" && kind != "server" {
+	kind, name, prefixed := strings.Cut(c.Name, ":")
+	if !prefixed || kind != "gateway" && kind != "server" {
 		kind, name = "", c.Name
 	}
 	c.Name = name
@@ -364,28 +382,27 @@
 	if o := g.maintenance.next.Load(); o != nil {
 		order = o.Order
 	}
-	gateway := name == g.operators.Members.Node || g.members.knows(name) || order.Find(maintenance.Gateway, name, 0) != nil
-	var server bool
-	group := 0
+	isGateway := name == g.operators.Members.Node || g.members.knows(name) || order.Find(maintenance.Gateway, name, 0) != nil
+	isServer, group := false, 0
 	if m := order.Find(maintenance.Server, name, -1); m != nil {
-		server, group = true, m.Group
+		isServer, group = true, m.Group
 	}
 	g.owner.Call(func(core *routing.Core) {
 		if at, known := core.GroupOf(name); known {
-			server, group = true, at
+			isServer, group = true, at
 		}
 	})
 	switch {
-	case kind == "gateway" || kind == "" && gateway && !server:
-		if !gateway {
+	case kind == "gateway" || kind == "" && isGateway && !isServer:
+		if !isGateway {
 			return fmt.Errorf("no gateway %s is known here", name)
 		}
-	case kind == "server" || kind == "" && server && !gateway:
-		if !server {
+	case kind == "server" || kind == "" && isServer && !isGateway:
+		if !isServer {
 			return fmt.Errorf("no server %s is on the list", name)
 		}
 		c.Kind, c.Group = maintenance.Server, group
-	case gateway && server:
+	case isGateway && isServer:
 		return fmt.Errorf("%s is a gateway and a server: say gateway:%s or server:%s", name, name, name)
 	default:
 		return fmt.Errorf("no gateway and no server %s is known here", name)
@@ -393,6 +410,7 @@
 	return nil
 }
 
+// maintenanceList is the order by its leader or, if that does not answer, as it is known here.
 func (g *Gateway) maintenanceList(by time.Time) (MaintenanceStatus, error) {
 	l, err := g.store.MaintenanceListing(by)
 	s := MaintenanceStatus{Node: g.operators.Members.Node, Leader: l.Leader, Paused: l.Order.Paused, Machines: []MachineStatus{}}
@@ -418,7 +436,7 @@
 	return known
 }
 
-// present lists who there is, this gateway among them.
+// presences lists who there is, this gateway among them.
 func (m *members) presences() (all []maintenance.Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -430,7 +448,7 @@
 	return all
 }
 
-// noted keeps who there is.
+// recordPresence keeps what the membership tells of a gateway, unless a later incarnation of it is known.
 func (m *members) recordPresence(c membership.MemberChanged) {
 	x := maintenance.Member{Name: c.Name, Zone: c.Meta.Zone, Incarnation: c.Generation}
 	switch c.State {
@@ -447,7 +465,7 @@
 	m.known[c.Name] = x
 }
 
-// resume takes part again in floating addresses that were given up.
+// resume takes part again in floating addresses that were released.
 func (f *floatingAddresses) resume() {
 	if f == nil {
 		return
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -22,7 +22,8 @@
 // Version is the program's, as CHANGELOG.md has it. A variable, so that a build for a test can name another one.
 var Version = "0.2.0"
 
-// members is the gateway's part in the membership. A nil one is a gateway without.
+// members is the gateway's part in the membership. A nil one is a gateway without. Its callbacks run on the gossip agent's
+// goroutine.
 type members struct {
 	g        *Gateway
 	gossip   *gossip.Agent
@@ -34,6 +35,7 @@
 	known map[string]maintenance.Member // all others that were ever seen; nil: nobody asks
 }
 
+// startMembers starts the gossip agent.
 func startMembers(g *Gateway) (*members, error) {
 	m := &members{g: g}
 	if g.maintenance != nil {
@@ -91,6 +93,7 @@
 	return s
 }
 
+// reload takes over what may change.
 func (m *members) reload(ops *config.Operators, settings map[string]any) {
 	if m != nil && ops.Members != nil {
 		m.settings.Store(digest(settings))
@@ -105,19 +108,21 @@
 	}
 }
 
-// leave tells the others that it goes, without a wait.
+// announceLeave tells the others that this gateway leaves. It does not wait until they know.
 func (m *members) announceLeave() {
 	if m != nil {
 		m.gossip.Leave()
 	}
 }
 
+// close leaves and ends the gossip agent.
 func (m *members) close() {
 	if m != nil {
 		m.gossip.Close()
 	}
 }
 
+// status is the members as they are known here, with how their streams stand if that is asked for.
 func (m *members) status(streams bool) (any, error) {
 	if m == nil {
 		return nil, errors.New("this gateway has no members section")
@@ -128,7 +133,7 @@
 	return m.gossip.Status(), nil
 }
 
-// print writes the counters of the membership.
+// logCounters logs the counters of the membership and of its streams.
 func (m *members) logCounters() {
 	if m == nil {
 		return
--- a/internal/gateway/statestore.go
+++ b/internal/gateway/statestore.go
@@ -61,31 +61,31 @@
 	Streams    *streams.Streams
 	LivePeers  func() []string
 	Log        zerolog.Logger
-	// Maintain is nil where no machine is taken out for work; Members and Ordered are of use otherwise only.
+	// MaintenanceLimits is nil where no machine is taken out for maintenance; Members and OnOrder are used otherwise only.
 	MaintenanceLimits *maintenance.Limits
 	Members           func() []maintenance.Member
 	OnOrder           func(index uint64, o *maintenance.Order)
 }
 
-// OpenStore opens one. It is set before the gateway starts, by the program that has it.
+// OpenStore opens the state store. It is set before the gateway starts, by the program that has one (internal/raftgateway).
 var OpenStore func(StoreSettings) (Store, error)
 
-// CheckStore tells what is in a store's file that no gateway has open, likewise.
+// CheckStore prints what is in a store's file that no gateway has open. It is set with OpenStore.
 var CheckStore func(path string, raw bool, out io.Writer) error
 
-// marks keeps sessions' last commits in the store. Before the store is there nothing is kept, and every read of a kept session
-// must see all there is.
+// sessionPositions keeps the positions of sessions' last commits in the state store, so that their reads see them through any
+// gateway. Before the store is open nothing is stored, and every read of such a session must see all there is.
 type sessionPositions struct {
 	clock     routing.Clock
 	classes   map[string]bool
-	fast      bool // an answer does not wait for its promise
+	fast      bool // an answer does not wait until its position is stored
 	retention time.Duration
 	store     atomic.Pointer[Store]
 
 	Promised, NotStored, Lookups, Found, Unknown, Ahead atomic.Int64
 }
 
-// newMarks are the marks that the operators' file asks for; nil: none.
+// newSessionPositions makes what the operators' file asks for; nil: no class's sessions are stored.
 func newSessionPositions(ops *config.Operators, clock routing.Clock) *sessionPositions {
 	if ops.StateStore == nil || len(ops.StateStore.SessionMarks) == 0 {
 		return nil
@@ -97,24 +97,24 @@
 	return m
 }
 
-// Concerns tells whether a class's sessions are kept.
+// Covers tells whether a class's sessions are stored.
 func (m *sessionPositions) Covers(class string) bool { return m.classes[class] }
 
-// Able tells whether a session's mark is likely to be promised now. Where answers do not wait for it, it need not be.
+// CanStore tells whether a session's position is likely to be stored now. Where answers do not wait for that, it need not be.
 func (m *sessionPositions) CanStore(group int, session uint64) bool {
 	s := m.store.Load()
 	return m.fast || s != nil && (*s).Available(sessionKey(group, session))
 }
 
-// markKey names a session of a group.
+// sessionKey is the store's key of a session of a replication group.
 func sessionKey(group int, session uint64) []byte {
 	b := binary.BigEndian.AppendUint32([]byte("session "), uint32(group))
 	return binary.BigEndian.AppendUint64(b, session)
 }
 
-// Promise keeps a commit.
+// Store stores the position of a session's commit. done is called with whether the answer may be given.
 func (m *sessionPositions) Store(group int, session uint64, position policy.Position, by time.Time, done func(bool)) {
-	kept := func(ok bool) {
+	stored := func(ok bool) {
 		if ok {
 			m.Promised.Add(1)
 		} else {
@@ -129,14 +129,15 @@
 	}
 	s := m.store.Load()
 	if s == nil {
-		kept(false)
+		stored(false)
 		return
 	}
-	(*s).RaisePosition(sessionKey(group, session), uint64(position), m.retention, by, kept)
+	(*s).RaisePosition(sessionKey(group, session), uint64(position), m.retention, by, stored)
 }
 
-// Needed tells the position that a session's read must see. Where that cannot be had it is all there is: the primary has it. So
-// it is where a mark lies ahead of everything, as after a failover that has lost commits: nobody waits for what will not come.
+// Required finds the position that a session's read must see. Where it cannot be had that is all there is: the primary has it.
+// So it is where the stored position lies ahead of everything, as after a failover that has lost commits: nobody waits for
+// what will not come.
 func (m *sessionPositions) Required(group int, session uint64, by time.Time, done func(policy.Position)) {
 	m.Lookups.Add(1)
 	s := m.store.Load()
@@ -161,7 +162,7 @@
 	})
 }
 
-// startStore opens the store, where the operators' file has one.
+// startStore opens the state store. Its goroutines end with Store.Close.
 func (g *Gateway) startStore() error {
 	c := g.operators.StateStore
 	if OpenStore == nil {
@@ -186,7 +187,7 @@
 	return nil
 }
 
-// askStore answers questions about copies.
+// answerStateStore answers operators' commands and questions about the state store.
 func (g *Gateway) answerStateStore(words []string) (any, error) {
 	if g.store == nil {
 		return nil, errors.New("this gateway has no copies section")
@@ -212,7 +213,7 @@
 	return nil, fmt.Errorf("unknown question %.40q", "copies "+strings.Join(words, " "))
 }
 
-// printStore writes the counters of copies and marks.
+// logStoreCounters logs the counters of the state store and of session positions.
 func (g *Gateway) logStoreCounters() {
 	if g.store != nil {
 		g.store.LogCounters()
@@ -227,7 +228,8 @@
 // names lists the other members that live.
 func (m *members) names() []string { return *m.alive.Load() }
 
-// changed keeps the list of members that live.
+// memberChanged keeps the list of members that are alive, and tells the resolver of in-doubt writes whose incarnations have
+// ended.
 func (m *members) memberChanged(c membership.MemberChanged) {
 	if c.Name == m.g.operators.Members.Node {
 		return
@@ -238,7 +240,7 @@
 	if b := m.g.intents; b != nil && c.State.Ended() {
 		b.GatewayEnded(c.Name, c.Generation)
 	} else if b != nil && c.Generation > 0 {
-		b.GatewayEnded(c.Name, c.Generation-1) // whatever it was before
+		b.GatewayEnded(c.Name, c.Generation-1) // all before this one
 	}
 	var next []string
 	for _, name := range m.names() {
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -1,6 +1,6 @@
 package gateway
 
-// CopiesStatus is how a gateway stands, for whoever asks.
+// StateStoreStatus is how the state store stands, as one gateway knows it and operators read it.
 type StateStoreStatus struct {
 	Node        string        `json:"node"`
 	BootstrapID string        `json:"founding"` // empty: there is no store
@@ -14,7 +14,7 @@
 	Groups      []GroupStatus `json:"groups"`
 }
 
-// CopiesDisk is one disk that the ledger knows.
+// StoreStatus is one gateway's disk that the ledger knows.
 type StoreStatus struct {
 	Number  string `json:"number"`
 	Node    string `json:"node"`
@@ -23,7 +23,7 @@
 	Removed bool   `json:"gone,omitempty"`
 }
 
-// CopiesGroup is one shard, or the ledger.
+// GroupStatus is one Raft group: a shard, or the ledger.
 type GroupStatus struct {
 	Group    uint32              `json:"group"` // 0: the ledger
 	Epoch    uint32              `json:"epoch"`
@@ -34,14 +34,14 @@
 	Here     *LocalReplicaStatus `json:"here,omitempty"`
 }
 
-// CopiesReplica is one replica of a group.
+// ReplicaStatus is one replica of a group.
 type ReplicaStatus struct {
 	Number uint64 `json:"number"`
 	Node   string `json:"node"`
 	Lost   bool   `json:"lost,omitempty"`
 }
 
-// CopiesHere is the asked gateway's own replica.
+// LocalReplicaStatus is the asked gateway's own replica.
 type LocalReplicaStatus struct {
 	Number  uint64 `json:"number"`
 	Leader  string `json:"leader"`
