--- a/internal/intents/intents.go
+++ b/internal/intents/intents.go
@@ -3,7 +3,7 @@
 //
 // The gateway makes one Service for all classes that its operators' file names; a session makes a Write for each request of such
 // a class. One goroutine, started by New and ended by Service.Close, owns the resolver and all state of the writes. All methods but
-// Service.InFlight, Service.WaitIdle, Service.Close and Write.MaySend only post to it and do not block.
+// Service.InFlight, Service.WaitIdle, Service.Close and Write.MaySend return without waiting for it.
 package intents
 
 import (
--- a/internal/intents/intents_test.go
+++ b/internal/intents/intents_test.go
@@ -230,7 +230,7 @@
 	}
 	for state, want := range []indoubt.State{indoubt.Open, indoubt.Answered, indoubt.Unsent, indoubt.InDoubt} {
 		if int(want) != state+1 {
-			t.Errorf("%v is kept as %d, want %d", want, want, state+1)
+			t.Errorf("%v is stored as %d, want %d", want, want, state+1)
 		}
 	}
 }
