--- a/internal/policy/endpoints_test.go
+++ b/internal/policy/endpoints_test.go
@@ -10,18 +10,18 @@
 
 func TestDrainsAreObeyedAtOnce(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		news  policy.EndpointUpdate
-		loose bool
-		open  bool // may still be sent to
+		name   string
+		update policy.EndpointUpdate
+		loose  bool
+		open   bool // may still be sent to
 	}{
 		{"draining", policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{
 			{Server: 2, Group: 1, State: policy.EndpointDraining}}}, false, false},
-		{"gone", policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{
+		{"removed", policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{
 			{Server: 2, Group: 1, State: policy.EndpointRemoved}}}, false, false},
 		{"left out of a full list", policy.EndpointUpdate{Form: policy.ListFull, Endpoints: []policy.Endpoint{
 			endpoint(1, true)}}, false, false},
-		{"gone where only draining binds", policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{
+		{"removed where only draining binds", policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{
 			{Server: 2, Group: 1, State: policy.EndpointRemoved}}}, true, true},
 		{"draining where only draining binds", policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{
 			{Server: 2, Group: 1, State: policy.EndpointDraining}}}, true, false},
@@ -33,7 +33,7 @@
 			g.group(2)
 			g.fresh(1, 0)
 			g.fresh(2, 0)
-			g.step(c.news)
+			g.step(c.update)
 			g.arrive("q", anyRead)
 			if got := sent(g.acts, "q"); len(got) != 1 || (got[0] == 2) != c.open {
 				t.Errorf("sent to %v", got)
@@ -83,7 +83,7 @@
 	g.step(policy.EndpointUpdate{Form: policy.ListFull}) // an empty list
 	last := map[policy.ServerID]clock.Micros{}
 	served := 0
-	for i := 0; i < 4000; i++ {
+	for i := range 4000 {
 		id := fmt.Sprint("g", i)
 		if got := sent(g.arrive(id, anyRead), id); len(got) == 1 {
 			res := policy.ResultOK
@@ -141,7 +141,7 @@
 	if g.now-last > 1000*ms {
 		t.Error("it stopped subscribing")
 	}
-	for i := 0; i < 400; i++ {
+	for range 400 {
 		if count[policy.Watch](g.sweep(25*ms)) > 0 {
 			break
 		}
@@ -225,7 +225,7 @@
 	set.ListSubscribed = true
 	g := newGateway(t, set)
 	n := 0
-	for i := 0; i < 400; i++ {
+	for range 400 {
 		n += count[policy.Watch](g.sweep(25 * ms))
 	}
 	if n < 1 {
--- a/internal/policy/fleet_test.go
+++ b/internal/policy/fleet_test.go
@@ -32,14 +32,14 @@
 }
 
 // newFleet makes n routers over one group; the first tenth of them carries half of the traffic.
-func newFleet(t *testing.T, n, members int, set policy.Settings) *fleet {
+func newFleet(t *testing.T, n, servers int, set policy.Settings) *fleet {
 	f := &fleet{rng: rand.New(rand.NewSource(1)), sends: map[policy.ServerID][]clock.Micros{},
 		spent: map[policy.ServerID]float64{}, tries: map[string]int{}, stand: func(clock.Micros) float64 { return 1e6 }}
 	set.Gateways = n
-	for i := 0; i < n; i++ {
+	for i := range n {
 		g := &gateway{t: t, now: origin}
 		g.r, g.acts = policy.New(g.now, uint64(i+1), set)
-		g.group(members)
+		g.group(servers)
 		f.rigs = append(f.rigs, g)
 		share := 0.5 / (0.9 * float64(n))
 		if i < n/10 {
@@ -119,13 +119,13 @@
 				g.r, g.acts = policy.New(g.now, uint64(1000+i), set)
 				g.group(replicas + 1)
 			}
-			var news []policy.Endpoint
+			var update []policy.Endpoint
 			for id := policy.ServerID(2); id <= replicas+1; id++ {
 				m := endpoint(id, false)
 				m.Started = started
-				news = append(news, m)
+				update = append(update, m)
 			}
-			g.step(policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: news})
+			g.step(policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: update})
 		}
 		f.sends = map[policy.ServerID][]clock.Micros{}
 		f.stand = func(now clock.Micros) float64 {
@@ -141,10 +141,10 @@
 				for k < len(at) && at[k]-at[i] < set.OverloadWindow {
 					k++
 				}
-				warmth := float64(set.SlowStartMinWeight)/1000 + 0.75*float64(at[i]-started)/float64(set.SlowStartWindow)
-				most := float64(set.OverloadFactor) / 1000 * warmth * capacity * float64(set.OverloadWindow) / 1e6
-				if float64(k-i) > most {
-					t.Fatalf("%+v: %d sends to server %d in slow start within an overload window, it stands %.0f", c, k-i, id, most)
+				weight := float64(set.SlowStartMinWeight)/1000 + 0.75*float64(at[i]-started)/float64(set.SlowStartWindow)
+				limit := float64(set.OverloadFactor) / 1000 * weight * capacity * float64(set.OverloadWindow) / 1e6
+				if float64(k-i) > limit {
+					t.Fatalf("%+v: %d sends to server %d in slow start within an overload window, it stands %.0f", c, k-i, id, limit)
 				}
 			}
 		}
@@ -164,7 +164,7 @@
 	n := 0
 	share := func(reads int, res policy.Result) float64 {
 		went := 0
-		for i := 0; i < reads; i++ {
+		for range reads {
 			n++
 			id := fmt.Sprint("q", n)
 			acts := g.after(150*ms).arrive(id, anyRead)
@@ -188,7 +188,7 @@
 	if got := share(20, policy.ResultOK); got < 0.9 {
 		t.Errorf("%.2f of the reads went to a sound replica", got)
 	}
-	for i := 0; i < 6; i++ {
+	for range 6 {
 		share(1, policy.ResultTimeout)
 		g.sweep(500 * ms)
 	}
@@ -212,7 +212,7 @@
 		g := newGateway(t, set)
 		g.group(1)
 		went, reads := 0, 400
-		for i := 0; i < reads+40; i++ {
+		for i := range reads + 40 {
 			id := fmt.Sprint("w", i)
 			got := sent(g.after(gap).arrive(id, freshRead), id)
 			res, took, wait := policy.ResultOK, 165*ms, 20*ms // between the low and the high latency ratio
@@ -240,24 +240,24 @@
 	set.Gateways, set.CanHealthCheck = 200, false
 	g := newGateway(t, set)
 	g.group(1)
-	aim := set.Classes[nonIdempotentWrite].LatencyObjective
-	for i := 0; i < 40; i++ {
+	objective := set.Classes[nonIdempotentWrite].LatencyObjective
+	for i := range 40 {
 		id := fmt.Sprint("t", i)
 		if len(sent(g.after(500*ms).arrive(id, freshRead), id)) > 0 {
-			g.after(aim).step(policy.Outcome{ID: id, Server: 1, Result: policy.ResultTimeout, Latency: aim, Final: true})
+			g.after(objective).step(policy.Outcome{ID: id, Server: 1, Result: policy.ResultTimeout, Latency: objective, Final: true})
 		}
 		g.step(policy.ClientDisconnected{ID: id})
 	}
 	went, first := 0, 0
-	for i := 0; i < 100; i++ {
+	for i := range 100 {
 		id := fmt.Sprint("w", i)
 		n := len(sent(g.after(500*ms).arrive(id, nonIdempotentWrite), id))
 		first += n
-		for wait := clock.Micros(0); n == 0 && wait < aim; wait += 25 * ms {
+		for wait := clock.Micros(0); n == 0 && wait < objective; wait += 25 * ms {
 			n = len(sent(g.sweep(25*ms), id))
 		}
 		if went += n; n > 0 {
-			g.after(aim).step(policy.Outcome{ID: id, Server: 1, Result: policy.ResultTimeout, Latency: aim, Final: true})
+			g.after(objective).step(policy.Outcome{ID: id, Server: 1, Result: policy.ResultTimeout, Latency: objective, Final: true})
 		} else {
 			g.step(policy.ClientDisconnected{ID: id})
 		}
@@ -275,12 +275,12 @@
 		set.Gateways, set.CanHealthCheck = 200, false
 		g := newGateway(t, set)
 		g.group(1) // no replica: bounded reads have only the primary
-		aim := set.Classes[class].LatencyObjective
-		for i := 0; i < 300; i++ {
+		objective := set.Classes[class].LatencyObjective
+		for i := range 300 {
 			id := fmt.Sprint("p", i)
 			n := len(sent(g.after(100*ms).arrive(id, class), id))
 			if n > 0 && i%4 != 0 { // most are slow: the limit stays below one
-				g.after(aim).step(policy.Outcome{ID: id, Server: 1, Result: policy.ResultTimeout, Latency: aim, Final: true})
+				g.after(objective).step(policy.Outcome{ID: id, Server: 1, Result: policy.ResultTimeout, Latency: objective, Final: true})
 			} else if n > 0 {
 				g.after(20 * ms).step(policy.Outcome{ID: id, Server: 1, Latency: 60 * ms, Final: true})
 			}
--- a/internal/policy/harness_test.go
+++ b/internal/policy/harness_test.go
@@ -133,7 +133,7 @@
 func (g *gateway) readPast(id string, bad policy.ServerID, res policy.Result) int {
 	tries := 0
 	acts := g.arrive(id, anyRead)
-	for n := 0; n < 6; n++ {
+	for n := range 6 {
 		got := sent(acts, id)
 		if len(got) == 0 {
 			break
--- a/internal/policy/health_test.go
+++ b/internal/policy/health_test.go
@@ -14,7 +14,7 @@
 	g := newGateway(t, settings())
 	g.group(3)
 	used := map[policy.ServerID]int{}
-	for i := 0; i < 200; i++ {
+	for i := range 200 {
 		id := fmt.Sprint("q", i)
 		g.after(20*ms).arrive(id, anyRead)
 		to := sent(g.acts, id)[0]
@@ -75,7 +75,7 @@
 // readFor plays reads of one group, each answered at once, and answers every health check. It returns the
 // checks by server.
 func (g *gateway) readFor(span, gap clock.Micros) map[policy.ServerID]int {
-	probes := map[policy.ServerID]int{}
+	checks := map[policy.ServerID]int{}
 	for t, n := clock.Micros(0), 0; t < span; t += 25 * ms {
 		if gap > 0 && t%gap == 0 {
 			id := fmt.Sprint("r", g.now, n)
@@ -85,12 +85,12 @@
 		}
 		for _, a := range g.sweep(25 * ms) {
 			if p, ok := a.(policy.HealthCheck); ok {
-				probes[p.Server]++
+				checks[p.Server]++
 				g.fresh(p.Server, 0)
 			}
 		}
 	}
-	return probes
+	return checks
 }
 
 func TestHealthChecksKeepPositionsWithinHalfTheBound(t *testing.T) {
@@ -109,7 +109,7 @@
 	}
 	// No health check piles up on one that does not answer.
 	n := 0
-	for i := 0; i < 100; i++ {
+	for i := range 100 {
 		g.arrive(fmt.Sprint("u", i), boundedRead)
 		for _, a := range g.sweep(25 * ms) {
 			if p, ok := a.(policy.HealthCheck); ok && p.Server == 2 {
@@ -151,11 +151,11 @@
 func TestHealthChecksOfDownServersArePaidByArrivals(t *testing.T) {
 	g := newGateway(t, settings())
 	g.group(3)
-	probes := 0
-	for i := 0; i < 2400; i++ { // a minute, a read a second
+	checks := 0
+	for i := range 2400 { // a minute, a read a second
 		if i%40 == 0 {
 			id := fmt.Sprint("d", i)
-			for n := 0; n < 3; n++ {
+			for n := range 3 {
 				got := sent(g.arrive(id, anyRead), id)
 				if len(got) == 0 {
 					break
@@ -174,15 +174,15 @@
 				continue
 			}
 			if p.Server == 3 {
-				probes++
+				checks++
 				g.step(policy.HealthCheckEnded{Server: 3, Result: policy.ResultConnectFailed})
 				continue
 			}
 			g.fresh(p.Server, 0)
 		}
 	}
-	if probes < 5 || probes > 40 {
-		t.Errorf("%d health checks of a server that is down in a minute with 60 arrivals", probes)
+	if checks < 5 || checks > 40 {
+		t.Errorf("%d health checks of a server that is down in a minute with 60 arrivals", checks)
 	}
 }
 
--- a/internal/policy/limit_test.go
+++ b/internal/policy/limit_test.go
@@ -13,7 +13,7 @@
 	g := newGateway(t, settings())
 	g.group(4)
 	tries := 0
-	for i := 0; i < 200; i++ {
+	for i := range 200 {
 		tries += g.after(5*ms).readPast(fmt.Sprint("q", i), 2, policy.ResultOverloaded)
 	}
 	if tries == 0 || tries > 12 {
@@ -27,18 +27,18 @@
 	g.group(2)
 	g.fresh(1, 0)
 	run := func(tag string, latency clock.Micros) int {
-		for i := 0; i < 200; i++ {
+		for i := range 200 {
 			id := fmt.Sprint(tag, i)
 			if len(sent(g.after(100*ms).arrive(id, freshRead), id)) == 1 {
 				g.step(policy.Outcome{ID: id, Server: 1, Final: true, Latency: latency})
 			}
 		}
 		out := 0
-		for i := 0; i < 40; i++ {
+		for i := range 40 {
 			id := fmt.Sprint(tag, "-burst", i)
 			out += len(sent(g.arrive(id, freshRead), id))
 		}
-		for i := 0; i < 40; i++ {
+		for i := range 40 {
 			g.step(policy.Outcome{ID: fmt.Sprint(tag, "-burst", i), Server: 1, Final: true, Latency: latency})
 			g.step(policy.ClientDisconnected{ID: fmt.Sprint(tag, "-burst", i)})
 		}
--- a/internal/policy/outlier_test.go
+++ b/internal/policy/outlier_test.go
@@ -11,7 +11,7 @@
 	g := newGateway(t, settings())
 	g.group(4)
 	tries := 0
-	for i := 0; i < 400; i++ {
+	for i := range 400 {
 		tries += g.after(5*ms).readPast(fmt.Sprint("q", i), 2, policy.ResultError)
 		g.sweep(0)
 	}
@@ -25,7 +25,7 @@
 	set := settings()
 	g := newGateway(t, set)
 	g.step(policy.EndpointUpdate{Form: policy.ListCached, Endpoints: []policy.Endpoint{endpoint(2, false), endpoint(3, false)}})
-	for i := 0; i < 60; i++ {
+	for i := range 60 {
 		id := fmt.Sprint("q", i)
 		got := sent(g.after(100*ms).arrive(id, anyRead), id)
 		if len(got) != 1 {
--- a/internal/policy/placement_test.go
+++ b/internal/policy/placement_test.go
@@ -23,7 +23,7 @@
 		{"any read to a lagging replica", anyRead, 5000 * ms, policy.FreshnessCheckNone, 2},
 		{"bounded read to a fresh replica", boundedRead, 700 * ms, policy.FreshnessCheckNone, 2},
 		{"bounded read at the bound", boundedRead, 800 * ms, policy.FreshnessCheckNone, 2},
-		{"past the bound, servers check: most advanced replica", boundedRead, 801 * ms, policy.FreshnessCheckReject, 2},
+		{"past the bound, servers check: the replica furthest ahead", boundedRead, 801 * ms, policy.FreshnessCheckReject, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			set := settings()
@@ -66,7 +66,7 @@
 	g.fresh(1, 0)
 	g.fresh(2, 4000*ms)
 	g.fresh(3, 4000*ms)
-	for i := 0; i < 10; i++ {
+	for i := range 10 {
 		id := fmt.Sprint("q", i)
 		g.after(20*ms).arrive(id, boundedRead)
 		got := sent(g.acts, id)
@@ -256,11 +256,11 @@
 	g := newGateway(t, settings())
 	g.group(5)
 	g.fresh(1, 0)
-	probes := 0
+	checks := 0
 	for n := range 200 {
-		probes += len(healthChecksOf(g.arrive(fmt.Sprint("q", n), boundedRead)))
+		checks += len(healthChecksOf(g.arrive(fmt.Sprint("q", n), boundedRead)))
 	}
-	if probes != 1 {
-		t.Errorf("%d health checks for 200 reads at once", probes)
+	if checks != 1 {
+		t.Errorf("%d health checks for 200 reads at once", checks)
 	}
 }
--- a/internal/policy/primary_test.go
+++ b/internal/policy/primary_test.go
@@ -38,7 +38,7 @@
 		g.group(3)
 		primaryIs(g, 2)
 	})
-	t.Run("a write's miss takes the role away, and the next member is tried", func(t *testing.T) {
+	t.Run("a misdirected write takes the role away, and the next server is tried", func(t *testing.T) {
 		g := newGateway(t, settings())
 		g.group(3)
 		g.fresh(2, 300*ms)
@@ -65,7 +65,7 @@
 			g.wantSent(id, to)
 		}
 	})
-	t.Run("what an old primary still finishes does not bring its role back", func(t *testing.T) {
+	t.Run("what a former primary still finishes does not bring its role back", func(t *testing.T) {
 		g := newGateway(t, settings())
 		g.group(3)
 		g.fresh(1, 0)
@@ -79,7 +79,7 @@
 		g.arrive("f", freshRead)
 		g.wantSent("f")
 	})
-	t.Run("a lost primary is looked for by probes", func(t *testing.T) {
+	t.Run("a lost primary is looked for by health checks", func(t *testing.T) {
 		g := newGateway(t, settings())
 		g.group(3)
 		g.sweep(25 * ms)
@@ -88,18 +88,18 @@
 		}
 		g.arrive("w", nonIdempotentWrite)
 		g.outcome("w", 0, 1, policy.ResultReset)
-		probes := 0
-		for i := 0; i < 40; i++ {
+		checks := 0
+		for i := range 40 {
 			g.arrive(fmt.Sprint("f", i), freshRead) // somebody waits for a primary
 			for _, a := range g.sweep(25 * ms) {
 				if p, ok := a.(policy.HealthCheck); ok {
-					probes++
+					checks++
 					g.step(policy.HealthCheckEnded{Server: p.Server, Result: policy.ResultTimeout})
 				}
 			}
 		}
-		if probes < 6 || probes > 40 {
-			t.Errorf("%d health checks in a second without a primary", probes)
+		if checks < 6 || checks > 40 {
+			t.Errorf("%d health checks in a second without a primary", checks)
 		}
 	})
 }
@@ -121,7 +121,7 @@
 
 // An answer that tells a replica's role is as good as a health check while the primary is looked for.
 func TestAnsweredRolesSaveHealthChecks(t *testing.T) {
-	probes := map[bool]int{}
+	checks := map[bool]int{}
 	for _, told := range []bool{false, true} {
 		set := settings()
 		set.FreshnessCheck = policy.FreshnessCheckReject
@@ -131,7 +131,7 @@
 			ms3 = append(ms3, endpoint(id, false))
 		}
 		g.step(policy.EndpointUpdate{Form: policy.ListCached, Endpoints: ms3})
-		for i := 0; i < 400; i++ {
+		for i := range 400 {
 			id := fmt.Sprint("r", i)
 			for _, s := range sent(g.arrive(id, anyRead), id) {
 				o := policy.Outcome{ID: id, Server: s, Final: true, Latency: 20 * ms}
@@ -143,7 +143,7 @@
 			g.step(policy.ClientDisconnected{ID: id})
 			for _, a := range g.sweep(25 * ms) {
 				if p, ok := a.(policy.HealthCheck); ok {
-					probes[told]++
+					checks[told]++
 					g.step(policy.HealthCheckEnded{Server: p.Server, Result: policy.ResultTimeout})
 					g.step(policy.HealthCheckEnded{Server: p.Server, LoadReport: policy.LoadReport{
 						HasPosition: true, Position: g.now, Role: policy.RoleUnknown}})
@@ -151,7 +151,7 @@
 			}
 		}
 	}
-	if probes[true]*3 > probes[false] {
-		t.Errorf("%d health checks where answers tell roles, %d where they do not", probes[true], probes[false])
+	if checks[true]*3 > checks[false] {
+		t.Errorf("%d health checks where answers tell roles, %d where they do not", checks[true], checks[false])
 	}
 }
--- a/internal/policy/property_test.go
+++ b/internal/policy/property_test.go
@@ -12,19 +12,19 @@
 // world records the events and actions of one router, and asserts the rules on each action. It models no
 // server: outcomes, positions, roles and lists are random, only legal.
 type world struct {
-	t     *testing.T
-	seed  int64
-	set   policy.Settings
-	rng   *rand.Rand
-	r     *policy.Router
-	now   clock.Micros
-	reqs  map[string]*modelRequest
-	order []string
-	srv   map[policy.ServerID]*modelServer
-	ids   []policy.ServerID
-	timer []policy.SetTimer
-	probe []policy.ServerID
-	n     int
+	t          *testing.T
+	seed       int64
+	set        policy.Settings
+	rng        *rand.Rand
+	r          *policy.Router
+	now        clock.Micros
+	reqs       map[string]*modelRequest
+	order      []string
+	srv        map[policy.ServerID]*modelServer
+	ids        []policy.ServerID
+	timer      []policy.SetTimer
+	unanswered []policy.ServerID
+	n          int
 }
 
 type modelRequest struct {
@@ -85,7 +85,7 @@
 			if s == nil {
 				w.fail("health check of %d, never listed", a.Server)
 			}
-			w.probe = append(w.probe, a.Server)
+			w.unanswered = append(w.unanswered, a.Server)
 		}
 	}
 }
@@ -204,7 +204,7 @@
 	w.step(o)
 }
 
-func (w *world) news() {
+func (w *world) update() {
 	id := w.ids[w.rng.Intn(len(w.ids))]
 	s := w.srv[id]
 	s.state = policy.EndpointReady
@@ -222,11 +222,11 @@
 }
 
 func (w *world) report() {
-	if len(w.probe) == 0 {
+	if len(w.unanswered) == 0 {
 		return
 	}
-	id := w.probe[0]
-	w.probe = w.probe[1:]
+	id := w.unanswered[0]
+	w.unanswered = w.unanswered[1:]
 	p := policy.HealthCheckEnded{Server: id, Result: []policy.Result{0, 0, 0, 0, 0, 0, 0, 2, 3, 4}[w.rng.Intn(10)], Latency: ms}
 	if p.Result == policy.ResultOK {
 		s := w.srv[id]
@@ -302,7 +302,7 @@
 			list = append(list, policy.Endpoint{Server: id, Group: g, State: policy.EndpointReady, Primary: id <= 2})
 		}
 		w.step(policy.EndpointUpdate{Form: policy.ListCached, Endpoints: list})
-		for i := 0; i < 4000; i++ {
+		for range 4000 {
 			w.now += 5 * ms
 			w.due()
 			w.clientsLeave()
@@ -315,7 +315,7 @@
 				case n < 19:
 					w.report()
 				case rng.Intn(3) == 0:
-					w.news()
+					w.update()
 				}
 			}
 		}
--- a/internal/policy/queue_test.go
+++ b/internal/policy/queue_test.go
@@ -16,7 +16,7 @@
 	g := newGateway(t, set)
 	g.group(2)
 	g.fresh(1, 0)
-	for i := 0; i < 60; i++ {
+	for i := range 60 {
 		id := fmt.Sprint("a", i)
 		g.after(10*ms).arrive(id, freshRead)
 		g.step(policy.Outcome{ID: id, Server: 1, Final: true, Latency: 100 * ms})
@@ -84,7 +84,7 @@
 	for ; len(sent(hasty(fmt.Sprint("h", full), 120*ms), fmt.Sprint("h", full))) == 1; full++ {
 	}
 	if full == 0 {
-		t.Error("a hasty request found no room at idle servers")
+		t.Error("a request with little time found no capacity at idle servers")
 	}
 	g.wantEnd(fmt.Sprint("h", full), "reject")
 	g.arrive("patient", anyRead)
--- a/internal/policy/requests_test.go
+++ b/internal/policy/requests_test.go
@@ -11,11 +11,11 @@
 
 func TestEveryRequestEnds(t *testing.T) {
 	for class := range settings().Classes {
-		for _, members := range []int{0, 2} { // queued for want of a server, and in flight at one that never answers
+		for _, servers := range []int{0, 2} { // queued for want of a server, and in flight at one that never answers
 			set := settings()
 			g := newGateway(t, set)
-			if members > 0 {
-				g.group(members)
+			if servers > 0 {
+				g.group(servers)
 				g.fresh(1, 0)
 			}
 			g.arrive("q", class)
@@ -38,7 +38,7 @@
 				}
 			}
 			if ending(g.acts, "q") == "" {
-				t.Errorf("class %d with %d servers has no final answer at its end", class, members)
+				t.Errorf("class %d with %d servers has no final answer at its end", class, servers)
 			}
 			g.step(policy.Timer{RequestID: "q"})
 			if ending(g.acts, "q") != "" {
@@ -123,7 +123,7 @@
 	run := func() []policy.Action {
 		g := newGateway(t, settings())
 		g.group(6)
-		for i := 0; i < 300; i++ {
+		for i := range 300 {
 			id := fmt.Sprint("q", i)
 			for _, s := range sent(g.after(3*ms).arriveOf(id, i%7, uint64(i%20)), id) {
 				g.outcome(id, 0, s, policy.Result(i%4))
--- a/internal/policy/retry_test.go
+++ b/internal/policy/retry_test.go
@@ -54,7 +54,7 @@
 	g := newGateway(t, set)
 	g.group(8)
 	acts := g.arrive("q", anyRead)
-	for i := 0; i < 3; i++ {
+	for i := range 3 {
 		got := sent(acts, "q")
 		if len(got) != 1 {
 			t.Fatalf("attempt %d: sent to %v", i, got)
@@ -69,7 +69,7 @@
 	g := newGateway(t, settings())
 	g.group(5)
 	first, more := 0, 0
-	for i := 0; i < 400; i++ {
+	for i := range 400 {
 		id := fmt.Sprint("q", i)
 		acts := g.after(10*ms).arrive(id, anyRead)
 		first++
--- a/internal/policy/sessions_test.go
+++ b/internal/policy/sessions_test.go
@@ -17,7 +17,7 @@
 	used := map[policy.ServerID]bool{}
 	for session := uint64(1); session <= 30; session++ {
 		var home policy.ServerID
-		for i := 0; i < 4; i++ {
+		for i := range 4 {
 			id := fmt.Sprint(session, "-", i)
 			g.after(ms).arriveOf(id, sessionRead, session)
 			got := sent(g.acts, id)
@@ -84,7 +84,7 @@
 		g.outcome("r", 0, 2, policy.ResultReset)
 		g.wantSent("r", 1)
 	})
-	t.Run("a write that is out may have been answered", func(t *testing.T) {
+	t.Run("a write in flight may have been answered", func(t *testing.T) {
 		g := newFreshPair(t)
 		g.after(10*ms).arriveOf("w", nonIdempotentWrite, 9)
 		g.arriveOf("r", sessionRead, 9)
@@ -106,7 +106,7 @@
 			}
 		}
 	})
-	t.Run("a session with a write out is not forgotten", func(t *testing.T) {
+	t.Run("a session with a write in flight is not forgotten", func(t *testing.T) {
 		g := newFreshPair(t)
 		g.after(10*ms).arriveOf("w", nonIdempotentWrite, 1)
 		for k := uint64(2); k < 1<<14+2; k++ {
@@ -119,7 +119,7 @@
 		g.arriveOf("s", sessionRead, 1<<14+1)
 		g.wantSent("s", 2)
 	})
-	t.Run("forgotten marks merge into a floor", func(t *testing.T) {
+	t.Run("positions of forgotten sessions merge into a floor", func(t *testing.T) {
 		g := newFreshPair(t)
 		g.after(100*ms).arriveOf("w", nonIdempotentWrite, 1)
 		g.outcome("w", 0, 1, policy.ResultOK)
--- a/internal/policy/settings_test.go
+++ b/internal/policy/settings_test.go
@@ -18,10 +18,10 @@
 	g.group(5)
 	g.fresh(1, 0)
 	g.checked(2, policy.RolePrimary, g.now) // which took over
-	cold := endpoint(5, false)
-	cold.Started = g.now
+	starting := endpoint(5, false)
+	starting.Started = g.now
 	g.step(policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{
-		{Server: 3, Group: 1, State: policy.EndpointDraining}, {Server: 4, Group: 1, State: policy.EndpointRemoved}, cold,
+		{Server: 3, Group: 1, State: policy.EndpointDraining}, {Server: 4, Group: 1, State: policy.EndpointRemoved}, starting,
 	}})
 	g.arrive("w", nonIdempotentWrite)
 	g.wantSent("w", 2)
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -16,14 +16,14 @@
 			g := newGateway(t, set)
 			g.group(3)
 			// This gateway has measured nothing yet: the budget must hold all the same.
-			cold := endpoint(3, false)
-			cold.Started = g.now
-			g.step(policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{cold}})
+			starting := endpoint(3, false)
+			starting.Started = g.now
+			g.step(policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{starting}})
 			n := 0
-			for i := 0; i < 400; i++ {
+			for i := range 400 {
 				id := fmt.Sprint("q", i)
 				acts := g.after(5*ms).arrive(id, anyRead)
-				for k := 0; k < 3; k++ {
+				for k := range 3 {
 					got := sent(acts, id)
 					if len(got) == 0 {
 						break
@@ -70,9 +70,9 @@
 			end(id, sent(g.acts, id)[0], 1000*ms)
 		}
 	}
-	cold := endpoint(3, false)
-	cold.Started = g.now
-	g.step(policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{cold}})
+	starting := endpoint(3, false)
+	starting.Started = g.now
+	g.step(policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{starting}})
 	long := 0
 	for n := range 40 { // an overload window
 		id := fmt.Sprint("c", n)
@@ -122,7 +122,7 @@
 	g.wantSent("still", 1)
 	g.fresh(2, 0)
 	at2 := 0
-	for i := 0; i < 20; i++ {
+	for i := range 20 {
 		id := fmt.Sprint("s", i)
 		for _, s := range sent(g.after(ms).arrive(id, anyRead), id) {
 			if s == 2 {
