--- a/internal/assignment/keeper.go
+++ b/internal/assignment/keeper.go
@@ -19,17 +19,17 @@
 const never clock.Micros = math.MaxInt64
 
 // Keeper holds one instance's view of all duties of one kind.
-type Keeper struct {
+type Scheduler struct {
 	cfg     Config
 	members []Member
-	all     map[string]*duty
+	all     map[string]*task
 	queue   queue // all duties by when they are to be looked at
 	now     clock.Micros
 	draws   uint64
 }
 
 // duty is the work for one subject.
-type duty struct {
+type task struct {
 	subject Subject
 	ranking []string
 	place   int          // of this instance in the ranking; -1: it is no member
@@ -42,8 +42,8 @@
 	wishes  map[string]wish
 	failed  map[string]clock.Micros // until when members rank behind
 
-	look  clock.Micros // when anything about it may change by time alone
-	index int          // in the queue
+	wakeAt clock.Micros // when anything about it may change by time alone
+	index  int          // in the queue
 }
 
 type wish struct {
@@ -52,33 +52,33 @@
 }
 
 // New makes a keeper that sees nobody but itself.
-func New(cfg Config) *Keeper {
-	cfg.Holders = max(cfg.Holders, 1)
-	return &Keeper{cfg: cfg, members: []Member{cfg.Self}, all: map[string]*duty{}}
+func New(cfg Config) *Scheduler {
+	cfg.Assignees = max(cfg.Assignees, 1)
+	return &Scheduler{cfg: cfg, members: []Member{cfg.Self}, all: map[string]*task{}}
 }
 
 // Handle takes in one event and tells what is to be done now, in the order of keys.
-func (k *Keeper) Handle(now clock.Micros, ev Event) []Do {
+func (k *Scheduler) Handle(now clock.Micros, ev Event) []Assignment {
 	k.now = max(k.now, now)
 	switch e := ev.(type) {
-	case View:
+	case MembersChanged:
 		k.view(e.Members)
-	case Subjects:
+	case SubjectsChanged:
 		k.subjects(e.All)
-	case Notice:
+	case WorkReported:
 		if d := k.all[e.Key]; d != nil {
 			k.noticed(d, e)
 			k.plan(d)
 		}
-	case Done:
+	case WorkDone:
 		if d := k.all[e.Key]; d != nil {
 			d.out = false
-			k.noticed(d, Notice{From: k.cfg.Self.Name, Good: e.Good})
+			k.noticed(d, WorkReported{From: k.cfg.Self.Name, Succeeded: e.Succeeded})
 			k.plan(d)
 		}
-	case Wish:
+	case WorkDemanded:
 		if d := k.all[e.Key]; d != nil {
-			d.wishes[e.From] = wish{e.Period, k.now + e.For}
+			d.wishes[e.From] = wish{e.Period, k.now + e.Duration}
 			k.plan(d)
 		}
 	}
@@ -86,15 +86,15 @@
 }
 
 // Next is when something falls due or has to be looked at again, unless something is heard before.
-func (k *Keeper) Next() (at clock.Micros, ok bool) {
-	if len(k.queue) == 0 || k.queue[0].look == never {
+func (k *Scheduler) Next() (at clock.Micros, ok bool) {
+	if len(k.queue) == 0 || k.queue[0].wakeAt == never {
 		return 0, false
 	}
-	return k.queue[0].look, true
+	return k.queue[0].wakeAt, true
 }
 
 // Period is how often a subject is dealt with now; 0: it is none.
-func (k *Keeper) Period(key string) clock.Micros {
+func (k *Scheduler) Period(key string) clock.Micros {
 	if d := k.all[key]; d != nil {
 		return k.period(d)
 	}
@@ -102,7 +102,7 @@
 }
 
 // Rank is this instance's place for a subject, 0 for the first; -1: it has none.
-func (k *Keeper) Rank(key string) int {
+func (k *Scheduler) Rank(key string) int {
 	if d := k.all[key]; d != nil {
 		return k.rank(d)
 	}
@@ -110,7 +110,7 @@
 }
 
 // Ranking is the order of all members for a subject, as this instance sees it.
-func (k *Keeper) Ranking(key string) []string {
+func (k *Scheduler) Ranking(key string) []string {
 	if d := k.all[key]; d != nil {
 		return slices.Clone(d.ranking)
 	}
@@ -119,7 +119,7 @@
 
 // view takes over who is there. A member that comes back takes its share back gently: it does not act before a wait of its
 // own, and until it is heard the one before goes on.
-func (k *Keeper) view(members []Member) {
+func (k *Scheduler) view(members []Member) {
 	k.members = slices.Clone(members)
 	slices.SortFunc(k.members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
 	k.members = slices.CompactFunc(k.members, func(a, b Member) bool { return a.Name == b.Name })
@@ -128,7 +128,7 @@
 	}
 }
 
-func (k *Keeper) order(d *duty) {
+func (k *Scheduler) order(d *task) {
 	before := d.place
 	d.ranking = ranking(k.members, d.subject)
 	d.place = slices.Index(d.ranking, k.cfg.Self.Name)
@@ -140,13 +140,13 @@
 }
 
 // subjects takes over what there is to deal with.
-func (k *Keeper) subjects(all []Subject) {
+func (k *Scheduler) subjects(all []Subject) {
 	keep := map[string]bool{}
 	for _, s := range all {
 		keep[s.Key] = true
 		d := k.all[s.Key]
 		if d == nil {
-			d = &duty{subject: s, place: -2, born: k.now, since: k.now, wishes: map[string]wish{}, failed: map[string]clock.Micros{}}
+			d = &task{subject: s, place: -2, born: k.now, since: k.now, wishes: map[string]wish{}, failed: map[string]clock.Micros{}}
 			k.all[s.Key] = d
 			heap.Push(&k.queue, d)
 			k.order(d)
@@ -164,9 +164,9 @@
 }
 
 // noticed takes in that somebody has dealt with a subject. Old news changes nothing.
-func (k *Keeper) noticed(d *duty, n Notice) {
+func (k *Scheduler) noticed(d *task, n WorkReported) {
 	at := k.now - max(n.Age, 0)
-	if !n.Good {
+	if !n.Succeeded {
 		d.failed[n.From] = k.now + failedFor*k.period(d)
 		return
 	}
@@ -177,8 +177,8 @@
 }
 
 // period is the shortest that anybody wishes, within the bounds.
-func (k *Keeper) period(d *duty) clock.Micros {
-	p := k.cfg.Idle
+func (k *Scheduler) period(d *task) clock.Micros {
+	p := k.cfg.IdlePeriod
 	for from, w := range d.wishes {
 		if k.now >= w.until {
 			delete(d.wishes, from)
@@ -186,11 +186,11 @@
 		}
 		p = min(p, w.period)
 	}
-	return max(p, k.cfg.Least)
+	return max(p, k.cfg.MinPeriod)
 }
 
 // rank is this instance's place among those that have not failed lately.
-func (k *Keeper) rank(d *duty) int {
+func (k *Scheduler) rank(d *task) int {
 	if d.place < 0 {
 		return -1
 	}
@@ -205,15 +205,15 @@
 }
 
 // wait is how much later than a holder an instance of some rank steps in.
-func (k *Keeper) wait(d *duty, rank int) clock.Micros {
-	if rank = rank - k.cfg.Holders + 1; rank <= 0 {
+func (k *Scheduler) wait(d *task, rank int) clock.Micros {
+	if rank = rank - k.cfg.Assignees + 1; rank <= 0 {
 		return 0
 	}
-	return min(clock.Micros(rank)*k.cfg.Step, k.cfg.Most) + d.jitter
+	return min(clock.Micros(rank)*k.cfg.Step, k.cfg.MaxDelay) + d.jitter
 }
 
 // dueAt is when this instance is to deal with a subject, if nothing is heard before.
-func (k *Keeper) dueAt(d *duty) (clock.Micros, bool) {
+func (k *Scheduler) dueAt(d *task) (clock.Micros, bool) {
 	rank := k.rank(d)
 	if d.out || rank < 0 {
 		return 0, false
@@ -224,52 +224,52 @@
 		base = d.born + min(d.jitter, period)
 	}
 	at := base + k.wait(d, rank)
-	if rank < k.cfg.Holders && d.since > d.seen {
+	if rank < k.cfg.Assignees && d.since > d.seen {
 		// It has just come to this instance, which takes it gently; but never later than any rank steps in, or views that
 		// change all the time would put it off for ever.
-		at = max(at, min(d.since+d.jitter, base+k.cfg.Most+k.cfg.Jitter))
+		at = max(at, min(d.since+d.jitter, base+k.cfg.MaxDelay+k.cfg.Jitter))
 	}
 	if d.tried > 0 {
-		at = max(at, d.tried+max(period, k.cfg.Least)) // where it fails, no oftener than where it does not
+		at = max(at, d.tried+max(period, k.cfg.MinPeriod)) // where it fails, no oftener than where it does not
 	}
 	return at, true
 }
 
 // plan works out anew when a duty is to be looked at: when it is due, or when a wish or a failure ends before that, which
 // changes when it is due.
-func (k *Keeper) plan(d *duty) {
+func (k *Scheduler) plan(d *task) {
 	k.period(d) // drops the wishes that have ended
-	d.look = never
+	d.wakeAt = never
 	if at, ok := k.dueAt(d); ok {
-		d.look = at
+		d.wakeAt = at
 	}
 	for _, w := range d.wishes {
-		d.look = min(d.look, w.until)
+		d.wakeAt = min(d.wakeAt, w.until)
 	}
 	for _, until := range d.failed {
 		if until > k.now {
-			d.look = min(d.look, until)
+			d.wakeAt = min(d.wakeAt, until)
 		}
 	}
 	heap.Fix(&k.queue, d.index)
 }
 
 // due starts all that is due.
-func (k *Keeper) due() (out []Do) {
-	for len(k.queue) > 0 && k.queue[0].look <= k.now {
+func (k *Scheduler) due() (out []Assignment) {
+	for len(k.queue) > 0 && k.queue[0].wakeAt <= k.now {
 		d := k.queue[0]
 		if at, ok := k.dueAt(d); ok && k.now >= at {
-			out = append(out, Do{d.subject.Key, k.rank(d)})
+			out = append(out, Assignment{d.subject.Key, k.rank(d)})
 			d.out, d.tried = true, k.now
 		}
 		k.plan(d)
 	}
-	slices.SortFunc(out, func(a, b Do) int { return cmp.Compare(a.Key, b.Key) })
+	slices.SortFunc(out, func(a, b Assignment) int { return cmp.Compare(a.Key, b.Key) })
 	return out
 }
 
 // draw is a wait at random, from the seed, up to the jitter.
-func (k *Keeper) draw(d *duty) clock.Micros {
+func (k *Scheduler) draw(d *task) clock.Micros {
 	if k.cfg.Jitter <= 0 {
 		return 0
 	}
--- a/internal/assignment/queue.go
+++ b/internal/assignment/queue.go
@@ -1,10 +1,10 @@
 package assignment
 
 // queue is the duties as a heap by when each is to be looked at.
-type queue []*duty
+type queue []*task
 
 func (q queue) Len() int           { return len(q) }
-func (q queue) Less(i, j int) bool { return q[i].look < q[j].look }
+func (q queue) Less(i, j int) bool { return q[i].wakeAt < q[j].wakeAt }
 func (q queue) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
 	q[i].index, q[j].index = i, j
@@ -12,7 +12,7 @@
 
 // Push and Pop are container/heap's.
 func (q *queue) Push(x any) {
-	d := x.(*duty)
+	d := x.(*task)
 	d.index = len(*q)
 	*q = append(*q, d)
 }
--- a/internal/assignment/rank.go
+++ b/internal/assignment/rank.go
@@ -12,7 +12,7 @@
 func score(m Member, key string) uint64 {
 	var d xxhash.Digest
 	best := uint64(0)
-	for i := range max(min(m.Weight, MostWeight), 1) {
+	for i := range max(min(m.Weight, MaxWeight), 1) {
 		d.Reset()
 		d.WriteString(m.Name)
 		d.Write([]byte{0, i, 0})
--- a/internal/assignment/rank_test.go
+++ b/internal/assignment/rank_test.go
@@ -64,7 +64,7 @@
 func TestKeeperProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := config("n0", rapid.Uint64().Draw(t, "seed"))
-		cfg.Holders = rapid.IntRange(0, 2).Draw(t, "holders")
+		cfg.Assignees = rapid.IntRange(0, 2).Draw(t, "holders")
 		k := New(cfg)
 		keys := []string{"a", "b", "c"}
 		now, started := clock.Micros(1), map[string]clock.Micros{}
@@ -104,25 +104,25 @@
 						delete(started, x)
 					}
 				}
-				do(Subjects{all})
+				do(SubjectsChanged{all})
 			case 1:
-				do(View{members(rapid.IntRange(1, 9).Draw(t, "members"))})
+				do(MembersChanged{members(rapid.IntRange(1, 9).Draw(t, "members"))})
 			case 2, 3:
 				if _, out := started[key]; out {
 					delete(started, key)
 					known[key] = now
-					do(Done{key, true})
+					do(WorkDone{key, true})
 				}
 			case 4:
 				age := clock.Micros(rapid.IntRange(0, 2000).Draw(t, "age")) * ms
 				known[key] = max(known[key], now-age)
-				do(Notice{Key: key, From: "n1", Age: age, Good: true})
+				do(WorkReported{Key: key, From: "n1", Age: age, Succeeded: true})
 			case 5:
-				do(Wish{key, "n2", clock.Micros(rapid.IntRange(0, 9000).Draw(t, "period")) * ms, 1000 * ms})
+				do(WorkDemanded{key, "n2", clock.Micros(rapid.IntRange(0, 9000).Draw(t, "period")) * ms, 1000 * ms})
 			}
 			for x := range here {
 				_, out := started[x]
-				if bound := cfg.Gap(cfg.Idle) + 1; !out && now-known[x] > bound {
+				if bound := cfg.Gap(cfg.IdlePeriod) + 1; !out && now-known[x] > bound {
 					t.Fatalf("%s was not dealt with for %d ms", x, (now-known[x])/ms)
 				}
 			}
--- a/internal/assignment/sim_test.go
+++ b/internal/assignment/sim_test.go
@@ -14,7 +14,7 @@
 
 func config(name string, seed uint64) Config {
 	return Config{
-		Self: Member{Name: name, Weight: 1}, Period: 500 * ms, Idle: 5000 * ms, Least: 200 * ms, Step: 250 * ms, Most: 1000 * ms,
+		Self: Member{Name: name, Weight: 1}, Period: 500 * ms, IdlePeriod: 5000 * ms, MinPeriod: 200 * ms, Step: 250 * ms, MaxDelay: 1000 * ms,
 		Jitter: 200 * ms, Seed: seed,
 	}
 }
@@ -36,7 +36,7 @@
 
 type instance struct {
 	index int
-	keep  *Keeper
+	keep  *Scheduler
 	alive bool
 	woken clock.Micros // no event of its own is planned before
 }
@@ -74,8 +74,8 @@
 		s.all = append(s.all, &instance{index: i, keep: New(config(fmt.Sprint("n", i), seed+uint64(i))), alive: true})
 	}
 	for _, n := range s.all {
-		s.tell(n, Subjects{s.subjects})
-		s.tell(n, View{s.members()})
+		s.tell(n, SubjectsChanged{s.subjects})
+		s.tell(n, MembersChanged{s.members()})
 	}
 	return s
 }
@@ -114,14 +114,16 @@
 		return
 	}
 	good := s.reaches(n.index, key)
-	s.tell(n, Done{key, good})
+	s.tell(n, WorkDone{key, good})
 	for _, other := range s.all {
 		if other == n {
 			continue
 		}
 		if took, arrives := s.latency(n.index, other.index); arrives {
 			s.messages++
-			s.after(took, func() { s.tell(other, Notice{Key: key, From: fmt.Sprint("n", n.index), Age: took, Good: good}) })
+			s.after(took, func() {
+				s.tell(other, WorkReported{Key: key, From: fmt.Sprint("n", n.index), Age: took, Succeeded: good})
+			})
 		}
 	}
 }
@@ -130,7 +132,7 @@
 func (s *sim) wish(period, span clock.Micros) {
 	for _, n := range s.all {
 		for _, x := range s.subjects {
-			s.tell(n, Wish{Key: x.Key, From: "all", Period: period, For: span})
+			s.tell(n, WorkDemanded{Key: x.Key, From: "all", Period: period, Duration: span})
 		}
 	}
 }
@@ -157,7 +159,7 @@
 
 func (s *sim) views() {
 	for _, n := range s.all {
-		s.tell(n, View{s.members()})
+		s.tell(n, MembersChanged{s.members()})
 	}
 }
 
@@ -300,7 +302,7 @@
 		t.Errorf("%d probes in 15 s that nobody asked for", n)
 	}
 	for _, n := range s.all {
-		s.tell(n, Wish{Key: "s0", From: "n4", Period: 1 * ms, For: 10_000 * ms})
+		s.tell(n, WorkDemanded{Key: "s0", From: "n4", Period: 1 * ms, Duration: 10_000 * ms})
 	}
 	from := s.now
 	s.run(10_000 * ms)
--- a/internal/gateway/client_test.go
+++ b/internal/gateway/client_test.go
@@ -200,8 +200,8 @@
 	<-arrived
 	eventually(t, func() bool { return w.counts().Requests[1] == 22 }, func() string { return "not all were asked" })
 	gone.Close()
-	eventually(t, func() bool { return w.counts().Disconnects[1] == 20 && w.gateway.buffers.Held() == 0 },
-		func() string { return fmt.Sprintf("%+v, %d bytes held", w.counts(), w.gateway.buffers.Held()) })
+	eventually(t, func() bool { return w.counts().Disconnects[1] == 20 && w.gateway.buffers.Reserved() == 0 },
+		func() string { return fmt.Sprintf("%+v, %d bytes held", w.counts(), w.gateway.buffers.Reserved()) })
 }
 
 // Hundreds of queries at once are all answered, though only some of them are under way at a time.
@@ -299,8 +299,8 @@
 	for range 3 {
 		w.asks(c, sql, string(value), "")
 	}
-	eventually(t, func() bool { return w.gateway.buffers.Held() == 0 },
-		func() string { return fmt.Sprint(w.gateway.buffers.Held(), " bytes still held") })
+	eventually(t, func() bool { return w.gateway.buffers.Reserved() == 0 },
+		func() string { return fmt.Sprint(w.gateway.buffers.Reserved(), " bytes still held") })
 }
 
 // Beyond the memory budget a request is refused before any attempt.
@@ -319,9 +319,9 @@
 	}
 	eventually(t, func() bool { return w.gateway.clients.Counts.OverMemory.Load() > 0 },
 		func() string {
-			return fmt.Sprintf("nothing was refused for memory: %d held, %+v", w.gateway.buffers.Held(), w.counts())
+			return fmt.Sprintf("nothing was refused for memory: %d held, %+v", w.gateway.buffers.Reserved(), w.counts())
 		})
-	if held := w.gateway.buffers.Held(); held > 16<<20 {
+	if held := w.gateway.buffers.Reserved(); held > 16<<20 {
 		t.Errorf("%d bytes held", held)
 	}
 	release()
--- a/internal/gateway/floatingip.go
+++ b/internal/gateway/floatingip.go
@@ -80,7 +80,7 @@
 	if f.speaker, err = floatingip.Start(speakerSettings(g.operators), clock, uint64(time.Now().UnixMicro()), f, f.currentHealth, g.log); err != nil {
 		return nil, err
 	}
-	g.descriptors.Hold(1 + len(g.operators.Groups)) // the socket and the listeners
+	g.descriptors.Reserve(1 + len(g.operators.Groups)) // the socket and the listeners
 	f.polling.Go(f.poll)
 	return f, nil
 }
@@ -150,7 +150,7 @@
 	} else if f.holds() == 0 {
 		seen.Ready = false // a gateway that holds an address keeps it: busy is not broken
 	}
-	seen.Wrong[vrrp.FewDescriptor] = f.g.descriptors.Short()
+	seen.Wrong[vrrp.FewDescriptor] = f.g.descriptors.NearLimit()
 	seen.at = time.Now()
 	f.health.Store(seen)
 }
@@ -217,7 +217,7 @@
 		return
 	}
 	t.listener.Close()
-	t.clients.Drain(transport.EndMoved)
+	t.clients.Drain(transport.EndAddressMigrated)
 	go func() {
 		<-t.freed
 		time.Sleep(partialMessageGrace)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -63,7 +63,7 @@
 	owner          *routing.Owner
 	buffers        *transport.Buffers
 	descriptors    *transport.Descriptors
-	connectionEnds *transport.Ends
+	connectionEnds *transport.EndRecorder
 	listener       *transport.Listener
 	acceptDone     chan struct{} // closed once the listener accepts nothing more
 	clients        *session.Clients
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -53,7 +53,7 @@
 	if m.gossip, err = gossip.Start(s, clock, g.incarnation, m.self, m.memberChanged, g.log); err != nil {
 		return nil, err
 	}
-	g.descriptors.Hold(2) // a socket and a listener
+	g.descriptors.Reserve(2) // a socket and a listener
 	return m, nil
 }
 
--- a/internal/gateway/start.go
+++ b/internal/gateway/start.go
@@ -64,7 +64,7 @@
 		log: log, closeLog: closeLog, clock: routing.NewClock(), acceptDone: make(chan struct{}),
 		buffers:        transport.NewBuffers(int64(cfg.MemoryMB) << 20 * messageShare / 100),
 		descriptors:    transport.NewDescriptors(cfg.Sockets),
-		connectionEnds: transport.NewEnds(log),
+		connectionEnds: transport.NewEndRecorder(log),
 	}
 	g.owner = routing.NewOwner(g.clock)
 	g.positions = newSessionPositions(ops, g.clock)
@@ -152,7 +152,7 @@
 		if g.control, err = control.Listen(g.operators.Control, g.answerQuestion); err != nil {
 			return fmt.Errorf("control: %w", err)
 		}
-		g.descriptors.Hold(control.Descriptors)
+		g.descriptors.Reserve(control.Descriptors)
 	}
 	return nil
 }
@@ -162,7 +162,7 @@
 	g.floating.releaseAll(true)
 	g.listener.Close()
 	<-g.acceptDone
-	g.clients.Drain(transport.EndDrain)
+	g.clients.Drain(transport.EndDraining)
 	g.clients.CutOff()
 	g.end()
 	g.closeLog()
--- a/internal/gateway/statestore.go
+++ b/internal/gateway/statestore.go
@@ -177,7 +177,7 @@
 		return err
 	}
 	g.store = s
-	g.descriptors.Hold(2) // its files
+	g.descriptors.Reserve(2) // its files
 	if g.positions != nil {
 		g.positions.store.Store(&g.store)
 	}
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -85,7 +85,7 @@
 func (s shutdown) drainClients() {
 	s.floating.releaseAll(true)
 	s.members.announceLeave()
-	s.clients.Drain(transport.EndDrain)
+	s.clients.Drain(transport.EndDraining)
 	s.waitUntilNone(s.clients.Open, min(time.Since(s.start)+partialMessageGrace, s.limit))
 	s.clients.CutOff()
 	s.waitUntilNone(s.clients.Busy, s.limit) // a client that connects again and again with no request is not waited for
--- a/internal/golden/datagrams_test.go
+++ b/internal/golden/datagrams_test.go
@@ -111,15 +111,15 @@
 
 // Notices carry no signature.
 func TestNotices(t *testing.T) {
-	want := advisories.Batch{Incarnation: 7, Sequence: 9, Notices: []advisories.Notice{
-		{UID: "s-1", Start: 1_790_000_000_123, Good: true, Age: 40, Role: advisories.RolePrimary, RoleAge: 90, Position: 1_790_000_001_000,
+	want := advisories.Batch{Incarnation: 7, Sequence: 9, Advisories: []advisories.Advisory{
+		{UID: "s-1", Start: 1_790_000_000_123, Healthy: true, Age: 40, Role: advisories.RolePrimary, RoleAge: 90, Position: 1_790_000_001_000,
 			Load: []advisories.Field{{Index: 0, Value: 610}, {Index: 3, Value: 1 << 40}}},
-		{UID: "s-2", Role: advisories.RoleReplica, Age: advisories.MostAge, Position: 5},
+		{UID: "s-2", Role: advisories.RoleReplica, Age: advisories.MaxAge, Position: 5},
 		{UID: "s-3", Load: []advisories.Field{{Index: 1, Value: 2}}},
 		{UID: "s-4"},
 	}}
 	var encoded []byte
-	if _, err := advisories.Append(want.Incarnation, want.Sequence, want.Notices, func(b []byte) { encoded = b }); err != nil {
+	if _, err := advisories.Append(want.Incarnation, want.Sequence, want.Advisories, func(b []byte) { encoded = b }); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := advisories.Parse(golden(t, "notices/batch", encoded)); err != nil || !reflect.DeepEqual(got, want) {
--- a/internal/protocol/advisories/notices.go
+++ b/internal/protocol/advisories/notices.go
@@ -9,10 +9,10 @@
 
 // The bounds of what a batch may say.
 const (
-	MostSize   = 1200      // bytes of a batch: one datagram on any path
-	MostUID    = 64        // bytes of a server's name
-	MostFields = 8         // of a load report
-	MostAge    = 3_600_000 // ms; older news is no news
+	MaxSize    = 1200      // bytes of a batch: one datagram on any path
+	MaxUIDSize = 64        // bytes of a server's name
+	MaxFields  = 8         // of a load report
+	MaxAge     = 3_600_000 // ms; older news is no news
 )
 
 // Role is what a server said that it is.
@@ -28,10 +28,10 @@
 
 // Notice is what one instance learned of one server. Ages are counted back from the sending, so that the clocks of instances
 // need not agree; Start and Position are the server's own, milliseconds of Unix time.
-type Notice struct {
+type Advisory struct {
 	UID      string
 	Start    uint64 // when the server last started; 0: long ago. News of one life says nothing of another
-	Good     bool   // it answered
+	Healthy  bool   // it answered
 	Age      uint64 // ms since it answered, or did not
 	Role     Role
 	RoleAge  uint64 // ms since the proof of its role; 0 if it is unknown
@@ -49,14 +49,14 @@
 type Batch struct {
 	Incarnation uint64
 	Sequence    uint64
-	Notices     []Notice
+	Advisories  []Advisory
 }
 
 // ErrBatch tells that bytes are no batch.
 var ErrBatch = errors.New("no batch of notices")
 
 // ErrNotice tells that a notice is out of bounds and cannot be written.
-var ErrNotice = errors.New("a notice out of bounds")
+var ErrAdvisory = errors.New("a notice out of bounds")
 
 // magic begins a batch; its last byte is the version.
 const magic = "MSN\x01"
@@ -74,14 +74,14 @@
 
 // Append writes notices as batches of at most MostSize bytes, numbered from next on, and hands each over. It returns the
 // number after the last.
-func Append(incarnation, next uint64, all []Notice, send func([]byte)) (uint64, error) {
+func Append(incarnation, next uint64, all []Advisory, send func([]byte)) (uint64, error) {
 	b := head(incarnation, next)
 	for _, n := range all {
-		one, err := appendNotice(nil, n)
+		one, err := appendAdvisory(nil, n)
 		if err != nil {
 			return next, err
 		}
-		if len(b)+len(one) > MostSize {
+		if len(b)+len(one) > MaxSize {
 			send(b)
 			next++
 			b = head(incarnation, next)
@@ -96,18 +96,18 @@
 }
 
 func head(incarnation, sequence uint64) []byte {
-	b := append(make([]byte, 0, MostSize), magic...)
+	b := append(make([]byte, 0, MaxSize), magic...)
 	b = binary.BigEndian.AppendUint64(b, incarnation)
 	return binary.BigEndian.AppendUint64(b, sequence)
 }
 
-func appendNotice(b []byte, n Notice) ([]byte, error) {
-	if len(n.UID) == 0 || len(n.UID) > MostUID || n.Role >= roles || n.Age > MostAge || n.RoleAge > MostAge ||
-		n.Role == RoleUnknown && n.RoleAge != 0 || len(n.Load) > MostFields {
-		return b, ErrNotice
+func appendAdvisory(b []byte, n Advisory) ([]byte, error) {
+	if len(n.UID) == 0 || len(n.UID) > MaxUIDSize || n.Role >= roles || n.Age > MaxAge || n.RoleAge > MaxAge ||
+		n.Role == RoleUnknown && n.RoleAge != 0 || len(n.Load) > MaxFields {
+		return b, ErrAdvisory
 	}
 	flags := byte(n.Role) << roleShift
-	if n.Good {
+	if n.Healthy {
 		flags |= flagGood
 	}
 	if n.Position > 0 {
@@ -130,7 +130,7 @@
 		b = append(b, byte(len(n.Load)))
 		for i, f := range n.Load {
 			if i > 0 && f.Index <= n.Load[i-1].Index {
-				return b, ErrNotice
+				return b, ErrAdvisory
 			}
 			b = binary.AppendUvarint(append(b, f.Index), f.Value)
 		}
@@ -140,7 +140,7 @@
 
 // Parse reads a batch. Nothing of one with a fault is to be believed.
 func Parse(b []byte) (Batch, error) {
-	if len(b) > MostSize || len(b) <= headSize || string(b[:len(magic)]) != magic {
+	if len(b) > MaxSize || len(b) <= headSize || string(b[:len(magic)]) != magic {
 		return Batch{}, ErrBatch
 	}
 	out := Batch{
@@ -148,7 +148,7 @@
 	}
 	r := reader{b: b[headSize:]}
 	for len(r.b) > 0 && !r.bad {
-		out.Notices = append(out.Notices, r.notice())
+		out.Advisories = append(out.Advisories, r.advisory())
 	}
 	if r.bad {
 		return Batch{}, ErrBatch
@@ -162,9 +162,9 @@
 	bad bool
 }
 
-func (r *reader) notice() (n Notice) {
+func (r *reader) advisory() (n Advisory) {
 	flags := r.byte()
-	n.Good, n.Role = flags&flagGood != 0, Role(flags>>roleShift&3)
+	n.Healthy, n.Role = flags&flagGood != 0, Role(flags>>roleShift&3)
 	if flags > flagsAll || n.Role >= roles {
 		r.bad = true
 	}
@@ -181,15 +181,15 @@
 	if flags&flagLoad != 0 {
 		r.load(&n)
 	}
-	if n.Age > MostAge || n.RoleAge > MostAge {
+	if n.Age > MaxAge || n.RoleAge > MaxAge {
 		r.bad = true
 	}
 	return n
 }
 
-func (r *reader) load(n *Notice) {
+func (r *reader) load(n *Advisory) {
 	count := int(r.byte())
-	if count == 0 || count > MostFields {
+	if count == 0 || count > MaxFields {
 		r.bad = true
 		return
 	}
@@ -213,7 +213,7 @@
 }
 
 func (r *reader) text(n int) string {
-	if r.bad || n == 0 || n > MostUID || n > len(r.b) {
+	if r.bad || n == 0 || n > MaxUIDSize || n > len(r.b) {
 		r.bad = true
 		return ""
 	}
--- a/internal/protocol/advisories/notices_test.go
+++ b/internal/protocol/advisories/notices_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-var full = Notice{
-	UID: "s-5be2a07c", Start: 1_767_225_600_123, Good: true, Age: 40, Role: RolePrimary, RoleAge: 90, Position: 1_767_225_601_000,
+var full = Advisory{
+	UID: "s-5be2a07c", Start: 1_767_225_600_123, Healthy: true, Age: 40, Role: RolePrimary, RoleAge: 90, Position: 1_767_225_601_000,
 	Load: []Field{{0, 610}, {3, 1 << 40}},
 }
 
-func written(t *testing.T, all ...Notice) (out [][]byte) {
+func written(t *testing.T, all ...Advisory) (out [][]byte) {
 	t.Helper()
 	if _, err := Append(7, 1, all, func(b []byte) { out = append(out, b) }); err != nil {
 		t.Fatal(err)
@@ -21,16 +21,16 @@
 }
 
 func TestRoundTrip(t *testing.T) {
-	all := []Notice{full, {UID: "x"}, {UID: strings.Repeat("u", MostUID), Role: RoleReplica, Age: MostAge}}
+	all := []Advisory{full, {UID: "x"}, {UID: strings.Repeat("u", MaxUIDSize), Role: RoleReplica, Age: MaxAge}}
 	got, err := Parse(written(t, all...)[0])
-	if err != nil || got.Incarnation != 7 || got.Sequence != 1 || !reflect.DeepEqual(got.Notices, all) {
+	if err != nil || got.Incarnation != 7 || got.Sequence != 1 || !reflect.DeepEqual(got.Advisories, all) {
 		t.Errorf("%+v %v", got, err)
 	}
 }
 
 // Many notices go into as many datagrams as they need, each whole and numbered on.
 func TestBatches(t *testing.T) {
-	var all []Notice
+	var all []Advisory
 	for range 300 {
 		all = append(all, full)
 	}
@@ -38,10 +38,10 @@
 	for _, b := range written(t, all...) {
 		got, err := Parse(b)
 		next++
-		if err != nil || len(b) > MostSize || got.Sequence != next {
+		if err != nil || len(b) > MaxSize || got.Sequence != next {
 			t.Fatalf("%d bytes, sequence %d, want %d: %v", len(b), got.Sequence, next, err)
 		}
-		n += len(got.Notices)
+		n += len(got.Advisories)
 	}
 	if n != 300 || next < 5 {
 		t.Errorf("%d notices in %d batches", n, next)
@@ -70,11 +70,11 @@
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
-	for _, n := range []Notice{
-		{}, {UID: strings.Repeat("u", MostUID+1)}, {UID: "x", Role: roles}, {UID: "x", Age: MostAge + 1}, {UID: "x", RoleAge: 1},
-		{UID: "x", Load: []Field{{1, 0}, {1, 0}}}, {UID: "x", Load: make([]Field, MostFields+1)},
+	for _, n := range []Advisory{
+		{}, {UID: strings.Repeat("u", MaxUIDSize+1)}, {UID: "x", Role: roles}, {UID: "x", Age: MaxAge + 1}, {UID: "x", RoleAge: 1},
+		{UID: "x", Load: []Field{{1, 0}, {1, 0}}}, {UID: "x", Load: make([]Field, MaxFields+1)},
 	} {
-		if _, err := Append(1, 1, []Notice{n}, func([]byte) { t.Errorf("%+v was written", n) }); err == nil {
+		if _, err := Append(1, 1, []Advisory{n}, func([]byte) { t.Errorf("%+v was written", n) }); err == nil {
 			t.Errorf("%+v is no error", n)
 		}
 	}
@@ -83,7 +83,7 @@
 // Whatever is read is written back to the same bytes.
 func FuzzParse(f *testing.F) {
 	var b []byte
-	Append(7, 1, []Notice{full, {UID: "x", Role: RoleReplica}}, func(x []byte) { b = x })
+	Append(7, 1, []Advisory{full, {UID: "x", Role: RoleReplica}}, func(x []byte) { b = x })
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		got, err := Parse(b)
@@ -91,7 +91,7 @@
 			return
 		}
 		var again []byte
-		if _, err := Append(got.Incarnation, got.Sequence, got.Notices, func(x []byte) { again = x }); err != nil || !bytes.Equal(again, b) {
+		if _, err := Append(got.Incarnation, got.Sequence, got.Advisories, func(x []byte) { again = x }); err != nil || !bytes.Equal(again, b) {
 			t.Errorf("%x came back as %x, %v", b, again, err)
 		}
 	})
--- a/internal/protocol/discovery/discovery_test.go
+++ b/internal/protocol/discovery/discovery_test.go
@@ -14,7 +14,7 @@
 
 func TestParseList(t *testing.T) {
 	got, err := ParseList([]byte(wholeList))
-	want := List{Rev: 41, All: true, Entries: []Entry{
+	want := List{Rev: 41, Full: true, Entries: []Entry{
 		{UID: "s-5be2a07c", Endpoint: "10.1.0.18:5433", Zone: "a", Group: 3, State: Ready, Weight: "1.0", BootMS: "0",
 			Primary: true},
 		{UID: "s-2", Endpoint: "10.1.0.19:5433", Zone: "b", Group: 3, State: Draining, BootMS: "1767225600123"},
@@ -95,7 +95,7 @@
 		"long chunk":     head + "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n",
 		"endless head":   head + strings.Repeat("a: b\r\n", maxHead),
 		"endless line":   strings.Repeat("x", maxHead+1),
-		"endless body":   head + "\r\n" + strings.Repeat("x", MaxList+1),
+		"endless body":   head + "\r\n" + strings.Repeat("x", MaxListSize+1),
 	} {
 		if _, _, err := feed(in, 4096, false); err == nil {
 			t.Errorf("%s was taken", name)
--- a/internal/protocol/discovery/http.go
+++ b/internal/protocol/discovery/http.go
@@ -14,7 +14,7 @@
 	maxHead = 16 << 10
 
 	// MaxList bounds a list, and each line of one, in bytes.
-	MaxList = 4 << 20
+	MaxListSize = 4 << 20
 )
 
 // StatusOK is the status of an answer that holds a list.
@@ -223,8 +223,8 @@
 			return err
 		}
 	}
-	if len(r.body) > MaxList {
-		return fmt.Errorf("a line of the list is longer than %d bytes", MaxList)
+	if len(r.body) > MaxListSize {
+		return fmt.Errorf("a line of the list is longer than %d bytes", MaxListSize)
 	}
 	return nil
 }
--- a/internal/protocol/discovery/list.go
+++ b/internal/protocol/discovery/list.go
@@ -11,7 +11,7 @@
 
 // The states.
 const (
-	Gone State = iota
+	Removed State = iota
 	Ready
 	Draining
 )
@@ -31,7 +31,7 @@
 // List is one message of discovery: the whole list, or what changed.
 type List struct {
 	Rev     int64
-	All     bool
+	Full    bool
 	Entries []Entry
 }
 
@@ -50,7 +50,7 @@
 	} `json:"targets"`
 }
 
-var states = map[string]State{"ready": Ready, "draining": Draining, "gone": Gone}
+var states = map[string]State{"ready": Ready, "draining": Draining, "gone": Removed}
 
 // ParseList reads one message of discovery.
 func ParseList(raw []byte) (List, error) {
@@ -61,7 +61,7 @@
 	if w.Rev == nil {
 		return List{}, fmt.Errorf("the list has no rev")
 	}
-	l := List{Rev: *w.Rev, All: w.All, Entries: make([]Entry, 0, len(w.Targets))}
+	l := List{Rev: *w.Rev, Full: w.All, Entries: make([]Entry, 0, len(w.Targets))}
 	for i, t := range w.Targets {
 		state, ok := states[t.State]
 		if !ok {
@@ -70,7 +70,7 @@
 		if t.UID == "" {
 			return List{}, fmt.Errorf("targets[%d] has no uid", i)
 		}
-		if _, _, err := net.SplitHostPort(t.Endpoint); err != nil && state != Gone {
+		if _, _, err := net.SplitHostPort(t.Endpoint); err != nil && state != Removed {
 			return List{}, fmt.Errorf("targets[%d]: endpoint %.60q is no host:port", i, t.Endpoint)
 		}
 		l.Entries = append(l.Entries, Entry{
--- a/internal/protocol/discovery/objects.go
+++ b/internal/protocol/discovery/objects.go
@@ -31,8 +31,8 @@
 	if o.depth == 0 {
 		o.text = o.text[:0]
 	}
-	if len(o.text)+len(line) > MaxList {
-		return nil, fmt.Errorf("a change is longer than %d bytes", MaxList)
+	if len(o.text)+len(line) > MaxListSize {
+		return nil, fmt.Errorf("a change is longer than %d bytes", MaxListSize)
 	}
 	o.text = append(append(o.text, line...), '\n')
 	for _, b := range line {
--- a/internal/protocol/postgres/errors.go
+++ b/internal/protocol/postgres/errors.go
@@ -7,31 +7,31 @@
 
 // The SQLSTATEs that the gateway writes or tells apart.
 const (
-	CodeRefused         = "53300" // too_many_connections: turned away unseen, trying again is harmless
-	CodeNotReady        = "57P03" // cannot_connect_now: likewise
-	CodeFailed          = "58000" // system_error: no promise about the effect
-	CodeProtocol        = "08P01" // protocol_violation
-	CodeUnsupported     = "0A000" // feature_not_supported
-	CodeBadValue        = "22023" // invalid_parameter_value
-	CodeReadOnly        = "25006" // read_only_sql_transaction: a write, and this is no primary
-	CodeTooOld          = "72000" // snapshot_too_old: too far behind for this read
-	severityError       = "ERROR"
-	severityFatal       = "FATAL"
-	fieldSeverity       = 'S'
-	fieldSeverityAlways = 'V'
-	fieldCode           = 'C'
-	fieldMessage        = 'M'
-	fieldDetail         = 'D'
+	CodeTooManyConnections    = "53300" // too_many_connections: turned away unseen, trying again is harmless
+	CodeCannotConnectNow      = "57P03" // cannot_connect_now: likewise
+	CodeSystemError           = "58000" // system_error: no promise about the effect
+	CodeProtocolViolation     = "08P01" // protocol_violation
+	CodeFeatureNotSupported   = "0A000" // feature_not_supported
+	CodeInvalidParameterValue = "22023" // invalid_parameter_value
+	CodeReadOnlyTransaction   = "25006" // read_only_sql_transaction: a write, and this is no primary
+	CodeSnapshotTooOld        = "72000" // snapshot_too_old: too far behind for this read
+	severityError             = "ERROR"
+	severityFatal             = "FATAL"
+	fieldSeverity             = 'S'
+	fieldSeverityAlways       = 'V'
+	fieldCode                 = 'C'
+	fieldMessage              = 'M'
+	fieldDetail               = 'D'
 )
 
 // AppendError writes an ErrorResponse. A fatal one is the last word on its connection. After the detail, if
 // there is any, a refused client may come again after so many milliseconds.
-func AppendError(b []byte, fatal bool, code, message string, retryMillis int64) []byte {
+func AppendErrorResponse(b []byte, fatal bool, code, message string, retryMillis int64) []byte {
 	severity := severityError
 	if fatal {
 		severity = severityFatal
 	}
-	b, at := begin(b, TypeError)
+	b, at := begin(b, TypeErrorResponse)
 	b = text(append(b, fieldSeverity), severity)
 	b = text(append(b, fieldSeverityAlways), severity)
 	b = text(append(b, fieldCode), code)
@@ -43,9 +43,9 @@
 }
 
 // AppendEmptyAnswer writes the whole answer to an empty query.
-func AppendEmptyAnswer(b []byte) []byte {
-	b, at := begin(b, TypeEmptyQuery)
-	return AppendReady(finish(b, at))
+func AppendEmptyQueryResponse(b []byte) []byte {
+	b, at := begin(b, TypeEmptyQueryResponse)
+	return AppendReadyForQuery(finish(b, at))
 }
 
 // parseError reads an ErrorResponse's code and whether it is fatal. One that is not whole tells nothing.
--- a/internal/protocol/postgres/frame.go
+++ b/internal/protocol/postgres/frame.go
@@ -15,19 +15,19 @@
 
 // The types of messages that the gateway reads or writes.
 const (
-	TypeQuery           = 'Q'
-	TypeTerminate       = 'X'
-	TypeSync            = 'S'
-	TypeAuthentication  = 'R'
-	TypeParameterStatus = 'S'
-	TypeBackendKeyData  = 'K'
-	TypeReady           = 'Z'
-	TypeRowDescription  = 'T'
-	TypeDataRow         = 'D'
-	TypeCommandComplete = 'C'
-	TypeEmptyQuery      = 'I'
-	TypeError           = 'E'
-	TypeNotice          = 'N'
+	TypeQuery              = 'Q'
+	TypeTerminate          = 'X'
+	TypeSync               = 'S'
+	TypeAuthentication     = 'R'
+	TypeParameterStatus    = 'S'
+	TypeBackendKeyData     = 'K'
+	TypeReadyForQuery      = 'Z'
+	TypeRowDescription     = 'T'
+	TypeDataRow            = 'D'
+	TypeCommandComplete    = 'C'
+	TypeEmptyQueryResponse = 'I'
+	TypeErrorResponse      = 'E'
+	TypeNoticeResponse     = 'N'
 )
 
 // Header is the head of a message: its type and the length of what follows.
--- a/internal/protocol/postgres/frame_test.go
+++ b/internal/protocol/postgres/frame_test.go
@@ -40,20 +40,20 @@
 		t.Fatalf("length %d of %d: %v", n, len(packet)-4, err)
 	}
 	open, s, err := ParseStartup(packet[4:])
-	if err != nil || open != OpenStart || s.User != "backend" || s.Database != "store" {
+	if err != nil || open != StartupSession || s.User != "backend" || s.Database != "store" {
 		t.Errorf("%v %+v %v", open, s, err)
 	}
 	code := func(v uint32, rest string) []byte { return append(binary.BigEndian.AppendUint32(nil, v), rest...) }
 	for _, c := range []struct {
 		name string
 		in   []byte
-		want Opening
+		want StartupKind
 		fail string
 	}{
-		{"ssl", code(sslCode, ""), OpenEncrypt, ""},
-		{"gss", code(gssCode, ""), OpenEncrypt, ""},
-		{"cancel", code(cancelCode, "12345678"), OpenCancel, ""},
-		{"minor version", code(version3|2, "user\x00u\x00\x00"), OpenStart, ""},
+		{"ssl", code(sslCode, ""), StartupEncryption, ""},
+		{"gss", code(gssCode, ""), StartupEncryption, ""},
+		{"cancel", code(cancelCode, "12345678"), StartupCancelRequest, ""},
+		{"minor version", code(version3|2, "user\x00u\x00\x00"), StartupSession, ""},
 		{"version 2", code(2<<16, "user\x00u\x00\x00"), 0, "protocol 2.0"},
 		{"no end", code(version3, "user\x00u"), 0, "no value"},
 		{"nothing", code(version3, ""), 0, "no end"},
@@ -82,7 +82,7 @@
 		if err != nil {
 			return r, err
 		}
-		if err := r.Take(h, stream[HeaderSize:HeaderSize+h.Body]); err != nil {
+		if err := r.Handle(h, stream[HeaderSize:HeaderSize+h.Body]); err != nil {
 			return r, err
 		}
 		stream = stream[HeaderSize+h.Body:]
@@ -96,7 +96,7 @@
 	oneColumn = message('T', "\x00\x01content\x00"+strings.Repeat("\x00", 17)+"\x01")
 	row       = message('D', "\x00\x01\x00\x00\x00\x02ab")
 	tag       = message('C', "SELECT 1\x00")
-	ready     = AppendReady(nil)
+	ready     = AppendReadyForQuery(nil)
 )
 
 func TestReply(t *testing.T) {
@@ -115,10 +115,10 @@
 		{"row without an end", join(oneColumn, row), false, "", false},
 		{"notices and parameters between", join(oneColumn, message('N', "any"), row, load, tag, ready), true, "", true},
 		{"parameter that cannot be read", join(message('S', "load"), oneColumn, row, tag, ready), true, "", true},
-		{"miss", join(AppendError(nil, false, CodeReadOnly, "m", 0), role, ready), false, CodeReadOnly, true},
+		{"miss", join(AppendErrorResponse(nil, false, CodeReadOnlyTransaction, "m", 0), role, ready), false, CodeReadOnlyTransaction, true},
 	} {
 		r, err := reply(t, c.in)
-		if err != nil || r.Served() != c.served || r.Code != c.code || r.Ready != c.ready {
+		if err != nil || r.Complete() != c.served || r.Code != c.code || r.Ready != c.ready {
 			t.Errorf("%s: %+v, %v", c.name, r, err)
 		}
 	}
@@ -126,13 +126,13 @@
 	if r.Params != (Params{"primary", "1767225600123", "inflight=7,util=0.61"}) {
 		t.Errorf("params: %+v", r.Params)
 	}
-	if r, _ := reply(t, AppendError(nil, true, CodeRefused, "m", 0)); !r.Fatal {
+	if r, _ := reply(t, AppendErrorResponse(nil, true, CodeTooManyConnections, "m", 0)); !r.Fatal {
 		t.Error("a fatal error was not told apart")
 	}
 }
 
 func TestReplyRejects(t *testing.T) {
-	failed := AppendError(nil, false, "XX000", "m", 0)
+	failed := AppendErrorResponse(nil, false, "XX000", "m", 0)
 	for name, in := range map[string][]byte{
 		"row without a description":  row,
 		"two rows":                   join(oneColumn, row, row),
@@ -183,30 +183,30 @@
 		taken, ok bool
 	}{
 		{"admitted", join(admitted, message('S', "role\x00primary\x00"), message('K', "12345678"), ready), true, true},
-		{"turned away", AppendError(nil, true, CodeRefused, "m", 0), true, false},
+		{"turned away", AppendErrorResponse(nil, true, CodeTooManyConnections, "m", 0), true, false},
 		{"password asked for", message('R', "\x00\x00\x00\x03"), false, false},
 		{"ready at once", ready, false, false},
 		{"a row", join(admitted, oneColumn), false, false},
 	} {
-		r, err := Reply{Starting: true}, error(nil)
+		r, err := Reply{Startup: true}, error(nil)
 		for in := c.in; len(in) > 0 && err == nil; {
 			h, _ := ParseHeader(in)
-			err = r.Take(h, in[HeaderSize:HeaderSize+h.Body])
+			err = r.Handle(h, in[HeaderSize:HeaderSize+h.Body])
 			in = in[HeaderSize+h.Body:]
 		}
-		if (err == nil) != c.taken || r.Ready != c.ok || r.Served() {
+		if (err == nil) != c.taken || r.Ready != c.ok || r.Complete() {
 			t.Errorf("%s: %+v, %v", c.name, r, err)
 		}
 	}
 }
 
 func TestAppendErrorRoundTrip(t *testing.T) {
-	b := AppendError(nil, false, CodeRefused, "later", 250)
+	b := AppendErrorResponse(nil, false, CodeTooManyConnections, "later", 250)
 	code, fatal, err := parseError(b[HeaderSize:])
-	if err != nil || code != CodeRefused || fatal || !bytes.Contains(b, []byte("\x00D250\x00")) {
+	if err != nil || code != CodeTooManyConnections || fatal || !bytes.Contains(b, []byte("\x00D250\x00")) {
 		t.Errorf("%q: %s, %v", b, code, fatal)
 	}
-	if bytes.Contains(AppendError(nil, false, CodeRefused, "later", 0), []byte("\x00D")) {
+	if bytes.Contains(AppendErrorResponse(nil, false, CodeTooManyConnections, "later", 0), []byte("\x00D")) {
 		t.Error("a detail without advice")
 	}
 }
@@ -227,7 +227,7 @@
 
 func FuzzReply(f *testing.F) {
 	f.Add(join(oneColumn, row, tag, ready))
-	f.Add(AppendError(nil, true, "XX000", "m", 0))
+	f.Add(AppendErrorResponse(nil, true, "XX000", "m", 0))
 	f.Add(message('S', "role\x00primary\x00"))
 	f.Add(message('D', "\x00\x01\xff\xff\xff\xff"))
 	f.Fuzz(func(t *testing.T, in []byte) {
@@ -239,12 +239,12 @@
 				return
 			}
 			body := in[HeaderSize : HeaderSize+h.Body]
-			if r.Take(h, body) != nil {
+			if r.Handle(h, body) != nil {
 				return
 			}
 			RowValue(body)
 			kinds = append(kinds, h.Type)
-			if r.Served() && strings.NewReplacer("S", "", "N", "", "Z", "").Replace(string(kinds)) != "TDC" {
+			if r.Complete() && strings.NewReplacer("S", "", "N", "", "Z", "").Replace(string(kinds)) != "TDC" {
 				t.Fatalf("served behind %q", kinds)
 			}
 			in = in[HeaderSize+h.Body:]
@@ -256,7 +256,7 @@
 	f.Add(AppendStartup(nil, "backend", "store")[4:])
 	f.Add([]byte{4, 210, 22, 47})
 	f.Fuzz(func(t *testing.T, in []byte) {
-		if open, s, err := ParseStartup(in); err == nil && open == OpenStart && s.User == "" {
+		if open, s, err := ParseStartup(in); err == nil && open == StartupSession && s.User == "" {
 			t.Fatal("a session without a user")
 		}
 	})
--- a/internal/protocol/postgres/reply.go
+++ b/internal/protocol/postgres/reply.go
@@ -10,12 +10,12 @@
 // Reply follows a server's answer to one query, message by message, until ReadyForQuery. Only one order of messages is
 // an answer; whatever departs from it is spoilt, and nothing that it said may be believed.
 type Reply struct {
-	Starting bool   // it answers the start-up, not a query
-	Code     string // of an ErrorResponse, if there was one
-	Fatal    bool   // the server closes behind that error
-	Ready    bool   // ReadyForQuery came: the connection is free again
-	Params   Params
-	stage    stage
+	Startup bool   // it answers the start-up, not a query
+	Code    string // of an ErrorResponse, if there was one
+	Fatal   bool   // the server closes behind that error
+	Ready   bool   // ReadyForQuery came: the connection is free again
+	Params  Params
+	stage   stage
 }
 
 // stage is how far an answer has come.
@@ -34,25 +34,25 @@
 type Params struct{ Role, Position, Load string }
 
 // Served tells whether the answer is a whole row.
-func (r *Reply) Served() bool { return r.stage == complete }
+func (r *Reply) Complete() bool { return r.stage == complete }
 
 // Begun tells whether a part of the answer has come, behind which the rest is due: at the least ReadyForQuery.
-func (r *Reply) Begun() bool { return r.stage != begun && r.stage != admitted }
+func (r *Reply) Started() bool { return r.stage != begun && r.stage != admitted }
 
 // Passes tells whether a message of this type is part of the value that goes on to the client.
-func Passes(kind byte) bool {
+func IsForwarded(kind byte) bool {
 	return kind == TypeRowDescription || kind == TypeDataRow || kind == TypeCommandComplete
 }
 
 // Take reads one message. The body of a DataRow need hold no more than its beginning.
-func (r *Reply) Take(h Header, body []byte) error {
+func (r *Reply) Handle(h Header, body []byte) error {
 	switch h.Type {
-	case TypeNotice:
+	case TypeNoticeResponse:
 		return nil
 	case TypeParameterStatus: // one that cannot be read says nothing; the answer around it may be good
 		r.Params.take(body)
 		return nil
-	case TypeError:
+	case TypeErrorResponse:
 		if r.stage != begun && r.stage != admitted {
 			return errors.New("an ErrorResponse behind part of an answer")
 		}
@@ -60,7 +60,7 @@
 		r.stage = refused
 		r.Code, r.Fatal, err = parseError(body)
 		return err
-	case TypeReady:
+	case TypeReadyForQuery:
 		if len(body) != 1 || body[0] != 'I' {
 			return errors.New("ReadyForQuery within a transaction")
 		}
@@ -70,7 +70,7 @@
 		r.Ready = true
 		return nil
 	}
-	if r.Starting {
+	if r.Startup {
 		return r.start(h, body)
 	}
 	switch {
--- a/internal/protocol/postgres/startup.go
+++ b/internal/protocol/postgres/startup.go
@@ -19,17 +19,17 @@
 )
 
 // Opening is what a connection's first packet asks for.
-type Opening uint8
+type StartupKind uint8
 
 // The openings.
 const (
-	OpenStart   Opening = iota // a session
-	OpenEncrypt                // encryption, by SSL or GSS: answered with a single N
-	OpenCancel                 // cancel another session's query: closed without an answer
+	StartupSession       StartupKind = iota // a session
+	StartupEncryption                       // encryption, by SSL or GSS: answered with a single N
+	StartupCancelRequest                    // cancel another session's query: closed without an answer
 )
 
 // Start is a start-up message's content.
-type Start struct {
+type StartupMessage struct {
 	Minor    int
 	User     string
 	Database string
@@ -45,31 +45,31 @@
 }
 
 // ParseStartup reads what follows the length of a connection's first packet.
-func ParseStartup(b []byte) (Opening, Start, error) {
+func ParseStartup(b []byte) (StartupKind, StartupMessage, error) {
 	if len(b) < 4 {
-		return OpenStart, Start{}, errors.New("start-up packet is too short")
+		return StartupSession, StartupMessage{}, errors.New("start-up packet is too short")
 	}
 	code := binary.BigEndian.Uint32(b)
 	switch {
 	case code == cancelCode:
-		return OpenCancel, Start{}, nil
+		return StartupCancelRequest, StartupMessage{}, nil
 	case code == sslCode || code == gssCode:
-		return OpenEncrypt, Start{}, nil
+		return StartupEncryption, StartupMessage{}, nil
 	case code < version3 || code >= minorsOf3End:
-		return OpenStart, Start{}, fmt.Errorf("protocol %d.%d is not spoken here", code>>16, code&0xffff)
+		return StartupSession, StartupMessage{}, fmt.Errorf("protocol %d.%d is not spoken here", code>>16, code&0xffff)
 	}
-	s := Start{Minor: int(code & 0xffff)}
+	s := StartupMessage{Minor: int(code & 0xffff)}
 	for rest := b[4:]; ; {
 		name, after, ok := cut(rest)
 		if !ok {
-			return OpenStart, s, errors.New("start-up packet has no end")
+			return StartupSession, s, errors.New("start-up packet has no end")
 		}
 		if name == "" {
 			break
 		}
 		value, after, ok := cut(after)
 		if !ok {
-			return OpenStart, s, fmt.Errorf("start-up parameter %.40q has no value", name)
+			return StartupSession, s, fmt.Errorf("start-up parameter %.40q has no value", name)
 		}
 		switch name {
 		case "user":
@@ -80,9 +80,9 @@
 		rest = after
 	}
 	if s.User == "" {
-		return OpenStart, s, errors.New("start-up packet names no user")
+		return StartupSession, s, errors.New("start-up packet names no user")
 	}
-	return OpenStart, s, nil
+	return StartupSession, s, nil
 }
 
 // AppendStartup writes the start-up message that the gateway sends to a server.
@@ -98,7 +98,7 @@
 }
 
 // AppendWelcome writes the answer to a client's start-up, up to and with ReadyForQuery.
-func AppendWelcome(b []byte, minor int, process uint32) []byte {
+func AppendStartupResponse(b []byte, minor int, process uint32) []byte {
 	if minor > 0 { // a newer minor version is answered with the one spoken here
 		var at int
 		b, at = begin(b, 'v')
@@ -118,11 +118,11 @@
 	b, at = begin(b, TypeBackendKeyData)
 	b = binary.BigEndian.AppendUint32(b, process)
 	b = finish(binary.BigEndian.AppendUint32(b, 0), at)
-	return AppendReady(b)
+	return AppendReadyForQuery(b)
 }
 
 // AppendReady writes ReadyForQuery, outside any transaction.
-func AppendReady(b []byte) []byte {
-	b, at := begin(b, TypeReady)
+func AppendReadyForQuery(b []byte) []byte {
+	b, at := begin(b, TypeReadyForQuery)
 	return finish(append(b, 'I'), at)
 }
--- a/internal/protocol/postgres/statement.go
+++ b/internal/protocol/postgres/statement.go
@@ -11,16 +11,16 @@
 
 // Statement is a client's statement, checked whole.
 type Statement struct {
-	ID       string
-	Class    string
-	Wait     int64 // milliseconds from the client's send until it stops waiting
-	Group    int
-	After    int64 // Unix milliseconds that the read must see; 0: none
-	Repeat   bool  // the client says that it repeats itself
-	Key      string
-	Write    bool // an INSERT; otherwise a SELECT
-	waitFrom int  // where the digits of d stand in the message's body
-	waitTo   int
+	ID            string
+	Class         string
+	TimeoutMillis int64 // milliseconds from the client's send until it stops waiting
+	Group         int
+	After         int64 // Unix milliseconds that the read must see; 0: none
+	Retry         bool  // the client says that it repeats itself
+	Key           string
+	Write         bool // an INSERT; otherwise a SELECT
+	timeoutStart  int  // where the digits of d stand in the message's body
+	timeoutEnd    int
 }
 
 // The two forms of a statement, around its comment, key and value.
@@ -42,7 +42,7 @@
 )
 
 // IsEmpty tells whether a query's text holds no statement at all.
-func IsEmpty(text []byte) bool {
+func IsEmptyQuery(text []byte) bool {
 	return len(bytes.Trim(text, " \t\r\n;\x00")) == 0
 }
 
@@ -124,8 +124,8 @@
 			return err
 		}
 		if name == "d" {
-			s.waitTo = at + end
-			s.waitFrom = s.waitTo - len(value)
+			s.timeoutEnd = at + end
+			s.timeoutStart = s.timeoutEnd - len(value)
 		}
 		at += end + 1
 	}
@@ -144,7 +144,7 @@
 	case "c":
 		s.Class = value
 	case "d":
-		s.Wait, err = number(name, value, maxWait)
+		s.TimeoutMillis, err = number(name, value, maxWait)
 	case "cluster":
 		var v int64
 		v, err = number(name, value, 1<<31-1)
@@ -152,7 +152,7 @@
 	case "after":
 		s.After, err = number(name, value, 1<<52)
 	case "r":
-		s.Repeat = value == "1"
+		s.Retry = value == "1"
 	}
 	return err
 }
@@ -211,15 +211,15 @@
 func (s *Statement) AppendQueryHead(b, first []byte, body int, wait int64) ([]byte, int) {
 	digits := strconv.AppendInt(nil, wait, 10)
 	b, at := begin(b, TypeQuery)
-	b = append(append(b, first[:s.waitFrom]...), digits...)
-	total := 4 + body - (s.waitTo - s.waitFrom) + len(digits)
+	b = append(append(b, first[:s.timeoutStart]...), digits...)
+	total := 4 + body - (s.timeoutEnd - s.timeoutStart) + len(digits)
 	b[at+1], b[at+2], b[at+3], b[at+4] = byte(total>>24), byte(total>>16), byte(total>>8), byte(total)
-	return b, s.waitTo
+	return b, s.timeoutEnd
 }
 
 // Words is what a statement says beside its comment, and the value that an INSERT writes, decoded. The statement must have been
 // parsed before.
-func Words(body []byte) (words, wrote []byte) {
+func SplitStatement(body []byte) (words, wrote []byte) {
 	_, words, _ = bytes.Cut(body, []byte(commentClose))
 	if _, value, insert := bytes.Cut(words, []byte(insertValue)); insert {
 		wrote, _ = hex.DecodeString(string(bytes.TrimSuffix(value, []byte(insertClose))))
@@ -234,7 +234,7 @@
 
 // Inserted makes the answer to an INSERT of the answer to a read of the same row, and the row's value. It takes whole messages,
 // as they are passed on.
-func Inserted(read []byte) (row, answer []byte) {
+func InsertResponse(read []byte) (row, answer []byte) {
 	for len(read) >= HeaderSize {
 		h, err := ParseHeader(read)
 		if err != nil || len(read) < HeaderSize+h.Body {
--- a/internal/protocol/postgres/statement_test.go
+++ b/internal/protocol/postgres/statement_test.go
@@ -19,20 +19,20 @@
 		want       Statement
 	}{
 		{"read", selectText, Statement{
-			ID: "9b1f03aa5c7e2d41", Class: "basket", Wait: 480, Group: 2, After: 1767225600123, Key: "7f3a9c21e0b4d655"}},
+			ID: "9b1f03aa5c7e2d41", Class: "basket", TimeoutMillis: 480, Group: 2, After: 1767225600123, Key: "7f3a9c21e0b4d655"}},
 		{"write, repeated", insertText, Statement{
-			ID: "9b1f03aa5c7e2d41", Class: "order", Wait: 480, Group: 2, Repeat: true, Key: "7f3a9c21e0b4d655", Write: true}},
+			ID: "9b1f03aa5c7e2d41", Class: "order", TimeoutMillis: 480, Group: 2, Retry: true, Key: "7f3a9c21e0b4d655", Write: true}},
 		{"other names, d last", "/* k=4,id=a,c=x-y,cluster=0,more=z,d=99999 */ " + plainRead, Statement{
-			ID: "a", Class: "x-y", Wait: 99999, Key: "k"}},
+			ID: "a", Class: "x-y", TimeoutMillis: 99999, Key: "k"}},
 		{"no value", "/* id=a,c=x,d=1,cluster=0 */ INSERT INTO kv (name, content) VALUES ('k', '\\x') RETURNING content\x00",
-			Statement{ID: "a", Class: "x", Wait: 1, Key: "k", Write: true}},
+			Statement{ID: "a", Class: "x", TimeoutMillis: 1, Key: "k", Write: true}},
 	} {
 		got, err := parse(c.text)
 		if err != nil {
 			t.Errorf("%s: %v", c.name, err)
 			continue
 		}
-		got.waitFrom, got.waitTo = 0, 0
+		got.timeoutStart, got.timeoutEnd = 0, 0
 		if got != c.want {
 			t.Errorf("%s: got %+v, want %+v", c.name, got, c.want)
 		}
@@ -151,7 +151,7 @@
 
 func TestIsEmpty(t *testing.T) {
 	for text, want := range map[string]bool{"\x00": true, " ; \n\x00": true, "": true, "SELECT 1\x00": false} {
-		if IsEmpty([]byte(text)) != want {
+		if IsEmptyQuery([]byte(text)) != want {
 			t.Errorf("%q: want %v", text, want)
 		}
 	}
@@ -179,14 +179,14 @@
 			t.Fatalf("length %d of %d", h.Body, len(got)-HeaderSize)
 		}
 		again, err := ParseStatement([][]byte{got[HeaderSize:]})
-		if err != nil || again.Wait != 77 {
-			t.Fatalf("%q became %q: %v, d=%d", text, got, err, again.Wait)
+		if err != nil || again.TimeoutMillis != 77 {
+			t.Fatalf("%q became %q: %v, d=%d", text, got, err, again.TimeoutMillis)
 		}
-		again.Wait, again.waitFrom, again.waitTo = s.Wait, s.waitFrom, s.waitTo
+		again.TimeoutMillis, again.timeoutStart, again.timeoutEnd = s.TimeoutMillis, s.timeoutStart, s.timeoutEnd
 		if again != s {
 			t.Fatalf("%+v became %+v", s, again)
 		}
-		if !bytes.HasSuffix(got, text[s.waitTo:]) {
+		if !bytes.HasSuffix(got, text[s.timeoutEnd:]) {
 			t.Fatalf("the rest of %q changed: %q", text, got)
 		}
 	})
--- a/internal/routing/core_test.go
+++ b/internal/routing/core_test.go
@@ -94,7 +94,7 @@
 		t.Fatal(err)
 	}
 	r := &harness{t: t, now: start, servers: &fakeServers{endpoints: map[policy.ServerID]string{}}, discovery: &fakeDiscovery{}}
-	known := EndpointListUpdate{List: discovery.List{Rev: 41, All: true, Entries: []discovery.Entry{
+	known := EndpointListUpdate{List: discovery.List{Rev: 41, Full: true, Entries: []discovery.Entry{
 		entry("p", discovery.Ready, true), entry("a", discovery.Ready, false), entry("b", discovery.Ready, false),
 	}}}
 	r.core = NewCore(r.now, 5, facts, known, r.servers, r.discovery, zerolog.Nop())
@@ -293,7 +293,7 @@
 			t.Fatal("a send to a draining server")
 		}
 	}
-	r.core.Handle(r.now, EndpointListUpdate{List: discovery.List{Rev: 50, All: true}})
+	r.core.Handle(r.now, EndpointListUpdate{List: discovery.List{Rev: 50, Full: true}})
 	if r.core.Ready() {
 		t.Error("ready with an empty list")
 	}
@@ -365,13 +365,13 @@
 		r.advance(100_000)
 	}
 	r.advance(100_000)
-	update(entry("never", discovery.Gone, false))
+	update(entry("never", discovery.Removed, false))
 	before := len(r.core.endpoints.idByUID)
 	for i := range 500 {
 		uid := "s" + strconv.Itoa(i)
 		update(entry(uid, discovery.Ready, false))
 		update(entry(uid, discovery.Draining, false))
-		update(entry(uid, discovery.Gone, false))
+		update(entry(uid, discovery.Removed, false))
 	}
 	r.advance(1_000_000)
 	if m := r.core.endpoints; len(m.idByUID) != before || len(m.uidByID) != before || len(m.listed) != before ||
@@ -385,7 +385,7 @@
 	last := len(r.servers.jobs) - 1
 	id := r.servers.jobs[last].Server
 	uid := r.core.endpoints.uidByID[id]
-	update(entry(uid, discovery.Gone, false))
+	update(entry(uid, discovery.Removed, false))
 	update(entry(uid, discovery.Ready, false))
 	if r.core.endpoints.idByUID[uid] != id {
 		t.Error("a server that came back while an attempt was out got another number")
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -68,7 +68,7 @@
 }
 
 var endpointStates = map[discovery.State]policy.EndpointState{
-	discovery.Gone: policy.EndpointRemoved, discovery.Ready: policy.EndpointReady, discovery.Draining: policy.EndpointDraining,
+	discovery.Removed: policy.EndpointRemoved, discovery.Ready: policy.EndpointReady, discovery.Draining: policy.EndpointDraining,
 }
 
 // listForm is the form of an update from discovery.
@@ -76,7 +76,7 @@
 	switch {
 	case update.Failed:
 		return policy.ListFailed
-	case update.List.All:
+	case update.List.Full:
 		return policy.ListFull
 	}
 	return policy.ListDelta
@@ -107,7 +107,7 @@
 // known here changes nothing, and the router is not told.
 func (c *Core) updateEndpoint(entry discovery.Entry) (policy.Endpoint, bool) {
 	list := &c.endpoints
-	removed := entry.State == discovery.Gone
+	removed := entry.State == discovery.Removed
 	if _, known := list.idByUID[entry.UID]; removed && !known {
 		return policy.Endpoint{}, false
 	}
--- a/internal/session/answers.go
+++ b/internal/session/answers.go
@@ -26,7 +26,7 @@
 
 // respondError answers a query that never became a request.
 func (c *client) respondError(code, message string) {
-	c.enqueueResponse(postgres.AppendReady(postgres.AppendError(nil, false, code, message, 0)))
+	c.enqueueResponse(postgres.AppendReadyForQuery(postgres.AppendErrorResponse(nil, false, code, message, 0)))
 }
 
 // rejectStatement answers a bad statement, and penalizes it.
@@ -79,19 +79,19 @@
 	switch q.answer.Kind {
 	case routing.AnswerServed:
 		c.served++
-		parts := append(q.answer.Value.From(0), postgres.AppendReady(nil))
+		parts := append(q.answer.Value.BuffersFrom(0), postgres.AppendReadyForQuery(nil))
 		_, err := c.conn.Write(time.Now().Add(c.all.Limits.Answer), parts)
 		q.answer.Value.Free()
 		return reasoned(err)
 	case routing.AnswerRejected:
-		out = postgres.AppendError(nil, false, postgres.CodeRefused, "no server can take this in time",
+		out = postgres.AppendErrorResponse(nil, false, postgres.CodeTooManyConnections, "no server can take this in time",
 			int64(q.answer.RetryAfter/1000))
 	case routing.AnswerFailed:
-		out = postgres.AppendError(nil, false, postgres.CodeFailed, "the statement failed, and may have run", 0)
+		out = postgres.AppendErrorResponse(nil, false, postgres.CodeSystemError, "the statement failed, and may have run", 0)
 	case routing.AnswerDuplicateID:
-		out = postgres.AppendError(nil, false, postgres.CodeBadValue, "the id is that of a request still under way", 0)
+		out = postgres.AppendErrorResponse(nil, false, postgres.CodeInvalidParameterValue, "the id is that of a request still under way", 0)
 	}
-	if reason, err := reasoned(c.write(postgres.AppendReady(out))); err != nil || q.answer.Kind != routing.AnswerDuplicateID {
+	if reason, err := reasoned(c.write(postgres.AppendReadyForQuery(out))); err != nil || q.answer.Kind != routing.AnswerDuplicateID {
 		return reason, err
 	}
 	return c.penalize()
@@ -120,7 +120,7 @@
 		case errors.Is(err, transport.ErrWoken):
 			return 0, err
 		case err != nil:
-			return transport.EndPeerGone, err
+			return transport.EndClientDisconnected, err
 		default:
 			h, err := postgres.ParseHeader(c.conn.Peek(postgres.HeaderSize))
 			size := postgres.HeaderSize + h.Body
@@ -137,7 +137,7 @@
 func (c *client) watchUnread() (transport.Reason, error) {
 	for !c.answerDue() {
 		if c.conn.PeerClosed() {
-			return transport.EndPeerGone, io.EOF
+			return transport.EndClientDisconnected, io.EOF
 		}
 		c.awaitAnswer(closeCheck)
 	}
--- a/internal/session/client.go
+++ b/internal/session/client.go
@@ -138,22 +138,22 @@
 			packet.Free()
 			return transport.ReasonOf(err), err
 		}
-		opening, start, err := postgres.ParseStartup(bytes.Join(packet.From(4), nil))
+		opening, start, err := postgres.ParseStartup(bytes.Join(packet.BuffersFrom(4), nil))
 		packet.Free()
 		if err != nil {
 			return c.reject(err)
 		}
 		out := []byte{'N'}
 		switch opening {
-		case postgres.OpenCancel:
+		case postgres.StartupCancelRequest:
 			return transport.EndCancelRequest, io.EOF
-		case postgres.OpenStart:
-			out = postgres.AppendWelcome(nil, start.Minor, process)
+		case postgres.StartupSession:
+			out = postgres.AppendStartupResponse(nil, start.Minor, process)
 		}
 		if err := c.write(out); err != nil {
 			return transport.ReasonOf(err), err
 		}
-		if opening == postgres.OpenStart {
+		if opening == postgres.StartupSession {
 			return 0, nil
 		}
 	}
@@ -205,21 +205,21 @@
 		if !c.skipping {
 			return c.handleQuery(header.Body, deadline)
 		}
-		return reasoned(c.conn.SkipBy(header.Body, deadline, c.interrupted))
+		return reasoned(c.conn.SkipUntil(header.Body, deadline, c.interrupted))
 	case postgres.TypeTerminate:
 		return transport.EndTerminate, io.EOF
 	case postgres.TypeSync:
 		c.skipping = false
-		c.enqueueResponse(postgres.AppendReady(nil))
-		return reasoned(c.conn.SkipBy(header.Body, deadline, c.interrupted))
+		c.enqueueResponse(postgres.AppendReadyForQuery(nil))
+		return reasoned(c.conn.SkipUntil(header.Body, deadline, c.interrupted))
 	case 'P', 'B', 'D', 'E', 'C', 'F', 'H', 'd', 'c', 'f':
-		if err = c.conn.SkipBy(header.Body, deadline, c.interrupted); err != nil || c.skipping || header.Type == 'H' || header.Type >= 'a' {
+		if err = c.conn.SkipUntil(header.Body, deadline, c.interrupted); err != nil || c.skipping || header.Type == 'H' || header.Type >= 'a' {
 			return reasoned(err)
 		}
 		c.all.Counts.Unsupported.Add(1)
-		out := postgres.AppendError(nil, false, postgres.CodeUnsupported, "only simple queries are served here", 0)
+		out := postgres.AppendErrorResponse(nil, false, postgres.CodeFeatureNotSupported, "only simple queries are served here", 0)
 		if header.Type == 'F' {
-			out = postgres.AppendReady(out)
+			out = postgres.AppendReadyForQuery(out)
 		} else {
 			c.skipping = true
 		}
@@ -231,15 +231,15 @@
 
 // idle waits for n bytes between requests. What has arrived already is served, even if the connection has been asked to close.
 func (c *client) idle(n int) (transport.Reason, error) {
-	kind := transport.Newcomer
+	kind := transport.IdleNewClient
 	if c.known {
-		kind = transport.Asked
+		kind = transport.IdleServedClient
 	}
-	c.all.Fds.Park(c, kind)
+	c.all.Fds.MarkIdle(c, kind)
 	c.setResting(true)
 	defer func() {
 		c.setResting(false)
-		c.all.Fds.Unpark(c)
+		c.all.Fds.MarkBusy(c)
 	}()
 	deadline := c.deadline(c.all.Limits.Idle)
 	pending := func() bool { return c.isClosing() || c.isCut() }
@@ -254,7 +254,7 @@
 				reason, _ := c.all.isDraining()
 				return reason, err
 			}
-			if c.conn.Buffered() == 0 && c.conn.Quiet() {
+			if c.conn.Buffered() == 0 && c.conn.Silent() {
 				c.mu.Lock()
 				defer c.mu.Unlock()
 				return c.reason, err
@@ -264,7 +264,7 @@
 			switch {
 			case c.conn.Buffered() > 0:
 				return transport.EndTimeout, err
-			case late || c.conn.Quiet():
+			case late || c.conn.Silent():
 				return transport.EndIdle, err
 			}
 			late, deadline = true, time.Now().Add(lateRequest)
@@ -293,7 +293,7 @@
 			return reason, err
 		}
 		if c.conn.PeerClosed() {
-			return transport.EndPeerGone, io.EOF
+			return transport.EndClientDisconnected, io.EOF
 		}
 		left := time.Until(end)
 		if left <= 0 || c.isCut() {
@@ -339,7 +339,7 @@
 	if reason, err := c.drainAnswers(); err != nil {
 		return reason, err
 	}
-	if c.write(postgres.AppendError(nil, true, postgres.CodeProtocol, cause.Error(), 0)) == nil {
+	if c.write(postgres.AppendErrorResponse(nil, true, postgres.CodeProtocolViolation, cause.Error(), 0)) == nil {
 		c.all.linger(c.conn)
 	}
 	return transport.EndProtocol, cause
@@ -349,7 +349,7 @@
 // that crosses this message takes it as its rejection: without it the client could not tell whether that request was read, and
 // would have to treat an in-doubt write as possibly run.
 func (c *client) announceClose(why string) {
-	if c.write(postgres.AppendError(nil, true, postgres.CodeNotReady, why, 0)) == nil {
+	if c.write(postgres.AppendErrorResponse(nil, true, postgres.CodeCannotConnectNow, why, 0)) == nil {
 		c.all.linger(c.conn)
 	}
 }
--- a/internal/session/client_test.go
+++ b/internal/session/client_test.go
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close(); peer.Close() })
-	all := &Clients{Fds: fds, Ends: transport.NewEnds(zerolog.Nop()), Limits: DefaultTimeouts}
+	all := &Clients{Fds: fds, Ends: transport.NewEndRecorder(zerolog.Nop()), Limits: DefaultTimeouts}
 	return &client{all: all, conn: conn, answerReady: make(chan struct{}, 1), known: true}, peer
 }
 
@@ -40,18 +40,18 @@
 	if _, err := peer.Write([]byte("Q")); err != nil { // the rest is still on its way
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(patience); c.conn.Quiet(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(patience); c.conn.Silent(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the request never reached the kernel")
 		}
 	}
-	c.CloseIdle(transport.EndRoom)
+	c.CloseIdle(transport.EndEvicted)
 	time.AfterFunc(10*time.Millisecond, func() { peer.Write([]byte{0, 0, 0, 4}) })
 	if reason, err := c.idle(5); err != nil {
 		t.Fatalf("closed for %s (%v) with a request in the kernel", reason, err)
 	}
 	c.conn.Skip(5)
-	if reason, err := c.idle(5); err == nil || reason != transport.EndRoom {
+	if reason, err := c.idle(5); err == nil || reason != transport.EndEvicted {
 		t.Errorf("then %s, %v, want it closed for room", reason, err)
 	}
 }
--- a/internal/session/clients.go
+++ b/internal/session/clients.go
@@ -47,7 +47,7 @@
 	InForce          *settings.Live
 	Buffers          *transport.Buffers
 	Fds              *transport.Descriptors
-	Ends             *transport.Ends
+	Ends             *transport.EndRecorder
 	Clock            routing.Clock
 	Ready            func() bool      // whether a request could be routed
 	MayAdmit         func() bool      // whether a request may still be submitted; nil: always
@@ -93,38 +93,38 @@
 	s.mu.Unlock()
 	remote := conn.Remote()
 	reason, err := opened.run(process)
-	s.Fds.Unpark(opened)
+	s.Fds.MarkBusy(opened)
 	switch reason {
-	case transport.EndMoved:
+	case transport.EndAddressMigrated:
 		opened.announceClose("the address has moved to another gateway")
 	case transport.EndMaintenance:
 		opened.announceClose("the gateway is about to be out for maintenance")
-	case transport.EndIdle, transport.EndRoom, transport.EndDrain, transport.EndTimeout:
+	case transport.EndIdle, transport.EndEvicted, transport.EndDraining, transport.EndTimeout:
 		s.linger(conn)
 	}
 	conn.Close()
 	s.mu.Lock()
 	delete(s.open, opened)
 	s.mu.Unlock()
-	s.Ends.End(transport.Client, remote, reason, since, opened.served, err)
+	s.Ends.Record(transport.Client, remote, reason, since, opened.served, err)
 }
 
 // rejectConnection tells a client for which there is no descriptor to connect again.
 func (s *Clients) rejectConnection(conn *transport.Conn, since time.Time) {
 	remote := conn.Remote()
-	refusal := postgres.AppendError(nil, true, postgres.CodeRefused, "too many clients already", 0)
+	refusal := postgres.AppendErrorResponse(nil, true, postgres.CodeTooManyConnections, "too many clients already", 0)
 	if _, err := conn.Write(since.Add(s.Limits.Linger), net.Buffers{refusal}); err == nil {
 		s.linger(conn)
 	}
 	conn.Close()
-	s.Ends.End(transport.Client, remote, transport.EndDescriptors, since, 0, nil)
+	s.Ends.Record(transport.Client, remote, transport.EndDescriptors, since, 0, nil)
 }
 
 // linger ends a connection's sending side and waits for the client to close. A request that arrives in this very moment would
 // otherwise turn the close into a reset, which discards answers that the client has not read yet.
 func (s *Clients) linger(conn *transport.Conn) {
 	timeout := s.Limits.Linger
-	if s.Fds.Short() {
+	if s.Fds.NearLimit() {
 		timeout = min(timeout, shortLinger)
 	}
 	conn.Linger(time.Now().Add(timeout), maxLingerBytes)
--- a/internal/session/discovery.go
+++ b/internal/session/discovery.go
@@ -38,7 +38,7 @@
 	Owner   Queue
 	Buffers *transport.Buffers
 	Fds     *transport.Descriptors
-	Ends    *transport.Ends
+	Ends    *transport.EndRecorder
 	Limits  CallTimeouts
 
 	mu          sync.Mutex
@@ -158,14 +158,14 @@
 		d.previous = nil
 		return d.watch == nil // the new address has failed meanwhile
 	case c != d.watch:
-		return reason != transport.EndDone // a single fetch
+		return reason != transport.EndCompleted // a single fetch
 	}
 	d.watch = nil
-	if reason == transport.EndDone && c.thenWatch {
+	if reason == transport.EndCompleted && c.thenWatch {
 		d.watch = d.start(true, false, rev)
 		return false
 	}
-	return reason != transport.EndDone
+	return reason != transport.EndCompleted
 }
 
 // serve carries a call out and logs its end.
@@ -182,7 +182,7 @@
 		reason = transport.EndReplaced
 	}
 	c.stop()
-	d.Ends.End(transport.Discovery, c.addr, reason, since, 0, err)
+	d.Ends.Record(transport.Discovery, c.addr, reason, since, 0, err)
 	d.posting.Lock()
 	defer d.posting.Unlock()
 	if d.ended(c, rev, reason) {
@@ -230,7 +230,7 @@
 		return 0, transport.EndProtocol, err
 	}
 	c.postList(list)
-	return list.Rev, transport.EndDone, nil
+	return list.Rev, transport.EndCompleted, nil
 }
 
 // discoveryAnswer is an answer of discovery as it is read.
@@ -278,7 +278,7 @@
 	case a.response.Status != discovery.StatusOK:
 		return nil
 	case !a.call.watch:
-		if len(a.body)+len(text) > discovery.MaxList {
+		if len(a.body)+len(text) > discovery.MaxListSize {
 			return errListTooLong
 		}
 		a.body = append(append(a.body, text...), '\n')
--- a/internal/session/discovery_test.go
+++ b/internal/session/discovery_test.go
@@ -32,7 +32,7 @@
 	s := &scriptedDiscovery{t: t, listener: listenLoopback(t), updates: make(chan routing.Event, 64)}
 	s.client = &Discovery{
 		Addr: s.listener.Addr().String(), Owner: poster(s.updates), Buffers: transport.NewBuffers(1 << 24),
-		Fds: transport.NewDescriptors(1024), Ends: transport.NewEnds(zerolog.Nop()), Limits: limits,
+		Fds: transport.NewDescriptors(1024), Ends: transport.NewEndRecorder(zerolog.Nop()), Limits: limits,
 	}
 	t.Cleanup(s.client.Close)
 	return s
--- a/internal/session/interleaving_test.go
+++ b/internal/session/interleaving_test.go
@@ -55,7 +55,7 @@
 // awaitArrival waits until all that the peer has written is in our kernel.
 func (x *clientHarness) awaitArrival(closed bool) {
 	x.t.Helper()
-	for end := time.Now().Add(patience); x.c.conn.Quiet() || closed && !x.c.conn.PeerClosed(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(patience); x.c.conn.Silent() || closed && !x.c.conn.PeerClosed(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			x.t.Fatal("what the peer wrote never came")
 		}
@@ -88,7 +88,7 @@
 	x.peer.Write(bytes.Repeat(lookStatement("x"), 200))
 	x.peer.Close()
 	x.awaitArrival(true)
-	if reason, err := x.c.serveMessages(); err == nil || reason != transport.EndPeerGone {
+	if reason, err := x.c.serveMessages(); err == nil || reason != transport.EndClientDisconnected {
 		t.Errorf("ended with %v, %v", reason, err)
 	}
 	if n := len(x.events); n != 0 {
@@ -111,7 +111,7 @@
 		x.nextRequest()
 	}
 	x.peer.Close()
-	if reason := <-ended; reason != transport.EndPeerGone {
+	if reason := <-ended; reason != transport.EndClientDisconnected {
 		t.Errorf("ended with %v", reason)
 	}
 	for range maxPipelined {
@@ -133,7 +133,7 @@
 	}()
 	x.serve(x.nextRequest(), "the answer")
 	var got []byte
-	for rest := make([]byte, 256); !bytes.Contains(got, []byte(postgres.CodeProtocol)) || !bytes.HasSuffix(got, postgres.AppendReady(nil)); {
+	for rest := make([]byte, 256); !bytes.Contains(got, []byte(postgres.CodeProtocolViolation)) || !bytes.HasSuffix(got, postgres.AppendReadyForQuery(nil)); {
 		n, err := x.peer.Read(rest)
 		if got = append(got, rest[:n]...); err != nil {
 			t.Fatalf("read %q, %v", got, err)
@@ -145,7 +145,7 @@
 	x.peer.Close()
 	select {
 	case reason := <-ended:
-		if reason != transport.EndPeerGone {
+		if reason != transport.EndClientDisconnected {
 			t.Errorf("ended with %v", reason)
 		}
 	case <-time.After(patience):
@@ -211,7 +211,7 @@
 			_, err := x.c.serveMessages()
 			ended <- err
 		}()
-		x.c.all.Drain(transport.EndDrain)
+		x.c.all.Drain(transport.EndDraining)
 		x.c.all.CutOff()
 		select {
 		case err := <-ended:
@@ -237,7 +237,7 @@
 		x.c.all.Serve(x.c.conn, true)
 	}()
 	x.readReady()
-	x.c.all.Drain(transport.EndDrain)
+	x.c.all.Drain(transport.EndDraining)
 	x.readEnd()
 	for range 2 { // a reset would show at the second
 		if _, err := x.peer.Write(lookStatement("x")); err != nil {
@@ -264,7 +264,7 @@
 		x.c.all.Serve(x.c.conn, false)
 	}()
 	got, err := io.ReadAll(x.peer)
-	if err != nil || !bytes.Contains(got, []byte("C"+postgres.CodeRefused+"\x00")) {
+	if err != nil || !bytes.Contains(got, []byte("C"+postgres.CodeTooManyConnections+"\x00")) {
 		t.Errorf("read %q, %v", got, err)
 	}
 	x.peer.Close()
@@ -286,7 +286,7 @@
 		if _, err := io.CopyN(io.Discard, x.peer, int64(h.Body)); err != nil {
 			x.t.Fatal(err)
 		}
-		if h.Type == postgres.TypeReady {
+		if h.Type == postgres.TypeReadyForQuery {
 			return
 		}
 	}
@@ -353,7 +353,7 @@
 		policy.ResultOK:    func(q *fake.Query) { q.Write(fake.Row([]byte("v"))) },
 		policy.ResultError: func(q *fake.Query) { q.Write(fake.Row([]byte("v"))[:30]) },
 		policy.ResultOverloaded: func(q *fake.Query) {
-			q.Write(postgres.AppendError(nil, false, postgres.CodeRefused, "full", 0))
+			q.Write(postgres.AppendErrorResponse(nil, false, postgres.CodeTooManyConnections, "full", 0))
 		},
 	} {
 		r := newHarness(t)
--- a/internal/session/lookup.go
+++ b/internal/session/lookup.go
@@ -22,7 +22,7 @@
 		l.done(nil, nil, false)
 		return
 	}
-	row, answer := postgres.Inserted(bytes.Join(a.Value.From(0), nil))
+	row, answer := postgres.InsertResponse(bytes.Join(a.Value.BuffersFrom(0), nil))
 	a.Value.Free()
 	l.done(row, answer, answer != nil)
 }
@@ -41,7 +41,7 @@
 	statement := postgres.SelectStatement(id, class, key, group, wait)
 	text := s.Buffers.NewMessage()
 	text.Append(statement)
-	st, err := postgres.ParseStatement(text.From(0))
+	st, err := postgres.ParseStatement(text.BuffersFrom(0))
 	if err != nil {
 		text.Free()
 		done(nil, nil, false)
--- a/internal/session/pending.go
+++ b/internal/session/pending.go
@@ -57,7 +57,7 @@
 	case routing.AnswerServed:
 		kind = indoubt.Served
 		if a.Value.Size() <= intents.MaxStoredAnswer {
-			value = bytes.Join(a.Value.From(0), nil)
+			value = bytes.Join(a.Value.BuffersFrom(0), nil)
 		}
 	case routing.AnswerRejected, routing.AnswerDuplicateID:
 		kind = indoubt.Rejected
--- a/internal/session/query.go
+++ b/internal/session/query.go
@@ -27,8 +27,8 @@
 
 // parts is the message to a server: the statement as received, but for the time that the gateway waits. It returns its size too.
 func (q *query) parts(waitMillis int64) (net.Buffers, int64) {
-	head, from := q.statement.AppendQueryHead(nil, q.text.First(), q.text.Size(), waitMillis)
-	parts := append(net.Buffers{head}, q.text.From(from)...)
+	head, from := q.statement.AppendQueryHead(nil, q.text.FirstBuffer(), q.text.Size(), waitMillis)
+	parts := append(net.Buffers{head}, q.text.BuffersFrom(from)...)
 	total := int64(0)
 	for _, p := range parts {
 		total += int64(len(p))
--- a/internal/session/requests.go
+++ b/internal/session/requests.go
@@ -65,8 +65,8 @@
 	in := &received{reserve: body + transport.BufferSize}
 	if !c.all.Buffers.Reserve(in.reserve) {
 		c.all.Counts.OverMemory.Add(1)
-		c.respondError(postgres.CodeRefused, "the gateway has no memory left for this")
-		reason, err := reasoned(c.conn.SkipBy(body, deadline, c.interrupted))
+		c.respondError(postgres.CodeTooManyConnections, "the gateway has no memory left for this")
+		reason, err := reasoned(c.conn.SkipUntil(body, deadline, c.interrupted))
 		return nil, reason, err
 	}
 	in.text = c.all.Buffers.NewMessage()
@@ -79,7 +79,7 @@
 	}
 	if c.sentAhead() && c.conn.PeerClosed() { // its close lies behind what it has sent: nobody waits for this any more
 		c.release(in)
-		return nil, transport.EndPeerGone, io.EOF
+		return nil, transport.EndClientDisconnected, io.EOF
 	}
 	return in, 0, nil
 }
@@ -94,15 +94,15 @@
 func (c *client) parseRequest(inForce *settings.InForce, text *transport.Message, body int) (
 	arrival policy.Arrival, statement postgres.Statement, fault *requestError,
 ) {
-	if body <= transport.BufferSize && postgres.IsEmpty(text.First()) {
+	if body <= transport.BufferSize && postgres.IsEmptyQuery(text.FirstBuffer()) {
 		if !c.all.Ready() {
-			fault = &requestError{postgres.CodeNotReady, "no server is known yet"}
+			fault = &requestError{postgres.CodeCannotConnectNow, "no server is known yet"}
 		}
 		return arrival, statement, fault
 	}
-	statement, err := postgres.ParseStatement(text.From(0))
+	statement, err := postgres.ParseStatement(text.BuffersFrom(0))
 	if err != nil {
-		return arrival, statement, &requestError{postgres.CodeProtocol, err.Error()}
+		return arrival, statement, &requestError{postgres.CodeProtocolViolation, err.Error()}
 	}
 	class, ok := inForce.ClassIndex[statement.Class]
 	if !ok {
@@ -111,7 +111,7 @@
 	if statement.Write != inForce.IsWrite(class) {
 		return arrival, statement, badClass(statement.Class, "is not for such statements")
 	}
-	arrival = policy.Arrival{Class: class, Group: statement.Group, ClientRetry: statement.Repeat}
+	arrival = policy.Arrival{Class: class, Group: statement.Group, ClientRetry: statement.Retry}
 	if inForce.HasSession(class) {
 		sum := fnv.New64a()
 		sum.Write([]byte(statement.Key))
@@ -122,7 +122,7 @@
 
 // badClass is the error of a statement whose class does not fit.
 func badClass(class, problem string) *requestError {
-	return &requestError{postgres.CodeBadValue, "class " + strconv.Quote(class) + " " + problem}
+	return &requestError{postgres.CodeInvalidParameterValue, "class " + strconv.Quote(class) + " " + problem}
 }
 
 // respondUnrouted answers a query that makes no request: an empty one, without a fault, or a bad one.
@@ -130,8 +130,8 @@
 	switch {
 	case fault == nil:
 		c.all.Counts.Empty.Add(1)
-		c.enqueueResponse(postgres.AppendEmptyAnswer(nil))
-	case fault.code == postgres.CodeNotReady:
+		c.enqueueResponse(postgres.AppendEmptyQueryResponse(nil))
+	case fault.code == postgres.CodeCannotConnectNow:
 		c.all.Counts.NotReady.Add(1)
 		c.respondError(fault.code, fault.text)
 	default:
@@ -143,18 +143,18 @@
 // admit reports whether a request may be submitted, and rejects it unsent if not. The repeat of an in-doubt write may have run
 // already: it is looked up, and never rejected here.
 func (c *client) admit(in *received) bool {
-	known := in.inDoubt && in.statement.Repeat
+	known := in.inDoubt && in.statement.Retry
 	switch {
 	case known:
 	case c.all.MayAdmit != nil && !c.all.MayAdmit():
 		// The process was suspended, and another gateway may have the address by now: the client may connect there.
 		c.all.Counts.AddressMoved.Add(1)
-		c.respondError(postgres.CodeRefused, "the address has moved to another gateway")
-		c.CloseIdle(transport.EndMoved)
+		c.respondError(postgres.CodeTooManyConnections, "the address has moved to another gateway")
+		c.CloseIdle(transport.EndAddressMigrated)
 		return false
 	case c.storesPosition(in) && in.statement.Write && !c.all.SessionPositions.CanStore(in.arrival.Group, in.arrival.Session):
 		c.all.Counts.PositionNotStored.Add(1)
-		c.respondError(postgres.CodeRefused, "the session's commit could not be kept")
+		c.respondError(postgres.CodeTooManyConnections, "the session's commit could not be kept")
 		return false
 	}
 	return true
@@ -168,7 +168,7 @@
 // submit puts a request into the order of answers and sends it on its way. A read of a session whose position is stored first
 // waits for that position.
 func (c *client) submit(in *received) {
-	wait := in.statement.Wait
+	wait := in.statement.TimeoutMillis
 	q := &pendingQuery{client: c, reserve: in.reserve}
 	r := &routing.Request{
 		Client: q, ClientID: in.statement.ID, Payload: &query{text: in.text, statement: in.statement}, InForce: in.inForce,
@@ -203,11 +203,11 @@
 	}
 	payload := r.Payload.(*query)
 	st := &payload.statement
-	words, wrote := postgres.Words(bytes.Join(payload.text.From(0), nil))
+	words, wrote := postgres.SplitStatement(bytes.Join(payload.text.BuffersFrom(0), nil))
 	q.request = r
 	q.write = c.all.InDoubtWrites.NewWrite(intents.Request{
-		ID: st.ID, Class: st.Class, Group: st.Group, Key: st.Key, Statement: words, Value: wrote, Repeat: st.Repeat,
-		Deadline: time.Now().Add(time.Duration(st.Wait) * time.Millisecond),
+		ID: st.ID, Class: st.Class, Group: st.Group, Key: st.Key, Statement: words, Value: wrote, Repeat: st.Retry,
+		Deadline: time.Now().Add(time.Duration(st.TimeoutMillis) * time.Millisecond),
 	}, q)
 	payload.write = q.write
 	q.write.Begin()
--- a/internal/session/server_conn.go
+++ b/internal/session/server_conn.go
@@ -90,7 +90,7 @@
 		if first.cancelled() {
 			result, reason = policy.ResultCancelled, transport.EndAbandoned
 		}
-		l.all.Ends.End(transport.Server, l.endpoint.endpoint, reason, since, 0, err)
+		l.all.Ends.Record(transport.Server, l.endpoint.endpoint, reason, since, 0, err)
 		l.all.postEnded(first, taskResult{result: result})
 		return
 	}
@@ -103,7 +103,7 @@
 			break
 		}
 	}
-	l.all.Ends.End(transport.Server, l.endpoint.endpoint, reason, since, l.served, err)
+	l.all.Ends.Record(transport.Server, l.endpoint.endpoint, reason, since, l.served, err)
 }
 
 // carryOn takes the place of the reason for a connection that has not ended.
@@ -124,19 +124,19 @@
 	if _, err := conn.Write(deadline, net.Buffers{postgres.AppendStartup(nil, l.all.User, l.all.DB)}); err != nil {
 		return policy.ResultConnectFailed, transport.ReasonOf(err), err
 	}
-	reply := postgres.Reply{Starting: true}
+	reply := postgres.Reply{Startup: true}
 	if _, err := l.readReply(&reply, deadline, t, nil); err != nil {
 		reason := transport.ReasonOf(err)
 		if errors.Is(err, transport.ErrDeadline) {
 			reason = transport.EndUnreachable
 		}
-		if reply.Code == postgres.CodeRefused {
-			return policy.ResultOverloaded, transport.EndTurnedAway, err
+		if reply.Code == postgres.CodeTooManyConnections {
+			return policy.ResultOverloaded, transport.EndRejected, err
 		}
 		return policy.ResultConnectFailed, reason, err
 	}
 	if reply.Code != "" {
-		return resultOf(reply.Code, true), transport.EndTurnedAway, errors.New("turned away with " + reply.Code)
+		return resultOf(reply.Code, true), transport.EndRejected, errors.New("turned away with " + reply.Code)
 	}
 	return policy.ResultOK, 0, nil
 }
@@ -144,11 +144,11 @@
 // resultOf maps the code of an error to the result. Before the start-up is complete nothing can have run.
 func resultOf(code string, starting bool) policy.Result {
 	switch {
-	case code == postgres.CodeRefused:
+	case code == postgres.CodeTooManyConnections:
 		return policy.ResultOverloaded
 	case starting:
 		return policy.ResultConnectFailed
-	case code == postgres.CodeReadOnly, code == postgres.CodeTooOld:
+	case code == postgres.CodeReadOnlyTransaction, code == postgres.CodeSnapshotTooOld:
 		return policy.ResultMisdirected
 	}
 	return policy.ResultError
@@ -158,7 +158,7 @@
 // ReadyForQuery is closed before the owner hears of it.
 func (l *serverConn) carryOut() (transport.Reason, error) {
 	t := l.task()
-	if l.served > 0 && !l.conn.Quiet() { // closed by the server: nothing was written, so another connection may be tried
+	if l.served > 0 && !l.conn.Silent() { // closed by the server: nothing was written, so another connection may be tried
 		l.end()
 		l.all.dial(t, l.endpoint)
 		return transport.EndPeerClosed, nil
@@ -200,7 +200,7 @@
 	l.mu.Unlock()
 	l.answered.Store(int64(l.all.Clock.Now()))
 	if !closing {
-		l.all.Fds.Park(l, transport.Kept)
+		l.all.Fds.MarkIdle(l, transport.IdleServer)
 		l.endpoint.idle.Put(l)
 	}
 	l.all.postEnded(t, result)
@@ -213,7 +213,7 @@
 	l.closing, l.current = true, nil
 	l.mu.Unlock()
 	l.endpoint.idle.Remove(l)
-	l.all.Fds.Unpark(l)
+	l.all.Fds.MarkBusy(l)
 	l.conn.Close()
 }
 
@@ -239,7 +239,7 @@
 		unasked := errors.Is(err, errUnsolicited)
 		switch {
 		case next != nil && !unasked:
-			l.all.Fds.Unpark(l)
+			l.all.Fds.MarkBusy(l)
 			return carryOn, nil
 		case unasked:
 			reason = transport.EndServerFailed
@@ -261,10 +261,10 @@
 // skipAsync skips a message that a server may send between requests; any other ends the connection.
 func (l *serverConn) skipAsync() error {
 	h, err := postgres.ParseHeader(l.conn.Peek(postgres.HeaderSize))
-	if err != nil || h.Type != postgres.TypeParameterStatus && h.Type != postgres.TypeNotice {
+	if err != nil || h.Type != postgres.TypeParameterStatus && h.Type != postgres.TypeNoticeResponse {
 		return errUnsolicited
 	}
-	if err := l.conn.SkipBy(postgres.HeaderSize+h.Body, time.Now().Add(DefaultTimeouts.Message), nil); err != nil {
+	if err := l.conn.SkipUntil(postgres.HeaderSize+h.Body, time.Now().Add(DefaultTimeouts.Message), nil); err != nil {
 		return errors.Join(errUnsolicited, err)
 	}
 	return nil
@@ -308,7 +308,7 @@
 	switch {
 	case errors.Is(err, errProtocol): // malformed: it may have run, and nothing in the answer is used
 		result, reason = taskResult{result: policy.ResultError}, transport.EndProtocol
-	case reply.Served():
+	case reply.Complete():
 		result.result, result.value = policy.ResultOK, value
 	case reply.Code != "":
 		result.result = resultOf(reply.Code, false)
@@ -371,7 +371,7 @@
 	row := ""
 	for !reply.Ready {
 		due := deadline
-		if reply.Begun() {
+		if reply.Started() {
 			due = l.stall(deadline)
 		}
 		if err := l.conn.Wait(1, due, t.cancelled); err != nil {
@@ -395,13 +395,13 @@
 			return row, stalled(err, due, deadline)
 		}
 		seen := l.conn.Peek(head)
-		if err := reply.Take(header, seen[postgres.HeaderSize:]); err != nil {
+		if err := reply.Handle(header, seen[postgres.HeaderSize:]); err != nil {
 			return row, errors.Join(errProtocol, err)
 		}
 		switch {
 		case header.Type == postgres.TypeDataRow && value == nil:
 			row = postgres.RowValue(seen[postgres.HeaderSize:])
-		case value != nil && postgres.Passes(header.Type):
+		case value != nil && postgres.IsForwarded(header.Type):
 			if err := l.readValue(value, size, deadline, t); err != nil {
 				return row, err
 			}
--- a/internal/session/server_conn_test.go
+++ b/internal/session/server_conn_test.go
@@ -37,7 +37,7 @@
 	facts := &settings.InForce{Settings: policy.Settings{ConnectTimeout: 250_000}, Keepalive: 30_000_000}
 	r.servers = &Servers{
 		Owner: poster(r.events), InForce: settings.NewLive(facts), Buffers: transport.NewBuffers(1 << 24),
-		Fds: transport.NewDescriptors(1024), Ends: transport.NewEnds(zerolog.Nop()), Clock: routing.NewClock(),
+		Fds: transport.NewDescriptors(1024), Ends: transport.NewEndRecorder(zerolog.Nop()), Clock: routing.NewClock(),
 		User: "backend", DB: "store",
 	}
 	r.servers.SetEndpoint(1, server.Addr())
@@ -63,7 +63,7 @@
 func (r *harness) job(id string) routing.Job {
 	text := r.servers.Buffers.NewMessage()
 	text.Append([]byte("/* id=" + id + ",c=x,d=5000,cluster=1 */ SELECT content FROM kv WHERE name = 'k'\x00"))
-	st, err := postgres.ParseStatement(text.From(0))
+	st, err := postgres.ParseStatement(text.BuffersFrom(0))
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -386,7 +386,7 @@
 		if e.Result != policy.ResultOK {
 			t.Fatalf("%s ended with %s", id, routing.ResultNames[e.Result])
 		}
-		if parts := e.Value.From(0); !bytes.Contains(bytes.Join(parts, nil), []byte(id)) {
+		if parts := e.Value.BuffersFrom(0); !bytes.Contains(bytes.Join(parts, nil), []byte(id)) {
 			t.Errorf("%s got %q", id, parts)
 		}
 		e.Value.Free()
--- a/internal/session/servers.go
+++ b/internal/session/servers.go
@@ -27,7 +27,7 @@
 	InForce *settings.Live
 	Buffers *transport.Buffers
 	Fds     *transport.Descriptors
-	Ends    *transport.Ends
+	Ends    *transport.EndRecorder
 	Clock   routing.Clock
 	User    string
 	DB      string
@@ -198,7 +198,7 @@
 	s.conns[l] = struct{}{}
 	if s.closed { // the task of a connection that broke during Close
 		t.stop()
-		l.closing, l.reason = true, transport.EndDrain
+		l.closing, l.reason = true, transport.EndDraining
 	}
 	s.mu.Unlock()
 	s.open.Add(1)
@@ -259,7 +259,7 @@
 	all := slices.Collect(maps.Keys(s.conns))
 	s.mu.Unlock()
 	for _, l := range all {
-		l.CloseIdle(transport.EndDrain)
+		l.CloseIdle(transport.EndDraining)
 		if t := l.task(); t != nil {
 			t.Cancel()
 		}
--- a/internal/streams/sender.go
+++ b/internal/streams/sender.go
@@ -73,7 +73,7 @@
 // closeIfEnded closes a stream that the peer has ended. Where that was soon after it was opened the peer rejects it, so the
 // next attempt waits.
 func (s *sender) closeIfEnded() {
-	if s.stream == nil || s.stream.conn.Quiet() {
+	if s.stream == nil || s.stream.conn.Silent() {
 		return
 	}
 	s.close()
--- a/internal/streams/streams.go
+++ b/internal/streams/streams.go
@@ -139,7 +139,7 @@
 	if x.listener, err = transport.Listen(bind, s.Buffers, s.Descriptors); err != nil {
 		return nil, err
 	}
-	x.listener.Calls = true
+	x.listener.FromGateways = true
 	x.Handle(ping, x.answerPing)
 	x.Handle(pong, x.handlePong)
 	go func() {
--- a/internal/streams/streams_test.go
+++ b/internal/streams/streams_test.go
@@ -132,7 +132,7 @@
 	}
 	send("with the second key")
 	b.want(t, "a:with the second key")
-	eventually(t, "all memory is given back", func() bool { return a.buffers.Held()+b.buffers.Held() == 0 })
+	eventually(t, "all memory is given back", func() bool { return a.buffers.Reserved()+b.buffers.Reserved() == 0 })
 }
 
 // A stalled stream fills its queue: the oldest messages that may be dropped give way, the others are rejected, and the sender
@@ -165,7 +165,7 @@
 	if !errors.Is(err, ErrQueueFull) || kept.Load() != 0 {
 		t.Errorf("%v, %d that may not give way did", err, kept.Load())
 	}
-	if held := a.buffers.Held(); held > MaxQueued {
+	if held := a.buffers.Reserved(); held > MaxQueued {
 		t.Errorf("%d bytes wait", held)
 	}
 	begin := time.Now()
@@ -179,8 +179,8 @@
 	if err := a.Send(Message{To: "b"}); !errors.Is(err, ErrClosed) {
 		t.Errorf("got %v, want %v", err, ErrClosed)
 	}
-	if a.buffers.Held() != 0 {
-		t.Errorf("%d bytes are still held", a.buffers.Held())
+	if a.buffers.Reserved() != 0 {
+		t.Errorf("%d bytes are still held", a.buffers.Reserved())
 	}
 }
 
@@ -255,7 +255,7 @@
 			}
 		})
 	}
-	if b.buffers.Held() != 0 {
-		t.Errorf("%d bytes are held", b.buffers.Held())
+	if b.buffers.Reserved() != 0 {
+		t.Errorf("%d bytes are held", b.buffers.Reserved())
 	}
 }
--- a/internal/transport/buffer.go
+++ b/internal/transport/buffer.go
@@ -14,10 +14,10 @@
 
 // Buffers hands out buffers of one size and takes them back, and keeps account of the bytes that messages hold.
 type Buffers struct {
-	chunks  sync.Pool
-	readers sync.Pool
-	held    atomic.Int64
-	most    int64
+	chunks   sync.Pool
+	readers  sync.Pool
+	reserved atomic.Int64
+	most     int64
 }
 
 // NewBuffers makes a pool whose messages may hold so many bytes together.
@@ -30,18 +30,18 @@
 
 // Reserve sets bytes aside for a message to come, or tells that there is no room for it.
 func (b *Buffers) Reserve(n int) bool {
-	if b.held.Add(int64(n)) > b.most {
-		b.held.Add(-int64(n))
+	if b.reserved.Add(int64(n)) > b.most {
+		b.reserved.Add(-int64(n))
 		return false
 	}
 	return true
 }
 
 // Release gives back what Reserve set aside.
-func (b *Buffers) Release(n int) { b.held.Add(-int64(n)) }
+func (b *Buffers) Release(n int) { b.reserved.Add(-int64(n)) }
 
 // Held tells how many bytes are set aside now.
-func (b *Buffers) Held() int64 { return b.held.Load() }
+func (b *Buffers) Reserved() int64 { return b.reserved.Load() }
 
 // Message is a run of bytes kept in pooled buffers. It may be shared: each holder frees it once.
 type Message struct {
@@ -134,7 +134,7 @@
 }
 
 // First is what stands in the first buffer.
-func (m *Message) First() []byte {
+func (m *Message) FirstBuffer() []byte {
 	if len(m.chunks) == 0 {
 		return nil
 	}
@@ -142,7 +142,7 @@
 }
 
 // From lists the bytes from an offset within the first buffer on, ready to be written together.
-func (m *Message) From(at int) net.Buffers {
+func (m *Message) BuffersFrom(at int) net.Buffers {
 	var out net.Buffers
 	for i, c := range m.chunks {
 		p := c[:min(m.size-i*BufferSize, BufferSize)]
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -95,7 +95,7 @@
 }
 
 // SkipBy passes over bytes, likewise.
-func (c *Conn) SkipBy(n int, by time.Time, pending func() bool) error {
+func (c *Conn) SkipUntil(n int, by time.Time, pending func() bool) error {
 	return c.inPieces(n, by, pending, c.Skip)
 }
 
@@ -139,7 +139,7 @@
 // Quiet tells that the peer has neither closed nor sent anything unasked. It asks the kernel, so it also sees
 // what came a moment ago: a request written to a connection that the peer has closed would end as a reset, and
 // nobody could tell whether it ran.
-func (c *Conn) Quiet() bool {
+func (c *Conn) Silent() bool {
 	if c.r.Buffered() > 0 {
 		return false
 	}
--- a/internal/transport/crossing_test.go
+++ b/internal/transport/crossing_test.go
@@ -38,7 +38,7 @@
 	for _, reset := range []bool{false, true} {
 		c, peer := connected(t)
 		peer.Write([]byte("unread"))
-		until(t, func() bool { return !c.Quiet() }, "the bytes never came")
+		until(t, func() bool { return !c.Silent() }, "the bytes never came")
 		if c.PeerClosed() {
 			t.Fatal("an open connection is told to be closed")
 		}
@@ -64,7 +64,7 @@
 		t.Fatal(err)
 	}
 	peer.Write([]byte("a request that nobody reads"))
-	until(t, func() bool { return !c.Quiet() }, "the request never came")
+	until(t, func() bool { return !c.Silent() }, "the request never came")
 	closed := make(chan struct{})
 	go func() {
 		defer close(closed)
@@ -93,7 +93,7 @@
 	}
 	l.Close()
 	l.Serve(func(c *Conn, _ bool) { c.Close() })
-	if _, err := net.Dial("tcp", l.Addr()); DialReason(err) != EndRefused {
+	if _, err := net.Dial("tcp", l.Addr()); DialReason(err) != EndConnectionRefused {
 		t.Errorf("connecting ended with %v", err)
 	}
 	if _, err := l.nl.Accept(); !errors.Is(err, net.ErrClosed) {
--- a/internal/transport/descriptors.go
+++ b/internal/transport/descriptors.go
@@ -7,14 +7,14 @@
 
 // Idleness says whose idle connection it is. When descriptors run short the first kind gives way first, and within a kind
 // the one idle for longest.
-type Idleness uint8
+type IdleClass uint8
 
 // The kinds of idle connections.
 const (
-	Newcomer Idleness = iota // a client that has never brought a request
-	Asked                    // a client that has
-	Kept                     // to a server; opening another costs that server work
-	idlenesses
+	IdleNewClient    IdleClass = iota // a client that has never brought a request
+	IdleServedClient                  // a client that has
+	IdleServer                        // to a server; opening another costs that server work
+	idleClasses
 )
 
 // Descriptors keeps account of open descriptors, and closes idle connections when they run short, never one with a
@@ -25,7 +25,7 @@
 	clients int
 	most    int
 	asked   int // how many clients that have asked may be idle
-	idle    [idlenesses]*list.List
+	idle    [idleClasses]*list.List
 	parked  map[Idler]parking
 }
 
@@ -61,7 +61,7 @@
 func NewDescriptors(limit int) *Descriptors {
 	return &Descriptors{
 		most: max(limit-otherDescriptors, 2*urgentDescriptors), parked: map[Idler]parking{},
-		idle: [idlenesses]*list.List{list.New(), list.New(), list.New()}, asked: max(limit/idleAskedPart, 1),
+		idle: [idleClasses]*list.List{list.New(), list.New(), list.New()}, asked: max(limit/idleAskedPart, 1),
 	}
 }
 
@@ -107,18 +107,18 @@
 func (d *Descriptors) makeRoom() bool {
 	d.mu.Lock()
 	var x Idler
-	for k := Newcomer; k < idlenesses && x == nil; k++ {
+	for k := IdleNewClient; k < idleClasses && x == nil; k++ {
 		x = d.oldest(k)
 	}
 	d.mu.Unlock()
 	if x != nil {
-		x.CloseIdle(EndRoom)
+		x.CloseIdle(EndEvicted)
 	}
 	return x != nil
 }
 
 // oldest takes out the connection of a kind that is idle for longest, if there is one. The caller holds the lock.
-func (d *Descriptors) oldest(k Idleness) Idler {
+func (d *Descriptors) oldest(k IdleClass) Idler {
 	front := d.idle[k].Front()
 	if front == nil {
 		return nil
@@ -129,23 +129,23 @@
 }
 
 // Park notes that a connection is idle from now on. Of the clients that have asked, too many idle ones give way at once.
-func (d *Descriptors) Park(x Idler, k Idleness) {
+func (d *Descriptors) MarkIdle(x Idler, k IdleClass) {
 	var last Idler
 	d.mu.Lock()
 	if _, parked := d.parked[x]; !parked {
 		d.parked[x] = parking{d.idle[k], d.idle[k].PushBack(x)}
-		if k == Asked && d.idle[k].Len() > d.asked {
+		if k == IdleServedClient && d.idle[k].Len() > d.asked {
 			last = d.oldest(k)
 		}
 	}
 	d.mu.Unlock()
 	if last != nil {
-		last.CloseIdle(EndRoom)
+		last.CloseIdle(EndEvicted)
 	}
 }
 
 // Unpark notes that a connection is idle no longer.
-func (d *Descriptors) Unpark(x Idler) {
+func (d *Descriptors) MarkBusy(x Idler) {
 	d.mu.Lock()
 	if p, ok := d.parked[x]; ok {
 		p.list.Remove(p.at)
@@ -155,14 +155,14 @@
 }
 
 // Hold counts descriptors that are no connections and no part of the usual few, or gives them back where n is negative.
-func (d *Descriptors) Hold(n int) {
+func (d *Descriptors) Reserve(n int) {
 	d.mu.Lock()
 	d.used += n
 	d.mu.Unlock()
 }
 
 // Short tells that nearly no descriptor is left for another connection.
-func (d *Descriptors) Short() bool {
+func (d *Descriptors) NearLimit() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.used+d.spare() > d.most
--- a/internal/transport/ends.go
+++ b/internal/transport/ends.go
@@ -17,27 +17,27 @@
 
 // The reasons.
 const (
-	EndPeerClosed    Reason = iota // the peer closed it between requests
-	EndPeerReset                   // the peer, or its machine, reset it
-	EndPeerGone                    // a client closed it while its request was out
-	EndTerminate                   // the client said goodbye
-	EndIdle                        // it was idle for too long
-	EndRoom                        // closed idle to make room for another
-	EndDrain                       // closed because the gateway is stopping
-	EndAbandoned                   // an attempt on it was given up
-	EndTimeout                     // a read or write took too long
-	EndRefused                     // the server refused the connection
-	EndUnreachable                 // the connection never came up in time
-	EndTurnedAway                  // the server turned it away at its start
-	EndProtocol                    // the peer broke the protocol
-	EndCancelRequest               // it only carried a cancel request
-	EndReplaced                    // another took its place, or the module asked for its end
-	EndServerFailed                // the server ended it with an error, or after an answer
-	EndStatus                      // discovery answered with another status than 200
-	EndDone                        // all that was asked for has been read
-	EndDescriptors                 // no descriptor was free for it
-	EndMoved                       // the floating address it came over went to another gateway
-	EndMaintenance                 // the gateway is about to be out for maintenance
+	EndPeerClosed         Reason = iota // the peer closed it between requests
+	EndPeerReset                        // the peer, or its machine, reset it
+	EndClientDisconnected               // a client closed it while its request was out
+	EndTerminate                        // the client said goodbye
+	EndIdle                             // it was idle for too long
+	EndEvicted                          // closed idle to make room for another
+	EndDraining                         // closed because the gateway is stopping
+	EndAbandoned                        // an attempt on it was given up
+	EndTimeout                          // a read or write took too long
+	EndConnectionRefused                // the server refused the connection
+	EndUnreachable                      // the connection never came up in time
+	EndRejected                         // the server turned it away at its start
+	EndProtocol                         // the peer broke the protocol
+	EndCancelRequest                    // it only carried a cancel request
+	EndReplaced                         // another took its place, or the module asked for its end
+	EndServerFailed                     // the server ended it with an error, or after an answer
+	EndStatus                           // discovery answered with another status than 200
+	EndCompleted                        // all that was asked for has been read
+	EndDescriptors                      // no descriptor was free for it
+	EndAddressMigrated                  // the floating address it came over went to another gateway
+	EndMaintenance                      // the gateway is about to be out for maintenance
 	reasons
 )
 
@@ -58,7 +58,7 @@
 	case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, ErrDeadline):
 		return EndTimeout
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return EndRefused
+		return EndConnectionRefused
 	}
 	return EndPeerReset
 }
@@ -89,16 +89,16 @@
 var partyNames = [parties]string{"client", "server", "discovery"}
 
 // Ends logs and counts how connections end: one line and one count each.
-type Ends struct {
+type EndRecorder struct {
 	log    zerolog.Logger
 	counts [parties][reasons]atomic.Int64
 }
 
 // NewEnds makes a log of ends.
-func NewEnds(log zerolog.Logger) *Ends { return &Ends{log: log} }
+func NewEndRecorder(log zerolog.Logger) *EndRecorder { return &EndRecorder{log: log} }
 
 // End notes the end of one connection.
-func (e *Ends) End(party Party, remote string, reason Reason, since time.Time, served int, cause error) {
+func (e *EndRecorder) Record(party Party, remote string, reason Reason, since time.Time, served int, cause error) {
 	e.counts[party][reason].Add(1)
 	line := e.log.Info().Str("party", partyNames[party]).Str("peer", remote).Stringer("reason", reason).
 		Int64("age_ms", time.Since(since).Milliseconds()).Int("served", served)
@@ -109,7 +109,7 @@
 }
 
 // Each hands over the counts that are not zero.
-func (e *Ends) Each(count func(party string, reason Reason, n int64)) {
+func (e *EndRecorder) Each(count func(party string, reason Reason, n int64)) {
 	for p := range e.counts {
 		for r := range e.counts[p] {
 			if n := e.counts[p][r].Load(); n > 0 {
--- a/internal/transport/listen.go
+++ b/internal/transport/listen.go
@@ -24,7 +24,7 @@
 // Listener accepts connections for as long as the gateway runs.
 type Listener struct {
 	// Calls says that other gateways connect to it, not clients: they count as calls do. It is set before Serve.
-	Calls bool
+	FromGateways bool
 
 	nl      *net.TCPListener
 	buffers *Buffers
@@ -59,7 +59,7 @@
 			l.served.Add(1)
 			go func() {
 				defer l.served.Done()
-				serve(newConn(nc, l.buffers, l.fds, !l.Calls), stays)
+				serve(newConn(nc, l.buffers, l.fds, !l.FromGateways), stays)
 			}()
 		case errors.Is(err, net.ErrClosed):
 			return
@@ -91,7 +91,7 @@
 }
 
 func (l *Listener) take() bool {
-	if l.Calls {
+	if l.FromGateways {
 		return l.fds.take(false)
 	}
 	return l.fds.takeClient()
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -52,12 +52,12 @@
 		}
 		at := min(size, 5)
 		var got bytes.Buffer
-		parts := m.From(at)
+		parts := m.BuffersFrom(at)
 		parts.WriteTo(&got)
 		if m.Size() != size || !bytes.Equal(got.Bytes(), want[at:]) {
 			t.Errorf("%d bytes came back as %d, %d after the first %d", size, m.Size(), got.Len(), at)
 		}
-		if !bytes.Equal(m.First(), want[:min(size, BufferSize)]) {
+		if !bytes.Equal(m.FirstBuffer(), want[:min(size, BufferSize)]) {
 			t.Errorf("the first buffer of %d bytes differs", size)
 		}
 		m.Share()
@@ -84,8 +84,8 @@
 		t.Error("the budget of 100 was not kept")
 	}
 	b.Release(60)
-	if b.Held() != 40 || !b.Reserve(60) {
-		t.Errorf("%d held after a release", b.Held())
+	if b.Reserved() != 40 || !b.Reserve(60) {
+		t.Errorf("%d held after a release", b.Reserved())
 	}
 }
 
@@ -101,11 +101,11 @@
 	var asked []string
 	a, b, c := &idler{"a", &asked}, &idler{"b", &asked}, &idler{"c", &asked}
 	for _, x := range []*idler{a, b, c} {
-		d.Park(x, Kept)
+		d.MarkIdle(x, IdleServer)
 	}
-	d.Unpark(a)     // it has a request now
-	d.Park(a, Kept) // and is idle again: the youngest
-	d.Unpark(b)
+	d.MarkBusy(a)             // it has a request now
+	d.MarkIdle(a, IdleServer) // and is idle again: the youngest
+	d.MarkBusy(b)
 	for range 30 {
 		if !d.take(true) {
 			t.Fatal("below the cap there was no room")
@@ -223,17 +223,17 @@
 		"data":   func(p *net.TCPConn) { p.Write([]byte("x")) },
 	} {
 		c, peer := connected(t)
-		if !c.Quiet() {
+		if !c.Silent() {
 			t.Fatalf("%s: not quiet at first", name)
 		}
 		c.Wake() // a deadline in the past must not matter
-		if !c.Quiet() {
+		if !c.Silent() {
 			t.Fatalf("%s: not quiet once woken", name)
 		}
 		disturb(peer)
 		// Loopback has it at once, but only the kernel's own wait tells when.
 		c.Wait(1, far(), nil)
-		if c.Quiet() {
+		if c.Silent() {
 			t.Errorf("%s: still quiet", name)
 		}
 	}
@@ -247,7 +247,7 @@
 	addr := l.Addr().String()
 	l.Close()
 	fds := NewDescriptors(1024)
-	if _, err := Dial(context.Background(), addr, far(), NewBuffers(1), fds, false); ReasonOf(err) != EndRefused {
+	if _, err := Dial(context.Background(), addr, far(), NewBuffers(1), fds, false); ReasonOf(err) != EndConnectionRefused {
 		t.Errorf("nobody listens: %v", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -274,8 +274,8 @@
 	d := NewDescriptors(otherDescriptors + most)
 	var asked []string
 	served, silent := &idler{"served", &asked}, &idler{"silent", &asked}
-	d.Park(served, Asked)
-	d.Park(silent, Newcomer) // later idle, and yet first
+	d.MarkIdle(served, IdleServedClient)
+	d.MarkIdle(silent, IdleNewClient) // later idle, and yet first
 	stayed := 0
 	for d.takeClient() {
 		stayed++
@@ -304,15 +304,15 @@
 	d := NewDescriptors(limit)
 	var asked []string
 	for i := range 2 * limit / idleAskedPart {
-		d.Park(&idler{fmt.Sprint("server", i), &asked}, Kept)
+		d.MarkIdle(&idler{fmt.Sprint("server", i), &asked}, IdleServer)
 	}
 	for i := range limit / idleAskedPart {
-		d.Park(&idler{fmt.Sprint("client", i), &asked}, Asked)
+		d.MarkIdle(&idler{fmt.Sprint("client", i), &asked}, IdleServedClient)
 	}
 	if len(asked) != 0 {
 		t.Errorf("%v asked with room left", asked)
 	}
-	d.Park(&idler{"one more", &asked}, Asked)
+	d.MarkIdle(&idler{"one more", &asked}, IdleServedClient)
 	if len(asked) != 1 || asked[0] != "client0 room" {
 		t.Errorf("%v asked, want the client that is idle for longest", asked)
 	}
@@ -326,8 +326,8 @@
 	if err := first.Grow(2*BufferSize, far(), never); err != nil {
 		t.Fatal(err)
 	}
-	if err := second.Grow(BufferSize, far(), never); err != nil || b.Held() != 2*BufferSize {
-		t.Errorf("a first buffer was counted: %v, %d held", err, b.Held())
+	if err := second.Grow(BufferSize, far(), never); err != nil || b.Reserved() != 2*BufferSize {
+		t.Errorf("a first buffer was counted: %v, %d held", err, b.Reserved())
 	}
 	if err := second.Grow(2*BufferSize, time.Now(), never); !errors.Is(err, ErrDeadline) {
 		t.Errorf("its time up: %v", err)
@@ -346,8 +346,8 @@
 		t.Errorf("after the first was freed: %v, %v", err, asked)
 	}
 	second.Free()
-	if b.Held() != 0 {
-		t.Errorf("%d held at the end", b.Held())
+	if b.Reserved() != 0 {
+		t.Errorf("%d held at the end", b.Reserved())
 	}
 }
 
@@ -391,9 +391,9 @@
 
 func TestEnds(t *testing.T) {
 	var out bytes.Buffer
-	e := NewEnds(zerolog.New(&out))
-	e.End(Server, "127.0.0.1:1", EndTimeout, time.Now(), 3, ErrDeadline)
-	e.End(Client, "127.0.0.1:2", EndPeerClosed, time.Now(), 0, io.EOF)
+	e := NewEndRecorder(zerolog.New(&out))
+	e.Record(Server, "127.0.0.1:1", EndTimeout, time.Now(), 3, ErrDeadline)
+	e.Record(Client, "127.0.0.1:2", EndPeerClosed, time.Now(), 0, io.EOF)
 	for _, want := range []string{
 		`"party":"server"`, `"reason":"timeout"`, `"served":3`, `"cause":"deadline reached"`, `"reason":"peer_closed"`,
 	} {
