--- a/internal/gossip/agent_test.go
+++ b/internal/gossip/agent_test.go
@@ -16,13 +16,16 @@
 	"marblespan/internal/protocol/sealed"
 )
 
-// hour is what the clock shows when a member starts.
+// hour is what the clock of an agent shows when it starts.
 const hour clock.Micros = 3_600_000_000
 
+// testTimeout is when a test gives up.
+const testTimeout = 20 * time.Second
+
 var key = sealed.Key{Number: 1, Secret: []byte("a secret of sixteen or more")}
 
-// member starts one on loopback. changes get every change of its view.
-func member(t *testing.T, name string, start uint64, join ...netip.AddrPort) (*Agent, chan membership.MemberChanged) {
+// startAgent starts an agent on loopback. The channel gets every change of its view.
+func startAgent(t *testing.T, name string, start uint64, join ...netip.AddrPort) (*Agent, chan membership.MemberChanged) {
 	t.Helper()
 	begin := time.Now()
 	clock := Clock{
@@ -41,88 +44,98 @@
 	return p, changes
 }
 
-func until(t *testing.T, changes chan membership.MemberChanged, name string, state membership.State) membership.MemberChanged {
+// awaitState waits until an agent sees a member in a state.
+func awaitState(t *testing.T, changes chan membership.MemberChanged, name string, state membership.State) membership.MemberChanged {
 	t.Helper()
-	for late := time.After(20 * time.Second); ; {
+	for timeout := time.After(testTimeout); ; {
 		select {
 		case c := <-changes:
 			if c.Name == name && c.State == state {
 				return c
 			}
-		case <-late:
-			t.Fatalf("nobody sees %s %v", name, state)
+		case <-timeout:
+			t.Fatalf("%s is not seen %v within %v", name, state, testTimeout)
 		}
 	}
 }
 
-// Three find each other by one address, tell what they are, see one leave, and take nothing from strangers.
-func TestPeers(t *testing.T) {
-	a, seenA := member(t, "a", 1000)
-	b, seenB := member(t, "b", 2000, a.Addr())
-	c, seenC := member(t, "c", 3000, a.Addr(), netip.MustParseAddrPort("127.0.0.1:9"))
-	for _, x := range []struct {
+// awaitDrop waits until an agent has counted one more datagram dropped for a fault than before.
+func awaitDrop(t *testing.T, a *Agent, fault sealed.Fault, before int64) {
+	t.Helper()
+	for deadline := time.Now().Add(testTimeout); a.Counts.Dropped[fault].Load() == before; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("no drop is counted for fault %s", fault.Name())
+		}
+	}
+}
+
+// signed is a message as a datagram of a deployment.
+func signed(t *testing.T, msg membership.Message, deployment string, k sealed.Key, sequence uint64) []byte {
+	t.Helper()
+	raw, err := codec.Append(nil, msg, sealed.Trailer{Start: 1, Sequence: sequence}, deployment, k)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
+
+// Three agents find each other by one address, exchange their metadata, see one leave, and drop what strangers send.
+func TestAgents(t *testing.T) {
+	a, seenA := startAgent(t, "a", 1000)
+	b, seenB := startAgent(t, "b", 2000, a.Addr())
+	c, seenC := startAgent(t, "c", 3000, a.Addr(), netip.MustParseAddrPort("127.0.0.1:9"))
+	for _, view := range []struct {
 		changes chan membership.MemberChanged
 		name    string
 	}{{seenA, "b"}, {seenB, "c"}, {seenC, "a"}, {seenC, "b"}} {
-		if r := until(t, x.changes, x.name, membership.Alive); r.Meta.Zone != "a" || r.Meta.Weight != 2 || r.Meta.Version != "1" {
-			t.Errorf("%+v", r)
+		if r := awaitState(t, view.changes, view.name, membership.Alive); r.Meta.Zone != "a" || r.Meta.Weight != 2 || r.Meta.Version != "1" {
+			t.Errorf("got %+v, want zone a, weight 2, version 1", r)
 		}
 	}
 	raw, err := json.Marshal(c.Status())
 	var s Status
 	if err != nil || json.Unmarshal(raw, &s) != nil || len(s.Members) != 3 || !s.Members[0].Self || s.Members[0].ForMS > 60_000 || s.Members[1].Name != "a" || s.Members[2].SettingsDiffer {
-		t.Errorf("%v %s", err, raw)
+		t.Errorf("got %s, error %v, want c itself, a and b with the same settings", raw, err)
 	}
 	stranger, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(a.Addr()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer stranger.Close()
-	ping := membership.Message{Kind: membership.Ping, From: "x", Generation: 1, Records: []membership.Record{{Name: "x", Address: b.Addr(), Generation: 1}}}
-	say := func(deployment string, k sealed.Key, sequence uint64) []byte {
-		raw, err := codec.Append(nil, ping, sealed.Trailer{Start: 1, Sequence: sequence}, deployment, k)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return raw
+	t.Cleanup(func() { stranger.Close() })
+	ping := membership.Message{
+		Kind: membership.Ping, From: "x", Generation: 1, Records: []membership.Record{{Name: "x", Address: b.Addr(), Generation: 1}},
 	}
 	later := ping
 	later.Kind = 77
-	unknown, _ := codec.Append(nil, later, sealed.Trailer{Start: 1, Sequence: 9}, "", key)
-	for _, x := range []struct {
+	for _, invalid := range []struct {
+		name string
 		raw  []byte
 		want sealed.Fault
 	}{
-		{[]byte("garbage"), sealed.BadLength},
-		{make([]byte, 1200), sealed.BadVersion},
-		{make([]byte, 9000), sealed.BadLength},
-		{say("elsewhere", key, 1), sealed.BadMAC},
-		{say("", sealed.Key{Number: 2, Secret: key.Secret}, 1), sealed.UnknownKey},
-		{unknown, sealed.BadKind},
+		{"garbage", []byte("garbage"), sealed.BadLength},
+		{"zeros", make([]byte, 1200), sealed.BadVersion},
+		{"too long", make([]byte, 9000), sealed.BadLength},
+		{"another deployment", signed(t, ping, "elsewhere", key, 1), sealed.BadMAC},
+		{"unknown key", signed(t, ping, "", sealed.Key{Number: 2, Secret: key.Secret}, 1), sealed.UnknownKey},
+		{"unknown kind", signed(t, later, "", key, 9), sealed.BadKind},
 	} {
-		before := a.Counts.Dropped[x.want].Load()
-		stranger.Write(x.raw)
-		for late := time.Now().Add(20 * time.Second); a.Counts.Dropped[x.want].Load() == before; time.Sleep(time.Millisecond) {
-			if time.Now().After(late) {
-				t.Fatalf("%v is not counted", x.want.Name())
-			}
-		}
+		t.Run(invalid.name, func(t *testing.T) {
+			before := a.Counts.Dropped[invalid.want].Load()
+			stranger.Write(invalid.raw)
+			awaitDrop(t, a, invalid.want, before)
+		})
 	}
-	good := say("", key, 1)
+	valid := signed(t, ping, "", key, 1)
 	before := a.Counts.Dropped[sealed.Replayed].Load()
-	stranger.Write(good)
-	stranger.Write(good) // a replay
-	until(t, seenA, "x", membership.Alive)
-	for late := time.Now().Add(20 * time.Second); a.Counts.Dropped[sealed.Replayed].Load() == before; time.Sleep(time.Millisecond) {
-		if time.Now().After(late) {
-			t.Fatal("a replay is not counted")
-		}
-	}
+	stranger.Write(valid)
+	stranger.Write(valid) // a replay
+	awaitState(t, seenA, "x", membership.Alive)
+	awaitDrop(t, a, sealed.Replayed, before)
 	b.Close()
-	until(t, seenA, "b", membership.Left)
-	until(t, seenC, "b", membership.Left)
+	awaitState(t, seenA, "b", membership.Left)
+	awaitState(t, seenC, "b", membership.Left)
 	next := a.settings
 	next.Keys = []sealed.Key{{Number: 2, Secret: []byte("another secret, also long enough")}, key}
 	a.Reload(next)
-	until(t, seenA, "x", membership.Dead) // it never was there; and c, which has the old key only, is not dead for the new one
+	awaitState(t, seenA, "x", membership.Dead) // it was never there; c, which has the old key only, is not dead for the new one
 }
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Answers name flags by the words that they always did.
-func TestFlagWordsGolden(t *testing.T) {
+// Answers name flags by the names that scripts know.
+func TestFlagNamesGolden(t *testing.T) {
 	var all strings.Builder
 	for _, f := range flagNames {
 		fmt.Fprintf(&all, "%d %s\n", f.flag, f.name)
