--- a/internal/protocol/members/members_test.go
+++ b/internal/protocol/members/members_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"net/netip"
 	"reflect"
 	"strings"
@@ -22,7 +23,8 @@
 	at6  = netip.MustParseAddrPort("[2001:db8::1]:7946")
 )
 
-func full() membership.Message {
+// fullMessage is a message with every field set.
+func fullMessage() membership.Message {
 	return membership.Message{
 		Kind: membership.IndirectPing, From: "gw-1", Generation: 1_790_000_000_000_000, Incarnation: 3, To: "gw-2", ToGeneration: 1_790_000_000_000_001,
 		Number: 77, Target: "gw-3", TargetAddress: at6, Origin: "gw-4", OriginNumber: 9, DirectPingReceived: true, Digest: 0xfeedfacecafebeef,
@@ -37,7 +39,7 @@
 
 // The generated code of api/members.proto reads what is written here, and writes what is read here.
 func TestSameAsGenerated(t *testing.T) {
-	for _, m := range []membership.Message{full(), {Kind: membership.Ping, From: "a", Generation: 1}} {
+	for _, m := range []membership.Message{fullMessage(), {Kind: membership.Ping, From: "a", Generation: 1}} {
 		b := AppendMessage(nil, m)
 		var g api.Message
 		if err := proto.Unmarshal(b, &g); err != nil {
@@ -57,15 +59,15 @@
 }
 
 func TestFaults(t *testing.T) {
-	good, err := Append(nil, full(), sealed.Trailer{Start: 1, Sequence: 2, ReceiverStart: 3}, "here", key1)
+	good, err := Append(nil, fullMessage(), sealed.Trailer{Start: 1, Sequence: 2, ReceiverStart: 3}, "here", key1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m, tr, f := Parse(good, "here", []sealed.Key{key2, key1}); f != sealed.NoFault || !reflect.DeepEqual(m, full()) || tr.ReceiverStart != 3 {
+	if m, tr, f := Parse(good, "here", []sealed.Key{key2, key1}); f != sealed.NoFault || !reflect.DeepEqual(m, fullMessage()) || tr.ReceiverStart != 3 {
 		t.Fatalf("%v %+v %+v", f, m, tr)
 	}
 	change := func(do func(*membership.Message)) []byte {
-		m := full()
+		m := fullMessage()
 		do(&m)
 		b, _ := Append(nil, m, sealed.Trailer{}, "here", key1)
 		return b
@@ -77,54 +79,56 @@
 		b    []byte
 		want sealed.Fault
 	}{
-		{"nothing", nil, sealed.BadLength},
-		{"a trailer only", good[len(good)-sealed.Size:], sealed.BadLength},
+		{"empty", nil, sealed.BadLength},
+		{"only a trailer", good[len(good)-sealed.Size:], sealed.BadLength},
 		{"far too long", make([]byte, 9000), sealed.BadLength},
-		{"another trailer", set(good, len(good)-sealed.Size, 2), sealed.BadVersion},
+		{"another trailer version", set(good, len(good)-sealed.Size, 2), sealed.BadVersion},
 		{"unknown key", set(good, len(good)-sealed.Size+1, 3), sealed.UnknownKey},
 		{"another key's number", set(good, len(good)-sealed.Size+1, 2), sealed.BadMAC},
 		{"changed", set(good, 5, good[5]^1), sealed.BadMAC},
-		{"no message", raw([]byte{0xff, 0xff, 0xff}), sealed.BadMessage},
-		{"a field of another type", raw(protowire.AppendVarint(protowire.AppendTag(nil, fieldFrom, protowire.VarintType), 1)), sealed.BadMessage},
-		{"cut off", raw(AppendMessage(nil, full())[:30]), sealed.BadMessage},
+		{"not a message", raw([]byte{0xff, 0xff, 0xff}), sealed.BadMessage},
+		{"a field of another wire type", raw(protowire.AppendVarint(protowire.AppendTag(nil, fieldFrom, protowire.VarintType), 1)), sealed.BadMessage},
+		{"truncated", raw(AppendMessage(nil, fullMessage())[:30]), sealed.BadMessage},
 		{"a later kind", change(func(m *membership.Message) { m.Kind = 99 }), sealed.BadKind},
 		{"no kind", change(func(m *membership.Message) { m.Kind = 0 }), sealed.BadKind},
 		{"no sender", change(func(m *membership.Message) { m.From = "" }), sealed.BadValue},
 		{"a long name", change(func(m *membership.Message) { m.From = strings.Repeat("x", 41) }), sealed.BadValue},
 		{"a name with a line break", change(func(m *membership.Message) { m.From = "a\nb" }), sealed.BadValue},
-		{"no life", change(func(m *membership.Message) { m.Generation = 0 }), sealed.BadValue},
-		{"nobody to ask", change(func(m *membership.Message) { m.Target = "" }), sealed.BadValue},
+		{"no generation", change(func(m *membership.Message) { m.Generation = 0 }), sealed.BadValue},
+		{"an indirect ping without a target", change(func(m *membership.Message) { m.Target = "" }), sealed.BadValue},
 		{"a record without a name", change(func(m *membership.Message) { m.Records[0].Name = "" }), sealed.BadValue},
-		{"a record from nowhere", change(func(m *membership.Message) { m.Records[0].Address = netip.AddrPort{} }), sealed.BadValue},
+		{"a record without an address", change(func(m *membership.Message) { m.Records[0].Address = netip.AddrPort{} }), sealed.BadValue},
 		{"a port of 0", change(func(m *membership.Message) { m.Records[0].Address = netip.AddrPortFrom(at4.Addr(), 0) }), sealed.BadValue},
-		{"a state that is none", change(func(m *membership.Message) { m.Records[0].State = 4 }), sealed.BadValue},
-		{"accused by nobody", change(func(m *membership.Message) { m.Records[0].ReportedBy = "" }), sealed.BadValue},
-		{"a path from nobody", change(func(m *membership.Message) { m.Paths[0].Reporter = "" }), sealed.BadValue},
+		{"an unknown state", change(func(m *membership.Message) { m.Records[0].State = 4 }), sealed.BadValue},
+		{"a suspect without an accuser", change(func(m *membership.Message) { m.Records[0].ReportedBy = "" }), sealed.BadValue},
+		{"a path without a reporter", change(func(m *membership.Message) { m.Paths[0].Reporter = "" }), sealed.BadValue},
 	} {
-		if m, _, f := Parse(c.b, "here", []sealed.Key{key1, key2}); f != c.want || m.From != "" {
-			t.Errorf("%s: %v, want %v", c.name, f, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if msg, _, fault := Parse(c.b, "here", []sealed.Key{key1, key2}); fault != c.want || msg.From != "" {
+				t.Errorf("got %v from %q, want %v and no message", fault, msg.From, c.want)
+			}
+		})
 	}
 	if _, _, f := Parse(good, "elsewhere", []sealed.Key{key1}); f != sealed.BadMAC {
-		t.Errorf("another deployment's: %v", f)
+		t.Errorf("another deployment: got %v, want %v", f, sealed.BadMAC)
 	}
 	// Fields of a later version are skipped, in the message and in its records.
-	later := protowire.AppendString(protowire.AppendTag(AppendMessage(nil, full()), 99, protowire.BytesType), "news")
-	if m, f := ParseMessage(later); f != sealed.NoFault || !reflect.DeepEqual(m, full()) {
+	later := protowire.AppendString(protowire.AppendTag(AppendMessage(nil, fullMessage()), 99, protowire.BytesType), "later")
+	if m, f := ParseMessage(later); f != sealed.NoFault || !reflect.DeepEqual(m, fullMessage()) {
 		t.Errorf("%v %+v", f, m)
 	}
-	long := full()
+	long := fullMessage()
 	for range 40 {
 		long.Records = append(long.Records, long.Records[0])
 	}
-	if _, err := Append(nil, long, sealed.Trailer{}, "", key1); err != ErrSize {
-		t.Errorf("%v", err)
+	if _, err := Append(nil, long, sealed.Trailer{}, "", key1); !errors.Is(err, ErrSize) {
+		t.Errorf("got %v, want %v", err, ErrSize)
 	}
 }
 
-// Whatever is read as sound is written so that it reads the same.
+// A message that is read without a fault is written so that it reads the same.
 func FuzzParseMessage(f *testing.F) {
-	f.Add(AppendMessage(nil, full()))
+	f.Add(AppendMessage(nil, fullMessage()))
 	f.Add([]byte{8, 1, 18, 1, 'a', 24, 1})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, fault := ParseMessage(b)
--- a/internal/protocol/sealed/sealed_test.go
+++ b/internal/protocol/sealed/sealed_test.go
@@ -9,45 +9,45 @@
 func TestReplayGuard(t *testing.T) {
 	for _, window := range []uint64{0, 4} {
 		late := window > 0 // whether one that was overtaken still counts
-		o := NewReplayGuard[uint8](100, window)
-		take := func(start, seq, known uint64, fresh, moved bool) {
+		guard := NewReplayGuard[uint8](100, window)
+		accept := func(start, seq, known uint64, fresh, movedOn bool) {
 			t.Helper()
-			if f, m := o.Accept(2, MessageID{start, seq}, known); f != fresh || m != moved {
-				t.Errorf("window %d: %d/%d: %v %v", window, start, seq, f, m)
+			if f, m := guard.Accept(2, MessageID{start, seq}, known); f != fresh || m != movedOn {
+				t.Errorf("window %d, message %d/%d: got fresh %v, movedOn %v, want %v, %v", window, start, seq, f, m, fresh, movedOn)
 			}
 		}
-		take(50, 1, 0, true, false)
-		take(50, 1, 0, false, false) // doubled
-		take(50, 3, 100, true, false)
-		take(50, 2, 100, late, false)  // overtaken
-		take(50, 2, 100, false, false) // and doubled
-		take(40, 9, 100, false, false) // of an earlier life
-		take(50, 9, 100, true, false)
-		take(50, 6, 100, late, false)
-		take(50, 5, 100, false, false) // overtaken by too many
-		take(51, 1, 100, true, false)  // started again
-		take(50, 10, 100, false, false)
-		if o.KnownStart(2) != 51 || o.KnownStart(3) != 0 {
-			t.Errorf("known %d, %d", o.KnownStart(2), o.KnownStart(3))
+		accept(50, 1, 0, true, false)
+		accept(50, 1, 0, false, false) // a duplicate
+		accept(50, 3, 100, true, false)
+		accept(50, 2, 100, late, false)  // overtaken
+		accept(50, 2, 100, false, false) // and a duplicate
+		accept(40, 9, 100, false, false) // of an earlier start
+		accept(50, 9, 100, true, false)
+		accept(50, 6, 100, late, false)
+		accept(50, 5, 100, false, false) // overtaken by too many
+		accept(51, 1, 100, true, false)  // a restart
+		accept(50, 10, 100, false, false)
+		if guard.KnownStart(2) != 51 || guard.KnownStart(3) != 0 {
+			t.Errorf("got known starts %d, %d, want 51, 0", guard.KnownStart(2), guard.KnownStart(3))
 		}
-		// They know a later life of this gateway: its clock was set back. It moves past that, once.
-		take(51, 2, 900, true, true)
-		if n := o.NextID(); n.Start != 901 || n.Sequence != 1 {
-			t.Errorf("%+v", n)
+		// The sender knows a later start of this gateway: its clock was set back. It goes on after that start, once.
+		accept(51, 2, 900, true, true)
+		if n := guard.NextID(); n.Start != 901 || n.Sequence != 1 {
+			t.Errorf("got ID %+v, want 901/1", n)
 		}
-		take(51, 3, 900, true, false)
-		o.Retain(func(s uint8) bool { return s != 2 })
-		take(1, 1, 0, true, false)
-		take(1, 1<<40, 0, true, false)
-		take(1, 2, 0, false, false)
+		accept(51, 3, 900, true, false)
+		guard.Retain(func(s uint8) bool { return s != 2 })
+		accept(1, 1, 0, true, false)
+		accept(1, 1<<40, 0, true, false)
+		accept(1, 2, 0, false, false)
 	}
 }
 
-// Whatever the order of arrival, none counts twice, and none that at most 63 others have overtaken is missed.
+// In whatever order messages arrive, none counts twice, and none that at most 63 others have overtaken is missed.
 func TestReplayGuardRandomOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
-		o := NewReplayGuard[string](1, 64)
+		guard := NewReplayGuard[string](1, 64)
 		const n = 300
 		due := make([][]uint64, n+64)
 		for i := range n { // each arrives up to 60 places late, some twice
@@ -61,7 +61,7 @@
 		counted := map[uint64]int{}
 		for _, now := range due {
 			for _, seq := range now {
-				if fresh, _ := o.Accept("a", MessageID{1, seq}, 0); fresh {
+				if fresh, _ := guard.Accept("a", MessageID{1, seq}, 0); fresh {
 					counted[seq]++
 				}
 			}
@@ -79,7 +79,7 @@
 	want := Trailer{Key: 1, Sender: 3, Receiver: 4, Start: 5, Sequence: 6, ReceiverStart: 7}
 	all := Append([]byte("before message"), len("before "), want, "purpose", a)[len("before "):]
 	if got, v := Parse(all, "purpose", []Key{b, a}); v != NoFault || got != want {
-		t.Errorf("%v %+v", v, got)
+		t.Errorf("got %v, %+v, want %+v", v, got, want)
 	}
 	for i := range len(all) * 8 {
 		bad := bytes.Clone(all)
@@ -94,7 +94,7 @@
 		want    Fault
 	}{{"other", []Key{a}, BadMAC}, {"purpose", []Key{b}, UnknownKey}, {"purpose", nil, UnknownKey}, {"purpose", []Key{{1, b.Secret}}, BadMAC}} {
 		if _, v := Parse(all, c.purpose, c.keys); v != c.want {
-			t.Errorf("%s %v: %v", c.purpose, c.keys, v)
+			t.Errorf("purpose %s, keys %v: got %v, want %v", c.purpose, c.keys, v, c.want)
 		}
 	}
 }
