--- a/internal/maintenance/norace_test.go
+++ b/internal/maintenance/norace_test.go
@@ -2,4 +2,4 @@
 
 package maintenance
 
-const fewer = 1
+const reduction = 1
