--- a/internal/assignment/rank_test.go
+++ b/internal/assignment/rank_test.go
@@ -61,7 +61,7 @@
 
 // Whatever comes in whatever order, an instance is told to deal with each subject within the bound of the last time it
 // knows of, never while it is at it, and not at all once it is gone.
-func TestKeeperProperties(t *testing.T) {
+func TestSchedulerProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := config("n0", rapid.Uint64().Draw(t, "seed"))
 		cfg.Assignees = rapid.IntRange(0, 2).Draw(t, "holders")
--- a/internal/assignment/sim_test.go
+++ b/internal/assignment/sim_test.go
@@ -35,10 +35,10 @@
 }
 
 type instance struct {
-	index int
-	keep  *Scheduler
-	alive bool
-	woken clock.Micros // no event of its own is planned before
+	index     int
+	scheduler *Scheduler
+	alive     bool
+	wakeAt    clock.Micros // no event of its own is planned before
 }
 
 type event struct {
@@ -71,11 +71,11 @@
 		s.subjects = append(s.subjects, Subject{Key: fmt.Sprint("s", i)})
 	}
 	for i := range instances {
-		s.all = append(s.all, &instance{index: i, keep: New(config(fmt.Sprint("n", i), seed+uint64(i))), alive: true})
+		s.all = append(s.all, &instance{index: i, scheduler: New(config(fmt.Sprint("n", i), seed+uint64(i))), alive: true})
 	}
 	for _, n := range s.all {
-		s.tell(n, SubjectsChanged{s.subjects})
-		s.tell(n, MembersChanged{s.members()})
+		s.deliver(n, SubjectsChanged{s.subjects})
+		s.deliver(n, MembersChanged{s.members()})
 	}
 	return s
 }
@@ -95,17 +95,17 @@
 }
 
 // tell hands an instance an event, carries out what it asks for and plans its next look.
-func (s *sim) tell(n *instance, ev Event) {
+func (s *sim) deliver(n *instance, ev Event) {
 	if !n.alive {
 		return
 	}
-	for _, d := range n.keep.Handle(s.now, ev) {
+	for _, d := range n.scheduler.Handle(s.now, ev) {
 		s.probes[d.Key] = append(s.probes[d.Key], s.now)
 		s.after(ms, func() { s.answered(n, d.Key) })
 	}
-	if at, ok := n.keep.Next(); ok && (n.woken <= s.now || at < n.woken) {
-		n.woken = max(at, s.now+1)
-		s.after(n.woken-s.now, func() { s.tell(n, Tick{}) })
+	if at, ok := n.scheduler.Next(); ok && (n.wakeAt <= s.now || at < n.wakeAt) {
+		n.wakeAt = max(at, s.now+1)
+		s.after(n.wakeAt-s.now, func() { s.deliver(n, Tick{}) })
 	}
 }
 
@@ -114,7 +114,7 @@
 		return
 	}
 	good := s.reaches(n.index, key)
-	s.tell(n, WorkDone{key, good})
+	s.deliver(n, WorkDone{key, good})
 	for _, other := range s.all {
 		if other == n {
 			continue
@@ -122,17 +122,17 @@
 		if took, arrives := s.latency(n.index, other.index); arrives {
 			s.messages++
 			s.after(took, func() {
-				s.tell(other, WorkReported{Key: key, From: fmt.Sprint("n", n.index), Age: took, Succeeded: good})
+				s.deliver(other, WorkReported{Key: key, From: fmt.Sprint("n", n.index), Age: took, Succeeded: good})
 			})
 		}
 	}
 }
 
 // wish has every living instance ask for all subjects.
-func (s *sim) wish(period, span clock.Micros) {
+func (s *sim) demand(period, span clock.Micros) {
 	for _, n := range s.all {
 		for _, x := range s.subjects {
-			s.tell(n, WorkDemanded{Key: x.Key, From: "all", Period: period, Duration: span})
+			s.deliver(n, WorkDemanded{Key: x.Key, From: "all", Period: period, Duration: span})
 		}
 	}
 }
@@ -159,7 +159,7 @@
 
 func (s *sim) views() {
 	for _, n := range s.all {
-		s.tell(n, MembersChanged{s.members()})
+		s.deliver(n, MembersChanged{s.members()})
 	}
 }
 
@@ -196,7 +196,7 @@
 func TestFlatInTheNumberOfInstances(t *testing.T) {
 	for _, n := range []int{1, 3, 30, 300} {
 		s := newSim(uint64(n), n, 10)
-		s.wish(500*ms, lasting)
+		s.demand(500*ms, lasting)
 		s.run(5000 * ms)
 		from := s.now
 		s.run(20_000 * ms)
@@ -212,13 +212,13 @@
 }
 
 // 46 in 100 die at once: no server goes unprobed for longer than the bound, and the median is back to the period soon.
-func TestMassDeath(t *testing.T) {
+func TestManyMembersFail(t *testing.T) {
 	bound := config("", 0).Gap(500*ms) + 10*ms
 	for _, c := range []struct{ instances, subjects int }{{3, 12}, {20, 40}, {100, 40}} {
 		for _, detect := range []clock.Micros{0, 1000 * ms} {
 			s := newSim(uint64(c.instances), c.instances, c.subjects)
 			s.detect = detect
-			s.wish(500*ms, lasting)
+			s.demand(500*ms, lasting)
 			s.run(3000 * ms)
 			from := s.now
 			s.kill(s.rng.Perm(c.instances)[:c.instances*46/100])
@@ -234,7 +234,7 @@
 }
 
 // Loss, delay and views that differ cost work, not gaps.
-func TestBadNetwork(t *testing.T) {
+func TestFaultyNetwork(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		spoil   func(s *sim)
@@ -261,7 +261,7 @@
 		}, 4},
 	} {
 		s := newSim(5, 20, 20)
-		s.wish(500*ms, lasting)
+		s.demand(500*ms, lasting)
 		s.run(3000 * ms)
 		c.spoil(s)
 		from := s.now
@@ -276,9 +276,9 @@
 }
 
 // A holder that cannot reach a server itself leaves it to the next one, without a gap and without a wait every time.
-func TestHolderWithoutAPath(t *testing.T) {
+func TestUnreachableSubjectMovesOn(t *testing.T) {
 	s := newSim(9, 5, 20)
-	s.wish(500*ms, lasting)
+	s.demand(500*ms, lasting)
 	s.run(3000 * ms)
 	s.reaches = func(n int, _ string) bool { return n != 2 }
 	from := s.now
@@ -287,7 +287,7 @@
 		t.Errorf("a gap of %d ms", gaps[len(gaps)-1]/ms)
 	}
 	for _, x := range s.subjects {
-		if first := s.all[0].keep.Ranking(x.Key)[0]; first == "n2" && s.all[2].keep.Rank(x.Key) == 0 {
+		if first := s.all[0].scheduler.Ranking(x.Key)[0]; first == "n2" && s.all[2].scheduler.Rank(x.Key) == 0 {
 			t.Errorf("n2 still thinks that %s is its own", x.Key)
 		}
 	}
@@ -302,7 +302,7 @@
 		t.Errorf("%d probes in 15 s that nobody asked for", n)
 	}
 	for _, n := range s.all {
-		s.tell(n, WorkDemanded{Key: "s0", From: "n4", Period: 1 * ms, Duration: 10_000 * ms})
+		s.deliver(n, WorkDemanded{Key: "s0", From: "n4", Period: 1 * ms, Duration: 10_000 * ms})
 	}
 	from := s.now
 	s.run(10_000 * ms)
@@ -310,7 +310,7 @@
 		t.Errorf("%d probes in 10 s, want at most 5 a second", n)
 	}
 	s.run(6000 * ms)
-	if p := s.all[0].keep.Period("s0"); p != 5000*ms {
+	if p := s.all[0].scheduler.Period("s0"); p != 5000*ms {
 		t.Errorf("the wish has not ended: period %d ms", p/ms)
 	}
 }
--- a/internal/protocol/advisories/notices.go
+++ b/internal/protocol/advisories/advisories.go
@@ -61,75 +61,75 @@
 // magic begins a batch; its last byte is the version.
 const magic = "MSN\x01"
 
-const headSize = len(magic) + 8 + 8
+const headerSize = len(magic) + 8 + 8
 
 // The flags of a notice. The role takes two bits.
 const (
-	flagGood  = 1 << 0
-	roleShift = 1
-	flagPos   = 1 << 3
-	flagLoad  = 1 << 4
-	flagsAll  = 1<<5 - 1
+	flagHealthy  = 1 << 0
+	roleShift    = 1
+	flagPosition = 1 << 3
+	flagLoad     = 1 << 4
+	flagsAll     = 1<<5 - 1
 )
 
 // Append writes notices as batches of at most MostSize bytes, numbered from next on, and hands each over. It returns the
 // number after the last.
 func Append(incarnation, next uint64, all []Advisory, send func([]byte)) (uint64, error) {
-	b := head(incarnation, next)
+	b := appendHeader(incarnation, next)
 	for _, n := range all {
-		one, err := appendAdvisory(nil, n)
+		encoded, err := appendAdvisory(nil, n)
 		if err != nil {
 			return next, err
 		}
-		if len(b)+len(one) > MaxSize {
+		if len(b)+len(encoded) > MaxSize {
 			send(b)
 			next++
-			b = head(incarnation, next)
+			b = appendHeader(incarnation, next)
 		}
-		b = append(b, one...)
+		b = append(b, encoded...)
 	}
-	if len(b) > headSize {
+	if len(b) > headerSize {
 		send(b)
 		next++
 	}
 	return next, nil
 }
 
-func head(incarnation, sequence uint64) []byte {
+func appendHeader(incarnation, sequence uint64) []byte {
 	b := append(make([]byte, 0, MaxSize), magic...)
 	b = binary.BigEndian.AppendUint64(b, incarnation)
 	return binary.BigEndian.AppendUint64(b, sequence)
 }
 
-func appendAdvisory(b []byte, n Advisory) ([]byte, error) {
-	if len(n.UID) == 0 || len(n.UID) > MaxUIDSize || n.Role >= roles || n.Age > MaxAge || n.RoleAge > MaxAge ||
-		n.Role == RoleUnknown && n.RoleAge != 0 || len(n.Load) > MaxFields {
+func appendAdvisory(b []byte, advisory Advisory) ([]byte, error) {
+	if len(advisory.UID) == 0 || len(advisory.UID) > MaxUIDSize || advisory.Role >= roles || advisory.Age > MaxAge || advisory.RoleAge > MaxAge ||
+		advisory.Role == RoleUnknown && advisory.RoleAge != 0 || len(advisory.Load) > MaxFields {
 		return b, ErrAdvisory
 	}
-	flags := byte(n.Role) << roleShift
-	if n.Healthy {
-		flags |= flagGood
+	flags := byte(advisory.Role) << roleShift
+	if advisory.Healthy {
+		flags |= flagHealthy
 	}
-	if n.Position > 0 {
-		flags |= flagPos
+	if advisory.Position > 0 {
+		flags |= flagPosition
 	}
-	if len(n.Load) > 0 {
+	if len(advisory.Load) > 0 {
 		flags |= flagLoad
 	}
-	b = append(b, flags, byte(len(n.UID)))
-	b = append(b, n.UID...)
-	b = binary.AppendUvarint(b, n.Start)
-	b = binary.AppendUvarint(b, n.Age)
-	if n.Role != RoleUnknown {
-		b = binary.AppendUvarint(b, n.RoleAge)
+	b = append(b, flags, byte(len(advisory.UID)))
+	b = append(b, advisory.UID...)
+	b = binary.AppendUvarint(b, advisory.Start)
+	b = binary.AppendUvarint(b, advisory.Age)
+	if advisory.Role != RoleUnknown {
+		b = binary.AppendUvarint(b, advisory.RoleAge)
 	}
-	if n.Position > 0 {
-		b = binary.AppendUvarint(b, n.Position)
+	if advisory.Position > 0 {
+		b = binary.AppendUvarint(b, advisory.Position)
 	}
-	if len(n.Load) > 0 {
-		b = append(b, byte(len(n.Load)))
-		for i, f := range n.Load {
-			if i > 0 && f.Index <= n.Load[i-1].Index {
+	if len(advisory.Load) > 0 {
+		b = append(b, byte(len(advisory.Load)))
+		for i, f := range advisory.Load {
+			if i > 0 && f.Index <= advisory.Load[i-1].Index {
 				return b, ErrAdvisory
 			}
 			b = binary.AppendUvarint(append(b, f.Index), f.Value)
@@ -140,17 +140,17 @@
 
 // Parse reads a batch. Nothing of one with a fault is to be believed.
 func Parse(b []byte) (Batch, error) {
-	if len(b) > MaxSize || len(b) <= headSize || string(b[:len(magic)]) != magic {
+	if len(b) > MaxSize || len(b) <= headerSize || string(b[:len(magic)]) != magic {
 		return Batch{}, ErrBatch
 	}
 	out := Batch{
 		Incarnation: binary.BigEndian.Uint64(b[len(magic):]), Sequence: binary.BigEndian.Uint64(b[len(magic)+8:]),
 	}
-	r := reader{b: b[headSize:]}
-	for len(r.b) > 0 && !r.bad {
+	r := reader{b: b[headerSize:]}
+	for len(r.b) > 0 && !r.malformed {
 		out.Advisories = append(out.Advisories, r.advisory())
 	}
-	if r.bad {
+	if r.malformed {
 		return Batch{}, ErrBatch
 	}
 	return out, nil
@@ -158,53 +158,53 @@
 
 // reader takes a batch apart. After the first fault it is bad and yields nothing.
 type reader struct {
-	b   []byte
-	bad bool
+	b         []byte
+	malformed bool
 }
 
-func (r *reader) advisory() (n Advisory) {
+func (r *reader) advisory() (advisory Advisory) {
 	flags := r.byte()
-	n.Healthy, n.Role = flags&flagGood != 0, Role(flags>>roleShift&3)
-	if flags > flagsAll || n.Role >= roles {
-		r.bad = true
-	}
-	n.UID = r.text(int(r.byte()))
-	n.Start, n.Age = r.number(), r.number()
-	if n.Role != RoleUnknown {
-		n.RoleAge = r.number()
-	}
-	if flags&flagPos != 0 {
-		if n.Position = r.number(); n.Position == 0 {
-			r.bad = true
+	advisory.Healthy, advisory.Role = flags&flagHealthy != 0, Role(flags>>roleShift&3)
+	if flags > flagsAll || advisory.Role >= roles {
+		r.malformed = true
+	}
+	advisory.UID = r.uid(int(r.byte()))
+	advisory.Start, advisory.Age = r.uvarint(), r.uvarint()
+	if advisory.Role != RoleUnknown {
+		advisory.RoleAge = r.uvarint()
+	}
+	if flags&flagPosition != 0 {
+		if advisory.Position = r.uvarint(); advisory.Position == 0 {
+			r.malformed = true
 		}
 	}
 	if flags&flagLoad != 0 {
-		r.load(&n)
+		r.load(&advisory)
 	}
-	if n.Age > MaxAge || n.RoleAge > MaxAge {
-		r.bad = true
+	if advisory.Age > MaxAge || advisory.RoleAge > MaxAge {
+		r.malformed = true
 	}
-	return n
+	return advisory
 }
 
-func (r *reader) load(n *Advisory) {
+func (r *reader) load(advisory *Advisory) {
 	count := int(r.byte())
 	if count == 0 || count > MaxFields {
-		r.bad = true
+		r.malformed = true
 		return
 	}
 	for i := range count {
-		f := Field{Index: r.byte(), Value: r.number()}
-		if i > 0 && f.Index <= n.Load[i-1].Index {
-			r.bad = true
+		f := Field{Index: r.byte(), Value: r.uvarint()}
+		if i > 0 && f.Index <= advisory.Load[i-1].Index {
+			r.malformed = true
 		}
-		n.Load = append(n.Load, f)
+		advisory.Load = append(advisory.Load, f)
 	}
 }
 
 func (r *reader) byte() byte {
-	if r.bad || len(r.b) == 0 {
-		r.bad = true
+	if r.malformed || len(r.b) == 0 {
+		r.malformed = true
 		return 0
 	}
 	v := r.b[0]
@@ -212,9 +212,9 @@
 	return v
 }
 
-func (r *reader) text(n int) string {
-	if r.bad || n == 0 || n > MaxUIDSize || n > len(r.b) {
-		r.bad = true
+func (r *reader) uid(n int) string {
+	if r.malformed || n == 0 || n > MaxUIDSize || n > len(r.b) {
+		r.malformed = true
 		return ""
 	}
 	v := string(r.b[:n])
@@ -223,13 +223,13 @@
 }
 
 // number reads a varint in its shortest form.
-func (r *reader) number() uint64 {
-	if r.bad {
+func (r *reader) uvarint() uint64 {
+	if r.malformed {
 		return 0
 	}
 	v, n := binary.Uvarint(r.b)
 	if n <= 0 || n > 1 && r.b[n-1] == 0 {
-		r.bad = true
+		r.malformed = true
 		return 0
 	}
 	r.b = r.b[n:]
--- a/internal/protocol/advisories/notices_test.go
+++ b/internal/protocol/advisories/advisories_test.go
@@ -58,7 +58,7 @@
 			t.Errorf("cut to %d bytes unnoticed", n)
 		}
 	}
-	h := string(good[:headSize])
+	h := string(good[:headerSize])
 	for name, b := range map[string]string{
 		"another version": "MSN\x02" + h[4:] + "\x00\x01x\x00\x00", "unknown flag": h + "\x20\x01x\x00\x00",
 		"role 3": h + "\x06\x01x\x00\x00\x00", "no name": h + "\x00\x00\x00\x00", "long name": h + "\x00\x41" + strings.Repeat("x", 65) + "\x00\x00",
--- a/internal/protocol/discovery/http.go
+++ b/internal/protocol/discovery/http.go
@@ -31,72 +31,72 @@
 
 // Response reads one HTTP answer as its bytes come in. Each line of its body is handed over without its end.
 type Response struct {
-	Status int
-	phase  phase
-	line   []byte // the line of head or framing under way
-	body   []byte // the line of the body under way
-	left   int64  // bytes until the end of the chunk or of the body
-	head   int
-	length int64 // Content-Length, or -1
-	chunks bool
+	Status        int
+	state         parseState
+	line          []byte // the line of head or framing under way
+	body          []byte // the line of the body under way
+	remaining     int64  // bytes until the end of the chunk or of the body
+	headSize      int
+	contentLength int64 // Content-Length, or -1
+	chunked       bool
 }
 
-type phase uint8
+type parseState uint8
 
 const (
-	statusLine phase = iota
-	headerLines
-	chunkSize
-	chunkData
-	chunkEnd
-	trailer
-	plainData
-	done
+	inStatusLine parseState = iota
+	inHeaders
+	inChunkSize
+	inChunkData
+	inChunkEnd
+	inTrailer
+	inBody
+	isDone
 )
 
 // NewResponse makes a reader of one answer.
-func NewResponse() *Response { return &Response{length: -1} }
+func NewResponse() *Response { return &Response{contentLength: -1} }
 
 // HeadDone tells whether status and headers have been read.
-func (r *Response) HeadDone() bool { return r.phase > headerLines }
+func (r *Response) HeadDone() bool { return r.state > inHeaders }
 
 // Done tells whether the whole answer has been read.
-func (r *Response) Done() bool { return r.phase == done }
+func (r *Response) Done() bool { return r.state == isDone }
 
 // Feed reads the next bytes and hands over each whole line of the body.
-func (r *Response) Feed(p []byte, line func([]byte) error) error {
-	for len(p) > 0 && r.phase != done {
-		switch r.phase {
-		case chunkData, plainData:
-			n := int64(len(p))
-			if r.left >= 0 {
-				n = min(n, r.left)
+func (r *Response) Feed(data []byte, line func([]byte) error) error {
+	for len(data) > 0 && r.state != isDone {
+		switch r.state {
+		case inChunkData, inBody:
+			n := int64(len(data))
+			if r.remaining >= 0 {
+				n = min(n, r.remaining)
 			}
-			if err := r.text(p[:n], line); err != nil {
+			if err := r.feedBody(data[:n], line); err != nil {
 				return err
 			}
-			p = p[n:]
-			if r.left < 0 {
+			data = data[n:]
+			if r.remaining < 0 {
 				continue
 			}
-			if r.left -= n; r.left == 0 {
-				if r.phase == plainData {
+			if r.remaining -= n; r.remaining == 0 {
+				if r.state == inBody {
 					return r.finish(line)
 				}
-				r.phase = chunkEnd
+				r.state = inChunkEnd
 			}
 		default:
-			end := bytes.IndexByte(p, '\n')
+			end := bytes.IndexByte(data, '\n')
 			if end < 0 {
-				return r.control(p)
+				return r.feedControl(data)
 			}
-			if err := r.control(p[:end]); err != nil {
+			if err := r.feedControl(data[:end]); err != nil {
 				return err
 			}
-			p = p[end+1:]
+			data = data[end+1:]
 			text := strings.TrimSuffix(string(r.line), "\r")
 			r.line = r.line[:0]
-			if err := r.frame(text, line); err != nil {
+			if err := r.handleControlLine(text, line); err != nil {
 				return err
 			}
 		}
@@ -107,61 +107,61 @@
 // Close tells that the connection has ended. An answer without a length is whole then, any other is not.
 func (r *Response) Close(line func([]byte) error) error {
 	switch {
-	case r.phase == done:
+	case r.state == isDone:
 		return nil
-	case r.phase == plainData && r.left < 0:
+	case r.state == inBody && r.remaining < 0:
 		return r.finish(line)
 	}
 	return fmt.Errorf("the answer broke off")
 }
 
 // control takes bytes of a line of head or framing. Each byte counts once, in however many pieces the line comes.
-func (r *Response) control(p []byte) error {
+func (r *Response) feedControl(p []byte) error {
 	r.line = append(r.line, p...)
-	if r.phase <= headerLines {
-		r.head += len(p)
+	if r.state <= inHeaders {
+		r.headSize += len(p)
 	}
-	if r.head > maxHead || len(r.line) > maxHead {
+	if r.headSize > maxHead || len(r.line) > maxHead {
 		return fmt.Errorf("the answer's head is longer than %d bytes", maxHead)
 	}
 	return nil
 }
 
 // frame reads one line of head or framing.
-func (r *Response) frame(text string, line func([]byte) error) error {
-	switch r.phase {
-	case statusLine:
-		version, rest, _ := strings.Cut(text, " ")
-		code, _, _ := strings.Cut(rest, " ")
+func (r *Response) handleControlLine(text string, line func([]byte) error) error {
+	switch r.state {
+	case inStatusLine:
+		version, afterVersion, _ := strings.Cut(text, " ")
+		code, _, _ := strings.Cut(afterVersion, " ")
 		status, err := strconv.Atoi(code)
 		if !strings.HasPrefix(version, "HTTP/1.") || err != nil || status < 100 || status > 599 {
 			return fmt.Errorf("%.40q is no status line", text)
 		}
-		r.Status, r.phase = status, headerLines
-	case headerLines:
+		r.Status, r.state = status, inHeaders
+	case inHeaders:
 		if text != "" {
-			return r.header(text)
+			return r.parseHeader(text)
 		}
 		if r.Status < 200 { // an interim answer: the real one follows
-			r.phase = statusLine
+			r.state = inStatusLine
 			return nil
 		}
-		return r.begin(line)
-	case chunkSize:
+		return r.beginBody(line)
+	case inChunkSize:
 		size, _, _ := strings.Cut(text, ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
 		if err != nil {
 			return fmt.Errorf("%.40q is no chunk size", text)
 		}
-		if r.left, r.phase = int64(n), chunkData; n == 0 {
-			r.phase = trailer
+		if r.remaining, r.state = int64(n), inChunkData; n == 0 {
+			r.state = inTrailer
 		}
-	case chunkEnd:
+	case inChunkEnd:
 		if text != "" {
 			return fmt.Errorf("a chunk is longer than it said")
 		}
-		r.phase = chunkSize
-	case trailer:
+		r.state = inChunkSize
+	case inTrailer:
 		if text == "" {
 			return r.finish(line)
 		}
@@ -169,7 +169,7 @@
 	return nil
 }
 
-func (r *Response) header(text string) error {
+func (r *Response) parseHeader(text string) error {
 	name, value, ok := strings.Cut(text, ":")
 	if !ok {
 		return fmt.Errorf("%.40q is no header", text)
@@ -181,44 +181,44 @@
 		if err != nil {
 			return fmt.Errorf("%.40q is no content length", value)
 		}
-		r.length = int64(n)
+		r.contentLength = int64(n)
 	case "transfer-encoding":
 		if !strings.EqualFold(value, "chunked") {
 			return fmt.Errorf("transfer encoding %.40q is not known", value)
 		}
-		r.chunks = true
+		r.chunked = true
 	}
 	return nil
 }
 
 // begin goes from the head to the body.
-func (r *Response) begin(line func([]byte) error) error {
+func (r *Response) beginBody(line func([]byte) error) error {
 	switch {
-	case r.chunks:
-		r.phase = chunkSize
-	case r.length == 0 || r.Status == 204 || r.Status == 304:
+	case r.chunked:
+		r.state = inChunkSize
+	case r.contentLength == 0 || r.Status == 204 || r.Status == 304:
 		return r.finish(line)
 	default:
-		r.phase, r.left = plainData, r.length
+		r.state, r.remaining = inBody, r.contentLength
 	}
 	return nil
 }
 
 // text takes bytes of the body.
-func (r *Response) text(p []byte, line func([]byte) error) error {
+func (r *Response) feedBody(p []byte, line func([]byte) error) error {
 	for len(p) > 0 {
 		end := bytes.IndexByte(p, '\n')
 		if end < 0 {
 			r.body = append(r.body, p...)
 			break
 		}
-		whole := p[:end]
+		complete := p[:end]
 		if len(r.body) > 0 {
-			r.body = append(r.body, whole...)
-			whole = r.body
+			r.body = append(r.body, complete...)
+			complete = r.body
 		}
 		p = p[end+1:]
-		err := line(bytes.TrimSuffix(whole, []byte("\r")))
+		err := line(bytes.TrimSuffix(complete, []byte("\r")))
 		if r.body = r.body[:0]; err != nil {
 			return err
 		}
@@ -231,7 +231,7 @@
 
 // finish ends the answer; a last line may lack its end.
 func (r *Response) finish(line func([]byte) error) error {
-	r.phase = done
+	r.state = isDone
 	if len(r.body) == 0 {
 		return nil
 	}
--- a/internal/protocol/postgres/errors.go
+++ b/internal/protocol/postgres/errors.go
@@ -31,28 +31,28 @@
 	if fatal {
 		severity = severityFatal
 	}
-	b, at := begin(b, TypeErrorResponse)
-	b = text(append(b, fieldSeverity), severity)
-	b = text(append(b, fieldSeverityAlways), severity)
-	b = text(append(b, fieldCode), code)
-	b = text(append(b, fieldMessage), message)
+	b, at := beginMessage(b, TypeErrorResponse)
+	b = appendCString(append(b, fieldSeverity), severity)
+	b = appendCString(append(b, fieldSeverityAlways), severity)
+	b = appendCString(append(b, fieldCode), code)
+	b = appendCString(append(b, fieldMessage), message)
 	if retryMillis > 0 {
-		b = text(append(b, fieldDetail), strconv.FormatInt(retryMillis, 10))
+		b = appendCString(append(b, fieldDetail), strconv.FormatInt(retryMillis, 10))
 	}
-	return finish(append(b, 0), at)
+	return finishMessage(append(b, 0), at)
 }
 
 // AppendEmptyAnswer writes the whole answer to an empty query.
 func AppendEmptyQueryResponse(b []byte) []byte {
-	b, at := begin(b, TypeEmptyQueryResponse)
-	return AppendReadyForQuery(finish(b, at))
+	b, at := beginMessage(b, TypeEmptyQueryResponse)
+	return AppendReadyForQuery(finishMessage(b, at))
 }
 
 // parseError reads an ErrorResponse's code and whether it is fatal. One that is not whole tells nothing.
-func parseError(b []byte) (code string, fatal bool, err error) {
+func parseErrorResponse(b []byte) (code string, fatal bool, err error) {
 	for len(b) > 1 {
 		field := b[0]
-		value, rest, ok := cut(b[1:])
+		value, after, ok := cutCString(b[1:])
 		if !ok || field == 0 {
 			return "", false, errors.New("ErrorResponse that cannot be read")
 		}
@@ -62,16 +62,16 @@
 		case fieldSeverity, fieldSeverityAlways:
 			fatal = fatal || value == severityFatal || value == "PANIC"
 		}
-		b = rest
+		b = after
 	}
-	if len(b) != 1 || b[0] != 0 || !isState(code) {
+	if len(b) != 1 || b[0] != 0 || !isSQLState(code) {
 		return "", false, errors.New("ErrorResponse without an SQLSTATE or an end")
 	}
 	return code, fatal, nil
 }
 
 // isState tells whether a code is an SQLSTATE: five digits or capital letters.
-func isState(code string) bool {
+func isSQLState(code string) bool {
 	for i := range len(code) {
 		if c := code[i]; (c < '0' || c > '9') && (c < 'A' || c > 'Z') {
 			return false
--- a/internal/protocol/postgres/frame.go
+++ b/internal/protocol/postgres/frame.go
@@ -46,19 +46,19 @@
 }
 
 // begin appends a message's head with its length left open; finish fills it in.
-func begin(b []byte, kind byte) ([]byte, int) {
+func beginMessage(b []byte, kind byte) ([]byte, int) {
 	return append(b, kind, 0, 0, 0, 0), len(b)
 }
 
-func finish(b []byte, at int) []byte {
+func finishMessage(b []byte, at int) []byte {
 	binary.BigEndian.PutUint32(b[at+1:], uint32(len(b)-at-1))
 	return b
 }
 
-func text(b []byte, s string) []byte { return append(append(b, s...), 0) }
+func appendCString(b []byte, s string) []byte { return append(append(b, s...), 0) }
 
 // cut splits the text before the first zero byte off b.
-func cut(b []byte) (string, []byte, bool) {
+func cutCString(b []byte) (string, []byte, bool) {
 	for i, c := range b {
 		if c == 0 {
 			return string(b[:i]), b[i+1:], true
--- a/internal/protocol/postgres/frame_test.go
+++ b/internal/protocol/postgres/frame_test.go
@@ -9,8 +9,8 @@
 )
 
 func message(kind byte, body string) []byte {
-	b, at := begin(nil, kind)
-	return finish(append(b, body...), at)
+	b, at := beginMessage(nil, kind)
+	return finishMessage(append(b, body...), at)
 }
 
 func TestParseHeader(t *testing.T) {
@@ -50,9 +50,9 @@
 		want StartupKind
 		fail string
 	}{
-		{"ssl", code(sslCode, ""), StartupEncryption, ""},
-		{"gss", code(gssCode, ""), StartupEncryption, ""},
-		{"cancel", code(cancelCode, "12345678"), StartupCancelRequest, ""},
+		{"ssl", code(sslRequestCode, ""), StartupEncryption, ""},
+		{"gss", code(gssEncRequestCode, ""), StartupEncryption, ""},
+		{"cancel", code(cancelRequestCode, "12345678"), StartupCancelRequest, ""},
 		{"minor version", code(version3|2, "user\x00u\x00\x00"), StartupSession, ""},
 		{"version 2", code(2<<16, "user\x00u\x00\x00"), 0, "protocol 2.0"},
 		{"no end", code(version3, "user\x00u"), 0, "no value"},
@@ -202,7 +202,7 @@
 
 func TestAppendErrorRoundTrip(t *testing.T) {
 	b := AppendErrorResponse(nil, false, CodeTooManyConnections, "later", 250)
-	code, fatal, err := parseError(b[HeaderSize:])
+	code, fatal, err := parseErrorResponse(b[HeaderSize:])
 	if err != nil || code != CodeTooManyConnections || fatal || !bytes.Contains(b, []byte("\x00D250\x00")) {
 		t.Errorf("%q: %s, %v", b, code, fatal)
 	}
--- a/internal/protocol/postgres/startup.go
+++ b/internal/protocol/postgres/startup.go
@@ -11,11 +11,11 @@
 
 // The codes that stand where a start-up message has its version.
 const (
-	version3     = 3 << 16
-	cancelCode   = 1234<<16 | 5678
-	sslCode      = 1234<<16 | 5679
-	gssCode      = 1234<<16 | 5680
-	minorsOf3End = 4 << 16
+	version3          = 3 << 16
+	cancelRequestCode = 1234<<16 | 5678
+	sslRequestCode    = 1234<<16 | 5679
+	gssEncRequestCode = 1234<<16 | 5680
+	version4          = 4 << 16
 )
 
 // Opening is what a connection's first packet asks for.
@@ -51,23 +51,23 @@
 	}
 	code := binary.BigEndian.Uint32(b)
 	switch {
-	case code == cancelCode:
+	case code == cancelRequestCode:
 		return StartupCancelRequest, StartupMessage{}, nil
-	case code == sslCode || code == gssCode:
+	case code == sslRequestCode || code == gssEncRequestCode:
 		return StartupEncryption, StartupMessage{}, nil
-	case code < version3 || code >= minorsOf3End:
+	case code < version3 || code >= version4:
 		return StartupSession, StartupMessage{}, fmt.Errorf("protocol %d.%d is not spoken here", code>>16, code&0xffff)
 	}
 	s := StartupMessage{Minor: int(code & 0xffff)}
 	for rest := b[4:]; ; {
-		name, after, ok := cut(rest)
+		name, after, ok := cutCString(rest)
 		if !ok {
 			return StartupSession, s, errors.New("start-up packet has no end")
 		}
 		if name == "" {
 			break
 		}
-		value, after, ok := cut(after)
+		value, after, ok := cutCString(after)
 		if !ok {
 			return StartupSession, s, fmt.Errorf("start-up parameter %.40q has no value", name)
 		}
@@ -90,8 +90,8 @@
 	at := len(b)
 	b = append(b, 0, 0, 0, 0)
 	b = binary.BigEndian.AppendUint32(b, version3)
-	b = text(text(b, "user"), user)
-	b = text(text(b, "database"), database)
+	b = appendCString(appendCString(b, "user"), user)
+	b = appendCString(appendCString(b, "database"), database)
 	b = append(b, 0)
 	binary.BigEndian.PutUint32(b[at:], uint32(len(b)-at))
 	return b
@@ -101,28 +101,28 @@
 func AppendStartupResponse(b []byte, minor int, process uint32) []byte {
 	if minor > 0 { // a newer minor version is answered with the one spoken here
 		var at int
-		b, at = begin(b, 'v')
+		b, at = beginMessage(b, 'v')
 		b = binary.BigEndian.AppendUint32(b, 0)
 		b = binary.BigEndian.AppendUint32(b, 0)
-		b = finish(b, at)
+		b = finishMessage(b, at)
 	}
-	b, at := begin(b, TypeAuthentication)
-	b = finish(binary.BigEndian.AppendUint32(b, 0), at)
+	b, at := beginMessage(b, TypeAuthentication)
+	b = finishMessage(binary.BigEndian.AppendUint32(b, 0), at)
 	for _, p := range [][2]string{
 		{"server_version", "15.0"}, {"server_encoding", "UTF8"}, {"client_encoding", "UTF8"},
 		{"standard_conforming_strings", "on"}, {"integer_datetimes", "on"}, {"DateStyle", "ISO, MDY"},
 	} {
-		b, at = begin(b, TypeParameterStatus)
-		b = finish(text(text(b, p[0]), p[1]), at)
+		b, at = beginMessage(b, TypeParameterStatus)
+		b = finishMessage(appendCString(appendCString(b, p[0]), p[1]), at)
 	}
-	b, at = begin(b, TypeBackendKeyData)
+	b, at = beginMessage(b, TypeBackendKeyData)
 	b = binary.BigEndian.AppendUint32(b, process)
-	b = finish(binary.BigEndian.AppendUint32(b, 0), at)
+	b = finishMessage(binary.BigEndian.AppendUint32(b, 0), at)
 	return AppendReadyForQuery(b)
 }
 
 // AppendReady writes ReadyForQuery, outside any transaction.
 func AppendReadyForQuery(b []byte) []byte {
-	b, at := begin(b, TypeReadyForQuery)
-	return finish(append(b, 'I'), at)
+	b, at := beginMessage(b, TypeReadyForQuery)
+	return finishMessage(append(b, 'I'), at)
 }
--- a/internal/protocol/postgres/statement.go
+++ b/internal/protocol/postgres/statement.go
@@ -36,9 +36,9 @@
 
 // The bounds of what a statement holds.
 const (
-	maxWait  = 24 * 60 * 60 * 1000 // of d: a day
-	maxText  = 256                 // of an id, a class, a key and any value that goes on unread
-	maxValue = 64 << 10
+	maxTimeoutMillis = 24 * 60 * 60 * 1000 // of d: a day
+	maxText          = 256                 // of an id, a class, a key and any value that goes on unread
+	maxValue         = 64 << 10
 )
 
 // IsEmpty tells whether a query's text holds no statement at all.
@@ -50,77 +50,77 @@
 // first part; of the value only the digits may go on behind it. A server must never see anything but these two forms:
 // what it cannot read ends its connection, whatever else waits there.
 func ParseStatement(parts [][]byte) (Statement, error) {
-	var s Statement
-	var given []byte
+	var statement Statement
+	var first []byte
 	if len(parts) > 0 {
-		given = parts[0]
+		first = parts[0]
 	}
-	if !bytes.HasPrefix(given, []byte(commentOpen)) {
-		return s, errors.New("the statement begins with no comment")
+	if !bytes.HasPrefix(first, []byte(commentOpen)) {
+		return statement, errors.New("the statement begins with no comment")
 	}
-	length := bytes.Index(given[len(commentOpen):], []byte(commentClose))
+	length := bytes.Index(first[len(commentOpen):], []byte(commentClose))
 	if length < 0 {
-		return s, errors.New("the statement's comment has no end")
+		return statement, errors.New("the statement's comment has no end")
 	}
 	end := len(commentOpen) + length
-	if err := s.comment(given[:end]); err != nil {
-		return s, err
+	if err := statement.parseComment(first[:end]); err != nil {
+		return statement, err
 	}
 	at := end + len(commentClose)
-	if bytes.HasPrefix(given[at:], []byte(insertOpen)) {
-		s.Write = true
+	if bytes.HasPrefix(first[at:], []byte(insertOpen)) {
+		statement.Write = true
 		at += len(insertOpen)
-	} else if bytes.HasPrefix(given[at:], []byte(selectOpen)) {
+	} else if bytes.HasPrefix(first[at:], []byte(selectOpen)) {
 		at += len(selectOpen)
 	} else {
-		return s, errors.New("the statement is neither of the forms that are served here")
+		return statement, errors.New("the statement is neither of the forms that are served here")
 	}
 	n := 0
-	for at+n < len(given) && isKey(given[at+n]) {
+	for at+n < len(first) && isKey(first[at+n]) {
 		n++
 	}
 	if n == 0 || n > maxText {
-		return s, fmt.Errorf("the key has a length of %d, not from 1 to %d", n, maxText)
+		return statement, fmt.Errorf("the key has a length of %d, not from 1 to %d", n, maxText)
 	}
-	s.Key = string(given[at : at+n])
-	rest := append([][]byte{given[at+n:]}, parts[1:]...)
+	statement.Key = string(first[at : at+n])
+	rest := append([][]byte{first[at+n:]}, parts[1:]...)
 	tail := selectClose
-	if s.Write {
+	if statement.Write {
 		if !bytes.HasPrefix(rest[0], []byte(insertValue)) {
-			return s, errors.New("the statement has no value in hexadecimal digits")
+			return statement, errors.New("the statement has no value in hexadecimal digits")
 		}
 		rest[0] = rest[0][len(insertValue):]
 		if n, rest = hexDigits(rest); n%2 != 0 || n > 2*maxValue {
-			return s, fmt.Errorf("the value has %d hexadecimal digits, not an even number up to %d", n, 2*maxValue)
+			return statement, fmt.Errorf("the value has %d hexadecimal digits, not an even number up to %d", n, 2*maxValue)
 		}
 		tail = insertClose
 	}
-	if !equal(rest, tail) {
-		return s, errors.New("the statement does not end as it should")
+	if !equalParts(rest, tail) {
+		return statement, errors.New("the statement does not end as it should")
 	}
-	return s, nil
+	return statement, nil
 }
 
 // comment reads the names and values up to the comment's end.
-func (s *Statement) comment(given []byte) error {
+func (s *Statement) parseComment(comment []byte) error {
 	seen := map[string]bool{}
-	for at := len(commentOpen); at <= len(given); {
-		end := bytes.IndexByte(given[at:], ',')
+	for at := len(commentOpen); at <= len(comment); {
+		end := bytes.IndexByte(comment[at:], ',')
 		if end < 0 {
-			end = len(given) - at
+			end = len(comment) - at
 		}
-		name, value, ok := strings.Cut(string(given[at:at+end]), "=")
-		if !ok || !plain(name) {
-			return fmt.Errorf("%.40q is no name=value", given[at:at+end])
+		name, value, ok := strings.Cut(string(comment[at:at+end]), "=")
+		if !ok || !isCommentText(name) {
+			return fmt.Errorf("%.40q is no name=value", comment[at:at+end])
 		}
-		if !plain(value) {
+		if !isCommentText(value) {
 			return fmt.Errorf("%s is %.40q; letters, digits and -_.: may stand there, from 1 to %d of them", name, value, maxText)
 		}
 		if seen[name] {
 			return fmt.Errorf("%.40q stands twice", name)
 		}
 		seen[name] = true
-		if err := s.take(name, value); err != nil {
+		if err := s.setField(name, value); err != nil {
 			return err
 		}
 		if name == "d" {
@@ -137,36 +137,36 @@
 	return nil
 }
 
-func (s *Statement) take(name, value string) (err error) {
+func (s *Statement) setField(name, value string) (err error) {
 	switch name {
 	case "id":
 		s.ID = value
 	case "c":
 		s.Class = value
 	case "d":
-		s.TimeoutMillis, err = number(name, value, maxWait)
+		s.TimeoutMillis, err = parseNumber(name, value, maxTimeoutMillis)
 	case "cluster":
 		var v int64
-		v, err = number(name, value, 1<<31-1)
+		v, err = parseNumber(name, value, 1<<31-1)
 		s.Group = int(v)
 	case "after":
-		s.After, err = number(name, value, 1<<52)
+		s.After, err = parseNumber(name, value, 1<<52)
 	case "r":
 		s.Retry = value == "1"
 	}
 	return err
 }
 
-func number(name, value string, most int64) (int64, error) {
+func parseNumber(name, value string, limit int64) (int64, error) {
 	v, err := strconv.ParseUint(value, 10, 63)
-	if err != nil || int64(v) > most {
-		return 0, fmt.Errorf("%s is %.40q, not a whole number up to %d", name, value, most)
+	if err != nil || int64(v) > limit {
+		return 0, fmt.Errorf("%s is %.40q, not a whole number up to %d", name, value, limit)
 	}
 	return int64(v), nil
 }
 
 // plain tells whether a text may stand in a comment: nothing that could end it or a quote.
-func plain(s string) bool {
+func isCommentText(s string) bool {
 	if len(s) == 0 || len(s) > maxText {
 		return false
 	}
@@ -196,7 +196,7 @@
 	return n, nil
 }
 
-func equal(parts [][]byte, want string) bool {
+func equalParts(parts [][]byte, want string) bool {
 	for _, p := range parts {
 		if len(p) > len(want) || string(p) != want[:len(p)] {
 			return false
@@ -208,9 +208,9 @@
 
 // AppendQueryHead writes the beginning of the message that passes a statement on: the head, and the body up to
 // and with a new d. The rest of the body follows from the returned offset on, unchanged.
-func (s *Statement) AppendQueryHead(b, first []byte, body int, wait int64) ([]byte, int) {
-	digits := strconv.AppendInt(nil, wait, 10)
-	b, at := begin(b, TypeQuery)
+func (s *Statement) AppendQueryHead(b, first []byte, body int, timeoutMillis int64) ([]byte, int) {
+	digits := strconv.AppendInt(nil, timeoutMillis, 10)
+	b, at := beginMessage(b, TypeQuery)
 	b = append(append(b, first[:s.timeoutStart]...), digits...)
 	total := 4 + body - (s.timeoutEnd - s.timeoutStart) + len(digits)
 	b[at+1], b[at+2], b[at+3], b[at+4] = byte(total>>24), byte(total>>16), byte(total>>8), byte(total)
@@ -219,12 +219,12 @@
 
 // Words is what a statement says beside its comment, and the value that an INSERT writes, decoded. The statement must have been
 // parsed before.
-func SplitStatement(body []byte) (words, wrote []byte) {
-	_, words, _ = bytes.Cut(body, []byte(commentClose))
-	if _, value, insert := bytes.Cut(words, []byte(insertValue)); insert {
-		wrote, _ = hex.DecodeString(string(bytes.TrimSuffix(value, []byte(insertClose))))
+func SplitStatement(body []byte) (text, value []byte) {
+	_, text, _ = bytes.Cut(body, []byte(commentClose))
+	if _, value, insert := bytes.Cut(text, []byte(insertValue)); insert {
+		value, _ = hex.DecodeString(string(bytes.TrimSuffix(value, []byte(insertClose))))
 	}
-	return words, wrote
+	return text, value
 }
 
 // SelectStatement is a read of the gateway's own, as a client would send it.
@@ -249,8 +249,8 @@
 		case TypeRowDescription:
 			answer = append(answer, message...)
 		case TypeCommandComplete:
-			b, at := begin(answer, TypeCommandComplete)
-			answer = finish(text(b, "INSERT 0 1"), at)
+			b, at := beginMessage(answer, TypeCommandComplete)
+			answer = finishMessage(appendCString(b, "INSERT 0 1"), at)
 		}
 	}
 	return row, answer
@@ -258,8 +258,8 @@
 
 // AppendQuery writes a query of the gateway's own.
 func AppendQuery(b []byte, sql string) []byte {
-	b, at := begin(b, TypeQuery)
-	return finish(text(b, sql), at)
+	b, at := beginMessage(b, TypeQuery)
+	return finishMessage(appendCString(b, sql), at)
 }
 
 // LoadQuery asks a server for its load report.
--- a/internal/transport/buffer.go
+++ b/internal/transport/buffers.go
@@ -14,15 +14,15 @@
 
 // Buffers hands out buffers of one size and takes them back, and keeps account of the bytes that messages hold.
 type Buffers struct {
-	chunks   sync.Pool
-	readers  sync.Pool
-	reserved atomic.Int64
-	most     int64
+	chunks      sync.Pool
+	readers     sync.Pool
+	reserved    atomic.Int64
+	maxReserved int64
 }
 
 // NewBuffers makes a pool whose messages may hold so many bytes together.
-func NewBuffers(most int64) *Buffers {
-	b := &Buffers{most: most}
+func NewBuffers(maxReserved int64) *Buffers {
+	b := &Buffers{maxReserved: maxReserved}
 	b.chunks.New = func() any { return new([BufferSize]byte) }
 	b.readers.New = func() any { return bufio.NewReaderSize(nil, BufferSize) }
 	return b
@@ -30,7 +30,7 @@
 
 // Reserve sets bytes aside for a message to come, or tells that there is no room for it.
 func (b *Buffers) Reserve(n int) bool {
-	if b.reserved.Add(int64(n)) > b.most {
+	if b.reserved.Add(int64(n)) > b.maxReserved {
 		b.reserved.Add(-int64(n))
 		return false
 	}
@@ -83,7 +83,7 @@
 
 // Grow sets bytes aside for what is about to be added. What goes beyond the first buffer waits until they fit; a
 // message's first buffer is not counted, as there are only as many as connections.
-func (m *Message) Grow(n int, by time.Time, pending func() bool) error {
+func (m *Message) Grow(n int, deadline time.Time, pending func() bool) error {
 	if n <= BufferSize {
 		return nil
 	}
@@ -91,7 +91,7 @@
 		if pending() {
 			return ErrWoken
 		}
-		if !time.Now().Before(by) {
+		if !time.Now().Before(deadline) {
 			return ErrDeadline
 		}
 		time.Sleep(growPoll)
@@ -104,7 +104,7 @@
 func (m *Message) Size() int { return m.size }
 
 // room is the free end of the last buffer.
-func (m *Message) room() []byte {
+func (m *Message) freeTail() []byte {
 	at := m.size % BufferSize
 	if at == 0 && m.size == len(m.chunks)*BufferSize {
 		m.chunks = append(m.chunks, m.pool.chunks.Get().(*[BufferSize]byte))
@@ -115,7 +115,7 @@
 // Append adds bytes.
 func (m *Message) Append(p []byte) {
 	for len(p) > 0 {
-		n := copy(m.room(), p)
+		n := copy(m.freeTail(), p)
 		m.size, p = m.size+n, p[n:]
 	}
 }
@@ -123,8 +123,8 @@
 // Fill adds exactly n bytes of r.
 func (m *Message) Fill(r io.Reader, n int) error {
 	for n > 0 {
-		room := m.room()
-		got, err := io.ReadFull(r, room[:min(n, len(room))])
+		free := m.freeTail()
+		got, err := io.ReadFull(r, free[:min(n, len(free))])
 		m.size, n = m.size+got, n-got
 		if err != nil {
 			return err
--- a/internal/transport/crossing_test.go
+++ b/internal/transport/close_test.go
@@ -12,7 +12,7 @@
 // until waits for something that the kernel does by itself.
 func until(t *testing.T, holds func() bool, what string) {
 	t.Helper()
-	for end := far(); !holds(); time.Sleep(time.Millisecond) {
+	for end := testDeadline(); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal(what)
 		}
@@ -24,7 +24,7 @@
 func TestAbortBeforeAWrite(t *testing.T) {
 	c, peer := connected(t)
 	c.Abort()
-	if n, err := c.Write(far(), net.Buffers{[]byte("late")}); n != 0 || err == nil {
+	if n, err := c.Write(testDeadline(), net.Buffers{[]byte("late")}); n != 0 || err == nil {
 		t.Errorf("%d bytes written, %v", n, err)
 	}
 	c.Close()
@@ -60,7 +60,7 @@
 func TestLingerOverUnreadBytes(t *testing.T) {
 	c, peer := connected(t)
 	answer := bytes.Repeat([]byte("answer"), 1000)
-	if _, err := c.Write(far(), net.Buffers{answer}); err != nil {
+	if _, err := c.Write(testDeadline(), net.Buffers{answer}); err != nil {
 		t.Fatal(err)
 	}
 	peer.Write([]byte("a request that nobody reads"))
@@ -68,7 +68,7 @@
 	closed := make(chan struct{})
 	go func() {
 		defer close(closed)
-		c.Linger(far(), 1<<20)
+		c.Linger(testDeadline(), 1<<20)
 		c.Close()
 	}()
 	got, err := io.ReadAll(peer)
@@ -96,7 +96,7 @@
 	if _, err := net.Dial("tcp", l.Addr()); DialReason(err) != EndConnectionRefused {
 		t.Errorf("connecting ended with %v", err)
 	}
-	if _, err := l.nl.Accept(); !errors.Is(err, net.ErrClosed) {
+	if _, err := l.tcp.Accept(); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("accepting ended with %v", err)
 	}
 }
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -17,7 +17,7 @@
 )
 
 // past is a deadline that has been; setting it wakes a reader.
-var past = time.Unix(1, 0)
+var pastDeadline = time.Unix(1, 0)
 
 // ErrWoken tells that a wait ended because something was left for the waiting goroutine.
 var ErrWoken = errors.New("woken")
@@ -28,28 +28,28 @@
 // Conn is a connection that one goroutine serves. That goroutine alone reads and writes. Any other may leave
 // something for it and Wake it: a wait then ends, however long the peer is silent.
 type Conn struct {
-	nc      *net.TCPConn
-	r       *bufio.Reader
-	buffers *Buffers
-	fds     *Descriptors
-	client  bool
-	aborted atomic.Bool
-	close   sync.Once
+	nc         *net.TCPConn
+	r          *bufio.Reader
+	buffers    *Buffers
+	fds        *Descriptors
+	fromClient bool
+	aborted    atomic.Bool
+	closeOnce  sync.Once
 }
 
-func newConn(nc *net.TCPConn, buffers *Buffers, fds *Descriptors, client bool) *Conn {
+func newConn(nc *net.TCPConn, buffers *Buffers, fds *Descriptors, fromClient bool) *Conn {
 	r := buffers.readers.Get().(*bufio.Reader)
 	r.Reset(nc)
-	return &Conn{nc: nc, r: r, buffers: buffers, fds: fds, client: client}
+	return &Conn{nc: nc, r: r, buffers: buffers, fds: fds, fromClient: fromClient}
 }
 
 // Wake ends the wait under way, or the next one whose pending sees what was left.
-func (c *Conn) Wake() { c.nc.SetReadDeadline(past) }
+func (c *Conn) Wake() { c.nc.SetReadDeadline(pastDeadline) }
 
 // Abort ends whatever the serving goroutine reads or writes, and whatever it would write, or read by ReadFull, next.
 func (c *Conn) Abort() {
 	c.aborted.Store(true)
-	c.nc.SetDeadline(past)
+	c.nc.SetDeadline(pastDeadline)
 }
 
 // Wait blocks until n bytes can be read, something is pending, or the deadline has come. The deadline is set
@@ -90,23 +90,23 @@
 
 // Fill adds the next n bytes to a message. Unlike a plain read it goes on when the connection is woken meanwhile, unless
 // something is pending.
-func (c *Conn) Fill(m *Message, n int, by time.Time, pending func() bool) error {
-	return c.inPieces(n, by, pending, func(k int) error { return m.Fill(c.r, k) })
+func (c *Conn) Fill(m *Message, n int, deadline time.Time, pending func() bool) error {
+	return c.readInPieces(n, deadline, pending, func(k int) error { return m.Fill(c.r, k) })
 }
 
 // SkipBy passes over bytes, likewise.
-func (c *Conn) SkipUntil(n int, by time.Time, pending func() bool) error {
-	return c.inPieces(n, by, pending, c.Skip)
+func (c *Conn) SkipUntil(n int, deadline time.Time, pending func() bool) error {
+	return c.readInPieces(n, deadline, pending, c.Skip)
 }
 
 // inPieces waits for n bytes, no more than a buffer at a time, and hands each piece on.
-func (c *Conn) inPieces(n int, by time.Time, pending func() bool, take func(int) error) error {
+func (c *Conn) readInPieces(n int, deadline time.Time, pending func() bool, consume func(int) error) error {
 	for n > 0 {
 		k := min(n, BufferSize)
-		if err := c.Wait(k, by, pending); err != nil {
+		if err := c.Wait(k, deadline, pending); err != nil {
 			return err
 		}
-		if err := take(k); err != nil {
+		if err := consume(k); err != nil {
 			return err
 		}
 		n -= k
@@ -115,8 +115,8 @@
 }
 
 // ReadFull reads exactly len(b) bytes. It is for connections that nobody wakes.
-func (c *Conn) ReadFull(b []byte, by time.Time) error {
-	c.nc.SetReadDeadline(by)
+func (c *Conn) ReadFull(b []byte, deadline time.Time) error {
+	c.nc.SetReadDeadline(deadline)
 	if c.aborted.Load() { // set after the deadline above, an abort ends the read; before it, this does
 		return ErrDeadline
 	}
@@ -147,13 +147,13 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	silent := false
 	err = raw.Control(func(fd uintptr) {
 		var one [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN
+		silent = err == syscall.EAGAIN
 	})
-	return err == nil && quiet
+	return err == nil && silent
 }
 
 // PeerClosed tells that the peer has ended its sending side or broken the connection, however many bytes of its are still
@@ -175,23 +175,23 @@
 // Close ends the connection; when it returns the kernel has closed it. Only the goroutine that serves the
 // connection calls it.
 func (c *Conn) Close() {
-	c.close.Do(func() {
+	c.closeOnce.Do(func() {
 		c.nc.Close()
 		c.r.Reset(nil)
 		c.buffers.readers.Put(c.r)
-		c.fds.give(c.client)
+		c.fds.release(c.fromClient)
 	})
 }
 
 // Linger ends the sending side and passes over what still comes until the peer closes, a limit of bytes or the
 // deadline: closing with bytes unread would reset the connection and could take the last answer with it. Whatever the
 // peer sent just then it may send again elsewhere, as it sees an orderly end with no answer.
-func (c *Conn) Linger(deadline time.Time, most int64) {
+func (c *Conn) Linger(deadline time.Time, maxBytes int64) {
 	if c.nc.CloseWrite() != nil {
 		return
 	}
 	c.nc.SetReadDeadline(deadline)
-	io.CopyN(io.Discard, c.r, most)
+	io.CopyN(io.Discard, c.r, maxBytes)
 }
 
 // Remote is the peer's address.
--- a/internal/transport/descriptors.go
+++ b/internal/transport/descriptors.go
@@ -20,18 +20,18 @@
 // Descriptors keeps account of open descriptors, and closes idle connections when they run short, never one with a
 // request.
 type Descriptors struct {
-	mu      sync.Mutex
-	used    int
-	clients int
-	most    int
-	asked   int // how many clients that have asked may be idle
-	idle    [idleClasses]*list.List
-	parked  map[Idler]parking
+	mu            sync.Mutex
+	used          int
+	clients       int
+	limit         int
+	maxIdleServed int // how many clients that have asked may be idle
+	idle          [idleClasses]*list.List
+	positions     map[Idler]idlePosition
 }
 
-type parking struct {
-	list *list.List
-	at   *list.Element
+type idlePosition struct {
+	list    *list.List
+	element *list.Element
 }
 
 // Idler is a connection that may be idle. CloseIdle asks it to close if it still is; it must not block.
@@ -42,7 +42,7 @@
 const otherDescriptors = 24
 
 // spareDescriptors is how many connections may still open before the cap while idle ones are being closed.
-const spareDescriptors = 32
+const headroomDescriptors = 32
 
 // urgentDescriptors are left to probes and discovery, a handful of calls: without their news the gateway is blind.
 const urgentDescriptors = 8
@@ -50,51 +50,51 @@
 // clientShare is the share of connections that clients may hold, in hundredths. At most a third of all descriptors carry
 // requests, and each request needs one more at a server: what idle and silent clients hold beyond this would be
 // taken from the servers.
-const clientShare = 55
+const clientQuotaPercent = 55
 
 // idleAskedPart is the part of the descriptors that idle clients which have asked may hold: half of the third that clients
 // hold for requests at most. Clients that ask once and keep their connection would fill that third, and the next ones
 // would find no connection left. Harm: a client that pauses between requests may have to connect again.
-const idleAskedPart = 6
+const idleServedDivisor = 6
 
 // NewDescriptors makes the account for a process that may hold so many descriptors.
 func NewDescriptors(limit int) *Descriptors {
 	return &Descriptors{
-		most: max(limit-otherDescriptors, 2*urgentDescriptors), parked: map[Idler]parking{},
-		idle: [idleClasses]*list.List{list.New(), list.New(), list.New()}, asked: max(limit/idleAskedPart, 1),
+		limit: max(limit-otherDescriptors, 2*urgentDescriptors), positions: map[Idler]idlePosition{},
+		idle: [idleClasses]*list.List{list.New(), list.New(), list.New()}, maxIdleServed: max(limit/idleServedDivisor, 1),
 	}
 }
 
 // take counts a connection to a server or to discovery, and makes room where they run short. It tells whether the cap
 // still holds.
-func (d *Descriptors) take(urgent bool) bool {
+func (d *Descriptors) acquire(urgent bool) bool {
 	d.mu.Lock()
 	d.used++
-	short := d.used + d.spare() - d.most
-	ok := d.used <= d.most && (urgent || d.used <= d.most-urgentDescriptors)
+	short := d.used + d.headroom() - d.limit
+	ok := d.used <= d.limit && (urgent || d.used <= d.limit-urgentDescriptors)
 	d.mu.Unlock()
 	if short > 0 {
-		d.makeRoom()
+		d.closeOldestIdle()
 	}
 	return ok
 }
 
-func (d *Descriptors) spare() int { return min(spareDescriptors, d.most/4) }
+func (d *Descriptors) headroom() int { return min(headroomDescriptors, d.limit/4) }
 
 // takeClient counts a client's connection. It tells whether it may stay: where the clients' share is used up one that is
 // idle gives way, and where none is, the newcomer.
-func (d *Descriptors) takeClient() bool {
+func (d *Descriptors) acquireClient() bool {
 	d.mu.Lock()
 	d.used++
 	d.clients++
-	share := d.most * clientShare / 100
-	short := d.clients > share || d.used+d.spare() > d.most
-	over := d.clients > share+d.spare()/2 || d.used > d.most-urgentDescriptors
+	quota := d.limit * clientQuotaPercent / 100
+	short := d.clients > quota || d.used+d.headroom() > d.limit
+	over := d.clients > quota+d.headroom()/2 || d.used > d.limit-urgentDescriptors
 	d.mu.Unlock()
-	return !(short && !d.makeRoom() && over)
+	return !(short && !d.closeOldestIdle() && over)
 }
 
-func (d *Descriptors) give(client bool) {
+func (d *Descriptors) release(client bool) {
 	d.mu.Lock()
 	d.used--
 	if client {
@@ -104,11 +104,11 @@
 }
 
 // makeRoom asks an idle connection to close. It tells whether there was one.
-func (d *Descriptors) makeRoom() bool {
+func (d *Descriptors) closeOldestIdle() bool {
 	d.mu.Lock()
 	var x Idler
 	for k := IdleNewClient; k < idleClasses && x == nil; k++ {
-		x = d.oldest(k)
+		x = d.removeOldest(k)
 	}
 	d.mu.Unlock()
 	if x != nil {
@@ -118,13 +118,13 @@
 }
 
 // oldest takes out the connection of a kind that is idle for longest, if there is one. The caller holds the lock.
-func (d *Descriptors) oldest(k IdleClass) Idler {
+func (d *Descriptors) removeOldest(k IdleClass) Idler {
 	front := d.idle[k].Front()
 	if front == nil {
 		return nil
 	}
 	x := d.idle[k].Remove(front).(Idler)
-	delete(d.parked, x)
+	delete(d.positions, x)
 	return x
 }
 
@@ -132,10 +132,10 @@
 func (d *Descriptors) MarkIdle(x Idler, k IdleClass) {
 	var last Idler
 	d.mu.Lock()
-	if _, parked := d.parked[x]; !parked {
-		d.parked[x] = parking{d.idle[k], d.idle[k].PushBack(x)}
-		if k == IdleServedClient && d.idle[k].Len() > d.asked {
-			last = d.oldest(k)
+	if _, parked := d.positions[x]; !parked {
+		d.positions[x] = idlePosition{d.idle[k], d.idle[k].PushBack(x)}
+		if k == IdleServedClient && d.idle[k].Len() > d.maxIdleServed {
+			last = d.removeOldest(k)
 		}
 	}
 	d.mu.Unlock()
@@ -147,9 +147,9 @@
 // Unpark notes that a connection is idle no longer.
 func (d *Descriptors) MarkBusy(x Idler) {
 	d.mu.Lock()
-	if p, ok := d.parked[x]; ok {
-		p.list.Remove(p.at)
-		delete(d.parked, x)
+	if p, ok := d.positions[x]; ok {
+		p.list.Remove(p.element)
+		delete(d.positions, x)
 	}
 	d.mu.Unlock()
 }
@@ -165,7 +165,7 @@
 func (d *Descriptors) NearLimit() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.used+d.spare() > d.most
+	return d.used+d.headroom() > d.limit
 }
 
 // Used is the number of connections open now.
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -15,7 +15,7 @@
 )
 
 // far is a deadline that only a test that fails reaches.
-func far() time.Time { return time.Now().Add(20 * time.Second) }
+func testDeadline() time.Time { return time.Now().Add(20 * time.Second) }
 
 // connected makes two ends of one connection: ours, and the peer's.
 func connected(t *testing.T) (*Conn, *net.TCPConn) {
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	c, err := Dial(context.Background(), l.Addr().String(), far(), NewBuffers(1<<20), NewDescriptors(1024), false)
+	c, err := Dial(context.Background(), l.Addr().String(), testDeadline(), NewBuffers(1<<20), NewDescriptors(1024), false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,13 +90,13 @@
 }
 
 type idler struct {
-	name  string
-	asked *[]string
+	name   string
+	closed *[]string
 }
 
-func (i *idler) CloseIdle(r Reason) { *i.asked = append(*i.asked, i.name+" "+r.String()) }
+func (i *idler) CloseIdle(r Reason) { *i.closed = append(*i.closed, i.name+" "+r.String()) }
 
-func TestDescriptorsAskTheOldestIdle(t *testing.T) {
+func TestDescriptorsCloseTheOldestIdle(t *testing.T) {
 	d := NewDescriptors(otherDescriptors + 40) // some way before 40 they are short
 	var asked []string
 	a, b, c := &idler{"a", &asked}, &idler{"b", &asked}, &idler{"c", &asked}
@@ -107,7 +107,7 @@
 	d.MarkIdle(a, IdleServer) // and is idle again: the youngest
 	d.MarkBusy(b)
 	for range 30 {
-		if !d.take(true) {
+		if !d.acquire(true) {
 			t.Fatal("below the cap there was no room")
 		}
 	}
@@ -115,19 +115,19 @@
 		t.Fatalf("%v asked with room left", asked)
 	}
 	for range 10 {
-		if !d.take(true) {
+		if !d.acquire(true) {
 			t.Fatal("at the cap there was no room")
 		}
 	}
 	if len(asked) != 2 || asked[0] != "c room" || asked[1] != "a room" {
 		t.Errorf("%v asked, want c and then a, and never b", asked)
 	}
-	if d.take(true) {
+	if d.acquire(true) {
 		t.Error("room beyond the cap")
 	}
-	d.give(false)
-	d.give(false)
-	if d.Used() != 39 || !d.take(true) {
+	d.release(false)
+	d.release(false)
+	if d.Used() != 39 || !d.acquire(true) {
 		t.Errorf("%d used", d.Used())
 	}
 }
@@ -167,7 +167,7 @@
 		c.Wake()
 	}
 	leave() // before the wait
-	if err := c.Wait(1, far(), pending); !errors.Is(err, ErrWoken) {
+	if err := c.Wait(1, testDeadline(), pending); !errors.Is(err, ErrWoken) {
 		t.Fatalf("left before: %v", err)
 	}
 	left = false
@@ -177,7 +177,7 @@
 		<-asked
 		leave()
 	}()
-	err := c.Wait(1, far(), func() bool {
+	err := c.Wait(1, testDeadline(), func() bool {
 		select {
 		case asked <- struct{}{}:
 		default:
@@ -192,12 +192,12 @@
 		t.Fatalf("at the deadline: %v", err)
 	}
 	peer.Write([]byte("ab"))
-	if err := c.Wait(2, far(), pending); err != nil || string(c.Peek(2)) != "ab" || c.Buffered() != 2 {
+	if err := c.Wait(2, testDeadline(), pending); err != nil || string(c.Peek(2)) != "ab" || c.Buffered() != 2 {
 		t.Fatalf("data: %v, %q", err, c.Peek(2))
 	}
 	c.Skip(2)
 	peer.Close()
-	if err := c.Wait(1, far(), pending); !errors.Is(err, io.EOF) {
+	if err := c.Wait(1, testDeadline(), pending); !errors.Is(err, io.EOF) {
 		t.Fatalf("closed: %v", err)
 	}
 }
@@ -209,14 +209,14 @@
 		c.Abort()
 	}()
 	huge := make([]byte, 64<<20) // more than any socket buffer holds
-	n, err := c.Write(far(), net.Buffers{huge})
+	n, err := c.Write(testDeadline(), net.Buffers{huge})
 	if n == int64(len(huge)) || ReasonOf(err) != EndTimeout {
 		t.Errorf("%d bytes, %v", n, err)
 	}
 }
 
 // A connection that the peer has closed, or on which it has sent something unasked, must not get a request.
-func TestQuiet(t *testing.T) {
+func TestSilent(t *testing.T) {
 	for name, disturb := range map[string]func(*net.TCPConn){
 		"closed": func(p *net.TCPConn) { p.Close() },
 		"reset":  func(p *net.TCPConn) { p.SetLinger(0); p.Close() },
@@ -232,7 +232,7 @@
 		}
 		disturb(peer)
 		// Loopback has it at once, but only the kernel's own wait tells when.
-		c.Wait(1, far(), nil)
+		c.Wait(1, testDeadline(), nil)
 		if c.Silent() {
 			t.Errorf("%s: still quiet", name)
 		}
@@ -247,19 +247,19 @@
 	addr := l.Addr().String()
 	l.Close()
 	fds := NewDescriptors(1024)
-	if _, err := Dial(context.Background(), addr, far(), NewBuffers(1), fds, false); ReasonOf(err) != EndConnectionRefused {
+	if _, err := Dial(context.Background(), addr, testDeadline(), NewBuffers(1), fds, false); ReasonOf(err) != EndConnectionRefused {
 		t.Errorf("nobody listens: %v", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if _, err := Dial(ctx, addr, far(), NewBuffers(1), fds, false); err == nil {
+	if _, err := Dial(ctx, addr, testDeadline(), NewBuffers(1), fds, false); err == nil {
 		t.Error("dialled after a cancel")
 	}
 	full := NewDescriptors(1)
-	for full.take(true) {
+	for full.acquire(true) {
 	}
 	used := full.Used()
-	if _, err := Dial(context.Background(), addr, far(), NewBuffers(1), full, true); !errors.Is(err, ErrNoDescriptor) {
+	if _, err := Dial(context.Background(), addr, testDeadline(), NewBuffers(1), full, true); !errors.Is(err, ErrNoDescriptor) {
 		t.Errorf("at the cap: %v", err)
 	}
 	if fds.Used() != 0 || full.Used() != used {
@@ -269,31 +269,31 @@
 
 // Silent newcomers give way before a client that has been served, clients keep to their share, and the last descriptors
 // are left to what is urgent.
-func TestDescriptorShares(t *testing.T) {
-	const most = 100
-	d := NewDescriptors(otherDescriptors + most)
+func TestClientDescriptorQuota(t *testing.T) {
+	const limit = 100
+	d := NewDescriptors(otherDescriptors + limit)
 	var asked []string
 	served, silent := &idler{"served", &asked}, &idler{"silent", &asked}
 	d.MarkIdle(served, IdleServedClient)
 	d.MarkIdle(silent, IdleNewClient) // later idle, and yet first
 	stayed := 0
-	for d.takeClient() {
+	for d.acquireClient() {
 		stayed++
 	}
 	if len(asked) < 2 || asked[0] != "silent room" || asked[1] != "served room" {
 		t.Errorf("%v asked, want the silent one and then the other", asked)
 	}
-	if least := most * clientShare / 100; stayed < least || stayed > least+spareDescriptors {
-		t.Errorf("%d clients of a share of %d", stayed, least)
+	if quota := limit * clientQuotaPercent / 100; stayed < quota || stayed > quota+headroomDescriptors {
+		t.Errorf("%d clients of a share of %d", stayed, quota)
 	}
 	plain := 0
-	for ; d.take(false); plain++ {
+	for ; d.acquire(false); plain++ {
 	}
-	if plain < most/5 {
+	if plain < limit/5 {
 		t.Errorf("clients left %d descriptors to servers", plain)
 	}
-	d.give(false)
-	if !d.take(true) {
+	d.release(false)
+	if !d.acquire(true) {
 		t.Error("none was left to what is urgent")
 	}
 }
@@ -303,10 +303,10 @@
 	const limit = 60
 	d := NewDescriptors(limit)
 	var asked []string
-	for i := range 2 * limit / idleAskedPart {
+	for i := range 2 * limit / idleServedDivisor {
 		d.MarkIdle(&idler{fmt.Sprint("server", i), &asked}, IdleServer)
 	}
-	for i := range limit / idleAskedPart {
+	for i := range limit / idleServedDivisor {
 		d.MarkIdle(&idler{fmt.Sprint("client", i), &asked}, IdleServedClient)
 	}
 	if len(asked) != 0 {
@@ -323,20 +323,20 @@
 	b := NewBuffers(3 * BufferSize)
 	first, second := b.NewMessage(), b.NewMessage()
 	never := func() bool { return false }
-	if err := first.Grow(2*BufferSize, far(), never); err != nil {
+	if err := first.Grow(2*BufferSize, testDeadline(), never); err != nil {
 		t.Fatal(err)
 	}
-	if err := second.Grow(BufferSize, far(), never); err != nil || b.Reserved() != 2*BufferSize {
+	if err := second.Grow(BufferSize, testDeadline(), never); err != nil || b.Reserved() != 2*BufferSize {
 		t.Errorf("a first buffer was counted: %v, %d held", err, b.Reserved())
 	}
 	if err := second.Grow(2*BufferSize, time.Now(), never); !errors.Is(err, ErrDeadline) {
 		t.Errorf("its time up: %v", err)
 	}
-	if err := second.Grow(2*BufferSize, far(), func() bool { return true }); !errors.Is(err, ErrWoken) {
+	if err := second.Grow(2*BufferSize, testDeadline(), func() bool { return true }); !errors.Is(err, ErrWoken) {
 		t.Errorf("given up: %v", err)
 	}
 	asked := false
-	if err := second.Grow(2*BufferSize, far(), func() bool {
+	if err := second.Grow(2*BufferSize, testDeadline(), func() bool {
 		if !asked {
 			first.Free()
 		}
@@ -354,7 +354,7 @@
 // What the kernel has accepted before the listener closes is served: a request counts from there. It is so too where
 // the goroutine that accepts had no processor until long after.
 func TestListenerTakesInItsBacklog(t *testing.T) {
-	for _, late := range []time.Duration{0, 4 * backlogPause} {
+	for _, late := range []time.Duration{0, 4 * backlogWait} {
 		fds := NewDescriptors(1024)
 		l, err := Listen("127.0.0.1:0", NewBuffers(1<<20), fds)
 		if err != nil {
@@ -389,7 +389,7 @@
 	}
 }
 
-func TestEnds(t *testing.T) {
+func TestEndRecorder(t *testing.T) {
 	var out bytes.Buffer
 	e := NewEndRecorder(zerolog.New(&out))
 	e.Record(Server, "127.0.0.1:1", EndTimeout, time.Now(), 3, ErrDeadline)
