--- a/internal/gateway/control_test.go
+++ b/internal/gateway/control_test.go
@@ -20,7 +20,7 @@
 )
 
 // The golden files in testdata are what operators ask and are told. They change only where that is meant to change; then
-// "go test ./internal/program -run Golden -update" writes them anew.
+// "go test ./internal/gateway -run Golden -update" writes them anew.
 var update = flag.Bool("update", false, "write the golden files anew")
 
 // compareGolden compares a text with a golden file in testdata.
--- a/internal/testcluster/rig_test.go
+++ b/internal/testcluster/rig_test.go
@@ -33,7 +33,7 @@
 	another = filepath.Join(dir, "another", "marblespan")
 	for _, program := range []string{"marblespan", "marblespan-raft"} {
 		for _, build := range [][]string{{"-o", filepath.Join(dir, program)}, {"-o", filepath.Join(dir, "another", program), "-ldflags",
-			"-X marblespan/internal/program.Version=" + anotherVersion + " -X marblespan/internal/withcopies.Format=" + anotherFormat}} {
+			"-X marblespan/internal/gateway.Version=" + anotherVersion + " -X marblespan/internal/raftgateway.Format=" + anotherFormat}} {
 			args := append(append([]string{"build"}, build...), "../../cmd/"+program)
 			if out, err := exec.Command("go", args...).CombinedOutput(); err != nil {
 				fmt.Fprintf(os.Stderr, "%v\n%s", err, out)
