--- a/internal/transport/buffers.go
+++ b/internal/transport/buffers.go
@@ -12,7 +12,8 @@
 // BufferSize is the one size of buffers. Nearly every message fits into one; a value of 64 KiB in hex takes 17.
 const BufferSize = 8 << 10
 
-// Buffers hands out buffers of one size and takes them back, and keeps account of the bytes that messages hold.
+// Buffers is a pool of buffers of BufferSize bytes, with a budget for the bytes that messages reserve. It is safe for
+// concurrent use.
 type Buffers struct {
 	chunks      sync.Pool
 	readers     sync.Pool
@@ -20,7 +21,7 @@
 	maxReserved int64
 }
 
-// NewBuffers makes a pool whose messages may hold so many bytes together.
+// NewBuffers returns a pool whose messages may together reserve maxReserved bytes.
 func NewBuffers(maxReserved int64) *Buffers {
 	b := &Buffers{maxReserved: maxReserved}
 	b.chunks.New = func() any { return new([BufferSize]byte) }
@@ -28,7 +29,7 @@
 	return b
 }
 
-// Reserve sets bytes aside for a message to come, or tells that there is no room for it.
+// Reserve reserves n bytes of the budget. It reports whether they fit; if not, nothing is reserved.
 func (b *Buffers) Reserve(n int) bool {
 	if b.reserved.Add(int64(n)) > b.maxReserved {
 		b.reserved.Add(-int64(n))
@@ -37,35 +38,36 @@
 	return true
 }
 
-// Release gives back what Reserve set aside.
+// Release returns n reserved bytes to the budget.
 func (b *Buffers) Release(n int) { b.reserved.Add(-int64(n)) }
 
-// Held tells how many bytes are set aside now.
+// Reserved is the number of bytes reserved now.
 func (b *Buffers) Reserved() int64 { return b.reserved.Load() }
 
-// Message is a run of bytes kept in pooled buffers. It may be shared: each holder frees it once.
+// Message is a sequence of bytes in pooled buffers. It is reference-counted: every owner calls Free once. Share and Free
+// may be called from any goroutine.
 type Message struct {
 	pool     *Buffers
 	chunks   []*[BufferSize]byte
 	size     int
-	reserved int // bytes set aside for it by Grow
+	reserved int // bytes of the budget that Grow reserved for it
 	refs     atomic.Int32
 }
 
-// NewMessage makes an empty message with one holder.
+// NewMessage returns an empty message with one owner.
 func (b *Buffers) NewMessage() *Message {
 	m := &Message{pool: b}
 	m.refs.Store(1)
 	return m
 }
 
-// Share adds a holder.
+// Share adds an owner.
 func (m *Message) Share() *Message {
 	m.refs.Add(1)
 	return m
 }
 
-// Free ends one holder's use; the last one gives the buffers back.
+// Free ends one owner's use; the last owner's call returns the buffers to the pool. A nil message may be freed.
 func (m *Message) Free() {
 	if m == nil || m.refs.Add(-1) > 0 {
 		return
@@ -77,12 +79,13 @@
 	m.chunks, m.size, m.reserved = nil, 0, 0
 }
 
-// growPoll is how often a message that waits for memory looks again. What frees memory is an answer that has been
-// written, a matter of milliseconds.
+// growPoll is how often a message that waits for memory tries again. Memory is freed when a response has been written,
+// which takes milliseconds.
 const growPoll = time.Millisecond
 
-// Grow sets bytes aside for what is about to be added. What goes beyond the first buffer waits until they fit; a
-// message's first buffer is not counted, as there are only as many as connections.
+// Grow reserves n bytes for what is about to be added, and waits until they fit the budget. A message that fits its first
+// buffer reserves nothing: there are no more first buffers than connections. It returns ErrWoken if pending reports true
+// while it waits, and ErrDeadline at the deadline.
 func (m *Message) Grow(n int, deadline time.Time, pending func() bool) error {
 	if n <= BufferSize {
 		return nil
@@ -103,7 +106,7 @@
 // Size is the number of bytes in the message.
 func (m *Message) Size() int { return m.size }
 
-// room is the free end of the last buffer.
+// freeTail is the unused end of the last buffer; a new buffer is added if there is none.
 func (m *Message) freeTail() []byte {
 	at := m.size % BufferSize
 	if at == 0 && m.size == len(m.chunks)*BufferSize {
@@ -120,7 +123,7 @@
 	}
 }
 
-// Fill adds exactly n bytes of r.
+// Fill reads exactly n bytes from r into the message. After an error the message holds what was read before it.
 func (m *Message) Fill(r io.Reader, n int) error {
 	for n > 0 {
 		free := m.freeTail()
@@ -133,7 +136,7 @@
 	return nil
 }
 
-// First is what stands in the first buffer.
+// FirstBuffer is the content of the first buffer; nil for an empty message.
 func (m *Message) FirstBuffer() []byte {
 	if len(m.chunks) == 0 {
 		return nil
@@ -141,7 +144,7 @@
 	return m.chunks[0][:min(m.size, BufferSize)]
 }
 
-// From lists the bytes from an offset within the first buffer on, ready to be written together.
+// BuffersFrom is the message's content from an offset within the first buffer, as slices for one vectored write.
 func (m *Message) BuffersFrom(at int) net.Buffers {
 	var out net.Buffers
 	for i, c := range m.chunks {
--- a/internal/transport/close_test.go
+++ b/internal/transport/close_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// until waits for something that the kernel does by itself.
+// until waits until a condition holds that the kernel brings about.
 func until(t *testing.T, holds func() bool, what string) {
 	t.Helper()
 	for end := testDeadline(); !holds(); time.Sleep(time.Millisecond) {
@@ -19,8 +19,8 @@
 	}
 }
 
-// What is given up before it is written is not written: an abort between two lines of the serving goroutine holds, whatever
-// deadline the write sets behind it. Fails without the look at aborted in Write.
+// An abort before a write prevents it, whatever deadline the write sets afterwards. Fails without the check of aborted in
+// Write.
 func TestAbortBeforeAWrite(t *testing.T) {
 	c, peer := connected(t)
 	c.Abort()
@@ -33,14 +33,14 @@
 	}
 }
 
-// A close shows behind bytes that nobody has read, an orderly one and a reset alike; an open connection shows none.
+// A close is seen behind unread bytes, an orderly one and a reset alike; an open connection is not reported closed.
 func TestPeerClosedBehindUnreadBytes(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		c, peer := connected(t)
 		peer.Write([]byte("unread"))
 		until(t, func() bool { return !c.Silent() }, "the bytes never came")
 		if c.PeerClosed() {
-			t.Fatal("an open connection is told to be closed")
+			t.Fatal("an open connection is reported closed")
 		}
 		if reset {
 			peer.SetLinger(0)
@@ -51,12 +51,12 @@
 	c, _ := connected(t)
 	c.Close()
 	if !c.PeerClosed() {
-		t.Error("a connection that is closed here is told to be open")
+		t.Error("a connection that is closed here is reported open")
 	}
 }
 
-// Bytes that arrive in the instant of a close do not turn it into a reset: the peer reads the whole of its last answer and
-// an orderly end, and what it writes goes on being taken until it closes too. Fails where Close follows without Linger.
+// Bytes that arrive during a close do not turn it into a reset: the peer reads its complete last response and an orderly end,
+// and what it writes is accepted until it closes too. Fails if Close is called without Linger.
 func TestLingerOverUnreadBytes(t *testing.T) {
 	c, peer := connected(t)
 	answer := bytes.Repeat([]byte("answer"), 1000)
@@ -84,8 +84,8 @@
 	<-closed
 }
 
-// Once a listener has taken in its backlog the address refuses: nobody connects to a gateway that takes nobody in any more
-// and is reset when it ends. Fails where the socket stays open behind Serve.
+// Once a listener has accepted its backlog, the address refuses connections: nobody connects to a gateway that no longer
+// accepts and is reset when it ends. Fails if the socket stays open after Serve.
 func TestClosedListenerRefuses(t *testing.T) {
 	l, err := Listen("127.0.0.1:0", NewBuffers(1<<20), NewDescriptors(1024))
 	if err != nil {
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -1,5 +1,11 @@
-// Package transport owns the sockets: listening, dialling, connections and how they end, the pools of idle server
-// connections, the buffers, and the budgets of descriptors and memory. It knows no protocol and decides nothing.
+// Package transport owns the sockets: listening (Listener), dialling (Dial), connections (Conn), why they ended
+// (EndRecorder), the pools of idle server connections (Pool), the buffers (Buffers, Message), and the budgets of file
+// descriptors and memory. It knows no protocol and takes no routing decision.
+//
+// The packages session, streams and gateway call it. Each Conn belongs to the one goroutine that serves it; the other types
+// are safe for concurrent use. The decisions made here: which idle connection is closed when descriptors run short
+// (Descriptors.closeOldestIdle), whether a new connection is admitted (Descriptors.acquire, Descriptors.acquireClient), how
+// long a closing listener goes on accepting (Listener.Serve), and which reason a network error stands for (ReasonOf).
 package transport
 
 import (
@@ -16,17 +22,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// past is a deadline that has been; setting it wakes a reader.
+// pastDeadline is a deadline that has passed; setting it ends a read under way.
 var pastDeadline = time.Unix(1, 0)
 
-// ErrWoken tells that a wait ended because something was left for the waiting goroutine.
+// ErrWoken is returned by a wait that ended because its pending function reported true.
 var ErrWoken = errors.New("woken")
 
-// ErrDeadline tells that a wait reached its deadline.
+// ErrDeadline is returned by a wait that reached its deadline, and by reads and writes after Abort.
 var ErrDeadline = errors.New("deadline reached")
 
-// Conn is a connection that one goroutine serves. That goroutine alone reads and writes. Any other may leave
-// something for it and Wake it: a wait then ends, however long the peer is silent.
+// Conn is a TCP connection that one goroutine serves: only that goroutine reads, writes and closes. Any other goroutine may
+// call Wake, Abort and Aborted. To pass work to the serving goroutine, it stores the work where the pending function of Wait
+// finds it and then calls Wake.
 type Conn struct {
 	nc         *net.TCPConn
 	r          *bufio.Reader
@@ -43,17 +50,18 @@
 	return &Conn{nc: nc, r: r, buffers: buffers, fds: fds, fromClient: fromClient}
 }
 
-// Wake ends the wait under way, or the next one whose pending sees what was left.
+// Wake ends the Wait under way if its pending function reports true; without pending work the Wait goes on.
 func (c *Conn) Wake() { c.nc.SetReadDeadline(pastDeadline) }
 
-// Abort ends whatever the serving goroutine reads or writes, and whatever it would write, or read by ReadFull, next.
+// Abort ends the read or write under way, and makes every later Write and ReadFull fail with ErrDeadline.
 func (c *Conn) Abort() {
 	c.aborted.Store(true)
 	c.nc.SetDeadline(pastDeadline)
 }
 
-// Wait blocks until n bytes can be read, something is pending, or the deadline has come. The deadline is set
-// before pending is asked: what is left after that wakes the read, so nothing is missed.
+// Wait blocks until n bytes can be read (nil), pending reports true (ErrWoken), or the deadline has passed (ErrDeadline).
+// The read deadline is set before pending is called: work that is stored after the call ends the read by Wake, so none is
+// missed.
 func (c *Conn) Wait(n int, deadline time.Time, pending func() bool) error {
 	for {
 		c.nc.SetReadDeadline(deadline)
@@ -76,30 +84,30 @@
 // Buffered is how many bytes can be read without waiting.
 func (c *Conn) Buffered() int { return c.r.Buffered() }
 
-// Peek shows the next n bytes, which a wait has brought.
+// Peek returns the next n bytes without consuming them. A Wait for n bytes must have succeeded before.
 func (c *Conn) Peek(n int) []byte {
 	b, _ := c.r.Peek(n)
 	return b
 }
 
-// Skip passes over bytes, waiting for them if need be.
+// Skip discards n bytes, blocking until they arrive.
 func (c *Conn) Skip(n int) error {
 	_, err := c.r.Discard(n)
 	return err
 }
 
-// Fill adds the next n bytes to a message. Unlike a plain read it goes on when the connection is woken meanwhile, unless
-// something is pending.
+// Fill reads the next n bytes into a message. A Wake does not end it unless pending reports true. Its errors are those of
+// Wait and of the read.
 func (c *Conn) Fill(m *Message, n int, deadline time.Time, pending func() bool) error {
 	return c.readInPieces(n, deadline, pending, func(k int) error { return m.Fill(c.r, k) })
 }
 
-// SkipBy passes over bytes, likewise.
+// SkipUntil discards n bytes; deadline and pending act as in Fill.
 func (c *Conn) SkipUntil(n int, deadline time.Time, pending func() bool) error {
 	return c.readInPieces(n, deadline, pending, c.Skip)
 }
 
-// inPieces waits for n bytes, no more than a buffer at a time, and hands each piece on.
+// readInPieces waits for n bytes, at most one buffer at a time, and calls consume for each piece.
 func (c *Conn) readInPieces(n int, deadline time.Time, pending func() bool, consume func(int) error) error {
 	for n > 0 {
 		k := min(n, BufferSize)
@@ -114,17 +122,17 @@
 	return nil
 }
 
-// ReadFull reads exactly len(b) bytes. It is for connections that nobody wakes.
+// ReadFull reads exactly len(b) bytes. It is for connections on which nobody calls Wake.
 func (c *Conn) ReadFull(b []byte, deadline time.Time) error {
 	c.nc.SetReadDeadline(deadline)
-	if c.aborted.Load() { // set after the deadline above, an abort ends the read; before it, this does
+	if c.aborted.Load() { // an Abort after the deadline was set ends the read; this finds one before it
 		return ErrDeadline
 	}
 	_, err := io.ReadFull(c.r, b)
 	return err
 }
 
-// Write writes all bytes, or tells how many went out.
+// Write writes all bytes and returns how many were written.
 func (c *Conn) Write(deadline time.Time, parts net.Buffers) (int64, error) {
 	c.nc.SetWriteDeadline(deadline)
 	if c.aborted.Load() { // as in ReadFull
@@ -133,12 +141,12 @@
 	return parts.WriteTo(c.nc)
 }
 
-// Aborted tells whether Abort was called: the connection is of no further use.
+// Aborted reports whether Abort was called; the connection must not be used again.
 func (c *Conn) Aborted() bool { return c.aborted.Load() }
 
-// Quiet tells that the peer has neither closed nor sent anything unasked. It asks the kernel, so it also sees
-// what came a moment ago: a request written to a connection that the peer has closed would end as a reset, and
-// nobody could tell whether it ran.
+// Silent reports whether the peer has neither closed the connection nor sent unsolicited bytes. It queries the kernel, so
+// that it sees a close of a moment ago: a request written to a connection that the peer has closed would end in a reset, and
+// nobody could tell whether the request ran.
 func (c *Conn) Silent() bool {
 	if c.r.Buffered() > 0 {
 		return false
@@ -156,8 +164,8 @@
 	return err == nil && silent
 }
 
-// PeerClosed tells that the peer has ended its sending side or broken the connection, however many bytes of its are still
-// unread. It asks the kernel.
+// PeerClosed reports whether the peer has shut down its sending side or reset the connection, even while received bytes are
+// unread. It queries the kernel.
 func (c *Conn) PeerClosed() bool {
 	raw, err := c.nc.SyscallConn()
 	if err != nil {
@@ -172,8 +180,8 @@
 	return err != nil || closed
 }
 
-// Close ends the connection; when it returns the kernel has closed it. Only the goroutine that serves the
-// connection calls it.
+// Close closes the connection and releases its reader and descriptor. Only the goroutine that serves the connection may call
+// it; further calls do nothing.
 func (c *Conn) Close() {
 	c.closeOnce.Do(func() {
 		c.nc.Close()
@@ -183,9 +191,9 @@
 	})
 }
 
-// Linger ends the sending side and passes over what still comes until the peer closes, a limit of bytes or the
-// deadline: closing with bytes unread would reset the connection and could take the last answer with it. Whatever the
-// peer sent just then it may send again elsewhere, as it sees an orderly end with no answer.
+// Linger shuts down the sending side and discards what arrives until the peer closes, maxBytes were read or the deadline has
+// passed. A close with unread bytes would reset the connection, and the reset could destroy the last response before the peer
+// has read it. A peer that sent a request in that moment sees an orderly end without a response, and may retry elsewhere.
 func (c *Conn) Linger(deadline time.Time, maxBytes int64) {
 	if c.nc.CloseWrite() != nil {
 		return
--- a/internal/transport/descriptors.go
+++ b/internal/transport/descriptors.go
@@ -5,26 +5,26 @@
 	"sync"
 )
 
-// Idleness says whose idle connection it is. When descriptors run short the first kind gives way first, and within a kind
-// the one idle for longest.
+// IdleClass orders idle connections by who is at the other end. When descriptors run short, the lowest class is closed first,
+// and within a class the connection that has been idle longest.
 type IdleClass uint8
 
-// The kinds of idle connections.
+// The classes of idle connections.
 const (
-	IdleNewClient    IdleClass = iota // a client that has never brought a request
-	IdleServedClient                  // a client that has
-	IdleServer                        // to a server; opening another costs that server work
+	IdleNewClient    IdleClass = iota // a client that has not sent a request yet
+	IdleServedClient                  // a client that has sent a request
+	IdleServer                        // a pooled connection to a server; opening another costs the server work
 	idleClasses
 )
 
-// Descriptors keeps account of open descriptors, and closes idle connections when they run short, never one with a
-// request.
+// Descriptors counts open file descriptors against the process's limit, and closes idle connections when they run short. It
+// never closes a connection with a request in flight. It is safe for concurrent use.
 type Descriptors struct {
 	mu            sync.Mutex
 	used          int
 	clients       int
 	limit         int
-	maxIdleServed int // how many clients that have asked may be idle
+	maxIdleServed int // how many IdleServedClient connections may be idle at once
 	idle          [idleClasses]*list.List
 	positions     map[Idler]idlePosition
 }
@@ -34,30 +34,32 @@
 	element *list.Element
 }
 
-// Idler is a connection that may be idle. CloseIdle asks it to close if it still is; it must not block.
+// Idler is a connection that may be idle. CloseIdle makes it close if it is still idle; the call must not block.
 type Idler interface{ CloseIdle(Reason) }
 
-// The descriptors that are no connections: standard streams, the listener, the poller and its pipe, the
-// configuration, files that a library opens for a moment, and the logging that may be pointed at files.
+// otherDescriptors is how many descriptors are not connections: standard streams, the listener, the poller and its pipe, the
+// configuration, files that a library opens briefly, and log files.
 const otherDescriptors = 24
 
-// spareDescriptors is how many connections may still open before the cap while idle ones are being closed.
+// headroomDescriptors is how far below the limit idle connections begin to be closed: closing takes time, and new ones open
+// meanwhile.
 const headroomDescriptors = 32
 
-// urgentDescriptors are left to probes and discovery, a handful of calls: without their news the gateway is blind.
+// urgentDescriptors are reserved for health checks and discovery, which need only a few: without them the gateway would not
+// know the state of the servers.
 const urgentDescriptors = 8
 
-// clientShare is the share of connections that clients may hold, in hundredths. At most a third of all descriptors carry
-// requests, and each request needs one more at a server: what idle and silent clients hold beyond this would be
-// taken from the servers.
+// clientQuotaPercent is the clients' quota of the descriptors, in percent. At most a third of all descriptors carry
+// requests, and each request needs another descriptor for its server: what idle clients hold beyond this quota would be
+// missing there.
 const clientQuotaPercent = 55
 
-// idleAskedPart is the part of the descriptors that idle clients which have asked may hold: half of the third that clients
-// hold for requests at most. Clients that ask once and keep their connection would fill that third, and the next ones
-// would find no connection left. Harm: a client that pauses between requests may have to connect again.
+// idleServedDivisor is the divisor of the limit that gives the number of idle clients which have sent a request: a sixth,
+// half of the third that carries requests. Clients that send one request and keep the connection would otherwise fill that
+// third and leave no room for new ones. The cost: a client that pauses between requests may have to reconnect.
 const idleServedDivisor = 6
 
-// NewDescriptors makes the account for a process that may hold so many descriptors.
+// NewDescriptors returns the account of a process that may open limit descriptors.
 func NewDescriptors(limit int) *Descriptors {
 	return &Descriptors{
 		limit: max(limit-otherDescriptors, 2*urgentDescriptors), positions: map[Idler]idlePosition{},
@@ -65,15 +67,15 @@
 	}
 }
 
-// take counts a connection to a server or to discovery, and makes room where they run short. It tells whether the cap
-// still holds.
+// acquire counts a connection to a server or to discovery, and closes an idle connection where descriptors run short. It
+// reports whether the connection fits; the caller calls release in either case. An urgent one may use the last descriptors.
 func (d *Descriptors) acquire(urgent bool) bool {
 	d.mu.Lock()
 	d.used++
-	short := d.used + d.headroom() - d.limit
+	excess := d.used + d.headroom() - d.limit
 	ok := d.used <= d.limit && (urgent || d.used <= d.limit-urgentDescriptors)
 	d.mu.Unlock()
-	if short > 0 {
+	if excess > 0 {
 		d.closeOldestIdle()
 	}
 	return ok
@@ -81,17 +83,18 @@
 
 func (d *Descriptors) headroom() int { return min(headroomDescriptors, d.limit/4) }
 
-// takeClient counts a client's connection. It tells whether it may stay: where the clients' share is used up one that is
-// idle gives way, and where none is, the newcomer.
+// acquireClient counts a client's connection and reports whether it is admitted. Where the clients' quota or the limit less the
+// headroom is used up, an idle connection is closed for it. It is rejected only if none is idle and either the quota is
+// exceeded by more than half the headroom or only urgentDescriptors are left.
 func (d *Descriptors) acquireClient() bool {
 	d.mu.Lock()
 	d.used++
 	d.clients++
 	quota := d.limit * clientQuotaPercent / 100
-	short := d.clients > quota || d.used+d.headroom() > d.limit
-	over := d.clients > quota+d.headroom()/2 || d.used > d.limit-urgentDescriptors
+	nearLimit := d.clients > quota || d.used+d.headroom() > d.limit
+	overLimit := d.clients > quota+d.headroom()/2 || d.used > d.limit-urgentDescriptors
 	d.mu.Unlock()
-	return !(short && !d.closeOldestIdle() && over)
+	return !(nearLimit && !d.closeOldestIdle() && overLimit)
 }
 
 func (d *Descriptors) release(client bool) {
@@ -103,7 +106,7 @@
 	d.mu.Unlock()
 }
 
-// makeRoom asks an idle connection to close. It tells whether there was one.
+// closeOldestIdle closes the idle connection of the lowest class that has been idle longest. It reports whether there was one.
 func (d *Descriptors) closeOldestIdle() bool {
 	d.mu.Lock()
 	var x Idler
@@ -117,7 +120,8 @@
 	return x != nil
 }
 
-// oldest takes out the connection of a kind that is idle for longest, if there is one. The caller holds the lock.
+// removeOldest removes and returns the connection of a class that has been idle longest; nil if there is none. The caller
+// holds mu.
 func (d *Descriptors) removeOldest(k IdleClass) Idler {
 	front := d.idle[k].Front()
 	if front == nil {
@@ -128,7 +132,8 @@
 	return x
 }
 
-// Park notes that a connection is idle from now on. Of the clients that have asked, too many idle ones give way at once.
+// MarkIdle records that a connection is idle from now on. If that makes too many idle clients of class IdleServedClient, the
+// one that has been idle longest is closed.
 func (d *Descriptors) MarkIdle(x Idler, k IdleClass) {
 	var last Idler
 	d.mu.Lock()
@@ -144,7 +149,7 @@
 	}
 }
 
-// Unpark notes that a connection is idle no longer.
+// MarkBusy records that a connection is no longer idle.
 func (d *Descriptors) MarkBusy(x Idler) {
 	d.mu.Lock()
 	if p, ok := d.positions[x]; ok {
@@ -154,21 +159,21 @@
 	d.mu.Unlock()
 }
 
-// Hold counts descriptors that are no connections and no part of the usual few, or gives them back where n is negative.
+// Reserve counts n descriptors that are neither connections nor among otherDescriptors; a negative n releases them.
 func (d *Descriptors) Reserve(n int) {
 	d.mu.Lock()
 	d.used += n
 	d.mu.Unlock()
 }
 
-// Short tells that nearly no descriptor is left for another connection.
+// NearLimit reports whether the descriptors in use have reached the limit less the headroom.
 func (d *Descriptors) NearLimit() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.used+d.headroom() > d.limit
 }
 
-// Used is the number of connections open now.
+// Used is the number of descriptors counted now.
 func (d *Descriptors) Used() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/transport/ends.go
+++ b/internal/transport/ends.go
@@ -12,32 +12,33 @@
 	"github.com/rs/zerolog"
 )
 
-// Reason says why a connection ended. docs/oncall.md explains each code.
+// Reason is why a connection ended. Its String is the code in logs and counters, which docs/oncall.md explains; operators'
+// alerts match the codes, so they keep their text.
 type Reason uint8
 
 // The reasons.
 const (
 	EndPeerClosed         Reason = iota // the peer closed it between requests
-	EndPeerReset                        // the peer, or its machine, reset it
-	EndClientDisconnected               // a client closed it while its request was out
-	EndTerminate                        // the client said goodbye
+	EndPeerReset                        // the peer reset it, or another network error ended it
+	EndClientDisconnected               // a client closed it while its request was in flight
+	EndTerminate                        // the client sent Terminate
 	EndIdle                             // it was idle for too long
-	EndEvicted                          // closed idle to make room for another
-	EndDraining                         // closed because the gateway is stopping
-	EndAbandoned                        // an attempt on it was given up
+	EndEvicted                          // closed while idle, to free its descriptor for another
+	EndDraining                         // closed because the gateway is shutting down
+	EndAbandoned                        // an attempt on it was abandoned
 	EndTimeout                          // a read or write took too long
-	EndConnectionRefused                // the server refused the connection
-	EndUnreachable                      // the connection never came up in time
-	EndRejected                         // the server turned it away at its start
-	EndProtocol                         // the peer broke the protocol
-	EndCancelRequest                    // it only carried a cancel request
-	EndReplaced                         // another took its place, or the module asked for its end
-	EndServerFailed                     // the server ended it with an error, or after an answer
-	EndStatus                           // discovery answered with another status than 200
-	EndCompleted                        // all that was asked for has been read
-	EndDescriptors                      // no descriptor was free for it
-	EndAddressMigrated                  // the floating address it came over went to another gateway
-	EndMaintenance                      // the gateway is about to be out for maintenance
+	EndConnectionRefused                // the operating system of the peer refused the connection
+	EndUnreachable                      // the connection was not established in time
+	EndRejected                         // the server rejected it during start-up
+	EndProtocol                         // the peer violated the protocol
+	EndCancelRequest                    // it carried only a CancelRequest
+	EndReplaced                         // another replaced it, or the policy ended it
+	EndServerFailed                     // the server ended it by a fatal error, or closed it after a response
+	EndStatus                           // discovery responded with a status other than 200
+	EndCompleted                        // the complete response has been read
+	EndDescriptors                      // no descriptor was left for it
+	EndAddressMigrated                  // the floating IP address it used migrated to another gateway
+	EndMaintenance                      // the gateway is entering maintenance
 	reasons
 )
 
@@ -50,7 +51,7 @@
 // String is the reason's code.
 func (r Reason) String() string { return reasonCodes[r] }
 
-// ReasonOf is the reason behind an error of the network.
+// ReasonOf is the reason that a read, write or dial error stands for.
 func ReasonOf(err error) Reason {
 	switch {
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
@@ -63,7 +64,7 @@
 	return EndPeerReset
 }
 
-// DialReason is the reason behind a connection that did not come up.
+// DialReason is the reason that an error of Dial stands for.
 func DialReason(err error) Reason {
 	var timeout net.Error
 	switch {
@@ -88,16 +89,16 @@
 
 var partyNames = [parties]string{"client", "server", "discovery"}
 
-// Ends logs and counts how connections end: one line and one count each.
+// EndRecorder logs and counts the ends of connections: one log line and one count for each. It is safe for concurrent use.
 type EndRecorder struct {
 	log    zerolog.Logger
 	counts [parties][reasons]atomic.Int64
 }
 
-// NewEnds makes a log of ends.
+// NewEndRecorder returns a recorder that writes to log.
 func NewEndRecorder(log zerolog.Logger) *EndRecorder { return &EndRecorder{log: log} }
 
-// End notes the end of one connection.
+// Record records the end of one connection that was open since a time and served so many requests. cause may be nil.
 func (e *EndRecorder) Record(party Party, remote string, reason Reason, since time.Time, served int, cause error) {
 	e.counts[party][reason].Add(1)
 	line := e.log.Info().Str("party", partyNames[party]).Str("peer", remote).Stringer("reason", reason).
@@ -108,7 +109,7 @@
 	line.Msg("connection ended")
 }
 
-// Each hands over the counts that are not zero.
+// Each calls count for every party and reason whose count is not zero.
 func (e *EndRecorder) Each(count func(party string, reason Reason, n int64)) {
 	for p := range e.counts {
 		for r := range e.counts[p] {
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -11,19 +11,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// acceptPause is how long to wait when the system has no descriptor left; a connection that ends frees one.
+// acceptBackoff is the wait before the next Accept when the system has no descriptor left; a connection that ends frees one.
 const acceptBackoff = 2 * time.Millisecond
 
-// backlogPause is how long a closing listener looks for connections that the kernel has already accepted.
+// backlogWait is how long a closing listener goes on accepting connections that the kernel has already established.
 const backlogWait = 5 * time.Millisecond
 
-// backlogBound is how long it takes in those that are left then, where it had no processor in that time or others go on
-// connecting.
+// maxBacklogTime bounds how long it then goes on while connections are left in the kernel's queue: it may have had no
+// processor time before, or clients go on connecting.
 const maxBacklogTime = time.Second
 
-// Listener accepts connections for as long as the gateway runs.
+// Listener accepts connections until Close. Its Serve starts one goroutine for each connection; Wait waits for their end.
 type Listener struct {
-	// Calls says that other gateways connect to it, not clients: they count as calls do. It is set before Serve.
+	// FromGateways is true if other gateways connect, not clients: their connections do not count against the clients' quota. It
+	// is set before Serve.
 	FromGateways bool
 
 	tcp         *net.TCPListener
@@ -32,7 +33,7 @@
 	connections sync.WaitGroup
 }
 
-// Listen opens the one address that clients connect to.
+// Listen opens a listener on a TCP address, host:port.
 func Listen(addr string, buffers *Buffers, fds *Descriptors) (*Listener, error) {
 	nl, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -44,28 +45,28 @@
 // Addr is the address that the listener is bound to.
 func (l *Listener) Addr() string { return l.tcp.Addr().String() }
 
-// Serve accepts until Close and serves each connection on a goroutine of its own. Accepting never stops for want
-// of descriptors: a request counts from the moment the kernel has it, whether it was accepted here or not. A connection
-// that finds no room is handed over with the word that it cannot stay. When Serve returns the address is free: nobody can
-// connect any more and then wait for a gateway that takes nobody in.
+// Serve accepts connections until Close and calls serve for each on a goroutine of its own, which ends when serve returns.
+// It goes on accepting when descriptors run short, because a request counts from the moment the kernel has it; a connection
+// for which there is no descriptor is passed with stays false, and serve must reject it. When Serve returns, the socket is
+// closed: nobody can connect and then wait for a gateway that no longer accepts.
 func (l *Listener) Serve(serve func(conn *Conn, stays bool)) {
 	defer l.tcp.Close()
-	var last time.Time // when a closing listener takes in nobody more
+	var last time.Time // when a closing listener stops accepting; zero until the deadline that Close sets
 	for last.IsZero() || l.backlog() > 0 && time.Now().Before(last) {
 		nc, err := l.tcp.AcceptTCP()
 		switch {
 		case err == nil:
 			stays := l.acquire()
 			l.connections.Add(1)
-			go func() {
+			go func() { // not WaitGroup.Go, which would allocate a second closure for each connection
 				defer l.connections.Done()
 				serve(newConn(nc, l.buffers, l.fds, !l.FromGateways), stays)
 			}()
 		case errors.Is(err, net.ErrClosed):
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			// Past its deadline Accept does not look at what is there. A gateway that stood still until then would cut off
-			// all who wait.
+			// Past its deadline Accept returns at once, even if connections are queued. A gateway that got no processor time
+			// before would cut them all off, so the deadline is extended while some are queued.
 			if last.IsZero() {
 				last = time.Now().Add(maxBacklogTime)
 				l.tcp.SetDeadline(last)
@@ -77,8 +78,8 @@
 	}
 }
 
-// waiting is how many connections the kernel has accepted and nobody has taken in, 0 where it does not tell: of a
-// listening socket TCP_INFO gives them as tcpi_unacked (Linux).
+// backlog is the number of connections in the kernel's accept queue, 0 where it is not known. For a listening socket,
+// Linux reports it as tcpi_unacked in TCP_INFO.
 func (l *Listener) backlog() (n int) {
 	if raw, err := l.tcp.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) {
@@ -97,19 +98,20 @@
 	return l.fds.acquireClient()
 }
 
-// Close takes in what the kernel has accepted already, so that nobody is cut off unread, and stops listening.
-// Serve then returns.
+// Close makes Serve accept what is already in the kernel's queue, so that no client there is cut off, stop listening and
+// return. Close itself does not wait.
 func (l *Listener) Close() {
 	l.tcp.SetDeadline(time.Now().Add(backlogWait))
 }
 
-// Wait blocks until every connection that was accepted has been served to its end.
+// Wait blocks until serve has returned for every accepted connection. It is called after Serve has returned.
 func (l *Listener) Wait() { l.connections.Wait() }
 
-// ErrNoDescriptor tells that the descriptor cap leaves no room for another connection.
+// ErrNoDescriptor is returned by Dial when the descriptor limit leaves none for another connection.
 var ErrNoDescriptor = errors.New("no descriptor free")
 
-// Dial opens a connection, unless the deadline comes first or ctx ends. An urgent one may take the last descriptors.
+// Dial opens a TCP connection before the deadline and before ctx ends. An urgent one may use the last descriptors. Its error
+// is ErrNoDescriptor or the network's; DialReason gives the reason.
 func Dial(ctx context.Context, addr string, deadline time.Time, buffers *Buffers, fds *Descriptors, urgent bool) (
 	*Conn, error,
 ) {
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -1,9 +1,12 @@
 package transport
 
-import "sync"
+import (
+	"slices"
+	"sync"
+)
 
-// Pool holds the idle connections to one server. The one used last is taken first, so that what is not needed
-// ages and is closed.
+// Pool holds the idle connections to one server, as a stack: the one used last is taken first, so that connections beyond
+// the need stay idle and are closed for it. It is safe for concurrent use; the zero value is an empty pool.
 type Pool[C comparable] struct {
 	mu   sync.Mutex
 	idle []C
@@ -16,7 +19,7 @@
 	p.mu.Unlock()
 }
 
-// Take removes the connection used last.
+// Take removes and returns the connection used last; ok is false if the pool is empty.
 func (p *Pool[C]) Take() (c C, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -29,19 +32,16 @@
 	return c, true
 }
 
-// Remove takes out one connection, if it is idle.
+// Remove removes one connection if it is in the pool.
 func (p *Pool[C]) Remove(c C) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for i, x := range p.idle {
-		if x == c {
-			p.idle = append(p.idle[:i], p.idle[i+1:]...)
-			return
-		}
+	if i := slices.Index(p.idle, c); i >= 0 {
+		p.idle = slices.Delete(p.idle, i, i+1)
 	}
 }
 
-// TakeAll removes all of them.
+// TakeAll removes and returns all connections, the one idle for longest first.
 func (p *Pool[C]) TakeAll() []C {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -14,10 +14,10 @@
 	"github.com/rs/zerolog"
 )
 
-// far is a deadline that only a test that fails reaches.
+// testDeadline is a deadline that only a failing test reaches.
 func testDeadline() time.Time { return time.Now().Add(20 * time.Second) }
 
-// connected makes two ends of one connection: ours, and the peer's.
+// connected returns both ends of one connection: ours, and the peer's.
 func connected(t *testing.T) (*Conn, *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,35 +40,37 @@
 func TestMessage(t *testing.T) {
 	b := NewBuffers(1 << 20)
 	for _, size := range []int{0, 1, BufferSize - 1, BufferSize, BufferSize + 1, 3*BufferSize + 7} {
-		want := make([]byte, size)
-		for i := range want {
-			want[i] = byte(i * 7)
-		}
-		m := b.NewMessage()
-		half := size / 2
-		m.Append(want[:half])
-		if err := m.Fill(bytes.NewReader(want[half:]), size-half); err != nil {
-			t.Fatal(err)
-		}
-		at := min(size, 5)
-		var got bytes.Buffer
-		parts := m.BuffersFrom(at)
-		parts.WriteTo(&got)
-		if m.Size() != size || !bytes.Equal(got.Bytes(), want[at:]) {
-			t.Errorf("%d bytes came back as %d, %d after the first %d", size, m.Size(), got.Len(), at)
-		}
-		if !bytes.Equal(m.FirstBuffer(), want[:min(size, BufferSize)]) {
-			t.Errorf("the first buffer of %d bytes differs", size)
-		}
-		m.Share()
-		m.Free()
-		if m.Size() != size {
-			t.Error("freed while another holds it")
-		}
-		m.Free()
-		if m.chunks != nil {
-			t.Error("not freed by the last holder")
-		}
+		t.Run(fmt.Sprint(size, " bytes"), func(t *testing.T) {
+			want := make([]byte, size)
+			for i := range want {
+				want[i] = byte(i * 7)
+			}
+			m := b.NewMessage()
+			half := size / 2
+			m.Append(want[:half])
+			if err := m.Fill(bytes.NewReader(want[half:]), size-half); err != nil {
+				t.Fatal(err)
+			}
+			at := min(size, 5)
+			var got bytes.Buffer
+			parts := m.BuffersFrom(at)
+			parts.WriteTo(&got)
+			if m.Size() != size || !bytes.Equal(got.Bytes(), want[at:]) {
+				t.Errorf("%d bytes came back as %d, %d after the first %d", size, m.Size(), got.Len(), at)
+			}
+			if !bytes.Equal(m.FirstBuffer(), want[:min(size, BufferSize)]) {
+				t.Errorf("the first buffer of %d bytes differs", size)
+			}
+			m.Share()
+			m.Free()
+			if m.Size() != size {
+				t.Error("freed while it has another owner")
+			}
+			m.Free()
+			if m.chunks != nil {
+				t.Error("not freed by the last owner")
+			}
+		})
 	}
 	m := b.NewMessage()
 	if err := m.Fill(bytes.NewReader(make([]byte, 9)), 10); !errors.Is(err, io.ErrUnexpectedEOF) {
@@ -81,11 +83,11 @@
 func TestReserve(t *testing.T) {
 	b := NewBuffers(100)
 	if !b.Reserve(60) || b.Reserve(41) || !b.Reserve(40) || b.Reserve(1) {
-		t.Error("the budget of 100 was not kept")
+		t.Error("the budget of 100 was exceeded or not used")
 	}
 	b.Release(60)
 	if b.Reserved() != 40 || !b.Reserve(60) {
-		t.Errorf("%d held after a release", b.Reserved())
+		t.Errorf("%d reserved after a release", b.Reserved())
 	}
 }
 
@@ -98,8 +100,8 @@
 
 func TestDescriptorsCloseTheOldestIdle(t *testing.T) {
 	d := NewDescriptors(otherDescriptors + 40) // some way before 40 they are short
-	var asked []string
-	a, b, c := &idler{"a", &asked}, &idler{"b", &asked}, &idler{"c", &asked}
+	var closed []string
+	a, b, c := &idler{"a", &closed}, &idler{"b", &closed}, &idler{"c", &closed}
 	for _, x := range []*idler{a, b, c} {
 		d.MarkIdle(x, IdleServer)
 	}
@@ -108,22 +110,22 @@
 	d.MarkBusy(b)
 	for range 30 {
 		if !d.acquire(true) {
-			t.Fatal("below the cap there was no room")
+			t.Fatal("rejected below the limit")
 		}
 	}
-	if len(asked) != 0 {
-		t.Fatalf("%v asked with room left", asked)
+	if len(closed) != 0 {
+		t.Fatalf("%v closed with descriptors left", closed)
 	}
 	for range 10 {
 		if !d.acquire(true) {
-			t.Fatal("at the cap there was no room")
+			t.Fatal("rejected at the limit")
 		}
 	}
-	if len(asked) != 2 || asked[0] != "c room" || asked[1] != "a room" {
-		t.Errorf("%v asked, want c and then a, and never b", asked)
+	if len(closed) != 2 || closed[0] != "c room" || closed[1] != "a room" {
+		t.Errorf("%v closed, want c and then a, and never b", closed)
 	}
 	if d.acquire(true) {
-		t.Error("room beyond the cap")
+		t.Error("accepted beyond the limit")
 	}
 	d.release(false)
 	d.release(false)
@@ -215,27 +217,29 @@
 	}
 }
 
-// A connection that the peer has closed, or on which it has sent something unasked, must not get a request.
+// A connection that the peer has closed, or on which it has sent unsolicited bytes, must not get a request.
 func TestSilent(t *testing.T) {
 	for name, disturb := range map[string]func(*net.TCPConn){
 		"closed": func(p *net.TCPConn) { p.Close() },
 		"reset":  func(p *net.TCPConn) { p.SetLinger(0); p.Close() },
 		"data":   func(p *net.TCPConn) { p.Write([]byte("x")) },
 	} {
-		c, peer := connected(t)
-		if !c.Silent() {
-			t.Fatalf("%s: not quiet at first", name)
-		}
-		c.Wake() // a deadline in the past must not matter
-		if !c.Silent() {
-			t.Fatalf("%s: not quiet once woken", name)
-		}
-		disturb(peer)
-		// Loopback has it at once, but only the kernel's own wait tells when.
-		c.Wait(1, testDeadline(), nil)
-		if c.Silent() {
-			t.Errorf("%s: still quiet", name)
-		}
+		t.Run(name, func(t *testing.T) {
+			c, peer := connected(t)
+			if !c.Silent() {
+				t.Fatal("not silent at first")
+			}
+			c.Wake() // a deadline in the past must not matter
+			if !c.Silent() {
+				t.Fatal("not silent once woken")
+			}
+			disturb(peer)
+			// On loopback it arrives at once, but only a wait in the kernel shows when.
+			c.Wait(1, testDeadline(), nil)
+			if c.Silent() {
+				t.Error("still silent")
+			}
+		})
 	}
 }
 
@@ -267,21 +271,21 @@
 	}
 }
 
-// Silent newcomers give way before a client that has been served, clients keep to their share, and the last descriptors
-// are left to what is urgent.
+// New clients without a request are closed before a client that has been served, clients keep to their quota, and the last
+// descriptors are left to urgent calls.
 func TestClientDescriptorQuota(t *testing.T) {
 	const limit = 100
 	d := NewDescriptors(otherDescriptors + limit)
-	var asked []string
-	served, silent := &idler{"served", &asked}, &idler{"silent", &asked}
+	var closed []string
+	served, silent := &idler{"served", &closed}, &idler{"silent", &closed}
 	d.MarkIdle(served, IdleServedClient)
 	d.MarkIdle(silent, IdleNewClient) // later idle, and yet first
 	stayed := 0
 	for d.acquireClient() {
 		stayed++
 	}
-	if len(asked) < 2 || asked[0] != "silent room" || asked[1] != "served room" {
-		t.Errorf("%v asked, want the silent one and then the other", asked)
+	if len(closed) < 2 || closed[0] != "silent room" || closed[1] != "served room" {
+		t.Errorf("%v closed, want the silent one and then the other", closed)
 	}
 	if quota := limit * clientQuotaPercent / 100; stayed < quota || stayed > quota+headroomDescriptors {
 		t.Errorf("%d clients of a share of %d", stayed, quota)
@@ -290,35 +294,35 @@
 	for ; d.acquire(false); plain++ {
 	}
 	if plain < limit/5 {
-		t.Errorf("clients left %d descriptors to servers", plain)
+		t.Errorf("clients left %d descriptors for servers", plain)
 	}
 	d.release(false)
 	if !d.acquire(true) {
-		t.Error("none was left to what is urgent")
+		t.Error("none was left for an urgent call")
 	}
 }
 
-// Clients that ask once and keep their connection leave room for the next ones; servers' connections are not concerned.
-func TestIdleClientsGiveWay(t *testing.T) {
+// Clients that send one request and keep their connection are closed for new ones; connections to servers are not.
+func TestIdleServedClientsAreClosed(t *testing.T) {
 	const limit = 60
 	d := NewDescriptors(limit)
-	var asked []string
+	var closed []string
 	for i := range 2 * limit / idleServedDivisor {
-		d.MarkIdle(&idler{fmt.Sprint("server", i), &asked}, IdleServer)
+		d.MarkIdle(&idler{fmt.Sprint("server", i), &closed}, IdleServer)
 	}
 	for i := range limit / idleServedDivisor {
-		d.MarkIdle(&idler{fmt.Sprint("client", i), &asked}, IdleServedClient)
+		d.MarkIdle(&idler{fmt.Sprint("client", i), &closed}, IdleServedClient)
 	}
-	if len(asked) != 0 {
-		t.Errorf("%v asked with room left", asked)
+	if len(closed) != 0 {
+		t.Errorf("%v closed with descriptors left", closed)
 	}
-	d.MarkIdle(&idler{"one more", &asked}, IdleServedClient)
-	if len(asked) != 1 || asked[0] != "client0 room" {
-		t.Errorf("%v asked, want the client that is idle for longest", asked)
+	d.MarkIdle(&idler{"one more", &closed}, IdleServedClient)
+	if len(closed) != 1 || closed[0] != "client0 room" {
+		t.Errorf("%v closed, want the client that is idle for longest", closed)
 	}
 }
 
-// What does not fit the budget waits for what is held, until its time is up or it is given up.
+// A message that does not fit the budget waits for reserved memory, until its deadline or until it is abandoned.
 func TestGrowWaitsForMemory(t *testing.T) {
 	b := NewBuffers(3 * BufferSize)
 	first, second := b.NewMessage(), b.NewMessage()
@@ -347,13 +351,13 @@
 	}
 	second.Free()
 	if b.Reserved() != 0 {
-		t.Errorf("%d held at the end", b.Reserved())
+		t.Errorf("%d reserved at the end", b.Reserved())
 	}
 }
 
-// What the kernel has accepted before the listener closes is served: a request counts from there. It is so too where
-// the goroutine that accepts had no processor until long after.
-func TestListenerTakesInItsBacklog(t *testing.T) {
+// Connections that the kernel has accepted before the listener closes are served: a request counts from there. That holds
+// also if the accepting goroutine had no processor time until long after.
+func TestListenerAcceptsItsBacklog(t *testing.T) {
 	for _, late := range []time.Duration{0, 4 * backlogWait} {
 		fds := NewDescriptors(1024)
 		l, err := Listen("127.0.0.1:0", NewBuffers(1<<20), fds)
