--- a/internal/indoubt/explore_test.go
+++ b/internal/indoubt/explore_test.go
@@ -38,11 +38,11 @@
 	for _, a := range scenarios {
 		t.Run(a.name, func(t *testing.T) {
 			t.Parallel()
-			r := modelcheck.Run[*world](a.model, modelcheck.Limits{States: maxStates / stateDivisor})
-			if r.Broken != nil {
-				t.Fatalf("%d states\n%v", r.States, r.Broken)
+			r := modelcheck.BreadthFirst[*world](a.model, modelcheck.Limits{MaxStates: maxStates / stateDivisor})
+			if r.Counterexample != nil {
+				t.Fatalf("%d states\n%v", r.States, r.Counterexample)
 			}
-			t.Logf("%d states, %d moves, depth %d, whole: %v", r.States, r.Moves, r.Depth, r.Whole)
+			t.Logf("%d states, %d moves, depth %d, whole: %v", r.States, r.Transitions, r.Depth, r.Complete)
 		})
 	}
 }
@@ -60,7 +60,7 @@
 			t.Parallel()
 			moves := 0
 			for seed := range uint64(walksPerScenario / stateDivisor) {
-				made, broken := modelcheck.Walk[*world](a.model, seed, maxSteps)
+				made, broken := modelcheck.RandomWalk[*world](a.model, seed, maxSteps)
 				if moves += made; broken != nil {
 					t.Fatalf("seed %d\n%v", seed, broken)
 				}
--- a/internal/indoubt/model_test.go
+++ b/internal/indoubt/model_test.go
@@ -92,7 +92,7 @@
 	mutant *mutant
 }
 
-func (m model) Start() *world {
+func (m model) InitialState() *world {
 	w := &world{budget: m.budget}
 	for g := range w.resolvers {
 		m.boot(w, g)
@@ -136,7 +136,7 @@
 }
 
 // Show prints a state.
-func (m model) Show(w *world) string {
+func (m model) Describe(w *world) string {
 	out := fmt.Sprintf("t=%d runs=%d", w.now, w.runs)
 	if w.intent != nil {
 		out += fmt.Sprintf(" %v@%s/%d#%d v%d", w.intent.State, w.intent.Owner, w.intent.Incarnation, w.intent.ClaimCount, w.version)
@@ -240,7 +240,7 @@
 }
 
 // Check tells which invariant is broken.
-func (m model) Check(w *world) error {
+func (m model) CheckInvariant(w *world) error {
 	switch {
 	case w.broken != "":
 		return errors.New(w.broken)
@@ -269,11 +269,11 @@
 type addMove func(name string, do func(w *world))
 
 // Moves are all events that can happen next.
-func (m model) Moves(w *world) (all []modelcheck.Move[*world]) {
+func (m model) Transitions(w *world) (all []modelcheck.Transition[*world]) {
 	add := func(name string, do func(w *world)) {
 		next := w.clone()
 		do(next)
-		all = append(all, modelcheck.Move[*world]{Name: name, To: next})
+		all = append(all, modelcheck.Transition[*world]{Name: name, Next: next})
 	}
 	m.clientMoves(w, add)
 	for i, c := range w.calls {
--- a/internal/indoubt/mutants_test.go
+++ b/internal/indoubt/mutants_test.go
@@ -150,8 +150,8 @@
 // weightedModel makes ticks and moves of the client rarer than all others.
 type weightedModel struct{ model }
 
-func (m weightedModel) Moves(w *world) (all []modelcheck.Move[*world]) {
-	for _, mv := range m.model.Moves(w) {
+func (m weightedModel) Transitions(w *world) (all []modelcheck.Transition[*world]) {
+	for _, mv := range m.model.Transitions(w) {
 		all = append(all, mv)
 		if !strings.HasPrefix(mv.Name, "tick") && !strings.HasPrefix(mv.Name, "the client") && !strings.HasPrefix(mv.Name, "request at") {
 			all = append(all, mv, mv, mv)
@@ -171,7 +171,7 @@
 				m := a.model
 				m.mutant = &mut
 				for seed := range uint64(4 * walksPerScenario) {
-					if made, broken := modelcheck.Walk[*world](weightedModel{m}, seed, maxSteps); broken != nil {
+					if made, broken := modelcheck.RandomWalk[*world](weightedModel{m}, seed, maxSteps); broken != nil {
 						t.Logf("%q, seed %d, after %d moves: %v", a.name, seed, made, broken.Err)
 						return
 					}
--- a/internal/maintenance/model_test.go
+++ b/internal/maintenance/model_test.go
@@ -86,7 +86,7 @@
 	mutant      *mutant
 }
 
-func (m model) Start() *cluster {
+func (m model) InitialState() *cluster {
 	w := &cluster{order: &Order{}, planner: &Planner{}, toRequest: m.toRequest, budget: m.budget}
 	for i := range w.gateways {
 		w.order.Roster = append(w.order.Roster, Enrollment{names[i], 1})
@@ -124,7 +124,7 @@
 	return string(binary.BigEndian.AppendUint64(nil, xxhash.Sum64String(text)))
 }
 
-func (m model) Show(w *cluster) string {
+func (m model) Describe(w *cluster) string {
 	out := fmt.Sprintf("t=%d i=%d leader %s", w.now, w.index, names[w.leader])
 	for _, x := range w.order.Machines {
 		out += fmt.Sprintf(" %s:%s/%d", x.Name, x.State, x.Revision)
@@ -216,7 +216,7 @@
 	w.order = next
 }
 
-func (m model) Check(w *cluster) error {
+func (m model) CheckInvariant(w *cluster) error {
 	if w.violation != "" {
 		return errors.New(w.violation)
 	}
@@ -301,11 +301,11 @@
 	return c
 }
 
-func (m model) Moves(w *cluster) (all []modelcheck.Move[*cluster]) {
+func (m model) Transitions(w *cluster) (all []modelcheck.Transition[*cluster]) {
 	add := func(name string, do func(w *cluster)) {
 		next := w.clone()
 		do(next)
-		all = append(all, modelcheck.Move[*cluster]{Name: name, To: next})
+		all = append(all, modelcheck.Transition[*cluster]{Name: name, Next: next})
 	}
 	for i, name := range w.toRequest {
 		m.entries(w, "ask for "+name, func(w *cluster) []proposal {
@@ -471,7 +471,7 @@
 			p := w.pending[0]
 			w.pending = w.pending[1:]
 			m.apply(w, &p)
-			if err := m.Check(w); err != nil {
+			if err := m.CheckInvariant(w); err != nil {
 				return err
 			}
 		}
@@ -509,5 +509,5 @@
 			w.pending = append(w.pending, proposal{step: &s})
 		}
 	}
-	return fmt.Errorf("something waits for ever: %s", m.Show(w))
+	return fmt.Errorf("something waits for ever: %s", m.Describe(w))
 }
--- a/internal/maintenance/modelcheck_test.go
+++ b/internal/maintenance/modelcheck_test.go
@@ -38,8 +38,8 @@
 	for _, a := range arrangements {
 		t.Run(a.name, func(t *testing.T) {
 			t.Parallel()
-			if r := modelcheck.Run[*cluster](a.model, modelcheck.Limits{States: maxStates / reduction}); r.Broken != nil {
-				t.Fatalf("%d states\n%v", r.States, r.Broken)
+			if r := modelcheck.BreadthFirst[*cluster](a.model, modelcheck.Limits{MaxStates: maxStates / reduction}); r.Counterexample != nil {
+				t.Fatalf("%d states\n%v", r.States, r.Counterexample)
 			}
 		})
 	}
@@ -48,7 +48,7 @@
 // randomWalk makes random moves, then repairs the cluster.
 func randomWalk(m model, seed uint64) error {
 	recorder := &recordingModel{model: m}
-	if _, broken := modelcheck.Walk[*cluster](recorder, seed, movesPerWalk); broken != nil {
+	if _, broken := modelcheck.RandomWalk[*cluster](recorder, seed, movesPerWalk); broken != nil {
 		return errors.New(broken.String())
 	}
 	return m.repair(recorder.current.clone())
@@ -61,8 +61,8 @@
 }
 
 // Moves weighs the moves that make progress, so that they are drawn more often.
-func (l *recordingModel) Moves(w *cluster) []modelcheck.Move[*cluster] {
-	all := l.model.Moves(w)
+func (l *recordingModel) Transitions(w *cluster) []modelcheck.Transition[*cluster] {
+	all := l.model.Transitions(w)
 	for _, mv := range all {
 		if strings.HasPrefix(mv.Name, "decide") && !strings.HasSuffix(mv.Name, "late") {
 			all = append(all, mv, mv, mv, mv)
@@ -74,7 +74,10 @@
 	return all
 }
 
-func (l *recordingModel) Check(w *cluster) error { l.current = w; return l.model.Check(w) }
+func (l *recordingModel) CheckInvariant(w *cluster) error {
+	l.current = w
+	return l.model.CheckInvariant(w)
+}
 
 // TestRandomWalks goes deeper than the search of all states does: no invariant is violated, and in the end no machine waits.
 func TestRandomWalks(t *testing.T) {
--- a/internal/membership/modelcheck_test.go
+++ b/internal/membership/modelcheck_test.go
@@ -107,11 +107,11 @@
 	return g.step(now, MessageReceived{Source: nodeAddress(from), Message: msg})
 }
 
-func (g modelNode) Wake(now int64) (modelcheck.Node, []modelcheck.Message) {
+func (g modelNode) Tick(now int64) (modelcheck.Node, []modelcheck.Message) {
 	return g.step(now, Tick{})
 }
 
-func (g modelNode) Next() (int64, bool) {
+func (g modelNode) NextTimer() (int64, bool) {
 	at, ok := g.machine.Next()
 	return int64(at), ok
 }
@@ -120,7 +120,7 @@
 	return fmt.Sprintf("%+v", g.machine.Members()) + fmt.Sprint(g.machine.self, g.violation)
 }
 
-func (g modelNode) Show(now int64) string {
+func (g modelNode) Describe(now int64) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s/%d[", g.machine.self.Name, g.machine.self.Generation)
 	for _, v := range g.machine.Members()[1:] {
@@ -137,7 +137,7 @@
 	return func(s *modelcheck.State) error {
 		for i := range s.Nodes {
 			g := s.Nodes[i].(modelNode)
-			if s.Down[i] != 0 {
+			if s.DownUntil[i] != 0 {
 				continue
 			}
 			if g.violation != "" {
@@ -151,13 +151,13 @@
 				r, known := g.machine.Lookup(nodeName(j))
 				// A member that is believed alive in a generation is in that generation itself: one that was declared dead
 				// learns of it before it is believed again.
-				if known && !r.State.Ended() && s.Down[j] == 0 && r.Generation > o.machine.self.Generation && !g.clockSetBack {
+				if known && !r.State.Ended() && s.DownUntil[j] == 0 && r.Generation > o.machine.self.Generation && !g.clockSetBack {
 					return fmt.Errorf("%s believes generation %d of %s alive, which is in generation %d", nodeName(i), r.Generation, nodeName(j), o.machine.self.Generation)
 				}
-				if !s.Whole(delay) || s.Now-s.Calm < convergeTime {
+				if !s.FaultFree(delay) || s.Now-s.LastFaultAt < convergeTime {
 					continue
 				}
-				switch up := s.Down[j] == 0; {
+				switch up := s.DownUntil[j] == 0; {
 				case up && (!known || r.State != Alive || r.Generation != o.machine.self.Generation):
 					return fmt.Errorf("%s does not hold %s alive long after the last fault: %v", nodeName(i), nodeName(j), r.State)
 				case !up && known && !r.State.Ended():
@@ -186,17 +186,17 @@
 	{"three, a quick restart with the clock set back", 3, modelcheck.Faults{Crash: 2}, interval / 2, true},
 	{"three, pauses", 3, modelcheck.Faults{Pause: 2}, 0, false},
 	{"three, losses", 3, modelcheck.Faults{Lose: 6}, 0, false},
-	{"three, delayed and duplicated", 3, modelcheck.Faults{Late: 3, Duplicate: 3}, 0, false},
-	{"three, one partitioned", 3, modelcheck.Faults{Part: 2}, 0, false},
-	{"four, partitions and a crash", 4, modelcheck.Faults{Part: 3, Crash: 1, Lose: 2}, 9 * interval, false},
-	{"four, all faults", 4, modelcheck.Faults{Lose: 4, Late: 2, Duplicate: 2, Crash: 1, Pause: 1}, 20 * interval, false},
+	{"three, delayed and duplicated", 3, modelcheck.Faults{Delay: 3, Duplicate: 3}, 0, false},
+	{"three, one partitioned", 3, modelcheck.Faults{Partition: 2}, 0, false},
+	{"four, partitions and a crash", 4, modelcheck.Faults{Partition: 3, Crash: 1, Lose: 2}, 9 * interval, false},
+	{"four, all faults", 4, modelcheck.Faults{Lose: 4, Delay: 2, Duplicate: 2, Crash: 1, Pause: 1}, 20 * interval, false},
 	{"four, two crashes and a pause", 4, modelcheck.Faults{Crash: 2, Pause: 1, Lose: 2}, 9 * interval, false},
 }
 
 func (s scenario) world(mut *mutant) *modelcheck.World {
 	w := &modelcheck.World{
-		Delay: delay, LateBy: interval, PauseFor: []int64{2 * interval, 12 * interval, 40 * interval}, DownFor: s.downFor, Faults: s.faults,
-		PartFor: 30 * interval, Calm: convergeTime,
+		MaxDelay: delay, ExtraDelay: interval, PauseDurations: []int64{2 * interval, 12 * interval, 40 * interval}, RestartDelay: s.downFor, Faults: s.faults,
+		PartitionDuration: 30 * interval, FaultFreeWindow: convergeTime,
 	}
 	for i := range s.nodes {
 		w.Nodes = append(w.Nodes, modelNode{id: i, nodes: s.nodes, mutant: mut, clockSetBack: s.clockSetBack})
@@ -214,37 +214,37 @@
 	defer func() { <-walkSlots }()
 	w := sc.world(mut)
 	rng := rand.New(rand.NewPCG(seed, 11))
-	state := w.Start()
+	state := w.InitialState()
 	disturbed := make([]bool, sc.nodes)
-	for steps := 0; state.Now < 2*convergeTime+100*interval || state.Now-state.Calm < convergeTime+interval; steps++ {
-		moves := w.Moves(state)
+	for steps := 0; state.Now < 2*convergeTime+100*interval || state.Now-state.LastFaultAt < convergeTime+interval; steps++ {
+		moves := w.Transitions(state)
 		if len(moves) == 0 {
 			return nil
 		}
-		faulty := func(m modelcheck.Move[*modelcheck.State]) bool { return m.To.Left != state.Left }
+		faulty := func(m modelcheck.Transition[*modelcheck.State]) bool { return m.Next.FaultsLeft != state.FaultsLeft }
 		faultless := slices.DeleteFunc(slices.Clone(moves), faulty)
 		if calm := state.Now > convergeTime+60*interval; calm || rng.IntN(150) > 0 || len(faultless) == len(moves) {
 			moves = faultless
 		} else {
-			moves = slices.DeleteFunc(slices.Clone(moves), func(m modelcheck.Move[*modelcheck.State]) bool { return !faulty(m) })
+			moves = slices.DeleteFunc(slices.Clone(moves), func(m modelcheck.Transition[*modelcheck.State]) bool { return !faulty(m) })
 		}
 		m := moves[rng.IntN(len(moves))]
-		state = m.To
+		state = m.Next
 		err := w.Invariant(state)
 		for j := range state.Nodes {
-			if disturbed[j] = disturbed[j] || state.Paused[j]-state.Now > 3*interval || slices.Max(state.Parted) > 0; disturbed[j] || state.Down[j] != 0 {
+			if disturbed[j] = disturbed[j] || state.PausedUntil[j]-state.Now > 3*interval || slices.Max(state.PartitionedUntil) > 0; disturbed[j] || state.DownUntil[j] != 0 {
 				continue
 			}
 			// The few losses of a run may have a member suspected, but never declared dead: there is time to refute it.
 			o := state.Nodes[j].(modelNode)
 			for i := range state.Nodes {
-				if r, known := state.Nodes[i].(modelNode).machine.Lookup(nodeName(j)); known && r.State == Dead && r.Generation == o.machine.self.Generation && state.Down[i] == 0 {
+				if r, known := state.Nodes[i].(modelNode).machine.Lookup(nodeName(j)); known && r.State == Dead && r.Generation == o.machine.self.Generation && state.DownUntil[i] == 0 {
 					err = fmt.Errorf("%s holds %s dead, which was never stalled or partitioned for long", nodeName(i), nodeName(j))
 				}
 			}
 		}
 		if err != nil {
-			return fmt.Errorf("seed %d, step %d, after %s: %w\n%s", seed, steps, m.Name[:min(len(m.Name), 40)], err, w.Show(state)[:min(len(w.Show(state)), 300)])
+			return fmt.Errorf("seed %d, step %d, after %s: %w\n%s", seed, steps, m.Name[:min(len(m.Name), 40)], err, w.Describe(state)[:min(len(w.Describe(state)), 300)])
 		}
 	}
 	return nil
@@ -274,12 +274,12 @@
 	from, to int64
 }
 
-func (o singleOrder) Moves(s *modelcheck.State) (out []modelcheck.Move[*modelcheck.State]) {
-	if s.Now > o.to+o.Calm+interval {
+func (o singleOrder) Transitions(s *modelcheck.State) (out []modelcheck.Transition[*modelcheck.State]) {
+	if s.Now > o.to+o.FaultFreeWindow+interval {
 		return nil
 	}
-	for _, m := range o.World.Moves(s) {
-		if faulty := m.To.Left != s.Left; faulty && s.Now >= o.from && s.Now < o.to || !faulty && len(out) == 0 {
+	for _, m := range o.World.Transitions(s) {
+		if faulty := m.Next.FaultsLeft != s.FaultsLeft; faulty && s.Now >= o.from && s.Now < o.to || !faulty && len(out) == 0 {
 			out = append(out, m)
 		}
 	}
@@ -299,7 +299,7 @@
 		{scenario{"three, a crash and a restart", 3, modelcheck.Faults{Crash: 1}, 30 * interval, false}, interval},
 		{scenario{"three, a pause", 3, modelcheck.Faults{Pause: 1}, 0, false}, interval / 2},
 		{scenario{"three, losses", 3, modelcheck.Faults{Lose: 2}, 0, false}, interval},
-		{scenario{"three, one delayed or duplicated", 3, modelcheck.Faults{Late: 1, Duplicate: 1}, 0, false}, interval},
+		{scenario{"three, one delayed or duplicated", 3, modelcheck.Faults{Delay: 1, Duplicate: 1}, 0, false}, interval},
 		{scenario{"four, a loss", 4, modelcheck.Faults{Lose: 1}, 0, false}, interval},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -307,13 +307,13 @@
 			walkSlots <- true
 			defer func() { <-walkSlots }()
 			n := singleOrder{World: c.world(nil), from: 10 * interval, to: 10*interval + c.window}
-			res := modelcheck.Run(n, modelcheck.Limits{})
-			t.Logf("%d states, %d moves, depth %d", res.States, res.Moves, res.Depth)
-			if res.Broken != nil {
-				t.Error(res.Broken)
+			res := modelcheck.BreadthFirst(n, modelcheck.Limits{})
+			t.Logf("%d states, %d moves, depth %d", res.States, res.Transitions, res.Depth)
+			if res.Counterexample != nil {
+				t.Error(res.Counterexample)
 			}
-			if !res.Whole || res.States < res.Depth+100 {
-				t.Errorf("got %d states, depth %d, complete %v: want all moments checked", res.States, res.Depth, res.Whole)
+			if !res.Complete || res.States < res.Depth+100 {
+				t.Errorf("got %d states, depth %d, complete %v: want all moments checked", res.States, res.Depth, res.Complete)
 			}
 		})
 	}
--- a/internal/modelcheck/explore.go
+++ b/internal/modelcheck/explore.go
@@ -10,38 +10,38 @@
 )
 
 // Move is one thing that can happen, and the state after it.
-type Move[S any] struct {
+type Transition[S any] struct {
 	Name string
-	To   S
+	Next S
 }
 
 // Model is what is explored. Its states must not change once handed over.
 type Model[S any] interface {
 	// Start is the state to begin with.
-	Start() S
+	InitialState() S
 	// Key tells states apart: two with the same key must allow the same futures.
 	Key(S) string
 	// Moves lists all that can happen in a state.
-	Moves(S) []Move[S]
+	Transitions(S) []Transition[S]
 	// Check tells which invariant a state breaks, if any.
-	Check(S) error
+	CheckInvariant(S) error
 	// Show draws a state in a line, for traces.
-	Show(S) string
+	Describe(S) string
 }
 
 // Limits bound an exploration. Zero values are no bound.
 type Limits struct {
-	States int // stop after so many
-	Depth  int // moves from the start
+	MaxStates int // stop after so many
+	MaxDepth  int // moves from the start
 }
 
 // Result is what an exploration has seen.
 type Result struct {
-	States int  // different ones
-	Moves  int  // looked at, those to known states among them
-	Depth  int  // of the longest shortest way
-	Whole  bool // nothing was left out for a limit
-	Broken *Trace
+	States         int  // different ones
+	Transitions    int  // looked at, those to known states among them
+	Depth          int  // of the longest shortest way
+	Complete       bool // nothing was left out for a limit
+	Counterexample *Trace
 }
 
 // Trace is the shortest run that breaks an invariant.
@@ -51,13 +51,13 @@
 }
 
 // Step is one move of a trace and the state after it.
-type Step struct{ Move, State string }
+type Step struct{ Transition, State string }
 
 // String prints a trace, a move a line.
 func (t *Trace) String() string {
 	var b strings.Builder
 	for i, s := range t.Steps {
-		fmt.Fprintf(&b, "%3d  %-28s %s\n", i, s.Move, s.State)
+		fmt.Fprintf(&b, "%3d  %-28s %s\n", i, s.Transition, s.State)
 	}
 	fmt.Fprintf(&b, "     broken: %v\n", t.Err)
 	return b.String()
@@ -70,43 +70,43 @@
 }
 
 // Run explores a model until every state is seen, an invariant breaks, or a limit is reached.
-func Run[S any](m Model[S], limits Limits) Result {
-	start := m.Start()
+func BreadthFirst[S any](m Model[S], limits Limits) Result {
+	start := m.InitialState()
 	seen := map[string]struct{}{m.Key(start): {}}
 	origins := []origin{{from: -1}}
 	layer, indices := []S{start}, []int{0}
-	res := Result{States: 1, Whole: true}
-	if err := m.Check(start); err != nil {
-		res.Broken = replay(m, origins, 0, err)
+	res := Result{States: 1, Complete: true}
+	if err := m.CheckInvariant(start); err != nil {
+		res.Counterexample = replay(m, origins, 0, err)
 		return res
 	}
 	for len(layer) > 0 {
-		if limits.Depth > 0 && res.Depth >= limits.Depth {
-			res.Whole = false
+		if limits.MaxDepth > 0 && res.Depth >= limits.MaxDepth {
+			res.Complete = false
 			return res
 		}
 		var next []S
 		var nextIndices []int
 		for i, s := range layer {
-			for k, mv := range m.Moves(s) {
-				res.Moves++
-				key := m.Key(mv.To)
+			for k, mv := range m.Transitions(s) {
+				res.Transitions++
+				key := m.Key(mv.Next)
 				if _, ok := seen[key]; ok {
 					continue
 				}
 				seen[key] = struct{}{}
 				origins = append(origins, origin{indices[i], k})
 				res.States++
-				if err := m.Check(mv.To); err != nil {
+				if err := m.CheckInvariant(mv.Next); err != nil {
 					res.Depth++
-					res.Broken = replay(m, origins, len(origins)-1, err)
+					res.Counterexample = replay(m, origins, len(origins)-1, err)
 					return res
 				}
-				if limits.States > 0 && res.States >= limits.States {
-					res.Whole = false
+				if limits.MaxStates > 0 && res.States >= limits.MaxStates {
+					res.Complete = false
 					return res
 				}
-				next, nextIndices = append(next, mv.To), append(nextIndices, len(origins)-1)
+				next, nextIndices = append(next, mv.Next), append(nextIndices, len(origins)-1)
 			}
 		}
 		if len(next) > 0 {
@@ -124,12 +124,12 @@
 		moves = append(moves, origins[i].move)
 	}
 	slices.Reverse(moves)
-	s := m.Start()
-	t := &Trace{Err: err, Steps: []Step{{"start", m.Show(s)}}}
+	s := m.InitialState()
+	t := &Trace{Err: err, Steps: []Step{{"start", m.Describe(s)}}}
 	for _, k := range moves {
-		mv := m.Moves(s)[k]
-		s = mv.To
-		t.Steps = append(t.Steps, Step{mv.Name, m.Show(s)})
+		mv := m.Transitions(s)[k]
+		s = mv.Next
+		t.Steps = append(t.Steps, Step{mv.Name, m.Describe(s)})
 	}
 	return t
 }
--- a/internal/modelcheck/explore_test.go
+++ b/internal/modelcheck/explore_test.go
@@ -8,22 +8,22 @@
 )
 
 // counting is a model of two counters that must not both be 3; the shortest way there has six moves.
-type counting struct{ most int }
+type counting struct{ maximum int }
 
-func (counting) Start() [2]int        { return [2]int{} }
-func (counting) Key(s [2]int) string  { return fmt.Sprint(s) }
-func (counting) Show(s [2]int) string { return fmt.Sprint(s) }
-func (c counting) Moves(s [2]int) (moves []Move[[2]int]) {
+func (counting) InitialState() [2]int     { return [2]int{} }
+func (counting) Key(s [2]int) string      { return fmt.Sprint(s) }
+func (counting) Describe(s [2]int) string { return fmt.Sprint(s) }
+func (c counting) Transitions(s [2]int) (moves []Transition[[2]int]) {
 	for i := range s {
-		if to := s; s[i] < c.most {
+		if to := s; s[i] < c.maximum {
 			to[i]++
-			moves = append(moves, Move[[2]int]{fmt.Sprint("count ", i), to})
+			moves = append(moves, Transition[[2]int]{fmt.Sprint("count ", i), to})
 		}
 	}
 	return moves
 }
 
-func (counting) Check(s [2]int) error {
+func (counting) CheckInvariant(s [2]int) error {
 	if s == [2]int{3, 3} {
 		return errors.New("both are 3")
 	}
@@ -31,24 +31,24 @@
 }
 
 func TestShortestTrace(t *testing.T) {
-	res := Run(counting{5}, Limits{})
-	if res.Broken == nil || len(res.Broken.Steps) != 7 || res.Depth != 6 {
+	res := BreadthFirst(counting{5}, Limits{})
+	if res.Counterexample == nil || len(res.Counterexample.Steps) != 7 || res.Depth != 6 {
 		t.Fatalf("%+v", res)
 	}
-	text := res.Broken.String()
+	text := res.Counterexample.String()
 	if strings.Count(text, "count 0") != 3 || !strings.Contains(text, "[3 3]") || !strings.Contains(text, "both are 3") {
 		t.Error(text)
 	}
 }
 
 func TestWholeAndLimits(t *testing.T) {
-	if res := Run(counting{2}, Limits{}); res.States != 9 || res.Moves != 12 || !res.Whole || res.Depth != 4 || res.Broken != nil {
+	if res := BreadthFirst(counting{2}, Limits{}); res.States != 9 || res.Transitions != 12 || !res.Complete || res.Depth != 4 || res.Counterexample != nil {
 		t.Errorf("%+v", res)
 	}
-	if res := Run(counting{2}, Limits{States: 5}); res.States != 5 || res.Whole {
+	if res := BreadthFirst(counting{2}, Limits{MaxStates: 5}); res.States != 5 || res.Complete {
 		t.Errorf("%+v", res)
 	}
-	if res := Run(counting{2}, Limits{Depth: 2}); res.Depth != 2 || res.States != 6 || res.Whole {
+	if res := BreadthFirst(counting{2}, Limits{MaxDepth: 2}); res.Depth != 2 || res.States != 6 || res.Complete {
 		t.Errorf("%+v", res)
 	}
 }
@@ -68,7 +68,7 @@
 	b.has, b.due, b.seen = true, now+10, text
 	return b, nil
 }
-func (b ball) Wake(now int64) (Node, []Message) {
+func (b ball) Tick(now int64) (Node, []Message) {
 	switch {
 	case now < b.due:
 		return b, nil
@@ -79,16 +79,16 @@
 	b.has, b.due = true, now+10
 	return b, nil
 }
-func (b ball) Next() (int64, bool)   { return b.due, true }
-func (b ball) Key(now int64) string  { return fmt.Sprint(b.has, b.due-now) }
-func (b ball) Show(now int64) string { return fmt.Sprint(b.has) }
+func (b ball) NextTimer() (int64, bool)  { return b.due, true }
+func (b ball) Key(now int64) string      { return fmt.Sprint(b.has, b.due-now) }
+func (b ball) Describe(now int64) string { return fmt.Sprint(b.has) }
 
 // Every kind of move does to the world what its name says: with none of them there is one ball for ever; each fault that
 // can make a second one, or lose the only one for long, is found to do so, and the others are not.
 func TestWorldMoves(t *testing.T) {
 	balls := func(s *State) (n int) {
 		for i := range s.Nodes {
-			if s.Down[i] == 0 && s.Nodes[i].(ball).has {
+			if s.DownUntil[i] == 0 && s.Nodes[i].(ball).has {
 				n++
 			}
 		}
@@ -100,16 +100,16 @@
 		two    bool
 	}{
 		{"none", Faults{}, false}, {"lost", Faults{Lose: 1}, true}, {"doubled", Faults{Duplicate: 1}, true},
-		{"late", Faults{Late: 1}, true}, {"pause", Faults{Pause: 1}, true}, {"crash", Faults{Crash: 1}, true},
-		{"changed", Faults{Shift: 1}, true},
+		{"late", Faults{Delay: 1}, true}, {"pause", Faults{Pause: 1}, true}, {"crash", Faults{Crash: 1}, true},
+		{"changed", Faults{EnvironmentChange: 1}, true},
 	} {
 		w := &World{
-			Nodes: []Node{ball{id: 0}, ball{id: 1}}, Delay: 1, LateBy: 200, PauseFor: []int64{300}, DownFor: 5,
+			Nodes: []Node{ball{id: 0}, ball{id: 1}}, MaxDelay: 1, ExtraDelay: 200, PauseDurations: []int64{300}, RestartDelay: 5,
 			Faults: c.faults, Horizon: 2000,
-			Shifts: func(i int, n Node, now int64) []Shift {
+			EnvironmentChanges: func(i int, n Node, now int64) []EnvironmentChange {
 				b := n.(ball)
 				b.has = true
-				return []Shift{{Name: "finds a ball", To: b}}
+				return []EnvironmentChange{{Name: "finds a ball", Next: b}}
 			},
 			Invariant: func(s *State) error {
 				if n := balls(s); n > 1 {
@@ -118,8 +118,8 @@
 				return nil
 			},
 		}
-		res := Run(w, Limits{States: 100_000})
-		if (res.Broken != nil) != c.two {
+		res := BreadthFirst(w, Limits{MaxStates: 100_000})
+		if (res.Counterexample != nil) != c.two {
 			t.Errorf("%s: %+v", c.name, res)
 		}
 		if !c.two && res.States < 4 {
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -22,18 +22,18 @@
 	// Deliver hands it a message.
 	Deliver(now int64, from int, text string) (Node, []Message)
 	// Wake lets it look at the time: a timer is due, or it runs again after a pause.
-	Wake(now int64) (Node, []Message)
+	Tick(now int64) (Node, []Message)
 	// Next is when its next timer is due.
-	Next() (int64, bool)
+	NextTimer() (int64, bool)
 	// Key tells its states apart, with times given relative to now.
 	Key(now int64) string
 	// Show draws it in a word or two.
-	Show(now int64) string
+	Describe(now int64) string
 }
 
 // Faults is how often each kind of fault may happen in a run.
 type Faults struct {
-	Lose, Duplicate, Late, Crash, Pause, Shift, Part int
+	Lose, Duplicate, Delay, Crash, Pause, EnvironmentChange, Partition int
 }
 
 // World is a model of several nodes, the messages between them, time, and faults.
@@ -41,39 +41,39 @@
 	Nodes []Node
 	// Delay is how long an ordinary message takes at the most. Anything may happen in that time; a message that takes
 	// longer is a fault.
-	Delay int64
+	MaxDelay int64
 	// LateBy is how much longer a late message may take.
-	LateBy int64
+	ExtraDelay int64
 	// InOrder tells that receivers know the order of a sender's messages: one that was overtaken is dropped.
 	InOrder bool
 	// PauseFor are the lengths of pauses tried.
-	PauseFor []int64
+	PauseDurations []int64
 	// PartFor is how long a node that is parted from all others hears nobody and is heard by nobody, while it runs.
-	PartFor int64
+	PartitionDuration int64
 	// DownFor is how long a crashed node stays away; 0: for good.
-	DownFor int64
-	Faults  Faults
+	RestartDelay int64
+	Faults       Faults
 	// Horizon ends runs at a time; 0: never, and the states must repeat of themselves.
 	Horizon int64
 	// Shifts lists nodes' changes from outside (a condition that comes or goes), by name. Each costs a Shift.
-	Shifts func(node int, n Node, now int64) []Shift
+	EnvironmentChanges func(node int, n Node, now int64) []EnvironmentChange
 	// Calm is how long without a fault invariants look back; up to it the time since the last one tells states apart.
-	Calm int64
+	FaultFreeWindow int64
 	// Invariant is checked in every state.
 	Invariant func(*State) error
 	// Memory keeps what an invariant has to remember of the past; it becomes part of the key, relative to now.
-	Memory func(before, after *State) Memory
+	History func(before, after *State) History
 }
 
 // Shift is a change from outside.
-type Shift struct {
+type EnvironmentChange struct {
 	Name string
-	To   Node
-	Out  []Message
+	Next Node
+	Sent []Message
 }
 
 // Memory is what an invariant remembers.
-type Memory interface{ Key(now int64) string }
+type History interface{ Key(now int64) string }
 
 // flight is one message under way.
 type flight struct {
@@ -86,23 +86,23 @@
 
 // State is one state of a World.
 type State struct {
-	Now    int64
-	Nodes  []Node
-	Down   []int64 // when each node comes back; 0: it is up, -1: never
-	Paused []int64 // when each node's pause ends; 0: it runs
-	Parted []int64 // when each node is joined to the others again; 0: it is
-	Left   Faults
-	Calm   int64 // the last time that a fault or a change from outside happened
-	Memory Memory
+	Now              int64
+	Nodes            []Node
+	DownUntil        []int64 // when each node comes back; 0: it is up, -1: never
+	PausedUntil      []int64 // when each node's pause ends; 0: it runs
+	PartitionedUntil []int64 // when each node is joined to the others again; 0: it is
+	FaultsLeft       Faults
+	LastFaultAt      int64 // the last time that a fault or a change from outside happened
+	History          History
 
 	air []flight
 }
 
 // Up tells whether a node is up and running.
-func (r *State) Up(i int) bool { return r.Down[i] == 0 && r.Paused[i] == 0 }
+func (r *State) Running(i int) bool { return r.DownUntil[i] == 0 && r.PausedUntil[i] == 0 }
 
 // UnderWay tells whether a message that left within the last span is on its way between two nodes, in either direction.
-func (r *State) UnderWay(i, j int, span int64) bool {
+func (r *State) InFlight(i, j int, span int64) bool {
 	for _, f := range r.air {
 		if (f.from == i && f.to == j || f.from == j && f.to == i) && r.Now-f.sent <= span {
 			return true
@@ -122,9 +122,9 @@
 }
 
 // Whole tells that no fault is at work now: nobody stands still or is about to come back, and no message is held up.
-func (r *State) Whole(delay int64) bool {
+func (r *State) FaultFree(delay int64) bool {
 	for i := range r.Nodes {
-		if r.Down[i] > 0 || r.Paused[i] > 0 || r.Parted[i] > 0 {
+		if r.DownUntil[i] > 0 || r.PausedUntil[i] > 0 || r.PartitionedUntil[i] > 0 {
 			return false
 		}
 	}
@@ -149,23 +149,23 @@
 
 func (r *State) clone() *State {
 	c := *r
-	c.Nodes, c.Down, c.Paused, c.Parted = slices.Clone(r.Nodes), slices.Clone(r.Down), slices.Clone(r.Paused), slices.Clone(r.Parted)
+	c.Nodes, c.DownUntil, c.PausedUntil, c.PartitionedUntil = slices.Clone(r.Nodes), slices.Clone(r.DownUntil), slices.Clone(r.PausedUntil), slices.Clone(r.PartitionedUntil)
 	c.air = slices.Clone(r.air)
 	return &c
 }
 
 // Start boots every node at time 1.
-func (w *World) Start() *State {
+func (w *World) InitialState() *State {
 	n := len(w.Nodes)
 	r := &State{
-		Now: 1, Nodes: slices.Clone(w.Nodes), Down: make([]int64, n), Paused: make([]int64, n), Parted: make([]int64, n), Left: w.Faults, Calm: 1,
+		Now: 1, Nodes: slices.Clone(w.Nodes), DownUntil: make([]int64, n), PausedUntil: make([]int64, n), PartitionedUntil: make([]int64, n), FaultsLeft: w.Faults, LastFaultAt: 1,
 	}
 	for i := range r.Nodes {
 		node, out := r.Nodes[i].Boot(r.Now)
 		w.settle(r, i, node, out)
 	}
-	if w.Memory != nil {
-		r.Memory = w.Memory(nil, r)
+	if w.History != nil {
+		r.History = w.History(nil, r)
 	}
 	return r
 }
@@ -174,10 +174,10 @@
 func (w *World) settle(r *State, i int, node Node, out []Message) {
 	r.Nodes[i] = node
 	for _, m := range out {
-		if r.Down[m.To] != 0 || r.Parted[i] != 0 || r.Parted[m.To] != 0 {
+		if r.DownUntil[m.To] != 0 || r.PartitionedUntil[i] != 0 || r.PartitionedUntil[m.To] != 0 {
 			continue // nobody is there, or nothing passes
 		}
-		r.air = append(r.air, flight{i, m.To, m.Text, r.Now, r.Now + w.Delay, false})
+		r.air = append(r.air, flight{i, m.To, m.Text, r.Now, r.Now + w.MaxDelay, false})
 	}
 }
 
@@ -194,10 +194,10 @@
 		b.WriteByte(' ')
 	}
 	for i, n := range r.Nodes {
-		rel(r.Down[i])
-		rel(r.Paused[i])
-		rel(r.Parted[i])
-		if r.Down[i] == 0 {
+		rel(r.DownUntil[i])
+		rel(r.PausedUntil[i])
+		rel(r.PartitionedUntil[i])
+		if r.DownUntil[i] == 0 {
 			b.WriteString(n.Key(r.Now))
 		}
 		b.WriteByte('|')
@@ -209,25 +209,25 @@
 	for _, f := range air {
 		fmt.Fprint(&b, f.from, f.to, f.text, f.sent-r.Now, f.by-r.Now, f.unread, ";")
 	}
-	fmt.Fprint(&b, r.Left, min(r.Now-r.Calm, w.Calm+1))
-	if r.Memory != nil {
-		b.WriteString(r.Memory.Key(r.Now))
+	fmt.Fprint(&b, r.FaultsLeft, min(r.Now-r.LastFaultAt, w.FaultFreeWindow+1))
+	if r.History != nil {
+		b.WriteString(r.History.Key(r.Now))
 	}
 	return b.String()
 }
 
 // Check asks the invariant.
-func (w *World) Check(r *State) error { return w.Invariant(r) }
+func (w *World) CheckInvariant(r *State) error { return w.Invariant(r) }
 
 // Show draws the state in a line.
-func (w *World) Show(r *State) string {
+func (w *World) Describe(r *State) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "t=%-6d", r.Now)
 	for i, n := range r.Nodes {
-		word := n.Show(r.Now)
-		if r.Down[i] != 0 {
+		word := n.Describe(r.Now)
+		if r.DownUntil[i] != 0 {
 			word = "down"
-		} else if r.Paused[i] != 0 {
+		} else if r.PausedUntil[i] != 0 {
 			word += " (stands still)"
 		}
 		fmt.Fprintf(&b, " %d:%s", i, word)
@@ -240,18 +240,18 @@
 
 // Moves lists all that can happen: a message arrives, is lost, doubled or held up; a node crashes or stands still; something
 // changes from outside; or, if nothing has to happen first, time passes until something does.
-func (w *World) Moves(r *State) []Move[*State] {
-	var moves []Move[*State]
+func (w *World) Transitions(r *State) []Transition[*State] {
+	var moves []Transition[*State]
 	add := func(name string, fault bool, do func(*State)) {
 		c := r.clone()
 		do(c)
 		if fault {
-			c.Calm = c.Now
+			c.LastFaultAt = c.Now
 		}
-		if w.Memory != nil {
-			c.Memory = w.Memory(r, c)
+		if w.History != nil {
+			c.History = w.History(r, c)
 		}
-		moves = append(moves, Move[*State]{name, c})
+		moves = append(moves, Transition[*State]{name, c})
 	}
 	w.inTheAir(r, add)
 	for i := range r.Nodes {
@@ -271,74 +271,74 @@
 			continue // its twin has the same moves
 		}
 		what := fmt.Sprintf("%d>%d %s", f.from, f.to, f.text)
-		if r.Up(f.to) {
+		if r.Running(f.to) {
 			add("arrives "+what, false, func(c *State) {
 				c.take(i, w.InOrder)
 				node, out := c.Nodes[f.to].Deliver(c.Now, f.from, f.text)
 				w.settle(c, f.to, node, out)
 			})
 		}
-		if r.Left.Lose > 0 {
+		if r.FaultsLeft.Lose > 0 {
 			add("lost "+what, true, func(c *State) {
-				c.Left.Lose--
+				c.FaultsLeft.Lose--
 				c.air = slices.Delete(c.air, i, i+1)
 			})
 		}
-		if r.Left.Duplicate > 0 {
+		if r.FaultsLeft.Duplicate > 0 {
 			add("doubled "+what, true, func(c *State) {
-				c.Left.Duplicate--
+				c.FaultsLeft.Duplicate--
 				c.air = slices.Insert(c.air, i, f)
 			})
 		}
-		if r.Left.Late > 0 && f.by-f.sent == w.Delay && !f.unread {
+		if r.FaultsLeft.Delay > 0 && f.by-f.sent == w.MaxDelay && !f.unread {
 			add("held up "+what, true, func(c *State) {
-				c.Left.Late--
-				c.air[i].by += w.LateBy
+				c.FaultsLeft.Delay--
+				c.air[i].by += w.ExtraDelay
 			})
 		}
 	}
 }
 
 func (w *World) atNode(r *State, i int, add adder) {
-	if !r.Up(i) {
+	if !r.Running(i) {
 		return
 	}
 	name := strconv.Itoa(i)
-	if at, ok := r.Nodes[i].Next(); ok && at <= r.Now {
+	if at, ok := r.Nodes[i].NextTimer(); ok && at <= r.Now {
 		add("timer of "+name, false, func(c *State) {
-			node, out := c.Nodes[i].Wake(c.Now)
+			node, out := c.Nodes[i].Tick(c.Now)
 			w.settle(c, i, node, out)
 		})
 	}
-	if r.Left.Crash > 0 {
+	if r.FaultsLeft.Crash > 0 {
 		add("crash of "+name, true, func(c *State) {
-			c.Left.Crash--
-			c.Down[i] = -1
-			if w.DownFor > 0 {
-				c.Down[i] = c.Now + w.DownFor
+			c.FaultsLeft.Crash--
+			c.DownUntil[i] = -1
+			if w.RestartDelay > 0 {
+				c.DownUntil[i] = c.Now + w.RestartDelay
 			}
 			c.air = slices.DeleteFunc(c.air, func(f flight) bool { return f.to == i })
 		})
 	}
-	if r.Left.Pause > 0 {
-		for _, span := range w.PauseFor {
+	if r.FaultsLeft.Pause > 0 {
+		for _, span := range w.PauseDurations {
 			add(fmt.Sprintf("pause of %d for %d", i, span), true, func(c *State) {
-				c.Left.Pause--
-				c.Paused[i] = c.Now + span
+				c.FaultsLeft.Pause--
+				c.PausedUntil[i] = c.Now + span
 			})
 		}
 	}
-	if r.Left.Part > 0 && r.Parted[i] == 0 {
+	if r.FaultsLeft.Partition > 0 && r.PartitionedUntil[i] == 0 {
 		add("parting of "+name, true, func(c *State) {
-			c.Left.Part--
-			c.Parted[i] = c.Now + w.PartFor
+			c.FaultsLeft.Partition--
+			c.PartitionedUntil[i] = c.Now + w.PartitionDuration
 		})
 	}
-	if r.Left.Shift > 0 && w.Shifts != nil {
-		for _, s := range w.Shifts(i, r.Nodes[i], r.Now) {
+	if r.FaultsLeft.EnvironmentChange > 0 && w.EnvironmentChanges != nil {
+		for _, s := range w.EnvironmentChanges(i, r.Nodes[i], r.Now) {
 			add(s.Name+" at "+name, true, func(c *State) {
-				c.Left.Shift--
-				w.settle(c, i, s.To, s.Out)
+				c.FaultsLeft.EnvironmentChange--
+				w.settle(c, i, s.Next, s.Sent)
 			})
 		}
 	}
@@ -354,23 +354,23 @@
 		}
 	}
 	for i, n := range r.Nodes {
-		if r.Parted[i] > 0 {
-			soonest(r.Parted[i])
+		if r.PartitionedUntil[i] > 0 {
+			soonest(r.PartitionedUntil[i])
 		}
 		switch {
-		case r.Down[i] > 0:
-			soonest(r.Down[i])
-		case r.Down[i] < 0:
-		case r.Paused[i] > 0:
-			soonest(r.Paused[i])
+		case r.DownUntil[i] > 0:
+			soonest(r.DownUntil[i])
+		case r.DownUntil[i] < 0:
+		case r.PausedUntil[i] > 0:
+			soonest(r.PausedUntil[i])
 		default:
-			if at, ok := n.Next(); ok {
+			if at, ok := n.NextTimer(); ok {
 				soonest(at)
 			}
 		}
 	}
 	for _, f := range r.air {
-		if r.Up(f.to) {
+		if r.Running(f.to) {
 			soonest(f.by)
 		}
 	}
@@ -380,24 +380,24 @@
 func (w *World) advance(c *State, at int64) {
 	c.Now = at
 	for i := range c.Nodes {
-		if c.Parted[i] > 0 && c.Parted[i] <= at {
-			c.Parted[i], c.Calm = 0, at
+		if c.PartitionedUntil[i] > 0 && c.PartitionedUntil[i] <= at {
+			c.PartitionedUntil[i], c.LastFaultAt = 0, at
 		}
 		switch {
-		case c.Down[i] > 0 && c.Down[i] <= at:
-			c.Down[i] = 0
-			c.Calm = at
+		case c.DownUntil[i] > 0 && c.DownUntil[i] <= at:
+			c.DownUntil[i] = 0
+			c.LastFaultAt = at
 			node, out := w.Nodes[i].Boot(at)
 			w.settle(c, i, node, out)
-		case c.Paused[i] > 0 && c.Paused[i] <= at:
-			c.Paused[i] = 0
-			c.Calm = at
+		case c.PausedUntil[i] > 0 && c.PausedUntil[i] <= at:
+			c.PausedUntil[i] = 0
+			c.LastFaultAt = at
 			for k := range c.air { // what lay unread in its socket arrives from now on
 				if c.air[k].to == i && c.air[k].by < at {
 					c.air[k].by, c.air[k].unread = at, true
 				}
 			}
-			node, out := c.Nodes[i].Wake(at)
+			node, out := c.Nodes[i].Tick(at)
 			w.settle(c, i, node, out)
 		}
 	}
--- a/internal/vrrp/explore_test.go
+++ b/internal/vrrp/explore_test.go
@@ -79,9 +79,9 @@
 	return n.handle(now, Heard{From: addr(from), Priority: uint8(p), Interval: span})
 }
 
-func (n node) Wake(now int64) (modelcheck.Node, []modelcheck.Message) { return n.handle(now, Tick{}) }
+func (n node) Tick(now int64) (modelcheck.Node, []modelcheck.Message) { return n.handle(now, Tick{}) }
 
-func (n node) Next() (int64, bool) {
+func (n node) NextTimer() (int64, bool) {
 	at, ok := n.m.Next()
 	return int64(at), ok
 }
@@ -108,7 +108,7 @@
 	return b.String()
 }
 
-func (n node) Show(now int64) string {
+func (n node) Describe(now int64) string {
 	word := n.m.state.String()
 	if !n.m.health.Ready {
 		word += "/not ready"
@@ -130,21 +130,21 @@
 
 // remember looks at a move: whoever just became active must not have heard a living one, of at least its own priority or
 // not to be preempted, in the last three intervals, nor have its word unread.
-func remember(before, after *modelcheck.State) modelcheck.Memory {
+func remember(before, after *modelcheck.State) modelcheck.History {
 	if before == nil {
 		return needless{}
 	}
-	if m := before.Memory.(needless); m.what != "" {
+	if m := before.History.(needless); m.what != "" {
 		return m
 	}
 	for j := range after.Nodes {
 		was, is := before.Nodes[j].(node), after.Nodes[j].(node)
-		if after.Down[j] != 0 || is.m.state != Active || was.m.state != Backup {
+		if after.DownUntil[j] != 0 || is.m.state != Active || was.m.state != Backup {
 			continue
 		}
 		for i := range after.Nodes {
 			other := before.Nodes[i].(node)
-			if i == j || !before.Up(i) || other.m.state != Active || !other.m.health.Ready ||
+			if i == j || !before.Running(i) || other.m.state != Active || !other.m.health.Ready ||
 				is.cfg.Preempt && is.m.Priority() > other.m.Priority() {
 				continue
 			}
@@ -162,14 +162,14 @@
 // paused router counts as if it woke just now, before its machine has noticed.
 func invariant(full modelcheck.Faults, bound int64, strict bool) func(*modelcheck.State) error {
 	return func(r *modelcheck.State) error {
-		if m, ok := r.Memory.(needless); ok && m.what != "" {
+		if m, ok := r.History.(needless); ok && m.what != "" {
 			return errors.New(m.what)
 		}
-		network := r.Left.Lose == full.Lose && r.Left.Late == full.Late
-		calm := r.Whole(delay) && r.Now-r.Calm > bound
+		network := r.FaultsLeft.Lose == full.Lose && r.FaultsLeft.Delay == full.Delay
+		calm := r.FaultFree(delay) && r.Now-r.LastFaultAt > bound
 		active, ready := 0, 0
 		for i := range r.Nodes {
-			if r.Down[i] != 0 {
+			if r.DownUntil[i] != 0 {
 				continue
 			}
 			a := r.Nodes[i].(node)
@@ -180,21 +180,21 @@
 				continue
 			}
 			active++
-			if r.Up(i) && !a.m.health.Ready {
+			if r.Running(i) && !a.m.health.Ready {
 				return fmt.Errorf("%d is active and not ready", i)
 			}
 			for j := range i {
 				b := r.Nodes[j].(node)
-				if strict && r.Down[j] == 0 && a.open(r.Now) && b.open(r.Now) {
+				if strict && r.DownUntil[j] == 0 && a.open(r.Now) && b.open(r.Now) {
 					return fmt.Errorf("%d and %d may both take work", j, i)
 				}
-				if r.Down[j] != 0 || b.m.state != Active || r.UnderWay(i, j, delay) {
+				if r.DownUntil[j] != 0 || b.m.state != Active || r.InFlight(i, j, delay) {
 					continue
 				}
-				if network && r.Left.Pause == full.Pause {
+				if network && r.FaultsLeft.Pause == full.Pause {
 					return fmt.Errorf("%d and %d are both active, with nothing lost, late or standing still", j, i)
 				}
-				if network && r.Up(i) && r.Up(j) && a.open(r.Now) && b.open(r.Now) {
+				if network && r.Running(i) && r.Running(j) && a.open(r.Now) && b.open(r.Now) {
 					return fmt.Errorf("%d and %d both take work after a pause", j, i)
 				}
 				if calm {
@@ -209,7 +209,7 @@
 	}
 }
 
-func shifts(i int, n modelcheck.Node, now int64) []modelcheck.Shift {
+func shifts(i int, n modelcheck.Node, now int64) []modelcheck.EnvironmentChange {
 	v := n.(node)
 	h := v.m.health
 	h.Ready = !h.Ready
@@ -218,7 +218,7 @@
 	if h.Ready {
 		name = "ready"
 	}
-	return []modelcheck.Shift{{Name: name, To: to, Out: out}}
+	return []modelcheck.EnvironmentChange{{Name: name, Next: to, Sent: out}}
 }
 
 // setting is one arrangement that is explored.
@@ -236,28 +236,28 @@
 var settings = []setting{
 	{"two, not preempting: a pause and a doubled one", []uint8{200, 100}, false, 0, Damping{},
 		modelcheck.Faults{Pause: 1, Duplicate: 1}, 0, true},
-	{"two: lost and late", []uint8{200, 100}, true, 0, Damping{}, modelcheck.Faults{Lose: 1, Late: 1}, 0, false},
+	{"two: lost and late", []uint8{200, 100}, true, 0, Damping{}, modelcheck.Faults{Lose: 1, Delay: 1}, 0, false},
 	{"two: six lost", []uint8{200, 100}, true, 0, Damping{}, modelcheck.Faults{Lose: 6}, 0, false},
-	{"two: doubled and late", []uint8{200, 100}, true, 0, Damping{}, modelcheck.Faults{Duplicate: 1, Late: 1}, 0, false},
-	{"two: a pause and a change", []uint8{200, 100}, true, 0, Damping{}, modelcheck.Faults{Pause: 1, Shift: 1}, 0, false},
+	{"two: doubled and late", []uint8{200, 100}, true, 0, Damping{}, modelcheck.Faults{Duplicate: 1, Delay: 1}, 0, false},
+	{"two: a pause and a change", []uint8{200, 100}, true, 0, Damping{}, modelcheck.Faults{Pause: 1, EnvironmentChange: 1}, 0, false},
 	{"two: a pause and a crash", []uint8{200, 100}, true, 0, Damping{}, modelcheck.Faults{Pause: 1, Crash: 1}, 0, false},
 	{"two alike, not preempting: two pauses", []uint8{100, 100}, false, 0, Damping{}, modelcheck.Faults{Pause: 2}, 0, false},
-	{"two alike: late and changes", []uint8{100, 100}, true, 0, Damping{}, modelcheck.Faults{Late: 1, Shift: 2}, 0, false},
+	{"two alike: late and changes", []uint8{100, 100}, true, 0, Damping{}, modelcheck.Faults{Delay: 1, EnvironmentChange: 2}, 0, false},
 	{"two, delayed and damped: two late", []uint8{200, 199}, true, 2 * span, Damping{4 * span, span, 4 * span},
-		modelcheck.Faults{Late: 2}, 16 * span, false},
-	{"three: a crash and a change", []uint8{200, 150, 100}, true, 0, Damping{}, modelcheck.Faults{Crash: 1, Shift: 1}, 0, false},
+		modelcheck.Faults{Delay: 2}, 16 * span, false},
+	{"three: a crash and a change", []uint8{200, 150, 100}, true, 0, Damping{}, modelcheck.Faults{Crash: 1, EnvironmentChange: 1}, 0, false},
 	{"three alike: a pause", []uint8{100, 100, 100}, false, 0, Damping{}, modelcheck.Faults{Pause: 1}, 0, false},
-	{"three: a loss and a change", []uint8{200, 150, 100}, true, 0, Damping{}, modelcheck.Faults{Lose: 1, Shift: 1}, 0, false},
-	{"three: one late and a change", []uint8{200, 150, 100}, false, 0, Damping{}, modelcheck.Faults{Late: 1, Shift: 1}, 0, false},
+	{"three: a loss and a change", []uint8{200, 150, 100}, true, 0, Damping{}, modelcheck.Faults{Lose: 1, EnvironmentChange: 1}, 0, false},
+	{"three: one late and a change", []uint8{200, 150, 100}, false, 0, Damping{}, modelcheck.Faults{Delay: 1, EnvironmentChange: 1}, 0, false},
 }
 
 func (s setting) world(mut *mutant) *modelcheck.World {
 	w := &modelcheck.World{
-		Delay: delay, LateBy: 5 * span, PauseFor: []int64{span, 5 * span}, DownFor: 2 * span, Faults: s.faults,
-		InOrder: true, Horizon: s.until, Shifts: shifts, Memory: remember,
+		MaxDelay: delay, ExtraDelay: 5 * span, PauseDurations: []int64{span, 5 * span}, RestartDelay: 2 * span, Faults: s.faults,
+		InOrder: true, Horizon: s.until, EnvironmentChanges: shifts, History: remember,
 	}
-	w.Calm = int64(6*span + s.damping.Most + s.peace)
-	w.Invariant = invariant(s.faults, w.Calm, s.strict)
+	w.FaultFreeWindow = int64(6*span + s.damping.Most + s.peace)
+	w.Invariant = invariant(s.faults, w.FaultFreeWindow, s.strict)
 	for i, p := range s.priorities {
 		w.Nodes = append(w.Nodes, node{
 			id: i, nodes: len(s.priorities), mut: mut,
@@ -276,10 +276,10 @@
 	for _, s := range settings {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
-			res := modelcheck.Run(s.world(nil), modelcheck.Limits{States: mostStates / fewerStates})
-			t.Logf("%d states, %d moves, depth %d, whole: %v", res.States, res.Moves, res.Depth, res.Whole)
-			if res.Broken != nil {
-				t.Error(res.Broken)
+			res := modelcheck.BreadthFirst(s.world(nil), modelcheck.Limits{MaxStates: mostStates / fewerStates})
+			t.Logf("%d states, %d moves, depth %d, whole: %v", res.States, res.Transitions, res.Depth, res.Complete)
+			if res.Counterexample != nil {
+				t.Error(res.Counterexample)
 			}
 		})
 	}
@@ -378,8 +378,8 @@
 		t.Run(mut.name, func(t *testing.T) {
 			t.Parallel()
 			for _, s := range settings {
-				if res := modelcheck.Run(s.world(&mut), modelcheck.Limits{States: mostStates}); res.Broken != nil {
-					t.Logf("caught by %q after %d states: %v", s.name, res.States, res.Broken.Err)
+				if res := modelcheck.BreadthFirst(s.world(&mut), modelcheck.Limits{MaxStates: mostStates}); res.Counterexample != nil {
+					t.Logf("caught by %q after %d states: %v", s.name, res.States, res.Counterexample.Err)
 					return
 				}
 			}
