--- a/internal/raftstore/apply.go
+++ b/internal/raftstore/apply.go
@@ -25,8 +25,7 @@
 		data := g.sm.snapshot()
 		if s, err := g.snapshot(data); err == nil {
 			g.logBytes, g.snapshotBytes = 0, int64(len(data))
-			g.host.disk.parts = append(g.host.disk.parts, writePart{group: g, snapshot: s})
-			g.durable.pendingWrites++
+			g.queuePart(writePart{snapshot: s})
 		}
 	}
 }
--- a/internal/raftstore/clientqueue.go
+++ b/internal/raftstore/clientqueue.go
@@ -43,39 +43,51 @@
 
 // handleCall takes in a command or a read, or rejects it.
 func (g *group) handleCall(caller caller, c *api.Call) {
-	status := StatusOK
-	switch shard, _ := g.sm.(*shard); {
-	case !g.isLeader || g.recovery != nil || g.host.shutdown.draining:
-		status = statusNotLeader
-	case c.Command == nil && c.Get == nil, shard == nil && c.Get == nil && c.Command.GetChange().GetMaintenanceCommand() == nil, shard != nil && c.Command.GetChange() != nil:
-		status = StatusInvalid
-	case c.Get != nil:
+	if status := g.admit(c); status != StatusOK {
+		g.host.reply(caller, &api.Reply{Status: uint32(status), Leader: g.leaderName()})
+		return
+	}
+	if c.Get != nil {
 		g.clients.reads = append(g.clients.reads, pendingRead{caller, c.Get.Key})
 		return
+	}
+	g.clients.waiting[commandID{c.Command.Client, c.Command.Sequence}] = caller
+	g.clients.proposed = append(g.clients.proposed, c.Command)
+}
+
+// admit tells why a call cannot be taken in; StatusOK: it can. Reads do not need a complete group.
+func (g *group) admit(c *api.Call) Status {
+	switch {
+	case !g.isLeader || g.recovery != nil || g.host.shutdown.draining:
+		return statusNotLeader
+	case !g.serves(c):
+		return StatusInvalid
+	case c.Get != nil:
+		return StatusOK
 	case len(g.conf.Voters) < int(g.host.ledger.GetVotersPerGroup()):
-		status = statusNotLeader // nothing is promised before the group is complete
+		return statusNotLeader // nothing is acknowledged before the group is complete
 	case c.Command.Format > max(g.host.ledger.GetFormat(), FirstFormat):
-		status = StatusFormatTooNew
-	default:
-		g.clients.waiting[commandID{c.Command.Client, c.Command.Sequence}] = caller
-		g.clients.proposed = append(g.clients.proposed, c.Command)
-		return
+		return StatusFormatTooNew
 	}
-	g.host.reply(caller, &api.Reply{Status: uint32(status), Leader: g.leaderName()})
+	return StatusOK
+}
+
+// serves tells whether a call is of a kind that this group serves: the ledger takes reads and maintenance commands, a shard everything but
+// changes of the ledger.
+func (g *group) serves(c *api.Call) bool {
+	if c.Command == nil && c.Get == nil {
+		return false
+	}
+	if _, isShard := g.sm.(*shard); isShard {
+		return c.Command.GetChange() == nil
+	}
+	return c.Get != nil || c.Command.GetChange().GetMaintenanceCommand() != nil
 }
 
 // flushProposals puts all commands that have come together into one entry, and requests one read index for all reads.
 func (g *group) flushProposals() {
-	if len(g.clients.proposed) > 0 && g.isLeader {
-		if !g.proposeEntry(g.clients.proposed) {
-			for _, c := range g.clients.proposed {
-				k := commandID{c.Client, c.Sequence}
-				if o, waits := g.clients.waiting[k]; waits {
-					delete(g.clients.waiting, k)
-					g.host.reply(o, &api.Reply{Status: uint32(statusNotLeader)})
-				}
-			}
-		}
+	if len(g.clients.proposed) > 0 && g.isLeader && !g.proposeEntry(g.clients.proposed) {
+		g.rejectCommands(g.clients.proposed)
 	}
 	g.clients.proposed = nil
 	if len(g.clients.reads) > 0 && g.isLeader {
@@ -86,6 +98,17 @@
 	}
 }
 
+// rejectCommands replies to the callers of commands that were not proposed.
+func (g *group) rejectCommands(commands []*api.Command) {
+	for _, c := range commands {
+		id := commandID{c.Client, c.Sequence}
+		if waiting, waits := g.clients.waiting[id]; waits {
+			delete(g.clients.waiting, id)
+			g.host.reply(waiting, &api.Reply{Status: uint32(statusNotLeader)})
+		}
+	}
+}
+
 // proposeEntry proposes an entry. It tells whether the Raft library accepted it.
 func (g *group) proposeEntry(commands []*api.Command) bool {
 	raw, err := proto.Marshal(&api.Entry{Time: int64(g.groupTime()), Commands: commands})
--- a/internal/raftstore/confchange.go
+++ b/internal/raftstore/confchange.go
@@ -28,11 +28,7 @@
 		}
 	}
 	switch {
-	case learner == 0:
-		// Nobody is taken in. What the ledger no longer names goes, once enough others are there.
-		if assigned.Adding != nil {
-			break
-		}
+	case learner == 0: // no member is to be added
 	case !slices.Contains(g.conf.Learners, learner):
 		change(pb.ConfChangeAddLearnerNode, learner)
 	case g.isCaughtUp(learner):
--- a/internal/raftstore/diskwriter.go
+++ b/internal/raftstore/diskwriter.go
@@ -29,10 +29,15 @@
 	responses []*pb.Message
 }
 
+// nothingWaits tells whether there is nothing for the next write.
+func (d *diskWriter) nothingWaits() bool {
+	return len(d.parts)+len(d.deletes)+len(d.newlyRetired) == 0 && !d.ledgerDirty
+}
+
 // startWrite starts a write of everything that waits, unless one is under way. The first write of an incarnation takes place even if
 // nothing waits: it makes the incarnation durable.
 func (h *Host) startWrite() {
-	if !h.runsGroups || h.disk.busy || h.disk.failure != "" || len(h.disk.parts)+len(h.disk.deletes)+len(h.disk.newlyRetired) == 0 && !h.disk.ledgerDirty && h.disk.started {
+	if !h.runsGroups || h.disk.busy || h.disk.failure != "" || h.disk.started && h.disk.nothingWaits() {
 		return
 	}
 	h.disk.lastWrite++
@@ -45,21 +50,33 @@
 		if h.groups[p.group.id] != p.group {
 			continue
 		}
-		x := MemberWrite{Group: p.group.id, Epoch: p.group.epoch, Member: p.group.member}
-		if m := p.message; m != nil {
-			x.Snapshot, x.Entries = m.Snapshot, m.Entries
-			if m.Term != nil {
-				x.HardState = &pb.HardState{Term: m.Term, Vote: m.Vote, Commit: m.Commit}
-			}
-		} else {
-			x.Snapshot, x.KeepEntries, x.HardState = p.snapshot, true, p.hardState
-		}
-		w.Members = append(w.Members, x)
+		w.Members = append(w.Members, p.memberWrite())
 	}
 	h.disk.inFlight, h.disk.parts, h.disk.deletes, h.disk.newlyRetired, h.disk.busy = h.disk.parts, nil, nil, nil, true
 	h.out.actions = append(h.out.actions, w)
 }
 
+// memberWrite is what a part writes to the disk.
+func (p writePart) memberWrite() MemberWrite {
+	w := MemberWrite{Group: p.group.id, Epoch: p.group.epoch, Member: p.group.member}
+	if p.message == nil {
+		w.Snapshot, w.KeepEntries, w.HardState = p.snapshot, true, p.hardState
+		return w
+	}
+	w.Snapshot, w.Entries = p.message.Snapshot, p.message.Entries
+	if p.message.Term != nil {
+		w.HardState = &pb.HardState{Term: p.message.Term, Vote: p.message.Vote, Commit: p.message.Commit}
+	}
+	return w
+}
+
+// queuePart adds a part of this member to the next write.
+func (g *group) queuePart(part writePart) {
+	part.group = g
+	g.host.disk.parts = append(g.host.disk.parts, part)
+	g.durable.pendingWrites++
+}
+
 // writeCompleted continues with what waited for a write.
 func (h *Host) writeCompleted(number uint64) {
 	if number != h.disk.lastWrite || !h.disk.busy {
--- a/internal/raftstore/durability.go
+++ b/internal/raftstore/durability.go
@@ -19,8 +19,7 @@
 		g.finishWrite(writePart{group: g, message: m, responses: m.Responses})
 		return
 	}
-	g.durable.pendingWrites++
-	g.host.disk.parts = append(g.host.disk.parts, writePart{group: g, message: m, responses: m.Responses})
+	g.queuePart(writePart{message: m, responses: m.Responses})
 }
 
 // commitsConfChange tells whether a commit covers a change of the voters that is not committed on the disk yet.
--- a/internal/raftstore/faults_test.go
+++ b/internal/raftstore/faults_test.go
@@ -141,7 +141,7 @@
 
 // startCall makes one call.
 func (l *workload) startCall(n *simGateway, caller int, next func()) {
-	w, life := l.sim, n.starts
+	w, starts := l.sim, n.starts
 	l.inFlight++
 	end := func(a Response) {
 		l.inFlight--
@@ -157,7 +157,7 @@
 	id := w.next
 	w.schedule(w.now+6*second, func() {
 		if done := w.calls[id]; done != nil {
-			if n.starts == life && n.up && n.pausedUntil < w.now-5*second {
+			if n.starts == starts && n.up && n.pausedUntil < w.now-5*second {
 				w.failure = fmt.Sprintf("%s has not answered a call in time", n.name)
 			}
 			delete(w.calls, id)
@@ -187,17 +187,17 @@
 		})
 		return
 	}
-	least := l.promised[key]
+	acknowledged := l.promised[key]
 	w.call(n, Request{Shard: l.shard(key), Deadline: 3 * second, Get: &api.Get{Key: []byte(key)}}, func(a Response) {
-		l.checkPosition(key, least, a)
+		l.checkPosition(key, acknowledged, a)
 		end(a)
 	})
 }
 
 // checkPosition compares a position that was read with what was acknowledged before the read began.
-func (l *workload) checkPosition(key string, least uint64, a Response) {
-	if a.Status == StatusOK && !a.Lost && (a.Found || least > 0) && (a.Position < least || a.Position > l.maxSent[key]) {
-		l.sim.failure = fmt.Sprintf("%s is at %d (found: %v), acknowledged %d, sent %d", key, a.Position, a.Found, least, l.maxSent[key])
+func (l *workload) checkPosition(key string, acknowledged uint64, a Response) {
+	if a.Status == StatusOK && !a.Lost && (a.Found || acknowledged > 0) && (a.Position < acknowledged || a.Position > l.maxSent[key]) {
+		l.sim.failure = fmt.Sprintf("%s is at %d (found: %v), acknowledged %d, sent %d", key, a.Position, a.Found, acknowledged, l.maxSent[key])
 	}
 }
 
@@ -359,8 +359,8 @@
 	return out
 }
 
-func (w *simulation) randomDuration(least, most clock.Micros) clock.Micros {
-	return least + clock.Micros(w.rng.Int64N(int64(most-least)))
+func (w *simulation) randomDuration(shortest, longest clock.Micros) clock.Micros {
+	return shortest + clock.Micros(w.rng.Int64N(int64(longest-shortest)))
 }
 
 // fault is one kind of fault.
@@ -700,15 +700,15 @@
 }
 
 // runFault runs one fault from a seed, and returns what failed; empty: nothing did.
-func runFault(x fault, seed uint64, mut *mutant) (broken string, l *workload) {
-	w := newSimulation(seed, x.stores, 2, 3, mut)
+func runFault(fault fault, seed uint64, mutant *mutant) (failure string, l *workload) {
+	w := newSimulation(seed, fault.stores, 2, 3, mutant)
 	awaitComplete(w)
 	if w.failure != "" {
 		return w.failure, nil
 	}
 	l = w.startWorkload(6)
 	w.advance(second)
-	x.inject(w)
+	fault.inject(w)
 	w.restoreNetwork()
 	for _, n := range w.gateways {
 		if !n.up {
@@ -719,7 +719,7 @@
 	awaitComplete(w)
 	w.advance(second)
 	l.stop()
-	if lost := w.lostShards(); len(lost) > 0 && !x.mayLose && w.failure == "" {
+	if lost := w.lostShards(); len(lost) > 0 && !fault.mayLose && w.failure == "" {
 		w.failure = fmt.Sprintf("%v lost", lost)
 	}
 	if w.failure == "" {
@@ -755,13 +755,13 @@
 	if *seedCount > 0 {
 		n = *seedCount
 	}
-	for _, x := range faults {
-		t.Run(x.name, func(t *testing.T) {
+	for _, fault := range faults {
+		t.Run(fault.name, func(t *testing.T) {
 			begin, done := time.Now(), map[Status]int{}
-			for _, seed := range x.seeds(n) {
-				broken, l := runFault(x, seed, nil)
-				if broken != "" {
-					t.Fatal(broken)
+			for _, seed := range fault.seeds(n) {
+				failure, l := runFault(fault, seed, nil)
+				if failure != "" {
+					t.Fatal(failure)
 				}
 				for s, k := range l.statuses {
 					done[s] += k
@@ -928,15 +928,15 @@
 	if raceDivisor > 1 {
 		t.Skip("the same runs as without the race detector, many times slower")
 	}
-	for _, mut := range mutants {
-		t.Run(mut.name, func(t *testing.T) {
+	for _, mutant := range mutants {
+		t.Run(mutant.name, func(t *testing.T) {
 			for seed := range uint64(80) {
-				for _, x := range faults {
-					if mut.fault != "" && mut.fault != x.name {
+				for _, fault := range faults {
+					if mutant.fault != "" && mutant.fault != fault.name {
 						continue
 					}
-					if broken := runMutant(x, seed, &mut); broken != "" {
-						t.Logf("caught by %q: %.160s", x.name, broken)
+					if failure := runMutant(fault, seed, &mutant); failure != "" {
+						t.Logf("caught by %q: %.160s", fault.name, failure)
 						return
 					}
 				}
@@ -947,14 +947,14 @@
 }
 
 // runMutant runs a fault with a mutant. One that makes the Raft library panic counts as caught.
-func runMutant(x fault, seed uint64, mut *mutant) (broken string) {
+func runMutant(fault fault, seed uint64, mutant *mutant) (failure string) {
 	defer func() {
 		if p := recover(); p != nil {
-			broken = fmt.Sprint("panic: ", p)
+			failure = fmt.Sprint("panic: ", p)
 		}
 	}()
-	broken, _ = runFault(x, seed, mut)
-	return broken
+	failure, _ = runFault(fault, seed, mutant)
+	return failure
 }
 
 // describeDifference shows where two states of a shard differ.
@@ -997,10 +997,10 @@
 		}
 		return all
 	}
-	known := func(of, applied uint64, voters ...uint64) *api.RecoveryReply {
+	reply := func(of, applied uint64, voters ...uint64) *api.RecoveryReply {
 		return &api.RecoveryReply{Group: 1, Epoch: 1, Member: 1, Peer: of, Term: 3, LastTerm: 3, LastIndex: 9, Applied: applied, Voters: voters}
 	}
-	old := []uint64{1, 2, 3}
+	oldVoters := []uint64{1, 2, 3}
 	settled := &api.Group{Epoch: 1, Voters: voters(1, 2, 4)}
 	for _, c := range []struct {
 		name      string
@@ -1008,29 +1008,29 @@
 		replies   []*api.RecoveryReply
 		recovered bool
 	}{
-		{"all that the ledger names, one that it took out not", settled, []*api.RecoveryReply{known(2, 5, old...), known(4, 5, old...)}, true},
-		{"one that the ledger names is missing", settled, []*api.RecoveryReply{known(2, 5, old...)}, false},
-		{"one that the ledger names is missing, and was not in the configuration", settled, []*api.RecoveryReply{known(2, 5, old...), known(3, 5, old...)}, false},
+		{"all that the ledger names, one that it took out not", settled, []*api.RecoveryReply{reply(2, 5, oldVoters...), reply(4, 5, oldVoters...)}, true},
+		{"one that the ledger names is missing", settled, []*api.RecoveryReply{reply(2, 5, oldVoters...)}, false},
+		{"one that the ledger names is missing, and was not in the configuration", settled, []*api.RecoveryReply{reply(2, 5, oldVoters...), reply(3, 5, oldVoters...)}, false},
 		{"the ledger has not settled it", &api.Group{Epoch: 1, Voters: voters(1, 2, 3), Adding: voters(4)[0], Removing: 3},
-			[]*api.RecoveryReply{known(2, 5, old...), known(4, 5, old...)}, false},
+			[]*api.RecoveryReply{reply(2, 5, oldVoters...), reply(4, 5, oldVoters...)}, false},
 		{"the ledger may have given up on a voter", &api.Group{Epoch: 1, Voters: voters(1, 2, 4), Adding: voters(6)[0], Removing: 4},
-			[]*api.RecoveryReply{known(2, 8, 1, 2, 5), known(4, 5, old...)}, false},
-		{"a later configuration than the ledger has", settled, []*api.RecoveryReply{known(2, 8, 1, 2, 9), known(4, 5, old...)}, false},
-		{"a later one, and its voter", settled, []*api.RecoveryReply{known(2, 8, 1, 2, 9), known(4, 5, old...), known(9, 8, 1, 2, 9)}, true},
+			[]*api.RecoveryReply{reply(2, 8, 1, 2, 5), reply(4, 5, oldVoters...)}, false},
+		{"a later configuration than the ledger has", settled, []*api.RecoveryReply{reply(2, 8, 1, 2, 9), reply(4, 5, oldVoters...)}, false},
+		{"a later one, and its voter", settled, []*api.RecoveryReply{reply(2, 8, 1, 2, 9), reply(4, 5, oldVoters...), reply(9, 8, 1, 2, 9)}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l := &api.Ledger{ClusterId: 1, Index: 7, VotersPerGroup: 3, NextMember: 7, Groups: []*api.Group{{Epoch: 1}, c.group}}
+			ledger := &api.Ledger{ClusterId: 1, Index: 7, VotersPerGroup: 3, NextMember: 7, Groups: []*api.Group{{Epoch: 1}, c.group}}
 			for n := range uint64(9) {
-				l.Stores = append(l.Stores, &api.Store{Id: 11 + n, Name: fmt.Sprint("g", n+1)})
+				ledger.Stores = append(ledger.Stores, &api.Store{Id: 11 + n, Name: fmt.Sprint("g", n+1)})
 			}
-			view, err := proto.Marshal(l)
+			encoded, err := proto.Marshal(ledger)
 			if err != nil {
 				t.Fatal(err)
 			}
 			h, err := New(Config{Name: "g1", RunsGroups: true, Tick: testTick, MaxShardBytes: 1 << 20, ClientID: 1, NewStoreID: 99, Incarnation: 2}, second, &StoredState{
-				Store: 11, Incarnation: 1, Ledger: view, Members: []StoredMember{{
+				Store: 11, Incarnation: 1, Ledger: encoded, Members: []StoredMember{{
 					Group: 1, Epoch: 1, Member: 1, HardState: &pb.HardState{Term: new(uint64(3)), Vote: new(uint64(2)), Commit: new(uint64(5))},
-					Snapshot: snapshotAt(5, 3, &pb.ConfState{Voters: old}, newShard(1<<20, LatestFormat, 1, false).snapshot()),
+					Snapshot: snapshotAt(5, 3, &pb.ConfState{Voters: oldVoters}, newShard(1<<20, LatestFormat, 1, false).snapshot()),
 				}},
 			}, false)
 			if err != nil {
--- a/internal/raftstore/group.go
+++ b/internal/raftstore/group.go
@@ -81,24 +81,8 @@
 		clients: clientQueue{waiting: map[commandID]caller{}, unconfirmed: map[uint64][]pendingRead{}},
 	}
 	member.log = &storage{raft.NewMemoryStorage(), member}
-	if stored.Snapshot != nil {
-		if err := member.restore(stored.Snapshot); err != nil {
-			return nil, err
-		}
-	}
-	if stored.HardState != nil {
-		// The commit on the disk may be behind the snapshot: it is written with whatever is written next.
-		member.durable.hardState = &pb.HardState{Term: new(stored.HardState.GetTerm()), Vote: new(stored.HardState.GetVote()), Commit: new(max(stored.HardState.GetCommit(), member.applied))}
-		member.log.SetHardState(member.durable.hardState)
-	}
-	if err := member.log.Append(stored.Entries); err != nil {
-		return nil, err
-	}
-	member.durable.commit = max(member.durable.hardState.GetCommit(), member.applied)
-	member.durable.scanned = member.durable.commit
-	last, _ := member.log.LastIndex()
-	if last < member.durable.hardState.GetCommit() {
-		return nil, fmt.Errorf("group %d: the log ends at %d, before what is committed, %d", stored.Group, last, member.durable.hardState.GetCommit())
+	if err := member.load(stored); err != nil {
+		return nil, fmt.Errorf("raftstore: group %d: %w", stored.Group, err)
 	}
 	var err error
 	member.node, err = raft.NewRawNode(&raft.Config{
@@ -107,7 +91,35 @@
 		CheckQuorum: true, PreVote: true, ReadOnlyOption: raft.ReadOnlySafe, Logger: discardLogger{}, DisableProposalForwarding: true,
 		StepDownOnRemoval: true,
 	})
-	return member, err
+	if err != nil {
+		return nil, fmt.Errorf("raftstore: group %d: %w", stored.Group, err)
+	}
+	return member, nil
+}
+
+// load takes over what is on the disk: snapshot, hard state and entries.
+func (g *group) load(stored StoredMember) error {
+	if stored.Snapshot != nil {
+		if err := g.restore(stored.Snapshot); err != nil {
+			return err
+		}
+	}
+	if stored.HardState != nil {
+		// The commit on the disk may be behind the snapshot: it is written with whatever is written next.
+		g.durable.hardState = &pb.HardState{
+			Term: new(stored.HardState.GetTerm()), Vote: new(stored.HardState.GetVote()), Commit: new(max(stored.HardState.GetCommit(), g.applied)),
+		}
+		g.log.SetHardState(g.durable.hardState)
+	}
+	if err := g.log.Append(stored.Entries); err != nil {
+		return err
+	}
+	g.durable.commit = max(g.durable.hardState.GetCommit(), g.applied)
+	g.durable.scanned = g.durable.commit
+	if last, _ := g.log.LastIndex(); last < g.durable.hardState.GetCommit() {
+		return fmt.Errorf("the log ends at %d, before the committed entry %d", last, g.durable.hardState.GetCommit())
+	}
+	return nil
 }
 
 // processReady carries out what the Raft library wants done now.
--- a/internal/raftstore/host.go
+++ b/internal/raftstore/host.go
@@ -1,7 +1,7 @@
 package raftstore
 
 import (
-	"errors"
+	"fmt"
 	"maps"
 	"slices"
 
@@ -68,7 +68,7 @@
 	if len(stored.Ledger) > 0 {
 		var ledger api.Ledger
 		if err := proto.Unmarshal(stored.Ledger, &ledger); err != nil {
-			return nil, err
+			return nil, fmt.Errorf("raftstore: the stored ledger cannot be decoded: %w", err)
 		}
 		host.ledger, host.clusterID = &ledger, ledger.ClusterId
 	}
@@ -90,11 +90,12 @@
 		}
 		h.groups[x.Group] = g
 	}
-	for _, g := range h.sortedGroups() {
+	for _, id := range slices.Sorted(maps.Keys(h.groups)) {
+		g := h.groups[id]
 		g.recovery = &recovery{} // while it is set, nothing is sent
 		g.processReady()
 		if h.disk.failure != "" {
-			return errors.New(h.disk.failure)
+			return fmt.Errorf("raftstore: %s", h.disk.failure)
 		}
 		g.recovery = nil
 		if !h.diskTrusted {
--- a/internal/raftstore/image.go
+++ b/internal/raftstore/image.go
@@ -40,24 +40,28 @@
 		if !there {
 			i.Members = slices.Insert(i.Members, at, StoredMember{Group: x.Group, Epoch: x.Epoch, Member: x.Member})
 		}
-		s := &i.Members[at]
-		if x.Snapshot != nil {
-			s.Snapshot = x.Snapshot
-			first := x.Snapshot.GetMetadata().GetIndex()
-			s.Entries = slices.DeleteFunc(slices.Clone(s.Entries), func(e *pb.Entry) bool { return !x.KeepEntries || e.GetIndex() <= first })
-		}
-		if len(x.Entries) > 0 {
-			from := x.Entries[0].GetIndex()
-			s.Entries = slices.DeleteFunc(slices.Clone(s.Entries), func(e *pb.Entry) bool { return e.GetIndex() >= from })
-			s.Entries = append(s.Entries, x.Entries...)
-		}
-		if x.HardState != nil {
-			s.HardState = proto.Clone(x.HardState).(*pb.HardState)
-		}
+		i.Members[at].apply(x)
 	}
 	return i
 }
 
+// apply applies a member's part of a write. Slices that other images share are left as they were.
+func (s *StoredMember) apply(w MemberWrite) {
+	if w.Snapshot != nil {
+		s.Snapshot = w.Snapshot
+		first := w.Snapshot.GetMetadata().GetIndex()
+		s.Entries = slices.DeleteFunc(slices.Clone(s.Entries), func(e *pb.Entry) bool { return !w.KeepEntries || e.GetIndex() <= first })
+	}
+	if len(w.Entries) > 0 {
+		from := w.Entries[0].GetIndex()
+		s.Entries = slices.DeleteFunc(slices.Clone(s.Entries), func(e *pb.Entry) bool { return e.GetIndex() >= from })
+		s.Entries = append(s.Entries, w.Entries...)
+	}
+	if w.HardState != nil {
+		s.HardState = proto.Clone(w.HardState).(*pb.HardState)
+	}
+}
+
 // State is what a start finds on a disk with this content.
 func (i Image) State() *StoredState {
 	s := &StoredState{Store: i.Store, Incarnation: i.Incarnation, Ledger: i.Ledger, Retired: slices.Clone(i.Retired)}
--- a/internal/raftstore/maintenance_test.go
+++ b/internal/raftstore/maintenance_test.go
@@ -46,11 +46,11 @@
 }
 
 // runCommand runs an operator's command at a gateway and returns the answer.
-func (w *simulation) runCommand(n *simGateway, c maintenance.Command) (said string) {
+func (w *simulation) runCommand(n *simGateway, c maintenance.Command) (answer string) {
 	answered := false
-	w.call(n, Request{Shard: LedgerGroup, Deadline: 5 * second, Command: MaintenanceCommand(c)}, func(a Response) { said, answered = string(a.Value), true })
+	w.call(n, Request{Shard: LedgerGroup, Deadline: 5 * second, Command: MaintenanceCommand(c)}, func(a Response) { answer, answered = string(a.Value), true })
 	w.advanceUntil("an operator is answered", 10*second, func() bool { return answered })
-	return said
+	return answer
 }
 
 // machinesAway lists the machines that the latest order has out of service, and checks that at most one is a gateway.
@@ -80,76 +80,76 @@
 		n = *seedCount
 	}
 	for seed := range uint64(max(n, 1)) {
-		if broken := runMaintenance(seed); broken != "" {
-			t.Fatalf("seed %d: %s", seed, broken)
+		if failure := runMaintenance(seed); failure != "" {
+			t.Fatalf("seed %d: %s", seed, failure)
 		}
 	}
 }
 
 func runMaintenance(seed uint64) string {
-	w := newSimulationWithLimits(seed, 5, 1, 3, nil, &testLimits)
-	w.reportMaintenance()
-	awaitComplete(w)
-	l := w.startWorkload(4)
-	operator := w.gateways[len(w.gateways)-1]
-	for i, n := range w.storeGateways() {
+	sim := newSimulationWithLimits(seed, 5, 1, 3, nil, &testLimits)
+	sim.reportMaintenance()
+	awaitComplete(sim)
+	l := sim.startWorkload(4)
+	operator := sim.gateways[len(sim.gateways)-1]
+	for i, n := range sim.storeGateways() {
 		span := 2 * second
 		if i == 2 {
 			span = 2 * repairAfter
 		}
-		if said := w.runCommand(operator, maintenance.Command{Verb: maintenance.Add, Name: n.name, Duration: clock.Micros(span), RequestedBy: "g6"}); !strings.Contains(said, "number") {
-			return fmt.Sprintf("%q: %s", said, w.failure)
+		if answer := sim.runCommand(operator, maintenance.Command{Verb: maintenance.Add, Name: n.name, Duration: clock.Micros(span), RequestedBy: "g6"}); !strings.Contains(answer, "number") {
+			return fmt.Sprintf("%q: %s", answer, sim.failure)
 		}
 	}
-	w.runCommand(operator, maintenance.Command{Verb: maintenance.Add, Kind: maintenance.Server, Name: "r", Group: 7, Duration: clock.Micros(second)})
-	if said := w.runCommand(operator, maintenance.Command{Verb: maintenance.Add, Name: "g1", Duration: 1}); !strings.Contains(said, "already") {
-		return fmt.Sprintf("asked twice: %q, %s", said, w.failure)
+	sim.runCommand(operator, maintenance.Command{Verb: maintenance.Add, Kind: maintenance.Server, Name: "r", Group: 7, Duration: clock.Micros(second)})
+	if answer := sim.runCommand(operator, maintenance.Command{Verb: maintenance.Add, Name: "g1", Duration: 1}); !strings.Contains(answer, "already") {
+		return fmt.Sprintf("asked twice: %q, %s", answer, sim.failure)
 	}
 	kills := 2
 	touched := map[uint64]bool{}
 	done := func() bool {
-		for _, m := range w.machinesAway() {
+		for _, m := range sim.machinesAway() {
 			if m.State != maintenance.Out || touched[m.ID] {
 				continue
 			}
 			touched[m.ID] = true
 			if m.Kind == maintenance.Server {
-				w.schedule(w.now+second, func() {
-					w.call(operator, Request{Shard: LedgerGroup, Deadline: 5 * second, Command: MaintenanceCommand(maintenance.Command{
+				sim.schedule(sim.now+second, func() {
+					sim.call(operator, Request{Shard: LedgerGroup, Deadline: 5 * second, Command: MaintenanceCommand(maintenance.Command{
 						Verb: maintenance.Done, Kind: maintenance.Server, Name: m.Name, Group: m.Group,
 					})}, func(Response) {})
 				})
 				continue
 			}
-			i := slices.IndexFunc(w.gateways, func(n *simGateway) bool { return n.name == m.Name })
-			x := w.gateways[i]
+			i := slices.IndexFunc(sim.gateways, func(n *simGateway) bool { return n.name == m.Name })
+			x := sim.gateways[i]
 			if m.Duration > testLimits.RepairAfter && len(x.host.groups) > 0 {
-				w.failure = fmt.Sprintf("%s is out for long and runs members of %d groups", x.name, len(x.host.groups))
+				sim.failure = fmt.Sprintf("%s is out for long and runs members of %d groups", x.name, len(x.host.groups))
 			}
 			if slices.ContainsFunc(x.host.sortedGroups(), func(g *group) bool { return g.isLeader }) {
-				w.failure = x.name + " is out and leads"
+				sim.failure = x.name + " is out and leads"
 			}
-			w.crash(x)
-			x.trusted = w.rng.IntN(2) == 0
-			w.schedule(w.now+w.randomDuration(100*ms, second), func() { w.start(x) })
+			sim.crash(x)
+			x.trusted = sim.rng.IntN(2) == 0
+			sim.schedule(sim.now+sim.randomDuration(100*ms, second), func() { sim.start(x) })
 		}
-		if g := w.leaderOf(LedgerGroup); g != nil && kills > 0 && len(w.machinesAway()) > 0 && w.rng.IntN(40) == 0 {
+		if g := sim.leaderOf(LedgerGroup); g != nil && kills > 0 && len(sim.machinesAway()) > 0 && sim.rng.IntN(40) == 0 {
 			kills--
-			w.crash(g)
+			sim.crash(g)
 			g.trusted = true
-			w.schedule(w.now+w.randomDuration(100*ms, second), func() {
+			sim.schedule(sim.now+sim.randomDuration(100*ms, second), func() {
 				if !g.up {
-					w.start(g)
+					sim.start(g)
 				}
 			})
 		}
-		o := DecodeOrder(w.ledger().GetOrder())
+		o := DecodeOrder(sim.ledger().GetOrder())
 		return len(o.Machines) == 6 && !slices.ContainsFunc(o.Machines, func(m maintenance.Machine) bool { return m.State != maintenance.Back })
 	}
-	w.advanceUntil("all machines are back", 300*second, done)
-	awaitComplete(w)
-	if l.stop(); w.failure == "" {
+	sim.advanceUntil("all machines are back", 300*second, done)
+	awaitComplete(sim)
+	if l.stop(); sim.failure == "" {
 		l.checkAll()
 	}
-	return w.failure
+	return sim.failure
 }
--- a/internal/raftstore/overview.go
+++ b/internal/raftstore/overview.go
@@ -2,6 +2,8 @@
 
 import (
 	"slices"
+
+	api "marblespan/api/raftstorepb"
 )
 
 // Overview is a host's state for operators.
@@ -81,35 +83,45 @@
 // Overview describes the host's state.
 func (h *Host) Overview() Overview {
 	overview := Overview{
-		ClusterID: h.clusterID, Index: h.ledger.Index, VotersPerGroup: int(h.ledger.VotersPerGroup), Format: max(h.ledger.Format, FirstFormat), Store: h.store, Failed: h.disk.failure, PendingCalls: len(h.calls.pending),
+		ClusterID: h.clusterID, Index: h.ledger.Index, VotersPerGroup: int(h.ledger.VotersPerGroup), Format: max(h.ledger.Format, FirstFormat),
+		Store: h.store, Failed: h.disk.failure, PendingCalls: len(h.calls.pending),
 	}
 	for _, s := range h.ledger.Stores {
 		overview.Stores = append(overview.Stores, StoreView{s.Id, s.Name, s.Zone, s.Weight, s.Removed})
 	}
 	for id, x := range h.ledger.Groups {
-		v := GroupView{Group: uint32(id), Epoch: x.Epoch, Lost: x.LostAt > 0, Removing: x.Removing}
-		for _, r := range groupMembers(x) {
-			name := ""
-			if s := findStore(h.ledger, r.Store); s != nil {
-				name = s.Name
-			}
-			v.Voters = append(v.Voters, MemberView{r.Id, name, memberLost(h.ledger, r)})
+		view := GroupView{Group: uint32(id), Epoch: x.Epoch, Lost: x.LostAt > 0, Removing: x.Removing}
+		for _, m := range x.Voters {
+			view.Voters = append(view.Voters, h.memberView(m))
 		}
 		if x.Adding != nil {
-			last := len(v.Voters) - 1
-			v.Adding, v.Voters = &v.Voters[last], slices.Clip(v.Voters[:last])
+			adding := h.memberView(x.Adding)
+			view.Adding = &adding
 		}
 		if g := h.groups[uint32(id)]; g != nil && g.epoch == x.Epoch {
-			last := g.lastPosition()
-			v.Local = &LocalMember{
-				Number: g.member, Leader: g.leaderName(), Term: g.node.BasicStatus().GetTerm(), Applied: g.applied, Last: last.index,
-				Recovering: g.recovery != nil,
-			}
-			if s, is := g.sm.(*shard); is {
-				v.Local.Records, v.Local.Bytes = len(s.records), s.bytes
-			}
+			view.Local = g.localMember()
 		}
-		overview.Groups = append(overview.Groups, v)
+		overview.Groups = append(overview.Groups, view)
 	}
 	return overview
 }
+
+func (h *Host) memberView(m *api.GroupMember) MemberView {
+	name := ""
+	if s := findStore(h.ledger, m.Store); s != nil {
+		name = s.Name
+	}
+	return MemberView{m.Id, name, memberLost(h.ledger, m)}
+}
+
+func (g *group) localMember() *LocalMember {
+	last := g.lastPosition()
+	local := &LocalMember{
+		Number: g.member, Leader: g.leaderName(), Term: g.node.BasicStatus().GetTerm(), Applied: g.applied, Last: last.index,
+		Recovering: g.recovery != nil,
+	}
+	if s, is := g.sm.(*shard); is {
+		local.Records, local.Bytes = len(s.records), s.bytes
+	}
+	return local
+}
--- a/internal/raftstore/reconcile.go
+++ b/internal/raftstore/reconcile.go
@@ -56,14 +56,7 @@
 		return
 	}
 	if own := findStore(h.ledger, h.store); own != nil && own.Removed {
-		// The ledger counts this disk as lost. It goes on as a new, empty store: nothing is owed under the old number.
-		h.stopAllMembers()
-		if h.store = h.cfg.NewStoreID + h.renumbered; own.Id == h.store {
-			h.store++
-		}
-		h.renumbered++
-		h.disk.retired, h.disk.newlyRetired, h.disk.started = nil, nil, false
-		h.emitNotice(Notice{Kind: NoticeStoreRenumbered, Number: h.store, Name: h.cfg.Name})
+		h.renumberStore()
 		return
 	}
 	for id, x := range h.ledger.Groups {
@@ -86,6 +79,19 @@
 	}
 }
 
+// renumberStore has this disk, which the ledger counts as lost, go on as a new, empty store. Nothing is owed under the old number.
+func (h *Host) renumberStore() {
+	h.stopAllMembers()
+	lost := h.store
+	h.store = h.cfg.NewStoreID + h.renumbered
+	if h.store == lost {
+		h.store++
+	}
+	h.renumbered++
+	h.disk.retired, h.disk.newlyRetired, h.disk.started = nil, nil, false
+	h.emitNotice(Notice{Kind: NoticeStoreRenumbered, Number: h.store, Name: h.cfg.Name})
+}
+
 // startMember starts a member here. Only the first member of an epoch starts with a state of its own; any other one is empty until the
 // group's leader adds it. A member that ran before and is not on the disk any more must not start again under its number.
 func (h *Host) startMember(groupID uint32, assigned *api.Group, own *api.GroupMember) {
@@ -118,12 +124,10 @@
 	h.groups[groupID] = group
 	h.emitNotice(Notice{Kind: NoticeMemberStarted, Group: groupID, Epoch: assigned.Epoch, Number: own.Id})
 	if s.Snapshot != nil {
-		h.disk.parts = append(h.disk.parts, writePart{group: group, snapshot: s.Snapshot, hardState: s.HardState})
-		group.durable.pendingWrites++
+		group.queuePart(writePart{snapshot: s.Snapshot, hardState: s.HardState})
 		group.node.Campaign()
 	} else { // so that the disk has the member from its start
-		h.disk.parts = append(h.disk.parts, writePart{group: group, message: &pb.Message{Term: new(uint64(0)), Vote: new(uint64(0)), Commit: new(uint64(0))}})
-		group.durable.pendingWrites++
+		group.queuePart(writePart{message: &pb.Message{Term: new(uint64(0)), Vote: new(uint64(0)), Commit: new(uint64(0))}})
 	}
 }
 
--- a/internal/raftstore/recovery.go
+++ b/internal/raftstore/recovery.go
@@ -162,9 +162,25 @@
 	if g.lastPosition().before(state.maxLast) {
 		g.minLog = state.maxLast
 	}
-	if state.maxTerm < g.durable.hardState.GetTerm() || len(g.conf.GetVoters()) == 1 || state.maxTerm == g.durable.hardState.GetTerm() && g.durable.hardState.GetVote() != 0 || len(state.replied) == 1 {
-		return
+	if g.mayHaveVoted(state) {
+		g.restartWithOwnVote(state.maxTerm)
+	}
+}
+
+// mayHaveVoted tells whether the member may have given a vote in the latest term that its disk does not have.
+func (g *group) mayHaveVoted(r *recovery) bool {
+	term, vote := g.durable.hardState.GetTerm(), g.durable.hardState.GetVote()
+	switch {
+	case r.maxTerm < term, r.maxTerm == term && vote != 0: // the disk has the vote
+		return false
+	case len(g.conf.GetVoters()) == 1, len(r.replied) == 1: // there is no other member
+		return false
 	}
+	return true
+}
+
+// restartWithOwnVote replaces the member by one that has voted for itself in a term, so that it gives nobody else a vote in it.
+func (g *group) restartWithOwnVote(term uint64) {
 	s, err := g.snapshot(g.sm.snapshot())
 	if err != nil {
 		return // the member is empty: it has no vote
@@ -172,7 +188,7 @@
 	entries, _ := g.log.Entries(g.applied+1, g.lastPosition().index+1, math.MaxUint64)
 	next, err := g.host.newGroup(StoredMember{
 		Group: g.id, Epoch: g.epoch, Member: g.member, Snapshot: s, Entries: entries,
-		HardState: &pb.HardState{Term: new(state.maxTerm), Vote: new(g.member), Commit: new(g.durable.hardState.GetCommit())},
+		HardState: &pb.HardState{Term: new(term), Vote: new(g.member), Commit: new(g.durable.hardState.GetCommit())},
 	}, g.host.newStateMachine(g.id, g.epoch, false))
 	if err != nil {
 		g.host.failDisk(err.Error())
@@ -181,8 +197,7 @@
 	next.minLog = g.minLog
 	g.host.groups[g.id] = next
 	g.host.disk.parts = slices.DeleteFunc(g.host.disk.parts, func(p writePart) bool { return p.group == g })
-	g.host.disk.parts = append(g.host.disk.parts, writePart{group: next, snapshot: s, hardState: next.durable.hardState})
-	next.durable.pendingWrites++
+	next.queuePart(writePart{snapshot: s, hardState: next.durable.hardState})
 }
 
 // mayReceive tells whether a message may be handled: no vote for a log that is behind minLog.
--- a/internal/raftstore/simulation_test.go
+++ b/internal/raftstore/simulation_test.go
@@ -148,15 +148,15 @@
 }
 
 // advanceUntil advances the time until a condition holds. If it does not hold in time, the simulation has failed.
-func (w *simulation) advanceUntil(what string, most clock.Micros, holds func() bool) bool {
-	for end := w.now + most; w.now < end && w.failure == ""; {
+func (w *simulation) advanceUntil(what string, maxWait clock.Micros, holds func() bool) bool {
+	for end := w.now + maxWait; w.now < end && w.failure == ""; {
 		if holds() {
 			return true
 		}
 		w.advance(50 * ms)
 	}
 	if w.failure == "" {
-		w.failure = fmt.Sprintf("not within %d s: %s; %s", most/second, what, w.describe())
+		w.failure = fmt.Sprintf("not within %d s: %s; %s", maxWait/second, what, w.describe())
 	}
 	return false
 }
@@ -171,19 +171,19 @@
 	return len(b), nil
 }
 
-func newSimulation(seed uint64, holders, clients, shards int, mut *mutant) *simulation {
-	return newSimulationWithLimits(seed, holders, clients, shards, mut, nil)
+func newSimulation(seed uint64, stores, clients, shards int, mutant *mutant) *simulation {
+	return newSimulationWithLimits(seed, stores, clients, shards, mutant, nil)
 }
 
-func newSimulationWithLimits(seed uint64, holders, clients, shards int, mut *mutant, limits *maintenance.Limits) *simulation {
+func newSimulationWithLimits(seed uint64, stores, clients, shards int, mutant *mutant, limits *maintenance.Limits) *simulation {
 	w := &simulation{
 		limits: limits,
-		now:    second, rng: rand.New(rand.NewPCG(seed, 3)), partitioned: map[[2]string]bool{}, mutant: mut, shards: shards, votes: map[string]uint64{},
+		now:    second, rng: rand.New(rand.NewPCG(seed, 3)), partitioned: map[[2]string]bool{}, mutant: mutant, shards: shards, votes: map[string]uint64{},
 		calls: map[uint64]func(Response){},
 	}
 	cryptorand.Reader = io.Reader(seeded{rand.New(rand.NewPCG(seed, 4))})
-	for i := range holders + clients {
-		w.gateways = append(w.gateways, &simGateway{name: fmt.Sprint("g", i+1), zone: fmt.Sprint("z", i%3), runsGroups: i < holders, trusted: true, clockOffset: clock.Micros(w.rng.IntN(1000)) * second})
+	for i := range stores + clients {
+		w.gateways = append(w.gateways, &simGateway{name: fmt.Sprint("g", i+1), zone: fmt.Sprint("z", i%3), runsGroups: i < stores, trusted: true, clockOffset: clock.Micros(w.rng.IntN(1000)) * second})
 	}
 	for _, n := range w.gateways {
 		w.start(n)
@@ -229,23 +229,23 @@
 }
 
 // handle hands a gateway an event, once it is not paused.
-func (w *simulation) handle(n *simGateway, ev Event) {
-	life := n.starts
-	step := func() {
-		if !n.up || n.starts != life {
+func (w *simulation) handle(n *simGateway, event Event) {
+	starts := n.starts
+	run := func() {
+		if !n.up || n.starts != starts {
 			return
 		}
 		if w.mutant != nil && w.mutant.before != nil {
-			ev = w.mutant.before(w, n, ev)
+			event = w.mutant.before(w, n, event)
 		}
-		if ev != nil {
-			n.host.Handle(w.now+n.clockOffset, ev)
+		if event != nil {
+			n.host.Handle(w.now+n.clockOffset, event)
 		}
 		out := n.host.Flush()
 		if w.mutant != nil && w.mutant.after != nil {
 			out = append(w.mutant.after(w, n, out), n.host.Flush()...)
 		}
-		reached := w.killAt > 0 && w.killAt.reached(n.host, ev, out)
+		reached := w.killAt > 0 && w.killAt.reached(n.host, event, out)
 		if !reached || w.killAt == afterReply {
 			w.carryOut(n, out)
 		}
@@ -257,10 +257,10 @@
 		w.armTimer(n)
 	}
 	if n.pausedUntil > w.now {
-		w.schedule(n.pausedUntil, step)
+		w.schedule(n.pausedUntil, run)
 		return
 	}
-	step()
+	run()
 }
 
 // armTimer schedules the gateway's next tick.
@@ -270,9 +270,9 @@
 		return
 	}
 	n.timerAt = max(at, w.now)
-	life, due := n.starts, n.timerAt
+	starts, due := n.starts, n.timerAt
 	w.schedule(due, func() {
-		if n.starts == life && n.up && n.timerAt == due {
+		if n.starts == starts && n.up && n.timerAt == due {
 			n.timerAt = 0
 			w.handle(n, Tick{})
 		}
@@ -321,14 +321,14 @@
 
 // write writes to the disk after a while. A crash before that may lose the write or not, as with a real disk.
 func (w *simulation) write(n *simGateway, x Write) {
-	life := n.starts
+	starts := n.starts
 	n.pending = append(n.pending, x)
 	early := w.mutant != nil && w.mutant.acknowledgesEarly
 	if early {
 		w.schedule(w.now+100, func() { w.handle(n, WriteCompleted{x.Number}) })
 	}
 	w.schedule(w.now+500+clock.Micros(w.rng.Int64N(4000)), func() {
-		if !n.up || n.starts != life || len(n.pending) == 0 || n.pending[0].Number != x.Number {
+		if !n.up || n.starts != starts || len(n.pending) == 0 || n.pending[0].Number != x.Number {
 			return
 		}
 		n.pending = n.pending[1:]
