--- a/internal/raftstore/ledger.go
+++ b/internal/raftstore/ledger.go
@@ -181,6 +181,11 @@
 	return all
 }
 
+// hasMember tells whether a group has a member of a number, also one that is being added.
+func hasMember(g *api.Group, number uint64) bool {
+	return slices.ContainsFunc(groupMembers(g), func(m *api.GroupMember) bool { return m.Id == number })
+}
+
 // addMember has a group add a member, in place of another one if it is complete.
 func (l *ledger) addMember(a *api.AddMember) {
 	g, s := l.group(a.Group, a.Epoch), l.store(a.Store)
--- a/internal/raftstore/reconcile.go
+++ b/internal/raftstore/reconcile.go
@@ -18,8 +18,7 @@
 	h.placement.ledgerChangedAt = h.now
 	h.notifyOrder()
 	for r := range h.peers.progress { // forget members that do not exist any more
-		if x := findGroup(l, r.Group); x == nil || x.Epoch > r.Epoch || x.Epoch == r.Epoch && r.Member < l.NextMember &&
-			!slices.ContainsFunc(groupMembers(x), func(y *api.GroupMember) bool { return y.Id == r.Member }) {
+		if x := findGroup(l, r.Group); x == nil || x.Epoch > r.Epoch || x.Epoch == r.Epoch && r.Member < l.NextMember && !hasMember(x, r.Member) {
 			delete(h.peers.progress, r)
 		}
 	}
@@ -60,23 +59,25 @@
 		return
 	}
 	for id, x := range h.ledger.Groups {
-		var own *api.GroupMember
-		for _, r := range groupMembers(x) {
-			if r.Store == h.store && !r.Stale && (own == nil || r.Id > own.Id) {
-				own = r
-			}
+		assigned, running := h.assignedMember(x), h.groups[uint32(id)]
+		if running != nil && (assigned == nil || running.epoch != x.Epoch || !hasMember(x, running.member)) {
+			h.stopMember(running)
+			running = nil
 		}
-		g := h.groups[uint32(id)]
-		if g != nil && (own == nil || g.epoch != x.Epoch || !slices.ContainsFunc(groupMembers(x), func(r *api.GroupMember) bool {
-			return r.Id == g.member
-		})) {
-			h.stopMember(g)
-			g = nil
+		if assigned != nil && running == nil {
+			h.startMember(uint32(id), x, assigned)
 		}
-		if own != nil && g == nil {
-			h.startMember(uint32(id), x, own)
+	}
+}
+
+// assignedMember is the latest member of a group that the ledger places here; nil: there is none.
+func (h *Host) assignedMember(x *api.Group) (own *api.GroupMember) {
+	for _, m := range groupMembers(x) {
+		if m.Store == h.store && !m.Stale && (own == nil || m.Id > own.Id) {
+			own = m
 		}
 	}
+	return own
 }
 
 // renumberStore has this disk, which the ledger counts as lost, go on as a new, empty store. Nothing is owed under the old number.
@@ -96,8 +97,7 @@
 // group's leader adds it. A member that ran before and is not on the disk any more must not start again under its number.
 func (h *Host) startMember(groupID uint32, assigned *api.Group, own *api.GroupMember) {
 	ref := MemberRef{Group: groupID, Epoch: assigned.Epoch, Member: own.Id}
-	was := func(r MemberRef) bool { return r.Group == groupID && r.Epoch == assigned.Epoch && r.Member == own.Id }
-	if slices.ContainsFunc(h.disk.retired, was) {
+	if slices.Contains(h.disk.retired, ref) {
 		return
 	}
 	if !h.diskTrusted && own.Incarnation != h.incarnation {
@@ -105,14 +105,10 @@
 		return
 	}
 	s := StoredMember{Group: groupID, Epoch: assigned.Epoch, Member: own.Id}
-	if own.Id == assigned.FirstMember && len(assigned.Voters) == 1 {
-		sm := h.newStateMachine(groupID, assigned.Epoch, assigned.LostAt > 0)
-		if l, is := sm.(*ledger); is {
-			l.Ledger = proto.Clone(h.ledger).(*api.Ledger)
-		}
-		s.Snapshot = snapshotAt(1, 1, &pb.ConfState{Voters: []uint64{own.Id}}, sm.snapshot())
-		s.HardState = &pb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(1))}
-	} else if assigned.Adding == nil || assigned.Adding.Id != own.Id {
+	switch {
+	case own.Id == assigned.FirstMember && len(assigned.Voters) == 1:
+		s.Snapshot, s.HardState = h.firstState(groupID, assigned, own.Id)
+	case assigned.Adding == nil || assigned.Adding.Id != own.Id:
 		h.retireMember(ref)
 		return
 	}
@@ -131,6 +127,16 @@
 	}
 }
 
+// firstState is the state that the first member of an epoch starts with: an empty shard, or the ledger as it is known here.
+func (h *Host) firstState(groupID uint32, assigned *api.Group, member uint64) (*pb.Snapshot, *pb.HardState) {
+	sm := h.newStateMachine(groupID, assigned.Epoch, assigned.LostAt > 0)
+	if l, is := sm.(*ledger); is {
+		l.Ledger = proto.Clone(h.ledger).(*api.Ledger)
+	}
+	return snapshotAt(1, 1, &pb.ConfState{Voters: []uint64{member}}, sm.snapshot()),
+		&pb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(1))}
+}
+
 // stopMember stops a member here, deletes it from the disk and rejects the calls that wait at it.
 func (h *Host) stopMember(g *group) {
 	for _, o := range g.clients.waiting {
--- a/internal/raftstore/recovery.go
+++ b/internal/raftstore/recovery.go
@@ -91,40 +91,54 @@
 	if x := findGroup(g.host.ledger, g.id); x != nil && x.Epoch == g.epoch {
 		members, confirmed = groupMembers(x), x.Adding == nil
 	}
+	required := g.recovery.requiredReplies(members, confirmed, g.host.ledger.NextMember)
+	waiting := len(state.voters) == 0 // the disk is from before the member was added: it must learn who is in the group
+	for _, n := range slices.Sorted(maps.Keys(required)) {
+		i := slices.IndexFunc(members, func(r *api.GroupMember) bool { return r.Id == n })
+		if state.replied[n] || i >= 0 && memberLost(g.host.ledger, members[i]) {
+			continue
+		}
+		waiting = waiting || required[n]
+		g.sendRecoveryQuery(n)
+	}
+	if !waiting {
+		g.finishRecovery()
+	}
+}
+
+// requiredReplies has the members to query, true for those whose reply is required. members are those that the ledger names; confirmed
+// says that it has no change pending, so that other members with a number below nextMember, its next one, are removed and do not count.
+func (r *recovery) requiredReplies(members []*api.GroupMember, confirmed bool, nextMember uint64) map[uint64]bool {
 	required := map[uint64]bool{}
-	for _, r := range members {
-		required[r.Id] = confirmed
+	for _, m := range members {
+		required[m.Id] = confirmed
 	}
 	mayCount := func(n uint64) bool {
 		_, named := required[n]
-		return named || !confirmed || n >= g.host.ledger.NextMember
+		return named || !confirmed || n >= nextMember
 	}
-	for _, n := range state.voters {
+	for _, n := range r.voters {
 		if mayCount(n) {
 			required[n] = true
 		}
 	}
-	for n, index := range state.pendingVoters {
-		if index > state.applied && mayCount(n) { // else the configuration has it, or it has left again
+	for n, index := range r.pendingVoters {
+		if index > r.applied && mayCount(n) { // else the configuration has it, or it has left again
 			required[n] = true
 		}
 	}
-	waiting := len(state.voters) == 0 // the disk is from before the member was added: it must learn who is in the group
-	for _, n := range slices.Sorted(maps.Keys(required)) {
-		i := slices.IndexFunc(members, func(r *api.GroupMember) bool { return r.Id == n })
-		if state.replied[n] || i >= 0 && memberLost(g.host.ledger, members[i]) {
-			continue
-		}
-		waiting = waiting || required[n]
-		if to := g.host.gatewayOf(g.id, n); to != "" && to != g.host.cfg.Name {
-			last := g.lastPosition()
-			p := g.host.packetFor(to)
-			p.RecoveryQueries = append(p.RecoveryQueries, &api.RecoveryQuery{Group: g.id, Epoch: g.epoch, Member: g.member, Peer: n, Term: g.durable.hardState.GetTerm(), Index: last.index})
-		}
-	}
-	if !waiting {
-		g.finishRecovery()
+	return required
+}
+
+func (g *group) sendRecoveryQuery(peer uint64) {
+	to := g.host.gatewayOf(g.id, peer)
+	if to == "" || to == g.host.cfg.Name {
+		return
 	}
+	p := g.host.packetFor(to)
+	p.RecoveryQueries = append(p.RecoveryQueries, &api.RecoveryQuery{
+		Group: g.id, Epoch: g.epoch, Member: g.member, Peer: peer, Term: g.durable.hardState.GetTerm(), Index: g.lastPosition().index,
+	})
 }
 
 // recoveryReply is the reply to a member that has restarted; known is what that member is known to have acknowledged.
