--- a/internal/protocol/postgres/errors.go
+++ b/internal/protocol/postgres/errors.go
@@ -5,16 +5,16 @@
 	"strconv"
 )
 
-// The SQLSTATEs that the gateway writes or tells apart.
+// The SQLSTATEs that the gateway sends or distinguishes, named by PostgreSQL's condition names (appendix A of its manual).
 const (
-	CodeTooManyConnections    = "53300" // too_many_connections: turned away unseen, trying again is harmless
-	CodeCannotConnectNow      = "57P03" // cannot_connect_now: likewise
-	CodeSystemError           = "58000" // system_error: no promise about the effect
-	CodeProtocolViolation     = "08P01" // protocol_violation
-	CodeFeatureNotSupported   = "0A000" // feature_not_supported
-	CodeInvalidParameterValue = "22023" // invalid_parameter_value
-	CodeReadOnlyTransaction   = "25006" // read_only_sql_transaction: a write, and this is no primary
-	CodeSnapshotTooOld        = "72000" // snapshot_too_old: too far behind for this read
+	CodeTooManyConnections    = "53300" // rejected before it ran: a retry is safe
+	CodeCannotConnectNow      = "57P03" // likewise
+	CodeSystemError           = "58000" // the statement may or may not have taken effect
+	CodeProtocolViolation     = "08P01"
+	CodeFeatureNotSupported   = "0A000"
+	CodeInvalidParameterValue = "22023"
+	CodeReadOnlyTransaction   = "25006" // a write on a server that is not the primary
+	CodeSnapshotTooOld        = "72000" // the server is too far behind for this read
 	severityError             = "ERROR"
 	severityFatal             = "FATAL"
 	fieldSeverity             = 'S'
@@ -24,8 +24,8 @@
 	fieldDetail               = 'D'
 )
 
-// AppendError writes an ErrorResponse. A fatal one is the last word on its connection. After the detail, if
-// there is any, a refused client may come again after so many milliseconds.
+// AppendErrorResponse appends an ErrorResponse. After a fatal one the sender closes the connection. A positive retryMillis is
+// sent as the detail field: the client may retry after that many milliseconds.
 func AppendErrorResponse(b []byte, fatal bool, code, message string, retryMillis int64) []byte {
 	severity := severityError
 	if fatal {
@@ -42,13 +42,13 @@
 	return finishMessage(append(b, 0), at)
 }
 
-// AppendEmptyAnswer writes the whole answer to an empty query.
+// AppendEmptyQueryResponse appends the complete response to an empty query, with ReadyForQuery.
 func AppendEmptyQueryResponse(b []byte) []byte {
 	b, at := beginMessage(b, TypeEmptyQueryResponse)
 	return AppendReadyForQuery(finishMessage(b, at))
 }
 
-// parseError reads an ErrorResponse's code and whether it is fatal. One that is not whole tells nothing.
+// parseErrorResponse returns an ErrorResponse's SQLSTATE and whether it is fatal. It returns an error for an incomplete one.
 func parseErrorResponse(b []byte) (code string, fatal bool, err error) {
 	for len(b) > 1 {
 		field := b[0]
@@ -70,7 +70,7 @@
 	return code, fatal, nil
 }
 
-// isState tells whether a code is an SQLSTATE: five digits or capital letters.
+// isSQLState reports whether a code is an SQLSTATE: five digits or capital letters.
 func isSQLState(code string) bool {
 	for i := range len(code) {
 		if c := code[i]; (c < '0' || c > '9') && (c < 'A' || c > 'Z') {
--- a/internal/protocol/postgres/frame.go
+++ b/internal/protocol/postgres/frame.go
@@ -1,5 +1,10 @@
-// Package postgres holds the codecs of version 3 of PostgreSQL's wire protocol, as far as the gateway speaks it:
-// start-up, simple queries of one statement, and their answers. It works on bytes and states and owns no socket.
+// Package postgres holds the codecs of version 3 of PostgreSQL's frontend/backend protocol, as far as the gateway uses it:
+// start-up (ParseStartup, AppendStartup), simple queries of one statement (ParseStatement, AppendQueryHead), and their
+// responses (Reply, AppendErrorResponse). It works on bytes and owns no socket and no goroutine; package session calls it, and
+// the fakes and experiments do.
+//
+// The main decisions are in ParseStatement, which accepts only two forms of statement, so that a server never receives any
+// other text of a client, and in Reply.Handle, which accepts only one order of a response's messages.
 package postgres
 
 import (
@@ -7,36 +12,37 @@
 	"fmt"
 )
 
-// HeaderSize is the size of a message's type and length.
+// HeaderSize is the size in bytes of a message's type and length.
 const HeaderSize = 5
 
-// MaxBody bounds a message: a value of 64 KiB in hex is 128 KiB of statement, and the rest is far smaller.
+// MaxBody bounds a message's body in bytes: a value of 64 KiB in hex is 128 KiB of statement, and the rest is far smaller.
 const MaxBody = 1 << 18
 
-// The types of messages that the gateway reads or writes.
+// The message types that the gateway reads or writes.
 const (
-	TypeQuery              = 'Q'
-	TypeTerminate          = 'X'
-	TypeSync               = 'S'
-	TypeAuthentication     = 'R'
-	TypeParameterStatus    = 'S'
-	TypeBackendKeyData     = 'K'
-	TypeReadyForQuery      = 'Z'
-	TypeRowDescription     = 'T'
-	TypeDataRow            = 'D'
-	TypeCommandComplete    = 'C'
-	TypeEmptyQueryResponse = 'I'
-	TypeErrorResponse      = 'E'
-	TypeNoticeResponse     = 'N'
+	TypeQuery                    = 'Q'
+	TypeTerminate                = 'X'
+	TypeSync                     = 'S'
+	TypeAuthentication           = 'R'
+	TypeParameterStatus          = 'S'
+	TypeBackendKeyData           = 'K'
+	TypeReadyForQuery            = 'Z'
+	TypeRowDescription           = 'T'
+	TypeDataRow                  = 'D'
+	TypeCommandComplete          = 'C'
+	TypeEmptyQueryResponse       = 'I'
+	TypeErrorResponse            = 'E'
+	TypeNoticeResponse           = 'N'
+	TypeNegotiateProtocolVersion = 'v'
 )
 
-// Header is the head of a message: its type and the length of what follows.
+// Header is a message's type and the length of its body in bytes.
 type Header struct {
 	Type byte
 	Body int
 }
 
-// ParseHeader reads the five bytes before a message's body.
+// ParseHeader parses the HeaderSize bytes before a message's body. It returns an error for a body longer than MaxBody.
 func ParseHeader(b []byte) (Header, error) {
 	n := int64(binary.BigEndian.Uint32(b[1:HeaderSize]))
 	if n < 4 || n-4 > MaxBody {
@@ -45,7 +51,8 @@
 	return Header{Type: b[0], Body: int(n) - 4}, nil
 }
 
-// begin appends a message's head with its length left open; finish fills it in.
+// beginMessage appends a message's type and an empty length, and returns where the message starts; finishMessage sets the
+// length.
 func beginMessage(b []byte, kind byte) ([]byte, int) {
 	return append(b, kind, 0, 0, 0, 0), len(b)
 }
@@ -55,9 +62,10 @@
 	return b
 }
 
+// appendCString appends a string and a zero byte.
 func appendCString(b []byte, s string) []byte { return append(append(b, s...), 0) }
 
-// cut splits the text before the first zero byte off b.
+// cutCString splits b at its first zero byte. It reports whether there is one.
 func cutCString(b []byte) (string, []byte, bool) {
 	for i, c := range b {
 		if c == 0 {
--- a/internal/protocol/postgres/reply.go
+++ b/internal/protocol/postgres/reply.go
@@ -7,18 +7,19 @@
 	"strings"
 )
 
-// Reply follows a server's answer to one query, message by message, until ReadyForQuery. Only one order of messages is
-// an answer; whatever departs from it is spoilt, and nothing that it said may be believed.
+// Reply is the state of a server's response to one query or start-up, message by message, until ReadyForQuery. A valid
+// response is RowDescription, one DataRow, CommandComplete and ReadyForQuery, or an ErrorResponse and ReadyForQuery. After an
+// error of Handle the response is malformed, and nothing in it may be used. One goroutine owns a Reply.
 type Reply struct {
-	Startup bool   // it answers the start-up, not a query
-	Code    string // of an ErrorResponse, if there was one
-	Fatal   bool   // the server closes behind that error
-	Ready   bool   // ReadyForQuery came: the connection is free again
+	Startup bool   // it is the response to the start-up, not to a query
+	Code    string // SQLSTATE of the ErrorResponse; empty if there was none
+	Fatal   bool   // the server closes the connection after that error
+	Ready   bool   // ReadyForQuery was received: the connection is free again
 	Params  Params
 	stage   replyStage
 }
 
-// stage is how far an answer has come.
+// replyStage is the last part of the response that was received.
 type replyStage uint8
 
 const (
@@ -26,53 +27,69 @@
 	stageRowDescribed
 	stageRow
 	stageComplete
-	stageAuthenticated // of a start-up: it needs no password
-	stageError         // an ErrorResponse came
+	stageAuthenticated // of a start-up: AuthenticationOk was received
+	stageError         // an ErrorResponse was received
 )
 
-// Params are the ParameterStatus values that the gateway uses.
+// Params are the ParameterStatus values that the gateway uses, as received; empty if not received. Position is the server's
+// applied_ms.
 type Params struct{ Role, Position, Load string }
 
-// Served tells whether the answer is a whole row.
+// Complete reports whether a complete row was received, up to CommandComplete.
 func (r *Reply) Complete() bool { return r.stage == stageComplete }
 
-// Begun tells whether a part of the answer has come, behind which the rest is due: at the least ReadyForQuery.
+// Started reports whether part of the response was received, so that at least ReadyForQuery is still to follow.
 func (r *Reply) Started() bool { return r.stage != stageBegun && r.stage != stageAuthenticated }
 
-// Passes tells whether a message of this type is part of the value that goes on to the client.
+// IsForwarded reports whether messages of this type are forwarded to the client.
 func IsForwarded(kind byte) bool {
 	return kind == TypeRowDescription || kind == TypeDataRow || kind == TypeCommandComplete
 }
 
-// Take reads one message. The body of a DataRow need hold no more than its beginning.
+// Handle takes the next message of the response. Of a DataRow's body the first six bytes are enough. It returns an error for
+// a message that is malformed or not valid at this point.
 func (r *Reply) Handle(header Header, body []byte) error {
 	switch header.Type {
 	case TypeNoticeResponse:
 		return nil
-	case TypeParameterStatus: // one that cannot be read says nothing; the answer around it may be good
+	case TypeParameterStatus: // a malformed one is ignored: the response around it may be valid
 		r.Params.set(body)
 		return nil
 	case TypeErrorResponse:
-		if r.stage != stageBegun && r.stage != stageAuthenticated {
-			return errors.New("an ErrorResponse behind part of an answer")
-		}
-		var err error
-		r.stage = stageError
-		r.Code, r.Fatal, err = parseErrorResponse(body)
-		return err
+		return r.handleError(body)
 	case TypeReadyForQuery:
-		if len(body) != 1 || body[0] != 'I' {
-			return errors.New("ReadyForQuery within a transaction")
-		}
-		if r.stage != stageError && r.stage != stageComplete && r.stage != stageAuthenticated {
-			return errors.New("ReadyForQuery without an answer")
-		}
-		r.Ready = true
-		return nil
+		return r.handleReady(body)
 	}
 	if r.Startup {
-		return r.start(header, body)
+		return r.handleStartup(header, body)
+	}
+	return r.handleRow(header, body)
+}
+
+// handleError takes an ErrorResponse, which may only be the first message of a response.
+func (r *Reply) handleError(body []byte) (err error) {
+	if r.Started() {
+		return errors.New("an ErrorResponse behind part of an answer")
 	}
+	r.stage = stageError
+	r.Code, r.Fatal, err = parseErrorResponse(body)
+	return err
+}
+
+// handleReady takes ReadyForQuery, which ends a response. The gateway opens no transaction, so the status must be idle.
+func (r *Reply) handleReady(body []byte) error {
+	if len(body) != 1 || body[0] != 'I' {
+		return errors.New("ReadyForQuery within a transaction")
+	}
+	if r.stage != stageError && r.stage != stageComplete && r.stage != stageAuthenticated {
+		return errors.New("ReadyForQuery without an answer")
+	}
+	r.Ready = true
+	return nil
+}
+
+// handleRow takes a message that only the response to a query contains.
+func (r *Reply) handleRow(header Header, body []byte) error {
 	switch {
 	case header.Type == TypeRowDescription && r.stage == stageBegun:
 		r.stage = stageRowDescribed
@@ -87,8 +104,8 @@
 	return fmt.Errorf("unexpected message of type %q", header.Type)
 }
 
-// start reads a message that only a start-up brings.
-func (r *Reply) start(header Header, body []byte) error {
+// handleStartup takes a message that only the response to a start-up contains.
+func (r *Reply) handleStartup(header Header, body []byte) error {
 	switch {
 	case header.Type == TypeAuthentication && r.stage == stageBegun:
 		if len(body) != 4 || binary.BigEndian.Uint32(body) != 0 {
@@ -102,9 +119,11 @@
 	return nil
 }
 
-// fieldSize is what follows a column's name in a RowDescription: the ids of table, column and type, sizes and format.
+// columnSize is the size in bytes of what follows a column's name in a RowDescription: the ids of table, column and type,
+// sizes and format.
 const columnSize = 18
 
+// checkRowDescription accepts a RowDescription of exactly one column, with a name.
 func checkRowDescription(body []byte) error {
 	if len(body) < 2 || binary.BigEndian.Uint16(body) != 1 {
 		return errors.New("RowDescription of another number of columns than one")
@@ -116,7 +135,8 @@
 	return nil
 }
 
-// checkRow checks a row's frame. A null is no value that a statement of ours can bring.
+// checkDataRow accepts a DataRow of exactly one column that fills the body. A null is an error: the statements that the gateway
+// forwards never return one.
 func checkDataRow(header Header, body []byte) error {
 	if len(body) < 6 || binary.BigEndian.Uint16(body) != 1 {
 		return errors.New("DataRow of another number of columns than one")
@@ -127,6 +147,7 @@
 	return nil
 }
 
+// checkCommandTag accepts a CommandComplete whose tag is printable ASCII.
 func checkCommandTag(body []byte) error {
 	tag, after, ok := cutCString(body)
 	if !ok || tag == "" || len(after) > 0 {
@@ -140,6 +161,7 @@
 	return nil
 }
 
+// set takes the body of a ParameterStatus; one that is malformed or of another parameter changes nothing.
 func (p *Params) set(body []byte) {
 	name, after, ok := cutCString(body)
 	if !ok {
@@ -159,7 +181,7 @@
 	}
 }
 
-// RowValue is the single column of a DataRow whose whole body is given.
+// RowValue is the single column of a DataRow whose complete body is given; empty for a body too short to have one.
 func RowValue(body []byte) string {
 	if len(body) < 6 {
 		return ""
@@ -167,10 +189,10 @@
 	return string(body[6:])
 }
 
-// Field is one value of a load report.
+// Field is one name and value of a load report.
 type Field struct{ Name, Value string }
 
-// LoadFields splits a load report, such as inflight=7,util=0.61. It tells whether all of it could be read.
+// LoadFields splits a load report, such as inflight=7,util=0.61. It reports whether the report was well-formed.
 func LoadFields(loadReport string) ([]Field, bool) {
 	if loadReport == "" {
 		return nil, true
--- a/internal/protocol/postgres/startup.go
+++ b/internal/protocol/postgres/startup.go
@@ -6,10 +6,10 @@
 	"fmt"
 )
 
-// MaxStartup bounds a start-up packet, as PostgreSQL's own server does.
+// MaxStartup bounds a start-up packet in bytes, as PostgreSQL's own server does.
 const MaxStartup = 10000
 
-// The codes that stand where a start-up message has its version.
+// The values of a start-up packet's version field. The request codes are no versions; PostgreSQL puts them in the same field.
 const (
 	version3          = 3 << 16
 	cancelRequestCode = 1234<<16 | 5678
@@ -18,24 +18,24 @@
 	version4          = 4 << 16
 )
 
-// Opening is what a connection's first packet asks for.
+// StartupKind is what a connection's first packet requests.
 type StartupKind uint8
 
-// The openings.
+// The kinds of start-up packets.
 const (
 	StartupSession       StartupKind = iota // a session
-	StartupEncryption                       // encryption, by SSL or GSS: answered with a single N
-	StartupCancelRequest                    // cancel another session's query: closed without an answer
+	StartupEncryption                       // SSLRequest or GSSENCRequest: the response is a single N
+	StartupCancelRequest                    // CancelRequest: the connection is closed without a response
 )
 
-// Start is a start-up message's content.
+// StartupMessage is the content of a StartupMessage. Minor is the minor protocol version; Database may be empty.
 type StartupMessage struct {
 	Minor    int
 	User     string
 	Database string
 }
 
-// StartupLength reads the length that a start-up packet begins with and returns that of the rest.
+// StartupLength parses the length in a start-up packet's first four bytes and returns the length of what follows them.
 func StartupLength(b []byte) (int, error) {
 	n := int64(binary.BigEndian.Uint32(b))
 	if n < 8 || n > MaxStartup {
@@ -44,7 +44,7 @@
 	return int(n) - 4, nil
 }
 
-// ParseStartup reads what follows the length of a connection's first packet.
+// ParseStartup parses what follows the length in a connection's first packet.
 func ParseStartup(b []byte) (StartupKind, StartupMessage, error) {
 	if len(b) < 4 {
 		return StartupSession, StartupMessage{}, errors.New("start-up packet is too short")
@@ -85,7 +85,7 @@
 	return StartupSession, s, nil
 }
 
-// AppendStartup writes the start-up message that the gateway sends to a server.
+// AppendStartup appends the StartupMessage that the gateway sends to a server.
 func AppendStartup(b []byte, user, database string) []byte {
 	at := len(b)
 	b = append(b, 0, 0, 0, 0)
@@ -97,11 +97,11 @@
 	return b
 }
 
-// AppendWelcome writes the answer to a client's start-up, up to and with ReadyForQuery.
+// AppendStartupResponse appends the complete response to a client's start-up, with ReadyForQuery.
 func AppendStartupResponse(b []byte, minor int, process uint32) []byte {
-	if minor > 0 { // a newer minor version is answered with the one spoken here
+	if minor > 0 { // NegotiateProtocolVersion: the gateway supports minor version 0 only
 		var at int
-		b, at = beginMessage(b, 'v')
+		b, at = beginMessage(b, TypeNegotiateProtocolVersion)
 		b = binary.BigEndian.AppendUint32(b, 0)
 		b = binary.BigEndian.AppendUint32(b, 0)
 		b = finishMessage(b, at)
@@ -121,7 +121,7 @@
 	return AppendReadyForQuery(b)
 }
 
-// AppendReady writes ReadyForQuery, outside any transaction.
+// AppendReadyForQuery appends ReadyForQuery with the status idle, outside any transaction.
 func AppendReadyForQuery(b []byte) []byte {
 	b, at := beginMessage(b, TypeReadyForQuery)
 	return finishMessage(append(b, 'I'), at)
--- a/internal/protocol/postgres/statement.go
+++ b/internal/protocol/postgres/statement.go
@@ -2,28 +2,27 @@
 
 import (
 	"bytes"
-	"encoding/hex"
 	"errors"
 	"fmt"
 	"strconv"
 	"strings"
 )
 
-// Statement is a client's statement, checked whole.
+// Statement is a client's statement, completely checked.
 type Statement struct {
 	ID            string
 	Class         string
 	TimeoutMillis int64 // milliseconds from the client's send until it stops waiting
 	Group         int
-	After         int64 // Unix milliseconds that the read must see; 0: none
-	Retry         bool  // the client says that it repeats itself
+	After         int64 // Unix milliseconds up to which the read must see all writes; 0: none
+	Retry         bool  // the client marks it as a retry
 	Key           string
 	Write         bool // an INSERT; otherwise a SELECT
-	timeoutStart  int  // where the digits of d stand in the message's body
+	timeoutStart  int  // where the digits of d begin in the message's body
 	timeoutEnd    int
 }
 
-// The two forms of a statement, around its comment, key and value.
+// The fixed text of the two forms of a statement, around its comment, key and value.
 const (
 	commentOpen  = "/* "
 	commentClose = " */ "
@@ -34,21 +33,21 @@
 	insertClose  = "') RETURNING content\x00"
 )
 
-// The bounds of what a statement holds.
+// The bounds of a statement's parts.
 const (
 	maxTimeoutMillis = 24 * 60 * 60 * 1000 // of d: a day
-	maxText          = 256                 // of an id, a class, a key and any value that goes on unread
-	maxValue         = 64 << 10
+	maxTextSize      = 256                 // bytes of an id, a class, a key and any value that is forwarded without being interpreted
+	maxValueSize     = 64 << 10            // bytes of an INSERT's value
 )
 
-// IsEmpty tells whether a query's text holds no statement at all.
+// IsEmptyQuery reports whether a query's text contains no statement.
 func IsEmptyQuery(text []byte) bool {
 	return len(bytes.Trim(text, " \t\r\n;\x00")) == 0
 }
 
-// ParseStatement checks a whole statement, given in parts as its message's body. Comment and key must stand within the
-// first part; of the value only the digits may go on behind it. A server must never see anything but these two forms:
-// what it cannot read ends its connection, whatever else waits there.
+// ParseStatement parses and checks a complete statement, given as the parts of its message's body. Comment and key must be
+// within the first part; only the value's digits may continue in later parts. Servers must receive only these two forms: a
+// server closes the connection on any other statement, with whatever else is in flight there.
 func ParseStatement(parts [][]byte) (Statement, error) {
 	var statement Statement
 	var first []byte
@@ -66,42 +65,62 @@
 	if err := statement.parseComment(first[:end]); err != nil {
 		return statement, err
 	}
-	at := end + len(commentClose)
-	if bytes.HasPrefix(first[at:], []byte(insertOpen)) {
-		statement.Write = true
-		at += len(insertOpen)
-	} else if bytes.HasPrefix(first[at:], []byte(selectOpen)) {
-		at += len(selectOpen)
-	} else {
-		return statement, errors.New("the statement is neither of the forms that are served here")
+	at, err := statement.parseForm(first, end+len(commentClose))
+	if err != nil {
+		return statement, err
 	}
-	n := 0
-	for at+n < len(first) && isKey(first[at+n]) {
-		n++
+	if at, err = statement.parseKey(first, at); err != nil {
+		return statement, err
 	}
-	if n == 0 || n > maxText {
-		return statement, fmt.Errorf("the key has a length of %d, not from 1 to %d", n, maxText)
+	return statement, statement.checkTail(append([][]byte{first[at:]}, parts[1:]...))
+}
+
+// parseForm sets Write by the text that begins at an offset, and returns where the key begins.
+func (s *Statement) parseForm(first []byte, at int) (int, error) {
+	switch {
+	case bytes.HasPrefix(first[at:], []byte(insertOpen)):
+		s.Write = true
+		return at + len(insertOpen), nil
+	case bytes.HasPrefix(first[at:], []byte(selectOpen)):
+		return at + len(selectOpen), nil
+	}
+	return at, errors.New("the statement is neither of the forms that are served here")
+}
+
+// parseKey sets Key to the text that begins at an offset, and returns where it ends.
+func (s *Statement) parseKey(first []byte, at int) (int, error) {
+	end := at
+	for end < len(first) && isKey(first[end]) {
+		end++
 	}
-	statement.Key = string(first[at : at+n])
-	rest := append([][]byte{first[at+n:]}, parts[1:]...)
-	tail := selectClose
-	if statement.Write {
-		if !bytes.HasPrefix(rest[0], []byte(insertValue)) {
-			return statement, errors.New("the statement has no value in hexadecimal digits")
+	if end == at || end-at > maxTextSize {
+		return end, fmt.Errorf("the key has a length of %d, not from 1 to %d", end-at, maxTextSize)
+	}
+	s.Key = string(first[at:end])
+	return end, nil
+}
+
+// checkTail checks what follows the key: of an INSERT the value, and the form's last words.
+func (s *Statement) checkTail(tail [][]byte) error {
+	want := selectClose
+	if s.Write {
+		if !bytes.HasPrefix(tail[0], []byte(insertValue)) {
+			return errors.New("the statement has no value in hexadecimal digits")
 		}
-		rest[0] = rest[0][len(insertValue):]
-		if n, rest = hexDigits(rest); n%2 != 0 || n > 2*maxValue {
-			return statement, fmt.Errorf("the value has %d hexadecimal digits, not an even number up to %d", n, 2*maxValue)
+		tail[0] = tail[0][len(insertValue):]
+		var digits int
+		if digits, tail = hexDigits(tail); digits%2 != 0 || digits > 2*maxValueSize {
+			return fmt.Errorf("the value has %d hexadecimal digits, not an even number up to %d", digits, 2*maxValueSize)
 		}
-		tail = insertClose
+		want = insertClose
 	}
-	if !equalParts(rest, tail) {
-		return statement, errors.New("the statement does not end as it should")
+	if !equalParts(tail, want) {
+		return errors.New("the statement does not end as it should")
 	}
-	return statement, nil
+	return nil
 }
 
-// comment reads the names and values up to the comment's end.
+// parseComment parses the names and values up to the comment's end.
 func (s *Statement) parseComment(comment []byte) error {
 	seen := map[string]bool{}
 	for at := len(commentOpen); at <= len(comment); {
@@ -114,7 +133,7 @@
 			return fmt.Errorf("%.40q is no name=value", comment[at:at+end])
 		}
 		if !isCommentText(value) {
-			return fmt.Errorf("%s is %.40q; letters, digits and -_.: may stand there, from 1 to %d of them", name, value, maxText)
+			return fmt.Errorf("%s is %.40q; letters, digits and -_.: may stand there, from 1 to %d of them", name, value, maxTextSize)
 		}
 		if seen[name] {
 			return fmt.Errorf("%.40q stands twice", name)
@@ -137,6 +156,7 @@
 	return nil
 }
 
+// setField sets the field of one name of the comment. Unknown names are ignored: they are forwarded without being interpreted.
 func (s *Statement) setField(name, value string) (err error) {
 	switch name {
 	case "id":
@@ -157,6 +177,7 @@
 	return err
 }
 
+// parseNumber parses a decimal number from 0 to a limit; name is for the error.
 func parseNumber(name, value string, limit int64) (int64, error) {
 	v, err := strconv.ParseUint(value, 10, 63)
 	if err != nil || int64(v) > limit {
@@ -165,9 +186,9 @@
 	return int64(v), nil
 }
 
-// plain tells whether a text may stand in a comment: nothing that could end it or a quote.
+// isCommentText reports whether a name or value is allowed in a comment: nothing that could end the comment or a quote.
 func isCommentText(s string) bool {
-	if len(s) == 0 || len(s) > maxText {
+	if len(s) == 0 || len(s) > maxTextSize {
 		return false
 	}
 	for i := range len(s) {
@@ -180,10 +201,10 @@
 	return true
 }
 
-// isKey tells whether a byte may stand in a key: printable, and neither the quote nor the backslash.
+// isKey reports whether a byte is allowed in a key: printable ASCII except the quote and the backslash.
 func isKey(c byte) bool { return c >= ' ' && c <= '~' && c != '\'' && c != '\\' }
 
-// hexDigits counts the digits that the parts begin with, and returns what follows them.
+// hexDigits returns the number of hexadecimal digits at the beginning of the parts, and what follows them.
 func hexDigits(parts [][]byte) (n int, rest [][]byte) {
 	for k, p := range parts {
 		for i, c := range p {
@@ -196,6 +217,7 @@
 	return n, nil
 }
 
+// equalParts reports whether the parts joined are want.
 func equalParts(parts [][]byte, want string) bool {
 	for _, p := range parts {
 		if len(p) > len(want) || string(p) != want[:len(p)] {
@@ -205,62 +227,3 @@
 	}
 	return want == ""
 }
-
-// AppendQueryHead writes the beginning of the message that passes a statement on: the head, and the body up to
-// and with a new d. The rest of the body follows from the returned offset on, unchanged.
-func (s *Statement) AppendQueryHead(b, first []byte, body int, timeoutMillis int64) ([]byte, int) {
-	digits := strconv.AppendInt(nil, timeoutMillis, 10)
-	b, at := beginMessage(b, TypeQuery)
-	b = append(append(b, first[:s.timeoutStart]...), digits...)
-	total := 4 + body - (s.timeoutEnd - s.timeoutStart) + len(digits)
-	b[at+1], b[at+2], b[at+3], b[at+4] = byte(total>>24), byte(total>>16), byte(total>>8), byte(total)
-	return b, s.timeoutEnd
-}
-
-// Words is what a statement says beside its comment, and the value that an INSERT writes, decoded. The statement must have been
-// parsed before.
-func SplitStatement(body []byte) (text, value []byte) {
-	_, text, _ = bytes.Cut(body, []byte(commentClose))
-	if _, value, insert := bytes.Cut(text, []byte(insertValue)); insert {
-		value, _ = hex.DecodeString(string(bytes.TrimSuffix(value, []byte(insertClose))))
-	}
-	return text, value
-}
-
-// SelectStatement is a read of the gateway's own, as a client would send it.
-func SelectStatement(id, class, key string, group int, waitMillis int64) []byte {
-	return fmt.Appendf(nil, "%sid=%s,c=%s,d=%d,cluster=%d%s%s%s%s", commentOpen, id, class, waitMillis, group, commentClose, selectOpen, key, selectClose)
-}
-
-// Inserted makes the answer to an INSERT of the answer to a read of the same row, and the row's value. It takes whole messages,
-// as they are passed on.
-func InsertResponse(read []byte) (row, answer []byte) {
-	for len(read) >= HeaderSize {
-		h, err := ParseHeader(read)
-		if err != nil || len(read) < HeaderSize+h.Body {
-			return nil, nil
-		}
-		message := read[:HeaderSize+h.Body]
-		read = read[len(message):]
-		switch h.Type {
-		case TypeDataRow:
-			row = []byte(RowValue(message[HeaderSize:]))
-			fallthrough
-		case TypeRowDescription:
-			answer = append(answer, message...)
-		case TypeCommandComplete:
-			b, at := beginMessage(answer, TypeCommandComplete)
-			answer = finishMessage(appendCString(b, "INSERT 0 1"), at)
-		}
-	}
-	return row, answer
-}
-
-// AppendQuery writes a query of the gateway's own.
-func AppendQuery(b []byte, sql string) []byte {
-	b, at := beginMessage(b, TypeQuery)
-	return finishMessage(appendCString(b, sql), at)
-}
-
-// LoadQuery asks a server for its load report.
-const LoadQuery = "SHOW load"
--- a/internal/protocol/postgres/statement_test.go
+++ b/internal/protocol/postgres/statement_test.go
@@ -114,7 +114,7 @@
 			}
 		}
 	}
-	for digits, ok := range map[int]bool{2 * maxValue: true, 2*maxValue + 2: false} {
+	for digits, ok := range map[int]bool{2 * maxValueSize: true, 2*maxValueSize + 2: false} {
 		text := strings.Replace(insertText, "9f03", strings.Repeat("0", digits), 1)
 		if _, err := ParseStatement([][]byte{[]byte(text[:4096]), []byte(text[4096:])}); (err == nil) != ok {
 			t.Errorf("%d digits: %v", digits, err)
