--- a/cmd/marblespan-bench/main.go
+++ b/cmd/marblespan-bench/main.go
@@ -80,13 +80,13 @@
 				o.Progress = cmd.ErrOrStderr()
 			}
 			if holds {
-				o.Rig.Copies, o.Load.Mine = testcluster.DefaultCopies(), 4
+				o.Rig.StateStore, o.Load.SessionReaders = testcluster.DefaultStateStore(), 4
 			}
 			if claims {
-				o.Rig.InDoubt, o.Load.Again = &testcluster.InDoubt{Look: true}, true
-				if o.Rig.Copies == nil {
-					o.Rig.Copies = testcluster.DefaultCopies()
-					o.Rig.Copies.NoMarks = true
+				o.Rig.InDoubt, o.Load.RetryInDoubt = &testcluster.InDoubt{SeatLookup: true}, true
+				if o.Rig.StateStore == nil {
+					o.Rig.StateStore = testcluster.DefaultStateStore()
+					o.Rig.StateStore.NoSessionMarks = true
 				}
 			}
 			all, err := chaos.Run(o, interrupted())
@@ -248,8 +248,8 @@
 	cmd := &cobra.Command{
 		Use: "maintain", Short: "Measure a night's work: every machine is taken out, in the order that the gateways settle", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if o.Nodes < 4 || o.Nodes > testcluster.MostNodes || o.Faults < 0 {
-				return fmt.Errorf("needs 4 to %d gateways", testcluster.MostNodes)
+			if o.Nodes < 4 || o.Nodes > testcluster.MaxNodes || o.Faults < 0 {
+				return fmt.Errorf("needs 4 to %d gateways", testcluster.MaxNodes)
 			}
 			if !quiet {
 				o.Progress = cmd.ErrOrStderr()
--- a/cmd/marblespan-bench/main_test.go
+++ b/cmd/marblespan-bench/main_test.go
@@ -53,7 +53,7 @@
 	}
 	all, err := chaos.Run(o, nil)
 	if err != nil || len(all) != 1 || all[0].Failed() {
-		t.Fatalf("%v %v", err, all[0].Broken)
+		t.Fatalf("%v %v", err, all[0].Violations)
 	}
 	raw, err := os.ReadFile(filepath.Join(all[0].Kept, "history.jsonl"))
 	if err != nil {
@@ -86,8 +86,8 @@
 		t.Fatal(err)
 	}
 	all, err := chaos.Run(o, nil)
-	if err != nil || len(all) != 1 || len(all[0].Broken) == 0 || all[0].Broken[0].Rule != "crashes" {
-		t.Fatalf("%v %v", err, all[0].Broken)
+	if err != nil || len(all) != 1 || len(all[0].Violations) == 0 || all[0].Violations[0].Rule != "crashes" {
+		t.Fatalf("%v %v", err, all[0].Violations)
 	}
 	fewest, err := os.ReadFile(filepath.Join(all[0].Kept, "fewest.script"))
 	if err != nil || strings.Count(string(fewest), "\n") > 1 { // one may be left: it makes the run last
--- a/internal/experiments/chaos/chaos.go
+++ b/internal/experiments/chaos/chaos.go
@@ -64,13 +64,13 @@
 		if o.Script != "" {
 			r.Name = fmt.Sprintf("%s-%d", strings.TrimSuffix(filepath.Base(o.Script), filepath.Ext(o.Script)), i+1)
 		} else {
-			faults = testcluster.Draw(o.Seed+uint64(i), o.Rig.Nodes, o.Rig.Replicas, o.For)
+			faults = testcluster.DrawFaults(o.Seed+uint64(i), o.Rig.Nodes, o.Rig.Replicas, o.For)
 		}
 		if err := r.run(o, faults, quit); err != nil {
 			return all, err
 		}
 		all = append(all, r)
-		fmt.Fprintf(o.Progress, "%s: %d faults, %d events, %d broken\n", r.Name, len(faults), len(r.Events), len(r.Broken))
+		fmt.Fprintf(o.Progress, "%s: %d faults, %d events, %d broken\n", r.Name, len(faults), len(r.Events), len(r.Violations))
 	}
 	return all, nil
 }
@@ -98,21 +98,21 @@
 		return r.chart()
 	}
 	if o.Shrink > 0 && r.Err == nil {
-		rule := r.Broken[0].Rule
+		rule := r.Violations[0].Rule
 		r.Fewest = testcluster.Shrink(faults, o.Shrink, func(some []testcluster.Fault) bool {
 			fmt.Fprintf(o.Progress, "%s: again with %d of %d faults\n", r.Name, len(some), len(faults))
 			again, err := play(o, some, filepath.Join(r.Kept, "again"), quit)
 			if err != nil || again.Err != nil {
 				return false
 			}
-			for _, v := range again.Broken {
+			for _, v := range again.Violations {
 				if v.Rule == rule {
 					return true
 				}
 			}
 			return false
 		})
-		if err := os.WriteFile(filepath.Join(r.Kept, "fewest.script"), []byte(testcluster.Script(r.Fewest)), 0o644); err != nil {
+		if err := os.WriteFile(filepath.Join(r.Kept, "fewest.script"), []byte(testcluster.FormatScript(r.Fewest)), 0o644); err != nil {
 			return err
 		}
 	}
@@ -127,7 +127,7 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return testcluster.Outcome{}, err
 	}
-	if err := os.WriteFile(filepath.Join(dir, "script"), []byte(testcluster.Script(faults)), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "script"), []byte(testcluster.FormatScript(faults)), 0o644); err != nil {
 		return testcluster.Outcome{}, err
 	}
 	file, err := os.Create(filepath.Join(dir, "history.jsonl"))
@@ -147,7 +147,7 @@
 	if len(r.Events) == 0 {
 		return nil
 	}
-	ends := []string{testcluster.EndServed, testcluster.EndRefused, testcluster.EndFailed, "no answer"}
+	ends := []string{testcluster.EndServed, testcluster.EndRejected, testcluster.EndFailed, "no answer"}
 	l := report.Lines{Title: "Answers a second, " + r.Name, Series: append(ends, "faults at work x 10")}
 	last := r.Events[len(r.Events)-1].At
 	n := int(last/step.Microseconds()) + 1
@@ -166,7 +166,7 @@
 	}
 	for _, e := range r.Events {
 		switch e.Kind {
-		case testcluster.Heard:
+		case testcluster.ResponseReceived:
 			k := len(ends) - 1
 			for i, name := range ends {
 				if name == e.What {
@@ -174,9 +174,9 @@
 				}
 			}
 			l.Values[k][min(max(e.At, 0), last)/step.Microseconds()] += float64(time.Second / step)
-		case testcluster.Begins:
+		case testcluster.FaultStarted:
 			begun[e.What] = e.At
-		case testcluster.Ends:
+		case testcluster.FaultEnded:
 			mark(begun[e.What], e.At)
 		}
 	}
@@ -191,30 +191,30 @@
 	for _, r := range all {
 		ends := map[string]int{}
 		for _, e := range r.Events {
-			if e.Kind == testcluster.Heard {
+			if e.Kind == testcluster.ResponseReceived {
 				ends[e.What]++
 			}
 		}
 		verdict := "kept"
 		if r.Err != nil {
 			verdict = "not run: " + r.Err.Error()
-		} else if len(r.Broken) > 0 {
-			verdict = fmt.Sprint(len(r.Broken), " broken")
+		} else if len(r.Violations) > 0 {
+			verdict = fmt.Sprint(len(r.Violations), " broken")
 		}
 		rows = append(rows, []string{
-			r.Name, fmt.Sprint(len(r.Faults)), fmt.Sprint(ends[testcluster.EndServed]), fmt.Sprint(ends[testcluster.EndRefused]), fmt.Sprint(ends[testcluster.EndFailed]),
-			fmt.Sprint(ends[testcluster.EndClosed] + ends[testcluster.EndReset] + ends[testcluster.EndTimeout]), r.Settled.Round(time.Millisecond).String(), verdict,
+			r.Name, fmt.Sprint(len(r.Faults)), fmt.Sprint(ends[testcluster.EndServed]), fmt.Sprint(ends[testcluster.EndRejected]), fmt.Sprint(ends[testcluster.EndFailed]),
+			fmt.Sprint(ends[testcluster.EndClosed] + ends[testcluster.EndReset] + ends[testcluster.EndTimeout]), r.SettleTime.Round(time.Millisecond).String(), verdict,
 		})
 	}
 	if err := report.Table(w, []string{"run", "faults", "served", "refused", "failed", "no answer", "at rest after", "rules"}, rows); err != nil {
 		return err
 	}
 	for _, r := range all {
-		for _, v := range r.Broken {
+		for _, v := range r.Violations {
 			fmt.Fprintf(w, "%s: %v\n", r.Name, v)
 		}
 		if r.Fewest != nil {
-			fmt.Fprintf(w, "%s: the fewest faults that still fail:\n%s", r.Name, testcluster.Script(r.Fewest))
+			fmt.Fprintf(w, "%s: the fewest faults that still fail:\n%s", r.Name, testcluster.FormatScript(r.Fewest))
 		}
 		if r.Failed() {
 			fmt.Fprintf(w, "%s: kept in %s\n", r.Name, r.Kept)
--- a/internal/experiments/demo/demo.go
+++ b/internal/experiments/demo/demo.go
@@ -44,7 +44,7 @@
 		return err
 	}
 	defer f.Close()
-	if err := f.AwaitHolder(0, 10*time.Second); err != nil {
+	if err := f.AwaitActiveRouter(0, 10*time.Second); err != nil {
 		return err
 	}
 	fmt.Fprintf(w, "%d gateways with one floating address, a primary and %d replicas; all of it stand-ins but the gateways. Ask:\n\n", o.Nodes, o.Replicas)
@@ -67,7 +67,7 @@
 }
 
 // watch prints a line a second.
-func watch(f *testcluster.Fleet, length time.Duration, w io.Writer, quit <-chan struct{}) error {
+func watch(f *testcluster.Cluster, length time.Duration, w io.Writer, quit <-chan struct{}) error {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	seen, second := 0, 0
@@ -88,23 +88,23 @@
 }
 
 // line sums up a second.
-func line(f *testcluster.Fleet, second int, events []testcluster.Event, from int) string {
+func line(f *testcluster.Cluster, second int, events []testcluster.Event, from int) string {
 	heard, ran := map[int]map[string]int{}, map[string]int{}
 	var news []string
 	for _, e := range events[from:] {
 		switch e.Kind {
-		case testcluster.Heard:
+		case testcluster.ResponseReceived:
 			if heard[e.Node] == nil {
 				heard[e.Node] = map[string]int{}
 			}
 			heard[e.Node][e.What]++
-		case testcluster.Ran:
+		case testcluster.RequestExecuted:
 			ran[e.Server]++
-		case testcluster.Begins, testcluster.Ends:
+		case testcluster.FaultStarted, testcluster.FaultEnded:
 			news = append(news, string(e.Kind)+" "+strings.TrimPrefix(e.What, "at 4s "))
 		}
 	}
-	held := testcluster.Holding(events)
+	held := testcluster.ActiveRouters(events)
 	words := []string{fmt.Sprintf("%3ds", second)}
 	for _, n := range f.Nodes {
 		mark := " "
--- a/internal/experiments/failover/failover.go
+++ b/internal/experiments/failover/failover.go
@@ -46,8 +46,8 @@
 type kind struct {
 	name  string
 	what  string
-	fails func(f *testcluster.Fleet, n *testcluster.Node) error
-	heals func(f *testcluster.Fleet, n *testcluster.Node) error
+	fails func(f *testcluster.Cluster, n *testcluster.Node) error
+	heals func(f *testcluster.Cluster, n *testcluster.Node) error
 	dies  bool // its process has no part in what comes
 	stops bool // it runs on after the fault, but not for clients
 	front bool // clients that a front spreads see it too
@@ -55,36 +55,42 @@
 
 var kinds = []kind{
 	{name: "kill", what: "SIGKILL", dies: true, front: true,
-		fails: func(f *testcluster.Fleet, n *testcluster.Node) error {
+		fails: func(f *testcluster.Cluster, n *testcluster.Node) error {
 			f.Switch.Reset(n.Floating) // a dead machine's flows are reset
 			return n.Signal(syscall.SIGKILL)
 		},
 		heals: restart},
 	{name: "term", what: "SIGTERM", front: true,
-		fails: func(f *testcluster.Fleet, n *testcluster.Node) error { return n.Signal(syscall.SIGTERM) },
+		fails: func(f *testcluster.Cluster, n *testcluster.Node) error { return n.Signal(syscall.SIGTERM) },
 		heals: restart},
 	{name: "frozen", what: "SIGSTOP for five intervals past the down interval, then SIGCONT", stops: true, front: true,
-		fails: func(f *testcluster.Fleet, n *testcluster.Node) error { return n.Signal(syscall.SIGSTOP) },
-		heals: func(f *testcluster.Fleet, n *testcluster.Node) error { return n.Signal(syscall.SIGCONT) }},
+		fails: func(f *testcluster.Cluster, n *testcluster.Node) error { return n.Signal(syscall.SIGSTOP) },
+		heals: func(f *testcluster.Cluster, n *testcluster.Node) error { return n.Signal(syscall.SIGCONT) }},
 	{name: "cut", what: "its advertisements, announcements and flows cut off", stops: true,
-		fails: func(f *testcluster.Fleet, n *testcluster.Node) error {
-			f.Path.Isolate(n.Number-1, true)
+		fails: func(f *testcluster.Cluster, n *testcluster.Node) error {
+			f.VRRPPath.Isolate(n.Number-1, true)
 			f.Switch.Cut(n.Floating, true)
 			return nil
 		},
-		heals: func(f *testcluster.Fleet, n *testcluster.Node) error {
+		heals: func(f *testcluster.Cluster, n *testcluster.Node) error {
 			f.Switch.Cut(n.Floating, false)
-			f.Path.Isolate(n.Number-1, false)
+			f.VRRPPath.Isolate(n.Number-1, false)
 			return nil
 		}},
 	{name: "split", what: "its advertisements cut off both ways, all else whole",
-		fails: func(f *testcluster.Fleet, n *testcluster.Node) error { f.Path.Isolate(n.Number-1, true); return nil },
-		heals: func(f *testcluster.Fleet, n *testcluster.Node) error { f.Path.Isolate(n.Number-1, false); return nil }},
+		fails: func(f *testcluster.Cluster, n *testcluster.Node) error {
+			f.VRRPPath.Isolate(n.Number-1, true)
+			return nil
+		},
+		heals: func(f *testcluster.Cluster, n *testcluster.Node) error {
+			f.VRRPPath.Isolate(n.Number-1, false)
+			return nil
+		}},
 }
 
 // restart waits for the end of a process and starts it anew.
-func restart(_ *testcluster.Fleet, n *testcluster.Node) error {
-	n.Wait()
+func restart(_ *testcluster.Cluster, n *testcluster.Node) error {
+	n.WaitForExit()
 	return n.Start()
 }
 
@@ -147,16 +153,16 @@
 		Gap: report.NewSpans(), FrontGap: report.NewSpans(),
 	}
 	fleet := testcluster.Defaults()
-	fleet.Binary, fleet.Nodes, fleet.Seed, fleet.Work = o.Binary, len(o.Priorities), o.Seed, o.Work
-	fleet.Interval, fleet.Priorities = o.Interval, o.Priorities
-	fleet.Probe = 0
-	fleet.CutOnMove = true // as where an address moves between machines: its new holder knows no old flow
+	fleet.Binary, fleet.Nodes, fleet.Seed, fleet.ServiceTime = o.Binary, len(o.Priorities), o.Seed, o.Work
+	fleet.AdvertisementInterval, fleet.Priorities = o.Interval, o.Priorities
+	fleet.MembershipInterval = 0
+	fleet.ResetOnFailover = true // as where an address moves between machines: its new holder knows no old flow
 	f, err := testcluster.New(fleet)
 	if err != nil {
 		return r, err
 	}
 	defer f.Close()
-	if err := f.AwaitHolder(1, settleBy); err != nil {
+	if err := f.AwaitActiveRouter(1, settleBy); err != nil {
 		return r, err
 	}
 	l := newLoad(o, f)
@@ -179,7 +185,7 @@
 }
 
 // trial brings one fault about, waits for a successor, heals it and waits for the old holder to have the address again.
-func (r *Result) trial(o Options, k kind, f *testcluster.Fleet, l *load) error {
+func (r *Result) trial(o Options, k kind, f *testcluster.Cluster, l *load) error {
 	n := f.Nodes[0]
 	down := 4 * o.Interval // over the longest down interval
 	start := time.Now()
@@ -198,7 +204,7 @@
 	if err := k.heals(f, n); err != nil {
 		return err
 	}
-	if err := f.AwaitHolder(1, settleBy); err != nil {
+	if err := f.AwaitActiveRouter(1, settleBy); err != nil {
 		return err
 	}
 	l.spread.healed(n.Number)
@@ -235,8 +241,8 @@
 // changesSince lists the changes after a time. A process that has ended believes nothing.
 func changesSince(h *testcluster.History, from time.Time) (out []change) {
 	for _, e := range h.Events() {
-		if e.At >= h.At(from) && (e.Kind == testcluster.Belief || e.Kind == testcluster.Process && e.What == "ended") {
-			out = append(out, change{e.Node, h.Time(e.At), e.Kind == testcluster.Belief && e.Text == "active"})
+		if e.At >= h.Timestamp(from) && (e.Kind == testcluster.StateReported || e.Kind == testcluster.ProcessChanged && e.What == "ended") {
+			out = append(out, change{e.Node, h.WallTime(e.At), e.Kind == testcluster.StateReported && e.Text == "active"})
 		}
 	}
 	return out
@@ -301,7 +307,7 @@
 }
 
 // succeeded waits until another gateway holds the address and the switch leads there.
-func succeeded(f *testcluster.Fleet, old *testcluster.Node, by time.Duration) error {
+func succeeded(f *testcluster.Cluster, old *testcluster.Node, by time.Duration) error {
 	for end := time.Now().Add(by); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		if at, _ := f.Switch.Holder(); at != old.Floating {
 			return nil
@@ -359,7 +365,7 @@
 	done            sync.WaitGroup
 }
 
-func newLoad(o Options, f *testcluster.Fleet) *load {
+func newLoad(o Options, f *testcluster.Cluster) *load {
 	l := &load{quit: make(chan struct{}), spread: &front{nodes: f.Nodes, away: map[int]time.Time{}, notice: o.Notice}}
 	for c := range 2 * o.Clients {
 		b := &fake.Booker{
--- a/internal/experiments/indoubt/doubt.go
+++ b/internal/experiments/indoubt/doubt.go
@@ -33,22 +33,22 @@
 // way is how bookings are promised.
 type way struct {
 	name   string
-	copies *testcluster.Copies
+	copies *testcluster.StateStore
 	claims *testcluster.InDoubt
 }
 
 func ways() []way {
-	held := func(memory bool) *testcluster.Copies {
-		c := testcluster.DefaultCopies()
-		c.Memory, c.NoMarks = memory, true
+	held := func(memory bool) *testcluster.StateStore {
+		c := testcluster.DefaultStateStore()
+		c.InMemory, c.NoSessionMarks = memory, true
 		return c
 	}
 	return []way{
 		{"nothing promised", nil, nil},
 		{"memory, fast", held(true), &testcluster.InDoubt{}},
-		{"memory, safe", held(true), &testcluster.InDoubt{Safe: true}},
+		{"memory, safe", held(true), &testcluster.InDoubt{StoreFirst: true}},
 		{"disk, fast", held(false), &testcluster.InDoubt{}},
-		{"disk, safe", held(false), &testcluster.InDoubt{Safe: true}},
+		{"disk, safe", held(false), &testcluster.InDoubt{StoreFirst: true}},
 	}
 }
 
@@ -91,7 +91,7 @@
 		}
 	}
 	looked := ways()[3]
-	looked.name, looked.claims = "disk, fast, and a read that shows", &testcluster.InDoubt{Look: true}
+	looked.name, looked.claims = "disk, fast, and a read that shows", &testcluster.InDoubt{SeatLookup: true}
 	for _, kind := range []string{"kill", "term", "stop"} {
 		for _, w := range []way{ways()[0], ways()[3], looked} {
 			t, err := takeOver(o, w, kind)
@@ -105,9 +105,9 @@
 	return r, nil
 }
 
-func fleet(o Options, w way) (*testcluster.Fleet, error) {
+func fleet(o Options, w way) (*testcluster.Cluster, error) {
 	x := testcluster.Defaults()
-	x.Binary, x.Copies, x.InDoubt, x.CutOnMove, x.Seed = o.Binary, w.copies, w.claims, true, o.Seed
+	x.Binary, x.StateStore, x.InDoubt, x.ResetOnFailover, x.Seed = o.Binary, w.copies, w.claims, true, o.Seed
 	return testcluster.New(x)
 }
 
@@ -119,10 +119,10 @@
 		return out, err
 	}
 	defer f.Close()
-	if err := f.AwaitHolder(1, settleBy); err != nil {
+	if err := f.AwaitActiveRouter(1, settleBy); err != nil {
 		return out, err
 	}
-	l := f.Load(testcluster.LoadOptions{Floating: clients, Think: time.Microsecond})
+	l := f.Load(testcluster.LoadOptions{FloatingBookers: clients, ThinkTime: time.Microsecond})
 	time.Sleep(o.Span / 5) // until connections stand and leaders are known
 	from := f.History.Now()
 	time.Sleep(o.Span)
@@ -132,9 +132,9 @@
 	served := 0
 	for _, e := range f.History.Events() {
 		switch {
-		case e.Kind == testcluster.Asked && e.At >= from:
+		case e.Kind == testcluster.RequestSent && e.At >= from:
 			asked[e.ID] = e.At
-		case e.Kind == testcluster.Heard && e.What == testcluster.EndServed && e.At < to && asked[e.ID] > 0:
+		case e.Kind == testcluster.ResponseReceived && e.What == testcluster.EndServed && e.At < to && asked[e.ID] > 0:
 			out.Spans.Add(e.At - asked[e.ID])
 			served++
 		}
@@ -155,10 +155,10 @@
 		return out, err
 	}
 	defer f.Close()
-	if err := f.AwaitHolder(1, settleBy); err != nil {
+	if err := f.AwaitActiveRouter(1, settleBy); err != nil {
 		return out, err
 	}
-	l := f.Load(testcluster.LoadOptions{Floating: 8, Think: time.Microsecond, Again: w.claims != nil})
+	l := f.Load(testcluster.LoadOptions{FloatingBookers: 8, ThinkTime: time.Microsecond, RetryInDoubt: w.claims != nil})
 	rng := rand.New(rand.NewPCG(o.Seed, 8))
 	line := map[string]string{"kill": "at 0s kill 1", "term": "at 0s term 1", "stop": "at 0s stop 1"}[kind]
 	x, err := testcluster.ParseFault(line)
@@ -167,17 +167,17 @@
 	}
 	for range o.Trials {
 		time.Sleep(200*time.Millisecond + time.Duration(rng.Int64N(int64(200*time.Millisecond))))
-		undo, err := f.Begin(x)
+		undo, err := f.Inject(x)
 		if err != nil {
 			return out, err
 		}
 		switch kind {
 		case "term":
-			f.Nodes[0].Wait()
+			f.Nodes[0].WaitForExit()
 		case "stop":
 			time.Sleep(700 * time.Millisecond) // longer than another one takes to take over
 		default:
-			if err := f.AwaitHolder(2, settleBy); err != nil {
+			if err := f.AwaitActiveRouter(2, settleBy); err != nil {
 				return out, err
 			}
 		}
@@ -187,17 +187,17 @@
 		if err := f.AwaitReady(settleBy); err != nil {
 			return out, err
 		}
-		if err := f.AwaitHolder(1, settleBy); err != nil {
+		if err := f.AwaitActiveRouter(1, settleBy); err != nil {
 			return out, err
 		}
-		if f.Copies != nil {
-			if err := f.AwaitWhole(settleBy); err != nil {
+		if f.StateStore != nil {
+			if err := f.AwaitComplete(settleBy); err != nil {
 				return out, err
 			}
 		}
 	}
 	l.Stop()
-	f.History.Add(testcluster.Event{Kind: testcluster.Phase, What: "done"})
+	f.History.Add(testcluster.Event{Kind: testcluster.PhaseReached, What: "done"})
 	f.History.End()
 	events := f.History.Events()
 	out.count(events)
@@ -214,18 +214,18 @@
 	shaken := map[string]int64{}
 	booked, known := map[string]bool{}, map[string]bool{}
 	for _, e := range events {
-		if e.Class != testcluster.ClassBooking || e.Kind != testcluster.Asked && e.Kind != testcluster.Heard {
+		if e.Class != testcluster.ClassBooking || e.Kind != testcluster.RequestSent && e.Kind != testcluster.ResponseReceived {
 			continue
 		}
 		booked[e.Key] = true
-		if e.Kind != testcluster.Heard {
+		if e.Kind != testcluster.ResponseReceived {
 			continue
 		}
 		switch {
 		case e.What == testcluster.EndServed && shaken[e.Key] > 0 && !known[e.Key]:
 			known[e.Key] = true
 			t.Settled.Add(e.At - shaken[e.Key])
-		case e.What == testcluster.EndServed || e.What == testcluster.EndRefused:
+		case e.What == testcluster.EndServed || e.What == testcluster.EndRejected:
 		case shaken[e.Key] == 0:
 			shaken[e.Key] = e.At
 		}
--- a/internal/experiments/maintenance/maintain.go
+++ b/internal/experiments/maintenance/maintain.go
@@ -59,21 +59,21 @@
 	for i := range o.Nodes {
 		gateways = append(gateways, fmt.Sprint("g", i+1))
 	}
-	inOrder := func(names []string) func(*testcluster.Fleet) error {
-		return func(f *testcluster.Fleet) error {
-			if _, err := f.SayAnywhere(append([]string{"add"}, names...)...); err != nil {
+	inOrder := func(names []string) func(*testcluster.Cluster) error {
+		return func(f *testcluster.Cluster) error {
+			if _, err := f.RunMaintenanceAnywhere(append([]string{"add"}, names...)...); err != nil {
 				return err
 			}
-			return f.Work(o.Bound, testcluster.At{Gateway: restart(f)})
+			return f.PerformMaintenance(o.Bound, testcluster.MaintenanceActions{Gateway: restart(f)})
 		}
 	}
 	nights := []struct {
 		name, fault string
-		do          func(f *testcluster.Fleet) error
+		do          func(f *testcluster.Cluster) error
 	}{
 		{"all machines, in order", "", inOrder(slices.Concat(gateways, servers))},
 		{"gateways, in order", "", inOrder(gateways)},
-		{"gateways by SIGTERM, a tenth at a time", "", func(f *testcluster.Fleet) error { return tenths(f) }},
+		{"gateways by SIGTERM, a tenth at a time", "", func(f *testcluster.Cluster) error { return tenths(f) }},
 	}
 	rng := rand.New(rand.NewPCG(o.Seed, 9))
 	for range o.Faults {
@@ -82,7 +82,7 @@
 		last := &nights[len(nights)-1]
 		last.name, last.fault = "all machines, in order, and a fault", fault
 		at := time.Duration(rng.Int64N(int64(30 * time.Second)))
-		last.do = func(f *testcluster.Fleet) error {
+		last.do = func(f *testcluster.Cluster) error {
 			faults, err := testcluster.ParseScript("fault", strings.Replace(fault, "at 0s", "at "+at.String(), 1))
 			if err != nil {
 				return err
@@ -114,31 +114,31 @@
 }
 
 // restart is the work at a gateway: it is told to end, and started again.
-func restart(f *testcluster.Fleet) func(n *testcluster.Node) error {
+func restart(f *testcluster.Cluster) func(n *testcluster.Node) error {
 	return func(n *testcluster.Node) error {
-		undo, err := f.Inflict(fmt.Sprintf("at 0s term %d", n.Number))
+		undo, err := f.InjectLine(fmt.Sprintf("at 0s term %d", n.Number))
 		if err != nil {
 			return err
 		}
-		n.Wait()
+		n.WaitForExit()
 		return undo()
 	}
 }
 
 // tenths restarts gateways by SIGTERM, a tenth of them at a time, the next ones as soon as those before serve again.
-func tenths(f *testcluster.Fleet) error {
+func tenths(f *testcluster.Cluster) error {
 	size := max(len(f.Nodes)/10, 1)
 	for some := range slices.Chunk(f.Nodes, size) {
 		var undo []func() error
 		for _, n := range some {
-			end, err := f.Inflict(fmt.Sprintf("at 0s term %d", n.Number))
+			end, err := f.InjectLine(fmt.Sprintf("at 0s term %d", n.Number))
 			if err != nil {
 				return err
 			}
 			undo = append(undo, end)
 		}
 		for i, n := range some {
-			n.Wait()
+			n.WaitForExit()
 			if err := undo[i](); err != nil {
 				return err
 			}
@@ -151,17 +151,17 @@
 }
 
 // run makes one night.
-func (n *Night) run(o Options, seed uint64, do func(*testcluster.Fleet) error) error {
+func (n *Night) run(o Options, seed uint64, do func(*testcluster.Cluster) error) error {
 	x := testcluster.Defaults()
-	x.Binary, x.Nodes, x.Groups, x.Ramp, x.Seed = o.Binary, o.Nodes, 2, 2*time.Second, o.Seed+seed
-	x.Copies, x.InDoubt, x.Maintain = testcluster.DefaultCopies(), &testcluster.InDoubt{Look: true}, testcluster.DefaultMaintain()
+	x.Binary, x.Nodes, x.Groups, x.SlowStart, x.Seed = o.Binary, o.Nodes, 2, 2*time.Second, o.Seed+seed
+	x.StateStore, x.InDoubt, x.Maintenance = testcluster.DefaultStateStore(), &testcluster.InDoubt{SeatLookup: true}, testcluster.DefaultMaintenance()
 	f, err := testcluster.New(x)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
 	load := testcluster.DefaultLoad()
-	load.Mine, load.Again = 4, true
+	load.SessionReaders, load.RetryInDoubt = 4, true
 	l := f.Load(load)
 	time.Sleep(2 * time.Second)
 	n.begin = f.History.Now()
@@ -174,8 +174,8 @@
 		return err
 	}
 	l.Stop()
-	l.RereadSome(10) // so many are booked that all would take longer than the night
-	f.History.Add(testcluster.Event{Kind: testcluster.Phase, What: "done"})
+	l.VerifySomeSessions(10) // so many are booked that all would take longer than the night
+	f.History.Add(testcluster.Event{Kind: testcluster.PhaseReached, What: "done"})
 	f.History.End()
 	n.events = f.History.Events()
 	n.count(l)
@@ -191,16 +191,16 @@
 			continue
 		}
 		switch e.Kind {
-		case testcluster.Asked:
+		case testcluster.RequestSent:
 			n.Asked++
-		case testcluster.Heard:
+		case testcluster.ResponseReceived:
 			n.Ends[e.What]++
 			if e.What == testcluster.EndServed {
 				n.Served[e.Class]++
 			}
 		}
 	}
-	n.Doubt = l.Doubt()
+	n.Doubt = l.InDoubtBookings()
 }
 
 // Write writes the table to w and, if dir is not empty, table and charts into files there.
@@ -230,7 +230,7 @@
 	var rows [][]string
 	for _, n := range all {
 		rows = append(rows, []string{
-			n.Name, n.Fault, fmt.Sprintf("%.1f s", n.Took.Seconds()), fmt.Sprint(n.Asked), fmt.Sprintf("%.5f", n.Share()), fmt.Sprint(n.Ends[testcluster.EndRefused]),
+			n.Name, n.Fault, fmt.Sprintf("%.1f s", n.Took.Seconds()), fmt.Sprint(n.Asked), fmt.Sprintf("%.5f", n.Share()), fmt.Sprint(n.Ends[testcluster.EndRejected]),
 			fmt.Sprint(n.Ends[testcluster.EndFailed]), fmt.Sprint(n.Ends[testcluster.EndClosed] + n.Ends[testcluster.EndReset] + n.Ends[testcluster.EndTimeout]), fmt.Sprint(n.Doubt), fmt.Sprint(len(n.Broken)),
 		})
 	}
@@ -265,9 +265,9 @@
 		}
 		machine, ofOrder := strings.CutPrefix(e.What, "order ")
 		switch {
-		case e.Kind == testcluster.Heard && e.What == testcluster.EndServed:
+		case e.Kind == testcluster.ResponseReceived && e.What == testcluster.EndServed:
 			l.Values[2+slices.Index(classes, e.Class)][at] += 0.01
-		case e.Kind == testcluster.Belief && ofOrder:
+		case e.Kind == testcluster.StateReported && ofOrder:
 			if delete(away, machine); slices.Contains([]string{"leaving", "out", "returning", "overdue"}, e.Text) {
 				away[machine] = true
 			}
--- a/internal/experiments/members/processes.go
+++ b/internal/experiments/members/processes.go
@@ -36,7 +36,7 @@
 	rng := rand.New(rand.NewPCG(seed, 3))
 	for range trials {
 		for _, mass := range []bool{false, true} {
-			time.Sleep(time.Duration(rng.Int64N(int64(o.Probe)))) // at any moment of an interval
+			time.Sleep(time.Duration(rng.Int64N(int64(o.MembershipInterval)))) // at any moment of an interval
 			victims, into := []int{1 + rng.IntN(nodes)}, &p.One
 			if mass {
 				victims, into = nil, &p.Mass
@@ -50,19 +50,19 @@
 		}
 	}
 	l.Stop()
-	f.History.Add(testcluster.Event{Kind: testcluster.Phase, What: "done"})
+	f.History.Add(testcluster.Event{Kind: testcluster.PhaseReached, What: "done"})
 	f.History.End()
 	p.Broken = testcluster.Check(f.History.Events())
 	return p, nil
 }
 
 // killProcesses makes one trial, and waits until the fleet is whole again.
-func killProcesses(f *testcluster.Fleet, victims []int, first, all *report.Spans) error {
+func killProcesses(f *testcluster.Cluster, victims []int, first, all *report.Spans) error {
 	slices.Sort(victims)
 	x := testcluster.Fault{Verb: "kill", From: victims}
 	from := f.History.Now()
-	f.History.Add(testcluster.Event{Kind: testcluster.Begins, What: x.String()})
-	undo, err := f.Begin(x)
+	f.History.Add(testcluster.Event{Kind: testcluster.FaultStarted, What: x.String()})
+	undo, err := f.Inject(x)
 	if err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 		for i := len(events) - 1; i >= 0 && events[i].At > from-int64(time.Second/time.Microsecond); i-- {
 			e := events[i]
 			for _, v := range victims {
-				if e.Kind == testcluster.Belief && e.At >= from && e.What == fmt.Sprint("member g", v) && e.Text == "dead" && !slices.Contains(victims, e.Node) {
+				if e.Kind == testcluster.StateReported && e.At >= from && e.What == fmt.Sprint("member g", v) && e.Text == "dead" && !slices.Contains(victims, e.Node) {
 					known[fmt.Sprint(e.Node, " of ", v)] = true
 					if latest = max(latest, e.At); earliest == 0 || e.At < earliest {
 						earliest = e.At
@@ -91,7 +91,7 @@
 	if err := undo(); err != nil {
 		return err
 	}
-	f.History.Add(testcluster.Event{Kind: testcluster.Ends, What: x.String()})
+	f.History.Add(testcluster.Event{Kind: testcluster.FaultEnded, What: x.String()})
 	if err := f.AwaitReady(time.Minute); err != nil {
 		return err
 	}
--- a/internal/experiments/statestore/failover.go
+++ b/internal/experiments/statestore/failover.go
@@ -31,15 +31,15 @@
 // measureFailover takes leaders away from real gateways, and reads in their logs how long their shards had none.
 func measureFailover(o Options, fault string) (result Failover, err error) {
 	options := testcluster.Defaults()
-	options.Binary, options.Nodes, options.Seed, options.Copies = o.Binary, 5, o.Seed, testcluster.DefaultCopies()
-	options.Copies.Shards, options.Copies.HealAfter = 16, 30*time.Second
+	options.Binary, options.Nodes, options.Seed, options.StateStore = o.Binary, 5, o.Seed, testcluster.DefaultStateStore()
+	options.StateStore.Shards, options.StateStore.RepairAfter = 16, 30*time.Second
 	fleet, err := testcluster.New(options)
 	if err != nil {
 		return result, err
 	}
 	defer fleet.Close()
 	result = Failover{Fault: fault, Downtime: report.NewSpans()}
-	load := fleet.Load(testcluster.LoadOptions{Bookers: 4, Mine: 2, Think: 10 * time.Millisecond})
+	load := fleet.Load(testcluster.LoadOptions{Bookers: 4, SessionReaders: 2, ThinkTime: 10 * time.Millisecond})
 	defer load.Stop()
 	for range o.LeaderFaults {
 		leader := fleet.LeaderOf(1)
@@ -53,7 +53,7 @@
 		if err := fleet.AwaitReady(stepTimeout); err != nil {
 			return result, err
 		}
-		if err := fleet.AwaitWhole(stepTimeout); err != nil {
+		if err := fleet.AwaitComplete(stepTimeout); err != nil {
 			return result, err
 		}
 	}
@@ -61,14 +61,14 @@
 }
 
 // failLeader begins the fault at a gateway, waits until others lead what it led, and ends the fault.
-func (r *Failover) failLeader(fleet *testcluster.Fleet, node int) error {
+func (r *Failover) failLeader(fleet *testcluster.Cluster, node int) error {
 	fault, err := testcluster.ParseFault(fmt.Sprintf("at 0s %s %d", r.Fault, node))
 	if err != nil {
 		return err
 	}
 	led := ledGroups(fleet.History.Events(), node)
 	begin := fleet.History.Now()
-	undo, err := fleet.Begin(fault)
+	undo, err := fleet.Inject(fault)
 	if err != nil {
 		return err
 	}
@@ -97,7 +97,7 @@
 func electedSince(all []testcluster.Event, begin int64, other int) map[string]int64 {
 	elected := map[string]int64{}
 	for _, e := range all {
-		if e.At > begin && e.Kind == testcluster.Belief && e.What == eventBecameLeader && e.Node != other && elected[e.Server] == 0 {
+		if e.At > begin && e.Kind == testcluster.StateReported && e.What == eventBecameLeader && e.Node != other && elected[e.Server] == 0 {
 			elected[e.Server] = e.At
 		}
 	}
@@ -110,11 +110,11 @@
 	for _, e := range all {
 		switch {
 		case e.Node != node:
-		case e.Kind == testcluster.Process && e.What == "started":
+		case e.Kind == testcluster.ProcessChanged && e.What == "started":
 			clear(led)
-		case e.Kind == testcluster.Belief && e.What == eventBecameLeader:
+		case e.Kind == testcluster.StateReported && e.What == eventBecameLeader:
 			led[e.Server] = true
-		case e.Kind == testcluster.Belief && (e.What == eventSteppedDown || e.What == eventMemberStopped):
+		case e.Kind == testcluster.StateReported && (e.What == eventSteppedDown || e.What == eventMemberStopped):
 			delete(led, e.Server)
 		}
 	}
--- a/internal/experiments/statestore/run_test.go
+++ b/internal/experiments/statestore/run_test.go
@@ -68,11 +68,11 @@
 // What a gateway leads, and who leads it next, is read in the events of a history.
 func TestEvents(t *testing.T) {
 	event := func(at int64, node int, what, group string) testcluster.Event {
-		return testcluster.Event{At: at, Node: node, Kind: testcluster.Belief, What: what, Server: group}
+		return testcluster.Event{At: at, Node: node, Kind: testcluster.StateReported, What: what, Server: group}
 	}
 	history := []testcluster.Event{
 		event(1, 1, eventBecameLeader, "a"),
-		{At: 2, Node: 1, Kind: testcluster.Process, What: "started"},
+		{At: 2, Node: 1, Kind: testcluster.ProcessChanged, What: "started"},
 		event(3, 1, eventBecameLeader, "b"), event(4, 1, eventBecameLeader, "c"), event(5, 1, eventBecameLeader, "d"), event(6, 2, eventBecameLeader, "e"),
 		event(7, 1, eventSteppedDown, "c"), event(8, 1, eventMemberStopped, "d"),
 		event(9, 2, eventBecameLeader, "b"), event(10, 3, eventBecameLeader, "b"), event(11, 1, eventBecameLeader, "c"),
--- a/internal/testcluster/check.go
+++ b/internal/testcluster/check.go
@@ -87,7 +87,7 @@
 		e := &h.events[i]
 		h.end = max(h.end, e.At)
 		switch e.Kind {
-		case Begins:
+		case FaultStarted:
 			f, err := ParseFault(e.What)
 			if err != nil {
 				h.broken = err.Error()
@@ -95,14 +95,14 @@
 			}
 			open[e.What] = append(open[e.What], len(h.faults))
 			h.faults = append(h.faults, window{f, e.At, math.MaxInt64})
-		case Ends:
+		case FaultEnded:
 			list := open[e.What]
 			if len(list) == 0 {
 				h.broken = fmt.Sprintf("%q ends and never began", e.What)
 				return h
 			}
 			h.faults[list[0]].to, open[e.What] = e.At, list[1:]
-		case Asked, Heard, Sent, Ran:
+		case RequestSent, ResponseReceived, RequestForwarded, RequestExecuted:
 			r := h.requests[e.ID]
 			if r == nil {
 				r = &request{}
@@ -110,11 +110,11 @@
 				h.order = append(h.order, e.ID)
 			}
 			switch e.Kind {
-			case Asked:
+			case RequestSent:
 				r.asked = e
-			case Heard:
+			case ResponseReceived:
 				r.heard = append(r.heard, *e)
-			case Sent:
+			case RequestForwarded:
 				r.sent = append(r.sent, *e)
 			default:
 				r.ran = append(r.ran, *e)
@@ -137,7 +137,7 @@
 // died tells whether a gateway's process ended within a span.
 func (h *reading) died(node int, from, to int64) bool {
 	return slices.ContainsFunc(h.events, func(e Event) bool {
-		return e.Kind == Process && e.What == "ended" && e.Node == node && e.At >= from && e.At <= to
+		return e.Kind == ProcessChanged && e.What == "ended" && e.Node == node && e.At >= from && e.At <= to
 	})
 }
 
@@ -162,7 +162,7 @@
 		case r.asked == nil:
 			out = append(out, Violation{At: first(r), Text: fmt.Sprintf("%s was sent or answered, and nobody asked", id)})
 			continue
-		case len(r.heard) == 0 && r.asked.At+r.asked.Within*2 < h.end:
+		case len(r.heard) == 0 && r.asked.At+r.asked.Timeout*2 < h.end:
 			out = append(out, Violation{At: r.asked.At, Text: fmt.Sprintf("%s never ended", id)})
 			continue
 		case len(r.heard) > 1:
@@ -237,7 +237,7 @@
 			// its answer was known
 		case end.What == EndServed && len(r.ran) != 1:
 			out = append(out, Violation{At: end.At, Text: fmt.Sprintf("%s was served and ran %d times", id, len(r.ran))})
-		case end.What == EndRefused && len(r.ran) > 0:
+		case end.What == EndRejected && len(r.ran) > 0:
 			out = append(out, Violation{At: end.At, Text: fmt.Sprintf("%s was refused and ran", id)})
 		}
 	}
@@ -253,13 +253,13 @@
 func toldRightly(h *reading) (out []Violation) {
 	ran := map[string]int64{}
 	for _, e := range h.events {
-		if e.Kind == Ran && e.Class == ClassBooking && ran[e.Key] == 0 {
+		if e.Kind == RequestExecuted && e.Class == ClassBooking && ran[e.Key] == 0 {
 			ran[e.Key] = e.At
 		}
 	}
 	for _, id := range h.order {
 		r := h.requests[id]
-		if r.asked == nil || !strings.HasSuffix(r.asked.Text, askedBefore) || len(r.heard) == 0 || r.heard[0].What != EndRefused {
+		if r.asked == nil || !strings.HasSuffix(r.asked.Text, askedBefore) || len(r.heard) == 0 || r.heard[0].What != EndRejected {
 			continue
 		}
 		if strings.Contains(r.heard[0].Text, closedUnread) {
@@ -283,11 +283,11 @@
 	for _, e := range h.events {
 		at := link{e.Node, e.Server}
 		switch e.Kind {
-		case Told:
+		case EndpointUpdateSent:
 			if delete(told, at); e.What != "ready" {
 				told[at] = h.heardBy(e.Node, e.At)
 			}
-		case Sent:
+		case RequestForwarded:
 			if by, ok := told[at]; ok && e.At > by {
 				out = append(out, Violation{At: e.At, Text: fmt.Sprintf(
 					"gateway %d sent %s to %s, %.0f ms after it had to stop", e.Node, e.ID, e.Server, float64(e.At-by)/1000)})
@@ -329,7 +329,7 @@
 					sent = s.At
 				}
 			}
-			switch age := e.Age - (e.At - sent); {
+			switch age := e.DataAge - (e.At - sent); {
 			case e.Class == ClassView && age > ViewBound.Microseconds()+pageSlack:
 				out = append(out, Violation{At: e.At, Text: fmt.Sprintf(
 					"%s ran at %s, whose data were %.0f ms old when gateway %d had sent it", id, e.Server, float64(age)/1000, e.Node)})
@@ -394,7 +394,7 @@
 		switch {
 		case served:
 			op.Output, op.Return = strings.HasSuffix(r.heard[0].Value, There), r.heard[0].At
-		case r.asked.Class != ClassBooking || len(r.heard) == 1 && r.heard[0].What == EndRefused || len(r.ran) == 0:
+		case r.asked.Class != ClassBooking || len(r.heard) == 1 && r.heard[0].What == EndRejected || len(r.ran) == 0:
 			continue
 		}
 		all = append(all, op)
@@ -412,7 +412,7 @@
 func sessions(h *reading) (out []Violation) {
 	booked := map[string]int64{}
 	for _, e := range h.events {
-		if e.Kind == Heard && e.Class == ClassBooking && e.What == EndServed && booked[e.Key] == 0 {
+		if e.Kind == ResponseReceived && e.Class == ClassBooking && e.What == EndServed && booked[e.Key] == 0 {
 			booked[e.Key] = e.At
 		}
 	}
@@ -438,7 +438,7 @@
 		name, begins := strings.CutPrefix(e.What, touched)
 		machine, ofOrder := strings.CutPrefix(e.What, "order ")
 		switch {
-		case e.Kind == Phase && begins:
+		case e.Kind == PhaseReached && begins:
 			inWork[name] = true
 			for _, id := range h.order {
 				r := h.requests[id]
@@ -449,13 +449,13 @@
 					out = append(out, Violation{At: e.At, Text: fmt.Sprintf("%s was under way at %s when that was touched", id, name)})
 				}
 			}
-		case e.Kind == Phase:
+		case e.Kind == PhaseReached:
 			delete(inWork, strings.TrimPrefix(e.What, untouched))
-		case e.Kind == Sent && inWork[e.Server]:
+		case e.Kind == RequestForwarded && inWork[e.Server]:
 			out = append(out, Violation{At: e.At, Text: fmt.Sprintf("gateway %d sent %s to %s, which was worked at", e.Node, e.ID, e.Server)})
-		case e.Kind == Process && e.What == "started":
+		case e.Kind == ProcessChanged && e.What == "started":
 			delete(away, e.Node)
-		case e.Kind == Belief && ofOrder && strings.HasPrefix(machine, "g"):
+		case e.Kind == StateReported && ofOrder && strings.HasPrefix(machine, "g"):
 			all := away[e.Node]
 			if all == nil {
 				all = map[string]bool{}
@@ -475,7 +475,7 @@
 // crashes: no process ends unless it was told or made to.
 func crashes(h *reading) (out []Violation) {
 	for _, e := range h.events {
-		if e.Kind != Process || e.What != "ended" {
+		if e.Kind != ProcessChanged || e.What != "ended" {
 			continue
 		}
 		if w, made := h.during(e.Node, e.At-leaves, e.At, "kill", "term"); !made || w.Verb == "term" && e.Text != "exit status 0" {
@@ -489,11 +489,11 @@
 
 // address: once everything is whole again, exactly one gateway believes to hold the floating address.
 func address(h *reading) []Violation {
-	settled := slices.IndexFunc(h.events, func(e Event) bool { return e.Kind == Phase && e.What == "settled" })
+	settled := slices.IndexFunc(h.events, func(e Event) bool { return e.Kind == PhaseReached && e.What == "settled" })
 	if settled < 0 {
 		return nil
 	}
-	if held := Holding(h.events[:settled]); len(held) != 1 {
+	if held := ActiveRouters(h.events[:settled]); len(held) != 1 {
 		return []Violation{{At: h.events[settled].At, Text: fmt.Sprintf("%d gateways hold it", len(held))}}
 	}
 	return nil
@@ -508,7 +508,7 @@
 	for _, e := range h.events {
 		name, about := strings.CutPrefix(e.What, "member g")
 		node, err := strconv.Atoi(name)
-		if e.Kind != Belief || !about || e.Text != "dead" || err != nil || h.died(node, e.At-dieBy, e.At) {
+		if e.Kind != StateReported || !about || e.Text != "dead" || err != nil || h.died(node, e.At-dieBy, e.At) {
 			continue
 		}
 		reason := slices.ContainsFunc(h.faults, func(w window) bool {
--- a/internal/testcluster/check_test.go
+++ b/internal/testcluster/check_test.go
@@ -24,10 +24,10 @@
 		value = id + There
 	}
 	return story{
-		at(ms, Event{Kind: Asked, Node: 1, ID: id, Client: "c", Class: ClassBooking, Key: key, Within: 1_000_000}),
-		at(ms+1, Event{Kind: Sent, Node: 1, ID: id, Server: "p"}),
-		at(ms+2, Event{Kind: Ran, Node: 1, ID: id, Class: ClassBooking, Key: key, Server: "p", What: rolePrimary}),
-		at(ms+9, Event{Kind: Heard, Node: 1, ID: id, Client: "c", Class: ClassBooking, Key: key, What: end, Value: value}),
+		at(ms, Event{Kind: RequestSent, Node: 1, ID: id, Client: "c", Class: ClassBooking, Key: key, Timeout: 1_000_000}),
+		at(ms+1, Event{Kind: RequestForwarded, Node: 1, ID: id, Server: "p"}),
+		at(ms+2, Event{Kind: RequestExecuted, Node: 1, ID: id, Class: ClassBooking, Key: key, Server: "p", What: rolePrimary}),
+		at(ms+9, Event{Kind: ResponseReceived, Node: 1, ID: id, Client: "c", Class: ClassBooking, Key: key, What: end, Value: value}),
 	}
 }
 
@@ -38,18 +38,18 @@
 		role = rolePrimary
 	}
 	return story{
-		at(ms, Event{Kind: Asked, Node: 1, ID: id, Client: "v", Class: class, Key: "k", Within: 1_000_000}),
-		at(ms+1, Event{Kind: Sent, Node: 1, ID: id, Server: server}),
-		at(ms+2, Event{Kind: Ran, Node: 1, ID: id, Class: class, Key: "k", Server: server, What: role, Age: ageMS * 1000}),
-		at(ms+9, Event{Kind: Heard, Node: 1, ID: id, Client: "v", Class: class, Key: "k", What: EndServed, Value: id + value}),
+		at(ms, Event{Kind: RequestSent, Node: 1, ID: id, Client: "v", Class: class, Key: "k", Timeout: 1_000_000}),
+		at(ms+1, Event{Kind: RequestForwarded, Node: 1, ID: id, Server: server}),
+		at(ms+2, Event{Kind: RequestExecuted, Node: 1, ID: id, Class: class, Key: "k", Server: server, What: role, DataAge: ageMS * 1000}),
+		at(ms+9, Event{Kind: ResponseReceived, Node: 1, ID: id, Client: "v", Class: class, Key: "k", What: EndServed, Value: id + value}),
 	}
 }
 
 // again asks once more for a booking, and hears something of it; nothing runs.
 func again(ms int64, id, key, end, value string) story {
 	return story{
-		at(ms, Event{Kind: Asked, Node: 2, ID: id, Client: "c", Class: ClassBooking, Key: key, Within: 1_000_000, Text: askedBefore}),
-		at(ms+9, Event{Kind: Heard, Node: 2, ID: id, Client: "c", Class: ClassBooking, Key: key, What: end, Value: value}),
+		at(ms, Event{Kind: RequestSent, Node: 2, ID: id, Client: "c", Class: ClassBooking, Key: key, Timeout: 1_000_000, Text: askedBefore}),
+		at(ms+9, Event{Kind: ResponseReceived, Node: 2, ID: id, Client: "c", Class: ClassBooking, Key: key, What: end, Value: value}),
 	}
 }
 
@@ -61,37 +61,37 @@
 
 // looked is a gateway's own read.
 func looked(ms int64, key string) Event {
-	return at(ms, Event{Kind: Ran, Node: 2, ID: "look-1", Class: ClassSeat, Key: key, Server: "p", What: rolePrimary})
+	return at(ms, Event{Kind: RequestExecuted, Node: 2, ID: "look-1", Class: ClassSeat, Key: key, Server: "p", What: rolePrimary})
 }
 
 func fault(from, to int64, line string) story {
-	return story{at(from, Event{Kind: Begins, What: line}), at(to, Event{Kind: Ends, What: line})}
+	return story{at(from, Event{Kind: FaultStarted, What: line}), at(to, Event{Kind: FaultEnded, What: line})}
 }
 
 func ended(ms int64, how string) Event {
-	return at(ms, Event{Kind: Process, Node: 1, What: "ended", Text: how})
+	return at(ms, Event{Kind: ProcessChanged, Node: 1, What: "ended", Text: how})
 }
 
-func phase(ms int64, what string) Event { return at(ms, Event{Kind: Phase, What: what}) }
+func phase(ms int64, what string) Event { return at(ms, Event{Kind: PhaseReached, What: what}) }
 
 // standing is where a gateway believes that a machine stands.
 func standing(ms int64, node int, machine, state string) Event {
-	return at(ms, Event{Kind: Belief, Node: node, What: "order " + machine, Text: state})
+	return at(ms, Event{Kind: StateReported, Node: node, What: "order " + machine, Text: state})
 }
 
 func told(ms int64, server, state string) Event {
-	return at(ms, Event{Kind: Told, Node: 1, Server: server, What: state})
+	return at(ms, Event{Kind: EndpointUpdateSent, Node: 1, Server: server, What: state})
 }
 
 func belief(ms int64, node int, state string) Event {
-	return at(ms, Event{Kind: Belief, Node: node, What: "vrrp counters", Text: state})
+	return at(ms, Event{Kind: StateReported, Node: node, What: "vrrp counters", Text: state})
 }
 
 func join(parts ...story) (out story) {
 	for _, p := range parts {
 		out = append(out, p...)
 	}
-	return append(out, at(9000, Event{Kind: Phase, What: "done"}))
+	return append(out, at(9000, Event{Kind: PhaseReached, What: "done"}))
 }
 
 // without drops the events of a kind.
@@ -107,7 +107,7 @@
 // Each checker sees what it is there for, in a history made for it, and nothing in one that is nearly the same and sound.
 func TestCheckersBite(t *testing.T) {
 	lost := booked(100, "a", "k", EndReset)
-	unsent := without(without(lost, Sent), Ran)
+	unsent := without(without(lost, RequestForwarded), RequestExecuted)
 	slow := booked(100, "a", "k", EndTimeout)
 	for _, c := range []struct {
 		name string
@@ -115,9 +115,9 @@
 		h    story
 	}{
 		{"a booking", "", join(booked(100, "a", "k", EndServed))},
-		{"an answer that never came", "answers", join(without(booked(100, "a", "k", EndServed), Heard))},
-		{"two answers", "answers", join(booked(100, "a", "k", EndServed), story{at(150, Event{Kind: Heard, Node: 1, ID: "a", What: EndFailed})})},
-		{"an answer that nobody asked for", "answers", join(without(booked(100, "a", "k", EndServed), Asked))},
+		{"an answer that never came", "answers", join(without(booked(100, "a", "k", EndServed), ResponseReceived))},
+		{"two answers", "answers", join(booked(100, "a", "k", EndServed), story{at(150, Event{Kind: ResponseReceived, Node: 1, ID: "a", What: EndFailed})})},
+		{"an answer that nobody asked for", "answers", join(without(booked(100, "a", "k", EndServed), RequestSent))},
 		{"another's value", "answers", join(viewed(100, "a", ClassView, "r1", "b"+There, 1))},
 		{"a connection reset", "answers", join(lost)},
 		{"reset by the gateway's death", "", join(lost, fault(105, 300, "at 1s kill 1"), story{ended(107, "signal: killed")})},
@@ -129,11 +129,11 @@
 		{"silence", "answers", join(slow)},
 		{"silence of one that stands still", "", join(slow, fault(50, 3000, "at 1s stop 1"))},
 		{"silence while another stands still", "answers", join(slow, fault(50, 3000, "at 1s stop 2"))},
-		{"twice by one request", "bookings", join(booked(100, "a", "k", EndFailed), story{at(105, Event{Kind: Ran, Node: 1, ID: "a", Class: ClassBooking, Key: "k", Server: "p"})})},
+		{"twice by one request", "bookings", join(booked(100, "a", "k", EndFailed), story{at(105, Event{Kind: RequestExecuted, Node: 1, ID: "a", Class: ClassBooking, Key: "k", Server: "p"})})},
 		{"twice by two requests", "bookings", join(booked(100, "a", "k", EndFailed), booked(200, "b", "k", EndServed))},
-		{"served, and never ran", "bookings", join(without(booked(100, "a", "k", EndServed), Ran))},
-		{"refused, and ran", "bookings", join(booked(100, "a", "k", EndRefused))},
-		{"refused, then booked", "", join(without(booked(100, "a", "k", EndRefused), Ran), booked(200, "b", "k", EndServed))},
+		{"served, and never ran", "bookings", join(without(booked(100, "a", "k", EndServed), RequestExecuted))},
+		{"refused, and ran", "bookings", join(booked(100, "a", "k", EndRejected))},
+		{"refused, then booked", "", join(without(booked(100, "a", "k", EndRejected), RequestExecuted), booked(200, "b", "k", EndServed))},
 		{"sent to a drained server", "drains", join(story{told(100, "r1", "draining")}, viewed(700, "a", ClassView, "r1", Absent, 1))},
 		{"sent within its time", "", join(story{told(100, "r1", "draining")}, viewed(300, "a", ClassView, "r1", Absent, 1))},
 		{"sent once it was ready again", "", join(story{told(100, "r1", "draining"), told(500, "r1", "ready")}, viewed(700, "a", ClassView, "r1", Absent, 1))},
@@ -143,7 +143,7 @@
 		{"old data", "stale", join(viewed(100, "a", ClassView, "r1", Absent, 900))},
 		{"data within the bound", "", join(viewed(100, "a", ClassView, "r1", Absent, 840))},
 		{"a seat at a replica", "stale", join(viewed(100, "a", ClassSeat, "r1", Absent, 1))},
-		{"a seat at a replica, whose answer is not passed on", "", join(viewed(100, "a", ClassSeat, "p", Absent, 0), story{at(101, Event{Kind: Ran, Node: 1, ID: "a", Class: ClassSeat, Key: "k", Server: "r1", What: roleReplica})})},
+		{"a seat at a replica, whose answer is not passed on", "", join(viewed(100, "a", ClassSeat, "p", Absent, 0), story{at(101, Event{Kind: RequestExecuted, Node: 1, ID: "a", Class: ClassSeat, Key: "k", Server: "r1", What: roleReplica})})},
 		{"a booked seat that is not seen", "linearizable", join(booked(100, "a", "k", EndServed), viewed(200, "b", ClassSeat, "p", Absent, 0))},
 		{"a seat seen and then not", "linearizable", join(booked(100, "a", "k", EndFailed), viewed(103, "b", ClassSeat, "p", There, 0), viewed(200, "c", ClassSeat, "p", Absent, 0))},
 		{"a booking in doubt that takes effect later", "", join(booked(100, "a", "k", EndFailed), viewed(200, "b", ClassSeat, "p", Absent, 0), viewed(300, "c", ClassSeat, "p", There, 0))},
@@ -160,18 +160,18 @@
 		{"asked again, and a read shows it", "", join(booked(100, "a", "k", EndFailed), story{looked(205, "k")}, again(200, "b", "k", EndServed, "look-1"+There))},
 		{"asked again, and a read of another key", "answers,bookings", join(booked(100, "a", "k", EndFailed), story{looked(205, "j")}, again(200, "b", "k", EndServed, "look-1"+There))},
 		{"asked again, and another booking's answer", "answers,bookings", join(booked(100, "a", "j", EndServed), again(200, "b", "k", EndServed, "a"+There))},
-		{"asked again and refused, and it ran", "told", join(booked(100, "a", "k", EndFailed), again(200, "b", "k", EndRefused, ""))},
-		{"asked again as the connection is closed, and it ran", "", join(booked(100, "a", "k", EndFailed), closing(again(200, "b", "k", EndRefused, "")))},
-		{"asked again and refused, and it never ran", "", join(without(without(booked(100, "a", "k", EndFailed), Ran), Sent), again(200, "b", "k", EndRefused, ""))},
+		{"asked again and refused, and it ran", "told", join(booked(100, "a", "k", EndFailed), again(200, "b", "k", EndRejected, ""))},
+		{"asked again as the connection is closed, and it ran", "", join(booked(100, "a", "k", EndFailed), closing(again(200, "b", "k", EndRejected, "")))},
+		{"asked again and refused, and it never ran", "", join(without(without(booked(100, "a", "k", EndFailed), RequestExecuted), RequestForwarded), again(200, "b", "k", EndRejected, ""))},
 		{"a crash", "crashes", join(story{ended(100, "exit status 2")})},
 		{"a crash while it was told to end", "crashes", join(fault(90, 300, "at 1s term 1"), story{ended(200, "exit status 2")})},
 		{"an end that was asked for", "", join(fault(90, 300, "at 1s term 1"), story{ended(200, "exit status 0")})},
-		{"two hold the address", "address", join(story{belief(1, 1, "active"), belief(2, 2, "active"), at(500, Event{Kind: Phase, What: "settled"})})},
-		{"one holds the address", "", join(story{belief(1, 1, "active"), belief(2, 2, "active"), belief(3, 1, "backup"), at(500, Event{Kind: Phase, What: "settled"})})},
-		{"a live gateway held dead", "members", join(story{at(100, Event{Kind: Belief, Node: 2, What: "member g1", Text: "dead"})})},
-		{"a dead one held dead", "", join(fault(90, 300, "at 1s kill 1"), story{ended(95, "signal: killed"), at(100, Event{Kind: Belief, Node: 2, What: "member g1", Text: "dead"})})},
-		{"a fault that is none", "history", join(story{at(1, Event{Kind: Begins, What: "at 1s sing 1"})})},
-		{"an end without a beginning", "history", join(story{at(1, Event{Kind: Ends, What: "at 1s kill 1"})})},
+		{"two hold the address", "address", join(story{belief(1, 1, "active"), belief(2, 2, "active"), at(500, Event{Kind: PhaseReached, What: "settled"})})},
+		{"one holds the address", "", join(story{belief(1, 1, "active"), belief(2, 2, "active"), belief(3, 1, "backup"), at(500, Event{Kind: PhaseReached, What: "settled"})})},
+		{"a live gateway held dead", "members", join(story{at(100, Event{Kind: StateReported, Node: 2, What: "member g1", Text: "dead"})})},
+		{"a dead one held dead", "", join(fault(90, 300, "at 1s kill 1"), story{ended(95, "signal: killed"), at(100, Event{Kind: StateReported, Node: 2, What: "member g1", Text: "dead"})})},
+		{"a fault that is none", "history", join(story{at(1, Event{Kind: FaultStarted, What: "at 1s sing 1"})})},
+		{"an end without a beginning", "history", join(story{at(1, Event{Kind: FaultEnded, What: "at 1s kill 1"})})},
 	} {
 		var rules []string
 		for _, v := range Check(c.h) {
@@ -200,7 +200,7 @@
 		}
 	}
 	full := NewHistory(failing{})
-	full.Add(Event{Kind: Phase})
+	full.Add(Event{Kind: PhaseReached})
 	if full.Err() == nil {
 		t.Error("a history that could not be written is whole")
 	}
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -17,12 +17,12 @@
 var groupNames = [...][2]string{{"p", "r"}, {"q", "s"}}
 
 // MostGroups is how many groups of servers a fleet may have.
-const MostGroups = len(groupNames)
+const MaxGroups = len(groupNames)
 
 // groupOf is the group that a client's key belongs to: clients differ in it, and keep to it.
-func (f *Fleet) groupOf(key string) int {
+func (f *Cluster) groupOf(key string) int {
 	client, _, _ := strings.Cut(key, "-")
-	return Group + int(client[len(client)-1])%len(f.clusters)
+	return Group + int(client[len(client)-1])%len(f.groups)
 }
 
 // The classes that clients use.
@@ -44,7 +44,7 @@
 
 // cluster is a primary and its replicas, which share a log of commits. A position is a Unix time in milliseconds: the data
 // of a server at position x hold what was committed up to then.
-type cluster struct {
+type serverGroup struct {
 	group   int
 	history *History
 	node    func(ip string) int // the gateway behind a connection
@@ -58,7 +58,7 @@
 // server is one database server.
 type server struct {
 	*fake.Server
-	of      *cluster
+	of      *serverGroup
 	name    string
 	primary bool
 	lag     time.Duration
@@ -67,8 +67,8 @@
 }
 
 // newCluster starts a group's primary and its replicas, "p", "r1", "r2" and so on, each at an address of its own.
-func newCluster(h *History, group, replicas int, work time.Duration, node func(string) int) (*cluster, error) {
-	c := &cluster{group: group, history: h, node: node, work: work, commits: map[string]int64{}}
+func newServerGroup(h *History, group, replicas int, work time.Duration, node func(string) int) (*serverGroup, error) {
+	c := &serverGroup{group: group, history: h, node: node, work: work, commits: map[string]int64{}}
 	for i := range replicas + 1 {
 		names := groupNames[group-Group]
 		s := &server{of: c, name: names[0], primary: i == 0, state: "ready"}
@@ -104,7 +104,7 @@
 }
 
 // promote makes a replica the primary, with all that was committed, and the primary that was a replica. It tells which that was.
-func (c *cluster) promote(next *server) (last *server) {
+func (c *serverGroup) promote(next *server) (last *server) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.servers {
@@ -119,14 +119,14 @@
 }
 
 // servers are those of all groups.
-func (f *Fleet) servers() (all []*server) {
-	for _, c := range f.clusters {
+func (f *Cluster) servers() (all []*server) {
+	for _, c := range f.groups {
 		all = append(all, c.servers...)
 	}
 	return all
 }
 
-func (f *Fleet) server(name string) *server {
+func (f *Cluster) server(name string) *server {
 	for _, s := range f.servers() {
 		if s.name == name {
 			return s
@@ -136,13 +136,13 @@
 }
 
 // position is up to where a server has applied the log.
-func (c *cluster) position(s *server) int64 {
+func (c *serverGroup) position(s *server) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.positionLocked(s)
 }
 
-func (c *cluster) positionLocked(s *server) int64 {
+func (c *serverGroup) positionLocked(s *server) int64 {
 	s.applied = max(s.applied, time.Now().Add(-s.lag).UnixMilli())
 	return s.applied
 }
@@ -151,7 +151,7 @@
 var keyOf = regexp.MustCompile(`(?:name = |VALUES \()'([^']*)'`)
 
 // run runs one request and notes it.
-func (c *cluster) run(s *server, q *fake.Query) {
+func (c *serverGroup) run(s *server, q *fake.Query) {
 	key := ""
 	if m := keyOf.FindStringSubmatch(q.SQL); m != nil {
 		key = m[1]
@@ -178,7 +178,7 @@
 		age = time.Since(time.UnixMilli(at)).Microseconds()
 	}
 	c.history.Add(Event{
-		Kind: Ran, Node: c.node(q.From()), ID: q.ID(), Class: q.Field("c"), Key: key, Server: s.name, What: role, Age: age,
+		Kind: RequestExecuted, Node: c.node(q.From()), ID: q.ID(), Class: q.Field("c"), Key: key, Server: s.name, What: role, DataAge: age,
 	})
 	time.Sleep(c.work)
 	value := q.ID() + Absent
@@ -190,7 +190,7 @@
 }
 
 // setLag lets a replica fall behind: it stands where it is until it lags by so much, then goes on at that distance.
-func (c *cluster) setLag(s *server, lag time.Duration) {
+func (c *serverGroup) setLag(s *server, lag time.Duration) {
 	c.mu.Lock()
 	c.positionLocked(s)
 	if !s.primary {
@@ -200,7 +200,7 @@
 }
 
 // setState tells whether the state is another one than before.
-func (c *cluster) setState(s *server, state string) bool {
+func (c *serverGroup) setState(s *server, state string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	changed := s.state != state
@@ -215,7 +215,7 @@
 	return fake.Target{UID: s.name, Endpoint: endpoint, Zone: "here", Group: s.of.group, State: s.state, Weight: 1, Role: s.role()}
 }
 
-func (c *cluster) close() {
+func (c *serverGroup) close() {
 	for _, s := range c.servers {
 		s.Close()
 	}
--- a/internal/testcluster/copies.go
+++ b/internal/testcluster/copies.go
@@ -12,32 +12,32 @@
 )
 
 // Copies says what gateways hold for each other. They keep the sessions of bookings and of the class mine.
-type Copies struct {
-	Copies, Shards       int
-	Heartbeat, HealAfter time.Duration
-	Memory               bool // no disks
-	Fast                 bool // answers do not wait for their promise
-	NoMarks              bool // nobody uses them
-	Holders              int  // how many gateways hold replicas, the first ones; 0: all
+type StateStore struct {
+	Voters, Shards         int
+	Heartbeat, RepairAfter time.Duration
+	InMemory               bool // no disks
+	FastMarks              bool // answers do not wait for their promise
+	NoSessionMarks         bool // nobody uses them
+	RaftNodes              int  // how many gateways hold replicas, the first ones; 0: all
 }
 
 // DefaultCopies are sizes that suit a few gateways and a short run.
-func DefaultCopies() *Copies {
-	return &Copies{Copies: 3, Shards: 4, Heartbeat: 100 * time.Millisecond, HealAfter: 3 * time.Second}
+func DefaultStateStore() *StateStore {
+	return &StateStore{Voters: 3, Shards: 4, Heartbeat: 100 * time.Millisecond, RepairAfter: 3 * time.Second}
 }
 
 // section is the state-store section of a gateway's operators' file.
-func (c *Copies) section(n *Node) string {
+func (c *StateStore) section(n *Node) string {
 	var b strings.Builder
 	holders := "all"
-	for i := range c.Holders {
+	for i := range c.RaftNodes {
 		if i == 0 {
 			holders = ""
 		}
 		holders += n.f.Nodes[i].Name() + " "
 	}
-	fmt.Fprintf(&b, "state-store\n raft-nodes %s\n voters %d\n shards %d\n heartbeat %v\n repair-after %v\n max-repairs 8\n", holders, c.Copies, c.Shards, c.Heartbeat, c.HealAfter)
-	if c.Memory {
+	fmt.Fprintf(&b, "state-store\n raft-nodes %s\n voters %d\n shards %d\n heartbeat %v\n repair-after %v\n max-repairs 8\n", holders, c.Voters, c.Shards, c.Heartbeat, c.RepairAfter)
+	if c.InMemory {
 		fmt.Fprintf(&b, " storage memory\n")
 	} else {
 		fmt.Fprintf(&b, " storage disk %s\n witness %s\n", n.StoreFile(), n.dir+"/witness")
@@ -45,10 +45,10 @@
 	if n.f.InDoubt != nil {
 		b.WriteString(" memory 16m\n") // for all bookings of a run
 	}
-	if !c.NoMarks {
+	if !c.NoSessionMarks {
 		fmt.Fprintf(&b, " session-marks %s %s\n", ClassBooking, ClassMine)
 	}
-	if c.Fast {
+	if c.FastMarks {
 		fmt.Fprintf(&b, " marks-mode fast\n")
 	}
 	return b.String()
@@ -58,7 +58,7 @@
 func (n *Node) StoreFile() string { return n.dir + "/data/copies.db" }
 
 // CopiesView is what a gateway answers about copies.
-type CopiesView struct {
+type StateStoreStatus struct {
 	Founding string
 	Copies   int
 	Format   uint32
@@ -68,15 +68,15 @@
 		Number, Node string
 		Gone         bool
 	}
-	Groups []CopiesGroup
+	Groups []RaftGroup
 }
 
 // CopiesGroup is one shard, or the ledger.
-type CopiesGroup struct {
+type RaftGroup struct {
 	Group, Epoch uint32
 	Lost         bool
-	Replicas     []CopiesReplica
-	Adding       *CopiesReplica
+	Replicas     []RaftReplica
+	Adding       *RaftReplica
 	Here         *struct {
 		Leader  string
 		Records int
@@ -85,19 +85,19 @@
 }
 
 // CopiesReplica is one replica.
-type CopiesReplica struct {
+type RaftReplica struct {
 	Number uint64
 	Node   string
 	Lost   bool
 }
 
 // On tells whether a gateway has a replica of a group.
-func (g CopiesGroup) On(n *Node) bool {
-	return slices.ContainsFunc(g.Replicas, func(r CopiesReplica) bool { return r.Node == n.Name() })
+func (g RaftGroup) HasReplicaOn(n *Node) bool {
+	return slices.ContainsFunc(g.Replicas, func(r RaftReplica) bool { return r.Node == n.Name() })
 }
 
 // Copies asks a gateway how copies stand.
-func (n *Node) Copies() (v CopiesView, err error) {
+func (n *Node) StateStoreStatus() (v StateStoreStatus, err error) {
 	out, err := exec.Command(n.f.Binary, "state-store", "--json", "--socket", n.Socket()).Output()
 	if err == nil {
 		err = json.Unmarshal(out, &v)
@@ -106,7 +106,7 @@
 }
 
 // Found makes a new store at a gateway; first says that there was none before.
-func (n *Node) Found(first bool) error {
+func (n *Node) Bootstrap(first bool) error {
 	args := []string{"state-store", "bootstrap", "--socket", n.Socket()}
 	if first {
 		args = append(args, "--first")
@@ -118,7 +118,7 @@
 }
 
 // Gone says at a gateway that another one's disk will not come back.
-func (n *Node) Gone(other *Node) error {
+func (n *Node) RemoveStore(other *Node) error {
 	if out, err := exec.Command(n.f.Binary, "state-store", "remove-store", other.Name(), "--socket", n.Socket()).CombinedOutput(); err != nil {
 		return fmt.Errorf("%w: %s", err, out)
 	}
@@ -126,9 +126,9 @@
 }
 
 // LeaderOf is the gateway that leads a group, by those that hold it; nil: none does now.
-func (f *Fleet) LeaderOf(group int) *Node {
+func (f *Cluster) LeaderOf(group int) *Node {
 	for _, n := range f.Nodes {
-		v, err := n.Copies()
+		v, err := n.StateStoreStatus()
 		if err != nil || group >= len(v.Groups) || v.Groups[group].Here == nil {
 			continue
 		}
@@ -143,11 +143,11 @@
 
 // unwhole says what is not whole yet: every group must have all its copies on gateways that hold them, and a leader that all of
 // them agree on.
-func (f *Fleet) unwhole() string {
-	views := map[string]CopiesView{}
+func (f *Cluster) unwhole() string {
+	views := map[string]StateStoreStatus{}
 	for _, n := range f.Nodes {
-		v, err := n.Copies()
-		if err != nil || len(v.Groups) != f.Options.Copies.Shards+1 {
+		v, err := n.StateStoreStatus()
+		if err != nil || len(v.Groups) != f.Options.StateStore.Shards+1 {
 			return fmt.Sprintf("gateway %d: %d groups, %v", n.Number, len(v.Groups), err)
 		}
 		if v.Failed != "" {
@@ -158,7 +158,7 @@
 	first := views[f.Nodes[0].Name()]
 	for i, g := range first.Groups {
 		leader := ""
-		if len(g.Replicas) != f.Options.Copies.Copies || g.Adding != nil {
+		if len(g.Replicas) != f.Options.StateStore.Voters || g.Adding != nil {
 			return fmt.Sprintf("group %d: %+v, adding %+v", i, g.Replicas, g.Adding)
 		}
 		for _, r := range g.Replicas {
@@ -178,12 +178,12 @@
 }
 
 // mend restarts the gateways whose disks have failed, as an operator does once the disk is well again.
-func (f *Fleet) mend() error {
-	if f.Options.Copies == nil {
+func (f *Cluster) mend() error {
+	if f.Options.StateStore == nil {
 		return nil
 	}
 	for _, n := range f.Nodes {
-		if v, err := n.Copies(); err != nil || v.Failed == "" {
+		if v, err := n.StateStoreStatus(); err != nil || v.Failed == "" {
 			continue
 		}
 		undo, err := f.inflict(Fault{Verb: "term", From: []int{n.Number}})
@@ -198,7 +198,7 @@
 }
 
 // AwaitWhole waits until all copies are there.
-func (f *Fleet) AwaitWhole(bound time.Duration) error {
+func (f *Cluster) AwaitComplete(bound time.Duration) error {
 	for late := time.Now().Add(bound); ; time.Sleep(50 * time.Millisecond) {
 		wrong := f.unwhole()
 		if wrong == "" {
@@ -211,13 +211,13 @@
 }
 
 // Reread reads every session whose booking was served once more, at gateways in turn: what was promised is there.
-func (l *Load) Reread() { l.RereadSome(1) }
+func (l *Load) VerifySessions() { l.VerifySomeSessions(1) }
 
 // RereadSome reads one of so many.
-func (l *Load) RereadSome(of int) {
+func (l *Load) VerifySomeSessions(of int) {
 	var keys []string
 	for _, e := range l.f.History.Events() {
-		if e.Kind == Heard && e.Class == ClassBooking && e.What == EndServed {
+		if e.Kind == ResponseReceived && e.Class == ClassBooking && e.What == EndServed {
 			keys = append(keys, e.Key)
 		}
 	}
--- a/internal/testcluster/copies_test.go
+++ b/internal/testcluster/copies_test.go
@@ -18,8 +18,8 @@
 	if raced {
 		t.Skip("what these processes do, the race detector does not see")
 	}
-	play := func(script string) func(*Fleet) error {
-		return func(f *Fleet) error {
+	play := func(script string) func(*Cluster) error {
+		return func(f *Cluster) error {
 			faults, err := ParseScript("script", script)
 			if err != nil {
 				return err
@@ -27,12 +27,12 @@
 			return f.Play(faults, nil)
 		}
 	}
-	down := func(f *Fleet, n *Node, verb string, meanwhile func() error) error {
-		return during(f, fmt.Sprintf("at 0s %s %d", verb, n.Number), func() error { n.Wait(); return meanwhile() })
+	down := func(f *Cluster, n *Node, verb string, meanwhile func() error) error {
+		return during(f, fmt.Sprintf("at 0s %s %d", verb, n.Number), func() error { n.WaitForExit(); return meanwhile() })
 	}
-	killLeaders := func(f *Fleet, times int) error {
+	killLeaders := func(f *Cluster, times int) error {
 		for i := range times {
-			if n := f.LeaderOf(1 + i%f.Options.Copies.Shards); n != nil {
+			if n := f.LeaderOf(1 + i%f.Options.StateStore.Shards); n != nil {
 				if err := down(f, n, "kill", func() error { return nil }); err != nil {
 					return err
 				}
@@ -44,12 +44,12 @@
 		return nil
 	}
 	// heldUp cuts ways of a leader, lets writes come to where the cut holds them up, and kills it there.
-	heldUp := func(f *Fleet, ways func(leader, holders, others string) string) error {
+	heldUp := func(f *Cluster, ways func(leader, holders, others string) string) error {
 		n, err := leader(f)
 		if err != nil {
 			return err
 		}
-		v, err := n.Copies()
+		v, err := n.StateStoreStatus()
 		if err != nil {
 			return err
 		}
@@ -57,7 +57,7 @@
 		for _, m := range f.Nodes {
 			switch name := fmt.Sprint(m.Number); {
 			case m == n:
-			case v.Groups[1].On(m):
+			case v.Groups[1].HasReplicaOn(m):
 				holders = append(holders, name)
 			default:
 				others = append(others, name)
@@ -69,7 +69,7 @@
 			if err != nil {
 				return err
 			}
-			n.Wait()
+			n.WaitForExit()
 			return undo()
 		}); err != nil {
 			return err
@@ -77,28 +77,28 @@
 		if err := f.AwaitReady(settleBy); err != nil {
 			return err
 		}
-		return f.AwaitWhole(settleBy)
+		return f.AwaitComplete(settleBy)
 	}
 	for _, c := range []struct {
 		name   string
 		memory bool
 		lossy  bool // sessions may be lost, and are known to be
-		do     func(f *Fleet) error
+		do     func(f *Cluster) error
 	}{
 		{"calm", false, false, play("at 1s lag r1 2s for 1s")},
-		{"in memory, one after the other is restarted", true, false, func(f *Fleet) error {
+		{"in memory, one after the other is restarted", true, false, func(f *Cluster) error {
 			for _, n := range f.Nodes[:3] {
 				if err := down(f, n, "term", func() error { return nil }); err != nil {
 					return err
 				}
-				if err := f.AwaitWhole(settleBy); err != nil {
+				if err := f.AwaitComplete(settleBy); err != nil {
 					return err
 				}
 			}
 			return nil
 		}},
-		{"leaders are killed", false, false, func(f *Fleet) error { return killLeaders(f, 4) }},
-		{"the leader is killed at each step of a write", false, false, func(f *Fleet) error {
+		{"leaders are killed", false, false, func(f *Cluster) error { return killLeaders(f, 4) }},
+		{"the leader is killed at each step of a write", false, false, func(f *Cluster) error {
 			for _, ways := range []func(leader, holders, others string) string{
 				func(l, h, o string) string { return fmt.Sprintf("at 0s cut %s -> all", l) },        // taken, on its own disk, with nobody else
 				func(l, h, o string) string { return fmt.Sprintf("at 0s cut %s -> %s", h, l) },      // with a quorum, of which it does not know
@@ -111,17 +111,17 @@
 			}
 			return nil
 		}},
-		{"one of five only asks, and leaders are killed", false, false, func(f *Fleet) error {
-			if v, err := f.Nodes[4].Copies(); err != nil || v.Disk != "" || len(v.Disks) != 4 {
+		{"one of five only asks, and leaders are killed", false, false, func(f *Cluster) error {
+			if v, err := f.Nodes[4].StateStoreStatus(); err != nil || v.Disk != "" || len(v.Disks) != 4 {
 				return fmt.Errorf("gateway 5 holds something: %+v, %v", v, err)
 			}
 			return killLeaders(f, 3)
 		}},
-		{"two versions of the records together", false, false, func(f *Fleet) error {
+		{"two versions of the records together", false, false, func(f *Cluster) error {
 			formats := func(want uint32) error {
 				return poll(fmt.Sprint("all use format ", want), func() bool {
 					for _, n := range f.Nodes {
-						if v, err := n.Copies(); err != nil || v.Format != want {
+						if v, err := n.StateStoreStatus(); err != nil || v.Format != want {
 							return false
 						}
 					}
@@ -136,7 +136,7 @@
 				if err := down(f, n, "term", func() error { return nil }); err != nil {
 					return err
 				}
-				if err := f.AwaitWhole(settleBy); err != nil {
+				if err := f.AwaitComplete(settleBy); err != nil {
 					return fmt.Errorf("%d of the later version: %w", i+1, err)
 				}
 			}
@@ -154,7 +154,7 @@
 			n.Binary = another
 			return down(f, n, "kill", func() error { return nil })
 		}},
-		{"disks are lost, one after the other", false, false, func(f *Fleet) error {
+		{"disks are lost, one after the other", false, false, func(f *Cluster) error {
 			for _, n := range f.Nodes {
 				if err := down(f, n, "kill", func() error { return n.disk("empty") }); err != nil {
 					return err
@@ -162,13 +162,13 @@
 				if err := f.AwaitReady(settleBy); err != nil {
 					return err
 				}
-				if err := f.AwaitWhole(settleBy); err != nil {
+				if err := f.AwaitComplete(settleBy); err != nil {
 					return err
 				}
 			}
 			return believes(f, "disk_gone")
 		}},
-		{"a copy of a disk is put back", false, false, func(f *Fleet) error {
+		{"a copy of a disk is put back", false, false, func(f *Cluster) error {
 			n, err := leader(f)
 			if err != nil {
 				return err
@@ -176,7 +176,7 @@
 			if err := down(f, n, "kill", func() error { return n.disk("save") }); err != nil {
 				return err
 			}
-			if err := f.AwaitWhole(settleBy); err != nil {
+			if err := f.AwaitComplete(settleBy); err != nil {
 				return err
 			}
 			time.Sleep(2 * time.Second) // bookings go on
@@ -185,7 +185,7 @@
 			}
 			return believes(f, "disk_older")
 		}},
-		{"a leader stands still", false, false, func(f *Fleet) error {
+		{"a leader stands still", false, false, func(f *Cluster) error {
 			n, err := leader(f)
 			if err != nil {
 				return err
@@ -194,7 +194,7 @@
 		}},
 		{"one-way cuts", false, false, play("at 0s cut 1 -> all for 2s\nat 3s cut all -> 2 for 2s\nat 5s cut 3 -> 4 for 1s")},
 		{"one is cut off for longer than heal-after", false, false, play("at 0s split 2 | 1,3,4,5 for 5s")},
-		{"a placement changes in a split, where the ledger's majority is and nowhere else", false, false, func(f *Fleet) error {
+		{"a placement changes in a split, where the ledger's majority is and nowhere else", false, false, func(f *Cluster) error {
 			lost := f.Nodes[4]
 			return during(f, "at 0s split 1,2 | 3,4,5", func() error {
 				return down(f, lost, "kill", func() error {
@@ -204,7 +204,7 @@
 					var taken []int
 					if err := poll("one side takes the word that a disk is gone", func() bool {
 						for _, n := range f.Nodes[:4] {
-							if n.Gone(lost) == nil {
+							if n.RemoveStore(lost) == nil {
 								taken = append(taken, n.Number)
 							}
 						}
@@ -214,7 +214,7 @@
 					}
 					time.Sleep(2 * time.Second) // both sides go on
 					for _, n := range f.Nodes[:4] {
-						if n.Gone(lost) == nil {
+						if n.RemoveStore(lost) == nil {
 							taken = append(taken, n.Number)
 						}
 					}
@@ -226,7 +226,7 @@
 			})
 		}},
 		{"losses, delay and streams that stand still", false, false, play("at 0s loss all -> all 30% for 4s\nat 0s delay all -> all 0s..1s for 4s\nat 5s stall 1 -> 2,3 for 2s")},
-		{"a damaged disk", false, false, func(f *Fleet) error {
+		{"a damaged disk", false, false, func(f *Cluster) error {
 			n := f.Nodes[3]
 			checked := func(want string) error {
 				out, err := exec.Command(f.Binary, "state-store", "check", n.StoreFile()).CombinedOutput()
@@ -252,7 +252,7 @@
 				return checked("is damaged")
 			})
 		}},
-		{"a disk that is full", false, false, func(f *Fleet) error {
+		{"a disk that is full", false, false, func(f *Cluster) error {
 			n, err := leader(f)
 			if err != nil {
 				return err
@@ -268,16 +268,16 @@
 			return down(f, n, "kill", func() error { return nil })
 		}},
 		{"46 % of nine are killed", false, false, play("at 0s kill 1,2,3,4 for 1s")},
-		{"all are killed at once, their files in former words", false, false, func(f *Fleet) error {
+		{"all are killed at once, their files in former words", false, false, func(f *Cluster) error {
 			if err := play("at 0s kill all for 100ms")(f); err != nil {
 				return err
 			}
 			return warnsOfFormerWords(f)
 		}},
-		{"all are killed at once, with their disks", false, true, func(f *Fleet) error {
+		{"all are killed at once, with their disks", false, true, func(f *Cluster) error {
 			if err := during(f, "at 0s kill all", func() error {
 				for _, n := range f.Nodes {
-					n.Wait()
+					n.WaitForExit()
 					if err := n.disk("empty"); err != nil {
 						return err
 					}
@@ -289,13 +289,13 @@
 			if err := f.AwaitReady(settleBy); err != nil {
 				return err
 			}
-			if v, err := f.Nodes[0].Copies(); err != nil || v.Founding != "" {
+			if v, err := f.Nodes[0].StateStoreStatus(); err != nil || v.Founding != "" {
 				return fmt.Errorf("a store was invented: %+v, %v", v, err)
 			}
 			if err := f.AwaitMembers(settleBy); err != nil {
 				return err
 			}
-			return f.Nodes[2].Found(false)
+			return f.Nodes[2].Bootstrap(false)
 		}},
 		{"two of a shard's three disks are lost at once", false, true, loseTwo},
 	} {
@@ -304,19 +304,19 @@
 			wide <- true
 			defer func() { <-wide }()
 			o := options()
-			o.Nodes, o.Dir, o.Copies = 5, t.TempDir(), DefaultCopies()
+			o.Nodes, o.Dir, o.StateStore = 5, t.TempDir(), DefaultStateStore()
 			if strings.Contains(c.name, "nine") {
 				o.Nodes = 9
 			}
-			o.Copies.Memory = c.memory
+			o.StateStore.InMemory = c.memory
 			if strings.Contains(c.name, "former words") {
-				o.Rewrite = withFormerWords
+				o.RewriteConfig = withFormerWords
 			}
 			if strings.Contains(c.name, "only asks") {
-				o.Copies.Holders = 4
+				o.StateStore.RaftNodes = 4
 			}
 			load := DefaultLoad()
-			load.Mine = 4
+			load.SessionReaders = 4
 			ordeal(t, "copies "+c.name, o, load, "at 0s lag r1 2s", c.do)
 		})
 	}
@@ -329,7 +329,7 @@
 }
 
 // warnsOfFormerWords looks for the warnings of withFormerWords in the log of each gateway.
-func warnsOfFormerWords(f *Fleet) error {
+func warnsOfFormerWords(f *Cluster) error {
 	for _, n := range f.Nodes {
 		log, err := os.ReadFile(filepath.Join(n.dir, "log"))
 		if err != nil {
@@ -346,7 +346,7 @@
 
 // ordeal starts a fleet with copies, has something done to it under load, and checks what happened once it has come to rest.
 // Meanwhile is a fault that lasts all along; empty: none does.
-func ordeal(t *testing.T, name string, o Options, load LoadOptions, meanwhile string, do func(*Fleet) error) {
+func ordeal(t *testing.T, name string, o Options, load LoadOptions, meanwhile string, do func(*Cluster) error) {
 	t.Helper()
 	var history bytes.Buffer
 	o.History = &history
@@ -358,7 +358,7 @@
 	l := f.Load(load)
 	over := func() error { return nil }
 	if meanwhile != "" {
-		if over, err = f.Begin(mustFault(meanwhile)); err != nil {
+		if over, err = f.Inject(mustFault(meanwhile)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -370,11 +370,11 @@
 		t.Error(err)
 	}
 	t.Logf("at rest %v after the fault", time.Since(healed))
-	f.History.Add(Event{Kind: Phase, What: "settled"})
+	f.History.Add(Event{Kind: PhaseReached, What: "settled"})
 	l.Stop()
-	l.Reread()
+	l.VerifySessions()
 	over()
-	f.History.Add(Event{Kind: Phase, What: "done"})
+	f.History.Add(Event{Kind: PhaseReached, What: "done"})
 	f.History.End()
 	for _, v := range Check(f.History.Events()) {
 		t.Error(v)
@@ -384,15 +384,15 @@
 }
 
 // believes waits until some gateway has noticed something of its copies.
-func believes(f *Fleet, what string) error {
+func believes(f *Cluster, what string) error {
 	return f.History.Await("a gateway believes "+what, settleBy, func(all []Event) bool {
-		return slices.ContainsFunc(all, func(e Event) bool { return e.Kind == Belief && e.What == "copies "+what })
+		return slices.ContainsFunc(all, func(e Event) bool { return e.Kind == StateReported && e.What == "copies "+what })
 	})
 }
 
 // loseTwo has two of a shard's three disks be lost at once, of gateways that do not hold the ledger both.
-func loseTwo(f *Fleet) error {
-	v, err := f.Nodes[0].Copies()
+func loseTwo(f *Cluster) error {
+	v, err := f.Nodes[0].StateStoreStatus()
 	if err != nil {
 		return err
 	}
@@ -400,9 +400,9 @@
 		var both []*Node
 		ledgers := 0
 		for _, n := range f.Nodes {
-			if len(both) < 2 && g.On(n) {
+			if len(both) < 2 && g.HasReplicaOn(n) {
 				both = append(both, n)
-				if v.Groups[0].On(n) {
+				if v.Groups[0].HasReplicaOn(n) {
 					ledgers++
 				}
 			}
@@ -412,7 +412,7 @@
 		}
 		if err := during(f, fmt.Sprintf("at 0s kill %d,%d", both[0].Number, both[1].Number), func() error {
 			for _, n := range both {
-				n.Wait()
+				n.WaitForExit()
 				if err := n.disk("empty"); err != nil {
 					return err
 				}
@@ -427,7 +427,7 @@
 }
 
 // kept keeps what a failed test has left.
-func kept(t *testing.T, name string, f *Fleet, history []byte) {
+func kept(t *testing.T, name string, f *Cluster, history []byte) {
 	if !t.Failed() {
 		return
 	}
@@ -442,7 +442,7 @@
 }
 
 // leader is the gateway that leads the first shard.
-func leader(f *Fleet) (n *Node, err error) {
+func leader(f *Cluster) (n *Node, err error) {
 	return n, poll("a shard is led", func() bool { n = f.LeaderOf(1); return n != nil })
 }
 
@@ -455,7 +455,7 @@
 }
 
 // during brings a fault about, waits for what must come of it, and puts it right.
-func during(f *Fleet, line string, wait func() error) error {
+func during(f *Cluster, line string, wait func() error) error {
 	undo, err := f.inflict(mustFault(line))
 	if err != nil {
 		return err
--- a/internal/testcluster/doubt.go
+++ b/internal/testcluster/doubt.go
@@ -9,18 +9,18 @@
 
 // InDoubt says how bookings are claimed before they are sent.
 type InDoubt struct {
-	Safe bool // answers wait until they are kept
-	Look bool // a look for a seat shows whether a booking ran
+	StoreFirst bool // answers wait until they are kept
+	SeatLookup bool // a look for a seat shows whether a booking ran
 }
 
 // section is the section of a gateway's operators' file.
 func (d *InDoubt) section() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "in-doubt %s\n retention 5m\n", ClassBooking)
-	if d.Safe {
+	if d.StoreFirst {
 		b.WriteString(" order safe\n")
 	}
-	if d.Look {
+	if d.SeatLookup {
 		fmt.Fprintf(&b, " lookup %s \"%s\"\n", ClassSeat, There)
 	}
 	return b.String()
--- a/internal/testcluster/doubt_test.go
+++ b/internal/testcluster/doubt_test.go
@@ -26,31 +26,31 @@
 		how    InDoubt
 		work   time.Duration // of a server
 		script string
-		do     func(f *Fleet) error
+		do     func(f *Cluster) error
 	}{
 		{"orderly restarts, and cut ways to the primary", InDoubt{}, 20 * time.Millisecond,
 			"at 300ms sever all -> p for 300ms\nat 1s term 1 for 100ms\nat 2s term 2 for 100ms", nil},
-		{"kills, answers kept first", InDoubt{Safe: true}, 0, "at 500ms kill 1 for 500ms\nat 2s kill 2,3 for 500ms\nat 4s kill 4 for 1s", nil},
-		{"pauses and cuts", InDoubt{Look: true}, 0, "at 300ms stop 1 for 2s\nat 800ms stop 2 for 2s\nat 3s split 2 | 1,3,4,5 for 1500ms\nat 5s cut 3 -> all for 1s", nil},
-		{"killed at each step, and a read that shows", InDoubt{Look: true}, 150 * time.Millisecond, fmt.Sprintf(atEachStep, "kill", "300ms"), nil},
-		{"standing still at each step", InDoubt{Look: true}, 150 * time.Millisecond, fmt.Sprintf(atEachStep, "stop", "2s"), nil},
+		{"kills, answers kept first", InDoubt{StoreFirst: true}, 0, "at 500ms kill 1 for 500ms\nat 2s kill 2,3 for 500ms\nat 4s kill 4 for 1s", nil},
+		{"pauses and cuts", InDoubt{SeatLookup: true}, 0, "at 300ms stop 1 for 2s\nat 800ms stop 2 for 2s\nat 3s split 2 | 1,3,4,5 for 1500ms\nat 5s cut 3 -> all for 1s", nil},
+		{"killed at each step, and a read that shows", InDoubt{SeatLookup: true}, 150 * time.Millisecond, fmt.Sprintf(atEachStep, "kill", "300ms"), nil},
+		{"standing still at each step", InDoubt{SeatLookup: true}, 150 * time.Millisecond, fmt.Sprintf(atEachStep, "stop", "2s"), nil},
 		{"a holder is killed at each step too", InDoubt{}, 150 * time.Millisecond,
 			fmt.Sprintf(atEachStep, "kill", "300ms") + "\nat 400ms kill 5 for 400ms\nat 2700ms kill 5 for 400ms\nat 4700ms kill 5 for 400ms\nat 6600ms kill 5 for 400ms", nil},
-		{"the primary fails over under bookings in doubt", InDoubt{Look: true}, 50 * time.Millisecond,
+		{"the primary fails over under bookings in doubt", InDoubt{SeatLookup: true}, 50 * time.Millisecond,
 			"at 500ms stop 1 for 2500ms\nat 600ms promote r1 for 2s\nat 3500ms kill 2 for 300ms\nat 3550ms promote r2 for 1s", nil},
 		{"a split, with both sides booking at the floating address", InDoubt{}, 0, "at 500ms split 1,2 | 3,4,5 for 3s\nat 4500ms split 1 | 2,3,4,5 for 2s", nil},
-		{"killed after half of its own answer", InDoubt{Safe: true}, 0, "", halfAnswered},
-		{"two of three holders are lost with their disks", InDoubt{Look: true}, 0, "", loseTwo},
+		{"killed after half of its own answer", InDoubt{StoreFirst: true}, 0, "", halfAnswered},
+		{"two of three holders are lost with their disks", InDoubt{SeatLookup: true}, 0, "", loseTwo},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			wide <- true
 			defer func() { <-wide }()
 			o := options()
-			o.Nodes, o.Dir, o.Copies, o.InDoubt = 5, t.TempDir(), DefaultCopies(), &c.how
-			o.Copies.NoMarks = true
+			o.Nodes, o.Dir, o.StateStore, o.InDoubt = 5, t.TempDir(), DefaultStateStore(), &c.how
+			o.StateStore.NoSessionMarks = true
 			if c.work > 0 {
-				o.Work = c.work
+				o.ServiceTime = c.work
 			}
 			do := c.do
 			if do == nil {
@@ -58,10 +58,10 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				do = func(f *Fleet) error { return f.Play(faults, nil) }
+				do = func(f *Cluster) error { return f.Play(faults, nil) }
 			}
 			load := DefaultLoad()
-			load.Again = true
+			load.RetryInDoubt = true
 			ordeal(t, "in doubt "+c.name, o, load, "", do)
 		})
 	}
@@ -69,7 +69,7 @@
 
 // halfAnswered has a gateway killed when its client has the first bytes of an answer, and no more: asked again elsewhere, the
 // booking has the answer that it had.
-func halfAnswered(f *Fleet) error {
+func halfAnswered(f *Cluster) error {
 	first, second := f.Nodes[0], f.Nodes[1]
 	r, err := fake.NewRelay("127.0.0.1:0", first.Listen, nil)
 	if err != nil {
@@ -97,13 +97,13 @@
 	end := make(chan fake.Outcome, 1)
 	go func() { end <- b.Book("half") }()
 	if err := f.History.Await("the booking has run", settleBy, func(all []Event) bool {
-		return slices.ContainsFunc(all, func(e Event) bool { return e.Kind == Ran && e.Key == "half" })
+		return slices.ContainsFunc(all, func(e Event) bool { return e.Kind == RequestExecuted && e.Key == "half" })
 	}); err != nil {
 		return err
 	}
 	time.Sleep(300 * time.Millisecond) // some bytes of the answer
 	at.Store(second.Listen)
-	if err := during(f, "at 0s kill 1", func() error { first.Wait(); return nil }); err != nil {
+	if err := during(f, "at 0s kill 1", func() error { first.WaitForExit(); return nil }); err != nil {
 		return err
 	}
 	if o := <-end; o != fake.Served {
--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -12,7 +12,7 @@
 
 // Play brings faults about at their times and puts each right after its span; then it puts right all that is left. It
 // returns early, with all put right, when quit is closed.
-func (f *Fleet) Play(faults []Fault, quit <-chan struct{}) error {
+func (f *Cluster) Play(faults []Fault, quit <-chan struct{}) error {
 	for _, x := range faults {
 		if err := f.fits(x); err != nil {
 			return err
@@ -36,8 +36,8 @@
 		if !wait(begin.Add(x.At)) {
 			break
 		}
-		f.History.Add(Event{Kind: Begins, What: x.String()})
-		undo, err := f.Begin(x)
+		f.History.Add(Event{Kind: FaultStarted, What: x.String()})
+		undo, err := f.Inject(x)
 		if err != nil {
 			errs <- err
 			break
@@ -48,8 +48,8 @@
 		ends.Add(1)
 		go func() {
 			defer ends.Done()
-			if x.For > 0 {
-				wait(time.Now().Add(x.For))
+			if x.Duration > 0 {
+				wait(time.Now().Add(x.Duration))
 			} else {
 				select {
 				case <-over:
@@ -59,12 +59,12 @@
 			if err := undo(); err != nil {
 				errs <- err
 			}
-			f.History.Add(Event{Kind: Ends, What: x.String()})
+			f.History.Add(Event{Kind: FaultEnded, What: x.String()})
 		}()
 	}
 	last := begin
 	for _, x := range faults {
-		if end := begin.Add(x.At + x.For); end.After(last) {
+		if end := begin.Add(x.At + x.Duration); end.After(last) {
 			last = end
 		}
 	}
@@ -76,17 +76,17 @@
 }
 
 // inflict brings a fault about as Play does, told in the history, and leaves it to its caller to put it right.
-func (f *Fleet) inflict(x Fault) (undo func() error, err error) {
-	f.History.Add(Event{Kind: Begins, What: x.String()})
-	end, err := f.Begin(x)
+func (f *Cluster) inflict(x Fault) (undo func() error, err error) {
+	f.History.Add(Event{Kind: FaultStarted, What: x.String()})
+	end, err := f.Inject(x)
 	return func() error {
-		defer f.History.Add(Event{Kind: Ends, What: x.String()})
+		defer f.History.Add(Event{Kind: FaultEnded, What: x.String()})
 		return end()
 	}, err
 }
 
 // Inflict brings the fault of a line about, told in the history, and leaves it to its caller to put it right.
-func (f *Fleet) Inflict(line string) (undo func() error, err error) {
+func (f *Cluster) InjectLine(line string) (undo func() error, err error) {
 	x, err := ParseFault(line)
 	if err == nil {
 		err = f.fits(x)
@@ -98,7 +98,7 @@
 }
 
 // fits tells whether a fault can be brought about in this fleet.
-func (f *Fleet) fits(x Fault) error {
+func (f *Cluster) fits(x Fault) error {
 	for _, n := range slices.Concat(x.From, x.To) {
 		if n > len(f.Nodes) {
 			return fmt.Errorf("%q: there is no gateway %d", x, n)
@@ -114,7 +114,7 @@
 }
 
 // concerned lists the gateways that a fault is done to.
-func (f *Fleet) concerned(x Fault) (list []*Node) {
+func (f *Cluster) concerned(x Fault) (list []*Node) {
 	for _, n := range f.Nodes {
 		if x.From == nil || slices.Contains(x.From, n.Number) {
 			list = append(list, n)
@@ -124,7 +124,7 @@
 }
 
 // Begin brings a fault about. The function that it returns puts it right; none where there is nothing to put right.
-func (f *Fleet) Begin(x Fault) (undo func() error, err error) {
+func (f *Cluster) Inject(x Fault) (undo func() error, err error) {
 	if verbs[x.Verb].shape == onNodes && x.Verb != "files" {
 		return f.beginOnNodes(x)
 	}
@@ -160,7 +160,7 @@
 	}, nil
 }
 
-func (f *Fleet) beginOnNodes(x Fault) (undo func() error, err error) {
+func (f *Cluster) beginOnNodes(x Fault) (undo func() error, err error) {
 	list := f.concerned(x)
 	lives := make([]*process, len(list))
 	for i, n := range list {
@@ -191,7 +191,7 @@
 		var done sync.WaitGroup
 		for i, n := range list {
 			done.Add(1)
-			go func() { defer done.Done(); n.starve(lives[i], x.Num, quit) }()
+			go func() { defer done.Done(); n.starve(lives[i], x.Amount, quit) }()
 		}
 		return func() error { close(quit); done.Wait(); return nil }, nil
 	}
@@ -208,7 +208,7 @@
 
 // change changes the faults at work, and sets anew all that follows from them: each way's fate, who reaches which server, and
 // how the servers are.
-func (f *Fleet) change(do func()) {
+func (f *Cluster) change(do func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	do()
@@ -249,7 +249,7 @@
 			switch {
 			case x.Name != s.name:
 			case x.Verb == "lag":
-				lag = max(lag, x.Span)
+				lag = max(lag, x.Delay)
 			case x.Verb == "drain":
 				state = "draining"
 			}
@@ -271,15 +271,15 @@
 		case "stall":
 			out.Stall = true
 		case "loss":
-			out.Loss = 1 - (1-out.Loss)*(1-x.Num)
+			out.Loss = 1 - (1-out.Loss)*(1-x.Amount)
 		case "delay":
-			out.Delay, out.Jitter = out.Delay+x.Span, out.Jitter+x.More
+			out.Delay, out.Jitter = out.Delay+x.Delay, out.Jitter+x.Jitter
 		case "duplicate":
-			out.Copies += int(x.Num)
+			out.Copies += int(x.Amount)
 		case "reorder":
 			out.Swap = true
 		case "slow":
-			if rate := int(x.Num); out.Rate == 0 || rate < out.Rate {
+			if rate := int(x.Amount); out.Rate == 0 || rate < out.Rate {
 				out.Rate = rate
 			}
 		}
@@ -288,16 +288,16 @@
 }
 
 // list has discovery tell every gateway of a server's state, if that has changed.
-func (f *Fleet) list(s *server, state string) {
+func (f *Cluster) list(s *server, state string) {
 	if s.of.setState(s, state) {
 		f.announce(s, state)
 	}
 }
 
 // announce has discovery tell every gateway how a server is now.
-func (f *Fleet) announce(s *server, state string) {
+func (f *Cluster) announce(s *server, state string) {
 	for _, n := range f.Nodes {
 		n.discovery.Push(s.target(n.servers[s.name].Addr()))
-		f.History.Add(Event{Kind: Told, Node: n.Number, Server: s.name, What: state})
+		f.History.Add(Event{Kind: EndpointUpdateSent, Node: n.Number, Server: s.name, What: state})
 	}
 }
--- a/internal/testcluster/fleet.go
+++ b/internal/testcluster/fleet.go
@@ -17,7 +17,7 @@
 )
 
 // MostNodes is how many gateways a fleet may have.
-const MostNodes = 32
+const MaxNodes = 32
 
 // Discovery is discovery's name where faults name servers.
 const Discovery = "discovery"
@@ -65,36 +65,36 @@
 	Dir      string    // for logs and data directories; empty: a temporary one, removed by Close
 	History  io.Writer // where the history goes too; may be nil
 
-	Work       time.Duration            // of a request at its server
-	Ramp       time.Duration            // for which a server that was started is cold
-	Interval   time.Duration            // between VRRP advertisements
-	Probe      time.Duration            // of a probe among members; 0: they have no members section
-	Priorities []int                    // of each gateway; nil: falling from 200
-	Copies     *Copies                  // what they hold for each other; nil: nothing
-	InDoubt    *InDoubt                 // what is promised of bookings before they are sent; nil: nothing
-	Maintain   *Maintain                // by what limits machines are taken out for work; nil: none is
-	Rewrite    func(conf string) string // changes each operators' file as it is written; nil: it stays
-	CutOnMove  bool                     // the switch resets flows when the floating address moves
+	ServiceTime           time.Duration            // of a request at its server
+	SlowStart             time.Duration            // for which a server that was started is cold
+	AdvertisementInterval time.Duration            // between VRRP advertisements
+	MembershipInterval    time.Duration            // of a probe among members; 0: they have no members section
+	Priorities            []int                    // of each gateway; nil: falling from 200
+	StateStore            *StateStore              // what they hold for each other; nil: nothing
+	InDoubt               *InDoubt                 // what is promised of bookings before they are sent; nil: nothing
+	Maintenance           *Maintenance             // by what limits machines are taken out for work; nil: none is
+	RewriteConfig         func(conf string) string // changes each operators' file as it is written; nil: it stays
+	ResetOnFailover       bool                     // the switch resets flows when the floating address moves
 }
 
 // Defaults are sizes that suit one machine.
 func Defaults() Options {
 	return Options{
-		Binary: "bin/marblespan", Nodes: 3, Replicas: 2, Seed: 1, Work: 3 * time.Millisecond, Ramp: 16 * time.Second, Interval: 100 * time.Millisecond,
-		Probe: 200 * time.Millisecond,
+		Binary: "bin/marblespan", Nodes: 3, Replicas: 2, Seed: 1, ServiceTime: 3 * time.Millisecond, SlowStart: 16 * time.Second, AdvertisementInterval: 100 * time.Millisecond,
+		MembershipInterval: 200 * time.Millisecond,
 	}
 }
 
 // Fleet is several gateways and all that is around them.
-type Fleet struct {
+type Cluster struct {
 	Options
-	History *History
-	Switch  *fake.Switch
-	Path    *fake.Path // of the gateways' messages for the floating address
-	Members *fake.Path // of what they say about who is there, streams among it; nil without
-	Nodes   []*Node    // number 1 first
+	History        *History
+	Switch         *fake.Switch
+	VRRPPath       *fake.Path // of the gateways' messages for the floating address
+	MembershipPath *fake.Path // of what they say about who is there, streams among it; nil without
+	Nodes          []*Node    // number 1 first
 
-	clusters  []*cluster
+	groups    []*serverGroup
 	temporary bool
 
 	mu     sync.Mutex
@@ -111,11 +111,11 @@
 }
 
 // New starts a fleet and waits until each gateway serves.
-func New(o Options) (f *Fleet, err error) {
-	if o.Nodes < 1 || o.Nodes > MostNodes || o.Replicas < 1 || o.Groups > MostGroups {
-		return nil, fmt.Errorf("a fleet has 1 to %d gateways, %d groups of servers at the most and a replica at least", MostNodes, MostGroups)
+func New(o Options) (f *Cluster, err error) {
+	if o.Nodes < 1 || o.Nodes > MaxNodes || o.Replicas < 1 || o.Groups > MaxGroups {
+		return nil, fmt.Errorf("a fleet has 1 to %d gateways, %d groups of servers at the most and a replica at least", MaxNodes, MaxGroups)
 	}
-	f = &Fleet{Options: o, History: NewHistory(o.History)}
+	f = &Cluster{Options: o, History: NewHistory(o.History)}
 	defer func() {
 		if err != nil {
 			f.Close()
@@ -131,13 +131,13 @@
 	if f.Switch, err = fake.NewSwitch(secret); err != nil {
 		return f, err
 	}
-	f.Switch.CutOnMove = o.CutOnMove
+	f.Switch.CutOnMove = o.ResetOnFailover
 	for i := range max(o.Groups, 1) {
-		c, err := newCluster(f.History, Group+i, o.Replicas, o.Work, f.at)
+		c, err := newServerGroup(f.History, Group+i, o.Replicas, o.ServiceTime, f.at)
 		if err != nil {
 			return f, err
 		}
-		f.clusters = append(f.clusters, c)
+		f.groups = append(f.groups, c)
 	}
 	base := network()
 	var ends, members []*net.UDPAddr
@@ -149,14 +149,14 @@
 		ends = append(ends, &net.UDPAddr{IP: n.IP, Port: portVRRP})
 		members = append(members, &net.UDPAddr{IP: n.IP, Port: portMembers})
 	}
-	if f.Path, err = fake.NewPath(ends...); err != nil {
+	if f.VRRPPath, err = fake.NewPath(ends...); err != nil {
 		return f, err
 	}
-	if f.Probe > 0 {
-		if f.Members, err = fake.NewPath(members...); err != nil {
+	if f.MembershipInterval > 0 {
+		if f.MembershipPath, err = fake.NewPath(members...); err != nil {
 			return f, err
 		}
-		if err = f.Members.Streams(); err != nil {
+		if err = f.MembershipPath.Streams(); err != nil {
 			return f, err
 		}
 	}
@@ -168,21 +168,21 @@
 			return f, err
 		}
 	}
-	if f.Maintain == nil { // with it they take nothing before the ledger knows them
-		if err := f.AwaitReady(settleBy); err != nil || f.Copies == nil {
+	if f.Maintenance == nil { // with it they take nothing before the ledger knows them
+		if err := f.AwaitReady(settleBy); err != nil || f.StateStore == nil {
 			return f, err
 		}
 	}
 	for late := time.Now().Add(settleBy); ; time.Sleep(20 * time.Millisecond) {
 		// The gateway serves a moment before it can be asked.
-		if err = f.Nodes[0].Found(true); err == nil || time.Now().After(late) {
+		if err = f.Nodes[0].Bootstrap(true); err == nil || time.Now().After(late) {
 			break
 		}
 	}
 	if err != nil {
 		return f, err
 	}
-	return f, errors.Join(f.AwaitReady(settleBy), f.AwaitWhole(settleBy))
+	return f, errors.Join(f.AwaitReady(settleBy), f.AwaitComplete(settleBy))
 }
 
 // settleBy is how long a fleet may take to come to rest. Tests wait for what they look for, never for a fixed span; this is
@@ -190,7 +190,7 @@
 const settleBy = 30 * time.Second
 
 // at is the gateway behind an IP; 0: none.
-func (f *Fleet) at(ip string) int {
+func (f *Cluster) at(ip string) int {
 	for _, n := range f.Nodes {
 		if n.IP.String() == ip {
 			return n.Number
@@ -200,10 +200,10 @@
 }
 
 // Primary is the primary of the servers.
-func (f *Fleet) Primary() *fake.Server { return f.clusters[0].servers[0].Server }
+func (f *Cluster) Primary() *fake.Server { return f.groups[0].servers[0].Server }
 
 // Via is the gateway behind a listener's address; 0: none.
-func (f *Fleet) Via(addr string) int {
+func (f *Cluster) GatewayFor(addr string) int {
 	host, _, _ := net.SplitHostPort(addr)
 	return f.at(host)
 }
@@ -213,11 +213,11 @@
 
 // AwaitReady waits until each gateway's present life serves. One that has ended will not, unless a fault is to bring it back:
 // that is told at once.
-func (f *Fleet) AwaitReady(bound time.Duration) (err error) {
+func (f *Cluster) AwaitReady(bound time.Duration) (err error) {
 	late := f.History.Await("every gateway serves", bound, func(all []Event) bool {
 		last := map[int]Event{}
 		for _, e := range all {
-			if e.Kind == Process {
+			if e.Kind == ProcessChanged {
 				last[e.Node] = e
 			}
 		}
@@ -238,7 +238,7 @@
 }
 
 // first is the gateway that takes the floating address from all others.
-func (f *Fleet) first() int {
+func (f *Cluster) first() int {
 	if f.Priorities == nil {
 		return 1
 	}
@@ -247,11 +247,11 @@
 
 // AwaitHolder waits until one gateway, the one of that number or any for 0, believes that it holds the floating address, and
 // the switch leads there.
-func (f *Fleet) AwaitHolder(number int, bound time.Duration) error {
+func (f *Cluster) AwaitActiveRouter(number int, bound time.Duration) error {
 	var holders []int
 	at := ""
 	err := f.History.Await(fmt.Sprintf("gateway %d holds the address alone", number), bound, func(all []Event) bool {
-		holders = slices.Collect(maps.Keys(Holding(all)))
+		holders = slices.Collect(maps.Keys(ActiveRouters(all)))
 		at, _ = f.Switch.Holder()
 		return len(holders) == 1 && (number == 0 || number == holders[0]) && at == f.Nodes[holders[0]-1].Floating
 	})
@@ -262,20 +262,20 @@
 }
 
 // AwaitMembers waits until every gateway believes that every other one is alive.
-func (f *Fleet) AwaitMembers(bound time.Duration) error {
+func (f *Cluster) AwaitMembers(bound time.Duration) error {
 	return f.History.Await("every gateway knows every other one", bound, func(all []Event) bool {
-		return len(Strangers(all, len(f.Nodes))) == 0
+		return len(MembershipGaps(all, len(f.Nodes))) == 0
 	})
 }
 
 // Strangers lists who does not hold whom alive at the end of a history, of so many gateways that all run.
-func Strangers(all []Event, gateways int) (out []string) {
+func MembershipGaps(all []Event, gateways int) (out []string) {
 	alive := map[int]map[string]bool{}
 	for _, e := range all {
 		switch {
-		case e.Kind == Process && e.What == "started":
+		case e.Kind == ProcessChanged && e.What == "started":
 			alive[e.Node] = map[string]bool{}
-		case e.Kind == Belief && strings.HasPrefix(e.What, "member ") && alive[e.Node] != nil:
+		case e.Kind == StateReported && strings.HasPrefix(e.What, "member ") && alive[e.Node] != nil:
 			alive[e.Node][strings.TrimPrefix(e.What, "member ")] = e.Text == "alive"
 		}
 	}
@@ -290,15 +290,15 @@
 }
 
 // Holding lists who believes to hold the floating address at the end of a history.
-func Holding(all []Event) map[int]bool {
+func ActiveRouters(all []Event) map[int]bool {
 	active := map[int]bool{}
 	for _, e := range all {
 		switch {
-		case e.Kind == Belief && strings.HasPrefix(e.What, "vrrp "):
+		case e.Kind == StateReported && strings.HasPrefix(e.What, "vrrp "):
 			if delete(active, e.Node); e.Text == "active" {
 				active[e.Node] = true
 			}
-		case e.Kind == Process && e.What == "ended":
+		case e.Kind == ProcessChanged && e.What == "ended":
 			delete(active, e.Node)
 		}
 	}
@@ -306,8 +306,8 @@
 }
 
 // paths are all paths between gateways.
-func (f *Fleet) paths() (all []*fake.Path) {
-	for _, p := range []*fake.Path{f.Path, f.Members} {
+func (f *Cluster) paths() (all []*fake.Path) {
+	for _, p := range []*fake.Path{f.VRRPPath, f.MembershipPath} {
 		if p != nil {
 			all = append(all, p)
 		}
@@ -316,7 +316,7 @@
 }
 
 // Close ends everything, and removes a temporary directory.
-func (f *Fleet) Close() {
+func (f *Cluster) Close() {
 	for _, n := range f.Nodes {
 		if p := n.current(); p != nil {
 			p.end()
@@ -339,7 +339,7 @@
 	if f.Switch != nil {
 		f.Switch.Close()
 	}
-	for _, c := range f.clusters {
+	for _, c := range f.groups {
 		c.close()
 	}
 	if f.temporary {
--- a/internal/testcluster/history.go
+++ b/internal/testcluster/history.go
@@ -19,43 +19,43 @@
 
 // The kinds of events.
 const (
-	Begins  Kind = "begins"  // a fault, from now on; What is its line in the script
-	Ends    Kind = "ends"    // the same fault is over
-	Process Kind = "process" // a gateway's process: What is "started", "ready" or "ended", Text how it ended
-	Belief  Kind = "belief"  // what a gateway believes: What is the matter, Text its state
-	Told    Kind = "told"    // discovery wrote a change of the list to a gateway: Server, and What its state
-	Asked   Kind = "asked"   // a client wrote a request whole
-	Heard   Kind = "heard"   // its end, as the client saw it: What is one of the ends below
-	Sent    Kind = "sent"    // a gateway began to send a request to a server
-	Ran     Kind = "ran"     // a server ran a request: What is its role
-	Phase   Kind = "phase"   // the run's own steps: What is "load", "healed", "settled" or "done"
+	FaultStarted       Kind = "begins"  // a fault, from now on; What is its line in the script
+	FaultEnded         Kind = "ends"    // the same fault is over
+	ProcessChanged     Kind = "process" // a gateway's process: What is "started", "ready" or "ended", Text how it ended
+	StateReported      Kind = "belief"  // what a gateway believes: What is the matter, Text its state
+	EndpointUpdateSent Kind = "told"    // discovery wrote a change of the list to a gateway: Server, and What its state
+	RequestSent        Kind = "asked"   // a client wrote a request whole
+	ResponseReceived   Kind = "heard"   // its end, as the client saw it: What is one of the ends below
+	RequestForwarded   Kind = "sent"    // a gateway began to send a request to a server
+	RequestExecuted    Kind = "ran"     // a server ran a request: What is its role
+	PhaseReached       Kind = "phase"   // the run's own steps: What is "load", "healed", "settled" or "done"
 )
 
 // How a request ends for its client.
 const (
-	EndServed  = "served"
-	EndRefused = "refused" // 53300 or 57P03: it has not run
-	EndFailed  = "failed"  // any other error: it may have run
-	EndClosed  = "closed"  // the connection was closed in an orderly way without an answer
-	EndReset   = "reset"
-	EndTimeout = "timeout"
+	EndServed   = "served"
+	EndRejected = "refused" // 53300 or 57P03: it has not run
+	EndFailed   = "failed"  // any other error: it may have run
+	EndClosed   = "closed"  // the connection was closed in an orderly way without an answer
+	EndReset    = "reset"
+	EndTimeout  = "timeout"
 )
 
 // Event is one line of a history. Which fields are set depends on its kind.
 type Event struct {
-	At     int64  `json:"at"` // microseconds since the history began
-	Kind   Kind   `json:"kind"`
-	Node   int    `json:"node,omitempty"` // the gateway, from 1; 0: none
-	What   string `json:"what,omitempty"`
-	Text   string `json:"text,omitempty"`
-	ID     string `json:"id,omitempty"` // of the request; each try has its own
-	Client string `json:"client,omitempty"`
-	Class  string `json:"class,omitempty"`
-	Key    string `json:"key,omitempty"`    // what the client means; tries of one booking share it
-	Server string `json:"server,omitempty"` // by its id on the list
-	Value  string `json:"value,omitempty"`  // as the server gave it, or as the client heard it
-	Within int64  `json:"within,omitempty"` // microseconds that the client gives the request
-	Age    int64  `json:"age,omitempty"`    // microseconds by which the server's data were behind when it ran
+	At      int64  `json:"at"` // microseconds since the history began
+	Kind    Kind   `json:"kind"`
+	Node    int    `json:"node,omitempty"` // the gateway, from 1; 0: none
+	What    string `json:"what,omitempty"`
+	Text    string `json:"text,omitempty"`
+	ID      string `json:"id,omitempty"` // of the request; each try has its own
+	Client  string `json:"client,omitempty"`
+	Class   string `json:"class,omitempty"`
+	Key     string `json:"key,omitempty"`    // what the client means; tries of one booking share it
+	Server  string `json:"server,omitempty"` // by its id on the list
+	Value   string `json:"value,omitempty"`  // as the server gave it, or as the client heard it
+	Timeout int64  `json:"within,omitempty"` // microseconds that the client gives the request
+	DataAge int64  `json:"age,omitempty"`    // microseconds by which the server's data were behind when it ran
 }
 
 // History keeps what happens, on one clock. It is safe for use by several goroutines.
@@ -98,10 +98,12 @@
 func (h *History) Now() int64 { return time.Since(h.start).Microseconds() }
 
 // At is the history's time of a wall time, for what others have stamped on this machine.
-func (h *History) At(t time.Time) int64 { return t.Sub(h.start).Microseconds() }
+func (h *History) Timestamp(t time.Time) int64 { return t.Sub(h.start).Microseconds() }
 
 // Time is the wall time of a history's time.
-func (h *History) Time(at int64) time.Time { return h.start.Add(time.Duration(at) * time.Microsecond) }
+func (h *History) WallTime(at int64) time.Time {
+	return h.start.Add(time.Duration(at) * time.Microsecond)
+}
 
 // Add notes an event, now unless it has a time of its own.
 func (h *History) Add(e Event) {
@@ -126,11 +128,11 @@
 	if e.Node != 0 {
 		line.Int("node", e.Node)
 	}
-	if e.Within != 0 {
-		line.Int64("within", e.Within)
+	if e.Timeout != 0 {
+		line.Int64("within", e.Timeout)
 	}
-	if e.Age != 0 {
-		line.Int64("age", e.Age)
+	if e.DataAge != 0 {
+		line.Int64("age", e.DataAge)
 	}
 	line.Send()
 	close(h.changed)
--- a/internal/testcluster/load.go
+++ b/internal/testcluster/load.go
@@ -13,7 +13,7 @@
 
 // Load is clients that book, view and look for seats until it is stopped. Each tells the history of every request.
 type Load struct {
-	f      *Fleet
+	f      *Cluster
 	quit   chan struct{}
 	once   sync.Once
 	done   sync.WaitGroup
@@ -23,23 +23,23 @@
 
 // LoadOptions say how many clients there are of each kind, and how long each pauses between two things.
 type LoadOptions struct {
-	Bookers  int // of the gateways' own listeners
-	Floating int // that book at the floating address
-	Viewers  int
-	Seats    int // that look for what was booked, and must see it
-	Mine     int // that look in the sessions of bookings, at any gateway
-	Think    time.Duration
-	Again    bool // bookings that may have run are asked for again, at the next gateway
+	Bookers         int // of the gateways' own listeners
+	FloatingBookers int // that book at the floating address
+	Viewers         int
+	SeatReaders     int // that look for what was booked, and must see it
+	SessionReaders  int // that look in the sessions of bookings, at any gateway
+	ThinkTime       time.Duration
+	RetryInDoubt    bool // bookings that may have run are asked for again, at the next gateway
 }
 
 // DefaultLoad is a light load.
 func DefaultLoad() LoadOptions {
-	return LoadOptions{Bookers: 4, Floating: 2, Viewers: 4, Seats: 2, Think: 10 * time.Millisecond}
+	return LoadOptions{Bookers: 4, FloatingBookers: 2, Viewers: 4, SeatReaders: 2, ThinkTime: 10 * time.Millisecond}
 }
 
 // classes is how many classes are asked for.
 func (o LoadOptions) classes() (n int) {
-	for _, clients := range []int{o.Bookers + o.Floating, o.Viewers, o.Seats, o.Mine} {
+	for _, clients := range []int{o.Bookers + o.FloatingBookers, o.Viewers, o.SeatReaders, o.SessionReaders} {
 		n += min(clients, 1)
 	}
 	return n
@@ -52,8 +52,8 @@
 const seatsKept = 32
 
 // Load starts clients.
-func (f *Fleet) Load(o LoadOptions) *Load {
-	l := &Load{f: f, quit: make(chan struct{}), again: o.Again}
+func (f *Cluster) Load(o LoadOptions) *Load {
+	l := &Load{f: f, quit: make(chan struct{}), again: o.RetryInDoubt}
 	var mu sync.Mutex
 	var booked []string
 	recent := func(add string) string {
@@ -80,11 +80,11 @@
 		b.Group = f.groupOf(key)
 		b.Read(key)
 	}
-	l.clients("b", ClassBooking, o.Bookers, o.Think, book, false)
-	l.clients("f", ClassBooking, o.Floating, o.Think, book, true)
-	l.clients("v", ClassView, o.Viewers, o.Think, look, false)
-	l.clients("s", ClassSeat, o.Seats, o.Think, look, false)
-	l.clients("m", ClassMine, o.Mine, o.Think, look, false)
+	l.clients("b", ClassBooking, o.Bookers, o.ThinkTime, book, false)
+	l.clients("f", ClassBooking, o.FloatingBookers, o.ThinkTime, book, true)
+	l.clients("v", ClassView, o.Viewers, o.ThinkTime, look, false)
+	l.clients("s", ClassSeat, o.SeatReaders, o.ThinkTime, look, false)
+	l.clients("m", ClassMine, o.SessionReaders, o.ThinkTime, look, false)
 	return l
 }
 
@@ -123,8 +123,8 @@
 // tell writes a client's exchange into the history.
 func (l *Load) tell(x fake.Exchange) {
 	e := Event{
-		At: l.f.History.At(x.At), Kind: Asked, Node: l.f.Via(x.Via), ID: x.ID, Client: x.Client, Class: x.Class, Key: x.Meaning,
-		Within: patience.Microseconds(),
+		At: l.f.History.Timestamp(x.At), Kind: RequestSent, Node: l.f.GatewayFor(x.Via), ID: x.ID, Client: x.Client, Class: x.Class, Key: x.Meaning,
+		Timeout: patience.Microseconds(),
 	}
 	if x.Reused {
 		e.Text = reused
@@ -133,7 +133,7 @@
 		e.Text = strings.TrimSpace(e.Text + " " + askedBefore)
 	}
 	if x.End != "" {
-		e.Kind, e.What, e.Value = Heard, x.End, x.Value
+		e.Kind, e.What, e.Value = ResponseReceived, x.End, x.Value
 		e.Text = strings.TrimSpace(e.Text + " " + x.Said)
 	}
 	l.f.History.Add(e)
@@ -159,23 +159,23 @@
 func (l *Load) Totals() fake.Totals { return l.ledger.Totals() }
 
 // Doubt is how many bookings ended without their client knowing whether they ran.
-func (l *Load) Doubt() int {
+func (l *Load) InDoubtBookings() int {
 	t := l.ledger.Totals()
 	return t.Counts[fake.Failed] + t.Counts[fake.Unknown]
 }
 
 // Outcome is what a run came to.
 type Outcome struct {
-	Faults  []Fault
-	Events  []Event
-	Broken  []Violation
-	Err     error // the rig itself failed
-	Totals  fake.Totals
-	Settled time.Duration // from the last fault's end until the fleet was at rest again
+	Faults     []Fault
+	Events     []Event
+	Violations []Violation
+	Err        error // the rig itself failed
+	Totals     fake.Totals
+	SettleTime time.Duration // from the last fault's end until the fleet was at rest again
 }
 
 // Failed tells whether a rule or an invariant was broken, or the run could not be made.
-func (o Outcome) Failed() bool { return o.Err != nil || len(o.Broken) > 0 }
+func (o Outcome) Failed() bool { return o.Err != nil || len(o.Violations) > 0 }
 
 // Run starts a fleet, puts it under load, plays faults, waits until it has come to rest, and checks the history.
 func Run(o Options, load LoadOptions, faults []Fault, quit <-chan struct{}) (out Outcome) {
@@ -186,58 +186,58 @@
 		return out
 	}
 	defer f.Close()
-	if out.Err = f.AwaitHolder(f.first(), settleBy); out.Err != nil {
+	if out.Err = f.AwaitActiveRouter(f.first(), settleBy); out.Err != nil {
 		return out
 	}
 	l := f.Load(load)
-	f.History.Add(Event{Kind: Phase, What: "load"})
+	f.History.Add(Event{Kind: PhaseReached, What: "load"})
 	out.Err = f.Play(faults, quit)
-	f.History.Add(Event{Kind: Phase, What: "healed"})
+	f.History.Add(Event{Kind: PhaseReached, What: "healed"})
 	healed := time.Now()
 	var restless error
 	if out.Err == nil {
 		restless = f.settles(load.classes())
 	}
-	out.Settled = time.Since(healed)
-	f.History.Add(Event{Kind: Phase, What: "settled"})
+	out.SettleTime = time.Since(healed)
+	f.History.Add(Event{Kind: PhaseReached, What: "settled"})
 	l.Stop()
-	if f.Copies != nil && restless == nil {
-		l.Reread()
+	if f.StateStore != nil && restless == nil {
+		l.VerifySessions()
 	}
-	f.History.Add(Event{Kind: Phase, What: "done"})
+	f.History.Add(Event{Kind: PhaseReached, What: "done"})
 	f.History.End()
 	out.Totals = l.Totals()
 	out.Events = f.History.Events()
 	if out.Err == nil {
 		out.Err = f.History.Err()
 	}
-	if out.Broken = Check(out.Events); restless != nil {
-		out.Broken = append(out.Broken, Violation{"rest", f.History.At(healed), restless.Error()})
+	if out.Violations = Check(out.Events); restless != nil {
+		out.Violations = append(out.Violations, Violation{"rest", f.History.Timestamp(healed), restless.Error()})
 	}
 	return out
 }
 
 // Settle waits until the fleet has come to rest and so many classes are served.
-func (f *Fleet) Settle(classes int) error { return f.settles(classes) }
+func (f *Cluster) Settle(classes int) error { return f.settles(classes) }
 
 // settles waits until every gateway serves, the first one holds the address, and requests of so many classes have been served since.
-func (f *Fleet) settles(classes int) error {
+func (f *Cluster) settles(classes int) error {
 	if err := f.AwaitReady(settleBy); err != nil {
 		return err
 	}
 	if err := f.mend(); err != nil {
 		return err
 	}
-	if err := f.AwaitHolder(f.first(), settleBy); err != nil {
+	if err := f.AwaitActiveRouter(f.first(), settleBy); err != nil {
 		return err
 	}
-	if f.Members != nil {
+	if f.MembershipPath != nil {
 		if err := f.AwaitMembers(settleBy); err != nil {
 			return err
 		}
 	}
-	if f.Copies != nil {
-		if err := f.AwaitWhole(settleBy); err != nil {
+	if f.StateStore != nil {
+		if err := f.AwaitComplete(settleBy); err != nil {
 			return err
 		}
 	}
@@ -245,10 +245,10 @@
 	return f.History.Await("every class is served again", settleBy, func(all []Event) bool {
 		var served []string
 		for i := len(all) - 1; i >= 0 && len(served) < classes; i-- {
-			if e := all[i]; e.Kind == Heard && e.What == EndServed && e.At > from && !slices.Contains(served, e.Class) {
+			if e := all[i]; e.Kind == ResponseReceived && e.What == EndServed && e.At > from && !slices.Contains(served, e.Class) {
 				served = append(served, e.Class)
 			}
-			if all[i].Kind == Phase {
+			if all[i].Kind == PhaseReached {
 				break
 			}
 		}
--- a/internal/testcluster/maintain.go
+++ b/internal/testcluster/maintain.go
@@ -10,19 +10,19 @@
 )
 
 // Maintain says by what limits machines are taken out for work. What is zero is as the gateways have it.
-type Maintain struct {
-	Gateways, InZone, Servers    int
-	Settle, Return, For, Unheard time.Duration
+type Maintenance struct {
+	MaxGateways, MaxPerZone, MaxServers                        int
+	SettleTime, ReturnTimeout, DefaultDuration, SilenceTimeout time.Duration
 }
 
 // DefaultMaintain are spans that suit a short run.
-func DefaultMaintain() *Maintain {
-	return &Maintain{Settle: 500 * time.Millisecond, Return: 20 * time.Second, For: 30 * time.Second, Unheard: 10 * time.Second}
+func DefaultMaintenance() *Maintenance {
+	return &Maintenance{SettleTime: 500 * time.Millisecond, ReturnTimeout: 20 * time.Second, DefaultDuration: 30 * time.Second, SilenceTimeout: 10 * time.Second}
 }
 
 // section is the maintenance section of a gateway's operators' file. A load bound of all there is: the machine that the fleet runs
 // on is shared.
-func (m *Maintain) section() string {
+func (m *Maintenance) section() string {
 	var b strings.Builder
 	b.WriteString("maintenance\n max-load 100\n")
 	for _, x := range []struct {
@@ -30,8 +30,8 @@
 		value any
 		set   bool
 	}{
-		{"max-gateways", m.Gateways, m.Gateways > 0}, {"max-per-zone", m.InZone, m.InZone > 0}, {"max-servers", m.Servers, m.Servers > 0},
-		{"settle-time", m.Settle, m.Settle > 0}, {"return-within", m.Return, m.Return > 0}, {"default-duration", m.For, m.For > 0}, {"unheard", m.Unheard, m.Unheard > 0},
+		{"max-gateways", m.MaxGateways, m.MaxGateways > 0}, {"max-per-zone", m.MaxPerZone, m.MaxPerZone > 0}, {"max-servers", m.MaxServers, m.MaxServers > 0},
+		{"settle-time", m.SettleTime, m.SettleTime > 0}, {"return-within", m.ReturnTimeout, m.ReturnTimeout > 0}, {"default-duration", m.DefaultDuration, m.DefaultDuration > 0}, {"unheard", m.SilenceTimeout, m.SilenceTimeout > 0},
 	} {
 		if x.set {
 			fmt.Fprintf(&b, " %s %v\n", x.name, x.value)
@@ -41,20 +41,20 @@
 }
 
 // Order is what a gateway answers about maintenance.
-type Order struct {
+type MaintenanceStatus struct {
 	Leader   string
 	Held     bool
-	Machines []Unit
+	Machines []MaintenanceItem
 }
 
 // Unit is one machine in the order.
-type Unit struct {
+type MaintenanceItem struct {
 	Place                            int
 	Machine, Kind, State, Waits, Why string
 }
 
 // String says where the machines in hand stand, and what they wait for.
-func (o Order) String() string {
+func (o MaintenanceStatus) String() string {
 	var words []string
 	for _, u := range o.Machines {
 		if u.Place > 0 {
@@ -65,7 +65,7 @@
 }
 
 // Find is the latest machine of a name.
-func (o Order) Find(name string) (u Unit) {
+func (o MaintenanceStatus) FindMachine(name string) (u MaintenanceItem) {
 	for _, x := range o.Machines {
 		if x.Machine == name {
 			u = x
@@ -75,7 +75,7 @@
 }
 
 // Order asks a gateway for the order of maintenance.
-func (n *Node) Order() (o Order, err error) {
+func (n *Node) MaintenanceStatus() (o MaintenanceStatus, err error) {
 	out, err := exec.Command(n.f.Binary, "maintenance", "list", "--json", "--socket", n.Socket()).Output()
 	if err == nil {
 		err = json.Unmarshal(out, &o)
@@ -84,7 +84,7 @@
 }
 
 // Say says something about maintenance at a gateway, as an operator does.
-func (n *Node) Say(args ...string) (string, error) {
+func (n *Node) RunMaintenance(args ...string) (string, error) {
 	out, err := exec.Command(n.f.Binary, append([]string{"maintenance", "--socket", n.Socket()}, args...)...).CombinedOutput()
 	text := strings.TrimSpace(string(out))
 	if err != nil {
@@ -94,10 +94,10 @@
 }
 
 // SayAnywhere says something at the gateways in turn until one carries it out.
-func (f *Fleet) SayAnywhere(args ...string) (text string, err error) {
+func (f *Cluster) RunMaintenanceAnywhere(args ...string) (text string, err error) {
 	for late := time.Now().Add(settleBy); time.Now().Before(late); time.Sleep(100 * time.Millisecond) {
 		for _, n := range f.Nodes {
-			if text, err = n.Say(args...); err == nil {
+			if text, err = n.RunMaintenance(args...); err == nil {
 				return text, nil
 			}
 		}
@@ -106,10 +106,10 @@
 }
 
 // OrderAnywhere is the order as the ledger's leader has it, asked at the gateways in turn.
-func (f *Fleet) OrderAnywhere() (o Order, err error) {
+func (f *Cluster) LeaderMaintenanceStatus() (o MaintenanceStatus, err error) {
 	for late := time.Now().Add(settleBy); time.Now().Before(late); time.Sleep(100 * time.Millisecond) {
 		for _, n := range f.Nodes {
-			if o, err = n.Order(); err == nil && o.Leader != "" {
+			if o, err = n.MaintenanceStatus(); err == nil && o.Leader != "" {
 				return o, nil
 			}
 		}
@@ -118,11 +118,11 @@
 }
 
 // At is what an operator does at machines that may be touched.
-type At struct {
+type MaintenanceActions struct {
 	// Gateway works at one that is out: by itself it is ended, and started again after a while.
 	Gateway func(n *Node) error
 	Server  func(name string) error
-	Done    func(o Order) bool // looked at with each order; it may end the work early
+	Done    func(o MaintenanceStatus) bool // looked at with each order; it may end the work early
 }
 
 // What a phase tells of a machine: it is worked at from now on, or not any more.
@@ -133,16 +133,16 @@
 
 // Work does what an operator does all night: machines that may be touched are worked at, until all that are in the order are
 // done with. A primary whose turn it is gets another one promoted in its place.
-func (f *Fleet) Work(bound time.Duration, at At) error {
+func (f *Cluster) PerformMaintenance(bound time.Duration, at MaintenanceActions) error {
 	worked := map[string]bool{}
-	var last Order
+	var last MaintenanceStatus
 	for late := time.Now().Add(bound); time.Now().Before(late); time.Sleep(50 * time.Millisecond) {
-		o, err := f.OrderAnywhere()
+		o, err := f.LeaderMaintenanceStatus()
 		if err != nil {
 			return err
 		}
 		if text := o.String(); text != last.String() {
-			f.History.Add(Event{Kind: Phase, What: "order", Text: text})
+			f.History.Add(Event{Kind: PhaseReached, What: "order", Text: text})
 		}
 		last = o
 		if at.Done != nil && at.Done(o) {
@@ -173,16 +173,16 @@
 }
 
 // touch works at one machine.
-func (f *Fleet) touch(u Unit, at At) error {
-	f.History.Add(Event{Kind: Phase, What: touched + u.Machine})
+func (f *Cluster) touch(u MaintenanceItem, at MaintenanceActions) error {
+	f.History.Add(Event{Kind: PhaseReached, What: touched + u.Machine})
 	if u.Kind == "server" {
 		if at.Server != nil {
 			if err := at.Server(u.Machine); err != nil {
 				return err
 			}
 		}
-		f.History.Add(Event{Kind: Phase, What: untouched + u.Machine})
-		_, err := f.SayAnywhere("done", "server:"+u.Machine)
+		f.History.Add(Event{Kind: PhaseReached, What: untouched + u.Machine})
+		_, err := f.RunMaintenanceAnywhere("done", "server:"+u.Machine)
 		return err
 	}
 	for _, n := range f.Nodes {
@@ -196,7 +196,7 @@
 		if err != nil {
 			return err
 		}
-		n.Wait()
+		n.WaitForExit()
 		return undo()
 	}
 	return fmt.Errorf("there is no machine %s", u.Machine)
@@ -206,7 +206,7 @@
 const fencedFor = time.Second
 
 // promoteInPlaceOf makes another server of the same group its primary.
-func (f *Fleet) promoteInPlaceOf(name string) error {
+func (f *Cluster) promoteInPlaceOf(name string) error {
 	s := f.server(name)
 	if s == nil || s.role() != rolePrimary {
 		return nil
--- a/internal/testcluster/maintain_test.go
+++ b/internal/testcluster/maintain_test.go
@@ -16,34 +16,34 @@
 	const bound = 2 * time.Minute
 	gateways := []string{"g1", "g2", "g3", "g4", "g5", "g6"}
 	// until waits until a machine stands somewhere, by the leader's order.
-	until := func(f *Fleet, name string, states ...string) error {
+	until := func(f *Cluster, name string, states ...string) error {
 		return poll(fmt.Sprint(name, " is ", states), func() bool {
-			o, err := f.OrderAnywhere()
-			return err == nil && slices.Contains(states, o.Find(name).State)
+			o, err := f.LeaderMaintenanceStatus()
+			return err == nil && slices.Contains(states, o.FindMachine(name).State)
 		})
 	}
-	add := func(f *Fleet, args ...string) error {
-		_, err := f.SayAnywhere(append([]string{"add"}, args...)...)
+	add := func(f *Cluster, args ...string) error {
+		_, err := f.RunMaintenanceAnywhere(append([]string{"add"}, args...)...)
 		return err
 	}
 	// ends tells whether all that were asked for are done with.
-	work := func(f *Fleet, at At) error { return f.Work(bound, at) }
+	work := func(f *Cluster, at MaintenanceActions) error { return f.PerformMaintenance(bound, at) }
 	for _, c := range []struct {
 		name string
-		do   func(f *Fleet) error
+		do   func(f *Cluster) error
 	}{
-		{"all gateways and a group of servers", func(f *Fleet) error {
+		{"all gateways and a group of servers", func(f *Cluster) error {
 			if err := add(f, append(gateways, "p", "r1", "r2")...); err != nil {
 				return err
 			}
-			return work(f, At{})
+			return work(f, MaintenanceActions{})
 		}},
-		{"the ledger's leader is killed at each step", func(f *Fleet) error {
+		{"the ledger's leader is killed at each step", func(f *Cluster) error {
 			if err := add(f, "g1", "r1"); err != nil {
 				return err
 			}
 			seen := map[string]bool{}
-			return work(f, At{Done: func(o Order) bool {
+			return work(f, MaintenanceActions{Done: func(o MaintenanceStatus) bool {
 				for _, u := range o.Machines {
 					step := u.State
 					if u.Place == 0 || step == "asked" || seen[step] {
@@ -53,7 +53,7 @@
 					for _, n := range f.Nodes {
 						if n.Name() == o.Leader && n.Name() != u.Machine {
 							if undo, err := f.inflict(Fault{Verb: "kill", From: []int{n.Number}}); err == nil {
-								n.Wait()
+								n.WaitForExit()
 								undo()
 							}
 						}
@@ -62,7 +62,7 @@
 				return false
 			}})
 		}},
-		{"the one that leaves stands still, is cut off, is killed", func(f *Fleet) error {
+		{"the one that leaves stands still, is cut off, is killed", func(f *Cluster) error {
 			for _, fault := range []string{"at 0s stop 4", "at 0s cut 4 -> all", "at 0s kill 4"} {
 				if err := add(f, "g4"); err != nil {
 					return err
@@ -76,25 +76,25 @@
 				}); err != nil {
 					return err
 				}
-				if err := work(f, At{}); err != nil {
+				if err := work(f, MaintenanceActions{}); err != nil {
 					return err
 				}
 			}
 			return nil
 		}},
-		{"the one that is out comes back early, with an empty disk, under another version, twice", func(f *Fleet) error {
+		{"the one that is out comes back early, with an empty disk, under another version, twice", func(f *Cluster) error {
 			if err := add(f, "g2", "g3"); err != nil {
 				return err
 			}
 			lives := 0
-			return work(f, At{Gateway: func(n *Node) error {
+			return work(f, MaintenanceActions{Gateway: func(n *Node) error {
 				for range 2 {
 					lives++
 					undo, err := f.inflict(Fault{Verb: "kill", From: []int{n.Number}})
 					if err != nil {
 						return err
 					}
-					n.Wait()
+					n.WaitForExit()
 					switch lives {
 					case 1:
 						err = n.disk("empty")
@@ -111,7 +111,7 @@
 				return nil
 			}})
 		}},
-		{"a split just after one was chosen, with an operator on each side", func(f *Fleet) error {
+		{"a split just after one was chosen, with an operator on each side", func(f *Cluster) error {
 			if err := add(f, "g1"); err != nil {
 				return err
 			}
@@ -120,65 +120,65 @@
 			}
 			if err := during(f, "at 0s split 1,2 | 3,4,5,6", func() error {
 				for _, n := range []*Node{f.Nodes[1], f.Nodes[4]} {
-					n.Say("add", "g3") // one of them may hear that the ledger does not answer
-					n.Say("add", "g6")
+					n.RunMaintenance("add", "g3") // one of them may hear that the ledger does not answer
+					n.RunMaintenance("add", "g6")
 				}
 				time.Sleep(3 * time.Second) // the split itself
 				return nil
 			}); err != nil {
 				return err
 			}
-			f.SayAnywhere("add", "g3")
-			return work(f, At{})
+			f.RunMaintenanceAnywhere("add", "g3")
+			return work(f, MaintenanceActions{})
 		}},
-		{"hold, drop, unknown machines, and one that discovery drains", func(f *Fleet) error {
-			if text, err := f.Nodes[2].Say("add", "g77"); err == nil || !strings.Contains(text, "no gateway and no server g77 is known") {
+		{"hold, drop, unknown machines, and one that discovery drains", func(f *Cluster) error {
+			if text, err := f.Nodes[2].RunMaintenance("add", "g77"); err == nil || !strings.Contains(text, "no gateway and no server g77 is known") {
 				return fmt.Errorf("an unknown machine: %s, %v", text, err)
 			}
 			if err := during(f, "at 0s drain r2", func() error {
 				if err := add(f, "r1", "g5"); err != nil {
 					return err
 				}
-				if text, err := f.Nodes[3].Say("add", "g5"); err != nil || !strings.Contains(text, "already") {
+				if text, err := f.Nodes[3].RunMaintenance("add", "g5"); err != nil || !strings.Contains(text, "already") {
 					return fmt.Errorf("asked twice: %s, %v", text, err)
 				}
 				return until(f, "g5", "out")
 			}); err != nil {
 				return err
 			}
-			if _, err := f.SayAnywhere("pause"); err != nil {
+			if _, err := f.RunMaintenanceAnywhere("pause"); err != nil {
 				return err
 			}
 			if err := until(f, "r1", "held", "asked"); err != nil {
 				return err
 			}
-			if _, err := f.SayAnywhere("cancel", "r1"); err != nil {
+			if _, err := f.RunMaintenanceAnywhere("cancel", "r1"); err != nil {
 				return err
 			}
-			if _, err := f.SayAnywhere("done", "g5"); err != nil {
+			if _, err := f.RunMaintenanceAnywhere("done", "g5"); err != nil {
 				return err
 			}
-			if _, err := f.SayAnywhere("resume"); err != nil {
+			if _, err := f.RunMaintenanceAnywhere("resume"); err != nil {
 				return err
 			}
-			return work(f, At{})
+			return work(f, MaintenanceActions{})
 		}},
-		{"a third is killed while one is out", func(f *Fleet) error {
+		{"a third is killed while one is out", func(f *Cluster) error {
 			if err := add(f, "g3", "g5"); err != nil {
 				return err
 			}
-			return work(f, At{Gateway: func(n *Node) error {
+			return work(f, MaintenanceActions{Gateway: func(n *Node) error {
 				if n.Number != 3 {
 					return nil
 				}
 				if err := during(f, "at 0s kill 1,4", func() error { time.Sleep(time.Second); return nil }); err != nil {
 					return err
 				}
-				_, err := f.SayAnywhere("done", "g3")
+				_, err := f.RunMaintenanceAnywhere("done", "g3")
 				return err
-			}, Done: func(o Order) bool {
-				if o.Find("g5").State == "out" {
-					f.SayAnywhere("done", "g5")
+			}, Done: func(o MaintenanceStatus) bool {
+				if o.FindMachine("g5").State == "out" {
+					f.RunMaintenanceAnywhere("done", "g5")
 				}
 				return false
 			}})
@@ -189,10 +189,10 @@
 			wide <- true
 			defer func() { <-wide }()
 			o := options()
-			o.Ramp = time.Second
-			o.Nodes, o.Dir, o.Copies, o.InDoubt, o.Maintain, o.Groups = 6, t.TempDir(), DefaultCopies(), &InDoubt{Look: true}, DefaultMaintain(), 2
+			o.SlowStart = time.Second
+			o.Nodes, o.Dir, o.StateStore, o.InDoubt, o.Maintenance, o.Groups = 6, t.TempDir(), DefaultStateStore(), &InDoubt{SeatLookup: true}, DefaultMaintenance(), 2
 			load := DefaultLoad()
-			load.Mine, load.Again = 4, true
+			load.SessionReaders, load.RetryInDoubt = 4, true
 			ordeal(t, "maintenance "+c.name, o, load, "", c.do)
 		})
 	}
--- a/internal/testcluster/members_test.go
+++ b/internal/testcluster/members_test.go
@@ -17,10 +17,10 @@
 // state is what a gateway believes of another at the end of a history.
 func state(all []Event, node, about int) (s string) {
 	for _, e := range all {
-		if e.Node == node && e.Kind == Process && e.What == "started" {
+		if e.Node == node && e.Kind == ProcessChanged && e.What == "started" {
 			s = ""
 		}
-		if e.Node == node && e.Kind == Belief && e.What == fmt.Sprint("member g", about) {
+		if e.Node == node && e.Kind == StateReported && e.What == fmt.Sprint("member g", about) {
 			s = e.Text
 		}
 	}
@@ -31,7 +31,7 @@
 const knownBy = 15 * time.Second
 
 // everyone waits until all of some gateways believe the same of another.
-func everyone(f *Fleet, about int, want string, but ...int) error {
+func everyone(f *Cluster, about int, want string, but ...int) error {
 	return f.History.Await(fmt.Sprintf("all believe that gateway %d is %s", about, want), knownBy, func(all []Event) bool {
 		for _, n := range f.Nodes {
 			skip := n.Number == about
@@ -47,10 +47,10 @@
 }
 
 // noticed waits until a gateway has noticed something of itself.
-func noticed(f *Fleet, node int, what string) error {
+func noticed(f *Cluster, node int, what string) error {
 	return f.History.Await(fmt.Sprintf("gateway %d notices %s", node, what), settleBy, func(all []Event) bool {
 		for _, e := range all {
-			if e.Node == node && e.Kind == Belief && e.What == "itself" && e.Text == what {
+			if e.Node == node && e.Kind == StateReported && e.What == "itself" && e.Text == what {
 				return true
 			}
 		}
@@ -59,7 +59,7 @@
 }
 
 // ask asks a gateway who is there.
-func ask(f *Fleet, node int, args ...string) (s struct {
+func ask(f *Cluster, node int, args ...string) (s struct {
 	Members []struct {
 		Name, State, Version string
 		Self                 bool
@@ -119,19 +119,19 @@
 		t.Skip("what these processes do, the race detector does not see")
 	}
 	// amid is a fault, during which something must come about.
-	amid := func(line string, wait func(f *Fleet) error) func(f *Fleet) error {
-		return func(f *Fleet) error { return during(f, line, func() error { return wait(f) }) }
+	amid := func(line string, wait func(f *Cluster) error) func(f *Cluster) error {
+		return func(f *Cluster) error { return during(f, line, func() error { return wait(f) }) }
 	}
-	lasts := func(span time.Duration) func(*Fleet) error {
-		return func(*Fleet) error { time.Sleep(span); return nil } // the fault itself takes so long
+	lasts := func(span time.Duration) func(*Cluster) error {
+		return func(*Cluster) error { time.Sleep(span); return nil } // the fault itself takes so long
 	}
 	for _, c := range []struct {
 		name string
 		calm bool
-		do   func(f *Fleet) error
+		do   func(f *Cluster) error
 	}{
-		{"one is killed", false, amid("at 0s kill 4", func(f *Fleet) error { return everyone(f, 4, "dead") })},
-		{"four of nine are killed at once", false, amid("at 0s kill 1,2,3,4", func(f *Fleet) error {
+		{"one is killed", false, amid("at 0s kill 4", func(f *Cluster) error { return everyone(f, 4, "dead") })},
+		{"four of nine are killed at once", false, amid("at 0s kill 1,2,3,4", func(f *Cluster) error {
 			for i := 1; i <= 4; i++ {
 				if err := everyone(f, i, "dead", 1, 2, 3, 4); err != nil {
 					return err
@@ -141,15 +141,15 @@
 		})},
 		{"one stands still for a second", true, amid("at 0s stop 3", lasts(time.Second))},
 		{"a third stands still for a second", true, amid("at 0s stop 2,5,8", lasts(time.Second))},
-		{"one stands still for long", false, func(f *Fleet) error {
-			if err := amid("at 0s stop 5", func(f *Fleet) error { return everyone(f, 5, "dead") })(f); err != nil {
+		{"one stands still for long", false, func(f *Cluster) error {
+			if err := amid("at 0s stop 5", func(f *Cluster) error { return everyone(f, 5, "dead") })(f); err != nil {
 				return err
 			}
 			return noticed(f, 5, "outcast")
 		}},
 		{"a starved fifth", true, amid("at 0s starve 2,7 70%", lasts(2*time.Second))},
 		{"losses and delay", true, amid("at 0s loss all -> all 30%", amid("at 0s delay all -> all 0s..1s", lasts(4*time.Second)))},
-		{"a one-way cut of a pair", true, amid("at 0s cut 2 -> 6", func(f *Fleet) error {
+		{"a one-way cut of a pair", true, amid("at 0s cut 2 -> 6", func(f *Cluster) error {
 			return poll("a third one sees the path that is cut", func() bool {
 				s, err := ask(f, 9)
 				for _, m := range s.Members {
@@ -160,7 +160,7 @@
 				return false
 			})
 		})},
-		{"streams that stand still", true, func(f *Fleet) error {
+		{"streams that stand still", true, func(f *Cluster) error {
 			blocked := func(want ...string) func() bool {
 				return func() bool {
 					s, err := ask(f, 2, "--streams")
@@ -176,16 +176,16 @@
 			if err := poll("streams to all", blocked()); err != nil {
 				return err
 			}
-			if err := amid("at 0s stall 2 -> 6,7", func(*Fleet) error { return poll("streams to all but two", blocked("g6", "g7")) })(f); err != nil {
+			if err := amid("at 0s stall 2 -> 6,7", func(*Cluster) error { return poll("streams to all but two", blocked("g6", "g7")) })(f); err != nil {
 				return err
 			}
-			f.Begin(Fault{Verb: "reset"})
+			f.Inject(Fault{Verb: "reset"})
 			return poll("streams to all again", blocked())
 		}},
-		{"three of another version", true, func(f *Fleet) error {
+		{"three of another version", true, func(f *Cluster) error {
 			for _, i := range []int{3, 6, 9} {
 				f.Nodes[i-1].Binary = another
-				if err := amid(fmt.Sprint("at 0s term ", i), func(f *Fleet) error { return everyone(f, i, "left") })(f); err != nil {
+				if err := amid(fmt.Sprint("at 0s term ", i), func(f *Cluster) error { return everyone(f, i, "left") })(f); err != nil {
 					return err
 				}
 			}
@@ -204,24 +204,24 @@
 				return true
 			})
 		}},
-		{"one that nobody hears", false, func(f *Fleet) error {
-			if err := amid("at 0s cut 6 -> all", func(f *Fleet) error { return everyone(f, 6, "dead") })(f); err != nil {
+		{"one that nobody hears", false, func(f *Cluster) error {
+			if err := amid("at 0s cut 6 -> all", func(f *Cluster) error { return everyone(f, 6, "dead") })(f); err != nil {
 				return err
 			}
 			return noticed(f, 6, "outcast")
 		}},
-		{"one that hears nobody", false, amid("at 0s cut all -> 6", func(f *Fleet) error { return everyone(f, 6, "dead") })},
-		{"two halves", false, amid("at 0s split 1,2,3,4 | 5,6,7,8,9", func(f *Fleet) error { return everyone(f, 9, "dead", 5, 6, 7, 8) })},
+		{"one that hears nobody", false, amid("at 0s cut all -> 6", func(f *Cluster) error { return everyone(f, 6, "dead") })},
+		{"two halves", false, amid("at 0s split 1,2,3,4 | 5,6,7,8,9", func(f *Cluster) error { return everyone(f, 9, "dead", 5, 6, 7, 8) })},
 		{"three parts, and one that sees two", false, amid("at 0s split 1,2 | 5,6,7,8,9",
 			amid("at 0s split 3,4 | 5,6,7,8,9", amid("at 0s split 1 | 3,4", lasts(3*time.Second))))},
-		{"SIGTERM during a partition", false, amid("at 0s split 1,2,3,4 | 5,6,7,8,9", amid("at 0s term 4", func(f *Fleet) error {
+		{"SIGTERM during a partition", false, amid("at 0s split 1,2,3,4 | 5,6,7,8,9", amid("at 0s term 4", func(f *Cluster) error {
 			return f.History.Await("the others of its part know that it has left", settleBy, func(all []Event) bool {
 				return state(all, 1, 4) == "left" && state(all, 2, 4) == "left" && state(all, 3, 4) == "left"
 			})
 		}))},
-		{"one joins and leaves in a loop", true, func(f *Fleet) error {
+		{"one joins and leaves in a loop", true, func(f *Cluster) error {
 			for range 3 {
-				if err := amid("at 0s term 7", func(f *Fleet) error { return everyone(f, 7, "left") })(f); err != nil {
+				if err := amid("at 0s term 7", func(f *Cluster) error { return everyone(f, 7, "left") })(f); err != nil {
 					return err
 				}
 				if err := everyone(f, 7, "alive"); err != nil {
@@ -230,13 +230,13 @@
 			}
 			return nil
 		}},
-		{"the same name twice", false, func(f *Fleet) error {
+		{"the same name twice", false, func(f *Cluster) error {
 			n := f.Nodes[8]
 			undo, err := f.inflict(mustFault("at 0s term 9"))
 			if err != nil {
 				return err
 			}
-			n.Wait()
+			n.WaitForExit()
 			own := n.sections()
 			if err := os.WriteFile(n.Conf(), []byte(strings.Replace(own, "node g9", "node g1", 1)), 0o600); err != nil {
 				return err
@@ -254,13 +254,13 @@
 			if err != nil {
 				return err
 			}
-			n.Wait()
+			n.WaitForExit()
 			if err := os.WriteFile(n.Conf(), []byte(own), 0o600); err != nil {
 				return err
 			}
 			return again()
 		}},
-		{"keys change during a partition", false, amid("at 0s split 1,2,3,4 | 5,6,7,8,9", func(f *Fleet) error {
+		{"keys change during a partition", false, amid("at 0s split 1,2,3,4 | 5,6,7,8,9", func(f *Cluster) error {
 			steps := []func(string) string{
 				replace(`key 1 "`+secret+`"`, `key 1 "`+secret+"\"\n key 2 \"another secret of this test\""),
 				replace(`key 1 "`+secret+"\"\n key 2 \"another secret of this test\"", "key 2 \"another secret of this test\"\n key 1 \""+secret+`"`),
@@ -274,18 +274,18 @@
 			}
 			return everyone(f, 9, "dead", 5, 6, 7, 8)
 		})},
-		{"garbage", true, func(f *Fleet) error {
+		{"garbage", true, func(f *Cluster) error {
 			quit := make(chan struct{})
 			defer close(quit)
 			go flood(fmt.Sprintf("%v:%d", f.Nodes[0].IP, portMembers), quit)
 			go flood(fmt.Sprintf("%v:%d", f.Nodes[0].IP, portVRRP), quit)
 			time.Sleep(3 * time.Second) // the fault itself
-			if held := Holding(f.History.Events()); !held[1] || len(held) != 1 {
+			if held := ActiveRouters(f.History.Events()); !held[1] || len(held) != 1 {
 				return fmt.Errorf("the floating address went to %v for garbage", held)
 			}
 			return nil
 		}},
-		{"intervals and join addresses change under load", true, func(f *Fleet) error {
+		{"intervals and join addresses change under load", true, func(f *Cluster) error {
 			for _, n := range f.Nodes {
 				if err := n.Reconfigure(func(s string) string {
 					return strings.Replace(strings.Replace(s, "interval 200ms", "interval 300ms", 1), " join ", " join 127.0.0.1:9\n join ", 1)
@@ -311,7 +311,7 @@
 			}
 			defer f.Close()
 			if err := f.AwaitMembers(settleBy); err != nil {
-				t.Fatal(err, Strangers(f.History.Events(), 9))
+				t.Fatal(err, MembershipGaps(f.History.Events(), 9))
 			}
 			l := f.Load(DefaultLoad())
 			if err := c.do(f); err != nil {
@@ -319,19 +319,19 @@
 			}
 			healed := time.Now()
 			if err := f.settles(3); err != nil {
-				t.Error(err, Strangers(f.History.Events(), 9))
+				t.Error(err, MembershipGaps(f.History.Events(), 9))
 			}
 			t.Logf("at rest %v after the fault", time.Since(healed))
-			f.History.Add(Event{Kind: Phase, What: "settled"})
+			f.History.Add(Event{Kind: PhaseReached, What: "settled"})
 			l.Stop()
-			f.History.Add(Event{Kind: Phase, What: "done"})
+			f.History.Add(Event{Kind: PhaseReached, What: "done"})
 			f.History.End()
 			for _, v := range Check(f.History.Events()) {
 				t.Error(v)
 			}
 			dead := 0
 			for _, e := range f.History.Events() {
-				if e.Kind == Belief && e.Text == "dead" && strings.HasPrefix(e.What, "member ") {
+				if e.Kind == StateReported && e.Text == "dead" && strings.HasPrefix(e.What, "member ") {
 					dead++
 				}
 			}
--- a/internal/testcluster/node.go
+++ b/internal/testcluster/node.go
@@ -27,7 +27,7 @@
 	Floating string
 	Binary   string // of its next lives, if not the fleet's
 
-	f         *Fleet
+	f         *Cluster
 	dir       string
 	discovery *fake.Discovery
 	reach     *fake.Relay            // of discovery
@@ -42,7 +42,7 @@
 }
 
 // newNode makes what stands between one gateway and the rest.
-func (f *Fleet) newNode(number int, ip net.IP) (*Node, error) {
+func (f *Cluster) newNode(number int, ip net.IP) (*Node, error) {
 	n := &Node{Number: number, IP: ip, f: f, dir: filepath.Join(f.Dir, fmt.Sprint("n", number)), servers: map[string]*fake.Relay{}, files: noBound}
 	n.Listen, n.Floating = fmt.Sprintf("%v:%d", ip, portClients), fmt.Sprintf("%v:%d", ip, portFloating)
 	f.Nodes = append(f.Nodes, n)
@@ -73,7 +73,7 @@
 // sent notes a request as its first byte leaves for a server.
 func (n *Node) sent(server string, chunk []byte) {
 	for _, m := range requestID.FindAllSubmatch(chunk, -1) {
-		n.f.History.Add(Event{Kind: Sent, Node: n.Number, ID: string(m[1]), Server: server})
+		n.f.History.Add(Event{Kind: RequestForwarded, Node: n.Number, ID: string(m[1]), Server: server})
 	}
 }
 
@@ -84,8 +84,8 @@
 		return err
 	}
 	conf := n.sections()
-	if f.Rewrite != nil {
-		conf = f.Rewrite(conf)
+	if f.RewriteConfig != nil {
+		conf = f.RewriteConfig(conf)
 	}
 	if err := os.WriteFile(n.Conf(), []byte(conf), 0o600); err != nil {
 		return err
@@ -99,7 +99,7 @@
 		"seed":     fmt.Sprintf("%x", f.Seed+uint64(n.Number)),
 		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
 		"known":    map[string]any{"rev": 1, "all": true, "targets": known},
-		"settings": json.RawMessage(fmt.Sprintf(settings, len(f.Nodes), n.Number-1, f.Ramp.Milliseconds())),
+		"settings": json.RawMessage(fmt.Sprintf(settings, len(f.Nodes), n.Number-1, f.SlowStart.Milliseconds())),
 	})
 	if err != nil {
 		return err
@@ -133,25 +133,25 @@
 	f := n.f
 	var b strings.Builder
 	fmt.Fprintf(&b, "control %s\n", n.Socket())
-	if f.Members != nil {
-		fmt.Fprintf(&b, "members\n node %s\n bind %v:%d\n key 1 \"%s\"\n interval %v\n zone z%d\n", n.Name(), n.IP, portMembers, secret, f.Probe, n.Number%3)
+	if f.MembershipPath != nil {
+		fmt.Fprintf(&b, "members\n node %s\n bind %v:%d\n key 1 \"%s\"\n interval %v\n zone z%d\n", n.Name(), n.IP, portMembers, secret, f.MembershipInterval, n.Number%3)
 		for _, other := range f.Nodes {
 			if other.Number <= 3 {
 				fmt.Fprintf(&b, " join %v:%d\n", other.IP, portMembers)
 			}
 			if other != n {
-				fmt.Fprintf(&b, " via %v:%d %s\n", other.IP, portMembers, f.Members.Peer(n.Number-1, other.Number-1))
+				fmt.Fprintf(&b, " via %v:%d %s\n", other.IP, portMembers, f.MembershipPath.Peer(n.Number-1, other.Number-1))
 			}
 		}
 	}
-	if f.Copies != nil {
-		b.WriteString(f.Copies.section(n))
+	if f.StateStore != nil {
+		b.WriteString(f.StateStore.section(n))
 	}
 	if f.InDoubt != nil {
 		b.WriteString(f.InDoubt.section())
 	}
-	if f.Maintain != nil {
-		b.WriteString(f.Maintain.section())
+	if f.Maintenance != nil {
+		b.WriteString(f.Maintenance.section())
 	}
 	if n.Number > 1 && len(f.Nodes) > mostPeers+1 {
 		return b.String() // VRRP names its peers, sixteen at most: in larger fleets the first one has the address alone
@@ -163,11 +163,11 @@
 	fmt.Fprintf(&b, "vrrp\n node %d\n bind %v:%d\n announce %s\n key 1 \"%s\"\n", n.Number, n.IP, portVRRP, f.Switch.Announced(), secret)
 	for _, other := range f.Nodes {
 		if other != n && len(f.Nodes) <= mostPeers+1 {
-			fmt.Fprintf(&b, " peer %d %s\n", other.Number, f.Path.Peer(n.Number-1, other.Number-1))
+			fmt.Fprintf(&b, " peer %d %s\n", other.Number, f.VRRPPath.Peer(n.Number-1, other.Number-1))
 		}
 	}
 	fmt.Fprintf(&b, "group counters\n vrid 51\n address 192.0.2.10\n listen %s\n priority %d\n interval %v\n damp 0s 0s 0s\n",
-		n.Floating, priority, f.Interval)
+		n.Floating, priority, f.AdvertisementInterval)
 	return b.String()
 }
 
@@ -193,10 +193,10 @@
 	cmd := exec.Command(binary, "--conf", n.Conf())
 	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+filepath.Join(n.dir, "json"))
 	life := n.lives
-	n.f.History.Add(Event{Kind: Process, Node: n.Number, What: "started", Text: fmt.Sprint("life ", life)})
+	n.f.History.Add(Event{Kind: ProcessChanged, Node: n.Number, What: "started", Text: fmt.Sprint("life ", life)})
 	n.process, err = launch(cmd, log, n.line, func(how string) {
 		log.Close()
-		n.f.History.Add(Event{Kind: Process, Node: n.Number, What: "ended", Text: how})
+		n.f.History.Add(Event{Kind: ProcessChanged, Node: n.Number, What: "ended", Text: how})
 	})
 	if err != nil {
 		log.Close()
@@ -223,7 +223,7 @@
 	if json.Unmarshal([]byte(text), &line) != nil {
 		return
 	}
-	e := Event{At: n.f.History.At(line.Time), Kind: Belief, Node: n.Number, Text: line.To}
+	e := Event{At: n.f.History.Timestamp(line.Time), Kind: StateReported, Node: n.Number, Text: line.To}
 	switch line.Message {
 	case "vrrp":
 		e.What, e.Value = fmt.Sprint("vrrp ", line.Group), line.Cause
@@ -248,7 +248,7 @@
 func (n *Node) awaitServing(p *process) {
 	for !p.over() {
 		if fake.Serves(n.Listen, time.Second) {
-			n.f.History.Add(Event{Kind: Process, Node: n.Number, What: "ready"})
+			n.f.History.Add(Event{Kind: ProcessChanged, Node: n.Number, What: "ready"})
 			return
 		}
 		select {
@@ -276,7 +276,7 @@
 }
 
 // Wait waits for the end of a life that was told to end.
-func (n *Node) Wait() { <-n.current().ended }
+func (n *Node) WaitForExit() { <-n.current().ended }
 
 // still has a life of a gateway stand still, or run on once nothing else has it stand still.
 func (n *Node) still(p *process, on bool) {
--- a/internal/testcluster/rig_test.go
+++ b/internal/testcluster/rig_test.go
@@ -75,10 +75,10 @@
 			if out.Err != nil {
 				t.Error(out.Err)
 			}
-			for _, v := range out.Broken {
+			for _, v := range out.Violations {
 				t.Error(v)
 			}
-			t.Logf("%d events, %+v, settled after %v, all in %v", len(out.Events), out.Totals, out.Settled, time.Since(start))
+			t.Logf("%d events, %+v, settled after %v, all in %v", len(out.Events), out.Totals, out.SettleTime, time.Since(start))
 		})
 	}
 }
@@ -128,7 +128,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := f.Begin(Fault{Verb: "stop", From: []int{2}}); err != nil {
+	if _, err := f.Inject(Fault{Verb: "stop", From: []int{2}}); err != nil {
 		t.Fatal(err)
 	}
 	fmt.Print("pids")
@@ -216,7 +216,7 @@
 
 // What cannot be brought about is told before anything is.
 func TestFits(t *testing.T) {
-	f := &Fleet{Nodes: make([]*Node, 3), clusters: []*cluster{{servers: []*server{{name: "p", primary: true}, {name: "r1"}}}}}
+	f := &Cluster{Nodes: make([]*Node, 3), groups: []*serverGroup{{servers: []*server{{name: "p", primary: true}, {name: "r1"}}}}}
 	for line, fits := range map[string]bool{
 		"at 1s kill 3": true, "at 1s kill 4": false, "at 1s cut 1 -> 4": false, "at 1s lag r1 1s": true, "at 1s lag r2 1s": false,
 		"at 1s drain p": false, "at 1s sever 1 -> p": true, "at 1s sever 1 -> discovery": true, "at 1s sever 1 -> x": false,
@@ -232,7 +232,7 @@
 	if err := f.Play([]Fault{{Verb: "kill", From: []int{9}}}, nil); err == nil {
 		t.Error("it was played")
 	}
-	if _, err := New(Options{Nodes: MostNodes + 1, Replicas: 1}); err == nil {
+	if _, err := New(Options{Nodes: MaxNodes + 1, Replicas: 1}); err == nil {
 		t.Error("33 gateways")
 	}
 }
--- a/internal/testcluster/script.go
+++ b/internal/testcluster/script.go
@@ -14,16 +14,16 @@
 
 // Fault is one line of a script: something that goes wrong at a time, and that is put right after a span.
 type Fault struct {
-	At   time.Duration
-	Verb string
-	From []int // gateways, from 1: those that a fault is done to, or whose sending it spoils; nil: all
-	To   []int // those that no longer hear; nil: all
-	Both bool  // the way back is spoilt too
-	Name string
-	Num  float64       // a share, a number of copies, bytes a second
-	Span time.Duration // a delay or a lag
-	More time.Duration // a delay's jitter
-	For  time.Duration // 0: to the end of the run
+	At            time.Duration
+	Verb          string
+	From          []int // gateways, from 1: those that a fault is done to, or whose sending it spoils; nil: all
+	To            []int // those that no longer hear; nil: all
+	Bidirectional bool  // the way back is spoilt too
+	Name          string
+	Amount        float64       // a share, a number of copies, bytes a second
+	Delay         time.Duration // a delay or a lag
+	Jitter        time.Duration // a delay's jitter
+	Duration      time.Duration // 0: to the end of the run
 }
 
 // shape says what a verb takes behind it.
@@ -50,35 +50,35 @@
 
 func percent(f *Fault, word string) bool {
 	n, err := strconv.ParseFloat(strings.TrimSuffix(word, "%"), 64)
-	f.Num = n / 100
+	f.Amount = n / 100
 	return err == nil && strings.HasSuffix(word, "%") && n >= 0 && n <= 100
 }
 
-func printPercent(f Fault) string { return strconv.FormatFloat(f.Num*100, 'f', -1, 64) + "%" }
+func printPercent(f Fault) string { return strconv.FormatFloat(f.Amount*100, 'f', -1, 64) + "%" }
 
 func whole(f *Fault, word string) bool {
 	n, err := strconv.Atoi(word)
-	f.Num = float64(n)
+	f.Amount = float64(n)
 	return err == nil && n > 0
 }
 
-func printWhole(f Fault) string { return strconv.Itoa(int(f.Num)) }
+func printWhole(f Fault) string { return strconv.Itoa(int(f.Amount)) }
 
 func span(f *Fault, word string) bool {
 	least, most, jitters := strings.Cut(word, "..")
 	var err, err2 error
-	if f.Span, err = time.ParseDuration(least); jitters {
-		f.More, err2 = time.ParseDuration(most)
-		f.More -= f.Span
+	if f.Delay, err = time.ParseDuration(least); jitters {
+		f.Jitter, err2 = time.ParseDuration(most)
+		f.Jitter -= f.Delay
 	}
-	return err == nil && err2 == nil && f.Span >= 0 && f.More >= 0
+	return err == nil && err2 == nil && f.Delay >= 0 && f.Jitter >= 0
 }
 
 func printSpan(f Fault) string {
-	if f.More > 0 {
-		return f.Span.String() + ".." + (f.Span + f.More).String()
+	if f.Jitter > 0 {
+		return f.Delay.String() + ".." + (f.Delay + f.Jitter).String()
 	}
-	return f.Span.String()
+	return f.Delay.String()
 }
 
 func disk(f *Fault, word string) bool {
@@ -139,7 +139,7 @@
 	v := verbs[f.Verb]
 	words := []string{"at", f.At.String(), f.Verb}
 	arrow := "->"
-	if f.Both {
+	if f.Bidirectional {
 		arrow = "<->"
 	}
 	switch v.shape {
@@ -157,8 +157,8 @@
 	if v.value != nil {
 		words = append(words, v.print(f))
 	}
-	if f.For > 0 {
-		words = append(words, "for", f.For.String())
+	if f.Duration > 0 {
+		words = append(words, "for", f.Duration.String())
 	}
 	return strings.Join(words, " ")
 }
@@ -238,7 +238,7 @@
 	}
 	if word := rest.next(); word != "" {
 		long := rest.next()
-		if f.For, err = time.ParseDuration(long); word != "for" || err != nil || f.For <= 0 || v.once || len(rest) > 0 {
+		if f.Duration, err = time.ParseDuration(long); word != "for" || err != nil || f.Duration <= 0 || v.once || len(rest) > 0 {
 			return f, fmt.Sprintf("%q is not understood behind %s", strings.Join(append([]string{word, long}, rest...), " "), f.Verb)
 		}
 	}
@@ -254,7 +254,7 @@
 		}
 		for _, x := range strings.Split(word, ",") {
 			n, err := strconv.Atoi(x)
-			if err != nil || n < 1 || n > MostNodes {
+			if err != nil || n < 1 || n > MaxNodes {
 				wrong = fmt.Sprintf("%q names no gateways, such as 1,2 or all", word)
 				return
 			}
@@ -265,7 +265,7 @@
 		if sign := rest.next(); wrong == "" && !slices.Contains(signs, sign) {
 			wrong = fmt.Sprintf("%q stands where %s belongs", sign, strings.Join(signs, " or "))
 		} else {
-			f.Both = sign == "<->"
+			f.Bidirectional = sign == "<->"
 		}
 	}
 	switch s {
@@ -293,7 +293,7 @@
 }
 
 // Script writes faults so that ParseScript reads them back.
-func Script(faults []Fault) string {
+func FormatScript(faults []Fault) string {
 	var b strings.Builder
 	for _, f := range faults {
 		b.WriteString(f.String())
@@ -307,12 +307,12 @@
 	in := func(list []int, n int) bool { return list == nil || slices.Contains(list, n) }
 	there := in(f.From, from) && in(f.To, to)
 	back := in(f.From, to) && in(f.To, from)
-	return from != to && (there || (f.Both || f.Verb == "split") && back)
+	return from != to && (there || (f.Bidirectional || f.Verb == "split") && back)
 }
 
 // Draw makes a schedule of faults for a fleet from a seed: about one a second, each put right well before the end. Every
 // kind has its turn before one comes again.
-func Draw(seed uint64, gateways, replicas int, length time.Duration) []Fault {
+func DrawFaults(seed uint64, gateways, replicas int, length time.Duration) []Fault {
 	rng := rand.New(rand.NewPCG(seed, uint64(gateways)))
 	var bag []string
 	var out []Fault
@@ -329,7 +329,7 @@
 		}
 		f := Fault{At: at, Verb: bag[0]}
 		bag = bag[1:]
-		if f.draw(rng, gateways, replicas); f.At+f.For < last {
+		if f.draw(rng, gateways, replicas); f.At+f.Duration < last {
 			out = append(out, f)
 		}
 	}
@@ -347,15 +347,15 @@
 		return list
 	}
 	step := 100 * time.Millisecond
-	f.For = step * time.Duration(5+rng.IntN(25))
+	f.Duration = step * time.Duration(5+rng.IntN(25))
 	third := max(1, gateways/3)
 	switch f.Verb {
 	case "kill", "term":
 		f.From = some(third)
 	case "stop":
-		f.From, f.For = some(third), step*time.Duration(3+rng.IntN(47))
+		f.From, f.Duration = some(third), step*time.Duration(3+rng.IntN(47))
 	case "starve":
-		f.From, f.Num = some(third), float64(30+rng.IntN(60))/100
+		f.From, f.Amount = some(third), float64(30+rng.IntN(60))/100
 	case "split":
 		f.From = some(gateways - 1)
 		for n := 1; n <= gateways; n++ {
@@ -364,26 +364,26 @@
 			}
 		}
 	case "cut", "stall", "reset", "reorder":
-		f.From, f.To, f.Both = some(third), some(gateways), rng.IntN(2) == 0
+		f.From, f.To, f.Bidirectional = some(third), some(gateways), rng.IntN(2) == 0
 	case "loss":
-		f.Num = float64(5+rng.IntN(30)) / 100
+		f.Amount = float64(5+rng.IntN(30)) / 100
 	case "delay":
-		f.Span, f.More = step*time.Duration(rng.IntN(3)), step*time.Duration(1+rng.IntN(9))
+		f.Delay, f.Jitter = step*time.Duration(rng.IntN(3)), step*time.Duration(1+rng.IntN(9))
 	case "duplicate":
-		f.Num = float64(1 + rng.IntN(3))
+		f.Amount = float64(1 + rng.IntN(3))
 	case "slow":
-		f.From, f.Num = some(third), float64(1000*(1+rng.IntN(20)))
+		f.From, f.Amount = some(third), float64(1000*(1+rng.IntN(20)))
 	case "sever":
 		f.From = some(third)
 		f.Name = [...]string{"p", "r1", Discovery}[rng.IntN(3)]
 	case "files":
 		f.From, f.Name = some(third), fileFaults[rng.IntN(len(fileFaults))]
 	case "lag":
-		f.Name, f.Span = fmt.Sprint("r", 1+rng.IntN(replicas)), step*time.Duration(2+rng.IntN(30))
+		f.Name, f.Delay = fmt.Sprint("r", 1+rng.IntN(replicas)), step*time.Duration(2+rng.IntN(30))
 	case "drain":
 		f.Name = fmt.Sprint("r", 1+rng.IntN(replicas))
 	}
 	if verbs[f.Verb].once {
-		f.For = 0
+		f.Duration = 0
 	}
 }
--- a/internal/testcluster/script_test.go
+++ b/internal/testcluster/script_test.go
@@ -13,17 +13,17 @@
 	kinds := map[string]bool{}
 	for seed := range uint64(200) {
 		nodes := 2 + int(seed%8)
-		all := Draw(seed, nodes, 2, 30*time.Second)
-		if !reflect.DeepEqual(all, Draw(seed, nodes, 2, 30*time.Second)) {
+		all := DrawFaults(seed, nodes, 2, 30*time.Second)
+		if !reflect.DeepEqual(all, DrawFaults(seed, nodes, 2, 30*time.Second)) {
 			t.Fatalf("seed %d draws two schedules", seed)
 		}
-		again, err := ParseScript("drawn", Script(all))
+		again, err := ParseScript("drawn", FormatScript(all))
 		if err != nil || !reflect.DeepEqual(all, again) {
-			t.Fatalf("seed %d: %v\n%s---\n%s", seed, err, Script(all), Script(again))
+			t.Fatalf("seed %d: %v\n%s---\n%s", seed, err, FormatScript(all), FormatScript(again))
 		}
 		for _, f := range all {
 			kinds[f.Verb] = true
-			if f.At+f.For >= 24*time.Second || !verbs[f.Verb].once && f.For == 0 {
+			if f.At+f.Duration >= 24*time.Second || !verbs[f.Verb].once && f.Duration == 0 {
 				t.Errorf("seed %d: %v is not put right in time", seed, f)
 			}
 			if slices.Contains(f.From, 0) || slices.ContainsFunc(slices.Concat(f.From, f.To), func(n int) bool { return n > nodes }) {
@@ -51,7 +51,7 @@
 at 7s disk 2 old
 `
 	all, err := ParseScript("x", text)
-	if err != nil || len(all) != 8 || all[0].Verb != "cut" || all[0].For != 0 || all[3].More != 990*time.Millisecond || all[4].Num != 0.125 {
+	if err != nil || len(all) != 8 || all[0].Verb != "cut" || all[0].Duration != 0 || all[3].Jitter != 990*time.Millisecond || all[4].Amount != 0.125 {
 		t.Fatalf("%v %+v", err, all)
 	}
 	for _, c := range []struct {
@@ -110,10 +110,10 @@
 	for _, guilty := range [][]int{{}, {0}, {19}, {3, 4}, {0, 10, 19}, {1, 2, 3, 4, 5, 6}} {
 		seen := map[string]bool{}
 		got := Shrink(all, 1000, func(faults []Fault) bool {
-			if seen[Script(faults)] {
+			if seen[FormatScript(faults)] {
 				t.Errorf("%v: the same run twice", guilty)
 			}
-			seen[Script(faults)] = true
+			seen[FormatScript(faults)] = true
 			for _, g := range guilty {
 				if !slices.ContainsFunc(faults, func(f Fault) bool { return f.From[0] == g+1 }) {
 					return false
@@ -122,7 +122,7 @@
 			return true
 		})
 		if len(got) != len(guilty) {
-			t.Errorf("%v: %d faults left\n%s", guilty, len(got), Script(got))
+			t.Errorf("%v: %d faults left\n%s", guilty, len(got), FormatScript(got))
 		}
 	}
 	runs := 0
--- a/internal/testcluster/shrink.go
+++ b/internal/testcluster/shrink.go
@@ -4,9 +4,9 @@
 // (delta debugging, Zeller and Hildebrandt 2002), in at most so many runs. A run that depends on luck may pass where it could
 // have failed; what is left then has a fault too many, never one too few.
 func Shrink(faults []Fault, runs int, fails func([]Fault) bool) []Fault {
-	tried := map[string]bool{Script(faults): false}
+	tried := map[string]bool{FormatScript(faults): false}
 	try := func(some []Fault) bool {
-		key := Script(some)
+		key := FormatScript(some)
 		if _, done := tried[key]; done || runs == 0 {
 			return false
 		}
