--- a/cmd/marblespan/main_test.go
+++ b/cmd/marblespan/main_test.go
@@ -115,8 +115,8 @@
 // startAt also returns the path of the configuration.
 func startAt(t *testing.T, addr string, server *fake.Server) (*exec.Cmd, *bufio.Scanner, string) {
 	t.Helper()
-	target := fake.Target{
-		UID: "p", Endpoint: server.Addr(), Group: 1, State: "ready", Weight: 1, Role: "primary",
+	target := fake.Endpoint{
+		UID: "p", Addr: server.Addr(), Group: 1, State: "ready", Weight: 1, Role: "primary",
 	}
 	disc, err := fake.NewDiscovery(target)
 	if err != nil {
@@ -124,7 +124,7 @@
 	}
 	path := sample(t, map[string]any{
 		"listen": addr, "discovery": disc.Addr(),
-		"known": map[string]any{"rev": 1, "all": true, "targets": []fake.Target{target}},
+		"known": map[string]any{"rev": 1, "all": true, "targets": []fake.Endpoint{target}},
 	})
 	cmd := gateway(t, path, "1")
 	log, err := cmd.StderrPipe()
@@ -152,7 +152,7 @@
 	}
 	defer server.Close()
 	value := strings.Repeat("0123456789abcdef", 8<<10)
-	server.SetHandle(func(q *fake.Query) { q.Serve([]byte(value)) })
+	server.SetQueryHandler(func(q *fake.Query) { q.ReplyRow([]byte(value)) })
 	addr := freeAddr(t)
 	cmd, lines := start(t, addr, server)
 	if !lines.Scan() {
--- a/cmd/marblespan/signals_test.go
+++ b/cmd/marblespan/signals_test.go
@@ -66,10 +66,10 @@
 	}
 	defer server.Close()
 	arrived, release := make(chan struct{}), make(chan struct{})
-	server.SetHandle(func(q *fake.Query) {
+	server.SetQueryHandler(func(q *fake.Query) {
 		close(arrived)
 		<-release
-		q.Serve([]byte("value of " + q.ID()))
+		q.ReplyRow([]byte("value of " + q.ID()))
 	})
 	addr := freeAddr(t)
 	cmd, lines := start(t, addr, server)
@@ -159,8 +159,8 @@
 	const answers = 60
 	value := bytes.Repeat([]byte("0123456789abcdef"), 8<<10)
 	served := make(chan struct{}, answers)
-	server.SetHandle(func(q *fake.Query) {
-		q.Serve(value)
+	server.SetQueryHandler(func(q *fake.Query) {
+		q.ReplyRow(value)
 		served <- struct{}{}
 	})
 	addr := freeAddr(t)
--- a/internal/experiments/failover/failover.go
+++ b/internal/experiments/failover/failover.go
@@ -56,7 +56,7 @@
 var kinds = []kind{
 	{name: "kill", what: "SIGKILL", dies: true, front: true,
 		fails: func(f *testcluster.Cluster, n *testcluster.Node) error {
-			f.Switch.Reset(n.Floating) // a dead machine's flows are reset
+			f.Switch.ResetFlows(n.Floating) // a dead machine's flows are reset
 			return n.Signal(syscall.SIGKILL)
 		},
 		heals: restart},
@@ -69,11 +69,11 @@
 	{name: "cut", what: "its advertisements, announcements and flows cut off", stops: true,
 		fails: func(f *testcluster.Cluster, n *testcluster.Node) error {
 			f.VRRPPath.Isolate(n.Number-1, true)
-			f.Switch.Cut(n.Floating, true)
+			f.Switch.SetUnreachable(n.Floating, true)
 			return nil
 		},
 		heals: func(f *testcluster.Cluster, n *testcluster.Node) error {
-			f.Switch.Cut(n.Floating, false)
+			f.Switch.SetUnreachable(n.Floating, false)
 			f.VRRPPath.Isolate(n.Number-1, false)
 			return nil
 		}},
@@ -218,11 +218,11 @@
 	r.Without.Add(spans(changes, start, healed, func(active, running int) bool { return active == 0 }, out, runs))
 	r.Back.Add(spans(changes, healed, end, func(active, running int) bool { return active == 0 }, out, runs))
 	r.Two.Add(spans(changes, start, end, func(active, running int) bool { return running > 1 }, out, runs))
-	r.Gap.Add(gap(l.floating.Served(), start, end))
+	r.Gap.Add(gap(l.floating.Successes(), start, end))
 	if k.front {
-		r.FrontGap.Add(gap(l.front.Served(), start, end))
+		r.FrontGap.Add(gap(l.front.Successes(), start, end))
 	}
-	for _, d := range l.floating.Doubts() {
+	for _, d := range l.floating.Unanswered() {
 		if d.At.After(start) && d.At.Before(end) && d.End != "reset" && !((k.dies || k.stops) && d.Via == n.Floating) {
 			r.Lost++
 			r.Losses = append(r.Losses, fmt.Sprintf("trial %d: %s after %v, via %s, %s", r.Trials+1, d.Client, d.At.Sub(start), d.Via, d.End))
@@ -288,7 +288,7 @@
 }
 
 // gap is the longest that any client went without a booking served, around a fault, in microseconds.
-func gap(served []fake.Mark, from, to time.Time) int64 {
+func gap(served []fake.ClientEvent, from, to time.Time) int64 {
 	last := map[string]time.Time{}
 	longest := time.Duration(0)
 	for _, m := range served {
@@ -309,7 +309,7 @@
 // succeeded waits until another gateway holds the address and the switch leads there.
 func succeeded(f *testcluster.Cluster, old *testcluster.Node, by time.Duration) error {
 	for end := time.Now().Add(by); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
-		if at, _ := f.Switch.Holder(); at != old.Floating {
+		if at, _ := f.Switch.ActiveGateway(); at != old.Floating {
 			return nil
 		}
 	}
@@ -368,12 +368,12 @@
 func newLoad(o Options, f *testcluster.Cluster) *load {
 	l := &load{quit: make(chan struct{}), spread: &front{nodes: f.Nodes, away: map[int]time.Time{}, notice: o.Notice}}
 	for c := range 2 * o.Clients {
-		b := &fake.Booker{
-			Name: fmt.Sprint("c", c), Class: testcluster.ClassBooking, Group: testcluster.Group, Patience: time.Second, Tries: 1000, Wait: 5 * time.Millisecond,
-			Addr: f.Switch.Addr, Ledger: &l.floating, Via: f.Switch.Led,
+		b := &fake.Client{
+			Name: fmt.Sprint("c", c), Class: testcluster.ClassBooking, Group: testcluster.Group, Timeout: time.Second, MaxAttempts: 1000, Backoff: 5 * time.Millisecond,
+			Addr: f.Switch.Addr, Ledger: &l.floating, Route: f.Switch.GatewayOf,
 		}
 		if c >= o.Clients {
-			b.Ledger, b.Via = &l.front, nil
+			b.Ledger, b.Route = &l.front, nil
 			b.Addr = func() string { return l.spread.addr(c) }
 		}
 		l.done.Add(1)
@@ -386,7 +386,7 @@
 					return
 				case <-time.After(o.Think):
 				}
-				b.Book(fmt.Sprintf("%s-%d", b.Name, n))
+				b.Write(fmt.Sprintf("%s-%d", b.Name, n))
 			}
 		}()
 	}
--- a/internal/experiments/failover/failover_test.go
+++ b/internal/experiments/failover/failover_test.go
@@ -40,7 +40,7 @@
 }
 
 func TestGap(t *testing.T) {
-	served := []fake.Mark{
+	served := []fake.ClientEvent{
 		{At: at(0), Client: "a"}, {At: at(90), Client: "a"}, {At: at(95), Client: "b"}, {At: at(390), Client: "a"}, {At: at(400), Client: "a"},
 	}
 	if got := gap(served, at(100), at(450)); got != 355_000 {
--- a/internal/experiments/failover/write.go
+++ b/internal/experiments/failover/write.go
@@ -57,7 +57,7 @@
 			if c.shown {
 				clients = append(clients, []string{
 					r.Kind, c.who, c.gap.Cell(50), c.gap.Cell(90), c.gap.Cell(100), fmt.Sprint(c.t.Counts[fake.Served]),
-					fmt.Sprint(c.t.Refusals), fmt.Sprint(c.t.NoWay), fmt.Sprint(c.t.Counts[fake.Failed]),
+					fmt.Sprint(c.t.Rejections), fmt.Sprint(c.t.FailedConnects), fmt.Sprint(c.t.Counts[fake.Failed]),
 					fmt.Sprint(c.t.Counts[fake.Unknown]), c.lost, fmt.Sprint(len(r.Faults)),
 				})
 			}
--- a/internal/fake/booker.go
+++ b/internal/fake/client.go
@@ -21,31 +21,31 @@
 
 // The outcomes.
 const (
-	Served  Outcome = iota
-	Failed          // it may have run; the gateway said so
-	Unknown         // the connection ended without an answer; it may have run
-	Refused         // given up after refusals only: it has not run
-	Outcomes
+	Served   Outcome = iota
+	Failed           // it may have run; the gateway said so
+	Unknown          // the connection ended without an answer; it may have run
+	Rejected         // given up after refusals only: it has not run
+	NumOutcomes
 )
 
 // OutcomeNames name the outcomes.
-var OutcomeNames = [Outcomes]string{"served", "failed", "unknown", "refused"}
+var OutcomeNames = [NumOutcomes]string{"served", "failed", "unknown", "refused"}
 
 // Ledger keeps what clients meant and what became of it.
 type Ledger struct {
 	mu       sync.Mutex
 	outcomes map[string]Outcome
-	counts   [Outcomes]int
+	counts   [NumOutcomes]int
 	tries    int // statements written
 	refusals int // answered so
 	noWay    int // connections that did not come up
 	extra    int // answers that nobody asked for
-	served   []Mark
-	doubts   []Mark
+	served   []ClientEvent
+	doubts   []ClientEvent
 }
 
 // Mark is something that happened to a client, by way of a gateway.
-type Mark struct {
+type ClientEvent struct {
 	At     time.Time
 	Client string
 	Via    string
@@ -54,8 +54,8 @@
 
 // Totals are a ledger's sums.
 type Totals struct {
-	Counts                        [Outcomes]int
-	Tries, Refusals, NoWay, Extra int
+	Counts                                                   [NumOutcomes]int
+	Attempts, Rejections, FailedConnects, UnsolicitedAnswers int
 }
 
 // Totals sums up.
@@ -66,20 +66,20 @@
 }
 
 // Served lists when bookings were served, and Doubts when connections ended without an answer.
-func (l *Ledger) Served() []Mark {
+func (l *Ledger) Successes() []ClientEvent {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]Mark(nil), l.served...)
+	return append([]ClientEvent(nil), l.served...)
 }
 
 // Doubts lists when connections ended without the answer to a booking.
-func (l *Ledger) Doubts() []Mark {
+func (l *Ledger) Unanswered() []ClientEvent {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]Mark(nil), l.doubts...)
+	return append([]ClientEvent(nil), l.doubts...)
 }
 
-func (l *Ledger) note(meaning string, o Outcome, m Mark) {
+func (l *Ledger) note(meaning string, o Outcome, m ClientEvent) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.outcomes == nil {
@@ -121,7 +121,7 @@
 		if n > 1 {
 			faults = append(faults, fmt.Sprintf("%s ran %d times", meaning, n))
 		}
-		if o, ok := l.outcomes[meaning]; ok && o == Refused {
+		if o, ok := l.outcomes[meaning]; ok && o == Rejected {
 			faults = append(faults, fmt.Sprintf("%s ran and was refused", meaning))
 		}
 	}
@@ -138,35 +138,35 @@
 
 // Exchange is one request that a client wrote whole, and its end.
 type Exchange struct {
-	At      time.Time // just before it was written, or when its end was seen
-	Client  string
-	ID      string
-	Class   string
-	Meaning string
-	Via     string // as Booker.Via tells it, or else the address connected to
-	Reused  bool   // the connection had served another request before
-	Marked  bool   // it says that it was asked before
-	End     string // empty at the beginning; "served", "refused", "failed", or how the connection ended without an answer
-	Value   string // served
-	Said    string // of an error: its code and message
+	At        time.Time // just before it was written, or when its end was seen
+	Client    string
+	ID        string
+	Class     string
+	Key       string
+	Via       string // as Booker.Via tells it, or else the address connected to
+	Reused    bool   // the connection had served another request before
+	Retry     bool   // it says that it was asked before
+	End       string // empty at the beginning; "served", "refused", "failed", or how the connection ended without an answer
+	Value     string // served
+	ErrorText string // of an error: its code and message
 }
 
 // Booker is one client that books or reads, a thing at a time. It tries again after a refusal, and where nothing was written;
 // what may have run it never sends again.
-type Booker struct {
-	Name     string
-	Addr     func() string             // where to connect now
-	Via      func(local string) string // where a connection from there was led, if anybody is to know; may be nil
-	Class    string
-	Group    int
-	Patience time.Duration // of one try
-	Tries    int
-	Wait     time.Duration // after a refusal or a connection that did not come up, half as much again at random
-	Ledger   *Ledger
-	Tell     func(Exchange) // is told of each request and of each end; may be nil
+type Client struct {
+	Name        string
+	Addr        func() string             // where to connect now
+	Route       func(local string) string // where a connection from there was led, if anybody is to know; may be nil
+	Class       string
+	Group       int
+	Timeout     time.Duration // of one try
+	MaxAttempts int
+	Backoff     time.Duration // after a refusal or a connection that did not come up, half as much again at random
+	Ledger      *Ledger
+	OnExchange  func(Exchange) // is told of each request and of each end; may be nil
 	// Again has it ask again, marked as asked before, what may have run: until it is served, its tries are over, or so many
 	// times its patience.
-	Again int
+	RetryTimeouts int
 
 	conn   *net.TCPConn
 	via    string
@@ -177,39 +177,39 @@
 var ids atomic.Int64
 
 // Book does one thing that is meant and notes what became of it.
-func (b *Booker) Book(meaning string) Outcome {
+func (b *Client) Write(meaning string) Outcome {
 	return b.do(meaning, fmt.Sprintf(`INSERT INTO kv (name, content) VALUES ('%s', '\x01') RETURNING content`, meaning))
 }
 
 // Read reads a key.
-func (b *Booker) Read(key string) Outcome {
+func (b *Client) Read(key string) Outcome {
 	return b.do(key, fmt.Sprintf("SELECT content FROM kv WHERE name = '%s'", key))
 }
 
-func (b *Booker) do(meaning, statement string) Outcome {
-	o, marked, until := Refused, false, time.Time{}
-	for range b.Tries {
+func (b *Client) do(meaning, statement string) Outcome {
+	o, marked, until := Rejected, false, time.Time{}
+	for range b.MaxAttempts {
 		again, out := b.try(meaning, statement, marked)
-		if b.Again > 0 && (out == Unknown || out == Failed) {
+		if b.RetryTimeouts > 0 && (out == Unknown || out == Failed) {
 			if !marked {
-				marked, until = true, time.Now().Add(time.Duration(b.Again)*b.Patience)
+				marked, until = true, time.Now().Add(time.Duration(b.RetryTimeouts)*b.Timeout)
 			}
 			again = time.Now().Before(until)
 		}
-		if !marked || out != Refused { // what may have run once is not refused by a later word
+		if !marked || out != Rejected { // what may have run once is not refused by a later word
 			o = out
 		}
 		if !again {
 			break
 		}
-		time.Sleep(b.Wait + time.Duration(rand.Int64N(int64(b.Wait)/2+1)))
+		time.Sleep(b.Backoff + time.Duration(rand.Int64N(int64(b.Backoff)/2+1)))
 	}
-	b.Ledger.note(meaning, o, Mark{time.Now(), b.Name, b.via, b.end})
+	b.Ledger.note(meaning, o, ClientEvent{time.Now(), b.Name, b.via, b.end})
 	return o
 }
 
 // Close hangs up.
-func (b *Booker) Close() {
+func (b *Client) Close() {
 	if b.conn != nil {
 		b.conn.Close()
 		b.conn = nil
@@ -217,25 +217,25 @@
 }
 
 // try makes one try and tells whether another may follow.
-func (b *Booker) try(meaning, statement string, marked bool) (again bool, o Outcome) {
+func (b *Client) try(meaning, statement string, marked bool) (again bool, o Outcome) {
 	if b.conn != nil && !quiet(b.conn) { // it was closed, or told to go, while idle
 		b.Close()
 	}
 	if b.conn == nil && !b.connect() {
 		b.Ledger.add(&b.Ledger.noWay)
-		return true, Refused
+		return true, Rejected
 	}
-	b.conn.SetDeadline(time.Now().Add(b.Patience + b.Patience/4))
+	b.conn.SetDeadline(time.Now().Add(b.Timeout + b.Timeout/4))
 	b.Ledger.add(&b.Ledger.tries)
 	x := Exchange{
-		At: time.Now(), Client: b.Name, ID: fmt.Sprint("b", ids.Add(1)), Class: b.Class, Meaning: meaning, Via: b.via, Reused: b.reused,
-		Marked: marked,
+		At: time.Now(), Client: b.Name, ID: fmt.Sprint("b", ids.Add(1)), Class: b.Class, Key: meaning, Via: b.via, Reused: b.reused,
+		Retry: marked,
 	}
 	mark := ""
 	if marked {
 		mark = ",r=1"
 	}
-	sql := fmt.Sprintf("/* id=%s,c=%s,d=%d,cluster=%d%s */ %s\x00", x.ID, b.Class, b.Patience.Milliseconds(), b.Group, mark, statement)
+	sql := fmt.Sprintf("/* id=%s,c=%s,d=%d,cluster=%d%s */ %s\x00", x.ID, b.Class, b.Timeout.Milliseconds(), b.Group, mark, statement)
 	if _, err := b.conn.Write(frame('Q', []byte(sql)...)); err != nil {
 		b.Close()
 		b.end = ending(err)
@@ -247,7 +247,7 @@
 	code := ""
 	defer func() {
 		switch x.At = time.Now(); {
-		case o == Refused:
+		case o == Rejected:
 			x.End = "refused"
 		case code != "":
 			x.End = "failed"
@@ -270,7 +270,7 @@
 			b.Ledger.add(&b.Ledger.extra)
 		case kind == 'E':
 			code = field(body, 'C')
-			x.Said = code + " " + field(body, 'M')
+			x.ErrorText = code + " " + field(body, 'M')
 		case kind == 'C':
 			o = Served
 		case kind == 'D' && len(body) > 6:
@@ -287,16 +287,16 @@
 	switch {
 	case code == "53300", code == "57P03":
 		b.Ledger.add(&b.Ledger.refusals)
-		return true, Refused
+		return true, Rejected
 	case code != "":
 		return false, Failed
 	}
 	return false, o
 }
 
-func (b *Booker) tell(x Exchange) {
-	if b.Tell != nil {
-		b.Tell(x)
+func (b *Client) tell(x Exchange) {
+	if b.OnExchange != nil {
+		b.OnExchange(x)
 	}
 }
 
@@ -311,7 +311,7 @@
 	return "reset"
 }
 
-func (b *Booker) connect() bool {
+func (b *Client) connect() bool {
 	b.via, b.reused = b.Addr(), false
 	c, err := net.DialTimeout("tcp", b.via, time.Second)
 	if err != nil {
@@ -326,8 +326,8 @@
 			return false
 		}
 		if kind == 'Z' {
-			if b.Via != nil {
-				b.via = b.Via(c.LocalAddr().String())
+			if b.Route != nil {
+				b.via = b.Route(c.LocalAddr().String())
 			}
 			b.conn = c.(*net.TCPConn)
 			return true
@@ -375,7 +375,7 @@
 }
 
 // Serves asks a gateway an empty query, as a front does before it admits one, and tells whether it answers.
-func Serves(addr string, patience time.Duration) bool {
+func Healthy(addr string, patience time.Duration) bool {
 	c, err := net.DialTimeout("tcp", addr, patience)
 	if err != nil {
 		return false
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -10,16 +10,16 @@
 )
 
 // Target is one entry of the list, as discovery writes it.
-type Target struct {
-	UID      string  `json:"uid"`
-	Endpoint string  `json:"endpoint"`
-	Zone     string  `json:"az"`
-	Model    string  `json:"model"`
-	Group    int     `json:"pod_group"`
-	State    string  `json:"state"`
-	Weight   float64 `json:"capacity_hint"`
-	BootMS   int64   `json:"boot_ms"`
-	Role     string  `json:"role,omitempty"`
+type Endpoint struct {
+	UID    string  `json:"uid"`
+	Addr   string  `json:"endpoint"`
+	Zone   string  `json:"az"`
+	Model  string  `json:"model"`
+	Group  int     `json:"pod_group"`
+	State  string  `json:"state"`
+	Weight float64 `json:"capacity_hint"`
+	BootMS int64   `json:"boot_ms"`
+	Role   string  `json:"role,omitempty"`
 }
 
 // Discovery is the discovery service. It answers every watch with the whole list, and goes on with what Push hands it.
@@ -27,21 +27,21 @@
 	mu       sync.Mutex
 	listener net.Listener
 	rev      int
-	targets  []Target
+	targets  []Endpoint
 	failing  string // a whole answer to give instead; "silent" for none at all
 	conns    map[net.Conn]bool
 	done     sync.WaitGroup
-	Asked    chan string // the request line of each call
+	Requests chan string // the request line of each call
 }
 
 // NewDiscovery starts a discovery service on loopback.
-func NewDiscovery(targets ...Target) (*Discovery, error) {
+func NewDiscovery(targets ...Endpoint) (*Discovery, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	d := &Discovery{
-		listener: l, rev: 1, targets: targets, conns: map[net.Conn]bool{}, Asked: make(chan string, 4096),
+		listener: l, rev: 1, targets: targets, conns: map[net.Conn]bool{}, Requests: make(chan string, 4096),
 	}
 	d.done.Add(1)
 	go d.accept()
@@ -52,21 +52,21 @@
 func (d *Discovery) Addr() string { return d.listener.Addr().String() }
 
 // Answer makes every call from now on end with these bytes; empty for the list, "silent" for nothing.
-func (d *Discovery) Answer(raw string) {
+func (d *Discovery) SetRawResponse(raw string) {
 	d.mu.Lock()
 	d.failing = raw
 	d.mu.Unlock()
 }
 
 // SetTargets changes the list for calls to come, without a word to the watches.
-func (d *Discovery) SetTargets(targets ...Target) {
+func (d *Discovery) SetEndpoints(targets ...Endpoint) {
 	d.mu.Lock()
 	d.rev, d.targets = d.rev+1, targets
 	d.mu.Unlock()
 }
 
 // Push writes changes to every watch.
-func (d *Discovery) Push(changed ...Target) {
+func (d *Discovery) Push(changed ...Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.rev++
@@ -87,7 +87,7 @@
 }
 
 // Cut breaks every connection.
-func (d *Discovery) Cut() {
+func (d *Discovery) ResetConns() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for c := range d.conns {
@@ -99,11 +99,11 @@
 // Close ends the service.
 func (d *Discovery) Close() {
 	d.listener.Close()
-	d.Cut()
+	d.ResetConns()
 	d.done.Wait()
 }
 
-func (d *Discovery) line(all bool, targets []Target) string {
+func (d *Discovery) line(all bool, targets []Endpoint) string {
 	b, _ := json.Marshal(map[string]any{"rev": d.rev, "all": all, "targets": targets})
 	return string(b) + "\n"
 }
@@ -153,7 +153,7 @@
 		fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 	}
 	d.mu.Unlock()
-	d.Asked <- strings.TrimSpace(first)
+	d.Requests <- strings.TrimSpace(first)
 	if failing != "" && failing != "silent" || failing == "" && !watch {
 		return
 	}
--- a/internal/fake/path.go
+++ b/internal/fake/path.go
@@ -8,19 +8,19 @@
 )
 
 // Fate is what becomes of what one node sends to another.
-type Fate struct {
-	Drop   bool          // nothing arrives; a stream stands still
-	Loss   float64       // the share of datagrams that is lost; of a stream's chunks, that comes late
-	Delay  time.Duration // of each
-	Jitter time.Duration // up to so much more, at random, so that datagrams overtake each other
-	Copies int           // further copies of each datagram
-	Swap   bool          // each pair of datagrams arrives in the other order
-	Stall  bool          // streams stand still, datagrams pass
-	Rate   int           // of a stream, in bytes a second; 0: no bound
+type Impairment struct {
+	Drop         bool          // nothing arrives; a stream stands still
+	LossRate     float64       // the share of datagrams that is lost; of a stream's chunks, that comes late
+	Delay        time.Duration // of each
+	Jitter       time.Duration // up to so much more, at random, so that datagrams overtake each other
+	Duplicates   int           // further copies of each datagram
+	Reorder      bool          // each pair of datagrams arrives in the other order
+	StallStreams bool          // streams stand still, datagrams pass
+	Rate         int           // of a stream, in bytes a second; 0: no bound
 }
 
 // span is how long something takes.
-func (f Fate) span() time.Duration {
+func (f Impairment) span() time.Duration {
 	if f.Jitter > 0 {
 		return f.Delay + time.Duration(rand.Int64N(int64(f.Jitter)))
 	}
@@ -42,7 +42,7 @@
 type way struct {
 	conn   *net.UDPConn
 	relay  *Relay // of streams; may be nil
-	fate   Fate
+	fate   Impairment
 	held   []byte
 	passed int
 }
@@ -77,10 +77,10 @@
 }
 
 // Peer is the address under which node j is known to node i.
-func (p *Path) Peer(i, j int) string { return p.ways[i][j].conn.LocalAddr().String() }
+func (p *Path) PeerAddr(i, j int) string { return p.ways[i][j].conn.LocalAddr().String() }
 
 // Streams carries streams too, at the same addresses: i reaches j's listener, which has the address of j's socket.
-func (p *Path) Streams() error {
+func (p *Path) CarryStreams() error {
 	for i, ways := range p.ways {
 		for j, w := range ways {
 			if w == nil {
@@ -97,7 +97,7 @@
 }
 
 // Set decides the fate of what i sends to j from now on.
-func (p *Path) Set(i, j int, f Fate) {
+func (p *Path) Set(i, j int, f Impairment) {
 	p.mu.Lock()
 	p.ways[i][j].fate, p.ways[i][j].held = f, nil
 	back := p.ways[j][i].fate
@@ -109,14 +109,14 @@
 }
 
 // Reset resets the streams that i has opened to j.
-func (p *Path) Reset(i, j int) {
+func (p *Path) ResetStreams(i, j int) {
 	if r := p.ways[i][j].relay; r != nil {
-		r.Reset()
+		r.ResetStreams()
 	}
 }
 
 // SetAll decides it for every pair.
-func (p *Path) SetAll(f Fate) {
+func (p *Path) SetAll(f Impairment) {
 	for i := range p.nodes {
 		for j := range p.nodes {
 			if i != j {
@@ -130,14 +130,14 @@
 func (p *Path) Isolate(i int, on bool) {
 	for j := range p.nodes {
 		if i != j {
-			p.Set(i, j, Fate{Drop: on})
-			p.Set(j, i, Fate{Drop: on})
+			p.Set(i, j, Impairment{Drop: on})
+			p.Set(j, i, Impairment{Drop: on})
 		}
 	}
 }
 
 // Passed is how many datagrams have gone from i to j.
-func (p *Path) Passed(i, j int) int {
+func (p *Path) Delivered(i, j int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.ways[i][j].passed
@@ -165,18 +165,18 @@
 	defer p.mu.Unlock()
 	w := p.ways[i][j]
 	f := w.fate
-	if f.Drop || p.closed || f.Loss > 0 && rand.Float64() < f.Loss {
+	if f.Drop || p.closed || f.LossRate > 0 && rand.Float64() < f.LossRate {
 		return
 	}
 	send := [][]byte{b}
-	if f.Swap {
+	if f.Reorder {
 		if w.held == nil {
 			w.held = b
 			return
 		}
 		send, w.held = [][]byte{b, w.held}, nil
 	}
-	for range f.Copies {
+	for range f.Duplicates {
 		send = append(send, b)
 	}
 	w.passed += len(send)
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -23,7 +23,7 @@
 // back is not lost: it goes on when the way is open again, as the kernels' retransmissions would have it.
 type Relay struct {
 	// Seen is told of what the near end has written, as it comes and before anything is done to it; may be nil.
-	Seen func(chunk []byte)
+	OnData func(chunk []byte)
 
 	listener net.Listener
 	from     net.IP // the far end sees connections come from there; nil: from anywhere
@@ -31,8 +31,8 @@
 
 	mu      sync.Mutex
 	to      string
-	out     Fate // near to far
-	back    Fate
+	out     Impairment // near to far
+	back    Impairment
 	changed chan struct{} // closed, and made anew, at each change
 	closed  bool
 	flows   map[*stream]struct{}
@@ -60,7 +60,7 @@
 
 // Set decides what becomes of both directions from now on. A way that drops holds the stream still; a new connection comes
 // up once both ways are open.
-func (r *Relay) Set(out, back Fate) {
+func (r *Relay) Set(out, back Impairment) {
 	r.change(func() { r.out, r.back = out, back })
 }
 
@@ -73,7 +73,7 @@
 }
 
 // Reset resets every open stream.
-func (r *Relay) Reset() {
+func (r *Relay) ResetStreams() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for s := range r.flows {
@@ -94,12 +94,12 @@
 func (r *Relay) Close() {
 	r.listener.Close()
 	r.change(func() { r.closed = true })
-	r.Reset()
+	r.ResetStreams()
 	r.done.Wait()
 }
 
 // fate tells what becomes of a direction now, and hands over what is closed when that changes.
-func (r *Relay) fate(out bool) (f Fate, changed chan struct{}, closed bool) {
+func (r *Relay) fate(out bool) (f Impairment, changed chan struct{}, closed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if f = r.back; out {
@@ -109,13 +109,13 @@
 }
 
 // open waits until a direction carries something, and tells what becomes of it.
-func (r *Relay) open(out bool, quit <-chan struct{}) (Fate, bool) {
+func (r *Relay) open(out bool, quit <-chan struct{}) (Impairment, bool) {
 	for {
 		f, changed, closed := r.fate(out)
 		if closed {
 			return f, false
 		}
-		if !f.Drop && !f.Stall {
+		if !f.Drop && !f.StallStreams {
 			return f, true
 		}
 		select {
@@ -200,12 +200,12 @@
 		if n, err = from.Read(b); n == 0 {
 			continue
 		}
-		if out && r.Seen != nil {
-			r.Seen(b[:n])
+		if out && r.OnData != nil {
+			r.OnData(b[:n])
 		}
 		f, _, _ := r.fate(out)
 		at := time.Now().Add(f.span())
-		if f.Loss > 0 && rand.Float64() < f.Loss {
+		if f.LossRate > 0 && rand.Float64() < f.LossRate {
 			at = at.Add(retransmit)
 		}
 		if at.Before(last) { // a stream keeps its order
--- a/internal/fake/relay_test.go
+++ b/internal/fake/relay_test.go
@@ -46,11 +46,11 @@
 		t.Fatal(err)
 	}
 	defer p.Close()
-	if err := p.Streams(); err != nil {
+	if err := p.CarryStreams(); err != nil {
 		t.Fatal(err)
 	}
 	dial := func() net.Conn {
-		c, err := net.Dial("tcp4", p.Peer(0, 1))
+		c, err := net.Dial("tcp4", p.PeerAddr(0, 1))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -69,7 +69,7 @@
 	if !says(c) {
 		t.Fatal("not carried")
 	}
-	for _, f := range []Fate{{Drop: true}, {Stall: true}} {
+	for _, f := range []Impairment{{Drop: true}, {StallStreams: true}} {
 		for _, way := range [][2]int{{0, 1}, {1, 0}} {
 			p.Set(way[0], way[1], f)
 			answer := make(chan bool, 2)
@@ -81,7 +81,7 @@
 				t.Fatalf("%+v from %d: it was answered, %v", f, way[0], ok)
 			case <-time.After(50 * time.Millisecond):
 			}
-			p.Set(way[0], way[1], Fate{})
+			p.Set(way[0], way[1], Impairment{})
 			for range 2 {
 				if !<-answer {
 					t.Fatalf("%+v from %d: something was lost", f, way[0])
@@ -89,15 +89,15 @@
 			}
 		}
 	}
-	p.Set(0, 1, Fate{Delay: 10 * time.Millisecond, Jitter: 10 * time.Millisecond, Loss: 0.01})
+	p.Set(0, 1, Impairment{Delay: 10 * time.Millisecond, Jitter: 10 * time.Millisecond, LossRate: 0.01})
 	if !says(c) {
 		t.Error("a slow way loses something")
 	}
-	p.Set(0, 1, Fate{Rate: 1 << 20})
+	p.Set(0, 1, Impairment{Rate: 1 << 20})
 	if start := time.Now(); !says(c) || time.Since(start) < 100*time.Millisecond {
 		t.Errorf("128 KiB took %v at 1 MiB a second", time.Since(start))
 	}
-	p.Set(0, 1, Fate{})
+	p.Set(0, 1, Impairment{})
 	c.(*net.TCPConn).CloseWrite()
 	if n, err := c.Read(make([]byte, 1)); n != 0 || err != io.EOF {
 		t.Errorf("an orderly end came as %v", err)
@@ -106,7 +106,7 @@
 	if !says(c) {
 		t.Fatal("no new stream")
 	}
-	p.Reset(0, 1)
+	p.ResetStreams(0, 1)
 	if _, err := c.Read(make([]byte, 1)); err == nil || err == io.EOF {
 		t.Errorf("a reset came as %v", err)
 	}
--- a/internal/fake/postgres.go
+++ b/internal/fake/server.go
@@ -37,11 +37,11 @@
 }
 
 // From is the IP that the query came from.
-func (q *Query) From() string { return q.nc.RemoteAddr().(*net.TCPAddr).IP.String() }
+func (q *Query) ClientIP() string { return q.nc.RemoteAddr().(*net.TCPAddr).IP.String() }
 
 // Server is a database server. Each query goes to its handler, on the connection's goroutine.
 type Server struct {
-	Handle func(*Query)
+	QueryHandler func(*Query)
 
 	mu       sync.Mutex
 	listener net.Listener
@@ -54,7 +54,7 @@
 	Closed   chan int // the number of each connection that has ended
 	Position atomic.Int64
 	Role     atomic.Value
-	Mute     atomic.Bool // it takes everything in and says nothing more, like a machine that is cut off
+	Silent   atomic.Bool // it takes everything in and says nothing more, like a machine that is cut off
 }
 
 // NewServer starts a server on loopback whose answers, unless the handler gives others, are the key it was asked for.
@@ -68,7 +68,7 @@
 	}
 	s := &Server{listener: l, conns: map[net.Conn]struct{}{}, Closed: make(chan int, 4096)}
 	s.Role.Store(role)
-	s.Handle = func(q *Query) { q.Serve([]byte("value of " + q.ID())) }
+	s.QueryHandler = func(q *Query) { q.ReplyRow([]byte("value of " + q.ID())) }
 	s.done.Add(1)
 	go s.accept(l)
 	return s, nil
@@ -78,7 +78,7 @@
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // Opened is how many connections have come up so far.
-func (s *Server) Opened() int {
+func (s *Server) ConnsOpened() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.opened
@@ -92,14 +92,14 @@
 }
 
 // Refuse makes the server answer start-ups with an error code; empty for none.
-func (s *Server) Refuse(code string) {
+func (s *Server) RejectStartups(code string) {
 	s.mu.Lock()
 	s.refusing = code
 	s.mu.Unlock()
 }
 
 // Drop resets every open connection, as the end of a process does.
-func (s *Server) Drop() {
+func (s *Server) ResetConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -111,7 +111,7 @@
 // Close ends the server.
 func (s *Server) Close() {
 	s.listener.Close()
-	s.Drop()
+	s.ResetConns()
 	s.done.Wait()
 }
 
@@ -167,7 +167,7 @@
 			return
 		}
 		q := &Query{SQL: strings.TrimRight(string(body), "\x00"), Conn: number, server: s, nc: nc}
-		if s.Mute.Load() {
+		if s.Silent.Load() {
 			continue
 		}
 		if q.SQL == "SHOW load" {
@@ -177,28 +177,28 @@
 			if probe != nil && probe(q) {
 				continue
 			}
-			q.Serve([]byte(s.report()))
+			q.ReplyRow([]byte(s.report()))
 			continue
 		}
 		s.mu.Lock()
 		s.queries = append(s.queries, q.SQL)
-		handle := s.Handle
+		handle := s.QueryHandler
 		s.mu.Unlock()
 		handle(q)
 	}
 }
 
 // SetProbe has probes handled first by a function that tells whether it has dealt with them.
-func (s *Server) SetProbe(h func(*Query) bool) {
+func (s *Server) SetHealthCheckHandler(h func(*Query) bool) {
 	s.mu.Lock()
 	s.probe = h
 	s.mu.Unlock()
 }
 
 // SetHandle changes what the server does with queries.
-func (s *Server) SetHandle(h func(*Query)) {
+func (s *Server) SetQueryHandler(h func(*Query)) {
 	s.mu.Lock()
-	s.Handle = h
+	s.QueryHandler = h
 	s.mu.Unlock()
 }
 
@@ -217,12 +217,12 @@
 }
 
 // Serve answers with a row of one column.
-func (q *Query) Serve(value []byte) {
-	q.nc.Write(append(Row(value), append(q.server.status(), ready()...)...))
+func (q *Query) ReplyRow(value []byte) {
+	q.nc.Write(append(RowMessages(value), append(q.server.status(), ready()...)...))
 }
 
 // Fail answers with an error code.
-func (q *Query) Fail(code string) {
+func (q *Query) ReplyError(code string) {
 	q.nc.Write(append(errorMessage("ERROR", code), append(q.server.status(), ready()...)...))
 }
 
@@ -230,10 +230,10 @@
 func (q *Query) Write(b []byte) { q.nc.Write(b) }
 
 // Hangup closes the connection without an answer.
-func (q *Query) Hangup() { q.nc.Close() }
+func (q *Query) CloseConn() { q.nc.Close() }
 
 // Row is the whole of a served value but for ReadyForQuery.
-func Row(value []byte) []byte {
+func RowMessages(value []byte) []byte {
 	desc := append([]byte{0, 1}, "content\x00"...)
 	desc = append(desc, make([]byte, 16)...)
 	desc = append(desc, 0, 1)
--- a/internal/fake/switch.go
+++ b/internal/fake/switch.go
@@ -14,7 +14,7 @@
 // Switch leads the connections of one floating address to whoever announced it last, as a switch does that learns where an
 // address is. It understands announcements by their description alone and shares no code with the gateway's codec.
 type Switch struct {
-	CutOnMove bool // old flows are reset when the address moves; else they go on
+	ResetOnTakeover bool // old flows are reset when the address moves; else they go on
 
 	secret   []byte
 	listener net.Listener
@@ -60,17 +60,17 @@
 func (s *Switch) Addr() string { return s.listener.Addr().String() }
 
 // Announced is where announcements go.
-func (s *Switch) Announced() string { return s.heard.LocalAddr().String() }
+func (s *Switch) AnnouncementAddr() string { return s.heard.LocalAddr().String() }
 
 // Holder is where connections are led now, and how often that has changed.
-func (s *Switch) Holder() (string, int) {
+func (s *Switch) ActiveGateway() (string, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.holder, s.moves
 }
 
 // Led tells where the connection from a client's address was led, as long as it lasts.
-func (s *Switch) Led(client string) string {
+func (s *Switch) GatewayOf(client string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for f := range s.flows {
@@ -83,7 +83,7 @@
 
 // Cut makes a holder unreachable, or reachable again: its announcements are not heard, its flows are silent and new ones do
 // not come up.
-func (s *Switch) Cut(holder string, on bool) {
+func (s *Switch) SetUnreachable(holder string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cut[holder] = on
@@ -99,7 +99,7 @@
 }
 
 // Reset resets all flows of a holder, as the end of its machine does.
-func (s *Switch) Reset(holder string) {
+func (s *Switch) ResetFlows(holder string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for f := range s.flows {
@@ -170,7 +170,7 @@
 	}
 	s.holder = holder
 	s.moves++
-	if s.CutOnMove {
+	if s.ResetOnTakeover {
 		for f := range s.flows {
 			if f.holder != holder {
 				f.reset()
--- a/internal/floatingip/floating_test.go
+++ b/internal/floatingip/floating_test.go
@@ -106,7 +106,7 @@
 	bind = netip.AddrPortFrom(bind.Addr().Unmap(), bind.Port())
 	return Settings{
 		Node: uint8(i + 1), Bind: bind, Keys: keys,
-		Peers: []Peer{{Node: uint8(2 - i), Address: netip.MustParseAddrPort(p.path.Peer(i, 1-i))}},
+		Peers: []Peer{{Node: uint8(2 - i), Address: netip.MustParseAddrPort(p.path.PeerAddr(i, 1-i))}},
 		Groups: []Group{{
 			Name: "g", Addresses: []netip.Addr{netip.MustParseAddr("192.0.2.10")}, Listen: netip.MustParseAddrPort("127.0.0.1:1"),
 			Machine: vrrp.Config{VRID: 9, Priority: priority, Interval: interval, Preempt: true, Self: bind.Addr()},
@@ -149,7 +149,7 @@
 		t.Errorf("moved %d times", n)
 	}
 	sent := p.speakers[1].Counts.Sent.Load()
-	eventually(t, "no more is heard of the holder", func() bool { return p.path.Passed(0, 1) > 50 })
+	eventually(t, "no more is heard of the holder", func() bool { return p.path.Delivered(0, 1) > 50 })
 	if n := p.speakers[1].Counts.Sent.Load(); n != sent || !p.holders[0].holds() {
 		t.Errorf("the backup has sent %d messages", n-sent)
 	}
@@ -165,8 +165,8 @@
 		for i, priority := range []uint8{200, 100} {
 			p.speakers[i].Reload(p.settings(i, priority, keys...))
 		}
-		n := p.path.Passed(0, 1)
-		eventually(t, "the holder is silent", func() bool { return p.path.Passed(0, 1) > n+10 })
+		n := p.path.Delivered(0, 1)
+		eventually(t, "the holder is silent", func() bool { return p.path.Delivered(0, 1) > n+10 })
 	}
 	if p.holders[0].taken != 1 || p.holders[1].taken != 0 {
 		t.Errorf("taken %d and %d times", p.holders[0].taken, p.holders[1].taken)
--- a/internal/gateway/client_test.go
+++ b/internal/gateway/client_test.go
@@ -101,7 +101,7 @@
 	return func(q *fake.Query) {
 		arrived <- q.ID()
 		<-gate
-		q.Serve([]byte("value of " + q.ID()))
+		q.ReplyRow([]byte("value of " + q.ID()))
 	}, arrived, release
 }
 
@@ -139,9 +139,9 @@
 func TestPipelining(t *testing.T) {
 	w := newWorld(t, nil)
 	slow := make(chan struct{})
-	w.primary.SetHandle(func(q *fake.Query) {
+	w.primary.SetQueryHandler(func(q *fake.Query) {
 		<-slow
-		q.Serve([]byte("value of " + q.ID()))
+		q.ReplyRow([]byte("value of " + q.ID()))
 	})
 	c := w.raw()
 	var all []byte
@@ -172,7 +172,7 @@
 func TestQueriesSentAheadDoNotWait(t *testing.T) {
 	w := newWorld(t, nil)
 	hold, arrived, release := holding(t)
-	w.primary.SetHandle(hold)
+	w.primary.SetQueryHandler(hold)
 	c := w.raw()
 	c.Write(append(append(append(query(put("w1")), query(look("r1"))...), query("nonsense")...), query(put("w2"))...))
 	for _, id := range []string{"w1", "w2"} {
@@ -190,7 +190,7 @@
 	}
 
 	hold, arrived, _ = holding(t)
-	w.primary.SetHandle(hold)
+	w.primary.SetQueryHandler(hold)
 	gone := w.raw()
 	var all []byte
 	for i := range 20 {
@@ -291,9 +291,9 @@
 	value := bytes.Repeat([]byte("0123456789abcdef"), 8<<10) // 128 KiB of hex
 	echo := func(q *fake.Query) {
 		from := strings.Index(q.SQL, `'\x`) + 3
-		q.Serve([]byte(q.SQL[from : from+strings.IndexByte(q.SQL[from:], '\'')]))
+		q.ReplyRow([]byte(q.SQL[from : from+strings.IndexByte(q.SQL[from:], '\'')]))
 	}
-	w.primary.SetHandle(echo)
+	w.primary.SetQueryHandler(echo)
 	c := w.dial()
 	sql := strings.Replace(put("big"), `\x01`, `\x`+string(value), 1)
 	for range 3 {
@@ -307,8 +307,8 @@
 func TestMemoryBudget(t *testing.T) {
 	w := newWorld(t, func(c *config.Config) { c.MemoryMB = 32 }) // 16 MB for messages
 	hold, _, release := holding(t)
-	w.primary.SetHandle(hold)
-	w.replica.SetHandle(hold)
+	w.primary.SetQueryHandler(hold)
+	w.replica.SetQueryHandler(hold)
 	value := strings.Repeat("00", 60<<10)
 	const clients = 180 // each holds an eighth of a megabyte: more than there is
 	var conns []*reading
@@ -345,7 +345,7 @@
 // A client that does not read its answers holds up nobody else, and is cut off by a deadline.
 func TestStuckReader(t *testing.T) {
 	w := newWorld(t, nil, func(g *Gateway) { g.clients.Limits.Answer = 300 * time.Millisecond })
-	w.replica.SetHandle(func(q *fake.Query) { q.Serve(bytes.Repeat([]byte("x"), 64<<10)) })
+	w.replica.SetQueryHandler(func(q *fake.Query) { q.ReplyRow(bytes.Repeat([]byte("x"), 64<<10)) })
 	stuck := w.raw()
 	stuck.Conn.(*net.TCPConn).SetReadBuffer(4096)
 	go func() {
@@ -363,10 +363,10 @@
 func TestDescriptorCap(t *testing.T) {
 	w := newWorld(t, func(c *config.Config) { c.Sockets = 64 })
 	arrived, release := make(chan struct{}, 8), make(chan struct{})
-	w.primary.SetHandle(func(q *fake.Query) {
+	w.primary.SetQueryHandler(func(q *fake.Query) {
 		arrived <- struct{}{}
 		<-release
-		q.Serve([]byte("held"))
+		q.ReplyRow([]byte("held"))
 	})
 	busy := w.raw()
 	busy.Write(query(put("held")))
@@ -394,7 +394,7 @@
 
 func TestDiscoveryTroubles(t *testing.T) {
 	w := newWorld(t, nil)
-	if first := <-w.disc.Asked; !strings.Contains(first, "watch=1&from=1 ") {
+	if first := <-w.disc.Requests; !strings.Contains(first, "watch=1&from=1 ") {
 		t.Fatalf("asked %q", first)
 	}
 	lists := func(form int) int64 { return w.counts().ListUpdates[form] }
@@ -416,12 +416,12 @@
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nno\n\r\n",
 		"nonsense\r\n\r\n",
 	} {
-		w.disc.Answer(answer)
-		w.disc.Cut()
+		w.disc.SetRawResponse(answer)
+		w.disc.ResetConns()
 		want := int64(2 * (i + 1)) // the watch that was cut, and the call that followed
 		eventually(t, func() bool { return lists(failed) >= want },
 			func() string { return fmt.Sprintf("%d failures told, want %d", lists(failed), want) })
-		w.disc.Answer("")
+		w.disc.SetRawResponse("")
 		n := lists(full)
 		eventually(t, func() bool { return lists(full) > n }, func() string { return "no list after " + answer })
 	}
@@ -438,7 +438,7 @@
 	const full, failed = formFull, formFailed
 	eventually(t, func() bool { n := w.counts(); return n.ListUpdates[full] >= 2 && n.ListUpdates[failed] >= 1 },
 		func() string { return fmt.Sprintf("lists by form %v", w.counts().ListUpdates) })
-	w.disc.Answer("silent")
+	w.disc.SetRawResponse("silent")
 	n := w.counts().ListUpdates[failed]
 	eventually(t, func() bool { return w.counts().ListUpdates[failed] >= n+3 },
 		func() string { return fmt.Sprintf("lists by form %v", w.counts().ListUpdates) })
@@ -547,7 +547,7 @@
 func TestIDInUse(t *testing.T) {
 	w := newWorld(t, nil)
 	hold, arrived, release := holding(t)
-	w.primary.SetHandle(hold)
+	w.primary.SetQueryHandler(hold)
 	first, second := w.raw(), w.dial()
 	first.Write(query(put("same")))
 	<-arrived
@@ -567,8 +567,8 @@
 func TestNoRoomForAClient(t *testing.T) {
 	w := newWorld(t, func(c *config.Config) { c.Sockets = 64 })
 	hold, _, _ := holding(t)
-	w.primary.SetHandle(hold)
-	w.replica.SetHandle(hold)
+	w.primary.SetQueryHandler(hold)
+	w.replica.SetQueryHandler(hold)
 	busy := 0
 	for ; busy < 64; busy++ {
 		c := w.open()
@@ -594,7 +594,7 @@
 func TestStopDoesNotWaitForHalfMessages(t *testing.T) {
 	w := newWorld(t, func(c *config.Config) {}, func(g *Gateway) { g.clients.Limits.FirstRequest = patience })
 	hold, arrived, release := holding(t)
-	w.primary.SetHandle(hold)
+	w.primary.SetQueryHandler(hold)
 	silent, half, halfStart := w.open(), w.raw(), w.open()
 	half.Write(query(look("h"))[:30])
 	halfStart.Write(startup()[:10])
@@ -655,7 +655,7 @@
 func TestStopFailsWhatIsLeft(t *testing.T) {
 	w := newWorld(t, nil)
 	hold, arrived, _ := holding(t)
-	w.primary.SetHandle(hold)
+	w.primary.SetQueryHandler(hold)
 	c := w.raw()
 	c.Write(query(strings.Replace(put("b"), "d=5000", "d=20000", 1)))
 	<-arrived
--- a/internal/gateway/draining_test.go
+++ b/internal/gateway/draining_test.go
@@ -34,20 +34,20 @@
 	for name, leave := range ways {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, nil)
-			w.replica.SetHandle(func(q *fake.Query) { q.Fail("25006") })
+			w.replica.SetQueryHandler(func(q *fake.Query) { q.ReplyError("25006") })
 			turnedAway := make(chan struct{}, 64)
-			w.primary.SetHandle(func(q *fake.Query) {
-				q.Fail("53300")
+			w.primary.SetQueryHandler(func(q *fake.Query) {
+				q.ReplyError("53300")
 				turnedAway <- struct{}{}
 			})
-			w.primary.Refuse("") // it takes connections, and turns each request away unseen
+			w.primary.RejectStartups("") // it takes connections, and turns each request away unseen
 			c := w.raw()
 			c.Write(query(put("x")))
 			<-turnedAway
 			leave(c.Conn.(*net.TCPConn))
 			w.gone(1, 1)
 			before := len(w.primary.Queries())
-			w.primary.SetHandle(func(q *fake.Query) { q.Serve([]byte("v")) })
+			w.primary.SetQueryHandler(func(q *fake.Query) { q.ReplyRow([]byte("v")) })
 			w.asks(w.dial(), put("y"), "v", "")
 			if got := w.primary.Queries()[before:]; len(got) != 1 || !strings.Contains(got[0], "id=y") {
 				t.Errorf("behind the close the primary got %q", got)
@@ -105,7 +105,7 @@
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, nil)
 			hold, arrived, release := holding(t)
-			w.primary.SetHandle(hold)
+			w.primary.SetQueryHandler(hold)
 			c := w.raw()
 			const pipelined = 300
 			var all []byte
@@ -135,8 +135,8 @@
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	w := newWorld(t, func(c *config.Config) { c.Sockets = 64 })
 	w.lists(formFull, 1)
-	w.disc.Answer("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
-	w.disc.Cut()
+	w.disc.SetRawResponse("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+	w.disc.ResetConns()
 	w.lists(formFailed, 2)
 	for range 200 {
 		nc := must2(net.Dial("tcp", w.gateway.Addr()))
@@ -146,9 +146,9 @@
 	w.logged(`"party":"client"`, `"reason":"room"`)
 	draining := w.targets()[1]
 	draining.State = "draining"
-	w.disc.SetTargets(w.targets()[0], draining)
+	w.disc.SetEndpoints(w.targets()[0], draining)
 	lists := w.counts().ListUpdates[formFull]
-	w.disc.Answer("")
+	w.disc.SetRawResponse("")
 	w.lists(formFull, lists+1)
 	c := w.dial()
 	w.asks(c, look("a"), "value of a", "")
--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -104,7 +104,7 @@
 
 	silent := must2(fake.NewDiscovery())
 	defer silent.Close()
-	silent.Answer("silent")
+	silent.SetRawResponse("silent")
 	w = newWorld(t, func(c *config.Config) { push(c); c.Discovery = silent.Addr() })
 	c := w.dial()
 	w.asks(c, "", "", "57P03")
@@ -122,10 +122,10 @@
 func TestReadyWhateverDiscoveryDoes(t *testing.T) {
 	silent := must2(fake.NewDiscovery())
 	defer silent.Close()
-	silent.Answer("silent")
+	silent.SetRawResponse("silent")
 	crowded := must2(fake.NewDiscovery())
 	defer crowded.Close()
-	crowded.Answer("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+	crowded.SetRawResponse("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 	for name, addr := range map[string]string{
 		"silent": silent.Addr(), "crowded": crowded.Addr(), "down": "127.0.0.1:1",
 	} {
@@ -136,8 +136,8 @@
 	w := newWorld(t, func(c *config.Config) { c.KnownServers.Entries = nil; c.Discovery = crowded.Addr() })
 	c := w.dial()
 	w.asks(c, "", "", "57P03")
-	crowded.SetTargets(w.targets()...)
-	crowded.Answer("")
+	crowded.SetEndpoints(w.targets()...)
+	crowded.SetRawResponse("")
 	eventually(t, func() bool { _, code, err := ask(c, ""); return err == nil && code == "" },
 		func() string { return "not ready with a list" })
 }
--- a/internal/gateway/floatingip_test.go
+++ b/internal/gateway/floatingip_test.go
@@ -46,9 +46,9 @@
 	f := &fleet{t: t, quit: make(chan struct{})}
 	f.primary = must2(fake.NewServer("primary"))
 	f.replica = must2(fake.NewServer("replica"))
-	targets := []fake.Target{
-		{UID: "p", Endpoint: f.primary.Addr(), Group: 7, State: "ready", Weight: 1, Role: "primary"},
-		{UID: "r", Endpoint: f.replica.Addr(), Group: 7, State: "ready", Weight: 1, Role: "replica"},
+	targets := []fake.Endpoint{
+		{UID: "p", Addr: f.primary.Addr(), Group: 7, State: "ready", Weight: 1, Role: "primary"},
+		{UID: "r", Addr: f.replica.Addr(), Group: 7, State: "ready", Weight: 1, Role: "replica"},
 	}
 	f.disc = must2(fake.NewDiscovery(targets...))
 	f.sw = must2(fake.NewSwitch(fleetSecret))
@@ -64,10 +64,10 @@
 	f.path = must2(fake.NewPath(f.ends...))
 	for i, priority := range priorities {
 		var text strings.Builder
-		fmt.Fprintf(&text, "vrrp\nnode %d\nbind %v\nannounce %s\nkey 1 \"%s\"\n", i+1, f.ends[i], f.sw.Announced(), fleetSecret)
+		fmt.Fprintf(&text, "vrrp\nnode %d\nbind %v\nannounce %s\nkey 1 \"%s\"\n", i+1, f.ends[i], f.sw.AnnouncementAddr(), fleetSecret)
 		for j := range priorities {
 			if j != i {
-				fmt.Fprintf(&text, "peer %d %s\n", j+1, f.path.Peer(i, j))
+				fmt.Fprintf(&text, "peer %d %s\n", j+1, f.path.PeerAddr(i, j))
 			}
 		}
 		fmt.Fprintf(&text, "group counters\nvrid 51\naddress 192.0.2.10\nlisten %s\npriority %d\ninterval %v\npreempt %v\ndamp 0s 0s 0s\n",
@@ -134,8 +134,8 @@
 		f.load.Add(1)
 		go func() {
 			defer f.load.Done()
-			b := &fake.Booker{
-				Addr: f.sw.Addr, Class: "put", Group: 7, Patience: 3 * time.Second, Tries: 400, Wait: 5 * time.Millisecond,
+			b := &fake.Client{
+				Addr: f.sw.Addr, Class: "put", Group: 7, Timeout: 3 * time.Second, MaxAttempts: 400, Backoff: 5 * time.Millisecond,
 				Ledger: &f.ledger,
 			}
 			defer b.Close()
@@ -145,7 +145,7 @@
 					return
 				default:
 				}
-				b.Book(fmt.Sprintf("m%d-%d", c, n))
+				b.Write(fmt.Sprintf("m%d-%d", c, n))
 			}
 		}()
 	}
@@ -172,10 +172,10 @@
 			return false
 		}
 		holder = all[0]
-		at, _ := f.sw.Holder()
+		at, _ := f.sw.ActiveGateway()
 		return at == f.floating[holder]
 	}, func() string {
-		at, _ := f.sw.Holder()
+		at, _ := f.sw.ActiveGateway()
 		return fmt.Sprintf("active are %v, the switch leads to %s, listeners are %v", f.active(), at, f.floating)
 	})
 	return holder
@@ -212,22 +212,22 @@
 		split bool
 	}{
 		{"the active one is not heard", func() {
-			f.path.Set(0, 1, fake.Fate{Drop: true})
-			f.path.Set(0, 2, fake.Fate{Drop: true})
+			f.path.Set(0, 1, fake.Impairment{Drop: true})
+			f.path.Set(0, 2, fake.Impairment{Drop: true})
 		}, true},
 		{"the active one does not hear", func() {
-			f.path.Set(1, 0, fake.Fate{Drop: true})
-			f.path.Set(2, 0, fake.Fate{Drop: true})
+			f.path.Set(1, 0, fake.Impairment{Drop: true})
+			f.path.Set(2, 0, fake.Impairment{Drop: true})
 		}, false},
 		{"advertisements come later than the down interval", func() {
-			f.path.SetAll(fake.Fate{Delay: 6 * fleetInterval})
+			f.path.SetAll(fake.Impairment{Delay: 6 * fleetInterval})
 		}, false},
 		{"advertisements are doubled and come in the wrong order", func() {
-			f.path.SetAll(fake.Fate{Copies: 2, Swap: true})
+			f.path.SetAll(fake.Impairment{Duplicates: 2, Reorder: true})
 		}, false},
 		{"two sides, old flows go on", func() { f.path.Isolate(0, true) }, true},
 		{"two sides, old flows are cut", func() {
-			f.sw.CutOnMove = true
+			f.sw.ResetOnTakeover = true
 			f.path.Isolate(0, true)
 		}, true},
 		{"two sides, and a reload of priorities, peers and keys on both", func() {
@@ -260,7 +260,7 @@
 			f.split()
 		}
 		f.served(20)
-		f.path.SetAll(fake.Fate{})
+		f.path.SetAll(fake.Impairment{})
 		f.settles(-1)
 		f.served(20)
 		t.Logf("%s: %+v", c.name, f.ledger.Totals())
@@ -334,7 +334,7 @@
 	f := newFleet(t, true, nil, 200, 100)
 	f.settles(0)
 	hold, arrived, release := holding(t)
-	f.primary.SetHandle(hold)
+	f.primary.SetQueryHandler(hold)
 	first, half, idle := f.open(f.floating[0]), f.open(f.floating[0]), f.open(f.floating[0])
 	put := func(id string) string { return strings.Replace(put(id), "'k'", "'"+id+"'", 1) }
 	first.Write(query(put("x1")))
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -101,10 +101,10 @@
 	return v
 }
 
-func (w *world) targets() []fake.Target {
-	return []fake.Target{
-		{UID: "p", Endpoint: w.primary.Addr(), Group: 7, State: "ready", Weight: 1, Role: "primary"},
-		{UID: "r", Endpoint: w.replica.Addr(), Group: 7, State: "ready", Weight: 1, Role: "replica"},
+func (w *world) targets() []fake.Endpoint {
+	return []fake.Endpoint{
+		{UID: "p", Addr: w.primary.Addr(), Group: 7, State: "ready", Weight: 1, Role: "primary"},
+		{UID: "r", Addr: w.replica.Addr(), Group: 7, State: "ready", Weight: 1, Role: "replica"},
 	}
 }
 
@@ -251,7 +251,7 @@
 		t.Errorf("the statement changed: %q", got[0])
 	}
 	w.asks(c, look("a2"), "value of a2", "")
-	if n := w.replica.Opened(); n > 2 { // one for reads, and perhaps one for a probe beside them
+	if n := w.replica.ConnsOpened(); n > 2 { // one for reads, and perhaps one for a probe beside them
 		t.Errorf("%d connections for two reads one after the other", n)
 	}
 	eventually(t, func() bool { n := w.counts(); return n.Answers[routing.AnswerServed][0] == 2 && n.Requests[1] == 1 },
@@ -267,14 +267,14 @@
 		code    string // what the client gets
 		repeats bool   // whether the request may be sent again
 	}{
-		{"miss of a write", put, func(q *fake.Query) { q.Fail("25006") }, "53300", true},
-		{"error", put, func(q *fake.Query) { q.Fail("XX000") }, "58000", false},
-		{"turned away", put, func(q *fake.Query) { q.Fail("53300") }, "53300", true},
-		{"reset after the last byte", put, func(q *fake.Query) { q.Hangup() }, "58000", false},
+		{"miss of a write", put, func(q *fake.Query) { q.ReplyError("25006") }, "53300", true},
+		{"error", put, func(q *fake.Query) { q.ReplyError("XX000") }, "58000", false},
+		{"turned away", put, func(q *fake.Query) { q.ReplyError("53300") }, "53300", true},
+		{"reset after the last byte", put, func(q *fake.Query) { q.CloseConn() }, "58000", false},
 		{"broken off in the value", put, func(q *fake.Query) {
-			row := fake.Row([]byte("some value"))
+			row := fake.RowMessages([]byte("some value"))
 			q.Write(row[:len(row)-20])
-			q.Hangup()
+			q.CloseConn()
 		}, "58000", false},
 		{"not PostgreSQL", put, func(q *fake.Query) { q.Write([]byte("HTTP/1.1 200 OK\r\n\r\n")) }, "58000", false},
 		{"ready without a row", put, func(q *fake.Query) { q.Write([]byte{'Z', 0, 0, 0, 5, 'I'}) }, "58000", false},
@@ -283,8 +283,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWorld(t, nil)
-			w.primary.SetHandle(c.handle)
-			w.replica.SetHandle(func(q *fake.Query) { q.Fail("25006") })
+			w.primary.SetQueryHandler(c.handle)
+			w.replica.SetQueryHandler(func(q *fake.Query) { q.ReplyError("25006") })
 			sql := c.sql("x1")
 			if c.repeats {
 				sql = strings.Replace(sql, "d=5000", "d=700", 1)
@@ -295,7 +295,7 @@
 			if !c.repeats && n != 1 {
 				t.Errorf("sent %d times", n)
 			}
-			w.primary.SetHandle(func(q *fake.Query) { q.Serve([]byte("fine")) })
+			w.primary.SetQueryHandler(func(q *fake.Query) { q.ReplyRow([]byte("fine")) })
 			w.asks(client, "", "", "") // the client's connection lives on
 		})
 	}
@@ -304,8 +304,8 @@
 // A refused connection proves that nothing ran: a write waits for its server and is served or refused, not failed.
 func TestServerDownAtWrite(t *testing.T) {
 	w := newWorld(t, nil)
-	w.primary.Refuse("57P03")
-	w.replica.SetHandle(func(q *fake.Query) { q.Fail("25006") })
+	w.primary.RejectStartups("57P03")
+	w.replica.SetQueryHandler(func(q *fake.Query) { q.ReplyError("25006") })
 	w.asks(w.dial(), strings.Replace(put("x"), "d=5000", "d=600", 1), "", "53300")
 	if n := len(w.primary.Queries()); n != 0 {
 		t.Errorf("%d statements reached a server that was not up", n)
@@ -318,7 +318,7 @@
 	c := w.dial()
 	for i := range 20 {
 		w.asks(c, put(fmt.Sprint("p", i)), fmt.Sprint("value of p", i), "")
-		w.primary.Drop()
+		w.primary.ResetConns()
 	}
 	if n := len(w.primary.Queries()); n != 20 {
 		t.Errorf("%d statements for 20 writes", n)
@@ -328,9 +328,9 @@
 // An answer behind which the server closes counts, and the next request takes another connection.
 func TestServerClosesBehindAnswer(t *testing.T) {
 	w := newWorld(t, nil)
-	w.primary.SetHandle(func(q *fake.Query) {
-		q.Serve([]byte("last"))
-		q.Hangup()
+	w.primary.SetQueryHandler(func(q *fake.Query) {
+		q.ReplyRow([]byte("last"))
+		q.CloseConn()
 	})
 	c := w.dial()
 	for i := range 20 {
@@ -343,7 +343,7 @@
 func TestTimedOutConnectionIsClosed(t *testing.T) {
 	w := newWorld(t, nil)
 	conns := make(chan int, 16)
-	w.primary.SetHandle(func(q *fake.Query) { conns <- q.Conn })
+	w.primary.SetQueryHandler(func(q *fake.Query) { conns <- q.Conn })
 	c := w.dial()
 	w.asks(c, strings.Replace(put("x"), "d=5000", "d=200", 1), "", "58000")
 	first := <-conns
@@ -352,7 +352,7 @@
 			break
 		}
 	}
-	w.primary.SetHandle(func(q *fake.Query) { conns <- q.Conn; q.Serve([]byte("v")) })
+	w.primary.SetQueryHandler(func(q *fake.Query) { conns <- q.Conn; q.ReplyRow([]byte("v")) })
 	w.asks(c, put("y"), "v", "")
 	if second := <-conns; second == first {
 		t.Error("the connection was used again")
@@ -363,7 +363,7 @@
 func TestClientGoneCancels(t *testing.T) {
 	w := newWorld(t, nil)
 	arrived := make(chan int, 1)
-	w.primary.SetHandle(func(q *fake.Query) { arrived <- q.Conn })
+	w.primary.SetQueryHandler(func(q *fake.Query) { arrived <- q.Conn })
 	nc := w.raw()
 	nc.Write(query(put("x")))
 	conn := <-arrived
@@ -395,10 +395,10 @@
 func TestStopAnswersWhatWasTaken(t *testing.T) {
 	w := newWorld(t, nil)
 	arrived, release := make(chan struct{}, 64), make(chan struct{})
-	w.primary.SetHandle(func(q *fake.Query) {
+	w.primary.SetQueryHandler(func(q *fake.Query) {
 		arrived <- struct{}{}
 		<-release
-		q.Serve([]byte("late"))
+		q.ReplyRow([]byte("late"))
 	})
 	idle := w.raw()
 	results := make(chan string, 8)
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -39,7 +39,7 @@
 func asked(t *testing.T, d *fake.Discovery) string {
 	t.Helper()
 	select {
-	case line := <-d.Asked:
+	case line := <-d.Requests:
 		return strings.Fields(line)[1]
 	case <-time.After(patience):
 		t.Fatal("discovery was not asked")
@@ -73,7 +73,7 @@
 	if n := len(w.replica.Queries()); n != 0 {
 		t.Error("a read went to a server that the new address calls draining")
 	}
-	w.disc.Cut()
+	w.disc.ResetConns()
 	next.Push(w.targets()[1])
 	w.lists(formDelta, 5)
 	if n := w.counts().ListUpdates[formFailed]; n != 0 {
@@ -87,13 +87,13 @@
 	w.lists(formFull, 1)
 	next := must2(fake.NewDiscovery(w.targets()...))
 	defer next.Close()
-	next.Answer("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+	next.SetRawResponse("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 	w.reload(next.Addr())
 	w.lists(formFailed, 2)
 	w.disc.Push(w.targets()[1])
 	w.lists(formDelta, 1)
-	w.disc.Cut()
-	next.Answer("")
+	w.disc.ResetConns()
+	next.SetRawResponse("")
 	w.lists(formFull, 3)
 	w.logged(`"party":"discovery"`, w.disc.Addr())
 	next.Push(w.targets()[1])
@@ -140,7 +140,7 @@
 	w.lists(formFull, 1)
 	silent := must2(fake.NewDiscovery(w.targets()...))
 	defer silent.Close()
-	silent.Answer("silent")
+	silent.SetRawResponse("silent")
 	last := must2(fake.NewDiscovery(w.targets()...))
 	defer last.Close()
 	w.reload(silent.Addr())
--- a/internal/gateway/settings_test.go
+++ b/internal/gateway/settings_test.go
@@ -152,7 +152,7 @@
 	for _, back := range []bool{false, true} {
 		w := newWorld(t, nil)
 		handle, arrived, release := holding(t)
-		w.primary.SetHandle(handle)
+		w.primary.SetQueryHandler(handle)
 		harmless := strings.Replace(movedSettings, "single_shot", "free", 1)
 		done := make(chan string, 1)
 		client := w.dial()
@@ -166,7 +166,7 @@
 			w.load(testSettings)
 		}
 		w.replica.Role.Store("primary")
-		w.primary.Drop()
+		w.primary.ResetConns()
 		if got := <-done; got != "58000<nil>" {
 			t.Errorf("the write ended with %s", got)
 		}
--- a/internal/gateway/stopping_test.go
+++ b/internal/gateway/stopping_test.go
@@ -66,7 +66,7 @@
 	if _, err := io.ReadFull(server, make([]byte, 5)); err != nil {
 		t.Fatalf("nothing was sent: %v", err)
 	}
-	server.Write(append(fake.Row([]byte("late")), 'Z', 0, 0, 0, 5, 'I'))
+	server.Write(append(fake.RowMessages([]byte("late")), 'Z', 0, 0, 0, 5, 'I'))
 	c.wantServed("late")
 	<-ended
 }
@@ -79,17 +79,17 @@
 			c.InForce.Settings.Classes[i].LatencyObjective = 100_000 // the pauses between attempts follow it
 		}
 	})
-	w.replica.SetHandle(func(q *fake.Query) { q.Fail("25006") })
+	w.replica.SetQueryHandler(func(q *fake.Query) { q.ReplyError("25006") })
 	turnedAway := make(chan struct{}, 1024)
-	w.primary.SetHandle(func(q *fake.Query) {
-		q.Fail("53300")
+	w.primary.SetQueryHandler(func(q *fake.Query) {
+		q.ReplyError("53300")
 		turnedAway <- struct{}{}
 	})
 	c := w.raw()
 	c.Write(query(strings.Replace(put("x"), "d=5000", "d=20000", 1)))
 	<-turnedAway
 	ended := w.stop()
-	w.primary.SetHandle(func(q *fake.Query) { q.Serve([]byte("at last")) })
+	w.primary.SetQueryHandler(func(q *fake.Query) { q.ReplyRow([]byte("at last")) })
 	c.wantServed("at last")
 	<-ended
 }
@@ -100,14 +100,14 @@
 	for _, answer := range []string{"", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"} {
 		w := newWorld(t, func(c *config.Config) {}, func(g *Gateway) { g.discovery.Limits.Answer = 200 * time.Millisecond })
 		w.lists(formFull, 1)
-		w.disc.Answer(answer)
-		w.disc.Cut()
+		w.disc.SetRawResponse(answer)
+		w.disc.ResetConns()
 		draining := w.targets()[1]
 		draining.State = "draining"
-		w.disc.SetTargets(w.targets()[0], draining)
+		w.disc.SetEndpoints(w.targets()[0], draining)
 		if answer != "" {
 			w.lists(formFailed, 2)
-			w.disc.Answer("")
+			w.disc.SetRawResponse("")
 		}
 		w.lists(formFull, 2)
 		w.asks(w.dial(), look("a"), "value of a", "")
@@ -122,7 +122,7 @@
 func TestRepeatBeforeTheFirstHasEnded(t *testing.T) {
 	w := newWorld(t, nil)
 	hold, arrived, release := holding(t)
-	w.primary.SetHandle(hold)
+	w.primary.SetQueryHandler(hold)
 	c := w.raw()
 	c.Write(query(put("first")))
 	<-arrived
--- a/internal/session/interleaving_test.go
+++ b/internal/session/interleaving_test.go
@@ -350,14 +350,14 @@
 // An answer that is complete but for ReadyForQuery is forwarded soon, not at the request's deadline; likewise an error.
 func TestAnswerWithoutReadyForQuery(t *testing.T) {
 	for want, handle := range map[policy.Result]func(*fake.Query){
-		policy.ResultOK:    func(q *fake.Query) { q.Write(fake.Row([]byte("v"))) },
-		policy.ResultError: func(q *fake.Query) { q.Write(fake.Row([]byte("v"))[:30]) },
+		policy.ResultOK:    func(q *fake.Query) { q.Write(fake.RowMessages([]byte("v"))) },
+		policy.ResultError: func(q *fake.Query) { q.Write(fake.RowMessages([]byte("v"))[:30]) },
 		policy.ResultOverloaded: func(q *fake.Query) {
 			q.Write(postgres.AppendErrorResponse(nil, false, postgres.CodeTooManyConnections, "full", 0))
 		},
 	} {
 		r := newHarness(t)
-		r.server.SetHandle(handle)
+		r.server.SetQueryHandler(handle)
 		job := r.job("a")
 		job.Deadline = job.SentAt + 4*clock.Micros(patience/time.Microsecond)
 		r.servers.Send(job)
--- a/internal/session/server_conn_test.go
+++ b/internal/session/server_conn_test.go
@@ -108,14 +108,14 @@
 	if _, _, err := l.connect(first); err != nil {
 		t.Fatal(err)
 	}
-	r.server.Drop()
+	r.server.ResetConns()
 	<-r.server.Closed
 	l.current = newTask(r.job("second"))
 	l.carryOut() // here, where no goroutine of its own sees the end first
 	if e := r.attemptEnded(); e.Result != policy.ResultOK {
 		t.Errorf("ended with %s", routing.ResultNames[e.Result])
 	}
-	if n := r.server.Opened(); n != 2 {
+	if n := r.server.ConnsOpened(); n != 2 {
 		t.Errorf("%d connections opened", n)
 	}
 }
@@ -127,7 +127,7 @@
 	done := make(chan struct{})
 	l.mu.Lock() // the goroutine wakes up to a closed connection, and finds the task there
 	go func() {
-		r.server.Drop()
+		r.server.ResetConns()
 		<-r.server.Closed
 		close(done)
 	}()
@@ -151,10 +151,10 @@
 	}
 	defer other.Close()
 	arrived, release := make(chan struct{}), make(chan struct{})
-	r.server.SetHandle(func(q *fake.Query) {
+	r.server.SetQueryHandler(func(q *fake.Query) {
 		close(arrived)
 		<-release
-		q.Serve([]byte("old place"))
+		q.ReplyRow([]byte("old place"))
 	})
 	r.servers.Send(r.job("a"))
 	<-arrived
@@ -206,7 +206,7 @@
 // A value larger than what was reserved for it would exceed the memory budget.
 func TestOversizedAnswer(t *testing.T) {
 	r := newHarness(t)
-	r.server.SetHandle(func(q *fake.Query) { q.Serve(make([]byte, maxAnswerMessage)) })
+	r.server.SetQueryHandler(func(q *fake.Query) { q.ReplyRow(make([]byte, maxAnswerMessage)) })
 	r.servers.Send(r.job("a"))
 	if e := r.attemptEnded(); e.Result != policy.ResultError || e.Value != nil {
 		t.Errorf("ended with %s", routing.ResultNames[e.Result])
@@ -237,12 +237,12 @@
 func TestCloseIdle(t *testing.T) {
 	r := newHarness(t)
 	arrived, release := make(chan struct{}, 2), make(chan struct{})
-	r.server.SetHandle(func(q *fake.Query) {
+	r.server.SetQueryHandler(func(q *fake.Query) {
 		if q.ID() == "slow" {
 			arrived <- struct{}{}
 			<-release
 		}
-		q.Serve([]byte("v"))
+		q.ReplyRow([]byte("v"))
 	})
 	r.servers.Send(r.job("slow"))
 	<-arrived
@@ -270,10 +270,10 @@
 func TestSilentHealthCheckClosesSiblings(t *testing.T) {
 	r := newHarness(t)
 	arrived, release := make(chan struct{}, 2), make(chan struct{})
-	r.server.SetHandle(func(q *fake.Query) {
+	r.server.SetQueryHandler(func(q *fake.Query) {
 		arrived <- struct{}{}
 		<-release
-		q.Serve([]byte("v"))
+		q.ReplyRow([]byte("v"))
 	})
 	r.servers.Send(r.job("a"))
 	r.servers.Send(r.job("b"))
@@ -285,7 +285,7 @@
 			t.Fatalf("ended with %s", routing.ResultNames[e.Result])
 		}
 	}
-	r.server.Mute.Store(true)
+	r.server.Silent.Store(true)
 	now := r.servers.Clock.Now()
 	r.servers.HealthCheck(1, now, now+100_000)
 	if p := (<-r.events).(routing.HealthCheckEnded); p.Result != policy.ResultTimeout {
@@ -305,9 +305,9 @@
 func TestUnsolicitedMessages(t *testing.T) {
 	r := newHarness(t)
 	queries := make(chan *fake.Query, 4)
-	r.server.SetHandle(func(q *fake.Query) {
+	r.server.SetQueryHandler(func(q *fake.Query) {
 		queries <- q
-		q.Serve([]byte("v"))
+		q.ReplyRow([]byte("v"))
 	})
 	r.servers.endpointOf(1).idle.Put(r.idleConn())
 	first := <-queries
@@ -339,7 +339,7 @@
 // A malformed answer is an attempt that may have run: nothing in it is used, and its connection is never used again. None of them
 // may hold its request up until the deadline.
 func TestMalformedAnswers(t *testing.T) {
-	whole := string(fake.Row([]byte("v")))
+	whole := string(fake.RowMessages([]byte("v")))
 	claims := message('S', "role\x00primary\x00") + message('S', "applied_ms\x001796133629826\x00")
 	for name, raw := range map[string]string{
 		"noise":                         "\x91\x02\xfe\x00\x7f\x11 and more of it",
@@ -353,7 +353,7 @@
 		"noise before the end":          claims + whole + "\x00\x00\x00\x00\x00\x00\x00",
 	} {
 		r := newHarness(t)
-		r.server.SetHandle(func(q *fake.Query) { q.Write([]byte(raw)) })
+		r.server.SetQueryHandler(func(q *fake.Query) { q.Write([]byte(raw)) })
 		r.servers.Send(r.job("a"))
 		e := r.attemptEnded()
 		if e.Result != policy.ResultError || e.Role != policy.RoleUnknown || e.Position != 0 || e.Value != nil {
@@ -372,13 +372,13 @@
 // What follows directly after a good answer is never taken for the next request's answer.
 func TestSurplusBehindAnAnswer(t *testing.T) {
 	r := newHarness(t)
-	whole := string(fake.Row([]byte("first"))) + message('Z', "I")
-	r.server.SetHandle(func(q *fake.Query) {
+	whole := string(fake.RowMessages([]byte("first"))) + message('Z', "I")
+	r.server.SetQueryHandler(func(q *fake.Query) {
 		if q.ID() == "first" {
 			q.Write([]byte(whole + whole))
 			return
 		}
-		q.Serve([]byte("second"))
+		q.ReplyRow([]byte("second"))
 	})
 	for _, id := range []string{"first", "second"} {
 		r.servers.Send(r.job(id))
@@ -391,7 +391,7 @@
 		}
 		e.Value.Free()
 	}
-	if n := r.server.Opened(); n != 2 {
+	if n := r.server.ConnsOpened(); n != 2 {
 		t.Errorf("%d connections opened, want one for each", n)
 	}
 }
@@ -399,9 +399,9 @@
 // A good answer with a load report that cannot be read is served; nothing of the report is used.
 func TestUnreadableLoadReport(t *testing.T) {
 	r := newHarness(t)
-	r.server.SetHandle(func(q *fake.Query) {
+	r.server.SetQueryHandler(func(q *fake.Query) {
 		q.Write([]byte(message('S', "load\x00x0=1796133629.826,\xff\x00") + message('S', "load") +
-			string(fake.Row([]byte("v"))) + message('Z', "I")))
+			string(fake.RowMessages([]byte("v"))) + message('Z', "I")))
 	})
 	r.servers.Send(r.job("a"))
 	if e := r.attemptEnded(); e.Result != policy.ResultOK || e.LoadReport.HasPosition {
@@ -415,12 +415,12 @@
 // Where idle connections are reset under requests, what is not idempotent is sent on a new one.
 func TestSuspectedConnections(t *testing.T) {
 	r := newHarness(t)
-	r.server.SetHandle(func(q *fake.Query) {
+	r.server.SetQueryHandler(func(q *fake.Query) {
 		if q.ID() == "reset" {
-			q.Hangup()
+			q.CloseConn()
 			return
 		}
-		q.Serve([]byte("v"))
+		q.ReplyRow([]byte("v"))
 	})
 	send := func(id string, once bool) policy.Result {
 		job := r.job(id)
@@ -432,7 +432,7 @@
 	}
 	send("first", true)
 	send("second", true)
-	if n := r.server.Opened(); n != 1 {
+	if n := r.server.ConnsOpened(); n != 1 {
 		t.Fatalf("%d connections opened with nothing to doubt", n)
 	}
 	if res := send("reset", false); res != policy.ResultReset {
@@ -440,13 +440,13 @@
 	}
 	send("third", false)
 	send("fourth", false) // on the connection that is kept
-	before := r.server.Opened()
-	if res := send("fifth", true); res != policy.ResultOK || r.server.Opened() != before+1 {
+	before := r.server.ConnsOpened()
+	if res := send("fifth", true); res != policy.ResultOK || r.server.ConnsOpened() != before+1 {
 		t.Errorf("ended with %s on connection %d, want a new one behind %d", routing.ResultNames[res],
-			r.server.Opened(), before)
+			r.server.ConnsOpened(), before)
 	}
 	r.servers.endpointOf(1).suspectedAt.Store(0)
-	if send("sixth", true); r.server.Opened() != before+1 {
+	if send("sixth", true); r.server.ConnsOpened() != before+1 {
 		t.Error("a new connection with nothing left to doubt")
 	}
 }
@@ -455,9 +455,9 @@
 func TestHealthCheckResetOnAnIdleConnection(t *testing.T) {
 	r := newHarness(t)
 	r.servers.endpointOf(1).idle.Put(r.idleConn())
-	r.server.SetProbe(func(q *fake.Query) bool {
+	r.server.SetHealthCheckHandler(func(q *fake.Query) bool {
 		if q.Conn == 1 {
-			q.Hangup()
+			q.CloseConn()
 			return true
 		}
 		return false
@@ -467,7 +467,7 @@
 	if p := (<-r.events).(routing.HealthCheckEnded); p.Result != policy.ResultOK {
 		t.Errorf("the health check ended with %s", routing.ResultNames[p.Result])
 	}
-	r.server.SetProbe(func(q *fake.Query) bool { q.Hangup(); return true })
+	r.server.SetHealthCheckHandler(func(q *fake.Query) bool { q.CloseConn(); return true })
 	r.servers.HealthCheck(1, now, now+5_000_000)
 	if p := (<-r.events).(routing.HealthCheckEnded); p.Result != policy.ResultReset {
 		t.Errorf("with every connection reset it ended with %s", routing.ResultNames[p.Result])
--- a/internal/streams/streams_test.go
+++ b/internal/streams/streams_test.go
@@ -110,7 +110,7 @@
 		t.Error("sent to nobody")
 	}
 	// A reset ends the stream; the next message opens another one.
-	relay.Reset()
+	relay.ResetStreams()
 	eventually(t, "a stream after the reset", func() bool {
 		a.Send(Message{To: "b", Channel: StateStore, Body: []byte("again")})
 		select {
@@ -141,7 +141,7 @@
 	a, b, relay := pair(t)
 	a.Send(Message{To: "b", Channel: StateStore, Body: []byte("first")})
 	b.want(t, "a:first")
-	relay.Set(fake.Fate{Stall: true}, fake.Fate{})
+	relay.Set(fake.Impairment{StallStreams: true}, fake.Impairment{})
 	if _, err := a.Ping("b", time.Now().Add(50*time.Millisecond)); !errors.Is(err, ErrTimeout) {
 		t.Errorf("got %v, want %v", err, ErrTimeout)
 	}
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -81,11 +81,11 @@
 			return nil, err
 		}
 		c.servers = append(c.servers, s)
-		s.SetProbe(func(*fake.Query) bool {
+		s.SetHealthCheckHandler(func(*fake.Query) bool {
 			s.Position.Store(c.position(s))
 			return false
 		})
-		s.SetHandle(func(q *fake.Query) { c.run(s, q) })
+		s.SetQueryHandler(func(q *fake.Query) { c.run(s, q) })
 	}
 	return c, nil
 }
@@ -162,7 +162,7 @@
 	if write && role != rolePrimary {
 		c.mu.Unlock()
 		s.Position.Store(at)
-		q.Fail("25006")
+		q.ReplyError("25006")
 		return
 	}
 	commit, there := c.commits[key]
@@ -178,7 +178,7 @@
 		age = time.Since(time.UnixMilli(at)).Microseconds()
 	}
 	c.history.Add(Event{
-		Kind: RequestExecuted, Node: c.node(q.From()), ID: q.ID(), Class: q.Field("c"), Key: key, Server: s.name, What: role, DataAge: age,
+		Kind: RequestExecuted, Node: c.node(q.ClientIP()), ID: q.ID(), Class: q.Field("c"), Key: key, Server: s.name, What: role, DataAge: age,
 	})
 	time.Sleep(c.work)
 	value := q.ID() + Absent
@@ -186,7 +186,7 @@
 		value = q.ID() + There
 	}
 	s.Position.Store(at)
-	q.Serve([]byte(value))
+	q.ReplyRow([]byte(value))
 }
 
 // setLag lets a replica fall behind: it stands where it is until it lags by so much, then goes on at that distance.
@@ -209,10 +209,10 @@
 }
 
 // target is a server's entry on the list that a gateway gets, which reaches it at an address of its own.
-func (s *server) target(endpoint string) fake.Target {
+func (s *server) target(endpoint string) fake.Endpoint {
 	s.of.mu.Lock()
 	defer s.of.mu.Unlock()
-	return fake.Target{UID: s.name, Endpoint: endpoint, Zone: "here", Group: s.of.group, State: s.state, Weight: 1, Role: s.role()}
+	return fake.Endpoint{UID: s.name, Addr: endpoint, Zone: "here", Group: s.of.group, State: s.state, Weight: 1, Role: s.role()}
 }
 
 func (c *serverGroup) close() {
--- a/internal/testcluster/copies.go
+++ b/internal/testcluster/copies.go
@@ -222,9 +222,9 @@
 		}
 	}
 	turn := 0
-	b := &fake.Booker{
-		Name: "final", Class: ClassMine, Group: Group, Patience: patience, Tries: 20, Wait: clientWait, Ledger: &l.ledger,
-		Addr: func() string { turn++; return l.f.Nodes[turn%len(l.f.Nodes)].Listen }, Tell: l.tell,
+	b := &fake.Client{
+		Name: "final", Class: ClassMine, Group: Group, Timeout: patience, MaxAttempts: 20, Backoff: clientWait, Ledger: &l.ledger,
+		Addr: func() string { turn++; return l.f.Nodes[turn%len(l.f.Nodes)].Listen }, OnExchange: l.tell,
 	}
 	defer b.Close()
 	for i, key := range keys {
--- a/internal/testcluster/doubt_test.go
+++ b/internal/testcluster/doubt_test.go
@@ -79,10 +79,10 @@
 	l := &Load{f: f}
 	var at atomic.Value
 	at.Store(r.Addr())
-	b := &fake.Booker{
-		Name: "half", Class: ClassBooking, Group: Group, Patience: patience, Tries: 400, Wait: clientWait, Again: 3, Ledger: &l.ledger, Tell: l.tell,
+	b := &fake.Client{
+		Name: "half", Class: ClassBooking, Group: Group, Timeout: patience, MaxAttempts: 400, Backoff: clientWait, RetryTimeouts: 3, Ledger: &l.ledger, OnExchange: l.tell,
 		Addr: func() string { return at.Load().(string) },
-		Via: func(string) string {
+		Route: func(string) string {
 			if at.Load() == r.Addr() {
 				return first.Listen
 			}
@@ -90,12 +90,12 @@
 		},
 	}
 	defer b.Close()
-	if o := b.Book("whole"); o != fake.Served {
+	if o := b.Write("whole"); o != fake.Served {
 		return fmt.Errorf("the first booking is %v", fake.OutcomeNames[o])
 	}
-	r.Set(fake.Fate{}, fake.Fate{Rate: 20}) // a byte in 50 ms
+	r.Set(fake.Impairment{}, fake.Impairment{Rate: 20}) // a byte in 50 ms
 	end := make(chan fake.Outcome, 1)
-	go func() { end <- b.Book("half") }()
+	go func() { end <- b.Write("half") }()
 	if err := f.History.Await("the booking has run", settleBy, func(all []Event) bool {
 		return slices.ContainsFunc(all, func(e Event) bool { return e.Kind == RequestExecuted && e.Key == "half" })
 	}); err != nil {
--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -133,7 +133,7 @@
 			for _, b := range f.Nodes {
 				if x.spoils(a.Number, b.Number) {
 					for _, p := range f.paths() {
-						p.Reset(a.Number-1, b.Number-1)
+						p.ResetStreams(a.Number-1, b.Number-1)
 					}
 				}
 			}
@@ -144,7 +144,7 @@
 		next := f.server(x.Name)
 		f.change(func() { f.fallen = next.of.promote(next); f.active = append(f.active, x) })
 		for _, n := range f.Nodes {
-			n.servers[f.fallen.name].Reset()
+			n.servers[f.fallen.name].ResetStreams()
 		}
 		f.announce(next, next.state)
 		f.announce(f.fallen, f.fallen.state)
@@ -221,8 +221,8 @@
 				p.Set(a.Number-1, b.Number-1, fate(f.active, a.Number, b.Number))
 			}
 		}
-		severed := func(name string) fake.Fate {
-			return fake.Fate{Drop: slices.ContainsFunc(f.active, func(x Fault) bool {
+		severed := func(name string) fake.Impairment {
+			return fake.Impairment{Drop: slices.ContainsFunc(f.active, func(x Fault) bool {
 				return x.Verb == "sever" && x.Name == name && (x.From == nil || slices.Contains(x.From, a.Number)) ||
 					x.Verb == "promote" && f.fallen.name == name
 			})}
@@ -260,7 +260,7 @@
 }
 
 // fate is what all faults at work come to on one way.
-func fate(active []Fault, from, to int) (out fake.Fate) {
+func fate(active []Fault, from, to int) (out fake.Impairment) {
 	for _, x := range active {
 		if !x.spoils(from, to) {
 			continue
@@ -269,15 +269,15 @@
 		case "cut", "split":
 			out.Drop = true
 		case "stall":
-			out.Stall = true
+			out.StallStreams = true
 		case "loss":
-			out.Loss = 1 - (1-out.Loss)*(1-x.Amount)
+			out.LossRate = 1 - (1-out.LossRate)*(1-x.Amount)
 		case "delay":
 			out.Delay, out.Jitter = out.Delay+x.Delay, out.Jitter+x.Jitter
 		case "duplicate":
-			out.Copies += int(x.Amount)
+			out.Duplicates += int(x.Amount)
 		case "reorder":
-			out.Swap = true
+			out.Reorder = true
 		case "slow":
 			if rate := int(x.Amount); out.Rate == 0 || rate < out.Rate {
 				out.Rate = rate
--- a/internal/testcluster/fleet.go
+++ b/internal/testcluster/fleet.go
@@ -131,7 +131,7 @@
 	if f.Switch, err = fake.NewSwitch(secret); err != nil {
 		return f, err
 	}
-	f.Switch.CutOnMove = o.ResetOnFailover
+	f.Switch.ResetOnTakeover = o.ResetOnFailover
 	for i := range max(o.Groups, 1) {
 		c, err := newServerGroup(f.History, Group+i, o.Replicas, o.ServiceTime, f.at)
 		if err != nil {
@@ -156,7 +156,7 @@
 		if f.MembershipPath, err = fake.NewPath(members...); err != nil {
 			return f, err
 		}
-		if err = f.MembershipPath.Streams(); err != nil {
+		if err = f.MembershipPath.CarryStreams(); err != nil {
 			return f, err
 		}
 	}
@@ -252,7 +252,7 @@
 	at := ""
 	err := f.History.Await(fmt.Sprintf("gateway %d holds the address alone", number), bound, func(all []Event) bool {
 		holders = slices.Collect(maps.Keys(ActiveRouters(all)))
-		at, _ = f.Switch.Holder()
+		at, _ = f.Switch.ActiveGateway()
 		return len(holders) == 1 && (number == 0 || number == holders[0]) && at == f.Nodes[holders[0]-1].Floating
 	})
 	if err != nil {
@@ -329,7 +329,7 @@
 		}
 		if n.discovery != nil {
 			n.discovery.Close()
-			close(n.discovery.Asked)
+			close(n.discovery.Requests)
 			n.told.Wait()
 		}
 	}
--- a/internal/testcluster/load.go
+++ b/internal/testcluster/load.go
@@ -69,13 +69,13 @@
 		}
 		return booked[rand.IntN(len(booked))]
 	}
-	book := func(b *fake.Booker, n int) {
+	book := func(b *fake.Client, n int) {
 		key := fmt.Sprintf("%s-%d", b.Name, n)
 		recent(key) // others look for it while it is being booked, too
 		b.Group = f.groupOf(key)
-		b.Book(key)
+		b.Write(key)
 	}
-	look := func(b *fake.Booker, _ int) {
+	look := func(b *fake.Client, _ int) {
 		key := recent("")
 		b.Group = f.groupOf(key)
 		b.Read(key)
@@ -90,19 +90,19 @@
 
 // clients starts clients of one kind. Each keeps to a gateway for as long as its connection lasts, and goes to the next one
 // when it must connect anew, as a front would have it.
-func (l *Load) clients(kind, class string, count int, think time.Duration, do func(*fake.Booker, int), floating bool) {
+func (l *Load) clients(kind, class string, count int, think time.Duration, do func(*fake.Client, int), floating bool) {
 	f := l.f
 	for i := range count {
 		turn := i
-		b := &fake.Booker{
-			Name: fmt.Sprint(kind, i), Class: class, Group: Group, Patience: patience, Tries: 20, Wait: clientWait, Ledger: &l.ledger,
-			Addr: func() string { turn++; return f.Nodes[turn%len(f.Nodes)].Listen }, Tell: l.tell,
+		b := &fake.Client{
+			Name: fmt.Sprint(kind, i), Class: class, Group: Group, Timeout: patience, MaxAttempts: 20, Backoff: clientWait, Ledger: &l.ledger,
+			Addr: func() string { turn++; return f.Nodes[turn%len(f.Nodes)].Listen }, OnExchange: l.tell,
 		}
 		if l.again && class == ClassBooking { // until it is settled: an address that moves takes some hundred milliseconds
-			b.Again, b.Tries = 3, 400
+			b.RetryTimeouts, b.MaxAttempts = 3, 400
 		}
 		if floating {
-			b.Addr, b.Via = f.Switch.Addr, f.Switch.Led
+			b.Addr, b.Route = f.Switch.Addr, f.Switch.GatewayOf
 		}
 		l.done.Add(1)
 		go func() {
@@ -123,18 +123,18 @@
 // tell writes a client's exchange into the history.
 func (l *Load) tell(x fake.Exchange) {
 	e := Event{
-		At: l.f.History.Timestamp(x.At), Kind: RequestSent, Node: l.f.GatewayFor(x.Via), ID: x.ID, Client: x.Client, Class: x.Class, Key: x.Meaning,
+		At: l.f.History.Timestamp(x.At), Kind: RequestSent, Node: l.f.GatewayFor(x.Via), ID: x.ID, Client: x.Client, Class: x.Class, Key: x.Key,
 		Timeout: patience.Microseconds(),
 	}
 	if x.Reused {
 		e.Text = reused
 	}
-	if x.Marked {
+	if x.Retry {
 		e.Text = strings.TrimSpace(e.Text + " " + askedBefore)
 	}
 	if x.End != "" {
 		e.Kind, e.What, e.Value = ResponseReceived, x.End, x.Value
-		e.Text = strings.TrimSpace(e.Text + " " + x.Said)
+		e.Text = strings.TrimSpace(e.Text + " " + x.ErrorText)
 	}
 	l.f.History.Add(e)
 }
--- a/internal/testcluster/node.go
+++ b/internal/testcluster/node.go
@@ -46,13 +46,13 @@
 	n := &Node{Number: number, IP: ip, f: f, dir: filepath.Join(f.Dir, fmt.Sprint("n", number)), servers: map[string]*fake.Relay{}, files: noBound}
 	n.Listen, n.Floating = fmt.Sprintf("%v:%d", ip, portClients), fmt.Sprintf("%v:%d", ip, portFloating)
 	f.Nodes = append(f.Nodes, n)
-	var targets []fake.Target
+	var targets []fake.Endpoint
 	for _, s := range f.servers() {
 		r, err := fake.NewRelay("127.0.0.1:0", s.Addr(), ip)
 		if err != nil {
 			return nil, err
 		}
-		r.Seen = func(chunk []byte) { n.sent(s.name, chunk) }
+		r.OnData = func(chunk []byte) { n.sent(s.name, chunk) }
 		n.servers[s.name] = r
 		targets = append(targets, s.target(r.Addr()))
 	}
@@ -63,7 +63,7 @@
 	n.told.Add(1)
 	go func() { // nobody waits for the calls that are told
 		defer n.told.Done()
-		for range n.discovery.Asked {
+		for range n.discovery.Requests {
 		}
 	}()
 	n.reach, err = fake.NewRelay("127.0.0.1:0", n.discovery.Addr(), nil)
@@ -90,7 +90,7 @@
 	if err := os.WriteFile(n.Conf(), []byte(conf), 0o600); err != nil {
 		return err
 	}
-	var known []fake.Target
+	var known []fake.Endpoint
 	for _, s := range f.servers() {
 		known = append(known, s.target(n.servers[s.name].Addr()))
 	}
@@ -140,7 +140,7 @@
 				fmt.Fprintf(&b, " join %v:%d\n", other.IP, portMembers)
 			}
 			if other != n {
-				fmt.Fprintf(&b, " via %v:%d %s\n", other.IP, portMembers, f.MembershipPath.Peer(n.Number-1, other.Number-1))
+				fmt.Fprintf(&b, " via %v:%d %s\n", other.IP, portMembers, f.MembershipPath.PeerAddr(n.Number-1, other.Number-1))
 			}
 		}
 	}
@@ -160,10 +160,10 @@
 	if f.Priorities != nil {
 		priority = f.Priorities[n.Number-1]
 	}
-	fmt.Fprintf(&b, "vrrp\n node %d\n bind %v:%d\n announce %s\n key 1 \"%s\"\n", n.Number, n.IP, portVRRP, f.Switch.Announced(), secret)
+	fmt.Fprintf(&b, "vrrp\n node %d\n bind %v:%d\n announce %s\n key 1 \"%s\"\n", n.Number, n.IP, portVRRP, f.Switch.AnnouncementAddr(), secret)
 	for _, other := range f.Nodes {
 		if other != n && len(f.Nodes) <= mostPeers+1 {
-			fmt.Fprintf(&b, " peer %d %s\n", other.Number, f.VRRPPath.Peer(n.Number-1, other.Number-1))
+			fmt.Fprintf(&b, " peer %d %s\n", other.Number, f.VRRPPath.PeerAddr(n.Number-1, other.Number-1))
 		}
 	}
 	fmt.Fprintf(&b, "group counters\n vrid 51\n address 192.0.2.10\n listen %s\n priority %d\n interval %v\n damp 0s 0s 0s\n",
@@ -247,7 +247,7 @@
 // awaitServing notes when a life answers its first question, as a front does.
 func (n *Node) awaitServing(p *process) {
 	for !p.over() {
-		if fake.Serves(n.Listen, time.Second) {
+		if fake.Healthy(n.Listen, time.Second) {
 			n.f.History.Add(Event{Kind: ProcessChanged, Node: n.Number, What: "ready"})
 			return
 		}
