--- a/internal/gateway/client_test.go
+++ b/internal/gateway/client_test.go
@@ -32,35 +32,35 @@
 
 func query(sql string) []byte { return typed('Q', sql+"\x00") }
 
-// reading is one client connection read message by message.
-type reading struct {
+// clientConn is one client connection read message by message.
+type clientConn struct {
 	net.Conn
 	t *testing.T
 	r *bufio.Reader
 }
 
-func (w *world) open() *reading {
+func (w *testGateway) open() *clientConn {
 	w.t.Helper()
 	nc, err := net.Dial("tcp", w.gateway.Addr())
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	nc.SetDeadline(time.Now().Add(patience))
+	nc.SetDeadline(time.Now().Add(testTimeout))
 	w.t.Cleanup(func() { nc.Close() })
-	return &reading{nc, w.t, bufio.NewReader(nc)}
+	return &clientConn{nc, w.t, bufio.NewReader(nc)}
 }
 
 // raw is a connection that has started up.
-func (w *world) raw() *reading {
+func (w *testGateway) raw() *clientConn {
 	w.t.Helper()
 	c := w.open()
 	c.Write(startup())
-	c.until('Z')
+	c.readUntil('Z')
 	return c
 }
 
-// next reads one message.
-func (c *reading) next() (byte, string, error) {
+// readMessage reads one message.
+func (c *clientConn) readMessage() (byte, string, error) {
 	head := make([]byte, 5)
 	if _, err := io.ReadFull(c.r, head); err != nil {
 		return 0, "", err
@@ -70,11 +70,11 @@
 	return head[0], string(body), err
 }
 
-// until reads up to a message of one type and returns the types and bodies on the way.
-func (c *reading) until(kind byte) (kinds string, bodies []string) {
+// readUntil reads up to a message of one type and returns the types and bodies on the way.
+func (c *clientConn) readUntil(kind byte) (kinds string, bodies []string) {
 	c.t.Helper()
 	for {
-		k, body, err := c.next()
+		k, body, err := c.readMessage()
 		if err != nil {
 			c.t.Fatalf("after %q: %v", kinds, err)
 		}
@@ -85,16 +85,16 @@
 	}
 }
 
-func (c *reading) ends() {
+func (c *clientConn) expectEnd() {
 	c.t.Helper()
-	if k, body, err := c.next(); err == nil {
+	if k, body, err := c.readMessage(); err == nil {
 		c.t.Errorf("got %q %q, want the connection's end", k, body)
 	}
 }
 
-// holding is a way to handle queries: each tells its id when it arrives, and is answered once they are released, at the
+// blockingHandler is a way to handle queries: each tells its id when it arrives, and is answered once they are released, at the
 // latest when the test ends.
-func holding(t *testing.T) (handle func(*fake.Query), arrived chan string, release func()) {
+func blockingHandler(t *testing.T) (handle func(*fake.Query), arrived chan string, release func()) {
 	arrived, gate := make(chan string, 1024), make(chan struct{})
 	release = sync.OnceFunc(func() { close(gate) })
 	t.Cleanup(release)
@@ -106,17 +106,17 @@
 }
 
 func TestFirstQueryBehindStartup(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newTestGateway(t, nil)
 	c := w.open()
-	c.Write(append(startup(), query(look("a"))...))
-	c.until('Z')
-	if kinds, bodies := c.until('Z'); kinds != "TDCZ" || !strings.HasSuffix(bodies[1], "value of a") {
+	c.Write(append(startup(), query(readQuery("a"))...))
+	c.readUntil('Z')
+	if kinds, bodies := c.readUntil('Z'); kinds != "TDCZ" || !strings.HasSuffix(bodies[1], "value of a") {
 		t.Errorf("%s %q", kinds, bodies)
 	}
 }
 
 func TestEncryptionIsDeclined(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newTestGateway(t, nil)
 	c := w.open()
 	for _, code := range []uint32{1234<<16 | 5680, 1234<<16 | 5679} {
 		c.Write(packet(code, ""))
@@ -125,19 +125,19 @@
 		}
 	}
 	c.Write(startup())
-	c.until('Z')
+	c.readUntil('Z')
 	cancel := w.open()
 	cancel.Write(packet(1234<<16|5678, "12345678"))
-	cancel.ends()
-	w.logged(`"party":"client"`, `"reason":"cancel_request"`)
+	cancel.expectEnd()
+	w.expectLogged(`"party":"client"`, `"reason":"cancel_request"`)
 	c.Write(typed('X', ""))
-	c.ends()
-	w.logged(`"party":"client"`, `"reason":"terminate"`)
+	c.expectEnd()
+	w.expectLogged(`"party":"client"`, `"reason":"terminate"`)
 }
 
 // Pipelined queries are answered in their order, also where a later one could have been answered sooner.
 func TestPipelining(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newTestGateway(t, nil)
 	slow := make(chan struct{})
 	w.primary.SetQueryHandler(func(q *fake.Query) {
 		<-slow
@@ -145,24 +145,24 @@
 	})
 	c := w.raw()
 	var all []byte
-	all = append(all, query(put("w1"))...)
+	all = append(all, query(writeQuery("w1"))...)
 	for i := range 60 { // more than one buffer
 		key := strings.Repeat("k", 250)
-		all = append(all, query(strings.Replace(look(fmt.Sprint("r", i)), "'k'", "'"+key+"'", 1))...)
+		all = append(all, query(strings.Replace(readQuery(fmt.Sprint("r", i)), "'k'", "'"+key+"'", 1))...)
 	}
 	c.Write(append(all, query("")...))
-	w.logged("started")
+	w.expectLogged("started")
 	close(slow)
-	_, bodies := c.until('Z')
+	_, bodies := c.readUntil('Z')
 	if !strings.HasSuffix(bodies[1], "value of w1") {
 		t.Fatalf("%q", bodies)
 	}
 	for i := range 60 {
-		if _, bodies := c.until('Z'); !strings.HasSuffix(bodies[1], fmt.Sprint("value of r", i)) {
+		if _, bodies := c.readUntil('Z'); !strings.HasSuffix(bodies[1], fmt.Sprint("value of r", i)) {
 			t.Fatalf("%d: %q", i, bodies)
 		}
 	}
-	if kinds, _ := c.until('Z'); kinds != "IZ" {
+	if kinds, _ := c.readUntil('Z'); kinds != "IZ" {
 		t.Errorf("empty query: %s", kinds)
 	}
 }
@@ -170,11 +170,11 @@
 // Queries sent ahead are asked at once, whatever the ones before them wait for, and answered in order; what a bad one among
 // them gets has its place in that order too. A client that goes away leaves none of them behind.
 func TestQueriesSentAheadDoNotWait(t *testing.T) {
-	w := newWorld(t, nil)
-	hold, arrived, release := holding(t)
+	w := newTestGateway(t, nil)
+	hold, arrived, release := blockingHandler(t)
 	w.primary.SetQueryHandler(hold)
 	c := w.raw()
-	c.Write(append(append(append(query(put("w1")), query(look("r1"))...), query("nonsense")...), query(put("w2"))...))
+	c.Write(append(append(append(query(writeQuery("w1")), query(readQuery("r1"))...), query("nonsense")...), query(writeQuery("w2"))...))
 	for _, id := range []string{"w1", "w2"} {
 		if got := <-arrived; got != id {
 			t.Errorf("%s came to the primary, want %s", got, id)
@@ -184,17 +184,17 @@
 		func() string { return "the read behind the write was not served" })
 	release()
 	for _, want := range []string{"value of w1", "value of r1", "08P01", "value of w2"} {
-		if kinds, bodies := c.until('Z'); !strings.Contains(strings.Join(bodies, ""), want) {
+		if kinds, bodies := c.readUntil('Z'); !strings.Contains(strings.Join(bodies, ""), want) {
 			t.Errorf("%s %q, want %s", kinds, bodies, want)
 		}
 	}
 
-	hold, arrived, _ = holding(t)
+	hold, arrived, _ = blockingHandler(t)
 	w.primary.SetQueryHandler(hold)
 	gone := w.raw()
 	var all []byte
 	for i := range 20 {
-		all = append(all, query(put(fmt.Sprint("g", i)))...)
+		all = append(all, query(writeQuery(fmt.Sprint("g", i)))...)
 	}
 	gone.Write(all)
 	<-arrived
@@ -205,19 +205,19 @@
 }
 
 // Hundreds of queries at once are all answered, though only some of them are under way at a time.
-func TestMoreQueriesAheadThanAreAskedAtOnce(t *testing.T) {
-	w := newWorld(t, nil)
+func TestMoreQueriesAheadThanAreRoutedAtOnce(t *testing.T) {
+	w := newTestGateway(t, nil)
 	c := w.raw()
 	const n = 500
 	go func() {
 		var all []byte
 		for i := range n {
-			all = append(all, query(look(fmt.Sprint("q", i)))...)
+			all = append(all, query(readQuery(fmt.Sprint("q", i)))...)
 		}
 		c.Write(all)
 	}()
 	for i := range n {
-		kinds, bodies := c.until('Z')
+		kinds, bodies := c.readUntil('Z')
 		if s := strings.Join(bodies, ""); !strings.Contains(s, fmt.Sprint("value of q", i)) && !strings.Contains(s, "C53300") {
 			t.Fatalf("%d: %s %q", i, kinds, bodies)
 		}
@@ -225,7 +225,7 @@
 }
 
 func TestBadInput(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newTestGateway(t, nil)
 	other := w.dial()
 	for _, c := range []struct {
 		name string
@@ -234,14 +234,14 @@
 		live bool // the connection goes on
 	}{
 		{"no comment", query("SELECT 1"), "08P01", true},
-		{"unknown class", query(strings.Replace(look("a"), "c=look", "c=nothing", 1)), "22023", true},
-		{"write of a class that reads", query(strings.Replace(put("a"), "c=put", "c=look", 1)), "22023", true},
-		{"two statements", query(look("a") + "; DROP TABLE kv"), "08P01", true},
-		{"another table", query(strings.Replace(look("a"), "kv", "pg_user", 1)), "08P01", true},
-		{"half a value", query(strings.Replace(put("a"), `\x01`, `\x0`, 1)), "08P01", true},
-		{"nothing behind the comment", query(look("a")[:strings.Index(look("a"), "*/")+3]), "08P01", true},
-		{"bad d", query(strings.Replace(look("a"), "d=4000", "d=soon", 1)), "08P01", true},
-		{"unknown group", query(strings.Replace(look("a"), "cluster=7", "cluster=70", 1)), "53300", true},
+		{"unknown class", query(strings.Replace(readQuery("a"), "c=look", "c=nothing", 1)), "22023", true},
+		{"write of a class that reads", query(strings.Replace(writeQuery("a"), "c=put", "c=look", 1)), "22023", true},
+		{"two statements", query(readQuery("a") + "; DROP TABLE kv"), "08P01", true},
+		{"another table", query(strings.Replace(readQuery("a"), "kv", "pg_user", 1)), "08P01", true},
+		{"half a value", query(strings.Replace(writeQuery("a"), `\x01`, `\x0`, 1)), "08P01", true},
+		{"nothing behind the comment", query(readQuery("a")[:strings.Index(readQuery("a"), "*/")+3]), "08P01", true},
+		{"bad d", query(strings.Replace(readQuery("a"), "d=4000", "d=soon", 1)), "08P01", true},
+		{"unknown group", query(strings.Replace(readQuery("a"), "cluster=7", "cluster=70", 1)), "53300", true},
 		{"function call", typed('F', "\x00\x00"), "0A000", true},
 		{"extended protocol", append(append(typed('P', "\x00SELECT 1\x00\x00\x00"), typed('B', "\x00\x00")...),
 			append(query("SELECT skipped"), typed('S', "")...)...), "0A000", true},
@@ -252,17 +252,17 @@
 	} {
 		conn := w.raw()
 		conn.Write(c.in)
-		_, bodies := conn.until('E')
+		_, bodies := conn.readUntil('E')
 		if last := bodies[len(bodies)-1]; !strings.Contains(last, "C"+c.code+"\x00") {
 			t.Errorf("%s: %q, want %s", c.name, last, c.code)
 		}
 		if c.live {
-			conn.until('Z')
+			conn.readUntil('Z')
 			conn.Write(query(""))
-			if kinds, _ := conn.until('Z'); kinds != "IZ" {
+			if kinds, _ := conn.readUntil('Z'); kinds != "IZ" {
 				t.Errorf("%s: then %s", c.name, kinds)
 			}
-		} else if k, _, err := conn.next(); err != io.EOF { // a reset could take the last word with it
+		} else if k, _, err := conn.readMessage(); err != io.EOF { // a reset could take the last word with it
 			t.Errorf("%s: then %q, %v", c.name, k, err)
 		}
 	}
@@ -274,12 +274,12 @@
 	} {
 		conn := w.open()
 		conn.Write(in)
-		if kinds, bodies := conn.until('E'); !strings.Contains(bodies[0], "08P01") {
+		if kinds, bodies := conn.readUntil('E'); !strings.Contains(bodies[0], "08P01") {
 			t.Errorf("start-up %s: %s %q", name, kinds, bodies)
 		}
-		conn.ends()
+		conn.expectEnd()
 	}
-	w.asks(other, look("fine"), "value of fine", "")
+	w.expectAnswer(other, readQuery("fine"), "value of fine", "")
 	if n := len(w.primary.Queries()) + len(w.replica.Queries()); n != 1 {
 		t.Errorf("%d statements reached a server", n)
 	}
@@ -287,7 +287,7 @@
 
 // A value of 64 KiB, in hex both ways, arrives whole.
 func TestLargeValues(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newTestGateway(t, nil)
 	value := bytes.Repeat([]byte("0123456789abcdef"), 8<<10) // 128 KiB of hex
 	echo := func(q *fake.Query) {
 		from := strings.Index(q.SQL, `'\x`) + 3
@@ -295,9 +295,9 @@
 	}
 	w.primary.SetQueryHandler(echo)
 	c := w.dial()
-	sql := strings.Replace(put("big"), `\x01`, `\x`+string(value), 1)
+	sql := strings.Replace(writeQuery("big"), `\x01`, `\x`+string(value), 1)
 	for range 3 {
-		w.asks(c, sql, string(value), "")
+		w.expectAnswer(c, sql, string(value), "")
 	}
 	eventually(t, func() bool { return w.gateway.buffers.Reserved() == 0 },
 		func() string { return fmt.Sprint(w.gateway.buffers.Reserved(), " bytes still held") })
@@ -305,17 +305,17 @@
 
 // Beyond the memory budget a request is refused before any attempt.
 func TestMemoryBudget(t *testing.T) {
-	w := newWorld(t, func(c *config.Config) { c.MemoryMB = 32 }) // 16 MB for messages
-	hold, _, release := holding(t)
+	w := newTestGateway(t, func(c *config.Config) { c.MemoryMB = 32 }) // 16 MB for messages
+	hold, _, release := blockingHandler(t)
 	w.primary.SetQueryHandler(hold)
 	w.replica.SetQueryHandler(hold)
 	value := strings.Repeat("00", 60<<10)
 	const clients = 180 // each holds an eighth of a megabyte: more than there is
-	var conns []*reading
+	var conns []*clientConn
 	for i := range clients {
 		c := w.raw()
 		conns = append(conns, c)
-		c.Write(query(strings.Replace(put(fmt.Sprint("big", i)), `\x01`, `\x`+value, 1)))
+		c.Write(query(strings.Replace(writeQuery(fmt.Sprint("big", i)), `\x01`, `\x`+value, 1)))
 	}
 	eventually(t, func() bool { return w.gateway.clients.Counts.OverMemory.Load() > 0 },
 		func() string {
@@ -327,7 +327,7 @@
 	release()
 	served, refused := 0, 0
 	for _, c := range conns {
-		kinds, bodies := c.until('Z')
+		kinds, bodies := c.readUntil('Z')
 		switch {
 		case kinds == "TDCZ":
 			served++
@@ -344,24 +344,24 @@
 
 // A client that does not read its answers holds up nobody else, and is cut off by a deadline.
 func TestStuckReader(t *testing.T) {
-	w := newWorld(t, nil, func(g *Gateway) { g.clients.Limits.Answer = 300 * time.Millisecond })
+	w := newTestGateway(t, nil, func(g *Gateway) { g.clients.Limits.Answer = 300 * time.Millisecond })
 	w.replica.SetQueryHandler(func(q *fake.Query) { q.ReplyRow(bytes.Repeat([]byte("x"), 64<<10)) })
 	stuck := w.raw()
 	stuck.Conn.(*net.TCPConn).SetReadBuffer(4096)
 	go func() {
 		for i := range 2000 {
-			if _, err := stuck.Write(query(look(fmt.Sprint("s", i)))); err != nil {
+			if _, err := stuck.Write(query(readQuery(fmt.Sprint("s", i)))); err != nil {
 				return
 			}
 		}
 	}()
-	w.asks(w.dial(), put("p"), "value of p", "")
-	w.logged(`"party":"client"`, `"reason":"timeout"`)
+	w.expectAnswer(w.dial(), writeQuery("p"), "value of p", "")
+	w.expectLogged(`"party":"client"`, `"reason":"timeout"`)
 }
 
 // At the descriptor cap idle clients go first, the oldest before the others, and none that has a request out.
 func TestDescriptorCap(t *testing.T) {
-	w := newWorld(t, func(c *config.Config) { c.Sockets = 64 })
+	w := newTestGateway(t, func(c *config.Config) { c.Sockets = 64 })
 	arrived, release := make(chan struct{}, 8), make(chan struct{})
 	w.primary.SetQueryHandler(func(q *fake.Query) {
 		arrived <- struct{}{}
@@ -369,32 +369,32 @@
 		q.ReplyRow([]byte("held"))
 	})
 	busy := w.raw()
-	busy.Write(query(put("held")))
+	busy.Write(query(writeQuery("held")))
 	<-arrived
 	oldest := w.raw()
-	var conns []*reading
+	var conns []*clientConn
 	for range 60 { // one after the other, so that their order is known
 		conns = append(conns, w.raw())
 	}
-	oldest.ends()
-	w.logged(`"party":"client"`, `"reason":"room"`)
+	oldest.expectEnd()
+	w.expectLogged(`"party":"client"`, `"reason":"room"`)
 	newest := conns[len(conns)-1]
-	newest.Write(query(look("n")))
-	if kinds, _ := newest.until('Z'); kinds != "TDCZ" {
+	newest.Write(query(readQuery("n")))
+	if kinds, _ := newest.readUntil('Z'); kinds != "TDCZ" {
 		t.Errorf("the newest got %s", kinds)
 	}
 	if n := w.gateway.descriptors.Used(); n > 64 {
 		t.Errorf("%d connections open", n)
 	}
 	close(release)
-	if kinds, _ := busy.until('Z'); kinds != "TDCZ" {
+	if kinds, _ := busy.readUntil('Z'); kinds != "TDCZ" {
 		t.Errorf("the request that was out got %s", kinds)
 	}
 }
 
-func TestDiscoveryTroubles(t *testing.T) {
-	w := newWorld(t, nil)
-	if first := <-w.disc.Requests; !strings.Contains(first, "watch=1&from=1 ") {
+func TestDiscoveryFaults(t *testing.T) {
+	w := newTestGateway(t, nil)
+	if first := <-w.discovery.Requests; !strings.Contains(first, "watch=1&from=1 ") {
 		t.Fatalf("asked %q", first)
 	}
 	lists := func(form int) int64 { return w.counts().ListUpdates[form] }
@@ -403,10 +403,10 @@
 
 	moved := w.targets()[1]
 	moved.State = "draining"
-	w.disc.Push(moved)
+	w.discovery.Push(moved)
 	eventually(t, func() bool { return lists(delta) == 1 }, func() string { return "no change came" })
 	c := w.dial()
-	w.asks(c, look("d"), "value of d", "")
+	w.expectAnswer(c, readQuery("d"), "value of d", "")
 	if n := len(w.replica.Queries()); n != 0 {
 		t.Error("a read went to a draining server")
 	}
@@ -416,39 +416,39 @@
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nno\n\r\n",
 		"nonsense\r\n\r\n",
 	} {
-		w.disc.SetRawResponse(answer)
-		w.disc.ResetConns()
+		w.discovery.SetRawResponse(answer)
+		w.discovery.ResetConns()
 		want := int64(2 * (i + 1)) // the watch that was cut, and the call that followed
 		eventually(t, func() bool { return lists(failed) >= want },
 			func() string { return fmt.Sprintf("%d failures told, want %d", lists(failed), want) })
-		w.disc.SetRawResponse("")
+		w.discovery.SetRawResponse("")
 		n := lists(full)
 		eventually(t, func() bool { return lists(full) > n }, func() string { return "no list after " + answer })
 	}
-	w.logged(`"party":"discovery"`, `"reason":"status"`)
-	w.logged(`"party":"discovery"`, `"reason":"protocol"`)
-	w.asks(c, look("e"), "value of e", "")
+	w.expectLogged(`"party":"discovery"`, `"reason":"status"`)
+	w.expectLogged(`"party":"discovery"`, `"reason":"protocol"`)
+	w.expectAnswer(c, readQuery("e"), "value of e", "")
 }
 
 // A watch on which not even empty lines come, and a call that is never answered, have failed.
 func TestDiscoverySilence(t *testing.T) {
-	w := newWorld(t, nil, func(g *Gateway) {
+	w := newTestGateway(t, nil, func(g *Gateway) {
 		g.discovery.Limits.Answer, g.discovery.Limits.Silence = 200*time.Millisecond, 200*time.Millisecond
 	})
 	const full, failed = formFull, formFailed
 	eventually(t, func() bool { n := w.counts(); return n.ListUpdates[full] >= 2 && n.ListUpdates[failed] >= 1 },
 		func() string { return fmt.Sprintf("lists by form %v", w.counts().ListUpdates) })
-	w.disc.SetRawResponse("silent")
+	w.discovery.SetRawResponse("silent")
 	n := w.counts().ListUpdates[failed]
 	eventually(t, func() bool { return w.counts().ListUpdates[failed] >= n+3 },
 		func() string { return fmt.Sprintf("lists by form %v", w.counts().ListUpdates) })
-	w.logged(`"party":"discovery"`, `"reason":"timeout"`)
-	w.asks(w.dial(), look("a"), "value of a", "") // the list it had still serves
+	w.expectLogged(`"party":"discovery"`, `"reason":"timeout"`)
+	w.expectAnswer(w.dial(), readQuery("a"), "value of a", "") // the list it had still serves
 }
 
 // A client that never starts up, and one that stops in the middle of a message, are ended; one that idles is closed.
 func TestClientTimeouts(t *testing.T) {
-	w := newWorld(t, nil, func(g *Gateway) {
+	w := newTestGateway(t, nil, func(g *Gateway) {
 		g.clients.Limits.FirstRequest, g.clients.Limits.Message = 300*time.Millisecond, 100*time.Millisecond
 		g.clients.Limits.Idle = 300 * time.Millisecond
 	})
@@ -457,63 +457,63 @@
 	} {
 		c := w.open()
 		c.Write(sent)
-		if k, body, err := c.next(); err == nil {
+		if k, body, err := c.readMessage(); err == nil {
 			t.Errorf("%s: got %q %q, want the connection's end", name, k, body)
 		}
 	}
 	halfway := w.raw()
-	halfway.Write(query(look("a"))[:20])
-	if kinds, bodies := halfway.until('E'); !strings.Contains(bodies[0], "08P01") {
+	halfway.Write(query(readQuery("a"))[:20])
+	if kinds, bodies := halfway.readUntil('E'); !strings.Contains(bodies[0], "08P01") {
 		t.Errorf("half a message: %s %q", kinds, bodies)
 	}
-	halfway.ends()
+	halfway.expectEnd()
 	drips := w.raw() // one time for the whole message, not one for each read
 	since := time.Now()
-	for _, b := range query(look("a")) {
+	for _, b := range query(readQuery("a")) {
 		if _, err := drips.Write([]byte{b}); err != nil {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	if took := time.Since(since); took > patience/2 {
+	if took := time.Since(since); took > testTimeout/2 {
 		t.Errorf("a message in drips was read for %v", took)
 	}
-	w.raw().ends()
-	w.logged(`"party":"client"`, `"reason":"timeout"`)
-	w.logged(`"party":"client"`, `"reason":"idle"`)
+	w.raw().expectEnd()
+	w.expectLogged(`"party":"client"`, `"reason":"timeout"`)
+	w.expectLogged(`"party":"client"`, `"reason":"idle"`)
 	served := w.raw() // one that has been served idles for as long as others may
-	served.Write(query(look("served")))
-	served.until('Z')
-	served.ends()
+	served.Write(query(readQuery("served")))
+	served.readUntil('Z')
+	served.expectEnd()
 	if n := len(w.replica.Queries()); n != 1 {
 		t.Errorf("%d statements were sent on", n)
 	}
 }
 
 func TestNotReadyWithoutServers(t *testing.T) {
-	w := newWorld(t, func(c *config.Config) { c.KnownServers.Entries = nil; c.Discovery = "127.0.0.1:9" })
+	w := newTestGateway(t, func(c *config.Config) { c.KnownServers.Entries = nil; c.Discovery = "127.0.0.1:9" })
 	c := w.dial()
-	w.asks(c, "", "", "57P03")
-	w.asks(c, look("a"), "", "53300")
+	w.expectAnswer(c, "", "", "57P03")
+	w.expectAnswer(c, readQuery("a"), "", "53300")
 	if n := w.counts(); n.Answers[routing.AnswerServed][0] != 0 {
 		t.Errorf("%+v", n)
 	}
 }
 
 func TestCountersArePrinted(t *testing.T) {
-	w := newWorld(t, nil)
-	w.asks(w.dial(), look("a"), "value of a", "")
+	w := newTestGateway(t, nil)
+	w.expectAnswer(w.dial(), readQuery("a"), "value of a", "")
 	w.gateway.LogCounters()
-	w.logged(`"class":"look"`, `"requests":1`, `"sends":1`, `"served":1`, `"refused":0`)
-	w.logged("outcomes of attempts", `"served":1`)
-	w.logged("outcomes of health checks", `"sent":`)
-	w.logged("endpoint lists", `"watches":1`)
+	w.expectLogged(`"class":"look"`, `"requests":1`, `"sends":1`, `"served":1`, `"refused":0`)
+	w.expectLogged("outcomes of attempts", `"served":1`)
+	w.expectLogged("outcomes of health checks", `"sent":`)
+	w.expectLogged("endpoint lists", `"watches":1`)
 }
 
 // A client that sends bad statements is answered each time, ever later, and then ended; its like at full speed costs
 // nobody else anything.
 func TestRepeatedBadStatements(t *testing.T) {
-	w := newWorld(t, nil, func(g *Gateway) { g.clients.Limits.Backoff = time.Millisecond })
+	w := newTestGateway(t, nil, func(g *Gateway) { g.clients.Limits.Backoff = time.Millisecond })
 	bad := w.raw()
 	go func() {
 		for range 300 {
@@ -524,7 +524,7 @@
 	}()
 	errors, fatal := 0, 0
 	for {
-		k, body, err := bad.next()
+		k, body, err := bad.readMessage()
 		if err != nil {
 			break
 		}
@@ -538,68 +538,68 @@
 	if errors < 2 || errors > 20 || fatal != 1 {
 		t.Errorf("%d errors, %d of them fatal", errors, fatal)
 	}
-	w.logged(`"party":"client"`, `"reason":"protocol"`, "too many bad messages")
-	w.asks(w.dial(), look("fine"), "value of fine", "")
+	w.expectLogged(`"party":"client"`, `"reason":"protocol"`, "too many bad messages")
+	w.expectAnswer(w.dial(), readQuery("fine"), "value of fine", "")
 }
 
 // An id that another request has under way is turned away, whoever uses it, and that request is served untouched. Once it
 // is over, the id may be used again.
 func TestIDInUse(t *testing.T) {
-	w := newWorld(t, nil)
-	hold, arrived, release := holding(t)
+	w := newTestGateway(t, nil)
+	hold, arrived, release := blockingHandler(t)
 	w.primary.SetQueryHandler(hold)
 	first, second := w.raw(), w.dial()
-	first.Write(query(put("same")))
+	first.Write(query(writeQuery("same")))
 	<-arrived
-	w.asks(second, put("same"), "", "22023")
-	w.asks(second, look("same"), "", "22023")
+	w.expectAnswer(second, writeQuery("same"), "", "22023")
+	w.expectAnswer(second, readQuery("same"), "", "22023")
 	release()
-	if kinds, bodies := first.until('Z'); kinds != "TDCZ" || !strings.HasSuffix(bodies[1], "value of same") {
+	if kinds, bodies := first.readUntil('Z'); kinds != "TDCZ" || !strings.HasSuffix(bodies[1], "value of same") {
 		t.Errorf("%s %q", kinds, bodies)
 	}
-	w.asks(second, put("same"), "value of same", "")
+	w.expectAnswer(second, writeQuery("same"), "value of same", "")
 	if n := len(w.primary.Queries()) + len(w.replica.Queries()); n != 2 {
 		t.Errorf("%d statements reached a server", n)
 	}
 }
 
 // A client that finds no room is told so before its start-up, in a way that invites it to come again.
-func TestNoRoomForAClient(t *testing.T) {
-	w := newWorld(t, func(c *config.Config) { c.Sockets = 64 })
-	hold, _, _ := holding(t)
+func TestNoCapacityForAClient(t *testing.T) {
+	w := newTestGateway(t, func(c *config.Config) { c.Sockets = 64 })
+	hold, _, _ := blockingHandler(t)
 	w.primary.SetQueryHandler(hold)
 	w.replica.SetQueryHandler(hold)
 	busy := 0
 	for ; busy < 64; busy++ {
 		c := w.open()
 		c.Write(startup())
-		kinds, bodies := c.until('Z')
+		kinds, bodies := c.readUntil('Z')
 		if kinds[0] == 'E' {
 			if !strings.Contains(bodies[0], "C53300\x00") {
 				t.Errorf("%s %q", kinds, bodies)
 			}
 			break
 		}
-		c.Write(query(put(fmt.Sprint("b", busy))))
+		c.Write(query(writeQuery(fmt.Sprint("b", busy))))
 		eventually(t, func() bool { return w.counts().Requests[1] == int64(busy+1) },
 			func() string { return fmt.Sprintf("request %d did not come in", busy) })
 	}
 	if busy < 10 || busy > 40 {
 		t.Errorf("%d clients found room, with 64 descriptors", busy)
 	}
-	w.logged(`"party":"client"`, `"reason":"descriptors"`)
+	w.expectLogged(`"party":"client"`, `"reason":"descriptors"`)
 }
 
 // A stop waits for requests under way and for no message that has come in part only, whatever is sent behind it.
 func TestStopDoesNotWaitForHalfMessages(t *testing.T) {
-	w := newWorld(t, func(c *config.Config) {}, func(g *Gateway) { g.clients.Limits.FirstRequest = patience })
-	hold, arrived, release := holding(t)
+	w := newTestGateway(t, func(c *config.Config) {}, func(g *Gateway) { g.clients.Limits.FirstRequest = testTimeout })
+	hold, arrived, release := blockingHandler(t)
 	w.primary.SetQueryHandler(hold)
 	silent, half, halfStart := w.open(), w.raw(), w.open()
-	half.Write(query(look("h"))[:30])
+	half.Write(query(readQuery("h"))[:30])
 	halfStart.Write(startup()[:10])
 	behind := w.raw() // half a message behind a request that is under way
-	behind.Write(append(query(put("b")), query(look("c"))[:30]...))
+	behind.Write(append(query(writeQuery("b")), query(readQuery("c"))[:30]...))
 	<-arrived
 	stopped := make(chan struct{})
 	w.stopped = true
@@ -607,24 +607,24 @@
 		w.gateway.Stop()
 		close(stopped)
 	}()
-	for _, c := range []*reading{silent, half, halfStart} {
-		c.ends()
+	for _, c := range []*clientConn{silent, half, halfStart} {
+		c.expectEnd()
 	}
 	release()
-	if kinds, bodies := behind.until('Z'); kinds != "TDCZ" || !strings.HasSuffix(bodies[1], "value of b") {
+	if kinds, bodies := behind.readUntil('Z'); kinds != "TDCZ" || !strings.HasSuffix(bodies[1], "value of b") {
 		t.Errorf("the request under way got %s %q", kinds, bodies)
 	}
 	select {
 	case <-stopped:
-	case <-time.After(patience / 2):
+	case <-time.After(testTimeout / 2):
 		t.Error("the stop waits")
 	}
 }
 
 // Nor does it wait for clients that go on connecting and say nothing.
 func TestStopDoesNotWaitForACrowd(t *testing.T) {
-	w := newWorld(t, nil)
-	w.asks(w.dial(), look("a"), "value of a", "")
+	w := newTestGateway(t, nil)
+	w.expectAnswer(w.dial(), readQuery("a"), "value of a", "")
 	stopped, crowd := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(crowd)
@@ -653,15 +653,15 @@
 
 // What no server has answered when the gateway has to leave is failed, not left without an answer.
 func TestStopFailsWhatIsLeft(t *testing.T) {
-	w := newWorld(t, nil)
-	hold, arrived, _ := holding(t)
+	w := newTestGateway(t, nil)
+	hold, arrived, _ := blockingHandler(t)
 	w.primary.SetQueryHandler(hold)
 	c := w.raw()
-	c.Write(query(strings.Replace(put("b"), "d=5000", "d=20000", 1)))
+	c.Write(query(strings.Replace(writeQuery("b"), "d=5000", "d=20000", 1)))
 	<-arrived
 	w.stopped = true
 	w.gateway.Stop()
-	if kinds, bodies := c.until('Z'); kinds != "EZ" || !strings.Contains(bodies[0], "C58000\x00") {
+	if kinds, bodies := c.readUntil('Z'); kinds != "EZ" || !strings.Contains(bodies[0], "C58000\x00") {
 		t.Errorf("the request under way got %s %q", kinds, bodies)
 	}
 }
--- a/internal/gateway/draining_test.go
+++ b/internal/gateway/draining_test.go
@@ -19,8 +19,8 @@
 	"reset":       func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 }
 
-// gone waits until so many requests of a class are known to have lost their client.
-func (w *world) gone(class int, n int64) {
+// expectDisconnects waits until so many requests of a class are known to have lost their client.
+func (w *testGateway) expectDisconnects(class int, n int64) {
 	w.t.Helper()
 	eventually(w.t, func() bool { return w.counts().Disconnects[class] == n },
 		func() string {
@@ -33,7 +33,7 @@
 func TestClientLeavesBeforeAnAttempt(t *testing.T) {
 	for name, leave := range ways {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, nil)
+			w := newTestGateway(t, nil)
 			w.replica.SetQueryHandler(func(q *fake.Query) { q.ReplyError("25006") })
 			turnedAway := make(chan struct{}, 64)
 			w.primary.SetQueryHandler(func(q *fake.Query) {
@@ -42,13 +42,13 @@
 			})
 			w.primary.RejectStartups("") // it takes connections, and turns each request away unseen
 			c := w.raw()
-			c.Write(query(put("x")))
+			c.Write(query(writeQuery("x")))
 			<-turnedAway
 			leave(c.Conn.(*net.TCPConn))
-			w.gone(1, 1)
+			w.expectDisconnects(1, 1)
 			before := len(w.primary.Queries())
 			w.primary.SetQueryHandler(func(q *fake.Query) { q.ReplyRow([]byte("v")) })
-			w.asks(w.dial(), put("y"), "v", "")
+			w.expectAnswer(w.dial(), writeQuery("y"), "v", "")
 			if got := w.primary.Queries()[before:]; len(got) != 1 || !strings.Contains(got[0], "id=y") {
 				t.Errorf("behind the close the primary got %q", got)
 			}
@@ -58,11 +58,11 @@
 
 // askWithSlowPrimary is a gateway that has been asked to write x, and the primary's end of the connection for it, which has not
 // come up: the start-up is read, and not answered.
-func askWithSlowPrimary(t *testing.T) (*world, *reading, net.Conn) {
+func askWithSlowPrimary(t *testing.T) (*testGateway, *clientConn, net.Conn) {
 	t.Helper()
 	primary := must2(net.Listen("tcp", "127.0.0.1:0"))
 	t.Cleanup(func() { primary.Close() })
-	w := newWorld(t, func(c *config.Config) {
+	w := newTestGateway(t, func(c *config.Config) {
 		for i := range c.KnownServers.Entries {
 			if c.KnownServers.Entries[i].Primary {
 				c.KnownServers.Entries[i].Endpoint = primary.Addr().String()
@@ -73,10 +73,10 @@
 		c.InForce.Settings.CanHealthCheck = false
 	})
 	c := w.raw()
-	c.Write(query(put("x")))
+	c.Write(query(writeQuery("x")))
 	server := must2(primary.Accept())
 	t.Cleanup(func() { server.Close() })
-	server.SetDeadline(time.Now().Add(patience))
+	server.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.ReadFull(server, make([]byte, len(startup()))); err != nil {
 		t.Fatal(err)
 	}
@@ -90,7 +90,7 @@
 		t.Run(name, func(t *testing.T) {
 			w, c, server := askWithSlowPrimary(t)
 			leave(c.Conn.(*net.TCPConn))
-			w.gone(1, 1)
+			w.expectDisconnects(1, 1)
 			server.Write([]byte{'R', 0, 0, 0, 8, 0, 0, 0, 0, 'Z', 0, 0, 0, 5, 'I'})
 			if got, _ := io.ReadAll(server); len(got) > 0 {
 				t.Errorf("behind the close the server got %q", got)
@@ -103,14 +103,14 @@
 func TestClientLeavesInAPipeline(t *testing.T) {
 	for name, leave := range ways {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, nil)
-			hold, arrived, release := holding(t)
+			w := newTestGateway(t, nil)
+			hold, arrived, release := blockingHandler(t)
 			w.primary.SetQueryHandler(hold)
 			c := w.raw()
 			const pipelined = 300
 			var all []byte
 			for i := range pipelined {
-				all = append(all, query(put(fmt.Sprint("x", i)))...)
+				all = append(all, query(writeQuery(fmt.Sprint("x", i)))...)
 			}
 			go c.Write(all)
 			<-arrived
@@ -122,7 +122,7 @@
 			}, func() string { return fmt.Sprintf("%+v", w.counts()) })
 			sent := w.counts().Sends[1]
 			release()
-			w.asks(w.dial(), put("y"), "value of y", "")
+			w.expectAnswer(w.dial(), writeQuery("y"), "value of y", "")
 			if n := w.counts(); n.Sends[1] != sent+1 || n.Requests[1] >= pipelined {
 				t.Errorf("%d attempts behind the close; %d requests asked", n.Sends[1]-sent-1, n.Requests[1])
 			}
@@ -133,26 +133,26 @@
 // Idle clients that fill the descriptors while discovery is down take them neither from discovery's return nor from servers,
 // and a request that is read has its answer. Fails where idle clients are not asked to give way (makeRoom).
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
-	w := newWorld(t, func(c *config.Config) { c.Sockets = 64 })
+	w := newTestGateway(t, func(c *config.Config) { c.Sockets = 64 })
 	w.lists(formFull, 1)
-	w.disc.SetRawResponse("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
-	w.disc.ResetConns()
+	w.discovery.SetRawResponse("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+	w.discovery.ResetConns()
 	w.lists(formFailed, 2)
 	for range 200 {
 		nc := must2(net.Dial("tcp", w.gateway.Addr()))
 		defer nc.Close()
 		nc.Write(startup())
 	}
-	w.logged(`"party":"client"`, `"reason":"room"`)
+	w.expectLogged(`"party":"client"`, `"reason":"room"`)
 	draining := w.targets()[1]
 	draining.State = "draining"
-	w.disc.SetEndpoints(w.targets()[0], draining)
+	w.discovery.SetEndpoints(w.targets()[0], draining)
 	lists := w.counts().ListUpdates[formFull]
-	w.disc.SetRawResponse("")
+	w.discovery.SetRawResponse("")
 	w.lists(formFull, lists+1)
 	c := w.dial()
-	w.asks(c, look("a"), "value of a", "")
-	w.asks(c, put("b"), "value of b", "")
+	w.expectAnswer(c, readQuery("a"), "value of a", "")
+	w.expectAnswer(c, writeQuery("b"), "value of b", "")
 	if n := len(w.replica.Queries()); n != 0 {
 		t.Error("a read went to a server that discovery calls draining since its return")
 	}
--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -91,13 +91,13 @@
 // start does not say that it is ready, but for a bounded time.
 func TestPushedListIsWatched(t *testing.T) {
 	push := func(c *config.Config) { c.InForce.Settings.ListSubscribed, c.InForce.Settings.ListPushed = true, true }
-	w := newWorld(t, push)
+	w := newTestGateway(t, push)
 	w.lists(formFull, 1)
 	draining := w.targets()[1]
 	draining.State = "draining"
-	w.disc.Push(draining)
+	w.discovery.Push(draining)
 	w.lists(formDelta, 1)
-	w.asks(w.dial(), look("d"), "value of d", "")
+	w.expectAnswer(w.dial(), readQuery("d"), "value of d", "")
 	if n := len(w.replica.Queries()); n != 0 {
 		t.Error("a read went to a draining server")
 	}
@@ -105,14 +105,14 @@
 	silent := must2(fake.NewDiscovery())
 	defer silent.Close()
 	silent.SetRawResponse("silent")
-	w = newWorld(t, func(c *config.Config) { push(c); c.Discovery = silent.Addr() })
+	w = newTestGateway(t, func(c *config.Config) { push(c); c.Discovery = silent.Addr() })
 	c := w.dial()
-	w.asks(c, "", "", "57P03")
-	w.asks(c, look("e"), "value of e", "") // what comes all the same is served by the list that there is
+	w.expectAnswer(c, "", "", "57P03")
+	w.expectAnswer(c, readQuery("e"), "value of e", "") // what comes all the same is served by the list that there is
 	since := time.Now()
-	eventually(t, func() bool { _, code, err := ask(c, ""); return err == nil && code == "" },
+	eventually(t, func() bool { _, code, err := exec(c, ""); return err == nil && code == "" },
 		func() string { return "never ready while discovery is silent" })
-	if took := time.Since(since); took > patience/2 {
+	if took := time.Since(since); took > testTimeout/2 {
 		t.Errorf("ready after %v", took)
 	}
 }
@@ -129,15 +129,15 @@
 	for name, addr := range map[string]string{
 		"silent": silent.Addr(), "crowded": crowded.Addr(), "down": "127.0.0.1:1",
 	} {
-		w := newWorld(t, func(c *config.Config) { c.Discovery = addr })
-		w.asks(w.dial(), "", "", "")
-		w.asks(w.dial(), look(name), "value of "+name, "")
+		w := newTestGateway(t, func(c *config.Config) { c.Discovery = addr })
+		w.expectAnswer(w.dial(), "", "", "")
+		w.expectAnswer(w.dial(), readQuery(name), "value of "+name, "")
 	}
-	w := newWorld(t, func(c *config.Config) { c.KnownServers.Entries = nil; c.Discovery = crowded.Addr() })
+	w := newTestGateway(t, func(c *config.Config) { c.KnownServers.Entries = nil; c.Discovery = crowded.Addr() })
 	c := w.dial()
-	w.asks(c, "", "", "57P03")
+	w.expectAnswer(c, "", "", "57P03")
 	crowded.SetEndpoints(w.targets()...)
 	crowded.SetRawResponse("")
-	eventually(t, func() bool { _, code, err := ask(c, ""); return err == nil && code == "" },
+	eventually(t, func() bool { _, code, err := exec(c, ""); return err == nil && code == "" },
 		func() string { return "not ready with a list" })
 }
--- a/internal/gateway/floatingip_test.go
+++ b/internal/gateway/floatingip_test.go
@@ -17,41 +17,41 @@
 
 const fleetSecret = "the secret of this fleet"
 
-// fleet is several gateways that share a floating address, with servers, discovery, a switch and a path between them.
-type fleet struct {
-	t        *testing.T
-	primary  *fake.Server
-	replica  *fake.Server
-	disc     *fake.Discovery
-	sw       *fake.Switch
-	path     *fake.Path
-	ends     []*net.UDPAddr
-	floating []string // each one's floating listener
-	gateways []*Gateway
-	logs     []*logBuffer
-	conf     []func(change func(string) string) *config.Operators
-	ledger   fake.Ledger
-	quit     chan struct{}
-	load     sync.WaitGroup
+// gatewayFleet is several gateways that share a floating address, with servers, discovery, a switch and a path between them.
+type gatewayFleet struct {
+	t             *testing.T
+	primary       *fake.Server
+	replica       *fake.Server
+	discovery     *fake.Discovery
+	addressSwitch *fake.Switch
+	path          *fake.Path
+	ends          []*net.UDPAddr
+	floating      []string // each one's floating listener
+	gateways      []*Gateway
+	logs          []*logBuffer
+	conf          []func(change func(string) string) *config.Operators
+	ledger        fake.Ledger
+	quit          chan struct{}
+	load          sync.WaitGroup
 }
 
 // fleetInterval is short, so that much happens in little time; on a machine that is busy a gateway may then step back now
 // and then, which must do no harm either.
 const fleetInterval = 50 * time.Millisecond
 
-// newFleet starts a gateway for each priority. tune may change what a gateway is told.
-func newFleet(t *testing.T, preempt bool, tune func(i int, c *config.Config), priorities ...int) *fleet {
+// newGatewayFleet starts a gateway for each priority. tune may change what a gateway is told.
+func newGatewayFleet(t *testing.T, preempt bool, tune func(i int, c *config.Config), priorities ...int) *gatewayFleet {
 	t.Helper()
 	checkLeaks(t)
-	f := &fleet{t: t, quit: make(chan struct{})}
+	f := &gatewayFleet{t: t, quit: make(chan struct{})}
 	f.primary = must2(fake.NewServer("primary"))
 	f.replica = must2(fake.NewServer("replica"))
 	targets := []fake.Endpoint{
 		{UID: "p", Addr: f.primary.Addr(), Group: 7, State: "ready", Weight: 1, Role: "primary"},
 		{UID: "r", Addr: f.replica.Addr(), Group: 7, State: "ready", Weight: 1, Role: "replica"},
 	}
-	f.disc = must2(fake.NewDiscovery(targets...))
-	f.sw = must2(fake.NewSwitch(fleetSecret))
+	f.discovery = must2(fake.NewDiscovery(targets...))
+	f.addressSwitch = must2(fake.NewSwitch(fleetSecret))
 	for i := range priorities {
 		ip := net.IPv4(127, 0, 0, byte(2+i))
 		u := must2(net.ListenUDP("udp4", &net.UDPAddr{IP: ip}))
@@ -64,7 +64,7 @@
 	f.path = must2(fake.NewPath(f.ends...))
 	for i, priority := range priorities {
 		var text strings.Builder
-		fmt.Fprintf(&text, "vrrp\nnode %d\nbind %v\nannounce %s\nkey 1 \"%s\"\n", i+1, f.ends[i], f.sw.AnnouncementAddr(), fleetSecret)
+		fmt.Fprintf(&text, "vrrp\nnode %d\nbind %v\nannounce %s\nkey 1 \"%s\"\n", i+1, f.ends[i], f.addressSwitch.AnnouncementAddr(), fleetSecret)
 		for j := range priorities {
 			if j != i {
 				fmt.Fprintf(&text, "peer %d %s\n", j+1, f.path.PeerAddr(i, j))
@@ -77,7 +77,7 @@
 		}
 		f.conf = append(f.conf, conf)
 		raw, _ := json.Marshal(map[string]any{
-			"name": fmt.Sprint("n", i), "listen": "127.0.0.1:1", "discovery": f.disc.Addr(), "seed": fmt.Sprintf("8c1f30d27a5be96%d", i),
+			"name": fmt.Sprint("n", i), "listen": "127.0.0.1:1", "discovery": f.discovery.Addr(), "seed": fmt.Sprintf("8c1f30d27a5be96%d", i),
 			"limits":   map[string]any{"cores": 2, "memory_mb": 192, "sockets": 1024},
 			"known":    map[string]any{"rev": 1, "all": true, "targets": targets},
 			"settings": json.RawMessage(strings.Replace(testSettings, `"balancers": 1`, fmt.Sprintf(`"balancers": %d, "ordinal": %d`, len(priorities), i), 1)),
@@ -88,15 +88,15 @@
 			tune(i, cfg)
 		}
 		f.logs = append(f.logs, &logBuffer{})
-		f.gateways = append(f.gateways, must2(Start(cfg, conf(same), f.logs[i])))
+		f.gateways = append(f.gateways, must2(Start(cfg, conf(unchanged), f.logs[i])))
 	}
 	t.Cleanup(f.close)
 	return f
 }
 
-func same(s string) string { return s }
+func unchanged(s string) string { return s }
 
-func (f *fleet) close() {
+func (f *gatewayFleet) close() {
 	close(f.quit)
 	f.load.Wait()
 	var stops sync.WaitGroup
@@ -108,8 +108,8 @@
 	}
 	stops.Wait()
 	f.path.Close()
-	f.sw.Close()
-	f.disc.Close()
+	f.addressSwitch.Close()
+	f.discovery.Close()
 	f.primary.Close()
 	f.replica.Close()
 	runs, faults := f.ledger.Check(f.primary, f.replica)
@@ -128,14 +128,14 @@
 	}
 }
 
-// book keeps clients booking at the floating address until the test ends.
-func (f *fleet) book(clients int) {
+// startLoad keeps clients writing at the floating address until the test ends.
+func (f *gatewayFleet) startLoad(clients int) {
 	for c := range clients {
 		f.load.Add(1)
 		go func() {
 			defer f.load.Done()
 			b := &fake.Client{
-				Addr: f.sw.Addr, Class: "put", Group: 7, Timeout: 3 * time.Second, MaxAttempts: 400, Backoff: 5 * time.Millisecond,
+				Addr: f.addressSwitch.Addr, Class: "put", Group: 7, Timeout: 3 * time.Second, MaxAttempts: 400, Backoff: 5 * time.Millisecond,
 				Ledger: &f.ledger,
 			}
 			defer b.Close()
@@ -151,9 +151,9 @@
 	}
 }
 
-func (f *fleet) state(i int) string { return f.gateways[i].floating.status()[0].State }
+func (f *gatewayFleet) state(i int) string { return f.gateways[i].floating.status()[0].State }
 
-func (f *fleet) active() (all []int) {
+func (f *gatewayFleet) active() (all []int) {
 	for i, g := range f.gateways {
 		if g != nil && f.state(i) == "active" {
 			all = append(all, i)
@@ -162,8 +162,8 @@
 	return all
 }
 
-// settles waits until one gateway is active, any or a certain one, and the switch leads to it.
-func (f *fleet) settles(want int) int {
+// awaitActive waits until one gateway is active, any or a certain one, and the switch leads to it.
+func (f *gatewayFleet) awaitActive(want int) int {
 	f.t.Helper()
 	holder := -1
 	eventually(f.t, func() bool {
@@ -172,40 +172,40 @@
 			return false
 		}
 		holder = all[0]
-		at, _ := f.sw.ActiveGateway()
+		at, _ := f.addressSwitch.ActiveGateway()
 		return at == f.floating[holder]
 	}, func() string {
-		at, _ := f.sw.ActiveGateway()
+		at, _ := f.addressSwitch.ActiveGateway()
 		return fmt.Sprintf("active are %v, the switch leads to %s, listeners are %v", f.active(), at, f.floating)
 	})
 	return holder
 }
 
-// served waits until that many more bookings have been served.
-func (f *fleet) served(more int) {
+// expectServed waits until that many more writes have been served.
+func (f *gatewayFleet) expectServed(more int) {
 	f.t.Helper()
 	n := f.ledger.Totals().Counts[fake.Served]
 	eventually(f.t, func() bool { return f.ledger.Totals().Counts[fake.Served] >= n+more },
 		func() string { return fmt.Sprintf("%+v", f.ledger.Totals()) })
 }
 
-// logged waits for a line of a gateway's log that holds all the words.
-func (f *fleet) logged(i int, words ...string) {
+// expectLogged waits for a line of a gateway's log that holds all the words.
+func (f *gatewayFleet) expectLogged(i int, words ...string) {
 	f.t.Helper()
-	(&world{t: f.t, log: f.logs[i]}).logged(words...)
+	(&testGateway{t: f.t, log: f.logs[i]}).expectLogged(words...)
 }
 
-func (f *fleet) split() {
+func (f *gatewayFleet) split() {
 	f.t.Helper()
 	eventually(f.t, func() bool { return len(f.active()) > 1 }, func() string { return "no split came of it" })
 }
 
 // Under load, one trouble of the network after another. After each the network is whole again and one gateway holds the
 // address; no booking runs twice, and what clients were told is true.
-func TestTroublesUnderLoad(t *testing.T) {
-	f := newFleet(t, true, nil, 200, 150, 100)
-	f.book(6)
-	f.settles(0)
+func TestFaultsUnderLoad(t *testing.T) {
+	f := newGatewayFleet(t, true, nil, 200, 150, 100)
+	f.startLoad(6)
+	f.awaitActive(0)
 	for _, c := range []struct {
 		name  string
 		do    func()
@@ -227,7 +227,7 @@
 		}, false},
 		{"two sides, old flows go on", func() { f.path.Isolate(0, true) }, true},
 		{"two sides, old flows are cut", func() {
-			f.sw.ResetOnTakeover = true
+			f.addressSwitch.ResetOnTakeover = true
 			f.path.Isolate(0, true)
 		}, true},
 		{"two sides, and a reload of priorities, peers and keys on both", func() {
@@ -259,10 +259,10 @@
 		if c.split {
 			f.split()
 		}
-		f.served(20)
+		f.expectServed(20)
 		f.path.SetAll(fake.Impairment{})
-		f.settles(-1)
-		f.served(20)
+		f.awaitActive(-1)
+		f.expectServed(20)
 		t.Logf("%s: %+v", c.name, f.ledger.Totals())
 	}
 	if n := &f.gateways[0].floating.speaker.Counts.Dropped; n[1].Load() == 0 {
@@ -270,44 +270,44 @@
 	}
 }
 
-func (f *fleet) reload(i int, change func(string) string) {
+func (f *gatewayFleet) reload(i int, change func(string) string) {
 	g := f.gateways[i]
 	g.Reload(g.cfg, f.conf[i](change), nil)
 }
 
-func TestThreeAlikeStartAtOnce(t *testing.T) {
-	f := newFleet(t, false, nil, 100, 100, 100)
-	f.book(2)
-	f.settles(-1)
-	f.served(50)
+func TestThreeOfOnePriorityStartAtOnce(t *testing.T) {
+	f := newGatewayFleet(t, false, nil, 100, 100, 100)
+	f.startLoad(2)
+	f.awaitActive(-1)
+	f.expectServed(50)
 }
 
 // A gateway without servers never takes the address, whatever its priority, and takes it as soon as it can serve.
 func TestBackupThatIsNotReady(t *testing.T) {
 	lonely := must2(fake.NewDiscovery())
 	t.Cleanup(lonely.Close)
-	f := newFleet(t, true, func(i int, c *config.Config) {
+	f := newGatewayFleet(t, true, func(i int, c *config.Config) {
 		if i == 1 {
 			c.KnownServers.Entries, c.Discovery = nil, lonely.Addr()
 		}
 	}, 100, 250)
-	f.settles(0)
-	f.book(2)
-	f.served(20)
+	f.awaitActive(0)
+	f.startLoad(2)
+	f.expectServed(20)
 	f.gateways[0].Stop()
 	f.gateways[0] = nil
 	if _, _, held := f.holds(1); held || f.state(1) != "backup" {
 		t.Fatalf("it is %s", f.state(1))
 	}
 	next := *f.gateways[1].cfg
-	next.Discovery = f.disc.Addr()
+	next.Discovery = f.discovery.Addr()
 	f.gateways[1].Reload(&next, f.gateways[1].operators, nil)
-	f.settles(1)
-	f.served(20)
+	f.awaitActive(1)
+	f.expectServed(20)
 }
 
 // holds tells of a gateway's tenures: how many still serve, their clients, and whether it holds the address.
-func (f *fleet) holds(i int) (tenures, clients int, held bool) {
+func (f *gatewayFleet) holds(i int) (tenures, clients int, held bool) {
 	fl := f.gateways[i].floating
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -317,26 +317,26 @@
 	return len(fl.activations), clients, len(fl.holding) > 0
 }
 
-func (f *fleet) open(addr string) *reading {
+func (f *gatewayFleet) open(addr string) *clientConn {
 	f.t.Helper()
 	nc := must2(net.Dial("tcp", addr))
-	nc.SetDeadline(time.Now().Add(patience))
+	nc.SetDeadline(time.Now().Add(testTimeout))
 	f.t.Cleanup(func() { nc.Close() })
-	c := &reading{nc, f.t, bufio.NewReader(nc)}
+	c := &clientConn{nc, f.t, bufio.NewReader(nc)}
 	c.Write(startup())
-	c.until('Z')
+	c.readUntil('Z')
 	return c
 }
 
 // The address is lost with a booking out, a client that has sent half a message and one that is idle, won back while that
 // tenure still answers, and lost again: every booking gets its one answer, where it was taken.
-func TestLostAndWonAgainWithWorkOut(t *testing.T) {
-	f := newFleet(t, true, nil, 200, 100)
-	f.settles(0)
-	hold, arrived, release := holding(t)
+func TestAddressRegainedWithRequestsInFlight(t *testing.T) {
+	f := newGatewayFleet(t, true, nil, 200, 100)
+	f.awaitActive(0)
+	hold, arrived, release := blockingHandler(t)
 	f.primary.SetQueryHandler(hold)
 	first, half, idle := f.open(f.floating[0]), f.open(f.floating[0]), f.open(f.floating[0])
-	put := func(id string) string { return strings.Replace(put(id), "'k'", "'"+id+"'", 1) }
+	put := func(id string) string { return strings.Replace(writeQuery(id), "'k'", "'"+id+"'", 1) }
 	first.Write(query(put("x1")))
 	<-arrived
 	half.Write(query(put("x2"))[:40])
@@ -345,18 +345,18 @@
 		f.reload(1, func(s string) string { return strings.Replace(s, "priority 100", fmt.Sprint("priority ", priority), 1) })
 	}
 	prefer(250)
-	f.settles(1)
-	if kinds, bodies := idle.until('E'); kinds != "E" || !strings.Contains(bodies[0], "C57P03\x00") {
+	f.awaitActive(1)
+	if kinds, bodies := idle.readUntil('E'); kinds != "E" || !strings.Contains(bodies[0], "C57P03\x00") {
 		t.Errorf("an idle client gets %s %q", kinds, bodies)
 	}
-	idle.ends()
-	half.until('E') // its request was not taken, and it is told so
-	half.ends()
+	idle.expectEnd()
+	half.readUntil('E') // its request was not taken, and it is told so
+	half.expectEnd()
 	if _, err := net.Dial("tcp", f.floating[0]); err == nil {
 		t.Error("it still listens")
 	}
 	prefer(100)
-	f.settles(0) // preempted, with the first tenure's booking still out
+	f.awaitActive(0) // preempted, with the first tenure's booking still out
 	idle.Close()
 	half.Close()
 	eventually(t, func() bool { tenures, clients, held := f.holds(0); return tenures == 2 && clients == 1 && held },
@@ -365,14 +365,14 @@
 	second.Write(query(put("x3")))
 	<-arrived
 	f.gateways[0].floating.releaseAll(true)
-	f.settles(1)
+	f.awaitActive(1)
 	release()
-	for c, want := range map[*reading]string{first: "value of x1", second: "value of x3"} {
-		if kinds, bodies := c.until('Z'); kinds != "TDCZ" || !strings.HasSuffix(bodies[1], want) {
+	for c, want := range map[*clientConn]string{first: "value of x1", second: "value of x3"} {
+		if kinds, bodies := c.readUntil('Z'); kinds != "TDCZ" || !strings.HasSuffix(bodies[1], want) {
 			t.Errorf("%s %q, want %s", kinds, bodies, want)
 		}
-		c.until('E') // sent away, now that it is idle
-		c.ends()
+		c.readUntil('E') // sent away, now that it is idle
+		c.expectEnd()
 	}
 	eventually(t, func() bool { n, _, _ := f.holds(0); return n == 0 }, func() string { return "a tenure is left" })
 	for _, sql := range f.primary.Queries() {
@@ -380,30 +380,30 @@
 			t.Error("half a request was taken for a whole one")
 		}
 	}
-	f.logged(0, "connection ended", `"reason":"moved"`)
-	f.logged(0, `"cause":"preempted"`)
-	f.logged(0, `"cause":"shutdown"`)
+	f.expectLogged(0, "connection ended", `"reason":"moved"`)
+	f.expectLogged(0, `"cause":"preempted"`)
+	f.expectLogged(0, `"cause":"shutdown"`)
 }
 
 // An address that lingers on SIGTERM takes nothing new for its let-go, in which a better gateway would take it; then it serves on.
-func TestLetGoOfOneThatLingers(t *testing.T) {
-	f := newFleet(t, true, nil, 200)
-	f.settles(0)
+func TestDrainTimeoutOfALingeringAddress(t *testing.T) {
+	f := newGatewayFleet(t, true, nil, 200)
+	f.awaitActive(0)
 	f.reload(0, func(s string) string { return s + "track draining 100\nlet-go 1s\n" })
-	f.logged(0, "former word in the operators' file", `"former":"let-go","new":"drain-timeout"`)
+	f.expectLogged(0, "former word in the operators' file", `"former":"let-go","new":"drain-timeout"`)
 	c := f.open(f.floating[0])
 	fl := f.gateways[0].floating
 	fl.releaseAll(false)
-	c.Write(query(put("x1")))
-	if kinds, bodies := c.until('E'); !strings.Contains(bodies[0], "C53300\x00") && !strings.Contains(bodies[0], "C57P03\x00") {
+	c.Write(query(writeQuery("x1")))
+	if kinds, bodies := c.readUntil('E'); !strings.Contains(bodies[0], "C53300\x00") && !strings.Contains(bodies[0], "C57P03\x00") {
 		t.Errorf("%s %q", kinds, bodies)
 	}
 	eventually(t, func() bool { _, _, held := f.holds(0); return held && f.state(0) == "active" }, func() string { return "the address is gone" })
 	served := func() bool {
 		c := f.open(f.floating[0])
 		defer c.Close()
-		c.Write(query(put("x2")))
-		kinds, _ := c.until('Z')
+		c.Write(query(writeQuery("x2")))
+		kinds, _ := c.readUntil('Z')
 		return kinds == "TDCZ"
 	}
 	eventually(t, func() bool {
@@ -418,8 +418,8 @@
 
 // A tenure whose lease has run out takes nothing new: what comes is refused unsent, and its client sent away.
 func TestLeaseRunsOut(t *testing.T) {
-	f := newFleet(t, true, nil, 200)
-	f.settles(0)
+	f := newGatewayFleet(t, true, nil, 200)
+	f.awaitActive(0)
 	c := f.open(f.floating[0])
 	fl := f.gateways[0].floating
 	var held *activation
@@ -438,16 +438,16 @@
 		f.gateways[0].floating.speaker.Stall(4 * fleetInterval)
 	}()
 	eventually(t, func() bool { return !gate() }, func() string { return "the gate stays open while the speaker stands still" })
-	c.Write(query(put("x1")))
-	if kinds, bodies := c.until('E'); !strings.Contains(bodies[0], "C53300\x00") && !strings.Contains(bodies[0], "C57P03\x00") {
+	c.Write(query(writeQuery("x1")))
+	if kinds, bodies := c.readUntil('E'); !strings.Contains(bodies[0], "C53300\x00") && !strings.Contains(bodies[0], "C57P03\x00") {
 		t.Errorf("%s %q", kinds, bodies)
 	}
 	<-late
 	if n := len(f.primary.Queries()); n != 0 {
 		t.Errorf("%d statements were sent", n)
 	}
-	f.logged(0, `"cause":"stood_still"`)
-	f.settles(0)
+	f.expectLogged(0, `"cause":"stood_still"`)
+	f.awaitActive(0)
 	if m := vrrp.CauseStoodStill; fl.speaker.Counts.Lost[m].Load() == 0 {
 		t.Error("not counted")
 	}
@@ -455,10 +455,10 @@
 
 // A gateway that cannot have its socket says so and does not start half.
 func TestFloatingAddressInUse(t *testing.T) {
-	f := newFleet(t, true, nil, 200)
-	f.settles(0)
+	f := newGatewayFleet(t, true, nil, 200)
+	f.awaitActive(0)
 	cfg := *f.gateways[0].cfg
-	if _, err := Start(&cfg, f.conf[0](same), &logBuffer{}); err == nil || !strings.Contains(err.Error(), "address already in use") {
+	if _, err := Start(&cfg, f.conf[0](unchanged), &logBuffer{}); err == nil || !strings.Contains(err.Error(), "address already in use") {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -34,8 +34,8 @@
  "rules": {"ask_within_ms": 10000, "cold_from": 0.26, "fall_ms": 3000, "grace_to_answer_ms": 20,
   "overload_factor": 4, "ramp_time_ms": 16000, "stop_sending_within_ms": 250}}`
 
-// patience bounds every wait of a test for an event; it is reached only when the test fails.
-const patience = 20 * time.Second
+// testTimeout bounds every wait of a test for an event; it is reached only when the test fails.
+const testTimeout = 20 * time.Second
 
 // logBuffer collects the gateway's log.
 type logBuffer struct {
@@ -55,27 +55,27 @@
 	return l.b.String()
 }
 
-// world is a gateway with a primary, a replica and discovery around it.
-type world struct {
-	t       *testing.T
-	primary *fake.Server
-	replica *fake.Server
-	disc    *fake.Discovery
-	gateway *Gateway
-	log     *logBuffer
-	cfg     *config.Config
-	stopped bool
+// testGateway is a gateway with a primary, a replica and discovery around it.
+type testGateway struct {
+	t         *testing.T
+	primary   *fake.Server
+	replica   *fake.Server
+	discovery *fake.Discovery
+	gateway   *Gateway
+	log       *logBuffer
+	cfg       *config.Config
+	stopped   bool
 }
 
-func newWorld(t *testing.T, change func(*config.Config), tune ...func(*Gateway)) *world {
+func newTestGateway(t *testing.T, change func(*config.Config), tune ...func(*Gateway)) *testGateway {
 	t.Helper()
 	checkLeaks(t)
-	w := &world{t: t, log: &logBuffer{}}
+	w := &testGateway{t: t, log: &logBuffer{}}
 	w.primary = must2(fake.NewServer("primary"))
 	w.replica = must2(fake.NewServer("replica"))
-	w.disc = must2(fake.NewDiscovery(w.targets()...))
+	w.discovery = must2(fake.NewDiscovery(w.targets()...))
 	raw, _ := json.Marshal(map[string]any{
-		"name": "n0", "listen": "127.0.0.1:1", "discovery": w.disc.Addr(), "seed": "8c1f30d27a5be964",
+		"name": "n0", "listen": "127.0.0.1:1", "discovery": w.discovery.Addr(), "seed": "8c1f30d27a5be964",
 		"limits":   map[string]any{"cores": 2, "memory_mb": 192, "sockets": 1024},
 		"known":    map[string]any{"rev": 1, "all": true, "targets": w.targets()},
 		"settings": json.RawMessage(testSettings),
@@ -101,21 +101,21 @@
 	return v
 }
 
-func (w *world) targets() []fake.Endpoint {
+func (w *testGateway) targets() []fake.Endpoint {
 	return []fake.Endpoint{
 		{UID: "p", Addr: w.primary.Addr(), Group: 7, State: "ready", Weight: 1, Role: "primary"},
 		{UID: "r", Addr: w.replica.Addr(), Group: 7, State: "ready", Weight: 1, Role: "replica"},
 	}
 }
 
-func (w *world) close() {
+func (w *testGateway) close() {
 	if !w.stopped {
 		w.stopped = true
 		w.gateway.Stop()
 	}
 	w.primary.Close()
 	w.replica.Close()
-	w.disc.Close()
+	w.discovery.Close()
 	if w.t.Failed() {
 		w.t.Logf("the gateway's log:\n%s", w.log)
 	}
@@ -148,7 +148,7 @@
 // eventually waits until something holds.
 func eventually(t *testing.T, holds func() bool, otherwise func() string) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		if holds() {
 			return
 		}
@@ -158,8 +158,8 @@
 	}
 }
 
-// logged waits for a log line that holds all of the words.
-func (w *world) logged(words ...string) {
+// expectLogged waits for a log line that holds all of the words.
+func (w *testGateway) expectLogged(words ...string) {
 	w.t.Helper()
 	eventually(w.t, func() bool {
 		for _, line := range strings.Split(w.log.String(), "\n") {
@@ -176,7 +176,7 @@
 }
 
 // counts reads the owner's counters.
-func (w *world) counts() (c routing.Counts) {
+func (w *testGateway) counts() (c routing.Counts) {
 	w.gateway.owner.Call(func(core *routing.Core) {
 		c = core.Counts
 		c.Requests, c.Sends, c.Disconnects = slices.Clone(c.Requests), slices.Clone(c.Sends), slices.Clone(c.Disconnects)
@@ -188,9 +188,9 @@
 }
 
 // dial opens a client's connection with an independent client library.
-func (w *world) dial() *pgconn.PgConn {
+func (w *testGateway) dial() *pgconn.PgConn {
 	w.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	c, err := pgconn.Connect(ctx, "postgres://backend@"+w.gateway.Addr()+"/store?sslmode=prefer")
 	if err != nil {
@@ -200,17 +200,17 @@
 	return c
 }
 
-func look(id string) string {
+func readQuery(id string) string {
 	return "/* id=" + id + ",c=look,d=4000,cluster=7 */ SELECT content FROM kv WHERE name = 'k'"
 }
 
-func put(id string) string {
+func writeQuery(id string) string {
 	return "/* id=" + id + ",c=put,d=5000,cluster=7 */ INSERT INTO kv (name, content) VALUES ('k', '\\x01') RETURNING content"
 }
 
-// ask sends one statement and returns its value, or the SQLSTATE it failed with.
-func ask(c *pgconn.PgConn, sql string) (value, code string, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// exec sends one statement and returns its value, or the SQLSTATE it failed with.
+func exec(c *pgconn.PgConn, sql string) (value, code string, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	res, err := c.Exec(ctx, sql).ReadAll()
 	if e, ok := err.(*pgconn.PgError); ok {
@@ -225,20 +225,20 @@
 	return "", "", nil
 }
 
-func (w *world) asks(c *pgconn.PgConn, sql, value, code string) {
+func (w *testGateway) expectAnswer(c *pgconn.PgConn, sql, value, code string) {
 	w.t.Helper()
-	v, got, err := ask(c, sql)
+	v, got, err := exec(c, sql)
 	if err != nil || v != value || got != code {
 		w.t.Fatalf("%s: value %q code %q (%v), want %q, %q", sql, v, got, err, value, code)
 	}
 }
 
 func TestServesByClass(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newTestGateway(t, nil)
 	c := w.dial()
-	w.asks(c, "", "", "")
-	w.asks(c, look("a1"), "value of a1", "")
-	w.asks(c, put("b1"), "value of b1", "")
+	w.expectAnswer(c, "", "", "")
+	w.expectAnswer(c, readQuery("a1"), "value of a1", "")
+	w.expectAnswer(c, writeQuery("b1"), "value of b1", "")
 	if got := w.replica.Queries(); len(got) != 1 || !strings.Contains(got[0], "id=a1") {
 		t.Errorf("the replica got %q", got)
 	}
@@ -247,10 +247,10 @@
 		t.Fatalf("the primary got %q", got)
 	}
 	d := (&fake.Query{SQL: got[0]}).Field("d")
-	if strings.Replace(got[0], "d="+d, "d=5000", 1) != put("b1") {
+	if strings.Replace(got[0], "d="+d, "d=5000", 1) != writeQuery("b1") {
 		t.Errorf("the statement changed: %q", got[0])
 	}
-	w.asks(c, look("a2"), "value of a2", "")
+	w.expectAnswer(c, readQuery("a2"), "value of a2", "")
 	if n := w.replica.ConnsOpened(); n > 2 { // one for reads, and perhaps one for a probe beside them
 		t.Errorf("%d connections for two reads one after the other", n)
 	}
@@ -267,22 +267,22 @@
 		code    string // what the client gets
 		repeats bool   // whether the request may be sent again
 	}{
-		{"miss of a write", put, func(q *fake.Query) { q.ReplyError("25006") }, "53300", true},
-		{"error", put, func(q *fake.Query) { q.ReplyError("XX000") }, "58000", false},
-		{"turned away", put, func(q *fake.Query) { q.ReplyError("53300") }, "53300", true},
-		{"reset after the last byte", put, func(q *fake.Query) { q.CloseConn() }, "58000", false},
-		{"broken off in the value", put, func(q *fake.Query) {
+		{"miss of a write", writeQuery, func(q *fake.Query) { q.ReplyError("25006") }, "53300", true},
+		{"error", writeQuery, func(q *fake.Query) { q.ReplyError("XX000") }, "58000", false},
+		{"turned away", writeQuery, func(q *fake.Query) { q.ReplyError("53300") }, "53300", true},
+		{"reset after the last byte", writeQuery, func(q *fake.Query) { q.CloseConn() }, "58000", false},
+		{"broken off in the value", writeQuery, func(q *fake.Query) {
 			row := fake.RowMessages([]byte("some value"))
 			q.Write(row[:len(row)-20])
 			q.CloseConn()
 		}, "58000", false},
-		{"not PostgreSQL", put, func(q *fake.Query) { q.Write([]byte("HTTP/1.1 200 OK\r\n\r\n")) }, "58000", false},
-		{"ready without a row", put, func(q *fake.Query) { q.Write([]byte{'Z', 0, 0, 0, 5, 'I'}) }, "58000", false},
-		{"silence", func(id string) string { return strings.Replace(put(id), "d=5000", "d=300", 1) },
+		{"not PostgreSQL", writeQuery, func(q *fake.Query) { q.Write([]byte("HTTP/1.1 200 OK\r\n\r\n")) }, "58000", false},
+		{"ready without a row", writeQuery, func(q *fake.Query) { q.Write([]byte{'Z', 0, 0, 0, 5, 'I'}) }, "58000", false},
+		{"silence", func(id string) string { return strings.Replace(writeQuery(id), "d=5000", "d=300", 1) },
 			func(*fake.Query) {}, "58000", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(t, nil)
+			w := newTestGateway(t, nil)
 			w.primary.SetQueryHandler(c.handle)
 			w.replica.SetQueryHandler(func(q *fake.Query) { q.ReplyError("25006") })
 			sql := c.sql("x1")
@@ -290,23 +290,23 @@
 				sql = strings.Replace(sql, "d=5000", "d=700", 1)
 			}
 			client := w.dial()
-			w.asks(client, sql, "", c.code)
+			w.expectAnswer(client, sql, "", c.code)
 			n := len(w.primary.Queries()) + len(w.replica.Queries())
 			if !c.repeats && n != 1 {
 				t.Errorf("sent %d times", n)
 			}
 			w.primary.SetQueryHandler(func(q *fake.Query) { q.ReplyRow([]byte("fine")) })
-			w.asks(client, "", "", "") // the client's connection lives on
+			w.expectAnswer(client, "", "", "") // the client's connection lives on
 		})
 	}
 }
 
 // A refused connection proves that nothing ran: a write waits for its server and is served or refused, not failed.
 func TestServerDownAtWrite(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newTestGateway(t, nil)
 	w.primary.RejectStartups("57P03")
 	w.replica.SetQueryHandler(func(q *fake.Query) { q.ReplyError("25006") })
-	w.asks(w.dial(), strings.Replace(put("x"), "d=5000", "d=600", 1), "", "53300")
+	w.expectAnswer(w.dial(), strings.Replace(writeQuery("x"), "d=5000", "d=600", 1), "", "53300")
 	if n := len(w.primary.Queries()); n != 0 {
 		t.Errorf("%d statements reached a server that was not up", n)
 	}
@@ -314,10 +314,10 @@
 
 // The idle connections to a process that has died are noticed: the next write opens a new one.
 func TestDeadIdleConnectionSwallowsNoWrite(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newTestGateway(t, nil)
 	c := w.dial()
 	for i := range 20 {
-		w.asks(c, put(fmt.Sprint("p", i)), fmt.Sprint("value of p", i), "")
+		w.expectAnswer(c, writeQuery(fmt.Sprint("p", i)), fmt.Sprint("value of p", i), "")
 		w.primary.ResetConns()
 	}
 	if n := len(w.primary.Queries()); n != 20 {
@@ -327,25 +327,25 @@
 
 // An answer behind which the server closes counts, and the next request takes another connection.
 func TestServerClosesBehindAnswer(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newTestGateway(t, nil)
 	w.primary.SetQueryHandler(func(q *fake.Query) {
 		q.ReplyRow([]byte("last"))
 		q.CloseConn()
 	})
 	c := w.dial()
 	for i := range 20 {
-		w.asks(c, put(fmt.Sprint("p", i)), "last", "")
+		w.expectAnswer(c, writeQuery(fmt.Sprint("p", i)), "last", "")
 		<-w.primary.Closed
 	}
 }
 
 // A connection on which an attempt timed out is closed, and never used again.
 func TestTimedOutConnectionIsClosed(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newTestGateway(t, nil)
 	conns := make(chan int, 16)
 	w.primary.SetQueryHandler(func(q *fake.Query) { conns <- q.Conn })
 	c := w.dial()
-	w.asks(c, strings.Replace(put("x"), "d=5000", "d=200", 1), "", "58000")
+	w.expectAnswer(c, strings.Replace(writeQuery("x"), "d=5000", "d=200", 1), "", "58000")
 	first := <-conns
 	for n := range w.primary.Closed {
 		if n == first {
@@ -353,7 +353,7 @@
 		}
 	}
 	w.primary.SetQueryHandler(func(q *fake.Query) { conns <- q.Conn; q.ReplyRow([]byte("v")) })
-	w.asks(c, put("y"), "v", "")
+	w.expectAnswer(c, writeQuery("y"), "v", "")
 	if second := <-conns; second == first {
 		t.Error("the connection was used again")
 	}
@@ -361,11 +361,11 @@
 
 // A client that closes while its request is out is noticed, and what is out for it is given up.
 func TestClientGoneCancels(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newTestGateway(t, nil)
 	arrived := make(chan int, 1)
 	w.primary.SetQueryHandler(func(q *fake.Query) { arrived <- q.Conn })
 	nc := w.raw()
-	nc.Write(query(put("x")))
+	nc.Write(query(writeQuery("x")))
 	conn := <-arrived
 	nc.Close()
 	for n := range w.primary.Closed {
@@ -373,27 +373,27 @@
 			break
 		}
 	}
-	w.logged(`"party":"client"`, `"reason":"peer_gone"`)
-	w.logged(`"party":"server"`, `"reason":"abandoned"`)
+	w.expectLogged(`"party":"client"`, `"reason":"peer_gone"`)
+	w.expectLogged(`"party":"server"`, `"reason":"abandoned"`)
 	if n := w.counts(); n.Disconnects[1] != 1 || n.Answers[routing.AnswerFailed][1] != 0 {
 		t.Errorf("%+v", n)
 	}
 }
 
 func TestSecondStartUnderTheSameAddress(t *testing.T) {
-	w := newWorld(t, nil)
-	w.asks(w.dial(), look("a"), "value of a", "")
+	w := newTestGateway(t, nil)
+	w.expectAnswer(w.dial(), readQuery("a"), "value of a", "")
 	w.cfg.Listen = w.gateway.Addr()
 	if _, err := Start(w.cfg, w.gateway.operators, w.log); err == nil {
 		t.Fatal("two gateways under one address")
 	}
 	w.gateway.Stop()
 	w.gateway = must2(Start(w.cfg, w.gateway.operators, w.log))
-	w.asks(w.dial(), look("b"), "value of b", "")
+	w.expectAnswer(w.dial(), readQuery("b"), "value of b", "")
 }
 
 func TestStopAnswersWhatWasTaken(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newTestGateway(t, nil)
 	arrived, release := make(chan struct{}, 64), make(chan struct{})
 	w.primary.SetQueryHandler(func(q *fake.Query) {
 		arrived <- struct{}{}
@@ -406,7 +406,7 @@
 	for i := range writes {
 		c := w.dial()
 		go func() {
-			v, code, err := ask(c, put(fmt.Sprint("x", i)))
+			v, code, err := exec(c, writeQuery(fmt.Sprint("x", i)))
 			results <- fmt.Sprint(v, code, err)
 		}()
 	}
@@ -418,13 +418,13 @@
 		w.gateway.Stop()
 		close(done)
 	}()
-	w.logged("stopping")
+	w.expectLogged("stopping")
 	// The front still sends: a new connection is served as before.
-	w.asks(w.dial(), look("new"), "value of new", "")
+	w.expectAnswer(w.dial(), readQuery("new"), "value of new", "")
 	if _, err := idle.Read(make([]byte, 1)); err == nil {
 		t.Error("an idle connection got something")
 	}
-	w.logged(`"party":"client"`, `"reason":"drain"`)
+	w.expectLogged(`"party":"client"`, `"reason":"drain"`)
 	select {
 	case <-done:
 		t.Fatal("stopped with requests out")
@@ -438,7 +438,7 @@
 	}
 	<-done
 	w.stopped = true
-	w.logged("stopped")
+	w.expectLogged("stopped")
 	if _, err := net.Dial("tcp", w.gateway.Addr()); err == nil {
 		t.Error("the address still accepts")
 	}
@@ -460,7 +460,7 @@
 
 // A log that nobody reads holds up nobody.
 func TestBlockedLog(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newTestGateway(t, nil)
 	out := &blockedWriter{held: make(chan struct{}), blocked: make(chan struct{})}
 	first := w.gateway
 	first.Stop()
@@ -468,7 +468,7 @@
 	<-out.blocked
 	for i := range 50 {
 		c := w.dial()
-		w.asks(c, put(fmt.Sprint("b", i)), fmt.Sprint("value of b", i), "")
+		w.expectAnswer(c, writeQuery(fmt.Sprint("b", i)), fmt.Sprint("value of b", i), "")
 		c.Close(context.Background())
 	}
 	close(out.held)
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -20,7 +20,7 @@
 )
 
 // lists waits until so many lists of a form have come in.
-func (w *world) lists(form int, least int64) {
+func (w *testGateway) lists(form int, least int64) {
 	w.t.Helper()
 	eventually(w.t, func() bool { return w.counts().ListUpdates[form] >= least },
 		func() string {
@@ -29,7 +29,7 @@
 }
 
 // reload gives the gateway the same configuration with another discovery.
-func (w *world) reload(addr string) {
+func (w *testGateway) reload(addr string) {
 	next := *w.cfg
 	next.Discovery = addr
 	w.gateway.Reload(&next, w.gateway.operators, nil)
@@ -41,7 +41,7 @@
 	select {
 	case line := <-d.Requests:
 		return strings.Fields(line)[1]
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("discovery was not asked")
 		return ""
 	}
@@ -50,10 +50,10 @@
 // A new address of discovery is asked for its whole list, for its versions may be others, and watched from there on.
 // The end of the old watch is no failure.
 func TestReloadMovesDiscovery(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newTestGateway(t, nil)
 	w.lists(formFull, 1)
 	for n := range 4 { // the old address is four versions ahead of the new one's first
-		w.disc.Push(w.targets()[0])
+		w.discovery.Push(w.targets()[0])
 		w.lists(formDelta, int64(n+1))
 	}
 	draining := w.targets()
@@ -68,12 +68,12 @@
 		t.Errorf("then for %s", path)
 	}
 	w.lists(formFull, 3) // the list, and the watch's first line, which holds it again
-	w.logged(`"party":"discovery"`, w.disc.Addr(), `"reason":"replaced"`)
-	w.asks(w.dial(), look("d"), "value of d", "")
+	w.expectLogged(`"party":"discovery"`, w.discovery.Addr(), `"reason":"replaced"`)
+	w.expectAnswer(w.dial(), readQuery("d"), "value of d", "")
 	if n := len(w.replica.Queries()); n != 0 {
 		t.Error("a read went to a server that the new address calls draining")
 	}
-	w.disc.ResetConns()
+	w.discovery.ResetConns()
 	next.Push(w.targets()[1])
 	w.lists(formDelta, 5)
 	if n := w.counts().ListUpdates[formFailed]; n != 0 {
@@ -83,30 +83,30 @@
 
 // Until the new address has told its list the old watch goes on; what the new one fails with is a failed call as any.
 func TestReloadToAnAddressThatFails(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newTestGateway(t, nil)
 	w.lists(formFull, 1)
 	next := must2(fake.NewDiscovery(w.targets()...))
 	defer next.Close()
 	next.SetRawResponse("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 	w.reload(next.Addr())
 	w.lists(formFailed, 2)
-	w.disc.Push(w.targets()[1])
+	w.discovery.Push(w.targets()[1])
 	w.lists(formDelta, 1)
-	w.disc.ResetConns()
+	w.discovery.ResetConns()
 	next.SetRawResponse("")
 	w.lists(formFull, 3)
-	w.logged(`"party":"discovery"`, w.disc.Addr())
+	w.expectLogged(`"party":"discovery"`, w.discovery.Addr())
 	next.Push(w.targets()[1])
 	w.lists(formDelta, 2)
 }
 
 // However long the module means to wait after failures, a new address is asked at once.
-func TestReloadDoesNotWaitForTheNextAsk(t *testing.T) {
-	w := newWorld(t, func(c *config.Config) { c.Discovery = "127.0.0.1:1" }) // nobody listens there
+func TestReloadDoesNotWaitForTheNextPoll(t *testing.T) {
+	w := newTestGateway(t, func(c *config.Config) { c.Discovery = "127.0.0.1:1" }) // nobody listens there
 	w.lists(formFailed, 3)
 	failed := w.counts().Watches
-	w.reload(w.disc.Addr())
-	if path := asked(t, w.disc); path != "/v1/servers" {
+	w.reload(w.discovery.Addr())
+	if path := asked(t, w.discovery); path != "/v1/servers" {
 		t.Errorf("asked for %s", path)
 	}
 	w.lists(formFull, 1)
@@ -117,18 +117,18 @@
 
 // A reload that is at fault changes nothing and names its key; keys that need a restart are named too.
 func TestReloadFaults(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newTestGateway(t, nil)
 	w.lists(formFull, 1)
 	w.gateway.Reload(nil, nil, &settings.KeyError{Key: "settings.classes", Text: "names no class"})
-	w.logged("reload failed", "settings.classes")
+	w.expectLogged("reload failed", "settings.classes")
 	w.gateway.Reload(nil, nil, errors.New("gone"))
 	next := *w.cfg
 	next.Name, next.Sockets = "n9", 77
 	for range 3 {
 		w.gateway.Reload(&next, w.gateway.operators, nil)
 	}
-	w.logged("take a restart", `"name","limits.sockets"`)
-	w.asks(w.dial(), look("d"), "value of d", "")
+	w.expectLogged("take a restart", `"name","limits.sockets"`)
+	w.expectAnswer(w.dial(), readQuery("d"), "value of d", "")
 	if n := w.counts(); n.Watches != 1 || n.ListUpdates[formFailed] != 0 {
 		t.Errorf("%d watches, lists by form %v", n.Watches, n.ListUpdates)
 	}
@@ -136,7 +136,7 @@
 
 // Several moves in a row leave one watch, at the last address; a move behind the end does no harm.
 func TestReloadsInARow(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newTestGateway(t, nil)
 	w.lists(formFull, 1)
 	silent := must2(fake.NewDiscovery(w.targets()...))
 	defer silent.Close()
@@ -144,7 +144,7 @@
 	last := must2(fake.NewDiscovery(w.targets()...))
 	defer last.Close()
 	w.reload(silent.Addr())
-	w.reload(w.disc.Addr())
+	w.reload(w.discovery.Addr())
 	w.reload(silent.Addr())
 	w.reload(last.Addr())
 	w.lists(formFull, 3)
@@ -155,7 +155,7 @@
 	}, func() string { return "calls that were replaced go on" })
 	w.stopped = true
 	w.gateway.Stop()
-	w.reload(w.disc.Addr())
+	w.reload(w.discovery.Addr())
 	if w.gateway.owner.Call(func(*routing.Core) {}) {
 		t.Error("the owner still runs")
 	}
--- a/internal/gateway/settings_test.go
+++ b/internal/gateway/settings_test.go
@@ -34,9 +34,9 @@
   "overload_factor": 2.5, "ramp_time_ms": 18000, "stop_sending_within_ms": 2000}}`
 
 // with is the running configuration with other settings, as a file would bring them.
-func (w *world) with(settings string) (*config.Config, error) {
+func (w *testGateway) with(settings string) (*config.Config, error) {
 	raw, _ := json.Marshal(map[string]any{
-		"name": "n0", "listen": "127.0.0.1:1", "discovery": w.disc.Addr(), "seed": "8c1f30d27a5be964",
+		"name": "n0", "listen": "127.0.0.1:1", "discovery": w.discovery.Addr(), "seed": "8c1f30d27a5be964",
 		"limits":   map[string]any{"cores": 2, "memory_mb": 192, "sockets": 1024},
 		"settings": json.RawMessage(settings),
 	})
@@ -48,7 +48,7 @@
 }
 
 // load does what SIGHUP does.
-func (w *world) load(settings string) {
+func (w *testGateway) load(settings string) {
 	next, err := w.with(settings)
 	w.gateway.Reload(next, w.gateway.operators, err)
 }
@@ -57,7 +57,7 @@
 // request has one final answer, all are served but the few whose class changed on their way in, and no write reaches a
 // server twice.
 func TestSettingsThereAndBackUnderLoad(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newTestGateway(t, nil)
 	now := func() { // positions as servers that keep up report them
 		w.primary.Position.Store(time.Now().UnixMilli())
 		w.replica.Position.Store(time.Now().UnixMilli())
@@ -76,12 +76,12 @@
 			defer wg.Done()
 			for n := 0; !stop.Load(); n++ {
 				now()
-				sql := look(fmt.Sprintf("l%d-%d", k, n))
+				sql := readQuery(fmt.Sprintf("l%d-%d", k, n))
 				if n%3 == 0 {
-					sql = put(fmt.Sprintf("p%d-%d", k, n))
+					sql = writeQuery(fmt.Sprintf("p%d-%d", k, n))
 				}
 				asked.Add(1)
-				switch value, code, err := ask(c, sql); {
+				switch value, code, err := exec(c, sql); {
 				case err == nil && code == "" && value != "":
 					served.Add(1)
 				case err == nil && code == "53300": // only where the class changed while it was on its way in
@@ -102,7 +102,7 @@
 			more()
 		}
 		w.load(strings.Replace(movedSettings, `"checks": "none"`, `"checks": "perhaps"`, 1))
-		w.logged("reload failed", "settings.family_info.checks")
+		w.expectLogged("reload failed", "settings.family_info.checks")
 		if got, want := w.counts().Reloads, int64(2*round+2); got != want {
 			t.Errorf("%d reloads of the settings, want %d", got, want)
 		}
@@ -143,21 +143,21 @@
 	if total+n.ClassChanged != asked.Load() {
 		t.Errorf("counted %d requests by class and %d strays, asked %d", total, n.ClassChanged, asked.Load())
 	}
-	w.logged("settings in force", "family_info.checks", "costs", "rules.overload_factor")
+	w.expectLogged("settings in force", "family_info.checks", "costs", "rules.overload_factor")
 }
 
 // A write that is out when the settings change is finished under those that it came under: new ones that call its class
 // harmless do not make it so, and neither does the death of its primary.
-func TestWriteOutOverAReload(t *testing.T) {
+func TestWriteInFlightDuringAReload(t *testing.T) {
 	for _, back := range []bool{false, true} {
-		w := newWorld(t, nil)
-		handle, arrived, release := holding(t)
+		w := newTestGateway(t, nil)
+		handle, arrived, release := blockingHandler(t)
 		w.primary.SetQueryHandler(handle)
 		harmless := strings.Replace(movedSettings, "single_shot", "free", 1)
 		done := make(chan string, 1)
 		client := w.dial()
 		go func() {
-			_, code, err := ask(client, put("w1"))
+			_, code, err := exec(client, writeQuery("w1"))
 			done <- fmt.Sprint(code, err)
 		}()
 		<-arrived
@@ -179,18 +179,18 @@
 
 // A drain that was told before the settings change binds after it.
 func TestDrainSurvivesAReload(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newTestGateway(t, nil)
 	w.lists(formFull, 1)
 	gone := w.targets()[1]
 	gone.State = "draining"
-	w.disc.Push(gone)
+	w.discovery.Push(gone)
 	w.lists(formDelta, 1)
 	client := w.dial()
 	for k, s := range []string{movedSettings, testSettings, movedSettings} {
 		w.load(s)
 		for n := range 5 {
 			id := fmt.Sprintf("d%d-%d", k, n)
-			w.asks(client, look(id), "value of "+id, "")
+			w.expectAnswer(client, readQuery(id), "value of "+id, "")
 		}
 	}
 	if n := len(w.replica.Queries()); n != 0 {
@@ -200,7 +200,7 @@
 
 // What is at fault in new settings is named, and nothing changes.
 func TestFaultySettingsAreNamed(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newTestGateway(t, nil)
 	for change, key := range map[[2]string]string{
 		{`"cross_zone": 0.014`, `"cross_zone": "dear"`}:              "settings.costs.cross_zone",
 		{`"cross_zone": 0.014`, `"cross_zone": -1`}:                  "settings.costs.cross_zone",
@@ -220,9 +220,9 @@
 		}
 		w.gateway.Reload(nil, nil, err)
 	}
-	w.logged("reload failed", "settings.costs.cross_zone")
+	w.expectLogged("reload failed", "settings.costs.cross_zone")
 	if n := w.counts().Reloads; n != 0 {
 		t.Errorf("%d reloads", n)
 	}
-	w.asks(w.dial(), look("f"), "value of f", "")
+	w.expectAnswer(w.dial(), readQuery("f"), "value of f", "")
 }
--- a/internal/gateway/stopping_test.go
+++ b/internal/gateway/stopping_test.go
@@ -12,7 +12,7 @@
 )
 
 // stop begins a stop, and returns once it has closed the clients that rest: until then the gateway serves as before.
-func (w *world) stop() (ended chan struct{}) {
+func (w *testGateway) stop() (ended chan struct{}) {
 	w.t.Helper()
 	resting := w.raw()
 	w.stopped = true
@@ -21,7 +21,7 @@
 		w.gateway.Stop()
 		close(ended)
 	}()
-	resting.ends()
+	resting.expectEnd()
 	time.Sleep(beyondDrain)
 	return ended
 }
@@ -31,9 +31,9 @@
 const beyondDrain = 100 * time.Millisecond
 
 // wantServed reads one answer and its value's end.
-func (c *reading) wantServed(value string) {
+func (c *clientConn) wantServed(value string) {
 	c.t.Helper()
-	if kinds, bodies := c.until('Z'); kinds != "TDCZ" || !strings.HasSuffix(bodies[1], value) {
+	if kinds, bodies := c.readUntil('Z'); kinds != "TDCZ" || !strings.HasSuffix(bodies[1], value) {
 		c.t.Errorf("got %s %.200q, want %q", kinds, bodies, value)
 	}
 }
@@ -41,7 +41,7 @@
 // A request that was read and is not with routing yet when the stop begins is routed and answered. This and the next two fail
 // where the stop does not wait for clients with requests under way.
 func TestStopBeforeARequestIsRouted(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newTestGateway(t, nil)
 	c := w.raw()
 	held, release := make(chan struct{}), make(chan struct{})
 	go w.gateway.owner.Call(func(*routing.Core) {
@@ -49,7 +49,7 @@
 		<-release
 	})
 	<-held
-	c.Write(query(put("x")))
+	c.Write(query(writeQuery("x")))
 	eventually(t, func() bool { return w.gateway.clients.Busy() == 1 }, func() string { return "the request was not read" })
 	ended := w.stop()
 	close(release)
@@ -72,8 +72,8 @@
 }
 
 // A further attempt that falls due while the gateway stops is made.
-func TestStopBeforeAFurtherAttempt(t *testing.T) {
-	w := newWorld(t, func(c *config.Config) {
+func TestStopBeforeARetry(t *testing.T) {
+	w := newTestGateway(t, func(c *config.Config) {
 		c.InForce.Settings.MaxAttempts = 1 << 20
 		for i := range c.InForce.Settings.Classes {
 			c.InForce.Settings.Classes[i].LatencyObjective = 100_000 // the pauses between attempts follow it
@@ -86,7 +86,7 @@
 		turnedAway <- struct{}{}
 	})
 	c := w.raw()
-	c.Write(query(strings.Replace(put("x"), "d=5000", "d=20000", 1)))
+	c.Write(query(strings.Replace(writeQuery("x"), "d=5000", "d=20000", 1)))
 	<-turnedAway
 	ended := w.stop()
 	w.primary.SetQueryHandler(func(q *fake.Query) { q.ReplyRow([]byte("at last")) })
@@ -98,19 +98,19 @@
 // them. The same when nothing but silence comes from the new watch at first.
 func TestWatchResetBeforeADrain(t *testing.T) {
 	for _, answer := range []string{"", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"} {
-		w := newWorld(t, func(c *config.Config) {}, func(g *Gateway) { g.discovery.Limits.Answer = 200 * time.Millisecond })
+		w := newTestGateway(t, func(c *config.Config) {}, func(g *Gateway) { g.discovery.Limits.Answer = 200 * time.Millisecond })
 		w.lists(formFull, 1)
-		w.disc.SetRawResponse(answer)
-		w.disc.ResetConns()
+		w.discovery.SetRawResponse(answer)
+		w.discovery.ResetConns()
 		draining := w.targets()[1]
 		draining.State = "draining"
-		w.disc.SetEndpoints(w.targets()[0], draining)
+		w.discovery.SetEndpoints(w.targets()[0], draining)
 		if answer != "" {
 			w.lists(formFailed, 2)
-			w.disc.SetRawResponse("")
+			w.discovery.SetRawResponse("")
 		}
 		w.lists(formFull, 2)
-		w.asks(w.dial(), look("a"), "value of a", "")
+		w.expectAnswer(w.dial(), readQuery("a"), "value of a", "")
 		if n := len(w.replica.Queries()); n != 0 {
 			t.Error("a read went to a draining server")
 		}
@@ -120,13 +120,13 @@
 // A client that comes again on the same connection before its first request has ended, with a new id, is asked beside it;
 // each id is sent once.
 func TestRepeatBeforeTheFirstHasEnded(t *testing.T) {
-	w := newWorld(t, nil)
-	hold, arrived, release := holding(t)
+	w := newTestGateway(t, nil)
+	hold, arrived, release := blockingHandler(t)
 	w.primary.SetQueryHandler(hold)
 	c := w.raw()
-	c.Write(query(put("first")))
+	c.Write(query(writeQuery("first")))
 	<-arrived
-	again := strings.Replace(put("again"), "cluster=7", "cluster=7,r=1", 1)
+	again := strings.Replace(writeQuery("again"), "cluster=7", "cluster=7,r=1", 1)
 	c.Write(query(again))
 	if id := <-arrived; id != "again" {
 		t.Errorf("%s was sent", id)
