--- a/internal/gateway/floatingip.go
+++ b/internal/gateway/floatingip.go
@@ -88,12 +88,12 @@
 // speakerSettings translates the operators' settings into the speaker's.
 func speakerSettings(ops *config.Operators) floatingip.Settings {
 	v := ops.VRRP
-	s := floatingip.Settings{Node: v.Node, Bind: v.Bind, Announce: v.Announce}
+	speaker := floatingip.Settings{Node: v.Node, Bind: v.Bind, Announce: v.Announce}
 	for _, p := range v.Peers {
-		s.Peers = append(s.Peers, floatingip.Peer(p))
+		speaker.Peers = append(speaker.Peers, floatingip.Peer(p))
 	}
 	for _, k := range v.Keys {
-		s.Keys = append(s.Keys, codec.Key{Number: k.Number, Secret: []byte(k.Secret)})
+		speaker.Keys = append(speaker.Keys, codec.Key{Number: k.Number, Secret: []byte(k.Secret)})
 	}
 	for _, g := range ops.Groups {
 		m := vrrp.Config{
@@ -110,11 +110,11 @@
 				}
 			}
 		}
-		s.Groups = append(s.Groups, floatingip.Group{
+		speaker.Groups = append(speaker.Groups, floatingip.Group{
 			Name: g.Name, Addresses: g.Addresses, Listen: g.Listen, Machine: m, Lingers: lingers,
 		})
 	}
-	return s
+	return speaker
 }
 
 func micros(d time.Duration) clock.Micros { return clock.Micros(d / time.Microsecond) }
--- a/internal/gateway/maintenance.go
+++ b/internal/gateway/maintenance.go
@@ -70,15 +70,15 @@
 	if g.operators.Maintenance == nil {
 		return nil
 	}
-	u := &maintenanceAgent{g: g, began: time.Now(), wake: make(chan struct{}, 1), quit: make(chan struct{}), order: indexedOrder{Order: &maintenance.Order{}}, incarnation: g.incarnation}
-	u.configure(g.operators.Maintenance)
-	return u
+	a := &maintenanceAgent{g: g, began: time.Now(), wake: make(chan struct{}, 1), quit: make(chan struct{}), order: indexedOrder{Order: &maintenance.Order{}}, incarnation: g.incarnation}
+	a.configure(g.operators.Maintenance)
+	return a
 }
 
 // configure puts the section's settings in force.
-func (u *maintenanceAgent) configure(c *config.Maintenance) {
-	u.ledgerTimeout.Store(int64(c.LedgerTimeout))
-	u.maxReplicaLag.Store(c.MaxReplicaLag.Microseconds())
+func (a *maintenanceAgent) configure(c *config.Maintenance) {
+	a.ledgerTimeout.Store(int64(c.LedgerTimeout))
+	a.maxReplicaLag.Store(c.MaxReplicaLag.Microseconds())
 }
 
 // maintenanceLimits translates the operators' limits into the order's; nil: there is no maintenance.
@@ -94,33 +94,33 @@
 }
 
 // start starts the loop.
-func (u *maintenanceAgent) start() {
-	if u != nil {
-		u.done.Go(u.run)
+func (a *maintenanceAgent) start() {
+	if a != nil {
+		a.done.Go(a.run)
 	}
 }
 
 // close ends the loop and waits for it.
-func (u *maintenanceAgent) close() {
-	if u != nil {
-		close(u.quit)
-		u.done.Wait()
+func (a *maintenanceAgent) close() {
+	if a != nil {
+		close(a.quit)
+		a.done.Wait()
 	}
 }
 
 // reload takes over what may change.
-func (u *maintenanceAgent) reload(ops *config.Operators) {
-	if u != nil && ops.Maintenance != nil && ops.StateStore != nil {
-		u.configure(ops.Maintenance)
-		u.g.store.SetMaintenanceLimits(*maintenanceLimits(ops))
+func (a *maintenanceAgent) reload(ops *config.Operators) {
+	if a != nil && ops.Maintenance != nil && ops.StateStore != nil {
+		a.configure(ops.Maintenance)
+		a.g.store.SetMaintenanceLimits(*maintenanceLimits(ops))
 	}
 }
 
 // orderChanged is called with each change of the order, by the state store's goroutine. It does not block.
-func (u *maintenanceAgent) orderChanged(index uint64, o *maintenance.Order) {
-	u.next.Store(&indexedOrder{index, o})
+func (a *maintenanceAgent) orderChanged(index uint64, o *maintenance.Order) {
+	a.next.Store(&indexedOrder{index, o})
 	select {
-	case u.wake <- struct{}{}:
+	case a.wake <- struct{}{}:
 	default:
 	}
 }
@@ -128,116 +128,116 @@
 // admits tells whether anything new is to be admitted here. A gateway that starts must first find itself enrolled in the
 // ledger, and knows with that which servers are cordoned; where the ledger cannot be heard it serves all the same after the
 // ledger timeout.
-func (u *maintenanceAgent) admits() bool {
-	return u == nil || !u.draining.Load() && (u.enrolled.Load() || time.Since(u.began) > time.Duration(u.ledgerTimeout.Load()))
+func (a *maintenanceAgent) admits() bool {
+	return a == nil || !a.draining.Load() && (a.enrolled.Load() || time.Since(a.began) > time.Duration(a.ledgerTimeout.Load()))
 }
 
 // acceptsRequests tells whether a request of a client that is connected is accepted. A draining gateway still accepts them for
 // a moment.
-func (u *maintenanceAgent) acceptsRequests() bool {
-	return !u.closedToClients.Load() && (u.draining.Load() || u.admits())
+func (a *maintenanceAgent) acceptsRequests() bool {
+	return !a.closedToClients.Load() && (a.draining.Load() || a.admits())
 }
 
 // run is the agent's loop.
-func (u *maintenanceAgent) run() {
+func (a *maintenanceAgent) run() {
 	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case <-u.quit:
+		case <-a.quit:
 			return
 		case <-tick.C:
-		case <-u.wake:
+		case <-a.wake:
 		}
-		if next := u.next.Load(); next != nil && next.index != u.order.index {
-			u.apply(*next)
+		if next := a.next.Load(); next != nil && next.index != a.order.index {
+			a.apply(*next)
 		}
-		u.continueDrain()
-		u.sendReport()
+		a.continueDrain()
+		a.sendReport()
 	}
 }
 
 // apply acts on a new order: it cordons servers, and begins or ends draining.
-func (u *maintenanceAgent) apply(next indexedOrder) {
-	node := u.g.operators.Members.Node
-	u.logChanges(next.Order)
-	if known := next.EnrolledIncarnation(node); known > u.incarnation && !u.enrolled.Load() {
-		u.incarnation = known + 1 // the clock was set back since the last start
+func (a *maintenanceAgent) apply(next indexedOrder) {
+	node := a.g.operators.Members.Node
+	a.logChanges(next.Order)
+	if known := next.EnrolledIncarnation(node); known > a.incarnation && !a.enrolled.Load() {
+		a.incarnation = known + 1 // the clock was set back since the last start
 	}
-	u.enrolled.Store(next.EnrolledIncarnation(node) == u.incarnation)
+	a.enrolled.Store(next.EnrolledIncarnation(node) == a.incarnation)
 	var cordoned []string
 	for i := range next.Machines {
 		if m := &next.Machines[i]; m.Kind == maintenance.Server && m.Cordoned() {
 			cordoned = append(cordoned, m.Name)
 		}
 	}
-	if !u.g.owner.Call(func(c *routing.Core) { c.SetCordoned(cordoned) }) {
+	if !a.g.owner.Call(func(c *routing.Core) { c.SetCordoned(cordoned) }) {
 		return
 	}
 	m := next.Find(maintenance.Gateway, node, 0)
 	switch drain := m != nil && m.Cordoned(); {
-	case u.g.stopping.Load(): // it shuts down, whatever the order says
-	case drain && !u.draining.Load():
-		u.drainingSince = time.Now()
-		u.draining.Store(true)
-		u.g.members.setDraining(true)
-		u.g.floating.releaseAll(false)
-	case !drain && u.draining.Load():
-		u.g.members.setDraining(false)
-		u.g.clients.Resume()
-		u.closedToClients.Store(false)
-		u.draining.Store(false)
-		u.g.floating.resume()
-	}
-	u.order = next
+	case a.g.stopping.Load(): // it shuts down, whatever the order says
+	case drain && !a.draining.Load():
+		a.drainingSince = time.Now()
+		a.draining.Store(true)
+		a.g.members.setDraining(true)
+		a.g.floating.releaseAll(false)
+	case !drain && a.draining.Load():
+		a.g.members.setDraining(false)
+		a.g.clients.Resume()
+		a.closedToClients.Store(false)
+		a.draining.Store(false)
+		a.g.floating.resume()
+	}
+	a.order = next
 }
 
 // continueDrain goes on with draining: fronts and clients have a moment to see it, as on SIGTERM; then idle clients are sent
 // away, and a floating address that nobody has taken is released.
-func (u *maintenanceAgent) continueDrain() {
-	if !u.draining.Load() || u.g.stopping.Load() {
+func (a *maintenanceAgent) continueDrain() {
+	if !a.draining.Load() || a.g.stopping.Load() {
 		return
 	}
-	if !u.closedToClients.Load() && time.Since(u.drainingSince) > minDrainDelay {
-		u.closedToClients.Store(true)
-		u.g.clients.Drain(transport.EndMaintenance)
+	if !a.closedToClients.Load() && time.Since(a.drainingSince) > minDrainDelay {
+		a.closedToClients.Store(true)
+		a.g.clients.Drain(transport.EndMaintenance)
 	}
-	if time.Since(u.drainingSince) > lingerTimeout && u.g.floating.holds() > 0 {
-		u.g.floating.releaseAll(true)
+	if time.Since(a.drainingSince) > lingerTimeout && a.g.floating.holds() > 0 {
+		a.g.floating.releaseAll(true)
 	}
 }
 
 // idle tells whether nothing is in flight here, and nothing new is admitted. open is how many requests the routing core has.
-func (u *maintenanceAgent) idle(open int) bool {
-	return u.closedToClients.Load() && open == 0 && u.g.clients.Busy() == 0 && u.g.floating.holds() == 0 && u.g.floating.open() == 0 &&
-		(u.g.intents == nil || len(u.g.intents.InFlight()) == 0)
+func (a *maintenanceAgent) idle(open int) bool {
+	return a.closedToClients.Load() && open == 0 && a.g.clients.Busy() == 0 && a.g.floating.holds() == 0 && a.g.floating.open() == 0 &&
+		(a.g.intents == nil || len(a.g.intents.InFlight()) == 0)
 }
 
 // sendReport reports to the ledger's leader what this gateway is and sees.
-func (u *maintenanceAgent) sendReport() {
+func (a *maintenanceAgent) sendReport() {
 	groups := map[int]bool{}
-	for i := range u.order.Machines {
-		if m := &u.order.Machines[i]; m.Kind == maintenance.Server && m.State < maintenance.Back {
+	for i := range a.order.Machines {
+		if m := &a.order.Machines[i]; m.Kind == maintenance.Server && m.State < maintenance.Back {
 			groups[m.Group] = true
 		}
 	}
-	r := maintenance.Report{LedgerIndex: u.order.index, Load: u.sampleLoad()}
+	r := maintenance.Report{LedgerIndex: a.order.index, Load: a.sampleLoad()}
 	open := 0
-	if !u.g.owner.Call(func(c *routing.Core) {
+	if !a.g.owner.Call(func(c *routing.Core) {
 		open = c.OpenRequests()
 		for _, s := range c.Servers(groups) {
 			primary := s.ServerView.Primary
-			if u.g.clock.Now()-s.LastRequestAt > roleFreshness { // nobody has asked for the primary here lately; the endpoint list may know better
+			if a.g.clock.Now()-s.LastRequestAt > roleFreshness { // nobody has asked for the primary here lately; the endpoint list may know better
 				primary = s.Endpoint.Primary
 			}
 			r.Servers = append(r.Servers, maintenance.ServerReport{
 				Group: s.Group, Name: s.UID, Primary: primary, WarmingUp: s.InSlowStart,
-				Down:    s.Down || s.State != policy.EndpointReady && u.order.Find(maintenance.Server, s.UID, s.Group) == nil,
-				Lagging: !primary && int64(s.Lag) > u.maxReplicaLag.Load(),
+				Down:    s.Down || s.State != policy.EndpointReady && a.order.Find(maintenance.Server, s.UID, s.Group) == nil,
+				Lagging: !primary && int64(s.Lag) > a.maxReplicaLag.Load(),
 			})
 		}
-		for i := range u.order.Machines {
-			if m := &u.order.Machines[i]; m.Kind == maintenance.Server && m.Cordoned() && c.InFlightAt(m.Name) == 0 {
+		for i := range a.order.Machines {
+			if m := &a.order.Machines[i]; m.Kind == maintenance.Server && m.Cordoned() && c.InFlightAt(m.Name) == 0 {
 				r.Quiesced = append(r.Quiesced, m.ID)
 			}
 		}
@@ -245,46 +245,46 @@
 		return
 	}
 	slices.SortFunc(r.Servers, func(a, b maintenance.ServerReport) int { return strings.Compare(a.Name, b.Name) })
-	r.Ready = u.admits() && u.g.isReady() && !u.g.stopping.Load()
-	r.Idle = u.draining.Load() && u.idle(open)
-	for _, s := range u.g.floating.status() {
+	r.Ready = a.admits() && a.g.isReady() && !a.g.stopping.Load()
+	r.Idle = a.draining.Load() && a.idle(open)
+	for _, s := range a.g.floating.status() {
 		if s.Ready {
 			r.FloatingGroups = append(r.FloatingGroups, s.Group)
 		}
 	}
-	u.g.store.SetMaintenanceReport(u.incarnation, r)
+	a.g.store.SetMaintenanceReport(a.incarnation, r)
 }
 
 // sampleLoad is the share of its processors that the process has used since the last sample, in thousandths.
-func (u *maintenanceAgent) sampleLoad() int {
+func (a *maintenanceAgent) sampleLoad() int {
 	var use syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &use) != nil {
 		return 0
 	}
 	spent := time.Duration(use.Utime.Nano() + use.Stime.Nano())
 	now := time.Now()
-	if now.Sub(u.cpuSampledAt) < reportInterval/2 { // too short an interval to measure
-		return u.lastLoad
+	if now.Sub(a.cpuSampledAt) < reportInterval/2 { // too short an interval to measure
+		return a.lastLoad
 	}
-	if !u.cpuSampledAt.IsZero() {
-		u.lastLoad = int(float64(spent-u.cpuUsed) * 1000 / (float64(now.Sub(u.cpuSampledAt)) * math.Max(u.g.cfg.Cores, 0.01)))
+	if !a.cpuSampledAt.IsZero() {
+		a.lastLoad = int(float64(spent-a.cpuUsed) * 1000 / (float64(now.Sub(a.cpuSampledAt)) * math.Max(a.g.cfg.Cores, 0.01)))
 	}
-	u.cpuUsed, u.cpuSampledAt = spent, now
-	return u.lastLoad
+	a.cpuUsed, a.cpuSampledAt = spent, now
+	return a.lastLoad
 }
 
 // logChanges logs each machine whose state differs from the last order's.
-func (u *maintenanceAgent) logChanges(next *maintenance.Order) {
+func (a *maintenanceAgent) logChanges(next *maintenance.Order) {
 	before := map[uint64]string{}
-	for i := range u.order.Machines {
-		m := &u.order.Machines[i]
-		before[m.ID] = m.StateText(u.order.Paused)
+	for i := range a.order.Machines {
+		m := &a.order.Machines[i]
+		before[m.ID] = m.StateText(a.order.Paused)
 	}
 	for i := range 2 * len(next.Machines) { // those that are in service again first, so that a reader of the log never counts more away than there were
 		m := &next.Machines[i%len(next.Machines)]
 		back := m.State == maintenance.Requested || m.State >= maintenance.Back
 		if to := m.StateText(next.Paused); before[m.ID] != to && back == (i < len(next.Machines)) {
-			u.g.log.Info().Str("machine", m.Label()).Stringer("kind", m.Kind).Uint64("number", m.ID).Str("from", before[m.ID]).Str("to", to).Msg("maintenance state changed")
+			a.g.log.Info().Str("machine", m.Label()).Stringer("kind", m.Kind).Uint64("number", m.ID).Str("from", before[m.ID]).Str("to", to).Msg("maintenance state changed")
 		}
 	}
 }
@@ -372,12 +372,12 @@
 
 // findMachine finds out what kind of machine a name is: a gateway among the members, or a server on the endpoint list. Where
 // both have it, or to be sure, "gateway:" or "server:" stands before it.
-func (g *Gateway) findMachine(c *maintenance.Command) error {
-	kind, name, prefixed := strings.Cut(c.Name, ":")
+func (g *Gateway) findMachine(command *maintenance.Command) error {
+	kind, name, prefixed := strings.Cut(command.Name, ":")
 	if !prefixed || kind != "gateway" && kind != "server" {
-		kind, name = "", c.Name
+		kind, name = "", command.Name
 	}
-	c.Name = name
+	command.Name = name
 	order := &maintenance.Order{}
 	if o := g.maintenance.next.Load(); o != nil {
 		order = o.Order
@@ -401,7 +401,7 @@
 		if !isServer {
 			return fmt.Errorf("no server %s is on the list", name)
 		}
-		c.Kind, c.Group = maintenance.Server, group
+		command.Kind, command.Group = maintenance.Server, group
 	case isGateway && isServer:
 		return fmt.Errorf("%s is a gateway and a server: say gateway:%s or server:%s", name, name, name)
 	default:
@@ -411,19 +411,19 @@
 }
 
 // maintenanceList is the order by its leader or, if that does not answer, as it is known here.
-func (g *Gateway) maintenanceList(by time.Time) (MaintenanceStatus, error) {
-	l, err := g.store.MaintenanceListing(by)
-	s := MaintenanceStatus{Node: g.operators.Members.Node, Leader: l.Leader, Paused: l.Order.Paused, Machines: []MachineStatus{}}
-	for i := range l.Order.Machines {
-		m := &l.Order.Machines[i]
-		x := MachineStatus{
-			Machine: m.Name, Kind: m.Kind.String(), Group: m.Group, State: m.StateText(l.Order.Paused), WorkMS: int64(m.Duration) / 1000, Comment: m.Comment, RequestedBy: m.RequestedBy,
-			Waits: l.Waits[m.ID], Position: l.Order.Position(m.ID),
+func (g *Gateway) maintenanceList(deadline time.Time) (MaintenanceStatus, error) {
+	listing, err := g.store.MaintenanceListing(deadline)
+	s := MaintenanceStatus{Node: g.operators.Members.Node, Leader: listing.Leader, Paused: listing.Order.Paused, Machines: []MachineStatus{}}
+	for i := range listing.Order.Machines {
+		m := &listing.Order.Machines[i]
+		unit := MachineStatus{
+			Machine: m.Name, Kind: m.Kind.String(), Group: m.Group, State: m.StateText(listing.Order.Paused), WorkMS: int64(m.Duration) / 1000, Comment: m.Comment, RequestedBy: m.RequestedBy,
+			Waits: listing.Waits[m.ID], Position: listing.Order.Position(m.ID),
 		}
 		if err == nil {
-			x.ForMS = max(int64(l.Now-m.Since)/1000, 0)
+			unit.ForMS = max(int64(listing.Now-m.Since)/1000, 0)
 		}
-		s.Machines = append(s.Machines, x)
+		s.Machines = append(s.Machines, unit)
 	}
 	return s, nil
 }
--- a/internal/gateway/start.go
+++ b/internal/gateway/start.go
@@ -139,7 +139,7 @@
 	}
 	if g.operators.StateStore != nil {
 		if err = g.startStore(); err != nil {
-			return fmt.Errorf("copies: %w", err)
+			return fmt.Errorf("state-store: %w", err)
 		}
 	}
 	if g.operators.VRRP != nil {
--- a/internal/gateway/statestore.go
+++ b/internal/gateway/statestore.go
@@ -90,20 +90,20 @@
 	if ops.StateStore == nil || len(ops.StateStore.SessionMarks) == 0 {
 		return nil
 	}
-	m := &sessionPositions{clock: clock, classes: map[string]bool{}, fast: ops.StateStore.MarksMode == "fast", retention: ops.StateStore.MarksTTL}
+	p := &sessionPositions{clock: clock, classes: map[string]bool{}, fast: ops.StateStore.MarksMode == "fast", retention: ops.StateStore.MarksTTL}
 	for _, class := range ops.StateStore.SessionMarks {
-		m.classes[class] = true
+		p.classes[class] = true
 	}
-	return m
+	return p
 }
 
 // Covers tells whether a class's sessions are stored.
-func (m *sessionPositions) Covers(class string) bool { return m.classes[class] }
+func (p *sessionPositions) Covers(class string) bool { return p.classes[class] }
 
 // CanStore tells whether a session's position is likely to be stored now. Where answers do not wait for that, it need not be.
-func (m *sessionPositions) CanStore(group int, session uint64) bool {
-	s := m.store.Load()
-	return m.fast || s != nil && (*s).Available(sessionKey(group, session))
+func (p *sessionPositions) CanStore(group int, session uint64) bool {
+	s := p.store.Load()
+	return p.fast || s != nil && (*s).Available(sessionKey(group, session))
 }
 
 // sessionKey is the store's key of a session of a replication group.
@@ -113,50 +113,50 @@
 }
 
 // Store stores the position of a session's commit. done is called with whether the answer may be given.
-func (m *sessionPositions) Store(group int, session uint64, position policy.Position, by time.Time, done func(bool)) {
+func (p *sessionPositions) Store(group int, session uint64, position policy.Position, deadline time.Time, done func(bool)) {
 	stored := func(ok bool) {
 		if ok {
-			m.Promised.Add(1)
+			p.Promised.Add(1)
 		} else {
-			m.NotStored.Add(1)
+			p.NotStored.Add(1)
 		}
-		if !m.fast {
+		if !p.fast {
 			done(ok)
 		}
 	}
-	if m.fast {
+	if p.fast {
 		done(true)
 	}
-	s := m.store.Load()
+	s := p.store.Load()
 	if s == nil {
 		stored(false)
 		return
 	}
-	(*s).RaisePosition(sessionKey(group, session), uint64(position), m.retention, by, stored)
+	(*s).RaisePosition(sessionKey(group, session), uint64(position), p.retention, deadline, stored)
 }
 
 // Required finds the position that a session's read must see. Where it cannot be had that is all there is: the primary has it.
 // So it is where the stored position lies ahead of everything, as after a failover that has lost commits: nobody waits for
 // what will not come.
-func (m *sessionPositions) Required(group int, session uint64, by time.Time, done func(policy.Position)) {
-	m.Lookups.Add(1)
-	s := m.store.Load()
+func (p *sessionPositions) Required(group int, session uint64, deadline time.Time, done func(policy.Position)) {
+	p.Lookups.Add(1)
+	s := p.store.Load()
 	if s == nil {
-		m.Unknown.Add(1)
-		done(m.clock.Now())
+		p.Unknown.Add(1)
+		done(p.clock.Now())
 		return
 	}
-	(*s).ReadPosition(sessionKey(group, session), by, func(value uint64, known bool) {
-		now, position := m.clock.Now(), policy.Position(value)
+	(*s).ReadPosition(sessionKey(group, session), deadline, func(value uint64, known bool) {
+		now, position := p.clock.Now(), policy.Position(value)
 		switch {
 		case !known:
-			m.Unknown.Add(1)
+			p.Unknown.Add(1)
 			position = now
 		case position > now:
-			m.Ahead.Add(1)
+			p.Ahead.Add(1)
 			position = now
 		case position > 0:
-			m.Found.Add(1)
+			p.Found.Add(1)
 		}
 		done(position)
 	})
