--- a/internal/modelcheck/breadth_first.go
+++ b/internal/modelcheck/breadth_first.go
@@ -1,6 +1,10 @@
-// Package modelcheck looks through all that can happen to a few state machines and the messages between them, breadth first,
-// and finds the shortest way to break an invariant. It knows no machine: a model says which moves a state allows, what they
-// lead to and what must hold.
+// Package modelcheck is an explicit-state model checker for tests. BreadthFirst explores every reachable state of a Model and
+// returns the shortest trace that violates an invariant; RandomWalk follows one random trace, deeper than an exhaustive search
+// reaches. World is a ready-made Model of several nodes with messages, time and faults.
+//
+// The tests of pure state machines (vrrp, membership, maintenance, indoubt) call it. It starts no goroutines: the caller's
+// goroutine owns all state. The main decisions are in BreadthFirst (search order and limits), World.Transitions (what can
+// happen in a state) and World.Key (which states count as equal).
 package modelcheck
 
 import (
@@ -9,51 +13,52 @@
 	"strings"
 )
 
-// Move is one thing that can happen, and the state after it.
+// Transition is one step that is possible in a state, and the state after it.
 type Transition[S any] struct {
 	Name string
 	Next S
 }
 
-// Model is what is explored. Its states must not change once handed over.
+// Model defines the states and transitions to explore. A state must not be modified once it was returned.
 type Model[S any] interface {
-	// Start is the state to begin with.
+	// InitialState returns the state in which every trace begins.
 	InitialState() S
-	// Key tells states apart: two with the same key must allow the same futures.
+	// Key identifies a state: two states with equal keys must allow the same futures.
 	Key(S) string
-	// Moves lists all that can happen in a state.
+	// Transitions lists every step that is possible in a state. The order must be deterministic, since traces are
+	// reconstructed by index.
 	Transitions(S) []Transition[S]
-	// Check tells which invariant a state breaks, if any.
+	// CheckInvariant returns an error if the state violates an invariant.
 	CheckInvariant(S) error
-	// Show draws a state in a line, for traces.
+	// Describe formats a state on one line, for traces.
 	Describe(S) string
 }
 
-// Limits bound an exploration. Zero values are no bound.
+// Limits bound an exploration. A zero value means no bound.
 type Limits struct {
-	MaxStates int // stop after so many
-	MaxDepth  int // moves from the start
+	MaxStates int // distinct states
+	MaxDepth  int // transitions from the initial state
 }
 
-// Result is what an exploration has seen.
+// Result summarizes an exploration.
 type Result struct {
-	States         int  // different ones
-	Transitions    int  // looked at, those to known states among them
-	Depth          int  // of the longest shortest way
-	Complete       bool // nothing was left out for a limit
-	Counterexample *Trace
+	States         int    // distinct states found
+	Transitions    int    // transitions examined, including those to known states
+	Depth          int    // number of transitions to the farthest state found
+	Complete       bool   // no limit cut the exploration short; a violation leaves it set
+	Counterexample *Trace // nil if no invariant was violated
 }
 
-// Trace is the shortest run that breaks an invariant.
+// Trace is a run that ends in a state which violates an invariant.
 type Trace struct {
 	Err   error
 	Steps []Step
 }
 
-// Step is one move of a trace and the state after it.
+// Step is one transition of a trace and a description of the state after it.
 type Step struct{ Transition, State string }
 
-// String prints a trace, a move a line.
+// String formats a trace with one transition per line.
 func (t *Trace) String() string {
 	var b strings.Builder
 	for i, s := range t.Steps {
@@ -63,73 +68,100 @@
 	return b.String()
 }
 
-// origin is how a state was first reached.
-type origin struct {
-	from int // index of the state before it; -1 at the start
-	move int // which of that state's moves led here
+// predecessor records how a state was first reached.
+type predecessor struct {
+	state      int // index of the state before it; -1 for the initial state
+	transition int // index among that state's transitions
 }
 
-// Run explores a model until every state is seen, an invariant breaks, or a limit is reached.
-func BreadthFirst[S any](m Model[S], limits Limits) Result {
-	start := m.InitialState()
-	seen := map[string]struct{}{m.Key(start): {}}
-	origins := []origin{{from: -1}}
-	layer, indices := []S{start}, []int{0}
-	res := Result{States: 1, Complete: true}
-	if err := m.CheckInvariant(start); err != nil {
-		res.Counterexample = replay(m, origins, 0, err)
-		return res
+// frontierState is a state whose transitions are still to be explored.
+type frontierState[S any] struct {
+	state S
+	index int // of its predecessor entry
+}
+
+// search is the progress of one breadth-first exploration. Only the frontier's states are kept in memory; of all others just
+// the key and the predecessor.
+type search[S any] struct {
+	model        Model[S]
+	limits       Limits
+	seen         map[string]struct{}
+	predecessors []predecessor
+	result       Result
+}
+
+// BreadthFirst explores a model until every reachable state is found, an invariant is violated, or a limit is reached.
+func BreadthFirst[S any](model Model[S], limits Limits) Result {
+	initial := model.InitialState()
+	search := &search[S]{
+		model: model, limits: limits,
+		seen:         map[string]struct{}{model.Key(initial): {}},
+		predecessors: []predecessor{{state: -1}},
+		result:       Result{States: 1, Complete: true},
 	}
-	for len(layer) > 0 {
-		if limits.MaxDepth > 0 && res.Depth >= limits.MaxDepth {
-			res.Complete = false
-			return res
+	if err := model.CheckInvariant(initial); err != nil {
+		search.result.Counterexample = search.trace(0, err)
+		return search.result
+	}
+	frontier := []frontierState[S]{{initial, 0}}
+	for len(frontier) > 0 {
+		if limits.MaxDepth > 0 && search.result.Depth >= limits.MaxDepth {
+			search.result.Complete = false
+			break
 		}
-		var next []S
-		var nextIndices []int
-		for i, s := range layer {
-			for k, mv := range m.Transitions(s) {
-				res.Transitions++
-				key := m.Key(mv.Next)
-				if _, ok := seen[key]; ok {
-					continue
-				}
-				seen[key] = struct{}{}
-				origins = append(origins, origin{indices[i], k})
-				res.States++
-				if err := m.CheckInvariant(mv.Next); err != nil {
-					res.Depth++
-					res.Counterexample = replay(m, origins, len(origins)-1, err)
-					return res
-				}
-				if limits.MaxStates > 0 && res.States >= limits.MaxStates {
-					res.Complete = false
-					return res
-				}
-				next, nextIndices = append(next, mv.Next), append(nextIndices, len(origins)-1)
-			}
+		next, done := search.expand(frontier)
+		if done {
+			break
 		}
 		if len(next) > 0 {
-			res.Depth++
+			search.result.Depth++
+		}
+		frontier = next
+	}
+	return search.result
+}
+
+// expand explores one layer and returns the new states behind it. It is done early at a violation or at the limit on states.
+func (c *search[S]) expand(frontier []frontierState[S]) (next []frontierState[S], done bool) {
+	for _, from := range frontier {
+		for i, transition := range c.model.Transitions(from.state) {
+			c.result.Transitions++
+			key := c.model.Key(transition.Next)
+			if _, known := c.seen[key]; known {
+				continue
+			}
+			c.seen[key] = struct{}{}
+			index := len(c.predecessors)
+			c.predecessors = append(c.predecessors, predecessor{from.index, i})
+			c.result.States++
+			if err := c.model.CheckInvariant(transition.Next); err != nil {
+				c.result.Depth++
+				c.result.Counterexample = c.trace(index, err)
+				return nil, true
+			}
+			if c.limits.MaxStates > 0 && c.result.States >= c.limits.MaxStates {
+				c.result.Complete = false
+				return nil, true
+			}
+			next = append(next, frontierState[S]{transition.Next, index})
 		}
-		layer, indices = next, nextIndices
 	}
-	return res
+	return next, false
 }
 
-// replay walks the moves to a state again, for only the layer at work is kept in memory.
-func replay[S any](m Model[S], origins []origin, last int, err error) *Trace {
-	var moves []int
-	for i := last; i > 0; i = origins[i].from {
-		moves = append(moves, origins[i].move)
+// trace reconstructs the path to a state by repeating its transitions from the initial state, since earlier states are not kept.
+func (c *search[S]) trace(last int, err error) *Trace {
+	var path []int
+	for i := last; i > 0; i = c.predecessors[i].state {
+		path = append(path, c.predecessors[i].transition)
 	}
-	slices.Reverse(moves)
-	s := m.InitialState()
-	t := &Trace{Err: err, Steps: []Step{{"start", m.Describe(s)}}}
-	for _, k := range moves {
-		mv := m.Transitions(s)[k]
-		s = mv.Next
-		t.Steps = append(t.Steps, Step{mv.Name, m.Describe(s)})
+	slices.Reverse(path)
+	state := c.model.InitialState()
+	trace := &Trace{Err: err, Steps: []Step{{"start", c.model.Describe(state)}}}
+	for _, i := range path {
+		transition := c.model.Transitions(state)[i]
+		state = transition.Next
+		trace.Steps = append(trace.Steps, Step{transition.Name, c.model.Describe(state)})
 	}
-	return t
+	return trace
 }
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -7,20 +7,20 @@
 	"testing"
 )
 
-// counting is a model of two counters that must not both be 3; the shortest way there has six moves.
+// counting is a model of two counters that must not both be 3; the shortest trace to that state has six transitions.
 type counting struct{ maximum int }
 
 func (counting) InitialState() [2]int     { return [2]int{} }
 func (counting) Key(s [2]int) string      { return fmt.Sprint(s) }
 func (counting) Describe(s [2]int) string { return fmt.Sprint(s) }
-func (c counting) Transitions(s [2]int) (moves []Transition[[2]int]) {
+func (c counting) Transitions(s [2]int) (transitions []Transition[[2]int]) {
 	for i := range s {
-		if to := s; s[i] < c.maximum {
-			to[i]++
-			moves = append(moves, Transition[[2]int]{fmt.Sprint("count ", i), to})
+		if next := s; s[i] < c.maximum {
+			next[i]++
+			transitions = append(transitions, Transition[[2]int]{fmt.Sprint("count ", i), next})
 		}
 	}
-	return moves
+	return transitions
 }
 
 func (counting) CheckInvariant(s [2]int) error {
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestWholeAndLimits(t *testing.T) {
+func TestCompleteAndLimits(t *testing.T) {
 	if res := BreadthFirst(counting{2}, Limits{}); res.States != 9 || res.Transitions != 12 || !res.Complete || res.Depth != 4 || res.Counterexample != nil {
 		t.Errorf("%+v", res)
 	}
@@ -53,89 +53,94 @@
 	}
 }
 
-// ball is a node of a world: whoever has the ball passes it on after 10; one without it for 100 makes a new one.
-type ball struct {
-	id   int
-	has  bool
-	due  int64
-	seen string
+// tokenNode is a node of a world: the one with the token passes it on after 10; one without it for 100 creates a new token.
+type tokenNode struct {
+	id       int
+	hasToken bool
+	due      int64
 }
 
-func (b ball) Boot(now int64) (Node, []Message) {
-	return ball{id: b.id, has: b.id == 0, due: now + 10 + int64(b.id)*90}, nil
+func (n tokenNode) Boot(now int64) (Node, []Message) {
+	return tokenNode{id: n.id, hasToken: n.id == 0, due: now + 10 + int64(n.id)*90}, nil
 }
-func (b ball) Deliver(now int64, _ int, text string) (Node, []Message) {
-	b.has, b.due, b.seen = true, now+10, text
-	return b, nil
+func (n tokenNode) Deliver(now int64, _ int, _ string) (Node, []Message) {
+	n.hasToken, n.due = true, now+10
+	return n, nil
 }
-func (b ball) Tick(now int64) (Node, []Message) {
+func (n tokenNode) Tick(now int64) (Node, []Message) {
 	switch {
-	case now < b.due:
-		return b, nil
-	case b.has:
-		b.has, b.due = false, now+100
-		return b, []Message{{1 - b.id, "ball"}}
+	case now < n.due:
+		return n, nil
+	case n.hasToken:
+		n.hasToken, n.due = false, now+100
+		return n, []Message{{1 - n.id, "token"}}
 	}
-	b.has, b.due = true, now+10
-	return b, nil
+	n.hasToken, n.due = true, now+10
+	return n, nil
 }
-func (b ball) NextTimer() (int64, bool)  { return b.due, true }
-func (b ball) Key(now int64) string      { return fmt.Sprint(b.has, b.due-now) }
-func (b ball) Describe(now int64) string { return fmt.Sprint(b.has) }
+func (n tokenNode) NextTimer() (int64, bool)  { return n.due, true }
+func (n tokenNode) Key(now int64) string      { return fmt.Sprint(n.hasToken, n.due-now) }
+func (n tokenNode) Describe(now int64) string { return fmt.Sprint(n.hasToken) }
 
-// Every kind of move does to the world what its name says: with none of them there is one ball for ever; each fault that
-// can make a second one, or lose the only one for long, is found to do so, and the others are not.
-func TestWorldMoves(t *testing.T) {
-	balls := func(s *State) (n int) {
+// Each kind of fault has its effect: without faults there is one token forever; each fault that can duplicate the token, or lose it
+// for long, is found to do so.
+func TestWorldTransitions(t *testing.T) {
+	tokens := func(s *State) (n int) {
 		for i := range s.Nodes {
-			if s.DownUntil[i] == 0 && s.Nodes[i].(ball).has {
+			if s.DownUntil[i] == 0 && s.Nodes[i].(tokenNode).hasToken {
 				n++
 			}
 		}
-		return n + len(s.air)
+		return n + len(s.network)
 	}
-	for _, c := range []struct {
-		name   string
-		faults Faults
-		two    bool
+	for _, test := range []struct {
+		name      string
+		faults    Faults
+		duplicate bool // a second token can appear
 	}{
-		{"none", Faults{}, false}, {"lost", Faults{Lose: 1}, true}, {"doubled", Faults{Duplicate: 1}, true},
-		{"late", Faults{Delay: 1}, true}, {"pause", Faults{Pause: 1}, true}, {"crash", Faults{Crash: 1}, true},
+		{"none", Faults{}, false},
+		{"lost", Faults{Lose: 1}, true},
+		{"duplicated", Faults{Duplicate: 1}, true},
+		{"delayed", Faults{Delay: 1}, true},
+		{"paused", Faults{Pause: 1}, true},
+		{"crashed", Faults{Crash: 1}, true},
 		{"changed", Faults{EnvironmentChange: 1}, true},
 	} {
-		w := &World{
-			Nodes: []Node{ball{id: 0}, ball{id: 1}}, MaxDelay: 1, ExtraDelay: 200, PauseDurations: []int64{300}, RestartDelay: 5,
-			Faults: c.faults, Horizon: 2000,
-			EnvironmentChanges: func(i int, n Node, now int64) []EnvironmentChange {
-				b := n.(ball)
-				b.has = true
-				return []EnvironmentChange{{Name: "finds a ball", Next: b}}
-			},
-			Invariant: func(s *State) error {
-				if n := balls(s); n > 1 {
-					return fmt.Errorf("%d balls", n)
-				}
-				return nil
-			},
-		}
-		res := BreadthFirst(w, Limits{MaxStates: 100_000})
-		if (res.Counterexample != nil) != c.two {
-			t.Errorf("%s: %+v", c.name, res)
-		}
-		if !c.two && res.States < 4 {
-			t.Errorf("%s: %d states only", c.name, res.States)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			w := &World{
+				Nodes: []Node{tokenNode{id: 0}, tokenNode{id: 1}}, MaxDelay: 1, ExtraDelay: 200, PauseDurations: []int64{300}, RestartDelay: 5,
+				Faults: test.faults, Horizon: 2000,
+				EnvironmentChanges: func(i int, n Node, now int64) []EnvironmentChange {
+					next := n.(tokenNode)
+					next.hasToken = true
+					return []EnvironmentChange{{Name: "gains a token", Next: next}}
+				},
+				Invariant: func(s *State) error {
+					if n := tokens(s); n > 1 {
+						return fmt.Errorf("%d tokens", n)
+					}
+					return nil
+				},
+			}
+			result := BreadthFirst(w, Limits{MaxStates: 100_000})
+			if (result.Counterexample != nil) != test.duplicate {
+				t.Errorf("%+v", result)
+			}
+			if !test.duplicate && result.States < 4 {
+				t.Errorf("%d states only", result.States)
+			}
+		})
 	}
 }
 
-// A message that was overtaken by a later one of its sender does not arrive where receivers know the order.
+// A message that was overtaken by a later one of its sender is dropped if receivers know the order.
 func TestOrder(t *testing.T) {
-	s := &State{air: []flight{{from: 0, to: 1, text: "a"}, {from: 1, to: 0, text: "x"}, {from: 0, to: 1, text: "b"}}}
+	s := &State{network: []inFlightMessage{{from: 0, to: 1, text: "a"}, {from: 1, to: 0, text: "x"}, {from: 0, to: 1, text: "b"}}}
 	for _, order := range []bool{false, true} {
 		c := s.clone()
-		c.take(2, order)
-		if left := map[bool]int{false: 2, true: 1}[order]; len(c.air) != left {
-			t.Errorf("order %v: %+v", order, c.air)
+		c.removeDelivered(2, order)
+		if left := map[bool]int{false: 2, true: 1}[order]; len(c.network) != left {
+			t.Errorf("order %v: %+v", order, c.network)
 		}
 	}
 }
--- a/internal/modelcheck/random_walk.go
+++ b/internal/modelcheck/random_walk.go
@@ -2,26 +2,27 @@
 
 import "math/rand/v2"
 
-// Walk makes one run of moves drawn at random from a seed, until no move is left, an invariant breaks, or a number of moves is
-// made: what lies deeper than a search of all states comes. It returns how many it made, and the run if it broke something.
-func RandomWalk[S any](m Model[S], seed uint64, most int) (made int, broken *Trace) {
+// RandomWalk follows one trace of at most maxSteps transitions, each drawn at random from a seed. It ends early in a state
+// without transitions or in one that violates an invariant. It returns the number of steps taken, and the trace if an invariant
+// was violated. Equal seeds give equal traces.
+func RandomWalk[S any](model Model[S], seed uint64, maxSteps int) (steps int, counterexample *Trace) {
 	rng := rand.New(rand.NewPCG(seed, 6))
-	s := m.InitialState()
-	t := &Trace{Steps: []Step{{"start", m.Describe(s)}}}
-	for ; made < most; made++ {
-		if t.Err = m.CheckInvariant(s); t.Err != nil {
-			return made, t
+	state := model.InitialState()
+	trace := &Trace{Steps: []Step{{"start", model.Describe(state)}}}
+	for ; steps < maxSteps; steps++ {
+		if trace.Err = model.CheckInvariant(state); trace.Err != nil {
+			return steps, trace
 		}
-		moves := m.Transitions(s)
-		if len(moves) == 0 {
+		transitions := model.Transitions(state)
+		if len(transitions) == 0 {
 			break
 		}
-		mv := moves[rng.IntN(len(moves))]
-		s = mv.Next
-		t.Steps = append(t.Steps, Step{mv.Name, m.Describe(s)})
+		transition := transitions[rng.IntN(len(transitions))]
+		state = transition.Next
+		trace.Steps = append(trace.Steps, Step{transition.Name, model.Describe(state)})
 	}
-	if t.Err = m.CheckInvariant(s); t.Err != nil {
-		return made, t
+	if trace.Err = model.CheckInvariant(state); trace.Err != nil {
+		return steps, trace
 	}
-	return made, nil
+	return steps, nil
 }
