--- a/internal/testcluster/check_test.go
+++ b/internal/testcluster/check_test.go
@@ -48,14 +48,14 @@
 // again asks once more for a booking, and hears something of it; nothing runs.
 func again(ms int64, id, key, end, value string) story {
 	return story{
-		at(ms, Event{Kind: RequestSent, Node: 2, ID: id, Client: "c", Class: ClassBooking, Key: key, Timeout: 1_000_000, Text: askedBefore}),
+		at(ms, Event{Kind: RequestSent, Node: 2, ID: id, Client: "c", Class: ClassBooking, Key: key, Timeout: 1_000_000, Text: retryMark}),
 		at(ms+9, Event{Kind: ResponseReceived, Node: 2, ID: id, Client: "c", Class: ClassBooking, Key: key, What: end, Value: value}),
 	}
 }
 
 // closing has the last word be that of a connection that is closed.
 func closing(s story) story {
-	s[len(s)-1].Text = askedBefore + " " + closedUnread + " the address has moved to another gateway"
+	s[len(s)-1].Text = retryMark + " " + codeShutdown + " the address has moved to another gateway"
 	return s
 }
 
@@ -150,10 +150,10 @@
 		{"a session that does not see what it has booked", "sessions", join(booked(100, "a", "k", EndServed), viewed(200, "b", ClassMine, "r1", Absent, 1))},
 		{"a session that may not have booked", "", join(booked(100, "a", "k", EndFailed), viewed(200, "b", ClassMine, "r1", Absent, 1))},
 		{"a session asked while it books", "", join(booked(100, "a", "k", EndServed), viewed(105, "b", ClassMine, "r1", Absent, 1))},
-		{"touched while something is under way", "order", join(lost, fault(105, 300, "at 1s kill 1"), story{phase(104, touched+"g1"), ended(107, "signal: killed")})},
-		{"touched while something is under way elsewhere", "", join(lost, fault(105, 300, "at 1s kill 1"), story{phase(104, touched+"g2"), ended(107, "signal: killed")})},
-		{"sent to a server that is worked at", "order", join(story{phase(90, touched+"r1"), phase(300, untouched+"r1")}, viewed(100, "a", ClassView, "r1", Absent, 1))},
-		{"sent to a server that was worked at", "", join(story{phase(50, touched+"r1"), phase(90, untouched+"r1")}, viewed(100, "a", ClassView, "r1", Absent, 1))},
+		{"touched while something is under way", "order", join(lost, fault(105, 300, "at 1s kill 1"), story{phase(104, workStarted+"g1"), ended(107, "signal: killed")})},
+		{"touched while something is under way elsewhere", "", join(lost, fault(105, 300, "at 1s kill 1"), story{phase(104, workStarted+"g2"), ended(107, "signal: killed")})},
+		{"sent to a server that is worked at", "order", join(story{phase(90, workStarted+"r1"), phase(300, workEnded+"r1")}, viewed(100, "a", ClassView, "r1", Absent, 1))},
+		{"sent to a server that was worked at", "", join(story{phase(50, workStarted+"r1"), phase(90, workEnded+"r1")}, viewed(100, "a", ClassView, "r1", Absent, 1))},
 		{"two gateways away", "order", join(story{standing(10, 1, "g2", "out"), standing(20, 1, "g3", "leaving")})},
 		{"one away after the other", "", join(story{standing(10, 1, "g2", "out"), standing(20, 1, "g2", "back"), standing(20, 1, "g3", "leaving"), standing(30, 2, "g2", "out")})},
 		{"asked again, and the answer is known", "", join(booked(100, "a", "k", EndFailed), again(200, "b", "k", EndServed, "a"+There))},
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -1,225 +1,348 @@
 package testcluster
 
 import (
+	"errors"
 	"fmt"
-	"regexp"
+	"io"
+	"maps"
+	"net"
+	"os"
+	"slices"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"marblespan/internal/fake"
 )
 
-// Group is the number of a fleet's first group of servers; further ones follow.
-const Group = 7
+// MostNodes is how many gateways a fleet may have.
+const MaxNodes = 32
 
-// groupNames are the names of each group's primary and of its replicas, which have a number behind that.
-var groupNames = [...][2]string{{"p", "r"}, {"q", "s"}}
+// Discovery is discovery's name where faults name servers.
+const Discovery = "discovery"
 
-// MostGroups is how many groups of servers a fleet may have.
-const MaxGroups = len(groupNames)
+// secret signs the fleet's messages.
+const secret = "the secret of this experiment"
 
-// groupOf is the group that a client's key belongs to: clients differ in it, and keep to it.
-func (f *Cluster) groupOf(key string) int {
-	client, _, _ := strings.Cut(key, "-")
-	return Group + int(client[len(client)-1])%len(f.groups)
-}
-
-// The classes that clients use.
+// The ports of every gateway, each at an address of its own.
 const (
-	ClassBooking = "booking" // a write that must not run twice
-	ClassView    = "view"    // a read that may be behind by ViewBound
-	ClassSeat    = "seat"    // a read that must be current
-	ClassMine    = "mine"    // a read that must see what its session has booked
+	portClients  = 6433
+	portFloating = 6434
+	portVRRP     = 1112
+	portMembers  = 7946
 )
 
-// ViewBound is how far behind a view's data may be.
-const ViewBound = 800 * time.Millisecond
-
-// There and Absent end the value of a read: whether the server had the key. The request's id stands before them.
+// Bounds of the rules, as the fleet's settings have them.
 const (
-	There  = " there"
-	Absent = " absent"
+	drainTimeout       = 250 * time.Millisecond // after a drain was told
+	resubscribeTimeout = 4 * time.Second        // after which a list counts as told though nobody has heard it
+	requestTimeout     = time.Second            // of a request
 )
 
-// cluster is a primary and its replicas, which share a log of commits. A position is a Unix time in milliseconds: the data
-// of a server at position x hold what was committed up to then.
-type serverGroup struct {
-	group   int
-	history *History
-	node    func(ip string) int // the gateway behind a connection
-	work    time.Duration
-
-	mu      sync.Mutex
-	commits map[string]int64 // by key, the position of its commit
-	servers []*server
+// settings are the platform's. Servers check nothing: how old a read may be is the gateways' own duty.
+const settings = `{"balancers": %d, "ordinal": %d,
+ "classes": [
+  {"name": "booking", "aim_ms": 750, "give_up_ms": 1000, "effect": "single_shot", "points": 3, "late_worth": 0.5},
+  {"name": "view", "aim_ms": 500, "give_up_ms": 1000, "effect": "free", "points": 1, "late_worth": 0.5},
+  {"name": "seat", "aim_ms": 500, "give_up_ms": 1000, "effect": "free", "points": 1, "late_worth": 0.5},
+  {"name": "mine", "aim_ms": 500, "give_up_ms": 1000, "effect": "free", "points": 1, "late_worth": 0.5}],
+ "family_info": {"answers_stamped": true, "checks": "none", "wait_ms": 50, "freshness": ["mutate", "lag_bound", "strong", "causal"],
+  "oldest_data_ms": [0, 800, 0, 0], "write_marks": "brought"},
+ "granularity_ms": 5, "membership_mode": "subscribe", "locality": "here",
+ "policy_limits": {"cancelling": true, "connect_timeout_ms": 250, "most_tries": 4, "probing": true, "keepalive_ms": 30000},
+ "report": {"how": "probe", "fields": ["x0", "x1", "cpu_share"]},
+ "rules": {"ask_within_ms": 4000, "cold_from": 0.26, "fall_ms": 3000, "grace_to_answer_ms": 20, "overload_factor": 4,
+  "ramp_time_ms": %d, "stop_sending_within_ms": 250}}`
+
+// Options say what a fleet is made of.
+type Options struct {
+	Binary   string // of the gateway
+	Nodes    int
+	Groups   int // of servers; 0: one
+	Replicas int // of each group
+	Seed     uint64
+	Dir      string    // for logs and data directories; empty: a temporary one, removed by Close
+	History  io.Writer // where the history goes too; may be nil
+
+	ServiceTime           time.Duration            // of a request at its server
+	SlowStart             time.Duration            // for which a server that was started is cold
+	AdvertisementInterval time.Duration            // between VRRP advertisements
+	MembershipInterval    time.Duration            // of a probe among members; 0: they have no members section
+	Priorities            []int                    // of each gateway; nil: falling from 200
+	StateStore            *StateStore              // what they hold for each other; nil: nothing
+	InDoubt               *InDoubt                 // what is promised of bookings before they are sent; nil: nothing
+	Maintenance           *Maintenance             // by what limits machines are taken out for work; nil: none is
+	RewriteConfig         func(conf string) string // changes each operators' file as it is written; nil: it stays
+	ResetOnFailover       bool                     // the switch resets flows when the floating address moves
 }
 
-// server is one database server.
-type server struct {
-	*fake.Server
-	of      *serverGroup
-	name    string
-	primary bool
-	lag     time.Duration
-	applied int64 // a position never goes back
-	state   string
+// Defaults are sizes that suit one machine.
+func Defaults() Options {
+	return Options{
+		Binary: "bin/marblespan", Nodes: 3, Replicas: 2, Seed: 1, ServiceTime: 3 * time.Millisecond, SlowStart: 16 * time.Second, AdvertisementInterval: 100 * time.Millisecond,
+		MembershipInterval: 200 * time.Millisecond,
+	}
 }
 
-// newCluster starts a group's primary and its replicas, "p", "r1", "r2" and so on, each at an address of its own.
-func newServerGroup(h *History, group, replicas int, work time.Duration, node func(string) int) (*serverGroup, error) {
-	c := &serverGroup{group: group, history: h, node: node, work: work, commits: map[string]int64{}}
-	for i := range replicas + 1 {
-		names := groupNames[group-Group]
-		s := &server{of: c, name: names[0], primary: i == 0, state: "ready"}
-		if i > 0 {
-			s.name = fmt.Sprint(names[1], i)
-		}
-		var err error
-		if s.Server, err = fake.NewServer(s.role()); err != nil {
-			c.close()
-			return nil, err
-		}
-		c.servers = append(c.servers, s)
-		s.SetHealthCheckHandler(func(*fake.Query) bool {
-			s.Position.Store(c.position(s))
-			return false
-		})
-		s.SetQueryHandler(func(q *fake.Query) { c.run(s, q) })
-	}
-	return c, nil
+// Fleet is several gateways and all that is around them.
+type Cluster struct {
+	Options
+	History        *History
+	Switch         *fake.Switch
+	VRRPPath       *fake.Path // of the gateways' messages for the floating address
+	MembershipPath *fake.Path // of what they say about who is there, streams among it; nil without
+	Nodes          []*Node    // number 1 first
+
+	groups       []*serverGroup
+	temporaryDir bool
+
+	mu            sync.Mutex
+	activeFaults  []Fault // at work now
+	formerPrimary *server // the primary that another one was last made the primary for
 }
 
-// The roles of servers, as they tell them and as Ran events have them.
-const (
-	rolePrimary = "primary"
-	roleReplica = "replica"
-)
+// fleets tells the networks of one process's fleets apart.
+var clusterCount atomic.Int64
 
-func (s *server) role() string {
-	if s.primary {
-		return rolePrimary
-	}
-	return roleReplica
+// network is a /24 of the loopback range that no other fleet on this machine is likely to use: 128 for each of 128 processes.
+func nextNetwork() net.IP {
+	return net.IPv4(127, byte(64+os.Getpid()%128), byte(clusterCount.Add(1)%128), 0).To4()
 }
 
-// promote makes a replica the primary, with all that was committed, and the primary that was a replica. It tells which that was.
-func (c *serverGroup) promote(next *server) (last *server) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, s := range c.servers {
-		if s.primary {
-			last = s
+// New starts a fleet and waits until each gateway serves.
+func New(o Options) (f *Cluster, err error) {
+	if o.Nodes < 1 || o.Nodes > MaxNodes || o.Replicas < 1 || o.Groups > MaxGroups {
+		return nil, fmt.Errorf("a fleet has 1 to %d gateways, %d groups of servers at the most and a replica at least", MaxNodes, MaxGroups)
+	}
+	f = &Cluster{Options: o, History: NewHistory(o.History)}
+	defer func() {
+		if err != nil {
+			f.Close()
+			f = nil
+		}
+	}()
+	if f.Dir == "" {
+		f.temporaryDir = true
+		if f.Dir, err = os.MkdirTemp("", "rig"); err != nil {
+			return f, err
 		}
 	}
-	last.primary, next.primary, next.lag = false, true, 0
-	last.Role.Store(last.role())
-	next.Role.Store(next.role())
-	return last
-}
-
-// servers are those of all groups.
-func (f *Cluster) servers() (all []*server) {
-	for _, c := range f.groups {
-		all = append(all, c.servers...)
+	if f.Switch, err = fake.NewSwitch(secret); err != nil {
+		return f, err
 	}
-	return all
+	f.Switch.ResetOnTakeover = o.ResetOnFailover
+	for i := range max(o.Groups, 1) {
+		c, err := newServerGroup(f.History, Group+i, o.Replicas, o.ServiceTime, f.gatewayAt)
+		if err != nil {
+			return f, err
+		}
+		f.groups = append(f.groups, c)
+	}
+	base := nextNetwork()
+	var ends, members []*net.UDPAddr
+	for i := range o.Nodes {
+		n, err := f.newNode(i+1, net.IPv4(base[0], base[1], base[2], byte(i+1)).To4())
+		if err != nil {
+			return f, err
+		}
+		ends = append(ends, &net.UDPAddr{IP: n.IP, Port: portVRRP})
+		members = append(members, &net.UDPAddr{IP: n.IP, Port: portMembers})
+	}
+	if f.VRRPPath, err = fake.NewPath(ends...); err != nil {
+		return f, err
+	}
+	if f.MembershipInterval > 0 {
+		if f.MembershipPath, err = fake.NewPath(members...); err != nil {
+			return f, err
+		}
+		if err = f.MembershipPath.CarryStreams(); err != nil {
+			return f, err
+		}
+	}
+	for _, n := range f.Nodes {
+		if err := n.configure(); err != nil {
+			return f, err
+		}
+		if err := n.Start(); err != nil {
+			return f, err
+		}
+	}
+	if f.Maintenance == nil { // with it they take nothing before the ledger knows them
+		if err := f.AwaitReady(settleTimeout); err != nil || f.StateStore == nil {
+			return f, err
+		}
+	}
+	for late := time.Now().Add(settleTimeout); ; time.Sleep(20 * time.Millisecond) {
+		// The gateway serves a moment before it can be asked.
+		if err = f.Nodes[0].Bootstrap(true); err == nil || time.Now().After(late) {
+			break
+		}
+	}
+	if err != nil {
+		return f, err
+	}
+	return f, errors.Join(f.AwaitReady(settleTimeout), f.AwaitComplete(settleTimeout))
 }
 
-func (f *Cluster) server(name string) *server {
-	for _, s := range f.servers() {
-		if s.name == name {
-			return s
+// settleBy is how long a fleet may take to come to rest. Tests wait for what they look for, never for a fixed span; this is
+// when they give up.
+const settleTimeout = 30 * time.Second
+
+// at is the gateway behind an IP; 0: none.
+func (f *Cluster) gatewayAt(ip string) int {
+	for _, n := range f.Nodes {
+		if n.IP.String() == ip {
+			return n.Number
 		}
 	}
-	return nil
+	return 0
 }
 
-// position is up to where a server has applied the log.
-func (c *serverGroup) position(s *server) int64 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.positionLocked(s)
-}
+// Primary is the primary of the servers.
+func (f *Cluster) Primary() *fake.Server { return f.groups[0].servers[0].Server }
 
-func (c *serverGroup) positionLocked(s *server) int64 {
-	s.applied = max(s.applied, time.Now().Add(-s.lag).UnixMilli())
-	return s.applied
+// Via is the gateway behind a listener's address; 0: none.
+func (f *Cluster) GatewayFor(addr string) int {
+	host, _, _ := net.SplitHostPort(addr)
+	return f.gatewayAt(host)
 }
 
-// keyOf is the key that a statement names.
-var keyOf = regexp.MustCompile(`(?:name = |VALUES \()'([^']*)'`)
-
-// run runs one request and notes it.
-func (c *serverGroup) run(s *server, q *fake.Query) {
-	key := ""
-	if m := keyOf.FindStringSubmatch(q.SQL); m != nil {
-		key = m[1]
-	}
-	write := strings.Contains(q.SQL, "INSERT ")
-	c.mu.Lock()
-	at, role := c.positionLocked(s), s.role()
-	if write && role != rolePrimary {
-		c.mu.Unlock()
-		s.Position.Store(at)
-		q.ReplyError("25006")
-		return
-	}
-	commit, there := c.commits[key]
-	there = there && commit <= at
-	if write {
-		there = true
-		c.commits[key] = at
-	}
-	c.mu.Unlock()
-	// The very moment counts, not the position's grain: a primary is never behind.
-	age := int64(0)
-	if role != rolePrimary {
-		age = time.Since(time.UnixMilli(at)).Microseconds()
-	}
-	c.history.Add(Event{
-		Kind: RequestExecuted, Node: c.node(q.ClientIP()), ID: q.ID(), Class: q.Field("c"), Key: key, Server: s.name, What: role, DataAge: age,
+// mostPeers is how many peers a gateway's VRRP may have.
+const maxVRRPPeers = 16
+
+// AwaitReady waits until each gateway's present life serves. One that has ended will not, unless a fault is to bring it back:
+// that is told at once.
+func (f *Cluster) AwaitReady(bound time.Duration) (err error) {
+	late := f.History.Await("every gateway serves", bound, func(all []Event) bool {
+		last := map[int]Event{}
+		for _, e := range all {
+			if e.Kind == ProcessChanged {
+				last[e.Node] = e
+			}
+		}
+		complete := true
+		for _, n := range f.Nodes {
+			switch e := last[n.Number]; e.What {
+			case "ended":
+				err = fmt.Errorf("gateway %d ended: %s", n.Number, e.Text)
+				return true
+			case "ready":
+			default:
+				complete = false
+			}
+		}
+		return complete
 	})
-	time.Sleep(c.work)
-	value := q.ID() + Absent
-	if there {
-		value = q.ID() + There
+	return errors.Join(late, err)
+}
+
+// first is the gateway that takes the floating address from all others.
+func (f *Cluster) preferredRouter() int {
+	if f.Priorities == nil {
+		return 1
 	}
-	s.Position.Store(at)
-	q.ReplyRow([]byte(value))
+	return 1 + slices.Index(f.Priorities, slices.Max(f.Priorities))
 }
 
-// setLag lets a replica fall behind: it stands where it is until it lags by so much, then goes on at that distance.
-func (c *serverGroup) setLag(s *server, lag time.Duration) {
-	c.mu.Lock()
-	c.positionLocked(s)
-	if !s.primary {
-		s.lag = lag
+// AwaitHolder waits until one gateway, the one of that number or any for 0, believes that it holds the floating address, and
+// the switch leads there.
+func (f *Cluster) AwaitActiveRouter(number int, bound time.Duration) error {
+	var active []int
+	at := ""
+	err := f.History.Await(fmt.Sprintf("gateway %d holds the address alone", number), bound, func(all []Event) bool {
+		active = slices.Collect(maps.Keys(ActiveRouters(all)))
+		at, _ = f.Switch.ActiveGateway()
+		return len(active) == 1 && (number == 0 || number == active[0]) && at == f.Nodes[active[0]-1].Floating
+	})
+	if err != nil {
+		err = fmt.Errorf("%w: %v believe that they do, the switch leads to %s", err, active, at)
 	}
-	c.mu.Unlock()
+	return err
 }
 
-// setState tells whether the state is another one than before.
-func (c *serverGroup) setState(s *server, state string) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	changed := s.state != state
-	s.state = state
-	return changed
+// AwaitMembers waits until every gateway believes that every other one is alive.
+func (f *Cluster) AwaitMembers(bound time.Duration) error {
+	return f.History.Await("every gateway knows every other one", bound, func(all []Event) bool {
+		return len(MembershipGaps(all, len(f.Nodes))) == 0
+	})
 }
 
-// target is a server's entry on the list that a gateway gets, which reaches it at an address of its own.
-func (s *server) target(endpoint string) fake.Endpoint {
-	s.of.mu.Lock()
-	defer s.of.mu.Unlock()
-	return fake.Endpoint{UID: s.name, Addr: endpoint, Zone: "here", Group: s.of.group, State: s.state, Weight: 1, Role: s.role()}
+// Strangers lists who does not hold whom alive at the end of a history, of so many gateways that all run.
+func MembershipGaps(all []Event, gateways int) (out []string) {
+	alive := map[int]map[string]bool{}
+	for _, e := range all {
+		switch {
+		case e.Kind == ProcessChanged && e.What == "started":
+			alive[e.Node] = map[string]bool{}
+		case e.Kind == StateReported && strings.HasPrefix(e.What, "member ") && alive[e.Node] != nil:
+			alive[e.Node][strings.TrimPrefix(e.What, "member ")] = e.Text == "alive"
+		}
+	}
+	for i := 1; i <= gateways; i++ {
+		for j := 1; j <= gateways; j++ {
+			if i != j && !alive[i][fmt.Sprint("g", j)] {
+				out = append(out, fmt.Sprintf("%d of %d", i, j))
+			}
+		}
+	}
+	return out
 }
 
-func (c *serverGroup) close() {
-	for _, s := range c.servers {
-		s.Close()
+// Holding lists who believes to hold the floating address at the end of a history.
+func ActiveRouters(all []Event) map[int]bool {
+	active := map[int]bool{}
+	for _, e := range all {
+		switch {
+		case e.Kind == StateReported && strings.HasPrefix(e.What, "vrrp "):
+			if delete(active, e.Node); e.Text == "active" {
+				active[e.Node] = true
+			}
+		case e.Kind == ProcessChanged && e.What == "ended":
+			delete(active, e.Node)
+		}
 	}
+	return active
 }
 
-// requestID is the id in a statement's comment.
-var requestID = regexp.MustCompile(`/\* id=([^, ]+)`)
+// paths are all paths between gateways.
+func (f *Cluster) allPaths() (all []*fake.Path) {
+	for _, p := range []*fake.Path{f.VRRPPath, f.MembershipPath} {
+		if p != nil {
+			all = append(all, p)
+		}
+	}
+	return all
+}
+
+// Close ends everything, and removes a temporary directory.
+func (f *Cluster) Close() {
+	for _, n := range f.Nodes {
+		if p := n.currentProcess(); p != nil {
+			p.kill()
+		}
+		for _, r := range n.serverRelays {
+			r.Close()
+		}
+		if n.discoveryRelay != nil {
+			n.discoveryRelay.Close()
+		}
+		if n.discovery != nil {
+			n.discovery.Close()
+			close(n.discovery.Requests)
+			n.discoveryReader.Wait()
+		}
+	}
+	for _, p := range f.allPaths() {
+		p.Close()
+	}
+	if f.Switch != nil {
+		f.Switch.Close()
+	}
+	for _, c := range f.groups {
+		c.close()
+	}
+	if f.temporaryDir {
+		os.RemoveAll(f.Dir)
+	}
+}
--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -14,7 +14,7 @@
 // returns early, with all put right, when quit is closed.
 func (f *Cluster) Play(faults []Fault, quit <-chan struct{}) error {
 	for _, x := range faults {
-		if err := f.fits(x); err != nil {
+		if err := f.validateFault(x); err != nil {
 			return err
 		}
 	}
@@ -76,7 +76,7 @@
 }
 
 // inflict brings a fault about as Play does, told in the history, and leaves it to its caller to put it right.
-func (f *Cluster) inflict(x Fault) (undo func() error, err error) {
+func (f *Cluster) injectRecorded(x Fault) (undo func() error, err error) {
 	f.History.Add(Event{Kind: FaultStarted, What: x.String()})
 	end, err := f.Inject(x)
 	return func() error {
@@ -89,22 +89,22 @@
 func (f *Cluster) InjectLine(line string) (undo func() error, err error) {
 	x, err := ParseFault(line)
 	if err == nil {
-		err = f.fits(x)
+		err = f.validateFault(x)
 	}
 	if err != nil {
 		return nil, err
 	}
-	return f.inflict(x)
+	return f.injectRecorded(x)
 }
 
 // fits tells whether a fault can be brought about in this fleet.
-func (f *Cluster) fits(x Fault) error {
+func (f *Cluster) validateFault(x Fault) error {
 	for _, n := range slices.Concat(x.From, x.To) {
 		if n > len(f.Nodes) {
 			return fmt.Errorf("%q: there is no gateway %d", x, n)
 		}
 	}
-	if x.Name == "" || verbs[x.Verb].shape == onNodes || x.Verb == "sever" && x.Name == Discovery {
+	if x.Name == "" || faultKinds[x.Verb].target == onNodes || x.Verb == "sever" && x.Name == Discovery {
 		return nil
 	}
 	if s := f.server(x.Name); s == nil || x.Verb != "sever" && s.primary {
@@ -114,7 +114,7 @@
 }
 
 // concerned lists the gateways that a fault is done to.
-func (f *Cluster) concerned(x Fault) (list []*Node) {
+func (f *Cluster) affectedNodes(x Fault) (list []*Node) {
 	for _, n := range f.Nodes {
 		if x.From == nil || slices.Contains(x.From, n.Number) {
 			list = append(list, n)
@@ -125,14 +125,14 @@
 
 // Begin brings a fault about. The function that it returns puts it right; none where there is nothing to put right.
 func (f *Cluster) Inject(x Fault) (undo func() error, err error) {
-	if verbs[x.Verb].shape == onNodes && x.Verb != "files" {
-		return f.beginOnNodes(x)
+	if faultKinds[x.Verb].target == onNodes && x.Verb != "files" {
+		return f.injectOnNodes(x)
 	}
 	if x.Verb == "reset" {
 		for _, a := range f.Nodes {
 			for _, b := range f.Nodes {
-				if x.spoils(a.Number, b.Number) {
-					for _, p := range f.paths() {
+				if x.affects(a.Number, b.Number) {
+					for _, p := range f.allPaths() {
 						p.ResetStreams(a.Number-1, b.Number-1)
 					}
 				}
@@ -142,29 +142,29 @@
 	}
 	if x.Verb == "promote" {
 		next := f.server(x.Name)
-		f.change(func() { f.fallen = next.of.promote(next); f.active = append(f.active, x) })
+		f.updateFaults(func() { f.formerPrimary = next.group.promote(next); f.activeFaults = append(f.activeFaults, x) })
 		for _, n := range f.Nodes {
-			n.servers[f.fallen.name].ResetStreams()
+			n.serverRelays[f.formerPrimary.name].ResetStreams()
 		}
-		f.announce(next, next.state)
-		f.announce(f.fallen, f.fallen.state)
+		f.publishServer(next, next.state)
+		f.publishServer(f.formerPrimary, f.formerPrimary.state)
 	} else {
-		f.change(func() { f.active = append(f.active, x) })
+		f.updateFaults(func() { f.activeFaults = append(f.activeFaults, x) })
 	}
 	return func() error {
-		f.change(func() {
-			i := slices.IndexFunc(f.active, func(y Fault) bool { return y.String() == x.String() })
-			f.active = slices.Delete(f.active, i, i+1)
+		f.updateFaults(func() {
+			i := slices.IndexFunc(f.activeFaults, func(y Fault) bool { return y.String() == x.String() })
+			f.activeFaults = slices.Delete(f.activeFaults, i, i+1)
 		})
 		return nil
 	}, nil
 }
 
-func (f *Cluster) beginOnNodes(x Fault) (undo func() error, err error) {
-	list := f.concerned(x)
+func (f *Cluster) injectOnNodes(x Fault) (undo func() error, err error) {
+	list := f.affectedNodes(x)
 	lives := make([]*process, len(list))
 	for i, n := range list {
-		lives[i] = n.current()
+		lives[i] = n.currentProcess()
 	}
 	each := func(do func(i int, n *Node) error) error {
 		for i, n := range list {
@@ -176,14 +176,14 @@
 	}
 	switch x.Verb {
 	case "disk":
-		return nil, each(func(_ int, n *Node) error { return n.disk(x.Name) })
+		return nil, each(func(_ int, n *Node) error { return n.changeDisk(x.Name) })
 	case "kill", "term":
 		sig := map[string]syscall.Signal{"kill": syscall.SIGKILL, "term": syscall.SIGTERM}[x.Verb]
 		each(func(i int, _ *Node) error { return lives[i].signal(sig) })
 		return func() error {
 			return each(func(i int, n *Node) error {
 				<-lives[i].ended
-				return n.startAfter(lives[i])
+				return n.startUnlessReplaced(lives[i])
 			})
 		}, nil
 	case "starve":
@@ -195,20 +195,20 @@
 		}
 		return func() error { close(quit); done.Wait(); return nil }, nil
 	}
-	each(func(i int, n *Node) error { n.still(lives[i], true); return nil })
+	each(func(i int, n *Node) error { n.setPaused(lives[i], true); return nil })
 	for _, p := range lives {
-		for !p.over() && !p.standsStill() {
+		for !p.hasEnded() && !p.isStopped() {
 			time.Sleep(time.Millisecond)
 		}
 	}
 	return func() error {
-		return each(func(i int, n *Node) error { n.still(lives[i], false); return nil })
+		return each(func(i int, n *Node) error { n.setPaused(lives[i], false); return nil })
 	}, nil
 }
 
 // change changes the faults at work, and sets anew all that follows from them: each way's fate, who reaches which server, and
 // how the servers are.
-func (f *Cluster) change(do func()) {
+func (f *Cluster) updateFaults(do func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	do()
@@ -217,35 +217,35 @@
 			if a == b {
 				continue
 			}
-			for _, p := range f.paths() {
-				p.Set(a.Number-1, b.Number-1, fate(f.active, a.Number, b.Number))
+			for _, p := range f.allPaths() {
+				p.Set(a.Number-1, b.Number-1, combinedFate(f.activeFaults, a.Number, b.Number))
 			}
 		}
 		severed := func(name string) fake.Impairment {
-			return fake.Impairment{Drop: slices.ContainsFunc(f.active, func(x Fault) bool {
+			return fake.Impairment{Drop: slices.ContainsFunc(f.activeFaults, func(x Fault) bool {
 				return x.Verb == "sever" && x.Name == name && (x.From == nil || slices.Contains(x.From, a.Number)) ||
-					x.Verb == "promote" && f.fallen.name == name
+					x.Verb == "promote" && f.formerPrimary.name == name
 			})}
 		}
-		for name, r := range a.servers {
+		for name, r := range a.serverRelays {
 			r.Set(severed(name), severed(name))
 		}
-		a.reach.Set(severed(Discovery), severed(Discovery))
-		bound := noBound
-		for _, x := range f.active {
+		a.discoveryRelay.Set(severed(Discovery), severed(Discovery))
+		bound := noFileLimit
+		for _, x := range f.activeFaults {
 			switch {
 			case x.Verb != "files" || x.From != nil && !slices.Contains(x.From, a.Number):
 			case x.Name == "full":
-				bound = min(bound, a.largest())
+				bound = min(bound, a.largestFile())
 			default:
 				bound = 0
 			}
 		}
-		a.boundFiles(bound)
+		a.limitFiles(bound)
 	}
 	for _, s := range f.servers() {
 		lag, state := time.Duration(0), "ready"
-		for _, x := range f.active {
+		for _, x := range f.activeFaults {
 			switch {
 			case x.Name != s.name:
 			case x.Verb == "lag":
@@ -254,15 +254,15 @@
 				state = "draining"
 			}
 		}
-		s.of.setLag(s, lag)
-		f.list(s, state)
+		s.group.setLag(s, lag)
+		f.setServerState(s, state)
 	}
 }
 
 // fate is what all faults at work come to on one way.
-func fate(active []Fault, from, to int) (out fake.Impairment) {
+func combinedFate(active []Fault, from, to int) (out fake.Impairment) {
 	for _, x := range active {
-		if !x.spoils(from, to) {
+		if !x.affects(from, to) {
 			continue
 		}
 		switch x.Verb {
@@ -288,16 +288,16 @@
 }
 
 // list has discovery tell every gateway of a server's state, if that has changed.
-func (f *Cluster) list(s *server, state string) {
-	if s.of.setState(s, state) {
-		f.announce(s, state)
+func (f *Cluster) setServerState(s *server, state string) {
+	if s.group.setState(s, state) {
+		f.publishServer(s, state)
 	}
 }
 
 // announce has discovery tell every gateway how a server is now.
-func (f *Cluster) announce(s *server, state string) {
+func (f *Cluster) publishServer(s *server, state string) {
 	for _, n := range f.Nodes {
-		n.discovery.Push(s.target(n.servers[s.name].Addr()))
+		n.discovery.Push(s.target(n.serverRelays[s.name].Addr()))
 		f.History.Add(Event{Kind: EndpointUpdateSent, Node: n.Number, Server: s.name, What: state})
 	}
 }
--- a/internal/testcluster/history.go
+++ b/internal/testcluster/history.go
@@ -63,11 +63,11 @@
 	start time.Time
 	log   zerolog.Logger
 
-	mu      sync.Mutex
-	events  []Event
-	over    bool
-	changed chan struct{} // closed, and made anew, at each event
-	failed  error         // of the writer
+	mu         sync.Mutex
+	events     []Event
+	ended      bool
+	changed    chan struct{} // closed, and made anew, at each event
+	writeError error         // of the writer
 }
 
 // NewHistory begins a history. Events also go to w, as JSON Lines; nil for nowhere.
@@ -88,8 +88,8 @@
 
 func (w writer) Write(b []byte) (int, error) {
 	n, err := w.w.Write(b)
-	if err != nil && w.h.failed == nil {
-		w.h.failed = err
+	if err != nil && w.h.writeError == nil {
+		w.h.writeError = err
 	}
 	return n, err
 }
@@ -109,7 +109,7 @@
 func (h *History) Add(e Event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.over {
+	if h.ended {
 		return
 	}
 	if e.At == 0 {
@@ -142,7 +142,7 @@
 // End ends the history: what the rig does to tidy up is no part of it.
 func (h *History) End() {
 	h.mu.Lock()
-	h.over = true
+	h.ended = true
 	h.mu.Unlock()
 }
 
@@ -157,27 +157,27 @@
 func (h *History) Err() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.failed
+	return h.writeError
 }
 
 // lookAgain is how often Await looks without an event: what is looked for may depend on what no history tells.
-const lookAgain = 50 * time.Millisecond
+const pollInterval = 50 * time.Millisecond
 
 // Await waits until the history holds what is looked for, and fails after a generous bound. seen is called with all events
 // up to now.
-func (h *History) Await(what string, bound time.Duration, seen func([]Event) bool) error {
-	late := time.After(bound)
+func (h *History) Await(what string, bound time.Duration, matches func([]Event) bool) error {
+	deadline := time.After(bound)
 	for {
 		h.mu.Lock()
 		events, changed := h.events[:len(h.events):len(h.events)], h.changed
 		h.mu.Unlock()
-		if seen(events) {
+		if matches(events) {
 			return nil
 		}
 		select {
 		case <-changed:
-		case <-time.After(lookAgain):
-		case <-late:
+		case <-time.After(pollInterval):
+		case <-deadline:
 			return fmt.Errorf("%s: not seen within %v", what, bound)
 		}
 	}
--- a/internal/testcluster/doubt.go
+++ b/internal/testcluster/indoubt.go
@@ -36,7 +36,7 @@
 
 // Intents asks a gateway which bookings it has in hand.
 func (n *Node) Intents() (v Intents, err error) {
-	out, err := exec.Command(n.f.Binary, "intents", "--json", "--socket", n.Socket()).Output()
+	out, err := exec.Command(n.cluster.Binary, "intents", "--json", "--socket", n.Socket()).Output()
 	if err == nil {
 		err = json.Unmarshal(out, &v)
 	}
--- a/internal/testcluster/doubt_test.go
+++ b/internal/testcluster/indoubt_test.go
@@ -18,7 +18,7 @@
 // Bookings that are claimed before they are sent, with five processes under load that asks again: none runs twice, and nobody is
 // told wrongly.
 func TestInDoubt(t *testing.T) {
-	if raced {
+	if raceEnabled {
 		t.Skip("what these processes do, the race detector does not see")
 	}
 	for _, c := range []struct {
@@ -40,12 +40,12 @@
 			"at 500ms stop 1 for 2500ms\nat 600ms promote r1 for 2s\nat 3500ms kill 2 for 300ms\nat 3550ms promote r2 for 1s", nil},
 		{"a split, with both sides booking at the floating address", InDoubt{}, 0, "at 500ms split 1,2 | 3,4,5 for 3s\nat 4500ms split 1 | 2,3,4,5 for 2s", nil},
 		{"killed after half of its own answer", InDoubt{StoreFirst: true}, 0, "", halfAnswered},
-		{"two of three holders are lost with their disks", InDoubt{SeatLookup: true}, 0, "", loseTwo},
+		{"two of three holders are lost with their disks", InDoubt{SeatLookup: true}, 0, "", loseTwoStores},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			wide <- true
-			defer func() { <-wide }()
+			untimedSlots <- true
+			defer func() { <-untimedSlots }()
 			o := options()
 			o.Nodes, o.Dir, o.StateStore, o.InDoubt = 5, t.TempDir(), DefaultStateStore(), &c.how
 			o.StateStore.NoSessionMarks = true
@@ -62,7 +62,7 @@
 			}
 			load := DefaultLoad()
 			load.RetryInDoubt = true
-			ordeal(t, "in doubt "+c.name, o, load, "", do)
+			runScenario(t, "in doubt "+c.name, o, load, "", do)
 		})
 	}
 }
@@ -76,11 +76,11 @@
 		return err
 	}
 	defer r.Close()
-	l := &Load{f: f}
+	l := &Load{cluster: f}
 	var at atomic.Value
 	at.Store(r.Addr())
 	b := &fake.Client{
-		Name: "half", Class: ClassBooking, Group: Group, Timeout: patience, MaxAttempts: 400, Backoff: clientWait, RetryTimeouts: 3, Ledger: &l.ledger, OnExchange: l.tell,
+		Name: "half", Class: ClassBooking, Group: Group, Timeout: requestTimeout, MaxAttempts: 400, Backoff: clientBackoff, RetryTimeouts: 3, Ledger: &l.ledger, OnExchange: l.recordExchange,
 		Addr: func() string { return at.Load().(string) },
 		Route: func(string) string {
 			if at.Load() == r.Addr() {
@@ -96,14 +96,14 @@
 	r.Set(fake.Impairment{}, fake.Impairment{Rate: 20}) // a byte in 50 ms
 	end := make(chan fake.Outcome, 1)
 	go func() { end <- b.Write("half") }()
-	if err := f.History.Await("the booking has run", settleBy, func(all []Event) bool {
+	if err := f.History.Await("the booking has run", settleTimeout, func(all []Event) bool {
 		return slices.ContainsFunc(all, func(e Event) bool { return e.Kind == RequestExecuted && e.Key == "half" })
 	}); err != nil {
 		return err
 	}
 	time.Sleep(300 * time.Millisecond) // some bytes of the answer
 	at.Store(second.Listen)
-	if err := during(f, "at 0s kill 1", func() error { first.WaitForExit(); return nil }); err != nil {
+	if err := withFault(f, "at 0s kill 1", func() error { first.WaitForExit(); return nil }); err != nil {
 		return err
 	}
 	if o := <-end; o != fake.Served {
--- a/internal/testcluster/load.go
+++ b/internal/testcluster/load.go
@@ -13,12 +13,12 @@
 
 // Load is clients that book, view and look for seats until it is stopped. Each tells the history of every request.
 type Load struct {
-	f      *Cluster
-	quit   chan struct{}
-	once   sync.Once
-	done   sync.WaitGroup
-	ledger fake.Ledger
-	again  bool
+	cluster      *Cluster
+	quit         chan struct{}
+	once         sync.Once
+	done         sync.WaitGroup
+	ledger       fake.Ledger
+	retryInDoubt bool
 }
 
 // LoadOptions say how many clients there are of each kind, and how long each pauses between two things.
@@ -38,7 +38,7 @@
 }
 
 // classes is how many classes are asked for.
-func (o LoadOptions) classes() (n int) {
+func (o LoadOptions) classCount() (n int) {
 	for _, clients := range []int{o.Bookers + o.FloatingBookers, o.Viewers, o.SeatReaders, o.SessionReaders} {
 		n += min(clients, 1)
 	}
@@ -46,21 +46,21 @@
 }
 
 // clientWait is a client's pause after a refusal or where it could not connect.
-const clientWait = 10 * time.Millisecond
+const clientBackoff = 10 * time.Millisecond
 
 // seatsKept is how many of the last booked keys are looked for.
-const seatsKept = 32
+const maxRecentKeys = 32
 
 // Load starts clients.
-func (f *Cluster) Load(o LoadOptions) *Load {
-	l := &Load{f: f, quit: make(chan struct{}), again: o.RetryInDoubt}
+func (f *Cluster) Load(options LoadOptions) *Load {
+	load := &Load{cluster: f, quit: make(chan struct{}), retryInDoubt: options.RetryInDoubt}
 	var mu sync.Mutex
 	var booked []string
 	recent := func(add string) string {
 		mu.Lock()
 		defer mu.Unlock()
 		if add != "" {
-			if booked = append(booked, add); len(booked) > seatsKept {
+			if booked = append(booked, add); len(booked) > maxRecentKeys {
 				booked = booked[1:]
 			}
 		}
@@ -75,30 +75,30 @@
 		b.Group = f.groupOf(key)
 		b.Write(key)
 	}
-	look := func(b *fake.Client, _ int) {
+	readRecent := func(b *fake.Client, _ int) {
 		key := recent("")
 		b.Group = f.groupOf(key)
 		b.Read(key)
 	}
-	l.clients("b", ClassBooking, o.Bookers, o.ThinkTime, book, false)
-	l.clients("f", ClassBooking, o.FloatingBookers, o.ThinkTime, book, true)
-	l.clients("v", ClassView, o.Viewers, o.ThinkTime, look, false)
-	l.clients("s", ClassSeat, o.SeatReaders, o.ThinkTime, look, false)
-	l.clients("m", ClassMine, o.SessionReaders, o.ThinkTime, look, false)
-	return l
+	load.clients("b", ClassBooking, options.Bookers, options.ThinkTime, book, false)
+	load.clients("f", ClassBooking, options.FloatingBookers, options.ThinkTime, book, true)
+	load.clients("v", ClassView, options.Viewers, options.ThinkTime, readRecent, false)
+	load.clients("s", ClassSeat, options.SeatReaders, options.ThinkTime, readRecent, false)
+	load.clients("m", ClassMine, options.SessionReaders, options.ThinkTime, readRecent, false)
+	return load
 }
 
 // clients starts clients of one kind. Each keeps to a gateway for as long as its connection lasts, and goes to the next one
 // when it must connect anew, as a front would have it.
 func (l *Load) clients(kind, class string, count int, think time.Duration, do func(*fake.Client, int), floating bool) {
-	f := l.f
+	f := l.cluster
 	for i := range count {
 		turn := i
 		b := &fake.Client{
-			Name: fmt.Sprint(kind, i), Class: class, Group: Group, Timeout: patience, MaxAttempts: 20, Backoff: clientWait, Ledger: &l.ledger,
-			Addr: func() string { turn++; return f.Nodes[turn%len(f.Nodes)].Listen }, OnExchange: l.tell,
+			Name: fmt.Sprint(kind, i), Class: class, Group: Group, Timeout: requestTimeout, MaxAttempts: 20, Backoff: clientBackoff, Ledger: &l.ledger,
+			Addr: func() string { turn++; return f.Nodes[turn%len(f.Nodes)].Listen }, OnExchange: l.recordExchange,
 		}
-		if l.again && class == ClassBooking { // until it is settled: an address that moves takes some hundred milliseconds
+		if l.retryInDoubt && class == ClassBooking { // until it is settled: an address that moves takes some hundred milliseconds
 			b.RetryTimeouts, b.MaxAttempts = 3, 400
 		}
 		if floating {
@@ -121,33 +121,33 @@
 }
 
 // tell writes a client's exchange into the history.
-func (l *Load) tell(x fake.Exchange) {
+func (l *Load) recordExchange(x fake.Exchange) {
 	e := Event{
-		At: l.f.History.Timestamp(x.At), Kind: RequestSent, Node: l.f.GatewayFor(x.Via), ID: x.ID, Client: x.Client, Class: x.Class, Key: x.Key,
-		Timeout: patience.Microseconds(),
+		At: l.cluster.History.Timestamp(x.At), Kind: RequestSent, Node: l.cluster.GatewayFor(x.Via), ID: x.ID, Client: x.Client, Class: x.Class, Key: x.Key,
+		Timeout: requestTimeout.Microseconds(),
 	}
 	if x.Reused {
-		e.Text = reused
+		e.Text = reusedConnection
 	}
 	if x.Retry {
-		e.Text = strings.TrimSpace(e.Text + " " + askedBefore)
+		e.Text = strings.TrimSpace(e.Text + " " + retryMark)
 	}
 	if x.End != "" {
 		e.Kind, e.What, e.Value = ResponseReceived, x.End, x.Value
 		e.Text = strings.TrimSpace(e.Text + " " + x.ErrorText)
 	}
-	l.f.History.Add(e)
+	l.cluster.History.Add(e)
 }
 
 // reused marks a request on a connection that has served another one before: one that crosses with the connection's close was
 // never read.
-const reused = "reused"
+const reusedConnection = "reused"
 
 // closedUnread is the code with which a gateway closes a connection between two requests.
-const closedUnread = "57P03"
+const codeShutdown = "57P03"
 
 // askedBefore marks a request that says that it was asked before.
-const askedBefore = "again"
+const retryMark = "again"
 
 // Stop has every client finish what it is at, and waits for it.
 func (l *Load) Stop() {
@@ -186,7 +186,7 @@
 		return out
 	}
 	defer f.Close()
-	if out.Err = f.AwaitActiveRouter(f.first(), settleBy); out.Err != nil {
+	if out.Err = f.AwaitActiveRouter(f.preferredRouter(), settleTimeout); out.Err != nil {
 		return out
 	}
 	l := f.Load(load)
@@ -196,7 +196,7 @@
 	healed := time.Now()
 	var restless error
 	if out.Err == nil {
-		restless = f.settles(load.classes())
+		restless = f.settles(load.classCount())
 	}
 	out.SettleTime = time.Since(healed)
 	f.History.Add(Event{Kind: PhaseReached, What: "settled"})
@@ -222,27 +222,27 @@
 
 // settles waits until every gateway serves, the first one holds the address, and requests of so many classes have been served since.
 func (f *Cluster) settles(classes int) error {
-	if err := f.AwaitReady(settleBy); err != nil {
+	if err := f.AwaitReady(settleTimeout); err != nil {
 		return err
 	}
-	if err := f.mend(); err != nil {
+	if err := f.restartFailedStores(); err != nil {
 		return err
 	}
-	if err := f.AwaitActiveRouter(f.first(), settleBy); err != nil {
+	if err := f.AwaitActiveRouter(f.preferredRouter(), settleTimeout); err != nil {
 		return err
 	}
 	if f.MembershipPath != nil {
-		if err := f.AwaitMembers(settleBy); err != nil {
+		if err := f.AwaitMembers(settleTimeout); err != nil {
 			return err
 		}
 	}
 	if f.StateStore != nil {
-		if err := f.AwaitComplete(settleBy); err != nil {
+		if err := f.AwaitComplete(settleTimeout); err != nil {
 			return err
 		}
 	}
 	from := f.History.Now()
-	return f.History.Await("every class is served again", settleBy, func(all []Event) bool {
+	return f.History.Await("every class is served again", settleTimeout, func(all []Event) bool {
 		var served []string
 		for i := len(all) - 1; i >= 0 && len(served) < classes; i-- {
 			if e := all[i]; e.Kind == ResponseReceived && e.What == EndServed && e.At > from && !slices.Contains(served, e.Class) {
--- a/internal/testcluster/rig_test.go
+++ b/internal/testcluster/main_test.go
@@ -12,16 +12,16 @@
 )
 
 // binary is the gateway, built once for all tests; another the same of another version.
-var binary, another string
+var binary, otherBinary string
 
 // It understands a later format of records.
 const (
-	anotherVersion = "99.1.0"
-	anotherFormat  = "3"
+	otherVersion = "99.1.0"
+	otherFormat  = "3"
 )
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asRig) != "" { // it is to be killed, and would leave what it builds
+	if os.Getenv(asClusterProcess) != "" { // it is to be killed, and would leave what it builds
 		os.Exit(m.Run())
 	}
 	dir, err := os.MkdirTemp("", "rig-binary")
@@ -30,10 +30,10 @@
 		os.Exit(1)
 	}
 	binary = filepath.Join(dir, "marblespan")
-	another = filepath.Join(dir, "another", "marblespan")
+	otherBinary = filepath.Join(dir, "another", "marblespan")
 	for _, program := range []string{"marblespan", "marblespan-raft"} {
 		for _, build := range [][]string{{"-o", filepath.Join(dir, program)}, {"-o", filepath.Join(dir, "another", program), "-ldflags",
-			"-X marblespan/internal/gateway.Version=" + anotherVersion + " -X marblespan/internal/raftgateway.Format=" + anotherFormat}} {
+			"-X marblespan/internal/gateway.Version=" + otherVersion + " -X marblespan/internal/raftgateway.Format=" + otherFormat}} {
 			args := append(append([]string{"build"}, build...), "../../cmd/"+program)
 			if out, err := exec.Command("go", args...).CombinedOutput(); err != nil {
 				fmt.Fprintf(os.Stderr, "%v\n%s", err, out)
@@ -84,7 +84,7 @@
 }
 
 // asRig makes the test's own binary start a fleet and then stand there to be killed.
-const asRig = "MARBLESPAN_TEST_RIG"
+const asClusterProcess = "MARBLESPAN_TEST_RIG"
 
 // A rig that is killed outright takes its processes with it, also one that stands still.
 func TestNothingOutlivesTheRig(t *testing.T) {
@@ -93,7 +93,7 @@
 		t.Fatal(err)
 	}
 	cmd := exec.Command(self, "-test.run", "^TestRigToKill$")
-	cmd.Env = append(os.Environ(), asRig+"="+binary)
+	cmd.Env = append(os.Environ(), asClusterProcess+"="+binary)
 	out, err := cmd.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -109,7 +109,7 @@
 	cmd.Process.Kill()
 	cmd.Wait()
 	for _, pid := range pids {
-		for late := time.Now().Add(settleBy); ; time.Sleep(time.Millisecond) {
+		for late := time.Now().Add(settleTimeout); ; time.Sleep(time.Millisecond) {
 			if stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid)); err != nil || strings.Contains(string(stat), ") Z ") {
 				break // gone, or dead and not yet buried by whoever inherited it
 			}
@@ -121,7 +121,7 @@
 }
 
 func TestRigToKill(t *testing.T) {
-	if binary = os.Getenv(asRig); binary == "" {
+	if binary = os.Getenv(asClusterProcess); binary == "" {
 		t.Skip("only for TestNothingOutlivesTheRig")
 	}
 	f, err := New(options())
@@ -133,7 +133,7 @@
 	}
 	fmt.Print("pids")
 	for _, n := range f.Nodes {
-		fmt.Printf(" %d", n.current().cmd.Process.Pid)
+		fmt.Printf(" %d", n.currentProcess().cmd.Process.Pid)
 	}
 	fmt.Println()
 	os.RemoveAll(f.Dir)
@@ -157,7 +157,7 @@
 			write(c.want)
 		}
 		if c.do != "" {
-			if err := n.disk(c.do); err != nil {
+			if err := n.changeDisk(c.do); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -170,7 +170,7 @@
 
 // A full disk lets files be written anew and none grow, a read-only one neither; the next life finds it as it is.
 func TestFiles(t *testing.T) {
-	n := &Node{dir: t.TempDir(), files: noBound}
+	n := &Node{dir: t.TempDir(), maxFileSize: noFileLimit}
 	data := filepath.Join(n.dir, "data")
 	if err := os.Mkdir(data, 0o755); err != nil {
 		t.Fatal(err)
@@ -187,7 +187,7 @@
 		if n.process, err = launch(cmd, io.Discard, func(line string) { said <- line }, func(string) {}); err != nil {
 			t.Fatal(err)
 		}
-		n.process.boundFiles(n.files)
+		n.process.limitFiles(n.maxFileSize)
 		return in
 	}
 	in := begin()
@@ -197,21 +197,21 @@
 	} {
 		switch c.bound {
 		case "":
-			n.boundFiles(noBound)
+			n.limitFiles(noFileLimit)
 		case "full":
-			n.boundFiles(n.largest())
+			n.limitFiles(n.largestFile())
 		case "again":
-			n.process.end()
+			n.process.kill()
 			in = begin()
 		default:
-			n.boundFiles(0)
+			n.limitFiles(0)
 		}
 		fmt.Fprintln(in, c.do)
 		if got := <-said; got != c.want {
 			t.Errorf("%s: %s: %s", c.bound, c.do, got)
 		}
 	}
-	n.process.end()
+	n.process.kill()
 }
 
 // What cannot be brought about is told before anything is.
@@ -225,7 +225,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := f.fits(x); (err == nil) != fits {
+		if err := f.validateFault(x); (err == nil) != fits {
 			t.Errorf("%s: %v", line, err)
 		}
 	}
--- a/internal/testcluster/maintain.go
+++ b/internal/testcluster/maintenance.go
@@ -40,17 +40,21 @@
 	return b.String()
 }
 
-// Order is what a gateway answers about maintenance.
+// MaintenanceStatus is what a gateway answers about maintenance ("maintenance list --json").
 type MaintenanceStatus struct {
-	Leader   string
-	Held     bool
-	Machines []MaintenanceItem
+	Leader   string            `json:"leader"` // of the ledger; empty: the gateway does not know it
+	Paused   bool              `json:"held"`
+	Machines []MaintenanceItem `json:"machines"`
 }
 
-// Unit is one machine in the order.
+// MaintenanceItem is one machine on the list of maintenance.
 type MaintenanceItem struct {
-	Place                            int
-	Machine, Kind, State, Waits, Why string
+	Place      int    `json:"place"` // in the queue, from 1; 0: it is done with
+	Machine    string `json:"machine"`
+	Kind       string `json:"kind"`
+	State      string `json:"state"`
+	WaitingFor string `json:"waits"`
+	Comment    string `json:"why"`
 }
 
 // String says where the machines in hand stand, and what they wait for.
@@ -58,7 +62,7 @@
 	var words []string
 	for _, u := range o.Machines {
 		if u.Place > 0 {
-			words = append(words, strings.TrimSuffix(fmt.Sprintf("%s %s (%s)", u.Machine, u.State, u.Waits), " ()"))
+			words = append(words, strings.TrimSuffix(fmt.Sprintf("%s %s (%s)", u.Machine, u.State, u.WaitingFor), " ()"))
 		}
 	}
 	return strings.Join(words, ", ")
@@ -76,7 +80,7 @@
 
 // Order asks a gateway for the order of maintenance.
 func (n *Node) MaintenanceStatus() (o MaintenanceStatus, err error) {
-	out, err := exec.Command(n.f.Binary, "maintenance", "list", "--json", "--socket", n.Socket()).Output()
+	out, err := exec.Command(n.cluster.Binary, "maintenance", "list", "--json", "--socket", n.Socket()).Output()
 	if err == nil {
 		err = json.Unmarshal(out, &o)
 	}
@@ -85,7 +89,7 @@
 
 // Say says something about maintenance at a gateway, as an operator does.
 func (n *Node) RunMaintenance(args ...string) (string, error) {
-	out, err := exec.Command(n.f.Binary, append([]string{"maintenance", "--socket", n.Socket()}, args...)...).CombinedOutput()
+	out, err := exec.Command(n.cluster.Binary, append([]string{"maintenance", "--socket", n.Socket()}, args...)...).CombinedOutput()
 	text := strings.TrimSpace(string(out))
 	if err != nil {
 		return text, fmt.Errorf("maintain %s at gateway %d: %w: %s", strings.Join(args, " "), n.Number, err, text)
@@ -95,7 +99,7 @@
 
 // SayAnywhere says something at the gateways in turn until one carries it out.
 func (f *Cluster) RunMaintenanceAnywhere(args ...string) (text string, err error) {
-	for late := time.Now().Add(settleBy); time.Now().Before(late); time.Sleep(100 * time.Millisecond) {
+	for late := time.Now().Add(settleTimeout); time.Now().Before(late); time.Sleep(100 * time.Millisecond) {
 		for _, n := range f.Nodes {
 			if text, err = n.RunMaintenance(args...); err == nil {
 				return text, nil
@@ -107,7 +111,7 @@
 
 // OrderAnywhere is the order as the ledger's leader has it, asked at the gateways in turn.
 func (f *Cluster) LeaderMaintenanceStatus() (o MaintenanceStatus, err error) {
-	for late := time.Now().Add(settleBy); time.Now().Before(late); time.Sleep(100 * time.Millisecond) {
+	for late := time.Now().Add(settleTimeout); time.Now().Before(late); time.Sleep(100 * time.Millisecond) {
 		for _, n := range f.Nodes {
 			if o, err = n.MaintenanceStatus(); err == nil && o.Leader != "" {
 				return o, nil
@@ -127,8 +131,8 @@
 
 // What a phase tells of a machine: it is worked at from now on, or not any more.
 const (
-	touched   = "touched "
-	untouched = "untouched "
+	workStarted = "touched "
+	workEnded   = "untouched "
 )
 
 // Work does what an operator does all night: machines that may be touched are worked at, until all that are in the order are
@@ -155,11 +159,11 @@
 			}
 			left++
 			switch {
-			case u.State == "next" && strings.Contains(u.Waits, "another primary"):
-				err = f.promoteInPlaceOf(u.Machine)
+			case u.State == "next" && strings.Contains(u.WaitingFor, "another primary"):
+				err = f.replacePrimary(u.Machine)
 			case u.State == "out" && !worked[u.Machine]:
 				worked[u.Machine] = true
-				err = f.touch(u, at)
+				err = f.performOn(u, at)
 			}
 			if err != nil {
 				return err
@@ -173,15 +177,15 @@
 }
 
 // touch works at one machine.
-func (f *Cluster) touch(u MaintenanceItem, at MaintenanceActions) error {
-	f.History.Add(Event{Kind: PhaseReached, What: touched + u.Machine})
+func (f *Cluster) performOn(u MaintenanceItem, at MaintenanceActions) error {
+	f.History.Add(Event{Kind: PhaseReached, What: workStarted + u.Machine})
 	if u.Kind == "server" {
 		if at.Server != nil {
 			if err := at.Server(u.Machine); err != nil {
 				return err
 			}
 		}
-		f.History.Add(Event{Kind: PhaseReached, What: untouched + u.Machine})
+		f.History.Add(Event{Kind: PhaseReached, What: workEnded + u.Machine})
 		_, err := f.RunMaintenanceAnywhere("done", "server:"+u.Machine)
 		return err
 	}
@@ -192,7 +196,7 @@
 		if at.Gateway != nil {
 			return at.Gateway(n)
 		}
-		undo, err := f.inflict(Fault{Verb: "kill", From: []int{n.Number}})
+		undo, err := f.injectRecorded(Fault{Verb: "kill", From: []int{n.Number}})
 		if err != nil {
 			return err
 		}
@@ -203,19 +207,19 @@
 }
 
 // fencedFor is for how long a primary that was is kept away from everybody, so that nobody takes it for one.
-const fencedFor = time.Second
+const fenceTime = time.Second
 
 // promoteInPlaceOf makes another server of the same group its primary.
-func (f *Cluster) promoteInPlaceOf(name string) error {
+func (f *Cluster) replacePrimary(name string) error {
 	s := f.server(name)
 	if s == nil || s.role() != rolePrimary {
 		return nil
 	}
-	i := slices.IndexFunc(s.of.servers, func(next *server) bool { return next != s })
-	undo, err := f.inflict(Fault{Verb: "promote", Name: s.of.servers[i].name})
+	i := slices.IndexFunc(s.group.servers, func(next *server) bool { return next != s })
+	undo, err := f.injectRecorded(Fault{Verb: "promote", Name: s.group.servers[i].name})
 	if err != nil {
 		return err
 	}
-	time.Sleep(fencedFor)
+	time.Sleep(fenceTime)
 	return undo()
 }
--- a/internal/testcluster/maintain_test.go
+++ b/internal/testcluster/maintenance_test.go
@@ -10,14 +10,14 @@
 
 // The hard cases of maintenance, with real processes under load that books, in doubt and with sessions, and a floating address.
 func TestMaintenance(t *testing.T) {
-	if raced {
+	if raceEnabled {
 		t.Skip("what these processes do, the race detector does not see")
 	}
 	const bound = 2 * time.Minute
 	gateways := []string{"g1", "g2", "g3", "g4", "g5", "g6"}
 	// until waits until a machine stands somewhere, by the leader's order.
 	until := func(f *Cluster, name string, states ...string) error {
-		return poll(fmt.Sprint(name, " is ", states), func() bool {
+		return pollUntil(fmt.Sprint(name, " is ", states), func() bool {
 			o, err := f.LeaderMaintenanceStatus()
 			return err == nil && slices.Contains(states, o.FindMachine(name).State)
 		})
@@ -52,7 +52,7 @@
 					seen[step] = true
 					for _, n := range f.Nodes {
 						if n.Name() == o.Leader && n.Name() != u.Machine {
-							if undo, err := f.inflict(Fault{Verb: "kill", From: []int{n.Number}}); err == nil {
+							if undo, err := f.injectRecorded(Fault{Verb: "kill", From: []int{n.Number}}); err == nil {
 								n.WaitForExit()
 								undo()
 							}
@@ -70,7 +70,7 @@
 				if err := until(f, "g4", "leaving", "out"); err != nil {
 					return err
 				}
-				if err := during(f, fault, func() error {
+				if err := withFault(f, fault, func() error {
 					time.Sleep(3 * time.Second) // the fault itself
 					return nil
 				}); err != nil {
@@ -90,16 +90,16 @@
 			return work(f, MaintenanceActions{Gateway: func(n *Node) error {
 				for range 2 {
 					lives++
-					undo, err := f.inflict(Fault{Verb: "kill", From: []int{n.Number}})
+					undo, err := f.injectRecorded(Fault{Verb: "kill", From: []int{n.Number}})
 					if err != nil {
 						return err
 					}
 					n.WaitForExit()
 					switch lives {
 					case 1:
-						err = n.disk("empty")
+						err = n.changeDisk("empty")
 					case 3:
-						n.Binary = another
+						n.Binary = otherBinary
 					}
 					if err == nil {
 						err = undo()
@@ -118,7 +118,7 @@
 			if err := until(f, "g1", "next", "leaving", "out"); err != nil {
 				return err
 			}
-			if err := during(f, "at 0s split 1,2 | 3,4,5,6", func() error {
+			if err := withFault(f, "at 0s split 1,2 | 3,4,5,6", func() error {
 				for _, n := range []*Node{f.Nodes[1], f.Nodes[4]} {
 					n.RunMaintenance("add", "g3") // one of them may hear that the ledger does not answer
 					n.RunMaintenance("add", "g6")
@@ -135,7 +135,7 @@
 			if text, err := f.Nodes[2].RunMaintenance("add", "g77"); err == nil || !strings.Contains(text, "no gateway and no server g77 is known") {
 				return fmt.Errorf("an unknown machine: %s, %v", text, err)
 			}
-			if err := during(f, "at 0s drain r2", func() error {
+			if err := withFault(f, "at 0s drain r2", func() error {
 				if err := add(f, "r1", "g5"); err != nil {
 					return err
 				}
@@ -171,7 +171,7 @@
 				if n.Number != 3 {
 					return nil
 				}
-				if err := during(f, "at 0s kill 1,4", func() error { time.Sleep(time.Second); return nil }); err != nil {
+				if err := withFault(f, "at 0s kill 1,4", func() error { time.Sleep(time.Second); return nil }); err != nil {
 					return err
 				}
 				_, err := f.RunMaintenanceAnywhere("done", "g3")
@@ -186,14 +186,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			wide <- true
-			defer func() { <-wide }()
+			untimedSlots <- true
+			defer func() { <-untimedSlots }()
 			o := options()
 			o.SlowStart = time.Second
 			o.Nodes, o.Dir, o.StateStore, o.InDoubt, o.Maintenance, o.Groups = 6, t.TempDir(), DefaultStateStore(), &InDoubt{SeatLookup: true}, DefaultMaintenance(), 2
 			load := DefaultLoad()
 			load.SessionReaders, load.RetryInDoubt = 4, true
-			ordeal(t, "maintenance "+c.name, o, load, "", c.do)
+			runScenario(t, "maintenance "+c.name, o, load, "", c.do)
 		})
 	}
 }
--- a/internal/testcluster/members_test.go
+++ b/internal/testcluster/membership_test.go
@@ -15,7 +15,7 @@
 )
 
 // state is what a gateway believes of another at the end of a history.
-func state(all []Event, node, about int) (s string) {
+func membershipState(all []Event, node, about int) (s string) {
 	for _, e := range all {
 		if e.Node == node && e.Kind == ProcessChanged && e.What == "started" {
 			s = ""
@@ -28,17 +28,17 @@
 }
 
 // knownBy is how long anything may take to be known to all: it takes a second or two, but not on a machine that is busy.
-const knownBy = 15 * time.Second
+const convergenceTimeout = 15 * time.Second
 
 // everyone waits until all of some gateways believe the same of another.
-func everyone(f *Cluster, about int, want string, but ...int) error {
-	return f.History.Await(fmt.Sprintf("all believe that gateway %d is %s", about, want), knownBy, func(all []Event) bool {
+func awaitEveryoneBelieves(f *Cluster, about int, want string, but ...int) error {
+	return f.History.Await(fmt.Sprintf("all believe that gateway %d is %s", about, want), convergenceTimeout, func(all []Event) bool {
 		for _, n := range f.Nodes {
 			skip := n.Number == about
 			for _, b := range but {
 				skip = skip || n.Number == b
 			}
-			if !skip && state(all, n.Number, about) != want {
+			if !skip && membershipState(all, n.Number, about) != want {
 				return false
 			}
 		}
@@ -47,8 +47,8 @@
 }
 
 // noticed waits until a gateway has noticed something of itself.
-func noticed(f *Cluster, node int, what string) error {
-	return f.History.Await(fmt.Sprintf("gateway %d notices %s", node, what), settleBy, func(all []Event) bool {
+func awaitSelfObservation(f *Cluster, node int, what string) error {
+	return f.History.Await(fmt.Sprintf("gateway %d notices %s", node, what), settleTimeout, func(all []Event) bool {
 		for _, e := range all {
 			if e.Node == node && e.Kind == StateReported && e.What == "itself" && e.Text == what {
 				return true
@@ -59,7 +59,7 @@
 }
 
 // ask asks a gateway who is there.
-func ask(f *Cluster, node int, args ...string) (s struct {
+func queryMembers(f *Cluster, node int, args ...string) (s struct {
 	Members []struct {
 		Name, State, Version string
 		Self                 bool
@@ -77,13 +77,13 @@
 }
 
 // poll waits until something holds that no history tells.
-func poll(what string, holds func() bool) error {
-	for late := time.Now().Add(settleBy); time.Now().Before(late); time.Sleep(20 * time.Millisecond) {
+func pollUntil(what string, holds func() bool) error {
+	for late := time.Now().Add(settleTimeout); time.Now().Before(late); time.Sleep(20 * time.Millisecond) {
 		if holds() {
 			return nil
 		}
 	}
-	return fmt.Errorf("%s: not seen within %v", what, settleBy)
+	return fmt.Errorf("%s: not seen within %v", what, settleTimeout)
 }
 
 // flood sends garbage to an address until it is told to end.
@@ -115,12 +115,12 @@
 // The hard cases of membership with nine processes under load. calm: nobody may be held dead. In the end everybody knows
 // everybody, and every rule is kept.
 func TestMembers(t *testing.T) {
-	if raced {
+	if raceEnabled {
 		t.Skip("what these processes do, the race detector does not see")
 	}
 	// amid is a fault, during which something must come about.
 	amid := func(line string, wait func(f *Cluster) error) func(f *Cluster) error {
-		return func(f *Cluster) error { return during(f, line, func() error { return wait(f) }) }
+		return func(f *Cluster) error { return withFault(f, line, func() error { return wait(f) }) }
 	}
 	lasts := func(span time.Duration) func(*Cluster) error {
 		return func(*Cluster) error { time.Sleep(span); return nil } // the fault itself takes so long
@@ -130,10 +130,10 @@
 		calm bool
 		do   func(f *Cluster) error
 	}{
-		{"one is killed", false, amid("at 0s kill 4", func(f *Cluster) error { return everyone(f, 4, "dead") })},
+		{"one is killed", false, amid("at 0s kill 4", func(f *Cluster) error { return awaitEveryoneBelieves(f, 4, "dead") })},
 		{"four of nine are killed at once", false, amid("at 0s kill 1,2,3,4", func(f *Cluster) error {
 			for i := 1; i <= 4; i++ {
-				if err := everyone(f, i, "dead", 1, 2, 3, 4); err != nil {
+				if err := awaitEveryoneBelieves(f, i, "dead", 1, 2, 3, 4); err != nil {
 					return err
 				}
 			}
@@ -142,16 +142,16 @@
 		{"one stands still for a second", true, amid("at 0s stop 3", lasts(time.Second))},
 		{"a third stands still for a second", true, amid("at 0s stop 2,5,8", lasts(time.Second))},
 		{"one stands still for long", false, func(f *Cluster) error {
-			if err := amid("at 0s stop 5", func(f *Cluster) error { return everyone(f, 5, "dead") })(f); err != nil {
+			if err := amid("at 0s stop 5", func(f *Cluster) error { return awaitEveryoneBelieves(f, 5, "dead") })(f); err != nil {
 				return err
 			}
-			return noticed(f, 5, "outcast")
+			return awaitSelfObservation(f, 5, "outcast")
 		}},
 		{"a starved fifth", true, amid("at 0s starve 2,7 70%", lasts(2*time.Second))},
 		{"losses and delay", true, amid("at 0s loss all -> all 30%", amid("at 0s delay all -> all 0s..1s", lasts(4*time.Second)))},
 		{"a one-way cut of a pair", true, amid("at 0s cut 2 -> 6", func(f *Cluster) error {
-			return poll("a third one sees the path that is cut", func() bool {
-				s, err := ask(f, 9)
+			return pollUntil("a third one sees the path that is cut", func() bool {
+				s, err := queryMembers(f, 9)
 				for _, m := range s.Members {
 					if m.Name == "g6" && strings.Contains(strings.Join(m.Cut, ","), "g2 -> g6") {
 						return err == nil
@@ -163,7 +163,7 @@
 		{"streams that stand still", true, func(f *Cluster) error {
 			blocked := func(want ...string) func() bool {
 				return func() bool {
-					s, err := ask(f, 2, "--streams")
+					s, err := queryMembers(f, 2, "--streams")
 					var silent []string
 					for _, m := range s.Members {
 						if !m.Self && m.StreamMicros == 0 {
@@ -173,27 +173,27 @@
 					return err == nil && len(s.Members) == 9 && slices.Equal(silent, want)
 				}
 			}
-			if err := poll("streams to all", blocked()); err != nil {
+			if err := pollUntil("streams to all", blocked()); err != nil {
 				return err
 			}
-			if err := amid("at 0s stall 2 -> 6,7", func(*Cluster) error { return poll("streams to all but two", blocked("g6", "g7")) })(f); err != nil {
+			if err := amid("at 0s stall 2 -> 6,7", func(*Cluster) error { return pollUntil("streams to all but two", blocked("g6", "g7")) })(f); err != nil {
 				return err
 			}
 			f.Inject(Fault{Verb: "reset"})
-			return poll("streams to all again", blocked())
+			return pollUntil("streams to all again", blocked())
 		}},
 		{"three of another version", true, func(f *Cluster) error {
 			for _, i := range []int{3, 6, 9} {
-				f.Nodes[i-1].Binary = another
-				if err := amid(fmt.Sprint("at 0s term ", i), func(f *Cluster) error { return everyone(f, i, "left") })(f); err != nil {
+				f.Nodes[i-1].Binary = otherBinary
+				if err := amid(fmt.Sprint("at 0s term ", i), func(f *Cluster) error { return awaitEveryoneBelieves(f, i, "left") })(f); err != nil {
 					return err
 				}
 			}
-			return poll("all see both versions", func() bool {
+			return pollUntil("all see both versions", func() bool {
 				for i := range f.Nodes {
-					s, err := ask(f, i+1)
+					s, err := queryMembers(f, i+1)
 					for _, m := range s.Members {
-						if other := m.Name == "g3" || m.Name == "g6" || m.Name == "g9"; other != (m.Version == anotherVersion) || m.State != "alive" {
+						if other := m.Name == "g3" || m.Name == "g6" || m.Name == "g9"; other != (m.Version == otherVersion) || m.State != "alive" {
 							return false
 						}
 					}
@@ -205,26 +205,26 @@
 			})
 		}},
 		{"one that nobody hears", false, func(f *Cluster) error {
-			if err := amid("at 0s cut 6 -> all", func(f *Cluster) error { return everyone(f, 6, "dead") })(f); err != nil {
+			if err := amid("at 0s cut 6 -> all", func(f *Cluster) error { return awaitEveryoneBelieves(f, 6, "dead") })(f); err != nil {
 				return err
 			}
-			return noticed(f, 6, "outcast")
+			return awaitSelfObservation(f, 6, "outcast")
 		}},
-		{"one that hears nobody", false, amid("at 0s cut all -> 6", func(f *Cluster) error { return everyone(f, 6, "dead") })},
-		{"two halves", false, amid("at 0s split 1,2,3,4 | 5,6,7,8,9", func(f *Cluster) error { return everyone(f, 9, "dead", 5, 6, 7, 8) })},
+		{"one that hears nobody", false, amid("at 0s cut all -> 6", func(f *Cluster) error { return awaitEveryoneBelieves(f, 6, "dead") })},
+		{"two halves", false, amid("at 0s split 1,2,3,4 | 5,6,7,8,9", func(f *Cluster) error { return awaitEveryoneBelieves(f, 9, "dead", 5, 6, 7, 8) })},
 		{"three parts, and one that sees two", false, amid("at 0s split 1,2 | 5,6,7,8,9",
 			amid("at 0s split 3,4 | 5,6,7,8,9", amid("at 0s split 1 | 3,4", lasts(3*time.Second))))},
 		{"SIGTERM during a partition", false, amid("at 0s split 1,2,3,4 | 5,6,7,8,9", amid("at 0s term 4", func(f *Cluster) error {
-			return f.History.Await("the others of its part know that it has left", settleBy, func(all []Event) bool {
-				return state(all, 1, 4) == "left" && state(all, 2, 4) == "left" && state(all, 3, 4) == "left"
+			return f.History.Await("the others of its part know that it has left", settleTimeout, func(all []Event) bool {
+				return membershipState(all, 1, 4) == "left" && membershipState(all, 2, 4) == "left" && membershipState(all, 3, 4) == "left"
 			})
 		}))},
 		{"one joins and leaves in a loop", true, func(f *Cluster) error {
 			for range 3 {
-				if err := amid("at 0s term 7", func(f *Cluster) error { return everyone(f, 7, "left") })(f); err != nil {
+				if err := amid("at 0s term 7", func(f *Cluster) error { return awaitEveryoneBelieves(f, 7, "left") })(f); err != nil {
 					return err
 				}
-				if err := everyone(f, 7, "alive"); err != nil {
+				if err := awaitEveryoneBelieves(f, 7, "alive"); err != nil {
 					return err
 				}
 			}
@@ -232,25 +232,25 @@
 		}},
 		{"the same name twice", false, func(f *Cluster) error {
 			n := f.Nodes[8]
-			undo, err := f.inflict(mustFault("at 0s term 9"))
+			undo, err := f.injectRecorded(mustFault("at 0s term 9"))
 			if err != nil {
 				return err
 			}
 			n.WaitForExit()
-			own := n.sections()
+			own := n.operatorsFile()
 			if err := os.WriteFile(n.Conf(), []byte(strings.Replace(own, "node g9", "node g1", 1)), 0o600); err != nil {
 				return err
 			}
 			if err := undo(); err != nil {
 				return err
 			}
-			if err := noticed(f, 9, "left_out"); err != nil {
+			if err := awaitSelfObservation(f, 9, "left_out"); err != nil {
 				return err
 			}
-			if err := noticed(f, 1, "namesake"); err != nil {
+			if err := awaitSelfObservation(f, 1, "namesake"); err != nil {
 				return err
 			}
-			again, err := f.inflict(mustFault("at 0s term 9"))
+			again, err := f.injectRecorded(mustFault("at 0s term 9"))
 			if err != nil {
 				return err
 			}
@@ -272,7 +272,7 @@
 					}
 				}
 			}
-			return everyone(f, 9, "dead", 5, 6, 7, 8)
+			return awaitEveryoneBelieves(f, 9, "dead", 5, 6, 7, 8)
 		})},
 		{"garbage", true, func(f *Cluster) error {
 			quit := make(chan struct{})
@@ -299,8 +299,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			room <- true
-			defer func() { <-room }()
+			timedSlots <- true
+			defer func() { <-timedSlots }()
 			o := options()
 			o.Nodes, o.Dir = 9, t.TempDir()
 			var history bytes.Buffer
@@ -310,7 +310,7 @@
 				t.Fatal(err)
 			}
 			defer f.Close()
-			if err := f.AwaitMembers(settleBy); err != nil {
+			if err := f.AwaitMembers(settleTimeout); err != nil {
 				t.Fatal(err, MembershipGaps(f.History.Events(), 9))
 			}
 			l := f.Load(DefaultLoad())
@@ -338,13 +338,13 @@
 			if c.calm && dead > 0 {
 				t.Errorf("%d were held dead", dead)
 			}
-			kept(t, "members "+c.name, f, history.Bytes())
+			keepArtifacts(t, "members "+c.name, f, history.Bytes())
 		})
 	}
 }
 
 // room bounds how many fleets run at a time: each has nine processes that are not to be starved by the others.
-var room = make(chan bool, 2)
+var timedSlots = make(chan bool, 2)
 
 // wide bounds the fleets that run at the same time where nothing is judged by when it happened.
-var wide = make(chan bool, 4)
+var untimedSlots = make(chan bool, 4)
--- a/internal/testcluster/node.go
+++ b/internal/testcluster/node.go
@@ -27,23 +27,23 @@
 	Floating string
 	Binary   string // of its next lives, if not the fleet's
 
-	f         *Cluster
-	dir       string
-	discovery *fake.Discovery
-	reach     *fake.Relay            // of discovery
-	servers   map[string]*fake.Relay // of each server
-	told      sync.WaitGroup
+	cluster         *Cluster
+	dir             string
+	discovery       *fake.Discovery
+	discoveryRelay  *fake.Relay            // of discovery
+	serverRelays    map[string]*fake.Relay // of each server
+	discoveryReader sync.WaitGroup
 
-	mu      sync.Mutex
-	process *process // of this life; nil: none yet
-	stops   int      // faults that have it stand still now
-	files   uint64   // how large its files may grow, in bytes
-	lives   int
+	mu           sync.Mutex
+	process      *process // of this life; nil: none yet
+	pauses       int      // faults that have it stand still now
+	maxFileSize  uint64   // how large its files may grow, in bytes
+	incarnations int
 }
 
 // newNode makes what stands between one gateway and the rest.
 func (f *Cluster) newNode(number int, ip net.IP) (*Node, error) {
-	n := &Node{Number: number, IP: ip, f: f, dir: filepath.Join(f.Dir, fmt.Sprint("n", number)), servers: map[string]*fake.Relay{}, files: noBound}
+	n := &Node{Number: number, IP: ip, cluster: f, dir: filepath.Join(f.Dir, fmt.Sprint("n", number)), serverRelays: map[string]*fake.Relay{}, maxFileSize: noFileLimit}
 	n.Listen, n.Floating = fmt.Sprintf("%v:%d", ip, portClients), fmt.Sprintf("%v:%d", ip, portFloating)
 	f.Nodes = append(f.Nodes, n)
 	var targets []fake.Endpoint
@@ -52,38 +52,38 @@
 		if err != nil {
 			return nil, err
 		}
-		r.OnData = func(chunk []byte) { n.sent(s.name, chunk) }
-		n.servers[s.name] = r
+		r.OnData = func(chunk []byte) { n.recordForwarded(s.name, chunk) }
+		n.serverRelays[s.name] = r
 		targets = append(targets, s.target(r.Addr()))
 	}
 	var err error
 	if n.discovery, err = fake.NewDiscovery(targets...); err != nil {
 		return nil, err
 	}
-	n.told.Add(1)
+	n.discoveryReader.Add(1)
 	go func() { // nobody waits for the calls that are told
-		defer n.told.Done()
+		defer n.discoveryReader.Done()
 		for range n.discovery.Requests {
 		}
 	}()
-	n.reach, err = fake.NewRelay("127.0.0.1:0", n.discovery.Addr(), nil)
+	n.discoveryRelay, err = fake.NewRelay("127.0.0.1:0", n.discovery.Addr(), nil)
 	return n, err
 }
 
 // sent notes a request as its first byte leaves for a server.
-func (n *Node) sent(server string, chunk []byte) {
+func (n *Node) recordForwarded(server string, chunk []byte) {
 	for _, m := range requestID.FindAllSubmatch(chunk, -1) {
-		n.f.History.Add(Event{Kind: RequestForwarded, Node: n.Number, ID: string(m[1]), Server: server})
+		n.cluster.History.Add(Event{Kind: RequestForwarded, Node: n.Number, ID: string(m[1]), Server: server})
 	}
 }
 
 // configure writes a gateway's two files.
 func (n *Node) configure() error {
-	f := n.f
+	f := n.cluster
 	if err := os.MkdirAll(filepath.Join(n.dir, "data"), 0o755); err != nil {
 		return err
 	}
-	conf := n.sections()
+	conf := n.operatorsFile()
 	if f.RewriteConfig != nil {
 		conf = f.RewriteConfig(conf)
 	}
@@ -92,10 +92,10 @@
 	}
 	var known []fake.Endpoint
 	for _, s := range f.servers() {
-		known = append(known, s.target(n.servers[s.name].Addr()))
+		known = append(known, s.target(n.serverRelays[s.name].Addr()))
 	}
 	raw, err := json.Marshal(map[string]any{
-		"name": fmt.Sprint("n", n.Number), "listen": n.Listen, "discovery": n.reach.Addr(),
+		"name": fmt.Sprint("n", n.Number), "listen": n.Listen, "discovery": n.discoveryRelay.Addr(),
 		"seed":     fmt.Sprintf("%x", f.Seed+uint64(n.Number)),
 		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
 		"known":    map[string]any{"rev": 1, "all": true, "targets": known},
@@ -129,8 +129,8 @@
 }
 
 // sections writes the operators' file.
-func (n *Node) sections() string {
-	f := n.f
+func (n *Node) operatorsFile() string {
+	f := n.cluster
 	var b strings.Builder
 	fmt.Fprintf(&b, "control %s\n", n.Socket())
 	if f.MembershipPath != nil {
@@ -153,7 +153,7 @@
 	if f.Maintenance != nil {
 		b.WriteString(f.Maintenance.section())
 	}
-	if n.Number > 1 && len(f.Nodes) > mostPeers+1 {
+	if n.Number > 1 && len(f.Nodes) > maxVRRPPeers+1 {
 		return b.String() // VRRP names its peers, sixteen at most: in larger fleets the first one has the address alone
 	}
 	priority := 201 - n.Number
@@ -162,7 +162,7 @@
 	}
 	fmt.Fprintf(&b, "vrrp\n node %d\n bind %v:%d\n announce %s\n key 1 \"%s\"\n", n.Number, n.IP, portVRRP, f.Switch.AnnouncementAddr(), secret)
 	for _, other := range f.Nodes {
-		if other != n && len(f.Nodes) <= mostPeers+1 {
+		if other != n && len(f.Nodes) <= maxVRRPPeers+1 {
 			fmt.Fprintf(&b, " peer %d %s\n", other.Number, f.VRRPPath.PeerAddr(n.Number-1, other.Number-1))
 		}
 	}
@@ -172,44 +172,44 @@
 }
 
 // Start starts a gateway's next life. The last one must have ended.
-func (n *Node) Start() error { return n.startAfter(n.current()) }
+func (n *Node) Start() error { return n.startUnlessReplaced(n.currentProcess()) }
 
 // startAfter starts the life after a given one, unless that has been done: two faults may have taken a gateway away.
-func (n *Node) startAfter(last *process) error {
+func (n *Node) startUnlessReplaced(last *process) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.process != last {
 		return nil
 	}
-	n.lives++
+	n.incarnations++
 	log, err := os.OpenFile(filepath.Join(n.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
-	binary := n.f.Binary
+	binary := n.cluster.Binary
 	if n.Binary != "" {
 		binary = n.Binary
 	}
 	cmd := exec.Command(binary, "--conf", n.Conf())
 	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+filepath.Join(n.dir, "json"))
-	life := n.lives
-	n.f.History.Add(Event{Kind: ProcessChanged, Node: n.Number, What: "started", Text: fmt.Sprint("life ", life)})
-	n.process, err = launch(cmd, log, n.line, func(how string) {
+	life := n.incarnations
+	n.cluster.History.Add(Event{Kind: ProcessChanged, Node: n.Number, What: "started", Text: fmt.Sprint("life ", life)})
+	n.process, err = launch(cmd, log, n.recordLogLine, func(how string) {
 		log.Close()
-		n.f.History.Add(Event{Kind: ProcessChanged, Node: n.Number, What: "ended", Text: how})
+		n.cluster.History.Add(Event{Kind: ProcessChanged, Node: n.Number, What: "ended", Text: how})
 	})
 	if err != nil {
 		log.Close()
 		return fmt.Errorf("gateway %d: %w", n.Number, err)
 	}
-	n.stops = 0
-	n.process.boundFiles(n.files)
+	n.pauses = 0
+	n.process.limitFiles(n.maxFileSize)
 	go n.awaitServing(n.process)
 	return nil
 }
 
 // line takes what a gateway believes out of its log.
-func (n *Node) line(text string) {
+func (n *Node) recordLogLine(text string) {
 	if !strings.Contains(text, `"message":"vrrp"`) && !strings.Contains(text, `"message":"member`) && !strings.Contains(text, `"message":"copies"`) &&
 		!strings.Contains(text, `"message":"maintenance state changed"`) {
 		return
@@ -223,7 +223,7 @@
 	if json.Unmarshal([]byte(text), &line) != nil {
 		return
 	}
-	e := Event{At: n.f.History.Timestamp(line.Time), Kind: StateReported, Node: n.Number, Text: line.To}
+	e := Event{At: n.cluster.History.Timestamp(line.Time), Kind: StateReported, Node: n.Number, Text: line.To}
 	switch line.Message {
 	case "vrrp":
 		e.What, e.Value = fmt.Sprint("vrrp ", line.Group), line.Cause
@@ -241,14 +241,14 @@
 	default:
 		return
 	}
-	n.f.History.Add(e)
+	n.cluster.History.Add(e)
 }
 
 // awaitServing notes when a life answers its first question, as a front does.
 func (n *Node) awaitServing(p *process) {
-	for !p.over() {
+	for !p.hasEnded() {
 		if fake.Healthy(n.Listen, time.Second) {
-			n.f.History.Add(Event{Kind: ProcessChanged, Node: n.Number, What: "ready"})
+			n.cluster.History.Add(Event{Kind: ProcessChanged, Node: n.Number, What: "ready"})
 			return
 		}
 		select {
@@ -269,53 +269,53 @@
 }
 
 // current is the life that runs, or the last one.
-func (n *Node) current() *process {
+func (n *Node) currentProcess() *process {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.process
 }
 
 // Wait waits for the end of a life that was told to end.
-func (n *Node) WaitForExit() { <-n.current().ended }
+func (n *Node) WaitForExit() { <-n.currentProcess().ended }
 
 // still has a life of a gateway stand still, or run on once nothing else has it stand still.
-func (n *Node) still(p *process, on bool) {
+func (n *Node) setPaused(p *process, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.process != p {
 		return // it is another life's time now
 	}
 	if on {
-		n.stops++
+		n.pauses++
 		p.signal(syscall.SIGSTOP)
-	} else if n.stops--; n.stops == 0 {
+	} else if n.pauses--; n.pauses == 0 {
 		p.signal(syscall.SIGCONT)
 	}
 }
 
 // slice is how long a starved process is stopped and run in turn, together: well below any interval that the gateways use
 // among themselves, so that it is slow and not away.
-const slice = 20 * time.Millisecond
+const starvePeriod = 20 * time.Millisecond
 
 // starve keeps a life from running for a share of the time, until quit is closed.
 func (n *Node) starve(p *process, share float64, quit <-chan struct{}) {
-	off := time.Duration(share * float64(slice))
+	off := time.Duration(share * float64(starvePeriod))
 	for {
-		n.still(p, true)
+		n.setPaused(p, true)
 		time.Sleep(off)
-		n.still(p, false)
+		n.setPaused(p, false)
 		select {
 		case <-quit:
 			return
 		case <-p.ended:
 			return
-		case <-time.After(slice - off):
+		case <-time.After(starvePeriod - off):
 		}
 	}
 }
 
 // disk does something to the data directory.
-func (n *Node) disk(what string) error {
+func (n *Node) changeDisk(what string) error {
 	data, saved := filepath.Join(n.dir, "data"), filepath.Join(n.dir, "saved")
 	replace := func(at, with string) error {
 		if err := os.RemoveAll(at); err != nil {
@@ -336,7 +336,7 @@
 }
 
 // largest is the size of the largest file in the data directory, in bytes.
-func (n *Node) largest() (size uint64) {
+func (n *Node) largestFile() (size uint64) {
 	filepath.WalkDir(filepath.Join(n.dir, "data"), func(_ string, d fs.DirEntry, err error) error {
 		if err == nil && d.Type().IsRegular() {
 			if info, err := d.Info(); err == nil {
@@ -349,10 +349,10 @@
 }
 
 // boundFiles bounds how large the files of this gateway may grow, in this life and further ones.
-func (n *Node) boundFiles(most uint64) {
+func (n *Node) limitFiles(maxSize uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.files = most; n.process != nil {
-		n.process.boundFiles(most)
+	if n.maxFileSize = maxSize; n.process != nil {
+		n.process.limitFiles(maxSize)
 	}
 }
--- a/internal/testcluster/norace_test.go
+++ b/internal/testcluster/norace_test.go
@@ -2,4 +2,4 @@
 
 package testcluster
 
-const raced = false
+const raceEnabled = false
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -17,7 +17,7 @@
 
 // starts hands commands to the one thread that starts processes. The kernel ends a child for its parent's death
 // (PR_SET_PDEATHSIG) when the thread that started it ends, so that thread must last as long as this process.
-var starts = sync.OnceValue(func() chan func() {
+var startRequests = sync.OnceValue(func() chan func() {
 	todo := make(chan func())
 	go func() {
 		runtime.LockOSThread()
@@ -29,21 +29,21 @@
 })
 
 // start starts a command that the kernel kills when this process ends, however that comes about.
-func start(cmd *exec.Cmd) error {
+func startTiedToParent(cmd *exec.Cmd) error {
 	if cmd.SysProcAttr == nil {
 		cmd.SysProcAttr = &syscall.SysProcAttr{}
 	}
 	cmd.SysProcAttr.Pdeathsig = syscall.SIGKILL
 	done := make(chan error)
-	starts() <- func() { done <- cmd.Start() }
+	startRequests() <- func() { done <- cmd.Start() }
 	return <-done
 }
 
 // process is one life of a program whose standard error is its log.
 type process struct {
-	cmd   *exec.Cmd
-	ended chan struct{}
-	how   string // once ended
+	cmd        *exec.Cmd
+	ended      chan struct{}
+	exitStatus string // once ended
 }
 
 // launch starts a program. line is called with each line of its log, end once it is over.
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := start(cmd); err != nil {
+	if err := startTiedToParent(cmd); err != nil {
 		return nil, err
 	}
 	p := &process{cmd: cmd, ended: make(chan struct{})}
@@ -65,8 +65,8 @@
 		}
 		io.Copy(io.Discard, out) // a line beyond the bound must not block the program
 		cmd.Wait()
-		p.how = cmd.ProcessState.String()
-		end(p.how)
+		p.exitStatus = cmd.ProcessState.String()
+		end(p.exitStatus)
 		close(p.ended)
 	}()
 	return p, nil
@@ -75,22 +75,22 @@
 func (p *process) signal(s syscall.Signal) error { return p.cmd.Process.Signal(s) }
 
 // noBound lets files grow as they may.
-const noBound uint64 = unix.RLIM_INFINITY
+const noFileLimit uint64 = unix.RLIM_INFINITY
 
 // boundFiles bounds how large the process's files may grow, in bytes; 0: nothing can be written to any. A write beyond it
 // fails as one to a full disk does, with another error (EFBIG), and takes no rights to bring about. Pipes and sockets, its log
 // among them, are not concerned.
-func (p *process) boundFiles(most uint64) error {
+func (p *process) limitFiles(maxSize uint64) error {
 	var now unix.Rlimit
 	if err := unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, nil, &now); err != nil {
 		return err
 	}
-	now.Cur = min(most, now.Max)
+	now.Cur = min(maxSize, now.Max)
 	return unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &now, nil)
 }
 
 // over tells whether the process has ended.
-func (p *process) over() bool {
+func (p *process) hasEnded() bool {
 	select {
 	case <-p.ended:
 		return true
@@ -100,14 +100,14 @@
 }
 
 // end kills the process, also one that stands still, and waits.
-func (p *process) end() {
+func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.ended
 }
 
 // standsStill tells whether every thread of a process has stopped: a signal is sent, but threads on other cores run on for
 // a moment.
-func (p *process) standsStill() bool {
+func (p *process) isStopped() bool {
 	stats, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid))
 	for _, name := range stats {
 		raw, err := os.ReadFile(name)
--- a/internal/testcluster/script.go
+++ b/internal/testcluster/script.go
@@ -27,71 +27,71 @@
 }
 
 // shape says what a verb takes behind it.
-type shape uint8
+type targetShape uint8
 
 const (
-	onNodes   shape = iota // stop 1,2
-	onWays                 // cut 1 -> 2, cut 1 <-> all
-	onParts                // split 1,2 | 3,4
-	onServer               // sever 1 -> p
-	onlyNamed              // lag r1
+	onNodes   targetShape = iota // stop 1,2
+	onWays                       // cut 1 -> 2, cut 1 <-> all
+	onParts                      // split 1,2 | 3,4
+	onServer                     // sever 1 -> p
+	onlyNamed                    // lag r1
 )
 
 // verb is one kind of fault.
-type verb struct {
-	shape shape
-	value func(f *Fault, word string) bool // its last word; nil: it takes none
-	print func(f Fault) string
-	once  bool // it has no span
+type faultKind struct {
+	target      targetShape
+	parseValue  func(f *Fault, word string) bool // its last word; nil: it takes none
+	formatValue func(f Fault) string
+	instant     bool // it has no span
 	// undrawn faults are brought about by a script only.
-	undrawn bool
-	what    string
+	scriptOnly bool
+	help       string
 }
 
-func percent(f *Fault, word string) bool {
+func parsePercent(f *Fault, word string) bool {
 	n, err := strconv.ParseFloat(strings.TrimSuffix(word, "%"), 64)
 	f.Amount = n / 100
 	return err == nil && strings.HasSuffix(word, "%") && n >= 0 && n <= 100
 }
 
-func printPercent(f Fault) string { return strconv.FormatFloat(f.Amount*100, 'f', -1, 64) + "%" }
+func formatPercent(f Fault) string { return strconv.FormatFloat(f.Amount*100, 'f', -1, 64) + "%" }
 
-func whole(f *Fault, word string) bool {
+func parseCount(f *Fault, word string) bool {
 	n, err := strconv.Atoi(word)
 	f.Amount = float64(n)
 	return err == nil && n > 0
 }
 
-func printWhole(f Fault) string { return strconv.Itoa(int(f.Amount)) }
+func formatCount(f Fault) string { return strconv.Itoa(int(f.Amount)) }
 
-func span(f *Fault, word string) bool {
-	least, most, jitters := strings.Cut(word, "..")
+func parseDelay(f *Fault, word string) bool {
+	minimum, maximum, jitters := strings.Cut(word, "..")
 	var err, err2 error
-	if f.Delay, err = time.ParseDuration(least); jitters {
-		f.Jitter, err2 = time.ParseDuration(most)
+	if f.Delay, err = time.ParseDuration(minimum); jitters {
+		f.Jitter, err2 = time.ParseDuration(maximum)
 		f.Jitter -= f.Delay
 	}
 	return err == nil && err2 == nil && f.Delay >= 0 && f.Jitter >= 0
 }
 
-func printSpan(f Fault) string {
+func formatDelay(f Fault) string {
 	if f.Jitter > 0 {
 		return f.Delay.String() + ".." + (f.Delay + f.Jitter).String()
 	}
 	return f.Delay.String()
 }
 
-func disk(f *Fault, word string) bool {
+func parseDiskOperation(f *Fault, word string) bool {
 	f.Name = word
-	return slices.Contains(disks, word)
+	return slices.Contains(diskOperations, word)
 }
 
-func printName(f Fault) string { return f.Name }
+func formatName(f Fault) string { return f.Name }
 
 // disks is what can be done to a data directory. A gateway should be away meanwhile.
-var disks = []string{"empty", "save", "old"}
+var diskOperations = []string{"empty", "save", "old"}
 
-func fileFault(f *Fault, word string) bool {
+func parseFileFault(f *Fault, word string) bool {
 	f.Name = word
 	return slices.Contains(fileFaults, word)
 }
@@ -100,30 +100,30 @@
 var fileFaults = []string{"full", "read-only"}
 
 // verbs are all kinds of faults.
-var verbs = map[string]verb{
-	"kill":      {shape: onNodes, what: "SIGKILL; started again after its span"},
-	"term":      {shape: onNodes, what: "SIGTERM; started again after its span, once it has ended"},
-	"stop":      {shape: onNodes, what: "SIGSTOP, and SIGCONT after its span"},
-	"starve":    {shape: onNodes, value: percent, print: printPercent, what: "stopped for a share of the time, in slices of 20 ms"},
-	"disk":      {shape: onNodes, value: disk, print: printName, once: true, undrawn: true, what: "the data directory: empty, save (keep a copy), old (put the copy back)"},
-	"files":     {shape: onNodes, value: fileFault, print: printName, what: "full: no file grows; read-only: no file can be written at all"},
-	"cut":       {shape: onWays, what: "nothing arrives; streams stand still"},
-	"stall":     {shape: onWays, what: "streams stand still, datagrams pass"},
-	"reset":     {shape: onWays, once: true, what: "open streams are reset"},
-	"loss":      {shape: onWays, value: percent, print: printPercent, what: "a share of the datagrams is lost; streams are late"},
-	"delay":     {shape: onWays, value: span, print: printSpan, what: "everything takes longer: 200ms, or 100ms..1s"},
-	"duplicate": {shape: onWays, value: whole, print: printWhole, what: "so many further copies of each datagram"},
-	"reorder":   {shape: onWays, what: "datagrams arrive in the other order, two by two"},
-	"slow":      {shape: onWays, value: whole, print: printWhole, what: "streams pass so many bytes a second"},
-	"split":     {shape: onParts, what: "the two parts hear nothing of each other"},
-	"sever":     {shape: onServer, what: "a gateway is cut from a server, or from discovery"},
-	"lag":       {shape: onlyNamed, value: span, print: printSpan, what: "a replica falls behind by so much"},
-	"promote":   {shape: onlyNamed, undrawn: true, what: "a replica is the primary from now on; the one that was is cut off for the span, then a replica"},
-	"drain":     {shape: onlyNamed, what: "the list says that a server drains"},
+var faultKinds = map[string]faultKind{
+	"kill":      {target: onNodes, help: "SIGKILL; started again after its span"},
+	"term":      {target: onNodes, help: "SIGTERM; started again after its span, once it has ended"},
+	"stop":      {target: onNodes, help: "SIGSTOP, and SIGCONT after its span"},
+	"starve":    {target: onNodes, parseValue: parsePercent, formatValue: formatPercent, help: "stopped for a share of the time, in slices of 20 ms"},
+	"disk":      {target: onNodes, parseValue: parseDiskOperation, formatValue: formatName, instant: true, scriptOnly: true, help: "the data directory: empty, save (keep a copy), old (put the copy back)"},
+	"files":     {target: onNodes, parseValue: parseFileFault, formatValue: formatName, help: "full: no file grows; read-only: no file can be written at all"},
+	"cut":       {target: onWays, help: "nothing arrives; streams stand still"},
+	"stall":     {target: onWays, help: "streams stand still, datagrams pass"},
+	"reset":     {target: onWays, instant: true, help: "open streams are reset"},
+	"loss":      {target: onWays, parseValue: parsePercent, formatValue: formatPercent, help: "a share of the datagrams is lost; streams are late"},
+	"delay":     {target: onWays, parseValue: parseDelay, formatValue: formatDelay, help: "everything takes longer: 200ms, or 100ms..1s"},
+	"duplicate": {target: onWays, parseValue: parseCount, formatValue: formatCount, help: "so many further copies of each datagram"},
+	"reorder":   {target: onWays, help: "datagrams arrive in the other order, two by two"},
+	"slow":      {target: onWays, parseValue: parseCount, formatValue: formatCount, help: "streams pass so many bytes a second"},
+	"split":     {target: onParts, help: "the two parts hear nothing of each other"},
+	"sever":     {target: onServer, help: "a gateway is cut from a server, or from discovery"},
+	"lag":       {target: onlyNamed, parseValue: parseDelay, formatValue: formatDelay, help: "a replica falls behind by so much"},
+	"promote":   {target: onlyNamed, scriptOnly: true, help: "a replica is the primary from now on; the one that was is cut off for the span, then a replica"},
+	"drain":     {target: onlyNamed, help: "the list says that a server drains"},
 }
 
 // nodes writes a list of gateways.
-func nodes(list []int) string {
+func formatNodes(list []int) string {
 	if list == nil {
 		return "all"
 	}
@@ -136,26 +136,26 @@
 
 // String is the fault's line in a script.
 func (f Fault) String() string {
-	v := verbs[f.Verb]
+	v := faultKinds[f.Verb]
 	words := []string{"at", f.At.String(), f.Verb}
 	arrow := "->"
 	if f.Bidirectional {
 		arrow = "<->"
 	}
-	switch v.shape {
+	switch v.target {
 	case onNodes:
-		words = append(words, nodes(f.From))
+		words = append(words, formatNodes(f.From))
 	case onWays:
-		words = append(words, nodes(f.From), arrow, nodes(f.To))
+		words = append(words, formatNodes(f.From), arrow, formatNodes(f.To))
 	case onParts:
-		words = append(words, nodes(f.From), "|", nodes(f.To))
+		words = append(words, formatNodes(f.From), "|", formatNodes(f.To))
 	case onServer:
-		words = append(words, nodes(f.From), "->", f.Name)
+		words = append(words, formatNodes(f.From), "->", f.Name)
 	case onlyNamed:
 		words = append(words, f.Name)
 	}
-	if v.value != nil {
-		words = append(words, v.print(f))
+	if v.parseValue != nil {
+		words = append(words, v.formatValue(f))
 	}
 	if f.Duration > 0 {
 		words = append(words, "for", f.Duration.String())
@@ -212,43 +212,43 @@
 	if d.Name != "at" {
 		return f, "is not known here; there is at"
 	}
-	rest := words(d.Values)
-	when := rest.next()
+	remaining := words(d.Values)
+	when := remaining.next()
 	var err error
 	if f.At, err = time.ParseDuration(when); err != nil || f.At < 0 {
 		return f, fmt.Sprintf("%q is no time since the run began, such as 3s", when)
 	}
-	f.Verb = rest.next()
-	v, ok := verbs[f.Verb]
+	f.Verb = remaining.next()
+	v, ok := faultKinds[f.Verb]
 	if !ok {
-		known := make([]string, 0, len(verbs))
-		for name := range verbs {
+		known := make([]string, 0, len(faultKinds))
+		for name := range faultKinds {
 			known = append(known, name)
 		}
 		slices.Sort(known)
 		return f, fmt.Sprintf("%q is no fault; there is %s", f.Verb, strings.Join(known, ", "))
 	}
-	if wrong = f.target(v.shape, &rest); wrong != "" {
+	if wrong = f.parseTarget(v.target, &remaining); wrong != "" {
 		return f, wrong
 	}
-	if v.value != nil {
-		if word := rest.next(); !v.value(&f, word) {
-			return f, fmt.Sprintf("%q does not fit %s: %s", word, f.Verb, v.what)
+	if v.parseValue != nil {
+		if word := remaining.next(); !v.parseValue(&f, word) {
+			return f, fmt.Sprintf("%q does not fit %s: %s", word, f.Verb, v.help)
 		}
 	}
-	if word := rest.next(); word != "" {
-		long := rest.next()
-		if f.Duration, err = time.ParseDuration(long); word != "for" || err != nil || f.Duration <= 0 || v.once || len(rest) > 0 {
-			return f, fmt.Sprintf("%q is not understood behind %s", strings.Join(append([]string{word, long}, rest...), " "), f.Verb)
+	if word := remaining.next(); word != "" {
+		long := remaining.next()
+		if f.Duration, err = time.ParseDuration(long); word != "for" || err != nil || f.Duration <= 0 || v.instant || len(remaining) > 0 {
+			return f, fmt.Sprintf("%q is not understood behind %s", strings.Join(append([]string{word, long}, remaining...), " "), f.Verb)
 		}
 	}
 	return f, ""
 }
 
 // target reads whom a fault concerns.
-func (f *Fault) target(s shape, rest *words) (wrong string) {
+func (f *Fault) parseTarget(s targetShape, remaining *words) (wrong string) {
 	list := func(into *[]int) {
-		word := rest.next()
+		word := remaining.next()
 		if word == "all" || wrong != "" {
 			return
 		}
@@ -262,7 +262,7 @@
 		}
 	}
 	between := func(signs ...string) {
-		if sign := rest.next(); wrong == "" && !slices.Contains(signs, sign) {
+		if sign := remaining.next(); wrong == "" && !slices.Contains(signs, sign) {
 			wrong = fmt.Sprintf("%q stands where %s belongs", sign, strings.Join(signs, " or "))
 		} else {
 			f.Bidirectional = sign == "<->"
@@ -282,9 +282,9 @@
 	case onServer:
 		list(&f.From)
 		between("->")
-		f.Name = rest.next()
+		f.Name = remaining.next()
 	case onlyNamed:
-		f.Name = rest.next()
+		f.Name = remaining.next()
 	}
 	if wrong == "" && (s == onServer || s == onlyNamed) && f.Name == "" {
 		wrong = "names no server"
@@ -303,7 +303,7 @@
 }
 
 // spoils tells whether a fault of ways or parts is at work from one gateway to another.
-func (f Fault) spoils(from, to int) bool {
+func (f Fault) affects(from, to int) bool {
 	in := func(list []int, n int) bool { return list == nil || slices.Contains(list, n) }
 	there := in(f.From, from) && in(f.To, to)
 	back := in(f.From, to) && in(f.To, from)
@@ -319,8 +319,8 @@
 	last := length * 4 / 5
 	for at := 500 * time.Millisecond; at < last; at += time.Duration(500+rng.IntN(1000)) * time.Millisecond {
 		if len(bag) == 0 {
-			for name, v := range verbs {
-				if !v.undrawn {
+			for name, v := range faultKinds {
+				if !v.scriptOnly {
 					bag = append(bag, name)
 				}
 			}
@@ -329,7 +329,7 @@
 		}
 		f := Fault{At: at, Verb: bag[0]}
 		bag = bag[1:]
-		if f.draw(rng, gateways, replicas); f.At+f.Duration < last {
+		if f.drawDetails(rng, gateways, replicas); f.At+f.Duration < last {
 			out = append(out, f)
 		}
 	}
@@ -337,7 +337,7 @@
 }
 
 // draw fills in a fault's particulars.
-func (f *Fault) draw(rng *rand.Rand, gateways, replicas int) {
+func (f *Fault) drawDetails(rng *rand.Rand, gateways, replicas int) {
 	some := func(most int) (list []int) {
 		all := rng.Perm(gateways)
 		for _, n := range all[:1+rng.IntN(max(1, min(most, gateways-1)))] {
@@ -383,7 +383,7 @@
 	case "drain":
 		f.Name = fmt.Sprint("r", 1+rng.IntN(replicas))
 	}
-	if verbs[f.Verb].once {
+	if faultKinds[f.Verb].instant {
 		f.Duration = 0
 	}
 }
--- a/internal/testcluster/script_test.go
+++ b/internal/testcluster/script_test.go
@@ -23,7 +23,7 @@
 		}
 		for _, f := range all {
 			kinds[f.Verb] = true
-			if f.At+f.Duration >= 24*time.Second || !verbs[f.Verb].once && f.Duration == 0 {
+			if f.At+f.Duration >= 24*time.Second || !faultKinds[f.Verb].instant && f.Duration == 0 {
 				t.Errorf("seed %d: %v is not put right in time", seed, f)
 			}
 			if slices.Contains(f.From, 0) || slices.ContainsFunc(slices.Concat(f.From, f.To), func(n int) bool { return n > nodes }) {
@@ -31,8 +31,8 @@
 			}
 		}
 	}
-	for name, v := range verbs {
-		if kinds[name] == v.undrawn {
+	for name, v := range faultKinds {
+		if kinds[name] == v.scriptOnly {
 			t.Errorf("%s was drawn: %v", name, kinds[name])
 		}
 	}
@@ -70,7 +70,7 @@
 		{"at 1s split 1 | 3", 1, 2, false},
 	} {
 		f, err := ParseFault(c.f)
-		if err != nil || f.spoils(c.from, c.to) != c.want {
+		if err != nil || f.affects(c.from, c.to) != c.want {
 			t.Errorf("%s from %d to %d: %v, want %v", c.f, c.from, c.to, err, c.want)
 		}
 	}
--- /dev/null
+++ b/internal/testcluster/servers.go
@@ -0,0 +1,225 @@
+package testcluster
+
+import (
+	"fmt"
+	"regexp"
+	"strings"
+	"sync"
+	"time"
+
+	"marblespan/internal/fake"
+)
+
+// Group is the number of a fleet's first group of servers; further ones follow.
+const Group = 7
+
+// groupNames are the names of each group's primary and of its replicas, which have a number behind that.
+var groupNames = [...][2]string{{"p", "r"}, {"q", "s"}}
+
+// MostGroups is how many groups of servers a fleet may have.
+const MaxGroups = len(groupNames)
+
+// groupOf is the group that a client's key belongs to: clients differ in it, and keep to it.
+func (f *Cluster) groupOf(key string) int {
+	client, _, _ := strings.Cut(key, "-")
+	return Group + int(client[len(client)-1])%len(f.groups)
+}
+
+// The classes that clients use.
+const (
+	ClassBooking = "booking" // a write that must not run twice
+	ClassView    = "view"    // a read that may be behind by ViewBound
+	ClassSeat    = "seat"    // a read that must be current
+	ClassMine    = "mine"    // a read that must see what its session has booked
+)
+
+// ViewBound is how far behind a view's data may be.
+const ViewBound = 800 * time.Millisecond
+
+// There and Absent end the value of a read: whether the server had the key. The request's id stands before them.
+const (
+	There  = " there"
+	Absent = " absent"
+)
+
+// cluster is a primary and its replicas, which share a log of commits. A position is a Unix time in milliseconds: the data
+// of a server at position x hold what was committed up to then.
+type serverGroup struct {
+	number      int
+	events      *History
+	gatewayAt   func(ip string) int // the gateway behind a connection
+	serviceTime time.Duration
+
+	mu      sync.Mutex
+	commits map[string]int64 // by key, the position of its commit
+	servers []*server
+}
+
+// server is one database server.
+type server struct {
+	*fake.Server
+	group           *serverGroup
+	name            string
+	primary         bool
+	lag             time.Duration
+	appliedPosition int64 // a position never goes back
+	state           string
+}
+
+// newCluster starts a group's primary and its replicas, "p", "r1", "r2" and so on, each at an address of its own.
+func newServerGroup(h *History, group, replicas int, work time.Duration, node func(string) int) (*serverGroup, error) {
+	c := &serverGroup{number: group, events: h, gatewayAt: node, serviceTime: work, commits: map[string]int64{}}
+	for i := range replicas + 1 {
+		names := groupNames[group-Group]
+		s := &server{group: c, name: names[0], primary: i == 0, state: "ready"}
+		if i > 0 {
+			s.name = fmt.Sprint(names[1], i)
+		}
+		var err error
+		if s.Server, err = fake.NewServer(s.role()); err != nil {
+			c.close()
+			return nil, err
+		}
+		c.servers = append(c.servers, s)
+		s.SetHealthCheckHandler(func(*fake.Query) bool {
+			s.Position.Store(c.position(s))
+			return false
+		})
+		s.SetQueryHandler(func(q *fake.Query) { c.execute(s, q) })
+	}
+	return c, nil
+}
+
+// The roles of servers, as they tell them and as Ran events have them.
+const (
+	rolePrimary = "primary"
+	roleReplica = "replica"
+)
+
+func (s *server) role() string {
+	if s.primary {
+		return rolePrimary
+	}
+	return roleReplica
+}
+
+// promote makes a replica the primary, with all that was committed, and the primary that was a replica. It tells which that was.
+func (c *serverGroup) promote(next *server) (last *server) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, s := range c.servers {
+		if s.primary {
+			last = s
+		}
+	}
+	last.primary, next.primary, next.lag = false, true, 0
+	last.Role.Store(last.role())
+	next.Role.Store(next.role())
+	return last
+}
+
+// servers are those of all groups.
+func (f *Cluster) servers() (all []*server) {
+	for _, c := range f.groups {
+		all = append(all, c.servers...)
+	}
+	return all
+}
+
+func (f *Cluster) server(name string) *server {
+	for _, s := range f.servers() {
+		if s.name == name {
+			return s
+		}
+	}
+	return nil
+}
+
+// position is up to where a server has applied the log.
+func (c *serverGroup) position(s *server) int64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.positionLocked(s)
+}
+
+func (c *serverGroup) positionLocked(s *server) int64 {
+	s.appliedPosition = max(s.appliedPosition, time.Now().Add(-s.lag).UnixMilli())
+	return s.appliedPosition
+}
+
+// keyOf is the key that a statement names.
+var statementKey = regexp.MustCompile(`(?:name = |VALUES \()'([^']*)'`)
+
+// run runs one request and notes it.
+func (c *serverGroup) execute(s *server, q *fake.Query) {
+	key := ""
+	if m := statementKey.FindStringSubmatch(q.SQL); m != nil {
+		key = m[1]
+	}
+	write := strings.Contains(q.SQL, "INSERT ")
+	c.mu.Lock()
+	at, role := c.positionLocked(s), s.role()
+	if write && role != rolePrimary {
+		c.mu.Unlock()
+		s.Position.Store(at)
+		q.ReplyError("25006")
+		return
+	}
+	commit, there := c.commits[key]
+	there = there && commit <= at
+	if write {
+		there = true
+		c.commits[key] = at
+	}
+	c.mu.Unlock()
+	// The very moment counts, not the position's grain: a primary is never behind.
+	age := int64(0)
+	if role != rolePrimary {
+		age = time.Since(time.UnixMilli(at)).Microseconds()
+	}
+	c.events.Add(Event{
+		Kind: RequestExecuted, Node: c.gatewayAt(q.ClientIP()), ID: q.ID(), Class: q.Field("c"), Key: key, Server: s.name, What: role, DataAge: age,
+	})
+	time.Sleep(c.serviceTime)
+	value := q.ID() + Absent
+	if there {
+		value = q.ID() + There
+	}
+	s.Position.Store(at)
+	q.ReplyRow([]byte(value))
+}
+
+// setLag lets a replica fall behind: it stands where it is until it lags by so much, then goes on at that distance.
+func (c *serverGroup) setLag(s *server, lag time.Duration) {
+	c.mu.Lock()
+	c.positionLocked(s)
+	if !s.primary {
+		s.lag = lag
+	}
+	c.mu.Unlock()
+}
+
+// setState tells whether the state is another one than before.
+func (c *serverGroup) setState(s *server, state string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	changed := s.state != state
+	s.state = state
+	return changed
+}
+
+// target is a server's entry on the list that a gateway gets, which reaches it at an address of its own.
+func (s *server) target(endpoint string) fake.Endpoint {
+	s.group.mu.Lock()
+	defer s.group.mu.Unlock()
+	return fake.Endpoint{UID: s.name, Addr: endpoint, Zone: "here", Group: s.group.number, State: s.state, Weight: 1, Role: s.role()}
+}
+
+func (c *serverGroup) close() {
+	for _, s := range c.servers {
+		s.Close()
+	}
+}
+
+// requestID is the id in a statement's comment.
+var requestID = regexp.MustCompile(`/\* id=([^, ]+)`)
--- a/internal/testcluster/shrink.go
+++ b/internal/testcluster/shrink.go
@@ -5,7 +5,7 @@
 // have failed; what is left then has a fault too many, never one too few.
 func Shrink(faults []Fault, runs int, fails func([]Fault) bool) []Fault {
 	tried := map[string]bool{FormatScript(faults): false}
-	try := func(some []Fault) bool {
+	attempt := func(some []Fault) bool {
 		key := FormatScript(some)
 		if _, done := tried[key]; done || runs == 0 {
 			return false
@@ -20,7 +20,7 @@
 		for from := 0; from < len(faults) && !smaller; from += size {
 			to := min(from+size, len(faults))
 			without := append(append([]Fault(nil), faults[:from]...), faults[to:]...)
-			if try(without) {
+			if attempt(without) {
 				faults, smaller = without, true
 			}
 		}
--- a/internal/testcluster/copies.go
+++ b/internal/testcluster/statestore.go
@@ -34,7 +34,7 @@
 		if i == 0 {
 			holders = ""
 		}
-		holders += n.f.Nodes[i].Name() + " "
+		holders += n.cluster.Nodes[i].Name() + " "
 	}
 	fmt.Fprintf(&b, "state-store\n raft-nodes %s\n voters %d\n shards %d\n heartbeat %v\n repair-after %v\n max-repairs 8\n", holders, c.Voters, c.Shards, c.Heartbeat, c.RepairAfter)
 	if c.InMemory {
@@ -42,7 +42,7 @@
 	} else {
 		fmt.Fprintf(&b, " storage disk %s\n witness %s\n", n.StoreFile(), n.dir+"/witness")
 	}
-	if n.f.InDoubt != nil {
+	if n.cluster.InDoubt != nil {
 		b.WriteString(" memory 16m\n") // for all bookings of a run
 	}
 	if !c.NoSessionMarks {
@@ -57,48 +57,50 @@
 // StoreFile is the file that a gateway's replicas are in.
 func (n *Node) StoreFile() string { return n.dir + "/data/copies.db" }
 
-// CopiesView is what a gateway answers about copies.
+// StateStoreStatus is what a gateway answers about the state store ("state-store --json").
 type StateStoreStatus struct {
-	Founding string
-	Copies   int
-	Format   uint32
-	Disk     string
-	Failed   string
-	Disks    []struct {
-		Number, Node string
-		Gone         bool
-	}
-	Groups []RaftGroup
+	BootstrapID string `json:"founding"` // empty: there is no store
+	Voters      int    `json:"copies"`
+	Format      uint32 `json:"format"` // of records, the latest that may be used
+	StoreID     string `json:"disk"`   // the gateway's own; empty: it holds nothing
+	Failed      string `json:"failed"`
+	Stores      []struct {
+		Number  string `json:"number"`
+		Node    string `json:"node"`
+		Removed bool   `json:"gone"`
+	} `json:"disks"`
+	Groups []RaftGroup `json:"groups"` // the ledger first, then the shards
 }
 
-// CopiesGroup is one shard, or the ledger.
+// RaftGroup is one shard, or the ledger.
 type RaftGroup struct {
-	Group, Epoch uint32
-	Lost         bool
-	Replicas     []RaftReplica
-	Adding       *RaftReplica
-	Here         *struct {
-		Leader  string
-		Records int
-		Unsure  bool
-	}
+	Group    uint32        `json:"group"`
+	Epoch    uint32        `json:"epoch"`
+	Lost     bool          `json:"lost"`
+	Replicas []RaftReplica `json:"replicas"`
+	Adding   *RaftReplica  `json:"adding"`
+	Here     *struct {     // the answering gateway's own replica; nil: it has none
+		Leader     string `json:"leader"`
+		Records    int    `json:"records"`
+		Recovering bool   `json:"unsure"`
+	} `json:"here"`
 }
 
-// CopiesReplica is one replica.
+// RaftReplica is one replica of a group.
 type RaftReplica struct {
-	Number uint64
-	Node   string
-	Lost   bool
+	Number  uint64 `json:"number"`
+	Gateway string `json:"node"`
+	Lost    bool   `json:"lost"`
 }
 
 // On tells whether a gateway has a replica of a group.
 func (g RaftGroup) HasReplicaOn(n *Node) bool {
-	return slices.ContainsFunc(g.Replicas, func(r RaftReplica) bool { return r.Node == n.Name() })
+	return slices.ContainsFunc(g.Replicas, func(r RaftReplica) bool { return r.Gateway == n.Name() })
 }
 
 // Copies asks a gateway how copies stand.
 func (n *Node) StateStoreStatus() (v StateStoreStatus, err error) {
-	out, err := exec.Command(n.f.Binary, "state-store", "--json", "--socket", n.Socket()).Output()
+	out, err := exec.Command(n.cluster.Binary, "state-store", "--json", "--socket", n.Socket()).Output()
 	if err == nil {
 		err = json.Unmarshal(out, &v)
 	}
@@ -111,7 +113,7 @@
 	if first {
 		args = append(args, "--first")
 	}
-	if out, err := exec.Command(n.f.Binary, args...).CombinedOutput(); err != nil {
+	if out, err := exec.Command(n.cluster.Binary, args...).CombinedOutput(); err != nil {
 		return fmt.Errorf("%w: %s", err, out)
 	}
 	return nil
@@ -119,7 +121,7 @@
 
 // Gone says at a gateway that another one's disk will not come back.
 func (n *Node) RemoveStore(other *Node) error {
-	if out, err := exec.Command(n.f.Binary, "state-store", "remove-store", other.Name(), "--socket", n.Socket()).CombinedOutput(); err != nil {
+	if out, err := exec.Command(n.cluster.Binary, "state-store", "remove-store", other.Name(), "--socket", n.Socket()).CombinedOutput(); err != nil {
 		return fmt.Errorf("%w: %s", err, out)
 	}
 	return nil
@@ -143,7 +145,7 @@
 
 // unwhole says what is not whole yet: every group must have all its copies on gateways that hold them, and a leader that all of
 // them agree on.
-func (f *Cluster) unwhole() string {
+func (f *Cluster) incompleteReason() string {
 	views := map[string]StateStoreStatus{}
 	for _, n := range f.Nodes {
 		v, err := n.StateStoreStatus()
@@ -162,9 +164,9 @@
 			return fmt.Sprintf("group %d: %+v, adding %+v", i, g.Replicas, g.Adding)
 		}
 		for _, r := range g.Replicas {
-			here := views[r.Node].Groups[i].Here
-			if r.Lost || here == nil || here.Unsure || here.Leader == "" || leader != "" && here.Leader != leader {
-				return fmt.Sprintf("group %d: replica %d on %s: %+v, lost: %v", i, r.Number, r.Node, here, r.Lost)
+			here := views[r.Gateway].Groups[i].Here
+			if r.Lost || here == nil || here.Recovering || here.Leader == "" || leader != "" && here.Leader != leader {
+				return fmt.Sprintf("group %d: replica %d on %s: %+v, lost: %v", i, r.Number, r.Gateway, here, r.Lost)
 			}
 			leader = here.Leader
 		}
@@ -178,7 +180,7 @@
 }
 
 // mend restarts the gateways whose disks have failed, as an operator does once the disk is well again.
-func (f *Cluster) mend() error {
+func (f *Cluster) restartFailedStores() error {
 	if f.Options.StateStore == nil {
 		return nil
 	}
@@ -186,7 +188,7 @@
 		if v, err := n.StateStoreStatus(); err != nil || v.Failed == "" {
 			continue
 		}
-		undo, err := f.inflict(Fault{Verb: "term", From: []int{n.Number}})
+		undo, err := f.injectRecorded(Fault{Verb: "term", From: []int{n.Number}})
 		if err == nil {
 			err = undo()
 		}
@@ -194,13 +196,13 @@
 			return err
 		}
 	}
-	return f.AwaitReady(settleBy)
+	return f.AwaitReady(settleTimeout)
 }
 
 // AwaitWhole waits until all copies are there.
 func (f *Cluster) AwaitComplete(bound time.Duration) error {
 	for late := time.Now().Add(bound); ; time.Sleep(50 * time.Millisecond) {
-		wrong := f.unwhole()
+		wrong := f.incompleteReason()
 		if wrong == "" {
 			return nil
 		}
@@ -216,15 +218,15 @@
 // RereadSome reads one of so many.
 func (l *Load) VerifySomeSessions(of int) {
 	var keys []string
-	for _, e := range l.f.History.Events() {
+	for _, e := range l.cluster.History.Events() {
 		if e.Kind == ResponseReceived && e.Class == ClassBooking && e.What == EndServed {
 			keys = append(keys, e.Key)
 		}
 	}
 	turn := 0
 	b := &fake.Client{
-		Name: "final", Class: ClassMine, Group: Group, Timeout: patience, MaxAttempts: 20, Backoff: clientWait, Ledger: &l.ledger,
-		Addr: func() string { turn++; return l.f.Nodes[turn%len(l.f.Nodes)].Listen }, OnExchange: l.tell,
+		Name: "final", Class: ClassMine, Group: Group, Timeout: requestTimeout, MaxAttempts: 20, Backoff: clientBackoff, Ledger: &l.ledger,
+		Addr: func() string { turn++; return l.cluster.Nodes[turn%len(l.cluster.Nodes)].Listen }, OnExchange: l.recordExchange,
 	}
 	defer b.Close()
 	for i, key := range keys {
@@ -234,7 +236,7 @@
 		if i/of%16 == 0 {
 			b.Close() // at another gateway
 		}
-		b.Group = l.f.groupOf(key)
+		b.Group = l.cluster.groupOf(key)
 		b.Read(key)
 	}
 }
--- a/internal/testcluster/copies_test.go
+++ b/internal/testcluster/statestore_test.go
@@ -15,7 +15,7 @@
 // The hard cases of copied state with five processes under load, replicas that lag for as long as it lasts, and reads of every
 // session at any gateway. In the end all copies are there, and every session sees what it has booked.
 func TestCopies(t *testing.T) {
-	if raced {
+	if raceEnabled {
 		t.Skip("what these processes do, the race detector does not see")
 	}
 	play := func(script string) func(*Cluster) error {
@@ -28,7 +28,7 @@
 		}
 	}
 	down := func(f *Cluster, n *Node, verb string, meanwhile func() error) error {
-		return during(f, fmt.Sprintf("at 0s %s %d", verb, n.Number), func() error { n.WaitForExit(); return meanwhile() })
+		return withFault(f, fmt.Sprintf("at 0s %s %d", verb, n.Number), func() error { n.WaitForExit(); return meanwhile() })
 	}
 	killLeaders := func(f *Cluster, times int) error {
 		for i := range times {
@@ -37,7 +37,7 @@
 					return err
 				}
 			}
-			if err := f.AwaitReady(settleBy); err != nil {
+			if err := f.AwaitReady(settleTimeout); err != nil {
 				return err
 			}
 		}
@@ -63,9 +63,9 @@
 				others = append(others, name)
 			}
 		}
-		if err := during(f, ways(fmt.Sprint(n.Number), strings.Join(holders, ","), strings.Join(others, ",")), func() error {
+		if err := withFault(f, ways(fmt.Sprint(n.Number), strings.Join(holders, ","), strings.Join(others, ",")), func() error {
 			time.Sleep(200 * time.Millisecond) // shorter than an election takes to begin
-			undo, err := f.inflict(mustFault(fmt.Sprint("at 0s kill ", n.Number)))
+			undo, err := f.injectRecorded(mustFault(fmt.Sprint("at 0s kill ", n.Number)))
 			if err != nil {
 				return err
 			}
@@ -74,10 +74,10 @@
 		}); err != nil {
 			return err
 		}
-		if err := f.AwaitReady(settleBy); err != nil {
+		if err := f.AwaitReady(settleTimeout); err != nil {
 			return err
 		}
-		return f.AwaitComplete(settleBy)
+		return f.AwaitComplete(settleTimeout)
 	}
 	for _, c := range []struct {
 		name   string
@@ -91,7 +91,7 @@
 				if err := down(f, n, "term", func() error { return nil }); err != nil {
 					return err
 				}
-				if err := f.AwaitComplete(settleBy); err != nil {
+				if err := f.AwaitComplete(settleTimeout); err != nil {
 					return err
 				}
 			}
@@ -112,14 +112,14 @@
 			return nil
 		}},
 		{"one of five only asks, and leaders are killed", false, false, func(f *Cluster) error {
-			if v, err := f.Nodes[4].StateStoreStatus(); err != nil || v.Disk != "" || len(v.Disks) != 4 {
+			if v, err := f.Nodes[4].StateStoreStatus(); err != nil || v.StoreID != "" || len(v.Stores) != 4 {
 				return fmt.Errorf("gateway 5 holds something: %+v, %v", v, err)
 			}
 			return killLeaders(f, 3)
 		}},
 		{"two versions of the records together", false, false, func(f *Cluster) error {
 			formats := func(want uint32) error {
-				return poll(fmt.Sprint("all use format ", want), func() bool {
+				return pollUntil(fmt.Sprint("all use format ", want), func() bool {
 					for _, n := range f.Nodes {
 						if v, err := n.StateStoreStatus(); err != nil || v.Format != want {
 							return false
@@ -132,11 +132,11 @@
 				if err := formats(2); err != nil {
 					return err
 				}
-				n.Binary = another
+				n.Binary = otherBinary
 				if err := down(f, n, "term", func() error { return nil }); err != nil {
 					return err
 				}
-				if err := f.AwaitComplete(settleBy); err != nil {
+				if err := f.AwaitComplete(settleTimeout); err != nil {
 					return fmt.Errorf("%d of the later version: %w", i+1, err)
 				}
 			}
@@ -145,45 +145,45 @@
 			}
 			n := f.Nodes[2] // back to the earlier version, with an empty disk: it serves, and holds nothing
 			n.Binary = ""
-			if err := down(f, n, "kill", func() error { return n.disk("empty") }); err != nil {
+			if err := down(f, n, "kill", func() error { return n.changeDisk("empty") }); err != nil {
 				return err
 			}
-			if err := believes(f, "format_too_old"); err != nil {
+			if err := awaitStoreEvent(f, "format_too_old"); err != nil {
 				return err
 			}
-			n.Binary = another
+			n.Binary = otherBinary
 			return down(f, n, "kill", func() error { return nil })
 		}},
 		{"disks are lost, one after the other", false, false, func(f *Cluster) error {
 			for _, n := range f.Nodes {
-				if err := down(f, n, "kill", func() error { return n.disk("empty") }); err != nil {
+				if err := down(f, n, "kill", func() error { return n.changeDisk("empty") }); err != nil {
 					return err
 				}
-				if err := f.AwaitReady(settleBy); err != nil {
+				if err := f.AwaitReady(settleTimeout); err != nil {
 					return err
 				}
-				if err := f.AwaitComplete(settleBy); err != nil {
+				if err := f.AwaitComplete(settleTimeout); err != nil {
 					return err
 				}
 			}
-			return believes(f, "disk_gone")
+			return awaitStoreEvent(f, "disk_gone")
 		}},
 		{"a copy of a disk is put back", false, false, func(f *Cluster) error {
 			n, err := leader(f)
 			if err != nil {
 				return err
 			}
-			if err := down(f, n, "kill", func() error { return n.disk("save") }); err != nil {
+			if err := down(f, n, "kill", func() error { return n.changeDisk("save") }); err != nil {
 				return err
 			}
-			if err := f.AwaitComplete(settleBy); err != nil {
+			if err := f.AwaitComplete(settleTimeout); err != nil {
 				return err
 			}
 			time.Sleep(2 * time.Second) // bookings go on
-			if err := down(f, n, "kill", func() error { return n.disk("old") }); err != nil {
+			if err := down(f, n, "kill", func() error { return n.changeDisk("old") }); err != nil {
 				return err
 			}
-			return believes(f, "disk_older")
+			return awaitStoreEvent(f, "disk_older")
 		}},
 		{"a leader stands still", false, false, func(f *Cluster) error {
 			n, err := leader(f)
@@ -196,13 +196,13 @@
 		{"one is cut off for longer than heal-after", false, false, play("at 0s split 2 | 1,3,4,5 for 5s")},
 		{"a placement changes in a split, where the ledger's majority is and nowhere else", false, false, func(f *Cluster) error {
 			lost := f.Nodes[4]
-			return during(f, "at 0s split 1,2 | 3,4,5", func() error {
+			return withFault(f, "at 0s split 1,2 | 3,4,5", func() error {
 				return down(f, lost, "kill", func() error {
-					if err := lost.disk("empty"); err != nil {
+					if err := lost.changeDisk("empty"); err != nil {
 						return err
 					}
 					var taken []int
-					if err := poll("one side takes the word that a disk is gone", func() bool {
+					if err := pollUntil("one side takes the word that a disk is gone", func() bool {
 						for _, n := range f.Nodes[:4] {
 							if n.RemoveStore(lost) == nil {
 								taken = append(taken, n.Number)
@@ -257,11 +257,11 @@
 			if err != nil {
 				return err
 			}
-			if err := during(f, fmt.Sprintf("at 0s files %d read-only", n.Number), func() error {
-				if err := believes(f, "disk_failed"); err != nil {
+			if err := withFault(f, fmt.Sprintf("at 0s files %d read-only", n.Number), func() error {
+				if err := awaitStoreEvent(f, "disk_failed"); err != nil {
 					return err
 				}
-				return believes(f, "disk_gone")
+				return awaitStoreEvent(f, "disk_gone")
 			}); err != nil {
 				return err
 			}
@@ -275,10 +275,10 @@
 			return warnsOfFormerWords(f)
 		}},
 		{"all are killed at once, with their disks", false, true, func(f *Cluster) error {
-			if err := during(f, "at 0s kill all", func() error {
+			if err := withFault(f, "at 0s kill all", func() error {
 				for _, n := range f.Nodes {
 					n.WaitForExit()
-					if err := n.disk("empty"); err != nil {
+					if err := n.changeDisk("empty"); err != nil {
 						return err
 					}
 				}
@@ -286,23 +286,23 @@
 			}); err != nil {
 				return err
 			}
-			if err := f.AwaitReady(settleBy); err != nil {
+			if err := f.AwaitReady(settleTimeout); err != nil {
 				return err
 			}
-			if v, err := f.Nodes[0].StateStoreStatus(); err != nil || v.Founding != "" {
+			if v, err := f.Nodes[0].StateStoreStatus(); err != nil || v.BootstrapID != "" {
 				return fmt.Errorf("a store was invented: %+v, %v", v, err)
 			}
-			if err := f.AwaitMembers(settleBy); err != nil {
+			if err := f.AwaitMembers(settleTimeout); err != nil {
 				return err
 			}
 			return f.Nodes[2].Bootstrap(false)
 		}},
-		{"two of a shard's three disks are lost at once", false, true, loseTwo},
+		{"two of a shard's three disks are lost at once", false, true, loseTwoStores},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			wide <- true
-			defer func() { <-wide }()
+			untimedSlots <- true
+			defer func() { <-untimedSlots }()
 			o := options()
 			o.Nodes, o.Dir, o.StateStore = 5, t.TempDir(), DefaultStateStore()
 			if strings.Contains(c.name, "nine") {
@@ -317,7 +317,7 @@
 			}
 			load := DefaultLoad()
 			load.SessionReaders = 4
-			ordeal(t, "copies "+c.name, o, load, "at 0s lag r1 2s", c.do)
+			runScenario(t, "copies "+c.name, o, load, "at 0s lag r1 2s", c.do)
 		})
 	}
 }
@@ -346,7 +346,7 @@
 
 // ordeal starts a fleet with copies, has something done to it under load, and checks what happened once it has come to rest.
 // Meanwhile is a fault that lasts all along; empty: none does.
-func ordeal(t *testing.T, name string, o Options, load LoadOptions, meanwhile string, do func(*Cluster) error) {
+func runScenario(t *testing.T, name string, o Options, load LoadOptions, meanwhile string, do func(*Cluster) error) {
 	t.Helper()
 	var history bytes.Buffer
 	o.History = &history
@@ -366,7 +366,7 @@
 		t.Error(err)
 	}
 	healed := time.Now()
-	if err := f.settles(load.classes()); err != nil {
+	if err := f.settles(load.classCount()); err != nil {
 		t.Error(err)
 	}
 	t.Logf("at rest %v after the fault", time.Since(healed))
@@ -380,18 +380,18 @@
 		t.Error(v)
 	}
 	t.Logf("%+v", l.Totals())
-	kept(t, name, f, history.Bytes())
+	keepArtifacts(t, name, f, history.Bytes())
 }
 
 // believes waits until some gateway has noticed something of its copies.
-func believes(f *Cluster, what string) error {
-	return f.History.Await("a gateway believes "+what, settleBy, func(all []Event) bool {
+func awaitStoreEvent(f *Cluster, what string) error {
+	return f.History.Await("a gateway believes "+what, settleTimeout, func(all []Event) bool {
 		return slices.ContainsFunc(all, func(e Event) bool { return e.Kind == StateReported && e.What == "copies "+what })
 	})
 }
 
 // loseTwo has two of a shard's three disks be lost at once, of gateways that do not hold the ledger both.
-func loseTwo(f *Cluster) error {
+func loseTwoStores(f *Cluster) error {
 	v, err := f.Nodes[0].StateStoreStatus()
 	if err != nil {
 		return err
@@ -410,10 +410,10 @@
 		if ledgers == 2 {
 			continue
 		}
-		if err := during(f, fmt.Sprintf("at 0s kill %d,%d", both[0].Number, both[1].Number), func() error {
+		if err := withFault(f, fmt.Sprintf("at 0s kill %d,%d", both[0].Number, both[1].Number), func() error {
 			for _, n := range both {
 				n.WaitForExit()
-				if err := n.disk("empty"); err != nil {
+				if err := n.changeDisk("empty"); err != nil {
 					return err
 				}
 			}
@@ -421,13 +421,13 @@
 		}); err != nil {
 			return err
 		}
-		return believes(f, "lost")
+		return awaitStoreEvent(f, "lost")
 	}
 	return nil // every shard shares two holders with the ledger
 }
 
 // kept keeps what a failed test has left.
-func kept(t *testing.T, name string, f *Cluster, history []byte) {
+func keepArtifacts(t *testing.T, name string, f *Cluster, history []byte) {
 	if !t.Failed() {
 		return
 	}
@@ -443,7 +443,7 @@
 
 // leader is the gateway that leads the first shard.
 func leader(f *Cluster) (n *Node, err error) {
-	return n, poll("a shard is led", func() bool { n = f.LeaderOf(1); return n != nil })
+	return n, pollUntil("a shard is led", func() bool { n = f.LeaderOf(1); return n != nil })
 }
 
 func mustFault(line string) Fault {
@@ -455,8 +455,8 @@
 }
 
 // during brings a fault about, waits for what must come of it, and puts it right.
-func during(f *Cluster, line string, wait func() error) error {
-	undo, err := f.inflict(mustFault(line))
+func withFault(f *Cluster, line string, wait func() error) error {
+	undo, err := f.injectRecorded(mustFault(line))
 	if err != nil {
 		return err
 	}
