--- a/cmd/marblespan-bench/main.go
+++ b/cmd/marblespan-bench/main.go
@@ -27,7 +27,7 @@
 		Use: "marblespan-bench", Short: "Measurements and experiments with marblespan", SilenceUsage: true, SilenceErrors: true,
 		CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true},
 	}
-	root.AddCommand(demoCommand(), chaosCommand(), failoverCommand(), membersCommand(), copiesCommand(), doubtCommand(), maintainCommand())
+	root.AddCommand(demoCommand(), chaosCommand(), failoverCommand(), membersCommand(), stateStoreCommand(), inDoubtCommand(), maintenanceCommand())
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "marblespan-bench:", err)
 		os.Exit(1)
@@ -35,7 +35,7 @@
 }
 
 // beside is the gateway's program where none is named: the one that was built together with this one.
-func beside() string {
+func defaultBinary() string {
 	self, err := os.Executable()
 	if err != nil {
 		return testcluster.Defaults().Binary
@@ -64,7 +64,7 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&o.Binary, "binary", beside(), "the gateway's program")
+	flags.StringVar(&o.Binary, "binary", defaultBinary(), "the gateway's program")
 	flags.StringVar(&fault, "fault", "", "show one of "+fmt.Sprint(demo.Names()))
 	flags.DurationVar(&length, "for", 0, "how long; 0: until Ctrl-C")
 	return cmd
@@ -72,21 +72,21 @@
 
 func chaosCommand() *cobra.Command {
 	o := chaos.Defaults()
-	quiet, holds, claims := false, false, false
+	quiet, stateStore, inDoubt := false, false, false
 	cmd := &cobra.Command{
 		Use: "chaos", Short: "Run gateways under load and faults, and check what happened", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if !quiet {
 				o.Progress = cmd.ErrOrStderr()
 			}
-			if holds {
-				o.Rig.StateStore, o.Load.SessionReaders = testcluster.DefaultStateStore(), 4
+			if stateStore {
+				o.Cluster.StateStore, o.Load.SessionReaders = testcluster.DefaultStateStore(), 4
 			}
-			if claims {
-				o.Rig.InDoubt, o.Load.RetryInDoubt = &testcluster.InDoubt{SeatLookup: true}, true
-				if o.Rig.StateStore == nil {
-					o.Rig.StateStore = testcluster.DefaultStateStore()
-					o.Rig.StateStore.NoSessionMarks = true
+			if inDoubt {
+				o.Cluster.InDoubt, o.Load.RetryInDoubt = &testcluster.InDoubt{SeatLookup: true}, true
+				if o.Cluster.StateStore == nil {
+					o.Cluster.StateStore = testcluster.DefaultStateStore()
+					o.Cluster.StateStore.NoSessionMarks = true
 				}
 			}
 			all, err := chaos.Run(o, interrupted())
@@ -105,17 +105,17 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&o.Rig.Binary, "binary", beside(), "the gateway's program")
-	flags.IntVar(&o.Rig.Nodes, "nodes", o.Rig.Nodes, "gateways")
-	flags.BoolVar(&holds, "copies", false, "gateways keep the marks of sessions for each other")
-	flags.BoolVar(&claims, "in-doubt", false, "bookings are claimed before they are sent, and asked for again")
-	flags.IntVar(&o.Rig.Replicas, "replicas", o.Rig.Replicas, "replicas of the one group of servers")
+	flags.StringVar(&o.Cluster.Binary, "binary", defaultBinary(), "the gateway's program")
+	flags.IntVar(&o.Cluster.Nodes, "nodes", o.Cluster.Nodes, "gateways")
+	flags.BoolVar(&stateStore, "copies", false, "gateways keep the marks of sessions for each other")
+	flags.BoolVar(&inDoubt, "in-doubt", false, "bookings are claimed before they are sent, and asked for again")
+	flags.IntVar(&o.Cluster.Replicas, "replicas", o.Cluster.Replicas, "replicas of the one group of servers")
 	flags.StringVar(&o.Script, "script", "", "a file of faults; without one they are drawn")
 	flags.Uint64Var(&o.Seed, "seed", o.Seed, "of what is drawn")
-	flags.DurationVar(&o.For, "for", o.For, "length of what is drawn")
+	flags.DurationVar(&o.Duration, "for", o.Duration, "length of what is drawn")
 	flags.IntVar(&o.Runs, "runs", o.Runs, "how many, with seeds that follow each other")
-	flags.IntVar(&o.Shrink, "shrink", o.Shrink, "runs spent on finding the fewest faults of one that fails")
-	flags.StringVar(&o.Out, "out", "", "a folder for histories, scripts, logs and charts")
+	flags.IntVar(&o.ShrinkRuns, "shrink", o.ShrinkRuns, "runs spent on finding the fewest faults of one that fails")
+	flags.StringVar(&o.OutputDir, "out", "", "a folder for histories, scripts, logs and charts")
 	flags.BoolVar(&quiet, "quiet", false, "no progress on standard error")
 	return cmd
 }
@@ -139,8 +139,8 @@
 				return err
 			}
 			for _, r := range results {
-				if len(r.Faults) > 0 || r.Lost > 0 {
-					return fmt.Errorf("%s: lost %q, not true %q", r.Kind, r.Losses, r.Faults)
+				if len(r.Violations) > 0 || r.Lost > 0 {
+					return fmt.Errorf("%s: lost %q, not true %q", r.Kind, r.LostRequests, r.Violations)
 				}
 			}
 			return nil
@@ -153,9 +153,9 @@
 	flags.DurationVar(&o.Interval, "interval", o.Interval, "between advertisements")
 	flags.IntSliceVar(&o.Priorities, "priorities", o.Priorities, "one gateway each, the highest first")
 	flags.IntVar(&o.Clients, "clients", o.Clients, "clients of the floating address, and as many of the front")
-	flags.DurationVar(&o.Think, "think", o.Think, "a client's pause between bookings")
-	flags.DurationVar(&o.Work, "work", o.Work, "a booking's work at its server")
-	flags.DurationVar(&o.Notice, "notice", o.Notice, "after which a front knows of a death")
+	flags.DurationVar(&o.ThinkTime, "think", o.ThinkTime, "a client's pause between bookings")
+	flags.DurationVar(&o.ServerWork, "work", o.ServerWork, "a booking's work at its server")
+	flags.DurationVar(&o.FrontDetectionDelay, "notice", o.FrontDetectionDelay, "after which a front knows of a death")
 	flags.Uint64Var(&o.Seed, "seed", o.Seed, "of the moments at which faults happen")
 	flags.StringVar(&out, "out", "", "a folder for the table and the chart")
 	flags.BoolVar(&quiet, "quiet", false, "no progress on standard error")
@@ -165,14 +165,14 @@
 func membersCommand() *cobra.Command {
 	o, out, quiet := members.Defaults(), "", false
 	binary, nodes, trials := "", 9, 0
-	span, brief, interval := time.Duration(o.Span)*time.Microsecond, time.Duration(o.Brief)*time.Microsecond, time.Duration(o.Interval)*time.Microsecond
+	span, brief, interval := time.Duration(o.FaultDuration)*time.Microsecond, time.Duration(o.BaselineFaultDuration)*time.Microsecond, time.Duration(o.Interval)*time.Microsecond
 	cmd := &cobra.Command{
 		Use: "members", Short: "Compare failure detectors among hundreds of members, simulated", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if o.Members < 4 || o.Kills < 1 || o.Masses < 1 || interval < 50*time.Millisecond {
+			if o.Members < 4 || o.Kills < 1 || o.MassFailures < 1 || interval < 50*time.Millisecond {
 				return fmt.Errorf("needs four members, one kill of each kind and an interval of 50ms at least")
 			}
-			o.Span, o.Brief = clock.Micros(span.Microseconds()), clock.Micros(brief.Microseconds())
+			o.FaultDuration, o.BaselineFaultDuration = clock.Micros(span.Microseconds()), clock.Micros(brief.Microseconds())
 			o.Interval = clock.Micros(interval.Microseconds())
 			if !quiet {
 				o.Progress = cmd.ErrOrStderr()
@@ -194,11 +194,11 @@
 	flags.IntVar(&o.Members, "members", o.Members, "of a world")
 	flags.DurationVar(&interval, "interval", interval, "of a probe, and between heartbeats")
 	flags.IntVar(&o.Kills, "kills", o.Kills, "of one member")
-	flags.IntVar(&o.Masses, "masses", o.Masses, "worlds in which 46 % are killed")
+	flags.IntVar(&o.MassFailures, "masses", o.MassFailures, "worlds in which 46 % are killed")
 	flags.DurationVar(&span, "span", span, "of each trouble")
 	flags.IntVar(&trials, "processes", trials, "kills of each kind with real processes beside; 0: none")
 	flags.IntVar(&nodes, "nodes", nodes, "how many real processes")
-	flags.StringVar(&binary, "binary", beside(), "the gateway's program")
+	flags.StringVar(&binary, "binary", defaultBinary(), "the gateway's program")
 	flags.DurationVar(&brief, "brief", brief, "of each trouble, for the baselines")
 	flags.Uint64Var(&o.Seed, "seed", o.Seed, "of all that is drawn")
 	flags.StringVar(&out, "out", "", "a folder for tables and chart")
@@ -206,12 +206,12 @@
 	return cmd
 }
 
-func doubtCommand() *cobra.Command {
+func inDoubtCommand() *cobra.Command {
 	o, out, quiet := indoubt.Defaults(), "", false
 	cmd := &cobra.Command{
 		Use: "doubt", Short: "Measure bookings that are claimed before they are sent", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if o.Clients < 1 || o.Trials < 1 || o.Span < 100*time.Millisecond {
+			if o.Clients < 1 || o.TakeOvers < 1 || o.LoadDuration < 100*time.Millisecond {
 				return fmt.Errorf("needs a client, a trial and 100ms at least")
 			}
 			if !quiet {
@@ -225,30 +225,30 @@
 				return err
 			}
 			for _, t := range r.TakeOvers {
-				if len(t.Broken) > 0 {
-					return fmt.Errorf("%s, %s: %v", t.Kind, t.Way, t.Broken[0])
+				if len(t.Violations) > 0 {
+					return fmt.Errorf("%s, %s: %v", t.Kind, t.Policy, t.Violations[0])
 				}
 			}
 			return nil
 		},
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&o.Binary, "binary", beside(), "the gateway's program")
-	flags.DurationVar(&o.Span, "span", o.Span, "of each load")
+	flags.StringVar(&o.Binary, "binary", defaultBinary(), "the gateway's program")
+	flags.DurationVar(&o.LoadDuration, "span", o.LoadDuration, "of each load")
 	flags.IntVar(&o.Clients, "clients", o.Clients, "that book at the same time")
-	flags.IntVar(&o.Trials, "trials", o.Trials, "take-overs of each kind")
+	flags.IntVar(&o.TakeOvers, "trials", o.TakeOvers, "take-overs of each kind")
 	flags.Uint64Var(&o.Seed, "seed", o.Seed, "of the moments at which they happen")
 	flags.StringVar(&out, "out", "", "a folder for tables and chart")
 	flags.BoolVar(&quiet, "quiet", false, "no progress on standard error")
 	return cmd
 }
 
-func maintainCommand() *cobra.Command {
+func maintenanceCommand() *cobra.Command {
 	o, out, quiet := maintenance.Defaults(), "", false
 	cmd := &cobra.Command{
 		Use: "maintain", Short: "Measure a night's work: every machine is taken out, in the order that the gateways settle", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if o.Nodes < 4 || o.Nodes > testcluster.MaxNodes || o.Faults < 0 {
+			if o.Gateways < 4 || o.Gateways > testcluster.MaxNodes || o.FaultTrials < 0 {
 				return fmt.Errorf("needs 4 to %d gateways", testcluster.MaxNodes)
 			}
 			if !quiet {
@@ -262,25 +262,25 @@
 				return err
 			}
 			for _, n := range all {
-				if len(n.Broken) > 0 {
-					return fmt.Errorf("%s %s: %v", n.Name, n.Fault, n.Broken[0])
+				if len(n.Violations) > 0 {
+					return fmt.Errorf("%s %s: %v", n.Name, n.Fault, n.Violations[0])
 				}
 			}
 			return nil
 		},
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&o.Binary, "binary", beside(), "the gateway's program")
-	flags.IntVar(&o.Nodes, "nodes", o.Nodes, "gateways")
-	flags.IntVar(&o.Faults, "faults", o.Faults, "nights with a fault at a random moment")
-	flags.DurationVar(&o.Bound, "bound", o.Bound, "of one night")
+	flags.StringVar(&o.Binary, "binary", defaultBinary(), "the gateway's program")
+	flags.IntVar(&o.Gateways, "nodes", o.Gateways, "gateways")
+	flags.IntVar(&o.FaultTrials, "faults", o.FaultTrials, "nights with a fault at a random moment")
+	flags.DurationVar(&o.MaxDuration, "bound", o.MaxDuration, "of one night")
 	flags.Uint64Var(&o.Seed, "seed", o.Seed, "of the faults and their moments")
 	flags.StringVar(&out, "out", "", "a folder for table and chart")
 	flags.BoolVar(&quiet, "quiet", false, "no progress on standard error")
 	return cmd
 }
 
-func copiesCommand() *cobra.Command {
+func stateStoreCommand() *cobra.Command {
 	o, out, quiet := statestore.Defaults(), "", false
 	cmd := &cobra.Command{
 		Use: "copies", Short: "Measure what gateways hold for each other", Args: cobra.NoArgs,
@@ -299,7 +299,7 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&o.Binary, "binary", beside(), "the gateway's program")
+	flags.StringVar(&o.Binary, "binary", defaultBinary(), "the gateway's program")
 	flags.DurationVar(&o.LoadDuration, "span", o.LoadDuration, "of each load")
 	flags.IntVar(&o.Callers, "callers", o.Callers, "that promise at the same time")
 	flags.IntVar(&o.RepairedRecords, "heal", o.RepairedRecords, "records that are healed")
--- a/cmd/marblespan-bench/main_test.go
+++ b/cmd/marblespan-bench/main_test.go
@@ -20,13 +20,13 @@
 )
 
 // asBroken makes the test's own binary run as a gateway that ends of itself.
-const asBroken = "MARBLELAB_TEST_BROKEN"
+const crashAfterVariable = "MARBLELAB_TEST_BROKEN"
 
 // binary is the gateway, built once for all tests.
 var binary string
 
 func TestMain(m *testing.M) {
-	if after, err := time.ParseDuration(os.Getenv(asBroken)); err == nil {
+	if after, err := time.ParseDuration(os.Getenv(crashAfterVariable)); err == nil {
 		time.AfterFunc(after, func() { os.Exit(3) })
 		os.Exit(cli.Main(os.Args[1:], os.Getenv, os.Stdout, os.Stderr))
 	}
@@ -47,7 +47,7 @@
 // A script is played, what happened is kept, and what is kept is read back to the same verdict.
 func TestChaos(t *testing.T) {
 	o := chaos.Defaults()
-	o.Rig.Binary, o.Out, o.Script = binary, t.TempDir(), filepath.Join(t.TempDir(), "two.script")
+	o.Cluster.Binary, o.OutputDir, o.Script = binary, t.TempDir(), filepath.Join(t.TempDir(), "two.script")
 	if err := os.WriteFile(o.Script, []byte("at 200ms kill 1 for 300ms\nat 300ms cut 2 <-> 3 for 500ms\n"), 0o644); err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,7 @@
 	if err != nil || len(all) != 1 || all[0].Failed() {
 		t.Fatalf("%v %v", err, all[0].Violations)
 	}
-	raw, err := os.ReadFile(filepath.Join(all[0].Kept, "history.jsonl"))
+	raw, err := os.ReadFile(filepath.Join(all[0].Dir, "history.jsonl"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +63,7 @@
 	if err != nil || len(events) != len(all[0].Events) || len(testcluster.Check(events)) > 0 {
 		t.Errorf("%v, %d events of %d, %v", err, len(events), len(all[0].Events), testcluster.Check(events))
 	}
-	svg, err := os.ReadFile(filepath.Join(all[0].Kept, "timeline.svg"))
+	svg, err := os.ReadFile(filepath.Join(all[0].Dir, "timeline.svg"))
 	if err != nil || !strings.Contains(string(svg), "Answers a second, two-1") {
 		t.Errorf("the chart: %v, %d bytes", err, len(svg))
 	}
@@ -79,9 +79,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Setenv(asBroken, "1s")
+	t.Setenv(crashAfterVariable, "1s")
 	o := chaos.Defaults()
-	o.Rig.Binary, o.Rig.Nodes, o.Out, o.Script = self, 2, t.TempDir(), filepath.Join(t.TempDir(), "calm.script")
+	o.Cluster.Binary, o.Cluster.Nodes, o.OutputDir, o.Script = self, 2, t.TempDir(), filepath.Join(t.TempDir(), "calm.script")
 	if err := os.WriteFile(o.Script, []byte("at 100ms cut 1 -> 2 for 100ms\nat 1500ms reorder 1 -> 2 for 100ms\nat 1600ms reset 1 -> 2\n"), 0o644); err != nil {
 		t.Fatal(err)
 	}
@@ -89,7 +89,7 @@
 	if err != nil || len(all) != 1 || len(all[0].Violations) == 0 || all[0].Violations[0].Rule != "crashes" {
 		t.Fatalf("%v %v", err, all[0].Violations)
 	}
-	fewest, err := os.ReadFile(filepath.Join(all[0].Kept, "fewest.script"))
+	fewest, err := os.ReadFile(filepath.Join(all[0].Dir, "fewest.script"))
 	if err != nil || strings.Count(string(fewest), "\n") > 1 { // one may be left: it makes the run last
 		t.Errorf("%v, what is left: %s", err, fewest)
 	}
@@ -128,7 +128,7 @@
 			t.Errorf("a death was known after %.0f ms, sooner than any may be", s)
 		}
 	}
-	if p.One.All.Millis(50) < p.One.First.Millis(50) || len(p.Broken) > 0 {
+	if p.One.All.Millis(50) < p.One.First.Millis(50) || len(p.Violations) > 0 {
 		t.Errorf("%+v", p)
 	}
 }
@@ -138,13 +138,13 @@
 func TestFailover(t *testing.T) {
 	dir := t.TempDir()
 	o := failover.Defaults()
-	o.Binary, o.Trials, o.Interval, o.Notice, o.Clients = binary, 1, 120*time.Millisecond, 600*time.Millisecond, 4
+	o.Binary, o.Trials, o.Interval, o.FrontDetectionDelay, o.Clients = binary, 1, 120*time.Millisecond, 600*time.Millisecond, 4
 	results, err := failover.Run(o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, r := range results {
-		if r.Trials != 1 || r.Lost > 0 || len(r.Faults) > 0 || r.Floating.Counts[fake.Served] == 0 || r.Runs == 0 {
+		if r.Trials != 1 || r.Lost > 0 || len(r.Violations) > 0 || r.Floating.Counts[fake.Served] == 0 || r.Executions == 0 {
 			t.Errorf("%+v", r)
 		}
 		if r.Kind != "cut" && r.Kind != "split" && r.Front.Counts[fake.Served] == 0 {
--- a/internal/experiments/demo/demo.go
+++ b/internal/experiments/demo/demo.go
@@ -30,7 +30,7 @@
 }
 
 // Run shows the fleet until quit is closed, or for a span if that is not 0.
-func Run(o testcluster.Options, fault string, length time.Duration, w io.Writer, quit <-chan struct{}) error {
+func Run(o testcluster.Options, fault string, duration time.Duration, w io.Writer, quit <-chan struct{}) error {
 	shown, known := Faults[fault]
 	if fault != "" && !known {
 		return fmt.Errorf("fault %q is not known; there is %s", fault, strings.Join(Names(), ", "))
@@ -39,95 +39,95 @@
 	if err != nil {
 		return err
 	}
-	f, err := testcluster.New(o)
+	cluster, err := testcluster.New(o)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	if err := f.AwaitActiveRouter(0, 10*time.Second); err != nil {
+	defer cluster.Close()
+	if err := cluster.AwaitActiveRouter(0, 10*time.Second); err != nil {
 		return err
 	}
 	fmt.Fprintf(w, "%d gateways with one floating address, a primary and %d replicas; all of it stand-ins but the gateways. Ask:\n\n", o.Nodes, o.Replicas)
-	fmt.Fprintf(w, "    psql \"host=%s port=%s user=backend dbname=store sslmode=disable\" \\\n", host(f.Switch.Addr()), port(f.Switch.Addr()))
+	fmt.Fprintf(w, "    psql \"host=%s port=%s user=backend dbname=store sslmode=disable\" \\\n", host(cluster.Switch.Addr()), port(cluster.Switch.Addr()))
 	fmt.Fprintf(w, "      -c \"/* id=1,c=%s,d=900,cluster=%d */ SELECT content FROM kv WHERE name = 'a'\"\n\n", testcluster.ClassView, testcluster.Group)
-	for _, n := range f.Nodes {
+	for _, n := range cluster.Nodes {
 		fmt.Fprintf(w, "gateway %d itself: host=%s port=%s\n", n.Number, host(n.Listen), port(n.Listen))
 	}
 	if known {
 		fmt.Fprintf(w, "\nAfter 4 s: %s.\n", shown.What)
 	}
 	fmt.Fprintf(w, "\nAnswers a second by gateway (* holds the floating address), then what ran at each server. Ctrl-C ends all of it.\n\n")
-	l := f.Load(testcluster.DefaultLoad())
+	l := cluster.Load(testcluster.DefaultLoad())
 	defer l.Stop()
 	played := make(chan error, 1)
-	over := make(chan struct{})
-	go func() { played <- f.Play(faults, over) }()
-	defer func() { close(over); <-played }()
-	return watch(f, length, w, quit)
+	stopFaults := make(chan struct{})
+	go func() { played <- cluster.Play(faults, stopFaults) }()
+	defer func() { close(stopFaults); <-played }()
+	return printSeconds(cluster, duration, w, quit)
 }
 
 // watch prints a line a second.
-func watch(f *testcluster.Cluster, length time.Duration, w io.Writer, quit <-chan struct{}) error {
+func printSeconds(f *testcluster.Cluster, duration time.Duration, w io.Writer, quit <-chan struct{}) error {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	seen, second := 0, 0
-	for end := time.Duration(0); ; {
+	for elapsed := time.Duration(0); ; {
 		select {
 		case <-quit:
 			return nil
 		case <-tick.C:
 		}
 		second++
-		if end += time.Second; length > 0 && end > length {
+		if elapsed += time.Second; duration > 0 && elapsed > duration {
 			return nil
 		}
 		events := f.History.Events()
-		fmt.Fprintln(w, line(f, second, events, seen))
+		fmt.Fprintln(w, summaryLine(f, second, events, seen))
 		seen = len(events)
 	}
 }
 
 // line sums up a second.
-func line(f *testcluster.Cluster, second int, events []testcluster.Event, from int) string {
-	heard, ran := map[int]map[string]int{}, map[string]int{}
-	var news []string
+func summaryLine(f *testcluster.Cluster, second int, events []testcluster.Event, from int) string {
+	outcomesByGateway, runsByServer := map[int]map[string]int{}, map[string]int{}
+	var faultChanges []string
 	for _, e := range events[from:] {
 		switch e.Kind {
 		case testcluster.ResponseReceived:
-			if heard[e.Node] == nil {
-				heard[e.Node] = map[string]int{}
+			if outcomesByGateway[e.Node] == nil {
+				outcomesByGateway[e.Node] = map[string]int{}
 			}
-			heard[e.Node][e.What]++
+			outcomesByGateway[e.Node][e.What]++
 		case testcluster.RequestExecuted:
-			ran[e.Server]++
+			runsByServer[e.Server]++
 		case testcluster.FaultStarted, testcluster.FaultEnded:
-			news = append(news, string(e.Kind)+" "+strings.TrimPrefix(e.What, "at 4s "))
+			faultChanges = append(faultChanges, string(e.Kind)+" "+strings.TrimPrefix(e.What, "at 4s "))
 		}
 	}
-	held := testcluster.ActiveRouters(events)
+	holders := testcluster.ActiveRouters(events)
 	words := []string{fmt.Sprintf("%3ds", second)}
 	for _, n := range f.Nodes {
-		mark := " "
-		if held[n.Number] {
-			mark = "*"
+		holderMark := " "
+		if holders[n.Number] {
+			holderMark = "*"
 		}
-		words = append(words, fmt.Sprintf("%sgateway %d: %-14s", mark, n.Number, counts(heard[n.Number])))
+		words = append(words, fmt.Sprintf("%sgateway %d: %-14s", holderMark, n.Number, formatCounts(outcomesByGateway[n.Number])))
 	}
-	return strings.TrimRight(strings.Join(append(words, "| "+counts(ran), strings.Join(news, "; ")), " "), " ")
+	return strings.TrimRight(strings.Join(append(words, "| "+formatCounts(runsByServer), strings.Join(faultChanges, "; ")), " "), " ")
 }
 
-func counts(by map[string]int) string {
-	if len(by) == 0 {
+func formatCounts(countsByName map[string]int) string {
+	if len(countsByName) == 0 {
 		return "-"
 	}
 	var names []string
-	for name := range by {
+	for name := range countsByName {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	var words []string
 	for _, name := range names {
-		words = append(words, fmt.Sprintf("%d %s", by[name], name))
+		words = append(words, fmt.Sprintf("%d %s", countsByName[name], name))
 	}
 	return strings.Join(words, ", ")
 }
--- a/internal/experiments/failover/failover_test.go
+++ b/internal/experiments/failover/failover_test.go
@@ -15,7 +15,7 @@
 // The sums of a time line drawn by hand: gateway 1 dies at 100, 2 takes over at 400, 1 is back and active at 900, and 2
 // gives way at 905.
 func TestSpans(t *testing.T) {
-	changes := []change{{1, at(900), true}, {2, at(905), false}, {1, at(100), false}, {2, at(400), true}}
+	changes := []holderChange{{1, at(900), true}, {2, at(905), false}, {1, at(100), false}, {2, at(400), true}}
 	never := func(int, time.Time) bool { return false }
 	always := func(int, time.Time) bool { return true }
 	nobody := func(active, _ int) bool { return active == 0 }
@@ -33,7 +33,7 @@
 		{"one is out of reach", 100, 500, nobody, func(n int, x time.Time) bool { return n == 2 && x.Before(at(500)) }, always, 400_000},
 		{"one does not run", 100, 1000, two, never, func(n int, _ time.Time) bool { return n == 2 }, 0},
 	} {
-		if got := spans(changes, at(c.from), at(c.to), c.holds, c.out, c.runs); got != c.want {
+		if got := durationOf(changes, at(c.from), at(c.to), c.holds, c.out, c.runs); got != c.want {
 			t.Errorf("%s: %d us, want %d", c.name, got, c.want)
 		}
 	}
@@ -43,10 +43,10 @@
 	served := []fake.ClientEvent{
 		{At: at(0), Client: "a"}, {At: at(90), Client: "a"}, {At: at(95), Client: "b"}, {At: at(390), Client: "a"}, {At: at(400), Client: "a"},
 	}
-	if got := gap(served, at(100), at(450)); got != 355_000 {
+	if got := longestWait(served, at(100), at(450)); got != 355_000 {
 		t.Errorf("%d us, want the 355000 that b has waited", got)
 	}
-	if got := gap(served[:0], at(100), at(450)); got != 0 {
+	if got := longestWait(served[:0], at(100), at(450)); got != 0 {
 		t.Errorf("%d", got)
 	}
 }
--- a/internal/experiments/failover/write.go
+++ b/internal/experiments/failover/report.go
@@ -40,25 +40,25 @@
 	fmt.Fprintf(w, "# Take-overs of a floating address\n\nLoopback, real processes, %d gateways of priorities %v, advertisements every %v: the "+
 		"first backup's Active_Down_Interval is %v.\n%d clients book at the floating address without a pause but %v, and as many at the "+
 		"gateways' own listeners, where a\nfront that notices a death after %v spreads them. Times in ms.\n\n",
-		len(o.Priorities), o.Priorities, o.Interval, o.DownInterval(), o.Clients, o.Think, o.Notice)
+		len(o.Priorities), o.Priorities, o.Interval, o.DownInterval(), o.Clients, o.ThinkTime, o.FrontDetectionDelay)
 	var rows, clients [][]string
 	for _, r := range results {
 		rows = append(rows, []string{
-			r.Kind, r.What, fmt.Sprint(r.Trials), r.Without.Cell(50), r.Without.Cell(90), r.Without.Cell(100), r.Back.Cell(50),
-			r.Back.Cell(100), r.Two.Cell(50), r.Two.Cell(100),
+			r.Kind, r.Description, fmt.Sprint(r.Trials), r.Unheld.Cell(50), r.Unheld.Cell(90), r.Unheld.Cell(100), r.UnheldAtReturn.Cell(50),
+			r.UnheldAtReturn.Cell(100), r.HeldTwice.Cell(50), r.HeldTwice.Cell(100),
 		})
 		for _, c := range []struct {
 			who   string
 			t     fake.Totals
-			gap   *report.Spans
+			gap   *report.Durations
 			lost  string
 			shown bool
-		}{{"floating address", r.Floating, r.Gap, fmt.Sprint(r.Lost), true}, {"front", r.Front, r.FrontGap, "-", r.FrontGap.Millis(50) >= 0}} {
+		}{{"floating address", r.Floating, r.ClientWait, fmt.Sprint(r.Lost), true}, {"front", r.Front, r.FrontClientWait, "-", r.FrontClientWait.Millis(50) >= 0}} {
 			if c.shown {
 				clients = append(clients, []string{
 					r.Kind, c.who, c.gap.Cell(50), c.gap.Cell(90), c.gap.Cell(100), fmt.Sprint(c.t.Counts[fake.Served]),
 					fmt.Sprint(c.t.Rejections), fmt.Sprint(c.t.FailedConnects), fmt.Sprint(c.t.Counts[fake.Failed]),
-					fmt.Sprint(c.t.Counts[fake.Unknown]), c.lost, fmt.Sprint(len(r.Faults)),
+					fmt.Sprint(c.t.Counts[fake.Unknown]), c.lost, fmt.Sprint(len(r.Violations)),
 				})
 			}
 		}
@@ -82,7 +82,7 @@
 	}
 	for _, r := range results {
 		b.Labels = append(b.Labels, r.Kind)
-		for i, s := range []*report.Spans{r.Without, r.Gap, r.FrontGap} {
+		for i, s := range []*report.Durations{r.Unheld, r.ClientWait, r.FrontClientWait} {
 			b.Values[i] = append(b.Values[i], max(s.Millis(50), 0))
 		}
 	}
--- /dev/null
+++ b/internal/experiments/indoubt/indoubt.go
@@ -0,0 +1,284 @@
+// Package indoubt measures bookings that are claimed before they are sent, with real gateway processes: what a claim adds to a
+// booking, how many one gateway books, and how bookings end whose gateway is lost, beside gateways that claim nothing.
+package indoubt
+
+import (
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"strings"
+	"time"
+
+	"marblespan/internal/experiments/report"
+	"marblespan/internal/testcluster"
+)
+
+// Options say what is measured.
+type Options struct {
+	Binary       string
+	LoadDuration time.Duration // of each load
+	Clients      int           // that book at the same time at one gateway
+	TakeOvers    int           // take-overs of each kind
+	Seed         uint64
+	Progress     io.Writer
+}
+
+// Defaults are sizes that suit one machine.
+func Defaults() Options {
+	return Options{Binary: "bin/marblespan", LoadDuration: 5 * time.Second, Clients: 32, TakeOvers: 20, Seed: 1, Progress: io.Discard}
+}
+
+// way is how bookings are promised.
+type policy struct {
+	name       string
+	stateStore *testcluster.StateStore
+	inDoubt    *testcluster.InDoubt
+}
+
+func policies() []policy {
+	stateStore := func(memory bool) *testcluster.StateStore {
+		c := testcluster.DefaultStateStore()
+		c.InMemory, c.NoSessionMarks = memory, true
+		return c
+	}
+	return []policy{
+		{"nothing promised", nil, nil},
+		{"memory, fast", stateStore(true), &testcluster.InDoubt{}},
+		{"memory, safe", stateStore(true), &testcluster.InDoubt{StoreFirst: true}},
+		{"disk, fast", stateStore(false), &testcluster.InDoubt{}},
+		{"disk, safe", stateStore(false), &testcluster.InDoubt{StoreFirst: true}},
+	}
+}
+
+// Load is what one load came to.
+type Load struct {
+	Policy    string
+	Clients   int
+	PerSecond float64 // bookings a second
+	Durations *report.Durations
+}
+
+// TakeOver is how bookings of one kind of take-over ended.
+type TakeOver struct {
+	Kind, Policy    string
+	Trials          int
+	Bookings        int               // bookings in all
+	Unacknowledged  int               // whose first answer was lost, or was that it may have run
+	Resolved        int               // of those, that ended with the booking's answer
+	InDoubt         int               // of those, that are in doubt for good
+	ResolutionTimes *report.Durations // from the first answer's loss to the known one
+	Violations      []testcluster.Violation
+}
+
+// Result is all of it.
+type Result struct {
+	Loads     []Load
+	TakeOvers []TakeOver
+}
+
+// Run measures everything.
+func Run(o Options) (r Result, err error) {
+	for _, w := range policies() {
+		for _, clients := range []int{1, o.Clients} {
+			l, err := measureLoad(o, w, clients)
+			if err != nil {
+				return r, fmt.Errorf("%s: %w", w.name, err)
+			}
+			r.Loads = append(r.Loads, l)
+			fmt.Fprintf(o.Progress, "%s, %d clients: %.0f a second\n", l.Policy, clients, l.PerSecond)
+		}
+	}
+	withLookup := policies()[3]
+	withLookup.name, withLookup.inDoubt = "disk, fast, and a read that shows", &testcluster.InDoubt{SeatLookup: true}
+	for _, kind := range []string{"kill", "term", "stop"} {
+		for _, w := range []policy{policies()[0], policies()[3], withLookup} {
+			t, err := measureTakeOvers(o, w, kind)
+			if err != nil {
+				return r, fmt.Errorf("%s, %s: %w", kind, w.name, err)
+			}
+			r.TakeOvers = append(r.TakeOvers, t)
+			fmt.Fprintf(o.Progress, "%s, %s: %d of %d shaken bookings known, %d in doubt\n", kind, w.name, t.Resolved, t.Unacknowledged, t.InDoubt)
+		}
+	}
+	return r, nil
+}
+
+func newCluster(o Options, w policy) (*testcluster.Cluster, error) {
+	clusterOptions := testcluster.Defaults()
+	clusterOptions.Binary, clusterOptions.StateStore, clusterOptions.InDoubt, clusterOptions.ResetOnFailover, clusterOptions.Seed = o.Binary, w.stateStore, w.inDoubt, true, o.Seed
+	return testcluster.New(clusterOptions)
+}
+
+// load has clients book at the gateway that holds the floating address, and takes the times of what they are served.
+func measureLoad(o Options, w policy, clients int) (Load, error) {
+	out := Load{Policy: w.name, Clients: clients, Durations: report.NewDurations()}
+	cluster, err := newCluster(o, w)
+	if err != nil {
+		return out, err
+	}
+	defer cluster.Close()
+	if err := cluster.AwaitActiveRouter(1, convergenceTimeout); err != nil {
+		return out, err
+	}
+	running := cluster.Load(testcluster.LoadOptions{FloatingBookers: clients, ThinkTime: time.Microsecond})
+	time.Sleep(o.LoadDuration / 5) // until connections stand and leaders are known
+	from := cluster.History.Now()
+	time.Sleep(o.LoadDuration)
+	to := cluster.History.Now()
+	running.Stop()
+	sentAt := map[string]int64{}
+	served := 0
+	for _, e := range cluster.History.Events() {
+		switch {
+		case e.Kind == testcluster.RequestSent && e.At >= from:
+			sentAt[e.ID] = e.At
+		case e.Kind == testcluster.ResponseReceived && e.What == testcluster.EndServed && e.At < to && sentAt[e.ID] > 0:
+			out.Durations.Add(e.At - sentAt[e.ID])
+			served++
+		}
+	}
+	out.PerSecond = float64(served) / (float64(to-from) / 1e6)
+	return out, nil
+}
+
+// settleBy is how long a fleet may take to come to rest.
+const convergenceTimeout = 30 * time.Second
+
+// takeOver has the gateway that holds the floating address lost, again and again, under clients that ask again at whichever holds
+// it then. Clients of gateways that claim nothing do not ask again: they must not.
+func measureTakeOvers(o Options, w policy, kind string) (TakeOver, error) {
+	out := TakeOver{Kind: kind, Policy: w.name, Trials: o.TakeOvers, ResolutionTimes: report.NewDurations()}
+	cluster, err := newCluster(o, w)
+	if err != nil {
+		return out, err
+	}
+	defer cluster.Close()
+	if err := cluster.AwaitActiveRouter(1, convergenceTimeout); err != nil {
+		return out, err
+	}
+	running := cluster.Load(testcluster.LoadOptions{FloatingBookers: 8, ThinkTime: time.Microsecond, RetryInDoubt: w.inDoubt != nil})
+	rng := rand.New(rand.NewPCG(o.Seed, 8))
+	script := map[string]string{"kill": "at 0s kill 1", "term": "at 0s term 1", "stop": "at 0s stop 1"}[kind]
+	fault, err := testcluster.ParseFault(script)
+	if err != nil {
+		return out, err
+	}
+	for range o.TakeOvers {
+		time.Sleep(200*time.Millisecond + time.Duration(rng.Int64N(int64(200*time.Millisecond))))
+		undo, err := cluster.Inject(fault)
+		if err != nil {
+			return out, err
+		}
+		switch kind {
+		case "term":
+			cluster.Nodes[0].WaitForExit()
+		case "stop":
+			time.Sleep(700 * time.Millisecond) // longer than another one takes to take over
+		default:
+			if err := cluster.AwaitActiveRouter(2, convergenceTimeout); err != nil {
+				return out, err
+			}
+		}
+		if err := undo(); err != nil {
+			return out, err
+		}
+		if err := cluster.AwaitReady(convergenceTimeout); err != nil {
+			return out, err
+		}
+		if err := cluster.AwaitActiveRouter(1, convergenceTimeout); err != nil {
+			return out, err
+		}
+		if cluster.StateStore != nil {
+			if err := cluster.AwaitComplete(convergenceTimeout); err != nil {
+				return out, err
+			}
+		}
+	}
+	running.Stop()
+	cluster.History.Add(testcluster.Event{Kind: testcluster.PhaseReached, What: "done"})
+	cluster.History.End()
+	events := cluster.History.Events()
+	out.countOutcomes(events)
+	for _, v := range testcluster.Check(events) {
+		if v.Rule == "bookings" || v.Rule == "told" {
+			out.Violations = append(out.Violations, v)
+		}
+	}
+	return out, nil
+}
+
+// count reads how bookings ended.
+func (t *TakeOver) countOutcomes(events []testcluster.Event) {
+	unacknowledgedAt := map[string]int64{}
+	booked, resolved := map[string]bool{}, map[string]bool{}
+	for _, e := range events {
+		if e.Class != testcluster.ClassBooking || e.Kind != testcluster.RequestSent && e.Kind != testcluster.ResponseReceived {
+			continue
+		}
+		booked[e.Key] = true
+		if e.Kind != testcluster.ResponseReceived {
+			continue
+		}
+		switch {
+		case e.What == testcluster.EndServed && unacknowledgedAt[e.Key] > 0 && !resolved[e.Key]:
+			resolved[e.Key] = true
+			t.ResolutionTimes.Add(e.At - unacknowledgedAt[e.Key])
+		case e.What == testcluster.EndServed || e.What == testcluster.EndRejected:
+		case unacknowledgedAt[e.Key] == 0:
+			unacknowledgedAt[e.Key] = e.At
+		}
+	}
+	t.Bookings, t.Unacknowledged, t.Resolved = len(booked), len(unacknowledgedAt), len(resolved)
+	t.InDoubt = t.Unacknowledged - t.Resolved
+}
+
+// Write writes the tables to w and, if dir is not empty, tables and a chart into files there.
+func Write(w io.Writer, dir string, o Options, r Result) error {
+	if dir == "" {
+		return r.tables(w, o)
+	}
+	if err := os.MkdirAll(dir, 0o755); err != nil {
+		return err
+	}
+	file, err := os.Create(filepath.Join(dir, "in-doubt.md"))
+	if err != nil {
+		return err
+	}
+	defer file.Close()
+	if err := r.tables(io.MultiWriter(w, file), o); err != nil {
+		return err
+	}
+	fmt.Fprintf(file, "\n![bookings shaken by take-overs](doubt.svg)\n")
+	b := report.Bars{
+		Title: "Bookings that a take-over has shaken", Note: fmt.Sprintf("loopback, %d take-overs of each kind", o.TakeOvers),
+		Series: []string{"known in the end", "in doubt for good"}, Values: make([][]float64, 2),
+	}
+	for _, t := range r.TakeOvers {
+		b.Labels = append(b.Labels, t.Kind+": "+strings.TrimPrefix(t.Policy, "disk, fast, and "))
+		b.Values[0] = append(b.Values[0], float64(t.Resolved))
+		b.Values[1] = append(b.Values[1], float64(t.InDoubt))
+	}
+	return b.Write(filepath.Join(dir, "doubt.svg"))
+}
+
+func (r Result) tables(w io.Writer, o Options) error {
+	fmt.Fprintf(w, "# Bookings claimed before they are sent, measured\n\nLoopback, three real gateways, three copies, a server that works 3 ms on a booking. Times in ms.\n\n"+
+		"Clients that book without a pause at one gateway, %v each.\n\n", o.LoadDuration)
+	var rows [][]string
+	for _, l := range r.Loads {
+		rows = append(rows, []string{l.Policy, fmt.Sprint(l.Clients), fmt.Sprintf("%.0f", l.PerSecond), l.Durations.Cell(50), l.Durations.Cell(99), l.Durations.Cell(100)})
+	}
+	if err := report.Table(w, []string{"promised", "clients", "bookings a second", "median", "99 %", "longest"}, rows); err != nil {
+		return err
+	}
+	fmt.Fprintf(w, "\nTake-overs of a floating address, eight clients without a pause, flows cut when it moves. A booking is shaken if its first answer is "+
+		"lost, or is that it may have run; clients of gateways that claim ask again then, marked.\n\n")
+	rows = nil
+	for _, t := range r.TakeOvers {
+		rows = append(rows, []string{t.Kind, t.Policy, fmt.Sprint(t.Trials), fmt.Sprint(t.Bookings), fmt.Sprint(t.Unacknowledged), fmt.Sprint(t.Resolved), fmt.Sprint(t.InDoubt),
+			t.ResolutionTimes.Cell(50), t.ResolutionTimes.Cell(99), t.ResolutionTimes.Cell(100), fmt.Sprint(len(t.Violations))})
+	}
+	return report.Table(w, []string{"kind", "promised", "take-overs", "bookings", "shaken", "known in the end", "in doubt", "known after: median", "99 %", "longest", "rules broken"}, rows)
+}
--- a/internal/experiments/maintenance/maintain.go
+++ b/internal/experiments/maintenance/maintenance.go
@@ -19,44 +19,44 @@
 
 // Options say what is measured.
 type Options struct {
-	Binary   string
-	Nodes    int
-	Bound    time.Duration // of one night
-	Faults   int           // nights with a fault at a random moment
-	Seed     uint64
-	Progress io.Writer
+	Binary      string
+	Gateways    int
+	MaxDuration time.Duration // of one night
+	FaultTrials int           // nights with a fault at a random moment
+	Seed        uint64
+	Progress    io.Writer
 }
 
 // Defaults are sizes that suit one machine.
 func Defaults() Options {
-	return Options{Binary: "bin/marblespan", Nodes: 9, Bound: 5 * time.Minute, Faults: 5, Seed: 1, Progress: io.Discard}
+	return Options{Binary: "bin/marblespan", Gateways: 9, MaxDuration: 5 * time.Minute, FaultTrials: 5, Seed: 1, Progress: io.Discard}
 }
 
 // Night is what one night came to.
-type Night struct {
-	Name   string
-	Fault  string // empty: none
-	Took   time.Duration
-	Served map[string]int // by class
-	Asked  int            // requests
-	Ends   map[string]int
-	Doubt  int // bookings whose end their clients do not know
-	Broken []testcluster.Violation
+type Trial struct {
+	Name          string
+	Fault         string // empty: none
+	Duration      time.Duration
+	ServedByClass map[string]int // by class
+	Requests      int            // requests
+	Outcomes      map[string]int
+	InDoubt       int // bookings whose end their clients do not know
+	Violations    []testcluster.Violation
 
 	begin, end int64
 	events     []testcluster.Event
 }
 
 // Share is the share of the requests that were served.
-func (n Night) Share() float64 {
-	return float64(n.Ends[testcluster.EndServed]) / float64(max(n.Asked, 1))
+func (n Trial) ServedShare() float64 {
+	return float64(n.Outcomes[testcluster.EndServed]) / float64(max(n.Requests, 1))
 }
 
 // Run measures the nights: all machines and the gateways alone in the order, the gateways without one, and, with faults, all machines again.
-func Run(o Options) (all []Night, err error) {
+func Run(options Options) (trials []Trial, err error) {
 	servers := []string{"p", "r1", "r2", "q", "s1", "s2"}
 	var gateways []string
-	for i := range o.Nodes {
+	for i := range options.Gateways {
 		gateways = append(gateways, fmt.Sprint("g", i+1))
 	}
 	inOrder := func(names []string) func(*testcluster.Cluster) error {
@@ -64,47 +64,47 @@
 			if _, err := f.RunMaintenanceAnywhere(append([]string{"add"}, names...)...); err != nil {
 				return err
 			}
-			return f.PerformMaintenance(o.Bound, testcluster.MaintenanceActions{Gateway: restart(f)})
+			return f.PerformMaintenance(options.MaxDuration, testcluster.MaintenanceActions{Gateway: restart(f)})
 		}
 	}
-	nights := []struct {
+	plans := []struct {
 		name, fault string
 		do          func(f *testcluster.Cluster) error
 	}{
 		{"all machines, in order", "", inOrder(slices.Concat(gateways, servers))},
 		{"gateways, in order", "", inOrder(gateways)},
-		{"gateways by SIGTERM, a tenth at a time", "", func(f *testcluster.Cluster) error { return tenths(f) }},
+		{"gateways by SIGTERM, a tenth at a time", "", func(f *testcluster.Cluster) error { return restartTenths(f) }},
 	}
-	rng := rand.New(rand.NewPCG(o.Seed, 9))
-	for range o.Faults {
-		fault := drawn(rng, o.Nodes)
-		nights = append(nights, nights[0])
-		last := &nights[len(nights)-1]
-		last.name, last.fault = "all machines, in order, and a fault", fault
+	rng := rand.New(rand.NewPCG(options.Seed, 9))
+	for range options.FaultTrials {
+		fault := randomFault(rng, options.Gateways)
+		plans = append(plans, plans[0])
+		plan := &plans[len(plans)-1]
+		plan.name, plan.fault = "all machines, in order, and a fault", fault
 		at := time.Duration(rng.Int64N(int64(30 * time.Second)))
-		last.do = func(f *testcluster.Cluster) error {
+		plan.do = func(f *testcluster.Cluster) error {
 			faults, err := testcluster.ParseScript("fault", strings.Replace(fault, "at 0s", "at "+at.String(), 1))
 			if err != nil {
 				return err
 			}
 			played := make(chan error, 1)
 			go func() { played <- f.Play(faults, nil) }()
-			return errors.Join(nights[0].do(f), <-played)
+			return errors.Join(plans[0].do(f), <-played)
 		}
 	}
-	for i, n := range nights {
-		x := Night{Name: n.name, Fault: n.fault}
-		if err := x.run(o, uint64(i), n.do); err != nil {
-			return all, fmt.Errorf("%s %s: %w", n.name, n.fault, err)
+	for i, planned := range plans {
+		trial := Trial{Name: planned.name, Fault: planned.fault}
+		if err := trial.run(options, uint64(i), planned.do); err != nil {
+			return trials, fmt.Errorf("%s %s: %w", planned.name, planned.fault, err)
 		}
-		fmt.Fprintf(o.Progress, "%s %s: %v, %.4f served, %d rules broken\n", x.Name, x.Fault, x.Took.Round(100*time.Millisecond), x.Share(), len(x.Broken))
-		all = append(all, x)
+		fmt.Fprintf(options.Progress, "%s %s: %v, %.4f served, %d rules broken\n", trial.Name, trial.Fault, trial.Duration.Round(100*time.Millisecond), trial.ServedShare(), len(trial.Violations))
+		trials = append(trials, trial)
 	}
-	return all, nil
+	return trials, nil
 }
 
 // drawn is a fault for a night.
-func drawn(rng *rand.Rand, nodes int) string {
+func randomFault(rng *rand.Rand, nodes int) string {
 	n := 1 + rng.IntN(nodes)
 	return [...]string{
 		fmt.Sprintf("at 0s kill %d for 2s", n), fmt.Sprintf("at 0s stop %d for 4s", n), fmt.Sprintf("at 0s cut %d -> all for 3s", n),
@@ -114,9 +114,9 @@
 }
 
 // restart is the work at a gateway: it is told to end, and started again.
-func restart(f *testcluster.Cluster) func(n *testcluster.Node) error {
+func restart(cluster *testcluster.Cluster) func(n *testcluster.Node) error {
 	return func(n *testcluster.Node) error {
-		undo, err := f.InjectLine(fmt.Sprintf("at 0s term %d", n.Number))
+		undo, err := cluster.InjectLine(fmt.Sprintf("at 0s term %d", n.Number))
 		if err != nil {
 			return err
 		}
@@ -126,12 +126,12 @@
 }
 
 // tenths restarts gateways by SIGTERM, a tenth of them at a time, the next ones as soon as those before serve again.
-func tenths(f *testcluster.Cluster) error {
-	size := max(len(f.Nodes)/10, 1)
-	for some := range slices.Chunk(f.Nodes, size) {
+func restartTenths(cluster *testcluster.Cluster) error {
+	size := max(len(cluster.Nodes)/10, 1)
+	for some := range slices.Chunk(cluster.Nodes, size) {
 		var undo []func() error
 		for _, n := range some {
-			end, err := f.InjectLine(fmt.Sprintf("at 0s term %d", n.Number))
+			end, err := cluster.InjectLine(fmt.Sprintf("at 0s term %d", n.Number))
 			if err != nil {
 				return err
 			}
@@ -143,7 +143,7 @@
 				return err
 			}
 		}
-		if err := f.AwaitReady(30 * time.Second); err != nil {
+		if err := cluster.AwaitReady(30 * time.Second); err != nil {
 			return err
 		}
 	}
@@ -151,62 +151,62 @@
 }
 
 // run makes one night.
-func (n *Night) run(o Options, seed uint64, do func(*testcluster.Cluster) error) error {
-	x := testcluster.Defaults()
-	x.Binary, x.Nodes, x.Groups, x.SlowStart, x.Seed = o.Binary, o.Nodes, 2, 2*time.Second, o.Seed+seed
-	x.StateStore, x.InDoubt, x.Maintenance = testcluster.DefaultStateStore(), &testcluster.InDoubt{SeatLookup: true}, testcluster.DefaultMaintenance()
-	f, err := testcluster.New(x)
+func (n *Trial) run(o Options, seed uint64, do func(*testcluster.Cluster) error) error {
+	clusterOptions := testcluster.Defaults()
+	clusterOptions.Binary, clusterOptions.Nodes, clusterOptions.Groups, clusterOptions.SlowStart, clusterOptions.Seed = o.Binary, o.Gateways, 2, 2*time.Second, o.Seed+seed
+	clusterOptions.StateStore, clusterOptions.InDoubt, clusterOptions.Maintenance = testcluster.DefaultStateStore(), &testcluster.InDoubt{SeatLookup: true}, testcluster.DefaultMaintenance()
+	cluster, err := testcluster.New(clusterOptions)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer cluster.Close()
 	load := testcluster.DefaultLoad()
 	load.SessionReaders, load.RetryInDoubt = 4, true
-	l := f.Load(load)
+	running := cluster.Load(load)
 	time.Sleep(2 * time.Second)
-	n.begin = f.History.Now()
-	if err := do(f); err != nil {
+	n.begin = cluster.History.Now()
+	if err := do(cluster); err != nil {
 		return err
 	}
-	n.end = f.History.Now()
-	n.Took = time.Duration(n.end-n.begin) * time.Microsecond
-	if err := f.Settle(4); err != nil {
+	n.end = cluster.History.Now()
+	n.Duration = time.Duration(n.end-n.begin) * time.Microsecond
+	if err := cluster.Settle(4); err != nil {
 		return err
 	}
-	l.Stop()
-	l.VerifySomeSessions(10) // so many are booked that all would take longer than the night
-	f.History.Add(testcluster.Event{Kind: testcluster.PhaseReached, What: "done"})
-	f.History.End()
-	n.events = f.History.Events()
-	n.count(l)
-	n.Broken = testcluster.Check(n.events)
+	running.Stop()
+	running.VerifySomeSessions(10) // so many are booked that all would take longer than the night
+	cluster.History.Add(testcluster.Event{Kind: testcluster.PhaseReached, What: "done"})
+	cluster.History.End()
+	n.events = cluster.History.Events()
+	n.count(running)
+	n.Violations = testcluster.Check(n.events)
 	return nil
 }
 
 // count reads how the night's requests ended.
-func (n *Night) count(l *testcluster.Load) {
-	n.Served, n.Ends = map[string]int{}, map[string]int{}
+func (n *Trial) count(l *testcluster.Load) {
+	n.ServedByClass, n.Outcomes = map[string]int{}, map[string]int{}
 	for _, e := range n.events {
 		if e.At < n.begin || e.At > n.end {
 			continue
 		}
 		switch e.Kind {
 		case testcluster.RequestSent:
-			n.Asked++
+			n.Requests++
 		case testcluster.ResponseReceived:
-			n.Ends[e.What]++
+			n.Outcomes[e.What]++
 			if e.What == testcluster.EndServed {
-				n.Served[e.Class]++
+				n.ServedByClass[e.Class]++
 			}
 		}
 	}
-	n.Doubt = l.InDoubtBookings()
+	n.InDoubt = l.InDoubtBookings()
 }
 
 // Write writes the table to w and, if dir is not empty, table and charts into files there.
-func Write(w io.Writer, dir string, o Options, all []Night) error {
+func Write(w io.Writer, dir string, o Options, trials []Trial) error {
 	if dir == "" {
-		return table(w, o, all)
+		return table(w, o, trials)
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -216,40 +216,40 @@
 		return err
 	}
 	defer file.Close()
-	if err := table(io.MultiWriter(w, file), o, all); err != nil {
+	if err := table(io.MultiWriter(w, file), o, trials); err != nil {
 		return err
 	}
 	fmt.Fprintf(file, "\n![who is away, over what is served](maintain.svg)\n")
-	return all[0].line().Write(filepath.Join(dir, "maintain.svg"))
+	return trials[0].timeline().Write(filepath.Join(dir, "maintain.svg"))
 }
 
-func table(w io.Writer, o Options, all []Night) error {
+func table(w io.Writer, o Options, trials []Trial) error {
 	fmt.Fprintf(w, "# A night's work, measured\n\nLoopback, %d real gateways and two groups of three servers, clients that book, look and read their sessions without a pause of "+
 		"more than some 15 ms, bookings claimed, sessions kept. A gateway's work is its restart by SIGTERM, a server's none; one that is back has to be well for "+
-		"half a second, and a server is cold for 2 s.\n\n", o.Nodes)
+		"half a second, and a server is cold for 2 s.\n\n", o.Gateways)
 	var rows [][]string
-	for _, n := range all {
+	for _, n := range trials {
 		rows = append(rows, []string{
-			n.Name, n.Fault, fmt.Sprintf("%.1f s", n.Took.Seconds()), fmt.Sprint(n.Asked), fmt.Sprintf("%.5f", n.Share()), fmt.Sprint(n.Ends[testcluster.EndRejected]),
-			fmt.Sprint(n.Ends[testcluster.EndFailed]), fmt.Sprint(n.Ends[testcluster.EndClosed] + n.Ends[testcluster.EndReset] + n.Ends[testcluster.EndTimeout]), fmt.Sprint(n.Doubt), fmt.Sprint(len(n.Broken)),
+			n.Name, n.Fault, fmt.Sprintf("%.1f s", n.Duration.Seconds()), fmt.Sprint(n.Requests), fmt.Sprintf("%.5f", n.ServedShare()), fmt.Sprint(n.Outcomes[testcluster.EndRejected]),
+			fmt.Sprint(n.Outcomes[testcluster.EndFailed]), fmt.Sprint(n.Outcomes[testcluster.EndClosed] + n.Outcomes[testcluster.EndReset] + n.Outcomes[testcluster.EndTimeout]), fmt.Sprint(n.InDoubt), fmt.Sprint(len(n.Violations)),
 		})
 	}
 	return report.Table(w, []string{"night", "fault", "took", "requests", "share served", "refused", "failed", "no answer", "bookings in doubt", "rules broken"}, rows)
 }
 
 // line is who is away over what is served, second by second.
-func (n Night) line() report.Lines {
+func (n Trial) timeline() report.Lines {
 	const step = 1_000_000
 	steps := int((n.end-n.begin)/step) + 1
-	l := report.Lines{
+	chart := report.Lines{
 		Title: "A night's work: " + n.Name, Note: "loopback; served in hundreds a second",
 		Series: []string{"gateways away", "servers away", "bookings", "views", "seats", "sessions"}, Values: make([][]float64, 6),
 	}
-	for i := range l.Values {
-		l.Values[i] = make([]float64, steps)
+	for i := range chart.Values {
+		chart.Values[i] = make([]float64, steps)
 	}
 	for i := range steps {
-		l.Labels = append(l.Labels, fmt.Sprintf("%ds", i))
+		chart.Labels = append(chart.Labels, fmt.Sprintf("%ds", i))
 	}
 	classes := []string{testcluster.ClassBooking, testcluster.ClassView, testcluster.ClassSeat, testcluster.ClassMine}
 	away := map[string]bool{}
@@ -260,24 +260,24 @@
 		}
 		for now := int((e.At - n.begin) / step); at < now; at++ {
 			for name := range away {
-				l.Values[kindOf(name)][at+1]++
+				chart.Values[seriesOf(name)][at+1]++
 			}
 		}
 		machine, ofOrder := strings.CutPrefix(e.What, "order ")
 		switch {
 		case e.Kind == testcluster.ResponseReceived && e.What == testcluster.EndServed:
-			l.Values[2+slices.Index(classes, e.Class)][at] += 0.01
+			chart.Values[2+slices.Index(classes, e.Class)][at] += 0.01
 		case e.Kind == testcluster.StateReported && ofOrder:
 			if delete(away, machine); slices.Contains([]string{"leaving", "out", "returning", "overdue"}, e.Text) {
 				away[machine] = true
 			}
 		}
 	}
-	return l
+	return chart
 }
 
 // kindOf is a machine's line: servers are told with their group.
-func kindOf(machine string) int {
+func seriesOf(machine string) int {
 	if strings.Contains(machine, " of group ") {
 		return 1
 	}
--- a/internal/experiments/members/measure.go
+++ b/internal/experiments/members/measure.go
@@ -13,49 +13,49 @@
 
 // Options say what is measured.
 type Options struct {
-	Members  int          // gateways of a world
-	Interval clock.Micros // of a probe, and between heartbeats
-	Timeout  clock.Micros // of the heartbeats' baseline
-	Kills    int          // of one gateway, in each kind of world
-	Masses   int          // worlds in which 46 % are killed
-	Span     clock.Micros // of each trouble in which nobody may die
-	Brief    clock.Micros // the same for the baselines, in which many do soon
-	Sizes    []int        // numbers of members whose traffic at rest is measured
-	Seed     uint64
-	Progress io.Writer
+	Members               int          // gateways of a world
+	Interval              clock.Micros // of a probe, and between heartbeats
+	HeartbeatTimeout      clock.Micros // of the heartbeats' baseline
+	Kills                 int          // of one gateway, in each kind of world
+	MassFailures          int          // worlds in which 46 % are killed
+	FaultDuration         clock.Micros // of each trouble in which nobody may die
+	BaselineFaultDuration clock.Micros // the same for the baselines, in which many do soon
+	IdleMembers           []int        // numbers of members whose traffic at rest is measured
+	Seed                  uint64
+	Progress              io.Writer
 }
 
 // Defaults are the sizes of the operators' question.
 func Defaults() Options {
 	return Options{
-		Members: 300, Interval: Second / 5, Timeout: 6 * Second / 5, Kills: 100, Masses: 5, Span: 3600 * Second,
-		Brief: 60 * Second, Sizes: []int{3, 30, 300}, Seed: 1, Progress: io.Discard,
+		Members: 300, Interval: Second / 5, HeartbeatTimeout: 6 * Second / 5, Kills: 100, MassFailures: 5, FaultDuration: 3600 * Second,
+		BaselineFaultDuration: 60 * Second, IdleMembers: []int{3, 30, 300}, Seed: 1, Progress: io.Discard,
 	}
 }
 
 // gatherBy is how long a world may take until everybody knows everybody, and knownBy how long a kill may take to be known.
 const (
-	gatherBy = 15 * Second
-	knownBy  = 30 * Second
+	convergenceTimeout = 15 * Second
+	detectionTimeout   = 30 * Second
 )
 
 // trouble is a state of the network or of gateways in which nobody may be held dead.
-type trouble struct {
+type fault struct {
 	name  string
 	begin func(w *World)
 }
 
-var troubles = []trouble{
-	{"30 % lost", func(w *World) { w.Network.Loss = 0.3 }},
+var faults = []fault{
+	{"30 % lost", func(w *World) { w.Network.LossRate = 0.3 }},
 	{"a tenth stands still for 1 s, every 10 s", func(w *World) {
 		var again func()
 		again = func() {
 			for _, i := range w.rng.Perm(len(w.nodes))[:max(1, len(w.nodes)/10)] {
 				w.Pause(i, Second)
 			}
-			w.At(w.Now+10*Second, again)
+			w.Schedule(w.Now+10*Second, again)
 		}
-		w.At(w.Now, again)
+		w.Schedule(w.Now, again)
 	}},
 	{"a fifth is starved to 30 %", func(w *World) {
 		for i := 0; i < len(w.nodes); i += 5 {
@@ -75,39 +75,39 @@
 				}
 			}
 		}
-		w.Cut = func(from, to int) bool { return cut[[2]int{from, to}] }
+		w.IsCut = func(from, to int) bool { return cut[[2]int{from, to}] }
 	}},
 }
 
 // Result is what one kind of world came to.
 type Result struct {
-	Kind         string
-	Span         clock.Micros  // of each trouble
-	First, All   *report.Spans // from one kill to the first that knows, and to all
-	Mass, MassBy *report.Spans // the same of 46 % at once, to the first and to all that live
-	Bytes        []int64       // a second and member at rest, by Options.Sizes
-	False        []int         // false deaths, by trouble: pairs of who holds whom dead that runs
-	Missed       int           // kills that were not known to all in time
+	Detector                                  string
+	FaultDuration                             clock.Micros      // of each trouble
+	FirstDetection, CompleteDetection         *report.Durations // from one kill to the first that knows, and to all
+	MassFirstDetection, MassCompleteDetection *report.Durations // the same of 46 % at once, to the first and to all that live
+	IdleBytesPerSecond                        []int64           // a second and member at rest, by Options.Sizes
+	FalseDeaths                               []int             // false deaths, by trouble: pairs of who holds whom dead that runs
+	UndetectedKills                           int               // kills that were not known to all in time
 }
 
 // Gather makes a world in which all gateways have started within a second and know each other.
-func Gather(n int, seed uint64, kind Kind) (*World, error) {
+func NewConvergedWorld(n int, seed uint64, kind Detector) (*World, error) {
 	w := NewWorld(n, seed, kind)
 	for i := range n {
-		w.At(clock.Micros(w.rng.Int64N(int64(Second))), func() { w.Start(i) })
+		w.Schedule(clock.Micros(w.rng.Int64N(int64(Second))), func() { w.Start(i) })
 	}
-	w.RunTo(gatherBy)
-	if wrong := w.Wrong(); wrong > 0 {
-		return nil, fmt.Errorf("%s: %d beliefs are wrong %d s after the start", kind.Name, wrong, gatherBy/Second)
+	w.RunUntil(convergenceTimeout)
+	if wrong := w.WrongBeliefs(); wrong > 0 {
+		return nil, fmt.Errorf("%s: %d beliefs are wrong %d s after the start", kind.Name, wrong, convergenceTimeout/Second)
 	}
 	return w, nil
 }
 
 // Wrong counts the beliefs of those who run that are not so.
-func (w *World) Wrong() (n int) {
+func (w *World) WrongBeliefs() (n int) {
 	for i := range w.nodes {
 		for j := range w.nodes {
-			if w.Up(i) && w.nodes[i].alive(j) != w.Up(j) {
+			if w.Running(i) && w.nodes[i].alive(j) != w.Running(j) {
 				n++
 			}
 		}
@@ -116,13 +116,13 @@
 }
 
 // Run measures each kind.
-func Run(o Options) ([]Result, error) {
-	kinds := []Kind{SWIM(o.Interval, false), SWIM(o.Interval, true), Heartbeats(o.Interval, o.Timeout)}
+func Run(options Options) ([]Result, error) {
+	kinds := []Detector{SWIM(options.Interval, false), SWIM(options.Interval, true), Heartbeats(options.Interval, options.HeartbeatTimeout)}
 	results := make([]Result, len(kinds))
 	var mu sync.Mutex
 	var failed error
 	var done sync.WaitGroup
-	part := func(name string, do func() error) {
+	measure := func(name string, do func() error) {
 		done.Add(1)
 		go func() {
 			defer done.Done()
@@ -132,29 +132,29 @@
 			if err != nil && failed == nil {
 				failed = err
 			}
-			fmt.Fprintf(o.Progress, "%s\n", name)
+			fmt.Fprintf(options.Progress, "%s\n", name)
 		}()
 	}
 	for k, kind := range kinds {
 		r := &results[k]
 		*r = Result{
-			Kind: kind.Name, Span: o.Brief, First: report.NewSpans(), All: report.NewSpans(), Mass: report.NewSpans(), MassBy: report.NewSpans(),
-			Bytes: make([]int64, len(o.Sizes)), False: make([]int, len(troubles)),
+			Detector: kind.Name, FaultDuration: options.BaselineFaultDuration, FirstDetection: report.NewDurations(), CompleteDetection: report.NewDurations(), MassFirstDetection: report.NewDurations(), MassCompleteDetection: report.NewDurations(),
+			IdleBytesPerSecond: make([]int64, len(options.IdleMembers)), FalseDeaths: make([]int, len(faults)),
 		}
 		if k == 0 {
-			r.Span = o.Span
+			r.FaultDuration = options.FaultDuration
 		}
-		part(kind.Name+": kills", func() error { return r.kills(o, kind) })
-		part(kind.Name+": 46 %", func() error { return r.masses(o, kind) })
-		for i, n := range o.Sizes {
-			part(fmt.Sprintf("%s: bytes of %d", kind.Name, n), func() (err error) {
-				r.Bytes[i], err = rest(n, o.Seed, kind)
+		measure(kind.Name+": kills", func() error { return r.measureKills(options, kind) })
+		measure(kind.Name+": 46 %", func() error { return r.measureMassKills(options, kind) })
+		for i, n := range options.IdleMembers {
+			measure(fmt.Sprintf("%s: bytes of %d", kind.Name, n), func() (err error) {
+				r.IdleBytesPerSecond[i], err = measureIdleTraffic(n, options.Seed, kind)
 				return err
 			})
 		}
-		for i, t := range troubles {
-			part(kind.Name+": "+t.name, func() (err error) {
-				r.False[i], err = falsely(o, r.Span, kind, t)
+		for i, t := range faults {
+			measure(kind.Name+": "+t.name, func() (err error) {
+				r.FalseDeaths[i], err = countFalseDeaths(options, r.FaultDuration, kind, t)
 				return err
 			})
 		}
@@ -164,7 +164,7 @@
 }
 
 // kill kills gateways and waits until all that run know of all of them.
-func kill(w *World, victims []int) (first, all clock.Micros, known bool) {
+func killAndAwait(w *World, victims []int) (first, all clock.Micros, known bool) {
 	killed := w.Now
 	dead := map[int]bool{}
 	for _, v := range victims {
@@ -174,13 +174,13 @@
 	left := 0
 	for i := range w.nodes {
 		for _, v := range victims {
-			if w.Up(i) && w.nodes[i].alive(v) {
+			if w.Running(i) && w.nodes[i].alive(v) {
 				left++
 			}
 		}
 	}
-	w.changed = func(who, about int, alive bool) {
-		if !alive && dead[about] && w.Up(who) {
+	w.beliefChanged = func(who, about int, alive bool) {
+		if !alive && dead[about] && w.Running(who) {
 			if first == 0 {
 				first = w.Now - killed
 			}
@@ -188,84 +188,84 @@
 			left--
 		}
 	}
-	for end := w.Now + knownBy; left > 0 && w.Now < end; {
-		w.RunTo(w.Now + Second/20)
+	for end := w.Now + detectionTimeout; left > 0 && w.Now < end; {
+		w.RunUntil(w.Now + Second/20)
 	}
-	w.changed = nil
+	w.beliefChanged = nil
 	return first, all, left == 0
 }
 
-func (r *Result) kills(o Options, kind Kind) error {
-	w, err := Gather(o.Members, o.Seed, kind)
+func (r *Result) measureKills(o Options, kind Detector) error {
+	w, err := NewConvergedWorld(o.Members, o.Seed, kind)
 	if err != nil {
 		return err
 	}
 	for range o.Kills {
-		w.RunTo(w.Now + clock.Micros(w.rng.Int64N(int64(o.Interval))))
+		w.RunUntil(w.Now + clock.Micros(w.rng.Int64N(int64(o.Interval))))
 		victim := w.rng.IntN(o.Members)
-		first, all, known := kill(w, []int{victim})
+		first, all, known := killAndAwait(w, []int{victim})
 		if !known {
-			r.Missed++
+			r.UndetectedKills++
 		}
-		r.First.Add(int64(first))
-		r.All.Add(int64(all))
+		r.FirstDetection.Add(int64(first))
+		r.CompleteDetection.Add(int64(all))
 		w.Start(victim)
-		w.RunTo(w.Now + 3*Second)
+		w.RunUntil(w.Now + 3*Second)
 	}
 	return nil
 }
 
-func (r *Result) masses(o Options, kind Kind) error {
-	for i := range o.Masses {
-		w, err := Gather(o.Members, o.Seed+uint64(i)+1, kind)
+func (r *Result) measureMassKills(o Options, kind Detector) error {
+	for i := range o.MassFailures {
+		w, err := NewConvergedWorld(o.Members, o.Seed+uint64(i)+1, kind)
 		if err != nil {
 			return err
 		}
-		first, all, known := kill(w, w.rng.Perm(o.Members)[:o.Members*46/100])
+		first, all, known := killAndAwait(w, w.rng.Perm(o.Members)[:o.Members*46/100])
 		if !known {
-			r.Missed++
+			r.UndetectedKills++
 		}
-		r.Mass.Add(int64(first))
-		r.MassBy.Add(int64(all))
+		r.MassFirstDetection.Add(int64(first))
+		r.MassCompleteDetection.Add(int64(all))
 	}
 	return nil
 }
 
 // rest measures what a member sends at rest, in bytes a second.
-func rest(n int, seed uint64, kind Kind) (int64, error) {
-	w, err := Gather(n, seed, kind)
+func measureIdleTraffic(n int, seed uint64, kind Detector) (int64, error) {
+	w, err := NewConvergedWorld(n, seed, kind)
 	if err != nil {
 		return 0, err
 	}
-	const span = 20
-	w.sizes = true
+	const seconds = 20
+	w.measuresSizes = true
 	before := int64(0)
-	for _, x := range w.nodes {
-		before += x.sent
+	for _, member := range w.nodes {
+		before += member.sentBytes
 	}
-	w.RunTo(w.Now + span*Second)
+	w.RunUntil(w.Now + seconds*Second)
 	after := int64(0)
-	for _, x := range w.nodes {
-		after += x.sent
+	for _, member := range w.nodes {
+		after += member.sentBytes
 	}
-	return (after - before) / span / int64(n), nil
+	return (after - before) / seconds / int64(n), nil
 }
 
 // falsely counts who is held dead by whom although it runs.
-func falsely(o Options, span clock.Micros, kind Kind, t trouble) (int, error) {
-	w, err := Gather(o.Members, o.Seed, kind)
+func countFalseDeaths(o Options, duration clock.Micros, kind Detector, injected fault) (int, error) {
+	w, err := NewConvergedWorld(o.Members, o.Seed, kind)
 	if err != nil {
 		return 0, err
 	}
-	n := 0
-	w.changed = func(who, about int, alive bool) {
+	count := 0
+	w.beliefChanged = func(who, about int, alive bool) {
 		if !alive {
-			n++
+			count++
 		}
 	}
-	t.begin(w)
-	w.RunTo(w.Now + span)
-	return n, nil
+	injected.begin(w)
+	w.RunUntil(w.Now + duration)
+	return count, nil
 }
 
 // Write writes the tables, those of real processes among them if there are any, to w and, if dir is not empty, tables and a chart into files there.
@@ -290,22 +290,22 @@
 		Series: []string{"one, median", "one, 99 %", "46 %, median"}, Values: make([][]float64, 3),
 	}
 	for _, r := range results {
-		b.Labels = append(b.Labels, r.Kind)
-		for i, v := range []float64{r.All.Millis(50), r.All.Millis(99), r.MassBy.Millis(50)} {
+		b.Labels = append(b.Labels, r.Detector)
+		for i, v := range []float64{r.CompleteDetection.Millis(50), r.CompleteDetection.Millis(99), r.MassCompleteDetection.Millis(50)} {
 			b.Values[i] = append(b.Values[i], max(v, 0))
 		}
 	}
 	return b.Write(filepath.Join(dir, "members.svg"))
 }
 
-func tables(w io.Writer, o Options, results []Result, real *Processes) error {
+func tables(w io.Writer, options Options, results []Result, real *Processes) error {
 	fmt.Fprintf(w, "# Who is there: failure detection compared\n\nSimulated, seed %d: %d members, interval %d ms, datagrams take 0.2 to 1 ms; heartbeats go to everybody once an "+
-		"interval and time out\nafter %d ms. Times in ms. %d kills of one, %d of 46 %%.\n\n", o.Seed, o.Members, o.Interval/1000, o.Timeout/1000, o.Kills, o.Masses)
+		"interval and time out\nafter %d ms. Times in ms. %d kills of one, %d of 46 %%.\n\n", options.Seed, options.Members, options.Interval/1000, options.HeartbeatTimeout/1000, options.Kills, options.MassFailures)
 	var rows [][]string
 	for _, r := range results {
 		rows = append(rows, []string{
-			r.Kind, r.First.Cell(50), r.First.Cell(99), r.First.Cell(100), r.All.Cell(50), r.All.Cell(99), r.All.Cell(100),
-			r.Mass.Cell(50), r.MassBy.Cell(50), r.MassBy.Cell(100), fmt.Sprint(r.Missed),
+			r.Detector, r.FirstDetection.Cell(50), r.FirstDetection.Cell(99), r.FirstDetection.Cell(100), r.CompleteDetection.Cell(50), r.CompleteDetection.Cell(99), r.CompleteDetection.Cell(100),
+			r.MassFirstDetection.Cell(50), r.MassCompleteDetection.Cell(50), r.MassCompleteDetection.Cell(100), fmt.Sprint(r.UndetectedKills),
 		})
 	}
 	if err := report.Table(w, []string{
@@ -316,13 +316,13 @@
 	}
 	fmt.Fprintf(w, "\nFalse deaths: how often anybody held another one dead that ran, in so many seconds of each trouble.\n\n")
 	head := []string{"kind", "seconds"}
-	for _, t := range troubles {
+	for _, t := range faults {
 		head = append(head, t.name)
 	}
 	rows = nil
 	for _, r := range results {
-		row := []string{r.Kind, fmt.Sprint(r.Span / Second)}
-		for _, n := range r.False {
+		row := []string{r.Detector, fmt.Sprint(r.FaultDuration / Second)}
+		for _, n := range r.FalseDeaths {
 			row = append(row, fmt.Sprint(n))
 		}
 		rows = append(rows, row)
@@ -332,13 +332,13 @@
 	}
 	fmt.Fprintf(w, "\nBytes that a member sends a second at rest, with trailer and signature.\n\n")
 	head = []string{"kind"}
-	for _, n := range o.Sizes {
+	for _, n := range options.IdleMembers {
 		head = append(head, fmt.Sprint(n, " members"))
 	}
 	rows = nil
 	for _, r := range results {
-		row := []string{r.Kind}
-		for _, n := range r.Bytes {
+		row := []string{r.Detector}
+		for _, n := range r.IdleBytesPerSecond {
 			row = append(row, fmt.Sprint(n))
 		}
 		rows = append(rows, row)
@@ -347,7 +347,7 @@
 		return err
 	}
 	fmt.Fprintf(w, "\nLoopback, %d real processes under a light load, interval 200 ms: from SIGKILL, by the gateways' own logs. Rules broken: %d.\n\n",
-		real.Nodes, len(real.Broken))
+		real.Nodes, len(real.Violations))
 	return report.Table(w, []string{
 		"killed", "trials", "first knows: median", "longest", "all know: median", "99 %", "longest",
 	}, real.rows())
--- a/internal/experiments/members/members_test.go
+++ b/internal/experiments/members/members_test.go
@@ -14,16 +14,16 @@
 	t.Helper()
 	w := NewWorld(n, seed, SWIM(Second/5, false))
 	for i := range n {
-		w.At(clock.Micros(w.rng.Int64N(int64(Second))), func() { w.Start(i) })
+		w.Schedule(clock.Micros(w.rng.Int64N(int64(Second))), func() { w.Start(i) })
 	}
-	if w.RunTo(8 * Second); w.Wrong() > 0 {
-		t.Fatalf("%d beliefs are wrong 7 s after the last start", w.Wrong())
+	if w.RunUntil(8 * Second); w.WrongBeliefs() > 0 {
+		t.Fatalf("%d beliefs are wrong 7 s after the last start", w.WrongBeliefs())
 	}
 	return w
 }
 
 func (w *World) split(parts func(i int) int) {
-	w.Cut = func(a, b int) bool { return parts(a)&parts(b) == 0 }
+	w.IsCut = func(a, b int) bool { return parts(a)&parts(b) == 0 }
 }
 
 // The hard cases among many: false deaths, how soon all is known, and that in the end everybody knows everybody.
@@ -55,13 +55,13 @@
 				w.Starve(i*5, 0.9)
 			}
 		}, 20 * Second, 0, false},
-		{"30 % lost", func(w *World) { w.Network.Loss = 0.3 }, 30 * Second, Second, false},
-		{"a delay of up to 1 s and 30 % lost", func(w *World) { w.Network.Loss, w.Network.More = 0.3, Second }, 6 * Second, 10 * Second, true},
+		{"30 % lost", func(w *World) { w.Network.LossRate = 0.3 }, 30 * Second, Second, false},
+		{"a delay of up to 1 s and 30 % lost", func(w *World) { w.Network.LossRate, w.Network.Jitter = 0.3, Second }, 6 * Second, 10 * Second, true},
 		{"one-way cuts of a twentieth of the pairs", func(w *World) {
-			w.Cut = func(a, b int) bool { return (a*31+b*17)%20 == 0 && a < b }
+			w.IsCut = func(a, b int) bool { return (a*31+b*17)%20 == 0 && a < b }
 		}, 20 * Second, 0, false},
-		{"one that nobody hears", func(w *World) { w.Cut = func(a, b int) bool { return a == 4 } }, 6 * Second, 6 * Second, true},
-		{"one that hears nobody", func(w *World) { w.Cut = func(a, b int) bool { return b == 4 } }, 6 * Second, 6 * Second, true},
+		{"one that nobody hears", func(w *World) { w.IsCut = func(a, b int) bool { return a == 4 } }, 6 * Second, 6 * Second, true},
+		{"one that hears nobody", func(w *World) { w.IsCut = func(a, b int) bool { return b == 4 } }, 6 * Second, 6 * Second, true},
 		{"two halves", func(w *World) { w.split(func(i int) int { return 1 << (i % 2) }) }, 60 * Second, 12 * Second, true},
 		{"three parts, and one that sees two", func(w *World) {
 			w.split(func(i int) int {
@@ -73,8 +73,8 @@
 		}, 20 * Second, 12 * Second, true},
 		{"one joins and leaves in a loop", func(w *World) {
 			for k := range clock.Micros(10) {
-				w.At(w.Now+2*k*Second, func() { w.run(9, leave, 0) })
-				w.At(w.Now+(2*k+1)*Second, func() { w.Start(9) })
+				w.Schedule(w.Now+2*k*Second, func() { w.deliver(9, leaveRequest, 0) })
+				w.Schedule(w.Now+(2*k+1)*Second, func() { w.Start(9) })
 			}
 		}, 20 * Second, 3 * Second, false},
 	} {
@@ -82,16 +82,16 @@
 			t.Parallel()
 			w := gather(t, n, 5)
 			died := 0
-			w.changed = func(who, about int, alive bool) {
-				if !alive && w.Up(about) && w.nodes[who].peer.(*swim).dead(about) {
+			w.beliefChanged = func(who, about int, alive bool) {
+				if !alive && w.Running(about) && w.nodes[who].peer.(*swimPeer).dead(about) {
 					died++
 				}
 			}
 			c.do(w)
-			w.RunTo(w.Now + c.for_)
-			w.Network, w.Cut = NewWorld(0, 0, Kind{}).Network, nil
-			w.RunTo(w.Now + c.after)
-			if n := w.Wrong(); n > 0 {
+			w.RunUntil(w.Now + c.for_)
+			w.Network, w.IsCut = NewWorld(0, 0, Detector{}).Network, nil
+			w.RunUntil(w.Now + c.after)
+			if n := w.WrongBeliefs(); n > 0 {
 				t.Errorf("%d beliefs are wrong", n)
 			}
 			if died > 0 && !c.dies {
@@ -105,17 +105,17 @@
 // All three kinds are measured, and written as tables and a chart.
 func TestMeasure(t *testing.T) {
 	o := Defaults()
-	o.Members, o.Kills, o.Masses, o.Span, o.Brief, o.Sizes = 12, 2, 1, 5*Second, 2*Second, []int{3, 12}
+	o.Members, o.Kills, o.MassFailures, o.FaultDuration, o.BaselineFaultDuration, o.IdleMembers = 12, 2, 1, 5*Second, 2*Second, []int{3, 12}
 	results, err := Run(o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, r := range results {
-		if r.Missed > 0 || r.First.Millis(100) > r.All.Millis(100) || r.All.Millis(50) < 500 || r.Bytes[1] == 0 {
+		if r.UndetectedKills > 0 || r.FirstDetection.Millis(100) > r.CompleteDetection.Millis(100) || r.CompleteDetection.Millis(50) < 500 || r.IdleBytesPerSecond[1] == 0 {
 			t.Errorf("%+v", r)
 		}
 	}
-	if ours := results[0]; ours.All.Millis(100) > 4000 || ours.Bytes[1] > 4096 || ours.False[0]+ours.False[1]+ours.False[2]+ours.False[3] > 0 {
+	if ours := results[0]; ours.CompleteDetection.Millis(100) > 4000 || ours.IdleBytesPerSecond[1] > 4096 || ours.FalseDeaths[0]+ours.FalseDeaths[1]+ours.FalseDeaths[2]+ours.FalseDeaths[3] > 0 {
 		t.Errorf("%+v", ours)
 	}
 	var b strings.Builder
--- a/internal/experiments/members/world.go
+++ b/internal/experiments/members/world.go
@@ -20,15 +20,15 @@
 // peer is one gateway of a world, whatever it runs.
 type peer interface {
 	// handle starts it (nil), or hands it a message or the passing of time. It returns what it sends.
-	handle(now clock.Micros, in any, from int) []packet
+	handle(now clock.Micros, in any, from int) []datagram
 	// next is when it wants to look at the time.
-	next() (clock.Micros, bool)
+	nextTimer() (clock.Micros, bool)
 	// alive tells whether it believes that another one lives; itself it always believes alive.
 	alive(other int) bool
 }
 
 // packet is one datagram on its way.
-type packet struct {
+type datagram struct {
 	to   int
 	body any
 	size int // in bytes, with the signed trailer
@@ -36,65 +36,65 @@
 
 // Network is what becomes of datagrams.
 type Network struct {
-	Loss  float64      // the share that is lost
-	Delay clock.Micros // at the least
-	More  clock.Micros // up to so much more, at random
+	LossRate float64      // the share that is lost
+	MinDelay clock.Micros // at the least
+	Jitter   clock.Micros // up to so much more, at random
 }
 
 // node is a peer and its machine.
 type node struct {
 	peer
-	up     bool
-	life   uint64
-	pause  clock.Micros // it stands still until then
-	starve clock.Micros // of each slice it does not run for so long
-	offset clock.Micros // where its slices begin
-	socket []packet     // what came while it stood still
-	from   []int
-	timer  clock.Micros // the earliest wake-up under way
-	sent   int64        // bytes
+	up              bool
+	incarnation     uint64
+	pausedUntil     clock.Micros // it stands still until then
+	stoppedPerSlice clock.Micros // of each slice it does not run for so long
+	sliceOffset     clock.Micros // where its slices begin
+	receiveQueue    []datagram   // what came while it stood still
+	senders         []int
+	nextWakeUp      clock.Micros // the earliest wake-up under way
+	sentBytes       int64        // bytes
 }
 
 // socketRoom is how many datagrams wait for a node that stands still; a kernel drops what comes beyond.
-const socketRoom = 256
+const receiveQueueCapacity = 256
 
 // World is a number of gateways, a network and a clock.
 type World struct {
 	Now     clock.Micros
 	Network Network
-	Cut     func(from, to int) bool // whether nothing passes; may be nil
-
-	nodes   []*node
-	at      map[netip.AddrPort]int
-	rng     *rand.Rand
-	queue   events
-	order   uint64
-	sizes   bool // sizes are measured, by writing every message
-	changed func(who, about int, alive bool)
-	fresh   func(w *World, i int) peer
+	IsCut   func(from, to int) bool // whether nothing passes; may be nil
+
+	nodes          []*node
+	nodesByAddress map[netip.AddrPort]int
+	rng            *rand.Rand
+	queue          eventQueue
+	nextSequence   uint64
+	measuresSizes  bool // sizes are measured, by writing every message
+	beliefChanged  func(who, about int, alive bool)
+	newPeer        func(w *World, i int) peer
 }
 
 // slice is how long a starved node is stopped and run in turn, together, as the rig does it.
-const slice clock.Micros = 20_000
+const starvationSlice clock.Micros = 20_000
 
 type event struct {
-	at    clock.Micros
-	order uint64
-	node  int
-	from  int     // of a datagram
-	body  *packet // nil: a timer, or an end of a pause
-	do    func()
+	at       clock.Micros
+	sequence uint64
+	node     int
+	from     int       // of a datagram
+	datagram *datagram // nil: a timer, or an end of a pause
+	action   func()
 }
 
-type events []event
+type eventQueue []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
+func (e eventQueue) Len() int { return len(e) }
+func (e eventQueue) Less(i, j int) bool {
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *eventQueue) Pop() any {
 	old := *e
 	x := old[len(old)-1]
 	old[len(old)-1] = event{}
@@ -103,13 +103,13 @@
 }
 
 // NewWorld makes a world of n gateways that are not started yet.
-func NewWorld(n int, seed uint64, kind Kind) *World {
+func NewWorld(n int, seed uint64, kind Detector) *World {
 	w := &World{
-		Now: 1, Network: Network{Delay: 200, More: 800}, at: map[netip.AddrPort]int{}, rng: rand.New(rand.NewPCG(seed, 7)), fresh: kind.fresh,
+		Now: 1, Network: Network{MinDelay: 200, Jitter: 800}, nodesByAddress: map[netip.AddrPort]int{}, rng: rand.New(rand.NewPCG(seed, 7)), newPeer: kind.newPeer,
 	}
 	for i := range n {
-		w.at[address(i)] = i
-		w.nodes = append(w.nodes, &node{offset: clock.Micros(w.rng.Int64N(int64(slice)))})
+		w.nodesByAddress[address(i)] = i
+		w.nodes = append(w.nodes, &node{sliceOffset: clock.Micros(w.rng.Int64N(int64(starvationSlice)))})
 	}
 	return w
 }
@@ -121,142 +121,142 @@
 func name(i int) string { return fmt.Sprintf("gw-%d", i) }
 
 func (w *World) push(e event) {
-	w.order++
-	e.order = w.order
+	w.nextSequence++
+	e.sequence = w.nextSequence
 	heap.Push(&w.queue, e)
 }
 
 // At has something happen at a time.
-func (w *World) At(at clock.Micros, do func()) { w.push(event{at: at, node: -1, do: do}) }
+func (w *World) Schedule(at clock.Micros, do func()) { w.push(event{at: at, node: -1, action: do}) }
 
 // Start starts a gateway's next life.
 func (w *World) Start(i int) {
 	n := w.nodes[i]
-	n.up, n.pause, n.socket, n.from = true, 0, nil, nil
-	n.life++
-	n.timer = 0
-	n.peer = w.fresh(w, i)
-	w.run(i, nil, 0)
+	n.up, n.pausedUntil, n.receiveQueue, n.senders = true, 0, nil, nil
+	n.incarnation++
+	n.nextWakeUp = 0
+	n.peer = w.newPeer(w, i)
+	w.deliver(i, nil, 0)
 }
 
 // Kill ends it without a word.
 func (w *World) Kill(i int) { w.nodes[i].up = false }
 
 // Pause has it stand still for a span.
-func (w *World) Pause(i int, span clock.Micros) {
+func (w *World) Pause(i int, duration clock.Micros) {
 	n := w.nodes[i]
-	n.pause = max(n.pause, w.Now+span)
-	w.push(event{at: n.pause, node: i})
+	n.pausedUntil = max(n.pausedUntil, w.Now+duration)
+	w.push(event{at: n.pausedUntil, node: i})
 }
 
 // Starve has it not run for a share of the time from now on.
 func (w *World) Starve(i int, share float64) {
-	w.nodes[i].starve = clock.Micros(share * float64(slice))
+	w.nodes[i].stoppedPerSlice = clock.Micros(share * float64(starvationSlice))
 }
 
 // Up tells whether a gateway runs, or stands still.
-func (w *World) Up(i int) bool { return w.nodes[i].up }
+func (w *World) Running(i int) bool { return w.nodes[i].up }
 
 // runsAt is when a node can next do something: now, unless it is stopped.
-func (w *World) runsAt(n *node) clock.Micros {
-	at := max(w.Now, n.pause)
-	if n.starve > 0 {
-		if into := (at + n.offset) % slice; into < n.starve {
-			at += n.starve - into
+func (w *World) nextRunTime(n *node) clock.Micros {
+	at := max(w.Now, n.pausedUntil)
+	if n.stoppedPerSlice > 0 {
+		if into := (at + n.sliceOffset) % starvationSlice; into < n.stoppedPerSlice {
+			at += n.stoppedPerSlice - into
 		}
 	}
 	return at
 }
 
 // run hands something to a node and sends what comes of it.
-func (w *World) run(i int, in any, from int) {
+func (w *World) deliver(i int, in any, from int) {
 	n := w.nodes[i]
 	for _, p := range n.handle(w.Now, in, from) {
 		w.send(i, p)
 	}
-	if at, ok := n.next(); ok && (n.timer == 0 || at < n.timer || n.timer <= w.Now) {
-		n.timer = max(at, w.Now)
-		w.push(event{at: n.timer, node: i})
+	if at, ok := n.nextTimer(); ok && (n.nextWakeUp == 0 || at < n.nextWakeUp || n.nextWakeUp <= w.Now) {
+		n.nextWakeUp = max(at, w.Now)
+		w.push(event{at: n.nextWakeUp, node: i})
 	}
 }
 
-func (w *World) send(from int, p packet) {
-	w.nodes[from].sent += int64(p.size)
-	if w.Network.Loss > 0 && w.rng.Float64() < w.Network.Loss || w.Cut != nil && w.Cut(from, p.to) {
+func (w *World) send(from int, p datagram) {
+	w.nodes[from].sentBytes += int64(p.size)
+	if w.Network.LossRate > 0 && w.rng.Float64() < w.Network.LossRate || w.IsCut != nil && w.IsCut(from, p.to) {
 		return
 	}
-	at := w.Now + w.Network.Delay
-	if w.Network.More > 0 {
-		at += clock.Micros(w.rng.Int64N(int64(w.Network.More)))
+	at := w.Now + w.Network.MinDelay
+	if w.Network.Jitter > 0 {
+		at += clock.Micros(w.rng.Int64N(int64(w.Network.Jitter)))
 	}
-	w.push(event{at: at, node: p.to, from: from, body: &p})
+	w.push(event{at: at, node: p.to, from: from, datagram: &p})
 }
 
 // RunTo lets time pass.
-func (w *World) RunTo(end clock.Micros) {
+func (w *World) RunUntil(end clock.Micros) {
 	for len(w.queue) > 0 && w.queue[0].at <= end {
-		e := heap.Pop(&w.queue).(event)
-		w.Now = max(w.Now, e.at)
-		if e.do != nil {
-			e.do()
+		next := heap.Pop(&w.queue).(event)
+		w.Now = max(w.Now, next.at)
+		if next.action != nil {
+			next.action()
 			continue
 		}
-		n := w.nodes[e.node]
-		if !n.up {
+		target := w.nodes[next.node]
+		if !target.up {
 			continue
 		}
-		if at := w.runsAt(n); at > w.Now {
-			if e.body != nil {
-				if len(n.socket) < socketRoom {
-					n.socket, n.from = append(n.socket, *e.body), append(n.from, e.from)
+		if runTime := w.nextRunTime(target); runTime > w.Now {
+			if next.datagram != nil {
+				if len(target.receiveQueue) < receiveQueueCapacity {
+					target.receiveQueue, target.senders = append(target.receiveQueue, *next.datagram), append(target.senders, next.from)
 				}
-				if len(n.socket) > 1 {
+				if len(target.receiveQueue) > 1 {
 					continue // somebody wakes it already
 				}
 			}
-			w.push(event{at: at, node: e.node})
+			w.push(event{at: runTime, node: next.node})
 			continue
 		}
 		// The timer first, as a goroutine whose read has a deadline that is over; then what lay unread.
-		if at, ok := n.next(); ok && at <= w.Now {
-			w.run(e.node, tick{}, 0)
+		if runTime, ok := target.nextTimer(); ok && runTime <= w.Now {
+			w.deliver(next.node, timerExpired{}, 0)
 		}
-		waiting, from := n.socket, n.from
-		n.socket, n.from = nil, nil
+		waiting, from := target.receiveQueue, target.senders
+		target.receiveQueue, target.senders = nil, nil
 		for k := range waiting {
-			w.run(e.node, waiting[k].body, from[k])
+			w.deliver(next.node, waiting[k].body, from[k])
 		}
-		if e.body != nil {
-			w.run(e.node, e.body.body, e.from)
+		if next.datagram != nil {
+			w.deliver(next.node, next.datagram.body, next.from)
 		}
-		if at, ok := n.next(); ok && n.timer <= w.Now {
-			n.timer = max(at, w.Now)
-			w.push(event{at: n.timer, node: e.node})
+		if runTime, ok := target.nextTimer(); ok && target.nextWakeUp <= w.Now {
+			target.nextWakeUp = max(runTime, w.Now)
+			w.push(event{at: target.nextWakeUp, node: next.node})
 		}
 	}
 	w.Now = max(w.Now, end)
 }
 
 // tick tells a peer that time has passed.
-type tick struct{}
+type timerExpired struct{}
 
 // Kind is what a world's gateways run.
-type Kind struct {
-	Name  string
-	fresh func(w *World, i int) peer
+type Detector struct {
+	Name    string
+	newPeer func(w *World, i int) peer
 }
 
 // SWIM is internal/membership with an interval; plain, without its extensions.
-func SWIM(interval clock.Micros, plain bool) Kind {
+func SWIM(interval clock.Micros, plain bool) Detector {
 	label := "membership"
 	if plain {
 		label = "without extensions"
 	}
-	return Kind{label, func(w *World, i int) peer {
+	return Detector{label, func(w *World, i int) peer {
 		n := w.nodes[i]
-		p := &swim{w: w, self: i, believed: map[int]bool{}}
-		p.m = membership.New(membership.Config{
-			Name: name(i), Address: address(i), Generation: uint64(w.Now) + n.life<<40, Interval: interval, WithoutLifeguard: plain,
+		p := &swimPeer{w: w, self: i, believed: map[int]bool{}}
+		p.machine = membership.New(membership.Config{
+			Name: name(i), Address: address(i), Generation: uint64(w.Now) + n.incarnation<<40, Interval: interval, WithoutLifeguard: plain,
 			Join: []netip.AddrPort{address(0), address(1), address(2)}, Seed: w.rng.Uint64() | 1,
 			Meta: membership.Meta{Zone: "a", Weight: 1, Version: "0.3.0", Settings: 7},
 		})
@@ -265,40 +265,40 @@
 }
 
 // swim runs the machine.
-type swim struct {
-	w        *World
-	self     int
-	m        *membership.Machine
-	believed map[int]bool
-	notices  [membership.NoticeCount]int
-	done     bool
+type swimPeer struct {
+	w              *World
+	self           int
+	machine        *membership.Machine
+	believed       map[int]bool
+	notices        [membership.NoticeCount]int
+	leaveCompleted bool
 }
 
-func (p *swim) handle(now clock.Micros, in any, from int) []packet {
+func (p *swimPeer) handle(now clock.Micros, in any, from int) []datagram {
 	var ev membership.Event
 	switch x := in.(type) {
 	case nil:
 		ev = membership.Started{}
-	case tick:
+	case timerExpired:
 		ev = membership.Tick{}
 	case membership.Message:
 		ev = membership.MessageReceived{Source: address(from), Message: x}
 	case membership.Event:
 		ev = x
 	}
-	return p.carry(now, p.m.Handle(now, ev))
+	return p.applyActions(now, p.machine.Handle(now, ev))
 }
 
-func (p *swim) carry(now clock.Micros, actions []membership.Action) (out []packet) {
+func (p *swimPeer) applyActions(now clock.Micros, actions []membership.Action) (out []datagram) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case membership.Send:
-			to, ok := p.w.at[a.Address]
+			to, ok := p.w.nodesByAddress[a.Address]
 			if !ok {
 				continue
 			}
-			x := packet{to: to, body: a.Message}
-			if p.w.sizes {
+			x := datagram{to: to, body: a.Message}
+			if p.w.measuresSizes {
 				x.size = len(codec.AppendMessage(nil, a.Message)) + sealed.Size
 			}
 			out = append(out, x)
@@ -306,14 +306,14 @@
 			i := index(a.Name)
 			if living := !a.State.Ended(); living != p.believed[i] {
 				p.believed[i] = living
-				if p.w.changed != nil {
-					p.w.changed(p.self, i, living)
+				if p.w.beliefChanged != nil {
+					p.w.beliefChanged(p.self, i, living)
 				}
 			}
 		case membership.Notice:
 			p.notices[a.Kind]++
 		case membership.LeaveCompleted:
-			p.done = true
+			p.leaveCompleted = true
 		}
 	}
 	return out
@@ -325,74 +325,74 @@
 }
 
 // leave has a gateway go in an orderly way.
-var leave = membership.LeaveRequested{}
+var leaveRequest = membership.LeaveRequested{}
 
 // dead tells whether it holds another one dead, and not gone in an orderly way.
-func (p *swim) dead(other int) bool {
-	r, known := p.m.Lookup(name(other))
+func (p *swimPeer) dead(other int) bool {
+	r, known := p.machine.Lookup(name(other))
 	return known && r.State == membership.Dead
 }
 
-func (p *swim) next() (clock.Micros, bool) { return p.m.Next() }
+func (p *swimPeer) nextTimer() (clock.Micros, bool) { return p.machine.Next() }
 
-func (p *swim) alive(other int) bool { return other == p.self || p.believed[other] }
+func (p *swimPeer) alive(other int) bool { return other == p.self || p.believed[other] }
 
 // Heartbeats has everybody tell everybody that it lives, once an interval; who is silent for a fixed span is dead until it is
 // heard again.
-func Heartbeats(interval, timeout clock.Micros) Kind {
-	return Kind{"heartbeats", func(w *World, i int) peer {
-		return &beats{w: w, self: i, interval: interval, timeout: timeout, last: make([]clock.Micros, len(w.nodes)), dead: make([]bool, len(w.nodes))}
+func Heartbeats(interval, timeout clock.Micros) Detector {
+	return Detector{"heartbeats", func(w *World, i int) peer {
+		return &heartbeatPeer{w: w, self: i, interval: interval, timeout: timeout, lastHeard: make([]clock.Micros, len(w.nodes)), dead: make([]bool, len(w.nodes))}
 	}}
 }
 
 // heartbeatSize is a heartbeat in bytes: a name, a life and the signed trailer.
 const heartbeatSize = 2 + 2 + 6 + 9 + sealed.Size
 
-type beats struct {
+type heartbeatPeer struct {
 	w                 *World
 	self              int
 	interval, timeout clock.Micros
-	due               clock.Micros
-	last              []clock.Micros
+	nextHeartbeat     clock.Micros
+	lastHeard         []clock.Micros
 	dead              []bool
 }
 
-func (b *beats) handle(now clock.Micros, in any, from int) (out []packet) {
+func (b *heartbeatPeer) handle(now clock.Micros, in any, from int) (out []datagram) {
 	if in == nil {
-		for i := range b.last {
-			b.last[i] = now
+		for i := range b.lastHeard {
+			b.lastHeard[i] = now
 		}
-		b.due = now
+		b.nextHeartbeat = now
 	}
 	if _, beat := in.(int); beat {
-		b.last[from] = now
-		b.set(from, false)
+		b.lastHeard[from] = now
+		b.setDead(from, false)
 	}
-	if now >= b.due {
-		b.due = max(b.due+b.interval, now)
-		for i := range b.last {
+	if now >= b.nextHeartbeat {
+		b.nextHeartbeat = max(b.nextHeartbeat+b.interval, now)
+		for i := range b.lastHeard {
 			if i != b.self {
-				out = append(out, packet{to: i, body: 0, size: heartbeatSize})
+				out = append(out, datagram{to: i, body: 0, size: heartbeatSize})
 			}
 		}
 	}
-	for i := range b.last {
-		if i != b.self && now-b.last[i] > b.timeout {
-			b.set(i, true)
+	for i := range b.lastHeard {
+		if i != b.self && now-b.lastHeard[i] > b.timeout {
+			b.setDead(i, true)
 		}
 	}
 	return out
 }
 
-func (b *beats) set(i int, dead bool) {
+func (b *heartbeatPeer) setDead(i int, dead bool) {
 	if b.dead[i] != dead {
 		b.dead[i] = dead
-		if b.w.changed != nil {
-			b.w.changed(b.self, i, !dead)
+		if b.w.beliefChanged != nil {
+			b.w.beliefChanged(b.self, i, !dead)
 		}
 	}
 }
 
-func (b *beats) next() (clock.Micros, bool) { return b.due, true }
+func (b *heartbeatPeer) nextTimer() (clock.Micros, bool) { return b.nextHeartbeat, true }
 
-func (b *beats) alive(other int) bool { return !b.dead[other] }
+func (b *heartbeatPeer) alive(other int) bool { return !b.dead[other] }
--- a/internal/experiments/report/report.go
+++ b/internal/experiments/report/report.go
@@ -15,27 +15,29 @@
 )
 
 // longest is the longest span that is told apart, in microseconds.
-const longest = 10 * 60 * 1_000_000
+const maxDuration = 10 * 60 * 1_000_000
 
 // Spans collects spans of time in microseconds.
-type Spans struct{ h *hdrhistogram.Histogram }
+type Durations struct{ histogram *hdrhistogram.Histogram }
 
 // NewSpans makes an empty collection.
-func NewSpans() *Spans { return &Spans{hdrhistogram.New(1, longest, 3)} }
+func NewDurations() *Durations { return &Durations{hdrhistogram.New(1, maxDuration, 3)} }
 
 // Add notes one span; one below zero counts as none.
-func (s *Spans) Add(micros int64) { s.h.RecordValue(min(max(micros, 0), longest)) }
+func (s *Durations) Add(microseconds int64) {
+	s.histogram.RecordValue(min(max(microseconds, 0), maxDuration))
+}
 
 // Millis is a quantile, from 0 to 100, in milliseconds. A collection without spans has none: -1.
-func (s *Spans) Millis(quantile float64) float64 {
-	if s.h.TotalCount() == 0 {
+func (s *Durations) Millis(quantile float64) float64 {
+	if s.histogram.TotalCount() == 0 {
 		return -1
 	}
-	return float64(s.h.ValueAtQuantile(quantile)) / 1000
+	return float64(s.histogram.ValueAtQuantile(quantile)) / 1000
 }
 
 // Cell writes a quantile for a table.
-func (s *Spans) Cell(quantile float64) string {
+func (s *Durations) Cell(quantile float64) string {
 	if v := s.Millis(quantile); v >= 0 {
 		return fmt.Sprintf("%.1f", v)
 	}
@@ -76,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	return write(path, p)
+	return writePainter(path, p)
 }
 
 // Lines is a chart of lines over common labels.
@@ -100,11 +102,11 @@
 	if err != nil {
 		return err
 	}
-	return write(path, p)
+	return writePainter(path, p)
 }
 
 // write puts a drawn chart into a file.
-func write(path string, p *charts.Painter) error {
+func writePainter(path string, p *charts.Painter) error {
 	raw, err := p.Bytes()
 	if err != nil {
 		return err
--- a/internal/experiments/statestore/failover.go
+++ b/internal/experiments/statestore/failover.go
@@ -11,7 +11,7 @@
 // Failover is how long shards had no leader after a fault of the gateway that led them.
 type Failover struct {
 	Fault    string // as the test cluster names it: kill, term, stop
-	Downtime *report.Spans
+	Downtime *report.Durations
 	Shards   int // that were counted
 }
 
@@ -38,7 +38,7 @@
 		return result, err
 	}
 	defer fleet.Close()
-	result = Failover{Fault: fault, Downtime: report.NewSpans()}
+	result = Failover{Fault: fault, Downtime: report.NewDurations()}
 	load := fleet.Load(testcluster.LoadOptions{Bookers: 4, SessionReaders: 2, ThinkTime: 10 * time.Millisecond})
 	defer load.Stop()
 	for range o.LeaderFaults {
--- a/internal/experiments/statestore/load.go
+++ b/internal/experiments/statestore/load.go
@@ -17,7 +17,7 @@
 	Callers        int
 	Rate           float64 // writes a second
 	Failed         int64
-	Latency        *report.Spans
+	Latency        *report.Durations
 }
 
 // sessionKeys is how many sessions the callers of a load write for.
@@ -39,14 +39,14 @@
 // load counts the writes of a load and collects how long each took.
 type load struct {
 	stored, failed atomic.Int64
-	latency        *report.Spans
+	latency        *report.Durations
 	elapsed        time.Duration
 }
 
 // load raises sessions' positions from callers at all nodes, each one after the other. It returns after duration, when all callers
 // have ended.
 func (c *cluster) load(callers int, duration time.Duration, sessions int) *load {
-	l := &load{latency: report.NewSpans()}
+	l := &load{latency: report.NewDurations()}
 	var mu sync.Mutex
 	var goroutines sync.WaitGroup
 	begin := time.Now()
--- a/internal/experiments/statestore/repair.go
+++ b/internal/experiments/statestore/repair.go
@@ -13,9 +13,9 @@
 type Repair struct {
 	Disk          bool
 	Records       int
-	Duration      time.Duration // from the first member that is replaced until none is missing
-	Before, After *report.Spans // latency of writes before the loss, and from it on
-	Failed        int64         // writes, from the loss on
+	Duration      time.Duration     // from the first member that is replaced until none is missing
+	Before, After *report.Durations // latency of writes before the loss, and from it on
+	Failed        int64             // writes, from the loss on
 }
 
 // The times of a measured repair.
