--- a/cmd/marblespan-bench/main.go
+++ b/cmd/marblespan-bench/main.go
@@ -1,4 +1,5 @@
-// Command marblespan-bench measures and experiments. It is apart from the gateway, whose binary stays small.
+// Command marblespan-bench runs measurements and experiments with real gateway processes. It is a program of its own so that the
+// gateway's binary stays small. rootCommand lists the experiments; each is a package in internal/experiments.
 package main
 
 import (
@@ -23,18 +24,25 @@
 )
 
 func main() {
+	if err := rootCommand().Execute(); err != nil {
+		fmt.Fprintln(os.Stderr, "marblespan-bench:", err)
+		os.Exit(1)
+	}
+}
+
+// rootCommand is the program with its sub-commands, one for each experiment.
+func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use: "marblespan-bench", Short: "Measurements and experiments with marblespan", SilenceUsage: true, SilenceErrors: true,
 		CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true},
 	}
-	root.AddCommand(demoCommand(), chaosCommand(), failoverCommand(), membersCommand(), stateStoreCommand(), inDoubtCommand(), maintenanceCommand())
-	if err := root.Execute(); err != nil {
-		fmt.Fprintln(os.Stderr, "marblespan-bench:", err)
-		os.Exit(1)
-	}
+	root.AddCommand(
+		demoCommand(), chaosCommand(), failoverCommand(), membersCommand(), stateStoreCommand(), inDoubtCommand(), maintenanceCommand(),
+	)
+	return root
 }
 
-// beside is the gateway's program where none is named: the one that was built together with this one.
+// defaultBinary is the gateway's program when no flag names one: the one in the directory of this program.
 func defaultBinary() string {
 	self, err := os.Executable()
 	if err != nil {
@@ -43,7 +51,8 @@
 	return filepath.Join(filepath.Dir(self), "marblespan")
 }
 
-// interrupted is closed at Ctrl-C or SIGTERM. A second one ends the program at once, and the kernel what it has started.
+// interrupted returns a channel that is closed at the first Ctrl-C or SIGTERM. The goroutine ends then, or with the program. A second
+// signal ends the program at once; the kernel then ends the processes that it has started.
 func interrupted() <-chan struct{} {
 	signals, quit := make(chan os.Signal, 1), make(chan struct{})
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
@@ -107,8 +116,12 @@
 	flags := cmd.Flags()
 	flags.StringVar(&o.Cluster.Binary, "binary", defaultBinary(), "the gateway's program")
 	flags.IntVar(&o.Cluster.Nodes, "nodes", o.Cluster.Nodes, "gateways")
-	flags.BoolVar(&stateStore, "copies", false, "gateways keep the marks of sessions for each other")
-	flags.BoolVar(&inDoubt, "in-doubt", false, "bookings are claimed before they are sent, and asked for again")
+	flags.BoolVar(&stateStore, "state-store", false, "gateways replicate the positions of sessions in the state store")
+	flags.BoolVar(&stateStore, "copies", false, "the former name of --state-store")
+	if err := flags.MarkDeprecated("copies", "use --state-store"); err != nil {
+		panic(err) // only a flag that is not defined
+	}
+	flags.BoolVar(&inDoubt, "in-doubt", false, "bookings are recorded as intents before they are sent, and retried")
 	flags.IntVar(&o.Cluster.Replicas, "replicas", o.Cluster.Replicas, "replicas of the one group of servers")
 	flags.StringVar(&o.Script, "script", "", "a file of faults; without one they are drawn")
 	flags.Uint64Var(&o.Seed, "seed", o.Seed, "of what is drawn")
@@ -195,11 +208,11 @@
 	flags.DurationVar(&interval, "interval", interval, "of a probe, and between heartbeats")
 	flags.IntVar(&o.Kills, "kills", o.Kills, "of one member")
 	flags.IntVar(&o.MassFailures, "masses", o.MassFailures, "worlds in which 46 % are killed")
-	flags.DurationVar(&span, "span", span, "of each trouble")
+	flags.DurationVar(&span, "span", span, "of each fault")
 	flags.IntVar(&trials, "processes", trials, "kills of each kind with real processes beside; 0: none")
 	flags.IntVar(&nodes, "nodes", nodes, "how many real processes")
 	flags.StringVar(&binary, "binary", defaultBinary(), "the gateway's program")
-	flags.DurationVar(&brief, "brief", brief, "of each trouble, for the baselines")
+	flags.DurationVar(&brief, "brief", brief, "of each fault, for the baselines")
 	flags.Uint64Var(&o.Seed, "seed", o.Seed, "of all that is drawn")
 	flags.StringVar(&out, "out", "", "a folder for tables and chart")
 	flags.BoolVar(&quiet, "quiet", false, "no progress on standard error")
@@ -209,7 +222,7 @@
 func inDoubtCommand() *cobra.Command {
 	o, out, quiet := indoubt.Defaults(), "", false
 	cmd := &cobra.Command{
-		Use: "doubt", Short: "Measure bookings that are claimed before they are sent", Args: cobra.NoArgs,
+		Use: "in-doubt", Aliases: []string{"doubt"}, Short: "Measure bookings whose intents are recorded before they are sent", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if o.Clients < 1 || o.TakeOvers < 1 || o.LoadDuration < 100*time.Millisecond {
 				return fmt.Errorf("needs a client, a trial and 100ms at least")
@@ -246,7 +259,7 @@
 func maintenanceCommand() *cobra.Command {
 	o, out, quiet := maintenance.Defaults(), "", false
 	cmd := &cobra.Command{
-		Use: "maintain", Short: "Measure a night's work: every machine is taken out, in the order that the gateways settle", Args: cobra.NoArgs,
+		Use: "maintenance", Aliases: []string{"maintain"}, Short: "Measure a maintenance run: every machine is taken out and returned, in the order that the gateways agree on", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if o.Gateways < 4 || o.Gateways > testcluster.MaxNodes || o.FaultTrials < 0 {
 				return fmt.Errorf("needs 4 to %d gateways", testcluster.MaxNodes)
@@ -283,7 +296,7 @@
 func stateStoreCommand() *cobra.Command {
 	o, out, quiet := statestore.Defaults(), "", false
 	cmd := &cobra.Command{
-		Use: "copies", Short: "Measure what gateways hold for each other", Args: cobra.NoArgs,
+		Use: "state-store", Aliases: []string{"copies"}, Short: "Measure the gateways' replicated state store", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if o.Callers < 1 || o.RepairedRecords < 1000 || o.StoredRecords < 1000 || o.LeaderFaults < 1 || o.LoadDuration < 100*time.Millisecond {
 				return fmt.Errorf("needs a caller, a death, a thousand records and 100ms at least")
@@ -301,11 +314,11 @@
 	flags := cmd.Flags()
 	flags.StringVar(&o.Binary, "binary", defaultBinary(), "the gateway's program")
 	flags.DurationVar(&o.LoadDuration, "span", o.LoadDuration, "of each load")
-	flags.IntVar(&o.Callers, "callers", o.Callers, "that promise at the same time")
-	flags.IntVar(&o.RepairedRecords, "heal", o.RepairedRecords, "records that are healed")
+	flags.IntVar(&o.Callers, "callers", o.Callers, "that write at the same time")
+	flags.IntVar(&o.RepairedRecords, "heal", o.RepairedRecords, "records that are repaired")
 	flags.IntVar(&o.StoredRecords, "recover", o.StoredRecords, "records that a start reads")
 	flags.IntVar(&o.LeaderFaults, "deaths", o.LeaderFaults, "of a leader, of each kind")
-	flags.IntSliceVar(&o.IdleGateways, "rest", o.IdleGateways, "numbers of gateways at rest")
+	flags.IntSliceVar(&o.IdleGateways, "rest", o.IdleGateways, "numbers of idle gateways")
 	flags.StringVar(&out, "out", "", "a folder for tables and chart")
 	flags.BoolVar(&quiet, "quiet", false, "no progress on standard error")
 	return cmd
--- a/cmd/marblespan-bench/main_test.go
+++ b/cmd/marblespan-bench/main_test.go
@@ -19,8 +19,8 @@
 	"marblespan/internal/testcluster"
 )
 
-// asBroken makes the test's own binary run as a gateway that ends of itself.
-const crashAfterVariable = "MARBLELAB_TEST_BROKEN"
+// crashAfterVariable makes the test's own binary run as a gateway that exits by itself after the duration that it holds.
+const crashAfterVariable = "MARBLESPAN_BENCH_TEST_CRASH_AFTER"
 
 // binary is the gateway, built once for all tests.
 var binary string
@@ -160,3 +160,30 @@
 		t.Errorf("the chart: %v, %d bytes", err, len(svg))
 	}
 }
+
+// TestFormerNames checks that sub-commands and flags are still found by their former names.
+func TestFormerNames(t *testing.T) {
+	for former, want := range map[string]string{"copies": "state-store", "doubt": "in-doubt", "maintain": "maintenance"} {
+		t.Run(former, func(t *testing.T) {
+			for _, name := range []string{former, want} {
+				if cmd, _, err := rootCommand().Find([]string{name}); err != nil || cmd.Name() != want {
+					t.Errorf("sub-command %q: found %v, %v, want %s", name, cmd, err, want)
+				}
+			}
+		})
+	}
+	t.Run("chaos --copies", func(t *testing.T) {
+		var warning strings.Builder
+		flags := chaosCommand().Flags()
+		flags.SetOutput(&warning)
+		if err := flags.Parse([]string{"--copies"}); err != nil {
+			t.Fatal(err)
+		}
+		if on, err := flags.GetBool("state-store"); err != nil || !on {
+			t.Errorf("--copies sets --state-store to %v, %v, want true", on, err)
+		}
+		if !strings.Contains(warning.String(), "use --state-store") {
+			t.Errorf("no warning names the new flag: %q", &warning)
+		}
+	})
+}
