--- a/internal/floatingip/floating.go
+++ b/internal/floatingip/floating.go
@@ -79,7 +79,7 @@
 type Counts struct {
 	Sent, SendFailed, Received, Announced, Tenures, Moved atomic.Int64
 	Dropped                                               [sealed.FaultCount]atomic.Int64
-	Lost                                                  [vrrp.Causes]atomic.Int64 // by cause
+	Lost                                                  [vrrp.CauseCount]atomic.Int64 // by cause
 }
 
 type group struct {
@@ -93,7 +93,7 @@
 func Start(s Settings, clock Clock, start uint64, address Address, health func() vrrp.Health, log zerolog.Logger) (
 	*Speaker, error,
 ) {
-	loop, err := datagrams.Listen(s.Bind, codec.MostSize)
+	loop, err := datagrams.Listen(s.Bind, codec.MaxSize)
 	if err != nil {
 		return nil, err
 	}
@@ -161,7 +161,7 @@
 	if h := s.health(); h != s.last {
 		s.last = h
 		for _, g := range s.groups {
-			s.tell(g, vrrp.Noticed{Health: h})
+			s.tell(g, vrrp.HealthChanged{Health: h})
 		}
 	}
 }
@@ -175,25 +175,25 @@
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
-		case vrrp.Take:
+		case vrrp.Activate:
 			s.Counts.Tenures.Add(1)
 			if err := s.address.Take(g.Name, g.Listen, s.gate(g)); err != nil {
 				s.log.Error().Err(err).Str("group", g.Name).Msg("floating listener")
-				s.tell(g, vrrp.TakeFailed(a))
+				s.tell(g, vrrp.ActivateFailed(a))
 				return
 			}
-		case vrrp.Release:
+		case vrrp.Deactivate:
 			s.Counts.Lost[a.Cause].Add(1)
 			s.address.Release(g.Name)
-		case vrrp.Advertise:
+		case vrrp.SendAdvertisement:
 			s.advertise(g, a)
 			// Only now: had the process stopped before, its peers would have heard nothing.
 			g.lease.Store(int64(g.machine.Lease()))
-		case vrrp.Announce:
+		case vrrp.AnnounceAddress:
 			s.announce(g)
-		case vrrp.Changed:
+		case vrrp.StateChanged:
 			s.log.Info().Str("group", g.Name).Stringer("from", a.From).Stringer("to", a.To).Stringer("cause", a.Cause).
-				Uint8("priority", g.machine.Priority()).Uint32("tenure", g.machine.Tenure()).Msg("vrrp")
+				Uint8("priority", g.machine.Priority()).Uint32("tenure", g.machine.Activation()).Msg("vrrp")
 		}
 	}
 }
@@ -204,11 +204,11 @@
 	return func() bool { return int64(s.clock.Now()) <= g.lease.Load() }
 }
 
-func (s *Speaker) advertise(g *group, a vrrp.Advertise) {
+func (s *Speaker) advertise(g *group, a vrrp.SendAdvertisement) {
 	for _, p := range s.settings.Peers {
 		o := s.origins.NextID()
 		b, err := codec.Append(nil, codec.Message{
-			VRID: g.Machine.VRID, Priority: a.Priority, Interval: int64(a.Interval), Addresses: g.Addresses,
+			VRID: g.Machine.VRID, Priority: a.Priority, Interval: int64(a.AdvertisementInterval), Addresses: g.Addresses,
 			Trailer: codec.Trailer{
 				Sender: s.settings.Node, Receiver: p.Node, Start: o.Start, Sequence: o.Sequence, ReceiverStart: s.origins.KnownStart(p.Node),
 			},
@@ -247,7 +247,7 @@
 		s.drop(fault, from)
 		return
 	}
-	s.tell(g, vrrp.Heard{From: from.Addr(), Priority: m.Priority, Interval: clock.Micros(m.Interval)})
+	s.tell(g, vrrp.AdvertisementReceived{From: from.Addr(), Priority: m.Priority, AdvertisementInterval: clock.Micros(m.Interval)})
 }
 
 // check finds the group of a datagram and verifies that it is of a peer, authentic (codec.Parse) and new. It does the cheap
@@ -319,8 +319,8 @@
 		for _, g := range s.groups {
 			if n, ok := byName[g.Name]; ok {
 				g.Lingers = n.Lingers
-				g.Machine.Priority, g.Machine.Interval = n.Machine.Priority, n.Machine.Interval
-				s.tell(g, vrrp.Reconfigured{Config: n.Machine})
+				g.Machine.Priority, g.Machine.AdvertisementInterval = n.Machine.Priority, n.Machine.AdvertisementInterval
+				s.tell(g, vrrp.ConfigChanged{Config: n.Machine})
 			}
 		}
 	})
@@ -376,19 +376,19 @@
 			m := &g.machine
 			st := Status{
 				Group: g.Name, VRID: g.Machine.VRID, State: m.State().String(), ForMS: int64(now-m.Since()) / 1000,
-				Priority: m.Priority(), Settings: g.Machine.Priority, Ready: m.Ready(), Tenure: m.Tenure(), Wrong: []string{},
-				HeldMS: int64(max(m.HeldUntil()-now, 0)) / 1000,
+				Priority: m.Priority(), Settings: g.Machine.Priority, Ready: m.Ready(), Tenure: m.Activation(), Wrong: []string{},
+				HeldMS: int64(max(m.PreemptBlockedUntil()-now, 0)) / 1000,
 			}
 			for _, a := range g.Addresses {
 				st.Addresses = append(st.Addresses, a.String())
 			}
-			for c, wrong := range s.last.Wrong {
+			for c, wrong := range s.last.Conditions {
 				if wrong {
 					st.Wrong = append(st.Wrong, vrrp.ConditionNames[c])
 				}
 			}
-			if m.State() == vrrp.Backup && m.Holder().IsValid() {
-				st.Holder = m.Holder().String()
+			if m.State() == vrrp.Backup && m.ActiveRouter().IsValid() {
+				st.Holder = m.ActiveRouter().String()
 			}
 			all = append(all, st)
 		}
--- a/internal/floatingip/floating_test.go
+++ b/internal/floatingip/floating_test.go
@@ -109,7 +109,7 @@
 		Peers: []Peer{{Node: uint8(2 - i), Address: netip.MustParseAddrPort(p.path.PeerAddr(i, 1-i))}},
 		Groups: []Group{{
 			Name: "g", Addresses: []netip.Addr{netip.MustParseAddr("192.0.2.10")}, Listen: netip.MustParseAddrPort("127.0.0.1:1"),
-			Machine: vrrp.Config{VRID: 9, Priority: priority, Interval: interval, Preempt: true, Self: bind.Addr()},
+			Machine: vrrp.Config{VRID: 9, Priority: priority, AdvertisementInterval: interval, Preempt: true, LocalAddress: bind.Addr()},
 		}},
 	}
 }
@@ -239,7 +239,7 @@
 func TestListenerFails(t *testing.T) {
 	p := newPair(t)
 	s := p.settings(0, 200, oldKey)
-	s.Groups[0].Machine.Damping = vrrp.Damping{Window: 1_000_000, First: 60_000_000, Most: 60_000_000}
+	s.Groups[0].Machine.Damping = vrrp.Damping{Window: 1_000_000, InitialDelay: 60_000_000, MaxDelay: 60_000_000}
 	p.start(0, s, 1)
 	p.holders[0].mu.Lock()
 	p.holders[0].fail = errors.New("in use")
--- a/internal/gateway/floatingip.go
+++ b/internal/gateway/floatingip.go
@@ -97,15 +97,15 @@
 	}
 	for _, g := range ops.Groups {
 		m := vrrp.Config{
-			VRID: g.VRID, Priority: g.Priority, Interval: micros(g.Interval), Preempt: g.Preempt,
-			PreemptDelay: micros(g.PreemptDelay), Self: v.Bind.Addr(),
-			Damping: vrrp.Damping{Window: micros(g.Damping.Window), First: micros(g.Damping.InitialHold), Most: micros(g.Damping.MaxHold)},
+			VRID: g.VRID, Priority: g.Priority, AdvertisementInterval: micros(g.Interval), Preempt: g.Preempt,
+			PreemptDelay: micros(g.PreemptDelay), LocalAddress: v.Bind.Addr(),
+			Damping: vrrp.Damping{Window: micros(g.Damping.Window), InitialDelay: micros(g.Damping.InitialHold), MaxDelay: micros(g.Damping.MaxHold)},
 		}
 		lingers := false
 		for _, t := range g.Track {
 			for c, name := range vrrp.ConditionNames {
 				if name == t.Condition {
-					m.Steps[c] = t.Step
+					m.PrioritySteps[c] = t.Step
 					lingers = lingers || vrrp.Condition(c) == vrrp.Draining
 				}
 			}
@@ -139,9 +139,9 @@
 	if !f.g.owner.Call(func(c *routing.Core) {
 		h := c.Health(groupInUseFor)
 		seen.Ready = c.Ready() && h.UsableServers > 0
-		seen.Wrong[vrrp.NoServer] = h.UsableServers == 0
-		seen.Wrong[vrrp.NoPrimary] = h.GroupsWithoutPrimary > 0
-		seen.Wrong[vrrp.ListSilent] = h.ListFailing
+		seen.Conditions[vrrp.NoServer] = h.UsableServers == 0
+		seen.Conditions[vrrp.NoPrimary] = h.GroupsWithoutPrimary > 0
+		seen.Conditions[vrrp.DiscoverySilent] = h.ListFailing
 	}) {
 		return
 	}
@@ -150,7 +150,7 @@
 	} else if f.holds() == 0 {
 		seen.Ready = false // a gateway that holds an address keeps it: busy is not broken
 	}
-	seen.Wrong[vrrp.FewDescriptor] = f.g.descriptors.NearLimit()
+	seen.Conditions[vrrp.DescriptorsLow] = f.g.descriptors.NearLimit()
 	seen.at = time.Now()
 	f.health.Store(seen)
 }
@@ -170,7 +170,7 @@
 	seen := f.health.Load()
 	h := seen.Health
 	h.Ready = h.Ready && time.Since(seen.at) < healthTTL && f.g.maintenance.admits()
-	h.Wrong[vrrp.Draining] = f.stopping.Load()
+	h.Conditions[vrrp.Draining] = f.stopping.Load()
 	return h
 }
 
@@ -318,7 +318,7 @@
 			line = line.Int64("dropped_"+fault.Name(), n)
 		}
 	}
-	for cause := range vrrp.Causes {
+	for cause := range vrrp.CauseCount {
 		if n := c.Lost[cause].Load(); n > 0 {
 			line = line.Int64("lost_"+cause.String(), n)
 		}
--- a/internal/gateway/floatingip_test.go
+++ b/internal/gateway/floatingip_test.go
@@ -448,7 +448,7 @@
 	}
 	f.expectLogged(0, `"cause":"stood_still"`)
 	f.awaitActive(0)
-	if m := vrrp.CauseStoodStill; fl.speaker.Counts.Lost[m].Load() == 0 {
+	if m := vrrp.CauseStalled; fl.speaker.Counts.Lost[m].Load() == 0 {
 		t.Error("not counted")
 	}
 }
--- a/internal/protocol/vrrp/announce.go
+++ b/internal/protocol/vrrp/announce.go
@@ -29,7 +29,7 @@
 // AppendAnnouncement writes and signs an announcement. IPv4 addresses travel in their IPv6-mapped form.
 func AppendAnnouncement(b []byte, a Announcement, key Key) ([]byte, error) {
 	n := len(a.Addresses)
-	if n == 0 || n > MostAddresses || !a.Listen.IsValid() {
+	if n == 0 || n > MaxAddresses || !a.Listen.IsValid() {
 		return b, ErrAddresses
 	}
 	start := len(b)
@@ -60,7 +60,7 @@
 		return a, sealed.BadVersion
 	}
 	n := int(b[7])
-	if n == 0 || n > MostAddresses {
+	if n == 0 || n > MaxAddresses {
 		return a, sealed.BadCount
 	}
 	if len(b) != announceHead+16*n+macSize {
--- a/internal/protocol/vrrp/message.go
+++ b/internal/protocol/vrrp/message.go
@@ -18,9 +18,9 @@
 	trailerSize = sealed.TrailerSize
 	macSize     = sealed.MACSize
 	// MostAddresses is how many addresses a group may have here; the RFC's field allows 255.
-	MostAddresses = 16
+	MaxAddresses = 16
 	// MostSize is the size of the largest message.
-	MostSize = headSize + 16*MostAddresses + trailerSize + macSize
+	MaxSize = headSize + 16*MaxAddresses + trailerSize + macSize
 )
 
 // The values of RFC 9568, 5.2.1 and 5.2.2.
@@ -62,7 +62,7 @@
 // Append writes and signs a message. from and to are the UDP addresses, part of the checksum for IPv6 groups.
 func Append(b []byte, m Message, from, to netip.Addr, key Key) ([]byte, error) {
 	n := len(m.Addresses)
-	if n == 0 || n > MostAddresses {
+	if n == 0 || n > MaxAddresses {
 		return b, ErrAddresses
 	}
 	interval := (m.Interval + centisecond/2) / centisecond
@@ -91,7 +91,7 @@
 	if four {
 		size = 4
 	}
-	if len(b) < headSize+size+trailerSize+macSize || len(b) > MostSize {
+	if len(b) < headSize+size+trailerSize+macSize || len(b) > MaxSize {
 		return m, sealed.BadLength
 	}
 	if b[0]>>4 != version {
@@ -101,7 +101,7 @@
 		return m, sealed.BadType
 	}
 	n := int(b[3])
-	if n == 0 || n > MostAddresses {
+	if n == 0 || n > MaxAddresses {
 		return m, sealed.BadCount
 	}
 	body := headSize + n*size
--- a/internal/vrrp/explore_test.go
+++ b/internal/vrrp/explore_test.go
@@ -51,7 +51,7 @@
 	}
 	var sent []modelcheck.Message
 	for _, a := range out {
-		if ad, ok := a.(Advertise); ok {
+		if ad, ok := a.(SendAdvertisement); ok {
 			for i := range n.nodes {
 				if i != n.id {
 					sent = append(sent, modelcheck.Message{To: i, Text: strconv.Itoa(int(ad.Priority))})
@@ -76,7 +76,7 @@
 	if p == 0 {
 		n.heard[from] = 0
 	}
-	return n.handle(now, Heard{From: addr(from), Priority: uint8(p), Interval: span})
+	return n.handle(now, AdvertisementReceived{From: addr(from), Priority: uint8(p), AdvertisementInterval: span})
 }
 
 func (n node) Tick(now int64) (modelcheck.Node, []modelcheck.Message) { return n.handle(now, Tick{}) }
@@ -99,7 +99,7 @@
 	if m.state == Active {
 		fmt.Fprint(&b, rel(m.sent))
 	}
-	if m.cfg.Damping.First > 0 {
+	if m.cfg.Damping.InitialDelay > 0 {
 		fmt.Fprint(&b, max(rel(m.since), -m.cfg.Damping.Window-1), m.damp.strikes, rel(m.damp.until), rel(m.damp.last))
 	}
 	for _, h := range n.heard {
@@ -213,7 +213,7 @@
 	v := n.(node)
 	h := v.m.health
 	h.Ready = !h.Ready
-	to, out := v.handle(now, Noticed{h})
+	to, out := v.handle(now, HealthChanged{h})
 	name := "not ready"
 	if h.Ready {
 		name = "ready"
@@ -256,13 +256,13 @@
 		MaxDelay: delay, ExtraDelay: 5 * span, PauseDurations: []int64{span, 5 * span}, RestartDelay: 2 * span, Faults: s.faults,
 		InOrder: true, Horizon: s.until, EnvironmentChanges: shifts, History: remember,
 	}
-	w.FaultFreeWindow = int64(6*span + s.damping.Most + s.peace)
+	w.FaultFreeWindow = int64(6*span + s.damping.MaxDelay + s.peace)
 	w.Invariant = invariant(s.faults, w.FaultFreeWindow, s.strict)
 	for i, p := range s.priorities {
 		w.Nodes = append(w.Nodes, node{
 			id: i, nodes: len(s.priorities), mut: mut,
 			cfg: Config{
-				VRID: 1, Priority: p, Interval: span, Preempt: s.preempt, PreemptDelay: s.peace, Self: addr(i), Damping: s.damping,
+				VRID: 1, Priority: p, AdvertisementInterval: span, Preempt: s.preempt, PreemptDelay: s.peace, LocalAddress: addr(i), Damping: s.damping,
 			},
 		})
 	}
@@ -289,26 +289,26 @@
 // nothing.
 var mutants = []mutant{
 	{name: "holds the address though it is not ready", before: func(m *Machine, now clock.Micros, ev Event) Event {
-		if n, ok := ev.(Noticed); ok && !n.Health.Ready && m.state == Active {
+		if n, ok := ev.(HealthChanged); ok && !n.Health.Ready && m.state == Active {
 			m.health = n.Health
 			return nil
 		}
 		return ev
 	}},
 	{name: "does not give way to a higher priority", before: func(m *Machine, now clock.Micros, ev Event) Event {
-		if h, ok := ev.(Heard); ok && m.state == Active && h.Priority > m.Priority() {
+		if h, ok := ev.(AdvertisementReceived); ok && m.state == Active && h.Priority > m.Priority() {
 			return nil
 		}
 		return ev
 	}},
 	{name: "does not settle a tie", before: func(m *Machine, now clock.Micros, ev Event) Event {
-		if h, ok := ev.(Heard); ok && m.state == Active && h.Priority == m.Priority() {
+		if h, ok := ev.(AdvertisementReceived); ok && m.state == Active && h.Priority == m.Priority() {
 			return nil
 		}
 		return ev
 	}},
 	{name: "does not answer a lower one", before: func(m *Machine, now clock.Micros, ev Event) Event {
-		if h, ok := ev.(Heard); ok && m.state == Active && h.Priority < m.Priority() {
+		if h, ok := ev.(AdvertisementReceived); ok && m.state == Active && h.Priority < m.Priority() {
 			return nil
 		}
 		return ev
@@ -326,13 +326,13 @@
 		return ev
 	}},
 	{name: "follows any release", before: func(m *Machine, now clock.Micros, ev Event) Event {
-		if h, ok := ev.(Heard); ok && m.state == Backup && h.Priority == GivesUp {
+		if h, ok := ev.(AdvertisementReceived); ok && m.state == Backup && h.Priority == PriorityRelease {
 			m.holder.from, m.rival = h.From, holder{}
 		}
 		return ev
 	}},
 	{name: "follows whoever advertised last", before: func(m *Machine, now clock.Micros, ev Event) Event {
-		if _, ok := ev.(Heard); ok && m.state == Backup {
+		if _, ok := ev.(AdvertisementReceived); ok && m.state == Backup {
 			m.holder.heard -= 4 * span
 		}
 		return ev
@@ -354,7 +354,7 @@
 		return out
 	}},
 	{name: "does not wait anew when it hears the active one", before: func(m *Machine, now clock.Micros, ev Event) Event {
-		if h, ok := ev.(Heard); ok && m.state == Backup && h.Priority != GivesUp && m.health.Ready {
+		if h, ok := ev.(AdvertisementReceived); ok && m.state == Backup && h.Priority != PriorityRelease && m.health.Ready {
 			return nil
 		}
 		return ev
@@ -364,7 +364,7 @@
 	}},
 	{name: "goes for the address although it is not ready", after: func(m *Machine, now clock.Micros, out []Action) []Action {
 		if m.state == Backup && !m.health.Ready && now >= m.timer {
-			return m.win(now, CauseSilence, out)
+			return m.win(now, CauseActiveDown, out)
 		}
 		return out
 	}},
--- a/internal/vrrp/health.go
+++ b/internal/vrrp/health.go
@@ -4,9 +4,9 @@
 
 // effective is the priority that a gateway may advertise: the settings' one less the steps for all that is wrong with it.
 // It stays at least 1, for 0 would release the address, and the last gateway left must still be able to hold it.
-func effective(priority uint8, steps [Conditions]uint8, h Health) uint8 {
+func effective(priority uint8, steps [ConditionCount]uint8, h Health) uint8 {
 	left := int(priority)
-	for c, wrong := range h.Wrong {
+	for c, wrong := range h.Conditions {
 		if wrong {
 			left -= int(steps[c])
 		}
@@ -38,13 +38,13 @@
 
 // strike holds the gateway back, twice as long as the last time unless that is long ago.
 func (d *damper) strike(now clock.Micros, cfg Damping) {
-	if cfg.First <= 0 {
+	if cfg.InitialDelay <= 0 {
 		return
 	}
-	if d.strikes > 0 && now-d.last > forgetAfter*cfg.Most {
+	if d.strikes > 0 && now-d.last > forgetAfter*cfg.MaxDelay {
 		d.strikes = 0
 	}
-	d.until = now + min(cfg.First<<d.strikes, cfg.Most)
+	d.until = now + min(cfg.InitialDelay<<d.strikes, cfg.MaxDelay)
 	d.strikes = min(d.strikes+1, mostStrikes)
 	d.last = now
 }
--- a/internal/vrrp/machine.go
+++ b/internal/vrrp/machine.go
@@ -56,7 +56,7 @@
 }
 
 // outlasts tells whether the holder is still being heard and will stay when it meets another that advertises too.
-func (h holder) outlasts(now clock.Micros, e Heard) bool {
+func (h holder) outlasts(now clock.Micros, e AdvertisementReceived) bool {
 	return h.lives(now) && h.from != e.From &&
 		(h.priority > e.Priority || h.priority == e.Priority && e.From.Less(h.from))
 }
@@ -68,22 +68,22 @@
 func (m *Machine) State() State { return m.state }
 
 // Tenure numbers the times that the address was won.
-func (m *Machine) Tenure() uint32 { return m.tenure }
+func (m *Machine) Activation() uint32 { return m.tenure }
 
 // Priority is the priority in force: the settings' less a step for all that is wrong.
-func (m *Machine) Priority() uint8 { return effective(m.cfg.Priority, m.cfg.Steps, m.health) }
+func (m *Machine) Priority() uint8 { return effective(m.cfg.Priority, m.cfg.PrioritySteps, m.health) }
 
 // Ready tells whether the gateway may hold the address at all.
 func (m *Machine) Ready() bool { return m.health.Ready }
 
 // Holder is the active router last heard, if this is a backup.
-func (m *Machine) Holder() netip.Addr { return m.holder.from }
+func (m *Machine) ActiveRouter() netip.Addr { return m.holder.from }
 
 // Since is when the present state began.
 func (m *Machine) Since() clock.Micros { return m.since }
 
 // HeldUntil is when damping no longer holds the gateway back.
-func (m *Machine) HeldUntil() clock.Micros { return m.damp.until }
+func (m *Machine) PreemptBlockedUntil() clock.Micros { return m.damp.until }
 
 // Lease is the time after which nothing new may be taken under the present tenure: unless another advertisement goes out
 // before, peers may have taken over. Whoever takes work asks it, so that a process that stood still is held back even if
@@ -92,7 +92,7 @@
 	if m.state != Active {
 		return 0
 	}
-	return m.sent + leaseIntervals*m.cfg.Interval
+	return m.sent + leaseIntervals*m.cfg.AdvertisementInterval
 }
 
 // Next is when a Tick is due.
@@ -107,7 +107,7 @@
 	return min(m.due(), beat), true
 }
 
-func (m *Machine) beat() clock.Micros { return m.cfg.Interval / 2 }
+func (m *Machine) beat() clock.Micros { return m.cfg.AdvertisementInterval / 2 }
 
 // due is when the timer in force fires. A backup that is held back waits for the end of that too.
 func (m *Machine) due() clock.Micros {
@@ -129,21 +129,21 @@
 		}
 	case Shutdown:
 		out = m.shutdown(now, out)
-	case Heard:
+	case AdvertisementReceived:
 		switch {
 		case m.state == Backup:
 			m.heardAsBackup(now, e)
 		case m.state == Active:
 			out = m.heardAsActive(now, e, out)
 		}
-	case Noticed:
+	case HealthChanged:
 		out = m.noticed(now, e.Health, out)
-	case TakeFailed:
-		if m.state == Active && e.Tenure == m.tenure {
-			out = m.release(now, CauseTakeFailed, out)
+	case ActivateFailed:
+		if m.state == Active && e.Activation == m.tenure {
+			out = m.release(now, CauseActivateFailed, out)
 			m.damp.strike(now, m.cfg.Damping)
 		}
-	case Reconfigured:
+	case ConfigChanged:
 		out = m.reconfigure(now, e.Config, out)
 	}
 	return m.tick(now, out)
@@ -153,11 +153,11 @@
 // not to be disturbed, and its old state is worth nothing. A backup starts its wait anew, for advertisements may have been
 // missed; where it was only a little late, it leaves those that lie unread the time to be read.
 func (m *Machine) wake(now clock.Micros) []Action {
-	late := m.cfg.Interval / lateLooks
+	late := m.cfg.AdvertisementInterval / lateLooks
 	next, _ := m.Next()
 	switch {
 	case m.state == Active && now > m.Lease():
-		return m.lose(now, CauseStoodStill, nil)
+		return m.lose(now, CauseStalled, nil)
 	case m.state == Backup && now-m.seen > standstillBeats*m.beat():
 		m.timer = max(m.timer, now+m.downInterval())
 	case m.state == Backup && now-next > late:
@@ -166,11 +166,11 @@
 	return nil
 }
 
-func (m *Machine) downInterval() clock.Micros { return DownInterval(m.Priority(), m.waiting) }
+func (m *Machine) downInterval() clock.Micros { return ActiveDownInterval(m.Priority(), m.waiting) }
 
 func (m *Machine) startup(now clock.Micros, out []Action) []Action {
-	m.waiting = m.cfg.Interval
-	if m.Priority() == Owner && m.health.Ready {
+	m.waiting = m.cfg.AdvertisementInterval
+	if m.Priority() == PriorityOwner && m.health.Ready {
 		return m.win(now, CauseStartup, out)
 	}
 	m.timer = now + m.downInterval()
@@ -191,17 +191,17 @@
 // followed, and the other's release does not count: otherwise a router that notices late that it is not active any more
 // makes every backup go for what another holds. For the same reason a release makes way for that other one, if there is
 // one. A lower active router is left in peace for the preempt delay, and while damping holds this one back.
-func (m *Machine) heardAsBackup(now clock.Micros, e Heard) {
-	heard := holder{e.From, e.Priority, now, e.Interval}
+func (m *Machine) heardAsBackup(now clock.Micros, e AdvertisementReceived) {
+	heard := holder{e.From, e.Priority, now, e.AdvertisementInterval}
 	switch {
-	case e.Priority == GivesUp && e.From == m.rival.from:
+	case e.Priority == PriorityRelease && e.From == m.rival.from:
 		m.rival = holder{}
-	case e.Priority == GivesUp && e.From == m.holder.from:
+	case e.Priority == PriorityRelease && e.From == m.holder.from:
 		m.timer = now + SkewTime(m.Priority(), m.waiting)
 		m.givenUp, m.peaceBy = true, 0
 		m.holder = holder{}
 		m.followRival(now)
-	case e.Priority == GivesUp:
+	case e.Priority == PriorityRelease:
 	case m.holder.outlasts(now, e):
 		m.rival = heard
 	case m.mayTakeFrom(now, e.Priority): // its down timer runs on
@@ -250,19 +250,19 @@
 }
 
 // heardAsActive is RFC 9568, 6.4.3.
-func (m *Machine) heardAsActive(now clock.Micros, e Heard, out []Action) []Action {
+func (m *Machine) heardAsActive(now clock.Micros, e AdvertisementReceived, out []Action) []Action {
 	switch {
-	case e.Priority == GivesUp:
+	case e.Priority == PriorityRelease:
 		return m.advertise(now, out)
-	case e.Priority > m.Priority(), e.Priority == m.Priority() && m.cfg.Self.Less(e.From):
+	case e.Priority > m.Priority(), e.Priority == m.Priority() && m.cfg.LocalAddress.Less(e.From):
 		// One that never lost sight of itself does not know that somebody else had the address too, and that the network
 		// may lead there. A last word of the lower one has it say again where the address is. The RFC has none.
-		out = m.lose(now, CausePreempted, append(out, Advertise{m.Priority(), m.cfg.Interval}))
-		m.follow(holder{e.From, e.Priority, now, e.Interval})
+		out = m.lose(now, CausePreempted, append(out, SendAdvertisement{m.Priority(), m.cfg.AdvertisementInterval}))
+		m.follow(holder{e.From, e.Priority, now, e.AdvertisementInterval})
 		return out
 	}
 	// A lower one thinks it is active: it and the network are told at once where the address is.
-	return append(m.advertise(now, out), Announce{m.tenure})
+	return append(m.advertise(now, out), AnnounceAddress{m.tenure})
 }
 
 // noticed takes in the gateway's health. One that cannot serve gives up at once; one that can again waits its skew, so that
@@ -280,8 +280,8 @@
 }
 
 func (m *Machine) reconfigure(now clock.Micros, next Config, out []Action) []Action {
-	next.VRID, next.Self = m.cfg.VRID, m.cfg.Self
-	changed := next.Interval != m.cfg.Interval
+	next.VRID, next.LocalAddress = m.cfg.VRID, m.cfg.LocalAddress
+	changed := next.AdvertisementInterval != m.cfg.AdvertisementInterval
 	m.cfg = next
 	if m.state == Active && changed {
 		return m.advertise(now, out) // backups learn the new interval before they wait by the old one
@@ -295,9 +295,9 @@
 	case m.state == Active && now >= m.timer:
 		return m.advertise(now, out)
 	case m.state == Backup && m.health.Ready && now >= m.due() && !m.followRival(now):
-		cause := CauseSilence
+		cause := CauseActiveDown
 		if m.givenUp {
-			cause = CauseGivenUp
+			cause = CauseReleased
 		}
 		return m.win(now, cause, out)
 	}
@@ -310,38 +310,38 @@
 	m.adverts = 0
 	out = m.become(now, Active, cause, out)
 	m.holder, m.rival, m.givenUp, m.peaceBy = holder{}, holder{}, false, 0
-	return append(m.advertise(now, append(out, Take{m.tenure})), Announce{m.tenure})
+	return append(m.advertise(now, append(out, Activate{m.tenure})), AnnounceAddress{m.tenure})
 }
 
 func (m *Machine) advertise(now clock.Micros, out []Action) []Action {
-	m.sent, m.timer = now, now+m.cfg.Interval
-	out = append(out, Advertise{m.Priority(), m.cfg.Interval})
+	m.sent, m.timer = now, now+m.cfg.AdvertisementInterval
+	out = append(out, SendAdvertisement{m.Priority(), m.cfg.AdvertisementInterval})
 	// One announcement might be lost, and nobody would ask for it again: the 2nd, 4th, 8th and so on go with another, later
 	// every so many. The RFC sends one.
 	m.adverts++
 	if n := m.adverts; n > 1 && (n%announceEvery == 0 || n < announceEvery && n&(n-1) == 0) {
-		out = append(out, Announce{m.tenure})
+		out = append(out, AnnounceAddress{m.tenure})
 	}
 	return out
 }
 
 // release gives the address up with a word to the others, who need not wait for their down intervals then.
 func (m *Machine) release(now clock.Micros, cause Cause, out []Action) []Action {
-	return m.lose(now, cause, append(out, Advertise{GivesUp, m.cfg.Interval}))
+	return m.lose(now, cause, append(out, SendAdvertisement{PriorityRelease, m.cfg.AdvertisementInterval}))
 }
 
 // lose goes back to Backup.
 func (m *Machine) lose(now clock.Micros, cause Cause, out []Action) []Action {
-	if cause == CausePreempted || cause == CauseStoodStill {
+	if cause == CausePreempted || cause == CauseStalled {
 		m.damp.lost(now, now-m.since, m.cfg.Damping)
 	}
-	m.waiting = m.cfg.Interval
+	m.waiting = m.cfg.AdvertisementInterval
 	m.timer = now + m.downInterval()
-	return m.become(now, Backup, cause, append(out, Release{m.tenure, cause}))
+	return m.become(now, Backup, cause, append(out, Deactivate{m.tenure, cause}))
 }
 
 func (m *Machine) become(now clock.Micros, to State, cause Cause, out []Action) []Action {
-	out = append(out, Changed{m.state, to, cause})
+	out = append(out, StateChanged{m.state, to, cause})
 	m.state, m.since = to, now
 	return out
 }
--- a/internal/vrrp/machine_test.go
+++ b/internal/vrrp/machine_test.go
@@ -16,7 +16,7 @@
 var self, other, third = netip.MustParseAddr("127.0.0.2"), netip.MustParseAddr("127.0.0.3"), netip.MustParseAddr("127.0.0.4")
 
 func base() Config {
-	return Config{VRID: 1, Priority: 128, Interval: 100 * ms, Preempt: true, Self: self}
+	return Config{VRID: 1, Priority: 128, AdvertisementInterval: 100 * ms, Preempt: true, LocalAddress: self}
 }
 
 // bench drives a machine by hand, and looks at it as often as it asks for.
@@ -29,7 +29,7 @@
 
 func newBench(t *testing.T, cfg Config, ready bool) *bench {
 	b := &bench{t: t, m: New(cfg), now: 1_000_000}
-	b.do(Noticed{Health{Ready: ready}})
+	b.do(HealthChanged{Health{Ready: ready}})
 	b.do(Startup{})
 	return b
 }
@@ -54,7 +54,7 @@
 }
 
 func (b *bench) hears(from netip.Addr, priority uint8) []Action {
-	return b.do(Heard{from, priority, 100 * ms})
+	return b.do(AdvertisementReceived{from, priority, 100 * ms})
 }
 
 func (b *bench) is(s State) {
@@ -79,7 +79,7 @@
 		priority       uint8
 		interval, skew clock.Micros
 	}{{128, 100 * ms, 50 * ms}, {255, 256 * ms, 1 * ms}, {1, 256 * ms, 255 * ms}, {100, 1000 * ms, 609_375}} {
-		if s, d := SkewTime(c.priority, c.interval), DownInterval(c.priority, c.interval); s != c.skew || d != 3*c.interval+c.skew {
+		if s, d := SkewTime(c.priority, c.interval), ActiveDownInterval(c.priority, c.interval); s != c.skew || d != 3*c.interval+c.skew {
 			t.Errorf("%+v: skew %d, down %d", c, s, d)
 		}
 	}
@@ -90,13 +90,13 @@
 	all := b.pass(1 * ms)
 	b.is(Active)
 	want := []Action{
-		Changed{Backup, Active, CauseSilence}, Take{1}, Advertise{128, 100 * ms}, Announce{1},
+		StateChanged{Backup, Active, CauseActiveDown}, Activate{1}, SendAdvertisement{128, 100 * ms}, AnnounceAddress{1},
 	}
 	if !slices.Equal(all, want) {
 		t.Errorf("%v, want %v", all, want)
 	}
 	all = b.pass(1000 * ms)
-	if n, a := count[Advertise](all), count[Announce](all); n != 10 || a != 3 {
+	if n, a := count[SendAdvertisement](all), count[AnnounceAddress](all); n != 10 || a != 3 {
 		t.Errorf("%d advertisements and %d further announcements in a second", n, a)
 	}
 }
@@ -112,13 +112,13 @@
 
 func TestOwnerIsActiveAtOnce(t *testing.T) {
 	cfg := base()
-	cfg.Priority = Owner
+	cfg.Priority = PriorityOwner
 	newBench(t, cfg, true).is(Active)
 	b := newBench(t, cfg, false)
 	b.is(Backup)
 	b.pass(5000 * ms)
 	b.is(Backup)
-	b.do(Noticed{Health{Ready: true}})
+	b.do(HealthChanged{Health{Ready: true}})
 	b.pass(2 * ms)
 	b.is(Active)
 }
@@ -126,12 +126,12 @@
 // A backup follows the advertised interval of the active router, not its own.
 func TestFollowsTheAdvertisedInterval(t *testing.T) {
 	b := newBench(t, base(), true)
-	b.do(Heard{other, 200, 1000 * ms})
+	b.do(AdvertisementReceived{other, 200, 1000 * ms})
 	b.pass(3499 * ms)
 	b.is(Backup)
 	b.pass(1 * ms)
 	b.is(Active)
-	if a, ok := has[Advertise](b.out); !ok || a.Interval != 100*ms {
+	if a, ok := has[SendAdvertisement](b.out); !ok || a.AdvertisementInterval != 100*ms {
 		t.Errorf("advertises %v", b.out)
 	}
 }
@@ -140,21 +140,21 @@
 	b := newBench(t, base(), true)
 	b.hears(other, 200)
 	b.pass(10 * ms)
-	b.hears(third, GivesUp) // not the active one
+	b.hears(third, PriorityRelease) // not the active one
 	b.pass(60 * ms)
 	b.is(Backup)
-	b.hears(other, GivesUp)
+	b.hears(other, PriorityRelease)
 	b.pass(49 * ms)
 	b.is(Backup)
 	b.pass(1 * ms)
 	b.is(Active)
-	if c, _ := has[Changed](b.out); c.Cause != CauseGivenUp {
+	if c, _ := has[StateChanged](b.out); c.Cause != CauseReleased {
 		t.Errorf("%v", b.out)
 	}
 	out := b.do(Shutdown{})
 	want := []Action{
-		Advertise{GivesUp, 100 * ms}, Release{1, CauseShutdown}, Changed{Active, Backup, CauseShutdown},
-		Changed{Backup, Initialize, CauseShutdown},
+		SendAdvertisement{PriorityRelease, 100 * ms}, Deactivate{1, CauseShutdown}, StateChanged{Active, Backup, CauseShutdown},
+		StateChanged{Backup, Initialize, CauseShutdown},
 	}
 	if !slices.Equal(out, want) {
 		t.Errorf("%v", out)
@@ -172,14 +172,14 @@
 		stays    bool
 	}{
 		{other, 127, true}, {other, 129, false}, {other, 128, false}, {netip.MustParseAddr("127.0.0.1"), 128, true},
-		{other, GivesUp, true}, {netip.MustParseAddr("127.0.0.1"), 255, false},
+		{other, PriorityRelease, true}, {netip.MustParseAddr("127.0.0.1"), 255, false},
 	} {
 		b := newBench(t, base(), true)
 		b.pass(360 * ms)
 		b.is(Active)
 		out := b.hears(c.from, c.priority)
-		_, released := has[Release](out)
-		_, answered := has[Advertise](out) // the one that gives way has a last word too
+		_, released := has[Deactivate](out)
+		_, answered := has[SendAdvertisement](out) // the one that gives way has a last word too
 		if (b.m.State() == Active) != c.stays || released == c.stays || !answered {
 			t.Errorf("%+v: %v, %v", c, b.m.State(), out)
 		}
@@ -209,28 +209,28 @@
 
 func TestTrackingLowersThePriority(t *testing.T) {
 	cfg := base()
-	cfg.Steps = [Conditions]uint8{NoPrimary: 30, ListSilent: 90, FewDescriptor: 90}
+	cfg.PrioritySteps = [ConditionCount]uint8{NoPrimary: 30, DiscoverySilent: 90, DescriptorsLow: 90}
 	b := newBench(t, cfg, true)
 	b.pass(360 * ms)
 	h := Health{Ready: true}
 	for _, c := range []struct {
 		wrong Condition
 		want  uint8
-	}{{NoPrimary, 98}, {ListSilent, 8}, {FewDescriptor, 1}} {
-		h.Wrong[c.wrong] = true
-		b.do(Noticed{h})
-		if all := b.pass(101 * ms); b.m.Priority() != c.want || !slices.Contains(all, Action(Advertise{c.want, 100 * ms})) {
+	}{{NoPrimary, 98}, {DiscoverySilent, 8}, {DescriptorsLow, 1}} {
+		h.Conditions[c.wrong] = true
+		b.do(HealthChanged{h})
+		if all := b.pass(101 * ms); b.m.Priority() != c.want || !slices.Contains(all, Action(SendAdvertisement{c.want, 100 * ms})) {
 			t.Errorf("%v: priority %d, %v", ConditionNames[c.wrong], b.m.Priority(), all)
 		}
 	}
 	b.is(Active) // the last one left holds the address, whatever is wrong
-	out := b.do(Noticed{Health{}})
-	if _, ok := has[Release](out); !ok || out[0] != (Advertise{GivesUp, 100 * ms}) {
+	out := b.do(HealthChanged{Health{}})
+	if _, ok := has[Deactivate](out); !ok || out[0] != (SendAdvertisement{PriorityRelease, 100 * ms}) {
 		t.Errorf("not ready any more: %v", out)
 	}
 	b.pass(5000 * ms)
 	b.is(Backup)
-	b.do(Noticed{Health{Ready: true}})
+	b.do(HealthChanged{Health{Ready: true}})
 	b.pass(50 * ms)
 	b.is(Active)
 }
@@ -242,7 +242,7 @@
 	lease := b.m.Lease()
 	b.now = lease + 1
 	out := b.do(Tick{})
-	want := []Action{Release{1, CauseStoodStill}, Changed{Active, Backup, CauseStoodStill}}
+	want := []Action{Deactivate{1, CauseStalled}, StateChanged{Active, Backup, CauseStalled}}
 	if !slices.Equal(out, want) {
 		t.Errorf("%v", out)
 	}
@@ -254,22 +254,22 @@
 	b.is(Backup)
 	b.pass(10 * ms)
 	b.is(Active)
-	if b.m.Tenure() != 2 {
-		t.Errorf("tenure %d", b.m.Tenure())
+	if b.m.Activation() != 2 {
+		t.Errorf("tenure %d", b.m.Activation())
 	}
 }
 
 func TestTakeFailed(t *testing.T) {
 	cfg := base()
-	cfg.Damping = Damping{Window: 500 * ms, First: 1000 * ms, Most: 3000 * ms}
+	cfg.Damping = Damping{Window: 500 * ms, InitialDelay: 1000 * ms, MaxDelay: 3000 * ms}
 	b := newBench(t, cfg, true)
 	b.pass(360 * ms)
-	if out := b.do(TakeFailed{Tenure: 7}); len(out) > 0 {
+	if out := b.do(ActivateFailed{Activation: 7}); len(out) > 0 {
 		t.Errorf("another tenure's failure: %v", out)
 	}
-	out := b.do(TakeFailed{Tenure: 1})
+	out := b.do(ActivateFailed{Activation: 1})
 	b.is(Backup)
-	if out[0] != (Advertise{GivesUp, 100 * ms}) {
+	if out[0] != (SendAdvertisement{PriorityRelease, 100 * ms}) {
 		t.Errorf("%v", out)
 	}
 	b.pass(990 * ms)
@@ -281,7 +281,7 @@
 // Each flap holds back for twice as long, up to the bound; a long tenure and a quiet time count as none.
 func TestDamping(t *testing.T) {
 	cfg := base()
-	cfg.Damping = Damping{Window: 500 * ms, First: 1000 * ms, Most: 3000 * ms}
+	cfg.Damping = Damping{Window: 500 * ms, InitialDelay: 1000 * ms, MaxDelay: 3000 * ms}
 	b := newBench(t, cfg, true)
 	var held []clock.Micros
 	for range 4 {
@@ -290,8 +290,8 @@
 		}
 		b.pass(400 * ms)
 		b.hears(other, 200)
-		held = append(held, (b.m.HeldUntil()-b.now)/ms)
-		b.pass(b.m.HeldUntil() - b.now - ms)
+		held = append(held, (b.m.PreemptBlockedUntil()-b.now)/ms)
+		b.pass(b.m.PreemptBlockedUntil() - b.now - ms)
 		b.is(Backup)
 	}
 	if fmt.Sprint(held) != "[1000 2000 3000 3000]" {
@@ -299,12 +299,12 @@
 	}
 	b.pass(20_000 * ms)
 	b.hears(other, 200)
-	if b.m.HeldUntil() > b.now {
+	if b.m.PreemptBlockedUntil() > b.now {
 		t.Error("a loss after a long tenure counts as a flap")
 	}
 	b.pass(360 * ms)
 	b.hears(other, 200)
-	if got := b.m.HeldUntil() - b.now; got != 1000*ms {
+	if got := b.m.PreemptBlockedUntil() - b.now; got != 1000*ms {
 		t.Errorf("after a quiet time held back for %d ms", got/ms)
 	}
 }
@@ -313,9 +313,9 @@
 	b := newBench(t, base(), true)
 	b.pass(360 * ms)
 	next := base()
-	next.Priority, next.Interval, next.VRID, next.Self = 90, 50*ms, 9, third
-	out := b.do(Reconfigured{next})
-	if a, ok := has[Advertise](out); !ok || a != (Advertise{90, 50 * ms}) || b.m.cfg.VRID != 1 || b.m.cfg.Self != self {
+	next.Priority, next.AdvertisementInterval, next.VRID, next.LocalAddress = 90, 50*ms, 9, third
+	out := b.do(ConfigChanged{next})
+	if a, ok := has[SendAdvertisement](out); !ok || a != (SendAdvertisement{90, 50 * ms}) || b.m.cfg.VRID != 1 || b.m.cfg.LocalAddress != self {
 		t.Errorf("%v", out)
 	}
 	b.hears(other, 100)
@@ -331,7 +331,7 @@
 		cfg.Preempt = rapid.Bool().Draw(t, "preempt")
 		cfg.PreemptDelay = clock.Micros(rapid.IntRange(0, 3).Draw(t, "delay")) * 100 * ms
 		cfg.Damping = Damping{clock.Micros(rapid.IntRange(0, 5).Draw(t, "window")) * 100 * ms, 50 * ms, 800 * ms}
-		cfg.Steps = [Conditions]uint8{60, 40, 30, 20, 200}
+		cfg.PrioritySteps = [ConditionCount]uint8{60, 40, 30, 20, 200}
 		m := New(cfg)
 		now, held := clock.Micros(1), false
 		last := uint32(0)
@@ -350,34 +350,34 @@
 			case 2:
 				ev = Shutdown{}
 			case 3, 4, 5:
-				ev = Heard{rapid.SampledFrom([]netip.Addr{other, third}).Draw(t, "from"), rapid.Uint8().Draw(t, "p"),
+				ev = AdvertisementReceived{rapid.SampledFrom([]netip.Addr{other, third}).Draw(t, "from"), rapid.Uint8().Draw(t, "p"),
 					clock.Micros(rapid.IntRange(1, 30).Draw(t, "interval")) * 10 * ms}
 			case 6:
 				h := Health{Ready: rapid.IntRange(0, 3).Draw(t, "ready") > 0}
-				h.Wrong[rapid.IntRange(0, int(Conditions)-1).Draw(t, "wrong")] = true
-				ev = Noticed{h}
+				h.Conditions[rapid.IntRange(0, int(ConditionCount)-1).Draw(t, "wrong")] = true
+				ev = HealthChanged{h}
 			case 7:
-				ev = TakeFailed{m.Tenure()}
+				ev = ActivateFailed{m.Activation()}
 			}
 			stale := held && now > m.Lease()
 			for _, a := range m.Handle(now, ev) {
 				switch a := a.(type) {
-				case Take:
-					if held || a.Tenure <= last || !m.Ready() {
-						t.Fatalf("takes tenure %d after %d, held %v, ready %v", a.Tenure, last, held, m.Ready())
+				case Activate:
+					if held || a.Activation <= last || !m.Ready() {
+						t.Fatalf("takes tenure %d after %d, held %v, ready %v", a.Activation, last, held, m.Ready())
 					}
-					held, last = true, a.Tenure
-				case Release:
-					if !held || a.Tenure != last {
-						t.Fatalf("releases tenure %d of %d, held %v", a.Tenure, last, held)
+					held, last = true, a.Activation
+				case Deactivate:
+					if !held || a.Activation != last {
+						t.Fatalf("releases tenure %d of %d, held %v", a.Activation, last, held)
 					}
 					held = false
-				case Advertise:
-					if a.Priority != GivesUp && !held || stale {
+				case SendAdvertisement:
+					if a.Priority != PriorityRelease && !held || stale {
 						t.Fatalf("advertises %d, held %v, stood still %v", a.Priority, held, stale)
 					}
-				case Announce:
-					if !held || a.Tenure != last {
+				case AnnounceAddress:
+					if !held || a.Activation != last {
 						t.Fatal("announces what it does not hold")
 					}
 				}
--- a/internal/vrrp/vrrp.go
+++ b/internal/vrrp/vrrp.go
@@ -14,14 +14,14 @@
 
 // The bounds of an advertisement interval: it travels in 12 bits of hundredths of a second (RFC 9568, 5.2.6).
 const (
-	LeastInterval clock.Micros = 10_000
-	MostInterval  clock.Micros = 40_950_000
+	MinInterval clock.Micros = 10_000
+	MaxInterval clock.Micros = 40_950_000
 )
 
 // The priorities with a meaning of their own (RFC 9568, 5.2.4).
 const (
-	GivesUp uint8 = 0   // the active router releases its address
-	Owner   uint8 = 255 // the router that owns the address
+	PriorityRelease uint8 = 0   // the active router releases its address
+	PriorityOwner   uint8 = 255 // the router that owns the address
 )
 
 // State is a state of RFC 9568, 6.3.
@@ -42,40 +42,40 @@
 
 // The conditions.
 const (
-	NoServer      Condition = iota // no database server is known
-	NoPrimary                      // some group in use has no known primary
-	ListSilent                     // discovery does not answer
-	FewDescriptor                  // descriptors are nearly used up
-	Draining                       // the gateway is about to end
-	Conditions
+	NoServer        Condition = iota // no database server is known
+	NoPrimary                        // some group in use has no known primary
+	DiscoverySilent                  // discovery does not answer
+	DescriptorsLow                   // descriptors are nearly used up
+	Draining                         // the gateway is about to end
+	ConditionCount
 )
 
 // ConditionNames are the conditions as settings and logs name them.
-var ConditionNames = [Conditions]string{"no-server", "no-primary", "discovery-silent", "descriptors", "draining"}
+var ConditionNames = [ConditionCount]string{"no-server", "no-primary", "discovery-silent", "descriptors", "draining"}
 
 // Health is what a gateway knows of itself.
 type Health struct {
-	Ready bool // it could serve a request now; without it the address is given up at once
-	Wrong [Conditions]bool
+	Ready      bool // it could serve a request now; without it the address is given up at once
+	Conditions [ConditionCount]bool
 }
 
 // Damping holds back a gateway that loses the address soon after winning it. The zero value does nothing.
 type Damping struct {
-	Window clock.Micros // a loss this soon after the win counts as a flap
-	First  clock.Micros // how long the first flap holds it back; each further one twice as long
-	Most   clock.Micros // the longest it is ever held back
+	Window       clock.Micros // a loss this soon after the win counts as a flap
+	InitialDelay clock.Micros // how long the first flap holds it back; each further one twice as long
+	MaxDelay     clock.Micros // the longest it is ever held back
 }
 
 // Config is one group (virtual router) on one gateway.
 type Config struct {
-	VRID         uint8
-	Priority     uint8 // 1 to 255
-	Interval     clock.Micros
-	Preempt      bool         // take the address from an active router of lower priority
-	PreemptDelay clock.Micros // how long that router is left in peace first
-	Self         netip.Addr   // this gateway's own address, which settles ties
-	Steps        [Conditions]uint8
-	Damping      Damping
+	VRID                  uint8
+	Priority              uint8 // 1 to 255
+	AdvertisementInterval clock.Micros
+	Preempt               bool         // take the address from an active router of lower priority
+	PreemptDelay          clock.Micros // how long that router is left in peace first
+	LocalAddress          netip.Addr   // this gateway's own address, which settles ties
+	PrioritySteps         [ConditionCount]uint8
+	Damping               Damping
 }
 
 // Event is one of the events below.
@@ -88,82 +88,82 @@
 )
 
 // Heard is an advertisement of another router, checked and authentic.
-type Heard struct {
-	From     netip.Addr
-	Priority uint8
-	Interval clock.Micros
+type AdvertisementReceived struct {
+	From                  netip.Addr
+	Priority              uint8
+	AdvertisementInterval clock.Micros
 }
 
 // Tick tells that time has passed. It comes when Next says, and may come oftener.
 type Tick struct{}
 
 // Noticed tells how the gateway is.
-type Noticed struct{ Health Health }
+type HealthChanged struct{ Health Health }
 
 // TakeFailed tells that the address that a Take asked for could not be taken.
-type TakeFailed struct{ Tenure uint32 }
+type ActivateFailed struct{ Activation uint32 }
 
 // Reconfigured brings new settings. VRID and Self stay.
-type Reconfigured struct{ Config Config }
+type ConfigChanged struct{ Config Config }
 
-func (Startup) event()      {}
-func (Shutdown) event()     {}
-func (Heard) event()        {}
-func (Tick) event()         {}
-func (Noticed) event()      {}
-func (TakeFailed) event()   {}
-func (Reconfigured) event() {}
+func (Startup) event()               {}
+func (Shutdown) event()              {}
+func (AdvertisementReceived) event() {}
+func (Tick) event()                  {}
+func (HealthChanged) event()         {}
+func (ActivateFailed) event()        {}
+func (ConfigChanged) event()         {}
 
 // Action is one of the actions below, to be carried out in order.
 type Action interface{ action() }
 
 // Take asks for the floating listener. What is taken under one tenure has nothing to do with the next.
-type Take struct{ Tenure uint32 }
+type Activate struct{ Activation uint32 }
 
 // Advertise sends an advertisement to every peer.
-type Advertise struct {
-	Priority uint8
-	Interval clock.Micros
+type SendAdvertisement struct {
+	Priority              uint8
+	AdvertisementInterval clock.Micros
 }
 
 // Announce tells the network where the address is now, as a gratuitous ARP would.
-type Announce struct{ Tenure uint32 }
+type AnnounceAddress struct{ Activation uint32 }
 
 // Release gives the floating listener up. What was taken under the tenure still gets its answers.
-type Release struct {
-	Tenure uint32
-	Cause  Cause
+type Deactivate struct {
+	Activation uint32
+	Cause      Cause
 }
 
 // Changed tells of a change of state, for the log.
-type Changed struct {
+type StateChanged struct {
 	From, To State
 	Cause    Cause
 }
 
-func (Take) action()      {}
-func (Advertise) action() {}
-func (Announce) action()  {}
-func (Release) action()   {}
-func (Changed) action()   {}
+func (Activate) action()          {}
+func (SendAdvertisement) action() {}
+func (AnnounceAddress) action()   {}
+func (Deactivate) action()        {}
+func (StateChanged) action()      {}
 
 // Cause says why the state changed.
 type Cause uint8
 
 // The causes.
 const (
-	CauseStartup    Cause = iota
-	CauseShutdown         // it was told to stop
-	CauseSilence          // no active router was heard for the down interval
-	CauseGivenUp          // the active router released the address
-	CausePreempted        // one of higher priority, or of the same and a higher address, advertised
-	CauseNotReady         // it could serve no request any more
-	CauseStoodStill       // its process had not run for longer than its peers wait
-	CauseTakeFailed       // the floating listener could not be had
-	Causes
+	CauseStartup        Cause = iota
+	CauseShutdown             // it was told to stop
+	CauseActiveDown           // no active router was heard for the down interval
+	CauseReleased             // the active router released the address
+	CausePreempted            // one of higher priority, or of the same and a higher address, advertised
+	CauseNotReady             // it could serve no request any more
+	CauseStalled              // its process had not run for longer than its peers wait
+	CauseActivateFailed       // the floating listener could not be had
+	CauseCount
 )
 
-var causeNames = [Causes]string{
+var causeNames = [CauseCount]string{
 	"startup", "shutdown", "silence", "given_up", "preempted", "not_ready", "stood_still", "take_failed",
 }
 
@@ -176,6 +176,6 @@
 }
 
 // DownInterval is RFC 9568's Active_Down_Interval: how long a backup waits for the active router.
-func DownInterval(priority uint8, interval clock.Micros) clock.Micros {
+func ActiveDownInterval(priority uint8, interval clock.Micros) clock.Micros {
 	return 3*interval + SkewTime(priority, interval)
 }
