--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -85,8 +85,8 @@
 	path := filepath.Join(t.TempDir(), "s")
 	s, err := control.Listen(path, func(string) (any, error) {
 		return []floatingip.Status{{
-			Group: "counters", VRID: 5, Addresses: []string{"192.0.2.1"}, State: "backup", ForMS: 1500, Priority: 60, Settings: 100,
-			Ready: true, Wrong: []string{"no-primary"}, Holder: "127.0.0.3", Tenure: 3, HeldMS: 250,
+			Group: "counters", VRID: 5, Addresses: []string{"192.0.2.1"}, State: "backup", StateDurationMS: 1500, Priority: 60, ConfiguredPriority: 100,
+			Ready: true, FailedConditions: []string{"no-primary"}, ActiveRouter: "127.0.0.3", Activation: 3, PreemptBlockedMS: 250,
 		}}, nil
 	})
 	if err != nil {
--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -186,8 +186,8 @@
 		{
 			"vrrp-status", "vrrp status", []string{"vrrp", "status"},
 			[]floatingip.Status{{
-				Group: "counters", VRID: 51, Addresses: []string{"192.0.2.10", "192.0.2.11"}, State: "backup", ForMS: 1500, Priority: 60, Settings: 100,
-				Ready: true, Wrong: []string{"no-primary"}, Holder: "192.0.2.3", Tenure: 3, HeldMS: 250,
+				Group: "counters", VRID: 51, Addresses: []string{"192.0.2.10", "192.0.2.11"}, State: "backup", StateDurationMS: 1500, Priority: 60, ConfiguredPriority: 100,
+				Ready: true, FailedConditions: []string{"no-primary"}, ActiveRouter: "192.0.2.3", Activation: 3, PreemptBlockedMS: 250,
 			}}, nil,
 		},
 		{
--- a/internal/cli/vrrp.go
+++ b/internal/cli/vrrp.go
@@ -35,8 +35,8 @@
 	fmt.Fprintln(w, "GROUP\tVRID\tADDRESSES\tSTATE\tFOR\tPRIORITY\tREADY\tWRONG\tHOLDER\tTENURE\tHELD BACK")
 	for _, s := range all {
 		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%v\t%d of %d\t%s\t%s\t%s\t%d\t%v\n", s.Group, s.VRID, strings.Join(s.Addresses, ","),
-			s.State, milliseconds(s.ForMS), s.Priority, s.Settings, yesOrNo(s.Ready), orDash(strings.Join(s.Wrong, ",")), orDash(s.Holder),
-			s.Tenure, milliseconds(s.HeldMS))
+			s.State, milliseconds(s.StateDurationMS), s.Priority, s.ConfiguredPriority, yesOrNo(s.Ready), orDash(strings.Join(s.FailedConditions, ",")), orDash(s.ActiveRouter),
+			s.Activation, milliseconds(s.PreemptBlockedMS))
 	}
 	return w.Flush()
 }
--- a/internal/floatingip/floating.go
+++ b/internal/floatingip/floating.go
@@ -18,12 +18,12 @@
 )
 
 // Address is what the program does when an address is won or lost. Neither may wait for clients.
-type Address interface {
+type AddressHandler interface {
 	// Take opens the listener of a group. gate tells, at any moment and from any goroutine, whether the tenure may still
 	// take new work.
-	Take(group string, listen netip.AddrPort, gate func() bool) error
+	Activate(group string, listen netip.AddrPort, gate func() bool) error
 	// Release stops listening and lets go of the clients once they have their answers.
-	Release(group string)
+	Deactivate(group string)
 }
 
 // Peer is another gateway.
@@ -39,17 +39,17 @@
 	Listen    netip.AddrPort
 	Machine   vrrp.Config
 	// Lingers: a gateway that is to end keeps the address, with its lowered priority, until somebody takes it.
-	Lingers bool
+	KeepUntilTakenOver bool
 }
 
 // Settings are what a reload may change, but for each group's name, addresses and listener.
 type Settings struct {
-	Node     uint8
-	Bind     netip.AddrPort
-	Peers    []Peer
-	Keys     []codec.Key // the first one signs
-	Announce []netip.AddrPort
-	Groups   []Group
+	Node       uint8
+	Bind       netip.AddrPort
+	Peers      []Peer
+	Keys       []codec.Key // the first one signs
+	AnnounceTo []netip.AddrPort
+	Groups     []Group
 }
 
 // Clock is a clock that never steps back.
@@ -59,47 +59,47 @@
 }
 
 // Speaker takes part in VRRP for all groups of a gateway.
-type Speaker struct {
+type VRRPRouter struct {
 	settings Settings
 	clock    Clock
-	address  Address
+	address  AddressHandler
 	health   func() vrrp.Health
 	log      zerolog.Logger
 
-	loop    *datagrams.Loop
-	origins *sealed.ReplayGuard[uint8]
-	groups  []*group
-	last    vrrp.Health
-	drops   *datagrams.DropLog
+	loop        *datagrams.Loop
+	replayGuard *sealed.ReplayGuard[uint8]
+	groups      []*group
+	lastHealth  vrrp.Health
+	dropLog     *datagrams.DropLog
 
-	Counts Counts
+	Counters Counters
 }
 
 // Counts are the speaker's counters since its start.
-type Counts struct {
-	Sent, SendFailed, Received, Announced, Tenures, Moved atomic.Int64
-	Dropped                                               [sealed.FaultCount]atomic.Int64
-	Lost                                                  [vrrp.CauseCount]atomic.Int64 // by cause
+type Counters struct {
+	Sent, SendFailed, Received, Announced, Activations, StartAdvanced atomic.Int64
+	Dropped                                                           [sealed.FaultCount]atomic.Int64
+	Deactivations                                                     [vrrp.CauseCount]atomic.Int64 // by cause
 }
 
 type group struct {
 	Group
-	machine vrrp.Machine
-	lease   atomic.Int64 // until when new work may be taken
+	machine  vrrp.Machine
+	leaseEnd atomic.Int64 // until when new work may be taken
 }
 
 // Start binds the socket and starts every group. start is the system clock's time, microseconds of Unix time: it only
 // tells one life of this gateway from the next.
-func Start(s Settings, clock Clock, start uint64, address Address, health func() vrrp.Health, log zerolog.Logger) (
-	*Speaker, error,
+func Start(s Settings, clock Clock, start uint64, address AddressHandler, health func() vrrp.Health, log zerolog.Logger) (
+	*VRRPRouter, error,
 ) {
 	loop, err := datagrams.Listen(s.Bind, codec.MaxSize)
 	if err != nil {
 		return nil, err
 	}
-	sp := &Speaker{
+	sp := &VRRPRouter{
 		settings: s, clock: clock, address: address, health: health, log: log, loop: loop,
-		origins: sealed.NewReplayGuard[uint8](start, 0), drops: datagrams.NewDropLog(log, "vrrp message dropped"),
+		replayGuard: sealed.NewReplayGuard[uint8](start, 0), dropLog: datagrams.NewDropLog(log, "vrrp message dropped"),
 	}
 	for _, g := range s.Groups {
 		sp.groups = append(sp.groups, &group{Group: g, machine: vrrp.New(g.Machine)})
@@ -109,23 +109,23 @@
 }
 
 // Addr is where the speaker is heard.
-func (s *Speaker) Addr() netip.AddrPort { return s.loop.Addr() }
+func (s *VRRPRouter) Addr() netip.AddrPort { return s.loop.Addr() }
 
 // Broken counts errors of the socket that came instead of a datagram.
-func (s *Speaker) Broken() int64 { return s.loop.SocketErrors.Load() }
+func (s *VRRPRouter) SocketErrors() int64 { return s.loop.SocketErrors.Load() }
 
 // ask runs a function on the speaker's goroutine and waits for it. It tells whether it ran.
-func (s *Speaker) ask(do func()) bool { return s.loop.Do(do) }
+func (s *VRRPRouter) runOnLoop(do func()) bool { return s.loop.Do(do) }
 
 // loopHandler is the speaker as its loop calls it.
-type loopHandler Speaker
+type loopHandler VRRPRouter
 
 // Start starts every group.
 func (o *loopHandler) Start() {
-	s := (*Speaker)(o)
-	s.look()
+	s := (*VRRPRouter)(o)
+	s.updateHealth()
 	for _, g := range s.groups {
-		s.tell(g, vrrp.Startup{})
+		s.handle(g, vrrp.Startup{})
 	}
 }
 
@@ -142,53 +142,55 @@
 }
 
 // HandleDatagram checks one datagram, and hands it to its group's machine or drops it.
-func (o *loopHandler) HandleDatagram(b []byte, from netip.AddrPort) { (*Speaker)(o).receive(b, from) }
+func (o *loopHandler) HandleDatagram(b []byte, from netip.AddrPort) {
+	(*VRRPRouter)(o).receive(b, from)
+}
 
 // CheckTimers tells the machines of the gateway's health, and has them do what is due.
 func (o *loopHandler) CheckTimers() {
-	s := (*Speaker)(o)
-	s.look()
+	s := (*VRRPRouter)(o)
+	s.updateHealth()
 	now := s.clock.Now()
 	for _, g := range s.groups {
 		if at, ok := g.machine.Next(); ok && now >= at {
-			s.tell(g, vrrp.Tick{})
+			s.handle(g, vrrp.Tick{})
 		}
 	}
 }
 
 // look tells the machines how the gateway is, if that has changed.
-func (s *Speaker) look() {
-	if h := s.health(); h != s.last {
-		s.last = h
+func (s *VRRPRouter) updateHealth() {
+	if h := s.health(); h != s.lastHealth {
+		s.lastHealth = h
 		for _, g := range s.groups {
-			s.tell(g, vrrp.HealthChanged{Health: h})
+			s.handle(g, vrrp.HealthChanged{Health: h})
 		}
 	}
 }
 
 // tell hands an event to a machine and carries out what comes of it.
-func (s *Speaker) tell(g *group, ev vrrp.Event) {
-	held := g.machine.State() == vrrp.Active
+func (s *VRRPRouter) handle(g *group, ev vrrp.Event) {
+	wasActive := g.machine.State() == vrrp.Active
 	actions := g.machine.Handle(s.clock.Now(), ev)
-	if held && g.machine.State() != vrrp.Active {
-		g.lease.Store(0)
+	if wasActive && g.machine.State() != vrrp.Active {
+		g.leaseEnd.Store(0)
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
 		case vrrp.Activate:
-			s.Counts.Tenures.Add(1)
-			if err := s.address.Take(g.Name, g.Listen, s.gate(g)); err != nil {
+			s.Counters.Activations.Add(1)
+			if err := s.address.Activate(g.Name, g.Listen, s.mayTakeRequests(g)); err != nil {
 				s.log.Error().Err(err).Str("group", g.Name).Msg("floating listener")
-				s.tell(g, vrrp.ActivateFailed(a))
+				s.handle(g, vrrp.ActivateFailed(a))
 				return
 			}
 		case vrrp.Deactivate:
-			s.Counts.Lost[a.Cause].Add(1)
-			s.address.Release(g.Name)
+			s.Counters.Deactivations[a.Cause].Add(1)
+			s.address.Deactivate(g.Name)
 		case vrrp.SendAdvertisement:
 			s.advertise(g, a)
 			// Only now: had the process stopped before, its peers would have heard nothing.
-			g.lease.Store(int64(g.machine.Lease()))
+			g.leaseEnd.Store(int64(g.machine.Lease()))
 		case vrrp.AnnounceAddress:
 			s.announce(g)
 		case vrrp.StateChanged:
@@ -200,59 +202,59 @@
 
 // gate is the tenure's leave to take new work. It reads the clock itself: a goroutine that wakes from a stop before the
 // speaker does is held back too.
-func (s *Speaker) gate(g *group) func() bool {
-	return func() bool { return int64(s.clock.Now()) <= g.lease.Load() }
+func (s *VRRPRouter) mayTakeRequests(g *group) func() bool {
+	return func() bool { return int64(s.clock.Now()) <= g.leaseEnd.Load() }
 }
 
-func (s *Speaker) advertise(g *group, a vrrp.SendAdvertisement) {
+func (s *VRRPRouter) advertise(g *group, a vrrp.SendAdvertisement) {
 	for _, p := range s.settings.Peers {
-		o := s.origins.NextID()
+		o := s.replayGuard.NextID()
 		b, err := codec.Append(nil, codec.Message{
 			VRID: g.Machine.VRID, Priority: a.Priority, Interval: int64(a.AdvertisementInterval), Addresses: g.Addresses,
 			Trailer: codec.Trailer{
-				Sender: s.settings.Node, Receiver: p.Node, Start: o.Start, Sequence: o.Sequence, ReceiverStart: s.origins.KnownStart(p.Node),
+				Sender: s.settings.Node, Receiver: p.Node, Start: o.Start, Sequence: o.Sequence, ReceiverStart: s.replayGuard.KnownStart(p.Node),
 			},
 		}, s.settings.Bind.Addr(), p.Address.Addr(), s.settings.Keys[0])
-		s.send(b, err, p.Address, &s.Counts.Sent)
+		s.send(b, err, p.Address, &s.Counters.Sent)
 	}
 }
 
 // send writes one datagram, unless it could not be made, and counts it.
-func (s *Speaker) send(b []byte, err error, to netip.AddrPort, sent *atomic.Int64) {
+func (s *VRRPRouter) send(b []byte, err error, to netip.AddrPort, sent *atomic.Int64) {
 	if err == nil {
 		err = s.loop.Send(b, to)
 	}
 	if err != nil {
-		sent = &s.Counts.SendFailed
+		sent = &s.Counters.SendFailed
 	}
 	sent.Add(1)
 }
 
-func (s *Speaker) announce(g *group) {
-	for _, to := range s.settings.Announce {
-		o := s.origins.NextID()
+func (s *VRRPRouter) announce(g *group) {
+	for _, to := range s.settings.AnnounceTo {
+		o := s.replayGuard.NextID()
 		b, err := codec.AppendAnnouncement(nil, codec.Announcement{
 			VRID: g.Machine.VRID, Sender: s.settings.Node, Start: o.Start, Sequence: o.Sequence, Listen: g.Listen,
 			Addresses: g.Addresses,
 		}, s.settings.Keys[0])
-		s.send(b, err, to, &s.Counts.Announced)
+		s.send(b, err, to, &s.Counters.Announced)
 	}
 }
 
 // receive checks one datagram and hands it to its group's machine.
-func (s *Speaker) receive(b []byte, from netip.AddrPort) {
-	s.Counts.Received.Add(1)
-	g, m, fault := s.check(b, from)
+func (s *VRRPRouter) receive(b []byte, from netip.AddrPort) {
+	s.Counters.Received.Add(1)
+	g, m, fault := s.validate(b, from)
 	if fault != sealed.NoFault {
-		s.drop(fault, from)
+		s.countDropped(fault, from)
 		return
 	}
-	s.tell(g, vrrp.AdvertisementReceived{From: from.Addr(), Priority: m.Priority, AdvertisementInterval: clock.Micros(m.Interval)})
+	s.handle(g, vrrp.AdvertisementReceived{From: from.Addr(), Priority: m.Priority, AdvertisementInterval: clock.Micros(m.Interval)})
 }
 
 // check finds the group of a datagram and verifies that it is of a peer, authentic (codec.Parse) and new. It does the cheap
 // checks first: strangers cost no signature.
-func (s *Speaker) check(b []byte, from netip.AddrPort) (*group, codec.Message, sealed.Fault) {
+func (s *VRRPRouter) validate(b []byte, from netip.AddrPort) (*group, codec.Message, sealed.Fault) {
 	var none codec.Message
 	var peer *Peer
 	for i := range s.settings.Peers {
@@ -283,9 +285,9 @@
 	if m.Sender != peer.Node || m.Receiver != s.settings.Node {
 		return nil, none, sealed.WrongPeer
 	}
-	fresh, moved := s.origins.Accept(m.Sender, sealed.MessageID{Start: m.Start, Sequence: m.Sequence}, m.ReceiverStart)
-	if moved {
-		s.Counts.Moved.Add(1)
+	fresh, startAdvanced := s.replayGuard.Accept(m.Sender, sealed.MessageID{Start: m.Start, Sequence: m.Sequence}, m.ReceiverStart)
+	if startAdvanced {
+		s.Counters.StartAdvanced.Add(1)
 		s.log.Warn().Uint8("peer", m.Sender).Msg("peers know a later start of this gateway: its clock was set back; moved past it")
 	}
 	if !fresh {
@@ -298,97 +300,97 @@
 }
 
 // drop counts and logs a datagram that check rejected.
-func (s *Speaker) drop(fault sealed.Fault, from netip.AddrPort) {
-	s.Counts.Dropped[fault].Add(1)
-	s.drops.Dropped(fault.Name(), from)
+func (s *VRRPRouter) countDropped(fault sealed.Fault, from netip.AddrPort) {
+	s.Counters.Dropped[fault].Add(1)
+	s.dropLog.Dropped(fault.Name(), from)
 }
 
 // Reload takes over new peers, keys, announcements and the machines' settings. A group's name, addresses and listener
 // stay; groups are matched by name.
-func (s *Speaker) Reload(next Settings) {
-	s.ask(func() {
+func (s *VRRPRouter) Reload(next Settings) {
+	s.runOnLoop(func() {
 		next.Node, next.Bind = s.settings.Node, s.settings.Bind
 		byName := map[string]Group{}
 		for _, g := range next.Groups {
 			byName[g.Name] = g
 		}
 		s.settings = next
-		s.origins.Retain(func(node uint8) bool {
+		s.replayGuard.Retain(func(node uint8) bool {
 			return slices.ContainsFunc(next.Peers, func(p Peer) bool { return p.Node == node })
 		})
 		for _, g := range s.groups {
 			if n, ok := byName[g.Name]; ok {
-				g.Lingers = n.Lingers
+				g.KeepUntilTakenOver = n.KeepUntilTakenOver
 				g.Machine.Priority, g.Machine.AdvertisementInterval = n.Machine.Priority, n.Machine.AdvertisementInterval
-				s.tell(g, vrrp.ConfigChanged{Config: n.Machine})
+				s.handle(g, vrrp.ConfigChanged{Config: n.Machine})
 			}
 		}
 	})
 }
 
 // GiveUp releases every address, at once. Groups that linger do so only when last is set.
-func (s *Speaker) GiveUp(last bool) {
-	s.ask(func() {
+func (s *VRRPRouter) Shutdown(includeKeptGroups bool) {
+	s.runOnLoop(func() {
 		for _, g := range s.groups {
-			if last || !g.Lingers {
-				s.tell(g, vrrp.Shutdown{})
+			if includeKeptGroups || !g.KeepUntilTakenOver {
+				s.handle(g, vrrp.Shutdown{})
 			}
 		}
 	})
 }
 
 // Resume has every group that was given up take part again.
-func (s *Speaker) Resume() {
-	s.ask(func() {
+func (s *VRRPRouter) Startup() {
+	s.runOnLoop(func() {
 		for _, g := range s.groups {
-			s.tell(g, vrrp.Startup{})
+			s.handle(g, vrrp.Startup{})
 		}
 	})
 }
 
 // Close releases what is still held and ends the goroutine.
-func (s *Speaker) Close() {
-	s.GiveUp(true)
+func (s *VRRPRouter) Close() {
+	s.Shutdown(true)
 	s.loop.Close()
 }
 
 // Status is how one group stands.
 type Status struct {
-	Group     string   `json:"group"`
-	VRID      uint8    `json:"vrid"`
-	Addresses []string `json:"addresses"`
-	State     string   `json:"state"`
-	ForMS     int64    `json:"for_ms"`
-	Priority  uint8    `json:"priority"`
-	Settings  uint8    `json:"priority_of_settings"`
-	Ready     bool     `json:"ready"`
-	Wrong     []string `json:"wrong"`
-	Holder    string   `json:"holder,omitempty"`
-	Tenure    uint32   `json:"tenure"`
-	HeldMS    int64    `json:"held_back_ms"`
+	Group              string   `json:"group"`
+	VRID               uint8    `json:"vrid"`
+	Addresses          []string `json:"addresses"`
+	State              string   `json:"state"`
+	StateDurationMS    int64    `json:"for_ms"`
+	Priority           uint8    `json:"priority"`
+	ConfiguredPriority uint8    `json:"priority_of_settings"`
+	Ready              bool     `json:"ready"`
+	FailedConditions   []string `json:"wrong"`
+	ActiveRouter       string   `json:"holder,omitempty"`
+	Activation         uint32   `json:"tenure"`
+	PreemptBlockedMS   int64    `json:"held_back_ms"`
 }
 
 // Status tells how every group stands.
-func (s *Speaker) Status() (all []Status) {
-	s.ask(func() {
+func (s *VRRPRouter) Status() (all []Status) {
+	s.runOnLoop(func() {
 		now := s.clock.Now()
 		for _, g := range s.groups {
 			m := &g.machine
 			st := Status{
-				Group: g.Name, VRID: g.Machine.VRID, State: m.State().String(), ForMS: int64(now-m.Since()) / 1000,
-				Priority: m.Priority(), Settings: g.Machine.Priority, Ready: m.Ready(), Tenure: m.Activation(), Wrong: []string{},
-				HeldMS: int64(max(m.PreemptBlockedUntil()-now, 0)) / 1000,
+				Group: g.Name, VRID: g.Machine.VRID, State: m.State().String(), StateDurationMS: int64(now-m.Since()) / 1000,
+				Priority: m.Priority(), ConfiguredPriority: g.Machine.Priority, Ready: m.Ready(), Activation: m.Activation(), FailedConditions: []string{},
+				PreemptBlockedMS: int64(max(m.PreemptBlockedUntil()-now, 0)) / 1000,
 			}
 			for _, a := range g.Addresses {
 				st.Addresses = append(st.Addresses, a.String())
 			}
-			for c, wrong := range s.last.Conditions {
+			for c, wrong := range s.lastHealth.Conditions {
 				if wrong {
-					st.Wrong = append(st.Wrong, vrrp.ConditionNames[c])
+					st.FailedConditions = append(st.FailedConditions, vrrp.ConditionNames[c])
 				}
 			}
 			if m.State() == vrrp.Backup && m.ActiveRouter().IsValid() {
-				st.Holder = m.ActiveRouter().String()
+				st.ActiveRouter = m.ActiveRouter().String()
 			}
 			all = append(all, st)
 		}
@@ -397,4 +399,4 @@
 }
 
 // Stall keeps the speaker's goroutine from running for a while, for tests of what happens when the process stands still.
-func (s *Speaker) Stall(span time.Duration) { s.ask(func() { time.Sleep(span) }) }
+func (s *VRRPRouter) Stall(duration time.Duration) { s.runOnLoop(func() { time.Sleep(duration) }) }
--- a/internal/floatingip/floating_test.go
+++ b/internal/floatingip/floating_test.go
@@ -26,40 +26,40 @@
 )
 
 // holder stands in for the program.
-type holder struct {
-	mu    sync.Mutex
-	taken int
-	lost  int
-	gate  func() bool
-	fail  error
+type fakeAddressHandler struct {
+	mu          sync.Mutex
+	activated   int
+	deactivated int
+	gate        func() bool
+	fail        error
 }
 
-func (h *holder) Take(_ string, _ netip.AddrPort, gate func() bool) error {
+func (h *fakeAddressHandler) Activate(_ string, _ netip.AddrPort, gate func() bool) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.fail != nil {
 		return h.fail
 	}
-	h.taken++
+	h.activated++
 	h.gate = gate
 	return nil
 }
 
-func (h *holder) Release(string) {
+func (h *fakeAddressHandler) Deactivate(string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.lost++
+	h.deactivated++
 }
 
-func (h *holder) holds() bool {
+func (h *fakeAddressHandler) active() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.taken > h.lost
+	return h.activated > h.deactivated
 }
 
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal(what)
 		}
@@ -71,13 +71,13 @@
 	t        *testing.T
 	path     *fake.Path
 	ends     []*net.UDPAddr
-	speakers []*Speaker
-	holders  []*holder
+	routers  []*VRRPRouter
+	handlers []*fakeAddressHandler
 }
 
 func newPair(t *testing.T) *pair {
 	t.Helper()
-	p := &pair{t: t, speakers: make([]*Speaker, 2), holders: make([]*holder, 2)}
+	p := &pair{t: t, routers: make([]*VRRPRouter, 2), handlers: make([]*fakeAddressHandler, 2)}
 	for i := range 2 {
 		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, byte(2+i))})
 		if err != nil {
@@ -91,7 +91,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		for _, s := range p.speakers {
+		for _, s := range p.routers {
 			if s != nil {
 				s.Close()
 			}
@@ -121,9 +121,9 @@
 		Now:  func() clock.Micros { return clock.Micros(time.Since(origin)/time.Microsecond) + 1 },
 		Time: func(m clock.Micros) time.Time { return origin.Add(time.Duration(m-1) * time.Microsecond) },
 	}
-	p.holders[i] = &holder{}
+	p.handlers[i] = &fakeAddressHandler{}
 	var err error
-	p.speakers[i], err = Start(s, clock, start, p.holders[i], func() vrrp.Health { return vrrp.Health{Ready: true} }, zerolog.Nop())
+	p.routers[i], err = Start(s, clock, start, p.handlers[i], func() vrrp.Health { return vrrp.Health{Ready: true} }, zerolog.Nop())
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -131,7 +131,7 @@
 
 func (p *pair) settles(who int) {
 	p.t.Helper()
-	eventually(p.t, "the wrong one holds the address", func() bool { return p.holders[who].holds() && !p.holders[1-who].holds() })
+	eventually(p.t, "the wrong one holds the address", func() bool { return p.handlers[who].active() && !p.handlers[1-who].active() })
 }
 
 // The system time is set back while a gateway is away: its peer, which takes it for its own past, tells it so, and it is
@@ -141,16 +141,16 @@
 	p.start(0, p.settings(0, 200, oldKey), 5_000_000)
 	p.start(1, p.settings(1, 100, oldKey), 5_000_000)
 	p.settles(0)
-	p.speakers[0].Close()
+	p.routers[0].Close()
 	p.settles(1)
 	p.start(0, p.settings(0, 200, oldKey), 1_000_000)
 	p.settles(0)
-	if n := p.speakers[0].Counts.Moved.Load(); n != 1 {
+	if n := p.routers[0].Counters.StartAdvanced.Load(); n != 1 {
 		t.Errorf("moved %d times", n)
 	}
-	sent := p.speakers[1].Counts.Sent.Load()
+	sent := p.routers[1].Counters.Sent.Load()
 	eventually(t, "no more is heard of the holder", func() bool { return p.path.Delivered(0, 1) > 50 })
-	if n := p.speakers[1].Counts.Sent.Load(); n != sent || !p.holders[0].holds() {
+	if n := p.routers[1].Counters.Sent.Load(); n != sent || !p.handlers[0].active() {
 		t.Errorf("the backup has sent %d messages", n-sent)
 	}
 }
@@ -163,18 +163,18 @@
 	p.settles(0)
 	for _, keys := range [][]codec.Key{{oldKey, newKey}, {newKey, oldKey}, {newKey}} {
 		for i, priority := range []uint8{200, 100} {
-			p.speakers[i].Reload(p.settings(i, priority, keys...))
+			p.routers[i].Reload(p.settings(i, priority, keys...))
 		}
 		n := p.path.Delivered(0, 1)
 		eventually(t, "the holder is silent", func() bool { return p.path.Delivered(0, 1) > n+10 })
 	}
-	if p.holders[0].taken != 1 || p.holders[1].taken != 0 {
-		t.Errorf("taken %d and %d times", p.holders[0].taken, p.holders[1].taken)
+	if p.handlers[0].activated != 1 || p.handlers[1].activated != 0 {
+		t.Errorf("taken %d and %d times", p.handlers[0].activated, p.handlers[1].activated)
 	}
 	// A gateway that was forgotten is a stranger from now on.
-	p.speakers[1].Reload(p.settings(1, 100, oldKey))
+	p.routers[1].Reload(p.settings(1, 100, oldKey))
 	eventually(t, "a message with a key that is gone counts", func() bool {
-		return p.speakers[1].Counts.Dropped[sealed.UnknownKey].Load() > 0 && p.holders[1].holds()
+		return p.routers[1].Counters.Dropped[sealed.UnknownKey].Load() > 0 && p.handlers[1].active()
 	})
 }
 
@@ -183,7 +183,7 @@
 	p := newPair(t)
 	s0 := p.settings(0, 200, oldKey)
 	p.start(1, p.settings(1, 100, oldKey), 1)
-	eventually(t, "it does not take the address", func() bool { return p.holders[1].holds() })
+	eventually(t, "it does not take the address", func() bool { return p.handlers[1].active() })
 	message := func(change func(*codec.Message)) []byte {
 		m := codec.Message{
 			VRID: 9, Priority: 250, Interval: interval, Addresses: s0.Groups[0].Addresses,
@@ -196,7 +196,7 @@
 		}
 		return b
 	}
-	counts := &p.speakers[1].Counts
+	counts := &p.routers[1].Counters
 	for _, c := range []struct {
 		fault sealed.Fault
 		b     []byte
@@ -224,12 +224,12 @@
 	defer stranger.Close()
 	stranger.Write(message(func(m *codec.Message) { m.Sequence = 9 }))
 	eventually(t, "a stranger is not counted", func() bool { return counts.Dropped[sealed.WrongSource].Load() == 1 })
-	if !p.holders[1].holds() || p.holders[1].taken != 1 {
+	if !p.handlers[1].active() || p.handlers[1].activated != 1 {
 		t.Error("one of these messages moved the address")
 	}
 	good := message(func(m *codec.Message) { m.Sequence = 10 })
 	p.path.Inject(0, 1, good)
-	eventually(t, "a good one does nothing", func() bool { return !p.holders[1].holds() })
+	eventually(t, "a good one does nothing", func() bool { return !p.handlers[1].active() })
 	before := counts.Dropped[sealed.Replayed].Load()
 	p.path.Inject(0, 1, good)
 	eventually(t, "a replay is not counted", func() bool { return counts.Dropped[sealed.Replayed].Load() == before+1 })
@@ -241,16 +241,16 @@
 	s := p.settings(0, 200, oldKey)
 	s.Groups[0].Machine.Damping = vrrp.Damping{Window: 1_000_000, InitialDelay: 60_000_000, MaxDelay: 60_000_000}
 	p.start(0, s, 1)
-	p.holders[0].mu.Lock()
-	p.holders[0].fail = errors.New("in use")
-	p.holders[0].mu.Unlock()
+	p.handlers[0].mu.Lock()
+	p.handlers[0].fail = errors.New("in use")
+	p.handlers[0].mu.Unlock()
 	p.start(1, p.settings(1, 100, oldKey), 1)
-	eventually(t, "nobody takes over", func() bool { return p.holders[1].holds() })
+	eventually(t, "nobody takes over", func() bool { return p.handlers[1].active() })
 	eventually(t, "the other one is not followed", func() bool {
-		st := p.speakers[0].Status()[0]
-		return st.State == "backup" && st.HeldMS > 0 && st.Holder == "127.0.0.3"
+		st := p.routers[0].Status()[0]
+		return st.State == "backup" && st.PreemptBlockedMS > 0 && st.ActiveRouter == "127.0.0.3"
 	})
-	if p.holders[0].gate != nil {
+	if p.handlers[0].gate != nil {
 		t.Error("it was taken all the same")
 	}
 }
@@ -258,18 +258,18 @@
 func TestStatusAndGate(t *testing.T) {
 	p := newPair(t)
 	p.start(0, p.settings(0, 200, oldKey), 1)
-	eventually(t, "it does not take the address", func() bool { return p.holders[0].holds() && p.holders[0].gate() })
-	st := p.speakers[0].Status()
-	if len(st) != 1 || st[0].State != "active" || st[0].Tenure != 1 || st[0].Priority != 200 || strings.Join(st[0].Addresses, "") != "192.0.2.10" {
+	eventually(t, "it does not take the address", func() bool { return p.handlers[0].active() && p.handlers[0].gate() })
+	st := p.routers[0].Status()
+	if len(st) != 1 || st[0].State != "active" || st[0].Activation != 1 || st[0].Priority != 200 || strings.Join(st[0].Addresses, "") != "192.0.2.10" {
 		t.Errorf("%+v", st)
 	}
-	p.speakers[0].GiveUp(false)
-	if p.holders[0].gate() || p.holders[0].holds() {
+	p.routers[0].Shutdown(false)
+	if p.handlers[0].gate() || p.handlers[0].active() {
 		t.Error("it still takes work")
 	}
-	p.speakers[0].Close()
-	if p.speakers[0].Status() != nil {
+	p.routers[0].Close()
+	if p.routers[0].Status() != nil {
 		t.Error("a closed speaker answers")
 	}
-	p.speakers[0] = nil
+	p.routers[0] = nil
 }
--- a/internal/gateway/floatingip.go
+++ b/internal/gateway/floatingip.go
@@ -35,7 +35,7 @@
 // nil one is a gateway without. Its health poll runs on a goroutine of its own, which close ends.
 type floatingAddresses struct {
 	g           *Gateway
-	speaker     *floatingip.Speaker
+	speaker     *floatingip.VRRPRouter
 	counts      session.ClientCounts
 	health      atomic.Pointer[healthSeen]
 	stopping    atomic.Bool
@@ -88,7 +88,7 @@
 // speakerSettings translates the operators' settings into the speaker's.
 func speakerSettings(ops *config.Operators) floatingip.Settings {
 	v := ops.VRRP
-	speaker := floatingip.Settings{Node: v.Node, Bind: v.Bind, Announce: v.Announce}
+	speaker := floatingip.Settings{Node: v.Node, Bind: v.Bind, AnnounceTo: v.Announce}
 	for _, p := range v.Peers {
 		speaker.Peers = append(speaker.Peers, floatingip.Peer(p))
 	}
@@ -111,7 +111,7 @@
 			}
 		}
 		speaker.Groups = append(speaker.Groups, floatingip.Group{
-			Name: g.Name, Addresses: g.Addresses, Listen: g.Listen, Machine: m, Lingers: lingers,
+			Name: g.Name, Addresses: g.Addresses, Listen: g.Listen, Machine: m, KeepUntilTakenOver: lingers,
 		})
 	}
 	return speaker
@@ -174,9 +174,9 @@
 	return h
 }
 
-// Take opens the floating listener for a new activation. A listener of an earlier activation that is not closed yet is waited
+// Activate opens the floating listener for a new activation. A listener of an earlier activation that is not closed yet is waited
 // for, a few milliseconds at most.
-func (f *floatingAddresses) Take(group string, listen netip.AddrPort, gate func() bool) error {
+func (f *floatingAddresses) Activate(group string, listen netip.AddrPort, gate func() bool) error {
 	f.mu.Lock()
 	var before []*activation
 	for t := range f.activations {
@@ -205,15 +205,15 @@
 	return nil
 }
 
-// Release closes the floating listener. Requests that were taken are answered as in a shutdown: idle clients are closed so
+// Deactivate closes the floating listener. Requests that were taken are answered as in a shutdown: idle clients are closed so
 // that they connect again where the address is now, the others after their answers, and a client that has sent half a message
 // is not waited for.
-func (f *floatingAddresses) Release(group string) {
+func (f *floatingAddresses) Deactivate(group string) {
 	f.mu.Lock()
 	t := f.holding[group]
 	delete(f.holding, group)
 	f.mu.Unlock()
-	if t == nil { // Take never succeeded
+	if t == nil { // Activate never succeeded
 		return
 	}
 	t.listener.Close()
@@ -243,7 +243,7 @@
 		f.stopping.Store(true)
 		f.releasedAll.Store(last)
 		f.quiesce(last)
-		f.speaker.GiveUp(last)
+		f.speaker.Shutdown(last)
 	}
 }
 
@@ -309,17 +309,17 @@
 	if f == nil {
 		return
 	}
-	c := &f.speaker.Counts
+	c := &f.speaker.Counters
 	line := f.g.log.Info().Int64("sent", c.Sent.Load()).Int64("send_failed", c.SendFailed.Load()).
-		Int64("received", c.Received.Load()).Int64("announced", c.Announced.Load()).Int64("tenures", c.Tenures.Load()).
-		Int64("start_moved", c.Moved.Load()).Int64("socket_errors", f.speaker.Broken()).Int64("moved_requests", f.counts.AddressMoved.Load()).Int("clients", f.open())
+		Int64("received", c.Received.Load()).Int64("announced", c.Announced.Load()).Int64("tenures", c.Activations.Load()).
+		Int64("start_moved", c.StartAdvanced.Load()).Int64("socket_errors", f.speaker.SocketErrors()).Int64("moved_requests", f.counts.AddressMoved.Load()).Int("clients", f.open())
 	for fault := sealed.NoFault + 1; fault < sealed.FaultCount; fault++ {
 		if n := c.Dropped[fault].Load(); n > 0 {
 			line = line.Int64("dropped_"+fault.Name(), n)
 		}
 	}
 	for cause := range vrrp.CauseCount {
-		if n := c.Lost[cause].Load(); n > 0 {
+		if n := c.Deactivations[cause].Load(); n > 0 {
 			line = line.Int64("lost_"+cause.String(), n)
 		}
 	}
--- a/internal/gateway/floatingip_test.go
+++ b/internal/gateway/floatingip_test.go
@@ -265,7 +265,7 @@
 		f.expectServed(20)
 		t.Logf("%s: %+v", c.name, f.ledger.Totals())
 	}
-	if n := &f.gateways[0].floating.speaker.Counts.Dropped; n[1].Load() == 0 {
+	if n := &f.gateways[0].floating.speaker.Counters.Dropped; n[1].Load() == 0 {
 		t.Error("no garbage was counted")
 	}
 }
@@ -448,7 +448,7 @@
 	}
 	f.expectLogged(0, `"cause":"stood_still"`)
 	f.awaitActive(0)
-	if m := vrrp.CauseStalled; fl.speaker.Counts.Lost[m].Load() == 0 {
+	if m := vrrp.CauseStalled; fl.speaker.Counters.Deactivations[m].Load() == 0 {
 		t.Error("not counted")
 	}
 }
--- a/internal/gateway/maintenance.go
+++ b/internal/gateway/maintenance.go
@@ -477,5 +477,5 @@
 		t.ending.Store(false)
 	}
 	f.mu.Unlock()
-	f.speaker.Resume()
+	f.speaker.Startup()
 }
