--- a/internal/protocol/advisories/advisories.go
+++ b/internal/protocol/advisories/advisories.go
@@ -166,8 +166,8 @@
 	out := Batch{
 		Incarnation: binary.BigEndian.Uint64(b[len(magic):]), Sequence: binary.BigEndian.Uint64(b[len(magic)+8:]),
 	}
-	r := reader{b: b[headerSize:]}
-	for len(r.b) > 0 && !r.malformed {
+	r := reader{data: b[headerSize:]}
+	for len(r.data) > 0 && !r.malformed {
 		out.Advisories = append(out.Advisories, r.advisory())
 	}
 	if r.malformed {
@@ -178,7 +178,7 @@
 
 // reader decodes a batch. After the first fault it is malformed, and its methods return zero values.
 type reader struct {
-	b         []byte
+	data      []byte
 	malformed bool
 }
 
@@ -224,23 +224,23 @@
 }
 
 func (r *reader) byte() byte {
-	if r.malformed || len(r.b) == 0 {
+	if r.malformed || len(r.data) == 0 {
 		r.malformed = true
 		return 0
 	}
-	v := r.b[0]
-	r.b = r.b[1:]
+	v := r.data[0]
+	r.data = r.data[1:]
 	return v
 }
 
 // uid reads a server's UID of n bytes.
 func (r *reader) uid(n int) string {
-	if r.malformed || n == 0 || n > MaxUIDSize || n > len(r.b) {
+	if r.malformed || n == 0 || n > MaxUIDSize || n > len(r.data) {
 		r.malformed = true
 		return ""
 	}
-	v := string(r.b[:n])
-	r.b = r.b[n:]
+	v := string(r.data[:n])
+	r.data = r.data[n:]
 	return v
 }
 
@@ -249,11 +249,11 @@
 	if r.malformed {
 		return 0
 	}
-	v, n := binary.Uvarint(r.b)
-	if n <= 0 || n > 1 && r.b[n-1] == 0 {
+	v, n := binary.Uvarint(r.data)
+	if n <= 0 || n > 1 && r.data[n-1] == 0 {
 		r.malformed = true
 		return 0
 	}
-	r.b = r.b[n:]
+	r.data = r.data[n:]
 	return v
 }
--- a/internal/protocol/postgres/startup.go
+++ b/internal/protocol/postgres/startup.go
@@ -58,31 +58,38 @@
 	case code < version3 || code >= version4:
 		return StartupSession, StartupMessage{}, fmt.Errorf("protocol %d.%d is not spoken here", code>>16, code&0xffff)
 	}
-	s := StartupMessage{Minor: int(code & 0xffff)}
-	for rest := b[4:]; ; {
-		name, after, ok := cutCString(rest)
+	message := StartupMessage{Minor: int(code & 0xffff)}
+	if err := message.parseParameters(b[4:]); err != nil {
+		return StartupSession, message, err
+	}
+	if message.User == "" {
+		return StartupSession, message, errors.New("start-up packet names no user")
+	}
+	return StartupSession, message, nil
+}
+
+// parseParameters parses the names and values up to the empty name that ends them. Those it does not know are ignored.
+func (m *StartupMessage) parseParameters(b []byte) error {
+	for {
+		name, after, ok := cutCString(b)
 		if !ok {
-			return StartupSession, s, errors.New("start-up packet has no end")
+			return errors.New("start-up packet has no end")
 		}
 		if name == "" {
-			break
+			return nil
 		}
 		value, after, ok := cutCString(after)
 		if !ok {
-			return StartupSession, s, fmt.Errorf("start-up parameter %.40q has no value", name)
+			return fmt.Errorf("start-up parameter %.40q has no value", name)
 		}
 		switch name {
 		case "user":
-			s.User = value
+			m.User = value
 		case "database":
-			s.Database = value
+			m.Database = value
 		}
-		rest = after
-	}
-	if s.User == "" {
-		return StartupSession, s, errors.New("start-up packet names no user")
+		b = after
 	}
-	return StartupSession, s, nil
 }
 
 // AppendStartup appends the StartupMessage that the gateway sends to a server.
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -35,28 +35,28 @@
 // call Wake, Abort and Aborted. To pass work to the serving goroutine, it stores the work where the pending function of Wait
 // finds it and then calls Wake.
 type Conn struct {
-	nc         *net.TCPConn
-	r          *bufio.Reader
-	buffers    *Buffers
-	fds        *Descriptors
-	fromClient bool
-	aborted    atomic.Bool
-	closeOnce  sync.Once
+	tcp         *net.TCPConn
+	reader      *bufio.Reader
+	buffers     *Buffers
+	descriptors *Descriptors
+	fromClient  bool
+	aborted     atomic.Bool
+	closeOnce   sync.Once
 }
 
-func newConn(nc *net.TCPConn, buffers *Buffers, fds *Descriptors, fromClient bool) *Conn {
+func newConn(nc *net.TCPConn, buffers *Buffers, descriptors *Descriptors, fromClient bool) *Conn {
 	r := buffers.readers.Get().(*bufio.Reader)
 	r.Reset(nc)
-	return &Conn{nc: nc, r: r, buffers: buffers, fds: fds, fromClient: fromClient}
+	return &Conn{tcp: nc, reader: r, buffers: buffers, descriptors: descriptors, fromClient: fromClient}
 }
 
 // Wake ends the Wait under way if its pending function reports true; without pending work the Wait goes on.
-func (c *Conn) Wake() { c.nc.SetReadDeadline(pastDeadline) }
+func (c *Conn) Wake() { c.tcp.SetReadDeadline(pastDeadline) }
 
 // Abort ends the read or write under way, and makes every later Write and ReadFull fail with ErrDeadline.
 func (c *Conn) Abort() {
 	c.aborted.Store(true)
-	c.nc.SetDeadline(pastDeadline)
+	c.tcp.SetDeadline(pastDeadline)
 }
 
 // Wait blocks until n bytes can be read (nil), pending reports true (ErrWoken), or the deadline has passed (ErrDeadline).
@@ -64,11 +64,11 @@
 // missed.
 func (c *Conn) Wait(n int, deadline time.Time, pending func() bool) error {
 	for {
-		c.nc.SetReadDeadline(deadline)
+		c.tcp.SetReadDeadline(deadline)
 		if pending != nil && pending() {
 			return ErrWoken
 		}
-		_, err := c.r.Peek(n)
+		_, err := c.reader.Peek(n)
 		if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return err
 		}
@@ -82,24 +82,24 @@
 }
 
 // Buffered is how many bytes can be read without waiting.
-func (c *Conn) Buffered() int { return c.r.Buffered() }
+func (c *Conn) Buffered() int { return c.reader.Buffered() }
 
 // Peek returns the next n bytes without consuming them. A Wait for n bytes must have succeeded before.
 func (c *Conn) Peek(n int) []byte {
-	b, _ := c.r.Peek(n)
+	b, _ := c.reader.Peek(n)
 	return b
 }
 
 // Skip discards n bytes, blocking until they arrive.
 func (c *Conn) Skip(n int) error {
-	_, err := c.r.Discard(n)
+	_, err := c.reader.Discard(n)
 	return err
 }
 
 // Fill reads the next n bytes into a message. A Wake does not end it unless pending reports true. Its errors are those of
 // Wait and of the read.
 func (c *Conn) Fill(m *Message, n int, deadline time.Time, pending func() bool) error {
-	return c.readInPieces(n, deadline, pending, func(k int) error { return m.Fill(c.r, k) })
+	return c.readInPieces(n, deadline, pending, func(k int) error { return m.Fill(c.reader, k) })
 }
 
 // SkipUntil discards n bytes; deadline and pending act as in Fill.
@@ -124,21 +124,21 @@
 
 // ReadFull reads exactly len(b) bytes. It is for connections on which nobody calls Wake.
 func (c *Conn) ReadFull(b []byte, deadline time.Time) error {
-	c.nc.SetReadDeadline(deadline)
+	c.tcp.SetReadDeadline(deadline)
 	if c.aborted.Load() { // an Abort after the deadline was set ends the read; this finds one before it
 		return ErrDeadline
 	}
-	_, err := io.ReadFull(c.r, b)
+	_, err := io.ReadFull(c.reader, b)
 	return err
 }
 
 // Write writes all bytes and returns how many were written.
 func (c *Conn) Write(deadline time.Time, parts net.Buffers) (int64, error) {
-	c.nc.SetWriteDeadline(deadline)
+	c.tcp.SetWriteDeadline(deadline)
 	if c.aborted.Load() { // as in ReadFull
 		return 0, ErrDeadline
 	}
-	return parts.WriteTo(c.nc)
+	return parts.WriteTo(c.tcp)
 }
 
 // Aborted reports whether Abort was called; the connection must not be used again.
@@ -148,10 +148,10 @@
 // that it sees a close of a moment ago: a request written to a connection that the peer has closed would end in a reset, and
 // nobody could tell whether the request ran.
 func (c *Conn) Silent() bool {
-	if c.r.Buffered() > 0 {
+	if c.reader.Buffered() > 0 {
 		return false
 	}
-	raw, err := c.nc.SyscallConn()
+	raw, err := c.tcp.SyscallConn()
 	if err != nil {
 		return false
 	}
@@ -167,7 +167,7 @@
 // PeerClosed reports whether the peer has shut down its sending side or reset the connection, even while received bytes are
 // unread. It queries the kernel.
 func (c *Conn) PeerClosed() bool {
-	raw, err := c.nc.SyscallConn()
+	raw, err := c.tcp.SyscallConn()
 	if err != nil {
 		return true
 	}
@@ -184,10 +184,10 @@
 // it; further calls do nothing.
 func (c *Conn) Close() {
 	c.closeOnce.Do(func() {
-		c.nc.Close()
-		c.r.Reset(nil)
-		c.buffers.readers.Put(c.r)
-		c.fds.release(c.fromClient)
+		c.tcp.Close()
+		c.reader.Reset(nil)
+		c.buffers.readers.Put(c.reader)
+		c.descriptors.release(c.fromClient)
 	})
 }
 
@@ -195,12 +195,12 @@
 // passed. A close with unread bytes would reset the connection, and the reset could destroy the last response before the peer
 // has read it. A peer that sent a request in that moment sees an orderly end without a response, and may retry elsewhere.
 func (c *Conn) Linger(deadline time.Time, maxBytes int64) {
-	if c.nc.CloseWrite() != nil {
+	if c.tcp.CloseWrite() != nil {
 		return
 	}
-	c.nc.SetReadDeadline(deadline)
-	io.CopyN(io.Discard, c.r, maxBytes)
+	c.tcp.SetReadDeadline(deadline)
+	io.CopyN(io.Discard, c.reader, maxBytes)
 }
 
 // Remote is the peer's address.
-func (c *Conn) Remote() string { return c.nc.RemoteAddr().String() }
+func (c *Conn) Remote() string { return c.tcp.RemoteAddr().String() }
--- a/internal/transport/descriptors.go
+++ b/internal/transport/descriptors.go
@@ -109,43 +109,43 @@
 // closeOldestIdle closes the idle connection of the lowest class that has been idle longest. It reports whether there was one.
 func (d *Descriptors) closeOldestIdle() bool {
 	d.mu.Lock()
-	var x Idler
-	for k := IdleNewClient; k < idleClasses && x == nil; k++ {
-		x = d.removeOldest(k)
+	var idle Idler
+	for class := IdleNewClient; class < idleClasses && idle == nil; class++ {
+		idle = d.removeOldest(class)
 	}
 	d.mu.Unlock()
-	if x != nil {
-		x.CloseIdle(EndEvicted)
+	if idle != nil {
+		idle.CloseIdle(EndEvicted)
 	}
-	return x != nil
+	return idle != nil
 }
 
 // removeOldest removes and returns the connection of a class that has been idle longest; nil if there is none. The caller
 // holds mu.
-func (d *Descriptors) removeOldest(k IdleClass) Idler {
-	front := d.idle[k].Front()
+func (d *Descriptors) removeOldest(class IdleClass) Idler {
+	front := d.idle[class].Front()
 	if front == nil {
 		return nil
 	}
-	x := d.idle[k].Remove(front).(Idler)
+	x := d.idle[class].Remove(front).(Idler)
 	delete(d.positions, x)
 	return x
 }
 
 // MarkIdle records that a connection is idle from now on. If that makes too many idle clients of class IdleServedClient, the
 // one that has been idle longest is closed.
-func (d *Descriptors) MarkIdle(x Idler, k IdleClass) {
-	var last Idler
+func (d *Descriptors) MarkIdle(x Idler, class IdleClass) {
+	var evicted Idler
 	d.mu.Lock()
 	if _, parked := d.positions[x]; !parked {
-		d.positions[x] = idlePosition{d.idle[k], d.idle[k].PushBack(x)}
-		if k == IdleServedClient && d.idle[k].Len() > d.maxIdleServed {
-			last = d.removeOldest(k)
+		d.positions[x] = idlePosition{d.idle[class], d.idle[class].PushBack(x)}
+		if class == IdleServedClient && d.idle[class].Len() > d.maxIdleServed {
+			evicted = d.removeOldest(class)
 		}
 	}
 	d.mu.Unlock()
-	if last != nil {
-		last.CloseIdle(EndEvicted)
+	if evicted != nil {
+		evicted.CloseIdle(EndEvicted)
 	}
 }
 
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -29,17 +29,17 @@
 
 	tcp         *net.TCPListener
 	buffers     *Buffers
-	fds         *Descriptors
+	descriptors *Descriptors
 	connections sync.WaitGroup
 }
 
 // Listen opens a listener on a TCP address, host:port.
-func Listen(addr string, buffers *Buffers, fds *Descriptors) (*Listener, error) {
+func Listen(addr string, buffers *Buffers, descriptors *Descriptors) (*Listener, error) {
 	nl, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return &Listener{tcp: nl.(*net.TCPListener), buffers: buffers, fds: fds}, nil
+	return &Listener{tcp: nl.(*net.TCPListener), buffers: buffers, descriptors: descriptors}, nil
 }
 
 // Addr is the address that the listener is bound to.
@@ -51,8 +51,8 @@
 // closed: nobody can connect and then wait for a gateway that no longer accepts.
 func (l *Listener) Serve(serve func(conn *Conn, stays bool)) {
 	defer l.tcp.Close()
-	var last time.Time // when a closing listener stops accepting; zero until the deadline that Close sets
-	for last.IsZero() || l.backlog() > 0 && time.Now().Before(last) {
+	var stopAt time.Time // when a closing listener stops accepting; zero until the deadline that Close sets
+	for stopAt.IsZero() || l.backlog() > 0 && time.Now().Before(stopAt) {
 		nc, err := l.tcp.AcceptTCP()
 		switch {
 		case err == nil:
@@ -60,19 +60,19 @@
 			l.connections.Add(1)
 			go func() { // not WaitGroup.Go, which would allocate a second closure for each connection
 				defer l.connections.Done()
-				serve(newConn(nc, l.buffers, l.fds, !l.FromGateways), stays)
+				serve(newConn(nc, l.buffers, l.descriptors, !l.FromGateways), stays)
 			}()
 		case errors.Is(err, net.ErrClosed):
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			// Past its deadline Accept returns at once, even if connections are queued. A gateway that got no processor time
 			// before would cut them all off, so the deadline is extended while some are queued.
-			if last.IsZero() {
-				last = time.Now().Add(maxBacklogTime)
-				l.tcp.SetDeadline(last)
+			if stopAt.IsZero() {
+				stopAt = time.Now().Add(maxBacklogTime)
+				l.tcp.SetDeadline(stopAt)
 			}
 		default:
-			l.fds.closeOldestIdle()
+			l.descriptors.closeOldestIdle()
 			time.Sleep(acceptBackoff)
 		}
 	}
@@ -93,9 +93,9 @@
 
 func (l *Listener) acquire() bool {
 	if l.FromGateways {
-		return l.fds.acquire(false)
+		return l.descriptors.acquire(false)
 	}
-	return l.fds.acquireClient()
+	return l.descriptors.acquireClient()
 }
 
 // Close makes Serve accept what is already in the kernel's queue, so that no client there is cut off, stop listening and
@@ -112,18 +112,18 @@
 
 // Dial opens a TCP connection before the deadline and before ctx ends. An urgent one may use the last descriptors. Its error
 // is ErrNoDescriptor or the network's; DialReason gives the reason.
-func Dial(ctx context.Context, addr string, deadline time.Time, buffers *Buffers, fds *Descriptors, urgent bool) (
+func Dial(ctx context.Context, addr string, deadline time.Time, buffers *Buffers, descriptors *Descriptors, urgent bool) (
 	*Conn, error,
 ) {
-	if !fds.acquire(urgent) {
-		fds.release(false)
+	if !descriptors.acquire(urgent) {
+		descriptors.release(false)
 		return nil, ErrNoDescriptor
 	}
 	d := net.Dialer{Deadline: deadline}
 	nc, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
-		fds.release(false)
+		descriptors.release(false)
 		return nil, err
 	}
-	return newConn(nc.(*net.TCPConn), buffers, fds, false), nil
+	return newConn(nc.(*net.TCPConn), buffers, descriptors, false), nil
 }
