--- a/internal/raftstore/faults_test.go
+++ b/internal/raftstore/faults_test.go
@@ -108,13 +108,13 @@
 	statuses   map[Status]int
 }
 
-func (w *simulation) startWorkload(callers int) *workload {
+func (sim *simulation) startWorkload(callers int) *workload {
 	l := &workload{
-		sim: w, versions: map[string]uint64{}, values: map[string]string{}, promised: map[string]uint64{}, maxSent: map[string]uint64{},
+		sim: sim, versions: map[string]uint64{}, values: map[string]string{}, promised: map[string]uint64{}, maxSent: map[string]uint64{},
 		written: map[string]bool{}, statuses: map[Status]int{},
 	}
 	for i := range callers {
-		w.schedule(w.now+clock.Micros(i)*ms, func() { l.next(i) })
+		sim.schedule(sim.now+clock.Micros(i)*ms, func() { l.next(i) })
 	}
 	return l
 }
@@ -126,13 +126,13 @@
 }
 
 func (l *workload) next(caller int) {
-	w := l.sim
+	sim := l.sim
 	if l.stopped {
 		return
 	}
-	n := w.gateways[w.rng.IntN(len(w.gateways))]
-	next := func() { w.schedule(w.now+clock.Micros(w.rng.Int64N(int64(40*ms))), func() { l.next(caller) }) }
-	if !n.up || n.pausedUntil > w.now {
+	n := sim.gateways[sim.rng.IntN(len(sim.gateways))]
+	next := func() { sim.schedule(sim.now+clock.Micros(sim.rng.Int64N(int64(40*ms))), func() { l.next(caller) }) }
+	if !n.up || n.pausedUntil > sim.now {
 		next()
 		return
 	}
@@ -141,26 +141,26 @@
 
 // startCall makes one call.
 func (l *workload) startCall(n *simGateway, caller int, next func()) {
-	w, starts := l.sim, n.starts
+	sim, starts := l.sim, n.starts
 	l.inFlight++
 	end := func(a Response) {
 		l.inFlight--
 		l.statuses[a.Status]++
 		next()
 	}
-	if w.rng.IntN(3) == 0 {
+	if sim.rng.IntN(3) == 0 {
 		l.callPosition(n, end)
 	} else {
 		l.callRegister(n, caller, end)
 	}
 	// A gateway that crashes takes its callers with it: the results of their calls are not known.
-	id := w.next
-	w.schedule(w.now+6*second, func() {
-		if done := w.calls[id]; done != nil {
-			if n.starts == starts && n.up && n.pausedUntil < w.now-5*second {
-				w.failure = fmt.Sprintf("%s has not answered a call in time", n.name)
+	id := sim.next
+	sim.schedule(sim.now+6*second, func() {
+		if done := sim.calls[id]; done != nil {
+			if n.starts == starts && n.up && n.pausedUntil < sim.now-5*second {
+				sim.failure = fmt.Sprintf("%s has not answered a call in time", n.name)
 			}
-			delete(w.calls, id)
+			delete(sim.calls, id)
 			done(Response{Status: StatusDeadlineExceeded})
 		}
 	})
@@ -169,15 +169,15 @@
 func (l *workload) shard(key string) uint32 { return ShardOf([]byte(key), l.sim.shards) }
 
 func (l *workload) callPosition(n *simGateway, end func(Response)) {
-	w := l.sim
-	key := fmt.Sprint("mark", w.rng.IntN(5))
-	if w.rng.IntN(2) == 0 {
-		position := l.maxSent[key] + 1 + w.rng.Uint64N(3)
-		if position > 3 && w.rng.IntN(3) == 0 {
+	sim := l.sim
+	key := fmt.Sprint("mark", sim.rng.IntN(5))
+	if sim.rng.IntN(2) == 0 {
+		position := l.maxSent[key] + 1 + sim.rng.Uint64N(3)
+		if position > 3 && sim.rng.IntN(3) == 0 {
 			position -= 3 // late, out of order
 		}
 		l.maxSent[key] = max(l.maxSent[key], position)
-		w.call(n, Request{Shard: l.shard(key), Deadline: 3 * second, Command: &api.Command{RaisePosition: &api.RaisePosition{
+		sim.call(n, Request{Shard: l.shard(key), Deadline: 3 * second, Command: &api.Command{RaisePosition: &api.RaisePosition{
 			Key: []byte(key), Position: position, Ttl: int64(3600 * second),
 		}}}, func(a Response) {
 			if a.Status == StatusOK {
@@ -188,7 +188,7 @@
 		return
 	}
 	acknowledged := l.promised[key]
-	w.call(n, Request{Shard: l.shard(key), Deadline: 3 * second, Get: &api.Get{Key: []byte(key)}}, func(a Response) {
+	sim.call(n, Request{Shard: l.shard(key), Deadline: 3 * second, Get: &api.Get{Key: []byte(key)}}, func(a Response) {
 		l.checkPosition(key, acknowledged, a)
 		end(a)
 	})
@@ -202,29 +202,29 @@
 }
 
 func (l *workload) callRegister(n *simGateway, caller int, end func(Response)) {
-	w := l.sim
-	key := fmt.Sprint("key", w.rng.IntN(6))
-	in := input{key: key, read: w.rng.IntN(2) == 0}
+	sim := l.sim
+	key := fmt.Sprint("key", sim.rng.IntN(6))
+	in := input{key: key, read: sim.rng.IntN(2) == 0}
 	ask := Request{Shard: l.shard(key), Deadline: 3 * second, Get: &api.Get{Key: []byte(key)}}
 	if !in.read {
-		in.value = fmt.Sprint("v", w.next)
+		in.value = fmt.Sprint("v", sim.next)
 		put := &api.Put{Key: []byte(key), Value: []byte(in.value), Ttl: int64(3600 * second)}
-		if w.rng.IntN(2) == 0 {
+		if sim.rng.IntN(2) == 0 {
 			in.conditional, in.version = true, l.versions[key]
 			put.Conditional, put.Version = true, in.version
 		}
 		ask = Request{Shard: ask.Shard, Deadline: ask.Deadline, Command: &api.Command{Put: put}}
-		if n.format > LatestFormat && w.rng.IntN(2) == 0 {
+		if n.format > LatestFormat && sim.rng.IntN(2) == 0 {
 			ask.Command.Format = n.format // which an earlier version does not understand
 		}
 	}
-	begun := w.now
-	w.call(n, ask, func(a Response) {
+	begun := sim.now
+	sim.call(n, ask, func(a Response) {
 		end(a)
 		if a.Lost || a.Status == StatusNotSent || a.Status == StatusFormatTooNew || a.Status == StatusFull {
 			return
 		}
-		o := porcupine.Operation{ClientId: caller, Input: in, Call: int64(begun), Output: output{Response: a}, Return: int64(w.now)}
+		o := porcupine.Operation{ClientId: caller, Input: in, Call: int64(begun), Output: output{Response: a}, Return: int64(sim.now)}
 		if a.Status == StatusDeadlineExceeded {
 			o.Output, o.Return = output{unknown: true}, math.MaxInt64
 			if in.read {
@@ -240,7 +240,7 @@
 			}
 			k := fmt.Sprint(key, " ", a.Version)
 			if last, known := l.values[k]; known && last != value {
-				w.failure = fmt.Sprintf("version %d of %s is %s and %s", a.Version, key, last, value)
+				sim.failure = fmt.Sprintf("version %d of %s is %s and %s", a.Version, key, last, value)
 			}
 			l.values[k] = value
 		}
@@ -250,9 +250,9 @@
 }
 
 // lostShards lists the shards that were reset.
-func (w *simulation) lostShards() map[uint32]bool {
+func (sim *simulation) lostShards() map[uint32]bool {
 	out := map[uint32]bool{}
-	for id, g := range w.ledger().Groups {
+	for id, g := range sim.ledger().Groups {
 		if g.Epoch > 1 {
 			out[uint32(id)] = true
 		}
@@ -262,29 +262,29 @@
 
 // checkAll checks, once all groups are complete again, that everything that was acknowledged is there, and that members have the same state.
 func (l *workload) checkAll() {
-	w := l.sim
-	lost := w.lostShards()
+	sim := l.sim
+	lost := sim.lostShards()
 	read := func(key string) (got Response) {
 		for range 5 {
 			answered := false
-			w.call(w.gateways[w.rng.IntN(len(w.gateways))], Request{Shard: l.shard(key), Deadline: 3 * second, Get: &api.Get{Key: []byte(key)}}, func(a Response) {
+			sim.call(sim.gateways[sim.rng.IntN(len(sim.gateways))], Request{Shard: l.shard(key), Deadline: 3 * second, Get: &api.Get{Key: []byte(key)}}, func(a Response) {
 				got, answered = a, true
 			})
-			if w.advanceUntil("a read at the end is answered", 10*second, func() bool { return answered }); got.Status == StatusOK {
+			if sim.advanceUntil("a read at the end is answered", 10*second, func() bool { return answered }); got.Status == StatusOK {
 				return got
 			}
 		}
-		w.failure = fmt.Sprintf("%s cannot be read at the end: %v", key, got.Status)
+		sim.failure = fmt.Sprintf("%s cannot be read at the end: %v", key, got.Status)
 		return got
 	}
 	for key := range l.maxSent {
-		if l.checkPosition(key, l.promised[key], read(key)); w.failure != "" {
+		if l.checkPosition(key, l.promised[key], read(key)); sim.failure != "" {
 			return
 		}
 	}
 	for key := range l.written {
-		if a := read(key); !a.Found && !a.Lost && w.failure == "" {
-			w.failure = fmt.Sprintf("%s was acknowledged and is not there", key)
+		if a := read(key); !a.Found && !a.Lost && sim.failure == "" {
+			sim.failure = fmt.Sprintf("%s was acknowledged and is not there", key)
 		}
 	}
 	var ops []porcupine.Operation
@@ -293,47 +293,47 @@
 			ops = append(ops, o)
 		}
 	}
-	if w.failure == "" && porcupine.CheckOperationsTimeout(registers, ops, 20*time.Second) == porcupine.Illegal {
-		w.failure = fmt.Sprintf("no order explains the %d answers", len(ops))
+	if sim.failure == "" && porcupine.CheckOperationsTimeout(registers, ops, 20*time.Second) == porcupine.Illegal {
+		sim.failure = fmt.Sprintf("no order explains the %d answers", len(ops))
 	}
-	w.advance(5 * second) // so that followers have applied all
-	for id, g := range w.ledger().Groups {
+	sim.advance(5 * second) // so that followers have applied all
+	for id, g := range sim.ledger().Groups {
 		states := map[uint64]string{} // by the applied index: an entry may be under way
-		for _, n := range w.gateways {
+		for _, n := range sim.gateways {
 			if x := n.host.groups[uint32(id)]; x != nil && n.up && slices.ContainsFunc(g.Voters, func(r *api.GroupMember) bool { return r.Id == x.member }) {
 				state := string(x.sm.snapshot())
-				if other, known := states[x.applied]; known && other != state && w.failure == "" {
-					w.failure = fmt.Sprintf("group %d has two states at %d: %s", id, x.applied, describeDifference(other, state))
+				if other, known := states[x.applied]; known && other != state && sim.failure == "" {
+					sim.failure = fmt.Sprintf("group %d has two states at %d: %s", id, x.applied, describeDifference(other, state))
 				}
 				states[x.applied] = state
 			}
 		}
-		if len(states) > 2 && w.failure == "" {
-			w.failure = fmt.Sprintf("group %d is at %d different entries", id, len(states))
+		if len(states) > 2 && sim.failure == "" {
+			sim.failure = fmt.Sprintf("group %d is at %d different entries", id, len(states))
 		}
 	}
 }
 
 // partition cuts a set of gateways off from all others, in one direction or both.
-func (w *simulation) partition(part map[string]bool, out, in bool) {
-	for _, a := range w.gateways {
-		for _, b := range w.gateways {
+func (sim *simulation) partition(part map[string]bool, out, in bool) {
+	for _, a := range sim.gateways {
+		for _, b := range sim.gateways {
 			if part[a.name] && !part[b.name] {
-				w.partitioned[[2]string{a.name, b.name}] = out
-				w.partitioned[[2]string{b.name, a.name}] = in
+				sim.partitioned[[2]string{a.name, b.name}] = out
+				sim.partitioned[[2]string{b.name, a.name}] = in
 			}
 		}
 	}
 }
 
-func (w *simulation) restoreNetwork() {
-	clear(w.partitioned)
-	w.loss, w.maxDelay = 0, 0
+func (sim *simulation) restoreNetwork() {
+	clear(sim.partitioned)
+	sim.loss, sim.maxDelay = 0, 0
 }
 
 // leaderOf is the gateway that leads a group; nil: none does.
-func (w *simulation) leaderOf(id uint32) *simGateway {
-	for _, n := range w.gateways {
+func (sim *simulation) leaderOf(id uint32) *simGateway {
+	for _, n := range sim.gateways {
 		if n.up && n.host.groups[id] != nil && n.host.groups[id].isLeader {
 			return n
 		}
@@ -341,8 +341,8 @@
 	return nil
 }
 
-func (w *simulation) storeGateways() (all []*simGateway) {
-	for _, n := range w.gateways {
+func (sim *simulation) storeGateways() (all []*simGateway) {
+	for _, n := range sim.gateways {
 		if n.runsGroups {
 			all = append(all, n)
 		}
@@ -351,16 +351,16 @@
 }
 
 // minority is a random minority of the gateways with a store.
-func (w *simulation) minority() (out []*simGateway) {
-	all := w.storeGateways()
-	for _, i := range w.rng.Perm(len(all))[:1+w.rng.IntN((len(all)-1)/2)] {
+func (sim *simulation) minority() (out []*simGateway) {
+	all := sim.storeGateways()
+	for _, i := range sim.rng.Perm(len(all))[:1+sim.rng.IntN((len(all)-1)/2)] {
 		out = append(out, all[i])
 	}
 	return out
 }
 
-func (w *simulation) randomDuration(shortest, longest clock.Micros) clock.Micros {
-	return shortest + clock.Micros(w.rng.Int64N(int64(longest-shortest)))
+func (sim *simulation) randomDuration(shortest, longest clock.Micros) clock.Micros {
+	return shortest + clock.Micros(sim.rng.Int64N(int64(longest-shortest)))
 }
 
 // fault is one kind of fault.
@@ -368,240 +368,242 @@
 	name    string
 	stores  int
 	mayLose bool // acknowledged records may be lost, and known as lost
-	inject  func(w *simulation)
+	inject  func(sim *simulation)
 }
 
-func restart(w *simulation, n *simGateway, away clock.Micros) {
-	w.crash(n)
-	w.advance(away)
-	w.start(n)
+func restart(sim *simulation, n *simGateway, away clock.Micros) {
+	sim.crash(n)
+	sim.advance(away)
+	sim.start(n)
 }
 
-func awaitComplete(w *simulation) { w.advanceUntil("all groups are complete", 60*second, w.isComplete) }
+func awaitComplete(sim *simulation) {
+	sim.advanceUntil("all groups are complete", 60*second, sim.isComplete)
+}
 
 var faults = []fault{
-	{"no fault", 5, false, func(w *simulation) { w.advance(5 * second) }},
-	{"crashes of one at a time", 5, false, func(w *simulation) {
+	{"no fault", 5, false, func(sim *simulation) { sim.advance(5 * second) }},
+	{"crashes of one at a time", 5, false, func(sim *simulation) {
 		for range 6 {
-			n := w.minority()[0]
-			n.trusted = w.rng.IntN(3) > 0
-			restart(w, n, w.randomDuration(10*ms, 3*second))
-			w.advance(w.randomDuration(ms, 2*second))
+			n := sim.minority()[0]
+			n.trusted = sim.rng.IntN(3) > 0
+			restart(sim, n, sim.randomDuration(10*ms, 3*second))
+			sim.advance(sim.randomDuration(ms, 2*second))
 		}
 	}},
-	{"leaders killed at any moment", 5, false, func(w *simulation) {
+	{"leaders killed at any moment", 5, false, func(sim *simulation) {
 		for range 10 {
-			if n := w.leaderOf(uint32(w.rng.IntN(w.shards + 1))); n != nil {
-				w.advance(w.randomDuration(0, 20*ms))
-				restart(w, n, w.randomDuration(10*ms, second))
+			if n := sim.leaderOf(uint32(sim.rng.IntN(sim.shards + 1))); n != nil {
+				sim.advance(sim.randomDuration(0, 20*ms))
+				restart(sim, n, sim.randomDuration(10*ms, second))
 			}
-			w.advance(w.randomDuration(ms, 500*ms))
+			sim.advance(sim.randomDuration(ms, 500*ms))
 		}
 	}},
-	{"the leader is killed at each step of a write", 5, false, func(w *simulation) {
+	{"the leader is killed at each step of a write", 5, false, func(sim *simulation) {
 		for at := beforeReplication; at < writeSteps; at++ {
-			if w.killAt = at; !w.advanceUntil("a leader comes to that step", 20*second, func() bool { return w.killAt == 0 }) {
+			if sim.killAt = at; !sim.advanceUntil("a leader comes to that step", 20*second, func() bool { return sim.killAt == 0 }) {
 				return
 			}
-			w.advance(w.randomDuration(100*ms, 2*second))
-			for _, n := range w.gateways {
+			sim.advance(sim.randomDuration(100*ms, 2*second))
+			for _, n := range sim.gateways {
 				if !n.up {
-					n.trusted = w.rng.IntN(2) == 0
-					w.start(n)
+					n.trusted = sim.rng.IntN(2) == 0
+					sim.start(n)
 				}
 			}
-			awaitComplete(w)
+			awaitComplete(sim)
 		}
 	}},
-	{"two versions of the records together", 5, false, func(w *simulation) {
-		for _, n := range w.rng.Perm(len(w.gateways)) { // one after the other gets the later version
-			w.crash(w.gateways[n])
-			w.gateways[n].format = LatestFormat + 1
-			w.advance(w.randomDuration(10*ms, second))
-			w.start(w.gateways[n])
-			awaitComplete(w)
-			if w.ledger().Format > LatestFormat && slices.ContainsFunc(w.storeGateways(), func(n *simGateway) bool { return n.format <= LatestFormat }) {
-				w.failure = "the later format is allowed before all stores understand it"
+	{"two versions of the records together", 5, false, func(sim *simulation) {
+		for _, n := range sim.rng.Perm(len(sim.gateways)) { // one after the other gets the later version
+			sim.crash(sim.gateways[n])
+			sim.gateways[n].format = LatestFormat + 1
+			sim.advance(sim.randomDuration(10*ms, second))
+			sim.start(sim.gateways[n])
+			awaitComplete(sim)
+			if sim.ledger().Format > LatestFormat && slices.ContainsFunc(sim.storeGateways(), func(n *simGateway) bool { return n.format <= LatestFormat }) {
+				sim.failure = "the later format is allowed before all stores understand it"
 			}
 		}
-		w.advanceUntil("the later format is allowed", 20*second, func() bool { return w.ledger().Format == LatestFormat+1 })
-		w.advance(2 * second)
-		n := w.minority()[0] // one goes back to the earlier version, with an empty disk
-		w.crash(n)
+		sim.advanceUntil("the later format is allowed", 20*second, func() bool { return sim.ledger().Format == LatestFormat+1 })
+		sim.advance(2 * second)
+		n := sim.minority()[0] // one goes back to the earlier version, with an empty disk
+		sim.crash(n)
 		n.wipe()
 		n.format = LatestFormat
-		w.start(n)
-		w.advance(repairAfter + 5*second)
+		sim.start(n)
+		sim.advance(repairAfter + 5*second)
 		for _, g := range n.host.sortedGroups() {
-			w.failure = fmt.Sprintf("group %d has a member that does not understand its records", g.id)
+			sim.failure = fmt.Sprintf("group %d has a member that does not understand its records", g.id)
 		}
-		w.crash(n)
+		sim.crash(n)
 		n.format = LatestFormat + 1
-		w.start(n)
+		sim.start(n)
 	}},
-	{"every disk is lost, one after the other", 5, false, func(w *simulation) {
-		for _, n := range w.storeGateways() {
-			w.crash(n)
+	{"every disk is lost, one after the other", 5, false, func(sim *simulation) {
+		for _, n := range sim.storeGateways() {
+			sim.crash(n)
 			n.wipe()
-			w.advance(w.randomDuration(0, 2*second))
-			w.start(n)
-			awaitComplete(w)
+			sim.advance(sim.randomDuration(0, 2*second))
+			sim.start(n)
+			awaitComplete(sim)
 		}
 	}},
-	{"one comes back without its disk within the same second", 3, false, func(w *simulation) {
+	{"one comes back without its disk within the same second", 3, false, func(sim *simulation) {
 		for range 3 {
-			n := w.minority()[0]
-			w.crash(n)
+			n := sim.minority()[0]
+			sim.crash(n)
 			n.wipe()
-			w.advance(20 * ms)
-			w.start(n)
-			awaitComplete(w)
+			sim.advance(20 * ms)
+			sim.start(n)
+			awaitComplete(sim)
 		}
 	}},
-	{"an older copy of the disk is restored", 4, false, func(w *simulation) {
+	{"an older copy of the disk is restored", 4, false, func(sim *simulation) {
 		for range 3 {
-			n := w.storeGateways()[w.rng.IntN(4)]
+			n := sim.storeGateways()[sim.rng.IntN(4)]
 			n.backup = n.disk
-			w.advance(w.randomDuration(100*ms, 5*second))
-			w.crash(n)
+			sim.advance(sim.randomDuration(100*ms, 5*second))
+			sim.crash(n)
 			n.disk, n.trusted = n.backup, false
-			w.advance(w.randomDuration(0, second))
-			w.start(n)
-			awaitComplete(w)
+			sim.advance(sim.randomDuration(0, second))
+			sim.start(n)
+			awaitComplete(sim)
 		}
 	}},
-	{"an older copy is restored while another gateway is down", 3, false, func(w *simulation) {
-		n, other := w.gateways[w.rng.IntN(3)], (*simGateway)(nil)
+	{"an older copy is restored while another gateway is down", 3, false, func(sim *simulation) {
+		n, other := sim.gateways[sim.rng.IntN(3)], (*simGateway)(nil)
 		for other == nil || other == n {
-			other = w.gateways[w.rng.IntN(3)]
+			other = sim.gateways[sim.rng.IntN(3)]
 		}
 		n.backup = n.disk
-		w.advance(w.randomDuration(second, 3*second))
-		w.crash(n)
-		w.crash(other)
+		sim.advance(sim.randomDuration(second, 3*second))
+		sim.crash(n)
+		sim.crash(other)
 		n.disk, n.trusted = n.backup, false
-		w.start(n)
-		w.advance(3 * second)
-		w.start(other)
+		sim.start(n)
+		sim.advance(3 * second)
+		sim.start(other)
 	}},
-	{"partitions", 5, false, func(w *simulation) {
+	{"partitions", 5, false, func(sim *simulation) {
 		for range 6 {
 			part := map[string]bool{}
-			for _, n := range w.minority() {
+			for _, n := range sim.minority() {
 				part[n.name] = true
 			}
-			which := w.rng.IntN(3)
-			w.partition(part, which != 1, which != 2)
-			w.advance(w.randomDuration(200*ms, 4*second))
-			w.restoreNetwork()
-			w.advance(w.randomDuration(ms, second))
+			which := sim.rng.IntN(3)
+			sim.partition(part, which != 1, which != 2)
+			sim.advance(sim.randomDuration(200*ms, 4*second))
+			sim.restoreNetwork()
+			sim.advance(sim.randomDuration(ms, second))
 		}
 	}},
-	{"a leader that is heard by nobody, or hears nobody", 5, false, func(w *simulation) {
+	{"a leader that is heard by nobody, or hears nobody", 5, false, func(sim *simulation) {
 		for range 4 {
-			if n := w.leaderOf(uint32(w.rng.IntN(w.shards + 1))); n != nil {
-				one := w.rng.IntN(2) == 0
-				w.partition(map[string]bool{n.name: true}, one, !one)
+			if n := sim.leaderOf(uint32(sim.rng.IntN(sim.shards + 1))); n != nil {
+				one := sim.rng.IntN(2) == 0
+				sim.partition(map[string]bool{n.name: true}, one, !one)
 			}
-			w.advance(w.randomDuration(second, 4*second))
-			w.restoreNetwork()
-			w.advance(second)
+			sim.advance(sim.randomDuration(second, 4*second))
+			sim.restoreNetwork()
+			sim.advance(second)
 		}
 	}},
-	{"a leader that its callers reach, and no other holder does", 5, false, func(w *simulation) {
+	{"a leader that its callers reach, and no other holder does", 5, false, func(sim *simulation) {
 		for range 8 {
-			if n := w.leaderOf(uint32(1 + w.rng.IntN(w.shards))); n != nil {
-				for _, o := range w.storeGateways() {
-					w.partitioned[[2]string{n.name, o.name}], w.partitioned[[2]string{o.name, n.name}] = true, true
+			if n := sim.leaderOf(uint32(1 + sim.rng.IntN(sim.shards))); n != nil {
+				for _, o := range sim.storeGateways() {
+					sim.partitioned[[2]string{n.name, o.name}], sim.partitioned[[2]string{o.name, n.name}] = true, true
 				}
 			}
-			w.advance(1500 * ms)
-			w.restoreNetwork()
-			w.advance(500 * ms)
+			sim.advance(1500 * ms)
+			sim.restoreNetwork()
+			sim.advance(500 * ms)
 		}
 	}},
-	{"one is partitioned for longer than repair-after, and returns", 5, false, func(w *simulation) {
+	{"one is partitioned for longer than repair-after, and returns", 5, false, func(sim *simulation) {
 		for range 2 {
-			w.partition(map[string]bool{w.storeGateways()[w.rng.IntN(5)].name: true}, true, true)
-			w.advance(repairAfter + w.randomDuration(second, 8*second))
-			w.restoreNetwork()
-			w.advance(second)
+			sim.partition(map[string]bool{sim.storeGateways()[sim.rng.IntN(5)].name: true}, true, true)
+			sim.advance(repairAfter + sim.randomDuration(second, 8*second))
+			sim.restoreNetwork()
+			sim.advance(second)
 		}
 	}},
-	{"one dies for good during a partition", 6, false, func(w *simulation) {
+	{"one dies for good during a partition", 6, false, func(sim *simulation) {
 		part := map[string]bool{}
-		for _, n := range w.minority() {
+		for _, n := range sim.minority() {
 			part[n.name] = true
 		}
-		w.partition(part, true, true)
-		n := w.minority()[0]
-		w.crash(n)
-		w.advance(repairAfter + w.randomDuration(0, 6*second))
-		w.restoreNetwork()
-		w.advance(w.randomDuration(0, 3*second))
+		sim.partition(part, true, true)
+		n := sim.minority()[0]
+		sim.crash(n)
+		sim.advance(repairAfter + sim.randomDuration(0, 6*second))
+		sim.restoreNetwork()
+		sim.advance(sim.randomDuration(0, 3*second))
 		n.wipe()
-		w.start(n)
+		sim.start(n)
 	}},
-	{"losses and delay of a second", 5, false, func(w *simulation) {
-		w.loss, w.maxDelay = 0.3, second
-		w.advance(15 * second)
-		w.restoreNetwork()
+	{"losses and delay of a second", 5, false, func(sim *simulation) {
+		sim.loss, sim.maxDelay = 0.3, second
+		sim.advance(15 * second)
+		sim.restoreNetwork()
 	}},
-	{"pauses of 5 s", 5, false, func(w *simulation) {
+	{"pauses of 5 s", 5, false, func(sim *simulation) {
 		for range 3 {
-			if n := w.leaderOf(uint32(w.rng.IntN(w.shards + 1))); n != nil {
-				n.pausedUntil = w.now + 5*second
+			if n := sim.leaderOf(uint32(sim.rng.IntN(sim.shards + 1))); n != nil {
+				n.pausedUntil = sim.now + 5*second
 			}
-			w.advance(7 * second)
+			sim.advance(7 * second)
 		}
 	}},
-	{"disks that fail", 6, false, func(w *simulation) {
+	{"disks that fail", 6, false, func(sim *simulation) {
 		for range 2 {
-			n := w.minority()[0]
+			n := sim.minority()[0]
 			n.failing = true
-			w.advance(10 * second)
-			awaitComplete(w)
-			w.crash(n)
+			sim.advance(10 * second)
+			awaitComplete(sim)
+			sim.crash(n)
 			n.wipe()
-			w.start(n)
-			awaitComplete(w)
+			sim.start(n)
+			awaitComplete(sim)
 		}
 	}},
-	{"46 % of nine are killed", 9, true, func(w *simulation) {
-		all := w.storeGateways()
+	{"46 % of nine are killed", 9, true, func(sim *simulation) {
+		all := sim.storeGateways()
 		var dead []*simGateway
-		for _, i := range w.rng.Perm(9)[:4] {
-			w.crash(all[i])
+		for _, i := range sim.rng.Perm(9)[:4] {
+			sim.crash(all[i])
 			dead = append(dead, all[i])
 		}
-		w.advance(w.randomDuration(second, 4*second))
+		sim.advance(sim.randomDuration(second, 4*second))
 		for _, n := range dead {
-			w.start(n)
+			sim.start(n)
 		}
 	}},
-	{"all restart at once", 5, false, func(w *simulation) {
+	{"all restart at once", 5, false, func(sim *simulation) {
 		for range 2 {
-			trusted := w.rng.IntN(2) == 0
-			for _, n := range w.gateways {
-				w.crash(n)
+			trusted := sim.rng.IntN(2) == 0
+			for _, n := range sim.gateways {
+				sim.crash(n)
 				n.trusted = trusted
 			}
-			w.advance(w.randomDuration(0, 2*second))
-			for _, n := range w.gateways {
-				w.schedule(w.now+w.randomDuration(0, 500*ms), func() { w.start(n) })
+			sim.advance(sim.randomDuration(0, 2*second))
+			for _, n := range sim.gateways {
+				sim.schedule(sim.now+sim.randomDuration(0, 500*ms), func() { sim.start(n) })
 			}
-			w.advance(3 * second)
+			sim.advance(3 * second)
 		}
 	}},
-	{"two of a shard's three disks are lost at once", 6, true, func(w *simulation) {
-		g := w.ledger().Groups[1+w.rng.IntN(w.shards)]
+	{"two of a shard's three disks are lost at once", 6, true, func(sim *simulation) {
+		g := sim.ledger().Groups[1+sim.rng.IntN(sim.shards)]
 		var lost []*simGateway
 		ledgers := 0
 		for _, r := range g.Voters[:2] {
-			name := findStore(w.ledger(), r.Store).Name
-			i := slices.IndexFunc(w.gateways, func(n *simGateway) bool { return n.name == name })
-			lost = append(lost, w.gateways[i])
-			if w.gateways[i].host.groups[LedgerGroup] != nil {
+			name := findStore(sim.ledger(), r.Store).Name
+			i := slices.IndexFunc(sim.gateways, func(n *simGateway) bool { return n.name == name })
+			lost = append(lost, sim.gateways[i])
+			if sim.gateways[i].host.groups[LedgerGroup] != nil {
 				ledgers++
 			}
 		}
@@ -609,124 +611,124 @@
 			return // the ledger would be lost, too
 		}
 		for _, n := range lost {
-			w.crash(n)
+			sim.crash(n)
 			n.wipe()
 		}
-		w.advance(w.randomDuration(0, 2*second))
+		sim.advance(sim.randomDuration(0, 2*second))
 		for _, n := range lost {
-			w.start(n)
+			sim.start(n)
 		}
 	}},
-	{"a shard without a quorum is reset by an operator", 6, true, func(w *simulation) {
-		id := uint32(1 + w.rng.IntN(w.shards))
+	{"a shard without a quorum is reset by an operator", 6, true, func(sim *simulation) {
+		id := uint32(1 + sim.rng.IntN(sim.shards))
 		say := func() {
-			if n := w.leaderOf(LedgerGroup); n != nil {
-				w.handle(n, ShardReset{id})
+			if n := sim.leaderOf(LedgerGroup); n != nil {
+				sim.handle(n, ShardReset{id})
 			}
 		}
 		say()
-		w.advance(second)
-		if w.ledger().Groups[id].Epoch != 1 {
-			w.failure = "a shard that has a quorum was reset"
+		sim.advance(second)
+		if sim.ledger().Groups[id].Epoch != 1 {
+			sim.failure = "a shard that has a quorum was reset"
 			return
 		}
 		var away []*simGateway
-		for _, r := range w.ledger().Groups[id].Voters {
-			i := slices.IndexFunc(w.gateways, func(n *simGateway) bool { return n.name == findStore(w.ledger(), r.Store).Name })
-			if n := w.gateways[i]; len(away) < 2 && (n.host.groups[LedgerGroup] == nil || len(away) == 0) {
-				w.crash(n)
+		for _, r := range sim.ledger().Groups[id].Voters {
+			i := slices.IndexFunc(sim.gateways, func(n *simGateway) bool { return n.name == findStore(sim.ledger(), r.Store).Name })
+			if n := sim.gateways[i]; len(away) < 2 && (n.host.groups[LedgerGroup] == nil || len(away) == 0) {
+				sim.crash(n)
 				away = append(away, n)
 			}
 		}
 		if len(away) < 2 {
 			return // the ledger would have no quorum
 		}
-		w.advanceUntil("the shard is reset", 20*second, func() bool {
+		sim.advanceUntil("the shard is reset", 20*second, func() bool {
 			say()
-			return w.ledger().Groups[id].Epoch == 2
+			return sim.ledger().Groups[id].Epoch == 2
 		})
-		w.advance(w.randomDuration(0, 2*second))
+		sim.advance(sim.randomDuration(0, 2*second))
 		for _, n := range away {
-			w.start(n)
+			sim.start(n)
 		}
 	}},
-	{"clients whose answers are lost", 5, false, func(w *simulation) {
-		for _, n := range w.storeGateways() {
-			w.partitioned[[2]string{n.name, w.gateways[len(w.gateways)-1].name}] = true
+	{"clients whose answers are lost", 5, false, func(sim *simulation) {
+		for _, n := range sim.storeGateways() {
+			sim.partitioned[[2]string{n.name, sim.gateways[len(sim.gateways)-1].name}] = true
 		}
 		for range 10 {
-			w.loss = 0.4
-			w.advance(second)
-			w.loss = 0
-			w.advance(200 * ms)
+			sim.loss = 0.4
+			sim.advance(second)
+			sim.loss = 0
+			sim.advance(200 * ms)
 		}
-		w.restoreNetwork()
+		sim.restoreNetwork()
 	}},
-	{"orderly restarts of all, one after the other", 5, false, func(w *simulation) {
-		for _, n := range w.storeGateways() {
-			w.handle(n, DrainRequested{})
-			w.advanceUntil("leadership is handed over", 5*second, func() bool { return n.drained })
-			restart(w, n, w.randomDuration(100*ms, second))
-			awaitComplete(w)
+	{"orderly restarts of all, one after the other", 5, false, func(sim *simulation) {
+		for _, n := range sim.storeGateways() {
+			sim.handle(n, DrainRequested{})
+			sim.advanceUntil("leadership is handed over", 5*second, func() bool { return n.drained })
+			restart(sim, n, sim.randomDuration(100*ms, second))
+			awaitComplete(sim)
 		}
 	}},
-	{"everything", 6, false, func(w *simulation) {
+	{"everything", 6, false, func(sim *simulation) {
 		for range 8 {
-			n := w.minority()[0]
-			switch w.rng.IntN(6) {
+			n := sim.minority()[0]
+			switch sim.rng.IntN(6) {
 			case 0:
-				n.trusted = w.rng.IntN(2) == 0
-				restart(w, n, w.randomDuration(ms, 4*second))
+				n.trusted = sim.rng.IntN(2) == 0
+				restart(sim, n, sim.randomDuration(ms, 4*second))
 			case 1:
-				n.pausedUntil = w.now + w.randomDuration(100*ms, 5*second)
+				n.pausedUntil = sim.now + sim.randomDuration(100*ms, 5*second)
 			case 2:
-				w.partition(map[string]bool{n.name: true}, w.rng.IntN(2) == 0, w.rng.IntN(2) == 0)
+				sim.partition(map[string]bool{n.name: true}, sim.rng.IntN(2) == 0, sim.rng.IntN(2) == 0)
 			case 3:
-				w.loss, w.maxDelay = 0.2, w.randomDuration(0, 500*ms)
+				sim.loss, sim.maxDelay = 0.2, sim.randomDuration(0, 500*ms)
 			case 4:
-				w.restoreNetwork()
-				awaitComplete(w)
-				w.crash(n)
+				sim.restoreNetwork()
+				awaitComplete(sim)
+				sim.crash(n)
 				n.wipe()
-				w.start(n)
-				awaitComplete(w)
+				sim.start(n)
+				awaitComplete(sim)
 			default:
-				w.restoreNetwork()
-				n.clockOffset += w.randomDuration(0, 600*second)
+				sim.restoreNetwork()
+				n.clockOffset += sim.randomDuration(0, 600*second)
 			}
-			w.advance(w.randomDuration(ms, 3*second))
+			sim.advance(sim.randomDuration(ms, 3*second))
 		}
 	}},
 }
 
 // runFault runs one fault from a seed, and returns what failed; empty: nothing did.
 func runFault(fault fault, seed uint64, mutant *mutant) (failure string, l *workload) {
-	w := newSimulation(seed, fault.stores, 2, 3, mutant)
-	awaitComplete(w)
-	if w.failure != "" {
-		return w.failure, nil
+	sim := newSimulation(seed, fault.stores, 2, 3, mutant)
+	awaitComplete(sim)
+	if sim.failure != "" {
+		return sim.failure, nil
 	}
-	l = w.startWorkload(6)
-	w.advance(second)
-	fault.inject(w)
-	w.restoreNetwork()
-	for _, n := range w.gateways {
+	l = sim.startWorkload(6)
+	sim.advance(second)
+	fault.inject(sim)
+	sim.restoreNetwork()
+	for _, n := range sim.gateways {
 		if !n.up {
 			n.trusted = true
-			w.start(n)
+			sim.start(n)
 		}
 	}
-	awaitComplete(w)
-	w.advance(second)
+	awaitComplete(sim)
+	sim.advance(second)
 	l.stop()
-	if lost := w.lostShards(); len(lost) > 0 && !fault.mayLose && w.failure == "" {
-		w.failure = fmt.Sprintf("%v lost", lost)
+	if lost := sim.lostShards(); len(lost) > 0 && !fault.mayLose && sim.failure == "" {
+		sim.failure = fmt.Sprintf("%v lost", lost)
 	}
-	if w.failure == "" {
+	if sim.failure == "" {
 		l.checkAll()
 	}
-	if w.failure != "" {
-		return fmt.Sprintf("seed %d: %s", seed, w.failure), l
+	if sim.failure != "" {
+		return fmt.Sprintf("seed %d: %s", seed, sim.failure), l
 	}
 	return "", l
 }
@@ -830,7 +832,7 @@
 			g.Entries = g.Entries[1:]
 		}
 	})},
-	{name: "an empty disk goes on under the old numbers", fault: "every disk is lost, one after the other", start: func(w *simulation, n *simGateway, s **StoredState, trusted *bool) {
+	{name: "an empty disk goes on under the old numbers", fault: "every disk is lost, one after the other", start: func(sim *simulation, n *simGateway, s **StoredState, trusted *bool) {
 		if *s == nil && n.wiped.Store != 0 {
 			old := n.wiped.State()
 			for i := range old.Members {
@@ -903,8 +905,8 @@
 		}
 	})},
 	{name: "what was lost was never there", fault: "two of a shard's three disks are lost at once", after: mutateShards(func(_ *simGateway, s *shard) { s.lostAt, s.resetPending = 0, false })},
-	{name: "a position may fall", before: func(w *simulation, _ *simGateway, ev Event) Event {
-		if a, is := ev.(Request); is && a.Command.GetRaisePosition() != nil && w.rng.IntN(8) == 0 {
+	{name: "a position may fall", before: func(sim *simulation, _ *simGateway, ev Event) Event {
+		if a, is := ev.(Request); is && a.Command.GetRaisePosition() != nil && sim.rng.IntN(8) == 0 {
 			a.Command.RaisePosition.Position = 0
 		}
 		return ev
@@ -974,15 +976,15 @@
 func TestRecoveringMembersWriteNoConfirmation(t *testing.T) {
 	for _, trusted := range []bool{true, false} {
 		t.Run(fmt.Sprint("trusted ", trusted), func(t *testing.T) {
-			w := newSimulation(1, 3, 0, 2, nil)
-			awaitComplete(w)
-			n := w.gateways[1]
-			w.crash(n)
+			sim := newSimulation(1, 3, 0, 2, nil)
+			awaitComplete(sim)
+			n := sim.gateways[1]
+			sim.crash(n)
 			n.trusted = trusted
-			w.partition(map[string]bool{n.name: true}, true, true)
-			w.start(n)
-			if w.failure != "" || len(n.pending) != 1 || n.pending[0].Recovered != trusted {
-				t.Errorf("trusted: %v, %q, %+v", trusted, w.failure, n.pending)
+			sim.partition(map[string]bool{n.name: true}, true, true)
+			sim.start(n)
+			if sim.failure != "" || len(n.pending) != 1 || n.pending[0].Recovered != trusted {
+				t.Errorf("trusted: %v, %q, %+v", trusted, sim.failure, n.pending)
 			}
 		})
 	}
--- a/internal/raftstore/maintenance.go
+++ b/internal/raftstore/maintenance.go
@@ -77,7 +77,10 @@
 func (h *Host) maintenanceFacts(ledger *api.Ledger) *maintenance.ClusterView {
 	state := &h.maintenance
 	h.recordGatewayReport(h.cfg.Name, h.gatewayReport())
-	facts := &maintenance.ClusterView{Now: clock.Micros(h.groups[LedgerGroup].groupTime()), AllReported: h.now-h.placement.leaderSince > freshTicks*h.cfg.Tick && len(state.members) > 0}
+	facts := &maintenance.ClusterView{
+		Now:         h.groups[LedgerGroup].groupTime(),
+		AllReported: h.now-h.placement.leaderSince > freshTicks*h.cfg.Tick && len(state.members) > 0,
+	}
 	members := h.expectedMembers(ledger)
 	for _, name := range slices.Sorted(maps.Keys(members)) {
 		facts.Gateways = append(facts.Gateways, h.gatewayStatus(members[name]))
--- a/internal/raftstore/maintenance_test.go
+++ b/internal/raftstore/maintenance_test.go
@@ -16,16 +16,16 @@
 }
 
 // reportMaintenance hands every host its gateway's report and the membership, again and again.
-func (w *simulation) reportMaintenance() {
+func (sim *simulation) reportMaintenance() {
 	var all []maintenance.Member
-	for _, n := range w.gateways {
+	for _, n := range sim.gateways {
 		m := maintenance.Member{Name: n.name, Zone: n.zone, Incarnation: n.incarnation, Presence: maintenance.Alive}
 		if !n.up {
 			m.Presence = maintenance.Dead
 		}
 		all = append(all, m)
 	}
-	for _, n := range w.gateways {
+	for _, n := range sim.gateways {
 		if !n.up {
 			continue
 		}
@@ -39,23 +39,23 @@
 				own.Quiesced = append(own.Quiesced, x.ID)
 			}
 		}
-		w.handle(n, MembershipChanged{all})
-		w.handle(n, own)
+		sim.handle(n, MembershipChanged{all})
+		sim.handle(n, own)
 	}
-	w.schedule(w.now+250*ms, w.reportMaintenance)
+	sim.schedule(sim.now+250*ms, sim.reportMaintenance)
 }
 
 // runCommand runs an operator's command at a gateway and returns the answer.
-func (w *simulation) runCommand(n *simGateway, c maintenance.Command) (answer string) {
+func (sim *simulation) runCommand(n *simGateway, c maintenance.Command) (answer string) {
 	answered := false
-	w.call(n, Request{Shard: LedgerGroup, Deadline: 5 * second, Command: MaintenanceCommand(c)}, func(a Response) { answer, answered = string(a.Value), true })
-	w.advanceUntil("an operator is answered", 10*second, func() bool { return answered })
+	sim.call(n, Request{Shard: LedgerGroup, Deadline: 5 * second, Command: MaintenanceCommand(c)}, func(a Response) { answer, answered = string(a.Value), true })
+	sim.advanceUntil("an operator is answered", 10*second, func() bool { return answered })
 	return answer
 }
 
 // machinesAway lists the machines that the latest order has out of service, and checks that at most one is a gateway.
-func (w *simulation) machinesAway() (out []*maintenance.Machine) {
-	o := DecodeOrder(w.ledger().GetOrder())
+func (sim *simulation) machinesAway() (out []*maintenance.Machine) {
+	o := DecodeOrder(sim.ledger().GetOrder())
 	gateways := 0
 	for i := range o.Machines {
 		m := &o.Machines[i]
@@ -66,8 +66,8 @@
 			}
 		}
 	}
-	if gateways > 1 && w.failure == "" {
-		w.failure = fmt.Sprintf("%d gateways are away: %+v", gateways, out)
+	if gateways > 1 && sim.failure == "" {
+		sim.failure = fmt.Sprintf("%d gateways are away: %+v", gateways, out)
 	}
 	return out
 }
--- a/internal/raftstore/shard.go
+++ b/internal/raftstore/shard.go
@@ -54,8 +54,11 @@
 const epochBits = 40
 
 // newShard makes an empty shard.
-func newShard(maxBytes int64, knows, epoch uint32, resetPending bool) *shard {
-	return &shard{maxBytes: maxBytes, maxFormat: knows, resetPending: resetPending, lastVersion: uint64(epoch) << epochBits, records: map[string]record{}, clients: map[uint64]*client{}}
+func newShard(maxBytes int64, maxFormat, epoch uint32, resetPending bool) *shard {
+	return &shard{
+		maxBytes: maxBytes, maxFormat: maxFormat, resetPending: resetPending, lastVersion: uint64(epoch) << epochBits, records: map[string]record{},
+		clients: map[uint64]*client{},
+	}
 }
 
 func (s *shard) time() clock.Micros { return s.now }
--- a/internal/raftstore/simulation_test.go
+++ b/internal/raftstore/simulation_test.go
@@ -132,31 +132,31 @@
 	return x
 }
 
-func (w *simulation) schedule(schedule clock.Micros, do func()) {
-	w.lastOrder++
-	heap.Push(&w.events, scheduledEvent{schedule, w.lastOrder, do})
+func (sim *simulation) schedule(schedule clock.Micros, do func()) {
+	sim.lastOrder++
+	heap.Push(&sim.events, scheduledEvent{schedule, sim.lastOrder, do})
 }
 
-func (w *simulation) advance(span clock.Micros) {
-	end := w.now + span
-	for len(w.events) > 0 && w.events[0].at <= end && w.failure == "" {
-		x := heap.Pop(&w.events).(scheduledEvent)
-		w.now = max(w.now, x.at)
+func (sim *simulation) advance(span clock.Micros) {
+	end := sim.now + span
+	for len(sim.events) > 0 && sim.events[0].at <= end && sim.failure == "" {
+		x := heap.Pop(&sim.events).(scheduledEvent)
+		sim.now = max(sim.now, x.at)
 		x.do()
 	}
-	w.now = end
+	sim.now = end
 }
 
 // advanceUntil advances the time until a condition holds. If it does not hold in time, the simulation has failed.
-func (w *simulation) advanceUntil(what string, maxWait clock.Micros, holds func() bool) bool {
-	for end := w.now + maxWait; w.now < end && w.failure == ""; {
+func (sim *simulation) advanceUntil(what string, maxWait clock.Micros, holds func() bool) bool {
+	for end := sim.now + maxWait; sim.now < end && sim.failure == ""; {
 		if holds() {
 			return true
 		}
-		w.advance(50 * ms)
+		sim.advance(50 * ms)
 	}
-	if w.failure == "" {
-		w.failure = fmt.Sprintf("not within %d s: %s; %s", maxWait/second, what, w.describe())
+	if sim.failure == "" {
+		sim.failure = fmt.Sprintf("not within %d s: %s; %s", maxWait/second, what, sim.describe())
 	}
 	return false
 }
@@ -176,20 +176,20 @@
 }
 
 func newSimulationWithLimits(seed uint64, stores, clients, shards int, mutant *mutant, limits *maintenance.Limits) *simulation {
-	w := &simulation{
+	sim := &simulation{
 		limits: limits,
 		now:    second, rng: rand.New(rand.NewPCG(seed, 3)), partitioned: map[[2]string]bool{}, mutant: mutant, shards: shards, votes: map[string]uint64{},
 		calls: map[uint64]func(Response){},
 	}
 	cryptorand.Reader = io.Reader(seeded{rand.New(rand.NewPCG(seed, 4))})
 	for i := range stores + clients {
-		w.gateways = append(w.gateways, &simGateway{name: fmt.Sprint("g", i+1), zone: fmt.Sprint("z", i%3), runsGroups: i < stores, trusted: true, clockOffset: clock.Micros(w.rng.IntN(1000)) * second})
+		sim.gateways = append(sim.gateways, &simGateway{name: fmt.Sprint("g", i+1), zone: fmt.Sprint("z", i%3), runsGroups: i < stores, trusted: true, clockOffset: clock.Micros(sim.rng.IntN(1000)) * second})
 	}
-	for _, n := range w.gateways {
-		w.start(n)
+	for _, n := range sim.gateways {
+		sim.start(n)
 	}
-	w.handle(w.gateways[0], BootstrapRequested{Shards: shards, Voters: 3, First: true})
-	return w
+	sim.handle(sim.gateways[0], BootstrapRequested{Shards: shards, Voters: 3, First: true})
+	return sim
 }
 
 const (
@@ -198,102 +198,102 @@
 )
 
 // start starts a gateway from its disk, in its next incarnation.
-func (w *simulation) start(n *simGateway) {
+func (sim *simulation) start(n *simGateway) {
 	n.starts++
 	n.up, n.pausedUntil, n.pending, n.inbox, n.drained, n.order, n.seenIndex = true, 0, nil, nil, false, &maintenance.Order{}, 0
-	n.incarnation += 1 + w.rng.Uint64N(1000)
+	n.incarnation += 1 + sim.rng.Uint64N(1000)
 	var s *StoredState
 	trusted := true
 	if n.written {
 		s, trusted = n.disk.State(), n.trusted
 	}
-	if w.mutant != nil && w.mutant.start != nil {
-		w.mutant.start(w, n, &s, &trusted)
+	if sim.mutant != nil && sim.mutant.start != nil {
+		sim.mutant.start(sim, n, &s, &trusted)
 	}
 	h, err := New(Config{
 		Name: n.name, Zone: n.zone, Weight: 1, RunsGroups: n.runsGroups, Tick: testTick, RepairAfter: repairAfter, MaxRepairs: 2, MinLogBytes: 4096, MaxShardBytes: 1 << 20,
-		MaxCalls: 100, ClientID: w.rng.Uint64() | 1, NewStoreID: w.rng.Uint64() | 1, NewClusterID: w.rng.Uint64() | 1, Incarnation: n.incarnation, Format: n.format, Maintenance: w.limits,
-	}, w.now+n.clockOffset, s, trusted)
+		MaxCalls: 100, ClientID: sim.rng.Uint64() | 1, NewStoreID: sim.rng.Uint64() | 1, NewClusterID: sim.rng.Uint64() | 1, Incarnation: n.incarnation, Format: n.format, Maintenance: sim.limits,
+	}, sim.now+n.clockOffset, s, trusted)
 	if err != nil {
-		w.failure = fmt.Sprintf("%s cannot start: %v", n.name, err)
+		sim.failure = fmt.Sprintf("%s cannot start: %v", n.name, err)
 		return
 	}
 	n.host, n.timerAt = h, 0
 	var others []string
-	for _, o := range w.gateways {
+	for _, o := range sim.gateways {
 		if o != n {
 			others = append(others, o.name)
 		}
 	}
-	w.handle(n, PeersChanged{others})
+	sim.handle(n, PeersChanged{others})
 }
 
 // handle hands a gateway an event, once it is not paused.
-func (w *simulation) handle(n *simGateway, event Event) {
+func (sim *simulation) handle(n *simGateway, event Event) {
 	starts := n.starts
 	run := func() {
 		if !n.up || n.starts != starts {
 			return
 		}
-		if w.mutant != nil && w.mutant.before != nil {
-			event = w.mutant.before(w, n, event)
+		if sim.mutant != nil && sim.mutant.before != nil {
+			event = sim.mutant.before(sim, n, event)
 		}
 		if event != nil {
-			n.host.Handle(w.now+n.clockOffset, event)
+			n.host.Handle(sim.now+n.clockOffset, event)
 		}
 		out := n.host.Flush()
-		if w.mutant != nil && w.mutant.after != nil {
-			out = append(w.mutant.after(w, n, out), n.host.Flush()...)
+		if sim.mutant != nil && sim.mutant.after != nil {
+			out = append(sim.mutant.after(sim, n, out), n.host.Flush()...)
 		}
-		reached := w.killAt > 0 && w.killAt.reached(n.host, event, out)
-		if !reached || w.killAt == afterReply {
-			w.carryOut(n, out)
+		reached := sim.killAt > 0 && sim.killAt.reached(n.host, event, out)
+		if !reached || sim.killAt == afterReply {
+			sim.carryOut(n, out)
 		}
 		if reached {
-			w.killAt, w.killed = 0, w.killed+1
-			w.crash(n)
+			sim.killAt, sim.killed = 0, sim.killed+1
+			sim.crash(n)
 			return
 		}
-		w.armTimer(n)
+		sim.armTimer(n)
 	}
-	if n.pausedUntil > w.now {
-		w.schedule(n.pausedUntil, run)
+	if n.pausedUntil > sim.now {
+		sim.schedule(n.pausedUntil, run)
 		return
 	}
 	run()
 }
 
 // armTimer schedules the gateway's next tick.
-func (w *simulation) armTimer(n *simGateway) {
+func (sim *simulation) armTimer(n *simGateway) {
 	at := n.host.NextTick() - n.clockOffset
-	if n.timerAt > w.now && n.timerAt <= at {
+	if n.timerAt > sim.now && n.timerAt <= at {
 		return
 	}
-	n.timerAt = max(at, w.now)
+	n.timerAt = max(at, sim.now)
 	starts, due := n.starts, n.timerAt
-	w.schedule(due, func() {
+	sim.schedule(due, func() {
 		if n.starts == starts && n.up && n.timerAt == due {
 			n.timerAt = 0
-			w.handle(n, Tick{})
+			sim.handle(n, Tick{})
 		}
 	})
 }
 
-func (w *simulation) carryOut(n *simGateway, out []Action) {
+func (sim *simulation) carryOut(n *simGateway, out []Action) {
 	for _, a := range out {
 		switch a := a.(type) {
 		case Send:
-			w.checkVotes(a.Body)
-			w.send(n, a)
+			sim.checkVotes(a.Body)
+			sim.send(n, a)
 		case Write:
-			w.write(n, a)
+			sim.write(n, a)
 		case Response:
-			if done := w.calls[a.ID]; done != nil {
-				delete(w.calls, a.ID)
+			if done := sim.calls[a.ID]; done != nil {
+				delete(sim.calls, a.ID)
 				done(a)
 			}
 		case Notice:
-			w.notices = append(w.notices, fmt.Sprintf("%d.%03d %s %v %d/%d %d %s %s", w.now/second, w.now/ms%1000, n.name, a.Kind, a.Group, a.Epoch, a.Number, a.Name, a.Cause))
+			sim.notices = append(sim.notices, fmt.Sprintf("%d.%03d %s %v %d/%d %d %s %s", sim.now/second, sim.now/ms%1000, n.name, a.Kind, a.Group, a.Epoch, a.Number, a.Name, a.Cause))
 		case OrderChanged:
 			n.order, n.seenIndex = a.Order, a.Index
 		case Drained:
@@ -302,57 +302,57 @@
 	}
 }
 
-func (w *simulation) send(n *simGateway, a Send) {
-	i := slices.IndexFunc(w.gateways, func(o *simGateway) bool { return o.name == a.To })
-	if i < 0 || w.partitioned[[2]string{n.name, a.To}] || w.loss > 0 && w.rng.Float64() < w.loss {
+func (sim *simulation) send(n *simGateway, a Send) {
+	i := slices.IndexFunc(sim.gateways, func(o *simGateway) bool { return o.name == a.To })
+	if i < 0 || sim.partitioned[[2]string{n.name, a.To}] || sim.loss > 0 && sim.rng.Float64() < sim.loss {
 		return
 	}
-	to := w.gateways[i]
-	after := 200 + clock.Micros(w.rng.Int64N(1800))
-	if w.maxDelay > 0 {
-		after += clock.Micros(w.rng.Int64N(int64(w.maxDelay)))
+	to := sim.gateways[i]
+	after := 200 + clock.Micros(sim.rng.Int64N(1800))
+	if sim.maxDelay > 0 {
+		after += clock.Micros(sim.rng.Int64N(int64(sim.maxDelay)))
 	}
-	w.schedule(w.now+after, func() {
+	sim.schedule(sim.now+after, func() {
 		if to.up {
-			w.handle(to, PacketReceived{n.name, a.Body})
+			sim.handle(to, PacketReceived{n.name, a.Body})
 		}
 	})
 }
 
 // write writes to the disk after a while. A crash before that may lose the write or not, as with a real disk.
-func (w *simulation) write(n *simGateway, x Write) {
+func (sim *simulation) write(n *simGateway, x Write) {
 	starts := n.starts
 	n.pending = append(n.pending, x)
-	early := w.mutant != nil && w.mutant.acknowledgesEarly
+	early := sim.mutant != nil && sim.mutant.acknowledgesEarly
 	if early {
-		w.schedule(w.now+100, func() { w.handle(n, WriteCompleted{x.Number}) })
+		sim.schedule(sim.now+100, func() { sim.handle(n, WriteCompleted{x.Number}) })
 	}
-	w.schedule(w.now+500+clock.Micros(w.rng.Int64N(4000)), func() {
+	sim.schedule(sim.now+500+clock.Micros(sim.rng.Int64N(4000)), func() {
 		if !n.up || n.starts != starts || len(n.pending) == 0 || n.pending[0].Number != x.Number {
 			return
 		}
 		n.pending = n.pending[1:]
 		if n.failing {
-			w.handle(n, DiskFailed{"no space is left"})
+			sim.handle(n, DiskFailed{"no space is left"})
 			return
 		}
-		if w.mutant != nil && w.mutant.disk != nil {
-			x = w.mutant.disk(x)
+		if sim.mutant != nil && sim.mutant.disk != nil {
+			x = sim.mutant.disk(x)
 		}
 		n.disk, n.written = n.disk.Apply(x), true
 		if !early {
-			w.handle(n, WriteCompleted{x.Number})
+			sim.handle(n, WriteCompleted{x.Number})
 		}
 	})
 }
 
 // crash ends a gateway without a shutdown.
-func (w *simulation) crash(n *simGateway) {
+func (sim *simulation) crash(n *simGateway) {
 	if !n.up {
 		return
 	}
 	n.up = false
-	if len(n.pending) > 0 && w.rng.IntN(2) == 0 && !n.failing && !(w.mutant != nil && w.mutant.acknowledgesEarly) {
+	if len(n.pending) > 0 && sim.rng.IntN(2) == 0 && !n.failing && !(sim.mutant != nil && sim.mutant.acknowledgesEarly) {
 		n.disk, n.written = n.disk.Apply(n.pending[0]), true
 	}
 	n.pending = nil
@@ -362,7 +362,7 @@
 func (n *simGateway) wipe() { n.wiped = n.disk; n.disk, n.written, n.failing = Image{}, false, false }
 
 // checkVotes checks that no member votes for two others in a term.
-func (w *simulation) checkVotes(body []byte) {
+func (sim *simulation) checkVotes(body []byte) {
 	var p api.Packet
 	if proto.Unmarshal(body, &p) != nil {
 		return
@@ -373,25 +373,25 @@
 			continue
 		}
 		k := fmt.Sprint(x.Group, x.Epoch, m.GetFrom(), m.GetTerm())
-		if last, voted := w.votes[k]; voted && last != m.GetTo() {
-			w.failure = fmt.Sprintf("member %d of group %d voted for %d and %d in term %d", m.GetFrom(), x.Group, last, m.GetTo(), m.GetTerm())
+		if last, voted := sim.votes[k]; voted && last != m.GetTo() {
+			sim.failure = fmt.Sprintf("member %d of group %d voted for %d and %d in term %d", m.GetFrom(), x.Group, last, m.GetTo(), m.GetTerm())
 		}
-		w.votes[k] = m.GetTo()
+		sim.votes[k] = m.GetTo()
 	}
 }
 
 // call makes a request at a gateway. Its deadline counts from now.
-func (w *simulation) call(n *simGateway, a Request, done func(Response)) {
-	w.next++
-	a.ID = w.next
-	a.Deadline += w.now + n.clockOffset
-	w.calls[a.ID] = done
-	w.handle(n, a)
+func (sim *simulation) call(n *simGateway, a Request, done func(Response)) {
+	sim.next++
+	a.ID = sim.next
+	a.Deadline += sim.now + n.clockOffset
+	sim.calls[a.ID] = done
+	sim.handle(n, a)
 }
 
 // ledger is the latest one that any running gateway knows.
-func (w *simulation) ledger() (l *api.Ledger) {
-	for _, n := range w.gateways {
+func (sim *simulation) ledger() (l *api.Ledger) {
+	for _, n := range sim.gateways {
 		if n.up && (l == nil || n.host.ledger.Index > l.Index) {
 			l = n.host.ledger
 		}
@@ -400,14 +400,14 @@
 }
 
 // isComplete tells whether every group has all its voters and one leader, and no change or recovery is under way.
-func (w *simulation) isComplete() bool {
-	l := w.ledger()
-	if l == nil || len(l.Groups) != w.shards+1 {
+func (sim *simulation) isComplete() bool {
+	l := sim.ledger()
+	if l == nil || len(l.Groups) != sim.shards+1 {
 		return false
 	}
 	for id, g := range l.Groups {
 		leads := 0
-		for _, n := range w.gateways {
+		for _, n := range sim.gateways {
 			x := (*group)(nil)
 			if n.up {
 				x = n.host.groups[uint32(id)]
@@ -426,7 +426,7 @@
 			}
 		}
 		for _, r := range g.Voters {
-			runs := slices.ContainsFunc(w.gateways, func(n *simGateway) bool {
+			runs := slices.ContainsFunc(sim.gateways, func(n *simGateway) bool {
 				return n.up && n.host.groups[uint32(id)] != nil && n.host.groups[uint32(id)].member == r.Id
 			})
 			if memberLost(l, r) || !runs {
@@ -440,8 +440,8 @@
 	return true
 }
 
-func (w *simulation) describe() string {
-	l := w.ledger()
+func (sim *simulation) describe() string {
+	l := sim.ledger()
 	out := fmt.Sprintf("ledger at %d:", l.GetIndex())
 	for id, g := range l.GetGroups() {
 		out += fmt.Sprintf(" [%d/%d", id, g.Epoch)
@@ -456,10 +456,10 @@
 		}
 		out += "]"
 	}
-	if g := w.leaderOf(LedgerGroup); g != nil && w.limits != nil {
+	if g := sim.leaderOf(LedgerGroup); g != nil && sim.limits != nil {
 		out += fmt.Sprintf("\norder: %+v\n%v", *DecodeOrder(l.GetOrder()), g.host.maintenance.waits)
 	}
-	for _, n := range w.gateways {
+	for _, n := range sim.gateways {
 		out += "\n " + n.name
 		if !n.up {
 			out += " down"
@@ -475,7 +475,7 @@
 			}
 		}
 	}
-	for _, n := range w.notices[max(0, len(w.notices)-25):] {
+	for _, n := range sim.notices[max(0, len(sim.notices)-25):] {
 		out += "\n  " + n
 	}
 	return out
@@ -486,8 +486,8 @@
 	name              string
 	fault             string // the one fault that shows it; empty: any may
 	acknowledgesEarly bool   // writes are reported as completed before they are
-	start             func(w *simulation, n *simGateway, s **StoredState, trusted *bool)
+	start             func(sim *simulation, n *simGateway, s **StoredState, trusted *bool)
 	disk              func(Write) Write
-	before            func(w *simulation, n *simGateway, ev Event) Event
-	after             func(w *simulation, n *simGateway, out []Action) []Action
+	before            func(sim *simulation, n *simGateway, ev Event) Event
+	after             func(sim *simulation, n *simGateway, out []Action) []Action
 }
