--- a/internal/maintenance/reason.go
+++ b/internal/maintenance/reason.go
@@ -96,7 +96,7 @@
 
 	OtherPrimary:           "another primary: promote one of its group, or say go to it",
 	Restarted:              "it was started anew",
-	ShardsMigrating:        "{count} shards that move to other gateways, for it is out for longer than heal-after",
+	ShardsMigrating:        "{count} shards that move to other gateways, for it is out for longer than repair-after",
 	LeaderInforming:        "the ledger's leader to have heard everybody",
 	DiedWhileDraining:      "an operator's go: it died while it was leaving, and may only be cut off",
 	RestartedWhileDraining: "it was started anew while it was leaving",
--- a/internal/maintenance/reason_test.go
+++ b/internal/maintenance/reason_test.go
@@ -27,7 +27,7 @@
 		{"places", about(PlacesTaken, "gw-2, which is out"), "its turn, after gw-2, which is out"},
 		{"zone", Reason{Cause: ZoneNotReady, Subject: "z\"1"}, `zone "z\"1" would be left with 0 gateways that are ready`},
 		{"shared shard", Reason{Cause: SharedShard, Subject: "gw-2", Detail: "leaving"}, "gw-2 holds a shard that it holds too, and is leaving"},
-		{"migration", Reason{Cause: ShardsMigrating, Count: 3}, "3 shards that move to other gateways, for it is out for longer than heal-after"},
+		{"migration", Reason{Cause: ShardsMigrating, Count: 3}, "3 shards that move to other gateways, for it is out for longer than repair-after"},
 		{"busy gateways", about(ServerQuiescence, "gw-1, gw-2"), "the word of gw-1, gw-2 that nothing is out there"},
 		{"unreachable gateways", Reason{Cause: GatewaysUnreachable, Detail: "gw-3"}, "gw-3 cannot be reached and may still send there: say go if it cannot"},
 		{"busy and unreachable gateways", Reason{Cause: ServerQuiescenceAndUnreachable, Subject: "gw-1", Detail: "gw-3"},
--- a/internal/testcluster/statestore_test.go
+++ b/internal/testcluster/statestore_test.go
@@ -193,7 +193,7 @@
 			return play(fmt.Sprintf("at 0s stop %d for 5s", n.Number))(f)
 		}},
 		{"one-way cuts", false, false, play("at 0s cut 1 -> all for 2s\nat 3s cut all -> 2 for 2s\nat 5s cut 3 -> 4 for 1s")},
-		{"one is cut off for longer than heal-after", false, false, play("at 0s split 2 | 1,3,4,5 for 5s")},
+		{"one is cut off for longer than repair-after", false, false, play("at 0s split 2 | 1,3,4,5 for 5s")},
 		{"a placement changes in a split, where the ledger's majority is and nowhere else", false, false, func(f *Cluster) error {
 			lost := f.Nodes[4]
 			return withFault(f, "at 0s split 1,2 | 3,4,5", func() error {
@@ -268,6 +268,7 @@
 			return down(f, n, "kill", func() error { return nil })
 		}},
 		{"46 % of nine are killed", false, false, play("at 0s kill 1,2,3,4 for 1s")},
+		{"all are killed at once", false, false, play("at 0s kill all for 100ms")},
 		{"all are killed at once, their files in former words", false, false, func(f *Cluster) error {
 			if err := play("at 0s kill all for 100ms")(f); err != nil {
 				return err
