--- a/internal/testcluster/check.go
+++ b/internal/testcluster/check.go
@@ -12,7 +12,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Violation is one rule or invariant that a history breaks.
+// Violation is one rule that a history violates.
 type Violation struct {
 	Rule string
 	At   int64 // microseconds since the history began
@@ -23,20 +23,20 @@
 	return fmt.Sprintf("%s at %.3fs: %s", v.Rule, float64(v.At)/1e6, v.Text)
 }
 
-// checker looks for breaks of one rule in a history, and knows nothing else.
+// checker finds violations of one rule in a history; it sees nothing but the history.
 type checker struct {
 	rule       string
 	violations func(h *timeline) []Violation
 }
 
-// checkers are all rules that a history must keep. A later part of the program adds its own.
+// checkers are all rules that a history must keep.
 var checkers = []checker{
 	{"answers", checkAnswers}, {"bookings", checkBookings}, {"drains", checkDrains}, {"stale", checkStale}, {"linearizable", checkLinearizable},
 	{"crashes", checkCrashes}, {"address", checkAddress}, {"members", checkMembers}, {"sessions", checkSessions}, {"told", checkRetryAnswers},
 	{"order", checkMaintenanceOrder},
 }
 
-// Check reads a history and lists what it breaks, in the order of time.
+// Check lists the violations in a history, in the order of time.
 func Check(events []Event) (all []Violation) {
 	h := newTimeline(events)
 	if h.malformed != "" {
@@ -52,16 +52,16 @@
 	return all
 }
 
-// window is a fault while it lasted.
+// faultWindow is a fault with the times between which it was active, in microseconds.
 type faultWindow struct {
 	Fault
 	from, to int64
 }
 
-// on tells whether a fault on gateways concerns one.
+// concerns reports whether a fault applies to a gateway.
 func (w faultWindow) concerns(node int) bool { return w.From == nil || slices.Contains(w.From, node) }
 
-// request is all that a history tells of one id.
+// request is all events of one request id.
 type request struct {
 	submitted  *Event
 	responses  []Event
@@ -69,14 +69,14 @@
 	executions []Event
 }
 
-// reading is a history in the order of time, with what several checkers need.
+// timeline is a history in the order of time, indexed for the checkers.
 type timeline struct {
 	events       []Event
 	requests     map[string]*request
 	requestOrder []string // ids as they were first seen
 	faults       []faultWindow
 	end          int64
-	malformed    string // the history makes no sense
+	malformed    string // why the history is inconsistent; empty: it is not
 }
 
 func newTimeline(events []Event) *timeline {
@@ -124,7 +124,7 @@
 	return h
 }
 
-// during finds a fault of one of these verbs on a gateway at any moment of a span.
+// faultDuring finds a fault with one of these verbs that applied to a gateway at any moment of an interval.
 func (h *timeline) faultDuring(node int, from, to int64, verbs ...string) (faultWindow, bool) {
 	for _, w := range h.faults {
 		if slices.Contains(verbs, w.Verb) && w.concerns(node) && w.from <= to && w.to >= from {
@@ -134,7 +134,7 @@
 	return faultWindow{}, false
 }
 
-// died tells whether a gateway's process ended within a span.
+// endedBetween reports whether a gateway's process ended within an interval.
 func (h *timeline) endedBetween(node int, start, to int64) bool {
 	return slices.ContainsFunc(h.events, func(e Event) bool {
 		return e.Kind == ProcessChanged && e.What == "ended" && e.Node == node && e.At >= start && e.At <= to
@@ -148,11 +148,11 @@
 	machineSlack  = 150_000
 )
 
-// leaves is how long a gateway may take to end once it was told to.
+// shutdownTimeout is how long a gateway may take to end after SIGTERM, in microseconds.
 const shutdownTimeout = 5_000_000
 
-// answers: each request that was taken has exactly one final answer, and what is served was made for it. A connection that
-// ends without one is a lost request, unless the gateway died or stood still, or was leaving and had not read it.
+// checkAnswers: each request that was taken has exactly one final answer, and what is served was made for it. A connection that
+// ends without one is a lost request, unless the gateway died or stood still, or was draining and had not read it.
 func checkAnswers(h *timeline) (out []Violation) {
 	for _, id := range h.requestOrder {
 		r := h.requests[id]
@@ -195,11 +195,11 @@
 	return out
 }
 
-// lookPrefix begins the ids of reads that gateways make to find out about a booking.
+// lookupPrefix begins the ids of reads that gateways make to find out whether a booking ran.
 const lookupPrefix = "look-"
 
-// madeFor tells whether a value was made for a request: by its own run, or, for a booking that was asked for again, by the run of
-// an earlier request for the same, or a read that showed it.
+// isAnswerFor reports whether a value answers a request: it comes from its own run, or, for a retried booking, from the run of an
+// earlier request for the same key, or from a lookup that showed it.
 func (h *timeline) isAnswerFor(r *request, id, value string) bool {
 	by, _, _ := strings.Cut(value, " ")
 	if by == id {
@@ -219,7 +219,7 @@
 	return at
 }
 
-// bookings: nothing that a client means runs twice; what was served has run, and what was refused has not.
+// checkBookings: nothing that a client means runs twice; what was served has run, and what was refused has not.
 func checkBookings(h *timeline) (out []Violation) {
 	ran := map[string][]Event{}
 	for _, id := range h.requestOrder {
@@ -234,7 +234,7 @@
 		}
 		switch end := r.responses[0]; {
 		case end.What == EndServed && len(r.executions) == 0 && !strings.HasPrefix(end.Value, id+" ") && h.isAnswerFor(r, id, end.Value):
-			// its answer was known
+			// its answer was stored
 		case end.What == EndServed && len(r.executions) != 1:
 			out = append(out, Violation{At: end.At, Text: fmt.Sprintf("%s was served and ran %d times", id, len(r.executions))})
 		case end.What == EndRejected && len(r.executions) > 0:
@@ -249,7 +249,7 @@
 	return out
 }
 
-// toldRightly: whoever asks again for a booking that ran is not told that it did not.
+// checkRetryAnswers: the retry of a booking that ran is not rejected as if it had not.
 func checkRetryAnswers(h *timeline) (out []Violation) {
 	ran := map[string]int64{}
 	for _, e := range h.events {
@@ -263,7 +263,7 @@
 			continue
 		}
 		if strings.Contains(r.responses[0].Text, codeShutdown) {
-			continue // the close and the request crossed: it was not read, and may come again
+			continue // the request crossed with the close: it was not read, and may be retried
 		}
 		if at := ran[r.submitted.Key]; at > 0 && at < r.responses[0].At {
 			out = append(out, Violation{At: r.responses[0].At, Text: fmt.Sprintf("%s asked gateway %d again for %s and was refused (%s), and it ran at %.3fs", id, r.submitted.Node, r.submitted.Key, r.responses[0].Text, float64(at)/1e6)})
@@ -272,8 +272,8 @@
 	return out
 }
 
-// drains: nothing new goes to a server once its drain was told for as long as the settings allow. What a gateway cannot hear,
-// or cannot act on because it does not run, it is told when it can.
+// checkDrains: nothing new is sent to a server later after its drain was published than the settings allow. The time of a gateway
+// that is cut off from discovery, or does not run, counts from when it can act again.
 func checkDrains(h *timeline) (out []Violation) {
 	type link struct {
 		node   int
@@ -297,7 +297,7 @@
 	return out
 }
 
-// heardBy is when a gateway must act on what discovery wrote at a time.
+// drainDeadline is when a gateway must act on what discovery wrote at a time.
 func (h *timeline) drainDeadline(node int, at int64) int64 {
 	allowed := drainTimeout.Microseconds() + protocolSlack + machineSlack
 	for postponed := true; postponed; {
@@ -317,7 +317,7 @@
 	return at + allowed
 }
 
-// stale: a view's data are no older than its bound when the gateway has sent the request, and what is served of a seat was looked
+// checkStale: a view's data are no older than its bound when the gateway has sent the request, and what is served of a seat was looked
 // for at a primary: an answer of a replica that is not passed on harms nobody.
 func checkStale(h *timeline) (out []Violation) {
 	for _, id := range h.requestOrder {
@@ -341,13 +341,13 @@
 	return out
 }
 
-// seat is one operation on one key, for porcupine.
+// seatOperation is one operation on one key, for porcupine.
 type seatOperation struct {
 	key   string
 	write bool
 }
 
-// seats is a key that a booking puts there, once and for all.
+// seatModel is a key that a booking writes once and for all.
 var seatModel = porcupine.Model{
 	Init: func() any { return false },
 	Step: func(there, in, out any) (bool, any) {
@@ -370,10 +370,10 @@
 	},
 }
 
-// checkFor bounds the search for an order; a history that takes longer counts as broken, for it proves nothing.
+// orderSearchTimeout limits the search for an order; a history that takes longer counts as a violation, because it proves nothing.
 const orderSearchTimeout = 30 * time.Second
 
-// linearizable: bookings and looks for seats have an order that explains all answers. A booking whose end is not known may
+// checkLinearizable: bookings and reads of seats have an order that explains all answers. A booking whose end is not known may
 // take effect at any time, or never.
 func checkLinearizable(h *timeline) []Violation {
 	var all []porcupine.Operation
@@ -408,7 +408,7 @@
 	return nil
 }
 
-// sessions: a read of a session sees what that session had booked, and was told so, before the read was asked.
+// checkSessions: a read of a session sees every booking that the session had been served before the read was sent.
 func checkSessions(h *timeline) (out []Violation) {
 	booked := map[string]int64{}
 	for _, e := range h.events {
@@ -429,8 +429,8 @@
 	return out
 }
 
-// order: where machines are taken out for work, nothing is under way at a gateway that is touched, nothing is sent to a server that
-// is, and no gateway ever knows of two gateways that are away.
+// checkMaintenanceOrder: no request is in flight at a gateway when work on it starts, nothing is sent to a server under work, and no
+// gateway ever knows of two gateways that are away.
 func checkMaintenanceOrder(h *timeline) (out []Violation) {
 	inWork := map[string]bool{}
 	away := map[int]map[string]bool{}
@@ -472,7 +472,7 @@
 	return out
 }
 
-// crashes: no process ends unless it was told or made to.
+// checkCrashes: no process ends unless a fault ends it, and after SIGTERM with status 0.
 func checkCrashes(h *timeline) (out []Violation) {
 	for _, e := range h.events {
 		if e.Kind != ProcessChanged || e.What != "ended" {
@@ -487,7 +487,7 @@
 	return out
 }
 
-// address: once everything is whole again, exactly one gateway believes to hold the floating address.
+// checkAddress: once the cluster has settled, exactly one gateway believes to hold the floating address.
 func checkAddress(h *timeline) []Violation {
 	settled := slices.IndexFunc(h.events, func(e Event) bool { return e.Kind == PhaseReached && e.What == "settled" })
 	if settled < 0 {
@@ -499,10 +499,10 @@
 	return nil
 }
 
-// dieBy is how long after a reason for it somebody may still be declared dead, in microseconds.
+// deathReasonTimeout is how long after its cause a gateway may still be declared dead, in microseconds.
 const deathReasonTimeout = 15_000_000
 
-// members: nobody is declared dead that runs and can be reached. Losses and delays are no reason; a process that ended, or
+// checkMembers: nobody is declared dead that runs and can be reached. Losses and delays are no reason; a process that ended, or
 // stands still for long, or whose ways are cut, is.
 func checkMembers(h *timeline) (out []Violation) {
 	for _, e := range h.events {
--- a/internal/testcluster/check_test.go
+++ b/internal/testcluster/check_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// story is a history in short: a time in milliseconds, then an event.
+// story is a short history: its events have times in whole milliseconds.
 type story []Event
 
 func at(ms int64, e Event) Event {
@@ -17,7 +17,7 @@
 	return e
 }
 
-// booked is one booking by way of gateway 1 that runs at the primary and ends as told.
+// booked is one booking by way of gateway 1 that runs at the primary and ends as given.
 func booked(ms int64, id, key, end string) story {
 	value := ""
 	if end == EndServed {
@@ -31,7 +31,7 @@
 	}
 }
 
-// viewed is a read of some class at a server whose data are so old.
+// viewed is a read of some class at a server whose data are ageMS old.
 func viewed(ms int64, id, class, server, value string, ageMS int64) story {
 	role := roleReplica
 	if server == "p" {
@@ -45,7 +45,7 @@
 	}
 }
 
-// again asks once more for a booking, and hears something of it; nothing runs.
+// again is a retry of a booking with an end and a value; nothing runs.
 func again(ms int64, id, key, end, value string) story {
 	return story{
 		at(ms, Event{Kind: RequestSent, Node: 2, ID: id, Client: "c", Class: ClassBooking, Key: key, Timeout: 1_000_000, Text: retryMark}),
@@ -53,13 +53,13 @@
 	}
 }
 
-// closing has the last word be that of a connection that is closed.
+// closing makes the end of a request the close of its connection.
 func closing(s story) story {
 	s[len(s)-1].Text = retryMark + " " + codeShutdown + " the address has moved to another gateway"
 	return s
 }
 
-// looked is a gateway's own read.
+// looked is a gateway's own lookup.
 func looked(ms int64, key string) Event {
 	return at(ms, Event{Kind: RequestExecuted, Node: 2, ID: "look-1", Class: ClassSeat, Key: key, Server: "p", What: rolePrimary})
 }
@@ -74,7 +74,7 @@
 
 func phase(ms int64, what string) Event { return at(ms, Event{Kind: PhaseReached, What: what}) }
 
-// standing is where a gateway believes that a machine stands.
+// standing is a maintenance state of a machine that a gateway reports.
 func standing(ms int64, node int, machine, state string) Event {
 	return at(ms, Event{Kind: StateReported, Node: node, What: "order " + machine, Text: state})
 }
@@ -183,8 +183,8 @@
 	}
 }
 
-// What is written is read back to the same, and a hole in it is told.
-func TestHistoryIsKept(t *testing.T) {
+// A history is read back as it was written, and a write error is reported.
+func TestHistoryRoundTrip(t *testing.T) {
 	var b bytes.Buffer
 	h := NewHistory(&b)
 	for _, e := range join(booked(100, "a", "k", EndServed), viewed(200, "b", ClassView, "r1", There, 7), fault(1, 2, `at 1s split 1,2 | 3 for 2s`)) {
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -16,13 +16,13 @@
 	"marblespan/internal/fake"
 )
 
-// MostNodes is how many gateways a fleet may have.
+// MaxNodes is how many gateways a cluster may have.
 const MaxNodes = 32
 
 // Discovery is discovery's name where faults name servers.
 const Discovery = "discovery"
 
-// secret signs the fleet's messages.
+// secret signs the gateways' messages to each other.
 const secret = "the secret of this experiment"
 
 // The ports of every gateway, each at an address of its own.
@@ -33,10 +33,10 @@
 	portMembers  = 7946
 )
 
-// Bounds of the rules, as the fleet's settings have them.
+// Timeouts, as the cluster's settings have them.
 const (
-	drainTimeout       = 250 * time.Millisecond // after a drain was told
-	resubscribeTimeout = 4 * time.Second        // after which a list counts as told though nobody has heard it
+	drainTimeout       = 250 * time.Millisecond // after a drain was published
+	resubscribeTimeout = 4 * time.Second        // after which an endpoint list counts as received
 	requestTimeout     = time.Second            // of a request
 )
 
@@ -55,7 +55,7 @@
  "rules": {"ask_within_ms": 4000, "cold_from": 0.26, "fall_ms": 3000, "grace_to_answer_ms": 20, "overload_factor": 4,
   "ramp_time_ms": %d, "stop_sending_within_ms": 250}}`
 
-// Options say what a fleet is made of.
+// Options say what a cluster is made of.
 type Options struct {
 	Binary   string // of the gateway
 	Nodes    int
@@ -66,14 +66,14 @@
 	History  io.Writer // where the history goes too; may be nil
 
 	ServiceTime           time.Duration            // of a request at its server
-	SlowStart             time.Duration            // for which a server that was started is cold
+	SlowStart             time.Duration            // of a server that was started
 	AdvertisementInterval time.Duration            // between VRRP advertisements
-	MembershipInterval    time.Duration            // of a probe among members; 0: they have no members section
+	MembershipInterval    time.Duration            // of probes between members; 0: there is no members section
 	Priorities            []int                    // of each gateway; nil: falling from 200
-	StateStore            *StateStore              // what they hold for each other; nil: nothing
-	InDoubt               *InDoubt                 // what is promised of bookings before they are sent; nil: nothing
-	Maintenance           *Maintenance             // by what limits machines are taken out for work; nil: none is
-	RewriteConfig         func(conf string) string // changes each operators' file as it is written; nil: it stays
+	StateStore            *StateStore              // nil: there is none
+	InDoubt               *InDoubt                 // intents of bookings; nil: there are none
+	Maintenance           *Maintenance             // limits of maintenance; nil: there is no maintenance section
+	RewriteConfig         func(conf string) string // changes each operators' file as it is written; may be nil
 	ResetOnFailover       bool                     // the switch resets flows when the floating address moves
 }
 
@@ -85,35 +85,35 @@
 	}
 }
 
-// Fleet is several gateways and all that is around them.
+// Cluster is several gateway processes, with fakes of everything around them. New starts it; Close ends all processes and fakes.
 type Cluster struct {
 	Options
 	History        *History
 	Switch         *fake.Switch
-	VRRPPath       *fake.Path // of the gateways' messages for the floating address
-	MembershipPath *fake.Path // of what they say about who is there, streams among it; nil without
+	VRRPPath       *fake.Path // of VRRP
+	MembershipPath *fake.Path // of membership's datagrams and streams; nil without a members section
 	Nodes          []*Node    // number 1 first
 
 	groups       []*serverGroup
 	temporaryDir bool
 
 	mu            sync.Mutex
-	activeFaults  []Fault // at work now
-	formerPrimary *server // the primary that another one was last made the primary for
+	activeFaults  []Fault // injected and not yet repaired
+	formerPrimary *server // the primary that was last replaced by a promotion
 }
 
-// fleets tells the networks of one process's fleets apart.
+// clusterCount numbers the clusters of this process, for their networks.
 var clusterCount atomic.Int64
 
-// network is a /24 of the loopback range that no other fleet on this machine is likely to use: 128 for each of 128 processes.
+// nextNetwork is a /24 of the loopback range that no other cluster on this machine is likely to use: 128 for each of 128 processes.
 func nextNetwork() net.IP {
 	return net.IPv4(127, byte(64+os.Getpid()%128), byte(clusterCount.Add(1)%128), 0).To4()
 }
 
-// New starts a fleet and waits until each gateway serves.
+// New starts a cluster and waits until each gateway serves. With a state store it also bootstraps it and waits until it is complete.
 func New(o Options) (f *Cluster, err error) {
 	if o.Nodes < 1 || o.Nodes > MaxNodes || o.Replicas < 1 || o.Groups > MaxGroups {
-		return nil, fmt.Errorf("a fleet has 1 to %d gateways, %d groups of servers at the most and a replica at least", MaxNodes, MaxGroups)
+		return nil, fmt.Errorf("testcluster: a cluster has 1 to %d gateways, %d groups of servers at the most and a replica at least", MaxNodes, MaxGroups)
 	}
 	f = &Cluster{Options: o, History: NewHistory(o.History)}
 	defer func() {
@@ -124,7 +124,7 @@
 	}()
 	if f.Dir == "" {
 		f.temporaryDir = true
-		if f.Dir, err = os.MkdirTemp("", "rig"); err != nil {
+		if f.Dir, err = os.MkdirTemp("", "testcluster"); err != nil {
 			return f, err
 		}
 	}
@@ -168,7 +168,7 @@
 			return f, err
 		}
 	}
-	if f.Maintenance == nil { // with it they take nothing before the ledger knows them
+	if f.Maintenance == nil { // with maintenance they admit nothing before the ledger knows them
 		if err := f.AwaitReady(settleTimeout); err != nil || f.StateStore == nil {
 			return f, err
 		}
@@ -185,11 +185,11 @@
 	return f, errors.Join(f.AwaitReady(settleTimeout), f.AwaitComplete(settleTimeout))
 }
 
-// settleBy is how long a fleet may take to come to rest. Tests wait for what they look for, never for a fixed span; this is
+// settleTimeout is how long a cluster may take to settle. Tests wait for a condition, never for a fixed time; this is
 // when they give up.
 const settleTimeout = 30 * time.Second
 
-// at is the gateway behind an IP; 0: none.
+// gatewayAt is the number of the gateway with an IP address; 0: none.
 func (f *Cluster) gatewayAt(ip string) int {
 	for _, n := range f.Nodes {
 		if n.IP.String() == ip {
@@ -199,20 +199,19 @@
 	return 0
 }
 
-// Primary is the primary of the servers.
+// Primary is the primary of the first group of servers.
 func (f *Cluster) Primary() *fake.Server { return f.groups[0].servers[0].Server }
 
-// Via is the gateway behind a listener's address; 0: none.
+// GatewayFor is the number of the gateway with a listener's address; 0: none.
 func (f *Cluster) GatewayFor(addr string) int {
 	host, _, _ := net.SplitHostPort(addr)
 	return f.gatewayAt(host)
 }
 
-// mostPeers is how many peers a gateway's VRRP may have.
+// maxVRRPPeers is how many peers a gateway's VRRP may have.
 const maxVRRPPeers = 16
 
-// AwaitReady waits until each gateway's present life serves. One that has ended will not, unless a fault is to bring it back:
-// that is told at once.
+// AwaitReady waits until each gateway's current process serves. It fails at once if the last process of one has ended.
 func (f *Cluster) AwaitReady(bound time.Duration) (err error) {
 	late := f.History.Await("every gateway serves", bound, func(all []Event) bool {
 		last := map[int]Event{}
@@ -237,7 +236,7 @@
 	return errors.Join(late, err)
 }
 
-// first is the gateway that takes the floating address from all others.
+// preferredRouter is the number of the gateway with the highest VRRP priority.
 func (f *Cluster) preferredRouter() int {
 	if f.Priorities == nil {
 		return 1
@@ -245,8 +244,8 @@
 	return 1 + slices.Index(f.Priorities, slices.Max(f.Priorities))
 }
 
-// AwaitHolder waits until one gateway, the one of that number or any for 0, believes that it holds the floating address, and
-// the switch leads there.
+// AwaitActiveRouter waits until exactly one gateway (the given one; 0: any) reports to be the active router of the floating
+// address, and the switch forwards to it.
 func (f *Cluster) AwaitActiveRouter(number int, bound time.Duration) error {
 	var active []int
 	at := ""
@@ -261,14 +260,15 @@
 	return err
 }
 
-// AwaitMembers waits until every gateway believes that every other one is alive.
+// AwaitMembers waits until every gateway reports every other one alive.
 func (f *Cluster) AwaitMembers(bound time.Duration) error {
 	return f.History.Await("every gateway knows every other one", bound, func(all []Event) bool {
 		return len(MembershipGaps(all, len(f.Nodes))) == 0
 	})
 }
 
-// Strangers lists who does not hold whom alive at the end of a history, of so many gateways that all run.
+// MembershipGaps lists, at the end of a history of that many running gateways, which of them does not report which other one
+// alive.
 func MembershipGaps(all []Event, gateways int) (out []string) {
 	alive := map[int]map[string]bool{}
 	for _, e := range all {
@@ -289,7 +289,7 @@
 	return out
 }
 
-// Holding lists who believes to hold the floating address at the end of a history.
+// ActiveRouters is the set of gateways that report to be the active router at the end of a history.
 func ActiveRouters(all []Event) map[int]bool {
 	active := map[int]bool{}
 	for _, e := range all {
@@ -305,7 +305,7 @@
 	return active
 }
 
-// paths are all paths between gateways.
+// allPaths are all paths between gateways.
 func (f *Cluster) allPaths() (all []*fake.Path) {
 	for _, p := range []*fake.Path{f.VRRPPath, f.MembershipPath} {
 		if p != nil {
@@ -315,7 +315,7 @@
 	return all
 }
 
-// Close ends everything, and removes a temporary directory.
+// Close kills all gateways, closes the fakes, and removes a temporary directory.
 func (f *Cluster) Close() {
 	for _, n := range f.Nodes {
 		if p := n.currentProcess(); p != nil {
--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -10,8 +10,8 @@
 	"marblespan/internal/fake"
 )
 
-// Play brings faults about at their times and puts each right after its span; then it puts right all that is left. It
-// returns early, with all put right, when quit is closed.
+// Play injects faults at their times and repairs each after its duration; at the end it repairs what is left. It returns early,
+// with everything repaired, when quit is closed.
 func (f *Cluster) Play(faults []Fault, quit <-chan struct{}) error {
 	for _, x := range faults {
 		if err := f.validateFault(x); err != nil {
@@ -75,7 +75,7 @@
 	return <-errs
 }
 
-// inflict brings a fault about as Play does, told in the history, and leaves it to its caller to put it right.
+// injectRecorded injects a fault and records its start and end. The caller repairs it by calling undo.
 func (f *Cluster) injectRecorded(x Fault) (undo func() error, err error) {
 	f.History.Add(Event{Kind: FaultStarted, What: x.String()})
 	end, err := f.Inject(x)
@@ -85,7 +85,7 @@
 	}, err
 }
 
-// Inflict brings the fault of a line about, told in the history, and leaves it to its caller to put it right.
+// InjectLine injects the fault of a script line and records it. The caller repairs it by calling undo.
 func (f *Cluster) InjectLine(line string) (undo func() error, err error) {
 	x, err := ParseFault(line)
 	if err == nil {
@@ -97,7 +97,7 @@
 	return f.injectRecorded(x)
 }
 
-// fits tells whether a fault can be brought about in this fleet.
+// validateFault checks that a fault can be injected into this cluster.
 func (f *Cluster) validateFault(x Fault) error {
 	for _, n := range slices.Concat(x.From, x.To) {
 		if n > len(f.Nodes) {
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// concerned lists the gateways that a fault is done to.
+// affectedNodes are the gateways that a fault is applied to.
 func (f *Cluster) affectedNodes(x Fault) (list []*Node) {
 	for _, n := range f.Nodes {
 		if x.From == nil || slices.Contains(x.From, n.Number) {
@@ -123,7 +123,7 @@
 	return list
 }
 
-// Begin brings a fault about. The function that it returns puts it right; none where there is nothing to put right.
+// Inject injects a fault. undo repairs it; nil if there is nothing to repair.
 func (f *Cluster) Inject(x Fault) (undo func() error, err error) {
 	if faultKinds[x.Verb].target == onNodes && x.Verb != "files" {
 		return f.injectOnNodes(x)
@@ -206,8 +206,8 @@
 	}, nil
 }
 
-// change changes the faults at work, and sets anew all that follows from them: each way's fate, who reaches which server, and
-// how the servers are.
+// updateFaults changes the active faults, then sets all that follows from them: the fate of each path, which servers each gateway
+// reaches, its file size limit, and the lag and state of the servers.
 func (f *Cluster) updateFaults(do func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -259,7 +259,7 @@
 	}
 }
 
-// fate is what all faults at work come to on one way.
+// combinedFate combines all active faults of one direction between two gateways.
 func combinedFate(active []Fault, from, to int) (out fake.Impairment) {
 	for _, x := range active {
 		if !x.affects(from, to) {
@@ -287,14 +287,14 @@
 	return out
 }
 
-// list has discovery tell every gateway of a server's state, if that has changed.
+// setServerState publishes the state of a server if it has changed.
 func (f *Cluster) setServerState(s *server, state string) {
 	if s.group.setState(s, state) {
 		f.publishServer(s, state)
 	}
 }
 
-// announce has discovery tell every gateway how a server is now.
+// publishServer has discovery send every gateway the current state of a server.
 func (f *Cluster) publishServer(s *server, state string) {
 	for _, n := range f.Nodes {
 		n.discovery.Push(s.target(n.serverRelays[s.name].Addr()))
--- a/internal/testcluster/history.go
+++ b/internal/testcluster/history.go
@@ -1,5 +1,9 @@
-// Package testcluster runs several real processes of the gateway with stand-ins around them, puts faults between them by a script,
-// keeps what happened as a history on one clock, and checks that history. See docs/test-cluster.md.
+// Package testcluster runs several real gateway processes with fakes of everything around them, injects faults by a script, records
+// what happens as a history on one clock, and checks that history. The package's own tests and internal/experiments call it.
+//
+// New starts a Cluster, Cluster.Load its clients, Cluster.Play injects faults (Inject has what each verb does), Cluster.Settle waits
+// until everything is repaired, and Check finds violations. Run does all of that. Faults and the History are safe for use by several
+// goroutines; each process has one goroutine that reads its log and ends with it (launch). See docs/test-cluster.md.
 package testcluster
 
 import (
@@ -14,18 +18,18 @@
 	"github.com/rs/zerolog"
 )
 
-// Kind says what an event tells.
+// Kind is what an event records.
 type Kind string
 
 // The kinds of events.
 const (
-	FaultStarted       Kind = "begins"  // a fault, from now on; What is its line in the script
-	FaultEnded         Kind = "ends"    // the same fault is over
+	FaultStarted       Kind = "begins"  // a fault starts; What is its line in the script
+	FaultEnded         Kind = "ends"    // the same fault is repaired
 	ProcessChanged     Kind = "process" // a gateway's process: What is "started", "ready" or "ended", Text how it ended
-	StateReported      Kind = "belief"  // what a gateway believes: What is the matter, Text its state
-	EndpointUpdateSent Kind = "told"    // discovery wrote a change of the list to a gateway: Server, and What its state
-	RequestSent        Kind = "asked"   // a client wrote a request whole
-	ResponseReceived   Kind = "heard"   // its end, as the client saw it: What is one of the ends below
+	StateReported      Kind = "belief"  // a state that a gateway reports in its log: What is its subject, Text the state
+	EndpointUpdateSent Kind = "told"    // discovery sent an endpoint update to a gateway: Server, and What its state
+	RequestSent        Kind = "asked"   // a client has written a complete request
+	ResponseReceived   Kind = "heard"   // the end of a request at its client: What is one of the ends below
 	RequestForwarded   Kind = "sent"    // a gateway began to send a request to a server
 	RequestExecuted    Kind = "ran"     // a server ran a request: What is its role
 	PhaseReached       Kind = "phase"   // the run's own steps: What is "load", "healed", "settled" or "done"
@@ -48,17 +52,17 @@
 	Node    int    `json:"node,omitempty"` // the gateway, from 1; 0: none
 	What    string `json:"what,omitempty"`
 	Text    string `json:"text,omitempty"`
-	ID      string `json:"id,omitempty"` // of the request; each try has its own
+	ID      string `json:"id,omitempty"` // of the request; each attempt has its own
 	Client  string `json:"client,omitempty"`
 	Class   string `json:"class,omitempty"`
-	Key     string `json:"key,omitempty"`    // what the client means; tries of one booking share it
+	Key     string `json:"key,omitempty"`    // what is booked or read; the attempts of one booking share it
 	Server  string `json:"server,omitempty"` // by its id on the list
-	Value   string `json:"value,omitempty"`  // as the server gave it, or as the client heard it
-	Timeout int64  `json:"within,omitempty"` // microseconds that the client gives the request
+	Value   string `json:"value,omitempty"`  // as the server gave it, or as the client received it
+	Timeout int64  `json:"within,omitempty"` // microseconds that the client waits for the answer
 	DataAge int64  `json:"age,omitempty"`    // microseconds by which the server's data were behind when it ran
 }
 
-// History keeps what happens, on one clock. It is safe for use by several goroutines.
+// History records events on one clock. It is safe for use by several goroutines.
 type History struct {
 	start time.Time
 	log   zerolog.Logger
@@ -66,11 +70,11 @@
 	mu         sync.Mutex
 	events     []Event
 	ended      bool
-	changed    chan struct{} // closed, and made anew, at each event
+	changed    chan struct{} // closed and replaced at each event
 	writeError error         // of the writer
 }
 
-// NewHistory begins a history. Events also go to w, as JSON Lines; nil for nowhere.
+// NewHistory begins a history. Events are also written to w as JSON Lines; nil: nowhere.
 func NewHistory(w io.Writer) *History {
 	h := &History{start: time.Now(), changed: make(chan struct{})}
 	if w == nil {
@@ -80,7 +84,7 @@
 	return h
 }
 
-// writer notes the first failure, for a history with a hole in it must not pass for a whole one.
+// writer keeps the first write error: an incomplete history must not pass for a complete one.
 type writer struct {
 	h *History
 	w io.Writer
@@ -97,15 +101,15 @@
 // Now is the history's time, in microseconds.
 func (h *History) Now() int64 { return time.Since(h.start).Microseconds() }
 
-// At is the history's time of a wall time, for what others have stamped on this machine.
+// Timestamp is the time of the history at a wall time, in microseconds.
 func (h *History) Timestamp(t time.Time) int64 { return t.Sub(h.start).Microseconds() }
 
-// Time is the wall time of a history's time.
+// WallTime is the wall time at a time of the history.
 func (h *History) WallTime(at int64) time.Time {
 	return h.start.Add(time.Duration(at) * time.Microsecond)
 }
 
-// Add notes an event, now unless it has a time of its own.
+// Add records an event, now unless its time is set. It does nothing once the history has ended.
 func (h *History) Add(e Event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -139,32 +143,31 @@
 	h.changed = make(chan struct{})
 }
 
-// End ends the history: what the rig does to tidy up is no part of it.
+// End ends the history: what the cluster does to clean up is not part of it.
 func (h *History) End() {
 	h.mu.Lock()
 	h.ended = true
 	h.mu.Unlock()
 }
 
-// Events lists what has happened so far, in the order in which it was noted.
+// Events are all events so far, in the order in which they were recorded.
 func (h *History) Events() []Event {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]Event(nil), h.events...)
 }
 
-// Err tells whether the history could not be written whole.
+// Err is the first error of writing the history.
 func (h *History) Err() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.writeError
 }
 
-// lookAgain is how often Await looks without an event: what is looked for may depend on what no history tells.
+// pollInterval is how often Await checks without an event: its condition may depend on state that is not in the history.
 const pollInterval = 50 * time.Millisecond
 
-// Await waits until the history holds what is looked for, and fails after a generous bound. seen is called with all events
-// up to now.
+// Await waits until matches is true of all events so far; it fails after a timeout.
 func (h *History) Await(what string, bound time.Duration, matches func([]Event) bool) error {
 	deadline := time.After(bound)
 	for {
@@ -183,7 +186,7 @@
 	}
 }
 
-// ReadHistory reads what was written.
+// ReadHistory reads a history that was written as JSON Lines.
 func ReadHistory(r io.Reader) (events []Event, err error) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, 1<<20)
--- a/internal/testcluster/indoubt.go
+++ b/internal/testcluster/indoubt.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// InDoubt says how bookings are claimed before they are sent.
+// InDoubt says how intents of bookings are stored before they are sent.
 type InDoubt struct {
-	StoreFirst bool // answers wait until they are kept
-	SeatLookup bool // a look for a seat shows whether a booking ran
+	StoreFirst bool // answers wait until they are stored
+	SeatLookup bool // a read of a seat shows whether a booking ran
 }
 
 // section is the section of a gateway's operators' file.
@@ -26,7 +26,7 @@
 	return b.String()
 }
 
-// Intents is what a gateway answers about bookings in hand.
+// Intents is what a gateway answers about open intents ("intents --json").
 type Intents struct {
 	Open []struct {
 		Booking, ID, Phase string
@@ -34,7 +34,7 @@
 	Counts map[string]int64
 }
 
-// Intents asks a gateway which bookings it has in hand.
+// Intents queries a gateway for its open intents.
 func (n *Node) Intents() (v Intents, err error) {
 	out, err := exec.Command(n.cluster.Binary, "intents", "--json", "--socket", n.Socket()).Output()
 	if err == nil {
--- a/internal/testcluster/indoubt_test.go
+++ b/internal/testcluster/indoubt_test.go
@@ -16,7 +16,7 @@
 	"at 4700ms %[1]s 3 for %[2]s\nat 6500ms cut 4 -> all for 700ms\nat 6600ms %[1]s 4 for %[2]s"
 
 // Bookings that are claimed before they are sent, with five processes under load that asks again: none runs twice, and nobody is
-// told wrongly.
+// gets a wrong answer.
 func TestInDoubt(t *testing.T) {
 	if raceEnabled {
 		t.Skip("what these processes do, the race detector does not see")
--- a/internal/testcluster/load.go
+++ b/internal/testcluster/load.go
@@ -11,7 +11,7 @@
 	"marblespan/internal/fake"
 )
 
-// Load is clients that book, view and look for seats until it is stopped. Each tells the history of every request.
+// Load is clients that book, view and read seats until Stop; every request is recorded in the history.
 type Load struct {
 	cluster      *Cluster
 	quit         chan struct{}
@@ -21,15 +21,15 @@
 	retryInDoubt bool
 }
 
-// LoadOptions say how many clients there are of each kind, and how long each pauses between two things.
+// LoadOptions say how many clients there are of each kind, and how long each pauses between requests.
 type LoadOptions struct {
-	Bookers         int // of the gateways' own listeners
+	Bookers         int // at the gateways' own listeners
 	FloatingBookers int // that book at the floating address
 	Viewers         int
-	SeatReaders     int // that look for what was booked, and must see it
-	SessionReaders  int // that look in the sessions of bookings, at any gateway
+	SeatReaders     int // that read what was booked, and must see it
+	SessionReaders  int // that read in the sessions of bookings, at any gateway
 	ThinkTime       time.Duration
-	RetryInDoubt    bool // bookings that may have run are asked for again, at the next gateway
+	RetryInDoubt    bool // bookings that may have run are retried at the next gateway
 }
 
 // DefaultLoad is a light load.
@@ -37,7 +37,7 @@
 	return LoadOptions{Bookers: 4, FloatingBookers: 2, Viewers: 4, SeatReaders: 2, ThinkTime: 10 * time.Millisecond}
 }
 
-// classes is how many classes are asked for.
+// classCount is how many classes of requests the load has.
 func (o LoadOptions) classCount() (n int) {
 	for _, clients := range []int{o.Bookers + o.FloatingBookers, o.Viewers, o.SeatReaders, o.SessionReaders} {
 		n += min(clients, 1)
@@ -45,13 +45,13 @@
 	return n
 }
 
-// clientWait is a client's pause after a refusal or where it could not connect.
+// clientBackoff is a client's pause after a rejection or a failed connection.
 const clientBackoff = 10 * time.Millisecond
 
-// seatsKept is how many of the last booked keys are looked for.
+// maxRecentKeys is how many of the last booked keys are read.
 const maxRecentKeys = 32
 
-// Load starts clients.
+// Load starts clients. Stop ends them.
 func (f *Cluster) Load(options LoadOptions) *Load {
 	load := &Load{cluster: f, quit: make(chan struct{}), retryInDoubt: options.RetryInDoubt}
 	var mu sync.Mutex
@@ -71,7 +71,7 @@
 	}
 	book := func(b *fake.Client, n int) {
 		key := fmt.Sprintf("%s-%d", b.Name, n)
-		recent(key) // others look for it while it is being booked, too
+		recent(key) // others read it also while it is being booked
 		b.Group = f.groupOf(key)
 		b.Write(key)
 	}
@@ -89,7 +89,7 @@
 }
 
 // clients starts clients of one kind. Each keeps to a gateway for as long as its connection lasts, and goes to the next one
-// when it must connect anew, as a front would have it.
+// when it must reconnect, as a front end would.
 func (l *Load) clients(kind, class string, count int, think time.Duration, do func(*fake.Client, int), floating bool) {
 	f := l.cluster
 	for i := range count {
@@ -98,7 +98,7 @@
 			Name: fmt.Sprint(kind, i), Class: class, Group: Group, Timeout: requestTimeout, MaxAttempts: 20, Backoff: clientBackoff, Ledger: &l.ledger,
 			Addr: func() string { turn++; return f.Nodes[turn%len(f.Nodes)].Listen }, OnExchange: l.recordExchange,
 		}
-		if l.retryInDoubt && class == ClassBooking { // until it is settled: an address that moves takes some hundred milliseconds
+		if l.retryInDoubt && class == ClassBooking { // until the end is known: a failover of the address takes some hundred milliseconds
 			b.RetryTimeouts, b.MaxAttempts = 3, 400
 		}
 		if floating {
@@ -120,7 +120,7 @@
 	}
 }
 
-// tell writes a client's exchange into the history.
+// recordExchange records a client's request, or its end.
 func (l *Load) recordExchange(x fake.Exchange) {
 	e := Event{
 		At: l.cluster.History.Timestamp(x.At), Kind: RequestSent, Node: l.cluster.GatewayFor(x.Via), ID: x.ID, Client: x.Client, Class: x.Class, Key: x.Key,
@@ -139,45 +139,45 @@
 	l.cluster.History.Add(e)
 }
 
-// reused marks a request on a connection that has served another one before: one that crosses with the connection's close was
-// never read.
+// reusedConnection marks a request on a connection that has served another one before: it was never read if it crosses with the
+// close of the connection.
 const reusedConnection = "reused"
 
-// closedUnread is the code with which a gateway closes a connection between two requests.
+// codeShutdown is the code with which a gateway closes a connection between two requests.
 const codeShutdown = "57P03"
 
-// askedBefore marks a request that says that it was asked before.
+// retryMark marks a retry of a request that may have run.
 const retryMark = "again"
 
-// Stop has every client finish what it is at, and waits for it.
+// Stop lets every client finish its current request, and waits for all of them.
 func (l *Load) Stop() {
 	l.once.Do(func() { close(l.quit) })
 	l.done.Wait()
 }
 
-// Totals sums up what became of all that clients meant.
+// Totals sums up the outcomes of all that clients meant.
 func (l *Load) Totals() fake.Totals { return l.ledger.Totals() }
 
-// Doubt is how many bookings ended without their client knowing whether they ran.
+// InDoubtBookings is how many bookings ended without their client knowing whether they ran.
 func (l *Load) InDoubtBookings() int {
 	t := l.ledger.Totals()
 	return t.Counts[fake.Failed] + t.Counts[fake.Unknown]
 }
 
-// Outcome is what a run came to.
+// Outcome is the result of a run.
 type Outcome struct {
 	Faults     []Fault
 	Events     []Event
 	Violations []Violation
-	Err        error // the rig itself failed
+	Err        error // the run itself failed
 	Totals     fake.Totals
-	SettleTime time.Duration // from the last fault's end until the fleet was at rest again
+	SettleTime time.Duration // from the end of the last fault until the cluster had settled
 }
 
-// Failed tells whether a rule or an invariant was broken, or the run could not be made.
+// Failed reports whether a rule was violated, or the run could not be made.
 func (o Outcome) Failed() bool { return o.Err != nil || len(o.Violations) > 0 }
 
-// Run starts a fleet, puts it under load, plays faults, waits until it has come to rest, and checks the history.
+// Run starts a cluster, puts it under load, plays faults, waits until it has settled, and checks the history.
 func Run(o Options, load LoadOptions, faults []Fault, quit <-chan struct{}) (out Outcome) {
 	out.Faults = faults
 	f, err := New(o)
@@ -196,7 +196,7 @@
 	healed := time.Now()
 	var restless error
 	if out.Err == nil {
-		restless = f.settles(load.classCount())
+		restless = f.Settle(load.classCount())
 	}
 	out.SettleTime = time.Since(healed)
 	f.History.Add(Event{Kind: PhaseReached, What: "settled"})
@@ -217,11 +217,9 @@
 	return out
 }
 
-// Settle waits until the fleet has come to rest and so many classes are served.
-func (f *Cluster) Settle(classes int) error { return f.settles(classes) }
-
-// settles waits until every gateway serves, the first one holds the address, and requests of so many classes have been served since.
-func (f *Cluster) settles(classes int) error {
+// Settle waits until the cluster has settled: every gateway serves, the preferred one has the floating address, membership and
+// the state store are complete, and so many classes have been served since.
+func (f *Cluster) Settle(classes int) error {
 	if err := f.AwaitReady(settleTimeout); err != nil {
 		return err
 	}
--- a/internal/testcluster/main_test.go
+++ b/internal/testcluster/main_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// binary is the gateway, built once for all tests; another the same of another version.
+// binary is the gateway, built once for all tests; otherBinary is the same of another version.
 var binary, otherBinary string
 
 // It understands a later format of records.
@@ -24,7 +24,7 @@
 	if os.Getenv(asClusterProcess) != "" { // it is to be killed, and would leave what it builds
 		os.Exit(m.Run())
 	}
-	dir, err := os.MkdirTemp("", "rig-binary")
+	dir, err := os.MkdirTemp("", "testcluster-binary")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
@@ -52,7 +52,7 @@
 	return o
 }
 
-// Real processes under load, and every kind of fault among them: no rule is broken, and the fleet comes to rest.
+// Real processes under load, and every kind of fault among them: no rule is violated, and the cluster settles.
 func TestRun(t *testing.T) {
 	for _, c := range []struct{ name, script string }{
 		{"calm", ""},
@@ -83,16 +83,16 @@
 	}
 }
 
-// asRig makes the test's own binary start a fleet and then stand there to be killed.
+// asClusterProcess makes the test's own binary start a cluster and wait to be killed.
 const asClusterProcess = "MARBLESPAN_TEST_RIG"
 
-// A rig that is killed outright takes its processes with it, also one that stands still.
-func TestNothingOutlivesTheRig(t *testing.T) {
+// A test cluster that is killed by SIGKILL takes its processes with it, also a stopped one.
+func TestNoProcessOutlivesCluster(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	cmd := exec.Command(self, "-test.run", "^TestRigToKill$")
+	cmd := exec.Command(self, "-test.run", "^TestClusterToKill$")
 	cmd.Env = append(os.Environ(), asClusterProcess+"="+binary)
 	out, err := cmd.StdoutPipe()
 	if err != nil {
@@ -120,9 +120,9 @@
 	}
 }
 
-func TestRigToKill(t *testing.T) {
+func TestClusterToKill(t *testing.T) {
 	if binary = os.Getenv(asClusterProcess); binary == "" {
-		t.Skip("only for TestNothingOutlivesTheRig")
+		t.Skip("only for TestNoProcessOutlivesCluster")
 	}
 	f, err := New(options())
 	if err != nil {
@@ -168,7 +168,7 @@
 	}
 }
 
-// A full disk lets files be written anew and none grow, a read-only one neither; the next life finds it as it is.
+// A full disk lets files be overwritten but not grow, a read-only one neither; the limit also holds for the next process.
 func TestFiles(t *testing.T) {
 	n := &Node{dir: t.TempDir(), maxFileSize: noFileLimit}
 	data := filepath.Join(n.dir, "data")
@@ -214,8 +214,8 @@
 	n.process.kill()
 }
 
-// What cannot be brought about is told before anything is.
-func TestFits(t *testing.T) {
+// Faults that cannot be injected are rejected before any is injected.
+func TestValidateFault(t *testing.T) {
 	f := &Cluster{Nodes: make([]*Node, 3), groups: []*serverGroup{{servers: []*server{{name: "p", primary: true}, {name: "r1"}}}}}
 	for line, fits := range map[string]bool{
 		"at 1s kill 3": true, "at 1s kill 4": false, "at 1s cut 1 -> 4": false, "at 1s lag r1 1s": true, "at 1s lag r2 1s": false,
--- a/internal/testcluster/maintenance.go
+++ b/internal/testcluster/maintenance.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// Maintain says by what limits machines are taken out for work. What is zero is as the gateways have it.
+// Maintenance are the limits for machines under maintenance. A zero value leaves the default of the gateways.
 type Maintenance struct {
 	MaxGateways, MaxPerZone, MaxServers                        int
 	SettleTime, ReturnTimeout, DefaultDuration, SilenceTimeout time.Duration
 }
 
-// DefaultMaintain are spans that suit a short run.
+// DefaultMaintenance are durations that suit a short run.
 func DefaultMaintenance() *Maintenance {
 	return &Maintenance{SettleTime: 500 * time.Millisecond, ReturnTimeout: 20 * time.Second, DefaultDuration: 30 * time.Second, SilenceTimeout: 10 * time.Second}
 }
 
-// section is the maintenance section of a gateway's operators' file. A load bound of all there is: the machine that the fleet runs
+// section is the maintenance section of a gateway's operators' file. The load limit is 100 %: the machine that the cluster runs
 // on is shared.
 func (m *Maintenance) section() string {
 	var b strings.Builder
@@ -68,7 +68,7 @@
 	return strings.Join(words, ", ")
 }
 
-// Find is the latest machine of a name.
+// FindMachine is the latest entry of a machine.
 func (o MaintenanceStatus) FindMachine(name string) (u MaintenanceItem) {
 	for _, x := range o.Machines {
 		if x.Machine == name {
@@ -78,7 +78,7 @@
 	return u
 }
 
-// Order asks a gateway for the order of maintenance.
+// MaintenanceStatus queries a gateway for the list of maintenance.
 func (n *Node) MaintenanceStatus() (o MaintenanceStatus, err error) {
 	out, err := exec.Command(n.cluster.Binary, "maintenance", "list", "--json", "--socket", n.Socket()).Output()
 	if err == nil {
@@ -87,7 +87,7 @@
 	return o, err
 }
 
-// Say says something about maintenance at a gateway, as an operator does.
+// RunMaintenance runs a maintenance command at a gateway, as an operator does.
 func (n *Node) RunMaintenance(args ...string) (string, error) {
 	out, err := exec.Command(n.cluster.Binary, append([]string{"maintenance", "--socket", n.Socket()}, args...)...).CombinedOutput()
 	text := strings.TrimSpace(string(out))
@@ -97,7 +97,7 @@
 	return text, nil
 }
 
-// SayAnywhere says something at the gateways in turn until one carries it out.
+// RunMaintenanceAnywhere runs a maintenance command at the gateways in turn until one carries it out.
 func (f *Cluster) RunMaintenanceAnywhere(args ...string) (text string, err error) {
 	for late := time.Now().Add(settleTimeout); time.Now().Before(late); time.Sleep(100 * time.Millisecond) {
 		for _, n := range f.Nodes {
@@ -109,7 +109,7 @@
 	return text, err
 }
 
-// OrderAnywhere is the order as the ledger's leader has it, asked at the gateways in turn.
+// LeaderMaintenanceStatus is the status as the ledger's leader has it, asked at the gateways in turn.
 func (f *Cluster) LeaderMaintenanceStatus() (o MaintenanceStatus, err error) {
 	for late := time.Now().Add(settleTimeout); time.Now().Before(late); time.Sleep(100 * time.Millisecond) {
 		for _, n := range f.Nodes {
@@ -121,22 +121,22 @@
 	return o, fmt.Errorf("no gateway tells the order: %w", err)
 }
 
-// At is what an operator does at machines that may be touched.
+// MaintenanceActions is what an operator does at machines that are out.
 type MaintenanceActions struct {
-	// Gateway works at one that is out: by itself it is ended, and started again after a while.
+	// Gateway works at a gateway that is out; nil: it is killed and started again.
 	Gateway func(n *Node) error
 	Server  func(name string) error
-	Done    func(o MaintenanceStatus) bool // looked at with each order; it may end the work early
+	Done    func(o MaintenanceStatus) bool // called with each status; true ends the work early
 }
 
-// What a phase tells of a machine: it is worked at from now on, or not any more.
+// Prefixes of a phase that names a machine: work on it starts or ends.
 const (
 	workStarted = "touched "
 	workEnded   = "untouched "
 )
 
-// Work does what an operator does all night: machines that may be touched are worked at, until all that are in the order are
-// done with. A primary whose turn it is gets another one promoted in its place.
+// PerformMaintenance acts as an operator until no machine is left on the list: it works at machines that are out, and promotes
+// another server where a primary is next.
 func (f *Cluster) PerformMaintenance(bound time.Duration, at MaintenanceActions) error {
 	worked := map[string]bool{}
 	var last MaintenanceStatus
@@ -176,7 +176,7 @@
 	return fmt.Errorf("not within %v: all machines are back: %+v", bound, last)
 }
 
-// touch works at one machine.
+// performOn works at one machine.
 func (f *Cluster) performOn(u MaintenanceItem, at MaintenanceActions) error {
 	f.History.Add(Event{Kind: PhaseReached, What: workStarted + u.Machine})
 	if u.Kind == "server" {
@@ -206,10 +206,10 @@
 	return fmt.Errorf("there is no machine %s", u.Machine)
 }
 
-// fencedFor is for how long a primary that was is kept away from everybody, so that nobody takes it for one.
+// fenceTime is for how long a former primary is cut off, so that nobody takes it for the primary.
 const fenceTime = time.Second
 
-// promoteInPlaceOf makes another server of the same group its primary.
+// replacePrimary promotes another server of the same group.
 func (f *Cluster) replacePrimary(name string) error {
 	s := f.server(name)
 	if s == nil || s.role() != rolePrimary {
--- a/internal/testcluster/membership_test.go
+++ b/internal/testcluster/membership_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// state is what a gateway believes of another at the end of a history.
+// membershipState is what a gateway reports of another at the end of a history.
 func membershipState(all []Event, node, about int) (s string) {
 	for _, e := range all {
 		if e.Node == node && e.Kind == ProcessChanged && e.What == "started" {
@@ -27,10 +27,10 @@
 	return s
 }
 
-// knownBy is how long anything may take to be known to all: it takes a second or two, but not on a machine that is busy.
+// convergenceTimeout is how long a change may take to be known to all: a second or two, but longer on a busy machine.
 const convergenceTimeout = 15 * time.Second
 
-// everyone waits until all of some gateways believe the same of another.
+// awaitEveryoneBelieves waits until all gateways, except some, report the same state of another.
 func awaitEveryoneBelieves(f *Cluster, about int, want string, but ...int) error {
 	return f.History.Await(fmt.Sprintf("all believe that gateway %d is %s", about, want), convergenceTimeout, func(all []Event) bool {
 		for _, n := range f.Nodes {
@@ -46,7 +46,7 @@
 	})
 }
 
-// noticed waits until a gateway has noticed something of itself.
+// awaitSelfObservation waits until a gateway has reported something about itself.
 func awaitSelfObservation(f *Cluster, node int, what string) error {
 	return f.History.Await(fmt.Sprintf("gateway %d notices %s", node, what), settleTimeout, func(all []Event) bool {
 		for _, e := range all {
@@ -58,7 +58,7 @@
 	})
 }
 
-// ask asks a gateway who is there.
+// queryMembers queries a gateway for its members.
 func queryMembers(f *Cluster, node int, args ...string) (s struct {
 	Members []struct {
 		Name, State, Version string
@@ -76,7 +76,7 @@
 	return s, err
 }
 
-// poll waits until something holds that no history tells.
+// pollUntil waits for a condition that is not in the history.
 func pollUntil(what string, holds func() bool) error {
 	for late := time.Now().Add(settleTimeout); time.Now().Before(late); time.Sleep(20 * time.Millisecond) {
 		if holds() {
@@ -86,7 +86,7 @@
 	return fmt.Errorf("%s: not seen within %v", what, settleTimeout)
 }
 
-// flood sends garbage to an address until it is told to end.
+// flood sends garbage to an address until quit is closed.
 func flood(to string, quit <-chan struct{}) {
 	c, err := net.Dial("udp4", to)
 	if err != nil {
@@ -318,7 +318,7 @@
 				t.Error(err)
 			}
 			healed := time.Now()
-			if err := f.settles(3); err != nil {
+			if err := f.Settle(3); err != nil {
 				t.Error(err, MembershipGaps(f.History.Events(), 9))
 			}
 			t.Logf("at rest %v after the fault", time.Since(healed))
@@ -343,8 +343,8 @@
 	}
 }
 
-// room bounds how many fleets run at a time: each has nine processes that are not to be starved by the others.
+// timedSlots limits how many clusters run at a time: each has nine processes that must not be starved by the others.
 var timedSlots = make(chan bool, 2)
 
-// wide bounds the fleets that run at the same time where nothing is judged by when it happened.
+// untimedSlots limits the clusters that run at a time where no assertion depends on timing.
 var untimedSlots = make(chan bool, 4)
--- a/internal/testcluster/node.go
+++ b/internal/testcluster/node.go
@@ -17,15 +17,15 @@
 	"marblespan/internal/fake"
 )
 
-// This file is one gateway of a fleet: its files, its process, and what is done to both.
+// This file is one gateway of a cluster: its files, its process, and the faults of both.
 
-// Node is one gateway, in all its lives.
+// Node is one gateway, across restarts of its process.
 type Node struct {
 	Number   int
 	IP       net.IP
 	Listen   string
 	Floating string
-	Binary   string // of its next lives, if not the fleet's
+	Binary   string // of its next processes; empty: the cluster's
 
 	cluster         *Cluster
 	dir             string
@@ -35,13 +35,13 @@
 	discoveryReader sync.WaitGroup
 
 	mu           sync.Mutex
-	process      *process // of this life; nil: none yet
-	pauses       int      // faults that have it stand still now
-	maxFileSize  uint64   // how large its files may grow, in bytes
+	process      *process // the current one, or the last; nil: none yet
+	pauses       int      // how many faults have it stopped now
+	maxFileSize  uint64   // in bytes
 	incarnations int
 }
 
-// newNode makes what stands between one gateway and the rest.
+// newNode makes the fakes and relays between one gateway and the rest.
 func (f *Cluster) newNode(number int, ip net.IP) (*Node, error) {
 	n := &Node{Number: number, IP: ip, cluster: f, dir: filepath.Join(f.Dir, fmt.Sprint("n", number)), serverRelays: map[string]*fake.Relay{}, maxFileSize: noFileLimit}
 	n.Listen, n.Floating = fmt.Sprintf("%v:%d", ip, portClients), fmt.Sprintf("%v:%d", ip, portFloating)
@@ -61,7 +61,7 @@
 		return nil, err
 	}
 	n.discoveryReader.Add(1)
-	go func() { // nobody waits for the calls that are told
+	go func() { // drains the channel until Close closes it
 		defer n.discoveryReader.Done()
 		for range n.discovery.Requests {
 		}
@@ -70,7 +70,7 @@
 	return n, err
 }
 
-// sent notes a request as its first byte leaves for a server.
+// recordForwarded records a request as its first byte leaves for a server.
 func (n *Node) recordForwarded(server string, chunk []byte) {
 	for _, m := range requestID.FindAllSubmatch(chunk, -1) {
 		n.cluster.History.Add(Event{Kind: RequestForwarded, Node: n.Number, ID: string(m[1]), Server: server})
@@ -110,13 +110,13 @@
 // Name is the gateway's name among the members.
 func (n *Node) Name() string { return fmt.Sprint("g", n.Number) }
 
-// Conf is the path of its operators' file, and Socket that of its control socket.
+// Conf is the path of the gateway's operators' file.
 func (n *Node) Conf() string { return filepath.Join(n.dir, "conf") }
 
-// Socket is where it is asked how it is.
+// Socket is the path of the gateway's control socket.
 func (n *Node) Socket() string { return filepath.Join(n.dir, "ctl") }
 
-// Reconfigure changes the operators' file and has it read again.
+// Reconfigure changes the operators' file and has the gateway reload it.
 func (n *Node) Reconfigure(change func(string) string) error {
 	raw, err := os.ReadFile(n.Conf())
 	if err != nil {
@@ -154,7 +154,7 @@
 		b.WriteString(f.Maintenance.section())
 	}
 	if n.Number > 1 && len(f.Nodes) > maxVRRPPeers+1 {
-		return b.String() // VRRP names its peers, sixteen at most: in larger fleets the first one has the address alone
+		return b.String() // VRRP lists at most 16 peers: in larger clusters the first gateway has the address alone
 	}
 	priority := 201 - n.Number
 	if f.Priorities != nil {
@@ -171,10 +171,10 @@
 	return b.String()
 }
 
-// Start starts a gateway's next life. The last one must have ended.
+// Start starts the gateway's next process. The last one must have ended.
 func (n *Node) Start() error { return n.startUnlessReplaced(n.currentProcess()) }
 
-// startAfter starts the life after a given one, unless that has been done: two faults may have taken a gateway away.
+// startUnlessReplaced starts a new process after the given one, unless that has been done: two faults may have ended it.
 func (n *Node) startUnlessReplaced(last *process) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -208,7 +208,7 @@
 	return nil
 }
 
-// line takes what a gateway believes out of its log.
+// recordLogLine records the changes of state that a gateway reports in its log.
 func (n *Node) recordLogLine(text string) {
 	if !strings.Contains(text, `"message":"vrrp"`) && !strings.Contains(text, `"message":"member`) && !strings.Contains(text, `"message":"copies"`) &&
 		!strings.Contains(text, `"message":"maintenance state changed"`) {
@@ -244,7 +244,7 @@
 	n.cluster.History.Add(e)
 }
 
-// awaitServing notes when a life answers its first question, as a front does.
+// awaitServing records when a process answers its first request.
 func (n *Node) awaitServing(p *process) {
 	for !p.hasEnded() {
 		if fake.Healthy(n.Listen, time.Second) {
@@ -258,7 +258,7 @@
 	}
 }
 
-// Signal sends a signal to the life that runs.
+// Signal sends a signal to the current process.
 func (n *Node) Signal(s syscall.Signal) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -268,22 +268,22 @@
 	return n.process.signal(s)
 }
 
-// current is the life that runs, or the last one.
+// currentProcess is the process that runs, or the last one.
 func (n *Node) currentProcess() *process {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.process
 }
 
-// Wait waits for the end of a life that was told to end.
+// WaitForExit waits until the current process has ended.
 func (n *Node) WaitForExit() { <-n.currentProcess().ended }
 
-// still has a life of a gateway stand still, or run on once nothing else has it stand still.
+// setPaused stops a process of a gateway, or continues it once no other fault has it stopped.
 func (n *Node) setPaused(p *process, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.process != p {
-		return // it is another life's time now
+		return // another process has replaced it
 	}
 	if on {
 		n.pauses++
@@ -293,11 +293,11 @@
 	}
 }
 
-// slice is how long a starved process is stopped and run in turn, together: well below any interval that the gateways use
-// among themselves, so that it is slow and not away.
+// starvePeriod is the length of one stop and the run after it, together: well below any interval between gateways, so that
+// a starved process is slow and not absent.
 const starvePeriod = 20 * time.Millisecond
 
-// starve keeps a life from running for a share of the time, until quit is closed.
+// starve stops a process for a share of the time, until quit is closed or it ends.
 func (n *Node) starve(p *process, share float64, quit <-chan struct{}) {
 	off := time.Duration(share * float64(starvePeriod))
 	for {
@@ -314,7 +314,7 @@
 	}
 }
 
-// disk does something to the data directory.
+// changeDisk empties, saves or restores the data directory.
 func (n *Node) changeDisk(what string) error {
 	data, saved := filepath.Join(n.dir, "data"), filepath.Join(n.dir, "saved")
 	replace := func(at, with string) error {
@@ -335,7 +335,7 @@
 	return replace(data, "")
 }
 
-// largest is the size of the largest file in the data directory, in bytes.
+// largestFile is the size of the largest file in the data directory, in bytes.
 func (n *Node) largestFile() (size uint64) {
 	filepath.WalkDir(filepath.Join(n.dir, "data"), func(_ string, d fs.DirEntry, err error) error {
 		if err == nil && d.Type().IsRegular() {
@@ -348,7 +348,7 @@
 	return size
 }
 
-// boundFiles bounds how large the files of this gateway may grow, in this life and further ones.
+// limitFiles limits how large the files of this gateway may grow, in bytes, in this process and later ones.
 func (n *Node) limitFiles(maxSize uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -28,7 +28,7 @@
 	return todo
 })
 
-// start starts a command that the kernel kills when this process ends, however that comes about.
+// startTiedToParent starts a command that the kernel kills when this process ends, however it ends.
 func startTiedToParent(cmd *exec.Cmd) error {
 	if cmd.SysProcAttr == nil {
 		cmd.SysProcAttr = &syscall.SysProcAttr{}
@@ -39,7 +39,7 @@
 	return <-done
 }
 
-// process is one life of a program whose standard error is its log.
+// process is one process of a program whose standard error is its log.
 type process struct {
 	cmd        *exec.Cmd
 	ended      chan struct{}
@@ -74,10 +74,10 @@
 
 func (p *process) signal(s syscall.Signal) error { return p.cmd.Process.Signal(s) }
 
-// noBound lets files grow as they may.
+// noFileLimit lets files grow without a limit.
 const noFileLimit uint64 = unix.RLIM_INFINITY
 
-// boundFiles bounds how large the process's files may grow, in bytes; 0: nothing can be written to any. A write beyond it
+// limitFiles limits how large the process's files may grow, in bytes; 0: nothing can be written to any. A write beyond it
 // fails as one to a full disk does, with another error (EFBIG), and takes no rights to bring about. Pipes and sockets, its log
 // among them, are not concerned.
 func (p *process) limitFiles(maxSize uint64) error {
@@ -89,7 +89,7 @@
 	return unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &now, nil)
 }
 
-// over tells whether the process has ended.
+// hasEnded reports whether the process has ended.
 func (p *process) hasEnded() bool {
 	select {
 	case <-p.ended:
@@ -99,14 +99,13 @@
 	}
 }
 
-// end kills the process, also one that stands still, and waits.
+// kill kills the process, also a stopped one, and waits for its end.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.ended
 }
 
-// standsStill tells whether every thread of a process has stopped: a signal is sent, but threads on other cores run on for
-// a moment.
+// isStopped reports whether every thread of the process has stopped: threads on other cores run on for a moment after the signal.
 func (p *process) isStopped() bool {
 	stats, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid))
 	for _, name := range stats {
--- a/internal/testcluster/script.go
+++ b/internal/testcluster/script.go
@@ -12,13 +12,13 @@
 	"marblespan/internal/config/lines"
 )
 
-// Fault is one line of a script: something that goes wrong at a time, and that is put right after a span.
+// Fault is one line of a script: something that goes wrong at a time, and is repaired after a duration.
 type Fault struct {
 	At            time.Duration
 	Verb          string
-	From          []int // gateways, from 1: those that a fault is done to, or whose sending it spoils; nil: all
-	To            []int // those that no longer hear; nil: all
-	Bidirectional bool  // the way back is spoilt too
+	From          []int // gateways, from 1, that the fault applies to, or the senders; nil: all
+	To            []int // the receivers; nil: all
+	Bidirectional bool  // the other direction too
 	Name          string
 	Amount        float64       // a share, a number of copies, bytes a second
 	Delay         time.Duration // a delay or a lag
@@ -26,7 +26,7 @@
 	Duration      time.Duration // 0: to the end of the run
 }
 
-// shape says what a verb takes behind it.
+// targetShape is the form of what a fault kind is applied to.
 type targetShape uint8
 
 const (
@@ -37,13 +37,13 @@
 	onlyNamed                    // lag r1
 )
 
-// verb is one kind of fault.
+// faultKind describes one kind of fault.
 type faultKind struct {
 	target      targetShape
-	parseValue  func(f *Fault, word string) bool // its last word; nil: it takes none
+	parseValue  func(f *Fault, word string) bool // parses its last word; nil: it takes none
 	formatValue func(f Fault) string
-	instant     bool // it has no span
-	// undrawn faults are brought about by a script only.
+	instant     bool // it has no duration
+	// scriptOnly faults are never drawn.
 	scriptOnly bool
 	help       string
 }
@@ -88,7 +88,7 @@
 
 func formatName(f Fault) string { return f.Name }
 
-// disks is what can be done to a data directory. A gateway should be away meanwhile.
+// diskOperations are what can be done to a data directory. The gateway should not run meanwhile.
 var diskOperations = []string{"empty", "save", "old"}
 
 func parseFileFault(f *Fault, word string) bool {
@@ -96,10 +96,10 @@
 	return slices.Contains(fileFaults, word)
 }
 
-// fileFaults is what can be wrong with the file system that a gateway writes to.
+// fileFaults are the faults of the file system that a gateway writes to.
 var fileFaults = []string{"full", "read-only"}
 
-// verbs are all kinds of faults.
+// faultKinds are all kinds of faults, by their verb in scripts.
 var faultKinds = map[string]faultKind{
 	"kill":      {target: onNodes, help: "SIGKILL; started again after its span"},
 	"term":      {target: onNodes, help: "SIGTERM; started again after its span, once it has ended"},
@@ -122,7 +122,7 @@
 	"drain":     {target: onlyNamed, help: "the list says that a server drains"},
 }
 
-// nodes writes a list of gateways.
+// formatNodes writes a list of gateways.
 func formatNodes(list []int) string {
 	if list == nil {
 		return "all"
@@ -163,7 +163,7 @@
 	return strings.Join(words, " ")
 }
 
-// ParseFault reads a fault's line.
+// ParseFault parses one line.
 func ParseFault(line string) (Fault, error) {
 	all, err := ParseScript("fault", line)
 	if err != nil {
@@ -175,8 +175,8 @@
 	return all[0], nil
 }
 
-// ParseScript reads a script: a fault a line, in the form of the operators' file, in any order. All that is wrong with it is
-// told at once.
+// ParseScript parses a script: a fault a line, in the syntax of the operators' file, in any order. The error lists all that is
+// wrong. The result is sorted by time.
 func ParseScript(file, text string) ([]Fault, error) {
 	directives, faults := lines.Parse(file, text)
 	var out []Fault
@@ -245,7 +245,7 @@
 	return f, ""
 }
 
-// target reads whom a fault concerns.
+// parseTarget parses what a fault is applied to.
 func (f *Fault) parseTarget(s targetShape, remaining *words) (wrong string) {
 	list := func(into *[]int) {
 		word := remaining.next()
@@ -292,7 +292,7 @@
 	return wrong
 }
 
-// Script writes faults so that ParseScript reads them back.
+// FormatScript writes faults so that ParseScript reads them back.
 func FormatScript(faults []Fault) string {
 	var b strings.Builder
 	for _, f := range faults {
@@ -302,7 +302,7 @@
 	return b.String()
 }
 
-// spoils tells whether a fault of ways or parts is at work from one gateway to another.
+// affects reports whether a fault of paths or partitions applies from one gateway to another.
 func (f Fault) affects(from, to int) bool {
 	in := func(list []int, n int) bool { return list == nil || slices.Contains(list, n) }
 	there := in(f.From, from) && in(f.To, to)
@@ -310,8 +310,8 @@
 	return from != to && (there || (f.Bidirectional || f.Verb == "split") && back)
 }
 
-// Draw makes a schedule of faults for a fleet from a seed: about one a second, each put right well before the end. Every
-// kind has its turn before one comes again.
+// DrawFaults draws a schedule of faults from a seed: about one a second, each repaired well before the end. Every kind is drawn
+// once before any is drawn again.
 func DrawFaults(seed uint64, gateways, replicas int, length time.Duration) []Fault {
 	rng := rand.New(rand.NewPCG(seed, uint64(gateways)))
 	var bag []string
@@ -336,7 +336,7 @@
 	return out
 }
 
-// draw fills in a fault's particulars.
+// drawDetails draws a fault's target, amount and duration.
 func (f *Fault) drawDetails(rng *rand.Rand, gateways, replicas int) {
 	some := func(most int) (list []int) {
 		all := rng.Perm(gateways)
--- a/internal/testcluster/script_test.go
+++ b/internal/testcluster/script_test.go
@@ -9,7 +9,7 @@
 )
 
 // What is drawn is written and read back to the same, is the same for the same seed, and has every kind in it.
-func TestDrawnScripts(t *testing.T) {
+func TestDrawnFaultsRoundTrip(t *testing.T) {
 	kinds := map[string]bool{}
 	for seed := range uint64(200) {
 		nodes := 2 + int(seed%8)
--- a/internal/testcluster/servers.go
+++ b/internal/testcluster/servers.go
@@ -10,13 +10,13 @@
 	"marblespan/internal/fake"
 )
 
-// Group is the number of a fleet's first group of servers; further ones follow.
+// Group is the number of a cluster's first group of servers; further ones follow.
 const Group = 7
 
 // groupNames are the names of each group's primary and of its replicas, which have a number behind that.
 var groupNames = [...][2]string{{"p", "r"}, {"q", "s"}}
 
-// MostGroups is how many groups of servers a fleet may have.
+// MaxGroups is how many groups of servers a cluster may have.
 const MaxGroups = len(groupNames)
 
 // groupOf is the group that a client's key belongs to: clients differ in it, and keep to it.
@@ -42,8 +42,8 @@
 	Absent = " absent"
 )
 
-// cluster is a primary and its replicas, which share a log of commits. A position is a Unix time in milliseconds: the data
-// of a server at position x hold what was committed up to then.
+// serverGroup is a primary and its replicas, which share a log of commits. A position is a Unix time in milliseconds: a server
+// at position x has applied what was committed up to then.
 type serverGroup struct {
 	number      int
 	events      *History
@@ -66,7 +66,7 @@
 	state           string
 }
 
-// newCluster starts a group's primary and its replicas, "p", "r1", "r2" and so on, each at an address of its own.
+// newServerGroup starts a primary and its replicas, "p", "r1", "r2" and so on, each at an address of its own.
 func newServerGroup(h *History, group, replicas int, work time.Duration, node func(string) int) (*serverGroup, error) {
 	c := &serverGroup{number: group, events: h, gatewayAt: node, serviceTime: work, commits: map[string]int64{}}
 	for i := range replicas + 1 {
@@ -103,7 +103,8 @@
 	return roleReplica
 }
 
-// promote makes a replica the primary, with all that was committed, and the primary that was a replica. It tells which that was.
+// promote makes a replica the primary, with all that was committed, and the former primary a replica. It returns the former
+// primary.
 func (c *serverGroup) promote(next *server) (last *server) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -147,10 +148,10 @@
 	return s.appliedPosition
 }
 
-// keyOf is the key that a statement names.
+// statementKey finds the key that a statement names.
 var statementKey = regexp.MustCompile(`(?:name = |VALUES \()'([^']*)'`)
 
-// run runs one request and notes it.
+// execute runs one request at a server and records it.
 func (c *serverGroup) execute(s *server, q *fake.Query) {
 	key := ""
 	if m := statementKey.FindStringSubmatch(q.SQL); m != nil {
@@ -199,7 +200,7 @@
 	c.mu.Unlock()
 }
 
-// setState tells whether the state is another one than before.
+// setState sets the state of a server on the endpoint list, and reports whether it has changed.
 func (c *serverGroup) setState(s *server, state string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testcluster/statestore.go
+++ b/internal/testcluster/statestore.go
@@ -11,17 +11,17 @@
 	"marblespan/internal/fake"
 )
 
-// Copies says what gateways hold for each other. They keep the sessions of bookings and of the class mine.
+// StateStore says how the gateways keep replicated state. They keep the sessions of bookings and of the class mine.
 type StateStore struct {
 	Voters, Shards         int
 	Heartbeat, RepairAfter time.Duration
 	InMemory               bool // no disks
-	FastMarks              bool // answers do not wait for their promise
-	NoSessionMarks         bool // nobody uses them
-	RaftNodes              int  // how many gateways hold replicas, the first ones; 0: all
+	FastMarks              bool // answers do not wait until their session position is stored
+	NoSessionMarks         bool // no class uses session marks
+	RaftNodes              int  // how many gateways have replicas, the first ones; 0: all
 }
 
-// DefaultCopies are sizes that suit a few gateways and a short run.
+// DefaultStateStore are sizes that suit a few gateways and a short run.
 func DefaultStateStore() *StateStore {
 	return &StateStore{Voters: 3, Shards: 4, Heartbeat: 100 * time.Millisecond, RepairAfter: 3 * time.Second}
 }
@@ -54,7 +54,7 @@
 	return b.String()
 }
 
-// StoreFile is the file that a gateway's replicas are in.
+// StoreFile is the path of the file with a gateway's Raft replicas.
 func (n *Node) StoreFile() string { return n.dir + "/data/copies.db" }
 
 // StateStoreStatus is what a gateway answers about the state store ("state-store --json").
@@ -93,12 +93,12 @@
 	Lost    bool   `json:"lost"`
 }
 
-// On tells whether a gateway has a replica of a group.
+// HasReplicaOn reports whether a gateway has a replica of the group.
 func (g RaftGroup) HasReplicaOn(n *Node) bool {
 	return slices.ContainsFunc(g.Replicas, func(r RaftReplica) bool { return r.Gateway == n.Name() })
 }
 
-// Copies asks a gateway how copies stand.
+// StateStoreStatus queries a gateway for the status of its state store.
 func (n *Node) StateStoreStatus() (v StateStoreStatus, err error) {
 	out, err := exec.Command(n.cluster.Binary, "state-store", "--json", "--socket", n.Socket()).Output()
 	if err == nil {
@@ -107,7 +107,7 @@
 	return v, err
 }
 
-// Found makes a new store at a gateway; first says that there was none before.
+// Bootstrap makes a new state store at a gateway; first says that there was none before.
 func (n *Node) Bootstrap(first bool) error {
 	args := []string{"state-store", "bootstrap", "--socket", n.Socket()}
 	if first {
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// Gone says at a gateway that another one's disk will not come back.
+// RemoveStore declares, at this gateway, that another one's store will not come back.
 func (n *Node) RemoveStore(other *Node) error {
 	if out, err := exec.Command(n.cluster.Binary, "state-store", "remove-store", other.Name(), "--socket", n.Socket()).CombinedOutput(); err != nil {
 		return fmt.Errorf("%w: %s", err, out)
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// LeaderOf is the gateway that leads a group, by those that hold it; nil: none does now.
+// LeaderOf is the gateway that leads a Raft group; nil: none does now.
 func (f *Cluster) LeaderOf(group int) *Node {
 	for _, n := range f.Nodes {
 		v, err := n.StateStoreStatus()
@@ -143,8 +143,8 @@
 	return nil
 }
 
-// unwhole says what is not whole yet: every group must have all its copies on gateways that hold them, and a leader that all of
-// them agree on.
+// incompleteReason says why the state store is not complete, empty if it is: every group must have all its voters, and a
+// leader that all of them agree on.
 func (f *Cluster) incompleteReason() string {
 	views := map[string]StateStoreStatus{}
 	for _, n := range f.Nodes {
@@ -179,7 +179,7 @@
 	return ""
 }
 
-// mend restarts the gateways whose disks have failed, as an operator does once the disk is well again.
+// restartFailedStores restarts the gateways whose stores have failed, as an operator does once the disk is repaired.
 func (f *Cluster) restartFailedStores() error {
 	if f.Options.StateStore == nil {
 		return nil
@@ -199,7 +199,7 @@
 	return f.AwaitReady(settleTimeout)
 }
 
-// AwaitWhole waits until all copies are there.
+// AwaitComplete waits until every Raft group has all its replicas and a leader.
 func (f *Cluster) AwaitComplete(bound time.Duration) error {
 	for late := time.Now().Add(bound); ; time.Sleep(50 * time.Millisecond) {
 		wrong := f.incompleteReason()
@@ -207,15 +207,16 @@
 			return nil
 		}
 		if time.Now().After(late) {
-			return fmt.Errorf("not within %v: all copies are there; %s", bound, wrong)
+			return fmt.Errorf("the state store is not complete within %v: %s", bound, wrong)
 		}
 	}
 }
 
-// Reread reads every session whose booking was served once more, at gateways in turn: what was promised is there.
+// VerifySessions reads every session with a served booking once more, at the gateways in turn; the checkers then look for
+// lost ones.
 func (l *Load) VerifySessions() { l.VerifySomeSessions(1) }
 
-// RereadSome reads one of so many.
+// VerifySomeSessions does so for one session of so many.
 func (l *Load) VerifySomeSessions(of int) {
 	var keys []string
 	for _, e := range l.cluster.History.Events() {
--- a/internal/testcluster/statestore_test.go
+++ b/internal/testcluster/statestore_test.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// The hard cases of copied state with five processes under load, replicas that lag for as long as it lasts, and reads of every
-// session at any gateway. In the end all copies are there, and every session sees what it has booked.
-func TestCopies(t *testing.T) {
+// The hard cases of the state store with five processes under load, replicas that lag for as long as it lasts, and reads of every
+// session at any gateway. In the end the state store is complete, and every session sees what it has booked.
+func TestStateStore(t *testing.T) {
 	if raceEnabled {
 		t.Skip("what these processes do, the race detector does not see")
 	}
@@ -345,8 +345,8 @@
 	return nil
 }
 
-// ordeal starts a fleet with copies, has something done to it under load, and checks what happened once it has come to rest.
-// Meanwhile is a fault that lasts all along; empty: none does.
+// runScenario starts a cluster with a state store, runs a scenario under load, and checks the history once it has settled.
+// meanwhile is a fault that lasts all the time; empty: none.
 func runScenario(t *testing.T, name string, o Options, load LoadOptions, meanwhile string, do func(*Cluster) error) {
 	t.Helper()
 	var history bytes.Buffer
@@ -367,7 +367,7 @@
 		t.Error(err)
 	}
 	healed := time.Now()
-	if err := f.settles(load.classCount()); err != nil {
+	if err := f.Settle(load.classCount()); err != nil {
 		t.Error(err)
 	}
 	t.Logf("at rest %v after the fault", time.Since(healed))
@@ -384,14 +384,14 @@
 	keepArtifacts(t, name, f, history.Bytes())
 }
 
-// believes waits until some gateway has noticed something of its copies.
+// awaitStoreEvent waits until some gateway has reported an event of its state store.
 func awaitStoreEvent(f *Cluster, what string) error {
 	return f.History.Await("a gateway believes "+what, settleTimeout, func(all []Event) bool {
 		return slices.ContainsFunc(all, func(e Event) bool { return e.Kind == StateReported && e.What == "copies "+what })
 	})
 }
 
-// loseTwo has two of a shard's three disks be lost at once, of gateways that do not hold the ledger both.
+// loseTwoStores loses two of a shard's three stores at once, on gateways that do not both hold the ledger.
 func loseTwoStores(f *Cluster) error {
 	v, err := f.Nodes[0].StateStoreStatus()
 	if err != nil {
@@ -427,7 +427,7 @@
 	return nil // every shard shares two holders with the ledger
 }
 
-// kept keeps what a failed test has left.
+// keepArtifacts keeps the history and logs of a failed test.
 func keepArtifacts(t *testing.T, name string, f *Cluster, history []byte) {
 	if !t.Failed() {
 		return
@@ -455,7 +455,7 @@
 	return x
 }
 
-// during brings a fault about, waits for what must come of it, and puts it right.
+// withFault injects a fault, waits for its effect, and repairs it.
 func withFault(f *Cluster, line string, wait func() error) error {
 	undo, err := f.injectRecorded(mustFault(line))
 	if err != nil {
