--- a/internal/experiments/chaos/chaos.go
+++ b/internal/experiments/chaos/chaos.go
@@ -1,5 +1,6 @@
-// Package chaos runs a fleet of real gateways under load and faults, checks its history, and shrinks a run that fails to the
-// fewest faults that still fail.
+// Package chaos runs a test cluster of real gateways under load and faults, checks its history, and shrinks the faults of a failed run
+// to the fewest that still fail. marblespan-bench chaos calls Run and Write. Result.run makes one run, play its cluster; runs follow each
+// other on the caller's goroutine.
 package chaos
 
 import (
@@ -14,35 +15,35 @@
 	"marblespan/internal/testcluster"
 )
 
-// Options say what is run.
+// Options select what Run runs.
 type Options struct {
 	Cluster    testcluster.Options
 	Load       testcluster.LoadOptions
-	Script     string        // a file; empty: faults are drawn
-	Seed       uint64        // of what is drawn
-	Duration   time.Duration // length of what is drawn
-	Runs       int           // with seeds that follow each other; a script is run as often
-	OutputDir  string        // a folder for histories, scripts, logs and charts; empty: what fails is kept in a temporary one
-	ShrinkRuns int           // runs spent on shrinking one that fails
+	Script     string        // file of a fault script; empty: random faults
+	Seed       uint64        // of the random faults of the first run
+	Duration   time.Duration // length of a run with random faults
+	Runs       int           // number of runs, with consecutive seeds or the same script
+	OutputDir  string        // directory for histories, scripts, logs and charts; empty: only failed runs are kept, in a temporary one
+	ShrinkRuns int           // maximum of runs to shrink a failed one; 0: no shrinking
 	Progress   io.Writer
 }
 
-// Defaults is a minute with three gateways.
+// Defaults returns the options for one run of a minute with three gateways.
 func Defaults() Options {
 	o := Options{Cluster: testcluster.Defaults(), Load: testcluster.DefaultLoad(), Seed: 1, Duration: time.Minute, Runs: 1, ShrinkRuns: 20, Progress: io.Discard}
 	o.Cluster.Dir = ""
 	return o
 }
 
-// Result is one run.
+// Result is the outcome of one run.
 type Result struct {
 	Name string
 	testcluster.Outcome
-	MinimalFaults []testcluster.Fault // of a run that failed
-	Dir           string              // where it is kept
+	MinimalFaults []testcluster.Fault // the fewest that still fail; nil unless the run failed and was shrunk
+	Dir           string              // directory of the run's files; empty: not kept
 }
 
-// Run makes the runs, until quit is closed. It returns an error only if nothing could be run at all.
+// Run makes the runs, until quit is closed. A run that fails is a Result, not an error; with an error it returns the runs before it.
 func Run(options Options, quit <-chan struct{}) (results []Result, err error) {
 	var scripted []testcluster.Fault
 	if options.Script != "" {
@@ -75,7 +76,7 @@
 	return results, nil
 }
 
-// run makes one run, keeps it if it is asked for or has failed, and shrinks it then.
+// run makes one run, keeps its files if OutputDir is set or it failed, and shrinks its faults if it failed.
 func (r *Result) run(o Options, faults []testcluster.Fault, quit <-chan struct{}) (err error) {
 	dir := o.OutputDir
 	if dir == "" {
@@ -119,7 +120,7 @@
 	return r.chart()
 }
 
-// play makes one run whose script, history and logs are kept in a folder.
+// play makes one run and writes its script, history and logs into an emptied directory.
 func play(o Options, faults []testcluster.Fault, dir string, quit <-chan struct{}) (testcluster.Outcome, error) {
 	if err := os.RemoveAll(dir); err != nil {
 		return testcluster.Outcome{}, err
@@ -139,10 +140,10 @@
 	return testcluster.Run(o.Cluster, o.Load, faults, quit), nil
 }
 
-// step is the grain of the time line.
+// chartStep is the resolution of the chart's time axis.
 const chartStep = 250 * time.Millisecond
 
-// chart draws what clients were told over time, and the faults under it.
+// chart draws the responses that clients received over time, and how many faults were in force.
 func (r *Result) chart() error {
 	if len(r.Events) == 0 {
 		return nil
@@ -184,7 +185,7 @@
 	return chart.Write(filepath.Join(r.Dir, "timeline.svg"))
 }
 
-// Write prints a summary: a row a run, then what was broken and by which faults.
+// Write writes a table with a row for each run, then the violated rules and the fewest faults that violate them.
 func Write(w io.Writer, o Options, results []Result) error {
 	fmt.Fprintf(w, "%d gateways, %d replicas, loopback, real processes.\n\n", o.Cluster.Nodes, o.Cluster.Replicas)
 	var rows [][]string
--- a/internal/experiments/demo/demo.go
+++ b/internal/experiments/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo shows a newcomer a small fleet: stand-in servers, discovery and gateways with a floating address on loopback,
-// under a light load, and one fault if asked for.
+// Package demo shows a small test cluster to newcomers: fake servers and discovery, and real gateways with a floating address on loopback
+// under a light load, with one fault if requested. marblespan-bench demo calls Run.
 package demo
 
 import (
@@ -12,7 +12,7 @@
 	"marblespan/internal/testcluster"
 )
 
-// Faults are the faults that can be shown, by name, and what each is.
+// Faults maps the names of the faults that can be shown to their scripts and descriptions.
 var Faults = map[string]struct{ Script, What string }{
 	"kill":  {"at 4s kill 1 for 4s", "gateway 1 is killed, and started again after 4 s"},
 	"stop":  {"at 4s stop 1 for 4s", "gateway 1 stands still for 4 s"},
@@ -20,7 +20,7 @@
 	"split": {"at 4s split 1 | 2,3 for 4s", "gateway 1 and the others hear nothing of each other for 4 s"},
 }
 
-// Names lists the faults.
+// Names returns the names of the faults, sorted.
 func Names() (all []string) {
 	for name := range Faults {
 		all = append(all, name)
@@ -29,7 +29,7 @@
 	return all
 }
 
-// Run shows the fleet until quit is closed, or for a span if that is not 0.
+// Run shows the cluster until quit is closed, or for a duration if that is not 0.
 func Run(o testcluster.Options, fault string, duration time.Duration, w io.Writer, quit <-chan struct{}) error {
 	shown, known := Faults[fault]
 	if fault != "" && !known {
@@ -66,7 +66,7 @@
 	return printSeconds(cluster, duration, w, quit)
 }
 
-// watch prints a line a second.
+// printSeconds prints a line each second, until quit is closed or the duration has passed.
 func printSeconds(f *testcluster.Cluster, duration time.Duration, w io.Writer, quit <-chan struct{}) error {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
@@ -87,7 +87,7 @@
 	}
 }
 
-// line sums up a second.
+// summaryLine sums up a second: the responses by gateway, the requests by server, and the faults that began or ended.
 func summaryLine(f *testcluster.Cluster, second int, events []testcluster.Event, from int) string {
 	outcomesByGateway, runsByServer := map[int]map[string]int{}, map[string]int{}
 	var faultChanges []string
--- a/internal/experiments/failover/failover.go
+++ b/internal/experiments/failover/failover.go
@@ -1,5 +1,7 @@
-// Package failover measures take-overs of a floating address between real gateway processes, with stand-ins around them: how
-// long nobody holds it, how long two do, and what clients see of it, beside clients that a front spreads.
+// Package failover measures take-overs of a floating address between real gateway processes, with fakes around them: how long no gateway
+// holds the address, how long two do, and how long clients wait, beside clients whom a front spreads over the gateways.
+// marblespan-bench failover calls Run and Write. faultKinds lists the faults, Result.trial makes one take-over, and durationOf sums the
+// times from the gateways' logs. Each client has a goroutine, owned by bookingLoad and ended by its stop.
 package failover
 
 import (
@@ -18,22 +20,22 @@
 	"marblespan/internal/testcluster"
 )
 
-// Options say what is measured.
+// Options select what Run measures.
 type Options struct {
-	Binary              string // of the gateway
-	Trials              int    // of each kind
+	Binary              string // path of the gateway's program
+	Trials              int    // take-overs of each kind
 	Kinds               []string
 	Interval            time.Duration // between advertisements
-	Priorities          []int         // one gateway each; the first one is the highest and holds the address at rest
-	Clients             int           // of the floating address, and as many of the front
-	ThinkTime           time.Duration // between two bookings of a client
-	ServerWork          time.Duration // of a booking at its server
-	FrontDetectionDelay time.Duration // after which the front knows of a death
+	Priorities          []int         // one gateway each; the first has to be the highest: it holds the address without faults
+	Clients             int           // clients of the floating address, and as many of the front
+	ThinkTime           time.Duration // pause between two bookings of a client
+	ServerWork          time.Duration // time that a server works on a booking
+	FrontDetectionDelay time.Duration // time after which the front detects a dead gateway
 	Seed                uint64
 	Progress            io.Writer
 }
 
-// Defaults are sizes that suit one machine.
+// Defaults returns sizes that suit one machine.
 func Defaults() Options {
 	return Options{
 		Binary: "bin/marblespan", Trials: 20, Kinds: Kinds(), Interval: 100 * time.Millisecond,
@@ -42,21 +44,21 @@
 	}
 }
 
-// kind is one way to lose the holder, and to bring it back.
+// faultKind is one way to fail the gateway that holds the address, and to repair it.
 type faultKind struct {
 	name         string
 	description  string
 	inject       func(f *testcluster.Cluster, n *testcluster.Node) error
 	repair       func(f *testcluster.Cluster, n *testcluster.Node) error
-	endsProcess  bool // its process has no part in what comes
-	stopsService bool // it runs on after the fault, but not for clients
-	affectsFront bool // clients that a front spreads see it too
+	endsProcess  bool // the process ends at once
+	stopsService bool // the process stays, but clients cannot reach it
+	affectsFront bool // clients of the front are affected too
 }
 
 var faultKinds = []faultKind{
 	{name: "kill", description: "SIGKILL", endsProcess: true, affectsFront: true,
 		inject: func(f *testcluster.Cluster, n *testcluster.Node) error {
-			f.Switch.ResetFlows(n.Floating) // a dead machine's flows are reset
+			f.Switch.ResetFlows(n.Floating) // as the flows of a dead machine are
 			return n.Signal(syscall.SIGKILL)
 		},
 		repair: restart},
@@ -88,13 +90,13 @@
 		}},
 }
 
-// restart waits for the end of a process and starts it anew.
+// restart waits for the end of a process and starts it again.
 func restart(_ *testcluster.Cluster, n *testcluster.Node) error {
 	n.WaitForExit()
 	return n.Start()
 }
 
-// Kinds names all kinds.
+// Kinds returns the names of all kinds of fault.
 func Kinds() (all []string) {
 	for _, k := range faultKinds {
 		all = append(all, k.name)
@@ -102,24 +104,24 @@
 	return all
 }
 
-// Result is what one kind came to.
+// Result holds the measurements of one kind of fault.
 type Result struct {
 	Kind, Description string
 	Trials            int
-	Unheld            *report.Durations // nobody in reach held the address, after the fault
-	UnheldAtReturn    *report.Durations // the same, when the holder came back
-	HeldTwice         *report.Durations // two that ran held it
-	ClientWait        *report.Durations // the longest that a client of the floating address had to wait for a booking
-	FrontClientWait   *report.Durations // the same of a client of the front
+	Unheld            *report.Durations // no reachable gateway held the address, after the fault
+	UnheldAtReturn    *report.Durations // the same, after the repair
+	HeldTwice         *report.Durations // two running gateways held the address
+	ClientWait        *report.Durations // longest wait of a client of the floating address between two served bookings
+	FrontClientWait   *report.Durations // the same for clients of the front
 	Floating          fake.Totals
 	Front             fake.Totals
-	Lost              int      // taken by a gateway that was in reach, and never answered
-	LostRequests      []string // each of the lost
+	Lost              int      // requests accepted by a reachable gateway and never answered
+	LostRequests      []string // a description of each lost request
 	Violations        []string
 	Executions        int
 }
 
-// Run measures each kind in a fleet of its own.
+// Run measures each kind in a test cluster of its own. With an error it returns the kinds before it.
 func Run(o Options) ([]Result, error) {
 	var out []Result
 	for _, name := range o.Kinds {
@@ -141,7 +143,7 @@
 	return out, nil
 }
 
-// settleBy is how long a fleet may take to come to rest, and rest how long it stays there before the next fault.
+// convergenceTimeout bounds the time until a take-over or a return has completed; idleBeforeFault is the pause before the next fault.
 const (
 	convergenceTimeout = 20 * time.Second
 	idleBeforeFault    = 400 * time.Millisecond
@@ -156,7 +158,7 @@
 	clusterOptions.Binary, clusterOptions.Nodes, clusterOptions.Seed, clusterOptions.ServiceTime = options.Binary, len(options.Priorities), options.Seed, options.ServerWork
 	clusterOptions.AdvertisementInterval, clusterOptions.Priorities = options.Interval, options.Priorities
 	clusterOptions.MembershipInterval = 0
-	clusterOptions.ResetOnFailover = true // as where an address moves between machines: its new holder knows no old flow
+	clusterOptions.ResetOnFailover = true // as on separate machines: the new holder of the address does not know the old flows
 	cluster, err := testcluster.New(clusterOptions)
 	if err != nil {
 		return r, err
@@ -169,7 +171,7 @@
 	defer running.stop()
 	rng := rand.New(rand.NewPCG(options.Seed, uint64(len(kind.name))))
 	for i := range options.Trials {
-		time.Sleep(idleBeforeFault + time.Duration(rng.Int64N(int64(options.Interval)))) // at any moment of an interval
+		time.Sleep(idleBeforeFault + time.Duration(rng.Int64N(int64(options.Interval)))) // so that the fault falls on a random moment of an interval
 		if err := r.trial(options, kind, cluster, running); err != nil {
 			return r, fmt.Errorf("trial %d: %w", i+1, err)
 		}
@@ -184,10 +186,10 @@
 	return r, nil
 }
 
-// trial brings one fault about, waits for a successor, heals it and waits for the old holder to have the address again.
+// trial injects one fault, waits for a successor, repairs the fault and waits until the first gateway holds the address again.
 func (r *Result) trial(options Options, kind faultKind, cluster *testcluster.Cluster, running *bookingLoad) error {
 	holder := cluster.Nodes[0]
-	down := 4 * options.Interval // over the longest down interval
+	down := 4 * options.Interval // longer than any Active_Down_Interval
 	start := time.Now()
 	running.spreader.fault(holder.Number, start, kind)
 	if err := kind.inject(cluster, holder); err != nil {
@@ -197,7 +199,7 @@
 		return err
 	}
 	time.Sleep(down + 5*options.Interval - min(time.Since(start), down))
-	if kind.affectsFront { // the front's clients see all of it, too
+	if kind.affectsFront { // leave the front time to detect the fault
 		time.Sleep(max(0, options.FrontDetectionDelay+idleBeforeFault-time.Since(start)))
 	}
 	healed := time.Now()
@@ -209,9 +211,9 @@
 	}
 	running.spreader.repaired(holder.Number)
 	end := time.Now()
-	time.Sleep(50 * time.Millisecond) // the log's last lines
+	time.Sleep(50 * time.Millisecond) // until the last log lines have been read
 	changes := changesSince(cluster.History, start.Add(-time.Millisecond))
-	unreachable := func(node int, at time.Time) bool { // it runs for nobody
+	unreachable := func(node int, at time.Time) bool { // clients cannot reach it
 		return (kind.endsProcess || kind.stopsService) && node == holder.Number && !at.Before(start) && at.Before(healed)
 	}
 	runs := func(node int, at time.Time) bool { return kind.name == "cut" || !unreachable(node, at) }
@@ -231,14 +233,14 @@
 	return nil
 }
 
-// change is one change of who believes to hold the address.
+// holderChange is one change of a gateway's belief that it holds the address.
 type holderChange struct {
 	node   int
 	at     time.Time
 	active bool
 }
 
-// changesSince lists the changes after a time. A process that has ended believes nothing.
+// changesSince lists the changes after a time. The end of a process ends its belief.
 func changesSince(h *testcluster.History, from time.Time) (out []holderChange) {
 	for _, e := range h.Events() {
 		if e.At >= h.Timestamp(from) && (e.Kind == testcluster.StateReported || e.Kind == testcluster.ProcessChanged && e.What == "ended") {
@@ -248,7 +250,7 @@
 	return out
 }
 
-// spans sums how long something held between two times, in microseconds. Gateway 1 is active at the start of a trial.
+// durationOf sums how long a condition held between two times, in microseconds. Gateway 1 is active at the start of a trial.
 func durationOf(changes []holderChange, from, to time.Time, holds func(active, running int) bool, unreachable, runs func(int, time.Time) bool) int64 {
 	sort.SliceStable(changes, func(i, j int) bool { return changes[i].at.Before(changes[j].at) })
 	// The moments at which anything may change; a reachable gateway may change at the ends of the fault too.
@@ -287,7 +289,7 @@
 	return active
 }
 
-// gap is the longest that any client went without a booking served, around a fault, in microseconds.
+// longestWait is the longest time that any client went without a served booking around a fault, in microseconds.
 func longestWait(served []fake.ClientEvent, from, to time.Time) int64 {
 	last := map[string]time.Time{}
 	longest := time.Duration(0)
@@ -306,7 +308,7 @@
 	return longest.Microseconds()
 }
 
-// succeeded waits until another gateway holds the address and the switch leads there.
+// awaitSuccessor waits until the switch leads to another gateway than the old holder.
 func awaitSuccessor(f *testcluster.Cluster, old *testcluster.Node, by time.Duration) error {
 	for end := time.Now().Add(by); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		if at, _ := f.Switch.ActiveGateway(); at != old.Floating {
@@ -316,15 +318,15 @@
 	return errors.New("nobody took over")
 }
 
-// front spreads clients over the gateways' own listeners. Each keeps to its gateway until the front knows that it is away.
+// front spreads clients over the gateways' own listeners. A client keeps its gateway until the front detects that it is unavailable.
 type front struct {
 	mu              sync.Mutex
 	nodes           []*testcluster.Node
-	unavailableFrom map[int]time.Time // from when on the front knows it
+	unavailableFrom map[int]time.Time // by gateway: when the front detects it
 	detectionDelay  time.Duration
 }
 
-// announcedAfter is how soon a front knows of a restart that was planned.
+// plannedRestartNotice is how soon the front knows of a planned restart.
 const plannedRestartNotice = 300 * time.Millisecond
 
 func (f *front) fault(i int, at time.Time, k faultKind) {
@@ -356,7 +358,7 @@
 	return here[client%len(here)]
 }
 
-// load is the clients of an experiment.
+// bookingLoad is the clients of an experiment, each on a goroutine that stop ends and waits for.
 type bookingLoad struct {
 	floatingLedger, frontLedger fake.Ledger
 	spreader                    *front
--- a/internal/experiments/failover/report.go
+++ b/internal/experiments/failover/report.go
@@ -11,12 +11,12 @@
 	"marblespan/internal/fake"
 )
 
-// DownInterval is how long the first backup waits, as RFC 9568 computes it.
+// DownInterval is the Active_Down_Interval of the first backup (RFC 9568).
 func (o Options) DownInterval() time.Duration {
 	return 3*o.Interval + o.Interval*time.Duration(256-o.Priorities[1])/256
 }
 
-// Write writes a table to w and, if dir is not empty, the table and a chart into files there.
+// Write writes the tables to w. If dir is not empty, it also writes failover.md and the chart failover.svg there.
 func Write(w io.Writer, dir string, o Options, results []Result) error {
 	if dir == "" {
 		return table(w, o, results)
--- a/internal/experiments/indoubt/indoubt.go
+++ b/internal/experiments/indoubt/indoubt.go
@@ -1,5 +1,7 @@
-// Package indoubt measures bookings that are claimed before they are sent, with real gateway processes: what a claim adds to a
-// booking, how many one gateway books, and how bookings end whose gateway is lost, beside gateways that claim nothing.
+// Package indoubt measures, with real gateway processes, bookings whose intents are recorded before they are sent: the latency that the
+// intent adds, the throughput of one gateway, and how bookings end when their gateway fails, beside gateways without intents.
+// marblespan-bench in-doubt calls Run and Write. policies lists what is compared; measureLoad and measureTakeOvers are the two parts,
+// each with a test cluster of its own, all on the caller's goroutine.
 package indoubt
 
 import (
@@ -15,22 +17,22 @@
 	"marblespan/internal/testcluster"
 )
 
-// Options say what is measured.
+// Options select what Run measures.
 type Options struct {
 	Binary       string
 	LoadDuration time.Duration // of each load
-	Clients      int           // that book at the same time at one gateway
-	TakeOvers    int           // take-overs of each kind
+	Clients      int           // concurrent clients of one gateway
+	TakeOvers    int           // measured for each kind and policy
 	Seed         uint64
 	Progress     io.Writer
 }
 
-// Defaults are sizes that suit one machine.
+// Defaults returns sizes that suit one machine.
 func Defaults() Options {
 	return Options{Binary: "bin/marblespan", LoadDuration: 5 * time.Second, Clients: 32, TakeOvers: 20, Seed: 1, Progress: io.Discard}
 }
 
-// way is how bookings are promised.
+// policy is a way to record bookings: the state store and the in-doubt settings of the gateways; nil without.
 type policy struct {
 	name       string
 	stateStore *testcluster.StateStore
@@ -52,33 +54,33 @@
 	}
 }
 
-// Load is what one load came to.
+// Load holds the measurements of one load.
 type Load struct {
 	Policy    string
 	Clients   int
-	PerSecond float64 // bookings a second
+	PerSecond float64 // bookings served
 	Durations *report.Durations
 }
 
-// TakeOver is how bookings of one kind of take-over ended.
+// TakeOver counts how the bookings under one kind of take-over ended.
 type TakeOver struct {
 	Kind, Policy    string
 	Trials          int
-	Bookings        int               // bookings in all
-	Unacknowledged  int               // whose first answer was lost, or was that it may have run
-	Resolved        int               // of those, that ended with the booking's answer
-	InDoubt         int               // of those, that are in doubt for good
-	ResolutionTimes *report.Durations // from the first answer's loss to the known one
+	Bookings        int               // all bookings sent
+	Unacknowledged  int               // bookings whose first answer was lost, or said that the booking may have run
+	Resolved        int               // unacknowledged bookings that were answered in the end
+	InDoubt         int               // unacknowledged bookings that were never answered
+	ResolutionTimes *report.Durations // from the loss of the first answer to the final one
 	Violations      []testcluster.Violation
 }
 
-// Result is all of it.
+// Result holds all measurements.
 type Result struct {
 	Loads     []Load
 	TakeOvers []TakeOver
 }
 
-// Run measures everything.
+// Run measures the loads, then the take-overs. With an error it returns what it has measured so far.
 func Run(o Options) (r Result, err error) {
 	for _, w := range policies() {
 		for _, clients := range []int{1, o.Clients} {
@@ -111,7 +113,7 @@
 	return testcluster.New(clusterOptions)
 }
 
-// load has clients book at the gateway that holds the floating address, and takes the times of what they are served.
+// measureLoad has clients book at the gateway that holds the floating address, and measures the latency of the served bookings.
 func measureLoad(o Options, w policy, clients int) (Load, error) {
 	out := Load{Policy: w.name, Clients: clients, Durations: report.NewDurations()}
 	cluster, err := newCluster(o, w)
@@ -123,7 +125,7 @@
 		return out, err
 	}
 	running := cluster.Load(testcluster.LoadOptions{FloatingBookers: clients, ThinkTime: time.Microsecond})
-	time.Sleep(o.LoadDuration / 5) // until connections stand and leaders are known
+	time.Sleep(o.LoadDuration / 5) // until connections are open and leaders are elected
 	from := cluster.History.Now()
 	time.Sleep(o.LoadDuration)
 	to := cluster.History.Now()
@@ -143,11 +145,11 @@
 	return out, nil
 }
 
-// settleBy is how long a fleet may take to come to rest.
+// convergenceTimeout bounds the time until a test cluster is ready after a start or a fault.
 const convergenceTimeout = 30 * time.Second
 
-// takeOver has the gateway that holds the floating address lost, again and again, under clients that ask again at whichever holds
-// it then. Clients of gateways that claim nothing do not ask again: they must not.
+// measureTakeOvers fails the gateway that holds the floating address, again and again, while clients book and retry at its successor.
+// Clients of gateways without intents do not retry, as their bookings are not idempotent.
 func measureTakeOvers(o Options, w policy, kind string) (TakeOver, error) {
 	out := TakeOver{Kind: kind, Policy: w.name, Trials: o.TakeOvers, ResolutionTimes: report.NewDurations()}
 	cluster, err := newCluster(o, w)
@@ -175,7 +177,7 @@
 		case "term":
 			cluster.Nodes[0].WaitForExit()
 		case "stop":
-			time.Sleep(700 * time.Millisecond) // longer than another one takes to take over
+			time.Sleep(700 * time.Millisecond) // longer than a take-over lasts
 		default:
 			if err := cluster.AwaitActiveRouter(2, convergenceTimeout); err != nil {
 				return out, err
@@ -209,7 +211,7 @@
 	return out, nil
 }
 
-// count reads how bookings ended.
+// countOutcomes counts from the history how the bookings ended.
 func (t *TakeOver) countOutcomes(events []testcluster.Event) {
 	unacknowledgedAt := map[string]int64{}
 	booked, resolved := map[string]bool{}, map[string]bool{}
@@ -234,7 +236,7 @@
 	t.InDoubt = t.Unacknowledged - t.Resolved
 }
 
-// Write writes the tables to w and, if dir is not empty, tables and a chart into files there.
+// Write writes the tables to w. If dir is not empty, it also writes in-doubt.md and a chart there.
 func Write(w io.Writer, dir string, o Options, r Result) error {
 	if dir == "" {
 		return r.tables(w, o)
--- a/internal/experiments/maintenance/maintenance.go
+++ b/internal/experiments/maintenance/maintenance.go
@@ -1,5 +1,6 @@
-// Package maintenance measures a night's work with real gateway processes: every machine is taken out and comes back, in the order that
-// the gateways settle, beside restarts without one.
+// Package maintenance measures maintenance runs with real gateway processes: every machine is taken out of service and returned in the
+// order that the gateways agree on, beside restarts without coordination. marblespan-bench maintenance calls Run and Write. Each trial
+// (Trial.run) has a test cluster of its own and runs on the caller's goroutine; trials with a fault play it on a second one.
 package maintenance
 
 import (
@@ -17,42 +18,43 @@
 	"marblespan/internal/testcluster"
 )
 
-// Options say what is measured.
+// Options select what Run measures.
 type Options struct {
 	Binary      string
 	Gateways    int
-	MaxDuration time.Duration // of one night
-	FaultTrials int           // nights with a fault at a random moment
+	MaxDuration time.Duration // of the maintenance in one trial
+	FaultTrials int           // additional trials with a random fault at a random moment
 	Seed        uint64
 	Progress    io.Writer
 }
 
-// Defaults are sizes that suit one machine.
+// Defaults returns sizes that suit one machine.
 func Defaults() Options {
 	return Options{Binary: "bin/marblespan", Gateways: 9, MaxDuration: 5 * time.Minute, FaultTrials: 5, Seed: 1, Progress: io.Discard}
 }
 
-// Night is what one night came to.
+// Trial holds the measurements of one maintenance run.
 type Trial struct {
 	Name          string
-	Fault         string // empty: none
+	Fault         string // script line of the fault; empty: none
 	Duration      time.Duration
-	ServedByClass map[string]int // by class
-	Requests      int            // requests
+	ServedByClass map[string]int // requests served, by class
+	Requests      int            // requests sent
 	Outcomes      map[string]int
-	InDoubt       int // bookings whose end their clients do not know
+	InDoubt       int // bookings whose outcome their clients do not know
 	Violations    []testcluster.Violation
 
 	begin, end int64
 	events     []testcluster.Event
 }
 
-// Share is the share of the requests that were served.
+// ServedShare is the fraction of the requests that were served.
 func (n Trial) ServedShare() float64 {
 	return float64(n.Outcomes[testcluster.EndServed]) / float64(max(n.Requests, 1))
 }
 
-// Run measures the nights: all machines and the gateways alone in the order, the gateways without one, and, with faults, all machines again.
+// Run makes the trials: all machines in order, the gateways alone in order, the gateways without coordination, and all machines again
+// with random faults. With an error it returns the trials before it.
 func Run(options Options) (trials []Trial, err error) {
 	servers := []string{"p", "r1", "r2", "q", "s1", "s2"}
 	var gateways []string
@@ -103,7 +105,7 @@
 	return trials, nil
 }
 
-// drawn is a fault for a night.
+// randomFault draws a fault that begins at 0 s, in the form of the test cluster's scripts.
 func randomFault(rng *rand.Rand, nodes int) string {
 	n := 1 + rng.IntN(nodes)
 	return [...]string{
@@ -113,7 +115,7 @@
 	}[rng.IntN(8)]
 }
 
-// restart is the work at a gateway: it is told to end, and started again.
+// restart returns the maintenance of a gateway: it is ended by SIGTERM, and started again.
 func restart(cluster *testcluster.Cluster) func(n *testcluster.Node) error {
 	return func(n *testcluster.Node) error {
 		undo, err := cluster.InjectLine(fmt.Sprintf("at 0s term %d", n.Number))
@@ -125,7 +127,7 @@
 	}
 }
 
-// tenths restarts gateways by SIGTERM, a tenth of them at a time, the next ones as soon as those before serve again.
+// restartTenths restarts gateways by SIGTERM, a tenth of them at a time, each tenth when all gateways are ready again.
 func restartTenths(cluster *testcluster.Cluster) error {
 	size := max(len(cluster.Nodes)/10, 1)
 	for some := range slices.Chunk(cluster.Nodes, size) {
@@ -150,7 +152,7 @@
 	return nil
 }
 
-// run makes one night.
+// run makes one trial in a test cluster of its own.
 func (n *Trial) run(o Options, seed uint64, do func(*testcluster.Cluster) error) error {
 	clusterOptions := testcluster.Defaults()
 	clusterOptions.Binary, clusterOptions.Nodes, clusterOptions.Groups, clusterOptions.SlowStart, clusterOptions.Seed = o.Binary, o.Gateways, 2, 2*time.Second, o.Seed+seed
@@ -174,7 +176,7 @@
 		return err
 	}
 	running.Stop()
-	running.VerifySomeSessions(10) // so many are booked that all would take longer than the night
+	running.VerifySomeSessions(10) // verifying all of them would take longer than the trial
 	cluster.History.Add(testcluster.Event{Kind: testcluster.PhaseReached, What: "done"})
 	cluster.History.End()
 	n.events = cluster.History.Events()
@@ -183,7 +185,7 @@
 	return nil
 }
 
-// count reads how the night's requests ended.
+// count counts from the history how the requests during the maintenance ended.
 func (n *Trial) count(l *testcluster.Load) {
 	n.ServedByClass, n.Outcomes = map[string]int{}, map[string]int{}
 	for _, e := range n.events {
@@ -203,7 +205,7 @@
 	n.InDoubt = l.InDoubtBookings()
 }
 
-// Write writes the table to w and, if dir is not empty, table and charts into files there.
+// Write writes the table to w. If dir is not empty, it also writes the table and the first trial's chart into files there.
 func Write(w io.Writer, dir string, o Options, trials []Trial) error {
 	if dir == "" {
 		return table(w, o, trials)
@@ -237,7 +239,7 @@
 	return report.Table(w, []string{"night", "fault", "took", "requests", "share served", "refused", "failed", "no answer", "bookings in doubt", "rules broken"}, rows)
 }
 
-// line is who is away over what is served, second by second.
+// timeline charts, for each second, the machines out of service and the requests served.
 func (n Trial) timeline() report.Lines {
 	const step = 1_000_000
 	steps := int((n.end-n.begin)/step) + 1
@@ -276,7 +278,7 @@
 	return chart
 }
 
-// kindOf is a machine's line: servers are told with their group.
+// seriesOf returns the index of a machine's series in the chart: the names of servers contain their group.
 func seriesOf(machine string) int {
 	if strings.Contains(machine, " of group ") {
 		return 1
--- a/internal/experiments/members/measure.go
+++ b/internal/experiments/members/measure.go
@@ -11,21 +11,21 @@
 	"marblespan/internal/experiments/report"
 )
 
-// Options say what is measured.
+// Options select what Run measures.
 type Options struct {
 	Members               int          // gateways of a world
-	Interval              clock.Micros // of a probe, and between heartbeats
-	HeartbeatTimeout      clock.Micros // of the heartbeats' baseline
-	Kills                 int          // of one gateway, in each kind of world
-	MassFailures          int          // worlds in which 46 % are killed
-	FaultDuration         clock.Micros // of each trouble in which nobody may die
-	BaselineFaultDuration clock.Micros // the same for the baselines, in which many do soon
-	IdleMembers           []int        // numbers of members whose traffic at rest is measured
+	Interval              clock.Micros // between two probes, and between two heartbeats
+	HeartbeatTimeout      clock.Micros // after which the heartbeat baseline declares a member dead
+	Kills                 int          // single kills measured for each detector
+	MassFailures          int          // worlds in which 46 % of the members are killed at once
+	FaultDuration         clock.Micros // simulated time of each fault for our detector; no false death is expected
+	BaselineFaultDuration clock.Micros // the same for the baselines: shorter, as false deaths come soon
+	IdleMembers           []int        // sizes of the worlds whose idle traffic is measured
 	Seed                  uint64
 	Progress              io.Writer
 }
 
-// Defaults are the sizes of the operators' question.
+// Defaults returns the sizes for which the operators asked.
 func Defaults() Options {
 	return Options{
 		Members: 300, Interval: Second / 5, HeartbeatTimeout: 6 * Second / 5, Kills: 100, MassFailures: 5, FaultDuration: 3600 * Second,
@@ -33,13 +33,13 @@
 	}
 }
 
-// gatherBy is how long a world may take until everybody knows everybody, and knownBy how long a kill may take to be known.
+// convergenceTimeout bounds the time until all members know each other; detectionTimeout that until all members know of a kill.
 const (
 	convergenceTimeout = 15 * Second
 	detectionTimeout   = 30 * Second
 )
 
-// trouble is a state of the network or of gateways in which nobody may be held dead.
+// fault is a disturbance of the network or of gateways during which no running member should be declared dead.
 type fault struct {
 	name  string
 	begin func(w *World)
@@ -79,18 +79,19 @@
 	}},
 }
 
-// Result is what one kind of world came to.
+// Result holds the measurements of one detector.
 type Result struct {
 	Detector                                  string
-	FaultDuration                             clock.Micros      // of each trouble
-	FirstDetection, CompleteDetection         *report.Durations // from one kill to the first that knows, and to all
-	MassFirstDetection, MassCompleteDetection *report.Durations // the same of 46 % at once, to the first and to all that live
-	IdleBytesPerSecond                        []int64           // a second and member at rest, by Options.Sizes
-	FalseDeaths                               []int             // false deaths, by trouble: pairs of who holds whom dead that runs
-	UndetectedKills                           int               // kills that were not known to all in time
+	FaultDuration                             clock.Micros      // simulated time of each fault
+	FirstDetection, CompleteDetection         *report.Durations // from one kill to the first member that knows, and to the last
+	MassFirstDetection, MassCompleteDetection *report.Durations // the same for 46 % killed at once, counting the members that still run
+	IdleBytesPerSecond                        []int64           // sent by each idle member, by the index of Options.IdleMembers
+	FalseDeaths                               []int             // by fault: how often a member declared a running member dead
+	UndetectedKills                           int               // kills that not all members knew within detectionTimeout
 }
 
-// Gather makes a world in which all gateways have started within a second and know each other.
+// NewConvergedWorld makes a world of n gateways that start within a second, and runs it for convergenceTimeout. It returns an error if
+// a member has a wrong belief then.
 func NewConvergedWorld(n int, seed uint64, kind Detector) (*World, error) {
 	w := NewWorld(n, seed, kind)
 	for i := range n {
@@ -103,7 +104,7 @@
 	return w, nil
 }
 
-// Wrong counts the beliefs of those who run that are not so.
+// WrongBeliefs counts the pairs in which a running gateway is wrong about whether another one runs.
 func (w *World) WrongBeliefs() (n int) {
 	for i := range w.nodes {
 		for j := range w.nodes {
@@ -115,7 +116,8 @@
 	return n
 }
 
-// Run measures each kind.
+// Run measures each detector. Each measurement has a world and a goroutine of its own; Run waits for all of them and returns the first
+// error.
 func Run(options Options) ([]Result, error) {
 	kinds := []Detector{SWIM(options.Interval, false), SWIM(options.Interval, true), Heartbeats(options.Interval, options.HeartbeatTimeout)}
 	results := make([]Result, len(kinds))
@@ -163,7 +165,8 @@
 	return results, failed
 }
 
-// kill kills gateways and waits until all that run know of all of them.
+// killAndAwait kills gateways and runs the world until all running members know of all kills, or for detectionTimeout. It returns the
+// times from the kill to the first and the last detection.
 func killAndAwait(w *World, victims []int) (first, all clock.Micros, known bool) {
 	killed := w.Now
 	dead := map[int]bool{}
@@ -231,7 +234,7 @@
 	return nil
 }
 
-// rest measures what a member sends at rest, in bytes a second.
+// measureIdleTraffic returns how many bytes a member sends in a second without faults.
 func measureIdleTraffic(n int, seed uint64, kind Detector) (int64, error) {
 	w, err := NewConvergedWorld(n, seed, kind)
 	if err != nil {
@@ -251,7 +254,7 @@
 	return (after - before) / seconds / int64(n), nil
 }
 
-// falsely counts who is held dead by whom although it runs.
+// countFalseDeaths counts how often a member declares another one dead during a fault in which all of them run.
 func countFalseDeaths(o Options, duration clock.Micros, kind Detector, injected fault) (int, error) {
 	w, err := NewConvergedWorld(o.Members, o.Seed, kind)
 	if err != nil {
@@ -268,7 +271,8 @@
 	return count, nil
 }
 
-// Write writes the tables, those of real processes among them if there are any, to w and, if dir is not empty, tables and a chart into files there.
+// Write writes the tables to w, with those of real processes if real is not nil. If dir is not empty, it also writes members.md and the
+// chart members.svg there.
 func Write(w io.Writer, dir string, o Options, results []Result, real *Processes) error {
 	if dir == "" {
 		return tables(w, o, results, real)
--- a/internal/experiments/members/members_test.go
+++ b/internal/experiments/members/members_test.go
@@ -9,7 +9,7 @@
 	"marblespan/internal/clock"
 )
 
-// gather starts gateways within a second and waits until everybody knows everybody.
+// gather starts gateways within a second and waits until all members know each other.
 func gather(t *testing.T, n int, seed uint64) *World {
 	t.Helper()
 	w := NewWorld(n, seed, SWIM(Second/5, false))
@@ -26,15 +26,15 @@
 	w.IsCut = func(a, b int) bool { return parts(a)&parts(b) == 0 }
 }
 
-// The hard cases among many: false deaths, how soon all is known, and that in the end everybody knows everybody.
+// TestHardCases checks in each fault that no member is falsely declared dead and that all beliefs are right in time after it.
 func TestHardCases(t *testing.T) {
 	const n = 60
 	for _, c := range []struct {
 		name  string
 		do    func(w *World)
-		for_  clock.Micros // how long the trouble lasts
-		after clock.Micros // how long until all is known; it is looked at then
-		dies  bool         // lives are ended that were not, for good reason
+		for_  clock.Micros // how long the fault lasts
+		after clock.Micros // after the fault: when all beliefs have to be right
+		dies  bool         // false deaths are expected
 	}{
 		{"nothing", func(w *World) {}, 0, 0, false},
 		{"one killed", func(w *World) { w.Kill(7) }, 0, 2 * Second, false},
@@ -102,7 +102,7 @@
 	}
 }
 
-// All three kinds are measured, and written as tables and a chart.
+// TestMeasure checks that all three detectors are measured, and written as tables and a chart.
 func TestMeasure(t *testing.T) {
 	o := Defaults()
 	o.Members, o.Kills, o.MassFailures, o.FaultDuration, o.BaselineFaultDuration, o.IdleMembers = 12, 2, 1, 5*Second, 2*Second, []int{3, 12}
--- a/internal/experiments/members/processes.go
+++ b/internal/experiments/members/processes.go
@@ -10,14 +10,15 @@
 	"marblespan/internal/testcluster"
 )
 
-// Processes are the same times with real processes on loopback, under a light load.
+// Processes holds the detection times of real gateway processes on loopback under a light load.
 type Processes struct {
 	Nodes, Trials int
 	One, Mass     struct{ First, All *report.Durations }
 	Violations    []testcluster.Violation
 }
 
-// RunProcesses kills gateways of a fleet, one at a time and then 46 % at once, and measures from the history who knows when.
+// RunProcesses kills gateways of a test cluster, in each trial one and then 46 % at once, and takes the detection times from the
+// cluster's history.
 func RunProcesses(binary string, nodes, trials int, seed uint64) (*Processes, error) {
 	measured := &Processes{Nodes: nodes, Trials: trials}
 	measured.One.First, measured.One.All, measured.Mass.First, measured.Mass.All = report.NewDurations(), report.NewDurations(), report.NewDurations(), report.NewDurations()
@@ -36,7 +37,7 @@
 	rng := rand.New(rand.NewPCG(seed, 3))
 	for range trials {
 		for _, mass := range []bool{false, true} {
-			time.Sleep(time.Duration(rng.Int64N(int64(clusterOptions.MembershipInterval)))) // at any moment of an interval
+			time.Sleep(time.Duration(rng.Int64N(int64(clusterOptions.MembershipInterval)))) // so that the kill falls on a random moment of an interval
 			victims, times := []int{1 + rng.IntN(nodes)}, &measured.One
 			if mass {
 				victims, times = nil, &measured.Mass
@@ -56,7 +57,8 @@
 	return measured, nil
 }
 
-// killProcesses makes one trial, and waits until the fleet is whole again.
+// killProcesses kills the victims, records when the first and the last survivor know of them, restarts them and waits until all
+// gateways are ready and know each other.
 func killProcesses(cluster *testcluster.Cluster, victims []int, first, all *report.Durations) error {
 	slices.Sort(victims)
 	fault := testcluster.Fault{Verb: "kill", From: victims}
@@ -98,7 +100,7 @@
 	return cluster.AwaitMembers(time.Minute)
 }
 
-// rows are the times, a row for each kind of kill.
+// rows returns a table row for single kills and one for mass kills.
 func (p *Processes) rows() [][]string {
 	row := func(what string, first, all *report.Durations) []string {
 		return []string{what, fmt.Sprint(p.Trials), first.Cell(50), first.Cell(100), all.Cell(50), all.Cell(99), all.Cell(100)}
--- a/internal/experiments/members/world.go
+++ b/internal/experiments/members/world.go
@@ -1,5 +1,10 @@
-// Package members measures failure detection among hundreds of gateways on a made-up clock and network: internal/membership,
-// the same machine without its extensions for slow members, and heartbeats to everybody with a fixed time-out.
+// Package members compares failure detectors among hundreds of gateways in a simulation: internal/membership (SWIM with Lifeguard), the
+// same state machine without Lifeguard, and all-to-all heartbeats with a fixed timeout. marblespan-bench members calls Run, RunProcesses
+// and Write.
+//
+// A World simulates clock, network and gateways as a queue of events; it belongs to the goroutine that runs it, and has no locks.
+// RunUntil is the event loop, deliver hands an event to a gateway, and nextRunTime decides whether the gateway is paused or starved.
+// RunProcesses makes the same measurement with real processes.
 package members
 
 import (
@@ -14,75 +19,76 @@
 	"marblespan/internal/protocol/sealed"
 )
 
-// Second is one second.
+// Second is one second of simulated time.
 const Second clock.Micros = 1_000_000
 
-// peer is one gateway of a world, whatever it runs.
+// peer is the failure detector of one gateway.
 type peer interface {
-	// handle starts it (nil), or hands it a message or the passing of time. It returns what it sends.
+	// handle takes an input: nil starts the peer, timerExpired says that time has passed, all else is a message of the gateway from. It
+	// returns the datagrams to send.
 	handle(now clock.Micros, in any, from int) []datagram
-	// next is when it wants to look at the time.
+	// nextTimer returns when the peer has to handle timerExpired next, if ever.
 	nextTimer() (clock.Micros, bool)
-	// alive tells whether it believes that another one lives; itself it always believes alive.
+	// alive tells whether the peer believes that another one is alive; it always believes so of itself.
 	alive(other int) bool
 }
 
-// packet is one datagram on its way.
+// datagram is one datagram in flight.
 type datagram struct {
 	to   int
 	body any
-	size int // in bytes, with the signed trailer
+	size int // in bytes, with the signed trailer; measured only if World.measuresSizes is set, for SWIM
 }
 
-// Network is what becomes of datagrams.
+// Network holds the loss and the delay of datagrams.
 type Network struct {
-	LossRate float64      // the share that is lost
-	MinDelay clock.Micros // at the least
-	Jitter   clock.Micros // up to so much more, at random
+	LossRate float64      // fraction of datagrams lost, 0 to 1
+	MinDelay clock.Micros // of each datagram
+	Jitter   clock.Micros // additional delay, random from 0 to this
 }
 
-// node is a peer and its machine.
+// node is one gateway: its peer and the process and socket around it.
 type node struct {
 	peer
 	up              bool
 	incarnation     uint64
-	pausedUntil     clock.Micros // it stands still until then
-	stoppedPerSlice clock.Micros // of each slice it does not run for so long
-	sliceOffset     clock.Micros // where its slices begin
-	receiveQueue    []datagram   // what came while it stood still
+	pausedUntil     clock.Micros // the process is stopped until then
+	stoppedPerSlice clock.Micros // how long of each starvationSlice the process is stopped
+	sliceOffset     clock.Micros // offset of its slices, so that nodes are not stopped together
+	receiveQueue    []datagram   // datagrams that arrived while the process was stopped
 	senders         []int
-	nextWakeUp      clock.Micros // the earliest wake-up under way
-	sentBytes       int64        // bytes
+	nextWakeUp      clock.Micros // time of the earliest wake-up in the event queue
+	sentBytes       int64        // total
 }
 
-// socketRoom is how many datagrams wait for a node that stands still; a kernel drops what comes beyond.
+// receiveQueueCapacity is how many datagrams wait for a stopped node; the rest is dropped, as by a kernel.
 const receiveQueueCapacity = 256
 
-// World is a number of gateways, a network and a clock.
+// World is a simulation of gateways, their network and a clock.
 type World struct {
 	Now     clock.Micros
 	Network Network
-	IsCut   func(from, to int) bool // whether nothing passes; may be nil
+	IsCut   func(from, to int) bool // whether datagrams between the two are dropped; may be nil
 
 	nodes          []*node
 	nodesByAddress map[netip.AddrPort]int
 	rng            *rand.Rand
 	queue          eventQueue
 	nextSequence   uint64
-	measuresSizes  bool // sizes are measured, by writing every message
+	measuresSizes  bool // every message is encoded to measure its size
 	beliefChanged  func(who, about int, alive bool)
 	newPeer        func(w *World, i int) peer
 }
 
-// slice is how long a starved node is stopped and run in turn, together, as the rig does it.
+// starvationSlice is the period in which a starved node is stopped and then runs, as in the test cluster.
 const starvationSlice clock.Micros = 20_000
 
 type event struct {
 	at       clock.Micros
 	sequence uint64
 	node     int
-	from     int       // of a datagram
-	datagram *datagram // nil: a timer, or an end of a pause
+	from     int       // the sender of the datagram
+	datagram *datagram // nil: a timer, or the end of a pause
 	action   func()
 }
 
@@ -102,7 +108,7 @@
 	return x
 }
 
-// NewWorld makes a world of n gateways that are not started yet.
+// NewWorld makes a world of n gateways, none of them started. The same arguments give the same run.
 func NewWorld(n int, seed uint64, kind Detector) *World {
 	w := &World{
 		Now: 1, Network: Network{MinDelay: 200, Jitter: 800}, nodesByAddress: map[netip.AddrPort]int{}, rng: rand.New(rand.NewPCG(seed, 7)), newPeer: kind.newPeer,
@@ -126,10 +132,10 @@
 	heap.Push(&w.queue, e)
 }
 
-// At has something happen at a time.
+// Schedule has do run at a simulated time.
 func (w *World) Schedule(at clock.Micros, do func()) { w.push(event{at: at, node: -1, action: do}) }
 
-// Start starts a gateway's next life.
+// Start starts a gateway, with the next incarnation.
 func (w *World) Start(i int) {
 	n := w.nodes[i]
 	n.up, n.pausedUntil, n.receiveQueue, n.senders = true, 0, nil, nil
@@ -139,25 +145,25 @@
 	w.deliver(i, nil, 0)
 }
 
-// Kill ends it without a word.
+// Kill ends a gateway without notice to the others.
 func (w *World) Kill(i int) { w.nodes[i].up = false }
 
-// Pause has it stand still for a span.
+// Pause stops a gateway's process for a duration.
 func (w *World) Pause(i int, duration clock.Micros) {
 	n := w.nodes[i]
 	n.pausedUntil = max(n.pausedUntil, w.Now+duration)
 	w.push(event{at: n.pausedUntil, node: i})
 }
 
-// Starve has it not run for a share of the time from now on.
+// Starve stops a gateway for a fraction (0 to 1) of each starvationSlice from now on.
 func (w *World) Starve(i int, share float64) {
 	w.nodes[i].stoppedPerSlice = clock.Micros(share * float64(starvationSlice))
 }
 
-// Up tells whether a gateway runs, or stands still.
+// Running tells whether a gateway's process exists; it may be paused.
 func (w *World) Running(i int) bool { return w.nodes[i].up }
 
-// runsAt is when a node can next do something: now, unless it is stopped.
+// nextRunTime is when a node can next handle an event: now, unless it is paused or starved.
 func (w *World) nextRunTime(n *node) clock.Micros {
 	at := max(w.Now, n.pausedUntil)
 	if n.stoppedPerSlice > 0 {
@@ -168,7 +174,7 @@
 	return at
 }
 
-// run hands something to a node and sends what comes of it.
+// deliver hands an input to a node, sends the datagrams that it returns, and schedules its timer.
 func (w *World) deliver(i int, in any, from int) {
 	n := w.nodes[i]
 	for _, p := range n.handle(w.Now, in, from) {
@@ -192,7 +198,7 @@
 	w.push(event{at: at, node: p.to, from: from, datagram: &p})
 }
 
-// RunTo lets time pass.
+// RunUntil handles all events up to a simulated time. A stopped node keeps its datagrams in its receive queue.
 func (w *World) RunUntil(end clock.Micros) {
 	for len(w.queue) > 0 && w.queue[0].at <= end {
 		next := heap.Pop(&w.queue).(event)
@@ -211,13 +217,13 @@
 					target.receiveQueue, target.senders = append(target.receiveQueue, *next.datagram), append(target.senders, next.from)
 				}
 				if len(target.receiveQueue) > 1 {
-					continue // somebody wakes it already
+					continue // a wake-up is scheduled already
 				}
 			}
 			w.push(event{at: runTime, node: next.node})
 			continue
 		}
-		// The timer first, as a goroutine whose read has a deadline that is over; then what lay unread.
+		// The timer goes first, as in the real loop, whose read returns at once when its deadline has passed; then the unread datagrams.
 		if runTime, ok := target.nextTimer(); ok && runTime <= w.Now {
 			w.deliver(next.node, timerExpired{}, 0)
 		}
@@ -237,16 +243,16 @@
 	w.Now = max(w.Now, end)
 }
 
-// tick tells a peer that time has passed.
+// timerExpired tells a peer that its timer is due.
 type timerExpired struct{}
 
-// Kind is what a world's gateways run.
+// Detector is the failure detector that all gateways of a world run.
 type Detector struct {
 	Name    string
 	newPeer func(w *World, i int) peer
 }
 
-// SWIM is internal/membership with an interval; plain, without its extensions.
+// SWIM is the detector of internal/membership with a probe interval; plain leaves out the Lifeguard extensions.
 func SWIM(interval clock.Micros, plain bool) Detector {
 	label := "membership"
 	if plain {
@@ -264,7 +270,7 @@
 	}}
 }
 
-// swim runs the machine.
+// swimPeer runs the state machine of internal/membership.
 type swimPeer struct {
 	w              *World
 	self           int
@@ -324,10 +330,10 @@
 	return i
 }
 
-// leave has a gateway go in an orderly way.
+// leaveRequest has a gateway leave gracefully.
 var leaveRequest = membership.LeaveRequested{}
 
-// dead tells whether it holds another one dead, and not gone in an orderly way.
+// dead tells whether it believes another one dead; one that has left gracefully is not.
 func (p *swimPeer) dead(other int) bool {
 	r, known := p.machine.Lookup(name(other))
 	return known && r.State == membership.Dead
@@ -337,15 +343,15 @@
 
 func (p *swimPeer) alive(other int) bool { return other == p.self || p.believed[other] }
 
-// Heartbeats has everybody tell everybody that it lives, once an interval; who is silent for a fixed span is dead until it is
-// heard again.
+// Heartbeats is the detector in which each member sends a heartbeat to all others once an interval. A member that is silent for the
+// timeout is dead until its next heartbeat.
 func Heartbeats(interval, timeout clock.Micros) Detector {
 	return Detector{"heartbeats", func(w *World, i int) peer {
 		return &heartbeatPeer{w: w, self: i, interval: interval, timeout: timeout, lastHeard: make([]clock.Micros, len(w.nodes)), dead: make([]bool, len(w.nodes))}
 	}}
 }
 
-// heartbeatSize is a heartbeat in bytes: a name, a life and the signed trailer.
+// heartbeatSize is the size of a heartbeat in bytes: a name, an incarnation and the signed trailer.
 const heartbeatSize = 2 + 2 + 6 + 9 + sealed.Size
 
 type heartbeatPeer struct {
--- a/internal/experiments/report/report.go
+++ b/internal/experiments/report/report.go
@@ -1,4 +1,4 @@
-// Package report writes what an experiment has measured: tables as Markdown, charts as SVG.
+// Package report writes the measurements of the experiments: tables as Markdown, charts as SVG.
 package report
 
 import (
@@ -14,21 +14,21 @@
 	"github.com/olekukonko/tablewriter/tw"
 )
 
-// longest is the longest span that is told apart, in microseconds.
+// maxDuration is the longest duration that is recorded, in microseconds; longer ones are recorded as this.
 const maxDuration = 10 * 60 * 1_000_000
 
-// Spans collects spans of time in microseconds.
+// Durations collects durations in a histogram with three significant digits. It is not safe for concurrent use.
 type Durations struct{ histogram *hdrhistogram.Histogram }
 
-// NewSpans makes an empty collection.
+// NewDurations makes an empty collection.
 func NewDurations() *Durations { return &Durations{hdrhistogram.New(1, maxDuration, 3)} }
 
-// Add notes one span; one below zero counts as none.
+// Add records one duration in microseconds; a negative one is recorded as 0.
 func (s *Durations) Add(microseconds int64) {
 	s.histogram.RecordValue(min(max(microseconds, 0), maxDuration))
 }
 
-// Millis is a quantile, from 0 to 100, in milliseconds. A collection without spans has none: -1.
+// Millis returns a percentile, from 0 to 100, in milliseconds; -1 if the collection is empty.
 func (s *Durations) Millis(quantile float64) float64 {
 	if s.histogram.TotalCount() == 0 {
 		return -1
@@ -36,7 +36,7 @@
 	return float64(s.histogram.ValueAtQuantile(quantile)) / 1000
 }
 
-// Cell writes a quantile for a table.
+// Cell formats a percentile in milliseconds for a table; "-" if the collection is empty.
 func (s *Durations) Cell(quantile float64) string {
 	if v := s.Millis(quantile); v >= 0 {
 		return fmt.Sprintf("%.1f", v)
@@ -44,7 +44,7 @@
 	return "-"
 }
 
-// Table writes a Markdown table.
+// Table writes a Markdown table to w.
 func Table(w io.Writer, head []string, rows [][]string) error {
 	t := tablewriter.NewTable(w,
 		tablewriter.WithRenderer(renderer.NewMarkdown()),
@@ -58,7 +58,7 @@
 	return t.Render()
 }
 
-// Bars is a chart of bars, a group for each label.
+// Bars is a bar chart with a group of bars for each label.
 type Bars struct {
 	Title, Note string
 	Labels      []string
@@ -66,7 +66,7 @@
 	Values      [][]float64 // by series, then label
 }
 
-// Write draws the chart into an SVG file.
+// Write draws the chart into an SVG file, and makes its directory if needed.
 func (b Bars) Write(path string) error {
 	p, err := charts.BarRender(b.Values,
 		charts.TitleTextOptionFunc(b.Title, b.Note), charts.XAxisLabelsOptionFunc(b.Labels),
@@ -81,7 +81,7 @@
 	return writePainter(path, p)
 }
 
-// Lines is a chart of lines over common labels.
+// Lines is a line chart over common labels.
 type Lines struct {
 	Title, Note string
 	Labels      []string
@@ -89,7 +89,7 @@
 	Values      [][]float64 // by series, then label
 }
 
-// Write draws the chart into an SVG file.
+// Write draws the chart into an SVG file, and makes its directory if needed.
 func (l Lines) Write(path string) error {
 	p, err := charts.LineRender(l.Values,
 		charts.TitleTextOptionFunc(l.Title, l.Note), charts.XAxisLabelsOptionFunc(l.Labels),
@@ -105,7 +105,7 @@
 	return writePainter(path, p)
 }
 
-// write puts a drawn chart into a file.
+// writePainter writes a drawn chart into a file, and makes its directory if needed.
 func writePainter(path string, p *charts.Painter) error {
 	raw, err := p.Bytes()
 	if err != nil {
