--- a/internal/assignment/sim_test.go
+++ b/internal/assignment/sim_test.go
@@ -195,19 +195,21 @@
 // The work that a server gets does not grow with the number of instances.
 func TestFlatInTheNumberOfInstances(t *testing.T) {
 	for _, n := range []int{1, 3, 30, 300} {
-		s := newSim(uint64(n), n, 10)
-		s.demand(500*ms, lasting)
-		s.run(5000 * ms)
-		from := s.now
-		s.run(20_000 * ms)
-		perSubject := float64(s.count(from, s.now)) / 10 / 20
-		t.Logf("%d instances: %.2f a second for each server, %d messages", n, perSubject, s.messages)
-		if perSubject < 1.9 || perSubject > 3 {
-			t.Errorf("%d instances: %.2f probes a second, want about 2 and at most 1.5 times as many", n, perSubject)
-		}
-		if gap := s.gaps(from, s.now); gap[len(gap)-1] > config("", 0).Gap(500*ms) {
-			t.Errorf("%d instances: a gap of %d ms without faults", n, gap[len(gap)-1]/ms)
-		}
+		t.Run(fmt.Sprint(n, " instances"), func(t *testing.T) {
+			s := newSim(uint64(n), n, 10)
+			s.demand(500*ms, lasting)
+			s.run(5000 * ms)
+			from := s.now
+			s.run(20_000 * ms)
+			perSubject := float64(s.count(from, s.now)) / 10 / 20
+			t.Logf("%d instances: %.2f a second for each server, %d messages", n, perSubject, s.messages)
+			if perSubject < 1.9 || perSubject > 3 {
+				t.Errorf("%d instances: %.2f probes a second, want about 2 and at most 1.5 times as many", n, perSubject)
+			}
+			if gap := s.gaps(from, s.now); gap[len(gap)-1] > config("", 0).Gap(500*ms) {
+				t.Errorf("%d instances: a gap of %d ms without faults", n, gap[len(gap)-1]/ms)
+			}
+		})
 	}
 }
 
@@ -260,18 +262,20 @@
 			loop()
 		}, 4},
 	} {
-		s := newSim(5, 20, 20)
-		s.demand(500*ms, lasting)
-		s.run(3000 * ms)
-		c.spoil(s)
-		from := s.now
-		s.run(15_000 * ms)
-		gaps := s.gaps(from, s.now)
-		each := float64(s.count(from, s.now)) / 20 / 15
-		t.Logf("%s: gaps up to %d ms, %.1f probes a second for each server", c.name, gaps[len(gaps)-1]/ms, each)
-		if bound := config("", 0).Gap(500*ms) + 10*ms; gaps[len(gaps)-1] > bound || each > c.maxRate {
-			t.Errorf("%s: a gap of %d ms, at most %d; %.1f probes a second, at most %.1f", c.name, gaps[len(gaps)-1]/ms, bound/ms, each, c.maxRate)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			s := newSim(5, 20, 20)
+			s.demand(500*ms, lasting)
+			s.run(3000 * ms)
+			c.spoil(s)
+			from := s.now
+			s.run(15_000 * ms)
+			gaps := s.gaps(from, s.now)
+			each := float64(s.count(from, s.now)) / 20 / 15
+			t.Logf("%s: gaps up to %d ms, %.1f probes a second for each server", c.name, gaps[len(gaps)-1]/ms, each)
+			if bound := config("", 0).Gap(500*ms) + 10*ms; gaps[len(gaps)-1] > bound || each > c.maxRate {
+				t.Errorf("%s: a gap of %d ms, at most %d; %.1f probes a second, at most %.1f", c.name, gaps[len(gaps)-1]/ms, bound/ms, each, c.maxRate)
+			}
+		})
 	}
 }
 
--- a/internal/protocol/advisories/advisories_test.go
+++ b/internal/protocol/advisories/advisories_test.go
@@ -67,9 +67,11 @@
 		"position 0": h + "\x08\x01x\x00\x00\x00", "no load": h + "\x10\x01x\x00\x00\x00",
 		"load out of order": h + "\x10\x01x\x00\x00\x02\x03\x00\x03\x00", "one byte more": string(good) + "\x00",
 	} {
-		if got, err := Parse([]byte(b)); err == nil {
-			t.Errorf("%s: %+v", name, got)
-		}
+		t.Run(name, func(t *testing.T) {
+			if got, err := Parse([]byte(b)); err == nil {
+				t.Errorf("%s: %+v", name, got)
+			}
+		})
 	}
 	for _, n := range []Advisory{
 		{}, {UID: strings.Repeat("u", MaxUIDSize+1)}, {UID: "x", Role: roles}, {UID: "x", Age: MaxAge + 1}, {UID: "x", RoleAge: 1},
--- a/internal/protocol/discovery/discovery_test.go
+++ b/internal/protocol/discovery/discovery_test.go
@@ -30,9 +30,11 @@
 		`{"rev":1,"targets":[{"endpoint":"1.1.1.1:1","state":"ready"}]}`:         "no uid",
 		`{"rev":1,"targets":[{"uid":"a","endpoint":"here","state":"ready"}]}`:    "endpoint",
 	} {
-		if _, err := ParseList([]byte(in)); err == nil || !strings.Contains(err.Error(), fault) {
-			t.Errorf("%s: %v, want %q", in, err, fault)
-		}
+		t.Run(fault, func(t *testing.T) {
+			if _, err := ParseList([]byte(in)); err == nil || !strings.Contains(err.Error(), fault) {
+				t.Errorf("%s: %v, want %q", in, err, fault)
+			}
+		})
 	}
 	if _, err := ParseList([]byte(`{"rev":1,"targets":[{"uid":"a","state":"gone"}]}`)); err != nil {
 		t.Errorf("a removed server needs no endpoint: %v", err)
@@ -73,12 +75,14 @@
 			[]string{"a"}, 200, true},
 		{"interim", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", false, nil, 503, true},
 	} {
-		for size := 1; size <= len(c.in); size++ {
-			lines, r, err := feed(c.in, size, c.closed)
-			if err != nil || !reflect.DeepEqual(lines, c.lines) || r.Status != c.status || r.Done() != c.done {
-				t.Errorf("%s by %d: %q, %+v, %v", c.name, size, lines, r, err)
+		t.Run(c.name, func(t *testing.T) {
+			for size := 1; size <= len(c.in); size++ {
+				lines, r, err := feed(c.in, size, c.closed)
+				if err != nil || !reflect.DeepEqual(lines, c.lines) || r.Status != c.status || r.Done() != c.done {
+					t.Errorf("%s by %d: %q, %+v, %v", c.name, size, lines, r, err)
+				}
 			}
-		}
+		})
 	}
 }
 
@@ -97,9 +101,11 @@
 		"endless line":   strings.Repeat("x", maxHead+1),
 		"endless body":   head + "\r\n" + strings.Repeat("x", MaxListSize+1),
 	} {
-		if _, _, err := feed(in, 4096, false); err == nil {
-			t.Errorf("%s was accepted", name)
-		}
+		t.Run(name, func(t *testing.T) {
+			if _, _, err := feed(in, 4096, false); err == nil {
+				t.Errorf("%s was accepted", name)
+			}
+		})
 	}
 	if _, _, err := feed(head+"Content-Length: 9\r\n\r\nab", 99, true); err == nil {
 		t.Error("a response that broke off was accepted as complete")
--- a/internal/protocol/postgres/frame_test.go
+++ b/internal/protocol/postgres/frame_test.go
@@ -117,10 +117,12 @@
 		{"parameter that cannot be read", join(message('S', "load"), oneColumn, row, tag, ready), true, "", true},
 		{"miss", join(AppendErrorResponse(nil, false, CodeReadOnlyTransaction, "m", 0), role, ready), false, CodeReadOnlyTransaction, true},
 	} {
-		r, err := reply(t, c.in)
-		if err != nil || r.Complete() != c.served || r.Code != c.code || r.Ready != c.ready {
-			t.Errorf("%s: %+v, %v", c.name, r, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			r, err := reply(t, c.in)
+			if err != nil || r.Complete() != c.served || r.Code != c.code || r.Ready != c.ready {
+				t.Errorf("%s: %+v, %v", c.name, r, err)
+			}
+		})
 	}
 	r, _ := reply(t, join(role, at, load))
 	if r.Params != (Params{"primary", "1767225600123", "inflight=7,util=0.61"}) {
@@ -169,9 +171,11 @@
 		"start-up's word":            message('R', "\x00\x00\x00\x00"),
 		"copy":                       message('G', "\x00"),
 	} {
-		if r, err := reply(t, in); err == nil {
-			t.Errorf("%s was accepted: %+v", name, r)
-		}
+		t.Run(name, func(t *testing.T) {
+			if r, err := reply(t, in); err == nil {
+				t.Errorf("%s was accepted: %+v", name, r)
+			}
+		})
 	}
 }
 
@@ -188,15 +192,17 @@
 		{"ready at once", ready, false, false},
 		{"a row", join(admitted, oneColumn), false, false},
 	} {
-		r, err := Reply{Startup: true}, error(nil)
-		for in := c.in; len(in) > 0 && err == nil; {
-			h, _ := ParseHeader(in)
-			err = r.Handle(h, in[HeaderSize:HeaderSize+h.Body])
-			in = in[HeaderSize+h.Body:]
-		}
-		if (err == nil) != c.taken || r.Ready != c.ok || r.Complete() {
-			t.Errorf("%s: %+v, %v", c.name, r, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			r, err := Reply{Startup: true}, error(nil)
+			for in := c.in; len(in) > 0 && err == nil; {
+				h, _ := ParseHeader(in)
+				err = r.Handle(h, in[HeaderSize:HeaderSize+h.Body])
+				in = in[HeaderSize+h.Body:]
+			}
+			if (err == nil) != c.taken || r.Ready != c.ok || r.Complete() {
+				t.Errorf("%s: %+v, %v", c.name, r, err)
+			}
+		})
 	}
 }
 
--- a/internal/protocol/postgres/statement_test.go
+++ b/internal/protocol/postgres/statement_test.go
@@ -27,15 +27,16 @@
 		{"no value", "/* id=a,c=x,d=1,cluster=0 */ INSERT INTO kv (name, content) VALUES ('k', '\\x') RETURNING content\x00",
 			Statement{ID: "a", Class: "x", TimeoutMillis: 1, Key: "k", Write: true}},
 	} {
-		got, err := parse(c.text)
-		if err != nil {
-			t.Errorf("%s: %v", c.name, err)
-			continue
-		}
-		got.timeoutStart, got.timeoutEnd = 0, 0
-		if got != c.want {
-			t.Errorf("%s: got %+v, want %+v", c.name, got, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			got, err := parse(c.text)
+			if err != nil {
+				t.Fatal(err)
+			}
+			got.timeoutStart, got.timeoutEnd = 0, 0
+			if got != c.want {
+				t.Errorf("got %+v, want %+v", got, c.want)
+			}
+		})
 	}
 }
 
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -359,37 +359,39 @@
 // also if the accepting goroutine had no processor time until long after.
 func TestListenerAcceptsItsBacklog(t *testing.T) {
 	for _, late := range []time.Duration{0, 4 * backlogWait} {
-		fds := NewDescriptors(1024)
-		l, err := Listen("127.0.0.1:0", NewBuffers(1<<20), fds)
-		if err != nil {
-			t.Fatal(err)
-		}
-		var peers []net.Conn
-		for range 20 { // nobody accepts yet
-			p, err := net.Dial("tcp", l.Addr())
+		t.Run(late.String(), func(t *testing.T) {
+			fds := NewDescriptors(1024)
+			l, err := Listen("127.0.0.1:0", NewBuffers(1<<20), fds)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer p.Close()
-			peers = append(peers, p)
-		}
-		served := make(chan struct{}, len(peers))
-		l.Close()
-		time.Sleep(late)
-		l.Serve(func(c *Conn, stays bool) {
-			served <- struct{}{}
-			c.Close()
+			var peers []net.Conn
+			for range 20 { // nobody accepts yet
+				p, err := net.Dial("tcp", l.Addr())
+				if err != nil {
+					t.Fatal(err)
+				}
+				defer p.Close()
+				peers = append(peers, p)
+			}
+			served := make(chan struct{}, len(peers))
+			l.Close()
+			time.Sleep(late)
+			l.Serve(func(c *Conn, stays bool) {
+				served <- struct{}{}
+				c.Close()
+			})
+			l.Wait()
+			if len(served) != len(peers) {
+				t.Errorf("%v late: %d of %d served", late, len(served), len(peers))
+			}
+			if _, err := net.Dial("tcp", l.Addr()); err == nil {
+				t.Error("still listening")
+			}
+			if fds.Used() != 0 {
+				t.Errorf("%d descriptors counted", fds.Used())
+			}
 		})
-		l.Wait()
-		if len(served) != len(peers) {
-			t.Errorf("%v late: %d of %d served", late, len(served), len(peers))
-		}
-		if _, err := net.Dial("tcp", l.Addr()); err == nil {
-			t.Error("still listening")
-		}
-		if fds.Used() != 0 {
-			t.Errorf("%d descriptors counted", fds.Used())
-		}
 	}
 }
 
