--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -24,14 +24,14 @@
 
 // Discovery is the discovery service. It answers every watch with the whole list, and goes on with what Push hands it.
 type Discovery struct {
-	mu       sync.Mutex
-	listener net.Listener
-	rev      int
-	targets  []Endpoint
-	failing  string // a whole answer to give instead; "silent" for none at all
-	conns    map[net.Conn]bool
-	done     sync.WaitGroup
-	Requests chan string // the request line of each call
+	mu          sync.Mutex
+	listener    net.Listener
+	revision    int
+	endpoints   []Endpoint
+	rawResponse string // a whole answer to give instead; "silent" for none at all
+	watching    map[net.Conn]bool
+	goroutines  sync.WaitGroup
+	Requests    chan string // the request line of each call
 }
 
 // NewDiscovery starts a discovery service on loopback.
@@ -41,9 +41,9 @@
 		return nil, err
 	}
 	d := &Discovery{
-		listener: l, rev: 1, targets: targets, conns: map[net.Conn]bool{}, Requests: make(chan string, 4096),
+		listener: l, revision: 1, endpoints: targets, watching: map[net.Conn]bool{}, Requests: make(chan string, 4096),
 	}
-	d.done.Add(1)
+	d.goroutines.Add(1)
 	go d.accept()
 	return d, nil
 }
@@ -54,14 +54,14 @@
 // Answer makes every call from now on end with these bytes; empty for the list, "silent" for nothing.
 func (d *Discovery) SetRawResponse(raw string) {
 	d.mu.Lock()
-	d.failing = raw
+	d.rawResponse = raw
 	d.mu.Unlock()
 }
 
 // SetTargets changes the list for calls to come, without a word to the watches.
 func (d *Discovery) SetEndpoints(targets ...Endpoint) {
 	d.mu.Lock()
-	d.rev, d.targets = d.rev+1, targets
+	d.revision, d.endpoints = d.revision+1, targets
 	d.mu.Unlock()
 }
 
@@ -69,16 +69,16 @@
 func (d *Discovery) Push(changed ...Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.rev++
+	d.revision++
 	for _, t := range changed {
-		for i := range d.targets {
-			if d.targets[i].UID == t.UID {
-				d.targets[i] = t
+		for i := range d.endpoints {
+			if d.endpoints[i].UID == t.UID {
+				d.endpoints[i] = t
 			}
 		}
 	}
-	line := d.line(false, changed)
-	for c, watching := range d.conns {
+	line := d.message(false, changed)
+	for c, watching := range d.watching {
 		if watching {
 			// Cut in two, so that nothing depends on lines and chunks being the same.
 			fmt.Fprintf(c, "%x\r\n%s\r\n%x\r\n%s\r\n", 5, line[:5], len(line)-5, line[5:])
@@ -90,7 +90,7 @@
 func (d *Discovery) ResetConns() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for c := range d.conns {
+	for c := range d.watching {
 		c.(*net.TCPConn).SetLinger(0)
 		c.Close()
 	}
@@ -100,61 +100,61 @@
 func (d *Discovery) Close() {
 	d.listener.Close()
 	d.ResetConns()
-	d.done.Wait()
+	d.goroutines.Wait()
 }
 
-func (d *Discovery) line(all bool, targets []Endpoint) string {
-	b, _ := json.Marshal(map[string]any{"rev": d.rev, "all": all, "targets": targets})
+func (d *Discovery) message(all bool, targets []Endpoint) string {
+	b, _ := json.Marshal(map[string]any{"rev": d.revision, "all": all, "targets": targets})
 	return string(b) + "\n"
 }
 
 func (d *Discovery) accept() {
-	defer d.done.Done()
+	defer d.goroutines.Done()
 	for {
 		nc, err := d.listener.Accept()
 		if err != nil {
 			return
 		}
 		d.mu.Lock()
-		d.conns[nc] = false
+		d.watching[nc] = false
 		d.mu.Unlock()
-		d.done.Add(1)
+		d.goroutines.Add(1)
 		go func() {
-			defer d.done.Done()
+			defer d.goroutines.Done()
 			d.serve(nc)
 			nc.Close()
 			d.mu.Lock()
-			delete(d.conns, nc)
+			delete(d.watching, nc)
 			d.mu.Unlock()
 		}()
 	}
 }
 
-func (d *Discovery) serve(nc net.Conn) {
-	r := bufio.NewReader(nc)
-	first, err := r.ReadString('\n')
-	for line := first; err == nil && strings.TrimSpace(line) != ""; {
+func (d *Discovery) serve(conn net.Conn) {
+	r := bufio.NewReader(conn)
+	requestLine, err := r.ReadString('\n')
+	for line := requestLine; err == nil && strings.TrimSpace(line) != ""; {
 		line, err = r.ReadString('\n')
 	}
 	if err != nil {
 		return
 	}
 	d.mu.Lock()
-	failing, list := d.failing, d.line(true, d.targets)
-	watch := strings.Contains(first, "watch=1")
+	rawResponse, list := d.rawResponse, d.message(true, d.endpoints)
+	watch := strings.Contains(requestLine, "watch=1")
 	switch {
-	case failing == "silent":
-	case failing != "":
-		fmt.Fprint(nc, failing)
+	case rawResponse == "silent":
+	case rawResponse != "":
+		fmt.Fprint(conn, rawResponse)
 	case watch:
-		fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(list), list)
-		d.conns[nc] = true
+		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(list), list)
+		d.watching[conn] = true
 	default:
-		fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
+		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 	}
 	d.mu.Unlock()
-	d.Requests <- strings.TrimSpace(first)
-	if failing != "" && failing != "silent" || failing == "" && !watch {
+	d.Requests <- strings.TrimSpace(requestLine)
+	if rawResponse != "" && rawResponse != "silent" || rawResponse == "" && !watch {
 		return
 	}
 	r.ReadByte() // until either side closes
--- a/internal/fake/path.go
+++ b/internal/fake/path.go
@@ -20,7 +20,7 @@
 }
 
 // span is how long something takes.
-func (f Impairment) span() time.Duration {
+func (f Impairment) randomDelay() time.Duration {
 	if f.Jitter > 0 {
 		return f.Delay + time.Duration(rand.Int64N(int64(f.Jitter)))
 	}
@@ -31,27 +31,27 @@
 // Each ordered pair has an address where one node sends to the other; the other sees datagrams come from the address of the
 // way back, which has the sender's IP.
 type Path struct {
-	mu     sync.Mutex
-	nodes  []*net.UDPAddr // where each is bound
-	ways   [][]*way
-	timers sync.WaitGroup
-	done   sync.WaitGroup
-	closed bool
+	mu        sync.Mutex
+	nodeAddrs []*net.UDPAddr // where each is bound
+	links     [][]*link
+	delayed   sync.WaitGroup
+	receivers sync.WaitGroup
+	closed    bool
 }
 
-type way struct {
-	conn   *net.UDPConn
-	relay  *Relay // of streams; may be nil
-	fate   Impairment
-	held   []byte
-	passed int
+type link struct {
+	conn       *net.UDPConn
+	relay      *Relay // of streams; may be nil
+	impairment Impairment
+	swapped    []byte
+	delivered  int
 }
 
 // NewPath makes a path between nodes whose sockets are at these addresses.
 func NewPath(nodes ...*net.UDPAddr) (*Path, error) {
-	p := &Path{nodes: nodes}
+	p := &Path{nodeAddrs: nodes}
 	for i := range nodes {
-		p.ways = append(p.ways, make([]*way, len(nodes)))
+		p.links = append(p.links, make([]*link, len(nodes)))
 		for j := range nodes {
 			if i == j {
 				continue
@@ -62,14 +62,14 @@
 				p.Close()
 				return nil, err
 			}
-			p.ways[i][j] = &way{conn: c}
+			p.links[i][j] = &link{conn: c}
 		}
 	}
 	for i := range nodes {
 		for j := range nodes {
 			if i != j {
-				p.done.Add(1)
-				go p.carry(i, j)
+				p.receivers.Add(1)
+				go p.receive(i, j)
 			}
 		}
 	}
@@ -77,16 +77,16 @@
 }
 
 // Peer is the address under which node j is known to node i.
-func (p *Path) PeerAddr(i, j int) string { return p.ways[i][j].conn.LocalAddr().String() }
+func (p *Path) PeerAddr(i, j int) string { return p.links[i][j].conn.LocalAddr().String() }
 
 // Streams carries streams too, at the same addresses: i reaches j's listener, which has the address of j's socket.
 func (p *Path) CarryStreams() error {
-	for i, ways := range p.ways {
+	for i, ways := range p.links {
 		for j, w := range ways {
 			if w == nil {
 				continue
 			}
-			r, err := NewRelay(w.conn.LocalAddr().String(), p.nodes[j].String(), p.nodes[i].IP)
+			r, err := NewRelay(w.conn.LocalAddr().String(), p.nodeAddrs[j].String(), p.nodeAddrs[i].IP)
 			if err != nil {
 				return err
 			}
@@ -99,26 +99,26 @@
 // Set decides the fate of what i sends to j from now on.
 func (p *Path) Set(i, j int, f Impairment) {
 	p.mu.Lock()
-	p.ways[i][j].fate, p.ways[i][j].held = f, nil
-	back := p.ways[j][i].fate
+	p.links[i][j].impairment, p.links[i][j].swapped = f, nil
+	back := p.links[j][i].impairment
 	p.mu.Unlock()
-	if r := p.ways[i][j].relay; r != nil {
+	if r := p.links[i][j].relay; r != nil {
 		r.Set(f, back)
-		p.ways[j][i].relay.Set(back, f)
+		p.links[j][i].relay.Set(back, f)
 	}
 }
 
 // Reset resets the streams that i has opened to j.
 func (p *Path) ResetStreams(i, j int) {
-	if r := p.ways[i][j].relay; r != nil {
+	if r := p.links[i][j].relay; r != nil {
 		r.ResetStreams()
 	}
 }
 
 // SetAll decides it for every pair.
 func (p *Path) SetAll(f Impairment) {
-	for i := range p.nodes {
-		for j := range p.nodes {
+	for i := range p.nodeAddrs {
+		for j := range p.nodeAddrs {
 			if i != j {
 				p.Set(i, j, f)
 			}
@@ -128,7 +128,7 @@
 
 // Isolate drops all to and from a node, or lets it pass again.
 func (p *Path) Isolate(i int, on bool) {
-	for j := range p.nodes {
+	for j := range p.nodeAddrs {
 		if i != j {
 			p.Set(i, j, Impairment{Drop: on})
 			p.Set(j, i, Impairment{Drop: on})
@@ -140,58 +140,58 @@
 func (p *Path) Delivered(i, j int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.ways[i][j].passed
+	return p.links[i][j].delivered
 }
 
 // Inject sends a datagram to node j as if i had sent it.
 func (p *Path) Inject(i, j int, b []byte) {
-	p.ways[j][i].conn.WriteToUDP(b, p.nodes[j])
+	p.links[j][i].conn.WriteToUDP(b, p.nodeAddrs[j])
 }
 
-func (p *Path) carry(i, j int) {
-	defer p.done.Done()
-	w, b := p.ways[i][j], make([]byte, 4096)
+func (p *Path) receive(i, j int) {
+	defer p.receivers.Done()
+	w, b := p.links[i][j], make([]byte, 4096)
 	for {
 		n, err := w.conn.Read(b)
 		if err != nil {
 			return
 		}
-		p.fare(i, j, append([]byte(nil), b[:n]...))
+		p.forward(i, j, append([]byte(nil), b[:n]...))
 	}
 }
 
-func (p *Path) fare(i, j int, b []byte) {
+func (p *Path) forward(i, j int, datagram []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	w := p.ways[i][j]
-	f := w.fate
-	if f.Drop || p.closed || f.LossRate > 0 && rand.Float64() < f.LossRate {
+	link := p.links[i][j]
+	impairment := link.impairment
+	if impairment.Drop || p.closed || impairment.LossRate > 0 && rand.Float64() < impairment.LossRate {
 		return
 	}
-	send := [][]byte{b}
-	if f.Reorder {
-		if w.held == nil {
-			w.held = b
+	datagrams := [][]byte{datagram}
+	if impairment.Reorder {
+		if link.swapped == nil {
+			link.swapped = datagram
 			return
 		}
-		send, w.held = [][]byte{b, w.held}, nil
+		datagrams, link.swapped = [][]byte{datagram, link.swapped}, nil
 	}
-	for range f.Duplicates {
-		send = append(send, b)
+	for range impairment.Duplicates {
+		datagrams = append(datagrams, datagram)
 	}
-	w.passed += len(send)
+	link.delivered += len(datagrams)
 	deliver := func() {
-		for _, x := range send {
+		for _, x := range datagrams {
 			p.Inject(i, j, x)
 		}
 	}
-	if f.Delay == 0 && f.Jitter == 0 {
+	if impairment.Delay == 0 && impairment.Jitter == 0 {
 		deliver()
 		return
 	}
-	p.timers.Add(1)
-	time.AfterFunc(f.span(), func() {
-		defer p.timers.Done()
+	p.delayed.Add(1)
+	time.AfterFunc(impairment.randomDelay(), func() {
+		defer p.delayed.Done()
 		deliver()
 	})
 }
@@ -201,8 +201,8 @@
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
-	p.timers.Wait()
-	for _, ways := range p.ways {
+	p.delayed.Wait()
+	for _, ways := range p.links {
 		for _, w := range ways {
 			if w == nil {
 				continue
@@ -213,5 +213,5 @@
 			}
 		}
 	}
-	p.done.Wait()
+	p.receivers.Wait()
 }
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -11,12 +11,12 @@
 
 // retransmit is how much later a chunk of a stream arrives whose first sending was lost: a kernel sends it again, so that a
 // lossy way shows as a slow one.
-const retransmit = 200 * time.Millisecond
+const retransmitDelay = 200 * time.Millisecond
 
 // mostChunk is how much of a stream travels at a time, in bytes; mostQueued how many chunks may be under way.
 const (
-	mostChunk  = 16 << 10
-	mostQueued = 64
+	maxChunk        = 16 << 10
+	maxQueuedChunks = 64
 )
 
 // Relay carries streams from one place to another and does to them what it is told, each direction by itself. What is held
@@ -25,17 +25,17 @@
 	// Seen is told of what the near end has written, as it comes and before anything is done to it; may be nil.
 	OnData func(chunk []byte)
 
-	listener net.Listener
-	from     net.IP // the far end sees connections come from there; nil: from anywhere
-	done     sync.WaitGroup
-
-	mu      sync.Mutex
-	to      string
-	out     Impairment // near to far
-	back    Impairment
-	changed chan struct{} // closed, and made anew, at each change
-	closed  bool
-	flows   map[*stream]struct{}
+	listener   net.Listener
+	sourceIP   net.IP // the far end sees connections come from there; nil: from anywhere
+	goroutines sync.WaitGroup
+
+	mu       sync.Mutex
+	target   string
+	outbound Impairment // near to far
+	inbound  Impairment
+	changed  chan struct{} // closed, and made anew, at each change
+	closed   bool
+	streams  map[*stream]struct{}
 }
 
 // stream is one connection through a relay.
@@ -49,8 +49,8 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{listener: l, to: to, from: from, changed: make(chan struct{}), flows: map[*stream]struct{}{}}
-	r.done.Add(1)
+	r := &Relay{listener: l, target: to, sourceIP: from, changed: make(chan struct{}), streams: map[*stream]struct{}{}}
+	r.goroutines.Add(1)
 	go r.accept()
 	return r, nil
 }
@@ -61,7 +61,7 @@
 // Set decides what becomes of both directions from now on. A way that drops holds the stream still; a new connection comes
 // up once both ways are open.
 func (r *Relay) Set(out, back Impairment) {
-	r.change(func() { r.out, r.back = out, back })
+	r.change(func() { r.outbound, r.inbound = out, back })
 }
 
 func (r *Relay) change(do func()) {
@@ -76,7 +76,7 @@
 func (r *Relay) ResetStreams() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for s := range r.flows {
+	for s := range r.streams {
 		s.reset()
 	}
 }
@@ -95,23 +95,23 @@
 	r.listener.Close()
 	r.change(func() { r.closed = true })
 	r.ResetStreams()
-	r.done.Wait()
+	r.goroutines.Wait()
 }
 
 // fate tells what becomes of a direction now, and hands over what is closed when that changes.
-func (r *Relay) fate(out bool) (f Impairment, changed chan struct{}, closed bool) {
+func (r *Relay) impairment(outbound bool) (f Impairment, changed chan struct{}, closed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if f = r.back; out {
-		f = r.out
+	if f = r.inbound; outbound {
+		f = r.outbound
 	}
 	return f, r.changed, r.closed
 }
 
 // open waits until a direction carries something, and tells what becomes of it.
-func (r *Relay) open(out bool, quit <-chan struct{}) (Impairment, bool) {
+func (r *Relay) waitOpen(outbound bool, quit <-chan struct{}) (Impairment, bool) {
 	for {
-		f, changed, closed := r.fate(out)
+		f, changed, closed := r.impairment(outbound)
 		if closed {
 			return f, false
 		}
@@ -127,44 +127,44 @@
 }
 
 func (r *Relay) accept() {
-	defer r.done.Done()
+	defer r.goroutines.Done()
 	for {
 		c, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		r.done.Add(1)
+		r.goroutines.Add(1)
 		go func() {
-			defer r.done.Done()
-			r.carry(c)
+			defer r.goroutines.Done()
+			r.serve(c)
 		}()
 	}
 }
 
-func (r *Relay) carry(near net.Conn) {
-	s := &stream{near: near}
+func (r *Relay) serve(near net.Conn) {
+	connection := &stream{near: near}
 	r.mu.Lock()
-	r.flows[s] = struct{}{}
-	to := r.to
+	r.streams[connection] = struct{}{}
+	to := r.target
 	r.mu.Unlock()
 	defer func() {
 		r.mu.Lock()
-		delete(r.flows, s)
+		delete(r.streams, connection)
 		r.mu.Unlock()
-		s.reset()
+		connection.reset()
 	}()
 	for _, out := range []bool{true, false} {
-		if _, ok := r.open(out, nil); !ok {
+		if _, ok := r.waitOpen(out, nil); !ok {
 			return
 		}
 	}
 	d := net.Dialer{Timeout: time.Second}
-	if r.from != nil {
-		d.LocalAddr = &net.TCPAddr{IP: r.from}
+	if r.sourceIP != nil {
+		d.LocalAddr = &net.TCPAddr{IP: r.sourceIP}
 	}
 	far, err := d.Dial("tcp4", to)
 	r.mu.Lock()
-	if s.far = far; err == nil && r.closed {
+	if connection.far = far; err == nil && r.closed {
 		err = net.ErrClosed
 	}
 	r.mu.Unlock()
@@ -173,77 +173,77 @@
 	}
 	var both sync.WaitGroup
 	both.Add(2)
-	go func() { defer both.Done(); r.pump(s, far, near, true) }()
-	go func() { defer both.Done(); r.pump(s, near, far, false) }()
+	go func() { defer both.Done(); r.copyDirection(connection, far, near, true) }()
+	go func() { defer both.Done(); r.copyDirection(connection, near, far, false) }()
 	both.Wait()
 }
 
 type chunk struct {
-	b  []byte
-	at time.Time // not before
+	data []byte
+	due  time.Time // not before
 }
 
 // pump carries one direction. An orderly end goes on as one, any other as a reset.
-func (r *Relay) pump(s *stream, to, from net.Conn, out bool) {
-	queue, quit := make(chan chunk, mostQueued), make(chan struct{})
-	var writing sync.WaitGroup
-	writing.Add(1)
+func (r *Relay) copyDirection(connection *stream, destination, source net.Conn, outbound bool) {
+	queue, writerDone := make(chan chunk, maxQueuedChunks), make(chan struct{})
+	var writer sync.WaitGroup
+	writer.Add(1)
 	go func() {
-		defer writing.Done()
-		defer close(quit)
-		r.write(to, queue, out)
+		defer writer.Done()
+		defer close(writerDone)
+		r.writeChunks(destination, queue, outbound)
 	}()
 	var err error
-	for last := time.Now(); err == nil; {
-		b := make([]byte, mostChunk)
+	for lastDue := time.Now(); err == nil; {
+		buffer := make([]byte, maxChunk)
 		var n int
-		if n, err = from.Read(b); n == 0 {
+		if n, err = source.Read(buffer); n == 0 {
 			continue
 		}
-		if out && r.OnData != nil {
-			r.OnData(b[:n])
+		if outbound && r.OnData != nil {
+			r.OnData(buffer[:n])
 		}
-		f, _, _ := r.fate(out)
-		at := time.Now().Add(f.span())
-		if f.LossRate > 0 && rand.Float64() < f.LossRate {
-			at = at.Add(retransmit)
+		impairment, _, _ := r.impairment(outbound)
+		due := time.Now().Add(impairment.randomDelay())
+		if impairment.LossRate > 0 && rand.Float64() < impairment.LossRate {
+			due = due.Add(retransmitDelay)
 		}
-		if at.Before(last) { // a stream keeps its order
-			at = last
+		if due.Before(lastDue) { // a stream keeps its order
+			due = lastDue
 		}
-		last = at
+		lastDue = due
 		select {
-		case queue <- chunk{b[:n], at}:
-		case <-quit:
+		case queue <- chunk{buffer[:n], due}:
+		case <-writerDone:
 			err = net.ErrClosed
 		}
 	}
 	close(queue)
 	if !errors.Is(err, io.EOF) {
-		s.reset()
+		connection.reset()
 	}
-	writing.Wait()
+	writer.Wait()
 	if errors.Is(err, io.EOF) {
-		to.(*net.TCPConn).CloseWrite()
+		destination.(*net.TCPConn).CloseWrite()
 	}
 }
 
-func (r *Relay) write(to net.Conn, queue <-chan chunk, out bool) {
+func (r *Relay) writeChunks(to net.Conn, queue <-chan chunk, outbound bool) {
 	for c := range queue {
-		time.Sleep(time.Until(c.at))
-		for len(c.b) > 0 {
-			f, ok := r.open(out, nil)
+		time.Sleep(time.Until(c.due))
+		for len(c.data) > 0 {
+			f, ok := r.waitOpen(outbound, nil)
 			if !ok {
 				return
 			}
-			n := len(c.b)
+			n := len(c.data)
 			if f.Rate > 0 { // twenty small steps a second
 				n = min(n, max(f.Rate/20, 1))
 			}
-			if _, err := to.Write(c.b[:n]); err != nil {
+			if _, err := to.Write(c.data[:n]); err != nil {
 				return
 			}
-			if c.b = c.b[n:]; f.Rate > 0 {
+			if c.data = c.data[n:]; f.Rate > 0 {
 				time.Sleep(time.Duration(n) * time.Second / time.Duration(f.Rate))
 			}
 		}
--- a/internal/fake/server.go
+++ b/internal/fake/server.go
@@ -21,7 +21,7 @@
 	Conn int // which connection it came over, from 1
 
 	server *Server
-	nc     net.Conn
+	conn   net.Conn
 }
 
 // ID is the id in the statement's comment.
@@ -37,24 +37,24 @@
 }
 
 // From is the IP that the query came from.
-func (q *Query) ClientIP() string { return q.nc.RemoteAddr().(*net.TCPAddr).IP.String() }
+func (q *Query) ClientIP() string { return q.conn.RemoteAddr().(*net.TCPAddr).IP.String() }
 
 // Server is a database server. Each query goes to its handler, on the connection's goroutine.
 type Server struct {
 	QueryHandler func(*Query)
 
-	mu       sync.Mutex
-	listener net.Listener
-	conns    map[net.Conn]struct{}
-	opened   int
-	queries  []string
-	refusing string
-	probe    func(*Query) bool
-	done     sync.WaitGroup
-	Closed   chan int // the number of each connection that has ended
-	Position atomic.Int64
-	Role     atomic.Value
-	Silent   atomic.Bool // it takes everything in and says nothing more, like a machine that is cut off
+	mu                 sync.Mutex
+	listener           net.Listener
+	conns              map[net.Conn]struct{}
+	opened             int
+	queries            []string
+	startupError       string
+	healthCheckHandler func(*Query) bool
+	goroutines         sync.WaitGroup
+	Closed             chan int // the number of each connection that has ended
+	Position           atomic.Int64
+	Role               atomic.Value
+	Silent             atomic.Bool // it takes everything in and says nothing more, like a machine that is cut off
 }
 
 // NewServer starts a server on loopback whose answers, unless the handler gives others, are the key it was asked for.
@@ -69,7 +69,7 @@
 	s := &Server{listener: l, conns: map[net.Conn]struct{}{}, Closed: make(chan int, 4096)}
 	s.Role.Store(role)
 	s.QueryHandler = func(q *Query) { q.ReplyRow([]byte("value of " + q.ID())) }
-	s.done.Add(1)
+	s.goroutines.Add(1)
 	go s.accept(l)
 	return s, nil
 }
@@ -94,7 +94,7 @@
 // Refuse makes the server answer start-ups with an error code; empty for none.
 func (s *Server) RejectStartups(code string) {
 	s.mu.Lock()
-	s.refusing = code
+	s.startupError = code
 	s.mu.Unlock()
 }
 
@@ -112,11 +112,11 @@
 func (s *Server) Close() {
 	s.listener.Close()
 	s.ResetConns()
-	s.done.Wait()
+	s.goroutines.Wait()
 }
 
 func (s *Server) accept(l net.Listener) {
-	defer s.done.Done()
+	defer s.goroutines.Done()
 	for {
 		nc, err := l.Accept()
 		if err != nil {
@@ -127,9 +127,9 @@
 		s.opened++
 		number := s.opened
 		s.mu.Unlock()
-		s.done.Add(1)
+		s.goroutines.Add(1)
 		go func() {
-			defer s.done.Done()
+			defer s.goroutines.Done()
 			s.serve(nc, number)
 			nc.Close()
 			s.mu.Lock()
@@ -140,8 +140,8 @@
 	}
 }
 
-func (s *Server) serve(nc net.Conn, number int) {
-	r := bufio.NewReader(nc)
+func (s *Server) serve(conn net.Conn, number int) {
+	r := bufio.NewReader(conn)
 	size := make([]byte, 4)
 	if _, err := io.ReadFull(r, size); err != nil {
 		return
@@ -150,13 +150,13 @@
 		return
 	}
 	s.mu.Lock()
-	refusing := s.refusing
+	startupError := s.startupError
 	s.mu.Unlock()
-	if refusing != "" {
-		nc.Write(errorMessage("FATAL", refusing))
+	if startupError != "" {
+		conn.Write(errorMessage("FATAL", startupError))
 		return
 	}
-	nc.Write(append(frame('R', 0, 0, 0, 0), append(s.status(), ready()...)...))
+	conn.Write(append(frame('R', 0, 0, 0, 0), append(s.statusParameters(), ready()...)...))
 	for {
 		head := make([]byte, 5)
 		if _, err := io.ReadFull(r, head); err != nil {
@@ -166,18 +166,18 @@
 		if _, err := io.ReadFull(r, body); err != nil || head[0] != 'Q' {
 			return
 		}
-		q := &Query{SQL: strings.TrimRight(string(body), "\x00"), Conn: number, server: s, nc: nc}
+		q := &Query{SQL: strings.TrimRight(string(body), "\x00"), Conn: number, server: s, conn: conn}
 		if s.Silent.Load() {
 			continue
 		}
 		if q.SQL == "SHOW load" {
 			s.mu.Lock()
-			probe := s.probe
+			handler := s.healthCheckHandler
 			s.mu.Unlock()
-			if probe != nil && probe(q) {
+			if handler != nil && handler(q) {
 				continue
 			}
-			q.ReplyRow([]byte(s.report()))
+			q.ReplyRow([]byte(s.loadReport()))
 			continue
 		}
 		s.mu.Lock()
@@ -191,7 +191,7 @@
 // SetProbe has probes handled first by a function that tells whether it has dealt with them.
 func (s *Server) SetHealthCheckHandler(h func(*Query) bool) {
 	s.mu.Lock()
-	s.probe = h
+	s.healthCheckHandler = h
 	s.mu.Unlock()
 }
 
@@ -202,7 +202,7 @@
 	s.mu.Unlock()
 }
 
-func (s *Server) report() string {
+func (s *Server) loadReport() string {
 	primary := 0
 	if s.Role.Load() == "primary" {
 		primary = 1
@@ -211,26 +211,26 @@
 	return fmt.Sprintf("x0=%d.%03d,x1=%d,cpu_share=0.25", ms/1000, ms%1000, primary)
 }
 
-func (s *Server) status() []byte {
+func (s *Server) statusParameters() []byte {
 	b := parameter("role", s.Role.Load().(string))
 	return append(b, parameter("applied_ms", fmt.Sprint(s.Position.Load()))...)
 }
 
 // Serve answers with a row of one column.
 func (q *Query) ReplyRow(value []byte) {
-	q.nc.Write(append(RowMessages(value), append(q.server.status(), ready()...)...))
+	q.conn.Write(append(RowMessages(value), append(q.server.statusParameters(), ready()...)...))
 }
 
 // Fail answers with an error code.
 func (q *Query) ReplyError(code string) {
-	q.nc.Write(append(errorMessage("ERROR", code), append(q.server.status(), ready()...)...))
+	q.conn.Write(append(errorMessage("ERROR", code), append(q.server.statusParameters(), ready()...)...))
 }
 
 // Write sends raw bytes.
-func (q *Query) Write(b []byte) { q.nc.Write(b) }
+func (q *Query) Write(b []byte) { q.conn.Write(b) }
 
 // Hangup closes the connection without an answer.
-func (q *Query) CloseConn() { q.nc.Close() }
+func (q *Query) CloseConn() { q.conn.Close() }
 
 // Row is the whole of a served value but for ReadyForQuery.
 func RowMessages(value []byte) []byte {
--- a/internal/fake/switch.go
+++ b/internal/fake/switch.go
@@ -16,23 +16,23 @@
 type Switch struct {
 	ResetOnTakeover bool // old flows are reset when the address moves; else they go on
 
-	secret   []byte
-	listener net.Listener
-	heard    *net.UDPConn
-	done     sync.WaitGroup
-
-	mu     sync.Mutex
-	holder string
-	order  map[byte][2]uint64 // start and sequence last heard of each sender
-	moves  int
-	flows  map[*flow]struct{}
-	cut    map[string]bool // holders that cannot be reached, whose flows are silent
-	closed bool
+	secret        []byte
+	listener      net.Listener
+	announcements *net.UDPConn
+	goroutines    sync.WaitGroup
+
+	mu            sync.Mutex
+	active        string
+	lastAnnounced map[byte][2]uint64 // start and sequence last heard of each sender
+	takeovers     int
+	flows         map[*flow]struct{}
+	unreachable   map[string]bool // holders that cannot be reached, whose flows are silent
+	closed        bool
 }
 
 type flow struct {
-	client, gateway net.Conn
-	holder          string
+	client, server net.Conn
+	gatewayAddr    string
 }
 
 // NewSwitch starts a switch on loopback that trusts announcements signed with a secret.
@@ -47,11 +47,11 @@
 		return nil, err
 	}
 	s := &Switch{
-		secret: []byte(secret), listener: l, heard: u, order: map[byte][2]uint64{}, flows: map[*flow]struct{}{},
-		cut: map[string]bool{},
+		secret: []byte(secret), listener: l, announcements: u, lastAnnounced: map[byte][2]uint64{}, flows: map[*flow]struct{}{},
+		unreachable: map[string]bool{},
 	}
-	s.done.Add(2)
-	go s.listen()
+	s.goroutines.Add(2)
+	go s.receiveAnnouncements()
 	go s.accept()
 	return s, nil
 }
@@ -60,13 +60,13 @@
 func (s *Switch) Addr() string { return s.listener.Addr().String() }
 
 // Announced is where announcements go.
-func (s *Switch) AnnouncementAddr() string { return s.heard.LocalAddr().String() }
+func (s *Switch) AnnouncementAddr() string { return s.announcements.LocalAddr().String() }
 
 // Holder is where connections are led now, and how often that has changed.
 func (s *Switch) ActiveGateway() (string, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.holder, s.moves
+	return s.active, s.takeovers
 }
 
 // Led tells where the connection from a client's address was led, as long as it lasts.
@@ -75,7 +75,7 @@
 	defer s.mu.Unlock()
 	for f := range s.flows {
 		if f.client.RemoteAddr().String() == client {
-			return f.holder
+			return f.gatewayAddr
 		}
 	}
 	return ""
@@ -83,34 +83,34 @@
 
 // Cut makes a holder unreachable, or reachable again: its announcements are not heard, its flows are silent and new ones do
 // not come up.
-func (s *Switch) SetUnreachable(holder string, on bool) {
+func (s *Switch) SetUnreachable(gateway string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cut[holder] = on
+	s.unreachable[gateway] = on
 	if !on {
 		return
 	}
 	for f := range s.flows {
-		if f.holder == holder {
+		if f.gatewayAddr == gateway {
 			// What is under way is lost on both sides; the ends learn nothing of each other.
-			f.gateway.SetDeadline(time.Unix(1, 0))
+			f.server.SetDeadline(time.Unix(1, 0))
 		}
 	}
 }
 
 // Reset resets all flows of a holder, as the end of its machine does.
-func (s *Switch) ResetFlows(holder string) {
+func (s *Switch) ResetFlows(gateway string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for f := range s.flows {
-		if f.holder == holder {
+		if f.gatewayAddr == gateway {
 			f.reset()
 		}
 	}
 }
 
 func (f *flow) reset() {
-	for _, c := range []net.Conn{f.client, f.gateway} {
+	for _, c := range []net.Conn{f.client, f.server} {
 		c.(*net.TCPConn).SetLinger(0)
 		c.Close()
 	}
@@ -125,54 +125,54 @@
 	}
 	s.mu.Unlock()
 	s.listener.Close()
-	s.heard.Close()
-	s.done.Wait()
+	s.announcements.Close()
+	s.goroutines.Wait()
 }
 
 // The layout of an announcement: "MSA", version 1, VRID, key, sender, count, start (8), sequence (8), listen address (16) and
 // port (2), the floating addresses (16 each), HMAC-SHA-256 over all of it behind a label.
-const announceHead, announceLabel = 42, "marblespan vrrp 1\x00"
+const announcementHeader, announcementLabel = 42, "marblespan vrrp 1\x00"
 
-func (s *Switch) listen() {
-	defer s.done.Done()
+func (s *Switch) receiveAnnouncements() {
+	defer s.goroutines.Done()
 	b := make([]byte, 2048)
 	for {
-		n, err := s.heard.Read(b)
+		n, err := s.announcements.Read(b)
 		if err != nil {
 			return
 		}
-		s.hear(b[:n])
+		s.handleAnnouncement(b[:n])
 	}
 }
 
-func (s *Switch) hear(b []byte) {
-	if len(b) < announceHead+16+32 || string(b[:4]) != "MSA\x01" {
+func (s *Switch) handleAnnouncement(b []byte) {
+	if len(b) < announcementHeader+16+32 || string(b[:4]) != "MSA\x01" {
 		return
 	}
 	h := hmac.New(sha256.New, s.secret)
-	h.Write([]byte(announceLabel))
+	h.Write([]byte(announcementLabel))
 	h.Write(b[:len(b)-32])
 	if !hmac.Equal(h.Sum(nil), b[len(b)-32:]) {
 		return
 	}
 	start, sequence := binary.BigEndian.Uint64(b[8:]), binary.BigEndian.Uint64(b[16:])
 	at := netip.AddrFrom16([16]byte(b[24:40])).Unmap()
-	holder := netip.AddrPortFrom(at, binary.BigEndian.Uint16(b[40:])).String()
+	gateway := netip.AddrPortFrom(at, binary.BigEndian.Uint16(b[40:])).String()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	last := s.order[b[6]]
-	if s.cut[holder] || start < last[0] || start == last[0] && sequence <= last[1] {
+	last := s.lastAnnounced[b[6]]
+	if s.unreachable[gateway] || start < last[0] || start == last[0] && sequence <= last[1] {
 		return
 	}
-	s.order[b[6]] = [2]uint64{start, sequence}
-	if holder == s.holder {
+	s.lastAnnounced[b[6]] = [2]uint64{start, sequence}
+	if gateway == s.active {
 		return
 	}
-	s.holder = holder
-	s.moves++
+	s.active = gateway
+	s.takeovers++
 	if s.ResetOnTakeover {
 		for f := range s.flows {
-			if f.holder != holder {
+			if f.gatewayAddr != gateway {
 				f.reset()
 			}
 		}
@@ -180,31 +180,31 @@
 }
 
 func (s *Switch) accept() {
-	defer s.done.Done()
+	defer s.goroutines.Done()
 	for {
 		c, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
-		s.done.Add(1)
+		s.goroutines.Add(1)
 		go func() {
-			defer s.done.Done()
-			s.lead(c)
+			defer s.goroutines.Done()
+			s.forward(c)
 		}()
 	}
 }
 
 // lead joins a client to the holder of the moment. Without one the client is reset, as by a router that finds no host.
-func (s *Switch) lead(client net.Conn) {
+func (s *Switch) forward(client net.Conn) {
 	s.mu.Lock()
-	holder, cut := s.holder, s.cut[s.holder]
+	gateway, unreachable := s.active, s.unreachable[s.active]
 	s.mu.Unlock()
-	f := &flow{client: client, holder: holder}
+	connection := &flow{client: client, gatewayAddr: gateway}
 	var err error
-	if holder == "" || cut {
+	if gateway == "" || unreachable {
 		err = io.EOF
 	} else {
-		f.gateway, err = net.DialTimeout("tcp", holder, time.Second)
+		connection.server, err = net.DialTimeout("tcp", gateway, time.Second)
 	}
 	if err != nil {
 		client.(*net.TCPConn).SetLinger(0)
@@ -212,37 +212,37 @@
 		return
 	}
 	s.mu.Lock()
-	s.flows[f] = struct{}{}
+	s.flows[connection] = struct{}{}
 	if s.closed {
-		f.reset()
+		connection.reset()
 	}
 	s.mu.Unlock()
 	var both sync.WaitGroup
 	both.Add(2)
 	go func() {
 		defer both.Done()
-		s.pass(f, f.gateway, f.client)
+		s.copyDirection(connection, connection.server, connection.client)
 	}()
 	go func() {
 		defer both.Done()
-		s.pass(f, f.client, f.gateway)
+		s.copyDirection(connection, connection.client, connection.server)
 	}()
 	both.Wait()
 	client.Close()
-	f.gateway.Close()
+	connection.server.Close()
 	s.mu.Lock()
-	delete(s.flows, f)
+	delete(s.flows, connection)
 	s.mu.Unlock()
 }
 
 // pass copies one direction. An orderly end is passed on as one, any other as a reset; of a flow that is cut nothing is.
-func (s *Switch) pass(f *flow, to, from net.Conn) {
+func (s *Switch) copyDirection(f *flow, to, from net.Conn) {
 	_, err := io.Copy(to, from)
 	s.mu.Lock()
-	cut := s.cut[f.holder]
+	unreachable := s.unreachable[f.gatewayAddr]
 	s.mu.Unlock()
 	switch {
-	case cut:
+	case unreachable:
 	case err != nil:
 		f.reset()
 	default:
