--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -1,343 +1,227 @@
 package fake
 
 import (
-	"encoding/binary"
 	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
 	"net"
 	"os"
-	"regexp"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"syscall"
 	"time"
 )
 
-// Outcome is what became of one thing that a client meant to do, over all its tries.
-type Outcome uint8
-
-// The outcomes.
-const (
-	Served   Outcome = iota
-	Failed           // it may have run; the gateway said so
-	Unknown          // the connection ended without an answer; it may have run
-	Rejected         // given up after refusals only: it has not run
-	NumOutcomes
-)
-
-// OutcomeNames name the outcomes.
-var OutcomeNames = [NumOutcomes]string{"served", "failed", "unknown", "refused"}
-
-// Ledger keeps what clients meant and what became of it.
-type Ledger struct {
-	mu       sync.Mutex
-	outcomes map[string]Outcome
-	counts   [NumOutcomes]int
-	tries    int // statements written
-	refusals int // answered so
-	noWay    int // connections that did not come up
-	extra    int // answers that nobody asked for
-	served   []ClientEvent
-	doubts   []ClientEvent
-}
-
-// Mark is something that happened to a client, by way of a gateway.
-type ClientEvent struct {
-	At     time.Time
-	Client string
-	Via    string
-	End    string // of a connection that ended without an answer: "closed", "reset" or "timeout"
-}
-
-// Totals are a ledger's sums.
-type Totals struct {
-	Counts                                                   [NumOutcomes]int
-	Attempts, Rejections, FailedConnects, UnsolicitedAnswers int
-}
-
-// Totals sums up.
-func (l *Ledger) Totals() Totals {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return Totals{l.counts, l.tries, l.refusals, l.noWay, l.extra}
-}
-
-// Served lists when bookings were served, and Doubts when connections ended without an answer.
-func (l *Ledger) Successes() []ClientEvent {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return append([]ClientEvent(nil), l.served...)
-}
-
-// Doubts lists when connections ended without the answer to a booking.
-func (l *Ledger) Unanswered() []ClientEvent {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return append([]ClientEvent(nil), l.doubts...)
-}
-
-func (l *Ledger) note(meaning string, o Outcome, m ClientEvent) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.outcomes == nil {
-		l.outcomes = map[string]Outcome{}
-	}
-	l.outcomes[meaning] = o
-	l.counts[o]++
-	switch o {
-	case Served:
-		l.served = append(l.served, m)
-	case Unknown:
-		l.doubts = append(l.doubts, m)
-	}
-}
-
-func (l *Ledger) add(n *int) {
-	l.mu.Lock()
-	*n++
-	l.mu.Unlock()
-}
-
-var meant = regexp.MustCompile(`INSERT INTO kv \(name, content\) VALUES \('([^']*)'`)
-
-// Check compares what clients were told with what servers ran: nothing more than once, what was served exactly once, what
-// was refused never, and no answer that nobody asked for.
-func (l *Ledger) Check(servers ...*Server) (runs int, faults []string) {
-	ran := map[string]int{}
-	for _, s := range servers {
-		for _, sql := range s.Queries() {
-			if m := meant.FindStringSubmatch(sql); m != nil {
-				ran[m[1]]++
-				runs++
-			}
-		}
-	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for meaning, n := range ran {
-		if n > 1 {
-			faults = append(faults, fmt.Sprintf("%s ran %d times", meaning, n))
-		}
-		if o, ok := l.outcomes[meaning]; ok && o == Rejected {
-			faults = append(faults, fmt.Sprintf("%s ran and was refused", meaning))
-		}
-	}
-	for meaning, o := range l.outcomes {
-		if o == Served && ran[meaning] != 1 {
-			faults = append(faults, fmt.Sprintf("%s was served and ran %d times", meaning, ran[meaning]))
-		}
-	}
-	if l.extra > 0 {
-		faults = append(faults, fmt.Sprintf("%d answers that nobody asked for", l.extra))
-	}
-	return runs, faults
-}
-
-// Exchange is one request that a client wrote whole, and its end.
+// Exchange is one request that a client wrote completely, or the end of such a request.
 type Exchange struct {
-	At        time.Time // just before it was written, or when its end was seen
+	At        time.Time // just before the request was written, or when its end was seen
 	Client    string
 	ID        string
 	Class     string
 	Key       string
-	Via       string // as Booker.Via tells it, or else the address connected to
-	Reused    bool   // the connection had served another request before
-	Retry     bool   // it says that it was asked before
-	End       string // empty at the beginning; "served", "refused", "failed", or how the connection ended without an answer
-	Value     string // served
-	ErrorText string // of an error: its code and message
+	Via       string // what Client.Route returned, or else the address connected to
+	Reused    bool   // the connection had carried another request before
+	Retry     bool   // the request is marked as a retry of one that may have run
+	End       string // empty for a request; "served", "refused", "failed", or how the connection ended without an answer
+	Value     string // the value that was served
+	ErrorText string // code and message of an error
 }
 
-// Booker is one client that books or reads, a thing at a time. It tries again after a refusal, and where nothing was written;
-// what may have run it never sends again.
+// Client writes and reads keys, one operation at a time, and records the outcomes in a Ledger. It makes another attempt after
+// a rejection, or if no connection came up. A statement that may have run is retried only if RetryTimeouts is set. One
+// goroutine at a time may use a client.
 type Client struct {
 	Name        string
-	Addr        func() string             // where to connect now
-	Route       func(local string) string // where a connection from there was led, if anybody is to know; may be nil
+	Addr        func() string             // returns the address to connect to
+	Route       func(local string) string // returns the gateway that a connection from a local address was forwarded to; may be nil
 	Class       string
 	Group       int
-	Timeout     time.Duration // of one try
+	Timeout     time.Duration // of one attempt
 	MaxAttempts int
-	Backoff     time.Duration // after a refusal or a connection that did not come up, half as much again at random
+	Backoff     time.Duration // before a further attempt; up to half as much is added at random
 	Ledger      *Ledger
-	OnExchange  func(Exchange) // is told of each request and of each end; may be nil
-	// Again has it ask again, marked as asked before, what may have run: until it is served, its tries are over, or so many
-	// times its patience.
+	OnExchange  func(Exchange) // is called for each request and for each end; may be nil
+	// RetryTimeouts, if above 0, makes the client retry a statement that may have run, marked as a retry, for this many
+	// times Timeout.
 	RetryTimeouts int
 
 	conn   *net.TCPConn
-	via    string
-	end    string
-	reused bool
+	via    string // of the current or last connection
+	end    string // how the last connection without an answer ended
+	reused bool   // the connection has carried a request
 }
 
-var ids atomic.Int64
+var lastRequestID atomic.Int64
 
-// Book does one thing that is meant and notes what became of it.
-func (b *Client) Write(meaning string) Outcome {
-	return b.do(meaning, fmt.Sprintf(`INSERT INTO kv (name, content) VALUES ('%s', '\x01') RETURNING content`, meaning))
+// Write inserts a key, which must be unique, and records the outcome.
+func (c *Client) Write(key string) Outcome {
+	return c.run(key, fmt.Sprintf(`INSERT INTO kv (name, content) VALUES ('%s', '\x01') RETURNING content`, key))
 }
 
-// Read reads a key.
-func (b *Client) Read(key string) Outcome {
-	return b.do(key, fmt.Sprintf("SELECT content FROM kv WHERE name = '%s'", key))
+// Read reads a key and records the outcome.
+func (c *Client) Read(key string) Outcome {
+	return c.run(key, fmt.Sprintf("SELECT content FROM kv WHERE name = '%s'", key))
 }
 
-func (b *Client) do(meaning, statement string) Outcome {
-	o, marked, until := Rejected, false, time.Time{}
-	for range b.MaxAttempts {
-		again, out := b.try(meaning, statement, marked)
-		if b.RetryTimeouts > 0 && (out == Unknown || out == Failed) {
-			if !marked {
-				marked, until = true, time.Now().Add(time.Duration(b.RetryTimeouts)*b.Timeout)
+// Close closes the connection, if there is one. The next operation opens another.
+func (c *Client) Close() {
+	if c.conn != nil {
+		c.conn.Close()
+		c.conn = nil
+	}
+}
+
+// run makes attempts until one of them is final, and records the outcome.
+func (c *Client) run(key, statement string) Outcome {
+	outcome, retry, retryUntil := Rejected, false, time.Time{}
+	for range c.MaxAttempts {
+		again, result := c.attempt(key, statement, retry)
+		if c.RetryTimeouts > 0 && (result == Unknown || result == Failed) {
+			if !retry {
+				retry, retryUntil = true, time.Now().Add(time.Duration(c.RetryTimeouts)*c.Timeout)
 			}
-			again = time.Now().Before(until)
+			again = time.Now().Before(retryUntil)
 		}
-		if !marked || out != Rejected { // what may have run once is not refused by a later word
-			o = out
+		if !retry || result != Rejected { // a later rejection does not mean that an earlier attempt has not run
+			outcome = result
 		}
 		if !again {
 			break
 		}
-		time.Sleep(b.Backoff + time.Duration(rand.Int64N(int64(b.Backoff)/2+1)))
+		time.Sleep(c.Backoff + time.Duration(rand.Int64N(int64(c.Backoff)/2+1)))
 	}
-	b.Ledger.note(meaning, o, ClientEvent{time.Now(), b.Name, b.via, b.end})
-	return o
+	c.Ledger.record(key, outcome, ClientEvent{time.Now(), c.Name, c.via, c.end})
+	return outcome
 }
 
-// Close hangs up.
-func (b *Client) Close() {
-	if b.conn != nil {
-		b.conn.Close()
-		b.conn = nil
+// attempt sends a statement once and reports whether another attempt may follow.
+func (c *Client) attempt(key, statement string, retry bool) (again bool, outcome Outcome) {
+	if c.conn != nil && !idle(c.conn) { // the gateway closed it, or announced that it will
+		c.Close()
 	}
-}
-
-// try makes one try and tells whether another may follow.
-func (b *Client) try(meaning, statement string, marked bool) (again bool, o Outcome) {
-	if b.conn != nil && !quiet(b.conn) { // it was closed, or told to go, while idle
-		b.Close()
-	}
-	if b.conn == nil && !b.connect() {
-		b.Ledger.add(&b.Ledger.noWay)
+	if c.conn == nil && !c.connect() {
+		c.Ledger.increment(&c.Ledger.totals.FailedConnects)
 		return true, Rejected
 	}
-	b.conn.SetDeadline(time.Now().Add(b.Timeout + b.Timeout/4))
-	b.Ledger.add(&b.Ledger.tries)
-	x := Exchange{
-		At: time.Now(), Client: b.Name, ID: fmt.Sprint("b", ids.Add(1)), Class: b.Class, Key: meaning, Via: b.via, Reused: b.reused,
-		Retry: marked,
+	c.conn.SetDeadline(time.Now().Add(c.Timeout + c.Timeout/4))
+	c.Ledger.increment(&c.Ledger.totals.Attempts)
+	exchange := Exchange{
+		At: time.Now(), Client: c.Name, ID: fmt.Sprint("b", lastRequestID.Add(1)), Class: c.Class, Key: key, Via: c.via, Reused: c.reused,
+		Retry: retry,
 	}
-	mark := ""
-	if marked {
-		mark = ",r=1"
-	}
-	sql := fmt.Sprintf("/* id=%s,c=%s,d=%d,cluster=%d%s */ %s\x00", x.ID, b.Class, b.Timeout.Milliseconds(), b.Group, mark, statement)
-	if _, err := b.conn.Write(frame('Q', []byte(sql)...)); err != nil {
-		b.Close()
-		b.end = ending(err)
+	if _, err := c.conn.Write(frame('Q', []byte(c.query(exchange, statement))...)); err != nil {
+		c.connectionEnded(err)
 		return false, Unknown
 	}
-	b.reused = true
-	b.tell(x)
-	o = Unknown
+	c.reused = true
+	c.notify(exchange)
+	again, outcome = c.readAnswer(&exchange)
+	exchange.At = time.Now()
+	exchange.End = OutcomeNames[outcome]
+	if outcome == Unknown {
+		exchange.End = c.end
+	}
+	c.notify(exchange)
+	return again, outcome
+}
+
+// query is the text of a Query message: the comment with the request's options, and the statement.
+func (c *Client) query(exchange Exchange, statement string) string {
+	retryOption := ""
+	if exchange.Retry {
+		retryOption = ",r=1"
+	}
+	return fmt.Sprintf("/* id=%s,c=%s,d=%d,cluster=%d%s */ %s\x00",
+		exchange.ID, c.Class, c.Timeout.Milliseconds(), c.Group, retryOption, statement)
+}
+
+// readAnswer reads up to the end of an answer or of the connection, and stores the value or the error in the exchange.
+func (c *Client) readAnswer(exchange *Exchange) (again bool, outcome Outcome) {
+	outcome = Unknown
 	code := ""
-	defer func() {
-		switch x.At = time.Now(); {
-		case o == Rejected:
-			x.End = "refused"
-		case code != "":
-			x.End = "failed"
-		case o == Served:
-			x.End = "served"
-		default:
-			x.End = b.end
-		}
-		b.tell(x)
-	}()
 	for {
-		kind, body, err := readFrame(b.conn)
+		kind, body, err := readFrame(c.conn)
 		if err != nil {
-			b.Close()
-			b.end = ending(err)
+			c.connectionEnded(err)
 			break
 		}
 		switch {
-		case kind == 'E' && (code != "" || o == Served), kind == 'C' && o == Served:
-			b.Ledger.add(&b.Ledger.extra)
+		case kind == 'E' && (code != "" || outcome == Served), kind == 'C' && outcome == Served:
+			c.Ledger.increment(&c.Ledger.totals.UnsolicitedAnswers)
 		case kind == 'E':
-			code = field(body, 'C')
-			x.ErrorText = code + " " + field(body, 'M')
+			code = errorField(body, 'C')
+			exchange.ErrorText = code + " " + errorField(body, 'M')
 		case kind == 'C':
-			o = Served
+			outcome = Served
 		case kind == 'D' && len(body) > 6:
-			x.Value = string(body[6:])
+			exchange.Value = string(body[6:])
 		}
 		if kind == 'Z' {
 			break
 		}
-		if kind == 'E' && strings.HasPrefix(field(body, 'S'), "FATAL") {
-			b.Close()
+		if kind == 'E' && strings.HasPrefix(errorField(body, 'S'), "FATAL") {
+			c.Close()
 			break
 		}
 	}
 	switch {
 	case code == "53300", code == "57P03":
-		b.Ledger.add(&b.Ledger.refusals)
+		c.Ledger.increment(&c.Ledger.totals.Rejections)
 		return true, Rejected
 	case code != "":
 		return false, Failed
 	}
-	return false, o
+	return false, outcome
 }
 
-func (b *Client) tell(x Exchange) {
-	if b.OnExchange != nil {
-		b.OnExchange(x)
+func (c *Client) notify(exchange Exchange) {
+	if c.OnExchange != nil {
+		c.OnExchange(exchange)
 	}
 }
 
-// ending names how a connection ended.
-func ending(err error) string {
+// connectionEnded closes the connection after an error and notes how it ended.
+func (c *Client) connectionEnded(err error) {
+	c.Close()
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return "timeout"
+		c.end = "timeout"
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
-		return "closed"
+		c.end = "closed"
+	default:
+		c.end = "reset"
 	}
-	return "reset"
 }
 
-func (b *Client) connect() bool {
-	b.via, b.reused = b.Addr(), false
-	c, err := net.DialTimeout("tcp", b.via, time.Second)
+// connect opens a connection and waits until the gateway is ready for queries.
+func (c *Client) connect() bool {
+	c.via, c.reused = c.Addr(), false
+	conn, err := net.DialTimeout("tcp", c.via, time.Second)
 	if err != nil {
 		return false
 	}
-	c.SetDeadline(time.Now().Add(time.Second))
-	c.Write(hello())
+	conn.SetDeadline(time.Now().Add(time.Second))
+	conn.Write(startupMessage())
 	for {
-		kind, _, err := readFrame(c)
+		kind, _, err := readFrame(conn)
 		if err != nil || kind == 'E' {
-			c.Close()
+			conn.Close()
 			return false
 		}
 		if kind == 'Z' {
-			if b.Route != nil {
-				b.via = b.Route(c.LocalAddr().String())
+			if c.Route != nil {
+				c.via = c.Route(conn.LocalAddr().String())
 			}
-			b.conn = c.(*net.TCPConn)
+			c.conn = conn.(*net.TCPConn)
 			return true
 		}
 	}
 }
 
-// quiet tells that the peer has neither closed nor said anything.
-func quiet(c *net.TCPConn) bool {
-	raw, err := c.SyscallConn()
+// idle reports whether the peer has neither closed the connection nor sent anything that is unread.
+func idle(conn *net.TCPConn) bool {
+	raw, err := conn.SyscallConn()
 	if err != nil {
 		return false
 	}
@@ -350,41 +234,17 @@
 	return ok
 }
 
-func readFrame(r io.Reader) (byte, []byte, error) {
-	head := make([]byte, 5)
-	if _, err := io.ReadFull(r, head); err != nil {
-		return 0, nil, err
-	}
-	n := binary.BigEndian.Uint32(head[1:])
-	if n < 4 || n > 1<<20 {
-		return 0, nil, errors.New("a message of no sense")
-	}
-	body := make([]byte, n-4)
-	_, err := io.ReadFull(r, body)
-	return head[0], body, err
-}
-
-// field is a field of an ErrorResponse.
-func field(body []byte, code byte) string {
-	for _, part := range strings.Split(string(body), "\x00") {
-		if part != "" && part[0] == code {
-			return part[1:]
-		}
-	}
-	return ""
-}
-
-// Serves asks a gateway an empty query, as a front does before it admits one, and tells whether it answers.
-func Healthy(addr string, patience time.Duration) bool {
-	c, err := net.DialTimeout("tcp", addr, patience)
+// Healthy sends an empty query to a gateway, as a load balancer's health check does, and reports whether it answers in time.
+func Healthy(addr string, timeout time.Duration) bool {
+	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
 		return false
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
-	c.Write(append(hello(), frame('Q', 0)...))
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(timeout))
+	conn.Write(append(startupMessage(), frame('Q', 0)...))
 	for {
-		kind, _, err := readFrame(c)
+		kind, _, err := readFrame(conn)
 		if err != nil || kind == 'E' {
 			return false
 		}
@@ -393,9 +253,3 @@
 		}
 	}
 }
-
-// hello is a client's startup message.
-func hello() []byte {
-	b := append([]byte{0, 3, 0, 0}, "user\x00backend\x00database\x00store\x00\x00"...)
-	return append(binary.BigEndian.AppendUint32(nil, uint32(4+len(b))), b...)
-}
--- a/internal/fake/server.go
+++ b/internal/fake/server.go
@@ -1,6 +1,12 @@
-// Package fake holds small stand-ins for what a gateway talks to: a database server and the discovery service,
-// written from the public specifications alone. Only tests import it. It shares no code with the gateway's codecs,
-// so that a mistake there is not made here as well.
+// Package fake holds working, simplified counterparts of what a gateway talks to, for tests: a database server (Server), the
+// discovery service (Discovery), the network between nodes (Path, Relay), a switch with a floating address (Switch), and
+// clients (Client, with a Ledger of their outcomes).
+//
+// They are written from the public specifications and share no code with the gateway's codecs, so that a mistake there is not
+// repeated here. Only tests, the test cluster and the experiments import the package. Each fake owns the goroutines that it
+// starts; its Close ends them and waits for them. The main decisions are in Client.run and Client.attempt (retries and
+// outcomes), Ledger.Check (exactly-once checks), Path.forward and Relay.copyDirection (impairments), and
+// Switch.handleAnnouncement (which gateway is active).
 package fake
 
 import (
@@ -10,24 +16,25 @@
 	"io"
 	"net"
 	"regexp"
+	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
 )
 
-// Query is one statement as a server received it.
+// Query is one statement that a server received.
 type Query struct {
 	SQL  string
-	Conn int // which connection it came over, from 1
+	Conn int // the number of its connection, from 1
 
 	server *Server
 	conn   net.Conn
 }
 
-// ID is the id in the statement's comment.
+// ID returns the id in the statement's comment.
 func (q *Query) ID() string { return q.Field("id") }
 
-// Field is a value in the statement's comment.
+// Field returns a value in the statement's comment, or "" if it is missing.
 func (q *Query) Field(name string) string {
 	m := regexp.MustCompile(`[ ,*]` + name + `=([^, ]*)`).FindStringSubmatch(q.SQL)
 	if m == nil {
@@ -36,31 +43,32 @@
 	return m[1]
 }
 
-// From is the IP that the query came from.
+// ClientIP returns the IP address that the query came from.
 func (q *Query) ClientIP() string { return q.conn.RemoteAddr().(*net.TCPAddr).IP.String() }
 
 // Server is a database server. Each query goes to its handler, on the connection's goroutine.
 type Server struct {
-	QueryHandler func(*Query)
+	QueryHandler func(*Query) // set it before the first connection; afterwards by SetQueryHandler
+	Closed       chan int     // receives the number of each connection that has ended
+	Position     atomic.Int64 // the replication position that it reports, in milliseconds
+	Role         atomic.Value // the role that it reports: a string
+	Silent       atomic.Bool  // it reads everything and sends nothing, like a machine that is cut off
+
+	listener   net.Listener
+	goroutines sync.WaitGroup // the accept loop and one goroutine for each connection
 
 	mu                 sync.Mutex
-	listener           net.Listener
 	conns              map[net.Conn]struct{}
-	opened             int
+	opened             int // connections so far
 	queries            []string
-	startupError       string
+	startupError       string // the error code that answers startup messages; empty for none
 	healthCheckHandler func(*Query) bool
-	goroutines         sync.WaitGroup
-	Closed             chan int // the number of each connection that has ended
-	Position           atomic.Int64
-	Role               atomic.Value
-	Silent             atomic.Bool // it takes everything in and says nothing more, like a machine that is cut off
 }
 
-// NewServer starts a server on loopback whose answers, unless the handler gives others, are the key it was asked for.
+// NewServer starts a server on loopback. Its initial handler answers "value of " and the request's id.
 func NewServer(role string) (*Server, error) { return NewServerAt("127.0.0.1:0", role) }
 
-// NewServerAt starts a server at an address.
+// NewServerAt is NewServer with an address to listen on.
 func NewServerAt(at, role string) (*Server, error) {
 	l, err := net.Listen("tcp", at)
 	if err != nil {
@@ -74,31 +82,31 @@
 	return s, nil
 }
 
-// Addr is where the server listens.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Opened is how many connections have come up so far.
+// ConnsOpened returns the number of connections accepted so far.
 func (s *Server) ConnsOpened() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.opened
 }
 
-// Queries lists the statements that came from clients, in order.
+// Queries lists the statements received so far, in order, without health checks.
 func (s *Server) Queries() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]string(nil), s.queries...)
+	return slices.Clone(s.queries)
 }
 
-// Refuse makes the server answer start-ups with an error code; empty for none.
+// RejectStartups makes the server answer startup messages with an error code; an empty code ends this.
 func (s *Server) RejectStartups(code string) {
 	s.mu.Lock()
 	s.startupError = code
 	s.mu.Unlock()
 }
 
-// Drop resets every open connection, as the end of a process does.
+// ResetConns resets every open connection, as the end of a process does.
 func (s *Server) ResetConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,7 +116,7 @@
 	}
 }
 
-// Close ends the server.
+// Close stops the server and waits for its goroutines.
 func (s *Server) Close() {
 	s.listener.Close()
 	s.ResetConns()
@@ -140,62 +148,74 @@
 	}
 }
 
+// serve handles one connection until either side closes it.
 func (s *Server) serve(conn net.Conn, number int) {
 	r := bufio.NewReader(conn)
-	size := make([]byte, 4)
-	if _, err := io.ReadFull(r, size); err != nil {
-		return
-	}
-	if _, err := io.CopyN(io.Discard, r, int64(binary.BigEndian.Uint32(size))-4); err != nil {
-		return
-	}
-	s.mu.Lock()
-	startupError := s.startupError
-	s.mu.Unlock()
-	if startupError != "" {
-		conn.Write(errorMessage("FATAL", startupError))
+	if !s.startUp(conn, r) {
 		return
 	}
-	conn.Write(append(frame('R', 0, 0, 0, 0), append(s.statusParameters(), ready()...)...))
 	for {
-		head := make([]byte, 5)
-		if _, err := io.ReadFull(r, head); err != nil {
+		header := make([]byte, 5)
+		if _, err := io.ReadFull(r, header); err != nil {
 			return
 		}
-		body := make([]byte, binary.BigEndian.Uint32(head[1:])-4)
-		if _, err := io.ReadFull(r, body); err != nil || head[0] != 'Q' {
+		body := make([]byte, binary.BigEndian.Uint32(header[1:])-4)
+		if _, err := io.ReadFull(r, body); err != nil || header[0] != 'Q' {
 			return
 		}
-		q := &Query{SQL: strings.TrimRight(string(body), "\x00"), Conn: number, server: s, conn: conn}
 		if s.Silent.Load() {
 			continue
 		}
-		if q.SQL == "SHOW load" {
-			s.mu.Lock()
-			handler := s.healthCheckHandler
-			s.mu.Unlock()
-			if handler != nil && handler(q) {
-				continue
-			}
-			q.ReplyRow([]byte(s.loadReport()))
-			continue
-		}
+		s.handle(&Query{SQL: strings.TrimRight(string(body), "\x00"), Conn: number, server: s, conn: conn})
+	}
+}
+
+// startUp reads the startup message and answers it. It reports whether queries may follow.
+func (s *Server) startUp(conn net.Conn, r *bufio.Reader) bool {
+	size := make([]byte, 4)
+	if _, err := io.ReadFull(r, size); err != nil {
+		return false
+	}
+	if _, err := io.CopyN(io.Discard, r, int64(binary.BigEndian.Uint32(size))-4); err != nil {
+		return false
+	}
+	s.mu.Lock()
+	startupError := s.startupError
+	s.mu.Unlock()
+	if startupError != "" {
+		conn.Write(errorResponse("FATAL", startupError))
+		return false
+	}
+	conn.Write(append(frame('R', 0, 0, 0, 0), append(s.statusParameters(), readyForQuery()...)...))
+	return true
+}
+
+// handle answers a health check or passes a query to its handler.
+func (s *Server) handle(q *Query) {
+	if q.SQL == "SHOW load" {
 		s.mu.Lock()
-		s.queries = append(s.queries, q.SQL)
-		handle := s.QueryHandler
+		handler := s.healthCheckHandler
 		s.mu.Unlock()
-		handle(q)
+		if handler == nil || !handler(q) {
+			q.ReplyRow([]byte(s.loadReport()))
+		}
+		return
 	}
+	s.mu.Lock()
+	s.queries = append(s.queries, q.SQL)
+	handler := s.QueryHandler
+	s.mu.Unlock()
+	handler(q)
 }
 
-// SetProbe has probes handled first by a function that tells whether it has dealt with them.
+// SetHealthCheckHandler sets a function that is called first for health checks and reports whether it has answered.
 func (s *Server) SetHealthCheckHandler(h func(*Query) bool) {
 	s.mu.Lock()
 	s.healthCheckHandler = h
 	s.mu.Unlock()
 }
 
-// SetHandle changes what the server does with queries.
+// SetQueryHandler changes what the server does with queries.
 func (s *Server) SetQueryHandler(h func(*Query)) {
 	s.mu.Lock()
 	s.QueryHandler = h
@@ -212,45 +232,22 @@
 }
 
 func (s *Server) statusParameters() []byte {
-	b := parameter("role", s.Role.Load().(string))
-	return append(b, parameter("applied_ms", fmt.Sprint(s.Position.Load()))...)
+	b := parameterStatus("role", s.Role.Load().(string))
+	return append(b, parameterStatus("applied_ms", fmt.Sprint(s.Position.Load()))...)
 }
 
-// Serve answers with a row of one column.
+// ReplyRow answers with one row of one column.
 func (q *Query) ReplyRow(value []byte) {
-	q.conn.Write(append(RowMessages(value), append(q.server.statusParameters(), ready()...)...))
+	q.conn.Write(append(RowMessages(value), append(q.server.statusParameters(), readyForQuery()...)...))
 }
 
-// Fail answers with an error code.
+// ReplyError answers with an error code.
 func (q *Query) ReplyError(code string) {
-	q.conn.Write(append(errorMessage("ERROR", code), append(q.server.statusParameters(), ready()...)...))
+	q.conn.Write(append(errorResponse("ERROR", code), append(q.server.statusParameters(), readyForQuery()...)...))
 }
 
 // Write sends raw bytes.
 func (q *Query) Write(b []byte) { q.conn.Write(b) }
 
-// Hangup closes the connection without an answer.
+// CloseConn closes the connection without an answer.
 func (q *Query) CloseConn() { q.conn.Close() }
-
-// Row is the whole of a served value but for ReadyForQuery.
-func RowMessages(value []byte) []byte {
-	desc := append([]byte{0, 1}, "content\x00"...)
-	desc = append(desc, make([]byte, 16)...)
-	desc = append(desc, 0, 1)
-	b := frame('T', desc...)
-	data := binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(value)))
-	b = append(b, frame('D', append(data, value...)...)...)
-	return append(b, frame('C', []byte("SELECT 1\x00")...)...)
-}
-
-func ready() []byte { return frame('Z', 'I') }
-
-func parameter(name, value string) []byte { return frame('S', []byte(name+"\x00"+value+"\x00")...) }
-
-func errorMessage(severity, code string) []byte {
-	return frame('E', []byte("S"+severity+"\x00V"+severity+"\x00C"+code+"\x00Mrefused by the stand-in\x00\x00")...)
-}
-
-func frame(kind byte, body ...byte) []byte {
-	return append(binary.BigEndian.AppendUint32([]byte{kind}, uint32(len(body)+4)), body...)
-}
