--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -9,7 +9,7 @@
 	"sync"
 )
 
-// Target is one entry of the list, as discovery writes it.
+// Endpoint is one entry of the endpoint list, as the discovery service encodes it.
 type Endpoint struct {
 	UID    string  `json:"uid"`
 	Addr   string  `json:"endpoint"`
@@ -22,114 +22,113 @@
 	Role   string  `json:"role,omitempty"`
 }
 
-// Discovery is the discovery service. It answers every watch with the whole list, and goes on with what Push hands it.
+// Discovery is the discovery service. It answers every watch with the complete endpoint list, followed by the changes that Push
+// sends.
 type Discovery struct {
 	mu          sync.Mutex
 	listener    net.Listener
 	revision    int
 	endpoints   []Endpoint
-	rawResponse string // a whole answer to give instead; "silent" for none at all
-	watching    map[net.Conn]bool
+	rawResponse string            // a complete response to send instead of the list; "silent" for none at all
+	conns       map[net.Conn]bool // every open connection; true: it watches
 	goroutines  sync.WaitGroup
-	Requests    chan string // the request line of each call
+	Requests    chan string // receives the request line of each request
 }
 
 // NewDiscovery starts a discovery service on loopback.
-func NewDiscovery(targets ...Endpoint) (*Discovery, error) {
+func NewDiscovery(endpoints ...Endpoint) (*Discovery, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	d := &Discovery{
-		listener: l, revision: 1, endpoints: targets, watching: map[net.Conn]bool{}, Requests: make(chan string, 4096),
+		listener: l, revision: 1, endpoints: endpoints, conns: map[net.Conn]bool{}, Requests: make(chan string, 4096),
 	}
-	d.goroutines.Add(1)
-	go d.accept()
+	d.goroutines.Go(d.accept)
 	return d, nil
 }
 
-// Addr is where the service listens.
+// Addr returns the address that the service listens on.
 func (d *Discovery) Addr() string { return d.listener.Addr().String() }
 
-// Answer makes every call from now on end with these bytes; empty for the list, "silent" for nothing.
+// SetRawResponse makes the service answer later requests with these bytes: empty for the endpoint list, "silent" for no answer.
 func (d *Discovery) SetRawResponse(raw string) {
 	d.mu.Lock()
 	d.rawResponse = raw
 	d.mu.Unlock()
 }
 
-// SetTargets changes the list for calls to come, without a word to the watches.
-func (d *Discovery) SetEndpoints(targets ...Endpoint) {
+// SetEndpoints replaces the list for later requests, without an event to the open watches.
+func (d *Discovery) SetEndpoints(endpoints ...Endpoint) {
 	d.mu.Lock()
-	d.revision, d.endpoints = d.revision+1, targets
+	d.revision, d.endpoints = d.revision+1, endpoints
 	d.mu.Unlock()
 }
 
-// Push writes changes to every watch.
+// Push updates the entries with the same UID and sends them to every watch as an event.
 func (d *Discovery) Push(changed ...Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.revision++
-	for _, t := range changed {
+	for _, endpoint := range changed {
 		for i := range d.endpoints {
-			if d.endpoints[i].UID == t.UID {
-				d.endpoints[i] = t
+			if d.endpoints[i].UID == endpoint.UID {
+				d.endpoints[i] = endpoint
 			}
 		}
 	}
 	line := d.message(false, changed)
-	for c, watching := range d.watching {
+	for c, watching := range d.conns {
 		if watching {
-			// Cut in two, so that nothing depends on lines and chunks being the same.
+			// Two chunks for one line, so that no client can rely on their being the same.
 			fmt.Fprintf(c, "%x\r\n%s\r\n%x\r\n%s\r\n", 5, line[:5], len(line)-5, line[5:])
 		}
 	}
 }
 
-// Cut breaks every connection.
+// ResetConns resets every open connection.
 func (d *Discovery) ResetConns() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for c := range d.watching {
+	for c := range d.conns {
 		c.(*net.TCPConn).SetLinger(0)
 		c.Close()
 	}
 }
 
-// Close ends the service.
+// Close stops the service and waits for its goroutines.
 func (d *Discovery) Close() {
 	d.listener.Close()
 	d.ResetConns()
 	d.goroutines.Wait()
 }
 
-func (d *Discovery) message(all bool, targets []Endpoint) string {
-	b, _ := json.Marshal(map[string]any{"rev": d.revision, "all": all, "targets": targets})
+// message encodes a watch event or, with all set, the complete list.
+func (d *Discovery) message(all bool, endpoints []Endpoint) string {
+	b, _ := json.Marshal(map[string]any{"rev": d.revision, "all": all, "targets": endpoints})
 	return string(b) + "\n"
 }
 
 func (d *Discovery) accept() {
-	defer d.goroutines.Done()
 	for {
-		nc, err := d.listener.Accept()
+		conn, err := d.listener.Accept()
 		if err != nil {
 			return
 		}
 		d.mu.Lock()
-		d.watching[nc] = false
+		d.conns[conn] = false
 		d.mu.Unlock()
-		d.goroutines.Add(1)
-		go func() {
-			defer d.goroutines.Done()
-			d.serve(nc)
-			nc.Close()
+		d.goroutines.Go(func() {
+			d.serve(conn)
+			conn.Close()
 			d.mu.Lock()
-			delete(d.watching, nc)
+			delete(d.conns, conn)
 			d.mu.Unlock()
-		}()
+		})
 	}
 }
 
+// serve answers one request, and keeps the connection of a watch until either side closes it.
 func (d *Discovery) serve(conn net.Conn) {
 	r := bufio.NewReader(conn)
 	requestLine, err := r.ReadString('\n')
@@ -148,7 +147,7 @@
 		fmt.Fprint(conn, rawResponse)
 	case watch:
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(list), list)
-		d.watching[conn] = true
+		d.conns[conn] = true
 	default:
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 	}
--- a/internal/fake/path.go
+++ b/internal/fake/path.go
@@ -1,25 +1,26 @@
 package fake
 
 import (
+	"bytes"
 	"math/rand/v2"
 	"net"
 	"sync"
 	"time"
 )
 
-// Fate is what becomes of what one node sends to another.
+// Impairment is what a network does to the traffic from one node to another. The zero value is a perfect link.
 type Impairment struct {
-	Drop         bool          // nothing arrives; a stream stands still
-	LossRate     float64       // the share of datagrams that is lost; of a stream's chunks, that comes late
-	Delay        time.Duration // of each
-	Jitter       time.Duration // up to so much more, at random, so that datagrams overtake each other
+	Drop         bool          // datagrams are lost, streams stall
+	LossRate     float64       // the fraction, from 0 to 1, of datagrams lost, and of stream chunks retransmitted
+	Delay        time.Duration // of each datagram or chunk
+	Jitter       time.Duration // maximum random addition to Delay, so that datagrams overtake each other
 	Duplicates   int           // further copies of each datagram
-	Reorder      bool          // each pair of datagrams arrives in the other order
-	StallStreams bool          // streams stand still, datagrams pass
-	Rate         int           // of a stream, in bytes a second; 0: no bound
+	Reorder      bool          // each pair of datagrams arrives in reverse order
+	StallStreams bool          // streams stall, datagrams pass
+	Rate         int           // of a stream, in bytes per second; 0: unlimited
 }
 
-// span is how long something takes.
+// randomDelay draws the delay of one datagram or chunk.
 func (f Impairment) randomDelay() time.Duration {
 	if f.Jitter > 0 {
 		return f.Delay + time.Duration(rand.Int64N(int64(f.Jitter)))
@@ -27,27 +28,28 @@
 	return f.Delay
 }
 
-// Path carries datagrams, and streams where asked for, between nodes, numbered from 0, and does to them what it is told.
-// Each ordered pair has an address where one node sends to the other; the other sees datagrams come from the address of the
-// way back, which has the sender's IP.
+// Path is a network between nodes, numbered from 0, that forwards datagrams and, after CarryStreams, streams with an Impairment
+// for each direction. Each ordered pair of nodes has an address to which one node sends to reach the other. The receiver sees
+// datagrams come from the address of the opposite link, which has the sender's IP.
 type Path struct {
 	mu        sync.Mutex
-	nodeAddrs []*net.UDPAddr // where each is bound
+	nodeAddrs []*net.UDPAddr // the address of each node's socket
 	links     [][]*link
-	delayed   sync.WaitGroup
-	receivers sync.WaitGroup
+	delayed   sync.WaitGroup // timers of delayed datagrams
+	receivers sync.WaitGroup // one goroutine for each link
 	closed    bool
 }
 
+// link is one direction between two nodes.
 type link struct {
 	conn       *net.UDPConn
 	relay      *Relay // of streams; may be nil
 	impairment Impairment
-	swapped    []byte
-	delivered  int
+	swapped    []byte // the first datagram of a pair to reorder
+	delivered  int    // datagrams
 }
 
-// NewPath makes a path between nodes whose sockets are at these addresses.
+// NewPath starts a path between nodes whose sockets have these addresses.
 func NewPath(nodes ...*net.UDPAddr) (*Path, error) {
 	p := &Path{nodeAddrs: nodes}
 	for i := range nodes {
@@ -56,7 +58,7 @@
 			if i == j {
 				continue
 			}
-			// Where i sends to j: j's address to i, so it has j's IP.
+			// Node i sends here to reach j, so the address has j's IP.
 			c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: nodes[j].IP})
 			if err != nil {
 				p.Close()
@@ -68,35 +70,35 @@
 	for i := range nodes {
 		for j := range nodes {
 			if i != j {
-				p.receivers.Add(1)
-				go p.receive(i, j)
+				p.receivers.Go(func() { p.receive(i, j) })
 			}
 		}
 	}
 	return p, nil
 }
 
-// Peer is the address under which node j is known to node i.
+// PeerAddr returns the address at which node i reaches node j.
 func (p *Path) PeerAddr(i, j int) string { return p.links[i][j].conn.LocalAddr().String() }
 
-// Streams carries streams too, at the same addresses: i reaches j's listener, which has the address of j's socket.
+// CarryStreams makes the path forward TCP connections too, at the same addresses. Node j's listener must have the address of its
+// socket.
 func (p *Path) CarryStreams() error {
-	for i, ways := range p.links {
-		for j, w := range ways {
-			if w == nil {
+	for i, links := range p.links {
+		for j, link := range links {
+			if link == nil {
 				continue
 			}
-			r, err := NewRelay(w.conn.LocalAddr().String(), p.nodeAddrs[j].String(), p.nodeAddrs[i].IP)
+			r, err := NewRelay(link.conn.LocalAddr().String(), p.nodeAddrs[j].String(), p.nodeAddrs[i].IP)
 			if err != nil {
 				return err
 			}
-			w.relay = r
+			link.relay = r
 		}
 	}
 	return nil
 }
 
-// Set decides the fate of what i sends to j from now on.
+// Set changes the impairment from node i to node j.
 func (p *Path) Set(i, j int, f Impairment) {
 	p.mu.Lock()
 	p.links[i][j].impairment, p.links[i][j].swapped = f, nil
@@ -108,14 +110,14 @@
 	}
 }
 
-// Reset resets the streams that i has opened to j.
+// ResetStreams resets the streams that node i has opened to node j.
 func (p *Path) ResetStreams(i, j int) {
 	if r := p.links[i][j].relay; r != nil {
 		r.ResetStreams()
 	}
 }
 
-// SetAll decides it for every pair.
+// SetAll sets the same impairment for every pair.
 func (p *Path) SetAll(f Impairment) {
 	for i := range p.nodeAddrs {
 		for j := range p.nodeAddrs {
@@ -126,7 +128,7 @@
 	}
 }
 
-// Isolate drops all to and from a node, or lets it pass again.
+// Isolate drops all traffic to and from a node, or removes every impairment of its links again.
 func (p *Path) Isolate(i int, on bool) {
 	for j := range p.nodeAddrs {
 		if i != j {
@@ -136,30 +138,31 @@
 	}
 }
 
-// Passed is how many datagrams have gone from i to j.
+// Delivered returns the number of datagrams forwarded from node i to node j, with duplicates.
 func (p *Path) Delivered(i, j int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.links[i][j].delivered
 }
 
-// Inject sends a datagram to node j as if i had sent it.
+// Inject sends a datagram to node j as if node i had sent it.
 func (p *Path) Inject(i, j int, b []byte) {
 	p.links[j][i].conn.WriteToUDP(b, p.nodeAddrs[j])
 }
 
+// receive forwards the datagrams from node i to node j until the link is closed.
 func (p *Path) receive(i, j int) {
-	defer p.receivers.Done()
-	w, b := p.links[i][j], make([]byte, 4096)
+	link, buffer := p.links[i][j], make([]byte, 4096)
 	for {
-		n, err := w.conn.Read(b)
+		n, err := link.conn.Read(buffer)
 		if err != nil {
 			return
 		}
-		p.forward(i, j, append([]byte(nil), b[:n]...))
+		p.forward(i, j, bytes.Clone(buffer[:n]))
 	}
 }
 
+// forward applies the impairment from node i to node j to one datagram.
 func (p *Path) forward(i, j int, datagram []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -196,20 +199,20 @@
 	})
 }
 
-// Close ends the path.
+// Close stops the path and waits for its goroutines and delayed datagrams.
 func (p *Path) Close() {
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
 	p.delayed.Wait()
-	for _, ways := range p.links {
-		for _, w := range ways {
-			if w == nil {
+	for _, links := range p.links {
+		for _, link := range links {
+			if link == nil {
 				continue
 			}
-			w.conn.Close()
-			if w.relay != nil {
-				w.relay.Close()
+			link.conn.Close()
+			if link.relay != nil {
+				link.relay.Close()
 			}
 		}
 	}
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -9,31 +9,31 @@
 	"time"
 )
 
-// retransmit is how much later a chunk of a stream arrives whose first sending was lost: a kernel sends it again, so that a
-// lossy way shows as a slow one.
+// retransmitDelay is the additional delay of a chunk whose first transmission was lost. TCP retransmits, so that streams see loss
+// as delay.
 const retransmitDelay = 200 * time.Millisecond
 
-// mostChunk is how much of a stream travels at a time, in bytes; mostQueued how many chunks may be under way.
+// maxChunk bounds the bytes that are read from a stream at a time, maxQueuedChunks the chunks in flight in one direction.
 const (
 	maxChunk        = 16 << 10
 	maxQueuedChunks = 64
 )
 
-// Relay carries streams from one place to another and does to them what it is told, each direction by itself. What is held
-// back is not lost: it goes on when the way is open again, as the kernels' retransmissions would have it.
+// Relay forwards TCP connections from one address to another, with an Impairment for each direction. Data that an impairment
+// holds back is not lost: it is forwarded once the impairment ends, as by TCP's retransmissions.
 type Relay struct {
-	// Seen is told of what the near end has written, as it comes and before anything is done to it; may be nil.
+	// OnData is called with the data that the near end has sent, before any impairment; may be nil.
 	OnData func(chunk []byte)
 
 	listener   net.Listener
-	sourceIP   net.IP // the far end sees connections come from there; nil: from anywhere
+	sourceIP   net.IP // the source address of connections to the target; nil: any
 	goroutines sync.WaitGroup
 
 	mu       sync.Mutex
 	target   string
-	outbound Impairment // near to far
+	outbound Impairment // from the near end to the far end
 	inbound  Impairment
-	changed  chan struct{} // closed, and made anew, at each change
+	changed  chan struct{} // closed and replaced at each change
 	closed   bool
 	streams  map[*stream]struct{}
 }
@@ -43,27 +43,27 @@
 	near, far net.Conn
 }
 
-// NewRelay carries streams that come to an address (host and port; port 0 for any) on to another one.
+// NewRelay starts a relay that listens on an address (host and port; port 0 for any) and forwards to another one.
 func NewRelay(at, to string, from net.IP) (*Relay, error) {
 	l, err := net.Listen("tcp4", at)
 	if err != nil {
 		return nil, err
 	}
 	r := &Relay{listener: l, target: to, sourceIP: from, changed: make(chan struct{}), streams: map[*stream]struct{}{}}
-	r.goroutines.Add(1)
-	go r.accept()
+	r.goroutines.Go(r.accept)
 	return r, nil
 }
 
-// Addr is where the relay listens.
+// Addr returns the address that the relay listens on.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Set decides what becomes of both directions from now on. A way that drops holds the stream still; a new connection comes
-// up once both ways are open.
+// Set changes the impairments of both directions. Drop and StallStreams stall a stream; a new connection is established once
+// neither direction stalls.
 func (r *Relay) Set(out, back Impairment) {
 	r.change(func() { r.outbound, r.inbound = out, back })
 }
 
+// change applies a change and wakes all that wait for one.
 func (r *Relay) change(do func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -72,7 +72,7 @@
 	r.changed = make(chan struct{})
 }
 
-// Reset resets every open stream.
+// ResetStreams resets every open stream.
 func (r *Relay) ResetStreams() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,7 +90,7 @@
 	}
 }
 
-// Close ends the relay and every stream.
+// Close resets every stream, stops the relay and waits for its goroutines.
 func (r *Relay) Close() {
 	r.listener.Close()
 	r.change(func() { r.closed = true })
@@ -98,7 +98,7 @@
 	r.goroutines.Wait()
 }
 
-// fate tells what becomes of a direction now, and hands over what is closed when that changes.
+// impairment returns the impairment of a direction, and a channel that is closed when it changes.
 func (r *Relay) impairment(outbound bool) (f Impairment, changed chan struct{}, closed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -108,7 +108,7 @@
 	return f, r.changed, r.closed
 }
 
-// open waits until a direction carries something, and tells what becomes of it.
+// waitOpen waits until a direction does not stall and returns its impairment. It reports false when the relay closes, or quit does.
 func (r *Relay) waitOpen(outbound bool, quit <-chan struct{}) (Impairment, bool) {
 	for {
 		f, changed, closed := r.impairment(outbound)
@@ -127,20 +127,18 @@
 }
 
 func (r *Relay) accept() {
-	defer r.goroutines.Done()
 	for {
 		c, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		r.goroutines.Add(1)
-		go func() {
-			defer r.goroutines.Done()
+		r.goroutines.Go(func() {
 			r.serve(c)
-		}()
+		})
 	}
 }
 
+// serve connects one stream to the target and forwards both directions until they end.
 func (r *Relay) serve(near net.Conn) {
 	connection := &stream{near: near}
 	r.mu.Lock()
@@ -172,27 +170,25 @@
 		return
 	}
 	var both sync.WaitGroup
-	both.Add(2)
-	go func() { defer both.Done(); r.copyDirection(connection, far, near, true) }()
-	go func() { defer both.Done(); r.copyDirection(connection, near, far, false) }()
+	both.Go(func() { r.copyDirection(connection, far, near, true) })
+	both.Go(func() { r.copyDirection(connection, near, far, false) })
 	both.Wait()
 }
 
+// chunk is a part of a stream that is in flight.
 type chunk struct {
 	data []byte
-	due  time.Time // not before
+	due  time.Time // when it may be written
 }
 
-// pump carries one direction. An orderly end goes on as one, any other as a reset.
+// copyDirection forwards one direction of a stream. An orderly end is forwarded as one, any other end as a reset.
 func (r *Relay) copyDirection(connection *stream, destination, source net.Conn, outbound bool) {
 	queue, writerDone := make(chan chunk, maxQueuedChunks), make(chan struct{})
 	var writer sync.WaitGroup
-	writer.Add(1)
-	go func() {
-		defer writer.Done()
+	writer.Go(func() {
 		defer close(writerDone)
 		r.writeChunks(destination, queue, outbound)
-	}()
+	})
 	var err error
 	for lastDue := time.Now(); err == nil; {
 		buffer := make([]byte, maxChunk)
@@ -228,6 +224,7 @@
 	}
 }
 
+// writeChunks writes each chunk when it is due, at the rate of the impairment.
 func (r *Relay) writeChunks(to net.Conn, queue <-chan chunk, outbound bool) {
 	for c := range queue {
 		time.Sleep(time.Until(c.due))
@@ -237,7 +234,7 @@
 				return
 			}
 			n := len(c.data)
-			if f.Rate > 0 { // twenty small steps a second
+			if f.Rate > 0 { // twenty writes per second
 				n = min(n, max(f.Rate/20, 1))
 			}
 			if _, err := to.Write(c.data[:n]); err != nil {
--- a/internal/fake/relay_test.go
+++ b/internal/fake/relay_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// echo answers every connection with what it gets.
+// echo listens on an address and returns to every connection what it sends.
 func echo(t *testing.T, at string) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp4", at)
@@ -28,8 +28,8 @@
 	return l
 }
 
-// Streams between nodes are carried whole, stand still while a way is cut or stalled, and go on with nothing lost; a reset
-// ends them; a bound on the rate holds.
+// Streams between nodes are forwarded completely, stall while a link drops or stalls them, and continue without loss; a reset ends
+// them; the rate limit holds.
 func TestStreams(t *testing.T) {
 	var nodes []*net.UDPAddr
 	for i := range 2 {
--- a/internal/fake/server.go
+++ b/internal/fake/server.go
@@ -77,8 +77,7 @@
 	s := &Server{listener: l, conns: map[net.Conn]struct{}{}, Closed: make(chan int, 4096)}
 	s.Role.Store(role)
 	s.QueryHandler = func(q *Query) { q.ReplyRow([]byte("value of " + q.ID())) }
-	s.goroutines.Add(1)
-	go s.accept(l)
+	s.goroutines.Go(s.accept)
 	return s, nil
 }
 
@@ -123,28 +122,25 @@
 	s.goroutines.Wait()
 }
 
-func (s *Server) accept(l net.Listener) {
-	defer s.goroutines.Done()
+func (s *Server) accept() {
 	for {
-		nc, err := l.Accept()
+		conn, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
 		s.mu.Lock()
-		s.conns[nc] = struct{}{}
+		s.conns[conn] = struct{}{}
 		s.opened++
 		number := s.opened
 		s.mu.Unlock()
-		s.goroutines.Add(1)
-		go func() {
-			defer s.goroutines.Done()
-			s.serve(nc, number)
-			nc.Close()
+		s.goroutines.Go(func() {
+			s.serve(conn, number)
+			conn.Close()
 			s.mu.Lock()
-			delete(s.conns, nc)
+			delete(s.conns, conn)
 			s.mu.Unlock()
 			s.Closed <- number
-		}()
+		})
 	}
 }
 
--- a/internal/fake/switch.go
+++ b/internal/fake/switch.go
@@ -11,10 +11,11 @@
 	"time"
 )
 
-// Switch leads the connections of one floating address to whoever announced it last, as a switch does that learns where an
-// address is. It understands announcements by their description alone and shares no code with the gateway's codec.
+// Switch forwards the connections of one floating address to the gateway that announced the address last, as a network switch
+// does that learns where an address is. It decodes announcements by their description alone and shares no code with the
+// gateway's codec.
 type Switch struct {
-	ResetOnTakeover bool // old flows are reset when the address moves; else they go on
+	ResetOnTakeover bool // a takeover resets the connections of the former gateway; otherwise they stay open
 
 	secret        []byte
 	listener      net.Listener
@@ -23,19 +24,20 @@
 
 	mu            sync.Mutex
 	active        string
-	lastAnnounced map[byte][2]uint64 // start and sequence last heard of each sender
+	lastAnnounced map[byte][2]uint64 // start and sequence of the last announcement from each sender
 	takeovers     int
 	flows         map[*flow]struct{}
-	unreachable   map[string]bool // holders that cannot be reached, whose flows are silent
+	unreachable   map[string]bool // gateways that cannot be reached; their connections carry nothing
 	closed        bool
 }
 
+// flow is one forwarded connection.
 type flow struct {
 	client, server net.Conn
 	gatewayAddr    string
 }
 
-// NewSwitch starts a switch on loopback that trusts announcements signed with a secret.
+// NewSwitch starts a switch on loopback that accepts announcements signed with a secret.
 func NewSwitch(secret string) (*Switch, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,26 +52,25 @@
 		secret: []byte(secret), listener: l, announcements: u, lastAnnounced: map[byte][2]uint64{}, flows: map[*flow]struct{}{},
 		unreachable: map[string]bool{},
 	}
-	s.goroutines.Add(2)
-	go s.receiveAnnouncements()
-	go s.accept()
+	s.goroutines.Go(s.receiveAnnouncements)
+	s.goroutines.Go(s.accept)
 	return s, nil
 }
 
-// Addr is the floating address.
+// Addr returns the floating address.
 func (s *Switch) Addr() string { return s.listener.Addr().String() }
 
-// Announced is where announcements go.
+// AnnouncementAddr returns the address that gateways send announcements to.
 func (s *Switch) AnnouncementAddr() string { return s.announcements.LocalAddr().String() }
 
-// Holder is where connections are led now, and how often that has changed.
+// ActiveGateway returns the gateway to which new connections are forwarded, and the number of takeovers so far.
 func (s *Switch) ActiveGateway() (string, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.active, s.takeovers
 }
 
-// Led tells where the connection from a client's address was led, as long as it lasts.
+// GatewayOf returns the gateway to which the open connection from a client's address was forwarded, or "" if there is none.
 func (s *Switch) GatewayOf(client string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,8 +82,8 @@
 	return ""
 }
 
-// Cut makes a holder unreachable, or reachable again: its announcements are not heard, its flows are silent and new ones do
-// not come up.
+// SetUnreachable makes a gateway unreachable, or reachable again. While it is unreachable, its announcements are ignored, its
+// connections carry nothing and new ones are reset.
 func (s *Switch) SetUnreachable(gateway string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,13 +93,13 @@
 	}
 	for f := range s.flows {
 		if f.gatewayAddr == gateway {
-			// What is under way is lost on both sides; the ends learn nothing of each other.
+			// Data in flight is lost in both directions, and neither end is notified.
 			f.server.SetDeadline(time.Unix(1, 0))
 		}
 	}
 }
 
-// Reset resets all flows of a holder, as the end of its machine does.
+// ResetFlows resets all connections of a gateway, as the end of its machine does.
 func (s *Switch) ResetFlows(gateway string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,7 +117,7 @@
 	}
 }
 
-// Close ends the switch and every flow.
+// Close resets every connection, stops the switch and waits for its goroutines.
 func (s *Switch) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -130,11 +131,10 @@
 }
 
 // The layout of an announcement: "MSA", version 1, VRID, key, sender, count, start (8), sequence (8), listen address (16) and
-// port (2), the floating addresses (16 each), HMAC-SHA-256 over all of it behind a label.
+// port (2), the floating addresses (16 each), HMAC-SHA-256 of a label followed by all of it.
 const announcementHeader, announcementLabel = 42, "marblespan vrrp 1\x00"
 
 func (s *Switch) receiveAnnouncements() {
-	defer s.goroutines.Done()
 	b := make([]byte, 2048)
 	for {
 		n, err := s.announcements.Read(b)
@@ -145,6 +145,7 @@
 	}
 }
 
+// handleAnnouncement verifies an announcement and makes its sender the active gateway, unless it is older than the sender's last.
 func (s *Switch) handleAnnouncement(b []byte) {
 	if len(b) < announcementHeader+16+32 || string(b[:4]) != "MSA\x01" {
 		return
@@ -180,21 +181,18 @@
 }
 
 func (s *Switch) accept() {
-	defer s.goroutines.Done()
 	for {
 		c, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
-		s.goroutines.Add(1)
-		go func() {
-			defer s.goroutines.Done()
+		s.goroutines.Go(func() {
 			s.forward(c)
-		}()
+		})
 	}
 }
 
-// lead joins a client to the holder of the moment. Without one the client is reset, as by a router that finds no host.
+// forward connects a client to the active gateway. Without one the client is reset, as by a router that finds no host.
 func (s *Switch) forward(client net.Conn) {
 	s.mu.Lock()
 	gateway, unreachable := s.active, s.unreachable[s.active]
@@ -218,15 +216,8 @@
 	}
 	s.mu.Unlock()
 	var both sync.WaitGroup
-	both.Add(2)
-	go func() {
-		defer both.Done()
-		s.copyDirection(connection, connection.server, connection.client)
-	}()
-	go func() {
-		defer both.Done()
-		s.copyDirection(connection, connection.client, connection.server)
-	}()
+	both.Go(func() { s.copyDirection(connection, connection.server, connection.client) })
+	both.Go(func() { s.copyDirection(connection, connection.client, connection.server) })
 	both.Wait()
 	client.Close()
 	connection.server.Close()
@@ -235,7 +226,8 @@
 	s.mu.Unlock()
 }
 
-// pass copies one direction. An orderly end is passed on as one, any other as a reset; of a flow that is cut nothing is.
+// copyDirection forwards one direction. An orderly end is forwarded as one, any other end as a reset; if the gateway is
+// unreachable, neither is.
 func (s *Switch) copyDirection(f *flow, to, from net.Conn) {
 	_, err := io.Copy(to, from)
 	s.mu.Lock()
