--- a/internal/experiments/failover/failover.go
+++ b/internal/experiments/failover/failover.go
@@ -158,7 +158,7 @@
 	clusterOptions.Binary, clusterOptions.Nodes, clusterOptions.Seed, clusterOptions.ServiceTime = options.Binary, len(options.Priorities), options.Seed, options.ServerWork
 	clusterOptions.AdvertisementInterval, clusterOptions.Priorities = options.Interval, options.Priorities
 	clusterOptions.MembershipInterval = 0
-	clusterOptions.ResetOnFailover = true // as on separate machines: the new holder of the address does not know the old flows
+	clusterOptions.ResetOnTakeover = true // as on separate machines: the new holder of the address does not know the old flows
 	cluster, err := testcluster.New(clusterOptions)
 	if err != nil {
 		return r, err
--- a/internal/experiments/indoubt/indoubt.go
+++ b/internal/experiments/indoubt/indoubt.go
@@ -109,7 +109,7 @@
 
 func newCluster(o Options, w policy) (*testcluster.Cluster, error) {
 	clusterOptions := testcluster.Defaults()
-	clusterOptions.Binary, clusterOptions.StateStore, clusterOptions.InDoubt, clusterOptions.ResetOnFailover, clusterOptions.Seed = o.Binary, w.stateStore, w.inDoubt, true, o.Seed
+	clusterOptions.Binary, clusterOptions.StateStore, clusterOptions.InDoubt, clusterOptions.ResetOnTakeover, clusterOptions.Seed = o.Binary, w.stateStore, w.inDoubt, true, o.Seed
 	return testcluster.New(clusterOptions)
 }
 
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -74,7 +74,7 @@
 	InDoubt               *InDoubt                 // intents of bookings; nil: there are none
 	Maintenance           *Maintenance             // limits of maintenance; nil: there is no maintenance section
 	RewriteConfig         func(conf string) string // changes each operators' file as it is written; may be nil
-	ResetOnFailover       bool                     // the switch resets flows when the floating address moves
+	ResetOnTakeover       bool                     // the switch resets flows when the floating address moves
 }
 
 // Defaults are sizes that suit one machine.
@@ -111,78 +111,105 @@
 }
 
 // New starts a cluster and waits until each gateway serves. With a state store it also bootstraps it and waits until it is complete.
-func New(o Options) (f *Cluster, err error) {
+func New(o Options) (*Cluster, error) {
 	if o.Nodes < 1 || o.Nodes > MaxNodes || o.Replicas < 1 || o.Groups > MaxGroups {
 		return nil, fmt.Errorf("testcluster: a cluster has 1 to %d gateways, %d groups of servers at the most and a replica at least", MaxNodes, MaxGroups)
 	}
-	f = &Cluster{Options: o, History: NewHistory(o.History)}
-	defer func() {
-		if err != nil {
-			f.Close()
-			f = nil
-		}
-	}()
-	if f.Dir == "" {
-		f.temporaryDir = true
-		if f.Dir, err = os.MkdirTemp("", "testcluster"); err != nil {
-			return f, err
+	c := &Cluster{Options: o, History: NewHistory(o.History)}
+	for _, step := range []func() error{c.makeDirectory, c.startSwitch, c.startServers, c.makeNodes, c.startNodes, c.awaitInitialState} {
+		if err := step(); err != nil {
+			c.Close()
+			return nil, err
 		}
 	}
-	if f.Switch, err = fake.NewSwitch(secret); err != nil {
-		return f, err
+	return c, nil
+}
+
+// makeDirectory makes a temporary directory unless the options name one.
+func (c *Cluster) makeDirectory() (err error) {
+	if c.Dir == "" {
+		c.temporaryDir = true
+		c.Dir, err = os.MkdirTemp("", "testcluster")
+	}
+	return err
+}
+
+// startSwitch starts the switch that forwards the floating address.
+func (c *Cluster) startSwitch() (err error) {
+	if c.Switch, err = fake.NewSwitch(secret); err != nil {
+		return err
 	}
-	f.Switch.ResetOnTakeover = o.ResetOnFailover
-	for i := range max(o.Groups, 1) {
-		c, err := newServerGroup(f.History, Group+i, o.Replicas, o.ServiceTime, f.gatewayAt)
+	c.Switch.ResetOnTakeover = c.ResetOnTakeover
+	return nil
+}
+
+// startServers starts the groups of servers.
+func (c *Cluster) startServers() error {
+	for i := range max(c.Groups, 1) {
+		group, err := newServerGroup(c.History, Group+i, c.Replicas, c.ServiceTime, c.gatewayAt)
 		if err != nil {
-			return f, err
+			return err
 		}
-		f.groups = append(f.groups, c)
+		c.groups = append(c.groups, group)
 	}
+	return nil
+}
+
+// makeNodes makes the gateways, not yet started, and the paths between them.
+func (c *Cluster) makeNodes() (err error) {
 	base := nextNetwork()
-	var ends, members []*net.UDPAddr
-	for i := range o.Nodes {
-		n, err := f.newNode(i+1, net.IPv4(base[0], base[1], base[2], byte(i+1)).To4())
+	var routers, members []*net.UDPAddr
+	for i := range c.Options.Nodes {
+		node, err := c.newNode(i+1, net.IPv4(base[0], base[1], base[2], byte(i+1)).To4())
 		if err != nil {
-			return f, err
+			return err
 		}
-		ends = append(ends, &net.UDPAddr{IP: n.IP, Port: portVRRP})
-		members = append(members, &net.UDPAddr{IP: n.IP, Port: portMembers})
+		routers = append(routers, &net.UDPAddr{IP: node.IP, Port: portVRRP})
+		members = append(members, &net.UDPAddr{IP: node.IP, Port: portMembers})
 	}
-	if f.VRRPPath, err = fake.NewPath(ends...); err != nil {
-		return f, err
+	if c.VRRPPath, err = fake.NewPath(routers...); err != nil || c.MembershipInterval <= 0 {
+		return err
 	}
-	if f.MembershipInterval > 0 {
-		if f.MembershipPath, err = fake.NewPath(members...); err != nil {
-			return f, err
-		}
-		if err = f.MembershipPath.CarryStreams(); err != nil {
-			return f, err
-		}
+	if c.MembershipPath, err = fake.NewPath(members...); err != nil {
+		return err
 	}
-	for _, n := range f.Nodes {
-		if err := n.configure(); err != nil {
-			return f, err
+	return c.MembershipPath.CarryStreams()
+}
+
+// startNodes writes the gateways' files and starts their processes.
+func (c *Cluster) startNodes() error {
+	for _, node := range c.Nodes {
+		if err := node.configure(); err != nil {
+			return err
 		}
-		if err := n.Start(); err != nil {
-			return f, err
+		if err := node.Start(); err != nil {
+			return err
 		}
 	}
-	if f.Maintenance == nil { // with maintenance they admit nothing before the ledger knows them
-		if err := f.AwaitReady(settleTimeout); err != nil || f.StateStore == nil {
-			return f, err
+	return nil
+}
+
+// awaitInitialState waits until each gateway serves, and bootstraps the state store if there is one. With maintenance the
+// gateways admit nothing before the ledger knows them, so the store comes first.
+func (c *Cluster) awaitInitialState() error {
+	if c.Maintenance == nil {
+		if err := c.AwaitReady(settleTimeout); err != nil || c.StateStore == nil {
+			return err
 		}
 	}
-	for late := time.Now().Add(settleTimeout); ; time.Sleep(20 * time.Millisecond) {
-		// The gateway serves a moment before it can be asked.
-		if err = f.Nodes[0].Bootstrap(true); err == nil || time.Now().After(late) {
-			break
-		}
+	if err := c.bootstrapStore(); err != nil {
+		return err
 	}
-	if err != nil {
-		return f, err
+	return errors.Join(c.AwaitReady(settleTimeout), c.AwaitComplete(settleTimeout))
+}
+
+// bootstrapStore makes the first state store. It retries, because a gateway serves a moment before its control socket answers.
+func (c *Cluster) bootstrapStore() error {
+	for deadline := time.Now().Add(settleTimeout); ; time.Sleep(20 * time.Millisecond) {
+		if err := c.Nodes[0].Bootstrap(true); err == nil || time.Now().After(deadline) {
+			return err
+		}
 	}
-	return f, errors.Join(f.AwaitReady(settleTimeout), f.AwaitComplete(settleTimeout))
 }
 
 // settleTimeout is how long a cluster may take to settle. Tests wait for a condition, never for a fixed time; this is
--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -13,66 +13,81 @@
 // Play injects faults at their times and repairs each after its duration; at the end it repairs what is left. It returns early,
 // with everything repaired, when quit is closed.
 func (f *Cluster) Play(faults []Fault, quit <-chan struct{}) error {
-	for _, x := range faults {
-		if err := f.validateFault(x); err != nil {
+	for _, fault := range faults {
+		if err := f.validateFault(fault); err != nil {
 			return err
 		}
 	}
-	begin := time.Now()
-	var ends sync.WaitGroup
-	errs := make(chan error, len(faults))
-	over := make(chan struct{})
-	wait := func(at time.Time) bool {
-		select {
-		case <-time.After(time.Until(at)):
-			return true
-		case <-over:
-			return false
-		case <-quit:
-			return false
-		}
-	}
-	for _, x := range faults {
-		if !wait(begin.Add(x.At)) {
+	p := &player{cluster: f, quit: quit, over: make(chan struct{}), errs: make(chan error, len(faults))}
+	start := time.Now()
+	end := start
+	for _, fault := range faults {
+		if !p.waitUntil(start.Add(fault.At)) || !p.begin(fault) {
 			break
 		}
-		f.History.Add(Event{Kind: FaultStarted, What: x.String()})
-		undo, err := f.Inject(x)
-		if err != nil {
-			errs <- err
-			break
-		}
-		if undo == nil {
-			continue
+	}
+	for _, fault := range faults {
+		if repaired := start.Add(fault.At + fault.Duration); repaired.After(end) {
+			end = repaired
 		}
-		ends.Add(1)
-		go func() {
-			defer ends.Done()
-			if x.Duration > 0 {
-				wait(time.Now().Add(x.Duration))
-			} else {
-				select {
-				case <-over:
-				case <-quit:
-				}
-			}
-			if err := undo(); err != nil {
-				errs <- err
-			}
-			f.History.Add(Event{Kind: FaultEnded, What: x.String()})
-		}()
 	}
-	last := begin
-	for _, x := range faults {
-		if end := begin.Add(x.At + x.Duration); end.After(last) {
-			last = end
+	p.waitUntil(end)
+	close(p.over)
+	p.repairs.Wait()
+	close(p.errs)
+	return <-p.errs
+}
+
+// player is one call of Play. Each fault that has to be repaired has a goroutine that ends with its repair, at the latest when
+// over or quit is closed; repairs waits for them.
+type player struct {
+	cluster *Cluster
+	quit    <-chan struct{} // closed by the caller of Play
+	over    chan struct{}   // closed after the last fault's duration
+	errs    chan error      // has room for one error per fault
+	repairs sync.WaitGroup
+}
+
+// waitUntil waits until a time; it reports false if the play ended before.
+func (p *player) waitUntil(at time.Time) bool {
+	select {
+	case <-time.After(time.Until(at)):
+		return true
+	case <-p.over:
+		return false
+	case <-p.quit:
+		return false
+	}
+}
+
+// begin injects a fault and starts the goroutine that repairs it. It reports false if the fault could not be injected.
+func (p *player) begin(fault Fault) bool {
+	p.cluster.History.Add(Event{Kind: FaultStarted, What: fault.String()})
+	undo, err := p.cluster.Inject(fault)
+	if err != nil {
+		p.errs <- err
+		return false
+	}
+	if undo != nil {
+		p.repairs.Go(func() { p.repair(fault, undo) })
+	}
+	return true
+}
+
+// repair repairs a fault after its duration, or at the end of the play.
+func (p *player) repair(fault Fault, undo func() error) {
+	if fault.Duration > 0 {
+		p.waitUntil(time.Now().Add(fault.Duration))
+	} else {
+		select {
+		case <-p.over:
+		case <-p.quit:
 		}
 	}
-	wait(last)
-	close(over)
-	ends.Wait()
-	close(errs)
-	return <-errs
+	if err := undo(); err != nil {
+		p.errs <- err
+	}
+	p.cluster.History.Add(Event{Kind: FaultEnded, What: fault.String()})
 }
 
 // injectRecorded injects a fault and records its start and end. The caller repairs it by calling undo.
--- a/internal/testcluster/race_test.go
+++ b/internal/testcluster/race_test.go
@@ -2,5 +2,5 @@
 
 package testcluster
 
-// raced tells that the race detector is on. It sees the test's process only: what the gateways do is shown without it.
-const raced = true
+// raceEnabled reports that the race detector is on. It sees the test's own process only: tests of the gateways' processes skip.
+const raceEnabled = true
