--- a/internal/protocol/vrrp/message.go
+++ b/internal/protocol/vrrp/message.go
@@ -14,31 +14,31 @@
 
 // Sizes of the message's parts in bytes.
 const (
-	headSize    = 8
+	headerSize  = 8
 	trailerSize = sealed.TrailerSize
 	macSize     = sealed.MACSize
 	// MostAddresses is how many addresses a group may have here; the RFC's field allows 255.
 	MaxAddresses = 16
 	// MostSize is the size of the largest message.
-	MaxSize = headSize + 16*MaxAddresses + trailerSize + macSize
+	MaxSize = headerSize + 16*MaxAddresses + trailerSize + macSize
 )
 
 // The values of RFC 9568, 5.2.1 and 5.2.2.
 const (
-	version    = 3
-	typeAdvert = 1
+	version           = 3
+	typeAdvertisement = 1
 )
 
 // purpose is what signatures are made for here.
-const purpose = "marblespan vrrp 1\x00"
+const macPurpose = "marblespan vrrp 1\x00"
 
 // Key is a shared secret.
 type Key = sealed.Key
 
 // centisecond is the unit of the interval's field, in microseconds; the field has 12 bits.
 const (
-	centisecond  = 10_000
-	mostInterval = 1<<12 - 1
+	centisecond = 10_000
+	maxInterval = 1<<12 - 1
 )
 
 // Message is one advertisement.
@@ -61,79 +61,79 @@
 
 // Append writes and signs a message. from and to are the UDP addresses, part of the checksum for IPv6 groups.
 func Append(b []byte, m Message, from, to netip.Addr, key Key) ([]byte, error) {
-	n := len(m.Addresses)
-	if n == 0 || n > MaxAddresses {
+	count := len(m.Addresses)
+	if count == 0 || count > MaxAddresses {
 		return b, ErrAddresses
 	}
 	interval := (m.Interval + centisecond/2) / centisecond
-	if interval < 1 || interval > mostInterval {
+	if interval < 1 || interval > maxInterval {
 		return b, ErrInterval
 	}
 	start := len(b)
-	b = append(b, version<<4|typeAdvert, m.VRID, m.Priority, uint8(n))
+	b = append(b, version<<4|typeAdvertisement, m.VRID, m.Priority, uint8(count))
 	b = binary.BigEndian.AppendUint16(b, uint16(interval))
 	b = append(b, 0, 0)
-	for _, a := range m.Addresses {
-		if a.Is4() != m.Addresses[0].Is4() || !a.IsValid() {
+	for _, address := range m.Addresses {
+		if address.Is4() != m.Addresses[0].Is4() || !address.IsValid() {
 			return b[:start], ErrAddresses
 		}
-		b = append(b, a.AsSlice()...)
+		b = append(b, address.AsSlice()...)
 	}
 	binary.BigEndian.PutUint16(b[start+6:], checksum(b[start:], m.Addresses[0].Is4(), from, to))
-	return sealed.Append(b, start, m.Trailer, purpose, key), nil
+	return sealed.Append(b, start, m.Trailer, macPurpose, key), nil
 }
 
 // Parse reads a message of an IPv4 or IPv6 group and checks all that can be told without the settings, its signature among
 // it. Nothing of a message with a fault is to be believed.
-func Parse(b []byte, four bool, from, to netip.Addr, keys []Key) (Message, sealed.Fault) {
-	var m Message
-	size := 16
-	if four {
-		size = 4
+func Parse(b []byte, ipv4 bool, from, to netip.Addr, keys []Key) (Message, sealed.Fault) {
+	var message Message
+	addressSize := 16
+	if ipv4 {
+		addressSize = 4
 	}
-	if len(b) < headSize+size+trailerSize+macSize || len(b) > MaxSize {
-		return m, sealed.BadLength
+	if len(b) < headerSize+addressSize+trailerSize+macSize || len(b) > MaxSize {
+		return message, sealed.BadLength
 	}
 	if b[0]>>4 != version {
-		return m, sealed.BadVersion
+		return message, sealed.BadVersion
 	}
-	if b[0]&0xf != typeAdvert {
-		return m, sealed.BadType
+	if b[0]&0xf != typeAdvertisement {
+		return message, sealed.BadType
 	}
-	n := int(b[3])
-	if n == 0 || n > MaxAddresses {
-		return m, sealed.BadCount
+	count := int(b[3])
+	if count == 0 || count > MaxAddresses {
+		return message, sealed.BadCount
 	}
-	body := headSize + n*size
+	body := headerSize + count*addressSize
 	if len(b) != body+trailerSize+macSize {
-		return m, sealed.BadLength
+		return message, sealed.BadLength
 	}
 	interval := binary.BigEndian.Uint16(b[4:])
 	if interval>>12 != 0 {
-		return m, sealed.BadReserved // the RFC has receivers ignore them; here no sender sets them
+		return message, sealed.BadReserved // the RFC has receivers ignore them; here no sender sets them
 	}
 	if interval == 0 {
-		return m, sealed.BadInterval
+		return message, sealed.BadInterval
 	}
-	if checksum(b[:body], four, from, to) != 0 {
-		return m, sealed.BadChecksum
+	if checksum(b[:body], ipv4, from, to) != 0 {
+		return message, sealed.BadChecksum
 	}
-	t, fault := sealed.Parse(b, purpose, keys)
+	trailer, fault := sealed.Parse(b, macPurpose, keys)
 	if fault != sealed.NoFault {
-		return m, fault
+		return message, fault
 	}
-	m = Message{VRID: b[1], Priority: b[2], Interval: int64(interval) * centisecond, Trailer: t}
-	for i := range n {
-		a, _ := netip.AddrFromSlice(b[headSize+i*size : headSize+(i+1)*size])
-		m.Addresses = append(m.Addresses, a)
+	message = Message{VRID: b[1], Priority: b[2], Interval: int64(interval) * centisecond, Trailer: trailer}
+	for i := range count {
+		address, _ := netip.AddrFromSlice(b[headerSize+i*addressSize : headerSize+(i+1)*addressSize])
+		message.Addresses = append(message.Addresses, address)
 	}
-	return m, sealed.NoFault
+	return message, sealed.NoFault
 }
 
 // VRID tells the group that a message claims to be of, before anything is checked: the group's family decides how to
 // read the rest.
 func VRID(b []byte) (uint8, bool) {
-	if len(b) < headSize {
+	if len(b) < headerSize {
 		return 0, false
 	}
 	return b[1], true
@@ -141,14 +141,14 @@
 
 // checksum is the internet checksum of RFC 9568, 5.2.8: over the message alone for IPv4, with a pseudo-header before it
 // for IPv6. Over a message with its checksum in place it is 0.
-func checksum(b []byte, four bool, from, to netip.Addr) uint16 {
+func checksum(b []byte, ipv4 bool, from, to netip.Addr) uint16 {
 	var sum uint32
 	add := func(b []byte) {
 		for ; len(b) > 1; b = b[2:] {
 			sum += uint32(binary.BigEndian.Uint16(b))
 		}
 	}
-	if !four {
+	if !ipv4 {
 		f, t := from.As16(), to.As16()
 		add(f[:])
 		add(t[:])
--- a/internal/protocol/vrrp/message_test.go
+++ b/internal/protocol/vrrp/message_test.go
@@ -80,7 +80,7 @@
 	b[6], b[7] = 0, 0
 	sum := checksum(b[:body], true, from4, to4)
 	b[6], b[7] = byte(sum>>8), byte(sum)
-	copy(b[len(b)-macSize:], key1.MAC(purpose, b[:len(b)-macSize]))
+	copy(b[len(b)-macSize:], key1.MAC(macPurpose, b[:len(b)-macSize]))
 	return b
 }
 
@@ -157,7 +157,7 @@
 	f.Fuzz(func(t *testing.T, b []byte, four bool) {
 		VRID(b)
 		signed := b
-		if len(b) >= headSize+4+trailerSize+macSize { // sign what the fuzzer made, or nothing gets past the signature
+		if len(b) >= headerSize+4+trailerSize+macSize { // sign what the fuzzer made, or nothing gets past the signature
 			signed = change(b, func(b []byte) []byte { return b })
 		}
 		for _, x := range [][]byte{b, signed} {
@@ -179,7 +179,7 @@
 		Addresses: []netip.Addr{netip.MustParseAddr("192.0.2.10"), netip.MustParseAddr("2001:db8::1")},
 	}
 	b, err := AppendAnnouncement(nil, a, key1)
-	if err != nil || len(b) != announceHead+2*16+macSize {
+	if err != nil || len(b) != announcementHeaderSize+2*16+macSize {
 		t.Fatal(len(b), err)
 	}
 	got, fault := ParseAnnouncement(b, []Key{key1})
--- a/internal/vrrp/explore_test.go
+++ b/internal/vrrp/explore_test.go
@@ -95,12 +95,12 @@
 		return max(t-clock.Micros(now), -8*span)
 	}
 	var b strings.Builder
-	fmt.Fprint(&b, m.state, m.health.Ready, rel(m.seen), rel(m.timer), m.holder.from, m.holder.priority, max(rel(m.holder.heard), -3*span), m.rival.from, m.rival.priority, max(rel(m.rival.heard), -3*span), m.givenUp, rel(m.peaceBy), m.waiting)
+	fmt.Fprint(&b, m.state, m.health.Ready, rel(m.lastHandled), rel(m.timer), m.activeRouter.from, m.activeRouter.priority, max(rel(m.activeRouter.receivedAt), -3*span), m.otherRouter.from, m.otherRouter.priority, max(rel(m.otherRouter.receivedAt), -3*span), m.released, rel(m.preemptAfter), m.activeInterval)
 	if m.state == Active {
-		fmt.Fprint(&b, rel(m.sent))
+		fmt.Fprint(&b, rel(m.lastSent))
 	}
-	if m.cfg.Damping.InitialDelay > 0 {
-		fmt.Fprint(&b, max(rel(m.since), -m.cfg.Damping.Window-1), m.damp.strikes, rel(m.damp.until), rel(m.damp.last))
+	if m.config.Damping.InitialDelay > 0 {
+		fmt.Fprint(&b, max(rel(m.stateSince), -m.config.Damping.Window-1), m.damper.flaps, rel(m.damper.blockedUntil), rel(m.damper.lastFlap))
 	}
 	for _, h := range n.heard {
 		fmt.Fprint(&b, max(rel(h), -4*span), " ")
@@ -315,30 +315,30 @@
 	}},
 	{name: "acts on its old state after a pause", before: func(m *Machine, now clock.Micros, ev Event) Event {
 		if m.state == Active {
-			m.seen, m.sent = now, now
+			m.lastHandled, m.lastSent = now, now
 		}
 		return ev
 	}},
 	{name: "takes over on waking, with its messages unread", before: func(m *Machine, now clock.Micros, ev Event) Event {
-		if m.state == Backup && now >= m.due() {
-			m.seen, m.timer = now, now
+		if m.state == Backup && now >= m.timerDue() {
+			m.lastHandled, m.timer = now, now
 		}
 		return ev
 	}},
 	{name: "follows any release", before: func(m *Machine, now clock.Micros, ev Event) Event {
 		if h, ok := ev.(AdvertisementReceived); ok && m.state == Backup && h.Priority == PriorityRelease {
-			m.holder.from, m.rival = h.From, holder{}
+			m.activeRouter.from, m.otherRouter = h.From, remoteRouter{}
 		}
 		return ev
 	}},
 	{name: "follows whoever advertised last", before: func(m *Machine, now clock.Micros, ev Event) Event {
 		if _, ok := ev.(AdvertisementReceived); ok && m.state == Backup {
-			m.holder.heard -= 4 * span
+			m.activeRouter.receivedAt -= 4 * span
 		}
 		return ev
 	}},
 	{name: "forgets the rival", after: func(m *Machine, now clock.Micros, out []Action) []Action {
-		m.rival = holder{}
+		m.otherRouter = remoteRouter{}
 		return out
 	}},
 	{name: "never takes over", after: func(m *Machine, now clock.Micros, out []Action) []Action {
@@ -364,7 +364,7 @@
 	}},
 	{name: "goes for the address although it is not ready", after: func(m *Machine, now clock.Micros, out []Action) []Action {
 		if m.state == Backup && !m.health.Ready && now >= m.timer {
-			return m.win(now, CauseActiveDown, out)
+			return m.becomeActive(now, CauseActiveDown, out)
 		}
 		return out
 	}},
--- a/internal/vrrp/machine_test.go
+++ b/internal/vrrp/machine_test.go
@@ -315,7 +315,7 @@
 	next := base()
 	next.Priority, next.AdvertisementInterval, next.VRID, next.LocalAddress = 90, 50*ms, 9, third
 	out := b.do(ConfigChanged{next})
-	if a, ok := has[SendAdvertisement](out); !ok || a != (SendAdvertisement{90, 50 * ms}) || b.m.cfg.VRID != 1 || b.m.cfg.LocalAddress != self {
+	if a, ok := has[SendAdvertisement](out); !ok || a != (SendAdvertisement{90, 50 * ms}) || b.m.config.VRID != 1 || b.m.config.LocalAddress != self {
 		t.Errorf("%v", out)
 	}
 	b.hears(other, 100)
