--- /dev/null
+++ b/internal/vrrp/priority.go
@@ -0,0 +1,13 @@
+package vrrp
+
+// effectivePriority is the priority to advertise: that of the settings less the steps of all conditions that hold. It is at
+// least 1: 0 would release the address, and the last gateway left must still be able to hold it.
+func effectivePriority(priority uint8, steps [ConditionCount]uint8, h Health) uint8 {
+	left := int(priority)
+	for c, wrong := range h.Conditions {
+		if wrong {
+			left -= int(steps[c])
+		}
+	}
+	return uint8(max(left, 1))
+}
--- /dev/null
+++ b/internal/vrrp/transitions.go
@@ -0,0 +1,73 @@
+package vrrp
+
+import (
+	"marblespan/internal/clock"
+)
+
+// announcePeriod is the number of advertisements between two announcements once an activation has lasted that long.
+const announcePeriod = 64
+
+// startup is the Startup event of RFC 9568, 6.4.1.
+func (m *Machine) startup(now clock.Micros, out []Action) []Action {
+	m.activeInterval = m.config.AdvertisementInterval
+	if m.Priority() == PriorityOwner && m.health.Ready {
+		return m.becomeActive(now, CauseStartup, out)
+	}
+	m.timer = now + m.downInterval()
+	return m.setState(now, Backup, CauseStartup, out)
+}
+
+// shutdown is the Shutdown event of RFC 9568, 6.4.2 and 6.4.3.
+func (m *Machine) shutdown(now clock.Micros, out []Action) []Action {
+	if m.state == Active {
+		out = m.release(now, CauseShutdown, out)
+	}
+	if m.state == Initialize {
+		return out
+	}
+	return m.setState(now, Initialize, CauseShutdown, out)
+}
+
+// becomeActive wins the address. The listener is opened before the network is told, so that no connection is refused.
+func (m *Machine) becomeActive(now clock.Micros, cause Cause, out []Action) []Action {
+	m.activation++
+	m.advertisementsSent = 0
+	out = m.setState(now, Active, cause, out)
+	m.activeRouter, m.otherRouter, m.released, m.preemptAfter = remoteRouter{}, remoteRouter{}, false, 0
+	return append(m.advertise(now, append(out, Activate{m.activation})), AnnounceAddress{m.activation})
+}
+
+// advertise sends an advertisement, starts the advertisement timer, and repeats the announcement where it is due.
+func (m *Machine) advertise(now clock.Micros, out []Action) []Action {
+	m.lastSent, m.timer = now, now+m.config.AdvertisementInterval
+	out = append(out, SendAdvertisement{m.Priority(), m.config.AdvertisementInterval})
+	// An announcement may be lost, and nobody asks for it again. So the 2nd, 4th, 8th and so on advertisement repeats it,
+	// later every 64th. The RFC sends one.
+	m.advertisementsSent++
+	if n := m.advertisementsSent; n > 1 && (n%announcePeriod == 0 || n < announcePeriod && n&(n-1) == 0) {
+		out = append(out, AnnounceAddress{m.activation})
+	}
+	return out
+}
+
+// release becomes a backup and advertises priority 0, so that the others wait for their Skew_Time only.
+func (m *Machine) release(now clock.Micros, cause Cause, out []Action) []Action {
+	return m.becomeBackup(now, cause, append(out, SendAdvertisement{PriorityRelease, m.config.AdvertisementInterval}))
+}
+
+// becomeBackup ends the activation without an advertisement.
+func (m *Machine) becomeBackup(now clock.Micros, cause Cause, out []Action) []Action {
+	if cause == CausePreempted || cause == CauseStalled {
+		m.damper.activationEnded(now, now-m.stateSince, m.config.Damping)
+	}
+	m.activeInterval = m.config.AdvertisementInterval
+	m.timer = now + m.downInterval()
+	return m.setState(now, Backup, cause, append(out, Deactivate{m.activation, cause}))
+}
+
+// setState changes the state and reports it.
+func (m *Machine) setState(now clock.Micros, to State, cause Cause, out []Action) []Action {
+	out = append(out, StateChanged{m.state, to, cause})
+	m.state, m.stateSince = to, now
+	return out
+}
