--- a/internal/floatingip/receive.go
+++ b/internal/floatingip/receive.go
@@ -64,7 +64,7 @@
 	s.dropLog.Dropped(fault.Name(), from)
 }
 
-// peerByAddress finds the peer that sends from an address; nil: none.
+// peerByAddress finds the peer that sends from an address; nil: none. The settings have each address once.
 func (s *VRRPRouter) peerByAddress(from netip.AddrPort) *Peer {
 	for i := range s.settings.Peers {
 		if s.settings.Peers[i].Address == from {
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// groupByVRID finds a group by its virtual router identifier; nil: none.
+// groupByVRID finds a group by its virtual router identifier; nil: none. The settings have each identifier once.
 func (s *VRRPRouter) groupByVRID(vrid uint8) *group {
 	for _, g := range s.groups {
 		if g.Machine.VRID == vrid {
