--- a/internal/protocol/vrrp/announce.go
+++ b/internal/protocol/vrrp/announce.go
@@ -8,8 +8,8 @@
 	"marblespan/internal/protocol/sealed"
 )
 
-// Announcement tells whoever leads connections of floating addresses, a switch or a helper with the right to change
-// addresses, where they go from now on. On a network of its own a gratuitous ARP or a neighbour advertisement would.
+// Announcement tells the receiver that directs connections to floating addresses (a switch, or a helper that may change
+// addresses) where they go from now on. It takes the place of a gratuitous ARP or a neighbor advertisement.
 type Announcement struct {
 	VRID      uint8
 	Key       uint8
@@ -20,13 +20,14 @@
 	Addresses []netip.Addr
 }
 
-// announceMagic begins an announcement; its last byte is the version.
+// announcementMagic begins an announcement; its last byte is the version.
 var announcementMagic = []byte("MSA\x01")
 
-// The sizes of an announcement's parts in bytes: magic, VRID, key, sender, count, start, sequence, listen address and port.
+// announcementHeaderSize is the size in bytes of all before the addresses: magic, VRID, key, sender, count, start, sequence, listen address and port.
 const announcementHeaderSize = 4 + 4 + 8 + 8 + 16 + 2
 
-// AppendAnnouncement writes and signs an announcement. IPv4 addresses travel in their IPv6-mapped form.
+// AppendAnnouncement appends an announcement and its MAC to b. IPv4 addresses are encoded in their IPv6-mapped form. The error
+// is ErrAddresses.
 func AppendAnnouncement(b []byte, a Announcement, key Key) ([]byte, error) {
 	count := len(a.Addresses)
 	if count == 0 || count > MaxAddresses || !a.Listen.IsValid() {
@@ -50,7 +51,7 @@
 	return append(b, x[:]...)
 }
 
-// ParseAnnouncement reads an announcement and checks its signature.
+// ParseAnnouncement reads an announcement and verifies its MAC. With a fault, the returned Announcement is empty.
 func ParseAnnouncement(b []byte, keys []Key) (Announcement, sealed.Fault) {
 	var announcement Announcement
 	if len(b) < announcementHeaderSize+16+macSize {
--- a/internal/protocol/vrrp/message.go
+++ b/internal/protocol/vrrp/message.go
@@ -1,7 +1,8 @@
-// Package vrrp is the codec of VRRP version 3 advertisements (RFC 9568, 5.2) as they travel between gateways: over unicast
-// UDP, each with a trailer that tells its sender and its place in order and proves both. It works on bytes only.
+// Package vrrp is the codec of VRRP version 3 advertisements (RFC 9568, 5.2) as gateways send them to each other: over unicast
+// UDP, each followed by a trailer with its sender and sequence and by a MAC over the whole. Append writes a message, Parse
+// reads and verifies it; internal/floatingip calls both. It works on bytes only and holds no state.
 //
-// RFC 9568 trusts a hop limit of 255 to keep strangers out, which UDP sockets cannot check. The trailer stands in for it.
+// RFC 9568 trusts a hop limit of 255 to keep strangers out, which UDP sockets cannot check. The MAC takes its place.
 package vrrp
 
 import (
@@ -12,12 +13,12 @@
 	"marblespan/internal/protocol/sealed"
 )
 
-// Sizes of the message's parts in bytes.
+// The sizes of the message's parts in bytes.
 const (
 	headerSize  = 8
 	trailerSize = sealed.TrailerSize
 	macSize     = sealed.MACSize
-	// MostAddresses is how many addresses a group may have here; the RFC's field allows 255.
+	// MostAddresses is the largest number of addresses of a group here; the RFC's field allows 255.
 	MaxAddresses = 16
 	// MostSize is the size of the largest message.
 	MaxSize = headerSize + 16*MaxAddresses + trailerSize + macSize
@@ -29,10 +30,10 @@
 	typeAdvertisement = 1
 )
 
-// purpose is what signatures are made for here.
+// macPurpose separates these MACs from those that other protocols make with the same key.
 const macPurpose = "marblespan vrrp 1\x00"
 
-// Key is a shared secret.
+// Key is a secret shared by all gateways of a group.
 type Key = sealed.Key
 
 // centisecond is the unit of the interval's field, in microseconds; the field has 12 bits.
@@ -50,16 +51,17 @@
 	Trailer
 }
 
-// Trailer is what the project adds behind the RFC's message.
+// Trailer follows the message of the RFC.
 type Trailer = sealed.Trailer
 
-// ErrAddresses tells that a message cannot be written because of its address list.
+// ErrAddresses is returned by Append and AppendAnnouncement for an address list that cannot be encoded.
 var ErrAddresses = errors.New("between 1 and 16 addresses of one family")
 
-// ErrInterval tells that an interval does not fit its field.
+// ErrInterval is returned by Append for an interval that does not fit its field of 12 bits.
 var ErrInterval = errors.New("an interval from 10 ms to 40.95 s")
 
-// Append writes and signs a message. from and to are the UDP addresses, part of the checksum for IPv6 groups.
+// Append appends a message and its MAC to b. from and to are the UDP addresses, part of the checksum for IPv6 groups. The
+// error is ErrAddresses or ErrInterval.
 func Append(b []byte, m Message, from, to netip.Addr, key Key) ([]byte, error) {
 	count := len(m.Addresses)
 	if count == 0 || count > MaxAddresses {
@@ -83,8 +85,8 @@
 	return sealed.Append(b, start, m.Trailer, macPurpose, key), nil
 }
 
-// Parse reads a message of an IPv4 or IPv6 group and checks all that can be told without the settings, its signature among
-// it. Nothing of a message with a fault is to be believed.
+// Parse reads a message of an IPv4 or IPv6 group and verifies all that does not depend on the settings, the MAC included. With
+// a fault, the returned Message is empty.
 func Parse(b []byte, ipv4 bool, from, to netip.Addr, keys []Key) (Message, sealed.Fault) {
 	var message Message
 	addressSize := 16
@@ -130,8 +132,8 @@
 	return message, sealed.NoFault
 }
 
-// VRID tells the group that a message claims to be of, before anything is checked: the group's family decides how to
-// read the rest.
+// VRID returns the virtual router identifier of a message before anything is verified: the group's address family decides how
+// to parse the rest. It returns false for a message that is too short.
 func VRID(b []byte) (uint8, bool) {
 	if len(b) < headerSize {
 		return 0, false
@@ -139,8 +141,8 @@
 	return b[1], true
 }
 
-// checksum is the internet checksum of RFC 9568, 5.2.8: over the message alone for IPv4, with a pseudo-header before it
-// for IPv6. Over a message with its checksum in place it is 0.
+// checksum is the internet checksum of RFC 9568, 5.2.8: over the message alone for IPv4, with a pseudo-header before it for
+// IPv6. Over a message that contains its checksum it is 0.
 func checksum(b []byte, ipv4 bool, from, to netip.Addr) uint16 {
 	var sum uint32
 	add := func(b []byte) {
