--- a/internal/vrrp/explore_test.go
+++ b/internal/vrrp/explore_test.go
@@ -15,16 +15,16 @@
 // The clock of the model: an interval of 1024 units, so that one step of priority is 4 units of skew, and messages that
 // take at most 1. A look is due twice an interval.
 const (
-	span  = 1024
-	delay = 1
+	interval = 1024
+	delay    = 1
 )
 
 // mutant spoils one thing about the machine. It may change the machine before an event, the event, and what comes out.
 type mutant struct {
-	name   string
-	before func(m *Machine, now clock.Micros, ev Event) Event
-	after  func(m *Machine, now clock.Micros, out []Action) []Action
-	gate   func(m *Machine, now clock.Micros) bool
+	name            string
+	before          func(m *Machine, now clock.Micros, ev Event) Event
+	after           func(m *Machine, now clock.Micros, out []Action) []Action
+	mayTakeRequests func(m *Machine, now clock.Micros) bool
 }
 
 // node is a machine in the explorer's world.
@@ -32,22 +32,22 @@
 	id, nodes int
 	cfg       Config
 	m         Machine
-	mut       *mutant
+	mutant    *mutant
 	heard     []clock.Micros // ghost: when the last advertisement of each was read, 0 after a release
 }
 
 func addr(i int) netip.Addr { return netip.AddrFrom4([4]byte{127, 0, 0, byte(i + 1)}) }
 
 func (n node) handle(now int64, ev Event) (modelcheck.Node, []modelcheck.Message) {
-	if n.mut != nil && n.mut.before != nil {
-		ev = n.mut.before(&n.m, clock.Micros(now), ev)
+	if n.mutant != nil && n.mutant.before != nil {
+		ev = n.mutant.before(&n.m, clock.Micros(now), ev)
 	}
 	var out []Action
 	if ev != nil {
 		out = n.m.Handle(clock.Micros(now), ev)
 	}
-	if n.mut != nil && n.mut.after != nil {
-		out = n.mut.after(&n.m, clock.Micros(now), out)
+	if n.mutant != nil && n.mutant.after != nil {
+		out = n.mutant.after(&n.m, clock.Micros(now), out)
 	}
 	var sent []modelcheck.Message
 	for _, a := range out {
@@ -76,7 +76,7 @@
 	if p == 0 {
 		n.heard[from] = 0
 	}
-	return n.handle(now, AdvertisementReceived{From: addr(from), Priority: uint8(p), AdvertisementInterval: span})
+	return n.handle(now, AdvertisementReceived{From: addr(from), Priority: uint8(p), AdvertisementInterval: interval})
 }
 
 func (n node) Tick(now int64) (modelcheck.Node, []modelcheck.Message) { return n.handle(now, Tick{}) }
@@ -92,10 +92,10 @@
 		if t == 0 {
 			return 1 << 40
 		}
-		return max(t-clock.Micros(now), -8*span)
+		return max(t-clock.Micros(now), -8*interval)
 	}
 	var b strings.Builder
-	fmt.Fprint(&b, m.state, m.health.Ready, rel(m.lastHandled), rel(m.timer), m.activeRouter.from, m.activeRouter.priority, max(rel(m.activeRouter.receivedAt), -3*span), m.otherRouter.from, m.otherRouter.priority, max(rel(m.otherRouter.receivedAt), -3*span), m.released, rel(m.preemptAfter), m.activeInterval)
+	fmt.Fprint(&b, m.state, m.health.Ready, rel(m.lastHandled), rel(m.timer), m.activeRouter.from, m.activeRouter.priority, max(rel(m.activeRouter.receivedAt), -3*interval), m.otherRouter.from, m.otherRouter.priority, max(rel(m.otherRouter.receivedAt), -3*interval), m.released, rel(m.preemptAfter), m.activeInterval)
 	if m.state == Active {
 		fmt.Fprint(&b, rel(m.lastSent))
 	}
@@ -103,7 +103,7 @@
 		fmt.Fprint(&b, max(rel(m.stateSince), -m.config.Damping.Window-1), m.damper.flaps, rel(m.damper.blockedUntil), rel(m.damper.lastFlap))
 	}
 	for _, h := range n.heard {
-		fmt.Fprint(&b, max(rel(h), -4*span), " ")
+		fmt.Fprint(&b, max(rel(h), -4*interval), " ")
 	}
 	return b.String()
 }
@@ -116,25 +116,25 @@
 	return word
 }
 
-func (n node) open(now int64) bool {
-	if n.mut != nil && n.mut.gate != nil {
-		return n.mut.gate(&n.m, clock.Micros(now))
+func (n node) mayTakeRequests(now int64) bool {
+	if n.mutant != nil && n.mutant.mayTakeRequests != nil {
+		return n.mutant.mayTakeRequests(&n.m, clock.Micros(now))
 	}
 	return clock.Micros(now) <= n.m.Lease()
 }
 
 // needless remembers a take-over from an active router that was being heard.
-type needless struct{ what string }
+type needlessTakeover struct{ what string }
 
-func (n needless) Key(int64) string { return n.what }
+func (n needlessTakeover) Key(int64) string { return n.what }
 
 // remember looks at a move: whoever just became active must not have heard a living one, of at least its own priority or
 // not to be preempted, in the last three intervals, nor have its word unread.
-func remember(before, after *modelcheck.State) modelcheck.History {
+func recordNeedlessTakeover(before, after *modelcheck.State) modelcheck.History {
 	if before == nil {
-		return needless{}
+		return needlessTakeover{}
 	}
-	if m := before.History.(needless); m.what != "" {
+	if m := before.History.(needlessTakeover); m.what != "" {
 		return m
 	}
 	for j := range after.Nodes {
@@ -149,12 +149,12 @@
 				continue
 			}
 			advert := func(text string) bool { return text != "0" }
-			if h := is.heard[i]; h > 0 && clock.Micros(after.Now)-h < 3*span || before.Unread(i, j, advert) {
-				return needless{fmt.Sprintf("%d took over though it heard %d", j, i)}
+			if h := is.heard[i]; h > 0 && clock.Micros(after.Now)-h < 3*interval || before.Unread(i, j, advert) {
+				return needlessTakeover{fmt.Sprintf("%d took over though it heard %d", j, i)}
 			}
 		}
 	}
-	return needless{}
+	return needlessTakeover{}
 }
 
 // invariant is what must hold in every state. bound is the longest time without an active router once all is well.
@@ -162,7 +162,7 @@
 // paused router counts as if it woke just now, before its machine has noticed.
 func invariant(full modelcheck.Faults, bound int64, strict bool) func(*modelcheck.State) error {
 	return func(r *modelcheck.State) error {
-		if m, ok := r.History.(needless); ok && m.what != "" {
+		if m, ok := r.History.(needlessTakeover); ok && m.what != "" {
 			return errors.New(m.what)
 		}
 		network := r.FaultsLeft.Lose == full.Lose && r.FaultsLeft.Delay == full.Delay
@@ -185,7 +185,7 @@
 			}
 			for j := range i {
 				b := r.Nodes[j].(node)
-				if strict && r.DownUntil[j] == 0 && a.open(r.Now) && b.open(r.Now) {
+				if strict && r.DownUntil[j] == 0 && a.mayTakeRequests(r.Now) && b.mayTakeRequests(r.Now) {
 					return fmt.Errorf("%d and %d may both take work", j, i)
 				}
 				if r.DownUntil[j] != 0 || b.m.state != Active || r.InFlight(i, j, delay) {
@@ -194,7 +194,7 @@
 				if network && r.FaultsLeft.Pause == full.Pause {
 					return fmt.Errorf("%d and %d are both active, with nothing lost, late or standing still", j, i)
 				}
-				if network && r.Running(i) && r.Running(j) && a.open(r.Now) && b.open(r.Now) {
+				if network && r.Running(i) && r.Running(j) && a.mayTakeRequests(r.Now) && b.mayTakeRequests(r.Now) {
 					return fmt.Errorf("%d and %d both take work after a pause", j, i)
 				}
 				if calm {
@@ -209,7 +209,7 @@
 	}
 }
 
-func shifts(i int, n modelcheck.Node, now int64) []modelcheck.EnvironmentChange {
+func readinessChanges(i int, n modelcheck.Node, now int64) []modelcheck.EnvironmentChange {
 	v := n.(node)
 	h := v.m.health
 	h.Ready = !h.Ready
@@ -222,18 +222,18 @@
 }
 
 // setting is one arrangement that is explored.
-type setting struct {
-	name       string
-	priorities []uint8
-	preempt    bool
-	peace      clock.Micros
-	damping    Damping
-	faults     modelcheck.Faults
-	until      int64
-	strict     bool
+type scenario struct {
+	name         string
+	priorities   []uint8
+	preempt      bool
+	preemptDelay clock.Micros
+	damping      Damping
+	faults       modelcheck.Faults
+	until        int64
+	strict       bool
 }
 
-var settings = []setting{
+var scenarios = []scenario{
 	{"two, not preempting: a pause and a doubled one", []uint8{200, 100}, false, 0, Damping{},
 		modelcheck.Faults{Pause: 1, Duplicate: 1}, 0, true},
 	{"two: lost and late", []uint8{200, 100}, true, 0, Damping{}, modelcheck.Faults{Lose: 1, Delay: 1}, 0, false},
@@ -243,26 +243,26 @@
 	{"two: a pause and a crash", []uint8{200, 100}, true, 0, Damping{}, modelcheck.Faults{Pause: 1, Crash: 1}, 0, false},
 	{"two alike, not preempting: two pauses", []uint8{100, 100}, false, 0, Damping{}, modelcheck.Faults{Pause: 2}, 0, false},
 	{"two alike: late and changes", []uint8{100, 100}, true, 0, Damping{}, modelcheck.Faults{Delay: 1, EnvironmentChange: 2}, 0, false},
-	{"two, delayed and damped: two late", []uint8{200, 199}, true, 2 * span, Damping{4 * span, span, 4 * span},
-		modelcheck.Faults{Delay: 2}, 16 * span, false},
+	{"two, delayed and damped: two late", []uint8{200, 199}, true, 2 * interval, Damping{4 * interval, interval, 4 * interval},
+		modelcheck.Faults{Delay: 2}, 16 * interval, false},
 	{"three: a crash and a change", []uint8{200, 150, 100}, true, 0, Damping{}, modelcheck.Faults{Crash: 1, EnvironmentChange: 1}, 0, false},
 	{"three alike: a pause", []uint8{100, 100, 100}, false, 0, Damping{}, modelcheck.Faults{Pause: 1}, 0, false},
 	{"three: a loss and a change", []uint8{200, 150, 100}, true, 0, Damping{}, modelcheck.Faults{Lose: 1, EnvironmentChange: 1}, 0, false},
 	{"three: one late and a change", []uint8{200, 150, 100}, false, 0, Damping{}, modelcheck.Faults{Delay: 1, EnvironmentChange: 1}, 0, false},
 }
 
-func (s setting) world(mut *mutant) *modelcheck.World {
+func (s scenario) world(mut *mutant) *modelcheck.World {
 	w := &modelcheck.World{
-		MaxDelay: delay, ExtraDelay: 5 * span, PauseDurations: []int64{span, 5 * span}, RestartDelay: 2 * span, Faults: s.faults,
-		InOrder: true, Horizon: s.until, EnvironmentChanges: shifts, History: remember,
+		MaxDelay: delay, ExtraDelay: 5 * interval, PauseDurations: []int64{interval, 5 * interval}, RestartDelay: 2 * interval, Faults: s.faults,
+		InOrder: true, Horizon: s.until, EnvironmentChanges: readinessChanges, History: recordNeedlessTakeover,
 	}
-	w.FaultFreeWindow = int64(6*span + s.damping.MaxDelay + s.peace)
+	w.FaultFreeWindow = int64(6*interval + s.damping.MaxDelay + s.preemptDelay)
 	w.Invariant = invariant(s.faults, w.FaultFreeWindow, s.strict)
 	for i, p := range s.priorities {
 		w.Nodes = append(w.Nodes, node{
-			id: i, nodes: len(s.priorities), mut: mut,
+			id: i, nodes: len(s.priorities), mutant: mut,
 			cfg: Config{
-				VRID: 1, Priority: p, AdvertisementInterval: span, Preempt: s.preempt, PreemptDelay: s.peace, LocalAddress: addr(i), Damping: s.damping,
+				VRID: 1, Priority: p, AdvertisementInterval: interval, Preempt: s.preempt, PreemptDelay: s.preemptDelay, LocalAddress: addr(i), Damping: s.damping,
 			},
 		})
 	}
@@ -270,13 +270,13 @@
 }
 
 // mostStates bounds one exploration; only those of three instances reach it.
-const mostStates = 60_000
+const maxStates = 60_000
 
 func TestExplore(t *testing.T) {
-	for _, s := range settings {
+	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
-			res := modelcheck.BreadthFirst(s.world(nil), modelcheck.Limits{MaxStates: mostStates / fewerStates})
+			res := modelcheck.BreadthFirst(s.world(nil), modelcheck.Limits{MaxStates: maxStates / fewerStates})
 			t.Logf("%d states, %d moves, depth %d, whole: %v", res.States, res.Transitions, res.Depth, res.Complete)
 			if res.Counterexample != nil {
 				t.Error(res.Counterexample)
@@ -333,7 +333,7 @@
 	}},
 	{name: "follows whoever advertised last", before: func(m *Machine, now clock.Micros, ev Event) Event {
 		if _, ok := ev.(AdvertisementReceived); ok && m.state == Backup {
-			m.activeRouter.receivedAt -= 4 * span
+			m.activeRouter.receivedAt -= 4 * interval
 		}
 		return ev
 	}},
@@ -343,13 +343,13 @@
 	}},
 	{name: "never takes over", after: func(m *Machine, now clock.Micros, out []Action) []Action {
 		if m.state == Backup {
-			m.timer = now + 9*span
+			m.timer = now + 9*interval
 		}
 		return out
 	}},
 	{name: "waits two intervals only", after: func(m *Machine, now clock.Micros, out []Action) []Action {
 		if m.state == Backup {
-			m.timer = min(m.timer, now+2*span)
+			m.timer = min(m.timer, now+2*interval)
 		}
 		return out
 	}},
@@ -359,7 +359,7 @@
 		}
 		return ev
 	}},
-	{name: "takes work for as long as it thinks it is active", gate: func(m *Machine, now clock.Micros) bool {
+	{name: "takes work for as long as it thinks it is active", mayTakeRequests: func(m *Machine, now clock.Micros) bool {
 		return m.state == Active
 	}},
 	{name: "goes for the address although it is not ready", after: func(m *Machine, now clock.Micros, out []Action) []Action {
@@ -377,8 +377,8 @@
 	for _, mut := range mutants {
 		t.Run(mut.name, func(t *testing.T) {
 			t.Parallel()
-			for _, s := range settings {
-				if res := modelcheck.BreadthFirst(s.world(&mut), modelcheck.Limits{MaxStates: mostStates}); res.Counterexample != nil {
+			for _, s := range scenarios {
+				if res := modelcheck.BreadthFirst(s.world(&mut), modelcheck.Limits{MaxStates: maxStates}); res.Counterexample != nil {
 					t.Logf("caught by %q after %d states: %v", s.name, res.States, res.Counterexample.Err)
 					return
 				}
--- a/internal/vrrp/machine_test.go
+++ b/internal/vrrp/machine_test.go
@@ -20,28 +20,28 @@
 }
 
 // bench drives a machine by hand, and looks at it as often as it asks for.
-type bench struct {
+type machineHarness struct {
 	t   *testing.T
 	m   Machine
 	now clock.Micros
 	out []Action
 }
 
-func newBench(t *testing.T, cfg Config, ready bool) *bench {
-	b := &bench{t: t, m: New(cfg), now: 1_000_000}
-	b.do(HealthChanged{Health{Ready: ready}})
-	b.do(Startup{})
+func newHarness(t *testing.T, cfg Config, ready bool) *machineHarness {
+	b := &machineHarness{t: t, m: New(cfg), now: 1_000_000}
+	b.handle(HealthChanged{Health{Ready: ready}})
+	b.handle(Startup{})
 	return b
 }
 
-func (b *bench) do(ev Event) []Action {
+func (b *machineHarness) handle(ev Event) []Action {
 	b.out = b.m.Handle(b.now, ev)
 	return b.out
 }
 
 // pass lets time pass, look by look, and returns all that came of it.
-func (b *bench) pass(span clock.Micros) (all []Action) {
-	end := b.now + span
+func (b *machineHarness) advance(duration clock.Micros) (all []Action) {
+	end := b.now + duration
 	for {
 		at, ok := b.m.Next()
 		if !ok || at > end {
@@ -49,22 +49,22 @@
 			return all
 		}
 		b.now = max(at, b.now)
-		all = append(all, b.do(Tick{})...)
+		all = append(all, b.handle(Tick{})...)
 	}
 }
 
-func (b *bench) hears(from netip.Addr, priority uint8) []Action {
-	return b.do(AdvertisementReceived{from, priority, 100 * ms})
+func (b *machineHarness) receive(from netip.Addr, priority uint8) []Action {
+	return b.handle(AdvertisementReceived{from, priority, 100 * ms})
 }
 
-func (b *bench) is(s State) {
+func (b *machineHarness) requireState(s State) {
 	b.t.Helper()
 	if b.m.State() != s {
 		b.t.Fatalf("%v after %d ms, want %v; last %v", b.m.State(), (b.now-1_000_000)/ms, s, b.out)
 	}
 }
 
-func has[A Action](actions []Action) (a A, ok bool) {
+func firstAction[A Action](actions []Action) (a A, ok bool) {
 	for _, x := range actions {
 		if a, ok = x.(A); ok {
 			return a, true
@@ -83,19 +83,19 @@
 			t.Errorf("%+v: skew %d, down %d", c, s, d)
 		}
 	}
-	b := newBench(t, base(), true)
-	b.is(Backup)
-	b.pass(349 * ms)
-	b.is(Backup)
-	all := b.pass(1 * ms)
-	b.is(Active)
+	b := newHarness(t, base(), true)
+	b.requireState(Backup)
+	b.advance(349 * ms)
+	b.requireState(Backup)
+	all := b.advance(1 * ms)
+	b.requireState(Active)
 	want := []Action{
 		StateChanged{Backup, Active, CauseActiveDown}, Activate{1}, SendAdvertisement{128, 100 * ms}, AnnounceAddress{1},
 	}
 	if !slices.Equal(all, want) {
 		t.Errorf("%v, want %v", all, want)
 	}
-	all = b.pass(1000 * ms)
+	all = b.advance(1000 * ms)
 	if n, a := count[SendAdvertisement](all), count[AnnounceAddress](all); n != 10 || a != 3 {
 		t.Errorf("%d advertisements and %d further announcements in a second", n, a)
 	}
@@ -113,45 +113,45 @@
 func TestOwnerIsActiveAtOnce(t *testing.T) {
 	cfg := base()
 	cfg.Priority = PriorityOwner
-	newBench(t, cfg, true).is(Active)
-	b := newBench(t, cfg, false)
-	b.is(Backup)
-	b.pass(5000 * ms)
-	b.is(Backup)
-	b.do(HealthChanged{Health{Ready: true}})
-	b.pass(2 * ms)
-	b.is(Active)
+	newHarness(t, cfg, true).requireState(Active)
+	b := newHarness(t, cfg, false)
+	b.requireState(Backup)
+	b.advance(5000 * ms)
+	b.requireState(Backup)
+	b.handle(HealthChanged{Health{Ready: true}})
+	b.advance(2 * ms)
+	b.requireState(Active)
 }
 
 // A backup follows the advertised interval of the active router, not its own.
 func TestFollowsTheAdvertisedInterval(t *testing.T) {
-	b := newBench(t, base(), true)
-	b.do(AdvertisementReceived{other, 200, 1000 * ms})
-	b.pass(3499 * ms)
-	b.is(Backup)
-	b.pass(1 * ms)
-	b.is(Active)
-	if a, ok := has[SendAdvertisement](b.out); !ok || a.AdvertisementInterval != 100*ms {
+	b := newHarness(t, base(), true)
+	b.handle(AdvertisementReceived{other, 200, 1000 * ms})
+	b.advance(3499 * ms)
+	b.requireState(Backup)
+	b.advance(1 * ms)
+	b.requireState(Active)
+	if a, ok := firstAction[SendAdvertisement](b.out); !ok || a.AdvertisementInterval != 100*ms {
 		t.Errorf("advertises %v", b.out)
 	}
 }
 
 func TestRelease(t *testing.T) {
-	b := newBench(t, base(), true)
-	b.hears(other, 200)
-	b.pass(10 * ms)
-	b.hears(third, PriorityRelease) // not the active one
-	b.pass(60 * ms)
-	b.is(Backup)
-	b.hears(other, PriorityRelease)
-	b.pass(49 * ms)
-	b.is(Backup)
-	b.pass(1 * ms)
-	b.is(Active)
-	if c, _ := has[StateChanged](b.out); c.Cause != CauseReleased {
+	b := newHarness(t, base(), true)
+	b.receive(other, 200)
+	b.advance(10 * ms)
+	b.receive(third, PriorityRelease) // not the active one
+	b.advance(60 * ms)
+	b.requireState(Backup)
+	b.receive(other, PriorityRelease)
+	b.advance(49 * ms)
+	b.requireState(Backup)
+	b.advance(1 * ms)
+	b.requireState(Active)
+	if c, _ := firstAction[StateChanged](b.out); c.Cause != CauseReleased {
 		t.Errorf("%v", b.out)
 	}
-	out := b.do(Shutdown{})
+	out := b.handle(Shutdown{})
 	want := []Action{
 		SendAdvertisement{PriorityRelease, 100 * ms}, Deactivate{1, CauseShutdown}, StateChanged{Active, Backup, CauseShutdown},
 		StateChanged{Backup, Initialize, CauseShutdown},
@@ -174,12 +174,12 @@
 		{other, 127, true}, {other, 129, false}, {other, 128, false}, {netip.MustParseAddr("127.0.0.1"), 128, true},
 		{other, PriorityRelease, true}, {netip.MustParseAddr("127.0.0.1"), 255, false},
 	} {
-		b := newBench(t, base(), true)
-		b.pass(360 * ms)
-		b.is(Active)
-		out := b.hears(c.from, c.priority)
-		_, released := has[Deactivate](out)
-		_, answered := has[SendAdvertisement](out) // the one that gives way has a last word too
+		b := newHarness(t, base(), true)
+		b.advance(360 * ms)
+		b.requireState(Active)
+		out := b.receive(c.from, c.priority)
+		_, released := firstAction[Deactivate](out)
+		_, answered := firstAction[SendAdvertisement](out) // the one that gives way has a last word too
 		if (b.m.State() == Active) != c.stays || released == c.stays || !answered {
 			t.Errorf("%+v: %v, %v", c, b.m.State(), out)
 		}
@@ -194,11 +194,11 @@
 	}{{true, 0, 350 * ms}, {true, 1000 * ms, 1350 * ms}, {false, 0, 0}} {
 		cfg := base()
 		cfg.Preempt, cfg.PreemptDelay = c.preempt, c.delay
-		b := newBench(t, cfg, true)
+		b := newHarness(t, cfg, true)
 		start := b.now
 		for b.now < start+4000*ms && b.m.State() == Backup {
-			b.hears(other, 50)
-			b.pass(50 * ms)
+			b.receive(other, 50)
+			b.advance(50 * ms)
 		}
 		took := b.now - start
 		if c.after == 0 && b.m.State() == Active || c.after > 0 && (took < c.after-50*ms || took > c.after+100*ms) {
@@ -210,50 +210,50 @@
 func TestTrackingLowersThePriority(t *testing.T) {
 	cfg := base()
 	cfg.PrioritySteps = [ConditionCount]uint8{NoPrimary: 30, DiscoverySilent: 90, DescriptorsLow: 90}
-	b := newBench(t, cfg, true)
-	b.pass(360 * ms)
+	b := newHarness(t, cfg, true)
+	b.advance(360 * ms)
 	h := Health{Ready: true}
 	for _, c := range []struct {
 		wrong Condition
 		want  uint8
 	}{{NoPrimary, 98}, {DiscoverySilent, 8}, {DescriptorsLow, 1}} {
 		h.Conditions[c.wrong] = true
-		b.do(HealthChanged{h})
-		if all := b.pass(101 * ms); b.m.Priority() != c.want || !slices.Contains(all, Action(SendAdvertisement{c.want, 100 * ms})) {
+		b.handle(HealthChanged{h})
+		if all := b.advance(101 * ms); b.m.Priority() != c.want || !slices.Contains(all, Action(SendAdvertisement{c.want, 100 * ms})) {
 			t.Errorf("%v: priority %d, %v", ConditionNames[c.wrong], b.m.Priority(), all)
 		}
 	}
-	b.is(Active) // the last one left holds the address, whatever is wrong
-	out := b.do(HealthChanged{Health{}})
-	if _, ok := has[Deactivate](out); !ok || out[0] != (SendAdvertisement{PriorityRelease, 100 * ms}) {
+	b.requireState(Active) // the last one left holds the address, whatever is wrong
+	out := b.handle(HealthChanged{Health{}})
+	if _, ok := firstAction[Deactivate](out); !ok || out[0] != (SendAdvertisement{PriorityRelease, 100 * ms}) {
 		t.Errorf("not ready any more: %v", out)
 	}
-	b.pass(5000 * ms)
-	b.is(Backup)
-	b.do(HealthChanged{Health{Ready: true}})
-	b.pass(50 * ms)
-	b.is(Active)
+	b.advance(5000 * ms)
+	b.requireState(Backup)
+	b.handle(HealthChanged{Health{Ready: true}})
+	b.advance(50 * ms)
+	b.requireState(Active)
 }
 
 // A process that stood still finds itself a backup before anything else, and says nothing.
 func TestStandingStill(t *testing.T) {
-	b := newBench(t, base(), true)
-	b.pass(360 * ms)
+	b := newHarness(t, base(), true)
+	b.advance(360 * ms)
 	lease := b.m.Lease()
 	b.now = lease + 1
-	out := b.do(Tick{})
+	out := b.handle(Tick{})
 	want := []Action{Deactivate{1, CauseStalled}, StateChanged{Active, Backup, CauseStalled}}
 	if !slices.Equal(out, want) {
 		t.Errorf("%v", out)
 	}
-	b.pass(349 * ms)
-	b.is(Backup)
+	b.advance(349 * ms)
+	b.requireState(Backup)
 	b.now += 5000 * ms // again, as a backup: what it knows is old
-	b.do(Tick{})
-	b.pass(349 * ms)
-	b.is(Backup)
-	b.pass(10 * ms)
-	b.is(Active)
+	b.handle(Tick{})
+	b.advance(349 * ms)
+	b.requireState(Backup)
+	b.advance(10 * ms)
+	b.requireState(Active)
 	if b.m.Activation() != 2 {
 		t.Errorf("tenure %d", b.m.Activation())
 	}
@@ -262,64 +262,64 @@
 func TestTakeFailed(t *testing.T) {
 	cfg := base()
 	cfg.Damping = Damping{Window: 500 * ms, InitialDelay: 1000 * ms, MaxDelay: 3000 * ms}
-	b := newBench(t, cfg, true)
-	b.pass(360 * ms)
-	if out := b.do(ActivateFailed{Activation: 7}); len(out) > 0 {
+	b := newHarness(t, cfg, true)
+	b.advance(360 * ms)
+	if out := b.handle(ActivateFailed{Activation: 7}); len(out) > 0 {
 		t.Errorf("another tenure's failure: %v", out)
 	}
-	out := b.do(ActivateFailed{Activation: 1})
-	b.is(Backup)
+	out := b.handle(ActivateFailed{Activation: 1})
+	b.requireState(Backup)
 	if out[0] != (SendAdvertisement{PriorityRelease, 100 * ms}) {
 		t.Errorf("%v", out)
 	}
-	b.pass(990 * ms)
-	b.is(Backup)
-	b.pass(20 * ms)
-	b.is(Active)
+	b.advance(990 * ms)
+	b.requireState(Backup)
+	b.advance(20 * ms)
+	b.requireState(Active)
 }
 
 // Each flap holds back for twice as long, up to the bound; a long tenure and a quiet time count as none.
 func TestDamping(t *testing.T) {
 	cfg := base()
 	cfg.Damping = Damping{Window: 500 * ms, InitialDelay: 1000 * ms, MaxDelay: 3000 * ms}
-	b := newBench(t, cfg, true)
+	b := newHarness(t, cfg, true)
 	var held []clock.Micros
 	for range 4 {
 		for b.m.State() != Active {
-			b.pass(ms)
+			b.advance(ms)
 		}
-		b.pass(400 * ms)
-		b.hears(other, 200)
+		b.advance(400 * ms)
+		b.receive(other, 200)
 		held = append(held, (b.m.PreemptBlockedUntil()-b.now)/ms)
-		b.pass(b.m.PreemptBlockedUntil() - b.now - ms)
-		b.is(Backup)
+		b.advance(b.m.PreemptBlockedUntil() - b.now - ms)
+		b.requireState(Backup)
 	}
 	if fmt.Sprint(held) != "[1000 2000 3000 3000]" {
 		t.Errorf("held back for %v", held)
 	}
-	b.pass(20_000 * ms)
-	b.hears(other, 200)
+	b.advance(20_000 * ms)
+	b.receive(other, 200)
 	if b.m.PreemptBlockedUntil() > b.now {
 		t.Error("a loss after a long tenure counts as a flap")
 	}
-	b.pass(360 * ms)
-	b.hears(other, 200)
+	b.advance(360 * ms)
+	b.receive(other, 200)
 	if got := b.m.PreemptBlockedUntil() - b.now; got != 1000*ms {
 		t.Errorf("after a quiet time held back for %d ms", got/ms)
 	}
 }
 
 func TestReconfigured(t *testing.T) {
-	b := newBench(t, base(), true)
-	b.pass(360 * ms)
+	b := newHarness(t, base(), true)
+	b.advance(360 * ms)
 	next := base()
 	next.Priority, next.AdvertisementInterval, next.VRID, next.LocalAddress = 90, 50*ms, 9, third
-	out := b.do(ConfigChanged{next})
-	if a, ok := has[SendAdvertisement](out); !ok || a != (SendAdvertisement{90, 50 * ms}) || b.m.config.VRID != 1 || b.m.config.LocalAddress != self {
+	out := b.handle(ConfigChanged{next})
+	if a, ok := firstAction[SendAdvertisement](out); !ok || a != (SendAdvertisement{90, 50 * ms}) || b.m.config.VRID != 1 || b.m.config.LocalAddress != self {
 		t.Errorf("%v", out)
 	}
-	b.hears(other, 100)
-	b.is(Backup)
+	b.receive(other, 100)
+	b.requireState(Backup)
 }
 
 // Whatever comes in whatever order: take and release alternate, tenures grow, an advertisement is never sent by one that
