--- a/internal/experiments/failover/failover.go
+++ b/internal/experiments/failover/failover.go
@@ -9,9 +9,7 @@
 	"fmt"
 	"io"
 	"math/rand/v2"
-	"sort"
 	"strings"
-	"sync"
 	"syscall"
 	"time"
 
@@ -233,81 +231,6 @@
 	return nil
 }
 
-// holderChange is one change of a gateway's belief that it holds the address.
-type holderChange struct {
-	node   int
-	at     time.Time
-	active bool
-}
-
-// changesSince lists the changes after a time. The end of a process ends its belief.
-func changesSince(h *testcluster.History, from time.Time) (out []holderChange) {
-	for _, e := range h.Events() {
-		if e.At >= h.Timestamp(from) && (e.Kind == testcluster.StateReported || e.Kind == testcluster.ProcessChanged && e.What == "ended") {
-			out = append(out, holderChange{e.Node, h.WallTime(e.At), e.Kind == testcluster.StateReported && e.Text == "active"})
-		}
-	}
-	return out
-}
-
-// durationOf sums how long a condition held between two times, in microseconds. Gateway 1 is active at the start of a trial.
-func durationOf(changes []holderChange, from, to time.Time, holds func(active, running int) bool, unreachable, runs func(int, time.Time) bool) int64 {
-	sort.SliceStable(changes, func(i, j int) bool { return changes[i].at.Before(changes[j].at) })
-	// The moments at which anything may change; a reachable gateway may change at the ends of the fault too.
-	moments := []time.Time{from, to}
-	for _, c := range changes {
-		if c.at.After(from) && c.at.Before(to) {
-			moments = append(moments, c.at)
-		}
-	}
-	sort.Slice(moments, func(i, j int) bool { return moments[i].Before(moments[j]) })
-	sum := time.Duration(0)
-	for i := 1; i < len(moments); i++ {
-		active, running := 0, 0
-		for node, on := range activeAt(changes, moments[i-1]) {
-			if on && !unreachable(node, moments[i-1]) {
-				active++
-			}
-			if on && runs(node, moments[i-1]) {
-				running++
-			}
-		}
-		if holds(active, running) {
-			sum += moments[i].Sub(moments[i-1])
-		}
-	}
-	return sum.Microseconds()
-}
-
-func activeAt(changes []holderChange, at time.Time) map[int]bool {
-	active := map[int]bool{1: true}
-	for _, c := range changes {
-		if !c.at.After(at) {
-			active[c.node] = c.active
-		}
-	}
-	return active
-}
-
-// longestWait is the longest time that any client went without a served booking around a fault, in microseconds.
-func longestWait(served []fake.ClientEvent, from, to time.Time) int64 {
-	last := map[string]time.Time{}
-	longest := time.Duration(0)
-	for _, m := range served {
-		if m.At.After(to.Add(time.Second)) {
-			break
-		}
-		if before, ok := last[m.Client]; ok && m.At.After(from) {
-			longest = max(longest, m.At.Sub(before))
-		}
-		last[m.Client] = m.At
-	}
-	for _, at := range last {
-		longest = max(longest, to.Sub(at))
-	}
-	return longest.Microseconds()
-}
-
 // awaitSuccessor waits until the switch leads to another gateway than the old holder.
 func awaitSuccessor(f *testcluster.Cluster, old *testcluster.Node, by time.Duration) error {
 	for end := time.Now().Add(by); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
@@ -317,85 +240,3 @@
 	}
 	return errors.New("nobody took over")
 }
-
-// front spreads clients over the gateways' own listeners. A client keeps its gateway until the front detects that it is unavailable.
-type front struct {
-	mu              sync.Mutex
-	nodes           []*testcluster.Node
-	unavailableFrom map[int]time.Time // by gateway: when the front detects it
-	detectionDelay  time.Duration
-}
-
-// plannedRestartNotice is how soon the front knows of a planned restart.
-const plannedRestartNotice = 300 * time.Millisecond
-
-func (f *front) fault(i int, at time.Time, k faultKind) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if k.affectsFront {
-		f.unavailableFrom[i] = at.Add(f.detectionDelay)
-		if k.name == "term" {
-			f.unavailableFrom[i] = at.Add(plannedRestartNotice)
-		}
-	}
-}
-
-func (f *front) repaired(i int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	delete(f.unavailableFrom, i)
-}
-
-func (f *front) addr(client int) string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	var here []string
-	for _, n := range f.nodes {
-		if at, away := f.unavailableFrom[n.Number]; !away || time.Now().Before(at) {
-			here = append(here, n.Listen)
-		}
-	}
-	return here[client%len(here)]
-}
-
-// bookingLoad is the clients of an experiment, each on a goroutine that stop ends and waits for.
-type bookingLoad struct {
-	floatingLedger, frontLedger fake.Ledger
-	spreader                    *front
-	stopping                    chan struct{}
-	once                        sync.Once
-	done                        sync.WaitGroup
-}
-
-func startLoad(o Options, f *testcluster.Cluster) *bookingLoad {
-	l := &bookingLoad{stopping: make(chan struct{}), spreader: &front{nodes: f.Nodes, unavailableFrom: map[int]time.Time{}, detectionDelay: o.FrontDetectionDelay}}
-	for c := range 2 * o.Clients {
-		b := &fake.Client{
-			Name: fmt.Sprint("c", c), Class: testcluster.ClassBooking, Group: testcluster.Group, Timeout: time.Second, MaxAttempts: 1000, Backoff: 5 * time.Millisecond,
-			Addr: f.Switch.Addr, Ledger: &l.floatingLedger, Route: f.Switch.GatewayOf,
-		}
-		if c >= o.Clients {
-			b.Ledger, b.Route = &l.frontLedger, nil
-			b.Addr = func() string { return l.spreader.addr(c) }
-		}
-		l.done.Add(1)
-		go func() {
-			defer l.done.Done()
-			defer b.Close()
-			for n := 0; ; n++ {
-				select {
-				case <-l.stopping:
-					return
-				case <-time.After(o.ThinkTime):
-				}
-				b.Write(fmt.Sprintf("%s-%d", b.Name, n))
-			}
-		}()
-	}
-	return l
-}
-
-func (l *bookingLoad) stop() {
-	l.once.Do(func() { close(l.stopping) })
-	l.done.Wait()
-}
--- /dev/null
+++ b/internal/experiments/failover/timeline.go
@@ -0,0 +1,84 @@
+package failover
+
+import (
+	"sort"
+	"time"
+
+	"marblespan/internal/fake"
+	"marblespan/internal/testcluster"
+)
+
+// holderChange is one change of a gateway's belief that it holds the address.
+type holderChange struct {
+	node   int
+	at     time.Time
+	active bool
+}
+
+// changesSince lists the changes after a time. The end of a process ends its belief.
+func changesSince(h *testcluster.History, from time.Time) (out []holderChange) {
+	for _, e := range h.Events() {
+		if e.At >= h.Timestamp(from) && (e.Kind == testcluster.StateReported || e.Kind == testcluster.ProcessChanged && e.What == "ended") {
+			out = append(out, holderChange{e.Node, h.WallTime(e.At), e.Kind == testcluster.StateReported && e.Text == "active"})
+		}
+	}
+	return out
+}
+
+// durationOf sums how long a condition held between two times, in microseconds. Gateway 1 is active at the start of a trial.
+func durationOf(changes []holderChange, from, to time.Time, holds func(active, running int) bool, unreachable, runs func(int, time.Time) bool) int64 {
+	sort.SliceStable(changes, func(i, j int) bool { return changes[i].at.Before(changes[j].at) })
+	// The moments at which anything may change; a reachable gateway may change at the ends of the fault too.
+	moments := []time.Time{from, to}
+	for _, c := range changes {
+		if c.at.After(from) && c.at.Before(to) {
+			moments = append(moments, c.at)
+		}
+	}
+	sort.Slice(moments, func(i, j int) bool { return moments[i].Before(moments[j]) })
+	sum := time.Duration(0)
+	for i := 1; i < len(moments); i++ {
+		active, running := 0, 0
+		for node, on := range activeAt(changes, moments[i-1]) {
+			if on && !unreachable(node, moments[i-1]) {
+				active++
+			}
+			if on && runs(node, moments[i-1]) {
+				running++
+			}
+		}
+		if holds(active, running) {
+			sum += moments[i].Sub(moments[i-1])
+		}
+	}
+	return sum.Microseconds()
+}
+
+func activeAt(changes []holderChange, at time.Time) map[int]bool {
+	active := map[int]bool{1: true}
+	for _, c := range changes {
+		if !c.at.After(at) {
+			active[c.node] = c.active
+		}
+	}
+	return active
+}
+
+// longestWait is the longest time that any client went without a served booking around a fault, in microseconds.
+func longestWait(served []fake.ClientEvent, from, to time.Time) int64 {
+	last := map[string]time.Time{}
+	longest := time.Duration(0)
+	for _, m := range served {
+		if m.At.After(to.Add(time.Second)) {
+			break
+		}
+		if before, ok := last[m.Client]; ok && m.At.After(from) {
+			longest = max(longest, m.At.Sub(before))
+		}
+		last[m.Client] = m.At
+	}
+	for _, at := range last {
+		longest = max(longest, to.Sub(at))
+	}
+	return longest.Microseconds()
+}
--- a/internal/experiments/indoubt/indoubt.go
+++ b/internal/experiments/indoubt/indoubt.go
@@ -8,9 +8,6 @@
 	"fmt"
 	"io"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
-	"strings"
 	"time"
 
 	"marblespan/internal/experiments/report"
@@ -235,52 +232,3 @@
 	t.Bookings, t.Unacknowledged, t.Resolved = len(booked), len(unacknowledgedAt), len(resolved)
 	t.InDoubt = t.Unacknowledged - t.Resolved
 }
-
-// Write writes the tables to w. If dir is not empty, it also writes in-doubt.md and a chart there.
-func Write(w io.Writer, dir string, o Options, r Result) error {
-	if dir == "" {
-		return r.tables(w, o)
-	}
-	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return err
-	}
-	file, err := os.Create(filepath.Join(dir, "in-doubt.md"))
-	if err != nil {
-		return err
-	}
-	defer file.Close()
-	if err := r.tables(io.MultiWriter(w, file), o); err != nil {
-		return err
-	}
-	fmt.Fprintf(file, "\n![bookings shaken by take-overs](doubt.svg)\n")
-	b := report.Bars{
-		Title: "Bookings that a take-over has shaken", Note: fmt.Sprintf("loopback, %d take-overs of each kind", o.TakeOvers),
-		Series: []string{"known in the end", "in doubt for good"}, Values: make([][]float64, 2),
-	}
-	for _, t := range r.TakeOvers {
-		b.Labels = append(b.Labels, t.Kind+": "+strings.TrimPrefix(t.Policy, "disk, fast, and "))
-		b.Values[0] = append(b.Values[0], float64(t.Resolved))
-		b.Values[1] = append(b.Values[1], float64(t.InDoubt))
-	}
-	return b.Write(filepath.Join(dir, "doubt.svg"))
-}
-
-func (r Result) tables(w io.Writer, o Options) error {
-	fmt.Fprintf(w, "# Bookings claimed before they are sent, measured\n\nLoopback, three real gateways, three copies, a server that works 3 ms on a booking. Times in ms.\n\n"+
-		"Clients that book without a pause at one gateway, %v each.\n\n", o.LoadDuration)
-	var rows [][]string
-	for _, l := range r.Loads {
-		rows = append(rows, []string{l.Policy, fmt.Sprint(l.Clients), fmt.Sprintf("%.0f", l.PerSecond), l.Durations.Cell(50), l.Durations.Cell(99), l.Durations.Cell(100)})
-	}
-	if err := report.Table(w, []string{"promised", "clients", "bookings a second", "median", "99 %", "longest"}, rows); err != nil {
-		return err
-	}
-	fmt.Fprintf(w, "\nTake-overs of a floating address, eight clients without a pause, flows cut when it moves. A booking is shaken if its first answer is "+
-		"lost, or is that it may have run; clients of gateways that claim ask again then, marked.\n\n")
-	rows = nil
-	for _, t := range r.TakeOvers {
-		rows = append(rows, []string{t.Kind, t.Policy, fmt.Sprint(t.Trials), fmt.Sprint(t.Bookings), fmt.Sprint(t.Unacknowledged), fmt.Sprint(t.Resolved), fmt.Sprint(t.InDoubt),
-			t.ResolutionTimes.Cell(50), t.ResolutionTimes.Cell(99), t.ResolutionTimes.Cell(100), fmt.Sprint(len(t.Violations))})
-	}
-	return report.Table(w, []string{"kind", "promised", "take-overs", "bookings", "shaken", "known in the end", "in doubt", "known after: median", "99 %", "longest", "rules broken"}, rows)
-}
--- a/internal/experiments/maintenance/maintenance.go
+++ b/internal/experiments/maintenance/maintenance.go
@@ -8,13 +8,10 @@
 	"fmt"
 	"io"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"time"
 
-	"marblespan/internal/experiments/report"
 	"marblespan/internal/testcluster"
 )
 
@@ -204,84 +201,3 @@
 	}
 	n.InDoubt = l.InDoubtBookings()
 }
-
-// Write writes the table to w. If dir is not empty, it also writes the table and the first trial's chart into files there.
-func Write(w io.Writer, dir string, o Options, trials []Trial) error {
-	if dir == "" {
-		return table(w, o, trials)
-	}
-	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return err
-	}
-	file, err := os.Create(filepath.Join(dir, "maintain.md"))
-	if err != nil {
-		return err
-	}
-	defer file.Close()
-	if err := table(io.MultiWriter(w, file), o, trials); err != nil {
-		return err
-	}
-	fmt.Fprintf(file, "\n![who is away, over what is served](maintain.svg)\n")
-	return trials[0].timeline().Write(filepath.Join(dir, "maintain.svg"))
-}
-
-func table(w io.Writer, o Options, trials []Trial) error {
-	fmt.Fprintf(w, "# A night's work, measured\n\nLoopback, %d real gateways and two groups of three servers, clients that book, look and read their sessions without a pause of "+
-		"more than some 15 ms, bookings claimed, sessions kept. A gateway's work is its restart by SIGTERM, a server's none; one that is back has to be well for "+
-		"half a second, and a server is cold for 2 s.\n\n", o.Gateways)
-	var rows [][]string
-	for _, n := range trials {
-		rows = append(rows, []string{
-			n.Name, n.Fault, fmt.Sprintf("%.1f s", n.Duration.Seconds()), fmt.Sprint(n.Requests), fmt.Sprintf("%.5f", n.ServedShare()), fmt.Sprint(n.Outcomes[testcluster.EndRejected]),
-			fmt.Sprint(n.Outcomes[testcluster.EndFailed]), fmt.Sprint(n.Outcomes[testcluster.EndClosed] + n.Outcomes[testcluster.EndReset] + n.Outcomes[testcluster.EndTimeout]), fmt.Sprint(n.InDoubt), fmt.Sprint(len(n.Violations)),
-		})
-	}
-	return report.Table(w, []string{"night", "fault", "took", "requests", "share served", "refused", "failed", "no answer", "bookings in doubt", "rules broken"}, rows)
-}
-
-// timeline charts, for each second, the machines out of service and the requests served.
-func (n Trial) timeline() report.Lines {
-	const step = 1_000_000
-	steps := int((n.end-n.begin)/step) + 1
-	chart := report.Lines{
-		Title: "A night's work: " + n.Name, Note: "loopback; served in hundreds a second",
-		Series: []string{"gateways away", "servers away", "bookings", "views", "seats", "sessions"}, Values: make([][]float64, 6),
-	}
-	for i := range chart.Values {
-		chart.Values[i] = make([]float64, steps)
-	}
-	for i := range steps {
-		chart.Labels = append(chart.Labels, fmt.Sprintf("%ds", i))
-	}
-	classes := []string{testcluster.ClassBooking, testcluster.ClassView, testcluster.ClassSeat, testcluster.ClassMine}
-	away := map[string]bool{}
-	at := 0
-	for _, e := range n.events {
-		if e.At < n.begin || e.At > n.end {
-			continue
-		}
-		for now := int((e.At - n.begin) / step); at < now; at++ {
-			for name := range away {
-				chart.Values[seriesOf(name)][at+1]++
-			}
-		}
-		machine, ofOrder := strings.CutPrefix(e.What, "order ")
-		switch {
-		case e.Kind == testcluster.ResponseReceived && e.What == testcluster.EndServed:
-			chart.Values[2+slices.Index(classes, e.Class)][at] += 0.01
-		case e.Kind == testcluster.StateReported && ofOrder:
-			if delete(away, machine); slices.Contains([]string{"leaving", "out", "returning", "overdue"}, e.Text) {
-				away[machine] = true
-			}
-		}
-	}
-	return chart
-}
-
-// seriesOf returns the index of a machine's series in the chart: the names of servers contain their group.
-func seriesOf(machine string) int {
-	if strings.Contains(machine, " of group ") {
-		return 1
-	}
-	return 0
-}
--- /dev/null
+++ b/internal/experiments/members/heartbeats.go
@@ -0,0 +1,66 @@
+package members
+
+import (
+	"marblespan/internal/clock"
+	"marblespan/internal/protocol/sealed"
+)
+
+// Heartbeats is the detector in which each member sends a heartbeat to all others once an interval. A member that is silent for the
+// timeout is dead until its next heartbeat.
+func Heartbeats(interval, timeout clock.Micros) Detector {
+	return Detector{"heartbeats", func(w *World, i int) peer {
+		return &heartbeatPeer{w: w, self: i, interval: interval, timeout: timeout, lastHeard: make([]clock.Micros, len(w.nodes)), dead: make([]bool, len(w.nodes))}
+	}}
+}
+
+// heartbeatSize is the size of a heartbeat in bytes: a name, an incarnation and the signed trailer.
+const heartbeatSize = 2 + 2 + 6 + 9 + sealed.Size
+
+type heartbeatPeer struct {
+	w                 *World
+	self              int
+	interval, timeout clock.Micros
+	nextHeartbeat     clock.Micros
+	lastHeard         []clock.Micros
+	dead              []bool
+}
+
+func (b *heartbeatPeer) handle(now clock.Micros, in any, from int) (out []datagram) {
+	if in == nil {
+		for i := range b.lastHeard {
+			b.lastHeard[i] = now
+		}
+		b.nextHeartbeat = now
+	}
+	if _, beat := in.(int); beat {
+		b.lastHeard[from] = now
+		b.setDead(from, false)
+	}
+	if now >= b.nextHeartbeat {
+		b.nextHeartbeat = max(b.nextHeartbeat+b.interval, now)
+		for i := range b.lastHeard {
+			if i != b.self {
+				out = append(out, datagram{to: i, body: 0, size: heartbeatSize})
+			}
+		}
+	}
+	for i := range b.lastHeard {
+		if i != b.self && now-b.lastHeard[i] > b.timeout {
+			b.setDead(i, true)
+		}
+	}
+	return out
+}
+
+func (b *heartbeatPeer) setDead(i int, dead bool) {
+	if b.dead[i] != dead {
+		b.dead[i] = dead
+		if b.w.beliefChanged != nil {
+			b.w.beliefChanged(b.self, i, !dead)
+		}
+	}
+}
+
+func (b *heartbeatPeer) nextTimer() (clock.Micros, bool) { return b.nextHeartbeat, true }
+
+func (b *heartbeatPeer) alive(other int) bool { return !b.dead[other] }
--- /dev/null
+++ b/internal/experiments/members/report.go
@@ -0,0 +1,96 @@
+package members
+
+import (
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+
+	"marblespan/internal/experiments/report"
+)
+
+// Write writes the tables to w, with those of real processes if real is not nil. If dir is not empty, it also writes members.md and the
+// chart members.svg there.
+func Write(w io.Writer, dir string, o Options, results []Result, real *Processes) error {
+	if dir == "" {
+		return tables(w, o, results, real)
+	}
+	if err := os.MkdirAll(dir, 0o755); err != nil {
+		return err
+	}
+	file, err := os.Create(filepath.Join(dir, "members.md"))
+	if err != nil {
+		return err
+	}
+	defer file.Close()
+	if err := tables(io.MultiWriter(w, file), o, results, real); err != nil {
+		return err
+	}
+	fmt.Fprintf(file, "\n![who knows of a kill](members.svg)\n")
+	b := report.Bars{
+		Title: "From a kill until all know, ms", Note: fmt.Sprintf("simulated, %d members, interval %d ms", o.Members, o.Interval/1000),
+		Series: []string{"one, median", "one, 99 %", "46 %, median"}, Values: make([][]float64, 3),
+	}
+	for _, r := range results {
+		b.Labels = append(b.Labels, r.Detector)
+		for i, v := range []float64{r.CompleteDetection.Millis(50), r.CompleteDetection.Millis(99), r.MassCompleteDetection.Millis(50)} {
+			b.Values[i] = append(b.Values[i], max(v, 0))
+		}
+	}
+	return b.Write(filepath.Join(dir, "members.svg"))
+}
+
+func tables(w io.Writer, options Options, results []Result, real *Processes) error {
+	fmt.Fprintf(w, "# Who is there: failure detection compared\n\nSimulated, seed %d: %d members, interval %d ms, datagrams take 0.2 to 1 ms; heartbeats go to everybody once an "+
+		"interval and time out\nafter %d ms. Times in ms. %d kills of one, %d of 46 %%.\n\n", options.Seed, options.Members, options.Interval/1000, options.HeartbeatTimeout/1000, options.Kills, options.MassFailures)
+	var rows [][]string
+	for _, r := range results {
+		rows = append(rows, []string{
+			r.Detector, r.FirstDetection.Cell(50), r.FirstDetection.Cell(99), r.FirstDetection.Cell(100), r.CompleteDetection.Cell(50), r.CompleteDetection.Cell(99), r.CompleteDetection.Cell(100),
+			r.MassFirstDetection.Cell(50), r.MassCompleteDetection.Cell(50), r.MassCompleteDetection.Cell(100), fmt.Sprint(r.UndetectedKills),
+		})
+	}
+	if err := report.Table(w, []string{
+		"kind", "one killed, first knows: median", "99 %", "longest", "all know: median", "99 %", "longest", "46 %, first knows: median",
+		"all know: median", "longest", "not known in 30 s",
+	}, rows); err != nil {
+		return err
+	}
+	fmt.Fprintf(w, "\nFalse deaths: how often anybody held another one dead that ran, in so many seconds of each trouble.\n\n")
+	head := []string{"kind", "seconds"}
+	for _, t := range faults {
+		head = append(head, t.name)
+	}
+	rows = nil
+	for _, r := range results {
+		row := []string{r.Detector, fmt.Sprint(r.FaultDuration / Second)}
+		for _, n := range r.FalseDeaths {
+			row = append(row, fmt.Sprint(n))
+		}
+		rows = append(rows, row)
+	}
+	if err := report.Table(w, head, rows); err != nil {
+		return err
+	}
+	fmt.Fprintf(w, "\nBytes that a member sends a second at rest, with trailer and signature.\n\n")
+	head = []string{"kind"}
+	for _, n := range options.IdleMembers {
+		head = append(head, fmt.Sprint(n, " members"))
+	}
+	rows = nil
+	for _, r := range results {
+		row := []string{r.Detector}
+		for _, n := range r.IdleBytesPerSecond {
+			row = append(row, fmt.Sprint(n))
+		}
+		rows = append(rows, row)
+	}
+	if err := report.Table(w, head, rows); err != nil || real == nil {
+		return err
+	}
+	fmt.Fprintf(w, "\nLoopback, %d real processes under a light load, interval 200 ms: from SIGKILL, by the gateways' own logs. Rules broken: %d.\n\n",
+		real.Nodes, len(real.Violations))
+	return report.Table(w, []string{
+		"killed", "trials", "first knows: median", "longest", "all know: median", "99 %", "longest",
+	}, real.rows())
+}
--- /dev/null
+++ b/internal/experiments/members/swim.go
@@ -0,0 +1,102 @@
+package members
+
+import (
+	"fmt"
+	"net/netip"
+
+	"marblespan/internal/clock"
+	"marblespan/internal/membership"
+	codec "marblespan/internal/protocol/members"
+	"marblespan/internal/protocol/sealed"
+)
+
+// SWIM is the detector of internal/membership with a probe interval; plain leaves out the Lifeguard extensions.
+func SWIM(interval clock.Micros, plain bool) Detector {
+	label := "membership"
+	if plain {
+		label = "without extensions"
+	}
+	return Detector{label, func(w *World, i int) peer {
+		n := w.nodes[i]
+		p := &swimPeer{w: w, self: i, believed: map[int]bool{}}
+		p.machine = membership.New(membership.Config{
+			Name: name(i), Address: address(i), Generation: uint64(w.Now) + n.incarnation<<40, Interval: interval, WithoutLifeguard: plain,
+			Join: []netip.AddrPort{address(0), address(1), address(2)}, Seed: w.rng.Uint64() | 1,
+			Meta: membership.Meta{Zone: "a", Weight: 1, Version: "0.3.0", Settings: 7},
+		})
+		return p
+	}}
+}
+
+// swimPeer runs the state machine of internal/membership.
+type swimPeer struct {
+	w              *World
+	self           int
+	machine        *membership.Machine
+	believed       map[int]bool
+	notices        [membership.NoticeCount]int
+	leaveCompleted bool
+}
+
+func (p *swimPeer) handle(now clock.Micros, in any, from int) []datagram {
+	var ev membership.Event
+	switch x := in.(type) {
+	case nil:
+		ev = membership.Started{}
+	case timerExpired:
+		ev = membership.Tick{}
+	case membership.Message:
+		ev = membership.MessageReceived{Source: address(from), Message: x}
+	case membership.Event:
+		ev = x
+	}
+	return p.applyActions(now, p.machine.Handle(now, ev))
+}
+
+func (p *swimPeer) applyActions(now clock.Micros, actions []membership.Action) (out []datagram) {
+	for _, a := range actions {
+		switch a := a.(type) {
+		case membership.Send:
+			to, ok := p.w.nodesByAddress[a.Address]
+			if !ok {
+				continue
+			}
+			x := datagram{to: to, body: a.Message}
+			if p.w.measuresSizes {
+				x.size = len(codec.AppendMessage(nil, a.Message)) + sealed.Size
+			}
+			out = append(out, x)
+		case membership.MemberChanged:
+			i := index(a.Name)
+			if living := !a.State.Ended(); living != p.believed[i] {
+				p.believed[i] = living
+				if p.w.beliefChanged != nil {
+					p.w.beliefChanged(p.self, i, living)
+				}
+			}
+		case membership.Notice:
+			p.notices[a.Kind]++
+		case membership.LeaveCompleted:
+			p.leaveCompleted = true
+		}
+	}
+	return out
+}
+
+func index(name string) (i int) {
+	fmt.Sscanf(name, "gw-%d", &i)
+	return i
+}
+
+// leaveRequest has a gateway leave gracefully.
+var leaveRequest = membership.LeaveRequested{}
+
+// dead tells whether it believes another one dead; one that has left gracefully is not.
+func (p *swimPeer) dead(other int) bool {
+	r, known := p.machine.Lookup(name(other))
+	return known && r.State == membership.Dead
+}
+
+func (p *swimPeer) nextTimer() (clock.Micros, bool) { return p.machine.Next() }
+
+func (p *swimPeer) alive(other int) bool { return other == p.self || p.believed[other] }
