--- a/internal/experiments/members/measure.go
+++ b/internal/experiments/members/measure.go
@@ -117,50 +117,73 @@
 // Run measures each detector. Each measurement has a world and a goroutine of its own; Run waits for all of them and returns the first
 // error.
 func Run(options Options) ([]Result, error) {
-	kinds := []Detector{SWIM(options.Interval, false), SWIM(options.Interval, true), Heartbeats(options.Interval, options.HeartbeatTimeout)}
-	results := make([]Result, len(kinds))
-	var mu sync.Mutex
-	var failed error
-	var done sync.WaitGroup
-	measure := func(name string, do func() error) {
-		done.Add(1)
-		go func() {
-			defer done.Done()
-			err := do()
-			mu.Lock()
-			defer mu.Unlock()
-			if err != nil && failed == nil {
-				failed = err
-			}
-			fmt.Fprintf(options.Progress, "%s\n", name)
-		}()
-	}
-	for k, kind := range kinds {
-		r := &results[k]
-		*r = Result{
-			Detector: kind.Name, FaultDuration: options.BaselineFaultDuration, FirstDetection: report.NewDurations(), CompleteDetection: report.NewDurations(), MassFirstDetection: report.NewDurations(), MassCompleteDetection: report.NewDurations(),
-			IdleBytesPerSecond: make([]int64, len(options.IdleMembers)), FalseDeaths: make([]int, len(faults)),
-		}
-		if k == 0 {
-			r.FaultDuration = options.FaultDuration
+	detectors := []Detector{SWIM(options.Interval, false), SWIM(options.Interval, true), Heartbeats(options.Interval, options.HeartbeatTimeout)}
+	results := make([]Result, len(detectors))
+	running := measurements{progress: options.Progress}
+	for i, detector := range detectors {
+		faultDuration := options.BaselineFaultDuration
+		if i == 0 {
+			faultDuration = options.FaultDuration
 		}
-		measure(kind.Name+": kills", func() error { return r.measureKills(options, kind) })
-		measure(kind.Name+": 46 %", func() error { return r.measureMassKills(options, kind) })
-		for i, n := range options.IdleMembers {
-			measure(fmt.Sprintf("%s: bytes of %d", kind.Name, n), func() (err error) {
-				r.IdleBytesPerSecond[i], err = measureIdleTraffic(n, options.Seed, kind)
-				return err
-			})
-		}
-		for i, t := range faults {
-			measure(kind.Name+": "+t.name, func() (err error) {
-				r.FalseDeaths[i], err = countFalseDeaths(options, r.FaultDuration, kind, t)
-				return err
-			})
+		results[i] = newResult(options, detector, faultDuration)
+		results[i].start(&running, options, detector)
+	}
+	return results, running.wait()
+}
+
+// measurements runs measurements at the same time, each on a goroutine of its own, and keeps the first error.
+type measurements struct {
+	progress io.Writer
+	running  sync.WaitGroup
+
+	mu  sync.Mutex // guards err and progress
+	err error
+}
+
+// start runs a measurement on a goroutine that ends with it.
+func (m *measurements) start(name string, measure func() error) {
+	m.running.Go(func() {
+		err := measure()
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		if err != nil && m.err == nil {
+			m.err = err
 		}
+		fmt.Fprintf(m.progress, "%s\n", name)
+	})
+}
+
+// wait waits for all measurements and returns the first error.
+func (m *measurements) wait() error {
+	m.running.Wait()
+	return m.err
+}
+
+func newResult(options Options, detector Detector, faultDuration clock.Micros) Result {
+	return Result{
+		Detector: detector.Name, FaultDuration: faultDuration,
+		FirstDetection: report.NewDurations(), CompleteDetection: report.NewDurations(),
+		MassFirstDetection: report.NewDurations(), MassCompleteDetection: report.NewDurations(),
+		IdleBytesPerSecond: make([]int64, len(options.IdleMembers)), FalseDeaths: make([]int, len(faults)),
+	}
+}
+
+// start starts all measurements of a detector. Each writes fields or elements of its own.
+func (r *Result) start(running *measurements, options Options, detector Detector) {
+	running.start(detector.Name+": kills", func() error { return r.measureKills(options, detector) })
+	running.start(detector.Name+": 46 %", func() error { return r.measureMassKills(options, detector) })
+	for i, n := range options.IdleMembers {
+		running.start(fmt.Sprintf("%s: bytes of %d", detector.Name, n), func() (err error) {
+			r.IdleBytesPerSecond[i], err = measureIdleTraffic(n, options.Seed, detector)
+			return err
+		})
+	}
+	for i, injected := range faults {
+		running.start(detector.Name+": "+injected.name, func() (err error) {
+			r.FalseDeaths[i], err = countFalseDeaths(options, r.FaultDuration, detector, injected)
+			return err
+		})
 	}
-	done.Wait()
-	return results, failed
 }
 
 // killAndAwait kills gateways and runs the world until all running members know of all kills, or for detectionTimeout. It returns the
@@ -240,16 +263,17 @@
 	}
 	const seconds = 20
 	w.measuresSizes = true
-	before := int64(0)
-	for _, member := range w.nodes {
-		before += member.sentBytes
-	}
+	before := w.sentBytes()
 	w.RunUntil(w.Now + seconds*Second)
-	after := int64(0)
+	return (w.sentBytes() - before) / seconds / int64(n), nil
+}
+
+// sentBytes returns how many bytes all gateways have sent so far.
+func (w *World) sentBytes() (sum int64) {
 	for _, member := range w.nodes {
-		after += member.sentBytes
+		sum += member.sentBytes
 	}
-	return (after - before) / seconds / int64(n), nil
+	return sum
 }
 
 // countFalseDeaths counts how often a member declares another one dead during a fault in which all of them run.
--- a/internal/experiments/members/processes.go
+++ b/internal/experiments/members/processes.go
@@ -70,20 +70,9 @@
 	}
 	earliest, latest := int64(0), int64(0)
 	err = cluster.History.Await("all know of the kill", time.Minute, func(events []testcluster.Event) bool {
-		known := map[string]bool{}
-		earliest, latest = 0, 0
-		for i := len(events) - 1; i >= 0 && events[i].At > from-int64(time.Second/time.Microsecond); i-- {
-			e := events[i]
-			for _, v := range victims {
-				if e.Kind == testcluster.StateReported && e.At >= from && e.What == fmt.Sprint("member g", v) && e.Text == "dead" && !slices.Contains(victims, e.Node) {
-					known[fmt.Sprint(e.Node, " of ", v)] = true
-					if latest = max(latest, e.At); earliest == 0 || e.At < earliest {
-						earliest = e.At
-					}
-				}
-			}
-		}
-		return len(known) == len(victims)*(len(cluster.Nodes)-len(victims))
+		var detections int
+		detections, earliest, latest = countDetections(events, victims, from)
+		return detections == len(victims)*(len(cluster.Nodes)-len(victims))
 	})
 	if err != nil {
 		return err
@@ -100,6 +89,32 @@
 	return cluster.AwaitMembers(time.Minute)
 }
 
+// countDetections counts the pairs of a survivor and a victim that it has reported dead from a time on, in microseconds. It returns the
+// times of the first and the last report too.
+func countDetections(events []testcluster.Event, victims []int, from int64) (detections int, earliest, latest int64) {
+	type detection struct{ survivor, victim int }
+	known := map[detection]bool{}
+	for i := len(events) - 1; i >= 0 && events[i].At > from-historyDisorder; i-- {
+		e := events[i]
+		if e.Kind != testcluster.StateReported || e.Text != "dead" || e.At < from || slices.Contains(victims, e.Node) {
+			continue
+		}
+		for _, victim := range victims {
+			if e.What != fmt.Sprint("member g", victim) {
+				continue
+			}
+			known[detection{e.Node, victim}] = true
+			if latest = max(latest, e.At); earliest == 0 || e.At < earliest {
+				earliest = e.At
+			}
+		}
+	}
+	return len(known), earliest, latest
+}
+
+// historyDisorder bounds how far an event in the history may be earlier than the one before it, in microseconds.
+const historyDisorder = int64(time.Second / time.Microsecond)
+
 // rows returns a table row for single kills and one for mass kills.
 func (p *Processes) rows() [][]string {
 	row := func(what string, first, all *report.Durations) []string {
--- a/internal/experiments/members/report.go
+++ b/internal/experiments/members/report.go
@@ -41,27 +41,42 @@
 }
 
 func tables(w io.Writer, options Options, results []Result, real *Processes) error {
+	if err := detectionTable(w, options, results); err != nil {
+		return err
+	}
+	if err := falseDeathTable(w, results); err != nil {
+		return err
+	}
+	if err := trafficTable(w, options, results); err != nil || real == nil {
+		return err
+	}
+	return real.table(w)
+}
+
+func detectionTable(w io.Writer, options Options, results []Result) error {
 	fmt.Fprintf(w, "# Who is there: failure detection compared\n\nSimulated, seed %d: %d members, interval %d ms, datagrams take 0.2 to 1 ms; heartbeats go to everybody once an "+
 		"interval and time out\nafter %d ms. Times in ms. %d kills of one, %d of 46 %%.\n\n", options.Seed, options.Members, options.Interval/1000, options.HeartbeatTimeout/1000, options.Kills, options.MassFailures)
 	var rows [][]string
 	for _, r := range results {
 		rows = append(rows, []string{
-			r.Detector, r.FirstDetection.Cell(50), r.FirstDetection.Cell(99), r.FirstDetection.Cell(100), r.CompleteDetection.Cell(50), r.CompleteDetection.Cell(99), r.CompleteDetection.Cell(100),
+			r.Detector, r.FirstDetection.Cell(50), r.FirstDetection.Cell(99), r.FirstDetection.Cell(100),
+			r.CompleteDetection.Cell(50), r.CompleteDetection.Cell(99), r.CompleteDetection.Cell(100),
 			r.MassFirstDetection.Cell(50), r.MassCompleteDetection.Cell(50), r.MassCompleteDetection.Cell(100), fmt.Sprint(r.UndetectedKills),
 		})
 	}
-	if err := report.Table(w, []string{
+	return report.Table(w, []string{
 		"kind", "one killed, first knows: median", "99 %", "longest", "all know: median", "99 %", "longest", "46 %, first knows: median",
 		"all know: median", "longest", "not known in 30 s",
-	}, rows); err != nil {
-		return err
-	}
+	}, rows)
+}
+
+func falseDeathTable(w io.Writer, results []Result) error {
 	fmt.Fprintf(w, "\nFalse deaths: how often anybody held another one dead that ran, in so many seconds of each trouble.\n\n")
 	head := []string{"kind", "seconds"}
-	for _, t := range faults {
-		head = append(head, t.name)
+	for _, injected := range faults {
+		head = append(head, injected.name)
 	}
-	rows = nil
+	var rows [][]string
 	for _, r := range results {
 		row := []string{r.Detector, fmt.Sprint(r.FaultDuration / Second)}
 		for _, n := range r.FalseDeaths {
@@ -69,15 +84,16 @@
 		}
 		rows = append(rows, row)
 	}
-	if err := report.Table(w, head, rows); err != nil {
-		return err
-	}
+	return report.Table(w, head, rows)
+}
+
+func trafficTable(w io.Writer, options Options, results []Result) error {
 	fmt.Fprintf(w, "\nBytes that a member sends a second at rest, with trailer and signature.\n\n")
-	head = []string{"kind"}
+	head := []string{"kind"}
 	for _, n := range options.IdleMembers {
 		head = append(head, fmt.Sprint(n, " members"))
 	}
-	rows = nil
+	var rows [][]string
 	for _, r := range results {
 		row := []string{r.Detector}
 		for _, n := range r.IdleBytesPerSecond {
@@ -85,12 +101,13 @@
 		}
 		rows = append(rows, row)
 	}
-	if err := report.Table(w, head, rows); err != nil || real == nil {
-		return err
-	}
+	return report.Table(w, head, rows)
+}
+
+func (p *Processes) table(w io.Writer) error {
 	fmt.Fprintf(w, "\nLoopback, %d real processes under a light load, interval 200 ms: from SIGKILL, by the gateways' own logs. Rules broken: %d.\n\n",
-		real.Nodes, len(real.Violations))
+		p.Nodes, len(p.Violations))
 	return report.Table(w, []string{
 		"killed", "trials", "first knows: median", "longest", "all know: median", "99 %", "longest",
-	}, real.rows())
+	}, p.rows())
 }
--- a/internal/experiments/members/world.go
+++ b/internal/experiments/members/world.go
@@ -209,35 +209,45 @@
 			continue
 		}
 		if runTime := w.nextRunTime(target); runTime > w.Now {
-			if next.datagram != nil {
-				if len(target.receiveQueue) < receiveQueueCapacity {
-					target.receiveQueue, target.senders = append(target.receiveQueue, *next.datagram), append(target.senders, next.from)
-				}
-				if len(target.receiveQueue) > 1 {
-					continue // a wake-up is scheduled already
-				}
-			}
-			w.push(event{at: runTime, node: next.node})
-			continue
-		}
-		// The timer goes first, as in the real loop, whose read returns at once when its deadline has passed; then the unread datagrams.
-		if runTime, ok := target.nextTimer(); ok && runTime <= w.Now {
-			w.deliver(next.node, timerExpired{}, 0)
+			w.postpone(next, target, runTime)
+		} else {
+			w.wake(next, target)
 		}
-		waiting, from := target.receiveQueue, target.senders
-		target.receiveQueue, target.senders = nil, nil
-		for k := range waiting {
-			w.deliver(next.node, waiting[k].body, from[k])
-		}
-		if next.datagram != nil {
-			w.deliver(next.node, next.datagram.body, next.from)
+	}
+	w.Now = max(w.Now, end)
+}
+
+// postpone keeps an event of a stopped node: a datagram goes into its receive queue, and the node wakes up when it runs again.
+func (w *World) postpone(next event, target *node, runTime clock.Micros) {
+	if next.datagram != nil {
+		if len(target.receiveQueue) < receiveQueueCapacity {
+			target.receiveQueue, target.senders = append(target.receiveQueue, *next.datagram), append(target.senders, next.from)
 		}
-		if runTime, ok := target.nextTimer(); ok && target.nextWakeUp <= w.Now {
-			target.nextWakeUp = max(runTime, w.Now)
-			w.push(event{at: target.nextWakeUp, node: next.node})
+		if len(target.receiveQueue) > 1 {
+			return // a wake-up is scheduled already
 		}
 	}
-	w.Now = max(w.Now, end)
+	w.push(event{at: runTime, node: next.node})
+}
+
+// wake has a node handle its timer, the datagrams in its receive queue and the event. The timer goes first, as in the real loop, whose
+// read returns at once when its deadline has passed.
+func (w *World) wake(next event, target *node) {
+	if due, ok := target.nextTimer(); ok && due <= w.Now {
+		w.deliver(next.node, timerExpired{}, 0)
+	}
+	waiting, senders := target.receiveQueue, target.senders
+	target.receiveQueue, target.senders = nil, nil
+	for i := range waiting {
+		w.deliver(next.node, waiting[i].body, senders[i])
+	}
+	if next.datagram != nil {
+		w.deliver(next.node, next.datagram.body, next.from)
+	}
+	if due, ok := target.nextTimer(); ok && target.nextWakeUp <= w.Now {
+		target.nextWakeUp = max(due, w.Now)
+		w.push(event{at: target.nextWakeUp, node: next.node})
+	}
 }
 
 // timerExpired tells a peer that its timer is due.
