--- a/internal/experiments/chaos/chaos.go
+++ b/internal/experiments/chaos/chaos.go
@@ -8,6 +8,7 @@
 	"io"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"time"
 
@@ -98,27 +99,29 @@
 		return r.chart()
 	}
 	if o.ShrinkRuns > 0 && r.Err == nil {
-		rule := r.Violations[0].Rule
-		r.MinimalFaults = testcluster.Shrink(faults, o.ShrinkRuns, func(some []testcluster.Fault) bool {
-			fmt.Fprintf(o.Progress, "%s: again with %d of %d faults\n", r.Name, len(some), len(faults))
-			again, err := play(o, some, filepath.Join(r.Dir, "again"), quit)
-			if err != nil || again.Err != nil {
-				return false
-			}
-			for _, v := range again.Violations {
-				if v.Rule == rule {
-					return true
-				}
-			}
-			return false
-		})
-		if err := os.WriteFile(filepath.Join(r.Dir, "fewest.script"), []byte(testcluster.FormatScript(r.MinimalFaults)), 0o644); err != nil {
+		if err := r.shrink(o, faults, quit); err != nil {
 			return err
 		}
 	}
 	return r.chart()
 }
 
+// shrink looks for the fewest faults with which a run still violates the first rule that this one has violated, and writes them into
+// the file fewest.script.
+func (r *Result) shrink(o Options, faults []testcluster.Fault, quit <-chan struct{}) error {
+	rule := r.Violations[0].Rule
+	stillFails := func(some []testcluster.Fault) bool {
+		fmt.Fprintf(o.Progress, "%s: again with %d of %d faults\n", r.Name, len(some), len(faults))
+		again, err := play(o, some, filepath.Join(r.Dir, "again"), quit)
+		if err != nil || again.Err != nil {
+			return false
+		}
+		return slices.ContainsFunc(again.Violations, func(v testcluster.Violation) bool { return v.Rule == rule })
+	}
+	r.MinimalFaults = testcluster.Shrink(faults, o.ShrinkRuns, stillFails)
+	return os.WriteFile(filepath.Join(r.Dir, "fewest.script"), []byte(testcluster.FormatScript(r.MinimalFaults)), 0o644)
+}
+
 // play makes one run and writes its script, history and logs into an emptied directory.
 func play(o Options, faults []testcluster.Fault, dir string, quit <-chan struct{}) (testcluster.Outcome, error) {
 	if err := os.RemoveAll(dir); err != nil {
--- a/internal/experiments/demo/demo.go
+++ b/internal/experiments/demo/demo.go
@@ -5,7 +5,7 @@
 import (
 	"fmt"
 	"io"
-	"sort"
+	"slices"
 	"strings"
 	"time"
 
@@ -25,7 +25,7 @@
 	for name := range Faults {
 		all = append(all, name)
 	}
-	sort.Strings(all)
+	slices.Sort(all)
 	return all
 }
 
@@ -124,7 +124,7 @@
 	for name := range countsByName {
 		names = append(names, name)
 	}
-	sort.Strings(names)
+	slices.Sort(names)
 	var words []string
 	for _, name := range names {
 		words = append(words, fmt.Sprintf("%d %s", countsByName[name], name))
--- a/internal/experiments/failover/failover.go
+++ b/internal/experiments/failover/failover.go
@@ -210,25 +210,38 @@
 	running.spreader.repaired(holder.Number)
 	end := time.Now()
 	time.Sleep(50 * time.Millisecond) // until the last log lines have been read
+	r.record(kind, cluster, running, start, healed, end)
+	return nil
+}
+
+// record adds the times of a trial whose fault was injected at start and repaired at healed, and whose return was complete at end.
+func (r *Result) record(kind faultKind, cluster *testcluster.Cluster, running *bookingLoad, start, healed, end time.Time) {
+	holder := cluster.Nodes[0]
 	changes := changesSince(cluster.History, start.Add(-time.Millisecond))
 	unreachable := func(node int, at time.Time) bool { // clients cannot reach it
 		return (kind.endsProcess || kind.stopsService) && node == holder.Number && !at.Before(start) && at.Before(healed)
 	}
 	runs := func(node int, at time.Time) bool { return kind.name == "cut" || !unreachable(node, at) }
-	r.Unheld.Add(durationOf(changes, start, healed, func(active, running int) bool { return active == 0 }, unreachable, runs))
-	r.UnheldAtReturn.Add(durationOf(changes, healed, end, func(active, running int) bool { return active == 0 }, unreachable, runs))
-	r.HeldTwice.Add(durationOf(changes, start, end, func(active, running int) bool { return running > 1 }, unreachable, runs))
+	unheld := func(active, _ int) bool { return active == 0 }
+	heldTwice := func(_, running int) bool { return running > 1 }
+	r.Unheld.Add(durationOf(changes, start, healed, unheld, unreachable, runs))
+	r.UnheldAtReturn.Add(durationOf(changes, healed, end, unheld, unreachable, runs))
+	r.HeldTwice.Add(durationOf(changes, start, end, heldTwice, unreachable, runs))
 	r.ClientWait.Add(longestWait(running.floatingLedger.Successes(), start, end))
 	if kind.affectsFront {
 		r.FrontClientWait.Add(longestWait(running.frontLedger.Successes(), start, end))
 	}
+	r.recordLost(kind, holder, running, start, end)
+}
+
+// recordLost adds the requests of a trial that a reachable gateway accepted and never answered.
+func (r *Result) recordLost(kind faultKind, holder *testcluster.Node, running *bookingLoad, start, end time.Time) {
 	for _, d := range running.floatingLedger.Unanswered() {
 		if d.At.After(start) && d.At.Before(end) && d.End != "reset" && !((kind.endsProcess || kind.stopsService) && d.Via == holder.Floating) {
 			r.Lost++
 			r.LostRequests = append(r.LostRequests, fmt.Sprintf("trial %d: %s after %v, via %s, %s", r.Trials+1, d.Client, d.At.Sub(start), d.Via, d.End))
 		}
 	}
-	return nil
 }
 
 // awaitSuccessor waits until the switch leads to another gateway than the old holder.
--- a/internal/experiments/failover/failover_test.go
+++ b/internal/experiments/failover/failover_test.go
@@ -12,9 +12,9 @@
 
 func at(ms int) time.Time { return origin.Add(time.Duration(ms) * time.Millisecond) }
 
-// The sums of a time line drawn by hand: gateway 1 dies at 100, 2 takes over at 400, 1 is back and active at 900, and 2
-// gives way at 905.
-func TestSpans(t *testing.T) {
+// TestDurationOf sums a time line drawn by hand: gateway 1 fails at 100 ms, 2 takes over at 400, 1 is active again at 900, and 2 is
+// backup at 905.
+func TestDurationOf(t *testing.T) {
 	changes := []holderChange{{1, at(900), true}, {2, at(905), false}, {1, at(100), false}, {2, at(400), true}}
 	never := func(int, time.Time) bool { return false }
 	always := func(int, time.Time) bool { return true }
@@ -33,13 +33,15 @@
 		{"one is out of reach", 100, 500, nobody, func(n int, x time.Time) bool { return n == 2 && x.Before(at(500)) }, always, 400_000},
 		{"one does not run", 100, 1000, two, never, func(n int, _ time.Time) bool { return n == 2 }, 0},
 	} {
-		if got := durationOf(changes, at(c.from), at(c.to), c.holds, c.out, c.runs); got != c.want {
-			t.Errorf("%s: %d us, want %d", c.name, got, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if got := durationOf(changes, at(c.from), at(c.to), c.holds, c.out, c.runs); got != c.want {
+				t.Errorf("%d us, want %d", got, c.want)
+			}
+		})
 	}
 }
 
-func TestGap(t *testing.T) {
+func TestLongestWait(t *testing.T) {
 	served := []fake.ClientEvent{
 		{At: at(0), Client: "a"}, {At: at(90), Client: "a"}, {At: at(95), Client: "b"}, {At: at(390), Client: "a"}, {At: at(400), Client: "a"},
 	}
--- a/internal/experiments/failover/load.go
+++ b/internal/experiments/failover/load.go
@@ -69,23 +69,24 @@
 			b.Ledger, b.Route = &l.frontLedger, nil
 			b.Addr = func() string { return l.spreader.addr(c) }
 		}
-		l.done.Add(1)
-		go func() {
-			defer l.done.Done()
-			defer b.Close()
-			for n := 0; ; n++ {
-				select {
-				case <-l.stopping:
-					return
-				case <-time.After(o.ThinkTime):
-				}
-				b.Write(fmt.Sprintf("%s-%d", b.Name, n))
-			}
-		}()
+		l.done.Go(func() { l.write(b, o.ThinkTime) })
 	}
 	return l
 }
 
+// write has a client write, with a pause before each write, until stop.
+func (l *bookingLoad) write(client *fake.Client, thinkTime time.Duration) {
+	defer client.Close()
+	for n := 0; ; n++ {
+		select {
+		case <-l.stopping:
+			return
+		case <-time.After(thinkTime):
+		}
+		client.Write(fmt.Sprintf("%s-%d", client.Name, n))
+	}
+}
+
 func (l *bookingLoad) stop() {
 	l.once.Do(func() { close(l.stopping) })
 	l.done.Wait()
--- a/internal/experiments/failover/timeline.go
+++ b/internal/experiments/failover/timeline.go
@@ -1,7 +1,7 @@
 package failover
 
 import (
-	"sort"
+	"slices"
 	"time"
 
 	"marblespan/internal/fake"
@@ -27,7 +27,7 @@
 
 // durationOf sums how long a condition held between two times, in microseconds. Gateway 1 is active at the start of a trial.
 func durationOf(changes []holderChange, from, to time.Time, holds func(active, running int) bool, unreachable, runs func(int, time.Time) bool) int64 {
-	sort.SliceStable(changes, func(i, j int) bool { return changes[i].at.Before(changes[j].at) })
+	slices.SortStableFunc(changes, func(a, b holderChange) int { return a.at.Compare(b.at) })
 	// The moments at which anything may change; a reachable gateway may change at the ends of the fault too.
 	moments := []time.Time{from, to}
 	for _, c := range changes {
@@ -35,7 +35,7 @@
 			moments = append(moments, c.at)
 		}
 	}
-	sort.Slice(moments, func(i, j int) bool { return moments[i].Before(moments[j]) })
+	slices.SortFunc(moments, time.Time.Compare)
 	sum := time.Duration(0)
 	for i := 1; i < len(moments); i++ {
 		active, running := 0, 0
--- a/internal/experiments/indoubt/indoubt.go
+++ b/internal/experiments/indoubt/indoubt.go
@@ -166,34 +166,9 @@
 	}
 	for range o.TakeOvers {
 		time.Sleep(200*time.Millisecond + time.Duration(rng.Int64N(int64(200*time.Millisecond))))
-		undo, err := cluster.Inject(fault)
-		if err != nil {
+		if err := failOver(cluster, kind, fault); err != nil {
 			return out, err
 		}
-		switch kind {
-		case "term":
-			cluster.Nodes[0].WaitForExit()
-		case "stop":
-			time.Sleep(700 * time.Millisecond) // longer than a take-over lasts
-		default:
-			if err := cluster.AwaitActiveRouter(2, convergenceTimeout); err != nil {
-				return out, err
-			}
-		}
-		if err := undo(); err != nil {
-			return out, err
-		}
-		if err := cluster.AwaitReady(convergenceTimeout); err != nil {
-			return out, err
-		}
-		if err := cluster.AwaitActiveRouter(1, convergenceTimeout); err != nil {
-			return out, err
-		}
-		if cluster.StateStore != nil {
-			if err := cluster.AwaitComplete(convergenceTimeout); err != nil {
-				return out, err
-			}
-		}
 	}
 	running.Stop()
 	cluster.History.Add(testcluster.Event{Kind: testcluster.PhaseReached, What: "done"})
@@ -208,6 +183,37 @@
 	return out, nil
 }
 
+// failOver fails the first gateway, repairs it after a take-over and waits until the cluster is as before.
+func failOver(cluster *testcluster.Cluster, kind string, fault testcluster.Fault) error {
+	undo, err := cluster.Inject(fault)
+	if err != nil {
+		return err
+	}
+	switch kind {
+	case "term":
+		cluster.Nodes[0].WaitForExit()
+	case "stop":
+		time.Sleep(700 * time.Millisecond) // longer than a take-over lasts
+	default:
+		if err := cluster.AwaitActiveRouter(2, convergenceTimeout); err != nil {
+			return err
+		}
+	}
+	if err := undo(); err != nil {
+		return err
+	}
+	if err := cluster.AwaitReady(convergenceTimeout); err != nil {
+		return err
+	}
+	if err := cluster.AwaitActiveRouter(1, convergenceTimeout); err != nil {
+		return err
+	}
+	if cluster.StateStore == nil {
+		return nil
+	}
+	return cluster.AwaitComplete(convergenceTimeout)
+}
+
 // countOutcomes counts from the history how the bookings ended.
 func (t *TakeOver) countOutcomes(events []testcluster.Event) {
 	unacknowledgedAt := map[string]int64{}
--- a/internal/experiments/maintenance/maintenance.go
+++ b/internal/experiments/maintenance/maintenance.go
@@ -53,53 +53,67 @@
 // Run makes the trials: all machines in order, the gateways alone in order, the gateways without coordination, and all machines again
 // with random faults. With an error it returns the trials before it.
 func Run(options Options) (trials []Trial, err error) {
+	for i, planned := range plans(options) {
+		trial := Trial{Name: planned.name, Fault: planned.fault}
+		if err := trial.run(options, uint64(i), planned.maintain); err != nil {
+			return trials, fmt.Errorf("%s %s: %w", planned.name, planned.fault, err)
+		}
+		fmt.Fprintf(options.Progress, "%s %s: %v, %.4f served, %d rules broken\n", trial.Name, trial.Fault, trial.Duration.Round(100*time.Millisecond), trial.ServedShare(), len(trial.Violations))
+		trials = append(trials, trial)
+	}
+	return trials, nil
+}
+
+// plan is a trial to be made.
+type plan struct {
+	name, fault string
+	maintain    func(cluster *testcluster.Cluster) error
+}
+
+// plans returns the trials that Run makes.
+func plans(options Options) []plan {
 	servers := []string{"p", "r1", "r2", "q", "s1", "s2"}
 	var gateways []string
 	for i := range options.Gateways {
 		gateways = append(gateways, fmt.Sprint("g", i+1))
 	}
-	inOrder := func(names []string) func(*testcluster.Cluster) error {
-		return func(f *testcluster.Cluster) error {
-			if _, err := f.RunMaintenanceAnywhere(append([]string{"add"}, names...)...); err != nil {
-				return err
-			}
-			return f.PerformMaintenance(options.MaxDuration, testcluster.MaintenanceActions{Gateway: restart(f)})
-		}
-	}
-	plans := []struct {
-		name, fault string
-		do          func(f *testcluster.Cluster) error
-	}{
-		{"all machines, in order", "", inOrder(slices.Concat(gateways, servers))},
-		{"gateways, in order", "", inOrder(gateways)},
-		{"gateways by SIGTERM, a tenth at a time", "", func(f *testcluster.Cluster) error { return restartTenths(f) }},
+	allMachines := maintainInOrder(options, slices.Concat(gateways, servers))
+	planned := []plan{
+		{"all machines, in order", "", allMachines},
+		{"gateways, in order", "", maintainInOrder(options, gateways)},
+		{"gateways by SIGTERM, a tenth at a time", "", restartTenths},
 	}
 	rng := rand.New(rand.NewPCG(options.Seed, 9))
 	for range options.FaultTrials {
 		fault := randomFault(rng, options.Gateways)
-		plans = append(plans, plans[0])
-		plan := &plans[len(plans)-1]
-		plan.name, plan.fault = "all machines, in order, and a fault", fault
 		at := time.Duration(rng.Int64N(int64(30 * time.Second)))
-		plan.do = func(f *testcluster.Cluster) error {
-			faults, err := testcluster.ParseScript("fault", strings.Replace(fault, "at 0s", "at "+at.String(), 1))
-			if err != nil {
-				return err
-			}
-			played := make(chan error, 1)
-			go func() { played <- f.Play(faults, nil) }()
-			return errors.Join(plans[0].do(f), <-played)
+		planned = append(planned, plan{"all machines, in order, and a fault", fault, maintainUnderFault(allMachines, fault, at)})
+	}
+	return planned
+}
+
+// maintainInOrder has the gateways maintain machines in the order that they agree on.
+func maintainInOrder(options Options, machines []string) func(*testcluster.Cluster) error {
+	return func(cluster *testcluster.Cluster) error {
+		if _, err := cluster.RunMaintenanceAnywhere(append([]string{"add"}, machines...)...); err != nil {
+			return err
 		}
+		return cluster.PerformMaintenance(options.MaxDuration, testcluster.MaintenanceActions{Gateway: restart(cluster)})
 	}
-	for i, planned := range plans {
-		trial := Trial{Name: planned.name, Fault: planned.fault}
-		if err := trial.run(options, uint64(i), planned.do); err != nil {
-			return trials, fmt.Errorf("%s %s: %w", planned.name, planned.fault, err)
+}
+
+// maintainUnderFault plays a fault that begins at a time while machines are maintained. The goroutine that plays it ends with it; it is
+// waited for.
+func maintainUnderFault(maintain func(*testcluster.Cluster) error, fault string, at time.Duration) func(*testcluster.Cluster) error {
+	return func(cluster *testcluster.Cluster) error {
+		faults, err := testcluster.ParseScript("fault", strings.Replace(fault, "at 0s", "at "+at.String(), 1))
+		if err != nil {
+			return err
 		}
-		fmt.Fprintf(options.Progress, "%s %s: %v, %.4f served, %d rules broken\n", trial.Name, trial.Fault, trial.Duration.Round(100*time.Millisecond), trial.ServedShare(), len(trial.Violations))
-		trials = append(trials, trial)
+		played := make(chan error, 1)
+		go func() { played <- cluster.Play(faults, nil) }()
+		return errors.Join(maintain(cluster), <-played)
 	}
-	return trials, nil
 }
 
 // randomFault draws a fault that begins at 0 s, in the form of the test cluster's scripts.
@@ -150,7 +164,7 @@
 }
 
 // run makes one trial in a test cluster of its own.
-func (n *Trial) run(o Options, seed uint64, do func(*testcluster.Cluster) error) error {
+func (n *Trial) run(o Options, seed uint64, maintain func(*testcluster.Cluster) error) error {
 	clusterOptions := testcluster.Defaults()
 	clusterOptions.Binary, clusterOptions.Nodes, clusterOptions.Groups, clusterOptions.SlowStart, clusterOptions.Seed = o.Binary, o.Gateways, 2, 2*time.Second, o.Seed+seed
 	clusterOptions.StateStore, clusterOptions.InDoubt, clusterOptions.Maintenance = testcluster.DefaultStateStore(), &testcluster.InDoubt{SeatLookup: true}, testcluster.DefaultMaintenance()
@@ -164,7 +178,7 @@
 	running := cluster.Load(load)
 	time.Sleep(2 * time.Second)
 	n.begin = cluster.History.Now()
-	if err := do(cluster); err != nil {
+	if err := maintain(cluster); err != nil {
 		return err
 	}
 	n.end = cluster.History.Now()
