--- a/internal/testcluster/check.go
+++ b/internal/testcluster/check.go
@@ -84,40 +84,40 @@
 	slices.SortStableFunc(h.events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	open := map[string][]int{}
 	for i := range h.events {
-		e := &h.events[i]
-		h.end = max(h.end, e.At)
-		switch e.Kind {
+		event := &h.events[i]
+		h.end = max(h.end, event.At)
+		switch event.Kind {
 		case FaultStarted:
-			f, err := ParseFault(e.What)
+			fault, err := ParseFault(event.What)
 			if err != nil {
 				h.malformed = err.Error()
 				return h
 			}
-			open[e.What] = append(open[e.What], len(h.faults))
-			h.faults = append(h.faults, faultWindow{f, e.At, math.MaxInt64})
+			open[event.What] = append(open[event.What], len(h.faults))
+			h.faults = append(h.faults, faultWindow{fault, event.At, math.MaxInt64})
 		case FaultEnded:
-			list := open[e.What]
+			list := open[event.What]
 			if len(list) == 0 {
-				h.malformed = fmt.Sprintf("%q ends and never began", e.What)
+				h.malformed = fmt.Sprintf("%q ends and never began", event.What)
 				return h
 			}
-			h.faults[list[0]].to, open[e.What] = e.At, list[1:]
+			h.faults[list[0]].to, open[event.What] = event.At, list[1:]
 		case RequestSent, ResponseReceived, RequestForwarded, RequestExecuted:
-			r := h.requests[e.ID]
+			r := h.requests[event.ID]
 			if r == nil {
 				r = &request{}
-				h.requests[e.ID] = r
-				h.requestOrder = append(h.requestOrder, e.ID)
+				h.requests[event.ID] = r
+				h.requestOrder = append(h.requestOrder, event.ID)
 			}
-			switch e.Kind {
+			switch event.Kind {
 			case RequestSent:
-				r.submitted = e
+				r.submitted = event
 			case ResponseReceived:
-				r.responses = append(r.responses, *e)
+				r.responses = append(r.responses, *event)
 			case RequestForwarded:
-				r.forwards = append(r.forwards, *e)
+				r.forwards = append(r.forwards, *event)
 			default:
-				r.executions = append(r.executions, *e)
+				r.executions = append(r.executions, *event)
 			}
 		}
 	}
@@ -154,42 +154,42 @@
 // checkAnswers: each request that was taken has exactly one final answer, and what is served was made for it. A connection that
 // ends without one is a lost request, unless the gateway died or stood still, or was draining and had not read it.
 func checkAnswers(h *timeline) (out []Violation) {
-	for _, id := range h.requestOrder {
-		r := h.requests[id]
+	for _, requestID := range h.requestOrder {
+		request := h.requests[requestID]
 		switch {
-		case r.submitted == nil && strings.HasPrefix(id, lookupPrefix):
+		case request.submitted == nil && strings.HasPrefix(requestID, lookupPrefix):
 			continue // a gateway's own read, which shows whether a booking ran
-		case r.submitted == nil:
-			out = append(out, Violation{At: firstSeen(r), Text: fmt.Sprintf("%s was sent or answered, and nobody asked", id)})
+		case request.submitted == nil:
+			out = append(out, Violation{At: firstSeen(request), Text: fmt.Sprintf("%s was sent or answered, and nobody asked", requestID)})
 			continue
-		case len(r.responses) == 0 && r.submitted.At+r.submitted.Timeout*2 < h.end:
-			out = append(out, Violation{At: r.submitted.At, Text: fmt.Sprintf("%s never ended", id)})
+		case len(request.responses) == 0 && request.submitted.At+request.submitted.Timeout*2 < h.end:
+			out = append(out, Violation{At: request.submitted.At, Text: fmt.Sprintf("%s never ended", requestID)})
 			continue
-		case len(r.responses) > 1:
-			out = append(out, Violation{At: r.responses[1].At, Text: fmt.Sprintf("%s ended twice, as %s and %s", id, r.responses[0].What, r.responses[1].What)})
+		case len(request.responses) > 1:
+			out = append(out, Violation{At: request.responses[1].At, Text: fmt.Sprintf("%s ended twice, as %s and %s", requestID, request.responses[0].What, request.responses[1].What)})
 			continue
-		case len(r.responses) == 0:
+		case len(request.responses) == 0:
 			continue
 		}
-		node, from, x := r.submitted.Node, r.submitted.At, r.responses[0]
-		switch x.What {
+		node, from, response := request.submitted.Node, request.submitted.At, request.responses[0]
+		switch response.What {
 		case EndServed:
-			if !h.isAnswerFor(r, id, x.Value) {
-				out = append(out, Violation{At: x.At, Text: fmt.Sprintf("%s was served %q", id, x.Value)})
+			if !h.isAnswerFor(request, requestID, response.Value) {
+				out = append(out, Violation{At: response.At, Text: fmt.Sprintf("%s was served %q", requestID, response.Value)})
 			}
 		case EndClosed, EndReset:
-			if h.endedBetween(node, from-machineSlack, x.At+machineSlack) {
+			if h.endedBetween(node, from-machineSlack, response.At+machineSlack) {
 				continue // also where it was written to a process that had died just before: its client had not seen that yet
 			}
-			if _, draining := h.faultDuring(node, from, x.At, "term"); draining && len(r.forwards) == 0 && h.endedBetween(node, x.At, x.At+shutdownTimeout) {
+			if _, draining := h.faultDuring(node, from, response.At, "term"); draining && len(request.forwards) == 0 && h.endedBetween(node, response.At, response.At+shutdownTimeout) {
 				continue // the close and the request crossed
 			}
-			out = append(out, Violation{At: x.At, Text: fmt.Sprintf("%s to gateway %d is lost: its connection was %s", id, node, x.What)})
+			out = append(out, Violation{At: response.At, Text: fmt.Sprintf("%s to gateway %d is lost: its connection was %s", requestID, node, response.What)})
 		case EndTimeout:
-			if _, slow := h.faultDuring(node, from, x.At, "stop", "starve"); slow || h.endedBetween(node, from, x.At+machineSlack) {
+			if _, slow := h.faultDuring(node, from, response.At, "stop", "starve"); slow || h.endedBetween(node, from, response.At+machineSlack) {
 				continue
 			}
-			out = append(out, Violation{At: x.At, Text: fmt.Sprintf("%s to gateway %d is lost: no answer within its time", id, node)})
+			out = append(out, Violation{At: response.At, Text: fmt.Sprintf("%s to gateway %d is lost: no answer within its time", requestID, node)})
 		}
 	}
 	return out
@@ -434,38 +434,38 @@
 func checkMaintenanceOrder(h *timeline) (out []Violation) {
 	inWork := map[string]bool{}
 	away := map[int]map[string]bool{}
-	for _, e := range h.events {
-		name, begins := strings.CutPrefix(e.What, workStarted)
-		machine, ofOrder := strings.CutPrefix(e.What, "order ")
+	for _, event := range h.events {
+		name, begins := strings.CutPrefix(event.What, workStarted)
+		machine, ofOrder := strings.CutPrefix(event.What, "order ")
 		switch {
-		case e.Kind == PhaseReached && begins:
+		case event.Kind == PhaseReached && begins:
 			inWork[name] = true
 			for _, id := range h.requestOrder {
 				r := h.requests[id]
-				if r.submitted == nil || fmt.Sprint("g", r.submitted.Node) != name || r.submitted.At > e.At || len(r.responses) == 1 && r.responses[0].At < e.At {
+				if r.submitted == nil || fmt.Sprint("g", r.submitted.Node) != name || r.submitted.At > event.At || len(r.responses) == 1 && r.responses[0].At < event.At {
 					continue
 				}
 				if len(r.responses) == 0 || r.responses[0].What == EndReset || r.responses[0].What == EndTimeout {
-					out = append(out, Violation{At: e.At, Text: fmt.Sprintf("%s was under way at %s when that was touched", id, name)})
+					out = append(out, Violation{At: event.At, Text: fmt.Sprintf("%s was under way at %s when that was touched", id, name)})
 				}
 			}
-		case e.Kind == PhaseReached:
-			delete(inWork, strings.TrimPrefix(e.What, workEnded))
-		case e.Kind == RequestForwarded && inWork[e.Server]:
-			out = append(out, Violation{At: e.At, Text: fmt.Sprintf("gateway %d sent %s to %s, which was worked at", e.Node, e.ID, e.Server)})
-		case e.Kind == ProcessChanged && e.What == "started":
-			delete(away, e.Node)
-		case e.Kind == StateReported && ofOrder && strings.HasPrefix(machine, "g"):
-			all := away[e.Node]
+		case event.Kind == PhaseReached:
+			delete(inWork, strings.TrimPrefix(event.What, workEnded))
+		case event.Kind == RequestForwarded && inWork[event.Server]:
+			out = append(out, Violation{At: event.At, Text: fmt.Sprintf("gateway %d sent %s to %s, which was worked at", event.Node, event.ID, event.Server)})
+		case event.Kind == ProcessChanged && event.What == "started":
+			delete(away, event.Node)
+		case event.Kind == StateReported && ofOrder && strings.HasPrefix(machine, "g"):
+			all := away[event.Node]
 			if all == nil {
 				all = map[string]bool{}
-				away[e.Node] = all
+				away[event.Node] = all
 			}
-			if delete(all, machine); slices.Contains([]string{"next", "leaving", "out", "returning", "overdue"}, e.Text) {
+			if delete(all, machine); slices.Contains([]string{"next", "leaving", "out", "returning", "overdue"}, event.Text) {
 				all[machine] = true
 			}
 			if len(all) > 1 {
-				out = append(out, Violation{At: e.At, Text: fmt.Sprintf("gateway %d knows of %d gateways that are away", e.Node, len(all))})
+				out = append(out, Violation{At: event.At, Text: fmt.Sprintf("gateway %d knows of %d gateways that are away", event.Node, len(all))})
 			}
 		}
 	}
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -217,8 +217,8 @@
 const settleTimeout = 30 * time.Second
 
 // gatewayAt is the number of the gateway with an IP address; 0: none.
-func (f *Cluster) gatewayAt(ip string) int {
-	for _, n := range f.Nodes {
+func (c *Cluster) gatewayAt(ip string) int {
+	for _, n := range c.Nodes {
 		if n.IP.String() == ip {
 			return n.Number
 		}
@@ -227,20 +227,20 @@
 }
 
 // Primary is the primary of the first group of servers.
-func (f *Cluster) Primary() *fake.Server { return f.groups[0].servers[0].Server }
+func (c *Cluster) Primary() *fake.Server { return c.groups[0].servers[0].Server }
 
 // GatewayFor is the number of the gateway with a listener's address; 0: none.
-func (f *Cluster) GatewayFor(addr string) int {
+func (c *Cluster) GatewayFor(addr string) int {
 	host, _, _ := net.SplitHostPort(addr)
-	return f.gatewayAt(host)
+	return c.gatewayAt(host)
 }
 
 // maxVRRPPeers is how many peers a gateway's VRRP may have.
 const maxVRRPPeers = 16
 
 // AwaitReady waits until each gateway's current process serves. It fails at once if the last process of one has ended.
-func (f *Cluster) AwaitReady(bound time.Duration) (err error) {
-	late := f.History.Await("every gateway serves", bound, func(all []Event) bool {
+func (c *Cluster) AwaitReady(bound time.Duration) (err error) {
+	late := c.History.Await("every gateway serves", bound, func(all []Event) bool {
 		last := map[int]Event{}
 		for _, e := range all {
 			if e.Kind == ProcessChanged {
@@ -248,7 +248,7 @@
 			}
 		}
 		complete := true
-		for _, n := range f.Nodes {
+		for _, n := range c.Nodes {
 			switch e := last[n.Number]; e.What {
 			case "ended":
 				err = fmt.Errorf("gateway %d ended: %s", n.Number, e.Text)
@@ -264,22 +264,22 @@
 }
 
 // preferredRouter is the number of the gateway with the highest VRRP priority.
-func (f *Cluster) preferredRouter() int {
-	if f.Priorities == nil {
+func (c *Cluster) preferredRouter() int {
+	if c.Priorities == nil {
 		return 1
 	}
-	return 1 + slices.Index(f.Priorities, slices.Max(f.Priorities))
+	return 1 + slices.Index(c.Priorities, slices.Max(c.Priorities))
 }
 
 // AwaitActiveRouter waits until exactly one gateway (the given one; 0: any) reports to be the active router of the floating
 // address, and the switch forwards to it.
-func (f *Cluster) AwaitActiveRouter(number int, bound time.Duration) error {
+func (c *Cluster) AwaitActiveRouter(number int, bound time.Duration) error {
 	var active []int
 	at := ""
-	err := f.History.Await(fmt.Sprintf("gateway %d holds the address alone", number), bound, func(all []Event) bool {
+	err := c.History.Await(fmt.Sprintf("gateway %d holds the address alone", number), bound, func(all []Event) bool {
 		active = slices.Collect(maps.Keys(ActiveRouters(all)))
-		at, _ = f.Switch.ActiveGateway()
-		return len(active) == 1 && (number == 0 || number == active[0]) && at == f.Nodes[active[0]-1].Floating
+		at, _ = c.Switch.ActiveGateway()
+		return len(active) == 1 && (number == 0 || number == active[0]) && at == c.Nodes[active[0]-1].Floating
 	})
 	if err != nil {
 		err = fmt.Errorf("%w: %v believe that they do, the switch leads to %s", err, active, at)
@@ -288,9 +288,9 @@
 }
 
 // AwaitMembers waits until every gateway reports every other one alive.
-func (f *Cluster) AwaitMembers(bound time.Duration) error {
-	return f.History.Await("every gateway knows every other one", bound, func(all []Event) bool {
-		return len(MembershipGaps(all, len(f.Nodes))) == 0
+func (c *Cluster) AwaitMembers(bound time.Duration) error {
+	return c.History.Await("every gateway knows every other one", bound, func(all []Event) bool {
+		return len(MembershipGaps(all, len(c.Nodes))) == 0
 	})
 }
 
@@ -333,8 +333,8 @@
 }
 
 // allPaths are all paths between gateways.
-func (f *Cluster) allPaths() (all []*fake.Path) {
-	for _, p := range []*fake.Path{f.VRRPPath, f.MembershipPath} {
+func (c *Cluster) allPaths() (all []*fake.Path) {
+	for _, p := range []*fake.Path{c.VRRPPath, c.MembershipPath} {
 		if p != nil {
 			all = append(all, p)
 		}
@@ -343,8 +343,8 @@
 }
 
 // Close kills all gateways, closes the fakes, and removes a temporary directory.
-func (f *Cluster) Close() {
-	for _, n := range f.Nodes {
+func (c *Cluster) Close() {
+	for _, n := range c.Nodes {
 		if p := n.currentProcess(); p != nil {
 			p.kill()
 		}
@@ -360,16 +360,16 @@
 			n.discoveryReader.Wait()
 		}
 	}
-	for _, p := range f.allPaths() {
+	for _, p := range c.allPaths() {
 		p.Close()
 	}
-	if f.Switch != nil {
-		f.Switch.Close()
+	if c.Switch != nil {
+		c.Switch.Close()
 	}
-	for _, c := range f.groups {
-		c.close()
+	for _, group := range c.groups {
+		group.close()
 	}
-	if f.temporaryDir {
-		os.RemoveAll(f.Dir)
+	if c.temporaryDir {
+		os.RemoveAll(c.Dir)
 	}
 }
--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -12,13 +12,13 @@
 
 // Play injects faults at their times and repairs each after its duration; at the end it repairs what is left. It returns early,
 // with everything repaired, when quit is closed.
-func (f *Cluster) Play(faults []Fault, quit <-chan struct{}) error {
+func (c *Cluster) Play(faults []Fault, quit <-chan struct{}) error {
 	for _, fault := range faults {
-		if err := f.validateFault(fault); err != nil {
+		if err := c.validateFault(fault); err != nil {
 			return err
 		}
 	}
-	p := &player{cluster: f, quit: quit, over: make(chan struct{}), errs: make(chan error, len(faults))}
+	p := &player{cluster: c, quit: quit, over: make(chan struct{}), errs: make(chan error, len(faults))}
 	start := time.Now()
 	end := start
 	for _, fault := range faults {
@@ -91,47 +91,47 @@
 }
 
 // injectRecorded injects a fault and records its start and end. The caller repairs it by calling undo.
-func (f *Cluster) injectRecorded(x Fault) (undo func() error, err error) {
-	f.History.Add(Event{Kind: FaultStarted, What: x.String()})
-	end, err := f.Inject(x)
+func (c *Cluster) injectRecorded(fault Fault) (undo func() error, err error) {
+	c.History.Add(Event{Kind: FaultStarted, What: fault.String()})
+	end, err := c.Inject(fault)
 	return func() error {
-		defer f.History.Add(Event{Kind: FaultEnded, What: x.String()})
+		defer c.History.Add(Event{Kind: FaultEnded, What: fault.String()})
 		return end()
 	}, err
 }
 
 // InjectLine injects the fault of a script line and records it. The caller repairs it by calling undo.
-func (f *Cluster) InjectLine(line string) (undo func() error, err error) {
-	x, err := ParseFault(line)
+func (c *Cluster) InjectLine(line string) (undo func() error, err error) {
+	fault, err := ParseFault(line)
 	if err == nil {
-		err = f.validateFault(x)
+		err = c.validateFault(fault)
 	}
 	if err != nil {
 		return nil, err
 	}
-	return f.injectRecorded(x)
+	return c.injectRecorded(fault)
 }
 
 // validateFault checks that a fault can be injected into this cluster.
-func (f *Cluster) validateFault(x Fault) error {
-	for _, n := range slices.Concat(x.From, x.To) {
-		if n > len(f.Nodes) {
-			return fmt.Errorf("%q: there is no gateway %d", x, n)
+func (c *Cluster) validateFault(fault Fault) error {
+	for _, n := range slices.Concat(fault.From, fault.To) {
+		if n > len(c.Nodes) {
+			return fmt.Errorf("%q: there is no gateway %d", fault, n)
 		}
 	}
-	if x.Name == "" || faultKinds[x.Verb].target == onNodes || x.Verb == "sever" && x.Name == Discovery {
+	if fault.Name == "" || faultKinds[fault.Verb].target == onNodes || fault.Verb == "sever" && fault.Name == Discovery {
 		return nil
 	}
-	if s := f.server(x.Name); s == nil || x.Verb != "sever" && s.primary {
-		return fmt.Errorf("%q: there is no such server, or not for this", x)
+	if server := c.server(fault.Name); server == nil || fault.Verb != "sever" && server.primary {
+		return fmt.Errorf("%q: there is no such server, or not for this", fault)
 	}
 	return nil
 }
 
 // affectedNodes are the gateways that a fault is applied to.
-func (f *Cluster) affectedNodes(x Fault) (list []*Node) {
-	for _, n := range f.Nodes {
-		if x.From == nil || slices.Contains(x.From, n.Number) {
+func (c *Cluster) affectedNodes(fault Fault) (list []*Node) {
+	for _, n := range c.Nodes {
+		if fault.From == nil || slices.Contains(fault.From, n.Number) {
 			list = append(list, n)
 		}
 	}
@@ -139,15 +139,15 @@
 }
 
 // Inject injects a fault. undo repairs it; nil if there is nothing to repair.
-func (f *Cluster) Inject(x Fault) (undo func() error, err error) {
-	if faultKinds[x.Verb].target == onNodes && x.Verb != "files" {
-		return f.injectOnNodes(x)
+func (c *Cluster) Inject(fault Fault) (undo func() error, err error) {
+	if faultKinds[fault.Verb].target == onNodes && fault.Verb != "files" {
+		return c.injectOnNodes(fault)
 	}
-	if x.Verb == "reset" {
-		for _, a := range f.Nodes {
-			for _, b := range f.Nodes {
-				if x.affects(a.Number, b.Number) {
-					for _, p := range f.allPaths() {
+	if fault.Verb == "reset" {
+		for _, a := range c.Nodes {
+			for _, b := range c.Nodes {
+				if fault.affects(a.Number, b.Number) {
+					for _, p := range c.allPaths() {
 						p.ResetStreams(a.Number-1, b.Number-1)
 					}
 				}
@@ -155,146 +155,146 @@
 		}
 		return nil, nil
 	}
-	if x.Verb == "promote" {
-		next := f.server(x.Name)
-		f.updateFaults(func() { f.formerPrimary = next.group.promote(next); f.activeFaults = append(f.activeFaults, x) })
-		for _, n := range f.Nodes {
-			n.serverRelays[f.formerPrimary.name].ResetStreams()
+	if fault.Verb == "promote" {
+		next := c.server(fault.Name)
+		c.updateFaults(func() { c.formerPrimary = next.group.promote(next); c.activeFaults = append(c.activeFaults, fault) })
+		for _, n := range c.Nodes {
+			n.serverRelays[c.formerPrimary.name].ResetStreams()
 		}
-		f.publishServer(next, next.state)
-		f.publishServer(f.formerPrimary, f.formerPrimary.state)
+		c.publishServer(next, next.state)
+		c.publishServer(c.formerPrimary, c.formerPrimary.state)
 	} else {
-		f.updateFaults(func() { f.activeFaults = append(f.activeFaults, x) })
+		c.updateFaults(func() { c.activeFaults = append(c.activeFaults, fault) })
 	}
 	return func() error {
-		f.updateFaults(func() {
-			i := slices.IndexFunc(f.activeFaults, func(y Fault) bool { return y.String() == x.String() })
-			f.activeFaults = slices.Delete(f.activeFaults, i, i+1)
+		c.updateFaults(func() {
+			i := slices.IndexFunc(c.activeFaults, func(y Fault) bool { return y.String() == fault.String() })
+			c.activeFaults = slices.Delete(c.activeFaults, i, i+1)
 		})
 		return nil
 	}, nil
 }
 
-func (f *Cluster) injectOnNodes(x Fault) (undo func() error, err error) {
-	list := f.affectedNodes(x)
+func (c *Cluster) injectOnNodes(fault Fault) (undo func() error, err error) {
+	list := c.affectedNodes(fault)
 	lives := make([]*process, len(list))
-	for i, n := range list {
-		lives[i] = n.currentProcess()
+	for i, node := range list {
+		lives[i] = node.currentProcess()
 	}
-	each := func(do func(i int, n *Node) error) error {
-		for i, n := range list {
-			if err := do(i, n); err != nil {
+	each := func(do func(i int, node *Node) error) error {
+		for i, node := range list {
+			if err := do(i, node); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	switch x.Verb {
+	switch fault.Verb {
 	case "disk":
-		return nil, each(func(_ int, n *Node) error { return n.changeDisk(x.Name) })
+		return nil, each(func(_ int, node *Node) error { return node.changeDisk(fault.Name) })
 	case "kill", "term":
-		sig := map[string]syscall.Signal{"kill": syscall.SIGKILL, "term": syscall.SIGTERM}[x.Verb]
+		sig := map[string]syscall.Signal{"kill": syscall.SIGKILL, "term": syscall.SIGTERM}[fault.Verb]
 		each(func(i int, _ *Node) error { return lives[i].signal(sig) })
 		return func() error {
-			return each(func(i int, n *Node) error {
+			return each(func(i int, node *Node) error {
 				<-lives[i].ended
-				return n.startUnlessReplaced(lives[i])
+				return node.startUnlessReplaced(lives[i])
 			})
 		}, nil
 	case "starve":
 		quit := make(chan struct{})
 		var done sync.WaitGroup
-		for i, n := range list {
+		for i, node := range list {
 			done.Add(1)
-			go func() { defer done.Done(); n.starve(lives[i], x.Amount, quit) }()
+			go func() { defer done.Done(); node.starve(lives[i], fault.Amount, quit) }()
 		}
 		return func() error { close(quit); done.Wait(); return nil }, nil
 	}
-	each(func(i int, n *Node) error { n.setPaused(lives[i], true); return nil })
+	each(func(i int, node *Node) error { node.setPaused(lives[i], true); return nil })
 	for _, p := range lives {
 		for !p.hasEnded() && !p.isStopped() {
 			time.Sleep(time.Millisecond)
 		}
 	}
 	return func() error {
-		return each(func(i int, n *Node) error { n.setPaused(lives[i], false); return nil })
+		return each(func(i int, node *Node) error { node.setPaused(lives[i], false); return nil })
 	}, nil
 }
 
 // updateFaults changes the active faults, then sets all that follows from them: the fate of each path, which servers each gateway
 // reaches, its file size limit, and the lag and state of the servers.
-func (f *Cluster) updateFaults(do func()) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (c *Cluster) updateFaults(do func()) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	do()
-	for _, a := range f.Nodes {
-		for _, b := range f.Nodes {
-			if a == b {
+	for _, node := range c.Nodes {
+		for _, peer := range c.Nodes {
+			if node == peer {
 				continue
 			}
-			for _, p := range f.allPaths() {
-				p.Set(a.Number-1, b.Number-1, combinedFate(f.activeFaults, a.Number, b.Number))
+			for _, path := range c.allPaths() {
+				path.Set(node.Number-1, peer.Number-1, combinedFate(c.activeFaults, node.Number, peer.Number))
 			}
 		}
 		severed := func(name string) fake.Impairment {
-			return fake.Impairment{Drop: slices.ContainsFunc(f.activeFaults, func(x Fault) bool {
-				return x.Verb == "sever" && x.Name == name && (x.From == nil || slices.Contains(x.From, a.Number)) ||
-					x.Verb == "promote" && f.formerPrimary.name == name
+			return fake.Impairment{Drop: slices.ContainsFunc(c.activeFaults, func(fault Fault) bool {
+				return fault.Verb == "sever" && fault.Name == name && (fault.From == nil || slices.Contains(fault.From, node.Number)) ||
+					fault.Verb == "promote" && c.formerPrimary.name == name
 			})}
 		}
-		for name, r := range a.serverRelays {
-			r.Set(severed(name), severed(name))
+		for name, relay := range node.serverRelays {
+			relay.Set(severed(name), severed(name))
 		}
-		a.discoveryRelay.Set(severed(Discovery), severed(Discovery))
+		node.discoveryRelay.Set(severed(Discovery), severed(Discovery))
 		bound := noFileLimit
-		for _, x := range f.activeFaults {
+		for _, fault := range c.activeFaults {
 			switch {
-			case x.Verb != "files" || x.From != nil && !slices.Contains(x.From, a.Number):
-			case x.Name == "full":
-				bound = min(bound, a.largestFile())
+			case fault.Verb != "files" || fault.From != nil && !slices.Contains(fault.From, node.Number):
+			case fault.Name == "full":
+				bound = min(bound, node.largestFile())
 			default:
 				bound = 0
 			}
 		}
-		a.limitFiles(bound)
+		node.limitFiles(bound)
 	}
-	for _, s := range f.servers() {
+	for _, s := range c.servers() {
 		lag, state := time.Duration(0), "ready"
-		for _, x := range f.activeFaults {
+		for _, fault := range c.activeFaults {
 			switch {
-			case x.Name != s.name:
-			case x.Verb == "lag":
-				lag = max(lag, x.Delay)
-			case x.Verb == "drain":
+			case fault.Name != s.name:
+			case fault.Verb == "lag":
+				lag = max(lag, fault.Delay)
+			case fault.Verb == "drain":
 				state = "draining"
 			}
 		}
 		s.group.setLag(s, lag)
-		f.setServerState(s, state)
+		c.setServerState(s, state)
 	}
 }
 
 // combinedFate combines all active faults of one direction between two gateways.
 func combinedFate(active []Fault, from, to int) (out fake.Impairment) {
-	for _, x := range active {
-		if !x.affects(from, to) {
+	for _, fault := range active {
+		if !fault.affects(from, to) {
 			continue
 		}
-		switch x.Verb {
+		switch fault.Verb {
 		case "cut", "split":
 			out.Drop = true
 		case "stall":
 			out.StallStreams = true
 		case "loss":
-			out.LossRate = 1 - (1-out.LossRate)*(1-x.Amount)
+			out.LossRate = 1 - (1-out.LossRate)*(1-fault.Amount)
 		case "delay":
-			out.Delay, out.Jitter = out.Delay+x.Delay, out.Jitter+x.Jitter
+			out.Delay, out.Jitter = out.Delay+fault.Delay, out.Jitter+fault.Jitter
 		case "duplicate":
-			out.Duplicates += int(x.Amount)
+			out.Duplicates += int(fault.Amount)
 		case "reorder":
 			out.Reorder = true
 		case "slow":
-			if rate := int(x.Amount); out.Rate == 0 || rate < out.Rate {
+			if rate := int(fault.Amount); out.Rate == 0 || rate < out.Rate {
 				out.Rate = rate
 			}
 		}
@@ -303,16 +303,16 @@
 }
 
 // setServerState publishes the state of a server if it has changed.
-func (f *Cluster) setServerState(s *server, state string) {
+func (c *Cluster) setServerState(s *server, state string) {
 	if s.group.setState(s, state) {
-		f.publishServer(s, state)
+		c.publishServer(s, state)
 	}
 }
 
 // publishServer has discovery send every gateway the current state of a server.
-func (f *Cluster) publishServer(s *server, state string) {
-	for _, n := range f.Nodes {
+func (c *Cluster) publishServer(s *server, state string) {
+	for _, n := range c.Nodes {
 		n.discovery.Push(s.target(n.serverRelays[s.name].Addr()))
-		f.History.Add(Event{Kind: EndpointUpdateSent, Node: n.Number, Server: s.name, What: state})
+		c.History.Add(Event{Kind: EndpointUpdateSent, Node: n.Number, Server: s.name, What: state})
 	}
 }
--- a/internal/testcluster/history.go
+++ b/internal/testcluster/history.go
@@ -110,33 +110,33 @@
 }
 
 // Add records an event, now unless its time is set. It does nothing once the history has ended.
-func (h *History) Add(e Event) {
+func (h *History) Add(event Event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.ended {
 		return
 	}
-	if e.At == 0 {
-		e.At = h.Now()
+	if event.At == 0 {
+		event.At = h.Now()
 	}
-	h.events = append(h.events, e)
-	line := h.log.Log().Int64("at", e.At).Str("kind", string(e.Kind))
-	for _, f := range []struct{ name, value string }{
-		{"what", e.What}, {"text", e.Text}, {"id", e.ID}, {"client", e.Client}, {"class", e.Class}, {"key", e.Key},
-		{"server", e.Server}, {"value", e.Value},
+	h.events = append(h.events, event)
+	line := h.log.Log().Int64("at", event.At).Str("kind", string(event.Kind))
+	for _, field := range []struct{ name, value string }{
+		{"what", event.What}, {"text", event.Text}, {"id", event.ID}, {"client", event.Client}, {"class", event.Class}, {"key", event.Key},
+		{"server", event.Server}, {"value", event.Value},
 	} {
-		if f.value != "" {
-			line.Str(f.name, f.value)
+		if field.value != "" {
+			line.Str(field.name, field.value)
 		}
 	}
-	if e.Node != 0 {
-		line.Int("node", e.Node)
+	if event.Node != 0 {
+		line.Int("node", event.Node)
 	}
-	if e.Timeout != 0 {
-		line.Int64("within", e.Timeout)
+	if event.Timeout != 0 {
+		line.Int64("within", event.Timeout)
 	}
-	if e.DataAge != 0 {
-		line.Int64("age", e.DataAge)
+	if event.DataAge != 0 {
+		line.Int64("age", event.DataAge)
 	}
 	line.Send()
 	close(h.changed)
--- a/internal/testcluster/load.go
+++ b/internal/testcluster/load.go
@@ -51,8 +51,8 @@
 const maxRecentKeys = 32
 
 // Load starts clients. Stop ends them.
-func (f *Cluster) Load(options LoadOptions) *Load {
-	load := &Load{cluster: f, quit: make(chan struct{}), retryInDoubt: options.RetryInDoubt}
+func (c *Cluster) Load(options LoadOptions) *Load {
+	load := &Load{cluster: c, quit: make(chan struct{}), retryInDoubt: options.RetryInDoubt}
 	var mu sync.Mutex
 	var booked []string
 	recent := func(add string) string {
@@ -71,12 +71,12 @@
 	book := func(b *fake.Client, n int) {
 		key := fmt.Sprintf("%s-%d", b.Name, n)
 		recent(key) // others read it also while it is being booked
-		b.Group = f.groupOf(key)
+		b.Group = c.groupOf(key)
 		b.Write(key)
 	}
 	readRecent := func(b *fake.Client, _ int) {
 		key := recent("")
-		b.Group = f.groupOf(key)
+		b.Group = c.groupOf(key)
 		b.Read(key)
 	}
 	load.clients("b", ClassBooking, options.Bookers, options.ThinkTime, book, false)
@@ -90,52 +90,52 @@
 // clients starts clients of one kind. Each keeps to a gateway for as long as its connection lasts, and goes to the next one
 // when it must reconnect, as a front end would.
 func (l *Load) clients(kind, class string, count int, think time.Duration, do func(*fake.Client, int), floating bool) {
-	f := l.cluster
+	cluster := l.cluster
 	for i := range count {
 		turn := i
-		b := &fake.Client{
+		client := &fake.Client{
 			Name: fmt.Sprint(kind, i), Class: class, Group: Group, Timeout: requestTimeout, MaxAttempts: 20, Backoff: clientBackoff, Ledger: &l.ledger,
-			Addr: func() string { turn++; return f.Nodes[turn%len(f.Nodes)].Listen }, OnExchange: l.recordExchange,
+			Addr: func() string { turn++; return cluster.Nodes[turn%len(cluster.Nodes)].Listen }, OnExchange: l.recordExchange,
 		}
 		if l.retryInDoubt && class == ClassBooking { // until the end is known: a failover of the address takes some hundred milliseconds
-			b.RetryTimeouts, b.MaxAttempts = 3, 400
+			client.RetryTimeouts, client.MaxAttempts = 3, 400
 		}
 		if floating {
-			b.Addr, b.Route = f.Switch.Addr, f.Switch.GatewayOf
+			client.Addr, client.Route = cluster.Switch.Addr, cluster.Switch.GatewayOf
 		}
 		l.done.Add(1)
 		go func() {
 			defer l.done.Done()
-			defer b.Close()
+			defer client.Close()
 			for n := 0; ; n++ {
 				select {
 				case <-l.quit:
 					return
 				case <-time.After(think + time.Duration(rand.Int64N(int64(think)+1))):
 				}
-				do(b, n)
+				do(client, n)
 			}
 		}()
 	}
 }
 
 // recordExchange records a client's request, or its end.
-func (l *Load) recordExchange(x fake.Exchange) {
-	e := Event{
-		At: l.cluster.History.Timestamp(x.At), Kind: RequestSent, Node: l.cluster.GatewayFor(x.Via), ID: x.ID, Client: x.Client, Class: x.Class, Key: x.Key,
+func (l *Load) recordExchange(exchange fake.Exchange) {
+	event := Event{
+		At: l.cluster.History.Timestamp(exchange.At), Kind: RequestSent, Node: l.cluster.GatewayFor(exchange.Via), ID: exchange.ID, Client: exchange.Client, Class: exchange.Class, Key: exchange.Key,
 		Timeout: requestTimeout.Microseconds(),
 	}
-	if x.Reused {
-		e.Text = reusedConnection
+	if exchange.Reused {
+		event.Text = reusedConnection
 	}
-	if x.Retry {
-		e.Text = strings.TrimSpace(e.Text + " " + retryMark)
+	if exchange.Retry {
+		event.Text = strings.TrimSpace(event.Text + " " + retryMark)
 	}
-	if x.End != "" {
-		e.Kind, e.What, e.Value = ResponseReceived, x.End, x.Value
-		e.Text = strings.TrimSpace(e.Text + " " + x.ErrorText)
+	if exchange.End != "" {
+		event.Kind, event.What, event.Value = ResponseReceived, exchange.End, exchange.Value
+		event.Text = strings.TrimSpace(event.Text + " " + exchange.ErrorText)
 	}
-	l.cluster.History.Add(e)
+	l.cluster.History.Add(event)
 }
 
 // reusedConnection marks a request on a connection that has served another one before: it was never read if it crosses with the
--- a/internal/testcluster/maintenance.go
+++ b/internal/testcluster/maintenance.go
@@ -25,7 +25,7 @@
 func (m *Maintenance) section() string {
 	var b strings.Builder
 	b.WriteString("maintenance\n max-load 100\n")
-	for _, x := range []struct {
+	for _, setting := range []struct {
 		name  string
 		value any
 		set   bool
@@ -33,8 +33,8 @@
 		{"max-gateways", m.MaxGateways, m.MaxGateways > 0}, {"max-per-zone", m.MaxPerZone, m.MaxPerZone > 0}, {"max-servers", m.MaxServers, m.MaxServers > 0},
 		{"settle-time", m.SettleTime, m.SettleTime > 0}, {"return-within", m.ReturnTimeout, m.ReturnTimeout > 0}, {"default-duration", m.DefaultDuration, m.DefaultDuration > 0}, {"unheard", m.SilenceTimeout, m.SilenceTimeout > 0},
 	} {
-		if x.set {
-			fmt.Fprintf(&b, " %s %v\n", x.name, x.value)
+		if setting.set {
+			fmt.Fprintf(&b, " %s %v\n", setting.name, setting.value)
 		}
 	}
 	return b.String()
@@ -98,9 +98,9 @@
 }
 
 // RunMaintenanceAnywhere runs a maintenance command at the gateways in turn until one carries it out.
-func (f *Cluster) RunMaintenanceAnywhere(args ...string) (text string, err error) {
+func (c *Cluster) RunMaintenanceAnywhere(args ...string) (text string, err error) {
 	for late := time.Now().Add(settleTimeout); time.Now().Before(late); time.Sleep(100 * time.Millisecond) {
-		for _, n := range f.Nodes {
+		for _, n := range c.Nodes {
 			if text, err = n.RunMaintenance(args...); err == nil {
 				return text, nil
 			}
@@ -110,9 +110,9 @@
 }
 
 // LeaderMaintenanceStatus is the status as the ledger's leader has it, asked at the gateways in turn.
-func (f *Cluster) LeaderMaintenanceStatus() (o MaintenanceStatus, err error) {
+func (c *Cluster) LeaderMaintenanceStatus() (o MaintenanceStatus, err error) {
 	for late := time.Now().Add(settleTimeout); time.Now().Before(late); time.Sleep(100 * time.Millisecond) {
-		for _, n := range f.Nodes {
+		for _, n := range c.Nodes {
 			if o, err = n.MaintenanceStatus(); err == nil && o.Leader != "" {
 				return o, nil
 			}
@@ -137,33 +137,33 @@
 
 // PerformMaintenance acts as an operator until no machine is left on the list: it works at machines that are out, and promotes
 // another server where a primary is next.
-func (f *Cluster) PerformMaintenance(bound time.Duration, at MaintenanceActions) error {
+func (c *Cluster) PerformMaintenance(bound time.Duration, actions MaintenanceActions) error {
 	worked := map[string]bool{}
 	var last MaintenanceStatus
 	for late := time.Now().Add(bound); time.Now().Before(late); time.Sleep(50 * time.Millisecond) {
-		o, err := f.LeaderMaintenanceStatus()
+		o, err := c.LeaderMaintenanceStatus()
 		if err != nil {
 			return err
 		}
 		if text := o.String(); text != last.String() {
-			f.History.Add(Event{Kind: PhaseReached, What: "order", Text: text})
+			c.History.Add(Event{Kind: PhaseReached, What: "order", Text: text})
 		}
 		last = o
-		if at.Done != nil && at.Done(o) {
+		if actions.Done != nil && actions.Done(o) {
 			return nil
 		}
 		left := 0
-		for _, u := range o.Machines {
-			if u.Place == 0 {
+		for _, item := range o.Machines {
+			if item.Place == 0 {
 				continue
 			}
 			left++
 			switch {
-			case u.State == "next" && strings.Contains(u.WaitingFor, "another primary"):
-				err = f.replacePrimary(u.Machine)
-			case u.State == "out" && !worked[u.Machine]:
-				worked[u.Machine] = true
-				err = f.performOn(u, at)
+			case item.State == "next" && strings.Contains(item.WaitingFor, "another primary"):
+				err = c.replacePrimary(item.Machine)
+			case item.State == "out" && !worked[item.Machine]:
+				worked[item.Machine] = true
+				err = c.performOn(item, actions)
 			}
 			if err != nil {
 				return err
@@ -177,46 +177,46 @@
 }
 
 // performOn works at one machine.
-func (f *Cluster) performOn(u MaintenanceItem, at MaintenanceActions) error {
-	f.History.Add(Event{Kind: PhaseReached, What: workStarted + u.Machine})
-	if u.Kind == "server" {
-		if at.Server != nil {
-			if err := at.Server(u.Machine); err != nil {
+func (c *Cluster) performOn(item MaintenanceItem, actions MaintenanceActions) error {
+	c.History.Add(Event{Kind: PhaseReached, What: workStarted + item.Machine})
+	if item.Kind == "server" {
+		if actions.Server != nil {
+			if err := actions.Server(item.Machine); err != nil {
 				return err
 			}
 		}
-		f.History.Add(Event{Kind: PhaseReached, What: workEnded + u.Machine})
-		_, err := f.RunMaintenanceAnywhere("done", "server:"+u.Machine)
+		c.History.Add(Event{Kind: PhaseReached, What: workEnded + item.Machine})
+		_, err := c.RunMaintenanceAnywhere("done", "server:"+item.Machine)
 		return err
 	}
-	for _, n := range f.Nodes {
-		if n.Name() != u.Machine {
+	for _, node := range c.Nodes {
+		if node.Name() != item.Machine {
 			continue
 		}
-		if at.Gateway != nil {
-			return at.Gateway(n)
+		if actions.Gateway != nil {
+			return actions.Gateway(node)
 		}
-		undo, err := f.injectRecorded(Fault{Verb: "kill", From: []int{n.Number}})
+		undo, err := c.injectRecorded(Fault{Verb: "kill", From: []int{node.Number}})
 		if err != nil {
 			return err
 		}
-		n.WaitForExit()
+		node.WaitForExit()
 		return undo()
 	}
-	return fmt.Errorf("there is no machine %s", u.Machine)
+	return fmt.Errorf("there is no machine %s", item.Machine)
 }
 
 // fenceTime is for how long a former primary is cut off, so that nobody takes it for the primary.
 const fenceTime = time.Second
 
 // replacePrimary promotes another server of the same group.
-func (f *Cluster) replacePrimary(name string) error {
-	s := f.server(name)
+func (c *Cluster) replacePrimary(name string) error {
+	s := c.server(name)
 	if s == nil || s.role() != rolePrimary {
 		return nil
 	}
 	i := slices.IndexFunc(s.group.servers, func(next *server) bool { return next != s })
-	undo, err := f.injectRecorded(Fault{Verb: "promote", Name: s.group.servers[i].name})
+	undo, err := c.injectRecorded(Fault{Verb: "promote", Name: s.group.servers[i].name})
 	if err != nil {
 		return err
 	}
--- a/internal/testcluster/node.go
+++ b/internal/testcluster/node.go
@@ -42,12 +42,12 @@
 }
 
 // newNode makes the fakes and relays between one gateway and the rest.
-func (f *Cluster) newNode(number int, ip net.IP) (*Node, error) {
-	n := &Node{Number: number, IP: ip, cluster: f, dir: filepath.Join(f.Dir, fmt.Sprint("n", number)), serverRelays: map[string]*fake.Relay{}, maxFileSize: noFileLimit}
+func (c *Cluster) newNode(number int, ip net.IP) (*Node, error) {
+	n := &Node{Number: number, IP: ip, cluster: c, dir: filepath.Join(c.Dir, fmt.Sprint("n", number)), serverRelays: map[string]*fake.Relay{}, maxFileSize: noFileLimit}
 	n.Listen, n.Floating = fmt.Sprintf("%v:%d", ip, portClients), fmt.Sprintf("%v:%d", ip, portFloating)
-	f.Nodes = append(f.Nodes, n)
+	c.Nodes = append(c.Nodes, n)
 	var targets []fake.Endpoint
-	for _, s := range f.servers() {
+	for _, s := range c.servers() {
 		r, err := fake.NewRelay("127.0.0.1:0", s.Addr(), ip)
 		if err != nil {
 			return nil, err
@@ -79,27 +79,27 @@
 
 // configure writes a gateway's two files.
 func (n *Node) configure() error {
-	f := n.cluster
+	cluster := n.cluster
 	if err := os.MkdirAll(filepath.Join(n.dir, "data"), 0o755); err != nil {
 		return err
 	}
 	conf := n.operatorsFile()
-	if f.RewriteConfig != nil {
-		conf = f.RewriteConfig(conf)
+	if cluster.RewriteConfig != nil {
+		conf = cluster.RewriteConfig(conf)
 	}
 	if err := os.WriteFile(n.Conf(), []byte(conf), 0o600); err != nil {
 		return err
 	}
 	var known []fake.Endpoint
-	for _, s := range f.servers() {
+	for _, s := range cluster.servers() {
 		known = append(known, s.target(n.serverRelays[s.name].Addr()))
 	}
 	raw, err := json.Marshal(map[string]any{
 		"name": fmt.Sprint("n", n.Number), "listen": n.Listen, "discovery": n.discoveryRelay.Addr(),
-		"seed":     fmt.Sprintf("%x", f.Seed+uint64(n.Number)),
+		"seed":     fmt.Sprintf("%x", cluster.Seed+uint64(n.Number)),
 		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
 		"known":    map[string]any{"rev": 1, "all": true, "targets": known},
-		"settings": json.RawMessage(fmt.Sprintf(settings, len(f.Nodes), n.Number-1, f.SlowStart.Milliseconds())),
+		"settings": json.RawMessage(fmt.Sprintf(settings, len(cluster.Nodes), n.Number-1, cluster.SlowStart.Milliseconds())),
 	})
 	if err != nil {
 		return err
@@ -130,44 +130,44 @@
 
 // sections writes the operators' file.
 func (n *Node) operatorsFile() string {
-	f := n.cluster
+	cluster := n.cluster
 	var b strings.Builder
 	fmt.Fprintf(&b, "control %s\n", n.Socket())
-	if f.MembershipPath != nil {
-		fmt.Fprintf(&b, "members\n node %s\n bind %v:%d\n key 1 \"%s\"\n interval %v\n zone z%d\n", n.Name(), n.IP, portMembers, secret, f.MembershipInterval, n.Number%3)
-		for _, other := range f.Nodes {
+	if cluster.MembershipPath != nil {
+		fmt.Fprintf(&b, "members\n node %s\n bind %v:%d\n key 1 \"%s\"\n interval %v\n zone z%d\n", n.Name(), n.IP, portMembers, secret, cluster.MembershipInterval, n.Number%3)
+		for _, other := range cluster.Nodes {
 			if other.Number <= 3 {
 				fmt.Fprintf(&b, " join %v:%d\n", other.IP, portMembers)
 			}
 			if other != n {
-				fmt.Fprintf(&b, " via %v:%d %s\n", other.IP, portMembers, f.MembershipPath.PeerAddr(n.Number-1, other.Number-1))
+				fmt.Fprintf(&b, " via %v:%d %s\n", other.IP, portMembers, cluster.MembershipPath.PeerAddr(n.Number-1, other.Number-1))
 			}
 		}
 	}
-	if f.StateStore != nil {
-		b.WriteString(f.StateStore.section(n))
+	if cluster.StateStore != nil {
+		b.WriteString(cluster.StateStore.section(n))
 	}
-	if f.InDoubt != nil {
-		b.WriteString(f.InDoubt.section())
+	if cluster.InDoubt != nil {
+		b.WriteString(cluster.InDoubt.section())
 	}
-	if f.Maintenance != nil {
-		b.WriteString(f.Maintenance.section())
+	if cluster.Maintenance != nil {
+		b.WriteString(cluster.Maintenance.section())
 	}
-	if n.Number > 1 && len(f.Nodes) > maxVRRPPeers+1 {
+	if n.Number > 1 && len(cluster.Nodes) > maxVRRPPeers+1 {
 		return b.String() // VRRP lists at most 16 peers: in larger clusters the first gateway has the address alone
 	}
 	priority := 201 - n.Number
-	if f.Priorities != nil {
-		priority = f.Priorities[n.Number-1]
+	if cluster.Priorities != nil {
+		priority = cluster.Priorities[n.Number-1]
 	}
-	fmt.Fprintf(&b, "vrrp\n node %d\n bind %v:%d\n announce %s\n key 1 \"%s\"\n", n.Number, n.IP, portVRRP, f.Switch.AnnouncementAddr(), secret)
-	for _, other := range f.Nodes {
-		if other != n && len(f.Nodes) <= maxVRRPPeers+1 {
-			fmt.Fprintf(&b, " peer %d %s\n", other.Number, f.VRRPPath.PeerAddr(n.Number-1, other.Number-1))
+	fmt.Fprintf(&b, "vrrp\n node %d\n bind %v:%d\n announce %s\n key 1 \"%s\"\n", n.Number, n.IP, portVRRP, cluster.Switch.AnnouncementAddr(), secret)
+	for _, other := range cluster.Nodes {
+		if other != n && len(cluster.Nodes) <= maxVRRPPeers+1 {
+			fmt.Fprintf(&b, " peer %d %s\n", other.Number, cluster.VRRPPath.PeerAddr(n.Number-1, other.Number-1))
 		}
 	}
 	fmt.Fprintf(&b, "group counters\n vrid 51\n address 192.0.2.10\n listen %s\n priority %d\n interval %v\n damp 0s 0s 0s\n",
-		n.Floating, priority, f.AdvertisementInterval)
+		n.Floating, priority, cluster.AdvertisementInterval)
 	return b.String()
 }
 
@@ -192,8 +192,8 @@
 	}
 	cmd := exec.Command(binary, "--conf", n.Conf())
 	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+filepath.Join(n.dir, "json"))
-	life := n.incarnations
-	n.cluster.History.Add(Event{Kind: ProcessChanged, Node: n.Number, What: "started", Text: fmt.Sprint("life ", life)})
+	incarnation := n.incarnations
+	n.cluster.History.Add(Event{Kind: ProcessChanged, Node: n.Number, What: "started", Text: fmt.Sprint("life ", incarnation)})
 	n.process, err = launch(cmd, log, n.recordLogLine, func(how string) {
 		log.Close()
 		n.cluster.History.Add(Event{Kind: ProcessChanged, Node: n.Number, What: "ended", Text: how})
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -110,7 +110,7 @@
 	stats, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid))
 	for _, name := range stats {
 		raw, err := os.ReadFile(name)
-		if _, rest, _ := strings.Cut(string(raw), ") "); err != nil || !strings.HasPrefix(rest, "T") {
+		if _, state, _ := strings.Cut(string(raw), ") "); err != nil || !strings.HasPrefix(state, "T") {
 			return false
 		}
 	}
--- a/internal/testcluster/script.go
+++ b/internal/testcluster/script.go
@@ -48,24 +48,24 @@
 	help       string
 }
 
-func parsePercent(f *Fault, word string) bool {
-	n, err := strconv.ParseFloat(strings.TrimSuffix(word, "%"), 64)
+func parsePercent(f *Fault, text string) bool {
+	n, err := strconv.ParseFloat(strings.TrimSuffix(text, "%"), 64)
 	f.Amount = n / 100
-	return err == nil && strings.HasSuffix(word, "%") && n >= 0 && n <= 100
+	return err == nil && strings.HasSuffix(text, "%") && n >= 0 && n <= 100
 }
 
 func formatPercent(f Fault) string { return strconv.FormatFloat(f.Amount*100, 'f', -1, 64) + "%" }
 
-func parseCount(f *Fault, word string) bool {
-	n, err := strconv.Atoi(word)
+func parseCount(f *Fault, text string) bool {
+	n, err := strconv.Atoi(text)
 	f.Amount = float64(n)
 	return err == nil && n > 0
 }
 
 func formatCount(f Fault) string { return strconv.Itoa(int(f.Amount)) }
 
-func parseDelay(f *Fault, word string) bool {
-	minimum, maximum, jitters := strings.Cut(word, "..")
+func parseDelay(f *Fault, text string) bool {
+	minimum, maximum, jitters := strings.Cut(text, "..")
 	var err, err2 error
 	if f.Delay, err = time.ParseDuration(minimum); jitters {
 		f.Jitter, err2 = time.ParseDuration(maximum)
@@ -81,9 +81,9 @@
 	return f.Delay.String()
 }
 
-func parseDiskOperation(f *Fault, word string) bool {
-	f.Name = word
-	return slices.Contains(diskOperations, word)
+func parseDiskOperation(f *Fault, text string) bool {
+	f.Name = text
+	return slices.Contains(diskOperations, text)
 }
 
 func formatName(f Fault) string { return f.Name }
@@ -91,9 +91,9 @@
 // diskOperations are what can be done to a data directory. The gateway should not run meanwhile.
 var diskOperations = []string{"empty", "save", "old"}
 
-func parseFileFault(f *Fault, word string) bool {
-	f.Name = word
-	return slices.Contains(fileFaults, word)
+func parseFileFault(f *Fault, text string) bool {
+	f.Name = text
+	return slices.Contains(fileFaults, text)
 }
 
 // fileFaults are the faults of the file system that a gateway writes to.
@@ -208,54 +208,54 @@
 	return first
 }
 
-func parseFault(d lines.Directive) (f Fault, wrong string) {
-	if d.Name != "at" {
-		return f, "is not known here; there is at"
+func parseFault(directive lines.Directive) (fault Fault, wrong string) {
+	if directive.Name != "at" {
+		return fault, "is not known here; there is at"
 	}
-	remaining := words(d.Values)
+	remaining := words(directive.Values)
 	when := remaining.next()
 	var err error
-	if f.At, err = time.ParseDuration(when); err != nil || f.At < 0 {
-		return f, fmt.Sprintf("%q is no time since the run began, such as 3s", when)
+	if fault.At, err = time.ParseDuration(when); err != nil || fault.At < 0 {
+		return fault, fmt.Sprintf("%q is no time since the run began, such as 3s", when)
 	}
-	f.Verb = remaining.next()
-	v, ok := faultKinds[f.Verb]
+	fault.Verb = remaining.next()
+	kind, ok := faultKinds[fault.Verb]
 	if !ok {
 		known := make([]string, 0, len(faultKinds))
 		for name := range faultKinds {
 			known = append(known, name)
 		}
 		slices.Sort(known)
-		return f, fmt.Sprintf("%q is no fault; there is %s", f.Verb, strings.Join(known, ", "))
+		return fault, fmt.Sprintf("%q is no fault; there is %s", fault.Verb, strings.Join(known, ", "))
 	}
-	if wrong = f.parseTarget(v.target, &remaining); wrong != "" {
-		return f, wrong
+	if wrong = fault.parseTarget(kind.target, &remaining); wrong != "" {
+		return fault, wrong
 	}
-	if v.parseValue != nil {
-		if word := remaining.next(); !v.parseValue(&f, word) {
-			return f, fmt.Sprintf("%q does not fit %s: %s", word, f.Verb, v.help)
+	if kind.parseValue != nil {
+		if text := remaining.next(); !kind.parseValue(&fault, text) {
+			return fault, fmt.Sprintf("%q does not fit %s: %s", text, fault.Verb, kind.help)
 		}
 	}
-	if word := remaining.next(); word != "" {
+	if text := remaining.next(); text != "" {
 		long := remaining.next()
-		if f.Duration, err = time.ParseDuration(long); word != "for" || err != nil || f.Duration <= 0 || v.instant || len(remaining) > 0 {
-			return f, fmt.Sprintf("%q is not understood behind %s", strings.Join(append([]string{word, long}, remaining...), " "), f.Verb)
+		if fault.Duration, err = time.ParseDuration(long); text != "for" || err != nil || fault.Duration <= 0 || kind.instant || len(remaining) > 0 {
+			return fault, fmt.Sprintf("%q is not understood behind %s", strings.Join(append([]string{text, long}, remaining...), " "), fault.Verb)
 		}
 	}
-	return f, ""
+	return fault, ""
 }
 
 // parseTarget parses what a fault is applied to.
-func (f *Fault) parseTarget(s targetShape, remaining *words) (wrong string) {
+func (f *Fault) parseTarget(shape targetShape, remaining *words) (wrong string) {
 	list := func(into *[]int) {
-		word := remaining.next()
-		if word == "all" || wrong != "" {
+		text := remaining.next()
+		if text == "all" || wrong != "" {
 			return
 		}
-		for _, x := range strings.Split(word, ",") {
+		for _, x := range strings.Split(text, ",") {
 			n, err := strconv.Atoi(x)
 			if err != nil || n < 1 || n > MaxNodes {
-				wrong = fmt.Sprintf("%q names no gateways, such as 1,2 or all", word)
+				wrong = fmt.Sprintf("%q names no gateways, such as 1,2 or all", text)
 				return
 			}
 			*into = append(*into, n)
@@ -268,7 +268,7 @@
 			f.Bidirectional = sign == "<->"
 		}
 	}
-	switch s {
+	switch shape {
 	case onNodes:
 		list(&f.From)
 	case onWays:
@@ -286,7 +286,7 @@
 	case onlyNamed:
 		f.Name = remaining.next()
 	}
-	if wrong == "" && (s == onServer || s == onlyNamed) && f.Name == "" {
+	if wrong == "" && (shape == onServer || shape == onlyNamed) && f.Name == "" {
 		wrong = "names no server"
 	}
 	return wrong
@@ -338,9 +338,9 @@
 
 // drawDetails draws a fault's target, amount and duration.
 func (f *Fault) drawDetails(rng *rand.Rand, gateways, replicas int) {
-	some := func(most int) (list []int) {
+	some := func(maxCount int) (list []int) {
 		all := rng.Perm(gateways)
-		for _, n := range all[:1+rng.IntN(max(1, min(most, gateways-1)))] {
+		for _, n := range all[:1+rng.IntN(max(1, min(maxCount, gateways-1)))] {
 			list = append(list, n+1)
 		}
 		slices.Sort(list)
--- a/internal/testcluster/servers.go
+++ b/internal/testcluster/servers.go
@@ -20,9 +20,9 @@
 const MaxGroups = len(groupNames)
 
 // groupOf is the group that a client's key belongs to: clients differ in it, and keep to it.
-func (f *Cluster) groupOf(key string) int {
+func (c *Cluster) groupOf(key string) int {
 	client, _, _ := strings.Cut(key, "-")
-	return Group + int(client[len(client)-1])%len(f.groups)
+	return Group + int(client[len(client)-1])%len(c.groups)
 }
 
 // The classes that clients use.
@@ -120,15 +120,15 @@
 }
 
 // servers are those of all groups.
-func (f *Cluster) servers() (all []*server) {
-	for _, c := range f.groups {
-		all = append(all, c.servers...)
+func (c *Cluster) servers() (all []*server) {
+	for _, group := range c.groups {
+		all = append(all, group.servers...)
 	}
 	return all
 }
 
-func (f *Cluster) server(name string) *server {
-	for _, s := range f.servers() {
+func (c *Cluster) server(name string) *server {
+	for _, s := range c.servers() {
 		if s.name == name {
 			return s
 		}
@@ -152,42 +152,42 @@
 var statementKey = regexp.MustCompile(`(?:name = |VALUES \()'([^']*)'`)
 
 // execute runs one request at a server and records it.
-func (c *serverGroup) execute(s *server, q *fake.Query) {
+func (c *serverGroup) execute(server *server, query *fake.Query) {
 	key := ""
-	if m := statementKey.FindStringSubmatch(q.SQL); m != nil {
+	if m := statementKey.FindStringSubmatch(query.SQL); m != nil {
 		key = m[1]
 	}
-	write := strings.Contains(q.SQL, "INSERT ")
+	write := strings.Contains(query.SQL, "INSERT ")
 	c.mu.Lock()
-	at, role := c.positionLocked(s), s.role()
+	position, role := c.positionLocked(server), server.role()
 	if write && role != rolePrimary {
 		c.mu.Unlock()
-		s.Position.Store(at)
-		q.ReplyError("25006")
+		server.Position.Store(position)
+		query.ReplyError("25006")
 		return
 	}
 	commit, there := c.commits[key]
-	there = there && commit <= at
+	there = there && commit <= position
 	if write {
 		there = true
-		c.commits[key] = at
+		c.commits[key] = position
 	}
 	c.mu.Unlock()
 	// The very moment counts, not the position's grain: a primary is never behind.
 	age := int64(0)
 	if role != rolePrimary {
-		age = time.Since(time.UnixMilli(at)).Microseconds()
+		age = time.Since(time.UnixMilli(position)).Microseconds()
 	}
 	c.events.Add(Event{
-		Kind: RequestExecuted, Node: c.gatewayAt(q.ClientIP()), ID: q.ID(), Class: q.Field("c"), Key: key, Server: s.name, What: role, DataAge: age,
+		Kind: RequestExecuted, Node: c.gatewayAt(query.ClientIP()), ID: query.ID(), Class: query.Field("c"), Key: key, Server: server.name, What: role, DataAge: age,
 	})
 	time.Sleep(c.serviceTime)
-	value := q.ID() + Absent
+	value := query.ID() + Absent
 	if there {
-		value = q.ID() + There
+		value = query.ID() + There
 	}
-	s.Position.Store(at)
-	q.ReplyRow([]byte(value))
+	server.Position.Store(position)
+	query.ReplyRow([]byte(value))
 }
 
 // setLag lets a replica fall behind: it stands where it is until it lags by so much, then goes on at that distance.
--- a/internal/testcluster/statestore.go
+++ b/internal/testcluster/statestore.go
@@ -29,14 +29,14 @@
 // section is the state-store section of a gateway's operators' file.
 func (c *StateStore) section(n *Node) string {
 	var b strings.Builder
-	holders := "all"
+	nodes := "all"
 	for i := range c.RaftNodes {
 		if i == 0 {
-			holders = ""
+			nodes = ""
 		}
-		holders += n.cluster.Nodes[i].Name() + " "
+		nodes += n.cluster.Nodes[i].Name() + " "
 	}
-	fmt.Fprintf(&b, "state-store\n raft-nodes %s\n voters %d\n shards %d\n heartbeat %v\n repair-after %v\n max-repairs 8\n", holders, c.Voters, c.Shards, c.Heartbeat, c.RepairAfter)
+	fmt.Fprintf(&b, "state-store\n raft-nodes %s\n voters %d\n shards %d\n heartbeat %v\n repair-after %v\n max-repairs 8\n", nodes, c.Voters, c.Shards, c.Heartbeat, c.RepairAfter)
 	if c.InMemory {
 		fmt.Fprintf(&b, " storage memory\n")
 	} else {
@@ -128,13 +128,13 @@
 }
 
 // LeaderOf is the gateway that leads a Raft group; nil: none does now.
-func (f *Cluster) LeaderOf(group int) *Node {
-	for _, n := range f.Nodes {
+func (c *Cluster) LeaderOf(group int) *Node {
+	for _, n := range c.Nodes {
 		v, err := n.StateStoreStatus()
 		if err != nil || group >= len(v.Groups) || v.Groups[group].Here == nil {
 			continue
 		}
-		for _, m := range f.Nodes {
+		for _, m := range c.Nodes {
 			if m.Name() == v.Groups[group].Here.Leader {
 				return m
 			}
@@ -145,11 +145,11 @@
 
 // incompleteReason says why the state store is not complete, empty if it is: every group must have all its voters, and a
 // leader that all of them agree on.
-func (f *Cluster) incompleteReason() string {
+func (c *Cluster) incompleteReason() string {
 	views := map[string]StateStoreStatus{}
-	for _, n := range f.Nodes {
+	for _, n := range c.Nodes {
 		v, err := n.StateStoreStatus()
-		if err != nil || len(v.Groups) != f.Options.StateStore.Shards+1 {
+		if err != nil || len(v.Groups) != c.Options.StateStore.Shards+1 {
 			return fmt.Sprintf("gateway %d: %d groups, %v", n.Number, len(v.Groups), err)
 		}
 		if v.Failed != "" {
@@ -157,10 +157,10 @@
 		}
 		views[n.Name()] = v
 	}
-	first := views[f.Nodes[0].Name()]
+	first := views[c.Nodes[0].Name()]
 	for i, g := range first.Groups {
 		leader := ""
-		if len(g.Replicas) != f.Options.StateStore.Voters || g.Adding != nil {
+		if len(g.Replicas) != c.Options.StateStore.Voters || g.Adding != nil {
 			return fmt.Sprintf("group %d: %+v, adding %+v", i, g.Replicas, g.Adding)
 		}
 		for _, r := range g.Replicas {
@@ -170,7 +170,7 @@
 			}
 			leader = here.Leader
 		}
-		for _, n := range f.Nodes {
+		for _, n := range c.Nodes {
 			if other := views[n.Name()].Groups[i]; other.Epoch != g.Epoch || len(other.Replicas) != len(g.Replicas) {
 				return fmt.Sprintf("group %d: gateway %d knows another ledger", i, n.Number)
 			}
@@ -180,15 +180,15 @@
 }
 
 // restartFailedStores restarts the gateways whose stores have failed, as an operator does once the disk is repaired.
-func (f *Cluster) restartFailedStores() error {
-	if f.Options.StateStore == nil {
+func (c *Cluster) restartFailedStores() error {
+	if c.Options.StateStore == nil {
 		return nil
 	}
-	for _, n := range f.Nodes {
+	for _, n := range c.Nodes {
 		if v, err := n.StateStoreStatus(); err != nil || v.Failed == "" {
 			continue
 		}
-		undo, err := f.injectRecorded(Fault{Verb: "term", From: []int{n.Number}})
+		undo, err := c.injectRecorded(Fault{Verb: "term", From: []int{n.Number}})
 		if err == nil {
 			err = undo()
 		}
@@ -196,13 +196,13 @@
 			return err
 		}
 	}
-	return f.AwaitReady(settleTimeout)
+	return c.AwaitReady(settleTimeout)
 }
 
 // AwaitComplete waits until every Raft group has all its replicas and a leader.
-func (f *Cluster) AwaitComplete(bound time.Duration) error {
+func (c *Cluster) AwaitComplete(bound time.Duration) error {
 	for late := time.Now().Add(bound); ; time.Sleep(50 * time.Millisecond) {
-		wrong := f.incompleteReason()
+		wrong := c.incompleteReason()
 		if wrong == "" {
 			return nil
 		}
