--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -131,13 +131,16 @@
 // affectedNodes are the gateways that a fault is applied to.
 func (c *Cluster) affectedNodes(fault Fault) (list []*Node) {
 	for _, n := range c.Nodes {
-		if fault.From == nil || slices.Contains(fault.From, n.Number) {
+		if fault.targets(n) {
 			list = append(list, n)
 		}
 	}
 	return list
 }
 
+// targets reports whether a fault on gateways applies to one.
+func (f Fault) targets(node *Node) bool { return f.From == nil || slices.Contains(f.From, node.Number) }
+
 // Inject injects a fault. undo repairs it; nil if there is nothing to repair.
 func (c *Cluster) Inject(fault Fault) (undo func() error, err error) {
 	if faultKinds[fault.Verb].target == onNodes && fault.Verb != "files" {
@@ -177,9 +180,9 @@
 
 func (c *Cluster) injectOnNodes(fault Fault) (undo func() error, err error) {
 	list := c.affectedNodes(fault)
-	lives := make([]*process, len(list))
+	processes := make([]*process, len(list))
 	for i, node := range list {
-		lives[i] = node.currentProcess()
+		processes[i] = node.currentProcess()
 	}
 	each := func(do func(i int, node *Node) error) error {
 		for i, node := range list {
@@ -194,30 +197,29 @@
 		return nil, each(func(_ int, node *Node) error { return node.changeDisk(fault.Name) })
 	case "kill", "term":
 		sig := map[string]syscall.Signal{"kill": syscall.SIGKILL, "term": syscall.SIGTERM}[fault.Verb]
-		each(func(i int, _ *Node) error { return lives[i].signal(sig) })
+		each(func(i int, _ *Node) error { return processes[i].signal(sig) })
 		return func() error {
 			return each(func(i int, node *Node) error {
-				<-lives[i].ended
-				return node.startUnlessReplaced(lives[i])
+				<-processes[i].ended
+				return node.startUnlessReplaced(processes[i])
 			})
 		}, nil
 	case "starve":
 		quit := make(chan struct{})
 		var done sync.WaitGroup
 		for i, node := range list {
-			done.Add(1)
-			go func() { defer done.Done(); node.starve(lives[i], fault.Amount, quit) }()
+			done.Go(func() { node.starve(processes[i], fault.Amount, quit) })
 		}
 		return func() error { close(quit); done.Wait(); return nil }, nil
 	}
-	each(func(i int, node *Node) error { node.setPaused(lives[i], true); return nil })
-	for _, p := range lives {
+	each(func(i int, node *Node) error { node.setPaused(processes[i], true); return nil })
+	for _, p := range processes {
 		for !p.hasEnded() && !p.isStopped() {
 			time.Sleep(time.Millisecond)
 		}
 	}
 	return func() error {
-		return each(func(i int, node *Node) error { node.setPaused(lives[i], false); return nil })
+		return each(func(i int, node *Node) error { node.setPaused(processes[i], false); return nil })
 	}, nil
 }
 
@@ -228,50 +230,70 @@
 	defer c.mu.Unlock()
 	do()
 	for _, node := range c.Nodes {
-		for _, peer := range c.Nodes {
-			if node == peer {
-				continue
-			}
-			for _, path := range c.allPaths() {
-				path.Set(node.Number-1, peer.Number-1, combinedFate(c.activeFaults, node.Number, peer.Number))
-			}
-		}
-		severed := func(name string) fake.Impairment {
-			return fake.Impairment{Drop: slices.ContainsFunc(c.activeFaults, func(fault Fault) bool {
-				return fault.Verb == "sever" && fault.Name == name && (fault.From == nil || slices.Contains(fault.From, node.Number)) ||
-					fault.Verb == "promote" && c.formerPrimary.name == name
-			})}
+		c.updatePathsFrom(node)
+		c.updateRelays(node)
+		c.updateFileLimit(node)
+	}
+	for _, s := range c.servers() {
+		c.updateServer(s)
+	}
+}
+
+// updatePathsFrom sets the paths from a gateway to all others. The caller holds mu, as for the three functions below.
+func (c *Cluster) updatePathsFrom(node *Node) {
+	for _, peer := range c.Nodes {
+		if node == peer {
+			continue
 		}
-		for name, relay := range node.serverRelays {
-			relay.Set(severed(name), severed(name))
+		for _, path := range c.allPaths() {
+			path.Set(node.Number-1, peer.Number-1, combinedFate(c.activeFaults, node.Number, peer.Number))
 		}
-		node.discoveryRelay.Set(severed(Discovery), severed(Discovery))
-		bound := noFileLimit
-		for _, fault := range c.activeFaults {
-			switch {
-			case fault.Verb != "files" || fault.From != nil && !slices.Contains(fault.From, node.Number):
-			case fault.Name == "full":
-				bound = min(bound, node.largestFile())
-			default:
-				bound = 0
-			}
+	}
+}
+
+// updateRelays sets which servers a gateway reaches, and whether it reaches discovery.
+func (c *Cluster) updateRelays(node *Node) {
+	severed := func(name string) fake.Impairment {
+		return fake.Impairment{Drop: slices.ContainsFunc(c.activeFaults, func(fault Fault) bool {
+			return fault.Verb == "sever" && fault.Name == name && fault.targets(node) ||
+				fault.Verb == "promote" && c.formerPrimary.name == name
+		})}
+	}
+	for name, relay := range node.serverRelays {
+		relay.Set(severed(name), severed(name))
+	}
+	node.discoveryRelay.Set(severed(Discovery), severed(Discovery))
+}
+
+// updateFileLimit sets how large a gateway's files may grow.
+func (c *Cluster) updateFileLimit(node *Node) {
+	maxSize := noFileLimit
+	for _, fault := range c.activeFaults {
+		switch {
+		case fault.Verb != "files" || !fault.targets(node):
+		case fault.Name == "full":
+			maxSize = min(maxSize, node.largestFile())
+		default:
+			maxSize = 0
 		}
-		node.limitFiles(bound)
 	}
-	for _, s := range c.servers() {
-		lag, state := time.Duration(0), "ready"
-		for _, fault := range c.activeFaults {
-			switch {
-			case fault.Name != s.name:
-			case fault.Verb == "lag":
-				lag = max(lag, fault.Delay)
-			case fault.Verb == "drain":
-				state = "draining"
-			}
+	node.limitFiles(maxSize)
+}
+
+// updateServer sets the lag and the published state of a server.
+func (c *Cluster) updateServer(s *server) {
+	lag, state := time.Duration(0), "ready"
+	for _, fault := range c.activeFaults {
+		switch {
+		case fault.Name != s.name:
+		case fault.Verb == "lag":
+			lag = max(lag, fault.Delay)
+		case fault.Verb == "drain":
+			state = "draining"
 		}
-		s.group.setLag(s, lag)
-		c.setServerState(s, state)
 	}
+	s.group.setLag(s, lag)
+	c.setServerState(s, state)
 }
 
 // combinedFate combines all active faults of one direction between two gateways.
