--- a/internal/testcluster/check.go
+++ b/internal/testcluster/check.go
@@ -19,6 +19,7 @@
 	Text string
 }
 
+// String is the rule, the time in seconds and the text.
 func (v Violation) String() string {
 	return fmt.Sprintf("%s at %.3fs: %s", v.Rule, float64(v.At)/1e6, v.Text)
 }
--- a/internal/testcluster/check_test.go
+++ b/internal/testcluster/check_test.go
@@ -173,13 +173,15 @@
 		{"a fault that is none", "history", join(story{at(1, Event{Kind: FaultStarted, What: "at 1s sing 1"})})},
 		{"an end without a beginning", "history", join(story{at(1, Event{Kind: FaultEnded, What: "at 1s kill 1"})})},
 	} {
-		var rules []string
-		for _, v := range Check(c.h) {
-			rules = append(rules, v.Rule)
-		}
-		if got := strings.Join(rules, ","); got != c.rule {
-			t.Errorf("%s: %q broken, want %q", c.name, got, c.rule)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			var rules []string
+			for _, v := range Check(c.h) {
+				rules = append(rules, v.Rule)
+			}
+			if got := strings.Join(rules, ","); got != c.rule {
+				t.Errorf("rules violated: %q, want %q", got, c.rule)
+			}
+		})
 	}
 }
 
--- a/internal/testcluster/indoubt.go
+++ b/internal/testcluster/indoubt.go
@@ -1,9 +1,7 @@
 package testcluster
 
 import (
-	"encoding/json"
 	"fmt"
-	"os/exec"
 	"strings"
 )
 
@@ -36,9 +34,6 @@
 
 // Intents queries a gateway for its open intents.
 func (n *Node) Intents() (v Intents, err error) {
-	out, err := exec.Command(n.cluster.Binary, "intents", "--json", "--socket", n.Socket()).Output()
-	if err == nil {
-		err = json.Unmarshal(out, &v)
-	}
+	err = n.query(&v, "intents", "--json")
 	return v, err
 }
--- a/internal/testcluster/maintenance.go
+++ b/internal/testcluster/maintenance.go
@@ -1,7 +1,6 @@
 package testcluster
 
 import (
-	"encoding/json"
 	"fmt"
 	"os/exec"
 	"slices"
@@ -80,10 +79,7 @@
 
 // MaintenanceStatus queries a gateway for the list of maintenance.
 func (n *Node) MaintenanceStatus() (o MaintenanceStatus, err error) {
-	out, err := exec.Command(n.cluster.Binary, "maintenance", "list", "--json", "--socket", n.Socket()).Output()
-	if err == nil {
-		err = json.Unmarshal(out, &o)
-	}
+	err = n.query(&o, "maintenance", "list", "--json")
 	return o, err
 }
 
--- a/internal/testcluster/node.go
+++ b/internal/testcluster/node.go
@@ -356,3 +356,25 @@
 		n.process.limitFiles(maxSize)
 	}
 }
+
+// command makes a command of the gateway's binary that reaches this gateway by its control socket.
+func (n *Node) command(args ...string) *exec.Cmd {
+	return exec.Command(n.cluster.Binary, append(args, "--socket", n.Socket())...)
+}
+
+// query runs a command and decodes the JSON that it prints.
+func (n *Node) query(into any, args ...string) error {
+	out, err := n.command(args...).Output()
+	if err != nil {
+		return err
+	}
+	return json.Unmarshal(out, into)
+}
+
+// run runs a command; its error has what the command printed.
+func (n *Node) run(args ...string) error {
+	if out, err := n.command(args...).CombinedOutput(); err != nil {
+		return fmt.Errorf("%w: %s", err, out)
+	}
+	return nil
+}
--- a/internal/testcluster/statestore.go
+++ b/internal/testcluster/statestore.go
@@ -1,9 +1,7 @@
 package testcluster
 
 import (
-	"encoding/json"
 	"fmt"
-	"os/exec"
 	"slices"
 	"strings"
 	"time"
@@ -100,31 +98,22 @@
 
 // StateStoreStatus queries a gateway for the status of its state store.
 func (n *Node) StateStoreStatus() (v StateStoreStatus, err error) {
-	out, err := exec.Command(n.cluster.Binary, "state-store", "--json", "--socket", n.Socket()).Output()
-	if err == nil {
-		err = json.Unmarshal(out, &v)
-	}
+	err = n.query(&v, "state-store", "--json")
 	return v, err
 }
 
 // Bootstrap makes a new state store at a gateway; first says that there was none before.
 func (n *Node) Bootstrap(first bool) error {
-	args := []string{"state-store", "bootstrap", "--socket", n.Socket()}
+	args := []string{"state-store", "bootstrap"}
 	if first {
 		args = append(args, "--first")
 	}
-	if out, err := exec.Command(n.cluster.Binary, args...).CombinedOutput(); err != nil {
-		return fmt.Errorf("%w: %s", err, out)
-	}
-	return nil
+	return n.run(args...)
 }
 
 // RemoveStore declares, at this gateway, that another one's store will not come back.
 func (n *Node) RemoveStore(other *Node) error {
-	if out, err := exec.Command(n.cluster.Binary, "state-store", "remove-store", other.Name(), "--socket", n.Socket()).CombinedOutput(); err != nil {
-		return fmt.Errorf("%w: %s", err, out)
-	}
-	return nil
+	return n.run("state-store", "remove-store", other.Name())
 }
 
 // LeaderOf is the gateway that leads a Raft group; nil: none does now.
