--- a/cmd/marblespan-bench/main.go
+++ b/cmd/marblespan-bench/main.go
@@ -4,6 +4,7 @@
 
 import (
 	"fmt"
+	"io"
 	"os"
 	"os/signal"
 	"path/filepath"
@@ -64,45 +65,60 @@
 	return quit
 }
 
+// outputFlags are the flags that all measurements share.
+type outputFlags struct {
+	dir   string // for tables and charts; empty: none are written
+	quiet bool
+}
+
+// register adds the flags to a sub-command; usage describes --out.
+func (f *outputFlags) register(cmd *cobra.Command, usage string) {
+	cmd.Flags().StringVar(&f.dir, "out", "", usage)
+	cmd.Flags().BoolVar(&f.quiet, "quiet", false, "no progress on standard error")
+}
+
+// progress is where a measurement reports its progress.
+func (f *outputFlags) progress(cmd *cobra.Command) io.Writer {
+	if f.quiet {
+		return io.Discard
+	}
+	return cmd.ErrOrStderr()
+}
+
 func demoCommand() *cobra.Command {
-	o, fault, length := testcluster.Defaults(), "", time.Duration(0)
+	options, fault, duration := testcluster.Defaults(), "", time.Duration(0)
 	cmd := &cobra.Command{
 		Use: "demo", Short: "Show three gateways with a floating address under a light load", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return demo.Run(o, fault, length, cmd.OutOrStdout(), interrupted())
+			return demo.Run(options, fault, duration, cmd.OutOrStdout(), interrupted())
 		},
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&o.Binary, "binary", defaultBinary(), "the gateway's program")
+	flags.StringVar(&options.Binary, "binary", defaultBinary(), "the gateway's program")
 	flags.StringVar(&fault, "fault", "", "show one of "+fmt.Sprint(demo.Names()))
-	flags.DurationVar(&length, "for", 0, "how long; 0: until Ctrl-C")
+	flags.DurationVar(&duration, "for", 0, "how long; 0: until Ctrl-C")
 	return cmd
 }
 
 func chaosCommand() *cobra.Command {
-	o := chaos.Defaults()
-	quiet, stateStore, inDoubt := false, false, false
+	options, output := chaos.Defaults(), outputFlags{}
+	stateStore, inDoubt := false, false
 	cmd := &cobra.Command{
 		Use: "chaos", Short: "Run gateways under load and faults, and check what happened", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if !quiet {
-				o.Progress = cmd.ErrOrStderr()
-			}
+			options.Progress = output.progress(cmd)
+			options.OutputDir = output.dir
 			if stateStore {
-				o.Cluster.StateStore, o.Load.SessionReaders = testcluster.DefaultStateStore(), 4
+				useStateStore(&options)
 			}
 			if inDoubt {
-				o.Cluster.InDoubt, o.Load.RetryInDoubt = &testcluster.InDoubt{SeatLookup: true}, true
-				if o.Cluster.StateStore == nil {
-					o.Cluster.StateStore = testcluster.DefaultStateStore()
-					o.Cluster.StateStore.NoSessionMarks = true
-				}
+				useInDoubt(&options)
 			}
-			all, err := chaos.Run(o, interrupted())
+			all, err := chaos.Run(options, interrupted())
 			if err != nil {
 				return err
 			}
-			if err := chaos.Write(cmd.OutOrStdout(), o, all); err != nil {
+			if err := chaos.Write(cmd.OutOrStdout(), options, all); err != nil {
 				return err
 			}
 			for _, r := range all {
@@ -114,41 +130,52 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&o.Cluster.Binary, "binary", defaultBinary(), "the gateway's program")
-	flags.IntVar(&o.Cluster.Nodes, "nodes", o.Cluster.Nodes, "gateways")
+	flags.StringVar(&options.Cluster.Binary, "binary", defaultBinary(), "the gateway's program")
+	flags.IntVar(&options.Cluster.Nodes, "nodes", options.Cluster.Nodes, "gateways")
 	flags.BoolVar(&stateStore, "state-store", false, "gateways replicate the positions of sessions in the state store")
 	flags.BoolVar(&stateStore, "copies", false, "the former name of --state-store")
 	if err := flags.MarkDeprecated("copies", "use --state-store"); err != nil {
 		panic(err) // only a flag that is not defined
 	}
 	flags.BoolVar(&inDoubt, "in-doubt", false, "bookings are recorded as intents before they are sent, and retried")
-	flags.IntVar(&o.Cluster.Replicas, "replicas", o.Cluster.Replicas, "replicas of the one group of servers")
-	flags.StringVar(&o.Script, "script", "", "a file of faults; without one they are drawn")
-	flags.Uint64Var(&o.Seed, "seed", o.Seed, "of what is drawn")
-	flags.DurationVar(&o.Duration, "for", o.Duration, "length of what is drawn")
-	flags.IntVar(&o.Runs, "runs", o.Runs, "how many, with seeds that follow each other")
-	flags.IntVar(&o.ShrinkRuns, "shrink", o.ShrinkRuns, "runs spent on finding the fewest faults of one that fails")
-	flags.StringVar(&o.OutputDir, "out", "", "a folder for histories, scripts, logs and charts")
-	flags.BoolVar(&quiet, "quiet", false, "no progress on standard error")
+	flags.IntVar(&options.Cluster.Replicas, "replicas", options.Cluster.Replicas, "replicas of the one group of servers")
+	flags.StringVar(&options.Script, "script", "", "a file of faults; without one they are drawn")
+	flags.Uint64Var(&options.Seed, "seed", options.Seed, "of what is drawn")
+	flags.DurationVar(&options.Duration, "for", options.Duration, "length of what is drawn")
+	flags.IntVar(&options.Runs, "runs", options.Runs, "how many, with seeds that follow each other")
+	flags.IntVar(&options.ShrinkRuns, "shrink", options.ShrinkRuns, "runs spent on finding the fewest faults of one that fails")
+	output.register(cmd, "a folder for histories, scripts, logs and charts")
 	return cmd
 }
 
+// useStateStore has the gateways replicate session positions, and adds clients that read their sessions.
+func useStateStore(options *chaos.Options) {
+	options.Cluster.StateStore, options.Load.SessionReaders = testcluster.DefaultStateStore(), 4
+}
+
+// useInDoubt has the gateways record intents, in a state store without session positions unless there is one, and clients retry.
+func useInDoubt(options *chaos.Options) {
+	options.Cluster.InDoubt, options.Load.RetryInDoubt = &testcluster.InDoubt{SeatLookup: true}, true
+	if options.Cluster.StateStore == nil {
+		options.Cluster.StateStore = testcluster.DefaultStateStore()
+		options.Cluster.StateStore.NoSessionMarks = true
+	}
+}
+
 func failoverCommand() *cobra.Command {
-	o, out, quiet := failover.Defaults(), "", false
+	options, output := failover.Defaults(), outputFlags{}
 	cmd := &cobra.Command{
 		Use: "failover", Short: "Measure take-overs of a floating address between real processes", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if len(o.Priorities) < 2 || o.Clients < 1 || o.Trials < 1 {
+			if len(options.Priorities) < 2 || options.Clients < 1 || options.Trials < 1 {
 				return fmt.Errorf("needs two gateways, one client and one trial at least")
 			}
-			if !quiet {
-				o.Progress = cmd.ErrOrStderr()
-			}
-			results, err := failover.Run(o)
+			options.Progress = output.progress(cmd)
+			results, err := failover.Run(options)
 			if err != nil {
 				return err
 			}
-			if err := failover.Write(cmd.OutOrStdout(), out, o, results); err != nil {
+			if err := failover.Write(cmd.OutOrStdout(), output.dir, options, results); err != nil {
 				return err
 			}
 			for _, r := range results {
@@ -160,81 +187,75 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&o.Binary, "binary", o.Binary, "the gateway's program")
-	flags.IntVar(&o.Trials, "trials", o.Trials, "take-overs of each kind")
-	flags.StringSliceVar(&o.Kinds, "kinds", o.Kinds, "kinds of take-over")
-	flags.DurationVar(&o.Interval, "interval", o.Interval, "between advertisements")
-	flags.IntSliceVar(&o.Priorities, "priorities", o.Priorities, "one gateway each, the highest first")
-	flags.IntVar(&o.Clients, "clients", o.Clients, "clients of the floating address, and as many of the front")
-	flags.DurationVar(&o.ThinkTime, "think", o.ThinkTime, "a client's pause between bookings")
-	flags.DurationVar(&o.ServerWork, "work", o.ServerWork, "a booking's work at its server")
-	flags.DurationVar(&o.FrontDetectionDelay, "notice", o.FrontDetectionDelay, "after which a front knows of a death")
-	flags.Uint64Var(&o.Seed, "seed", o.Seed, "of the moments at which faults happen")
-	flags.StringVar(&out, "out", "", "a folder for the table and the chart")
-	flags.BoolVar(&quiet, "quiet", false, "no progress on standard error")
+	flags.StringVar(&options.Binary, "binary", options.Binary, "the gateway's program")
+	flags.IntVar(&options.Trials, "trials", options.Trials, "take-overs of each kind")
+	flags.StringSliceVar(&options.Kinds, "kinds", options.Kinds, "kinds of take-over")
+	flags.DurationVar(&options.Interval, "interval", options.Interval, "between advertisements")
+	flags.IntSliceVar(&options.Priorities, "priorities", options.Priorities, "one gateway each, the highest first")
+	flags.IntVar(&options.Clients, "clients", options.Clients, "clients of the floating address, and as many of the front")
+	flags.DurationVar(&options.ThinkTime, "think", options.ThinkTime, "a client's pause between bookings")
+	flags.DurationVar(&options.ServerWork, "work", options.ServerWork, "a booking's work at its server")
+	flags.DurationVar(&options.FrontDetectionDelay, "notice", options.FrontDetectionDelay, "after which a front knows of a death")
+	flags.Uint64Var(&options.Seed, "seed", options.Seed, "of the moments at which faults happen")
+	output.register(cmd, "a folder for the table and the chart")
 	return cmd
 }
 
 func membersCommand() *cobra.Command {
-	o, out, quiet := members.Defaults(), "", false
+	options, output := members.Defaults(), outputFlags{}
 	binary, nodes, trials := "", 9, 0
-	span, brief, interval := time.Duration(o.FaultDuration)*time.Microsecond, time.Duration(o.BaselineFaultDuration)*time.Microsecond, time.Duration(o.Interval)*time.Microsecond
+	faultDuration, baselineDuration, interval := time.Duration(options.FaultDuration)*time.Microsecond, time.Duration(options.BaselineFaultDuration)*time.Microsecond, time.Duration(options.Interval)*time.Microsecond
 	cmd := &cobra.Command{
 		Use: "members", Short: "Compare failure detectors among hundreds of members, simulated", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if o.Members < 4 || o.Kills < 1 || o.MassFailures < 1 || interval < 50*time.Millisecond {
+			if options.Members < 4 || options.Kills < 1 || options.MassFailures < 1 || interval < 50*time.Millisecond {
 				return fmt.Errorf("needs four members, one kill of each kind and an interval of 50ms at least")
 			}
-			o.FaultDuration, o.BaselineFaultDuration = clock.Micros(span.Microseconds()), clock.Micros(brief.Microseconds())
-			o.Interval = clock.Micros(interval.Microseconds())
-			if !quiet {
-				o.Progress = cmd.ErrOrStderr()
-			}
-			results, err := members.Run(o)
+			options.FaultDuration, options.BaselineFaultDuration = clock.Micros(faultDuration.Microseconds()), clock.Micros(baselineDuration.Microseconds())
+			options.Interval = clock.Micros(interval.Microseconds())
+			options.Progress = output.progress(cmd)
+			results, err := members.Run(options)
 			if err != nil {
 				return err
 			}
 			var real *members.Processes
 			if trials > 0 {
-				if real, err = members.RunProcesses(binary, nodes, trials, o.Seed); err != nil {
+				if real, err = members.RunProcesses(binary, nodes, trials, options.Seed); err != nil {
 					return err
 				}
 			}
-			return members.Write(cmd.OutOrStdout(), out, o, results, real)
+			return members.Write(cmd.OutOrStdout(), output.dir, options, results, real)
 		},
 	}
 	flags := cmd.Flags()
-	flags.IntVar(&o.Members, "members", o.Members, "of a world")
+	flags.IntVar(&options.Members, "members", options.Members, "of a world")
 	flags.DurationVar(&interval, "interval", interval, "of a probe, and between heartbeats")
-	flags.IntVar(&o.Kills, "kills", o.Kills, "of one member")
-	flags.IntVar(&o.MassFailures, "masses", o.MassFailures, "worlds in which 46 % are killed")
-	flags.DurationVar(&span, "span", span, "of each fault")
+	flags.IntVar(&options.Kills, "kills", options.Kills, "of one member")
+	flags.IntVar(&options.MassFailures, "masses", options.MassFailures, "worlds in which 46 % are killed")
+	flags.DurationVar(&faultDuration, "span", faultDuration, "of each fault")
 	flags.IntVar(&trials, "processes", trials, "kills of each kind with real processes beside; 0: none")
 	flags.IntVar(&nodes, "nodes", nodes, "how many real processes")
 	flags.StringVar(&binary, "binary", defaultBinary(), "the gateway's program")
-	flags.DurationVar(&brief, "brief", brief, "of each fault, for the baselines")
-	flags.Uint64Var(&o.Seed, "seed", o.Seed, "of all that is drawn")
-	flags.StringVar(&out, "out", "", "a folder for tables and chart")
-	flags.BoolVar(&quiet, "quiet", false, "no progress on standard error")
+	flags.DurationVar(&baselineDuration, "brief", baselineDuration, "of each fault, for the baselines")
+	flags.Uint64Var(&options.Seed, "seed", options.Seed, "of all that is drawn")
+	output.register(cmd, "a folder for tables and chart")
 	return cmd
 }
 
 func inDoubtCommand() *cobra.Command {
-	o, out, quiet := indoubt.Defaults(), "", false
+	options, output := indoubt.Defaults(), outputFlags{}
 	cmd := &cobra.Command{
 		Use: "in-doubt", Aliases: []string{"doubt"}, Short: "Measure bookings whose intents are recorded before they are sent", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if o.Clients < 1 || o.TakeOvers < 1 || o.LoadDuration < 100*time.Millisecond {
+			if options.Clients < 1 || options.TakeOvers < 1 || options.LoadDuration < 100*time.Millisecond {
 				return fmt.Errorf("needs a client, a trial and 100ms at least")
 			}
-			if !quiet {
-				o.Progress = cmd.ErrOrStderr()
-			}
-			r, err := indoubt.Run(o)
+			options.Progress = output.progress(cmd)
+			r, err := indoubt.Run(options)
 			if err != nil {
 				return err
 			}
-			if err := indoubt.Write(cmd.OutOrStdout(), out, o, r); err != nil {
+			if err := indoubt.Write(cmd.OutOrStdout(), output.dir, options, r); err != nil {
 				return err
 			}
 			for _, t := range r.TakeOvers {
@@ -246,32 +267,29 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&o.Binary, "binary", defaultBinary(), "the gateway's program")
-	flags.DurationVar(&o.LoadDuration, "span", o.LoadDuration, "of each load")
-	flags.IntVar(&o.Clients, "clients", o.Clients, "that book at the same time")
-	flags.IntVar(&o.TakeOvers, "trials", o.TakeOvers, "take-overs of each kind")
-	flags.Uint64Var(&o.Seed, "seed", o.Seed, "of the moments at which they happen")
-	flags.StringVar(&out, "out", "", "a folder for tables and chart")
-	flags.BoolVar(&quiet, "quiet", false, "no progress on standard error")
+	flags.StringVar(&options.Binary, "binary", defaultBinary(), "the gateway's program")
+	flags.DurationVar(&options.LoadDuration, "span", options.LoadDuration, "of each load")
+	flags.IntVar(&options.Clients, "clients", options.Clients, "that book at the same time")
+	flags.IntVar(&options.TakeOvers, "trials", options.TakeOvers, "take-overs of each kind")
+	flags.Uint64Var(&options.Seed, "seed", options.Seed, "of the moments at which they happen")
+	output.register(cmd, "a folder for tables and chart")
 	return cmd
 }
 
 func maintenanceCommand() *cobra.Command {
-	o, out, quiet := maintenance.Defaults(), "", false
+	options, output := maintenance.Defaults(), outputFlags{}
 	cmd := &cobra.Command{
 		Use: "maintenance", Aliases: []string{"maintain"}, Short: "Measure a maintenance run: every machine is taken out and returned, in the order that the gateways agree on", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if o.Gateways < 4 || o.Gateways > testcluster.MaxNodes || o.FaultTrials < 0 {
+			if options.Gateways < 4 || options.Gateways > testcluster.MaxNodes || options.FaultTrials < 0 {
 				return fmt.Errorf("needs 4 to %d gateways", testcluster.MaxNodes)
 			}
-			if !quiet {
-				o.Progress = cmd.ErrOrStderr()
-			}
-			all, err := maintenance.Run(o)
+			options.Progress = output.progress(cmd)
+			all, err := maintenance.Run(options)
 			if err != nil {
 				return err
 			}
-			if err := maintenance.Write(cmd.OutOrStdout(), out, o, all); err != nil {
+			if err := maintenance.Write(cmd.OutOrStdout(), output.dir, options, all); err != nil {
 				return err
 			}
 			for _, n := range all {
@@ -283,43 +301,39 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&o.Binary, "binary", defaultBinary(), "the gateway's program")
-	flags.IntVar(&o.Gateways, "nodes", o.Gateways, "gateways")
-	flags.IntVar(&o.FaultTrials, "faults", o.FaultTrials, "nights with a fault at a random moment")
-	flags.DurationVar(&o.MaxDuration, "bound", o.MaxDuration, "of one night")
-	flags.Uint64Var(&o.Seed, "seed", o.Seed, "of the faults and their moments")
-	flags.StringVar(&out, "out", "", "a folder for table and chart")
-	flags.BoolVar(&quiet, "quiet", false, "no progress on standard error")
+	flags.StringVar(&options.Binary, "binary", defaultBinary(), "the gateway's program")
+	flags.IntVar(&options.Gateways, "nodes", options.Gateways, "gateways")
+	flags.IntVar(&options.FaultTrials, "faults", options.FaultTrials, "nights with a fault at a random moment")
+	flags.DurationVar(&options.MaxDuration, "bound", options.MaxDuration, "of one night")
+	flags.Uint64Var(&options.Seed, "seed", options.Seed, "of the faults and their moments")
+	output.register(cmd, "a folder for table and chart")
 	return cmd
 }
 
 func stateStoreCommand() *cobra.Command {
-	o, out, quiet := statestore.Defaults(), "", false
+	options, output := statestore.Defaults(), outputFlags{}
 	cmd := &cobra.Command{
 		Use: "state-store", Aliases: []string{"copies"}, Short: "Measure the gateways' replicated state store", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if o.Callers < 1 || o.RepairedRecords < 1000 || o.StoredRecords < 1000 || o.LeaderFaults < 1 || o.LoadDuration < 100*time.Millisecond {
+			if options.Callers < 1 || options.RepairedRecords < 1000 || options.StoredRecords < 1000 || options.LeaderFaults < 1 || options.LoadDuration < 100*time.Millisecond {
 				return fmt.Errorf("needs a caller, a death, a thousand records and 100ms at least")
 			}
-			if !quiet {
-				o.Progress = cmd.ErrOrStderr()
-			}
-			r, err := statestore.Run(o)
+			options.Progress = output.progress(cmd)
+			r, err := statestore.Run(options)
 			if err != nil {
 				return err
 			}
-			return statestore.Write(cmd.OutOrStdout(), out, o, r)
+			return statestore.Write(cmd.OutOrStdout(), output.dir, options, r)
 		},
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&o.Binary, "binary", defaultBinary(), "the gateway's program")
-	flags.DurationVar(&o.LoadDuration, "span", o.LoadDuration, "of each load")
-	flags.IntVar(&o.Callers, "callers", o.Callers, "that write at the same time")
-	flags.IntVar(&o.RepairedRecords, "heal", o.RepairedRecords, "records that are repaired")
-	flags.IntVar(&o.StoredRecords, "recover", o.StoredRecords, "records that a start reads")
-	flags.IntVar(&o.LeaderFaults, "deaths", o.LeaderFaults, "of a leader, of each kind")
-	flags.IntSliceVar(&o.IdleGateways, "rest", o.IdleGateways, "numbers of idle gateways")
-	flags.StringVar(&out, "out", "", "a folder for tables and chart")
-	flags.BoolVar(&quiet, "quiet", false, "no progress on standard error")
+	flags.StringVar(&options.Binary, "binary", defaultBinary(), "the gateway's program")
+	flags.DurationVar(&options.LoadDuration, "span", options.LoadDuration, "of each load")
+	flags.IntVar(&options.Callers, "callers", options.Callers, "that write at the same time")
+	flags.IntVar(&options.RepairedRecords, "heal", options.RepairedRecords, "records that are repaired")
+	flags.IntVar(&options.StoredRecords, "recover", options.StoredRecords, "records that a start reads")
+	flags.IntVar(&options.LeaderFaults, "deaths", options.LeaderFaults, "of a leader, of each kind")
+	flags.IntSliceVar(&options.IdleGateways, "rest", options.IdleGateways, "numbers of idle gateways")
+	output.register(cmd, "a folder for tables and chart")
 	return cmd
 }
