--- a/internal/fake/relay_test.go
+++ b/internal/fake/relay_test.go
@@ -37,7 +37,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer u.Close()
+		t.Cleanup(func() { u.Close() })
 		nodes = append(nodes, u.LocalAddr().(*net.UDPAddr))
 		echo(t, u.LocalAddr().String())
 	}
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer p.Close()
+	t.Cleanup(p.Close)
 	if err := p.CarryStreams(); err != nil {
 		t.Fatal(err)
 	}
@@ -58,56 +58,56 @@
 		t.Cleanup(func() { c.Close() })
 		return c
 	}
-	said := bytes.Repeat([]byte("0123456789abcdef"), 8<<10)
-	says := func(c net.Conn) bool {
-		go c.Write(said)
-		got := make([]byte, len(said))
+	payload := bytes.Repeat([]byte("0123456789abcdef"), 8<<10)
+	echoes := func(c net.Conn) bool {
+		go c.Write(payload)
+		got := make([]byte, len(payload))
 		_, err := io.ReadFull(c, got)
-		return err == nil && bytes.Equal(got, said)
+		return err == nil && bytes.Equal(got, payload)
 	}
 	c := dial()
-	if !says(c) {
-		t.Fatal("not carried")
+	if !echoes(c) {
+		t.Fatal("the stream was not forwarded")
 	}
 	for _, f := range []Impairment{{Drop: true}, {StallStreams: true}} {
-		for _, way := range [][2]int{{0, 1}, {1, 0}} {
-			p.Set(way[0], way[1], f)
+		for _, direction := range [][2]int{{0, 1}, {1, 0}} {
+			p.Set(direction[0], direction[1], f)
 			answer := make(chan bool, 2)
-			late := dial()
-			go func() { answer <- says(c) }()
-			go func() { answer <- says(late) }()
+			opened := dial()
+			go func() { answer <- echoes(c) }()
+			go func() { answer <- echoes(opened) }()
 			select {
 			case ok := <-answer:
-				t.Fatalf("%+v from %d: it was answered, %v", f, way[0], ok)
+				t.Fatalf("%+v from %d: it was answered (completely: %v)", f, direction[0], ok)
 			case <-time.After(50 * time.Millisecond):
 			}
-			p.Set(way[0], way[1], Impairment{})
+			p.Set(direction[0], direction[1], Impairment{})
 			for range 2 {
 				if !<-answer {
-					t.Fatalf("%+v from %d: something was lost", f, way[0])
+					t.Fatalf("%+v from %d: data was lost", f, direction[0])
 				}
 			}
 		}
 	}
 	p.Set(0, 1, Impairment{Delay: 10 * time.Millisecond, Jitter: 10 * time.Millisecond, LossRate: 0.01})
-	if !says(c) {
-		t.Error("a slow way loses something")
+	if !echoes(c) {
+		t.Error("a slow link loses data")
 	}
 	p.Set(0, 1, Impairment{Rate: 1 << 20})
-	if start := time.Now(); !says(c) || time.Since(start) < 100*time.Millisecond {
-		t.Errorf("128 KiB took %v at 1 MiB a second", time.Since(start))
+	if start := time.Now(); !echoes(c) || time.Since(start) < 100*time.Millisecond {
+		t.Errorf("128 KiB took %v at 1 MiB per second", time.Since(start))
 	}
 	p.Set(0, 1, Impairment{})
 	c.(*net.TCPConn).CloseWrite()
 	if n, err := c.Read(make([]byte, 1)); n != 0 || err != io.EOF {
-		t.Errorf("an orderly end came as %v", err)
+		t.Errorf("an orderly end arrived as %v", err)
 	}
 	c = dial()
-	if !says(c) {
-		t.Fatal("no new stream")
+	if !echoes(c) {
+		t.Fatal("no new stream was forwarded")
 	}
 	p.ResetStreams(0, 1)
 	if _, err := c.Read(make([]byte, 1)); err == nil || err == io.EOF {
-		t.Errorf("a reset came as %v", err)
+		t.Errorf("a reset arrived as %v", err)
 	}
 }
--- a/internal/modelcheck/world_transitions.go
+++ b/internal/modelcheck/world_transitions.go
@@ -130,35 +130,35 @@
 
 // nextEvent returns the time to which the clock may advance: the next timer, message deadline, or end of a pause, partition or
 // downtime. The clock may not advance while a timer, or a message to a running node, is due.
-func (w *World) nextEvent(s *State) (int64, bool) {
+func (w *World) nextEvent(state *State) (int64, bool) {
 	next, found := int64(0), false
 	include := func(at int64) {
 		if !found || at < next {
 			next, found = at, true
 		}
 	}
-	for i, n := range s.Nodes {
-		if s.PartitionedUntil[i] > 0 {
-			include(s.PartitionedUntil[i])
+	for i, n := range state.Nodes {
+		if state.PartitionedUntil[i] > 0 {
+			include(state.PartitionedUntil[i])
 		}
 		switch {
-		case s.DownUntil[i] > 0:
-			include(s.DownUntil[i])
-		case s.DownUntil[i] < 0:
-		case s.PausedUntil[i] > 0:
-			include(s.PausedUntil[i])
+		case state.DownUntil[i] > 0:
+			include(state.DownUntil[i])
+		case state.DownUntil[i] < 0:
+		case state.PausedUntil[i] > 0:
+			include(state.PausedUntil[i])
 		default:
 			if at, ok := n.NextTimer(); ok {
 				include(at)
 			}
 		}
 	}
-	for _, m := range s.network {
-		if s.Running(m.to) {
+	for _, m := range state.network {
+		if state.Running(m.to) {
 			include(m.deadline)
 		}
 	}
-	return next, found && next > s.Now
+	return next, found && next > state.Now
 }
 
 // advance moves the clock of a state to a time, and ends the partitions, downtimes and pauses that are over by then.
