--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -50,7 +50,7 @@
 		return nil, err
 	}
 	r := &Relay{listener: l, target: to, sourceIP: from, changed: make(chan struct{}), streams: map[*stream]struct{}{}}
-	r.goroutines.Go(r.accept)
+	r.goroutines.Go(func() { acceptAll(r.listener, &r.goroutines, r.serve) })
 	return r, nil
 }
 
@@ -126,18 +126,6 @@
 	}
 }
 
-func (r *Relay) accept() {
-	for {
-		c, err := r.listener.Accept()
-		if err != nil {
-			return
-		}
-		r.goroutines.Go(func() {
-			r.serve(c)
-		})
-	}
-}
-
 // serve connects one stream to the target and forwards both directions until they end.
 func (r *Relay) serve(near net.Conn) {
 	connection := &stream{near: near}
--- a/internal/fake/switch.go
+++ b/internal/fake/switch.go
@@ -53,7 +53,7 @@
 		unreachable: map[string]bool{},
 	}
 	s.goroutines.Go(s.receiveAnnouncements)
-	s.goroutines.Go(s.accept)
+	s.goroutines.Go(func() { acceptAll(s.listener, &s.goroutines, s.forward) })
 	return s, nil
 }
 
@@ -180,18 +180,6 @@
 	}
 }
 
-func (s *Switch) accept() {
-	for {
-		c, err := s.listener.Accept()
-		if err != nil {
-			return
-		}
-		s.goroutines.Go(func() {
-			s.forward(c)
-		})
-	}
-}
-
 // forward connects a client to the active gateway. Without one the client is reset, as by a router that finds no host.
 func (s *Switch) forward(client net.Conn) {
 	s.mu.Lock()
