--- a/internal/floatingip/receive.go
+++ b/internal/floatingip/receive.go
@@ -11,21 +11,21 @@
 )
 
 // receive validates one datagram and passes it to its group's machine.
-func (s *VRRPRouter) receive(b []byte, from netip.AddrPort) {
-	s.Counters.Received.Add(1)
-	g, m, fault := s.validate(b, from)
+func (r *VRRPRouter) receive(b []byte, from netip.AddrPort) {
+	r.Counters.Received.Add(1)
+	g, m, fault := r.validate(b, from)
 	if fault != sealed.NoFault {
-		s.countDropped(fault, from)
+		r.countDropped(fault, from)
 		return
 	}
-	s.handle(g, vrrp.AdvertisementReceived{From: from.Addr(), Priority: m.Priority, AdvertisementInterval: clock.Micros(m.Interval)})
+	r.handle(g, vrrp.AdvertisementReceived{From: from.Addr(), Priority: m.Priority, AdvertisementInterval: clock.Micros(m.Interval)})
 }
 
 // validate finds the group of a datagram and verifies that it is from a peer, authentic (codec.Parse) and not a replay. The
 // cheap checks come first: a datagram from elsewhere costs no check of a signature.
-func (s *VRRPRouter) validate(b []byte, from netip.AddrPort) (*group, codec.Message, sealed.Fault) {
+func (r *VRRPRouter) validate(b []byte, from netip.AddrPort) (*group, codec.Message, sealed.Fault) {
 	var none codec.Message
-	peer := s.peerByAddress(from)
+	peer := r.peerByAddress(from)
 	if peer == nil {
 		return nil, none, sealed.WrongSource
 	}
@@ -33,21 +33,21 @@
 	if !ok {
 		return nil, none, sealed.BadLength
 	}
-	g := s.groupByVRID(vrid)
+	g := r.groupByVRID(vrid)
 	if g == nil {
 		return nil, none, sealed.UnknownVRID
 	}
-	m, fault := codec.Parse(b, g.Addresses[0].Is4(), from.Addr(), s.settings.Bind.Addr(), s.settings.Keys)
+	m, fault := codec.Parse(b, g.Addresses[0].Is4(), from.Addr(), r.settings.Bind.Addr(), r.settings.Keys)
 	if fault != sealed.NoFault {
 		return nil, none, fault
 	}
-	if m.Sender != peer.Node || m.Receiver != s.settings.Node {
+	if m.Sender != peer.Node || m.Receiver != r.settings.Node {
 		return nil, none, sealed.WrongPeer
 	}
-	fresh, startAdvanced := s.replayGuard.Accept(m.Sender, sealed.MessageID{Start: m.Start, Sequence: m.Sequence}, m.ReceiverStart)
+	fresh, startAdvanced := r.replayGuard.Accept(m.Sender, sealed.MessageID{Start: m.Start, Sequence: m.Sequence}, m.ReceiverStart)
 	if startAdvanced {
-		s.Counters.StartAdvanced.Add(1)
-		s.log.Warn().Uint8("peer", m.Sender).Msg("peers know a later start of this gateway: its clock was set back; moved past it")
+		r.Counters.StartAdvanced.Add(1)
+		r.log.Warn().Uint8("peer", m.Sender).Msg("peers know a later start of this gateway: its clock was set back; moved past it")
 	}
 	if !fresh {
 		return nil, none, sealed.Replayed
@@ -59,24 +59,24 @@
 }
 
 // countDropped counts and logs a datagram that validate rejected.
-func (s *VRRPRouter) countDropped(fault sealed.Fault, from netip.AddrPort) {
-	s.Counters.Dropped[fault].Add(1)
-	s.dropLog.Dropped(fault.Name(), from)
+func (r *VRRPRouter) countDropped(fault sealed.Fault, from netip.AddrPort) {
+	r.Counters.Dropped[fault].Add(1)
+	r.dropLog.Dropped(fault.Name(), from)
 }
 
 // peerByAddress finds the peer that sends from an address; nil: none. The settings have each address once.
-func (s *VRRPRouter) peerByAddress(from netip.AddrPort) *Peer {
-	for i := range s.settings.Peers {
-		if s.settings.Peers[i].Address == from {
-			return &s.settings.Peers[i]
+func (r *VRRPRouter) peerByAddress(from netip.AddrPort) *Peer {
+	for i := range r.settings.Peers {
+		if r.settings.Peers[i].Address == from {
+			return &r.settings.Peers[i]
 		}
 	}
 	return nil
 }
 
 // groupByVRID finds a group by its virtual router identifier; nil: none. The settings have each identifier once.
-func (s *VRRPRouter) groupByVRID(vrid uint8) *group {
-	for _, g := range s.groups {
+func (r *VRRPRouter) groupByVRID(vrid uint8) *group {
+	for _, g := range r.groups {
 		if g.Machine.VRID == vrid {
 			return g
 		}
--- a/internal/floatingip/router.go
+++ b/internal/floatingip/router.go
@@ -59,75 +59,75 @@
 	if err != nil {
 		return nil, err
 	}
-	sp := &VRRPRouter{
+	router := &VRRPRouter{
 		settings: s, clock: clock, address: address, health: health, log: log, loop: loop,
 		replayGuard: sealed.NewReplayGuard[uint8](start, 0), dropLog: datagrams.NewDropLog(log, "vrrp message dropped"),
 	}
 	for _, g := range s.Groups {
-		sp.groups = append(sp.groups, &group{Group: g, machine: vrrp.New(g.Machine)})
+		router.groups = append(router.groups, &group{Group: g, machine: vrrp.New(g.Machine)})
 	}
-	go loop.Run((*loopHandler)(sp))
-	return sp, nil
+	go loop.Run((*loopHandler)(router))
+	return router, nil
 }
 
 // Addr is the address that the socket is bound to.
-func (s *VRRPRouter) Addr() netip.AddrPort { return s.loop.Addr() }
+func (r *VRRPRouter) Addr() netip.AddrPort { return r.loop.Addr() }
 
 // SocketErrors counts errors of the socket that came instead of a datagram.
-func (s *VRRPRouter) SocketErrors() int64 { return s.loop.SocketErrors.Load() }
+func (r *VRRPRouter) SocketErrors() int64 { return r.loop.SocketErrors.Load() }
 
 // runOnLoop runs a function on the router's goroutine and waits for it. It returns false where the router is closed and the
 // function did not run.
-func (s *VRRPRouter) runOnLoop(do func()) bool { return s.loop.Do(do) }
+func (r *VRRPRouter) runOnLoop(do func()) bool { return r.loop.Do(do) }
 
 // Reload takes over new peers, keys, announcement targets and the machines' settings. Groups are matched by name; their names,
 // addresses and listeners stay.
-func (s *VRRPRouter) Reload(next Settings) {
-	s.runOnLoop(func() {
-		next.Node, next.Bind = s.settings.Node, s.settings.Bind
+func (r *VRRPRouter) Reload(next Settings) {
+	r.runOnLoop(func() {
+		next.Node, next.Bind = r.settings.Node, r.settings.Bind
 		byName := map[string]Group{}
 		for _, g := range next.Groups {
 			byName[g.Name] = g
 		}
-		s.settings = next
-		s.replayGuard.Retain(func(node uint8) bool {
+		r.settings = next
+		r.replayGuard.Retain(func(node uint8) bool {
 			return slices.ContainsFunc(next.Peers, func(p Peer) bool { return p.Node == node })
 		})
-		for _, g := range s.groups {
+		for _, g := range r.groups {
 			if n, ok := byName[g.Name]; ok {
 				g.KeepUntilTakenOver = n.KeepUntilTakenOver
 				g.Machine.Priority, g.Machine.AdvertisementInterval = n.Machine.Priority, n.Machine.AdvertisementInterval
-				s.handle(g, vrrp.ConfigChanged{Config: n.Machine})
+				r.handle(g, vrrp.ConfigChanged{Config: n.Machine})
 			}
 		}
 	})
 }
 
 // Shutdown releases every address at once. Groups with KeepUntilTakenOver are left out unless includeKeptGroups is set.
-func (s *VRRPRouter) Shutdown(includeKeptGroups bool) {
-	s.runOnLoop(func() {
-		for _, g := range s.groups {
+func (r *VRRPRouter) Shutdown(includeKeptGroups bool) {
+	r.runOnLoop(func() {
+		for _, g := range r.groups {
 			if includeKeptGroups || !g.KeepUntilTakenOver {
-				s.handle(g, vrrp.Shutdown{})
+				r.handle(g, vrrp.Shutdown{})
 			}
 		}
 	})
 }
 
 // Startup has every group that was shut down take part again.
-func (s *VRRPRouter) Startup() {
-	s.runOnLoop(func() {
-		for _, g := range s.groups {
-			s.handle(g, vrrp.Startup{})
+func (r *VRRPRouter) Startup() {
+	r.runOnLoop(func() {
+		for _, g := range r.groups {
+			r.handle(g, vrrp.Startup{})
 		}
 	})
 }
 
 // Close releases what is still held, ends the router's goroutine and closes the socket.
-func (s *VRRPRouter) Close() {
-	s.Shutdown(true)
-	s.loop.Close()
+func (r *VRRPRouter) Close() {
+	r.Shutdown(true)
+	r.loop.Close()
 }
 
 // Stall blocks the router's goroutine for a duration. It is for tests of a stalled process.
-func (s *VRRPRouter) Stall(duration time.Duration) { s.runOnLoop(func() { time.Sleep(duration) }) }
+func (r *VRRPRouter) Stall(duration time.Duration) { r.runOnLoop(func() { time.Sleep(duration) }) }
--- a/internal/floatingip/router_test.go
+++ b/internal/floatingip/router_test.go
@@ -25,7 +25,7 @@
 	newKey = codec.Key{Number: 2, Secret: []byte("the new secret of the pair")}
 )
 
-// holder stands in for the program.
+// fakeAddressHandler takes the place of the program.
 type fakeAddressHandler struct {
 	mu          sync.Mutex
 	activated   int
@@ -66,7 +66,7 @@
 	}
 }
 
-// pair is two speakers with a path between them.
+// pair is two routers with a path between them.
 type pair struct {
 	t        *testing.T
 	path     *fake.Path
@@ -131,11 +131,11 @@
 
 func (p *pair) settles(who int) {
 	p.t.Helper()
-	eventually(p.t, "the wrong one holds the address", func() bool { return p.handlers[who].active() && !p.handlers[1-who].active() })
+	eventually(p.t, "the wrong router is active", func() bool { return p.handlers[who].active() && !p.handlers[1-who].active() })
 }
 
-// The system time is set back while a gateway is away: its peer, which takes it for its own past, tells it so, and it is
-// heard again.
+// The system clock of a gateway is set back while it is down. Its peer, to which its messages are older than those of its
+// earlier incarnation, tells it the later start, and accepts its messages again.
 func TestClockSetBack(t *testing.T) {
 	p := newPair(t)
 	p.start(0, p.settings(0, 200, oldKey), 5_000_000)
@@ -149,13 +149,14 @@
 		t.Errorf("moved %d times", n)
 	}
 	sent := p.routers[1].Counters.Sent.Load()
-	eventually(t, "no more is heard of the holder", func() bool { return p.path.Delivered(0, 1) > 50 })
+	eventually(t, "no more advertisements of the active router", func() bool { return p.path.Delivered(0, 1) > 50 })
 	if n := p.routers[1].Counters.Sent.Load(); n != sent || !p.handlers[0].active() {
 		t.Errorf("the backup has sent %d messages", n-sent)
 	}
 }
 
-// Keys change while both run: known to all, then used, then the old one gone, and the holder stays the same all the while.
+// Keys change while both run: the new one is known to all, then used, then the old one is removed. The active router stays
+// the same throughout.
 func TestKeysChangeInService(t *testing.T) {
 	p := newPair(t)
 	p.start(0, p.settings(0, 200, oldKey), 1)
@@ -166,7 +167,7 @@
 			p.routers[i].Reload(p.settings(i, priority, keys...))
 		}
 		n := p.path.Delivered(0, 1)
-		eventually(t, "the holder is silent", func() bool { return p.path.Delivered(0, 1) > n+10 })
+		eventually(t, "the active router sends nothing", func() bool { return p.path.Delivered(0, 1) > n+10 })
 	}
 	if p.handlers[0].activated != 1 || p.handlers[1].activated != 0 {
 		t.Errorf("taken %d and %d times", p.handlers[0].activated, p.handlers[1].activated)
@@ -178,7 +179,7 @@
 	})
 }
 
-// What strangers send, and what was sent before, changes nothing and is counted by its fault.
+// Messages from strangers and replays change nothing, and each is counted under its fault.
 func TestStrangersAndReplays(t *testing.T) {
 	p := newPair(t)
 	s0 := p.settings(0, 200, oldKey)
@@ -235,7 +236,7 @@
 	eventually(t, "a replay is not counted", func() bool { return counts.Dropped[sealed.Replayed].Load() == before+1 })
 }
 
-// A listener that cannot be opened gives the address to the next one.
+// A gateway that cannot open the listener releases the address to the other one.
 func TestListenerFails(t *testing.T) {
 	p := newPair(t)
 	s := p.settings(0, 200, oldKey)
@@ -269,7 +270,7 @@
 	}
 	p.routers[0].Close()
 	if p.routers[0].Status() != nil {
-		t.Error("a closed speaker answers")
+		t.Error("a closed router answers")
 	}
 	p.routers[0] = nil
 }
--- a/internal/floatingip/status.go
+++ b/internal/floatingip/status.go
@@ -21,10 +21,10 @@
 }
 
 // Status returns the state of every group, or nil once the router is closed.
-func (s *VRRPRouter) Status() (all []Status) {
-	s.runOnLoop(func() {
-		now := s.clock.Now()
-		for _, g := range s.groups {
+func (r *VRRPRouter) Status() (all []Status) {
+	r.runOnLoop(func() {
+		now := r.clock.Now()
+		for _, g := range r.groups {
 			m := &g.machine
 			st := Status{
 				Group: g.Name, VRID: g.Machine.VRID, State: m.State().String(), StateDurationMS: int64(now-m.Since()) / 1000,
@@ -34,7 +34,7 @@
 			for _, a := range g.Addresses {
 				st.Addresses = append(st.Addresses, a.String())
 			}
-			for c, wrong := range s.lastHealth.Conditions {
+			for c, wrong := range r.lastHealth.Conditions {
 				if wrong {
 					st.FailedConditions = append(st.FailedConditions, vrrp.ConditionNames[c])
 				}
--- a/internal/vrrp/machine_test.go
+++ b/internal/vrrp/machine_test.go
@@ -19,7 +19,7 @@
 	return Config{VRID: 1, Priority: 128, AdvertisementInterval: 100 * ms, Preempt: true, LocalAddress: self}
 }
 
-// bench drives a machine by hand, and looks at it as often as it asks for.
+// machineHarness drives a machine in virtual time, with a Tick whenever one is due.
 type machineHarness struct {
 	t   *testing.T
 	m   Machine
@@ -39,7 +39,7 @@
 	return b.out
 }
 
-// pass lets time pass, look by look, and returns all that came of it.
+// advance lets time pass, Tick by Tick, and returns all actions.
 func (b *machineHarness) advance(duration clock.Micros) (all []Action) {
 	end := b.now + duration
 	for {
@@ -73,15 +73,17 @@
 	return a, false
 }
 
-// The figures of RFC 9568, 6.1, for priority 128 and an interval of 100 ms: skew 50 ms, down interval 350 ms.
-func TestTimersOfTheStandard(t *testing.T) {
+// The figures of RFC 9568, 6.1, for priority 128 and an interval of 100 ms: Skew_Time 50 ms, Active_Down_Interval 350 ms.
+func TestStandardTimers(t *testing.T) {
 	for _, c := range []struct {
 		priority       uint8
 		interval, skew clock.Micros
 	}{{128, 100 * ms, 50 * ms}, {255, 256 * ms, 1 * ms}, {1, 256 * ms, 255 * ms}, {100, 1000 * ms, 609_375}} {
-		if s, d := SkewTime(c.priority, c.interval), ActiveDownInterval(c.priority, c.interval); s != c.skew || d != 3*c.interval+c.skew {
-			t.Errorf("%+v: skew %d, down %d", c, s, d)
-		}
+		t.Run(fmt.Sprintf("priority %d, interval %d ms", c.priority, c.interval/ms), func(t *testing.T) {
+			if s, d := SkewTime(c.priority, c.interval), ActiveDownInterval(c.priority, c.interval); s != c.skew || d != 3*c.interval+c.skew {
+				t.Errorf("%+v: skew %d, down %d", c, s, d)
+			}
+		})
 	}
 	b := newHarness(t, base(), true)
 	b.requireState(Backup)
@@ -174,15 +176,17 @@
 		{other, 127, true}, {other, 129, false}, {other, 128, false}, {netip.MustParseAddr("127.0.0.1"), 128, true},
 		{other, PriorityRelease, true}, {netip.MustParseAddr("127.0.0.1"), 255, false},
 	} {
-		b := newHarness(t, base(), true)
-		b.advance(360 * ms)
-		b.requireState(Active)
-		out := b.receive(c.from, c.priority)
-		_, released := firstAction[Deactivate](out)
-		_, answered := firstAction[SendAdvertisement](out) // the one that gives way has a last word too
-		if (b.m.State() == Active) != c.stays || released == c.stays || !answered {
-			t.Errorf("%+v: %v, %v", c, b.m.State(), out)
-		}
+		t.Run(fmt.Sprintf("priority %d from %v", c.priority, c.from), func(t *testing.T) {
+			b := newHarness(t, base(), true)
+			b.advance(360 * ms)
+			b.requireState(Active)
+			out := b.receive(c.from, c.priority)
+			_, released := firstAction[Deactivate](out)
+			_, answered := firstAction[SendAdvertisement](out) // the one that is preempted advertises once more
+			if (b.m.State() == Active) != c.stays || released == c.stays || !answered {
+				t.Errorf("%+v: %v, %v", c, b.m.State(), out)
+			}
+		})
 	}
 }
 
@@ -192,18 +196,20 @@
 		delay   clock.Micros
 		after   clock.Micros // 0: never
 	}{{true, 0, 350 * ms}, {true, 1000 * ms, 1350 * ms}, {false, 0, 0}} {
-		cfg := base()
-		cfg.Preempt, cfg.PreemptDelay = c.preempt, c.delay
-		b := newHarness(t, cfg, true)
-		start := b.now
-		for b.now < start+4000*ms && b.m.State() == Backup {
-			b.receive(other, 50)
-			b.advance(50 * ms)
-		}
-		took := b.now - start
-		if c.after == 0 && b.m.State() == Active || c.after > 0 && (took < c.after-50*ms || took > c.after+100*ms) {
-			t.Errorf("%+v: %v after %d ms", c, b.m.State(), took/ms)
-		}
+		t.Run(fmt.Sprintf("preempt %v, delay %d ms", c.preempt, c.delay/ms), func(t *testing.T) {
+			cfg := base()
+			cfg.Preempt, cfg.PreemptDelay = c.preempt, c.delay
+			b := newHarness(t, cfg, true)
+			start := b.now
+			for b.now < start+4000*ms && b.m.State() == Backup {
+				b.receive(other, 50)
+				b.advance(50 * ms)
+			}
+			took := b.now - start
+			if c.after == 0 && b.m.State() == Active || c.after > 0 && (took < c.after-50*ms || took > c.after+100*ms) {
+				t.Errorf("%+v: %v after %d ms", c, b.m.State(), took/ms)
+			}
+		})
 	}
 }
 
@@ -223,7 +229,7 @@
 			t.Errorf("%v: priority %d, %v", ConditionNames[c.wrong], b.m.Priority(), all)
 		}
 	}
-	b.requireState(Active) // the last one left holds the address, whatever is wrong
+	b.requireState(Active) // the last gateway left holds the address, whatever is wrong
 	out := b.handle(HealthChanged{Health{}})
 	if _, ok := firstAction[Deactivate](out); !ok || out[0] != (SendAdvertisement{PriorityRelease, 100 * ms}) {
 		t.Errorf("not ready any more: %v", out)
@@ -235,8 +241,8 @@
 	b.requireState(Active)
 }
 
-// A process that stood still finds itself a backup before anything else, and says nothing.
-func TestStandingStill(t *testing.T) {
+// A process that was stalled becomes a backup before it handles anything else, without an advertisement.
+func TestStalledProcess(t *testing.T) {
 	b := newHarness(t, base(), true)
 	b.advance(360 * ms)
 	lease := b.m.Lease()
@@ -248,24 +254,24 @@
 	}
 	b.advance(349 * ms)
 	b.requireState(Backup)
-	b.now += 5000 * ms // again, as a backup: what it knows is old
+	b.now += 5000 * ms // again, as a backup: its state is old
 	b.handle(Tick{})
 	b.advance(349 * ms)
 	b.requireState(Backup)
 	b.advance(10 * ms)
 	b.requireState(Active)
 	if b.m.Activation() != 2 {
-		t.Errorf("tenure %d", b.m.Activation())
+		t.Errorf("activation %d, want 2", b.m.Activation())
 	}
 }
 
-func TestTakeFailed(t *testing.T) {
+func TestActivateFailed(t *testing.T) {
 	cfg := base()
 	cfg.Damping = Damping{Window: 500 * ms, InitialDelay: 1000 * ms, MaxDelay: 3000 * ms}
 	b := newHarness(t, cfg, true)
 	b.advance(360 * ms)
 	if out := b.handle(ActivateFailed{Activation: 7}); len(out) > 0 {
-		t.Errorf("another tenure's failure: %v", out)
+		t.Errorf("another activation's failure: %v", out)
 	}
 	out := b.handle(ActivateFailed{Activation: 1})
 	b.requireState(Backup)
@@ -278,7 +284,7 @@
 	b.requireState(Active)
 }
 
-// Each flap holds back for twice as long, up to the bound; a long tenure and a quiet time count as none.
+// Each flap doubles the delay, up to the bound. A long activation is no flap, and after a quiet time the count starts again.
 func TestDamping(t *testing.T) {
 	cfg := base()
 	cfg.Damping = Damping{Window: 500 * ms, InitialDelay: 1000 * ms, MaxDelay: 3000 * ms}
@@ -295,17 +301,17 @@
 		b.requireState(Backup)
 	}
 	if fmt.Sprint(held) != "[1000 2000 3000 3000]" {
-		t.Errorf("held back for %v", held)
+		t.Errorf("delays of %v", held)
 	}
 	b.advance(20_000 * ms)
 	b.receive(other, 200)
 	if b.m.PreemptBlockedUntil() > b.now {
-		t.Error("a loss after a long tenure counts as a flap")
+		t.Error("a loss after a long activation counts as a flap")
 	}
 	b.advance(360 * ms)
 	b.receive(other, 200)
 	if got := b.m.PreemptBlockedUntil() - b.now; got != 1000*ms {
-		t.Errorf("after a quiet time held back for %d ms", got/ms)
+		t.Errorf("after a quiet time a delay of %d ms", got/ms)
 	}
 }
 
@@ -322,8 +328,8 @@
 	b.requireState(Backup)
 }
 
-// Whatever comes in whatever order: take and release alternate, tenures grow, an advertisement is never sent by one that
-// does not hold the address but to release it, nobody holds it unready, and the lease covers active times only.
+// For any events in any order: Activate and Deactivate alternate, the activation number grows, a router that is not active
+// sends no advertisement but a release, no router is active that is not ready, and the lease covers active times only.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := base()
@@ -364,17 +370,17 @@
 				switch a := a.(type) {
 				case Activate:
 					if held || a.Activation <= last || !m.Ready() {
-						t.Fatalf("takes tenure %d after %d, held %v, ready %v", a.Activation, last, held, m.Ready())
+						t.Fatalf("activation %d after %d, held %v, ready %v", a.Activation, last, held, m.Ready())
 					}
 					held, last = true, a.Activation
 				case Deactivate:
 					if !held || a.Activation != last {
-						t.Fatalf("releases tenure %d of %d, held %v", a.Activation, last, held)
+						t.Fatalf("deactivates %d of %d, held %v", a.Activation, last, held)
 					}
 					held = false
 				case SendAdvertisement:
 					if a.Priority != PriorityRelease && !held || stale {
-						t.Fatalf("advertises %d, held %v, stood still %v", a.Priority, held, stale)
+						t.Fatalf("advertises %d, held %v, stalled %v", a.Priority, held, stale)
 					}
 				case AnnounceAddress:
 					if !held || a.Activation != last {
@@ -386,7 +392,7 @@
 				t.Fatalf("held %v in %v, ready %v, lease %d", held, m.State(), m.Ready(), m.Lease())
 			}
 			if at, ok := m.Next(); ok != (m.State() != Initialize) || ok && at <= now-1 {
-				t.Fatalf("next look at %d, now %d", at, now)
+				t.Fatalf("next Tick at %d, now %d", at, now)
 			}
 		}
 	})
