--- a/internal/testcluster/check.go
+++ b/internal/testcluster/check.go
@@ -81,48 +81,48 @@
 }
 
 func newTimeline(events []Event) *timeline {
-	h := &timeline{events: slices.Clone(events), requests: map[string]*request{}}
-	slices.SortStableFunc(h.events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
+	history := &timeline{events: slices.Clone(events), requests: map[string]*request{}}
+	slices.SortStableFunc(history.events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	open := map[string][]int{}
-	for i := range h.events {
-		event := &h.events[i]
-		h.end = max(h.end, event.At)
+	for i := range history.events {
+		event := &history.events[i]
+		history.end = max(history.end, event.At)
 		switch event.Kind {
 		case FaultStarted:
 			fault, err := ParseFault(event.What)
 			if err != nil {
-				h.malformed = err.Error()
-				return h
+				history.malformed = err.Error()
+				return history
 			}
-			open[event.What] = append(open[event.What], len(h.faults))
-			h.faults = append(h.faults, faultWindow{fault, event.At, math.MaxInt64})
+			open[event.What] = append(open[event.What], len(history.faults))
+			history.faults = append(history.faults, faultWindow{fault, event.At, math.MaxInt64})
 		case FaultEnded:
 			list := open[event.What]
 			if len(list) == 0 {
-				h.malformed = fmt.Sprintf("%q ends and never began", event.What)
-				return h
+				history.malformed = fmt.Sprintf("%q ends and never began", event.What)
+				return history
 			}
-			h.faults[list[0]].to, open[event.What] = event.At, list[1:]
+			history.faults[list[0]].to, open[event.What] = event.At, list[1:]
 		case RequestSent, ResponseReceived, RequestForwarded, RequestExecuted:
-			r := h.requests[event.ID]
-			if r == nil {
-				r = &request{}
-				h.requests[event.ID] = r
-				h.requestOrder = append(h.requestOrder, event.ID)
+			req := history.requests[event.ID]
+			if req == nil {
+				req = &request{}
+				history.requests[event.ID] = req
+				history.requestOrder = append(history.requestOrder, event.ID)
 			}
 			switch event.Kind {
 			case RequestSent:
-				r.submitted = event
+				req.submitted = event
 			case ResponseReceived:
-				r.responses = append(r.responses, *event)
+				req.responses = append(req.responses, *event)
 			case RequestForwarded:
-				r.forwards = append(r.forwards, *event)
+				req.forwards = append(req.forwards, *event)
 			default:
-				r.executions = append(r.executions, *event)
+				req.executions = append(req.executions, *event)
 			}
 		}
 	}
-	return h
+	return history
 }
 
 // faultDuring finds a fault with one of these verbs that applied to a gateway at any moment of an interval.
@@ -138,7 +138,7 @@
 // endedBetween reports whether a gateway's process ended within an interval.
 func (h *timeline) endedBetween(node int, start, to int64) bool {
 	return slices.ContainsFunc(h.events, func(e Event) bool {
-		return e.Kind == ProcessChanged && e.What == "ended" && e.Node == node && e.At >= start && e.At <= to
+		return e.Kind == ProcessChanged && e.What == ProcessEnded && e.Node == node && e.At >= start && e.At <= to
 	})
 }
 
@@ -154,16 +154,16 @@
 
 // checkAnswers: each request that was taken has exactly one final answer, and what is served was made for it. A connection that
 // ends without one is a lost request, unless the gateway died or stood still, or was draining and had not read it.
-func checkAnswers(h *timeline) (out []Violation) {
-	for _, requestID := range h.requestOrder {
-		request := h.requests[requestID]
+func checkAnswers(history *timeline) (out []Violation) {
+	for _, requestID := range history.requestOrder {
+		request := history.requests[requestID]
 		switch {
 		case request.submitted == nil && strings.HasPrefix(requestID, lookupPrefix):
 			continue // a gateway's own read, which shows whether a booking ran
 		case request.submitted == nil:
 			out = append(out, Violation{At: firstSeen(request), Text: fmt.Sprintf("%s was sent or answered, and nobody asked", requestID)})
 			continue
-		case len(request.responses) == 0 && request.submitted.At+request.submitted.Timeout*2 < h.end:
+		case len(request.responses) == 0 && request.submitted.At+request.submitted.Timeout*2 < history.end:
 			out = append(out, Violation{At: request.submitted.At, Text: fmt.Sprintf("%s never ended", requestID)})
 			continue
 		case len(request.responses) > 1:
@@ -172,22 +172,22 @@
 		case len(request.responses) == 0:
 			continue
 		}
-		node, from, response := request.submitted.Node, request.submitted.At, request.responses[0]
+		node, sentAt, response := request.submitted.Node, request.submitted.At, request.responses[0]
 		switch response.What {
 		case EndServed:
-			if !h.isAnswerFor(request, requestID, response.Value) {
+			if !history.isAnswerFor(request, requestID, response.Value) {
 				out = append(out, Violation{At: response.At, Text: fmt.Sprintf("%s was served %q", requestID, response.Value)})
 			}
 		case EndClosed, EndReset:
-			if h.endedBetween(node, from-machineSlack, response.At+machineSlack) {
+			if history.endedBetween(node, sentAt-machineSlack, response.At+machineSlack) {
 				continue // also where it was written to a process that had died just before: its client had not seen that yet
 			}
-			if _, draining := h.faultDuring(node, from, response.At, "term"); draining && len(request.forwards) == 0 && h.endedBetween(node, response.At, response.At+shutdownTimeout) {
+			if _, draining := history.faultDuring(node, sentAt, response.At, "term"); draining && len(request.forwards) == 0 && history.endedBetween(node, response.At, response.At+shutdownTimeout) {
 				continue // the close and the request crossed
 			}
 			out = append(out, Violation{At: response.At, Text: fmt.Sprintf("%s to gateway %d is lost: its connection was %s", requestID, node, response.What)})
 		case EndTimeout:
-			if _, slow := h.faultDuring(node, from, response.At, "stop", "starve"); slow || h.endedBetween(node, from, response.At+machineSlack) {
+			if _, slow := history.faultDuring(node, sentAt, response.At, "stop", "starve"); slow || history.endedBetween(node, sentAt, response.At+machineSlack) {
 				continue
 			}
 			out = append(out, Violation{At: response.At, Text: fmt.Sprintf("%s to gateway %d is lost: no answer within its time", requestID, node)})
@@ -221,10 +221,10 @@
 }
 
 // checkBookings: nothing that a client means runs twice; what was served has run, and what was refused has not.
-func checkBookings(h *timeline) (out []Violation) {
+func checkBookings(history *timeline) (out []Violation) {
 	ran := map[string][]Event{}
-	for _, id := range h.requestOrder {
-		r := h.requests[id]
+	for _, id := range history.requestOrder {
+		r := history.requests[id]
 		for _, e := range r.executions {
 			if e.Class == ClassBooking {
 				ran[e.Key] = append(ran[e.Key], e)
@@ -234,7 +234,7 @@
 			continue
 		}
 		switch end := r.responses[0]; {
-		case end.What == EndServed && len(r.executions) == 0 && !strings.HasPrefix(end.Value, id+" ") && h.isAnswerFor(r, id, end.Value):
+		case end.What == EndServed && len(r.executions) == 0 && !strings.HasPrefix(end.Value, id+" ") && history.isAnswerFor(r, id, end.Value):
 			// its answer was stored
 		case end.What == EndServed && len(r.executions) != 1:
 			out = append(out, Violation{At: end.At, Text: fmt.Sprintf("%s was served and ran %d times", id, len(r.executions))})
@@ -251,15 +251,15 @@
 }
 
 // checkRetryAnswers: the retry of a booking that ran is not rejected as if it had not.
-func checkRetryAnswers(h *timeline) (out []Violation) {
+func checkRetryAnswers(history *timeline) (out []Violation) {
 	ran := map[string]int64{}
-	for _, e := range h.events {
+	for _, e := range history.events {
 		if e.Kind == RequestExecuted && e.Class == ClassBooking && ran[e.Key] == 0 {
 			ran[e.Key] = e.At
 		}
 	}
-	for _, id := range h.requestOrder {
-		r := h.requests[id]
+	for _, id := range history.requestOrder {
+		r := history.requests[id]
 		if r.submitted == nil || !strings.HasSuffix(r.submitted.Text, retryMark) || len(r.responses) == 0 || r.responses[0].What != EndRejected {
 			continue
 		}
@@ -275,18 +275,18 @@
 
 // checkDrains: nothing new is sent to a server later after its drain was published than the settings allow. The time of a gateway
 // that is cut off from discovery, or does not run, counts from when it can act again.
-func checkDrains(h *timeline) (out []Violation) {
+func checkDrains(history *timeline) (out []Violation) {
 	type link struct {
 		node   int
 		server string
 	}
 	deadlines := map[link]int64{}
-	for _, e := range h.events {
+	for _, e := range history.events {
 		at := link{e.Node, e.Server}
 		switch e.Kind {
 		case EndpointUpdateSent:
-			if delete(deadlines, at); e.What != "ready" {
-				deadlines[at] = h.drainDeadline(e.Node, e.At)
+			if delete(deadlines, at); e.What != stateReady {
+				deadlines[at] = history.drainDeadline(e.Node, e.At)
 			}
 		case RequestForwarded:
 			if by, ok := deadlines[at]; ok && e.At > by {
@@ -320,9 +320,9 @@
 
 // checkStale: a view's data are no older than its bound when the gateway has sent the request, and what is served of a seat was looked
 // for at a primary: an answer of a replica that is not passed on harms nobody.
-func checkStale(h *timeline) (out []Violation) {
-	for _, id := range h.requestOrder {
-		r := h.requests[id]
+func checkStale(history *timeline) (out []Violation) {
+	for _, id := range history.requestOrder {
+		r := history.requests[id]
 		for i, e := range r.executions {
 			sent := e.At
 			for _, s := range r.forwards {
@@ -376,11 +376,11 @@
 
 // checkLinearizable: bookings and reads of seats have an order that explains all answers. A booking whose end is not known may
 // take effect at any time, or never.
-func checkLinearizable(h *timeline) []Violation {
+func checkLinearizable(history *timeline) []Violation {
 	var all []porcupine.Operation
 	clients := map[string]int{}
-	for _, id := range h.requestOrder {
-		r := h.requests[id]
+	for _, id := range history.requestOrder {
+		r := history.requests[id]
 		if r.submitted == nil || r.submitted.Class != ClassBooking && r.submitted.Class != ClassSeat {
 			continue
 		}
@@ -410,15 +410,15 @@
 }
 
 // checkSessions: a read of a session sees every booking that the session had been served before the read was sent.
-func checkSessions(h *timeline) (out []Violation) {
+func checkSessions(history *timeline) (out []Violation) {
 	booked := map[string]int64{}
-	for _, e := range h.events {
+	for _, e := range history.events {
 		if e.Kind == ResponseReceived && e.Class == ClassBooking && e.What == EndServed && booked[e.Key] == 0 {
 			booked[e.Key] = e.At
 		}
 	}
-	for _, id := range h.requestOrder {
-		r := h.requests[id]
+	for _, id := range history.requestOrder {
+		r := history.requests[id]
 		if r.submitted == nil || r.submitted.Class != ClassMine || len(r.responses) != 1 || r.responses[0].What != EndServed {
 			continue
 		}
@@ -432,17 +432,17 @@
 
 // checkMaintenanceOrder: no request is in flight at a gateway when work on it starts, nothing is sent to a server under work, and no
 // gateway ever knows of two gateways that are away.
-func checkMaintenanceOrder(h *timeline) (out []Violation) {
+func checkMaintenanceOrder(history *timeline) (out []Violation) {
 	inWork := map[string]bool{}
 	away := map[int]map[string]bool{}
-	for _, event := range h.events {
+	for _, event := range history.events {
 		name, begins := strings.CutPrefix(event.What, workStarted)
-		machine, ofOrder := strings.CutPrefix(event.What, "order ")
+		machine, ofOrder := strings.CutPrefix(event.What, subjectMaintenance)
 		switch {
 		case event.Kind == PhaseReached && begins:
 			inWork[name] = true
-			for _, id := range h.requestOrder {
-				r := h.requests[id]
+			for _, id := range history.requestOrder {
+				r := history.requests[id]
 				if r.submitted == nil || fmt.Sprint("g", r.submitted.Node) != name || r.submitted.At > event.At || len(r.responses) == 1 && r.responses[0].At < event.At {
 					continue
 				}
@@ -454,7 +454,7 @@
 			delete(inWork, strings.TrimPrefix(event.What, workEnded))
 		case event.Kind == RequestForwarded && inWork[event.Server]:
 			out = append(out, Violation{At: event.At, Text: fmt.Sprintf("gateway %d sent %s to %s, which was worked at", event.Node, event.ID, event.Server)})
-		case event.Kind == ProcessChanged && event.What == "started":
+		case event.Kind == ProcessChanged && event.What == ProcessStarted:
 			delete(away, event.Node)
 		case event.Kind == StateReported && ofOrder && strings.HasPrefix(machine, "g"):
 			all := away[event.Node]
@@ -474,13 +474,13 @@
 }
 
 // checkCrashes: no process ends unless a fault ends it, and after SIGTERM with status 0.
-func checkCrashes(h *timeline) (out []Violation) {
-	for _, e := range h.events {
-		if e.Kind != ProcessChanged || e.What != "ended" {
+func checkCrashes(history *timeline) (out []Violation) {
+	for _, e := range history.events {
+		if e.Kind != ProcessChanged || e.What != ProcessEnded {
 			continue
 		}
-		if w, made := h.faultDuring(e.Node, e.At-shutdownTimeout, e.At, "kill", "term"); !made || w.Verb == "term" && e.Text != "exit status 0" {
-			if _, killed := h.faultDuring(e.Node, e.At-shutdownTimeout, e.At, "kill"); !killed {
+		if w, made := history.faultDuring(e.Node, e.At-shutdownTimeout, e.At, "kill", "term"); !made || w.Verb == "term" && e.Text != "exit status 0" {
+			if _, killed := history.faultDuring(e.Node, e.At-shutdownTimeout, e.At, "kill"); !killed {
 				out = append(out, Violation{At: e.At, Text: fmt.Sprintf("gateway %d ended with %s", e.Node, e.Text)})
 			}
 		}
@@ -489,13 +489,13 @@
 }
 
 // checkAddress: once the cluster has settled, exactly one gateway believes to hold the floating address.
-func checkAddress(h *timeline) []Violation {
-	settled := slices.IndexFunc(h.events, func(e Event) bool { return e.Kind == PhaseReached && e.What == "settled" })
+func checkAddress(history *timeline) []Violation {
+	settled := slices.IndexFunc(history.events, func(e Event) bool { return e.Kind == PhaseReached && e.What == PhaseSettled })
 	if settled < 0 {
 		return nil
 	}
-	if active := ActiveRouters(h.events[:settled]); len(active) != 1 {
-		return []Violation{{At: h.events[settled].At, Text: fmt.Sprintf("%d gateways hold it", len(active))}}
+	if active := ActiveRouters(history.events[:settled]); len(active) != 1 {
+		return []Violation{{At: history.events[settled].At, Text: fmt.Sprintf("%d gateways hold it", len(active))}}
 	}
 	return nil
 }
@@ -505,14 +505,14 @@
 
 // checkMembers: nobody is declared dead that runs and can be reached. Losses and delays are no reason; a process that ended, or
 // stands still for long, or whose ways are cut, is.
-func checkMembers(h *timeline) (out []Violation) {
-	for _, e := range h.events {
+func checkMembers(history *timeline) (out []Violation) {
+	for _, e := range history.events {
 		name, about := strings.CutPrefix(e.What, "member g")
 		node, err := strconv.Atoi(name)
-		if e.Kind != StateReported || !about || e.Text != "dead" || err != nil || h.endedBetween(node, e.At-deathReasonTimeout, e.At) {
+		if e.Kind != StateReported || !about || e.Text != "dead" || err != nil || history.endedBetween(node, e.At-deathReasonTimeout, e.At) {
 			continue
 		}
-		reason := slices.ContainsFunc(h.faults, func(w faultWindow) bool {
+		reason := slices.ContainsFunc(history.faults, func(w faultWindow) bool {
 			if w.from > e.At || w.to < e.At-deathReasonTimeout {
 				return false
 			}
--- a/internal/testcluster/check_test.go
+++ b/internal/testcluster/check_test.go
@@ -69,7 +69,7 @@
 }
 
 func ended(ms int64, how string) Event {
-	return at(ms, Event{Kind: ProcessChanged, Node: 1, What: "ended", Text: how})
+	return at(ms, Event{Kind: ProcessChanged, Node: 1, What: ProcessEnded, Text: how})
 }
 
 func phase(ms int64, what string) Event { return at(ms, Event{Kind: PhaseReached, What: what}) }
@@ -91,7 +91,7 @@
 	for _, p := range parts {
 		out = append(out, p...)
 	}
-	return append(out, at(9000, Event{Kind: PhaseReached, What: "done"}))
+	return append(out, at(9000, Event{Kind: PhaseReached, What: PhaseDone}))
 }
 
 // without drops the events of a kind.
@@ -166,8 +166,8 @@
 		{"a crash", "crashes", join(story{ended(100, "exit status 2")})},
 		{"a crash while it was told to end", "crashes", join(fault(90, 300, "at 1s term 1"), story{ended(200, "exit status 2")})},
 		{"an end that was asked for", "", join(fault(90, 300, "at 1s term 1"), story{ended(200, "exit status 0")})},
-		{"two hold the address", "address", join(story{belief(1, 1, "active"), belief(2, 2, "active"), at(500, Event{Kind: PhaseReached, What: "settled"})})},
-		{"one holds the address", "", join(story{belief(1, 1, "active"), belief(2, 2, "active"), belief(3, 1, "backup"), at(500, Event{Kind: PhaseReached, What: "settled"})})},
+		{"two hold the address", "address", join(story{belief(1, 1, "active"), belief(2, 2, "active"), at(500, Event{Kind: PhaseReached, What: PhaseSettled})})},
+		{"one holds the address", "", join(story{belief(1, 1, "active"), belief(2, 2, "active"), belief(3, 1, "backup"), at(500, Event{Kind: PhaseReached, What: PhaseSettled})})},
 		{"a live gateway held dead", "members", join(story{at(100, Event{Kind: StateReported, Node: 2, What: "member g1", Text: "dead"})})},
 		{"a dead one held dead", "", join(fault(90, 300, "at 1s kill 1"), story{ended(95, "signal: killed"), at(100, Event{Kind: StateReported, Node: 2, What: "member g1", Text: "dead"})})},
 		{"a fault that is none", "history", join(story{at(1, Event{Kind: FaultStarted, What: "at 1s sing 1"})})},
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -250,10 +250,10 @@
 		complete := true
 		for _, n := range c.Nodes {
 			switch e := last[n.Number]; e.What {
-			case "ended":
+			case ProcessEnded:
 				err = fmt.Errorf("gateway %d ended: %s", n.Number, e.Text)
 				return true
-			case "ready":
+			case ProcessReady:
 			default:
 				complete = false
 			}
@@ -300,10 +300,10 @@
 	alive := map[int]map[string]bool{}
 	for _, e := range all {
 		switch {
-		case e.Kind == ProcessChanged && e.What == "started":
+		case e.Kind == ProcessChanged && e.What == ProcessStarted:
 			alive[e.Node] = map[string]bool{}
-		case e.Kind == StateReported && strings.HasPrefix(e.What, "member ") && alive[e.Node] != nil:
-			alive[e.Node][strings.TrimPrefix(e.What, "member ")] = e.Text == "alive"
+		case e.Kind == StateReported && strings.HasPrefix(e.What, subjectMember) && alive[e.Node] != nil:
+			alive[e.Node][strings.TrimPrefix(e.What, subjectMember)] = e.Text == "alive"
 		}
 	}
 	for i := 1; i <= gateways; i++ {
@@ -321,11 +321,11 @@
 	active := map[int]bool{}
 	for _, e := range all {
 		switch {
-		case e.Kind == StateReported && strings.HasPrefix(e.What, "vrrp "):
+		case e.Kind == StateReported && strings.HasPrefix(e.What, subjectVRRP):
 			if delete(active, e.Node); e.Text == "active" {
 				active[e.Node] = true
 			}
-		case e.Kind == ProcessChanged && e.What == "ended":
+		case e.Kind == ProcessChanged && e.What == ProcessEnded:
 			delete(active, e.Node)
 		}
 	}
--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -282,14 +282,14 @@
 
 // updateServer sets the lag and the published state of a server.
 func (c *Cluster) updateServer(s *server) {
-	lag, state := time.Duration(0), "ready"
+	lag, state := time.Duration(0), stateReady
 	for _, fault := range c.activeFaults {
 		switch {
 		case fault.Name != s.name:
 		case fault.Verb == "lag":
 			lag = max(lag, fault.Delay)
 		case fault.Verb == "drain":
-			state = "draining"
+			state = stateDraining
 		}
 	}
 	s.group.setLag(s, lag)
--- a/internal/testcluster/history.go
+++ b/internal/testcluster/history.go
@@ -25,14 +25,38 @@
 const (
 	FaultStarted       Kind = "begins"  // a fault starts; What is its line in the script
 	FaultEnded         Kind = "ends"    // the same fault is repaired
-	ProcessChanged     Kind = "process" // a gateway's process: What is "started", "ready" or "ended", Text how it ended
+	ProcessChanged     Kind = "process" // a gateway's process: What is one of the states below, Text how it ended
 	StateReported      Kind = "belief"  // a state that a gateway reports in its log: What is its subject, Text the state
 	EndpointUpdateSent Kind = "told"    // discovery sent an endpoint update to a gateway: Server, and What its state
 	RequestSent        Kind = "asked"   // a client has written a complete request
 	ResponseReceived   Kind = "heard"   // the end of a request at its client: What is one of the ends below
 	RequestForwarded   Kind = "sent"    // a gateway began to send a request to a server
 	RequestExecuted    Kind = "ran"     // a server ran a request: What is its role
-	PhaseReached       Kind = "phase"   // the run's own steps: What is "load", "healed", "settled" or "done"
+	PhaseReached       Kind = "phase"   // the run's own steps: What is one of the phases below
+)
+
+// What a ProcessChanged event says of a gateway's process.
+const (
+	ProcessStarted = "started"
+	ProcessReady   = "ready" // it has answered a request
+	ProcessEnded   = "ended"
+)
+
+// The steps of a run, which PhaseReached events name.
+const (
+	PhaseLoad     = "load"    // the load has started
+	PhaseRepaired = "healed"  // all faults are repaired
+	PhaseSettled  = "settled" // the cluster has settled
+	PhaseDone     = "done"    // the load has stopped and sessions are verified
+)
+
+// The subjects of StateReported events; all but subjectItself are prefixes of a name.
+const (
+	subjectVRRP        = "vrrp "   // a floating address
+	subjectMember      = "member " // another gateway
+	subjectItself      = "itself"  // the gateway's own membership
+	subjectMaintenance = "order "  // a machine
+	subjectStateStore  = "copies " // an event of the state store
 )
 
 // How a request ends for its client.
--- a/internal/testcluster/membership_test.go
+++ b/internal/testcluster/membership_test.go
@@ -17,7 +17,7 @@
 // membershipState is what a gateway reports of another at the end of a history.
 func membershipState(all []Event, node, about int) (s string) {
 	for _, e := range all {
-		if e.Node == node && e.Kind == ProcessChanged && e.What == "started" {
+		if e.Node == node && e.Kind == ProcessChanged && e.What == ProcessStarted {
 			s = ""
 		}
 		if e.Node == node && e.Kind == StateReported && e.What == fmt.Sprint("member g", about) {
@@ -322,9 +322,9 @@
 				t.Error(err, MembershipGaps(f.History.Events(), 9))
 			}
 			t.Logf("at rest %v after the fault", time.Since(healed))
-			f.History.Add(Event{Kind: PhaseReached, What: "settled"})
+			f.History.Add(Event{Kind: PhaseReached, What: PhaseSettled})
 			l.Stop()
-			f.History.Add(Event{Kind: PhaseReached, What: "done"})
+			f.History.Add(Event{Kind: PhaseReached, What: PhaseDone})
 			f.History.End()
 			for _, v := range Check(f.History.Events()) {
 				t.Error(v)
--- a/internal/testcluster/node.go
+++ b/internal/testcluster/node.go
@@ -193,10 +193,10 @@
 	cmd := exec.Command(binary, "--conf", n.Conf())
 	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+filepath.Join(n.dir, "json"))
 	incarnation := n.incarnations
-	n.cluster.History.Add(Event{Kind: ProcessChanged, Node: n.Number, What: "started", Text: fmt.Sprint("life ", incarnation)})
+	n.cluster.History.Add(Event{Kind: ProcessChanged, Node: n.Number, What: ProcessStarted, Text: fmt.Sprint("life ", incarnation)})
 	n.process, err = launch(cmd, log, n.recordLogLine, func(how string) {
 		log.Close()
-		n.cluster.History.Add(Event{Kind: ProcessChanged, Node: n.Number, What: "ended", Text: how})
+		n.cluster.History.Add(Event{Kind: ProcessChanged, Node: n.Number, What: ProcessEnded, Text: how})
 	})
 	if err != nil {
 		log.Close()
@@ -226,15 +226,15 @@
 	e := Event{At: n.cluster.History.Timestamp(line.Time), Kind: StateReported, Node: n.Number, Text: line.To}
 	switch line.Message {
 	case "vrrp":
-		e.What, e.Value = fmt.Sprint("vrrp ", line.Group), line.Cause
+		e.What, e.Value = fmt.Sprint(subjectVRRP, line.Group), line.Cause
 	case "member":
-		e.What, e.Value = "member "+line.Member, line.By
+		e.What, e.Value = subjectMember+line.Member, line.By
 	case "membership":
-		e.What, e.Text, e.Value = "itself", line.What, line.By
+		e.What, e.Text, e.Value = subjectItself, line.What, line.By
 	case "maintenance state changed":
-		e.What, e.Value = "order "+line.Machine, line.From
+		e.What, e.Value = subjectMaintenance+line.Machine, line.From
 	case "copies":
-		e.What, e.Text, e.Value = "copies "+line.What, line.Node, line.Cause
+		e.What, e.Text, e.Value = subjectStateStore+line.What, line.Node, line.Cause
 		if line.Group != nil {
 			e.Server = fmt.Sprint(line.Group)
 		}
@@ -248,7 +248,7 @@
 func (n *Node) awaitServing(p *process) {
 	for !p.hasEnded() {
 		if fake.Healthy(n.Listen, time.Second) {
-			n.cluster.History.Add(Event{Kind: ProcessChanged, Node: n.Number, What: "ready"})
+			n.cluster.History.Add(Event{Kind: ProcessChanged, Node: n.Number, What: ProcessReady})
 			return
 		}
 		select {
--- a/internal/testcluster/run.go
+++ b/internal/testcluster/run.go
@@ -33,21 +33,21 @@
 		return out
 	}
 	clients := cluster.Load(load)
-	cluster.History.Add(Event{Kind: PhaseReached, What: "load"})
+	cluster.History.Add(Event{Kind: PhaseReached, What: PhaseLoad})
 	out.Err = cluster.Play(faults, quit)
-	cluster.History.Add(Event{Kind: PhaseReached, What: "healed"})
+	cluster.History.Add(Event{Kind: PhaseReached, What: PhaseRepaired})
 	healed := time.Now()
 	var restless error
 	if out.Err == nil {
 		restless = cluster.Settle(load.classCount())
 	}
 	out.SettleTime = time.Since(healed)
-	cluster.History.Add(Event{Kind: PhaseReached, What: "settled"})
+	cluster.History.Add(Event{Kind: PhaseReached, What: PhaseSettled})
 	clients.Stop()
 	if cluster.StateStore != nil && restless == nil {
 		clients.VerifySessions()
 	}
-	cluster.History.Add(Event{Kind: PhaseReached, What: "done"})
+	cluster.History.Add(Event{Kind: PhaseReached, What: PhaseDone})
 	cluster.History.End()
 	out.Totals = clients.Totals()
 	out.Events = cluster.History.Events()
--- a/internal/testcluster/servers.go
+++ b/internal/testcluster/servers.go
@@ -71,7 +71,7 @@
 	c := &serverGroup{number: group, events: h, gatewayAt: node, serviceTime: work, commits: map[string]int64{}}
 	for i := range replicas + 1 {
 		names := groupNames[group-Group]
-		s := &server{group: c, name: names[0], primary: i == 0, state: "ready"}
+		s := &server{group: c, name: names[0], primary: i == 0, state: stateReady}
 		if i > 0 {
 			s.name = fmt.Sprint(names[1], i)
 		}
@@ -90,7 +90,13 @@
 	return c, nil
 }
 
-// The roles of servers, as they tell them and as Ran events have them.
+// The states of servers on the endpoint list.
+const (
+	stateReady    = "ready"
+	stateDraining = "draining"
+)
+
+// The roles of servers, as they report them and as RequestExecuted events have them.
 const (
 	rolePrimary = "primary"
 	roleReplica = "replica"
--- a/internal/testcluster/statestore_test.go
+++ b/internal/testcluster/statestore_test.go
@@ -371,11 +371,11 @@
 		t.Error(err)
 	}
 	t.Logf("at rest %v after the fault", time.Since(healed))
-	f.History.Add(Event{Kind: PhaseReached, What: "settled"})
+	f.History.Add(Event{Kind: PhaseReached, What: PhaseSettled})
 	l.Stop()
 	l.VerifySessions()
 	over()
-	f.History.Add(Event{Kind: PhaseReached, What: "done"})
+	f.History.Add(Event{Kind: PhaseReached, What: PhaseDone})
 	f.History.End()
 	for _, v := range Check(f.History.Events()) {
 		t.Error(v)
