--- a/internal/floatingip/loop.go
+++ b/internal/floatingip/loop.go
@@ -66,28 +66,37 @@
 		g.leaseEnd.Store(0)
 	}
 	for _, a := range actions {
-		switch a := a.(type) {
-		case vrrp.Activate:
-			r.Counters.Activations.Add(1)
-			if err := r.address.Activate(g.Name, g.Listen, r.mayTakeRequests(g)); err != nil {
-				r.log.Error().Err(err).Str("group", g.Name).Msg("floating listener")
-				r.handle(g, vrrp.ActivateFailed(a))
-				return
-			}
-		case vrrp.Deactivate:
-			r.Counters.Deactivations[a.Cause].Add(1)
-			r.address.Deactivate(g.Name)
-		case vrrp.SendAdvertisement:
-			r.advertise(g, a)
-			// Only after sending: had the process been stalled before, no peer would have received the advertisement.
-			g.leaseEnd.Store(int64(g.machine.Lease()))
-		case vrrp.AnnounceAddress:
-			r.announce(g)
-		case vrrp.StateChanged:
-			r.log.Info().Str("group", g.Name).Stringer("from", a.From).Stringer("to", a.To).Stringer("cause", a.Cause).
-				Uint8("priority", g.machine.Priority()).Uint32("tenure", g.machine.Activation()).Msg("vrrp")
+		if !r.carryOut(g, a) {
+			return
+		}
+	}
+}
+
+// carryOut carries out one action. It returns false where the listener of an Activate could not be opened: the machine has
+// been told and its answer carried out, and the actions that follow the Activate are void.
+func (r *VRRPRouter) carryOut(g *group, action vrrp.Action) bool {
+	switch a := action.(type) {
+	case vrrp.Activate:
+		r.Counters.Activations.Add(1)
+		if err := r.address.Activate(g.Name, g.Listen, r.mayTakeRequests(g)); err != nil {
+			r.log.Error().Err(err).Str("group", g.Name).Msg("floating listener")
+			r.handle(g, vrrp.ActivateFailed(a))
+			return false
 		}
+	case vrrp.Deactivate:
+		r.Counters.Deactivations[a.Cause].Add(1)
+		r.address.Deactivate(g.Name)
+	case vrrp.SendAdvertisement:
+		r.advertise(g, a)
+		// Only after sending: had the process been stalled before, no peer would have received the advertisement.
+		g.leaseEnd.Store(int64(g.machine.Lease()))
+	case vrrp.AnnounceAddress:
+		r.announce(g)
+	case vrrp.StateChanged:
+		r.log.Info().Str("group", g.Name).Stringer("from", a.From).Stringer("to", a.To).Stringer("cause", a.Cause).
+			Uint8("priority", g.machine.Priority()).Uint32("tenure", g.machine.Activation()).Msg("vrrp")
 	}
+	return true
 }
 
 // mayTakeRequests returns the gate of an activation: whether its lease still runs. The gate reads the clock itself, so that
--- a/internal/protocol/vrrp/message.go
+++ b/internal/protocol/vrrp/message.go
@@ -93,43 +93,52 @@
 	if ipv4 {
 		addressSize = 4
 	}
+	body, fault := checkHeader(b, addressSize)
+	if fault != sealed.NoFault {
+		return message, fault
+	}
+	if checksum(b[:body], ipv4, from, to) != 0 {
+		return message, sealed.BadChecksum
+	}
+	trailer, fault := sealed.Parse(b, macPurpose, keys)
+	if fault != sealed.NoFault {
+		return message, fault
+	}
+	message = Message{VRID: b[1], Priority: b[2], Interval: int64(binary.BigEndian.Uint16(b[4:])) * centisecond, Trailer: trailer}
+	for at := headerSize; at < body; at += addressSize {
+		address, _ := netip.AddrFromSlice(b[at : at+addressSize])
+		message.Addresses = append(message.Addresses, address)
+	}
+	return message, sealed.NoFault
+}
+
+// checkHeader verifies the lengths and the fields of the header. body is the size of the RFC's message, in front of the trailer.
+func checkHeader(b []byte, addressSize int) (body int, fault sealed.Fault) {
 	if len(b) < headerSize+addressSize+trailerSize+macSize || len(b) > MaxSize {
-		return message, sealed.BadLength
+		return 0, sealed.BadLength
 	}
 	if b[0]>>4 != version {
-		return message, sealed.BadVersion
+		return 0, sealed.BadVersion
 	}
 	if b[0]&0xf != typeAdvertisement {
-		return message, sealed.BadType
+		return 0, sealed.BadType
 	}
 	count := int(b[3])
 	if count == 0 || count > MaxAddresses {
-		return message, sealed.BadCount
+		return 0, sealed.BadCount
 	}
-	body := headerSize + count*addressSize
+	body = headerSize + count*addressSize
 	if len(b) != body+trailerSize+macSize {
-		return message, sealed.BadLength
+		return 0, sealed.BadLength
 	}
 	interval := binary.BigEndian.Uint16(b[4:])
 	if interval>>12 != 0 {
-		return message, sealed.BadReserved // the RFC has receivers ignore them; here no sender sets them
+		return 0, sealed.BadReserved // the RFC has receivers ignore them; here no sender sets them
 	}
 	if interval == 0 {
-		return message, sealed.BadInterval
-	}
-	if checksum(b[:body], ipv4, from, to) != 0 {
-		return message, sealed.BadChecksum
-	}
-	trailer, fault := sealed.Parse(b, macPurpose, keys)
-	if fault != sealed.NoFault {
-		return message, fault
+		return 0, sealed.BadInterval
 	}
-	message = Message{VRID: b[1], Priority: b[2], Interval: int64(interval) * centisecond, Trailer: trailer}
-	for i := range count {
-		address, _ := netip.AddrFromSlice(b[headerSize+i*addressSize : headerSize+(i+1)*addressSize])
-		message.Addresses = append(message.Addresses, address)
-	}
-	return message, sealed.NoFault
+	return body, sealed.NoFault
 }
 
 // VRID returns the virtual router identifier of a message before anything is verified: the group's address family decides how
--- a/internal/protocol/vrrp/message_test.go
+++ b/internal/protocol/vrrp/message_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// change alters a message and mends its checksum and signature, so that only the change itself can be the fault.
+// change alters a message and computes its checksum and MAC again, so that only the change itself can be the fault.
 func change(b []byte, do func([]byte) []byte) []byte {
 	b = do(bytes.Clone(b))
 	if len(b) < 12+trailerSize+macSize {
@@ -84,7 +84,7 @@
 	return b
 }
 
-func TestFaults(t *testing.T) {
+func TestParseFaults(t *testing.T) {
 	good := written(t, sample())
 	set := func(i int, v byte) func([]byte) []byte { return func(b []byte) []byte { b[i] = v; return b } }
 	for _, c := range []struct {
@@ -111,11 +111,13 @@
 		{"another sequence", set(12+19, 8)(bytes.Clone(good)), sealed.BadMAC},
 		{"another signature", set(len(good)-1, good[len(good)-1]^1)(bytes.Clone(good)), sealed.BadMAC},
 	} {
-		if m, fault := Parse(c.b, true, from4, to4, []Key{key1, key2}); fault != c.want || m.VRID != 0 {
-			t.Errorf("%s: %v, want %v", c.name, fault, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if m, fault := Parse(c.b, true, from4, to4, []Key{key1, key2}); fault != c.want || m.VRID != 0 {
+				t.Errorf("%v, want %v", fault, c.want)
+			}
+		})
 	}
-	// Every single flipped bit is noticed.
+	// A flip of any single bit is a fault.
 	for i := range len(good) * 8 {
 		b := bytes.Clone(good)
 		b[i/8] ^= 1 << (i % 8)
@@ -125,7 +127,7 @@
 	}
 }
 
-func TestWhatCannotBeWritten(t *testing.T) {
+func TestAppendErrors(t *testing.T) {
 	for _, c := range []struct {
 		change func(*Message)
 		want   error
@@ -145,7 +147,7 @@
 	}
 }
 
-// Whatever is read as sound is written back to the same bytes.
+// A message that is parsed without a fault is encoded to the same bytes again.
 func FuzzParse(f *testing.F) {
 	b, _ := Append(nil, sample(), from4, to4, key1)
 	f.Add(b, true)
@@ -199,6 +201,6 @@
 		}
 	}
 	if _, err := AppendAnnouncement(nil, Announcement{Addresses: a.Addresses}, key1); err == nil {
-		t.Error("nowhere to lead to")
+		t.Error("an announcement without a listen address is encoded")
 	}
 }
--- a/internal/vrrp/model_test.go
+++ b/internal/vrrp/model_test.go
@@ -132,8 +132,8 @@
 
 func (n needlessTakeover) Key(int64) string { return n.what }
 
-// remember looks at a move: whoever just became active must not have heard a living one, of at least its own priority or
-// not to be preempted, in the last three intervals, nor have its word unread.
+// recordNeedlessTakeover looks at a transition. A router that just became active must not have received an advertisement in the
+// last three intervals, nor have one unread, of an active router that runs and is ready and that it may not preempt.
 func recordNeedlessTakeover(before, after *modelcheck.State) modelcheck.History {
 	if before == nil {
 		return needlessTakeover{}
@@ -161,9 +161,9 @@
 	return needlessTakeover{}
 }
 
-// invariant is what must hold in every state. bound is the longest time without an active router once all is well.
-// Where strict, leases never overlap, not even while advertisements cross: nobody preempts, and nobody starts alike. A
-// paused router counts as if it woke just now, before its machine has noticed.
+// invariant returns the check of every state. bound is the longest time without an active router once there are no faults any
+// more. With strict, leases never overlap, not even while advertisements are in flight; this holds where no router preempts and
+// no two priorities are equal. A paused router counts as if it resumed now, before its machine has handled an event.
 func invariant(full modelcheck.Faults, bound int64, strict bool) func(*modelcheck.State) error {
 	return func(r *modelcheck.State) error {
 		if m, ok := r.History.(needlessTakeover); ok && m.what != "" {
