--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -32,7 +32,7 @@
 // The offset basis and the prime of 64-bit FNV-1a.
 const (
 	fnvOffset uint64 = 14695981039346656037
-	fnvPrime         = 1099511628211
+	fnvPrime  uint64 = 1099511628211
 )
 
 // recordHash is FNV-1a over a record's name, generation and incarnation. It is mixed once more, as the hashes of a view are
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -100,7 +100,7 @@
 }
 
 // Healthy tells that the path is lost in neither direction.
-func (c PathState) Healthy() bool { return !c.OutboundLost && !c.InboundLost }
+func (p PathState) Healthy() bool { return !p.OutboundLost && !p.InboundLost }
 
 // Kind is a kind of message.
 type Kind uint8
--- a/internal/protocol/postgres/query.go
+++ b/internal/protocol/postgres/query.go
@@ -23,8 +23,8 @@
 // statement must have passed ParseStatement.
 func SplitStatement(body []byte) (text, value []byte) {
 	_, text, _ = bytes.Cut(body, []byte(commentClose))
-	if _, value, insert := bytes.Cut(text, []byte(insertValue)); insert {
-		value, _ = hex.DecodeString(string(bytes.TrimSuffix(value, []byte(insertClose))))
+	if _, digits, insert := bytes.Cut(text, []byte(insertValue)); insert {
+		value, _ = hex.DecodeString(string(bytes.TrimSuffix(digits, []byte(insertClose))))
 	}
 	return text, value
 }
--- a/internal/protocol/postgres/statement_test.go
+++ b/internal/protocol/postgres/statement_test.go
@@ -192,3 +192,21 @@
 		}
 	})
 }
+
+// A statement is split into its text behind the comment and, for an INSERT, the value that it writes.
+func TestSplitStatement(t *testing.T) {
+	for _, c := range []struct{ name, body, text, value string }{
+		{"a SELECT", "/* id=1,c=view,d=900,cluster=7 */ SELECT content FROM kv WHERE name = 'a'", "SELECT content FROM kv WHERE name = 'a'", ""},
+		{
+			"an INSERT", `/* id=1,c=put,d=900,cluster=7 */ INSERT INTO kv (name, content) VALUES ('a', '\x6f6b') RETURNING content`,
+			`INSERT INTO kv (name, content) VALUES ('a', '\x6f6b') RETURNING content`, "ok",
+		},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			text, value := SplitStatement([]byte(c.body))
+			if string(text) != c.text || string(value) != c.value {
+				t.Errorf("got %q and %q, want %q and %q", text, value, c.text, c.value)
+			}
+		})
+	}
+}
--- a/internal/raftnode/commands.go
+++ b/internal/raftnode/commands.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// Report passes this gateway's own state to the host, for the maintenance order.
+// SetMaintenanceReport passes this gateway's own state to the host, for the maintenance order.
 func (n *Node) SetMaintenanceReport(own raftstore.GatewayReport) { n.enqueue(inboxItem{event: own}) }
 
 // SetMaintenanceLimits puts other limits in force.
--- a/internal/settings/loadreport.go
+++ b/internal/settings/loadreport.go
@@ -28,7 +28,7 @@
 	return 0, false
 }
 
-// SetReportField sets one field of a load report, by the platform's name for it. A position is counted in seconds from
+// SetLoadReportField sets one field of a load report, by the platform's name for it. A position is counted in seconds from
 // epoch. Fields of unknown names are skipped; a value that is no number is an error.
 func SetLoadReportField(loadReport *policy.LoadReport, field, value string, epoch clock.Micros) error {
 	digits, known := fieldDigits(field)
