--- a/internal/testcluster/check.go
+++ b/internal/testcluster/check.go
@@ -182,12 +182,12 @@
 			if history.endedBetween(node, sentAt-machineSlack, response.At+machineSlack) {
 				continue // also where it was written to a process that had died just before: its client had not seen that yet
 			}
-			if _, draining := history.faultDuring(node, sentAt, response.At, "term"); draining && len(request.forwards) == 0 && history.endedBetween(node, response.At, response.At+shutdownTimeout) {
+			if _, draining := history.faultDuring(node, sentAt, response.At, verbTerm); draining && len(request.forwards) == 0 && history.endedBetween(node, response.At, response.At+shutdownTimeout) {
 				continue // the close and the request crossed
 			}
 			out = append(out, Violation{At: response.At, Text: fmt.Sprintf("%s to gateway %d is lost: its connection was %s", requestID, node, response.What)})
 		case EndTimeout:
-			if _, slow := history.faultDuring(node, sentAt, response.At, "stop", "starve"); slow || history.endedBetween(node, sentAt, response.At+machineSlack) {
+			if _, slow := history.faultDuring(node, sentAt, response.At, verbStop, verbStarve); slow || history.endedBetween(node, sentAt, response.At+machineSlack) {
 				continue
 			}
 			out = append(out, Violation{At: response.At, Text: fmt.Sprintf("%s to gateway %d is lost: no answer within its time", requestID, node)})
@@ -304,13 +304,13 @@
 	for postponed := true; postponed; {
 		postponed = false
 		for _, w := range h.faults {
-			away := w.Verb == "stop" || w.Verb == "starve" || w.Verb == "kill" || w.Verb == "term" ||
-				w.Verb == "sever" && w.Name == Discovery
+			away := w.Verb == verbStop || w.Verb == verbStarve || w.Verb == verbKill || w.Verb == verbTerm ||
+				w.Verb == verbSever && w.Name == Discovery
 			if away && w.concerns(node) && w.from <= at+allowed && w.to > at {
 				if w.to == math.MaxInt64 {
 					return w.to
 				}
-				// The call to discovery may have to be made anew.
+				// The call to discovery may have to be repeated.
 				at, postponed, allowed = w.to, true, max(allowed, resubscribeTimeout.Microseconds())
 			}
 		}
@@ -318,8 +318,8 @@
 	return at + allowed
 }
 
-// checkStale: a view's data are no older than its bound when the gateway has sent the request, and what is served of a seat was looked
-// for at a primary: an answer of a replica that is not passed on harms nobody.
+// checkStale: a view's data are no older than its bound when the gateway has sent the request, and a seat that is served was read
+// at a primary: an answer of a replica that is not forwarded does no harm.
 func checkStale(history *timeline) (out []Violation) {
 	for _, id := range history.requestOrder {
 		r := history.requests[id]
@@ -479,8 +479,8 @@
 		if e.Kind != ProcessChanged || e.What != ProcessEnded {
 			continue
 		}
-		if w, made := history.faultDuring(e.Node, e.At-shutdownTimeout, e.At, "kill", "term"); !made || w.Verb == "term" && e.Text != "exit status 0" {
-			if _, killed := history.faultDuring(e.Node, e.At-shutdownTimeout, e.At, "kill"); !killed {
+		if w, made := history.faultDuring(e.Node, e.At-shutdownTimeout, e.At, verbKill, verbTerm); !made || w.Verb == verbTerm && e.Text != "exit status 0" {
+			if _, killed := history.faultDuring(e.Node, e.At-shutdownTimeout, e.At, verbKill); !killed {
 				out = append(out, Violation{At: e.At, Text: fmt.Sprintf("gateway %d ended with %s", e.Node, e.Text)})
 			}
 		}
@@ -504,7 +504,7 @@
 const deathReasonTimeout = 15_000_000
 
 // checkMembers: nobody is declared dead that runs and can be reached. Losses and delays are no reason; a process that ended, or
-// stands still for long, or whose ways are cut, is.
+// is stopped for long, or whose paths are cut, is.
 func checkMembers(history *timeline) (out []Violation) {
 	for _, e := range history.events {
 		name, about := strings.CutPrefix(e.What, "member g")
@@ -517,9 +517,9 @@
 				return false
 			}
 			switch w.Verb {
-			case "stop", "starve":
+			case verbStop, verbStarve:
 				return w.concerns(node) || w.concerns(e.Node)
-			case "cut", "split":
+			case verbCut, verbSplit:
 				return true // who is cut from one is reached by another, and what both believe travels
 			}
 			return false
--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -119,10 +119,10 @@
 			return fmt.Errorf("%q: there is no gateway %d", fault, n)
 		}
 	}
-	if fault.Name == "" || faultKinds[fault.Verb].target == onNodes || fault.Verb == "sever" && fault.Name == Discovery {
+	if fault.Name == "" || faultKinds[fault.Verb].target == onNodes || fault.Verb == verbSever && fault.Name == Discovery {
 		return nil
 	}
-	if server := c.server(fault.Name); server == nil || fault.Verb != "sever" && server.primary {
+	if server := c.server(fault.Name); server == nil || fault.Verb != verbSever && server.primary {
 		return fmt.Errorf("%q: there is no such server, or not for this", fault)
 	}
 	return nil
@@ -143,10 +143,10 @@
 
 // Inject injects a fault. undo repairs it; nil if there is nothing to repair.
 func (c *Cluster) Inject(fault Fault) (undo func() error, err error) {
-	if faultKinds[fault.Verb].target == onNodes && fault.Verb != "files" {
+	if faultKinds[fault.Verb].target == onNodes && fault.Verb != verbFiles {
 		return c.injectOnNodes(fault)
 	}
-	if fault.Verb == "reset" {
+	if fault.Verb == verbReset {
 		for _, a := range c.Nodes {
 			for _, b := range c.Nodes {
 				if fault.affects(a.Number, b.Number) {
@@ -158,7 +158,7 @@
 		}
 		return nil, nil
 	}
-	if fault.Verb == "promote" {
+	if fault.Verb == verbPromote {
 		next := c.server(fault.Name)
 		c.updateFaults(func() { c.formerPrimary = next.group.promote(next); c.activeFaults = append(c.activeFaults, fault) })
 		for _, n := range c.Nodes {
@@ -193,10 +193,10 @@
 		return nil
 	}
 	switch fault.Verb {
-	case "disk":
+	case verbDisk:
 		return nil, each(func(_ int, node *Node) error { return node.changeDisk(fault.Name) })
-	case "kill", "term":
-		sig := map[string]syscall.Signal{"kill": syscall.SIGKILL, "term": syscall.SIGTERM}[fault.Verb]
+	case verbKill, verbTerm:
+		sig := map[string]syscall.Signal{verbKill: syscall.SIGKILL, verbTerm: syscall.SIGTERM}[fault.Verb]
 		each(func(i int, _ *Node) error { return processes[i].signal(sig) })
 		return func() error {
 			return each(func(i int, node *Node) error {
@@ -204,7 +204,7 @@
 				return node.startUnlessReplaced(processes[i])
 			})
 		}, nil
-	case "starve":
+	case verbStarve:
 		quit := make(chan struct{})
 		var done sync.WaitGroup
 		for i, node := range list {
@@ -255,8 +255,8 @@
 func (c *Cluster) updateRelays(node *Node) {
 	severed := func(name string) fake.Impairment {
 		return fake.Impairment{Drop: slices.ContainsFunc(c.activeFaults, func(fault Fault) bool {
-			return fault.Verb == "sever" && fault.Name == name && fault.targets(node) ||
-				fault.Verb == "promote" && c.formerPrimary.name == name
+			return fault.Verb == verbSever && fault.Name == name && fault.targets(node) ||
+				fault.Verb == verbPromote && c.formerPrimary.name == name
 		})}
 	}
 	for name, relay := range node.serverRelays {
@@ -270,7 +270,7 @@
 	maxSize := noFileLimit
 	for _, fault := range c.activeFaults {
 		switch {
-		case fault.Verb != "files" || !fault.targets(node):
+		case fault.Verb != verbFiles || !fault.targets(node):
 		case fault.Name == "full":
 			maxSize = min(maxSize, node.largestFile())
 		default:
@@ -286,9 +286,9 @@
 	for _, fault := range c.activeFaults {
 		switch {
 		case fault.Name != s.name:
-		case fault.Verb == "lag":
+		case fault.Verb == verbLag:
 			lag = max(lag, fault.Delay)
-		case fault.Verb == "drain":
+		case fault.Verb == verbDrain:
 			state = stateDraining
 		}
 	}
@@ -303,19 +303,19 @@
 			continue
 		}
 		switch fault.Verb {
-		case "cut", "split":
+		case verbCut, verbSplit:
 			out.Drop = true
-		case "stall":
+		case verbStall:
 			out.StallStreams = true
-		case "loss":
+		case verbLoss:
 			out.LossRate = 1 - (1-out.LossRate)*(1-fault.Amount)
-		case "delay":
+		case verbDelay:
 			out.Delay, out.Jitter = out.Delay+fault.Delay, out.Jitter+fault.Jitter
-		case "duplicate":
+		case verbDuplicate:
 			out.Duplicates += int(fault.Amount)
-		case "reorder":
+		case verbReorder:
 			out.Reorder = true
-		case "slow":
+		case verbSlow:
 			if rate := int(fault.Amount); out.Rate == 0 || rate < out.Rate {
 				out.Rate = rate
 			}
--- a/internal/testcluster/indoubt_test.go
+++ b/internal/testcluster/indoubt_test.go
@@ -10,12 +10,12 @@
 	"marblespan/internal/fake"
 )
 
-// atEachStep has a gateway killed, or stand still, before a booking is promised; promised, and not sent; sent, while its server is
-// at it; and before its answer can be kept.
+// atEachStep kills or stops a gateway before the intent of a booking is stored; after that, before it is sent; while its server
+// runs it; and before its answer can be stored.
 const atEachStep = "at 300ms cut 1 -> all for 700ms\nat 500ms %[1]s 1 for %[2]s\nat 2500ms sever 2 -> p for 600ms\nat 2800ms %[1]s 2 for %[2]s\n" +
 	"at 4700ms %[1]s 3 for %[2]s\nat 6500ms cut 4 -> all for 700ms\nat 6600ms %[1]s 4 for %[2]s"
 
-// Bookings that are claimed before they are sent, with five processes under load that asks again: none runs twice, and nobody is
+// Bookings with stored intents, with five processes under load that retries: none runs twice, and nobody
 // gets a wrong answer.
 func TestInDoubt(t *testing.T) {
 	if raceEnabled {
@@ -67,7 +67,7 @@
 	}
 }
 
-// halfAnswered has a gateway killed when its client has the first bytes of an answer, and no more: asked again elsewhere, the
+// halfAnswered kills a gateway when its client has only the first bytes of an answer: retried at another gateway, the
 // booking has the answer that it had.
 func halfAnswered(f *Cluster) error {
 	first, second := f.Nodes[0], f.Nodes[1]
--- a/internal/testcluster/maintenance.go
+++ b/internal/testcluster/maintenance.go
@@ -192,7 +192,7 @@
 		if actions.Gateway != nil {
 			return actions.Gateway(node)
 		}
-		undo, err := c.injectRecorded(Fault{Verb: "kill", From: []int{node.Number}})
+		undo, err := c.injectRecorded(Fault{Verb: verbKill, From: []int{node.Number}})
 		if err != nil {
 			return err
 		}
@@ -212,7 +212,7 @@
 		return nil
 	}
 	i := slices.IndexFunc(s.group.servers, func(next *server) bool { return next != s })
-	undo, err := c.injectRecorded(Fault{Verb: "promote", Name: s.group.servers[i].name})
+	undo, err := c.injectRecorded(Fault{Verb: verbPromote, Name: s.group.servers[i].name})
 	if err != nil {
 		return err
 	}
--- a/internal/testcluster/maintenance_test.go
+++ b/internal/testcluster/maintenance_test.go
@@ -15,7 +15,7 @@
 	}
 	const bound = 2 * time.Minute
 	gateways := []string{"g1", "g2", "g3", "g4", "g5", "g6"}
-	// until waits until a machine stands somewhere, by the leader's order.
+	// until waits until a machine is in one of the states, by the leader's status.
 	until := func(f *Cluster, name string, states ...string) error {
 		return pollUntil(fmt.Sprint(name, " is ", states), func() bool {
 			o, err := f.LeaderMaintenanceStatus()
@@ -26,7 +26,7 @@
 		_, err := f.RunMaintenanceAnywhere(append([]string{"add"}, args...)...)
 		return err
 	}
-	// ends tells whether all that were asked for are done with.
+	// work performs maintenance until no machine is left on the list.
 	work := func(f *Cluster, at MaintenanceActions) error { return f.PerformMaintenance(bound, at) }
 	for _, c := range []struct {
 		name string
@@ -120,7 +120,7 @@
 			}
 			if err := withFault(f, "at 0s split 1,2 | 3,4,5,6", func() error {
 				for _, n := range []*Node{f.Nodes[1], f.Nodes[4]} {
-					n.RunMaintenance("add", "g3") // one of them may hear that the ledger does not answer
+					n.RunMaintenance("add", "g3") // one of them may get the error that the ledger does not answer
 					n.RunMaintenance("add", "g6")
 				}
 				time.Sleep(3 * time.Second) // the split itself
--- a/internal/testcluster/membership_test.go
+++ b/internal/testcluster/membership_test.go
@@ -112,8 +112,8 @@
 	return func(s string) string { return strings.Replace(s, old, new, 1) }
 }
 
-// The hard cases of membership with nine processes under load. calm: nobody may be held dead. In the end everybody knows
-// everybody, and every rule is kept.
+// The hard cases of membership with nine processes under load. calm: nobody may be declared dead. In the end every gateway
+// knows every other one, and no rule is violated.
 func TestMembers(t *testing.T) {
 	if raceEnabled {
 		t.Skip("what these processes do, the race detector does not see")
--- a/internal/testcluster/script.go
+++ b/internal/testcluster/script.go
@@ -40,7 +40,7 @@
 // faultKind describes one kind of fault.
 type faultKind struct {
 	target      targetShape
-	parseValue  func(f *Fault, word string) bool // parses its last word; nil: it takes none
+	parseValue  func(f *Fault, text string) bool // parses its last word; nil: it takes none
 	formatValue func(f Fault) string
 	instant     bool // it has no duration
 	// scriptOnly faults are never drawn.
@@ -99,27 +99,50 @@
 // fileFaults are the faults of the file system that a gateway writes to.
 var fileFaults = []string{"full", "read-only"}
 
+// The verbs of faults, as scripts write them.
+const (
+	verbKill      = "kill"
+	verbTerm      = "term"
+	verbStop      = "stop"
+	verbStarve    = "starve"
+	verbDisk      = "disk"
+	verbFiles     = "files"
+	verbCut       = "cut"
+	verbStall     = "stall"
+	verbReset     = "reset"
+	verbLoss      = "loss"
+	verbDelay     = "delay"
+	verbDuplicate = "duplicate"
+	verbReorder   = "reorder"
+	verbSlow      = "slow"
+	verbSplit     = "split"
+	verbSever     = "sever"
+	verbLag       = "lag"
+	verbPromote   = "promote"
+	verbDrain     = "drain"
+)
+
 // faultKinds are all kinds of faults, by their verb in scripts.
 var faultKinds = map[string]faultKind{
-	"kill":      {target: onNodes, help: "SIGKILL; started again after its span"},
-	"term":      {target: onNodes, help: "SIGTERM; started again after its span, once it has ended"},
-	"stop":      {target: onNodes, help: "SIGSTOP, and SIGCONT after its span"},
-	"starve":    {target: onNodes, parseValue: parsePercent, formatValue: formatPercent, help: "stopped for a share of the time, in slices of 20 ms"},
-	"disk":      {target: onNodes, parseValue: parseDiskOperation, formatValue: formatName, instant: true, scriptOnly: true, help: "the data directory: empty, save (keep a copy), old (put the copy back)"},
-	"files":     {target: onNodes, parseValue: parseFileFault, formatValue: formatName, help: "full: no file grows; read-only: no file can be written at all"},
-	"cut":       {target: onWays, help: "nothing arrives; streams stand still"},
-	"stall":     {target: onWays, help: "streams stand still, datagrams pass"},
-	"reset":     {target: onWays, instant: true, help: "open streams are reset"},
-	"loss":      {target: onWays, parseValue: parsePercent, formatValue: formatPercent, help: "a share of the datagrams is lost; streams are late"},
-	"delay":     {target: onWays, parseValue: parseDelay, formatValue: formatDelay, help: "everything takes longer: 200ms, or 100ms..1s"},
-	"duplicate": {target: onWays, parseValue: parseCount, formatValue: formatCount, help: "so many further copies of each datagram"},
-	"reorder":   {target: onWays, help: "datagrams arrive in the other order, two by two"},
-	"slow":      {target: onWays, parseValue: parseCount, formatValue: formatCount, help: "streams pass so many bytes a second"},
-	"split":     {target: onParts, help: "the two parts hear nothing of each other"},
-	"sever":     {target: onServer, help: "a gateway is cut from a server, or from discovery"},
-	"lag":       {target: onlyNamed, parseValue: parseDelay, formatValue: formatDelay, help: "a replica falls behind by so much"},
-	"promote":   {target: onlyNamed, scriptOnly: true, help: "a replica is the primary from now on; the one that was is cut off for the span, then a replica"},
-	"drain":     {target: onlyNamed, help: "the list says that a server drains"},
+	verbKill:      {target: onNodes, help: "SIGKILL; started again after its span"},
+	verbTerm:      {target: onNodes, help: "SIGTERM; started again after its span, once it has ended"},
+	verbStop:      {target: onNodes, help: "SIGSTOP, and SIGCONT after its span"},
+	verbStarve:    {target: onNodes, parseValue: parsePercent, formatValue: formatPercent, help: "stopped for a share of the time, in slices of 20 ms"},
+	verbDisk:      {target: onNodes, parseValue: parseDiskOperation, formatValue: formatName, instant: true, scriptOnly: true, help: "the data directory: empty, save (keep a copy), old (put the copy back)"},
+	verbFiles:     {target: onNodes, parseValue: parseFileFault, formatValue: formatName, help: "full: no file grows; read-only: no file can be written at all"},
+	verbCut:       {target: onWays, help: "nothing arrives; streams stand still"},
+	verbStall:     {target: onWays, help: "streams stand still, datagrams pass"},
+	verbReset:     {target: onWays, instant: true, help: "open streams are reset"},
+	verbLoss:      {target: onWays, parseValue: parsePercent, formatValue: formatPercent, help: "a share of the datagrams is lost; streams are late"},
+	verbDelay:     {target: onWays, parseValue: parseDelay, formatValue: formatDelay, help: "everything takes longer: 200ms, or 100ms..1s"},
+	verbDuplicate: {target: onWays, parseValue: parseCount, formatValue: formatCount, help: "so many further copies of each datagram"},
+	verbReorder:   {target: onWays, help: "datagrams arrive in the other order, two by two"},
+	verbSlow:      {target: onWays, parseValue: parseCount, formatValue: formatCount, help: "streams pass so many bytes a second"},
+	verbSplit:     {target: onParts, help: "the two parts hear nothing of each other"},
+	verbSever:     {target: onServer, help: "a gateway is cut from a server, or from discovery"},
+	verbLag:       {target: onlyNamed, parseValue: parseDelay, formatValue: formatDelay, help: "a replica falls behind by so much"},
+	verbPromote:   {target: onlyNamed, scriptOnly: true, help: "a replica is the primary from now on; the one that was is cut off for the span, then a replica"},
+	verbDrain:     {target: onlyNamed, help: "the list says that a server drains"},
 }
 
 // formatNodes writes a list of gateways.
@@ -307,7 +330,7 @@
 	in := func(list []int, n int) bool { return list == nil || slices.Contains(list, n) }
 	there := in(f.From, from) && in(f.To, to)
 	back := in(f.From, to) && in(f.To, from)
-	return from != to && (there || (f.Bidirectional || f.Verb == "split") && back)
+	return from != to && (there || (f.Bidirectional || f.Verb == verbSplit) && back)
 }
 
 // DrawFaults draws a schedule of faults from a seed: about one a second, each repaired well before the end. Every kind is drawn
@@ -350,37 +373,37 @@
 	f.Duration = step * time.Duration(5+rng.IntN(25))
 	third := max(1, gateways/3)
 	switch f.Verb {
-	case "kill", "term":
+	case verbKill, verbTerm:
 		f.From = some(third)
-	case "stop":
+	case verbStop:
 		f.From, f.Duration = some(third), step*time.Duration(3+rng.IntN(47))
-	case "starve":
+	case verbStarve:
 		f.From, f.Amount = some(third), float64(30+rng.IntN(60))/100
-	case "split":
+	case verbSplit:
 		f.From = some(gateways - 1)
 		for n := 1; n <= gateways; n++ {
 			if !slices.Contains(f.From, n) {
 				f.To = append(f.To, n)
 			}
 		}
-	case "cut", "stall", "reset", "reorder":
+	case verbCut, verbStall, verbReset, verbReorder:
 		f.From, f.To, f.Bidirectional = some(third), some(gateways), rng.IntN(2) == 0
-	case "loss":
+	case verbLoss:
 		f.Amount = float64(5+rng.IntN(30)) / 100
-	case "delay":
+	case verbDelay:
 		f.Delay, f.Jitter = step*time.Duration(rng.IntN(3)), step*time.Duration(1+rng.IntN(9))
-	case "duplicate":
+	case verbDuplicate:
 		f.Amount = float64(1 + rng.IntN(3))
-	case "slow":
+	case verbSlow:
 		f.From, f.Amount = some(third), float64(1000*(1+rng.IntN(20)))
-	case "sever":
+	case verbSever:
 		f.From = some(third)
 		f.Name = [...]string{"p", "r1", Discovery}[rng.IntN(3)]
-	case "files":
+	case verbFiles:
 		f.From, f.Name = some(third), fileFaults[rng.IntN(len(fileFaults))]
-	case "lag":
+	case verbLag:
 		f.Name, f.Delay = fmt.Sprint("r", 1+rng.IntN(replicas)), step*time.Duration(2+rng.IntN(30))
-	case "drain":
+	case verbDrain:
 		f.Name = fmt.Sprint("r", 1+rng.IntN(replicas))
 	}
 	if faultKinds[f.Verb].instant {
--- a/internal/testcluster/statestore.go
+++ b/internal/testcluster/statestore.go
@@ -177,7 +177,7 @@
 		if v, err := n.StateStoreStatus(); err != nil || v.Failed == "" {
 			continue
 		}
-		undo, err := c.injectRecorded(Fault{Verb: "term", From: []int{n.Number}})
+		undo, err := c.injectRecorded(Fault{Verb: verbTerm, From: []int{n.Number}})
 		if err == nil {
 			err = undo()
 		}
--- a/internal/testcluster/statestore_test.go
+++ b/internal/testcluster/statestore_test.go
@@ -102,8 +102,8 @@
 			for _, ways := range []func(leader, holders, others string) string{
 				func(l, h, o string) string { return fmt.Sprintf("at 0s cut %s -> all", l) },        // taken, on its own disk, with nobody else
 				func(l, h, o string) string { return fmt.Sprintf("at 0s cut %s -> %s", h, l) },      // with a quorum, of which it does not know
-				func(l, h, o string) string { return fmt.Sprintf("at 0s cut %s -> %s", l, o) },      // promised, and its callers not told
-				func(l, h, o string) string { return fmt.Sprintf("at 0s delay %s -> %s 0s", l, h) }, // told
+				func(l, h, o string) string { return fmt.Sprintf("at 0s cut %s -> %s", l, o) },      // committed, and its callers not notified
+				func(l, h, o string) string { return fmt.Sprintf("at 0s delay %s -> %s 0s", l, h) }, // notified
 			} {
 				if err := heldUp(f, ways); err != nil {
 					return err
@@ -424,7 +424,7 @@
 		}
 		return awaitStoreEvent(f, "lost")
 	}
-	return nil // every shard shares two holders with the ledger
+	return nil // every shard shares two gateways with the ledger
 }
 
 // keepArtifacts keeps the history and logs of a failed test.
