--- a/internal/testcluster/membership_test.go
+++ b/internal/testcluster/membership_test.go
@@ -114,7 +114,7 @@
 
 // The hard cases of membership with nine processes under load. calm: nobody may be declared dead. In the end every gateway
 // knows every other one, and no rule is violated.
-func TestMembers(t *testing.T) {
+func TestMembership(t *testing.T) {
 	if raceEnabled {
 		t.Skip("what these processes do, the race detector does not see")
 	}
--- a/internal/testcluster/script.go
+++ b/internal/testcluster/script.go
@@ -30,11 +30,11 @@
 type targetShape uint8
 
 const (
-	onNodes   targetShape = iota // stop 1,2
-	onWays                       // cut 1 -> 2, cut 1 <-> all
-	onParts                      // split 1,2 | 3,4
-	onServer                     // sever 1 -> p
-	onlyNamed                    // lag r1
+	onNodes       targetShape = iota // stop 1,2
+	onPaths                          // cut 1 -> 2, cut 1 <-> all
+	onPartitions                     // split 1,2 | 3,4
+	onServer                         // sever 1 -> p
+	onNamedServer                    // lag r1
 )
 
 // faultKind describes one kind of fault.
@@ -124,25 +124,25 @@
 
 // faultKinds are all kinds of faults, by their verb in scripts.
 var faultKinds = map[string]faultKind{
-	verbKill:      {target: onNodes, help: "SIGKILL; started again after its span"},
-	verbTerm:      {target: onNodes, help: "SIGTERM; started again after its span, once it has ended"},
-	verbStop:      {target: onNodes, help: "SIGSTOP, and SIGCONT after its span"},
+	verbKill:      {target: onNodes, help: "SIGKILL; started again after its duration"},
+	verbTerm:      {target: onNodes, help: "SIGTERM; started again after its duration, once it has ended"},
+	verbStop:      {target: onNodes, help: "SIGSTOP, and SIGCONT after its duration"},
 	verbStarve:    {target: onNodes, parseValue: parsePercent, formatValue: formatPercent, help: "stopped for a share of the time, in slices of 20 ms"},
 	verbDisk:      {target: onNodes, parseValue: parseDiskOperation, formatValue: formatName, instant: true, scriptOnly: true, help: "the data directory: empty, save (keep a copy), old (put the copy back)"},
 	verbFiles:     {target: onNodes, parseValue: parseFileFault, formatValue: formatName, help: "full: no file grows; read-only: no file can be written at all"},
-	verbCut:       {target: onWays, help: "nothing arrives; streams stand still"},
-	verbStall:     {target: onWays, help: "streams stand still, datagrams pass"},
-	verbReset:     {target: onWays, instant: true, help: "open streams are reset"},
-	verbLoss:      {target: onWays, parseValue: parsePercent, formatValue: formatPercent, help: "a share of the datagrams is lost; streams are late"},
-	verbDelay:     {target: onWays, parseValue: parseDelay, formatValue: formatDelay, help: "everything takes longer: 200ms, or 100ms..1s"},
-	verbDuplicate: {target: onWays, parseValue: parseCount, formatValue: formatCount, help: "so many further copies of each datagram"},
-	verbReorder:   {target: onWays, help: "datagrams arrive in the other order, two by two"},
-	verbSlow:      {target: onWays, parseValue: parseCount, formatValue: formatCount, help: "streams pass so many bytes a second"},
-	verbSplit:     {target: onParts, help: "the two parts hear nothing of each other"},
+	verbCut:       {target: onPaths, help: "nothing arrives; streams stall"},
+	verbStall:     {target: onPaths, help: "streams stall, datagrams pass"},
+	verbReset:     {target: onPaths, instant: true, help: "open streams are reset"},
+	verbLoss:      {target: onPaths, parseValue: parsePercent, formatValue: formatPercent, help: "a share of the datagrams is lost; streams are late"},
+	verbDelay:     {target: onPaths, parseValue: parseDelay, formatValue: formatDelay, help: "everything takes longer: 200ms, or 100ms..1s"},
+	verbDuplicate: {target: onPaths, parseValue: parseCount, formatValue: formatCount, help: "so many further copies of each datagram"},
+	verbReorder:   {target: onPaths, help: "datagrams arrive in the other order, two by two"},
+	verbSlow:      {target: onPaths, parseValue: parseCount, formatValue: formatCount, help: "streams pass so many bytes a second"},
+	verbSplit:     {target: onPartitions, help: "the two parts hear nothing of each other"},
 	verbSever:     {target: onServer, help: "a gateway is cut from a server, or from discovery"},
-	verbLag:       {target: onlyNamed, parseValue: parseDelay, formatValue: formatDelay, help: "a replica falls behind by so much"},
-	verbPromote:   {target: onlyNamed, scriptOnly: true, help: "a replica is the primary from now on; the one that was is cut off for the span, then a replica"},
-	verbDrain:     {target: onlyNamed, help: "the list says that a server drains"},
+	verbLag:       {target: onNamedServer, parseValue: parseDelay, formatValue: formatDelay, help: "a replica falls behind by so much"},
+	verbPromote:   {target: onNamedServer, scriptOnly: true, help: "a replica is the primary from now on; the one that was is cut off for the duration, then a replica"},
+	verbDrain:     {target: onNamedServer, help: "the list says that a server drains"},
 }
 
 // formatNodes writes a list of gateways.
@@ -168,13 +168,13 @@
 	switch v.target {
 	case onNodes:
 		words = append(words, formatNodes(f.From))
-	case onWays:
+	case onPaths:
 		words = append(words, formatNodes(f.From), arrow, formatNodes(f.To))
-	case onParts:
+	case onPartitions:
 		words = append(words, formatNodes(f.From), "|", formatNodes(f.To))
 	case onServer:
 		words = append(words, formatNodes(f.From), "->", f.Name)
-	case onlyNamed:
+	case onNamedServer:
 		words = append(words, f.Name)
 	}
 	if v.parseValue != nil {
@@ -294,11 +294,11 @@
 	switch shape {
 	case onNodes:
 		list(&f.From)
-	case onWays:
+	case onPaths:
 		list(&f.From)
 		between("->", "<->")
 		list(&f.To)
-	case onParts:
+	case onPartitions:
 		list(&f.From)
 		between("|")
 		list(&f.To)
@@ -306,10 +306,10 @@
 		list(&f.From)
 		between("->")
 		f.Name = remaining.next()
-	case onlyNamed:
+	case onNamedServer:
 		f.Name = remaining.next()
 	}
-	if wrong == "" && (shape == onServer || shape == onlyNamed) && f.Name == "" {
+	if wrong == "" && (shape == onServer || shape == onNamedServer) && f.Name == "" {
 		wrong = "names no server"
 	}
 	return wrong
