--- a/cmd/marblespan-bench/main_test.go
+++ b/cmd/marblespan-bench/main_test.go
@@ -44,7 +44,7 @@
 	os.Exit(code)
 }
 
-// A script is played, what happened is kept, and what is kept is read back to the same verdict.
+// TestChaos checks that a script is played, that its history is written, and that the history read back gives the same verdict.
 func TestChaos(t *testing.T) {
 	o := chaos.Defaults()
 	o.Cluster.Binary, o.OutputDir, o.Script = binary, t.TempDir(), filepath.Join(t.TempDir(), "two.script")
@@ -73,7 +73,8 @@
 	}
 }
 
-// Gateways that end of themselves fail the run, whatever the faults beside; these are shrunk away, and all is kept.
+// TestChaosFindsACrash checks that gateways that exit by themselves fail the run, that the faults, which are not the cause, are shrunk
+// away, and that the run's files are kept.
 func TestChaosFindsACrash(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
@@ -90,7 +91,7 @@
 		t.Fatalf("%v %v", err, all[0].Violations)
 	}
 	fewest, err := os.ReadFile(filepath.Join(all[0].Dir, "fewest.script"))
-	if err != nil || strings.Count(string(fewest), "\n") > 1 { // one may be left: it makes the run last
+	if err != nil || strings.Count(string(fewest), "\n") > 1 { // one may be left, as it lengthens the run until the crash
 		t.Errorf("%v, what is left: %s", err, fewest)
 	}
 	var b strings.Builder
@@ -99,7 +100,7 @@
 	}
 }
 
-// A newcomer is told how to ask, and sees who serves.
+// TestDemo checks that the demo prints how to connect, and then which gateway serves.
 func TestDemo(t *testing.T) {
 	o := testcluster.Defaults()
 	o.Binary = binary
@@ -117,7 +118,7 @@
 	}
 }
 
-// Real processes are killed, and the times at which the others know are taken from the history.
+// TestMembersOfRealProcesses checks that detection times are measured when real processes are killed.
 func TestMembersOfRealProcesses(t *testing.T) {
 	p, err := members.RunProcesses(binary, 5, 1, 1)
 	if err != nil {
@@ -133,8 +134,8 @@
 	}
 }
 
-// Real processes: the holder is killed, told to stop, frozen, cut off and split off under load. Nothing is lost, nothing
-// runs twice, and the table and chart are written.
+// TestFailover checks, for each kind of fault and with real processes under load, that no request is lost or executed twice, and that
+// the tables and the chart are written.
 func TestFailover(t *testing.T) {
 	dir := t.TempDir()
 	o := failover.Defaults()
