--- a/internal/floatingip/router.go
+++ b/internal/floatingip/router.go
@@ -103,11 +103,11 @@
 	})
 }
 
-// Shutdown releases every address at once. Groups with KeepUntilTakenOver are left out unless includeKeptGroups is set.
-func (r *VRRPRouter) Shutdown(includeKeptGroups bool) {
+// Shutdown releases every address at once. Groups with KeepUntilTakenOver are left out unless everyGroup is set.
+func (r *VRRPRouter) Shutdown(everyGroup bool) {
 	r.runOnLoop(func() {
 		for _, g := range r.groups {
-			if includeKeptGroups || !g.KeepUntilTakenOver {
+			if everyGroup || !g.KeepUntilTakenOver {
 				r.handle(g, vrrp.Shutdown{})
 			}
 		}
