--- a/internal/maintenance/race_test.go
+++ b/internal/maintenance/race_test.go
@@ -2,5 +2,5 @@
 
 package maintenance
 
-// fewer is by how much the search is smaller under the race detector: nothing here runs at the same time.
-const fewer = 10
+// reduction is by how much the search is smaller under the race detector: nothing here runs at the same time.
+const reduction = 10
--- a/internal/membership/race_test.go
+++ b/internal/membership/race_test.go
@@ -3,4 +3,4 @@
 package membership
 
 // runDivisor divides the number of runs: the race detector makes each many times slower, and the machine has one goroutine.
-const fewer = 8
+const runDivisor = 8
--- a/internal/raftstore/race_test.go
+++ b/internal/raftstore/race_test.go
@@ -2,5 +2,5 @@
 
 package raftstore
 
-// fewer divides the number of runs: the race detector makes each many times slower, and the machine has one goroutine.
-const fewer = 8
+// raceDivisor divides the number of runs: the race detector makes each many times slower, and the machine has one goroutine.
+const raceDivisor = 8
