--- a/internal/knownred/knownred.go
+++ b/internal/knownred/knownred.go
@@ -18,6 +18,7 @@
 // Test names a test: the path of its package below the module, and its name.
 type Test struct{ Package, Name string }
 
+// String is the form in which CI prints it.
 func (t Test) String() string { return t.Package + " " + t.Name }
 
 // Entry is one line of the list.
