--- a/internal/testcluster/main_test.go
+++ b/internal/testcluster/main_test.go
@@ -121,9 +121,11 @@
 }
 
 func TestClusterToKill(t *testing.T) {
-	if binary = os.Getenv(asClusterProcess); binary == "" {
+	program := os.Getenv(asClusterProcess)
+	if program == "" {
 		t.Skip("only for TestNoProcessOutlivesCluster")
 	}
+	binary = program
 	f, err := New(options())
 	if err != nil {
 		t.Fatal(err)
