--- a/internal/assignment/assignment.go
+++ b/internal/assignment/assignment.go
@@ -1,6 +1,8 @@
 // Package assignment decides which of several gateways does which periodic work, such as checking the health of a database
 // server: which one does it, when, and which one takes over when that one is silent.
 //
+// No other package uses it yet: it is to come with shared periodic duties (docs/ROADMAP.md).
+//
 // It needs no agreement. Every gateway ranks the members that it sees for every subject by rendezvous hashing (Thaler and
 // Ravishankar). The first in rank does the work each period and reports it; the second takes over one Step after the report
 // is overdue, the third another Step later, and so on. Differing views of the members cost extra work but leave no gap: a
--- a/internal/datagrams/datagrams.go
+++ b/internal/datagrams/datagrams.go
@@ -1,5 +1,5 @@
 // Package datagrams is a UDP socket with the one goroutine that owns it and the state of whoever handles its datagrams: the
-// agent of internal/gossip and the speaker of internal/floatingip are its handlers. It knows no protocol. A handler decides
+// agent of internal/gossip and the VRRP router of internal/floatingip are its handlers. It knows no protocol. A handler decides
 // by itself which datagrams to drop, and may log them by a DropLog.
 //
 // Loop.Run is the goroutine: it reads datagrams in batches, runs tasks of other goroutines (Do), and has the handler check its
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -3,7 +3,7 @@
 //
 // The main decisions are in
 //
-//   - Run: what each signal does;
+//   - handleSignals: what each signal does;
 //   - Start (start.go): in which order the parts come up, and what the operators' file switches on;
 //   - Gateway.Reload (reload.go): what may change while the gateway runs;
 //   - Gateway.Stop (stop.go): the steps of a graceful shutdown, and how long each may take;
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -11,7 +11,7 @@
 //
 //   - all of the platform's settings (classes, policy and the like), as one;
 //   - the address of discovery;
-//   - of the operators' file: of members the keys, the addresses to join at, zone, weight and interval; of vrrp and group the
+//   - of the operators' file: of members the keys, the addresses to join at, via, zone, weight and interval; of vrrp and group the
 //     peers, keys, announcements, priorities and timers; of maintenance all but the default duration of work.
 //
 // What does not is listed by config.Config.RestartRequired and config.Operators.RestartRequired: the gateway's name, its listener
--- a/internal/maintenance/doc.go
+++ b/internal/maintenance/doc.go
@@ -7,7 +7,7 @@
 //
 // A gateway or a server may go by this chain:
 //
-//   - The ledger's leader, and nobody else, decides. With each tick raftstore's Host.planOrder calls Planner.Plan with the order
+//   - The ledger's leader, and nobody else, decides. With each tick raftstore's Host.planMaintenance calls Planner.Plan with the order
 //     and a ClusterView of what the gateways have reported.
 //   - Planner.Plan asks evaluator.reasonToWait for each machine that is requested: first what concerns all
 //     (evaluator.clusterFault, evaluator.placeReason), then evaluator.gatewayReasonToWait or evaluator.serverReasonToWait.
--- a/internal/protocol/sealed/sealed.go
+++ b/internal/protocol/sealed/sealed.go
@@ -2,11 +2,11 @@
 // service, a signed trailer that identifies a message and its sender, a guard against replays, and the list of faults for
 // which a datagram is dropped. It works on bytes only.
 //
-// The way of a datagram: datagrams.Loop reads it and calls its Handler, the agent of internal/gossip or the speaker of
-// internal/floatingip. There receive or HandleDatagram calls check, which has the protocol's codec parse the message and,
-// by Parse of this package, verify its signature; then ReplayGuard.Accept tells whether it is new. The first fault found
-// is returned as a Fault. A forged datagram fails in Verify with UnknownKey or BadMAC. drop counts it under its fault and logs
-// it by datagrams.DropLog.
+// The way of a datagram: datagrams.Loop reads it and calls HandleDatagram of its Handler, the agent of internal/gossip (check,
+// drop) or the VRRP router of internal/floatingip (receive, validate, countDropped). There the protocol's codec parses the message
+// and, by Parse of this package, verifies its signature; then ReplayGuard.Accept tells whether it is new. The first fault found
+// is returned as a Fault. A forged datagram fails in Verify with UnknownKey or BadMAC; it is counted under its fault and logged by
+// datagrams.DropLog.
 package sealed
 
 import (
