--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -6,9 +6,9 @@
 	maxSavedTokens        = 10  // such retries saved up; health checks save as many
 )
 
-// retryBudget bounds the retries of attempts that may have run. It is one of four bounds on retries: mayRetry below has the
-// second, placeOnPrimary (half of a write's attempts while no primary is known) the third, and routing.Core.startAttempt, which
-// checks the number of attempts and the deadline once more, the fourth.
+// retryBudget bounds the retries of attempts that may have run. It is one of four bounds on retries: mayRetry
+// below has the second, placeOnPrimary (half of a write's attempts while no primary is known) the third, and
+// routing.Core.startAttempt, which checks the number of attempts and the deadline once more, the fourth.
 type retryBudget struct {
 	retryTokens int64 // in thousandths; filled by arrivals
 }
