--- a/internal/policy/attempts.go
+++ b/internal/policy/attempts.go
@@ -42,7 +42,7 @@
 	}
 	a := req.attempts[e.Attempt]
 	a.inFlight = false
-	a.execution = e.Execution.RaisedBy(e.Result)
+	a.execution = e.Execution.CombinedWith(e.Result)
 	a.server.inFlight = removeFirst(a.server.inFlight, a)
 	r.learnFromOutcome(a, e)
 	switch {
--- a/internal/policy/execution.go
+++ b/internal/policy/execution.go
@@ -19,10 +19,11 @@
 	ExecutionDone:    "done",
 }
 
-// RaisedBy is what an execution and the result received with it prove together. A proof that nothing
-// ran does not stand beside a result that only an attempt written as a whole can have. What is known is
-// raised here and lowered nowhere.
-func (e Execution) RaisedBy(received Result) Execution {
+// CombinedWith returns what an execution and the result received with it prove together. ExecutionNone is
+// not accepted beside a result that only a completely written attempt can have, and becomes
+// ExecutionUnknown. The combination only strengthens the claim that the attempt ran; no other code weakens
+// that claim.
+func (e Execution) CombinedWith(received Result) Execution {
 	switch received {
 	case ResultOK:
 		return ExecutionDone
--- a/internal/routing/requests.go
+++ b/internal/routing/requests.go
@@ -138,7 +138,7 @@
 // final in any case.
 func (c *Core) handleAttemptEnded(ended AttemptEnded) {
 	received := ended.Result
-	ended.Execution = ended.Execution.RaisedBy(received) // before the result is taken for anything else
+	ended.Execution = ended.Execution.CombinedWith(received) // before the result is taken for anything else
 	c.Counts.Outcomes[received]++
 	c.Counts.Executions[ended.Execution]++
 	q := c.requests.byID[ended.Job.ID]
