--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -49,7 +49,7 @@
 	MemoryMB     int
 	Sockets      int
 	KnownServers discovery.List // that discovery had told before the start
-	InForce      *settings.InForce
+	InForce      *settings.Snapshot
 	Settings     map[string]any // as written, to tell what a reload changes
 }
 
--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -20,7 +20,7 @@
 
 // askPauses are the longest pauses that the module makes before the first ask after a watch that stood, and before any
 // other, by these settings.
-func askPauses(facts *settings.InForce) (first, any time.Duration) {
+func askPauses(facts *settings.Snapshot) (first, any time.Duration) {
 	const seeds, askings = 200, 10
 	start := clock.Micros(1_767_225_600_000_000)
 	for seed := uint64(1); seed <= seeds; seed++ {
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -20,7 +20,7 @@
 	discovery Discovery
 	log       zerolog.Logger
 
-	inForce        *settings.InForce
+	inForce        *settings.Snapshot
 	counterIndexes []int // among Counts, of the classes in inForce
 
 	startedAt clock.Micros
@@ -40,7 +40,7 @@
 
 // NewCore starts the router with the endpoint list that the gateway last had.
 func NewCore(
-	now clock.Micros, seed uint64, inForce *settings.InForce, known EndpointListUpdate, servers Servers, disc Discovery,
+	now clock.Micros, seed uint64, inForce *settings.Snapshot, known EndpointListUpdate, servers Servers, disc Discovery,
 	log zerolog.Logger,
 ) *Core {
 	c := &Core{
@@ -116,7 +116,7 @@
 func (c *Core) NextTimer() (clock.Micros, bool) { return c.timers.first() }
 
 // Reconfigure puts other settings in force. Open requests are finished under those that they came under.
-func (c *Core) Reconfigure(next *settings.InForce) {
+func (c *Core) Reconfigure(next *settings.Snapshot) {
 	c.inForce, c.counterIndexes = next, c.Counts.counterIndexes(next.ClassNames)
 	c.Counts.Reloads++
 	c.perform(c.router.Reconfigure(c.now, next.Settings))
--- a/internal/routing/core_test.go
+++ b/internal/routing/core_test.go
@@ -436,7 +436,7 @@
 	next.Settings.Classes = []policy.Class{c[0], c[1], c[0]}
 	next.Settings.Classes[0].Name = "extra"
 	r.core.Reconfigure(&next)
-	request := func(facts *settings.InForce, class int) *fakeClient {
+	request := func(facts *settings.Snapshot, class int) *fakeClient {
 		f := &fakeClient{}
 		r.core.Handle(r.now, &Request{
 			Client: f, Payload: &fakePayload{references: 1}, InForce: facts, Arrival: policy.Arrival{Class: class, Group: 7},
--- a/internal/routing/events.go
+++ b/internal/routing/events.go
@@ -16,7 +16,7 @@
 	Client      Client
 	ClientID    string // the id that the client gave it; empty: none
 	Payload     Payload
-	InForce     *settings.InForce // the settings it was read by, which Arrival.Class is an index into; nil: those in force
+	InForce     *settings.Snapshot // the settings it was read by, which Arrival.Class is an index into; nil: those in force
 	Arrival     policy.Arrival    // ID and TimeLeft are filled in by Core
 	ReadAt      clock.Micros      // when its last byte was read
 	Timeout     clock.Micros      // how long the client waits from then on
--- a/internal/routing/requests.go
+++ b/internal/routing/requests.go
@@ -18,7 +18,7 @@
 	readAt   clock.Micros // when its last byte was read
 	deadline clock.Micros
 
-	inForce      *settings.InForce // the settings it is finished under
+	inForce      *settings.Snapshot // the settings it is finished under
 	class        int               // index among their classes
 	counterIndex int               // of its class among Counts
 
--- a/internal/session/interleaving_test.go
+++ b/internal/session/interleaving_test.go
@@ -34,7 +34,7 @@
 	x := &clientHarness{t: t, c: c, peer: peer.(*net.TCPConn), events: make(chan routing.Event, 1024)}
 	c.all.Owner, c.all.Clock, c.all.Buffers = poster(x.events), routing.NewClock(), transport.NewBuffers(1<<24)
 	c.all.Counts = &ClientCounts{}
-	c.all.InForce = settings.NewLive(&settings.InForce{
+	c.all.InForce = settings.NewLive(&settings.Snapshot{
 		Settings:   policy.Settings{Classes: []policy.Class{{Name: "look", Need: policy.NeedAny}, {Name: "put", Need: policy.NeedWrite}}},
 		ClassIndex: map[string]int{"look": 0, "put": 1}, ClassNames: []string{"look", "put"},
 	})
@@ -473,7 +473,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t)
-			r.changeSettings(func(f *settings.InForce) { f.Settings.ConnectTimeout = clock.Micros(patience / time.Microsecond) })
+			r.changeSettings(func(f *settings.Snapshot) { f.Settings.ConnectTimeout = clock.Micros(patience / time.Microsecond) })
 			slow := newSlowServer(t, r)
 			r.servers.Send(r.job("a"))
 			nc := slow.accept()
@@ -500,7 +500,7 @@
 // computed before the connection is up.
 func TestTimeSentIsWhatIsLeft(t *testing.T) {
 	r := newHarness(t)
-	r.changeSettings(func(f *settings.InForce) { f.Settings.ConnectTimeout = clock.Micros(patience / time.Microsecond) })
+	r.changeSettings(func(f *settings.Snapshot) { f.Settings.ConnectTimeout = clock.Micros(patience / time.Microsecond) })
 	slow := newSlowServer(t, r)
 	job := r.job("a")
 	r.servers.Send(job)
--- a/internal/session/requests.go
+++ b/internal/session/requests.go
@@ -21,7 +21,7 @@
 type received struct {
 	text      *transport.Message
 	reserve   int               // bytes
-	inForce   *settings.InForce // in force when it was read
+	inForce   *settings.Snapshot // in force when it was read
 	arrival   policy.Arrival
 	statement postgres.Statement
 	inDoubt   bool // an in-doubt write, which must be claimed before it is sent
@@ -91,7 +91,7 @@
 }
 
 // parseRequest makes a request of a query's text. An empty query makes none and is no error: its statement has no id.
-func (c *client) parseRequest(inForce *settings.InForce, text *transport.Message, body int) (
+func (c *client) parseRequest(inForce *settings.Snapshot, text *transport.Message, body int) (
 	arrival policy.Arrival, statement postgres.Statement, fault *requestError,
 ) {
 	if body <= transport.BufferSize && postgres.IsEmptyQuery(text.FirstBuffer()) {
--- a/internal/session/server_conn_test.go
+++ b/internal/session/server_conn_test.go
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	r := &harness{t: t, server: server, events: make(chan routing.Event, 64)}
-	facts := &settings.InForce{Settings: policy.Settings{ConnectTimeout: 250_000}, Keepalive: 30_000_000}
+	facts := &settings.Snapshot{Settings: policy.Settings{ConnectTimeout: 250_000}, Keepalive: 30_000_000}
 	r.servers = &Servers{
 		Owner: poster(r.events), InForce: settings.NewLive(facts), Buffers: transport.NewBuffers(1 << 24),
 		Fds: transport.NewDescriptors(1024), Ends: transport.NewEndRecorder(zerolog.Nop()), Clock: routing.NewClock(),
@@ -49,7 +49,7 @@
 }
 
 // changeSettings puts changed settings in force.
-func (r *harness) changeSettings(change func(*settings.InForce)) {
+func (r *harness) changeSettings(change func(*settings.Snapshot)) {
 	next := *r.servers.InForce.Load()
 	change(&next)
 	r.servers.InForce.Store(&next)
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -13,7 +13,7 @@
 // meaning and is noted in Warnings: an effect is non-idempotent, a freshness check none, and a need the primary.
 //
 // Errors are a *KeyError where one key is at fault.
-func Parse(raw []byte) (*InForce, error) {
+func Parse(raw []byte) (*Snapshot, error) {
 	var wire wireSettings
 	if err := json.Unmarshal(raw, &wire); err != nil {
 		var kind *json.UnmarshalTypeError
@@ -23,7 +23,7 @@
 		return nil, fmt.Errorf("settings cannot be read: %w", err)
 	}
 	// Where several keys are at fault, the first in this order is reported.
-	p := parser{out: &InForce{ClassIndex: map[string]int{}, LoadReportFields: wire.LoadReport.Fields}}
+	p := parser{out: &Snapshot{ClassIndex: map[string]int{}, LoadReportFields: wire.LoadReport.Fields}}
 	p.readClasses(wire.Classes, &wire.Family)
 	p.checkTenants(wire.Tenants)
 	p.readDeployment(&wire)
@@ -37,7 +37,7 @@
 
 // parser fills in an InForce. It remembers the first error, and reads on.
 type parser struct {
-	out *InForce
+	out *Snapshot
 	err error
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -14,9 +14,9 @@
 	"marblespan/internal/policy"
 )
 
-// InForce is one set of settings, read and checked. Policy gets Settings; the rest is for the gateway and the simulator's
+// Snapshot is one set of settings, read and checked. Policy gets Settings; the rest is for the gateway and the simulator's
 // wire.
-type InForce struct {
+type Snapshot struct {
 	Settings         policy.Settings
 	ClassIndex       map[string]int // index into Settings.Classes, by the class's name
 	ClassNames       []string       // by index
@@ -27,10 +27,10 @@
 }
 
 // Live holds the settings in force. They may be replaced while the gateway runs.
-type Live struct{ atomic.Pointer[InForce] }
+type Live struct{ atomic.Pointer[Snapshot] }
 
 // NewLive makes a Live that holds initial.
-func NewLive(initial *InForce) *Live {
+func NewLive(initial *Snapshot) *Live {
 	l := &Live{}
 	l.Store(initial)
 	return l
@@ -43,10 +43,10 @@
 func (e *KeyError) Error() string { return e.Key + ": " + e.Text }
 
 // HasSession reports whether requests of a class carry a session: writes and session reads do.
-func (f *InForce) HasSession(class int) bool {
+func (f *Snapshot) HasSession(class int) bool {
 	need := f.Settings.Classes[class].Need
 	return need == policy.NeedWrite || need == policy.NeedSession
 }
 
 // IsWrite reports whether requests of a class change data.
-func (f *InForce) IsWrite(class int) bool { return f.Settings.Classes[class].Need == policy.NeedWrite }
+func (f *Snapshot) IsWrite(class int) bool { return f.Settings.Classes[class].Need == policy.NeedWrite }
--- a/internal/simhost/host.go
+++ b/internal/simhost/host.go
@@ -32,7 +32,7 @@
 
 // instance is one simulated gateway.
 type instance struct {
-	settings *settings.InForce
+	settings *settings.Snapshot
 	router   *policy.Router
 	broken   bool // it has had a fault: its events are skipped until it is started again
 }
@@ -178,7 +178,7 @@
 }
 
 // settingsOf is the settings of a started instance; nil if there is none.
-func (h *host) settingsOf(number int) *settings.InForce {
+func (h *host) settingsOf(number int) *settings.Snapshot {
 	if in := h.instances[number]; in != nil {
 		return in.settings
 	}
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -20,7 +20,7 @@
 
 // Decode reads one line. settingsOf finds the settings of a started instance, or nil. A defect in what is addressed to one
 // instance is a *FaultError; any other defect concerns the whole run.
-func Decode(line []byte, settingsOf func(instance int) *settings.InForce) (Message, error) {
+func Decode(line []byte, settingsOf func(instance int) *settings.Snapshot) (Message, error) {
 	var values []json.RawMessage
 	if err := json.Unmarshal(line, &values); err != nil || len(values) == 0 {
 		return nil, errNotMessage
@@ -66,7 +66,7 @@
 }
 
 // decodeInstanceMessage reads a message addressed to one instance, which is value 0.
-func decodeInstanceMessage(name string, instance int, r *row, settingsOf func(int) *settings.InForce) (Message, error) {
+func decodeInstanceMessage(name string, instance int, r *row, settingsOf func(int) *settings.Snapshot) (Message, error) {
 	switch name {
 	case nameStartInstance:
 		seed := r.seed(1)
@@ -98,7 +98,7 @@
 }
 
 // event reads an event of a started instance. The error is that the name is unknown; defects in values stay in the row.
-func (r *row) event(name string, inForce *settings.InForce) (policy.Event, error) {
+func (r *row) event(name string, inForce *settings.Snapshot) (policy.Event, error) {
 	switch name {
 	case nameArrival:
 		return r.arrival(inForce), nil
@@ -136,7 +136,7 @@
 	arrivalSinceWrite = 9
 )
 
-func (r *row) arrival(inForce *settings.InForce) policy.Event {
+func (r *row) arrival(inForce *settings.Snapshot) policy.Event {
 	class, ok := inForce.ClassIndex[r.text(arrivalClass)]
 	if !ok {
 		r.fail(arrivalClass, "a class of the settings")
@@ -163,7 +163,7 @@
 	outcomeLoadReport = 8
 )
 
-func (r *row) outcome(inForce *settings.InForce) policy.Event {
+func (r *row) outcome(inForce *settings.Snapshot) policy.Event {
 	outcome := policy.Outcome{
 		ID: r.text(outcomeID), Latency: r.micros(outcomeLatency), Server: policy.ServerID(r.unsigned(outcomeServer, 32)),
 		Result: lookupCode(r, results, outcomeResult, "a known outcome"), Final: r.boolean(outcomeFinal),
@@ -180,7 +180,7 @@
 }
 
 // loadReport reads a load report, whose values are in the order of the settings' fields. Fields of unknown names are skipped.
-func (r *row) loadReport(i int, inForce *settings.InForce) policy.LoadReport {
+func (r *row) loadReport(i int, inForce *settings.Snapshot) policy.LoadReport {
 	var report policy.LoadReport
 	if r.absent(i) {
 		return report
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -39,7 +39,7 @@
 type StartInstance struct {
 	Instance int
 	Seed     uint64
-	Settings *settings.InForce
+	Settings *settings.Snapshot
 }
 
 // StopInstance ends an instance.
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -23,7 +23,7 @@
  "rules": {"ask_within_ms": 10000.0, "cold_from": 0.26, "fall_ms": 3000.0, "grace_to_answer_ms": 20.0,
   "overload_factor": 4.0, "ramp_time_ms": 16000.0, "stop_sending_within_ms": 250.0, "dropped_stay_open": true}}`
 
-func testSettings(t *testing.T) *settings.InForce {
+func testSettings(t *testing.T) *settings.Snapshot {
 	t.Helper()
 	f, err := settings.Parse([]byte(settingsJSON))
 	if err != nil {
@@ -103,7 +103,7 @@
 		{`["ALARM",3,"sweep"]`, InstanceEvent{3, policy.Timer{Kind: policy.TimerSweep}}},
 		{`["MAIL",3,2,"68692037"]`, InstanceEvent{3, policy.PeerMessage{From: 2, Data: []byte("hi 7")}}},
 	} {
-		got, err := Decode([]byte(c.line), func(int) *settings.InForce { return f })
+		got, err := Decode([]byte(c.line), func(int) *settings.Snapshot { return f })
 		if err != nil || !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s:\n got  %+v, %v\n want %+v", c.line, got, err, c.want)
 		}
@@ -121,7 +121,7 @@
 		"502": policy.ResultConnectFailed, "598": policy.ResultReset, "499": policy.ResultCancelled,
 		"410": policy.ResultNotSent, "404": policy.ResultMisdirected,
 	} {
-		got, err := Decode([]byte(`["STATUS_BACK",3,7,`+code+`,1]`), func(int) *settings.InForce { return f })
+		got, err := Decode([]byte(`["STATUS_BACK",3,7,`+code+`,1]`), func(int) *settings.Snapshot { return f })
 		if err != nil || got.(InstanceEvent).Event.(policy.HealthCheckEnded).Result != want {
 			t.Errorf("%s: %+v, %v", code, got, err)
 		}
@@ -143,7 +143,7 @@
 		{`["STATUS_BACK",3,7,200,1,["x"]]`, true}, {`["MAIL",3,2,"zz"]`, true}, {`["REGISTRY",3,2,1,0]`, true},
 		{`["REGISTRY",3,0,1,16]`, true}, {`["START",3]`, true}, {`["START",3,1,7]`, true}, {`["ALARM",9,"x"]`, true},
 	} {
-		_, err := Decode([]byte(c.line), func(i int) *settings.InForce {
+		_, err := Decode([]byte(c.line), func(i int) *settings.Snapshot {
 			if i == 3 {
 				return f
 			}
@@ -194,6 +194,6 @@
 		f.Fatal(err)
 	}
 	f.Fuzz(func(t *testing.T, line string) {
-		_, _ = Decode([]byte(line), func(int) *settings.InForce { return fs }) // must not panic
+		_, _ = Decode([]byte(line), func(int) *settings.Snapshot { return fs }) // must not panic
 	})
 }
