--- a/internal/routing/core_test.go
+++ b/internal/routing/core_test.go
@@ -439,7 +439,7 @@
 	request := func(facts *settings.Snapshot, class int) *fakeClient {
 		f := &fakeClient{}
 		r.core.Handle(r.now, &Request{
-			Client: f, Payload: &fakePayload{references: 1}, InForce: facts, Arrival: policy.Arrival{Class: class, Group: 7},
+			Client: f, Payload: &fakePayload{references: 1}, Settings: facts, Arrival: policy.Arrival{Class: class, Group: 7},
 			ReadAt: r.now, Timeout: 1_000_000,
 		})
 		return f
--- a/internal/routing/events.go
+++ b/internal/routing/events.go
@@ -16,11 +16,11 @@
 	Client      Client
 	ClientID    string // the id that the client gave it; empty: none
 	Payload     Payload
-	InForce     *settings.Snapshot // the settings it was read by, which Arrival.Class is an index into; nil: those in force
-	Arrival     policy.Arrival    // ID and TimeLeft are filled in by Core
-	ReadAt      clock.Micros      // when its last byte was read
-	Timeout     clock.Micros      // how long the client waits from then on
-	MinPosition clock.Micros      // the log position that it must see; 0: none
+	Settings    *settings.Snapshot // the settings it was read by, which Arrival.Class is an index into; nil: those in force
+	Arrival     policy.Arrival     // ID and TimeLeft are filled in by Core
+	ReadAt      clock.Micros       // when its last byte was read
+	Timeout     clock.Micros       // how long the client waits from then on
+	MinPosition clock.Micros       // the log position that it must see; 0: none
 }
 
 // ClientDisconnected says that a client left before its answer. The package comment gives the chain that follows.
--- a/internal/routing/requests.go
+++ b/internal/routing/requests.go
@@ -19,8 +19,8 @@
 	deadline clock.Micros
 
 	inForce      *settings.Snapshot // the settings it is finished under
-	class        int               // index among their classes
-	counterIndex int               // of its class among Counts
+	class        int                // index among their classes
+	counterIndex int                // of its class among Counts
 
 	attempts []Attempt // by index; nil where one was not sent or has ended
 	inFlight int       // attempts sent that have not ended
@@ -105,11 +105,11 @@
 // classOf finds a request's class among the settings in force, by its name if it was read under other settings. It fails if
 // the class is no more or its need has changed: what was read as one class must not be sent as another.
 func (c *Core) classOf(e *Request) (class int, ok bool) {
-	if e.InForce == nil || e.InForce == c.inForce {
+	if e.Settings == nil || e.Settings == c.inForce {
 		return e.Arrival.Class, true
 	}
-	class, ok = c.inForce.ClassIndex[e.InForce.ClassNames[e.Arrival.Class]]
-	return class, ok && c.inForce.Settings.Classes[class].Need == e.InForce.Settings.Classes[e.Arrival.Class].Need
+	class, ok = c.inForce.ClassIndex[e.Settings.ClassNames[e.Arrival.Class]]
+	return class, ok && c.inForce.Settings.Classes[class].Need == e.Settings.Settings.Classes[e.Arrival.Class].Need
 }
 
 // arrival is a request as the router sees it. The time it waited in the queue is taken off the client's timeout.
--- a/internal/session/requests.go
+++ b/internal/session/requests.go
@@ -20,7 +20,7 @@
 // received is a query that has been read completely, with the memory reserved for it and its answer.
 type received struct {
 	text      *transport.Message
-	reserve   int               // bytes
+	reserve   int                // bytes
 	inForce   *settings.Snapshot // in force when it was read
 	arrival   policy.Arrival
 	statement postgres.Statement
@@ -171,7 +171,7 @@
 	wait := in.statement.TimeoutMillis
 	q := &pendingQuery{client: c, reserve: in.reserve}
 	r := &routing.Request{
-		Client: q, ClientID: in.statement.ID, Payload: &query{text: in.text, statement: in.statement}, InForce: in.inForce,
+		Client: q, ClientID: in.statement.ID, Payload: &query{text: in.text, statement: in.statement}, Settings: in.inForce,
 		Arrival: in.arrival, ReadAt: c.all.Clock.Now(),
 		Timeout: clock.Micros(wait) * 1000, MinPosition: clock.Micros(in.statement.After) * 1000,
 	}
