--- a/internal/session/requests.go
+++ b/internal/session/requests.go
@@ -20,8 +20,8 @@
 // received is a query that has been read completely, with the memory reserved for it and its answer.
 type received struct {
 	text      *transport.Message
-	reserve   int               // bytes
-	inForce   *settings.InForce // in force when it was read
+	reserve   int                // bytes
+	inForce   *settings.Snapshot // in force when it was read
 	arrival   policy.Arrival
 	statement postgres.Statement
 	inDoubt   bool // an in-doubt write, which must be claimed before it is sent
@@ -91,7 +91,7 @@
 }
 
 // parseRequest makes a request of a query's text. An empty query makes none and is no error: its statement has no id.
-func (c *client) parseRequest(inForce *settings.InForce, text *transport.Message, body int) (
+func (c *client) parseRequest(inForce *settings.Snapshot, text *transport.Message, body int) (
 	arrival policy.Arrival, statement postgres.Statement, fault *requestError,
 ) {
 	if body <= transport.BufferSize && postgres.IsEmptyQuery(text.FirstBuffer()) {
@@ -171,7 +171,7 @@
 	wait := in.statement.TimeoutMillis
 	q := &pendingQuery{client: c, reserve: in.reserve}
 	r := &routing.Request{
-		Client: q, ClientID: in.statement.ID, Payload: &query{text: in.text, statement: in.statement}, InForce: in.inForce,
+		Client: q, ClientID: in.statement.ID, Payload: &query{text: in.text, statement: in.statement}, Settings: in.inForce,
 		Arrival: in.arrival, ReadAt: c.all.Clock.Now(),
 		Timeout: clock.Micros(wait) * 1000, MinPosition: clock.Micros(in.statement.After) * 1000,
 	}
