--- a/internal/raftgateway/status.go
+++ b/internal/raftgateway/status.go
@@ -12,7 +12,7 @@
 	o := s.Overview()
 	status := gateway.StateStoreStatus{
 		Node: s.Name(), BootstrapID: optionalID(o.ClusterID), Index: o.Index, Voters: o.VotersPerGroup, Format: o.Format, StoreID: optionalID(o.Store),
-		Failed: o.Failed, Waiting: o.PendingCalls,
+		Failed: o.DiskFailure, Waiting: o.PendingCalls,
 		Stores: []gateway.StoreStatus{}, Groups: []gateway.GroupStatus{}, // [] in JSON, not null
 	}
 	for _, d := range o.Stores {
--- a/internal/raftnode/commands.go
+++ b/internal/raftnode/commands.go
@@ -35,7 +35,7 @@
 		switch {
 		case o.ClusterID != 0:
 			return ErrStoreExists
-		case o.Store == 0 || o.Failed != "":
+		case o.Store == 0 || o.DiskFailure != "":
 			return ErrNoMembers
 		}
 		n.host.Handle(n.clock.Now(), raftstore.BootstrapRequested{Shards: shards, Voters: voters, First: first})
--- a/internal/raftnode/node_test.go
+++ b/internal/raftnode/node_test.go
@@ -183,7 +183,7 @@
 		t.Fatal(err)
 	}
 	a := cluster.start(t, "a")
-	if o := a.Overview(); o.Store == 0 || o.Failed != "" {
+	if o := a.Overview(); o.Store == 0 || o.DiskFailure != "" {
 		t.Errorf("the node has no storage: %+v", o)
 	}
 	kept, err := filepath.Glob(path + ".damaged-*")
--- a/internal/raftstore/overview.go
+++ b/internal/raftstore/overview.go
@@ -13,7 +13,7 @@
 	VotersPerGroup int
 	Format         uint32 // the latest record format that may be used
 	Store          uint64 // this gateway's; 0: it has none
-	Failed         string // why the disk is not written any more; empty: it is
+	DiskFailure    string // why the disk is not written any more; empty: it is
 	PendingCalls   int    // this gateway's own
 	Stores         []StoreView
 	Groups         []GroupView
@@ -84,7 +84,7 @@
 func (h *Host) Overview() Overview {
 	overview := Overview{
 		ClusterID: h.clusterID, Index: h.ledger.Index, VotersPerGroup: int(h.ledger.VotersPerGroup), Format: max(h.ledger.Format, FirstFormat),
-		Store: h.store, Failed: h.disk.failure, PendingCalls: len(h.calls.pending),
+		Store: h.store, DiskFailure: h.disk.failure, PendingCalls: len(h.calls.pending),
 	}
 	for _, s := range h.ledger.Stores {
 		overview.Stores = append(overview.Stores, StoreView{s.Id, s.Name, s.Zone, s.Weight, s.Removed})
