--- a/internal/maintenance/evaluator.go
+++ b/internal/maintenance/evaluator.go
@@ -108,7 +108,7 @@
 // fault, whatever its state. maxLoad is what the gateways may carry, in thousandths of their capacity.
 func (e evaluator) clusterFault(evaluated *Machine, maxLoad int) Reason {
 	if !e.view.AllReported {
-		return because(LeaderUninformed)
+		return because(ReportsMissing)
 	}
 	if r := e.missingGateway(evaluated); r.exists() {
 		return r
@@ -188,7 +188,7 @@
 func (e evaluator) gatewayReasonToWait(m *Machine) Reason {
 	g := e.view.gateway(m.Name)
 	if !g.isThere() {
-		return because(GatewayNotThere)
+		return because(GatewayNotReporting)
 	}
 	if ready := e.otherReadyInZone(g); ready < e.limits.KeepReady {
 		return Reason{Cause: ZoneNotReady, Subject: g.Zone, Count: ready}
@@ -312,7 +312,7 @@
 // nothing is in flight there, or once it has ended in an orderly way. A fault elsewhere turns it back.
 func (e evaluator) gatewayDraining(m *Machine) decision {
 	if !e.view.AllReported {
-		return stay(Draining, because(LeaderInforming))
+		return stay(Draining, because(ReportsMissingWhileDraining))
 	}
 	g := e.view.gateway(m.Name)
 	switch {
@@ -348,7 +348,7 @@
 		return stay(Requested, r)
 	}
 	if !e.view.AllReported {
-		return stay(Draining, because(LeaderInforming))
+		return stay(Draining, because(ReportsMissingWhileDraining))
 	}
 	busy, unreachable := e.unquiescedGateways(m)
 	reason := Reason{Subject: strings.Join(busy, ", "), Detail: strings.Join(unreachable, ", ")}
--- a/internal/maintenance/planner.go
+++ b/internal/maintenance/planner.go
@@ -142,7 +142,7 @@
 	s, known := e.view.combinedReport(m.Group, m.Name)
 	switch {
 	case !known:
-		return p.settle(e, m, because(OnList))
+		return p.settle(e, m, because(EndpointListing))
 	case s.Down:
 		return p.settle(e, m, because(Answers))
 	case s.WarmingUp:
--- a/internal/maintenance/reason.go
+++ b/internal/maintenance/reason.go
@@ -15,7 +15,7 @@
 
 	// What concerns all machines.
 	AllPaused
-	LeaderUninformed // before a machine goes
+	ReportsMissing // before a machine goes
 	GatewayDead
 	GatewaySilent
 	ShardUnderReplicated
@@ -24,7 +24,7 @@
 	PlacesTaken
 
 	// What concerns a gateway.
-	GatewayNotThere
+	GatewayNotReporting
 	ZoneNotReady
 	NoOtherForAddress
 	SharedShard
@@ -43,7 +43,7 @@
 	OtherPrimary
 	Restarted
 	ShardsMigrating
-	LeaderInforming // while a machine drains
+	ReportsMissingWhileDraining // while a machine drains
 	DiedWhileDraining
 	RestartedWhileDraining
 	IdleReport
@@ -60,7 +60,7 @@
 	AnyReport
 	Readiness
 	ShardsRestored
-	OnList
+	EndpointListing
 	Answers
 	WarmUp
 	CatchUp
@@ -72,7 +72,7 @@
 // Reason.Count.
 var reasonTexts = [causeCount]string{
 	AllPaused:            "an operator's go: all are held",
-	LeaderUninformed:     "the ledger's leader has not heard everybody yet",
+	ReportsMissing:       "the ledger's leader has not heard everybody yet",
 	GatewayDead:          "{subject} is dead",
 	GatewaySilent:        "{subject} has not reported lately",
 	ShardUnderReplicated: "a shard of {subject} has not all its copies",
@@ -80,11 +80,11 @@
 	TooMuchLoad:          "those that stay would have to carry {count} % of what they can",
 	PlacesTaken:          "its turn, after {subject}",
 
-	GatewayNotThere:   "it is not there",
-	ZoneNotReady:      "zone {quoted} would be left with {count} gateways that are ready",
-	NoOtherForAddress: "nobody else could take the floating address of {subject}",
-	SharedShard:       "{subject} holds a shard that it holds too, and is {detail}",
-	ShardIncomplete:   "a shard of it has not all its copies",
+	GatewayNotReporting: "it is not there",
+	ZoneNotReady:        "zone {quoted} would be left with {count} gateways that are ready",
+	NoOtherForAddress:   "nobody else could take the floating address of {subject}",
+	SharedShard:         "{subject} holds a shard that it holds too, and is {detail}",
+	ShardIncomplete:     "a shard of it has not all its copies",
 
 	ServerUnknown: "no gateway knows such a server",
 	PeerDown:      "{subject} of its group is down",
@@ -94,32 +94,32 @@
 	OnlyServer:    "it is the only server of its group",
 	NoPrimary:     "its group has no primary that all gateways know",
 
-	OtherPrimary:           "another primary: promote one of its group, or say go to it",
-	Restarted:              "it was started anew",
-	ShardsMigrating:        "{count} shards that move to other gateways, for it is out for longer than repair-after",
-	LeaderInforming:        "the ledger's leader to have heard everybody",
-	DiedWhileDraining:      "an operator's go: it died while it was leaving, and may only be cut off",
-	RestartedWhileDraining: "it was started anew while it was leaving",
-	IdleReport:             "its word that nothing is under way",
-	CurrentReport:          "its word that it knows",
-	InFlight:               "what is under way there",
-	LeadershipTransfer:     "others to lead what it leads",
-	ServerQuiescence:       "the word of {subject} that nothing is out there",
-	GatewaysUnreachable:    "{detail} cannot be reached and may still send there: say go if it cannot",
+	OtherPrimary:                "another primary: promote one of its group, or say go to it",
+	Restarted:                   "it was started anew",
+	ShardsMigrating:             "{count} shards that move to other gateways, for it is out for longer than repair-after",
+	ReportsMissingWhileDraining: "the ledger's leader to have heard everybody",
+	DiedWhileDraining:           "an operator's go: it died while it was leaving, and may only be cut off",
+	RestartedWhileDraining:      "it was started anew while it was leaving",
+	IdleReport:                  "its word that nothing is under way",
+	CurrentReport:               "its word that it knows",
+	InFlight:                    "what is under way there",
+	LeadershipTransfer:          "others to lead what it leads",
+	ServerQuiescence:            "the word of {subject} that nothing is out there",
+	GatewaysUnreachable:         "{detail} cannot be reached and may still send there: say go if it cannot",
 	ServerQuiescenceAndUnreachable: "the word of {subject} that nothing is out there; " +
 		"{detail} cannot be reached and may still send there: say go if it cannot",
-	Work:           "the work to be done",
-	ServerWork:     "the work to be done, and done to be said",
-	Return:         "it to come back",
-	Stability:      "it to stay: it was started anew",
-	AnyReport:      "its word",
-	Readiness:      "it to be ready",
-	ShardsRestored: "its shards to have all their copies",
-	OnList:         "the list to name it",
-	Answers:        "it to answer everybody",
-	WarmUp:         "it to be warm",
-	CatchUp:        "it to catch up",
-	Settling:       "it to stay well for a while",
+	Work:            "the work to be done",
+	ServerWork:      "the work to be done, and done to be said",
+	Return:          "it to come back",
+	Stability:       "it to stay: it was started anew",
+	AnyReport:       "its word",
+	Readiness:       "it to be ready",
+	ShardsRestored:  "its shards to have all their copies",
+	EndpointListing: "the list to name it",
+	Answers:         "it to answer everybody",
+	WarmUp:          "it to be warm",
+	CatchUp:         "it to catch up",
+	Settling:        "it to stay well for a while",
 }
 
 // Reason is why a machine waits. The zero Reason is none.
