--- a/internal/raftstore/actions.go
+++ b/internal/raftstore/actions.go
@@ -14,31 +14,32 @@
 type Send struct {
 	To   string // the receiver's name
 	Body []byte
-	// Bulk marks a packet that may be sent slowly: it is part of a repair and no caller waits for it.
+	// Bulk marks a packet that may be sent slowly, because it is part of a repair and no caller waits for it.
 	Bulk bool
 }
 
-// Write is to be written in one transaction with one sync. The next one comes only after this one's WriteCompleted. With another Store
-// than before, everything that was on the disk is void.
+// Write must be written in one transaction with one sync. The next Write follows only after the WriteCompleted event for this one.
+// If Store differs from the store number on the disk, the previous content of the disk is discarded.
 type Write struct {
 	Number      uint64
 	Store       uint64
 	Incarnation uint64
 	Ledger      []byte // nil: unchanged
 	Members     []MemberWrite
-	Retired     []MemberRef // in addition to earlier ones
-	// Recovered says that no member here is still in recovery. Only then may the witness file confirm this disk.
+	Retired     []MemberRef // added to those that were retired earlier
+	// Recovered reports whether all members on this gateway have completed recovery. Only then may the witness file confirm this
+	// disk.
 	Recovered bool
 }
 
-// MemberWrite is one member's part of a Write. Its fields are applied in their order.
+// MemberWrite is one member's part of a Write. The fields are applied in the order of their declaration.
 type MemberWrite struct {
 	Group, Epoch uint32
 	Member       uint64
-	Delete       bool         // the member is deleted; the rest is empty
-	Snapshot     *pb.Snapshot // replaces what was there; nil: none
-	KeepEntries  bool         // with a snapshot: later entries stay
-	Entries      []*pb.Entry  // replace those from the first one's index on
+	Delete       bool         // the member is deleted; the fields below are empty
+	Snapshot     *pb.Snapshot // replaces the stored snapshot and entries; nil: none
+	KeepEntries  bool         // with a snapshot: entries after it are kept
+	Entries      []*pb.Entry  // replace all stored entries from the first one's index on
 	HardState    *pb.HardState
 }
 
@@ -46,15 +47,15 @@
 type Response struct {
 	ID       uint64
 	Status   Status
-	Version  uint64 // of the record; with StatusConflict, the one that it has
+	Version  uint64 // version of the record; with StatusConflict, its current version
 	Value    []byte
 	Position uint64
 	Found    bool
-	// Lost says, of a record that is not found, that it may have existed and been lost; and of a position that is found, that it may
-	// have been higher.
+	// Lost reports that records were lost in a way that may affect the result: a record that was not found may have existed, and a
+	// position that was found may have been higher.
 	Lost bool
-	// LostAge is how long ago that was, at least, and Age how long ago a found record was last changed, in microseconds of the shard's
-	// time, which never runs faster than a clock.
+	// LostAge is how long ago that happened, at least. Age is how long ago a found record was last changed. Both are in microseconds
+	// of the shard's time, which never runs faster than a clock.
 	LostAge, Age clock.Micros
 }
 
@@ -62,18 +63,18 @@
 type Notice struct {
 	Kind         NoticeKind
 	Group, Epoch uint32
-	Number       uint64 // of the member, store or format that it is about
-	Name         string // of a gateway
+	Number       uint64 // number of the member, store or format concerned
+	Name         string // name of the gateway concerned
 	Cause        string
 }
 
-// OrderChanged reports that the order of maintenance has changed, as far as is known here. The order is shared: it must not be changed.
+// OrderChanged reports that the maintenance order known on this gateway has changed. Order is shared and must not be modified.
 type OrderChanged struct {
-	Index uint64 // of the ledger
+	Index uint64 // index of the ledger
 	Order *maintenance.Order
 }
 
-// Drained follows DrainRequested: this gateway leads no group any more, or the time for that is over.
+// Drained follows DrainRequested: this gateway no longer leads any group that has another voter, or the drain has timed out.
 type Drained struct{}
 
 func (Send) action()         {}
--- a/internal/raftstore/apply.go
+++ b/internal/raftstore/apply.go
@@ -9,7 +9,7 @@
 	api "marblespan/api/raftstorepb"
 )
 
-// apply applies committed entries, and has a snapshot written once the log is large enough.
+// apply applies committed entries and queues the write of a snapshot once the log is large enough.
 func (g *group) apply(entries []*pb.Entry) {
 	for _, e := range entries {
 		g.applied = e.GetIndex()
@@ -30,7 +30,7 @@
 	}
 }
 
-// applyConfChange applies a change of the group's voters and learners.
+// applyConfChange applies a configuration change, which changes the group's voters and learners.
 func (g *group) applyConfChange(e *pb.Entry) {
 	if e.GetType() == pb.EntryConfChange {
 		var c pb.ConfChange
@@ -45,29 +45,29 @@
 	}
 }
 
-// applyEntry applies the commands of one entry and replies to those of their callers that wait here.
+// applyEntry applies the commands of one entry and replies to the callers that wait for them on this gateway.
 func (g *group) applyEntry(e *pb.Entry) {
 	if len(e.Data) == 0 {
 		return
 	}
 	var x api.Entry
 	if proto.Unmarshal(e.Data, &x) != nil {
-		return // no member can decode it
+		return // no member can decode it, so that all of them skip it
 	}
 	for _, c := range x.Commands {
-		if c.Format > g.host.cfg.Format { // members that understand it would diverge from this one
+		if c.Format > g.host.cfg.Format { // if it were skipped, this member would diverge from those that understand it
 			g.host.failDisk(fmt.Sprintf("group %d: %v", g.id, errFormatTooNew))
 			return
 		}
 	}
 	for i, r := range g.sm.apply(e.GetIndex(), &x) {
 		k := commandID{x.Commands[i].Client, x.Commands[i].Sequence}
-		if o, waits := g.clients.waiting[k]; waits {
+		if o, ok := g.clients.waiting[k]; ok {
 			delete(g.clients.waiting, k)
 			g.host.reply(o, r)
 		}
 	}
-	if l, is := g.sm.(*ledger); is {
+	if l, ok := g.sm.(*ledger); ok {
 		g.host.adoptLedger(l.Ledger, false)
 		if g.isLeader {
 			for _, n := range l.notices {
--- a/internal/raftstore/calls.go
+++ b/internal/raftstore/calls.go
@@ -10,13 +10,13 @@
 	"marblespan/internal/clock"
 )
 
-// callTable is this gateway's own calls that are under way.
+// callTable holds this gateway's own pending calls.
 type callTable struct {
 	pending       map[uint64]*call
 	lastID        uint64
 	lastSequence  uint64
-	openSequences map[uint64]bool // the sequences of commands under way
-	minPending    uint64          // no result of an earlier sequence is waited for
+	openSequences map[uint64]bool // sequences of the pending commands
+	minPending    uint64          // no command with a lower sequence is pending
 	local         []localCall
 	leaders       map[uint32]string // the gateway that answered last, by group
 }
@@ -25,25 +25,25 @@
 	return callTable{pending: map[uint64]*call{}, openSequences: map[uint64]bool{}, minPending: 1, leaders: map[uint32]string{}}
 }
 
-// call is one call of this gateway's own that is under way.
+// call is one pending call of this gateway itself.
 type call struct {
 	request     Request
-	sequence    uint64       // of the command
+	sequence    uint64       // sequence of the command
 	command     *api.Command // nil: a read
-	target      string       // the gateway that it was last sent to
+	target      string       // the gateway to which it was last sent
 	attemptedAt clock.Micros
-	rotation    int  // counts the candidates that were tried in turn
-	sent        bool // it was sent at least once, so that a command may have taken effect
-	hinted      bool // the last reply's hint was followed
+	rotation    int  // how many candidates were tried in round-robin order
+	sent        bool // it was sent at least once, so a command may have taken effect
+	hinted      bool // it was already redirected to the leader that a reply named
 }
 
-// localCall is a call to a group that this gateway leads itself.
+// localCall is a call that this gateway sends to itself.
 type localCall struct {
 	caller caller
 	call   *api.Call
 }
 
-// validRequest tells whether a request can be carried out by some group: maintenance by the ledger, anything else by a shard.
+// validRequest reports whether some group can carry out a request: the ledger for maintenance, a shard for anything else.
 func validRequest(r Request) bool {
 	if r.Shard == LedgerGroup {
 		return r.Command.GetChange().GetMaintenanceCommand() != nil || r.Get != nil && string(r.Get.Key) == MaintenanceKey
@@ -65,7 +65,7 @@
 
 func validKey(key []byte) bool { return len(key) > 0 && len(key) <= MaxKeyBytes }
 
-// startCall checks a request and sends it as a call.
+// startCall validates a request and sends it as a call.
 func (h *Host) startCall(request Request) {
 	switch {
 	case !validRequest(request) || h.clusterID != 0 && int(request.Shard) >= len(h.ledger.Groups):
@@ -88,8 +88,9 @@
 	h.sendCall(h.calls.lastID, c, "")
 }
 
-// sendCall sends a call to the gateway that leads its group, or that may know which one does: the hint, the leader that a member here
-// knows, the one that answered last, or else the candidates in turn.
+// sendCall sends a call to the gateway that leads its group, or that may know the leader. In order of preference, this is the hint,
+// the leader known to the group's member on this gateway, or the gateway that answered last. If none of these is known, or if the
+// call was last sent to the gateway found without a hint, the next candidate is tried.
 func (h *Host) sendCall(callID uint64, pending *call, hint string) {
 	if pending.attemptedAt = h.now; h.clusterID == 0 {
 		return
@@ -123,7 +124,7 @@
 	p.Calls = append(p.Calls, message)
 }
 
-// minPendingSequence is the first sequence whose result this gateway still waits for.
+// minPendingSequence returns the lowest sequence whose result this gateway still waits for.
 func (h *Host) minPendingSequence() uint64 {
 	for h.calls.minPending < h.calls.lastSequence && !h.calls.openSequences[h.calls.minPending] {
 		h.calls.minPending++
@@ -131,7 +132,7 @@
 	return h.calls.minPending
 }
 
-// handleCall hands a call to the member that runs here.
+// handleCall passes a call to the group's member on this gateway.
 func (h *Host) handleCall(caller caller, c *api.Call) {
 	g := h.groups[c.Group]
 	if g == nil {
@@ -164,10 +165,10 @@
 			delete(h.calls.leaders, c.request.Shard)
 		}
 		if r.Leader != "" && r.Leader != from && !c.hinted {
-			c.hinted = true // only once: two gateways with wrong hints could send it back and forth
+			c.hinted = true // only once, because two gateways with wrong hints could redirect the call back and forth
 			h.sendCall(r.Id, c, r.Leader)
 		} else {
-			c.attemptedAt = h.now - (retryTicks-1)*h.cfg.Tick // try again after one tick: an election may be under way
+			c.attemptedAt = h.now - (retryTicks-1)*h.cfg.Tick // retry after one tick, because an election may be in progress
 		}
 		return
 	}
@@ -183,13 +184,13 @@
 	h.out.actions = append(h.out.actions, response)
 }
 
-// finishCall removes a call.
+// finishCall removes a call from the pending calls.
 func (h *Host) finishCall(id uint64, c *call) {
 	delete(h.calls.pending, id)
 	delete(h.calls.openSequences, c.sequence)
 }
 
-// retryCalls ends calls whose deadline has passed, and sends calls again that have had no reply for retryTicks.
+// retryCalls ends calls whose deadline has passed and resends calls that have had no reply for retryTicks.
 func (h *Host) retryCalls() {
 	for _, id := range slices.Sorted(maps.Keys(h.calls.pending)) {
 		c := h.calls.pending[id]
--- a/internal/raftstore/clientqueue.go
+++ b/internal/raftstore/clientqueue.go
@@ -9,9 +9,9 @@
 	"marblespan/internal/clock"
 )
 
-// caller is who waits for a result.
+// caller identifies the origin of a call, to which the result is sent.
 type caller struct {
-	node     string // empty: this gateway
+	node     string // name of the gateway; empty: this gateway
 	id       uint64
 	deadline clock.Micros
 }
@@ -19,29 +19,29 @@
 // commandID identifies a command.
 type commandID struct{ client, sequence uint64 }
 
-// pendingRead is a read that waits for a quorum to confirm the leader (read index).
+// pendingRead is a read that waits until a quorum confirms that this member still leads the group (read index).
 type pendingRead struct {
 	caller
 	key []byte
 }
 
-// confirmedReads are reads that are answered once their index is applied.
+// confirmedReads are reads whose read index was confirmed. They are answered once that index is applied.
 type confirmedReads struct {
 	index uint64
 	reads []pendingRead
 }
 
-// clientQueue is the commands and reads that wait at the group's leader.
+// clientQueue holds the commands and reads that wait on the group's leader.
 type clientQueue struct {
-	proposed    []*api.Command       // for the next entry
-	waiting     map[commandID]caller // for their commands to be applied
-	reads       []pendingRead        // for the next read index
+	proposed    []*api.Command       // commands for the next entry
+	waiting     map[commandID]caller // callers whose commands are not applied yet
+	reads       []pendingRead        // reads for the next read index request
 	lastRead    uint64
-	unconfirmed map[uint64][]pendingRead // by the number of the read index that was asked for
-	confirmed   []confirmedReads         // in the order of their indexes
+	unconfirmed map[uint64][]pendingRead // by the number of their read index request
+	confirmed   []confirmedReads         // in the order of their read indexes
 }
 
-// handleCall takes in a command or a read, or rejects it.
+// handleCall queues a command or a read, or rejects it.
 func (g *group) handleCall(caller caller, c *api.Call) {
 	if status := g.admit(c); status != StatusOK {
 		g.host.reply(caller, &api.Reply{Status: uint32(status), Leader: g.leaderName()})
@@ -55,7 +55,8 @@
 	g.clients.proposed = append(g.clients.proposed, c.Command)
 }
 
-// admit tells why a call cannot be taken in; StatusOK: it can. Reads do not need a complete group.
+// admit returns StatusOK if a call can be queued, or else the status with which it is rejected. Reads are admitted even if the
+// group does not have all its voters.
 func (g *group) admit(c *api.Call) Status {
 	switch {
 	case !g.isLeader || g.recovery != nil || g.host.shutdown.draining:
@@ -65,15 +66,15 @@
 	case c.Get != nil:
 		return StatusOK
 	case len(g.conf.Voters) < int(g.host.ledger.GetVotersPerGroup()):
-		return statusNotLeader // nothing is acknowledged before the group is complete
+		return statusNotLeader // no write is acknowledged before the group has all its voters
 	case c.Command.Format > max(g.host.ledger.GetFormat(), FirstFormat):
 		return StatusFormatTooNew
 	}
 	return StatusOK
 }
 
-// serves tells whether a call is of a kind that this group serves: the ledger takes reads and maintenance commands, a shard everything but
-// changes of the ledger.
+// serves reports whether this group handles calls of this kind. The ledger handles reads and maintenance commands; a shard handles
+// everything except changes of the ledger.
 func (g *group) serves(c *api.Call) bool {
 	if c.Command == nil && c.Get == nil {
 		return false
@@ -84,7 +85,7 @@
 	return c.Get != nil || c.Command.GetChange().GetMaintenanceCommand() != nil
 }
 
-// flushProposals puts all commands that have come together into one entry, and requests one read index for all reads.
+// flushProposals proposes all queued commands as one entry, and requests one read index for all queued reads.
 func (g *group) flushProposals() {
 	if len(g.clients.proposed) > 0 && g.isLeader && !g.proposeEntry(g.clients.proposed) {
 		g.rejectCommands(g.clients.proposed)
@@ -98,24 +99,24 @@
 	}
 }
 
-// rejectCommands replies to the callers of commands that were not proposed.
+// rejectCommands replies to the callers of commands that could not be proposed.
 func (g *group) rejectCommands(commands []*api.Command) {
 	for _, c := range commands {
 		id := commandID{c.Client, c.Sequence}
-		if waiting, waits := g.clients.waiting[id]; waits {
+		if waiting, ok := g.clients.waiting[id]; ok {
 			delete(g.clients.waiting, id)
 			g.host.reply(waiting, &api.Reply{Status: uint32(statusNotLeader)})
 		}
 	}
 }
 
-// proposeEntry proposes an entry. It tells whether the Raft library accepted it.
+// proposeEntry proposes an entry and reports whether the Raft library accepted it.
 func (g *group) proposeEntry(commands []*api.Command) bool {
 	raw, err := proto.Marshal(&api.Entry{Time: int64(g.groupTime()), Commands: commands})
 	return err == nil && g.node.Propose(raw) == nil
 }
 
-// answerConfirmedReads answers the reads whose index is applied.
+// answerConfirmedReads answers the confirmed reads whose index is applied.
 func (g *group) answerConfirmedReads() {
 	for len(g.clients.confirmed) > 0 && g.clients.confirmed[0].index <= g.applied {
 		for _, r := range g.clients.confirmed[0].reads {
@@ -130,23 +131,23 @@
 	}
 }
 
-// rejectReads replies that this member does not lead the group.
+// rejectReads replies to reads that this member does not lead the group.
 func (g *group) rejectReads(reads []pendingRead) {
 	for _, r := range reads {
 		g.host.reply(r.caller, &api.Reply{Status: uint32(statusNotLeader), Leader: g.leaderName()})
 	}
 }
 
-// groupTime is the group's time on its leader: the time at its election plus how long it has led. So a clock that was set does not matter,
-// and time without a leader does not count.
+// groupTime returns the group's time on its leader: the group's time when the leader was elected, plus how long it has led since.
+// Therefore, setting a clock does not affect the group's time, and time without a leader does not count.
 func (g *group) groupTime() clock.Micros {
 	return max(g.sm.time(), g.leading.baseTime+g.host.now-g.leading.since)
 }
 
-// appendNumber encodes the number of a read index request.
+// appendNumber appends the encoded number of a read index request to b.
 func appendNumber(b []byte, n uint64) []byte { return binary.BigEndian.AppendUint64(b, n) }
 
-// decodeNumber is its reverse; 0: not such a number.
+// decodeNumber decodes a number encoded by appendNumber. It returns 0 if b does not have the length of such a number.
 func decodeNumber(b []byte) uint64 {
 	if len(b) != 8 {
 		return 0
--- a/internal/raftstore/confchange.go
+++ b/internal/raftstore/confchange.go
@@ -8,7 +8,7 @@
 	"go.etcd.io/raft/v3/tracker"
 )
 
-// proposeConfChange proposes the next change of the voters that brings the group closer to its placement in the ledger.
+// proposeConfChange proposes the next configuration change that brings the group closer to its placement in the ledger.
 func (g *group) proposeConfChange() {
 	assigned := findGroup(g.host.ledger, g.id)
 	if assigned == nil || assigned.Epoch != g.epoch || len(g.conf.VotersOutgoing) > 0 {
@@ -28,11 +28,12 @@
 		}
 	}
 	switch {
-	case learner == 0: // no member is to be added
+	case learner == 0: // no member has to be added
 	case !slices.Contains(g.conf.Learners, learner):
 		change(pb.ConfChangeAddLearnerNode, learner)
 	case g.isCaughtUp(learner):
-		// One joint change: the new member votes and the one that it replaces does not. There are never fewer voters than before.
+		// A single joint change makes the new member a voter and removes the one that it replaces, so that there are never fewer
+		// voters than before.
 		change(pb.ConfChangeAddNode, learner)
 		for _, n := range g.conf.Voters {
 			if !slices.Contains(want, n) {
@@ -41,11 +42,11 @@
 		}
 	}
 	if len(changes) > 0 {
-		g.node.ProposeConfChange(&pb.ConfChangeV2{Changes: changes}) // one at a time: the library rejects the next
+		g.node.ProposeConfChange(&pb.ConfChangeV2{Changes: changes}) // while a change is pending, the library rejects further ones
 	}
 }
 
-// isCaughtUp tells whether a member is active and at most maxLearnerLag entries behind.
+// isCaughtUp reports whether a member is active and at most maxLearnerLag entries behind.
 func (g *group) isCaughtUp(number uint64) bool {
 	last, _ := g.log.LastIndex()
 	caughtUp := false
@@ -57,8 +58,8 @@
 	return caughtUp
 }
 
-// transferLeadership has the Raft library transfer the leadership to a member; 0: to the active one with the longest log. It tells whether
-// there is one.
+// transferLeadership makes the Raft library transfer the leadership to a member. If to is 0, that is the active member with the
+// longest log. It reports whether there is a member to transfer to.
 func (g *group) transferLeadership(to uint64) bool {
 	if to == 0 {
 		best := uint64(0)
--- a/internal/raftstore/diskwriter.go
+++ b/internal/raftstore/diskwriter.go
@@ -5,39 +5,39 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// diskWriter is the state of the writes to this gateway's disk. One write is under way at a time; what comes together meanwhile goes
+// diskWriter is the state of the writes to this gateway's disk. One write is in progress at a time; changes made in the meantime go
 // into the next one.
 type diskWriter struct {
-	failure      string      // why the disk is not written any more; empty: it is
-	parts        []writePart // of the next write
+	failure      string      // why the disk can no longer be written; empty: it can
+	parts        []writePart // parts of the next write
 	deletes      []MemberWrite
 	newlyRetired []MemberRef
-	retired      []MemberRef // all of them
+	retired      []MemberRef // all retired members, including newlyRetired
 	ledgerDirty  bool        // the latest ledger is not on the disk yet
-	inFlight     []writePart // of the write that is under way
-	lastWrite    uint64      // number of the write that is under way, or of the last one
-	busy         bool        // a write is under way
-	started      bool        // the first write is done, so that this incarnation is on the disk
+	inFlight     []writePart // parts of the write that is in progress
+	lastWrite    uint64      // number of the latest write that was started
+	busy         bool        // a write is in progress
+	started      bool        // the first write has completed, so this incarnation is on the disk
 }
 
-// writePart is one member's part of a write, and what goes out once it is on the disk.
+// writePart is one member's part of a write, together with the messages to send once it is durable.
 type writePart struct {
 	group     *group
-	message   *pb.Message // of the Raft library; nil: a snapshot that this package has made
+	message   *pb.Message // from the Raft library; nil: this part is a snapshot made by this package
 	snapshot  *pb.Snapshot
-	hardState *pb.HardState // with a snapshot that a member starts with
+	hardState *pb.HardState // only with a snapshot that a member starts from
 	responses []*pb.Message
 }
 
-// nothingWaits tells whether there is nothing for the next write.
-func (d *diskWriter) nothingWaits() bool {
+// isEmpty reports whether there is nothing for the next write.
+func (d *diskWriter) isEmpty() bool {
 	return len(d.parts)+len(d.deletes)+len(d.newlyRetired) == 0 && !d.ledgerDirty
 }
 
-// startWrite starts a write of everything that waits, unless one is under way. The first write of an incarnation takes place even if
-// nothing waits: it makes the incarnation durable.
+// startWrite starts a write of all pending changes, unless a write is in progress. The first write of an incarnation is started
+// even if no change is pending, because it makes the incarnation durable.
 func (h *Host) startWrite() {
-	if !h.runsGroups || h.disk.busy || h.disk.failure != "" || h.disk.started && h.disk.nothingWaits() {
+	if !h.runsGroups || h.disk.busy || h.disk.failure != "" || h.disk.started && h.disk.isEmpty() {
 		return
 	}
 	h.disk.lastWrite++
@@ -56,7 +56,7 @@
 	h.out.actions = append(h.out.actions, w)
 }
 
-// memberWrite is what a part writes to the disk.
+// memberWrite returns what a part writes to the disk.
 func (p writePart) memberWrite() MemberWrite {
 	w := MemberWrite{Group: p.group.id, Epoch: p.group.epoch, Member: p.group.member}
 	if p.message == nil {
@@ -77,7 +77,7 @@
 	g.durable.pendingWrites++
 }
 
-// writeCompleted continues with what waited for a write.
+// writeCompleted continues the processing that waited for a write.
 func (h *Host) writeCompleted(number uint64) {
 	if number != h.disk.lastWrite || !h.disk.busy {
 		return
@@ -94,7 +94,7 @@
 	}
 }
 
-// failDisk stops all members here, since the content of the disk is unknown from now on.
+// failDisk stops all members on this gateway, because the content of the disk is unknown from now on.
 func (h *Host) failDisk(cause string) {
 	if h.disk.failure != "" || !h.runsGroups {
 		return
@@ -104,7 +104,7 @@
 	h.stopAllMembers()
 }
 
-// stopAllMembers stops all members here without writing that to the disk.
+// stopAllMembers stops all members on this gateway without deleting them from the disk.
 func (h *Host) stopAllMembers() {
 	for _, g := range h.sortedGroups() {
 		h.stopMember(g)
--- a/internal/raftstore/drain.go
+++ b/internal/raftstore/drain.go
@@ -7,10 +7,10 @@
 // shutdown is the state of a graceful shutdown.
 type shutdown struct {
 	draining bool
-	deadline clock.Micros // 0: none, or Drained was reported
+	deadline clock.Micros // 0: there is no shutdown, or Drained was emitted
 }
 
-// finishDrain reports Drained once no group is led here, or at the deadline.
+// finishDrain emits Drained at the deadline, or earlier, as soon as this gateway leads no group that has another voter.
 func (h *Host) finishDrain() {
 	if h.shutdown.deadline == 0 {
 		return
@@ -24,7 +24,7 @@
 	h.out.actions = append(h.out.actions, Drained{})
 }
 
-// startDrain begins a graceful shutdown: the leadership of all groups goes to other members.
+// startDrain begins a graceful shutdown by transferring the leadership of all groups to other members.
 func (h *Host) startDrain() {
 	if h.shutdown.draining {
 		return
@@ -38,8 +38,8 @@
 	h.finishDrain()
 }
 
-// shedLeadership hands over the leadership of all groups while this gateway's machine is cordoned. It is called at each tick, since the
-// Raft library sometimes does not know which other members are active.
+// shedLeadership transfers the leadership of all groups to other members while this gateway's machine is cordoned. It is called at
+// each tick, because the Raft library does not always know which other members are active.
 func (h *Host) shedLeadership() {
 	for _, g := range h.sortedGroups() {
 		if g.isLeader && len(g.conf.Voters) > 1 && g.node.BasicStatus().LeadTransferee == 0 {
--- a/internal/raftstore/durability.go
+++ b/internal/raftstore/durability.go
@@ -12,7 +12,8 @@
 	api "marblespan/api/raftstorepb"
 )
 
-// queueWrite adds a message's entries and hard state to the next write. Where nothing has to be durable, it continues at once.
+// queueWrite adds a message's entries and hard state to the next write. If nothing in the message has to be made durable, it
+// continues at once.
 func (g *group) queueWrite(m *pb.Message) {
 	same := m.Term == nil || m.GetTerm() == g.durable.hardState.GetTerm() && m.GetVote() == g.durable.hardState.GetVote() && !g.commitsConfChange(m.GetCommit())
 	if len(m.Entries) == 0 && m.Snapshot == nil && same && g.durable.pendingWrites == 0 {
@@ -22,7 +23,7 @@
 	g.queuePart(writePart{message: m, responses: m.Responses})
 }
 
-// commitsConfChange tells whether a commit covers a change of the voters that is not committed on the disk yet.
+// commitsConfChange reports whether a commit index covers a configuration change that is not committed on the disk yet.
 func (g *group) commitsConfChange(commit uint64) bool {
 	last, _ := g.log.LastIndex()
 	for ; g.durable.scanned < commit; g.durable.scanned++ {
@@ -30,15 +31,15 @@
 		if g.durable.scanned < last {
 			e, _ = g.log.Entries(g.durable.scanned+1, g.durable.scanned+2, math.MaxUint64)
 		}
-		if len(e) == 0 || e[0].GetType() != pb.EntryNormal { // an entry that is not in the log yet may be a change
+		if len(e) == 0 || e[0].GetType() != pb.EntryNormal { // an entry that is not in the log yet may be a configuration change
 			g.durable.lastConfChange = g.durable.scanned + 1
 		}
 	}
 	return g.durable.lastConfChange > g.durable.commit
 }
 
-// applyDurable applies committed entries. A change of the voters waits until its commit is on the disk: a member that forgot it in a restart
-// would have the old voters, and, if it was the only one of them, elect itself.
+// applyDurable applies committed entries. A configuration change is applied only once its commit is on the disk. Otherwise, a
+// member that forgot the change in a restart would have the old voters and, if it was the only one of them, elect itself.
 func (g *group) applyDurable() {
 	for len(g.pendingApplies) > 0 {
 		m := g.pendingApplies[0]
@@ -51,7 +52,7 @@
 	}
 }
 
-// writeCompleted handles a part of a write that is on the disk now.
+// writeCompleted handles a part of a write that is now on the disk.
 func (g *group) writeCompleted(p writePart) {
 	if m := p.message; m != nil {
 		g.durable.commit = max(g.durable.commit, m.GetCommit(), m.Snapshot.GetMetadata().GetIndex())
@@ -60,7 +61,7 @@
 	g.applyDurable()
 }
 
-// finishWrite continues after a part of a write that is on the disk, or does not have to be.
+// finishWrite continues after a part of a write that is on the disk, or that did not have to be written.
 func (g *group) finishWrite(part writePart) {
 	m := part.message
 	if m == nil { // a snapshot made by this package
@@ -91,9 +92,10 @@
 	g.deliverResponses(part.responses)
 }
 
-// sendOnceTermDurable sends a message once its term is on the disk. The Raft library lets a candidate's vote requests and a new leader's
-// entries go earlier, and holds back only the candidate's own vote; two other votes then make a leader whose disk does not know its term.
-// After a restart it could be elected again in the same term, and put other entries in the places of the first ones.
+// sendOnceTermDurable sends a message once its term is on the disk. The Raft library allows a candidate's vote requests and a new
+// leader's entries to be sent earlier, and holds back only the candidate's own vote. Votes from two other members could then elect
+// a leader whose disk does not have its term. After a restart, it could be elected again in the same term and put different entries
+// at the same indexes.
 func (g *group) sendOnceTermDurable(m *pb.Message) {
 	if t := m.GetType(); t != pb.MsgPreVote && t != pb.MsgPreVoteResp && m.GetTerm() > g.durable.hardState.GetTerm() {
 		g.durable.unsentMessages = append(g.durable.unsentMessages, m)
@@ -102,7 +104,7 @@
 	g.send(m)
 }
 
-// deliverResponses sends the messages that waited for a write, or for entries to be applied.
+// deliverResponses delivers messages that waited for a write, or for entries to be applied, to this member or to others.
 func (g *group) deliverResponses(all []*pb.Message) {
 	for _, m := range all {
 		if m.GetTo() == g.member {
@@ -136,12 +138,12 @@
 	p.Raft = append(p.Raft, x)
 }
 
-// receive handles a message of another member.
+// receive handles a message from another member.
 func (g *group) receive(m *pb.Message) {
 	if g.recovery != nil || m.GetTo() != g.member || raft.IsLocalMsg(m.GetType()) {
 		return
 	}
 	if g.mayReceive(m) {
-		g.node.Step(m) // the library drops what does not apply
+		g.node.Step(m) // the library ignores messages that do not apply
 	}
 }
--- a/internal/raftstore/expiry.go
+++ b/internal/raftstore/expiry.go
@@ -4,40 +4,40 @@
 	"marblespan/internal/clock"
 )
 
-// expiry is when a record may expire: a node of the heap.
+// expiry is an element of a min-heap: the time at which a record may expire.
 type expiry struct {
 	at  clock.Micros
 	key string
 }
 
-// pushExpiry adds to the heap.
+// pushExpiry adds an expiry to the heap.
 func (s *shard) pushExpiry(e expiry) {
 	s.expiries = append(s.expiries, e)
 	for i := len(s.expiries) - 1; i > 0; {
-		up := (i - 1) / 2
-		if s.expiries[up].at <= s.expiries[i].at {
+		parent := (i - 1) / 2
+		if s.expiries[parent].at <= s.expiries[i].at {
 			break
 		}
-		s.expiries[up], s.expiries[i] = s.expiries[i], s.expiries[up]
-		i = up
+		s.expiries[parent], s.expiries[i] = s.expiries[i], s.expiries[parent]
+		i = parent
 	}
 }
 
-// popExpiry takes the earliest expiry off the heap.
+// popExpiry removes the earliest expiry from the heap and returns it.
 func (s *shard) popExpiry() expiry {
 	first, n := s.expiries[0], len(s.expiries)-1
 	s.expiries[0] = s.expiries[n]
 	s.expiries[n] = expiry{}
 	s.expiries = s.expiries[:n]
 	for i := 0; ; {
-		low := 2*i + 1
-		if low+1 < n && s.expiries[low+1].at < s.expiries[low].at {
-			low++
+		child := 2*i + 1
+		if child+1 < n && s.expiries[child+1].at < s.expiries[child].at {
+			child++
 		}
-		if low >= n || s.expiries[i].at <= s.expiries[low].at {
+		if child >= n || s.expiries[i].at <= s.expiries[child].at {
 			return first
 		}
-		s.expiries[low], s.expiries[i] = s.expiries[i], s.expiries[low]
-		i = low
+		s.expiries[child], s.expiries[i] = s.expiries[i], s.expiries[child]
+		i = child
 	}
 }
--- a/internal/raftstore/faults_test.go
+++ b/internal/raftstore/faults_test.go
@@ -780,7 +780,7 @@
 // shardsOf lists the shards on a gateway.
 func shardsOf(n *simGateway) (all []*shard) {
 	for _, g := range n.host.sortedGroups() {
-		if s, is := g.sm.(*shard); is {
+		if s, ok := g.sm.(*shard); ok {
 			all = append(all, s)
 		}
 	}
@@ -877,7 +877,7 @@
 	{name: "reads without confirming its leadership", fault: "a leader that its callers reach, and no other holder does", after: mutateGroups(func(n *simGateway, g *group) {
 		for no, reads := range g.clients.unconfirmed {
 			for _, r := range reads {
-				if s, is := g.sm.(*shard); is {
+				if s, ok := g.sm.(*shard); ok {
 					n.host.reply(r.caller, s.get(r.key))
 				}
 			}
@@ -892,7 +892,7 @@
 	}},
 	{name: "acknowledges what is only proposed", after: mutateGroups(func(n *simGateway, g *group) {
 		for k, o := range g.clients.waiting {
-			if s, is := g.sm.(*shard); is {
+			if s, ok := g.sm.(*shard); ok {
 				n.host.reply(o, &api.Reply{Version: s.lastVersion + 1})
 				delete(g.clients.waiting, k)
 			}
--- a/internal/raftstore/group.go
+++ b/internal/raftstore/group.go
@@ -11,7 +11,7 @@
 	"marblespan/internal/clock"
 )
 
-// Settings of the Raft library. Election time-outs are drawn from electionTicks to twice that.
+// Settings of the Raft library. Election timeouts are random, from electionTicks to 2*electionTicks-1 ticks.
 const (
 	electionTicks       = 5
 	heartbeatTicks      = 1
@@ -20,14 +20,15 @@
 	maxUncommittedBytes = 16 << 20
 )
 
-// retainedEntries is how many entries before a snapshot stay in the log, for members that are a little behind. A snapshot is written once
-// the log since the last one is larger than that one.
+// retainedEntries is how many entries before a snapshot stay in the log, so that members that are only slightly behind can catch up
+// without a snapshot. A snapshot is written once the log since the last snapshot is larger than that snapshot and than
+// Config.MinLogBytes.
 const retainedEntries = 512
 
-// maxLearnerLag is how many entries a learner may be behind to become a voter.
+// maxLearnerLag is how many entries a learner may be behind and still become a voter.
 const maxLearnerLag = 16
 
-// snapshotTimeoutTicks is after how long a sent snapshot counts as lost.
+// snapshotTimeoutTicks is the number of ticks after which a sent snapshot is treated as lost.
 const snapshotTimeoutTicks = 100
 
 // group is this gateway's member of one Raft group.
@@ -39,15 +40,15 @@
 	log            *storage
 	sm             stateMachine
 	applied        uint64
-	pendingApplies []*pb.Message // to be applied, in order
+	pendingApplies []*pb.Message // messages of the Raft library whose entries are to be applied, in order
 	conf           *pb.ConfState
-	logBytes       int64 // of the entries since the last snapshot
-	snapshotBytes  int64 // of the last snapshot
+	logBytes       int64 // size of the entries since the last snapshot
+	snapshotBytes  int64 // size of the last snapshot
 
 	durable durableState
 
-	recovery *recovery   // nil: the member takes part
-	minLog   logPosition // no member with a shorter log gets this one's vote, and it does not stand before it has as much itself
+	recovery *recovery   // nil: the member is not in recovery and takes part in the group
+	minLog   logPosition // the member does not vote for a log shorter than this, nor campaign until its own log is this long
 
 	leaderID uint64
 	isLeader bool
@@ -55,25 +56,26 @@
 	clients  clientQueue
 }
 
-// durableState is what is known of the member's part of the disk.
+// durableState tracks which part of the member's state is on the disk.
 type durableState struct {
-	hardState      *pb.HardState // as on the disk; only the commit there may be lower
-	commit         uint64        // the commit that is on the disk
-	pendingWrites  int           // parts of writes that are not on the disk yet
-	unsentMessages []*pb.Message // that wait until their term is on the disk
-	scanned        uint64        // committed entries up to here were searched for changes of the voters
-	lastConfChange uint64        // index of the last such change among them
+	hardState      *pb.HardState // as on the disk, except that the commit index there may be lower
+	commit         uint64        // commit index that is on the disk
+	pendingWrites  int           // number of this member's parts of writes that are not on the disk yet
+	unsentMessages []*pb.Message // messages held back until their term is on the disk
+	scanned        uint64        // committed entries up to this index were searched for configuration changes
+	lastConfChange uint64        // index of the last configuration change found among them
 }
 
-// leadership is what a member keeps while it leads the group.
+// leadership is the state that a member keeps only while it leads the group.
 type leadership struct {
 	since          clock.Micros
-	baseTime       clock.Micros            // the group's time at the election
-	expiredAt      clock.Micros            // when an entry was last proposed so that records expire
-	snapshotSentAt map[uint64]clock.Micros // by the member that it was sent to
+	baseTime       clock.Micros            // the group's time when this member was elected
+	expiredAt      clock.Micros            // when an empty entry was last proposed to make records expire
+	snapshotSentAt map[uint64]clock.Micros // when a snapshot was last sent, by receiving member
 }
 
-// newGroup makes a member from what is on the disk. Without a snapshot it is empty and waits for the group's leader to add it.
+// newGroup creates a member from its stored state. Without a snapshot the member is empty and waits for the group's leader to add
+// it.
 func (h *Host) newGroup(stored StoredMember, sm stateMachine) (*group, error) {
 	member := &group{
 		host: h, id: stored.Group, epoch: stored.Epoch, member: stored.Member, sm: sm, conf: &pb.ConfState{}, durable: durableState{hardState: &pb.HardState{}},
@@ -97,7 +99,7 @@
 	return member, nil
 }
 
-// load takes over what is on the disk: snapshot, hard state and entries.
+// load restores the snapshot, hard state and entries that are on the disk.
 func (g *group) load(stored StoredMember) error {
 	if stored.Snapshot != nil {
 		if err := g.restore(stored.Snapshot); err != nil {
@@ -105,7 +107,7 @@
 		}
 	}
 	if stored.HardState != nil {
-		// The commit on the disk may be behind the snapshot: it is written with whatever is written next.
+		// The commit index on the disk may be behind the snapshot, because it is only written together with other changes.
 		g.durable.hardState = &pb.HardState{
 			Term: new(stored.HardState.GetTerm()), Vote: new(stored.HardState.GetVote()), Commit: new(max(stored.HardState.GetCommit(), g.applied)),
 		}
@@ -122,7 +124,7 @@
 	return nil
 }
 
-// processReady carries out what the Raft library wants done now.
+// processReady carries out the work that the Raft library has ready.
 func (g *group) processReady() {
 	for g.node.HasReady() {
 		rd := g.node.Ready()
@@ -161,13 +163,13 @@
 		g.leading.since, g.leading.baseTime, g.leading.expiredAt = g.host.now, g.sm.time(), g.host.now
 		if g.id == LedgerGroup {
 			g.host.resetMaintenance()
-			g.host.placement = newPlacementFacts(g.host.now)
+			g.host.placement = newPlacementObservations(g.host.now)
 		}
 		g.host.emitNotice(Notice{Kind: NoticeBecameLeader, Group: g.id, Epoch: g.epoch, Number: g.member})
 		return
 	}
 	g.host.emitNotice(Notice{Kind: NoticeSteppedDown, Group: g.id, Epoch: g.epoch, Number: g.member})
-	for _, reads := range g.clients.unconfirmed { // no quorum will confirm them now
+	for _, reads := range g.clients.unconfirmed { // a quorum will not confirm them any more
 		g.rejectReads(reads)
 	}
 	clear(g.clients.unconfirmed)
@@ -176,7 +178,7 @@
 	clear(g.leading.snapshotSentAt)
 }
 
-// leaderName is the gateway that leads the group, as far as is known here; empty: not known.
+// leaderName returns the name of the gateway that leads the group, or "" if it is not known.
 func (g *group) leaderName() string {
 	if g.isLeader {
 		return g.host.cfg.Name
@@ -184,7 +186,8 @@
 	return g.host.gatewayOf(g.id, g.leaderID)
 }
 
-// tick lets one tick pass for the member; a leader also looks after expired records, lost snapshots and changes of the voters.
+// tick advances the member by one tick. A leader also proposes an entry if records have expired, treats overdue snapshots as lost
+// and proposes configuration changes.
 func (g *group) tick() {
 	if g.recovery != nil {
 		g.queryPeers()
@@ -204,7 +207,7 @@
 	if !g.isLeader {
 		return
 	}
-	if s, is := g.sm.(*shard); is && s.hasExpired(g.groupTime()) && g.host.now-g.leading.expiredAt >= 10*g.host.cfg.Tick {
+	if s, ok := g.sm.(*shard); ok && s.hasExpired(g.groupTime()) && g.host.now-g.leading.expiredAt >= 10*g.host.cfg.Tick {
 		g.leading.expiredAt = g.host.now
 		g.proposeEntry(nil)
 	}
@@ -217,7 +220,7 @@
 	g.proposeConfChange()
 }
 
-// groupReport is the report of the group to the ledger's leader.
+// groupReport returns the group's report for the ledger's leader.
 func (g *group) groupReport() *api.GroupReport {
 	r := &api.GroupReport{
 		Group: g.id, Epoch: g.epoch, Term: g.node.BasicStatus().GetTerm(), Voters: g.conf.Voters, Learners: g.conf.Learners,
--- a/internal/raftstore/heartbeat.go
+++ b/internal/raftstore/heartbeat.go
@@ -6,7 +6,8 @@
 	api "marblespan/api/raftstorepb"
 )
 
-// sendHeartbeat reports this gateway, its store and the groups that it leads to the ledger's leader, or to a gateway that may know it.
+// sendHeartbeat reports this gateway, its store and the groups that it leads to the ledger's leader, or to a gateway that may know
+// the leader.
 func (h *Host) sendHeartbeat() {
 	to := h.calls.leaders[LedgerGroup]
 	if g := h.groups[LedgerGroup]; g != nil && g.recovery == nil {
@@ -17,7 +18,7 @@
 		h.recordGatewayReport(h.cfg.Name, h.gatewayReport())
 		return
 	}
-	if h.ticks%(4*storeHeartbeatTicks) == 0 || to == "" { // the known leader may not lead any more
+	if h.ticks%(4*storeHeartbeatTicks) == 0 || to == "" { // the known leader may be outdated
 		to = h.nextCandidate(LedgerGroup, int(h.ticks/storeHeartbeatTicks))
 	}
 	if to == "" {
@@ -27,7 +28,7 @@
 	p.StoreHeartbeat, p.GroupReports, p.GatewayReport = h.storeHeartbeat(), h.groupReports(), h.gatewayReport()
 }
 
-// storeHeartbeat is the report of this gateway's store; nil: it has none.
+// storeHeartbeat returns the heartbeat of this gateway's store, or nil if it has no store.
 func (h *Host) storeHeartbeat() *api.StoreHeartbeat {
 	if !h.runsGroups {
 		return nil
@@ -44,7 +45,7 @@
 	return a
 }
 
-// groupReports are the reports of the groups that this gateway leads.
+// groupReports returns the reports of the groups that this gateway leads.
 func (h *Host) groupReports() (all []*api.GroupReport) {
 	for _, g := range h.sortedGroups() {
 		if g.isLeader {
@@ -54,7 +55,8 @@
 	return all
 }
 
-// nextCandidate is the n-th gateway to ask about a group, in turn: one of the group's members' gateways, or any gateway if none is known.
+// nextCandidate returns the n-th gateway to try for a group, in round-robin order. The candidates are the gateways of the group's
+// members, or all known gateways if no member's gateway is known.
 func (h *Host) nextCandidate(id uint32, n int) string {
 	var names []string
 	if x := findGroup(h.ledger, id); x != nil {
@@ -78,7 +80,7 @@
 	return names[n%len(names)]
 }
 
-// recordGroupReport records the report of a group's leader, unless a later leader has reported already.
+// recordGroupReport records a report from a group's leader, unless a leader of a later epoch or term has reported already.
 func (h *Host) recordGroupReport(r *api.GroupReport) {
 	last := h.placement.groupReports[r.Group]
 	if last == nil || last.Epoch < r.Epoch || last.Epoch == r.Epoch && last.Term <= r.Term {
@@ -86,8 +88,8 @@
 	}
 }
 
-// handleHeartbeat records a store's heartbeat and group reports, where the ledger is led here, and proposes the changes of the ledger that
-// follow directly: a new or changed store, a failed disk, stale members.
+// handleHeartbeat records a store's heartbeat and group reports, if this host leads the ledger. It also proposes the changes of the
+// ledger that follow directly from them: a new or changed store, a failed disk, stale members.
 func (h *Host) handleHeartbeat(store, incarnation uint64, heartbeat *api.StoreHeartbeat, reports []*api.GroupReport) {
 	ledger := h.groups[LedgerGroup]
 	if ledger == nil || !ledger.isLeader || ledger.recovery != nil {
--- a/internal/raftstore/host.go
+++ b/internal/raftstore/host.go
@@ -11,8 +11,9 @@
 	"marblespan/internal/clock"
 )
 
-// Durations in ticks: a call that has no reply is sent elsewhere after retryTicks; a graceful shutdown takes at most drainTimeoutTicks; a
-// leader checks after leaderBalanceTicks whether another member should lead; a notice about another cluster comes once in foreignNoticeTicks.
+// Durations in ticks. A call without a reply is sent again, normally to another gateway, after retryTicks. A graceful shutdown
+// takes at most drainTimeoutTicks. A leader checks every leaderBalanceTicks whether another member should lead. A notice about a
+// foreign cluster is emitted at most once every foreignNoticeTicks.
 const (
 	retryTicks         = 3
 	drainTimeoutTicks  = 10
@@ -20,34 +21,34 @@
 	foreignNoticeTicks = 600
 )
 
-// Host is one gateway's part of the state store: the group members that it runs, and its calls to groups that other gateways run.
-// It is not safe for concurrent use: one goroutine owns it.
+// Host is one gateway's part of the state store: the group members that it runs, and its own calls to the groups. It is not safe
+// for concurrent use: a single goroutine must own it.
 type Host struct {
 	cfg         Config
 	now         clock.Micros
 	nextTick    clock.Micros
 	ticks       uint64
-	store       uint64 // the number of this gateway's disk; 0: it runs no groups
-	incarnation uint64 // of the disk
+	store       uint64 // number of this gateway's store; 0: it has none
+	incarnation uint64 // incarnation of the store
 	runsGroups  bool
-	diskTrusted bool // the disk is known to hold the last write
+	diskTrusted bool // the disk is known to contain the last write
 	clusterID   uint64
-	ledger      *api.Ledger // the latest that is known here
+	ledger      *api.Ledger // the latest version known to this host
 	groups      map[uint32]*group
-	renumbered  uint64 // how often the store got another number
+	renumbered  uint64 // how often the store was given a new number
 
 	disk        diskWriter
 	calls       callTable
 	peers       peerTable
-	placement   placementFacts // valid where this host leads the ledger
+	placement   placementObservations // valid only while this host leads the ledger
 	maintenance maintenanceState
 	out         outbox
 	shutdown    shutdown
 }
 
-// New makes a host from what its disk holds; nil is an empty disk. trusted says that the disk is known to hold the last write of its last
-// start. Without it, each member asks the others how far it had got before it takes part (recovery). An error means that the stored
-// state cannot be read, or needs a later version.
+// New creates a host from the state stored on its disk; nil means an empty disk. trusted is set if the disk is known to contain the
+// last write of the previous start. If it is not set, each member asks the other members how far it had got before it takes part
+// again (recovery). New returns an error if the stored state cannot be read or needs a later version.
 func New(cfg Config, now clock.Micros, stored *StoredState, trusted bool) (*Host, error) {
 	if cfg.Format == 0 {
 		cfg.Format = LatestFormat
@@ -81,7 +82,7 @@
 	return host, nil
 }
 
-// restoreMembers makes the members that are on the disk and applies what is committed in their logs.
+// restoreMembers creates the members stored on the disk and applies the committed entries of their logs.
 func (h *Host) restoreMembers(stored []StoredMember) error {
 	for _, x := range stored {
 		g, err := h.newGroup(x, h.newStateMachine(x.Group, x.Epoch, false))
@@ -92,7 +93,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(h.groups)) {
 		g := h.groups[id]
-		g.recovery = &recovery{} // while it is set, nothing is sent
+		g.recovery = &recovery{} // nothing is sent while it is set
 		g.processReady()
 		if h.disk.failure != "" {
 			return fmt.Errorf("raftstore: %s", h.disk.failure)
@@ -105,7 +106,7 @@
 	return nil
 }
 
-// newStateMachine makes an empty state machine for a group; reset says that the shard's earlier epoch was lost.
+// newStateMachine creates an empty state machine for a group. reset is set if the shard's previous epoch was lost.
 func (h *Host) newStateMachine(id, epoch uint32, reset bool) stateMachine {
 	if id == LedgerGroup {
 		return newLedger()
@@ -113,10 +114,10 @@
 	return newShard(h.cfg.MaxShardBytes, h.cfg.Format, epoch, reset)
 }
 
-// NextTick is when the next Tick is due.
+// NextTick returns the time at which the next Tick is due.
 func (h *Host) NextTick() clock.Micros { return h.nextTick }
 
-// Handle takes in one event. What follows from it is returned by Flush.
+// Handle processes one event. Flush returns the resulting actions.
 func (h *Host) Handle(now clock.Micros, next Event) {
 	h.now = max(h.now, now)
 	switch event := next.(type) {
@@ -151,7 +152,7 @@
 	}
 }
 
-// sortedGroups lists the members that run here, in the order of their groups.
+// sortedGroups returns the members that run on this gateway, sorted by group number.
 func (h *Host) sortedGroups() (all []*group) {
 	for _, id := range slices.Sorted(maps.Keys(h.groups)) {
 		all = append(all, h.groups[id])
@@ -159,9 +160,9 @@
 	return all
 }
 
-// Flush proposes what has come together since the last one, and returns the actions to carry out, in order.
+// Flush proposes the commands queued since the last Flush, and returns the actions to carry out, in order.
 func (h *Host) Flush() []Action {
-	for range 8 { // replies may cause more local calls; what is left after that is done by the next Flush
+	for range 8 { // replies may cause further local calls; those left after 8 rounds are handled by the next Flush
 		for _, l := range h.calls.local {
 			h.handleCall(l.caller, l.call)
 		}
@@ -181,11 +182,11 @@
 	return actions
 }
 
-// tick lets one tick pass in all parts of the host.
+// tick advances all parts of the host by one tick.
 func (h *Host) tick() {
 	h.ticks++
 	h.nextTick += h.cfg.Tick
-	if h.nextTick <= h.now { // the process stood still: missed ticks are not made up for, or an election would begin at once
+	if h.nextTick <= h.now { // the process was paused: skip the missed ticks, since catching up would start an election at once
 		h.nextTick = h.now + h.cfg.Tick
 	}
 	for _, g := range h.sortedGroups() {
@@ -212,13 +213,14 @@
 	}
 }
 
-// balanceIsDue tells whether it is a group's turn to be checked by balanceLeader: once in leaderBalanceTicks, each at its own tick.
+// balanceIsDue reports whether balanceLeader must check a group at this tick. Each group is checked once every leaderBalanceTicks,
+// at a tick that depends on its number.
 func (h *Host) balanceIsDue(g *group) bool {
 	return g.isLeader && !h.shutdown.draining && h.ticks%leaderBalanceTicks == uint64(g.id)%leaderBalanceTicks &&
 		h.now-g.leading.since >= leaderBalanceTicks*h.cfg.Tick
 }
 
-// balanceLeader transfers the leadership of a group to the voter that ranks first for it, if that one is caught up.
+// balanceLeader transfers the leadership of a group to the voter whose store ranks first for the group, if that voter is caught up.
 func (h *Host) balanceLeader(g *group) {
 	x := findGroup(h.ledger, g.id)
 	if x == nil || x.Epoch != g.epoch || x.Adding != nil {
--- a/internal/raftstore/image.go
+++ b/internal/raftstore/image.go
@@ -8,7 +8,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Image is the content of a disk after a sequence of writes. It defines what every implementation of a disk must come to.
+// Image is the content of a disk after a sequence of writes. It defines the result that every implementation of a disk must
+// produce.
 type Image struct {
 	Store, Incarnation uint64
 	Ledger             []byte
@@ -16,7 +17,7 @@
 	Retired            []MemberRef
 }
 
-// Apply is the image after a write. The receiver is left as it was.
+// Apply returns the image after a write. It does not modify the receiver.
 func (i Image) Apply(w Write) Image {
 	if w.Store != i.Store {
 		i = Image{Store: w.Store}
@@ -28,16 +29,16 @@
 	i.Retired = append(slices.Clone(i.Retired), w.Retired...)
 	i.Members = slices.Clone(i.Members)
 	for _, x := range w.Members {
-		at, there := slices.BinarySearchFunc(i.Members, x, func(s StoredMember, x MemberWrite) int {
+		at, exists := slices.BinarySearchFunc(i.Members, x, func(s StoredMember, x MemberWrite) int {
 			return cmp.Or(cmp.Compare(s.Group, x.Group), cmp.Compare(s.Epoch, x.Epoch), cmp.Compare(s.Member, x.Member))
 		})
 		if x.Delete {
-			if there {
+			if exists {
 				i.Members = slices.Delete(i.Members, at, at+1)
 			}
 			continue
 		}
-		if !there {
+		if !exists {
 			i.Members = slices.Insert(i.Members, at, StoredMember{Group: x.Group, Epoch: x.Epoch, Member: x.Member})
 		}
 		i.Members[at].apply(x)
@@ -45,7 +46,7 @@
 	return i
 }
 
-// apply applies a member's part of a write. Slices that other images share are left as they were.
+// apply applies a member's part of a write. It does not modify the member's slices in place, because other images share them.
 func (s *StoredMember) apply(w MemberWrite) {
 	if w.Snapshot != nil {
 		s.Snapshot = w.Snapshot
@@ -62,7 +63,7 @@
 	}
 }
 
-// State is what a start finds on a disk with this content.
+// State returns the stored state that a host finds when it starts from a disk with this content.
 func (i Image) State() *StoredState {
 	s := &StoredState{Store: i.Store, Incarnation: i.Incarnation, Ledger: i.Ledger, Retired: slices.Clone(i.Retired)}
 	for _, g := range i.Members {
--- a/internal/raftstore/ledger.go
+++ b/internal/raftstore/ledger.go
@@ -9,11 +9,11 @@
 	"marblespan/internal/clock"
 )
 
-// ledger is the state machine of the ledger: which stores there are, and which groups have members on them. Its changes are planned by the
-// leader (planner.plan) and checked here, when they are applied: a change that does not fit the state any more has no effect.
+// ledger is the state machine of the ledger: which stores exist, and which groups have members on them. The leader plans its
+// changes (planner.plan). Each change is checked again when it is applied: a change that no longer fits the state has no effect.
 type ledger struct {
 	*api.Ledger
-	notices []Notice // that the last entry caused
+	notices []Notice // caused by the last entry
 }
 
 func newLedger() *ledger { return &ledger{Ledger: &api.Ledger{}} }
@@ -21,7 +21,7 @@
 func (l *ledger) time() clock.Micros { return clock.Micros(l.Time) }
 
 func (l *ledger) snapshot() []byte {
-	b, _ := proto.Marshal(l.Ledger) // names are checked when they come in, so it cannot fail
+	b, _ := proto.Marshal(l.Ledger) // cannot fail, because names are validated when they are received
 	return b
 }
 
@@ -51,12 +51,13 @@
 	}
 	before.(*api.Ledger).Time = l.Time
 	if !proto.Equal(before, l.Ledger) {
-		l.Index = index // a ledger of this index has all changes so far
+		l.Index = index // a ledger with this index contains all changes so far
 	}
 	return out
 }
 
-// newBootstrappedLedger is the ledger of a new state store: its first store has the only voter of every group, and more are added as stores join.
+// newBootstrappedLedger returns the ledger of a new state store. Its first store has the only voter of every group; more voters are
+// added as stores join.
 func newBootstrappedLedger(f *api.Bootstrap) *ledger {
 	l := newLedger()
 	l.ClusterId, l.VotersPerGroup, l.Index, l.NextMember = f.ClusterId, f.VotersPerGroup, 1, 1
@@ -72,7 +73,7 @@
 	return l
 }
 
-// allocateMember is a member number that was never used before.
+// allocateMember returns a member number that was never used before.
 func (l *ledger) allocateMember() uint64 {
 	l.NextMember++
 	return l.NextMember - 1
@@ -80,7 +81,7 @@
 
 func (l *ledger) store(number uint64) *api.Store { return findStore(l.Ledger, number) }
 
-// findStore is the store of a number; nil: there is none.
+// findStore returns the store with the given number, or nil if there is none.
 func findStore(l *api.Ledger, number uint64) *api.Store {
 	for _, s := range l.GetStores() {
 		if s.Id == number {
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// group is a group if it is in that epoch; nil: it is not.
+// group returns the group with the given number if it is in the given epoch, or else nil.
 func (l *ledger) group(number, epoch uint32) *api.Group {
 	if g := findGroup(l.Ledger, number); g != nil && g.Epoch == epoch {
 		return g
@@ -98,7 +99,7 @@
 	return nil
 }
 
-// findGroup is the group of a number; nil: there is none.
+// findGroup returns the group with the given number, or nil if there is none.
 func findGroup(l *api.Ledger, number uint32) *api.Group {
 	if int(number) < len(l.GetGroups()) {
 		return l.Groups[number]
@@ -106,11 +107,11 @@
 	return nil
 }
 
-func (l *ledger) addNotice(what NoticeKind, group, epoch uint32, number uint64, name string) {
-	l.notices = append(l.notices, Notice{Kind: what, Group: group, Epoch: epoch, Number: number, Name: name})
+func (l *ledger) addNotice(kind NoticeKind, group, epoch uint32, number uint64, name string) {
+	l.notices = append(l.notices, Notice{Kind: kind, Group: group, Epoch: epoch, Number: number, Name: name})
 }
 
-// applyChange applies one change, if it fits the state.
+// applyChange applies a change if it fits the state.
 func (l *ledger) applyChange(c *api.Change) {
 	switch {
 	case c.JoinStore != nil:
@@ -131,8 +132,8 @@
 	}
 }
 
-// joinStore adds a store, or updates what its gateway reports of it. A gateway has one store: when it comes with another one, the earlier
-// one is lost.
+// joinStore adds a store, or updates the properties that its gateway reports. A gateway has only one store: if it joins with a
+// different one, the earlier one counts as lost.
 func (l *ledger) joinStore(s *api.Store) {
 	if known := l.store(s.Id); known != nil {
 		if !known.Removed && known.Name == s.Name {
@@ -141,7 +142,7 @@
 		return
 	}
 	if s.Format < l.Format {
-		return // it could not read the records
+		return // the store could not read the records
 	}
 	for _, other := range l.Stores {
 		if other.Name == s.Name {
@@ -153,7 +154,7 @@
 	l.addNotice(NoticeStoreJoined, 0, 0, s.Id, s.Name)
 }
 
-// removeStore records that a store is lost for good.
+// removeStore records that a store is permanently lost.
 func (l *ledger) removeStore(number uint64) {
 	if s := l.store(number); s != nil && !s.Removed {
 		s.Removed = true
@@ -161,18 +162,18 @@
 	}
 }
 
-// pruneStores drops removed stores that no group refers to any more.
+// pruneStores deletes removed stores that no group refers to any more.
 func (l *ledger) pruneStores() {
-	named := map[uint64]bool{}
+	referenced := map[uint64]bool{}
 	for _, g := range l.Groups {
 		for _, r := range groupMembers(g) {
-			named[r.Store] = true
+			referenced[r.Store] = true
 		}
 	}
-	l.Stores = slices.DeleteFunc(l.Stores, func(s *api.Store) bool { return s.Removed && !named[s.Id] })
+	l.Stores = slices.DeleteFunc(l.Stores, func(s *api.Store) bool { return s.Removed && !referenced[s.Id] })
 }
 
-// groupMembers are all members of a group, with the one that is being added.
+// groupMembers returns all members of a group, including one that is being added.
 func groupMembers(g *api.Group) []*api.GroupMember {
 	all := slices.Clone(g.Voters)
 	if g.Adding != nil {
@@ -181,12 +182,12 @@
 	return all
 }
 
-// hasMember tells whether a group has a member of a number, also one that is being added.
+// hasMember reports whether a group has a member with the given number, including one that is being added.
 func hasMember(g *api.Group, number uint64) bool {
 	return slices.ContainsFunc(groupMembers(g), func(m *api.GroupMember) bool { return m.Id == number })
 }
 
-// addMember has a group add a member, in place of another one if it is complete.
+// addMember records that a group is to add a member. If the group is complete, the new member takes the place of another one.
 func (l *ledger) addMember(a *api.AddMember) {
 	g, s := l.group(a.Group, a.Epoch), l.store(a.Store)
 	if g == nil || s == nil || s.Removed {
@@ -195,7 +196,7 @@
 	replaces := slices.ContainsFunc(g.Voters, func(r *api.GroupMember) bool { return r.Id == a.Removing })
 	full := len(g.Voters) >= int(l.VotersPerGroup)
 	if replaces != (a.Removing != 0) || full != replaces {
-		return // members are added until the group is complete and replaced after that
+		return // an incomplete group only adds members, a complete one only replaces them
 	}
 	if slices.ContainsFunc(g.Voters, func(r *api.GroupMember) bool { return r.Store == a.Store && !(r.Stale && r.Id == a.Removing) }) {
 		return
@@ -215,7 +216,7 @@
 	}
 }
 
-// setVoters records that a group has carried out its pending change, as a whole.
+// setVoters records that a group has carried out its pending change, if the change was carried out completely.
 func (l *ledger) setVoters(s *api.SetVoters) {
 	g := l.group(s.Group, s.Epoch)
 	if g == nil || g.Adding == nil {
@@ -239,7 +240,7 @@
 	l.addNotice(NoticeVotersChanged, s.Group, s.Epoch, 0, "")
 }
 
-// resetGroup restarts a group empty in its next epoch: what it held is lost, and known as lost.
+// resetGroup restarts a group empty in its next epoch. The records of the previous epoch are lost, and the loss is recorded.
 func (l *ledger) resetGroup(r *api.ResetGroup) {
 	g, s := l.group(r.Group, r.Epoch), l.store(r.Store)
 	if g == nil || s == nil || s.Removed || r.Group == LedgerGroup || !r.Forced && !quorumLost(l.Ledger, g) {
@@ -252,7 +253,7 @@
 	g.LostAt = max(l.Time, 1)
 }
 
-// quorumLost tells whether so many of a group's voters are lost for good that the rest is no majority.
+// quorumLost reports whether so many of a group's voters are permanently lost that the remaining ones are not a majority.
 func quorumLost(l *api.Ledger, g *api.Group) bool {
 	left := 0
 	for _, r := range g.Voters {
@@ -263,7 +264,7 @@
 	return left < len(g.Voters)/2+1
 }
 
-// memberLost tells whether a member is lost for good.
+// memberLost reports whether a member is permanently lost.
 func memberLost(l *api.Ledger, r *api.GroupMember) bool {
 	s := findStore(l, r.Store)
 	return r.Stale || s == nil || s.Removed
--- a/internal/raftstore/logger.go
+++ b/internal/raftstore/logger.go
@@ -4,7 +4,8 @@
 	"fmt"
 )
 
-// discardLogger drops what the Raft library logs: what matters is in this package's notices. Its panics stay panics.
+// discardLogger discards the log output of the Raft library, because this package reports the relevant events as notices. Fatal and
+// Panic messages still panic.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any) {}
--- a/internal/raftstore/maintenance.go
+++ b/internal/raftstore/maintenance.go
@@ -12,23 +12,23 @@
 	"marblespan/internal/maintenance"
 )
 
-// MaintenanceKey is the key of a Get in the ledger whose result is a listing of the order of maintenance, see DecodeListing.
+// MaintenanceKey is the key of a Get on the ledger that returns a listing of the maintenance order, see DecodeListing.
 const MaintenanceKey = "maintenance"
 
-// maintenanceState is the part of the host for maintenance (internal/maintenance): the order is part of the ledger, and the ledger's leader
-// plans it after the placement.
+// maintenanceState is the host's state for maintenance (internal/maintenance). The maintenance order is part of the ledger. The
+// ledger's leader plans its next steps when there are no changes of the placement to propose.
 type maintenanceState struct {
 	own           *GatewayReport
 	members       []maintenance.Member
 	reports       map[string]maintenance.GatewayStatus
-	reportedAt    map[string]clock.Micros // when each of them came
+	reportedAt    map[string]clock.Micros // when each report was received
 	planner       maintenance.Planner
 	waits         maintenance.Waits
-	notifiedIndex uint64 // the ledger's index at the last notifyOrder
+	notifiedIndex uint64 // index of the ledger at the last call of notifyOrder
 	order         *maintenance.Order
 }
 
-// notifyOrder reports the order of maintenance where it has changed.
+// notifyOrder emits OrderChanged if the maintenance order has changed.
 func (h *Host) notifyOrder() {
 	u := &h.maintenance
 	if h.ledger.Index == u.notifiedIndex || h.cfg.Maintenance == nil {
@@ -44,7 +44,7 @@
 	h.out.actions = append(h.out.actions, OrderChanged{Index: h.ledger.Index, Order: next})
 }
 
-// gatewayReport is this gateway's report for maintenance; nil: there is none.
+// gatewayReport returns this gateway's report for maintenance, or nil if there is none.
 func (h *Host) gatewayReport() *api.GatewayReport {
 	if h.maintenance.own == nil || h.cfg.Maintenance == nil {
 		return nil
@@ -54,7 +54,7 @@
 	return x
 }
 
-// recordGatewayReport records a gateway's report. One of an earlier incarnation is ignored.
+// recordGatewayReport records a gateway's report. A report from an earlier incarnation is ignored.
 func (h *Host) recordGatewayReport(name string, x *api.GatewayReport) {
 	u := &h.maintenance
 	if last, known := u.reports[name]; x == nil || known && x.Incarnation < last.Incarnation {
@@ -66,32 +66,32 @@
 	u.reports[name], u.reportedAt[name] = decodeReport(name, x), h.now
 }
 
-// resetMaintenance has a new leader start without what it knew before.
+// resetMaintenance clears the planning state, so that a newly elected leader does not plan with outdated reports.
 func (h *Host) resetMaintenance() {
 	u := &h.maintenance
 	u.reports, u.reportedAt, u.planner, u.waits = nil, nil, maintenance.Planner{}, nil
 }
 
-// maintenanceFacts is what the leader plans maintenance by, beside the order. A gateway that has a store or is on the roster, and that
-// membership does not know, counts as dead.
-func (h *Host) maintenanceFacts(ledger *api.Ledger) *maintenance.ClusterView {
+// clusterView returns the state by which the leader plans maintenance, in addition to the order. A gateway that has a store or is
+// on the roster, but is not known to membership, counts as dead.
+func (h *Host) clusterView(ledger *api.Ledger) *maintenance.ClusterView {
 	state := &h.maintenance
 	h.recordGatewayReport(h.cfg.Name, h.gatewayReport())
-	facts := &maintenance.ClusterView{
+	view := &maintenance.ClusterView{
 		Now:         h.groups[LedgerGroup].groupTime(),
 		AllReported: h.now-h.placement.leaderSince > freshTicks*h.cfg.Tick && len(state.members) > 0,
 	}
 	members := h.expectedMembers(ledger)
 	for _, name := range slices.Sorted(maps.Keys(members)) {
-		facts.Gateways = append(facts.Gateways, h.gatewayStatus(members[name]))
+		view.Gateways = append(view.Gateways, h.gatewayStatus(members[name]))
 	}
 	for id := range ledger.Groups {
-		facts.Shards = append(facts.Shards, h.shardStatus(ledger, uint32(id)))
+		view.Shards = append(view.Shards, h.shardStatus(ledger, uint32(id)))
 	}
-	return facts
+	return view
 }
 
-// expectedMembers are the gateways that membership knows, and, as dead, those that only the ledger knows.
+// expectedMembers returns the gateways that membership knows and, marked as dead, those that only the ledger knows.
 func (h *Host) expectedMembers(ledger *api.Ledger) map[string]maintenance.Member {
 	all := map[string]maintenance.Member{}
 	for _, s := range ledger.Stores {
@@ -108,7 +108,7 @@
 	return all
 }
 
-// gatewayStatus is a gateway's last report, if it is recent, with what membership says.
+// gatewayStatus combines a gateway's last report, if it is recent, with its state in membership.
 func (h *Host) gatewayStatus(m maintenance.Member) maintenance.GatewayStatus {
 	last := h.maintenance.reports[m.Name]
 	status := maintenance.GatewayStatus{Name: m.Name, Zone: cmp.Or(last.Zone, m.Zone), Incarnation: last.Incarnation, Presence: m.Presence}
@@ -123,7 +123,8 @@
 	return status
 }
 
-// shardStatus is a group's state for maintenance: by the ledger, and complete only if its leader has reported so recently.
+// shardStatus returns a group's status for maintenance. The group counts as complete only if it is complete in the ledger and its
+// leader has recently reported the same.
 func (h *Host) shardStatus(ledger *api.Ledger, id uint32) maintenance.ShardStatus {
 	x := ledger.Groups[id]
 	status := maintenance.ShardStatus{Hosts: gatewaysOf(ledger, x), Complete: isComplete(ledger, x), UnderReplicated: isBelowTarget(ledger, x)}
@@ -133,14 +134,14 @@
 	return status
 }
 
-// planMaintenance proposes the next steps of the order of maintenance.
+// planMaintenance proposes the next steps of the maintenance order.
 func (h *Host) planMaintenance(g *group) {
 	l := g.sm.(*ledger).Ledger
 	if h.cfg.Maintenance == nil || l.Format < MaintenanceFormat || h.shutdown.draining {
 		return
 	}
 	h.placement.reportedAt[LedgerGroup] = h.now
-	steps, waits := h.maintenance.planner.Plan(DecodeOrder(l.Order), h.maintenanceFacts(l), *h.cfg.Maintenance)
+	steps, waits := h.maintenance.planner.Plan(DecodeOrder(l.Order), h.clusterView(l), *h.cfg.Maintenance)
 	h.maintenance.waits = waits
 	var commands []*api.Command
 	for _, s := range steps {
@@ -151,17 +152,17 @@
 	}
 }
 
-// encodeListing is the result of a Get of MaintenanceKey.
+// encodeListing returns the result of a Get of MaintenanceKey.
 func (h *Host) encodeListing(l *api.Ledger) []byte {
 	x := &api.Listing{Order: l.Order, Leader: h.cfg.Name, Time: int64(h.groups[LedgerGroup].groupTime()), Waits: h.maintenance.waits}
 	b, _ := proto.Marshal(x)
 	return b
 }
 
-// Order is the order of maintenance as far as it is known here.
+// Order returns the maintenance order as it is known to this host.
 func (h *Host) Order() *maintenance.Order { return DecodeOrder(h.ledger.Order) }
 
-// gatewaysOf lists the gateways that a group has members on.
+// gatewaysOf returns the names of the gateways that have members of a group.
 func gatewaysOf(l *api.Ledger, x *api.Group) (out []string) {
 	for _, r := range groupMembers(x) {
 		if s := findStore(l, r.Store); s != nil && !slices.Contains(out, s.Name) {
@@ -171,15 +172,15 @@
 	return out
 }
 
-// isBelowTarget tells whether a group has fewer voters than it is to have, by the ledger.
+// isBelowTarget reports whether, according to the ledger, a group has too few voters or one of its voters is permanently lost.
 func isBelowTarget(l *api.Ledger, x *api.Group) bool {
 	return len(x.Voters) < int(l.VotersPerGroup) || slices.ContainsFunc(x.Voters, func(r *api.GroupMember) bool { return memberLost(l, r) })
 }
 
-// isComplete tells whether a group has all its voters and no change is pending, by the ledger.
+// isComplete reports whether, according to the ledger, a group has all its voters and no change is pending.
 func isComplete(l *api.Ledger, x *api.Group) bool { return x.Adding == nil && !isBelowTarget(l, x) }
 
-// shardPlacement is the placement as the steps of the order of maintenance see it.
+// shardPlacement provides the placement to maintenance.Order.Step.
 type shardPlacement struct{ *api.Ledger }
 
 func (l shardPlacement) Complete(gateway string) bool {
@@ -195,7 +196,7 @@
 	})
 }
 
-// applyMaintenance applies an operator's command or a step of the order of maintenance. The text is for the operator.
+// applyMaintenance applies an operator's command or a planned step to the maintenance order. The returned text is for the operator.
 func (l *ledger) applyMaintenance(index uint64, c *api.Command) (status Status, text string) {
 	o := DecodeOrder(l.Order)
 	ok := true
@@ -214,7 +215,7 @@
 	return StatusOK, text
 }
 
-// findMachine is a gateway's machine in the order if it is in one of some states; nil: it is not.
+// findMachine returns a gateway's machine in the maintenance order if it is in one of the given states, or else nil.
 func findMachine(l *api.Ledger, name string, states ...maintenance.State) *api.Machine {
 	for _, m := range l.GetOrder().GetMachines() {
 		if maintenance.Kind(m.Kind) == maintenance.Gateway && m.Name == name && slices.Contains(states, maintenance.State(m.State)) {
@@ -224,13 +225,14 @@
 	return nil
 }
 
-// maintenanceDuration is how long a gateway's machine is to be out, if it is about to be or is; else ok is false.
+// maintenanceDuration returns how long a gateway's machine is to be out of service, if it is out, draining or next in the order.
+// Otherwise ok is false.
 func maintenanceDuration(l *api.Ledger, name string) (span clock.Micros, ok bool) {
 	m := findMachine(l, name, maintenance.Next, maintenance.Draining, maintenance.Out)
 	return clock.Micros(m.GetDuration()), m != nil
 }
 
-// isCordoned tells whether this gateway's own machine is draining or out. It leads no group then.
+// isCordoned reports whether this gateway's own machine is draining or out. While it is, this gateway must not lead any group.
 func (h *Host) isCordoned() bool {
 	return findMachine(h.ledger, h.cfg.Name, maintenance.Draining, maintenance.Out) != nil
 }
--- a/internal/raftstore/maintenance_codec.go
+++ b/internal/raftstore/maintenance_codec.go
@@ -10,7 +10,7 @@
 	"marblespan/internal/maintenance"
 )
 
-// MaintenanceCommand is an operator's command as a change of the ledger.
+// MaintenanceCommand encodes an operator's command as a change of the ledger.
 func MaintenanceCommand(c maintenance.Command) *api.Command {
 	return &api.Command{Format: MaintenanceFormat, Change: &api.Change{MaintenanceCommand: &api.MaintenanceCommand{
 		Verb: uint32(c.Verb), Kind: uint32(c.Kind), Name: c.Name, Group: int64(c.Group), Duration: int64(c.Duration), Comment: c.Comment, RequestedBy: c.RequestedBy,
@@ -24,7 +24,7 @@
 	}
 }
 
-// validCommand tells whether an operator's command may be applied.
+// validCommand reports whether an operator's command may be applied.
 func validCommand(c *api.MaintenanceCommand) bool {
 	return c.Verb > 0 && c.Verb < uint32(maintenance.Verbs) && c.Kind < uint32(maintenance.Kinds) && len(c.Name) <= maintenance.MaxNameLength &&
 		len(c.Comment) <= maintenance.MaxCommentLength && len(c.RequestedBy) <= MaxNameBytes && c.Duration >= 0
@@ -53,7 +53,7 @@
 	}
 }
 
-// DecodeOrder is an order from its form in the ledger; nil is an empty one.
+// DecodeOrder decodes an order from its form in the ledger. A nil order is decoded as an empty one.
 func DecodeOrder(x *api.Order) *maintenance.Order {
 	o := &maintenance.Order{Paused: x.GetPaused(), LastID: x.GetLastId(), Excused: slices.Clone(x.GetExcused())}
 	for _, m := range x.GetMachines() {
@@ -109,7 +109,7 @@
 	return g
 }
 
-// DecodeListing decodes the result of a Get of MaintenanceKey. An error means that it is malformed.
+// DecodeListing decodes the result of a Get of MaintenanceKey. It returns an error if the result is malformed.
 func DecodeListing(b []byte) (maintenance.Listing, error) {
 	var x api.Listing
 	if err := proto.Unmarshal(b, &x); err != nil {
--- a/internal/raftstore/outbox.go
+++ b/internal/raftstore/outbox.go
@@ -9,14 +9,14 @@
 	api "marblespan/api/raftstorepb"
 )
 
-// outbox is what Flush returns next.
+// outbox collects what the next Flush returns.
 type outbox struct {
-	packets map[string]*api.Packet // by the gateway that gets it
+	packets map[string]*api.Packet // by receiving gateway
 	bulk    []Send
 	actions []Action
 }
 
-// packetVersion is the version of the packets' layout.
+// packetVersion is the version of the packet layout.
 const packetVersion = 1
 
 // encodePacket fills in a packet's header and encodes it.
@@ -25,14 +25,14 @@
 	if g := h.groups[LedgerGroup]; g != nil && g.recovery == nil {
 		p.LedgerLeader = g.leaderName()
 	}
-	b, _ := proto.Marshal(p) // its names were checked when they came in
+	b, _ := proto.Marshal(p) // cannot fail, because names are validated when they are received
 	return b
 }
 
 // emitNotice adds a notice to the actions.
 func (h *Host) emitNotice(n Notice) { h.out.actions = append(h.out.actions, n) }
 
-// packetFor is the packet that the next Flush sends to a gateway; it is made if there is none yet.
+// packetFor returns the packet that the next Flush sends to a gateway. It creates the packet if there is none yet.
 func (h *Host) packetFor(to string) *api.Packet {
 	p := h.out.packets[to]
 	if p == nil {
@@ -47,7 +47,7 @@
 	h.out.bulk = append(h.out.bulk, Send{To: to, Body: h.encodePacket(&api.Packet{Raft: []*api.RaftMessage{x}}), Bulk: true})
 }
 
-// gatewayOf is the name of the gateway that a member of a group runs on; empty: not known.
+// gatewayOf returns the name of the gateway that runs a member of a group, or "" if it is not known.
 func (h *Host) gatewayOf(id uint32, number uint64) string {
 	if number == 0 {
 		return ""
@@ -64,7 +64,7 @@
 	return ""
 }
 
-// sendPackets turns what has come together into Send actions. Before this incarnation is on the disk, packets are dropped.
+// sendPackets turns the collected packets into Send actions. Until this incarnation is on the disk, the packets are dropped.
 func (h *Host) sendPackets() {
 	for _, to := range slices.Sorted(maps.Keys(h.out.packets)) {
 		if p := h.out.packets[to]; h.disk.started {
--- a/internal/raftstore/overview.go
+++ b/internal/raftstore/overview.go
@@ -6,20 +6,20 @@
 	api "marblespan/api/raftstorepb"
 )
 
-// Overview is a host's state for operators.
+// Overview describes a host's state for operators.
 type Overview struct {
 	ClusterID      uint64
-	Index          uint64 // of the latest known ledger
+	Index          uint64 // index of the latest known ledger
 	VotersPerGroup int
 	Format         uint32 // the latest record format that may be used
-	Store          uint64 // this gateway's; 0: it has none
-	DiskFailure    string // why the disk is not written any more; empty: it is
-	PendingCalls   int    // this gateway's own
+	Store          uint64 // number of this gateway's store; 0: it has none
+	DiskFailure    string // why the disk can no longer be written; empty: it can
+	PendingCalls   int    // number of this gateway's own pending calls
 	Stores         []StoreView
 	Groups         []GroupView
 }
 
-// StoreView is one store.
+// StoreView describes one store.
 type StoreView struct {
 	ID      uint64
 	Name    string
@@ -28,24 +28,24 @@
 	Removed bool
 }
 
-// GroupView is one group, as in the ledger and as seen here.
+// GroupView describes one group according to the ledger, and its member on this gateway.
 type GroupView struct {
 	Group, Epoch uint32
-	Lost         bool // an earlier epoch was lost, with its records
+	Lost         bool // an earlier epoch was lost together with its records
 	Voters       []MemberView
 	Adding       *MemberView
 	Removing     uint64
 	Local        *LocalMember // nil: no member runs here
 }
 
-// MemberView is one group member.
+// MemberView describes one group member.
 type MemberView struct {
 	ID   uint64
 	Name string
 	Lost bool
 }
 
-// LocalMember is a member that runs on this gateway.
+// LocalMember describes a member that runs on this gateway.
 type LocalMember struct {
 	Number     uint64
 	Leader     string
@@ -54,23 +54,23 @@
 	Last       uint64 // index of the last log entry
 	Records    int
 	Bytes      int64 // memory cost of its records
-	Recovering bool  // it is in recovery after a restart
+	Recovering bool  // the member is in recovery after a restart
 }
 
-// Shards is how many shards there are; 0: no state store is known.
+// Shards returns the number of shards, or 0 if no state store is known.
 func (h *Host) Shards() int { return max(len(h.ledger.Groups)-1, 0) }
 
-// RecordBytes is the memory cost of the records here, in bytes.
+// RecordBytes returns the memory cost of the records on this gateway, in bytes.
 func (h *Host) RecordBytes() (n int64) {
 	for _, g := range h.groups {
-		if s, is := g.sm.(*shard); is {
+		if s, ok := g.sm.(*shard); ok {
 			n += s.bytes
 		}
 	}
 	return n
 }
 
-// Complete tells whether every group has all its voters and no change is pending, by the ledger that is known.
+// Complete reports whether, according to the known ledger, every group has all its voters and no change is pending.
 func (o Overview) Complete() bool {
 	for _, g := range o.Groups {
 		if len(g.Voters) != o.VotersPerGroup || g.Adding != nil || slices.ContainsFunc(g.Voters, func(r MemberView) bool { return r.Lost }) {
@@ -120,7 +120,7 @@
 		Number: g.member, Leader: g.leaderName(), Term: g.node.BasicStatus().GetTerm(), Applied: g.applied, Last: last.index,
 		Recovering: g.recovery != nil,
 	}
-	if s, is := g.sm.(*shard); is {
+	if s, ok := g.sm.(*shard); ok {
 		local.Records, local.Bytes = len(s.records), s.bytes
 	}
 	return local
--- a/internal/raftstore/placement.go
+++ b/internal/raftstore/placement.go
@@ -5,33 +5,34 @@
 	"marblespan/internal/clock"
 )
 
-// Durations in ticks by which the ledger's leader plans: stores send a heartbeat every storeHeartbeatTicks; a store whose last heartbeat is
-// at most freshTicks old can get members; members are rebalanced once the ledger has not changed for calmTicks.
+// Durations in ticks by which the ledger's leader plans. Stores send a heartbeat every storeHeartbeatTicks. A store can get members
+// if its last heartbeat is at most freshTicks old. Members are rebalanced once the ledger has not changed for stableTicks.
 const (
 	storeHeartbeatTicks = 5
 	freshTicks          = 3 * storeHeartbeatTicks
-	calmTicks           = 20
+	stableTicks         = 20
 )
 
-// placementFacts is what the ledger's leader knows beside the ledger. A new leader starts with nothing.
-type placementFacts struct {
+// placementObservations is what the ledger's leader knows in addition to the ledger, from heartbeats and reports. A new leader
+// starts without any.
+type placementObservations struct {
 	now             clock.Micros
 	leaderSince     clock.Micros                // when this gateway was elected
-	heartbeatAt     map[uint64]clock.Micros     // of each store, the last one
-	incarnations    map[uint64]uint64           // of each store, by its last heartbeat
-	groupReports    map[uint32]*api.GroupReport // of each group, the latest
-	reportedAt      map[uint32]clock.Micros     // when each of them came
+	heartbeatAt     map[uint64]clock.Micros     // time of the last heartbeat, by store
+	incarnations    map[uint64]uint64           // incarnation in the last heartbeat, by store
+	groupReports    map[uint32]*api.GroupReport // latest report, by group
+	reportedAt      map[uint32]clock.Micros     // time of the latest report, by group
 	ledgerChangedAt clock.Micros
 }
 
-func newPlacementFacts(now clock.Micros) placementFacts {
-	return placementFacts{
+func newPlacementObservations(now clock.Micros) placementObservations {
+	return placementObservations{
 		leaderSince: now, heartbeatAt: map[uint64]clock.Micros{}, incarnations: map[uint64]uint64{}, groupReports: map[uint32]*api.GroupReport{},
 		reportedAt: map[uint32]clock.Micros{}, ledgerChangedAt: now,
 	}
 }
 
-// proposeChanges proposes changes of the ledger. Each is checked again when it is applied.
+// proposeChanges proposes changes of the ledger. Each change is checked again when it is applied.
 func (h *Host) proposeChanges(g *group, changes []*api.Change) {
 	if len(changes) == 0 || h.shutdown.draining {
 		return
@@ -43,7 +44,8 @@
 	g.proposeEntry(commands)
 }
 
-// planPlacement plans the placement, where this host leads the ledger and has applied all of its log.
+// planPlacement plans the placement and proposes the resulting changes. It is called on the leader of the ledger, and does nothing
+// until the leader has applied its whole log.
 func (h *Host) planPlacement(g *group) {
 	if last, _ := g.log.LastIndex(); g.applied < last {
 		return
@@ -55,14 +57,14 @@
 	}
 	h.placement.now = h.now
 	changes := planner{
-		Ledger: g.sm.(*ledger).Ledger, placementFacts: h.placement, tick: h.cfg.Tick, repairAfter: h.cfg.RepairAfter, maxRepairs: h.cfg.MaxRepairs,
+		Ledger: g.sm.(*ledger).Ledger, placementObservations: h.placement, tick: h.cfg.Tick, repairAfter: h.cfg.RepairAfter, maxRepairs: h.cfg.MaxRepairs,
 	}.plan()
 	if h.proposeChanges(g, changes); len(changes) == 0 {
 		h.planMaintenance(g)
 	}
 }
 
-// bootstrap makes a new state store with this gateway's disk as its first store.
+// bootstrap creates a new state store with this gateway's disk as its first store.
 func (h *Host) bootstrap(f BootstrapRequested) {
 	if !h.runsGroups || h.disk.failure != "" || h.clusterID != 0 || f.Shards < 1 || f.Shards > MaxShards || f.Voters < 1 {
 		return
@@ -74,7 +76,7 @@
 	h.adoptLedger(l.Ledger, true)
 }
 
-// removeStore proposes that the stores of a gateway are lost for good.
+// removeStore proposes to record that a gateway's stores are permanently lost.
 func (h *Host) removeStore(name string) {
 	g := h.groups[LedgerGroup]
 	if g == nil || !g.isLeader {
@@ -87,13 +89,13 @@
 	}
 }
 
-// resetShard proposes that a shard restarts empty. A shard whose leader has reported recently is left alone.
+// resetShard proposes to restart a shard empty. It does nothing if the shard's leader has reported recently.
 func (h *Host) resetShard(shard uint32) {
 	g, x := h.groups[LedgerGroup], findGroup(h.ledger, shard)
 	if g == nil || !g.isLeader || x == nil || shard == LedgerGroup || h.GroupReported(shard) {
 		return
 	}
-	p := planner{Ledger: h.ledger, placementFacts: h.placement, tick: h.cfg.Tick}
+	p := planner{Ledger: h.ledger, placementObservations: h.placement, tick: h.cfg.Tick}
 	p.now = h.now
 	if reset := p.resetGroup(shard, x); reset != nil {
 		reset.Forced = true
@@ -101,7 +103,7 @@
 	}
 }
 
-// GroupReported tells whether a group's leader has reported the group recently. It is only known where the ledger is led.
+// GroupReported reports whether a group's leader has sent a report recently. This is known only on the leader of the ledger.
 func (h *Host) GroupReported(group uint32) bool {
 	at, reported := h.placement.reportedAt[group]
 	return reported && h.now-at <= freshTicks*h.cfg.Tick
--- a/internal/raftstore/planner.go
+++ b/internal/raftstore/planner.go
@@ -8,16 +8,16 @@
 	"marblespan/internal/clock"
 )
 
-// planner plans the placement from the ledger and what its leader knows beside it. It keeps no state.
+// planner plans the placement from the ledger and the observations of the ledger's leader. It keeps no state between plans.
 type planner struct {
 	*api.Ledger
-	placementFacts
+	placementObservations
 	tick, repairAfter clock.Micros
 	maxRepairs        int
 	changes           []*api.Change
 }
 
-// plan returns the changes to propose now. A store that is only silent loses its members after repairAfter, and not before.
+// plan returns the changes to propose now. Members on a store that is merely silent are replaced only after repairAfter.
 func (p planner) plan() []*api.Change {
 	replacing := 0
 	for number, g := range p.Groups {
@@ -27,7 +27,7 @@
 		}
 	}
 	if len(p.changes) > 0 {
-		return p.changes // plan the rest on the ledger that has them
+		return p.changes // plan the rest once the ledger has these changes
 	}
 	for number, g := range p.Groups {
 		p.repair(uint32(number), g, &replacing)
@@ -41,18 +41,18 @@
 	return p.changes
 }
 
-// commonFormat is the latest record format that all stores understand.
+// commonFormat returns the latest record format that all stores understand.
 func commonFormat(l *api.Ledger) uint32 {
 	oldest := uint32(0)
 	for _, s := range l.Stores {
-		if f := max(s.Format, FirstFormat); !s.Removed && (oldest == 0 || f < oldest) { // the first versions do not send one
+		if f := max(s.Format, FirstFormat); !s.Removed && (oldest == 0 || f < oldest) { // the first versions do not report a format
 			oldest = f
 		}
 	}
 	return oldest
 }
 
-// targetVoters are the voters that a group is to have once its pending change is done, sorted.
+// targetVoters returns the voters that a group is to have once its pending change is done, sorted.
 func targetVoters(g *api.Group) (out []uint64) {
 	for _, r := range groupMembers(g) {
 		if r.Id != g.Removing {
@@ -63,7 +63,7 @@
 	return out
 }
 
-// confirmVoters records in the ledger what a group's leader reports as done.
+// confirmVoters plans to record in the ledger that a group's pending change is done, if the group's leader has reported this.
 func (p *planner) confirmVoters(number uint32, g *api.Group) {
 	r := p.groupReports[number]
 	if g.Adding == nil || r == nil || r.Epoch != g.Epoch || r.Joint {
@@ -75,16 +75,17 @@
 	}
 }
 
-// isSilent tells whether a store's last heartbeat is longer ago than duration.
+// isSilent reports whether a store has sent no heartbeat for longer than the given duration. The time before this leader's election
+// does not count.
 func (p *planner) isSilent(store uint64, duration clock.Micros) bool {
 	return p.now-max(p.heartbeatAt[store], p.leaderSince) > duration
 }
 
-// freshStores lists the stores that can get members now.
+// freshStores returns the stores that can get members now.
 func (p *planner) freshStores() (out []*api.Store) {
 	for _, s := range p.Stores {
 		if _, cordoned := maintenanceDuration(p.Ledger, s.Name); cordoned {
-			continue // its machine is about to be out for maintenance, or is
+			continue // its machine is out for maintenance, or is about to be
 		}
 		if at, known := p.heartbeatAt[s.Id]; !s.Removed && known && p.now-at <= freshTicks*p.tick {
 			out = append(out, s)
@@ -93,8 +94,8 @@
 	return out
 }
 
-// needsReplacement tells whether a member must be replaced: it is lost, silent for too long, or its machine is about to be out for
-// maintenance for longer than repairAfter.
+// needsReplacement reports whether a member must be replaced: it is permanently lost, its store has been silent for too long, or
+// its machine is out, or about to be out, for maintenance for longer than repairAfter.
 func (p *planner) needsReplacement(r *api.GroupMember) bool {
 	if s := findStore(p.Ledger, r.Store); s != nil {
 		if duration, cordoned := maintenanceDuration(p.Ledger, s.Name); cordoned && duration > p.repairAfter {
@@ -104,11 +105,11 @@
 	return memberLost(p.Ledger, r) || p.isSilent(r.Store, p.repairAfter)
 }
 
-// repair gives a group a member that it lacks, or replaces one; a group that has lost its quorum is reset.
+// repair adds a member that a group lacks, or replaces one. A group that has lost its quorum is reset.
 func (p *planner) repair(id uint32, group *api.Group, replacing *int) {
 	if quorumLost(p.Ledger, group) {
 		if id == LedgerGroup {
-			return // its leader is planning, so it has a quorum
+			return // the ledger has a quorum, because its leader is running this code
 		}
 		if reset := p.resetGroup(id, group); reset != nil {
 			p.changes = append(p.changes, &api.Change{ResetGroup: reset})
@@ -120,7 +121,7 @@
 	case group.Adding != nil && !p.needsReplacement(group.Adding):
 		return
 	case group.Adding != nil:
-		removing = group.Removing // a different store takes its place
+		removing = group.Removing // add a member on a different store instead
 	case len(group.Voters) >= int(p.VotersPerGroup):
 		removing = p.voterToReplace(group)
 		if removing == 0 || *replacing >= p.maxRepairs {
@@ -133,7 +134,8 @@
 	}
 }
 
-// resetGroup restarts a group on the fresh store that ranks first for it; nil: there is none.
+// resetGroup returns the change that restarts a group on the fresh store that ranks first for it, or nil if there is no fresh
+// store.
 func (p *planner) resetGroup(id uint32, group *api.Group) *api.ResetGroup {
 	stores := placeGroup(id, p.freshStores(), 1)
 	if len(stores) == 0 {
@@ -142,14 +144,14 @@
 	return &api.ResetGroup{Group: id, Epoch: group.Epoch, Store: stores[0].Id, Incarnation: p.incarnations[stores[0].Id]}
 }
 
-// addMember adds the change that has a group add a member on a store, in place of another member unless that is 0.
+// addMember plans to add a member on a store to a group. If removing is not 0, the new member takes the place of that member.
 func (p *planner) addMember(id uint32, group *api.Group, s *api.Store, removing uint64) {
 	p.changes = append(p.changes, &api.Change{AddMember: &api.AddMember{
 		Group: id, Epoch: group.Epoch, Store: s.Id, Removing: removing, Incarnation: p.incarnations[s.Id],
 	}})
 }
 
-// voterToReplace is a voter that must be replaced: a lost one before one that is only silent; 0: none must.
+// voterToReplace returns a voter that must be replaced, or 0 if there is none. Permanently lost voters are replaced first.
 func (p *planner) voterToReplace(group *api.Group) uint64 {
 	for _, lost := range []bool{true, false} {
 		for _, m := range group.Voters {
@@ -161,12 +163,13 @@
 	return 0
 }
 
-// pickStore picks the best fresh store for a group's next member: in a zone with the fewest members, then by score.
+// pickStore returns the best fresh store for a group's next member: it is in a zone with the fewest members, and has the highest
+// score among those.
 func (p *planner) pickStore(id uint32, group *api.Group, removing uint64) (best *api.Store) {
 	zones, taken := map[string]int{}, map[uint64]bool{}
 	for _, r := range group.Voters {
 		if r.Id == removing && r.Stale {
-			continue // the store is there and may get another member
+			continue // the store is not lost and may get another member
 		}
 		taken[r.Store] = true
 		if r.Id == removing {
@@ -184,9 +187,10 @@
 	return best
 }
 
-// rebalance moves one member to the store where it ranks, once all groups are complete, all stores are there and the ledger has been calm.
+// rebalance moves one member to the store where it ranks, once all groups are complete, all stores are fresh and the ledger has not
+// changed for stableTicks.
 func (p *planner) rebalance() {
-	if p.now-p.ledgerChangedAt < calmTicks*p.tick {
+	if p.now-p.ledgerChangedAt < stableTicks*p.tick {
 		return
 	}
 	stores := p.freshStores()
@@ -207,7 +211,8 @@
 	}
 }
 
-// misplaced is the first voter that is not on one of the ideal stores, and the first ideal store without a voter; nil: there is none.
+// misplaced returns the first voter that is not on one of the ideal stores, and the first ideal store without a voter, or nil if
+// there is none.
 func misplaced(voters []*api.GroupMember, ideal []*api.Store) (*api.GroupMember, *api.Store) {
 	for _, m := range voters {
 		if slices.ContainsFunc(ideal, func(s *api.Store) bool { return s.Id == m.Store }) {
