--- a/internal/raftstore/host.go
+++ b/internal/raftstore/host.go
@@ -93,7 +93,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(h.groups)) {
 		g := h.groups[id]
-		g.recovery = &recovery{} // nothing is sent while it is set
+		g.recovery = &recovery{} // a member in recovery sends nothing
 		g.processReady()
 		if h.disk.failure != "" {
 			return fmt.Errorf("raftstore: %s", h.disk.failure)
--- a/internal/raftstore/planner.go
+++ b/internal/raftstore/planner.go
@@ -187,8 +187,8 @@
 	return best
 }
 
-// rebalance moves one member to the store where it ranks, once all groups are complete, all stores are fresh and the ledger has not
-// changed for stableTicks.
+// rebalance moves one member to a store that placeGroup prefers, once all groups are complete, all stores are fresh and the ledger
+// has not changed for stableTicks.
 func (p *planner) rebalance() {
 	if p.now-p.ledgerChangedAt < stableTicks*p.tick {
 		return
--- a/internal/raftstore/receive.go
+++ b/internal/raftstore/receive.go
@@ -8,24 +8,24 @@
 	"marblespan/internal/clock"
 )
 
-// forwardedCallTimeout is how long a call of another gateway waits here for its result.
+// forwardedCallTimeout is how long a call from another gateway waits on this gateway for its result.
 const forwardedCallTimeout clock.Micros = 10 * 1_000_000
 
-// peerTable is what is known of the other gateways.
+// peerTable holds what is known about the other gateways.
 type peerTable struct {
-	names            []string                  // as membership has them
-	incarnations     map[uint64]uint64         // the latest one of each store that was received
-	progress         map[MemberRef]logPosition // what each other member is known to have acknowledged
-	ledgerSentAt     map[string]uint64         // one more than the tick at which each was sent the ledger
+	names            []string                  // as reported by membership
+	incarnations     map[uint64]uint64         // latest incarnation received from each store
+	progress         map[MemberRef]logPosition // the log position that each other member is known to have acknowledged
+	ledgerSentAt     map[string]uint64         // one more than the tick at which the ledger was last sent, by gateway
 	foreignNoticedAt uint64                    // the tick of the last notice about a packet of another cluster
-	rejectedStore    uint64                    // the last store that was not let in because its record format is too old
+	rejectedStore    uint64                    // the last store that could not join because its record format is too old
 }
 
 func newPeerTable() peerTable {
 	return peerTable{incarnations: map[uint64]uint64{}, progress: map[MemberRef]logPosition{}, ledgerSentAt: map[string]uint64{}}
 }
 
-// receivePacket checks a packet's header and hands on what is in it.
+// receivePacket checks a packet's header and processes its content.
 func (h *Host) receivePacket(event PacketReceived) {
 	var packet api.Packet
 	if proto.Unmarshal(event.Body, &packet) != nil || packet.Version != packetVersion {
@@ -53,10 +53,10 @@
 	h.receiveReports(event.From, &packet)
 }
 
-// acceptSender tells whether a packet is of this cluster and of its sender's latest incarnation. A sender of an earlier incarnation is
-// told the latest one that is known here.
+// acceptSender reports whether a packet belongs to this cluster and comes from the latest known incarnation of its sender. The
+// answer to a sender with an earlier incarnation names the latest known one.
 func (h *Host) acceptSender(from string, packet *api.Packet) bool {
-	if packet.KnownIncarnation >= h.incarnation && h.runsGroups { // this gateway's clock was set back since the last start
+	if packet.KnownIncarnation >= h.incarnation && h.runsGroups { // the clock of this gateway was set back since the last start
 		h.incarnation, h.disk.started = packet.KnownIncarnation+1, false
 	}
 	if packet.Store != 0 && packet.Incarnation < h.peers.incarnations[packet.Store] {
@@ -76,7 +76,8 @@
 	return true
 }
 
-// exchangeLedger takes over a later ledger, and sends the own one to a sender that has an earlier one, at most once a tick.
+// exchangeLedger adopts the ledger in a packet if it is later than the known one. If the sender has an earlier ledger, it is sent
+// the known one, at most once per tick.
 func (h *Host) exchangeLedger(from string, packet *api.Packet) {
 	if packet.LedgerUpdate != nil && packet.LedgerUpdate.ClusterId == packet.ClusterId {
 		h.adoptLedger(packet.LedgerUpdate, false)
@@ -87,7 +88,7 @@
 	}
 }
 
-// receiveReports handles what a packet has for the ledger's leader, and learns who that is.
+// receiveReports processes the reports in a packet, which are meant for the ledger's leader, and records who leads the ledger.
 func (h *Host) receiveReports(from string, packet *api.Packet) {
 	if packet.StoreHeartbeat != nil && packet.StoreHeartbeat.Name != from {
 		packet.StoreHeartbeat = nil // a gateway may only report its own store
@@ -99,14 +100,14 @@
 		h.recordGatewayReport(from, packet.GatewayReport)
 	}
 	if g := h.groups[LedgerGroup]; g != nil && !g.isLeader && (packet.GatewayReport != nil || packet.StoreHeartbeat != nil) {
-		h.packetFor(from) // its header names the leader
+		h.packetFor(from) // the header of the answer names the leader
 	}
 	if packet.StoreHeartbeat != nil || len(packet.GroupReports) > 0 {
 		h.handleHeartbeat(packet.Store, packet.Incarnation, packet.StoreHeartbeat, packet.GroupReports)
 	}
 }
 
-// receiveRaft hands Raft messages to the members that run here.
+// receiveRaft passes Raft messages to the members that run on this gateway.
 func (h *Host) receiveRaft(from string, all []*api.RaftMessage) {
 	if !h.disk.started {
 		return
@@ -125,10 +126,11 @@
 	}
 }
 
-// recordProgress records how far another member is, by its own messages, for the replies to its recovery queries.
+// recordProgress records how far another member has got according to its own messages. The replies to its recovery queries are
+// based on this.
 func (h *Host) recordProgress(r MemberRef, m *pb.Message) {
 	if m.GetType() == pb.MsgPreVote || m.GetType() == pb.MsgPreVoteResp {
-		return // they name a term that no member is in yet
+		return // they carry a term that no member has entered yet
 	}
 	k := h.peers.progress[r]
 	if m.GetTerm() > k.term {
@@ -140,7 +142,7 @@
 	h.peers.progress[r] = k
 }
 
-// handleRecoveryQuery replies to a member that has restarted.
+// handleRecoveryQuery replies to the recovery query of a member that has restarted.
 func (h *Host) handleRecoveryQuery(from string, x *api.RecoveryQuery) {
 	g := h.groups[x.Group]
 	if g == nil || g.epoch != x.Epoch || g.member != x.Peer {
@@ -150,7 +152,8 @@
 	p.RecoveryReplies = append(p.RecoveryReplies, g.recoveryReply(x, h.peers.progress[MemberRef{x.Group, x.Epoch, x.Member}]))
 }
 
-// handleRecoveryReply handles a reply to a member that runs here. A member whose disk turns out to be stale stops for good.
+// handleRecoveryReply handles a reply to a member that runs on this gateway. A member whose disk turns out to be stale is stopped
+// and never runs again.
 func (h *Host) handleRecoveryReply(x *api.RecoveryReply) {
 	g := h.groups[x.Group]
 	if g == nil || g.epoch != x.Epoch || g.member != x.Member || g.recovery == nil || g.recovery.replied[x.Peer] {
--- a/internal/raftstore/reconcile.go
+++ b/internal/raftstore/reconcile.go
@@ -9,7 +9,8 @@
 	api "marblespan/api/raftstorepb"
 )
 
-// adoptLedger takes over a later ledger and reconciles the members here with it. bootstrapped says that this gateway has just made it.
+// adoptLedger replaces the known ledger by a later one and reconciles the members on this gateway with it. bootstrapped is set if
+// this gateway has just created the ledger.
 func (h *Host) adoptLedger(l *api.Ledger, bootstrapped bool) {
 	if h.clusterID != 0 && l.ClusterId != h.clusterID || l.ClusterId == 0 || l.Index <= h.ledger.Index {
 		return
@@ -17,7 +18,7 @@
 	h.ledger, h.clusterID, h.disk.ledgerDirty = proto.Clone(l).(*api.Ledger), l.ClusterId, true
 	h.placement.ledgerChangedAt = h.now
 	h.notifyOrder()
-	for r := range h.peers.progress { // forget members that do not exist any more
+	for r := range h.peers.progress { // forget members that no longer exist
 		if x := findGroup(l, r.Group); x == nil || x.Epoch > r.Epoch || x.Epoch == r.Epoch && r.Member < l.NextMember && !hasMember(x, r.Member) {
 			delete(h.peers.progress, r)
 		}
@@ -30,7 +31,7 @@
 	}
 }
 
-// otherGateways lists the names of all other gateways that are known.
+// otherGateways returns the sorted names of all other known gateways.
 func (h *Host) otherGateways() []string {
 	names := slices.Clone(h.peers.names)
 	for _, s := range h.ledger.Stores {
@@ -49,7 +50,7 @@
 	}
 }
 
-// reconcile starts the members that the ledger places here and stops those that it does not.
+// reconcile starts the members that the ledger places on this gateway and stops all others.
 func (h *Host) reconcile() {
 	if !h.runsGroups || h.disk.failure != "" {
 		return
@@ -70,7 +71,7 @@
 	}
 }
 
-// assignedMember is the latest member of a group that the ledger places here; nil: there is none.
+// assignedMember returns the latest member of a group that the ledger places on this gateway, or nil if there is none.
 func (h *Host) assignedMember(x *api.Group) (own *api.GroupMember) {
 	for _, m := range groupMembers(x) {
 		if m.Store == h.store && !m.Stale && (own == nil || m.Id > own.Id) {
@@ -80,7 +81,8 @@
 	return own
 }
 
-// renumberStore has this disk, which the ledger counts as lost, go on as a new, empty store. Nothing is owed under the old number.
+// renumberStore makes this disk, which the ledger counts as lost, continue as a new, empty store. Nothing that was stored under the
+// old number is needed any more.
 func (h *Host) renumberStore() {
 	h.stopAllMembers()
 	lost := h.store
@@ -93,15 +95,15 @@
 	h.emitNotice(Notice{Kind: NoticeStoreRenumbered, Number: h.store, Name: h.cfg.Name})
 }
 
-// startMember starts a member here. Only the first member of an epoch starts with a state of its own; any other one is empty until the
-// group's leader adds it. A member that ran before and is not on the disk any more must not start again under its number.
+// startMember starts a member on this gateway. Only the first member of an epoch starts with a state; any other member is empty
+// until the group's leader adds it. A member that ran before but is no longer on the disk must not start again under its number.
 func (h *Host) startMember(groupID uint32, assigned *api.Group, own *api.GroupMember) {
 	ref := MemberRef{Group: groupID, Epoch: assigned.Epoch, Member: own.Id}
 	if slices.Contains(h.disk.retired, ref) {
 		return
 	}
 	if !h.diskTrusted && own.Incarnation != h.incarnation {
-		h.retireMember(ref) // it may have run in an earlier incarnation that this copy of the disk does not have
+		h.retireMember(ref) // it may have run in an earlier incarnation whose writes are missing on this copy of the disk
 		return
 	}
 	s := StoredMember{Group: groupID, Epoch: assigned.Epoch, Member: own.Id}
@@ -122,22 +124,22 @@
 	if s.Snapshot != nil {
 		group.queuePart(writePart{snapshot: s.Snapshot, hardState: s.HardState})
 		group.node.Campaign()
-	} else { // so that the disk has the member from its start
+	} else { // an empty hard state, so that the disk contains the member from its start on
 		group.queuePart(writePart{message: &pb.Message{Term: new(uint64(0)), Vote: new(uint64(0)), Commit: new(uint64(0))}})
 	}
 }
 
-// firstState is the state that the first member of an epoch starts with: an empty shard, or the ledger as it is known here.
+// firstState returns the state with which the first member of an epoch starts: an empty shard, or the ledger known to this host.
 func (h *Host) firstState(groupID uint32, assigned *api.Group, member uint64) (*pb.Snapshot, *pb.HardState) {
 	sm := h.newStateMachine(groupID, assigned.Epoch, assigned.LostAt > 0)
-	if l, is := sm.(*ledger); is {
+	if l, ok := sm.(*ledger); ok {
 		l.Ledger = proto.Clone(h.ledger).(*api.Ledger)
 	}
 	return snapshotAt(1, 1, &pb.ConfState{Voters: []uint64{member}}, sm.snapshot()),
 		&pb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(1))}
 }
 
-// stopMember stops a member here, deletes it from the disk and rejects the calls that wait at it.
+// stopMember stops a member on this gateway, deletes it from the disk and rejects the calls that wait for it.
 func (h *Host) stopMember(g *group) {
 	for _, o := range g.clients.waiting {
 		h.reply(o, &api.Reply{Status: uint32(statusNotLeader)})
@@ -155,7 +157,7 @@
 	h.emitNotice(Notice{Kind: NoticeMemberStopped, Group: g.id, Epoch: g.epoch, Number: g.member})
 }
 
-// retireMember has a member never run on this disk again. The next heartbeat tells the ledger's leader.
+// retireMember records that a member must never run on this disk again. The next heartbeat reports this to the ledger's leader.
 func (h *Host) retireMember(r MemberRef) {
 	h.disk.retired, h.disk.newlyRetired = append(h.disk.retired, r), append(h.disk.newlyRetired, r)
 	h.emitNotice(Notice{Kind: NoticeMemberStale, Group: r.Group, Epoch: r.Epoch, Number: r.Member})
--- a/internal/raftstore/recovery.go
+++ b/internal/raftstore/recovery.go
@@ -11,42 +11,44 @@
 	api "marblespan/api/raftstorepb"
 )
 
-// logPosition is the position of an entry in a log.
+// logPosition is the position of an entry in a log: its term and its index.
 type logPosition struct{ term, index uint64 }
 
-// before tells whether a log that ends at e is behind one that ends at f.
+// before reports whether a log that ends at e is behind one that ends at f.
 func (e logPosition) before(f logPosition) bool {
 	return e.term < f.term || e.term == f.term && e.index < f.index
 }
 
-// lastPosition is the position of the last entry.
+// lastPosition returns the position of the last entry in the log.
 func (g *group) lastPosition() (e logPosition) {
 	e.index, _ = g.log.LastIndex()
 	e.term, _ = g.log.Term(e.index)
 	return e
 }
 
-// recovery is what a member has learned from the others since its start. Its disk may be an older copy; then the member has forgotten what
-// it acknowledged and for whom it voted. Once all the others have replied, that is safe: the leader knows what this member acknowledged;
-// what was committed is in the log of a member that replied, and this member votes for nobody with less than the longest of their logs;
-// and the terms in which it may have voted are known to them.
+// recovery is what a member has learned from the other members since its start. Its disk may be an older copy, in which case the
+// member has forgotten which entries it acknowledged and which votes it gave. Once the other members have replied, this does no
+// harm: the leader knows which entries this member acknowledged; every committed entry is in the log of a member that replied, and
+// this member votes only for candidates whose log is at least as long as the longest of these logs; and the members that replied
+// know the terms in which this member may have voted.
 type recovery struct {
 	replied       map[uint64]bool
-	applied       uint64            // index of the latest configuration that any member knows
-	voters        []uint64          // of that configuration
-	pendingVoters map[uint64]uint64 // members that later entries make voters, with the entry's index
-	maxTerm       uint64
-	maxLast       logPosition
+	applied       uint64            // applied index of the latest configuration that any member knows
+	voters        []uint64          // voters of that configuration
+	pendingVoters map[uint64]uint64 // members that become voters by later entries, with the index of the entry
+	maxTerm       uint64            // highest term in the replies
+	maxLast       logPosition       // end of the longest log in the replies
 }
 
-// confVoters are the members that a configuration names as voters, sorted.
+// confVoters returns the members that a configuration names as voters, sorted. In a joint configuration, this includes the outgoing
+// voters.
 func confVoters(c *pb.ConfState) []uint64 {
 	all := slices.Concat(c.GetVoters(), c.GetVotersOutgoing())
 	slices.Sort(all)
 	return slices.Compact(all)
 }
 
-// startRecovery has the member ask all others before it takes part again.
+// startRecovery makes the member query all others before it takes part again.
 func (g *group) startRecovery() {
 	g.recovery = &recovery{replied: map[uint64]bool{g.member: true}, applied: g.applied, voters: confVoters(g.conf), pendingVoters: map[uint64]uint64{}}
 	for _, x := range g.pendingVoters() {
@@ -55,7 +57,7 @@
 	g.queryPeers()
 }
 
-// pendingVoters are the members that log entries which are not applied yet make voters.
+// pendingVoters returns the members that become voters by log entries that are not applied yet.
 func (g *group) pendingVoters() (all []*api.PendingVoter) {
 	last, _ := g.log.LastIndex()
 	first, _ := g.log.FirstIndex()
@@ -76,14 +78,16 @@
 	return all
 }
 
-// queryPeers queries the members that have not replied yet, and ends the recovery if no reply is missing that is required. Required are the
-// voters of the latest configuration that any member knows, those that a later log entry may have made voters, and those that the
-// ledger has confirmed. A member whose disk is lost for good is not waited for.
+// queryPeers queries the members that have not replied yet, and ends the recovery if all required replies have arrived. A reply is
+// required from the voters of the latest configuration that any member knows, from the members that a later log entry may have made
+// voters, and from the members that the ledger has confirmed. No reply is required from a member whose disk is permanently lost.
 //
-// Nor is a member that the ledger has taken out. The ledger confirms a change only once a leader has applied all of it, so that it is in
-// the logs of a majority of the voters before and of those after. All of the latter are queried. So whatever only the removed member
-// knows is either of an earlier term than they reply with, or needed a majority of them. While the ledger has a change pending, a member
-// that it does not name may be one that it gave up on but that is a voter all the same; so it is waited for.
+// Nor is a reply required from a member that the ledger has removed. The ledger confirms a change only after a leader has applied
+// all of it, so the change is in the logs of a majority of the voters before it and of a majority of the voters after it. All
+// voters after the change are queried. Therefore, anything that only the removed member knows either belongs to an earlier term
+// than the one that they reply with, or required a majority of them. While the ledger has a change pending, however, a member that
+// the ledger does not name may still be a voter: the ledger may have given up on a member that became a voter all the same.
+// Therefore, its reply is required.
 func (g *group) queryPeers() {
 	state := g.recovery
 	var members []*api.GroupMember
@@ -92,7 +96,7 @@
 		members, confirmed = groupMembers(x), x.Adding == nil
 	}
 	required := g.recovery.requiredReplies(members, confirmed, g.host.ledger.NextMember)
-	waiting := len(state.voters) == 0 // the disk is from before the member was added: it must learn who is in the group
+	waiting := len(state.voters) == 0 // the disk is from before the member was added, so it must first learn the group's members
 	for _, n := range slices.Sorted(maps.Keys(required)) {
 		i := slices.IndexFunc(members, func(r *api.GroupMember) bool { return r.Id == n })
 		if state.replied[n] || i >= 0 && memberLost(g.host.ledger, members[i]) {
@@ -106,8 +110,9 @@
 	}
 }
 
-// requiredReplies has the members to query, true for those whose reply is required. members are those that the ledger names; confirmed
-// says that it has no change pending, so that other members with a number below nextMember, its next one, are removed and do not count.
+// requiredReplies returns the members to query, with true for those whose reply is required. members are the members that the
+// ledger names. confirmed is set if the ledger has no change pending. In that case, any other member whose number is below
+// nextMember, the next number that the ledger assigns, has been removed and is left out.
 func (r *recovery) requiredReplies(members []*api.GroupMember, confirmed bool, nextMember uint64) map[uint64]bool {
 	required := map[uint64]bool{}
 	for _, m := range members {
@@ -123,7 +128,7 @@
 		}
 	}
 	for n, index := range r.pendingVoters {
-		if index > r.applied && mayCount(n) { // else the configuration has it, or it has left again
+		if index > r.applied && mayCount(n) { // otherwise it is in the configuration, or has been removed again
 			required[n] = true
 		}
 	}
@@ -141,7 +146,8 @@
 	})
 }
 
-// recoveryReply is the reply to a member that has restarted; known is what that member is known to have acknowledged.
+// recoveryReply returns the reply to a member that has restarted. known is the log position that this member is known to have
+// acknowledged.
 func (g *group) recoveryReply(x *api.RecoveryQuery, known logPosition) *api.RecoveryReply {
 	last := g.lastPosition()
 	return &api.RecoveryReply{
@@ -150,7 +156,7 @@
 	}
 }
 
-// handleRecoveryReply records a reply.
+// handleRecoveryReply records a reply and ends the recovery if no required reply is missing.
 func (g *group) handleRecoveryReply(reply *api.RecoveryReply) {
 	state := g.recovery
 	state.replied[reply.Peer] = true
@@ -167,8 +173,8 @@
 	g.queryPeers()
 }
 
-// finishRecovery has the member take part again. It may have voted already in the latest term that any member is in, so it does not vote in
-// that term: it restarts with a vote for itself.
+// finishRecovery makes the member take part again. The member may already have voted in the latest term that any member is in. So
+// that it does not vote again in that term, it is restarted with a vote for itself.
 func (g *group) finishRecovery() {
 	state := g.recovery
 	g.recovery = nil
@@ -181,23 +187,24 @@
 	}
 }
 
-// mayHaveVoted tells whether the member may have given a vote in the latest term that its disk does not have.
+// mayHaveVoted reports whether the member may have cast a vote in the latest term that its disk does not contain.
 func (g *group) mayHaveVoted(r *recovery) bool {
 	term, vote := g.durable.hardState.GetTerm(), g.durable.hardState.GetVote()
 	switch {
-	case r.maxTerm < term, r.maxTerm == term && vote != 0: // the disk has the vote
+	case r.maxTerm < term, r.maxTerm == term && vote != 0: // the disk contains the vote
 		return false
-	case len(g.conf.GetVoters()) == 1, len(r.replied) == 1: // there is no other member
+	case len(g.conf.GetVoters()) == 1, len(r.replied) == 1: // the group has no other member
 		return false
 	}
 	return true
 }
 
-// restartWithOwnVote replaces the member by one that has voted for itself in a term, so that it gives nobody else a vote in it.
+// restartWithOwnVote replaces the member by one that has voted for itself in a term, so that it cannot vote for any other member in
+// that term.
 func (g *group) restartWithOwnVote(term uint64) {
 	s, err := g.snapshot(g.sm.snapshot())
 	if err != nil {
-		return // the member is empty: it has no vote
+		return // the member is empty and therefore has no vote
 	}
 	entries, _ := g.log.Entries(g.applied+1, g.lastPosition().index+1, math.MaxUint64)
 	next, err := g.host.newGroup(StoredMember{
@@ -214,7 +221,7 @@
 	next.queuePart(writePart{snapshot: s, hardState: next.durable.hardState})
 }
 
-// mayReceive tells whether a message may be handled: no vote for a log that is behind minLog.
+// mayReceive reports whether a message may be handled. Vote requests for a log that is behind minLog may not.
 func (g *group) mayReceive(m *pb.Message) bool {
 	if g.minLog == (logPosition{}) || m.GetType() != pb.MsgVote && m.GetType() != pb.MsgPreVote {
 		return true
@@ -222,7 +229,7 @@
 	return !(logPosition{m.GetLogTerm(), m.GetIndex()}).before(g.minLog)
 }
 
-// recovered tells whether no member here is in recovery.
+// recovered reports whether all members on this gateway have completed recovery.
 func (h *Host) recovered() bool {
 	for _, g := range h.groups {
 		if g.recovery != nil {
--- a/internal/raftstore/rendezvous.go
+++ b/internal/raftstore/rendezvous.go
@@ -11,15 +11,15 @@
 	api "marblespan/api/raftstorepb"
 )
 
-// ShardOf is the shard of a key, from 1.
+// ShardOf returns the number of the shard that a key belongs to, from 1 to shards.
 func ShardOf(key []byte, shards int) uint32 { return 1 + uint32(xxhash.Sum64(key)%uint64(shards)) }
 
-// rendezvousScore is the weighted rendezvous score of a store for a group (Thaler and Ravishankar 1998; weighted by the logarithm as in
-// Schindelhauer and Schomaker 2005). A store that joins or leaves moves only its own share of the groups.
+// rendezvousScore returns the weighted rendezvous score of a store for a group (Thaler and Ravishankar 1998; weighted by the
+// logarithm as in Schindelhauer and Schomaker 2005). When a store joins or leaves, only its own share of the groups moves.
 func rendezvousScore(group uint32, s *api.Store) float64 {
 	var b [12]byte
 	binary.BigEndian.PutUint32(b[:], group)
-	binary.BigEndian.PutUint64(b[4:], xxhash.Sum64String(s.Name)) // by name, so that a gateway that returns with a new disk has its place again
+	binary.BigEndian.PutUint64(b[4:], xxhash.Sum64String(s.Name)) // by name, so that a gateway that returns with a new disk gets the same groups again
 	x := (float64(xxhash.Sum64(b[:])>>11) + 0.5) / (1 << 53)
 	return -float64(max(s.Weight, 1)) / math.Log(x)
 }
--- a/internal/raftstore/shard.go
+++ b/internal/raftstore/shard.go
@@ -12,48 +12,49 @@
 	"marblespan/internal/clock"
 )
 
-// clientRetention is how long a client's last results are kept after its last command, in microseconds.
+// clientRetention is how long a client's latest results are kept after its last command, in microseconds.
 const clientRetention clock.Micros = 600 * 1_000_000
 
-// errFormatTooNew reports records of a format that only a later version understands.
-var errFormatTooNew = errors.New("these records are of a later version")
+// errFormatTooNew means that records are in a format that only a later version understands.
+var errFormatTooNew = errors.New("the records are in a format of a later version")
 
 // record is one record of a shard.
 type record struct {
 	value      []byte
-	version    uint64 // of the shard at its last write; no two writes have the same
+	version    uint64 // the shard's version at the record's last write; no two writes have the same
 	position   uint64
 	isPosition bool
 	expiresAt  clock.Micros
 	changedAt  clock.Micros
 }
 
-// client is what is kept of one caller, so that a command that comes twice is applied once.
+// client holds the results of one client's commands, so that a command that arrives twice is applied only once.
 type client struct {
 	lastSeen   clock.Micros
-	results    map[uint64]*api.Reply // by sequence, for as long as the command may come again
-	minPending uint64                // a command of an earlier sequence is a late duplicate and is not applied
+	results    map[uint64]*api.Reply // by sequence, kept as long as the command may arrive again
+	minPending uint64                // a command with a lower sequence is a late duplicate and is not applied
 }
 
 // shard is the state machine of one shard.
 type shard struct {
 	maxBytes     int64
 	now          clock.Micros
-	lostAt       clock.Micros // when this epoch began, because the quorum of the one before was lost; 0: it was not
-	resetPending bool         // such an epoch has just begun: the next entry sets lostAt
+	lostAt       clock.Micros // when this epoch began, if the previous one ended with the loss of its quorum; else 0
+	resetPending bool         // the previous epoch was lost and the next entry sets lostAt
 	lastVersion  uint64
 	records      map[string]record
-	expiries     []expiry // a heap; a record that was given a later expiry is found when the earlier one comes
+	expiries     []expiry // a heap; may hold an earlier expiry than that of the record, corrected by expire
 	clients      map[uint64]*client
 	bytes        int64
-	maxFormat    uint32 // the latest record format that is understood here
+	maxFormat    uint32 // the latest record format that this gateway understands
 	usedFormat   uint32 // the latest record format in the shard
 }
 
-// epochBits is where the epoch starts in a version, so that versions keep growing when a shard is lost and reset.
+// epochBits is the position of the epoch in a version. With the epoch in the high bits, versions keep growing when a shard is lost
+// and reset.
 const epochBits = 40
 
-// newShard makes an empty shard.
+// newShard creates an empty shard.
 func newShard(maxBytes int64, maxFormat, epoch uint32, resetPending bool) *shard {
 	return &shard{
 		maxBytes: maxBytes, maxFormat: maxFormat, resetPending: resetPending, lastVersion: uint64(epoch) << epochBits, records: map[string]record{},
@@ -63,7 +64,7 @@
 
 func (s *shard) time() clock.Micros { return s.now }
 
-// recordBytes is the memory cost of a record, in bytes.
+// recordBytes returns the memory cost of a record, in bytes.
 func recordBytes(key string, r record) int64 { return int64(len(key)+len(r.value)) + recordOverhead }
 
 func (s *shard) apply(_ uint64, e *api.Entry) []*api.Reply {
@@ -80,7 +81,7 @@
 	return out
 }
 
-// applyCommand applies a command, unless it has been applied already.
+// applyCommand applies a command, unless it was applied before.
 func (s *shard) applyCommand(command *api.Command) *api.Reply {
 	caller := s.clients[command.Client]
 	if caller == nil {
@@ -97,7 +98,7 @@
 		}
 	}
 	if command.Sequence < caller.minPending {
-		return &api.Reply{Status: uint32(StatusInvalid), Time: int64(s.now)} // a late duplicate: nobody waits for the result
+		return &api.Reply{Status: uint32(StatusInvalid), Time: int64(s.now)} // a late duplicate: the client no longer waits for the result
 	}
 	if r, again := caller.results[command.Sequence]; again {
 		return r
@@ -116,12 +117,12 @@
 	return r
 }
 
-// put writes or deletes a record, if its condition holds.
+// put writes or deletes a record if the condition of the command holds.
 func (s *shard) put(p *api.Put) *api.Reply {
 	key := string(p.Key)
-	old, there := s.records[key]
+	old, exists := s.records[key]
 	switch {
-	case there && old.isPosition:
+	case exists && old.isPosition:
 		return &api.Reply{Status: uint32(StatusInvalid)}
 	case p.Conditional && old.version != p.Version:
 		return &api.Reply{Status: uint32(StatusConflict), Version: old.version}
@@ -133,11 +134,11 @@
 	return s.set(key, record{value: bytes.Clone(p.Value), expiresAt: s.now + clock.Micros(p.Ttl)})
 }
 
-// raisePosition raises a position. It never falls, whatever order the commands come in.
+// raisePosition raises a position. The position never decreases, even if commands arrive out of order.
 func (s *shard) raisePosition(m *api.RaisePosition) *api.Reply {
 	key := string(m.Key)
-	old, there := s.records[key]
-	if there && !old.isPosition {
+	old, exists := s.records[key]
+	if exists && !old.isPosition {
 		return &api.Reply{Status: uint32(StatusInvalid)}
 	}
 	r := s.set(key, record{isPosition: true, position: max(old.position, m.Position), expiresAt: max(old.expiresAt, s.now+clock.Micros(m.Ttl))})
@@ -145,11 +146,11 @@
 	return r
 }
 
-// set stores a record, if there is capacity.
+// set stores a record unless the shard is full.
 func (s *shard) set(key string, r record) *api.Reply {
-	old, there := s.records[key]
+	old, exists := s.records[key]
 	grown := s.bytes + recordBytes(key, r)
-	if there {
+	if exists {
 		grown -= recordBytes(key, old)
 	}
 	if grown > s.maxBytes && grown > s.bytes {
@@ -158,18 +159,18 @@
 	s.lastVersion++
 	r.version, r.changedAt = s.lastVersion, s.now
 	s.bytes, s.records[key] = grown, r
-	if !there || r.expiresAt < old.expiresAt {
-		s.pushExpiry(expiry{r.expiresAt, key}) // a later expiry is found when the earlier one has come
+	if !exists || r.expiresAt < old.expiresAt {
+		s.pushExpiry(expiry{r.expiresAt, key}) // a later expiry is pushed by expire when the earlier one is reached
 	}
 	reply := &api.Reply{Version: r.version}
-	if !there {
+	if !exists {
 		reply.LostBefore = s.lostBefore()
 	}
 	return reply
 }
 
-// lostBefore is when this shard was reset because its quorum was lost; 0: it was not, or so long ago that all of its records would have
-// expired.
+// lostBefore returns when this shard was reset because its quorum was lost. It returns 0 if the shard was not reset, or was reset
+// so long ago that all of the lost records would have expired.
 func (s *shard) lostBefore() int64 {
 	if s.resetPending || s.lostAt > 0 && s.now-s.lostAt < MaxTTL {
 		return int64(max(s.lostAt, 1))
@@ -179,19 +180,19 @@
 
 // remove deletes a record.
 func (s *shard) remove(key string) {
-	if r, there := s.records[key]; there {
+	if r, exists := s.records[key]; exists {
 		s.bytes -= recordBytes(key, r)
 		delete(s.records, key)
 	}
 }
 
-// expire deletes records and clients that have expired by the time of the log.
+// expire deletes records and clients that have expired according to the time of the log.
 func (s *shard) expire() {
 	for len(s.expiries) > 0 && s.expiries[0].at <= s.now {
 		e := s.popExpiry()
-		if r, there := s.records[e.key]; there && r.expiresAt <= s.now {
+		if r, exists := s.records[e.key]; exists && r.expiresAt <= s.now {
 			s.remove(e.key)
-		} else if there {
+		} else if exists {
 			s.pushExpiry(expiry{r.expiresAt, e.key})
 		}
 	}
@@ -202,7 +203,7 @@
 	}
 }
 
-// hasExpired tells whether a record has expired by the leader's time, so that an entry is needed to delete it.
+// hasExpired reports whether a record has expired according to the leader's time, so that an entry is needed to delete it.
 func (s *shard) hasExpired(now clock.Micros) bool {
 	return len(s.expiries) > 0 && s.expiries[0].at <= now
 }
@@ -210,12 +211,12 @@
 // get reads a record.
 func (s *shard) get(key []byte) *api.Reply {
 	out := &api.Reply{Time: int64(s.now)}
-	r, there := s.records[string(key)]
-	if there {
+	r, exists := s.records[string(key)]
+	if exists {
 		out.Found, out.Value, out.Version, out.Position, out.Age = true, r.value, r.version, r.position, int64(s.now-r.changedAt)
 	}
-	// A position that was raised since may have been higher before.
-	if !there || r.isPosition {
+	// The position may have been higher before the loss, and have been raised again since.
+	if !exists || r.isPosition {
 		out.LostBefore = s.lostBefore()
 	}
 	return out
@@ -241,7 +242,7 @@
 		}
 		out.Clients = append(out.Clients, x)
 	}
-	b, _ := proto.Marshal(out) // it has no strings, so it cannot fail
+	b, _ := proto.Marshal(out) // cannot fail, because the message has no strings that could be invalid UTF-8
 	return b
 }
 
--- a/internal/raftstore/snapshot.go
+++ b/internal/raftstore/snapshot.go
@@ -6,16 +6,16 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// storage is the Raft library's Storage. Snapshots are made when they are asked for, not kept.
+// storage implements the Raft library's Storage. Snapshots are not kept, but created on request.
 type storage struct {
 	*raft.MemoryStorage
 	group *group
 }
 
-// Snapshot is a snapshot of the state now.
+// Snapshot returns a snapshot of the current state.
 func (s *storage) Snapshot() (*pb.Snapshot, error) { return s.group.snapshot(s.group.sm.snapshot()) }
 
-// snapshot makes a snapshot with this data at the applied index.
+// snapshot returns a snapshot with the given data at the applied index.
 func (g *group) snapshot(data []byte) (*pb.Snapshot, error) {
 	term, err := g.log.Term(g.applied)
 	if err != nil {
@@ -30,10 +30,10 @@
 	}}
 }
 
-// withoutData is a snapshot without its data, as the log keeps it.
+// withoutData returns a snapshot without its data, which is the form that the log keeps.
 func withoutData(s *pb.Snapshot) *pb.Snapshot { return &pb.Snapshot{Metadata: s.GetMetadata()} }
 
-// restore takes over a snapshot.
+// restore replaces the member's state by a snapshot.
 func (g *group) restore(s *pb.Snapshot) error {
 	if err := g.sm.restore(s.Data); err != nil {
 		return err
