--- a/internal/raftstore/faults_test.go
+++ b/internal/raftstore/faults_test.go
@@ -16,9 +16,9 @@
 	"marblespan/internal/clock"
 )
 
-var seedCount = flag.Int("seeds", 0, "how many seeds of each fault are run; 0: as many as CI has time for")
+var seedCount = flag.Int("seeds", 0, "number of seeds to run for each fault; 0: as many as CI runs")
 
-// input and output are one operation on a register.
+// input and output describe one operation on a register.
 type input struct {
 	key, value  string
 	read        bool
@@ -37,7 +37,7 @@
 	version uint64 // 0: not known
 }
 
-// registers is the model of a history of records: one register for each key.
+// registers is the porcupine model of a history of records, with one register per key.
 var registers = (&porcupine.NondeterministicModel{
 	Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
 		keys := map[string][]porcupine.Operation{}
@@ -94,23 +94,23 @@
 	Equal: func(a, b any) bool { return a == b },
 }).ToModel()
 
-// workload has callers write and read until it is stopped, and records what was acknowledged to them.
+// workload makes callers write and read until it is stopped, and records what was acknowledged to them.
 type workload struct {
-	sim        *simulation
-	stopped    bool
-	inFlight   int
-	operations []porcupine.Operation
-	versions   map[string]uint64 // last seen, by key
-	values     map[string]string // of each key and version
-	promised   map[string]uint64 // positions that were acknowledged
-	maxSent    map[string]uint64 // the highest position that was sent
-	written    map[string]bool   // registers whose writes were acknowledged
-	statuses   map[Status]int
+	sim          *simulation
+	stopped      bool
+	inFlight     int
+	operations   []porcupine.Operation
+	versions     map[string]uint64 // last seen version, by key
+	values       map[string]string // value of each key and version
+	acknowledged map[string]uint64 // highest acknowledged position, by key
+	maxSent      map[string]uint64 // highest position that was sent, by key
+	written      map[string]bool   // keys of registers with an acknowledged write
+	statuses     map[Status]int
 }
 
 func (sim *simulation) startWorkload(callers int) *workload {
 	l := &workload{
-		sim: sim, versions: map[string]uint64{}, values: map[string]string{}, promised: map[string]uint64{}, maxSent: map[string]uint64{},
+		sim: sim, versions: map[string]uint64{}, values: map[string]string{}, acknowledged: map[string]uint64{}, maxSent: map[string]uint64{},
 		written: map[string]bool{}, statuses: map[Status]int{},
 	}
 	for i := range callers {
@@ -119,7 +119,7 @@
 	return l
 }
 
-// stop ends the workload and waits for all calls.
+// stop ends the workload and waits until all calls are answered.
 func (l *workload) stop() {
 	l.stopped = true
 	l.sim.advanceUntil("all calls are answered", 20*second, func() bool { return l.inFlight == 0 })
@@ -153,12 +153,12 @@
 	} else {
 		l.callRegister(n, caller, end)
 	}
-	// A gateway that crashes takes its callers with it: the results of their calls are not known.
+	// When a gateway crashes, its callers are lost with it, and the results of their calls are not known.
 	id := sim.next
 	sim.schedule(sim.now+6*second, func() {
 		if done := sim.calls[id]; done != nil {
 			if n.starts == starts && n.up && n.pausedUntil < sim.now-5*second {
-				sim.failure = fmt.Sprintf("%s has not answered a call in time", n.name)
+				sim.failure = fmt.Sprintf("%s did not answer a call in time", n.name)
 			}
 			delete(sim.calls, id)
 			done(Response{Status: StatusDeadlineExceeded})
@@ -181,20 +181,20 @@
 			Key: []byte(key), Position: position, Ttl: int64(3600 * second),
 		}}}, func(a Response) {
 			if a.Status == StatusOK {
-				l.promised[key] = max(l.promised[key], position)
+				l.acknowledged[key] = max(l.acknowledged[key], position)
 			}
 			end(a)
 		})
 		return
 	}
-	acknowledged := l.promised[key]
+	acknowledged := l.acknowledged[key]
 	sim.call(n, Request{Shard: l.shard(key), Deadline: 3 * second, Get: &api.Get{Key: []byte(key)}}, func(a Response) {
 		l.checkPosition(key, acknowledged, a)
 		end(a)
 	})
 }
 
-// checkPosition compares a position that was read with what was acknowledged before the read began.
+// checkPosition checks a position that was read against the highest one acknowledged before the read began.
 func (l *workload) checkPosition(key string, acknowledged uint64, a Response) {
 	if a.Status == StatusOK && !a.Lost && (a.Found || acknowledged > 0) && (a.Position < acknowledged || a.Position > l.maxSent[key]) {
 		l.sim.failure = fmt.Sprintf("%s is at %d (found: %v), acknowledged %d, sent %d", key, a.Position, a.Found, acknowledged, l.maxSent[key])
@@ -205,7 +205,7 @@
 	sim := l.sim
 	key := fmt.Sprint("key", sim.rng.IntN(6))
 	in := input{key: key, read: sim.rng.IntN(2) == 0}
-	ask := Request{Shard: l.shard(key), Deadline: 3 * second, Get: &api.Get{Key: []byte(key)}}
+	request := Request{Shard: l.shard(key), Deadline: 3 * second, Get: &api.Get{Key: []byte(key)}}
 	if !in.read {
 		in.value = fmt.Sprint("v", sim.next)
 		put := &api.Put{Key: []byte(key), Value: []byte(in.value), Ttl: int64(3600 * second)}
@@ -213,24 +213,24 @@
 			in.conditional, in.version = true, l.versions[key]
 			put.Conditional, put.Version = true, in.version
 		}
-		ask = Request{Shard: ask.Shard, Deadline: ask.Deadline, Command: &api.Command{Put: put}}
+		request = Request{Shard: request.Shard, Deadline: request.Deadline, Command: &api.Command{Put: put}}
 		if n.format > LatestFormat && sim.rng.IntN(2) == 0 {
-			ask.Command.Format = n.format // which an earlier version does not understand
+			request.Command.Format = n.format // a format that gateways with LatestFormat do not understand
 		}
 	}
-	begun := sim.now
-	sim.call(n, ask, func(a Response) {
+	started := sim.now
+	sim.call(n, request, func(a Response) {
 		end(a)
 		if a.Lost || a.Status == StatusNotSent || a.Status == StatusFormatTooNew || a.Status == StatusFull {
 			return
 		}
-		o := porcupine.Operation{ClientId: caller, Input: in, Call: int64(begun), Output: output{Response: a}, Return: int64(sim.now)}
+		o := porcupine.Operation{ClientId: caller, Input: in, Call: int64(started), Output: output{Response: a}, Return: int64(sim.now)}
 		if a.Status == StatusDeadlineExceeded {
 			o.Output, o.Return = output{unknown: true}, math.MaxInt64
 			if in.read {
 				return
 			}
-			o.ClientId = len(l.operations) + 100 // a client of its own: it may still be under way when the caller makes its next call
+			o.ClientId = len(l.operations) + 100 // a separate client, because the operation may still be in progress when the caller makes its next call
 		}
 		l.operations = append(l.operations, o)
 		if a.Version > 0 && (a.Found || a.Status == StatusOK && !in.read) {
@@ -240,7 +240,7 @@
 			}
 			k := fmt.Sprint(key, " ", a.Version)
 			if last, known := l.values[k]; known && last != value {
-				sim.failure = fmt.Sprintf("version %d of %s is %s and %s", a.Version, key, last, value)
+				sim.failure = fmt.Sprintf("version %d of %s has two values, %s and %s", a.Version, key, last, value)
 			}
 			l.values[k] = value
 		}
@@ -249,7 +249,7 @@
 	})
 }
 
-// lostShards lists the shards that were reset.
+// lostShards returns the shards that were reset.
 func (sim *simulation) lostShards() map[uint32]bool {
 	out := map[uint32]bool{}
 	for id, g := range sim.ledger().Groups {
@@ -260,7 +260,8 @@
 	return out
 }
 
-// checkAll checks, once all groups are complete again, that everything that was acknowledged is there, and that members have the same state.
+// checkAll checks, once all groups are complete again, that all acknowledged writes are present and that the members of each group
+// have the same state.
 func (l *workload) checkAll() {
 	sim := l.sim
 	lost := sim.lostShards()
@@ -274,17 +275,17 @@
 				return got
 			}
 		}
-		sim.failure = fmt.Sprintf("%s cannot be read at the end: %v", key, got.Status)
+		sim.failure = fmt.Sprintf("the final read of %s failed: %v", key, got.Status)
 		return got
 	}
 	for key := range l.maxSent {
-		if l.checkPosition(key, l.promised[key], read(key)); sim.failure != "" {
+		if l.checkPosition(key, l.acknowledged[key], read(key)); sim.failure != "" {
 			return
 		}
 	}
 	for key := range l.written {
 		if a := read(key); !a.Found && !a.Lost && sim.failure == "" {
-			sim.failure = fmt.Sprintf("%s was acknowledged and is not there", key)
+			sim.failure = fmt.Sprintf("a write to %s was acknowledged, but there is no record", key)
 		}
 	}
 	var ops []porcupine.Operation
@@ -294,27 +295,28 @@
 		}
 	}
 	if sim.failure == "" && porcupine.CheckOperationsTimeout(registers, ops, 20*time.Second) == porcupine.Illegal {
-		sim.failure = fmt.Sprintf("no order explains the %d answers", len(ops))
+		sim.failure = fmt.Sprintf("the history of %d operations is not linearizable", len(ops))
 	}
-	sim.advance(5 * second) // so that followers have applied all
+	sim.advance(5 * second) // let the followers apply all entries
 	for id, g := range sim.ledger().Groups {
-		states := map[uint64]string{} // by the applied index: an entry may be under way
+		states := map[uint64]string{} // by applied index, because an entry may not be applied everywhere yet
 		for _, n := range sim.gateways {
 			if x := n.host.groups[uint32(id)]; x != nil && n.up && slices.ContainsFunc(g.Voters, func(r *api.GroupMember) bool { return r.Id == x.member }) {
 				state := string(x.sm.snapshot())
 				if other, known := states[x.applied]; known && other != state && sim.failure == "" {
-					sim.failure = fmt.Sprintf("group %d has two states at %d: %s", id, x.applied, describeDifference(other, state))
+					sim.failure = fmt.Sprintf("members of group %d have different states at index %d: %s", id, x.applied, describeDifference(other, state))
 				}
 				states[x.applied] = state
 			}
 		}
 		if len(states) > 2 && sim.failure == "" {
-			sim.failure = fmt.Sprintf("group %d is at %d different entries", id, len(states))
+			sim.failure = fmt.Sprintf("members of group %d have applied up to %d different indexes", id, len(states))
 		}
 	}
 }
 
-// partition cuts a set of gateways off from all others, in one direction or both.
+// partition cuts a set of gateways off from all others: out blocks their packets to the others, in blocks the packets from the
+// others.
 func (sim *simulation) partition(part map[string]bool, out, in bool) {
 	for _, a := range sim.gateways {
 		for _, b := range sim.gateways {
@@ -331,7 +333,7 @@
 	sim.loss, sim.maxDelay = 0, 0
 }
 
-// leaderOf is the gateway that leads a group; nil: none does.
+// leaderOf returns the gateway that leads a group, or nil if there is none.
 func (sim *simulation) leaderOf(id uint32) *simGateway {
 	for _, n := range sim.gateways {
 		if n.up && n.host.groups[id] != nil && n.host.groups[id].isLeader {
@@ -350,7 +352,7 @@
 	return all
 }
 
-// minority is a random minority of the gateways with a store.
+// minority returns a random minority of the gateways with a store.
 func (sim *simulation) minority() (out []*simGateway) {
 	all := sim.storeGateways()
 	for _, i := range sim.rng.Perm(len(all))[:1+sim.rng.IntN((len(all)-1)/2)] {
@@ -363,11 +365,11 @@
 	return shortest + clock.Micros(sim.rng.Int64N(int64(longest-shortest)))
 }
 
-// fault is one kind of fault.
+// fault is one kind of fault to inject.
 type fault struct {
 	name    string
 	stores  int
-	mayLose bool // acknowledged records may be lost, and known as lost
+	mayLose bool // acknowledged records may be lost, if they are reported as lost
 	inject  func(sim *simulation)
 }
 
@@ -402,7 +404,7 @@
 	}},
 	{"the leader is killed at each step of a write", 5, false, func(sim *simulation) {
 		for at := beforeReplication; at < writeSteps; at++ {
-			if sim.killAt = at; !sim.advanceUntil("a leader comes to that step", 20*second, func() bool { return sim.killAt == 0 }) {
+			if sim.killAt = at; !sim.advanceUntil("a leader reaches this step", 20*second, func() bool { return sim.killAt == 0 }) {
 				return
 			}
 			sim.advance(sim.randomDuration(100*ms, 2*second))
@@ -416,7 +418,7 @@
 		}
 	}},
 	{"two versions of the records together", 5, false, func(sim *simulation) {
-		for _, n := range sim.rng.Perm(len(sim.gateways)) { // one after the other gets the later version
+		for _, n := range sim.rng.Perm(len(sim.gateways)) { // upgrade the gateways one after the other
 			sim.crash(sim.gateways[n])
 			sim.gateways[n].format = LatestFormat + 1
 			sim.advance(sim.randomDuration(10*ms, second))
@@ -428,7 +430,7 @@
 		}
 		sim.advanceUntil("the later format is allowed", 20*second, func() bool { return sim.ledger().Format == LatestFormat+1 })
 		sim.advance(2 * second)
-		n := sim.minority()[0] // one goes back to the earlier version, with an empty disk
+		n := sim.minority()[0] // one gateway is downgraded and starts with an empty disk
 		sim.crash(n)
 		n.wipe()
 		n.format = LatestFormat
@@ -499,7 +501,7 @@
 			sim.advance(sim.randomDuration(ms, second))
 		}
 	}},
-	{"a leader that is heard by nobody, or hears nobody", 5, false, func(sim *simulation) {
+	{"a leader cut off in one direction", 5, false, func(sim *simulation) {
 		for range 4 {
 			if n := sim.leaderOf(uint32(sim.rng.IntN(sim.shards + 1))); n != nil {
 				one := sim.rng.IntN(2) == 0
@@ -510,7 +512,7 @@
 			sim.advance(second)
 		}
 	}},
-	{"a leader that its callers reach, and no other holder does", 5, false, func(sim *simulation) {
+	{"a leader cut off from the other stores, but not from its callers", 5, false, func(sim *simulation) {
 		for range 8 {
 			if n := sim.leaderOf(uint32(1 + sim.rng.IntN(sim.shards))); n != nil {
 				for _, o := range sim.storeGateways() {
@@ -530,7 +532,7 @@
 			sim.advance(second)
 		}
 	}},
-	{"one dies for good during a partition", 6, false, func(sim *simulation) {
+	{"a gateway is permanently lost during a partition", 6, false, func(sim *simulation) {
 		part := map[string]bool{}
 		for _, n := range sim.minority() {
 			part[n.name] = true
@@ -544,7 +546,7 @@
 		n.wipe()
 		sim.start(n)
 	}},
-	{"losses and delay of a second", 5, false, func(sim *simulation) {
+	{"packet loss and delays of up to a second", 5, false, func(sim *simulation) {
 		sim.loss, sim.maxDelay = 0.3, second
 		sim.advance(15 * second)
 		sim.restoreNetwork()
@@ -621,12 +623,12 @@
 	}},
 	{"a shard without a quorum is reset by an operator", 6, true, func(sim *simulation) {
 		id := uint32(1 + sim.rng.IntN(sim.shards))
-		say := func() {
+		requestReset := func() {
 			if n := sim.leaderOf(LedgerGroup); n != nil {
 				sim.handle(n, ShardReset{id})
 			}
 		}
-		say()
+		requestReset()
 		sim.advance(second)
 		if sim.ledger().Groups[id].Epoch != 1 {
 			sim.failure = "a shard that has a quorum was reset"
@@ -644,7 +646,7 @@
 			return // the ledger would have no quorum
 		}
 		sim.advanceUntil("the shard is reset", 20*second, func() bool {
-			say()
+			requestReset()
 			return sim.ledger().Groups[id].Epoch == 2
 		})
 		sim.advance(sim.randomDuration(0, 2*second))
@@ -664,7 +666,7 @@
 		}
 		sim.restoreNetwork()
 	}},
-	{"orderly restarts of all, one after the other", 5, false, func(sim *simulation) {
+	{"graceful restarts of all, one after the other", 5, false, func(sim *simulation) {
 		for _, n := range sim.storeGateways() {
 			sim.handle(n, DrainRequested{})
 			sim.advanceUntil("leadership is handed over", 5*second, func() bool { return n.drained })
@@ -672,7 +674,7 @@
 			awaitComplete(sim)
 		}
 	}},
-	{"everything", 6, false, func(sim *simulation) {
+	{"random combination of faults", 6, false, func(sim *simulation) {
 		for range 8 {
 			n := sim.minority()[0]
 			switch sim.rng.IntN(6) {
@@ -701,7 +703,7 @@
 	}},
 }
 
-// runFault runs one fault from a seed, and returns what failed; empty: nothing did.
+// runFault runs one fault with a seed and returns a description of the failure, or "" if there was none.
 func runFault(fault fault, seed uint64, mutant *mutant) (failure string, l *workload) {
 	sim := newSimulation(seed, fault.stores, 2, 3, mutant)
 	awaitComplete(sim)
@@ -733,25 +735,26 @@
 	return "", l
 }
 
-// knownSeeds are seeds that have found something, beside the first ones.
+// knownSeeds are seeds that have found failures before. They are run in addition to the first seeds.
 var knownSeeds = map[string]uint64{"the leader is killed at each step of a write": 53}
 
-// seeds are the ones that a fault is run with.
+// seeds returns the seeds that a fault is run with.
 func (x fault) seeds(n int) (all []uint64) {
 	for seed := range uint64(n) {
 		all = append(all, seed)
 	}
-	if seed, is := knownSeeds[x.name]; is {
+	if seed, ok := knownSeeds[x.name]; ok {
 		all = append(all, seed)
 	}
 	return all
 }
 
-// ciSeeds is how many seeds of each fault CI runs.
+// ciSeeds is the number of seeds that CI runs for each fault.
 const ciSeeds = 8
 
-// Whatever happens to hosts, disks and network: nothing that was acknowledged is missing, histories are linearizable, no member votes
-// twice in a term, and all groups are complete in the end. Not in parallel, since the Raft library has one source of randomness.
+// Whatever faults hit hosts, disks and the network, no acknowledged write is missing, histories are linearizable, no member votes
+// twice in a term, and all groups are complete in the end. The faults are not run in parallel, because the Raft library has a
+// single, global source of randomness.
 func TestFaults(t *testing.T) {
 	n := ciSeeds / raceDivisor
 	if *seedCount > 0 {
@@ -771,13 +774,13 @@
 			}
 			t.Logf("%d seeds in %v, answers: %v", n, time.Since(begin).Round(time.Millisecond), done)
 			if done[StatusOK] == 0 {
-				t.Error("nothing was served")
+				t.Error("no call succeeded")
 			}
 		})
 	}
 }
 
-// shardsOf lists the shards on a gateway.
+// shardsOf returns the shards on a gateway.
 func shardsOf(n *simGateway) (all []*shard) {
 	for _, g := range n.host.sortedGroups() {
 		if s, ok := g.sm.(*shard); ok {
@@ -787,7 +790,7 @@
 	return all
 }
 
-// mutateShards changes the shards of a host after each event.
+// mutateShards returns a hook that changes the shards of a host after each event.
 func mutateShards(do func(n *simGateway, s *shard)) func(*simulation, *simGateway, []Action) []Action {
 	return func(_ *simulation, n *simGateway, out []Action) []Action {
 		for _, s := range shardsOf(n) {
@@ -797,7 +800,7 @@
 	}
 }
 
-// mutateGroups changes the members of a host after each event.
+// mutateGroups returns a hook that changes the members of a host after each event.
 func mutateGroups(do func(n *simGateway, g *group)) func(*simulation, *simGateway, []Action) []Action {
 	return func(_ *simulation, n *simGateway, out []Action) []Action {
 		for _, g := range n.host.sortedGroups() {
@@ -807,7 +810,7 @@
 	}
 }
 
-// mutateWrites changes what is written.
+// mutateWrites returns a hook that changes each member's part of a write.
 func mutateWrites(do func(g *MemberWrite)) func(Write) Write {
 	return func(w Write) Write {
 		w.Members = slices.Clone(w.Members)
@@ -818,21 +821,21 @@
 	}
 }
 
-// Hosts with a mutant are wrong in one point. The faults must find a run that shows it.
+// Each mutant introduces one defect into the hosts. Some fault must have a run that reveals it.
 var mutants = []mutant{
-	{name: "acknowledges before the disk has it", acknowledgesEarly: true},
-	{name: "keeps no votes and terms", fault: "crashes of one at a time", disk: mutateWrites(func(g *MemberWrite) { g.HardState = nil })},
+	{name: "acknowledges writes before they are on the disk", acknowledgesEarly: true},
+	{name: "does not store votes and terms", fault: "crashes of one at a time", disk: mutateWrites(func(g *MemberWrite) { g.HardState = nil })},
 	{name: "leaves out the last entry of a write", disk: mutateWrites(func(g *MemberWrite) {
 		if n := len(g.Entries); n > 1 || n == 1 && g.HardState == nil {
 			g.Entries = g.Entries[:n-1]
 		}
 	})},
-	{name: "does not cut off what was overwritten", disk: mutateWrites(func(g *MemberWrite) {
+	{name: "does not replace the first overwritten entry", disk: mutateWrites(func(g *MemberWrite) {
 		if len(g.Entries) > 1 {
 			g.Entries = g.Entries[1:]
 		}
 	})},
-	{name: "an empty disk goes on under the old numbers", fault: "every disk is lost, one after the other", start: func(sim *simulation, n *simGateway, s **StoredState, trusted *bool) {
+	{name: "an empty disk continues under the old numbers", fault: "every disk is lost, one after the other", start: func(sim *simulation, n *simGateway, s **StoredState, trusted *bool) {
 		if *s == nil && n.wiped.Store != 0 {
 			old := n.wiped.State()
 			for i := range old.Members {
@@ -847,15 +850,15 @@
 	}},
 	{name: "an older copy of the disk is trusted", fault: "an older copy of the disk is restored", start: func(_ *simulation, _ *simGateway, _ **StoredState, trusted *bool) { *trusted = true }},
 	{name: "applies a command twice", after: mutateShards(func(_ *simGateway, s *shard) { clear(s.clients) })},
-	{name: "applies a late duplicate of a command", fault: "losses and delay of a second", after: mutateShards(func(_ *simGateway, s *shard) {
+	{name: "applies a late duplicate of a command", fault: "packet loss and delays of up to a second", after: mutateShards(func(_ *simGateway, s *shard) {
 		for _, c := range s.clients {
 			c.minPending = 0
 		}
 	})},
-	{name: "a snapshot forgets the callers", after: func(_ *simulation, n *simGateway, out []Action) []Action {
+	{name: "a snapshot omits the clients' results", after: func(_ *simulation, n *simGateway, out []Action) []Action {
 		for i, a := range out {
-			s, is := a.(Send)
-			if !is || !s.Bulk {
+			s, ok := a.(Send)
+			if !ok || !s.Bulk {
 				continue
 			}
 			var p api.Packet
@@ -874,7 +877,7 @@
 		}
 		return out
 	}},
-	{name: "reads without confirming its leadership", fault: "a leader that its callers reach, and no other holder does", after: mutateGroups(func(n *simGateway, g *group) {
+	{name: "reads without confirming its leadership", fault: "a leader cut off from the other stores, but not from its callers", after: mutateGroups(func(n *simGateway, g *group) {
 		for no, reads := range g.clients.unconfirmed {
 			for _, r := range reads {
 				if s, ok := g.sm.(*shard); ok {
@@ -884,13 +887,13 @@
 			delete(g.clients.unconfirmed, no)
 		}
 	})},
-	{name: "does not look at the condition", before: func(_ *simulation, _ *simGateway, ev Event) Event {
-		if a, is := ev.(Request); is && a.Command.GetPut() != nil {
+	{name: "ignores the condition of a write", before: func(_ *simulation, _ *simGateway, ev Event) Event {
+		if a, ok := ev.(Request); ok && a.Command.GetPut() != nil {
 			a.Command.Put.Conditional = false
 		}
 		return ev
 	}},
-	{name: "acknowledges what is only proposed", after: mutateGroups(func(n *simGateway, g *group) {
+	{name: "acknowledges commands that are only proposed", after: mutateGroups(func(n *simGateway, g *group) {
 		for k, o := range g.clients.waiting {
 			if s, ok := g.sm.(*shard); ok {
 				n.host.reply(o, &api.Reply{Version: s.lastVersion + 1})
@@ -898,28 +901,28 @@
 			}
 		}
 	})},
-	{name: "records end by each one's own clock", after: mutateShards(func(n *simGateway, s *shard) { s.now = max(s.now, n.host.now) })},
+	{name: "expires records by each gateway's own clock", after: mutateShards(func(n *simGateway, s *shard) { s.now = max(s.now, n.host.now) })},
 	{name: "the group's time is its leader's clock", fault: "pauses of 5 s", after: mutateGroups(func(n *simGateway, g *group) {
 		if g.isLeader {
 			g.leading.baseTime, g.leading.since = 8*n.host.now, n.host.now
 		}
 	})},
-	{name: "what was lost was never there", fault: "two of a shard's three disks are lost at once", after: mutateShards(func(_ *simGateway, s *shard) { s.lostAt, s.resetPending = 0, false })},
-	{name: "a position may fall", before: func(sim *simulation, _ *simGateway, ev Event) Event {
-		if a, is := ev.(Request); is && a.Command.GetRaisePosition() != nil && sim.rng.IntN(8) == 0 {
+	{name: "does not report the loss of records", fault: "two of a shard's three disks are lost at once", after: mutateShards(func(_ *simGateway, s *shard) { s.lostAt, s.resetPending = 0, false })},
+	{name: "a position may be lowered", before: func(sim *simulation, _ *simGateway, ev Event) Event {
+		if a, ok := ev.(Request); ok && a.Command.GetRaisePosition() != nil && sim.rng.IntN(8) == 0 {
 			a.Command.RaisePosition.Position = 0
 		}
 		return ev
 	}},
-	{name: "two writes have one version", after: mutateShards(func(_ *simGateway, s *shard) { s.lastVersion &^= 1 })},
-	{name: "a later format is used before all understand it", fault: "two versions of the records together", after: mutateGroups(func(n *simGateway, g *group) {
+	{name: "two writes get the same version", after: mutateShards(func(_ *simGateway, s *shard) { s.lastVersion &^= 1 })},
+	{name: "a later format is used before all stores understand it", fault: "two versions of the records together", after: mutateGroups(func(n *simGateway, g *group) {
 		n.host.ledger.Format = LatestFormat + 1
 	})},
-	{name: "claims to understand what it does not", fault: "two versions of the records together", after: func(_ *simulation, n *simGateway, out []Action) []Action {
+	{name: "claims to understand a format that it does not", fault: "two versions of the records together", after: func(_ *simulation, n *simGateway, out []Action) []Action {
 		n.host.cfg.Format = LatestFormat + 1
 		return out
 	}},
-	{name: "an entry is applied by some only", after: mutateShards(func(n *simGateway, s *shard) {
+	{name: "an entry is applied by some members only", after: mutateShards(func(n *simGateway, s *shard) {
 		if n.name == "g2" {
 			s.remove("key1")
 		}
@@ -928,7 +931,7 @@
 
 func TestMutantsAreCaught(t *testing.T) {
 	if raceDivisor > 1 {
-		t.Skip("the same runs as without the race detector, many times slower")
+		t.Skip("the same runs are made without the race detector, which makes them many times slower")
 	}
 	for _, mutant := range mutants {
 		t.Run(mutant.name, func(t *testing.T) {
@@ -948,7 +951,7 @@
 	}
 }
 
-// runMutant runs a fault with a mutant. One that makes the Raft library panic counts as caught.
+// runMutant runs a fault with a mutant. A mutant that makes the Raft library panic counts as caught.
 func runMutant(fault fault, seed uint64, mutant *mutant) (failure string) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -959,7 +962,7 @@
 	return failure
 }
 
-// describeDifference shows where two states of a shard differ.
+// describeDifference describes the records in which two states of a shard differ.
 func describeDifference(a, b string) string {
 	var x, y api.Shard
 	proto.Unmarshal([]byte(a), &x)
@@ -972,7 +975,7 @@
 	return fmt.Sprintf("%.600v against %.600v", &x, &y)
 }
 
-// While a member is in recovery, no write confirms the disk to the witness.
+// While a member is in recovery, no write may confirm the disk to the witness.
 func TestRecoveringMembersWriteNoConfirmation(t *testing.T) {
 	for _, trusted := range []bool{true, false} {
 		t.Run(fmt.Sprint("trusted ", trusted), func(t *testing.T) {
@@ -990,8 +993,8 @@
 	}
 }
 
-// A member in recovery waits for the replies that it needs and for no others: not for that of a member that the ledger has removed, which
-// may never come.
+// A member in recovery waits for the required replies and for no others. In particular, it does not wait for a member that the
+// ledger has removed, because that reply may never arrive.
 func TestRecoveryWaitsForTheRightMembers(t *testing.T) {
 	voters := func(numbers ...uint64) (all []*api.GroupMember) {
 		for _, n := range numbers {
@@ -1003,22 +1006,22 @@
 		return &api.RecoveryReply{Group: 1, Epoch: 1, Member: 1, Peer: of, Term: 3, LastTerm: 3, LastIndex: 9, Applied: applied, Voters: voters}
 	}
 	oldVoters := []uint64{1, 2, 3}
-	settled := &api.Group{Epoch: 1, Voters: voters(1, 2, 4)}
+	confirmed := &api.Group{Epoch: 1, Voters: voters(1, 2, 4)}
 	for _, c := range []struct {
 		name      string
 		group     *api.Group
 		replies   []*api.RecoveryReply
 		recovered bool
 	}{
-		{"all that the ledger names, one that it took out not", settled, []*api.RecoveryReply{reply(2, 5, oldVoters...), reply(4, 5, oldVoters...)}, true},
-		{"one that the ledger names is missing", settled, []*api.RecoveryReply{reply(2, 5, oldVoters...)}, false},
-		{"one that the ledger names is missing, and was not in the configuration", settled, []*api.RecoveryReply{reply(2, 5, oldVoters...), reply(3, 5, oldVoters...)}, false},
-		{"the ledger has not settled it", &api.Group{Epoch: 1, Voters: voters(1, 2, 3), Adding: voters(4)[0], Removing: 3},
+		{"all members in the ledger reply, a removed one does not", confirmed, []*api.RecoveryReply{reply(2, 5, oldVoters...), reply(4, 5, oldVoters...)}, true},
+		{"a member in the ledger does not reply", confirmed, []*api.RecoveryReply{reply(2, 5, oldVoters...)}, false},
+		{"a member in the ledger that is not in the known configuration does not reply", confirmed, []*api.RecoveryReply{reply(2, 5, oldVoters...), reply(3, 5, oldVoters...)}, false},
+		{"the ledger has a change pending", &api.Group{Epoch: 1, Voters: voters(1, 2, 3), Adding: voters(4)[0], Removing: 3},
 			[]*api.RecoveryReply{reply(2, 5, oldVoters...), reply(4, 5, oldVoters...)}, false},
-		{"the ledger may have given up on a voter", &api.Group{Epoch: 1, Voters: voters(1, 2, 4), Adding: voters(6)[0], Removing: 4},
+		{"the ledger may have given up on a member that became a voter", &api.Group{Epoch: 1, Voters: voters(1, 2, 4), Adding: voters(6)[0], Removing: 4},
 			[]*api.RecoveryReply{reply(2, 8, 1, 2, 5), reply(4, 5, oldVoters...)}, false},
-		{"a later configuration than the ledger has", settled, []*api.RecoveryReply{reply(2, 8, 1, 2, 9), reply(4, 5, oldVoters...)}, false},
-		{"a later one, and its voter", settled, []*api.RecoveryReply{reply(2, 8, 1, 2, 9), reply(4, 5, oldVoters...), reply(9, 8, 1, 2, 9)}, true},
+		{"a reply has a later configuration than the ledger", confirmed, []*api.RecoveryReply{reply(2, 8, 1, 2, 9), reply(4, 5, oldVoters...)}, false},
+		{"a reply has a later configuration, and its new voter replies", confirmed, []*api.RecoveryReply{reply(2, 8, 1, 2, 9), reply(4, 5, oldVoters...), reply(9, 8, 1, 2, 9)}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			ledger := &api.Ledger{ClusterId: 1, Index: 7, VotersPerGroup: 3, NextMember: 7, Groups: []*api.Group{{Epoch: 1}, c.group}}
--- a/internal/raftstore/golden_test.go
+++ b/internal/raftstore/golden_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// goldenState reads a state as an earlier version wrote it, from a golden file of internal/golden.
+// goldenState reads a state that an earlier version wrote, from a golden file of internal/golden.
 func goldenState(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("..", "golden", "testdata", "copies", name+".hex"))
@@ -23,7 +23,7 @@
 	return state
 }
 
-// A shard and a ledger that an earlier version has kept are taken over, and are written as they were.
+// A shard and a ledger written by an earlier version can be restored and are written back unchanged.
 func TestGoldenStates(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -34,11 +34,11 @@
 			if err := c.machine.restore(state); err != nil {
 				t.Fatal(err)
 			}
-			if l, is := c.machine.(*ledger); is { // as it would be after a decision about the order
+			if l, ok := c.machine.(*ledger); ok { // re-encode the order, as applying a command or step to it does
 				l.Order = encodeOrder(DecodeOrder(l.Order))
 			}
 			if got := c.machine.snapshot(); !bytes.Equal(got, state) {
-				t.Errorf("written back as\n%x\nthe golden file has\n%x", got, state)
+				t.Errorf("written back as\n%x\nwant, from the golden file,\n%x", got, state)
 			}
 		})
 	}
--- a/internal/raftstore/maintenance_test.go
+++ b/internal/raftstore/maintenance_test.go
@@ -15,7 +15,7 @@
 	RepairAfter: clock.Micros(repairAfter),
 }
 
-// reportMaintenance hands every host its gateway's report and the membership, again and again.
+// reportMaintenance periodically passes the membership and its gateway's report to every running host.
 func (sim *simulation) reportMaintenance() {
 	var all []maintenance.Member
 	for _, n := range sim.gateways {
@@ -45,15 +45,16 @@
 	sim.schedule(sim.now+250*ms, sim.reportMaintenance)
 }
 
-// runCommand runs an operator's command at a gateway and returns the answer.
+// runCommand runs an operator's command on a gateway and returns the answer.
 func (sim *simulation) runCommand(n *simGateway, c maintenance.Command) (answer string) {
 	answered := false
 	sim.call(n, Request{Shard: LedgerGroup, Deadline: 5 * second, Command: MaintenanceCommand(c)}, func(a Response) { answer, answered = string(a.Value), true })
-	sim.advanceUntil("an operator is answered", 10*second, func() bool { return answered })
+	sim.advanceUntil("the operator gets an answer", 10*second, func() bool { return answered })
 	return answer
 }
 
-// machinesAway lists the machines that the latest order has out of service, and checks that at most one is a gateway.
+// machinesAway returns the machines that are out of service according to the latest order, and checks that at most one of them is a
+// gateway.
 func (sim *simulation) machinesAway() (out []*maintenance.Machine) {
 	o := DecodeOrder(sim.ledger().GetOrder())
 	gateways := 0
@@ -67,13 +68,14 @@
 		}
 	}
 	if gateways > 1 && sim.failure == "" {
-		sim.failure = fmt.Sprintf("%d gateways are away: %+v", gateways, out)
+		sim.failure = fmt.Sprintf("%d gateways are out of service at once: %+v", gateways, out)
 	}
 	return out
 }
 
-// The order in the ledger: all gateways and a server are taken out one after the other, the ledger's leader is killed on the way, and
-// nothing that was acknowledged is missing. A gateway that is out for long runs no members by then.
+// The maintenance order in the ledger takes out all gateways and a server, one after the other, while the leader of the ledger is
+// killed now and then. No acknowledged write may be missing, and a gateway that is out for longer than RepairAfter must not run any
+// members.
 func TestMaintenance(t *testing.T) {
 	n := 6 / raceDivisor
 	if *seedCount > 0 {
@@ -103,7 +105,7 @@
 	}
 	sim.runCommand(operator, maintenance.Command{Verb: maintenance.Add, Kind: maintenance.Server, Name: "r", Group: 7, Duration: clock.Micros(second)})
 	if answer := sim.runCommand(operator, maintenance.Command{Verb: maintenance.Add, Name: "g1", Duration: 1}); !strings.Contains(answer, "already") {
-		return fmt.Sprintf("asked twice: %q, %s", answer, sim.failure)
+		return fmt.Sprintf("a repeated command was answered with %q: %s", answer, sim.failure)
 	}
 	kills := 2
 	touched := map[uint64]bool{}
@@ -124,10 +126,10 @@
 			i := slices.IndexFunc(sim.gateways, func(n *simGateway) bool { return n.name == m.Name })
 			x := sim.gateways[i]
 			if m.Duration > testLimits.RepairAfter && len(x.host.groups) > 0 {
-				sim.failure = fmt.Sprintf("%s is out for long and runs members of %d groups", x.name, len(x.host.groups))
+				sim.failure = fmt.Sprintf("%s is out for longer than RepairAfter but runs members of %d groups", x.name, len(x.host.groups))
 			}
 			if slices.ContainsFunc(x.host.sortedGroups(), func(g *group) bool { return g.isLeader }) {
-				sim.failure = x.name + " is out and leads"
+				sim.failure = x.name + " is out but leads a group"
 			}
 			sim.crash(x)
 			x.trusted = sim.rng.IntN(2) == 0
--- a/internal/raftstore/simulation_test.go
+++ b/internal/raftstore/simulation_test.go
@@ -21,7 +21,7 @@
 	second              = 1000 * ms
 )
 
-// simulation runs hosts on a simulated clock, network and disks. Everything in it follows from its seed.
+// simulation runs hosts with a simulated clock, network and disks. It is deterministic for a given seed.
 type simulation struct {
 	now         clock.Micros
 	rng         *rand.Rand
@@ -30,20 +30,20 @@
 	lastOrder   uint64
 	partitioned map[[2]string]bool
 	loss        float64
-	maxDelay    clock.Micros // added to the usual delay, at most
+	maxDelay    clock.Micros // upper limit of a random delay that is added to the usual one
 	mutant      *mutant
 	shards      int
-	votes       map[string]uint64 // whom a member voted for, by group, epoch, member and term
+	votes       map[string]uint64 // the candidate that each member voted for, by group, epoch, member and term
 	failure     string
-	killAt      writeStep // the leader that reaches it is killed; 0: none
+	killAt      writeStep // the leader that reaches this step is killed; 0: none
 	killed      int
 	calls       map[uint64]func(Response)
 	next        uint64
 	notices     []string
-	limits      *maintenance.Limits // of maintenance; nil: there is none
+	limits      *maintenance.Limits // limits of maintenance; nil: there is no maintenance
 }
 
-// simGateway is one gateway.
+// simGateway is one simulated gateway.
 type simGateway struct {
 	name        string
 	zone        string
@@ -53,13 +53,13 @@
 	starts      int
 	pausedUntil clock.Micros // it handles no events until then
 	disk        Image
-	written     bool // something was written
+	written     bool // the disk was written at least once
 	pending     []Write
 	backup      Image
 	wiped       Image // the disk before wipe
 	trusted     bool  // the next start trusts the disk
 	failing     bool
-	clockOffset clock.Micros // of its clock, against the simulation's
+	clockOffset clock.Micros // difference of its clock from the simulation's
 	timerAt     clock.Micros
 	drained     bool
 	inbox       []func()
@@ -69,7 +69,7 @@
 	format      uint32 // the latest record format that it understands; 0: LatestFormat
 }
 
-// writeStep is a step of a write at its shard's leader.
+// writeStep is a step in the processing of a write on its shard's leader.
 type writeStep int
 
 const (
@@ -80,7 +80,7 @@
 	writeSteps
 )
 
-// at tells whether a host has reached a step, by the event and the actions, which are not carried out yet.
+// reached reports whether a host has reached a step, based on the event and the resulting actions, which are not carried out yet.
 func (s writeStep) reached(h *Host, ev Event, out []Action) bool {
 	packet := func(body []byte) *api.Packet {
 		p := &api.Packet{}
@@ -101,7 +101,7 @@
 		}
 	}
 	for _, a := range out {
-		if a, is := a.(Send); is && s >= beforeReply {
+		if a, ok := a.(Send); ok && s >= beforeReply {
 			p := packet(a.Body)
 			if slices.ContainsFunc(p.Replies, func(r *api.Reply) bool { return r.Status == uint32(StatusOK) && r.Version > 0 && !r.Found }) {
 				return true
@@ -132,9 +132,9 @@
 	return x
 }
 
-func (sim *simulation) schedule(schedule clock.Micros, do func()) {
+func (sim *simulation) schedule(at clock.Micros, do func()) {
 	sim.lastOrder++
-	heap.Push(&sim.events, scheduledEvent{schedule, sim.lastOrder, do})
+	heap.Push(&sim.events, scheduledEvent{at, sim.lastOrder, do})
 }
 
 func (sim *simulation) advance(span clock.Micros) {
@@ -147,7 +147,7 @@
 	sim.now = end
 }
 
-// advanceUntil advances the time until a condition holds. If it does not hold in time, the simulation has failed.
+// advanceUntil advances the time until a condition holds. If it does not hold within maxWait, the simulation has failed.
 func (sim *simulation) advanceUntil(what string, maxWait clock.Micros, holds func() bool) bool {
 	for end := sim.now + maxWait; sim.now < end && sim.failure == ""; {
 		if holds() {
@@ -156,12 +156,12 @@
 		sim.advance(50 * ms)
 	}
 	if sim.failure == "" {
-		sim.failure = fmt.Sprintf("not within %d s: %s; %s", maxWait/second, what, sim.describe())
+		sim.failure = fmt.Sprintf("did not happen within %d s: %s; %s", maxWait/second, what, sim.describe())
 	}
 	return false
 }
 
-// seeded is the Raft library's source of randomness.
+// seeded is a source of randomness for the Raft library that is determined by a seed.
 type seeded struct{ *rand.Rand }
 
 func (s seeded) Read(b []byte) (int, error) {
@@ -197,7 +197,7 @@
 	repairAfter = 5 * second
 )
 
-// start starts a gateway from its disk, in its next incarnation.
+// start starts a gateway from its disk, with a higher incarnation than before.
 func (sim *simulation) start(n *simGateway) {
 	n.starts++
 	n.up, n.pausedUntil, n.pending, n.inbox, n.drained, n.order, n.seenIndex = true, 0, nil, nil, false, &maintenance.Order{}, 0
@@ -228,7 +228,7 @@
 	sim.handle(n, PeersChanged{others})
 }
 
-// handle hands a gateway an event, once it is not paused.
+// handle passes an event to a gateway. A paused gateway gets it at the end of the pause.
 func (sim *simulation) handle(n *simGateway, event Event) {
 	starts := n.starts
 	run := func() {
@@ -319,7 +319,7 @@
 	})
 }
 
-// write writes to the disk after a while. A crash before that may lose the write or not, as with a real disk.
+// write writes to the disk after a delay. A crash before that may or may not lose the write, as with a real disk.
 func (sim *simulation) write(n *simGateway, x Write) {
 	starts := n.starts
 	n.pending = append(n.pending, x)
@@ -346,7 +346,7 @@
 	})
 }
 
-// crash ends a gateway without a shutdown.
+// crash stops a gateway without a graceful shutdown.
 func (sim *simulation) crash(n *simGateway) {
 	if !n.up {
 		return
@@ -361,7 +361,7 @@
 // wipe empties a gateway's disk.
 func (n *simGateway) wipe() { n.wiped = n.disk; n.disk, n.written, n.failing = Image{}, false, false }
 
-// checkVotes checks that no member votes for two others in a term.
+// checkVotes checks that no member votes for two candidates in the same term.
 func (sim *simulation) checkVotes(body []byte) {
 	var p api.Packet
 	if proto.Unmarshal(body, &p) != nil {
@@ -380,7 +380,7 @@
 	}
 }
 
-// call makes a request at a gateway. Its deadline counts from now.
+// call makes a request on a gateway. The deadline in the request is relative to the current time.
 func (sim *simulation) call(n *simGateway, a Request, done func(Response)) {
 	sim.next++
 	a.ID = sim.next
@@ -389,7 +389,7 @@
 	sim.handle(n, a)
 }
 
-// ledger is the latest one that any running gateway knows.
+// ledger returns the latest ledger that any running gateway knows.
 func (sim *simulation) ledger() (l *api.Ledger) {
 	for _, n := range sim.gateways {
 		if n.up && (l == nil || n.host.ledger.Index > l.Index) {
@@ -399,7 +399,7 @@
 	return l
 }
 
-// isComplete tells whether every group has all its voters and one leader, and no change or recovery is under way.
+// isComplete reports whether every group has all its voters and exactly one leader, and no change or recovery is in progress.
 func (sim *simulation) isComplete() bool {
 	l := sim.ledger()
 	if l == nil || len(l.Groups) != sim.shards+1 {
@@ -481,11 +481,11 @@
 	return out
 }
 
-// mutant makes one thing about hosts wrong.
+// mutant introduces one defect into the hosts.
 type mutant struct {
 	name              string
-	fault             string // the one fault that shows it; empty: any may
-	acknowledgesEarly bool   // writes are reported as completed before they are
+	fault             string // the only fault that it is run with; empty: all faults
+	acknowledgesEarly bool   // writes are reported as completed before they are on the disk
 	start             func(sim *simulation, n *simGateway, s **StoredState, trusted *bool)
 	disk              func(Write) Write
 	before            func(sim *simulation, n *simGateway, ev Event) Event
