--- a/internal/raftstore/clientqueue.go
+++ b/internal/raftstore/clientqueue.go
@@ -131,7 +131,7 @@
 	}
 }
 
-// rejectReads replies to reads that this member does not lead the group.
+// rejectReads answers reads with the status that this member does not lead the group.
 func (g *group) rejectReads(reads []pendingRead) {
 	for _, r := range reads {
 		g.host.reply(r.caller, &api.Reply{Status: uint32(statusNotLeader), Leader: g.leaderName()})
--- a/internal/raftstore/group.go
+++ b/internal/raftstore/group.go
@@ -169,7 +169,7 @@
 		return
 	}
 	g.host.emitNotice(Notice{Kind: NoticeSteppedDown, Group: g.id, Epoch: g.epoch, Number: g.member})
-	for _, reads := range g.clients.unconfirmed { // a quorum will not confirm them any more
+	for _, reads := range g.clients.unconfirmed { // no quorum will confirm them any more
 		g.rejectReads(reads)
 	}
 	clear(g.clients.unconfirmed)
--- a/internal/raftstore/host.go
+++ b/internal/raftstore/host.go
@@ -213,8 +213,8 @@
 	}
 }
 
-// balanceIsDue reports whether balanceLeader must check a group at this tick. Each group is checked once every leaderBalanceTicks,
-// at a tick that depends on its number.
+// balanceIsDue reports whether balanceLeader must check a group at this tick. A group that this gateway leads is checked once every
+// leaderBalanceTicks, at a tick that depends on its number.
 func (h *Host) balanceIsDue(g *group) bool {
 	return g.isLeader && !h.shutdown.draining && h.ticks%leaderBalanceTicks == uint64(g.id)%leaderBalanceTicks &&
 		h.now-g.leading.since >= leaderBalanceTicks*h.cfg.Tick
--- a/internal/raftstore/overview.go
+++ b/internal/raftstore/overview.go
@@ -35,7 +35,7 @@
 	Voters       []MemberView
 	Adding       *MemberView
 	Removing     uint64
-	Local        *LocalMember // nil: no member runs here
+	Local        *LocalMember // nil: no member of the group runs on this gateway
 }
 
 // MemberView describes one group member.
--- a/internal/raftstore/planner.go
+++ b/internal/raftstore/planner.go
@@ -169,7 +169,7 @@
 	zones, taken := map[string]int{}, map[uint64]bool{}
 	for _, r := range group.Voters {
 		if r.Id == removing && r.Stale {
-			continue // the store is not lost and may get another member
+			continue // only the member is stale; its store may get another member
 		}
 		taken[r.Store] = true
 		if r.Id == removing {
--- a/internal/raftstore/receive.go
+++ b/internal/raftstore/receive.go
@@ -17,7 +17,7 @@
 	incarnations     map[uint64]uint64         // latest incarnation received from each store
 	progress         map[MemberRef]logPosition // the log position that each other member is known to have acknowledged
 	ledgerSentAt     map[string]uint64         // one more than the tick at which the ledger was last sent, by gateway
-	foreignNoticedAt uint64                    // the tick of the last notice about a packet of another cluster
+	foreignNoticedAt uint64                    // tick of the last notice about a packet from a foreign cluster
 	rejectedStore    uint64                    // the last store that could not join because its record format is too old
 }
 
--- a/internal/raftstore/shard.go
+++ b/internal/raftstore/shard.go
@@ -43,7 +43,7 @@
 	resetPending bool         // the previous epoch was lost and the next entry sets lostAt
 	lastVersion  uint64
 	records      map[string]record
-	expiries     []expiry // a heap; may hold an earlier expiry than that of the record, corrected by expire
+	expiries     []expiry // a heap; an element may be earlier than its record's current expiry, which expire corrects
 	clients      map[uint64]*client
 	bytes        int64
 	maxFormat    uint32 // the latest record format that this gateway understands
