--- a/internal/session/answers.go
+++ b/internal/session/answers.go
@@ -73,7 +73,7 @@
 // writeAnswer writes one answer.
 func (c *client) writeAnswer(q *pendingQuery) (transport.Reason, error) {
 	if q.answer == nil {
-		return reasoned(c.write(q.text))
+		return withReason(c.write(q.text))
 	}
 	var out []byte
 	switch q.answer.Kind {
@@ -82,7 +82,7 @@
 		parts := append(q.answer.Value.BuffersFrom(0), postgres.AppendReadyForQuery(nil))
 		_, err := c.conn.Write(time.Now().Add(c.all.Limits.Answer), parts)
 		q.answer.Value.Free()
-		return reasoned(err)
+		return withReason(err)
 	case routing.AnswerRejected:
 		out = postgres.AppendErrorResponse(nil, false, postgres.CodeTooManyConnections, "no server can take this in time",
 			int64(q.answer.RetryAfter/1000))
@@ -91,14 +91,14 @@
 	case routing.AnswerDuplicateID:
 		out = postgres.AppendErrorResponse(nil, false, postgres.CodeInvalidParameterValue, "the id is that of a request still under way", 0)
 	}
-	if reason, err := reasoned(c.write(postgres.AppendReadyForQuery(out))); err != nil || q.answer.Kind != routing.AnswerDuplicateID {
+	if reason, err := withReason(c.write(postgres.AppendReadyForQuery(out))); err != nil || q.answer.Kind != routing.AnswerDuplicateID {
 		return reason, err
 	}
 	return c.penalize()
 }
 
-// reasoned adds the reason for which a connection ends to an error.
-func reasoned(err error) (transport.Reason, error) {
+// withReason adds the reason for which a connection ends to an error.
+func withReason(err error) (transport.Reason, error) {
 	if err != nil {
 		return transport.ReasonOf(err), err
 	}
@@ -111,7 +111,7 @@
 	if c.readingStopped || c.waiting() >= maxPipelined {
 		return c.watchUnread()
 	}
-	pending := func() bool { return c.answerDue() || c.isCut() }
+	pending := func() bool { return c.answerDue() || c.pastCutOff() }
 	n := postgres.HeaderSize
 	for {
 		err := c.conn.Wait(n, time.Now().Add(c.all.Limits.Idle), pending)
--- a/internal/session/client.go
+++ b/internal/session/client.go
@@ -22,8 +22,8 @@
 // and no attempt may begin more than 0.1 s after the close.
 const closeCheck = 40 * time.Millisecond
 
-// lateRequest is how long a request may take to arrive that was on its way in when the time of its connection was up.
-const lateRequest = 100 * time.Millisecond
+// lateRequestGrace is how long a request may take to arrive that was on its way in when the time of its connection was up.
+const lateRequestGrace = 100 * time.Millisecond
 
 // client is one client's connection. Its goroutine alone reads and writes the socket, and answers queries in their order; each is
 // sent on its way as soon as it has been read. The fields behind mu are shared with the goroutines that deliver answers or ask
@@ -35,20 +35,20 @@
 
 	mu      sync.Mutex
 	queue   []*pendingQuery // awaiting their answers, oldest first
-	resting bool            // waiting between requests: nothing is lost if it is woken
+	waitingIdle bool            // waiting between requests: nothing is lost if it is woken
 	closing bool
-	cutAt   time.Time // in a shutdown: when incomplete messages are waited for no longer; zero: never
+	cutOffAt   time.Time // in a shutdown: when incomplete messages are waited for no longer; zero: never
 	reason  transport.Reason
 	served  int
 
-	newBy       time.Time // deadline of the first request
-	known       bool      // it has sent a complete request
+	firstRequestDeadline       time.Time // deadline of the first request
+	sentRequest       bool      // it has sent a complete request
 	badMessages int       // received so far
 
 	skipping       bool             // after an error in the extended protocol, up to Sync
 	readingStopped bool             // nothing more is read: its framing is lost, or the gateway shuts down
-	broken         transport.Reason // why an answer could not be written while a message was read
-	brokenBy       error
+	writeReason         transport.Reason // why an answer could not be written while a message was read
+	writeErr       error
 }
 
 // CloseIdle asks the connection to close as soon as it has nothing to do.
@@ -58,39 +58,39 @@
 	if !c.closing {
 		c.closing, c.reason = true, reason
 	}
-	if c.resting {
+	if c.waitingIdle {
 		c.conn.Wake()
 	}
 }
 
-// setResting notes whether the connection waits between requests.
-func (c *client) setResting(on bool) {
+// setWaitingIdle notes whether the connection waits between requests.
+func (c *client) setWaitingIdle(on bool) {
 	c.mu.Lock()
-	c.resting = on
+	c.waitingIdle = on
 	c.mu.Unlock()
 }
 
 // cutOff has the connection wait for messages for no longer than lateRequest from now on.
 func (c *client) cutOff(now time.Time) {
 	c.mu.Lock()
-	c.cutAt = now.Add(lateRequest)
+	c.cutOffAt = now.Add(lateRequestGrace)
 	c.mu.Unlock()
-	time.AfterFunc(lateRequest, c.conn.Wake)
+	time.AfterFunc(lateRequestGrace, c.conn.Wake)
 }
 
-// isCut reports whether nothing more is to be read.
-func (c *client) isCut() bool {
+// pastCutOff reports whether nothing more is to be read.
+func (c *client) pastCutOff() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.cutAt.IsZero() && !time.Now().Before(c.cutAt)
+	return !c.cutOffAt.IsZero() && !time.Now().Before(c.cutOffAt)
 }
 
-// interrupted writes the answers that are due while a message is being read, and reports whether reading has to end.
-func (c *client) interrupted() bool {
-	if c.brokenBy == nil {
-		c.broken, c.brokenBy = c.flush()
+// flushOrStop writes the answers that are due while a message is being read, and reports whether reading has to end.
+func (c *client) flushOrStop() bool {
+	if c.writeErr == nil {
+		c.writeReason, c.writeErr = c.flush()
 	}
-	return c.brokenBy != nil || c.isCut()
+	return c.writeErr != nil || c.pastCutOff()
 }
 
 func (c *client) isClosing() bool {
@@ -102,8 +102,8 @@
 // deadline is when the client must have done what it has a time limit for. Before its first request one deadline applies to
 // everything.
 func (c *client) deadline(limit time.Duration) time.Time {
-	if !c.known {
-		return c.newBy
+	if !c.sentRequest {
+		return c.firstRequestDeadline
 	}
 	return time.Now().Add(limit)
 }
@@ -134,7 +134,7 @@
 			return c.reject(err)
 		}
 		packet := c.all.Buffers.NewMessage()
-		if err := c.conn.Fill(packet, 4+n, c.newBy, c.isCut); err != nil {
+		if err := c.conn.Fill(packet, 4+n, c.firstRequestDeadline, c.pastCutOff); err != nil {
 			packet.Free()
 			return transport.ReasonOf(err), err
 		}
@@ -166,8 +166,8 @@
 		if err != nil {
 			return reason, err
 		}
-		if c.isCut() {
-			return c.finishStop()
+		if c.pastCutOff() {
+			return c.finishShutdown()
 		}
 		if c.waiting() > 0 {
 			if reason, err = c.watch(); errors.Is(err, transport.ErrWoken) {
@@ -180,10 +180,10 @@
 			reason, err = c.handleMessage()
 		}
 		switch {
-		case c.brokenBy != nil:
-			return c.broken, c.brokenBy
-		case errors.Is(err, transport.ErrWoken) && c.isCut():
-			return c.finishStop()
+		case c.writeErr != nil:
+			return c.writeReason, c.writeErr
+		case errors.Is(err, transport.ErrWoken) && c.pastCutOff():
+			return c.finishShutdown()
 		case err != nil:
 			return reason, err
 		}
@@ -205,16 +205,16 @@
 		if !c.skipping {
 			return c.handleQuery(header.Body, deadline)
 		}
-		return reasoned(c.conn.SkipUntil(header.Body, deadline, c.interrupted))
+		return withReason(c.conn.SkipUntil(header.Body, deadline, c.flushOrStop))
 	case postgres.TypeTerminate:
 		return transport.EndTerminate, io.EOF
 	case postgres.TypeSync:
 		c.skipping = false
 		c.enqueueResponse(postgres.AppendReadyForQuery(nil))
-		return reasoned(c.conn.SkipUntil(header.Body, deadline, c.interrupted))
+		return withReason(c.conn.SkipUntil(header.Body, deadline, c.flushOrStop))
 	case 'P', 'B', 'D', 'E', 'C', 'F', 'H', 'd', 'c', 'f':
-		if err = c.conn.SkipUntil(header.Body, deadline, c.interrupted); err != nil || c.skipping || header.Type == 'H' || header.Type >= 'a' {
-			return reasoned(err)
+		if err = c.conn.SkipUntil(header.Body, deadline, c.flushOrStop); err != nil || c.skipping || header.Type == 'H' || header.Type >= 'a' {
+			return withReason(err)
 		}
 		c.all.Counts.Unsupported.Add(1)
 		out := postgres.AppendErrorResponse(nil, false, postgres.CodeFeatureNotSupported, "only simple queries are served here", 0)
@@ -232,25 +232,25 @@
 // idle waits for n bytes between requests. What has arrived already is served, even if the connection has been asked to close.
 func (c *client) idle(n int) (transport.Reason, error) {
 	kind := transport.IdleNewClient
-	if c.known {
+	if c.sentRequest {
 		kind = transport.IdleServedClient
 	}
 	c.all.Fds.MarkIdle(c, kind)
-	c.setResting(true)
+	c.setWaitingIdle(true)
 	defer func() {
-		c.setResting(false)
+		c.setWaitingIdle(false)
 		c.all.Fds.MarkBusy(c)
 	}()
 	deadline := c.deadline(c.all.Limits.Idle)
-	pending := func() bool { return c.isClosing() || c.isCut() }
-	late := false
+	pending := func() bool { return c.isClosing() || c.pastCutOff() }
+	graceUsed := false
 	for {
 		err := c.conn.Wait(n, deadline, pending)
 		switch {
 		case err == nil:
 			return 0, nil
 		case errors.Is(err, transport.ErrWoken):
-			if c.isCut() {
+			if c.pastCutOff() {
 				reason, _ := c.all.isDraining()
 				return reason, err
 			}
@@ -259,15 +259,15 @@
 				defer c.mu.Unlock()
 				return c.reason, err
 			}
-			pending = c.isCut // a request is on its way in: closing now would cut it off
+			pending = c.pastCutOff // a request is on its way in: closing now would cut it off
 		case errors.Is(err, transport.ErrDeadline):
 			switch {
 			case c.conn.Buffered() > 0:
 				return transport.EndTimeout, err
-			case late || c.conn.Silent():
+			case graceUsed || c.conn.Silent():
 				return transport.EndIdle, err
 			}
-			late, deadline = true, time.Now().Add(lateRequest)
+			graceUsed, deadline = true, time.Now().Add(lateRequestGrace)
 		default:
 			return transport.ReasonOf(err), err
 		}
@@ -296,7 +296,7 @@
 			return transport.EndClientDisconnected, io.EOF
 		}
 		left := time.Until(end)
-		if left <= 0 || c.isCut() {
+		if left <= 0 || c.pastCutOff() {
 			return 0, nil
 		}
 		c.awaitAnswer(min(left, closeCheck))
@@ -325,8 +325,8 @@
 	return 0, nil
 }
 
-// finishStop answers the open queries and ends the connection, as the gateway shuts down.
-func (c *client) finishStop() (transport.Reason, error) {
+// finishShutdown answers the open queries and ends the connection, as the gateway shuts down.
+func (c *client) finishShutdown() (transport.Reason, error) {
 	if reason, err := c.drainAnswers(); err != nil {
 		return reason, err
 	}
--- a/internal/session/client_test.go
+++ b/internal/session/client_test.go
@@ -20,7 +20,7 @@
 	}
 	defer l.Close()
 	fds := transport.NewDescriptors(1024)
-	conn, err := transport.Dial(context.Background(), l.Addr().String(), time.Now().Add(patience),
+	conn, err := transport.Dial(context.Background(), l.Addr().String(), time.Now().Add(testTimeout),
 		transport.NewBuffers(1<<20), fds, false)
 	if err != nil {
 		t.Fatal(err)
@@ -31,7 +31,7 @@
 	}
 	t.Cleanup(func() { conn.Close(); peer.Close() })
 	all := &Clients{Fds: fds, Ends: transport.NewEndRecorder(zerolog.Nop()), Limits: DefaultTimeouts}
-	return &client{all: all, conn: conn, answerReady: make(chan struct{}, 1), known: true}, peer
+	return &client{all: all, conn: conn, answerReady: make(chan struct{}, 1), sentRequest: true}, peer
 }
 
 // A connection that is asked to close after a request has reached the kernel serves that request first.
@@ -40,7 +40,7 @@
 	if _, err := peer.Write([]byte("Q")); err != nil { // the rest is still on its way
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(patience); c.conn.Silent(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); c.conn.Silent(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the request never reached the kernel")
 		}
--- a/internal/session/clients.go
+++ b/internal/session/clients.go
@@ -60,8 +60,8 @@
 	mu       sync.Mutex
 	open     map[*client]struct{}
 	draining bool
-	ending   transport.Reason // of draining
-	cut      bool
+	drainReason   transport.Reason // of draining
+	cutOffBegun      bool
 	started  uint32
 	lookups  atomic.Int64
 }
@@ -73,40 +73,40 @@
 
 // Serve serves one connection to its end. One that cannot stay, for want of a descriptor, is rejected before its start-up, with
 // an error that says that the client may connect again.
-func (s *Clients) Serve(conn *transport.Conn, stays bool) {
+func (s *Clients) Serve(conn *transport.Conn, admitted bool) {
 	since := time.Now()
-	if !stays {
+	if !admitted {
 		s.rejectConnection(conn, since)
 		return
 	}
-	opened := &client{all: s, conn: conn, answerReady: make(chan struct{}, 1), newBy: since.Add(s.Limits.FirstRequest)}
+	c := &client{all: s, conn: conn, answerReady: make(chan struct{}, 1), firstRequestDeadline: since.Add(s.Limits.FirstRequest)}
 	s.mu.Lock()
 	if s.open == nil {
 		s.open = map[*client]struct{}{}
 	}
-	s.open[opened] = struct{}{}
-	if s.cut {
-		opened.cutOff(since)
+	s.open[c] = struct{}{}
+	if s.cutOffBegun {
+		c.cutOff(since)
 	}
 	s.started++
 	process := s.started
 	s.mu.Unlock()
 	remote := conn.Remote()
-	reason, err := opened.run(process)
-	s.Fds.MarkBusy(opened)
+	reason, err := c.run(process)
+	s.Fds.MarkBusy(c)
 	switch reason {
 	case transport.EndAddressMigrated:
-		opened.announceClose("the address has moved to another gateway")
+		c.announceClose("the address has moved to another gateway")
 	case transport.EndMaintenance:
-		opened.announceClose("the gateway is about to be out for maintenance")
+		c.announceClose("the gateway is about to be out for maintenance")
 	case transport.EndIdle, transport.EndEvicted, transport.EndDraining, transport.EndTimeout:
 		s.linger(conn)
 	}
 	conn.Close()
 	s.mu.Lock()
-	delete(s.open, opened)
+	delete(s.open, c)
 	s.mu.Unlock()
-	s.Ends.Record(transport.Client, remote, reason, since, opened.served, err)
+	s.Ends.Record(transport.Client, remote, reason, since, c.served, err)
 }
 
 // rejectConnection tells a client for which there is no descriptor to connect again.
@@ -134,7 +134,7 @@
 // stands in their log lines.
 func (s *Clients) Drain(reason transport.Reason) {
 	s.mu.Lock()
-	s.ending = reason
+	s.drainReason = reason
 	s.mu.Unlock()
 	for _, c := range s.setAndList(&s.draining) {
 		c.CloseIdle(reason)
@@ -149,10 +149,10 @@
 }
 
 // setAndList sets a flag of the shutdown, which connections still to come will see, and lists those that are open.
-func (s *Clients) setAndList(mark *bool) []*client {
+func (s *Clients) setAndList(flag *bool) []*client {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	*mark = true
+	*flag = true
 	return slices.Collect(maps.Keys(s.open))
 }
 
@@ -161,7 +161,7 @@
 // clients that send slowly or stop halfway: each would hold the gateway up for as long as it may.
 func (s *Clients) CutOff() {
 	now := time.Now()
-	for _, c := range s.setAndList(&s.cut) {
+	for _, c := range s.setAndList(&s.cutOffBegun) {
 		c.cutOff(now)
 	}
 }
@@ -189,5 +189,5 @@
 func (s *Clients) isDraining() (transport.Reason, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ending, s.draining
+	return s.drainReason, s.draining
 }
--- a/internal/session/discovery.go
+++ b/internal/session/discovery.go
@@ -130,8 +130,8 @@
 }
 
 // start begins a call on a goroutine of its own. The caller holds mu.
-func (d *Discovery) start(watch, leads bool, from int64) *call {
-	c := &call{all: d, addr: d.Addr, watch: watch, thenWatch: leads}
+func (d *Discovery) start(watch, thenWatch bool, from int64) *call {
+	c := &call{all: d, addr: d.Addr, watch: watch, thenWatch: thenWatch}
 	c.ctx, c.stop = context.WithCancel(context.Background())
 	if d.calls == nil {
 		d.calls = map[*call]struct{}{}
@@ -324,10 +324,10 @@
 		d.previous.cancel()
 		d.previous = nil
 	}
-	unasked := c == d.previous && d.watch == nil
+	newAddressFailed := c == d.previous && d.watch == nil
 	d.mu.Unlock()
 	d.Owner.Post(routing.EndpointListUpdate{List: list})
-	if unasked { // the router takes the list as a sign of a watch; but the new address has failed
+	if newAddressFailed { // the router takes the list as a sign of a watch; but the new address has failed
 		d.Owner.Post(routing.EndpointListUpdate{Failed: true})
 	}
 }
--- a/internal/session/discovery_test.go
+++ b/internal/session/discovery_test.go
@@ -48,12 +48,12 @@
 	return l
 }
 
-// call takes the next call in.
-func (s *scriptedDiscovery) call() *scriptedCall { return acceptCall(s.t, s.listener) }
+// nextCall takes the next nextCall in.
+func (s *scriptedDiscovery) nextCall() *scriptedCall { return acceptCall(s.t, s.listener) }
 
 func acceptCall(t *testing.T, l net.Listener) *scriptedCall {
 	t.Helper()
-	l.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
+	l.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
 	nc, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -70,8 +70,8 @@
 	return &scriptedCall{nc, strings.Fields(first)[1]}
 }
 
-// say writes bytes one by one, so that nothing depends on how they are cut.
-func (c *scriptedCall) say(text string) {
+// writeBytewise writes bytes one by one, so that nothing depends on how they are cut.
+func (c *scriptedCall) writeBytewise(text string) {
 	for i := range len(text) {
 		c.Write([]byte{text[i]})
 	}
@@ -89,7 +89,7 @@
 	select {
 	case ev := <-s.updates:
 		return ev.(routing.EndpointListUpdate)
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		s.t.Fatal("no update was posted")
 		return routing.EndpointListUpdate{}
 	}
@@ -117,34 +117,34 @@
 		"      \"endpoint\": \"127.0.0.1:5433\",\n      \"pod_group\": 3,\n      \"state\": \"draining\"\n    }\n  ]\n}\n"
 )
 
-// generous limits are reached only by a test that fails.
-var generous = CallTimeouts{Connect: patience, Answer: patience, Silence: patience}
+// longTimeouts limits are reached only by a test that fails.
+var longTimeouts = CallTimeouts{Connect: testTimeout, Answer: testTimeout, Silence: testTimeout}
 
 // A change may stand on one line or, indented, on several; whichever way it is cut, and with empty lines between.
 func TestWatchReadsIndentedChanges(t *testing.T) {
-	s := newScriptedDiscovery(t, generous)
+	s := newScriptedDiscovery(t, longTimeouts)
 	s.client.Watch(40)
-	c := s.call()
-	c.say(headOpen + "\r\n")
+	c := s.nextCall()
+	c.writeBytewise(headOpen + "\r\n")
 	s.wantList(40) // the empty line says that nothing has changed since
-	c.say(oneServer + "\n  \n" + indented + "\n")
+	c.writeBytewise(oneServer + "\n  \n" + indented + "\n")
 	s.wantList(41)
 	s.wantList(42)
-	c.say("{\"rev\": 43,\n\"targets\": ]\n")
+	c.writeBytewise("{\"rev\": 43,\n\"targets\": ]\n")
 	s.wantFailure()
 }
 
 // A reset is no end of an answer, also where it has no length and what came can be read.
-func TestResetIsNoEndOfAList(t *testing.T) {
-	s := newScriptedDiscovery(t, generous)
+func TestResetDoesNotCompleteAList(t *testing.T) {
+	s := newScriptedDiscovery(t, longTimeouts)
 	s.client.Fetch()
-	c := s.call()
+	c := s.nextCall()
 	c.Write([]byte(headOpen + oneServer))
 	c.reset()
 	s.wantFailure()
 	s.client.Fetch()
-	c = s.call()
-	c.say(headOpen + oneServer)
+	c = s.nextCall()
+	c.writeBytewise(headOpen + oneServer)
 	c.Close()
 	s.wantList(41)
 }
@@ -154,10 +154,10 @@
 	for _, head := range []string{
 		headOpen, "HTTP/1.1 200 OK\r\nContent-Length: 106\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6a\r\n",
 	} {
-		s := newScriptedDiscovery(t, generous)
+		s := newScriptedDiscovery(t, longTimeouts)
 		s.client.Fetch()
-		c := s.call()
-		c.say(head + oneServer[:50])
+		c := s.nextCall()
+		c.writeBytewise(head + oneServer[:50])
 		c.Close()
 		s.wantFailure()
 	}
@@ -166,11 +166,11 @@
 // A watch whose first line does not arrive in time has failed, although its header and some bytes have arrived: with a new
 // deadline for each piece it would never end. A later line has as long.
 func TestSlowWatchHasFailed(t *testing.T) {
-	short := CallTimeouts{Connect: patience, Answer: 150 * time.Millisecond, Silence: 150 * time.Millisecond}
+	short := CallTimeouts{Connect: testTimeout, Answer: 150 * time.Millisecond, Silence: 150 * time.Millisecond}
 	for _, before := range []string{"", oneServer + "\n"} {
 		s := newScriptedDiscovery(t, short)
 		s.client.Watch(40)
-		c := s.call()
+		c := s.nextCall()
 		c.Write([]byte(headOpen + before))
 		ended := make(chan struct{})
 		go func() {
@@ -192,9 +192,9 @@
 
 // A complete list has one deadline for all of its pieces.
 func TestSlowListHasFailed(t *testing.T) {
-	s := newScriptedDiscovery(t, CallTimeouts{Connect: patience, Answer: 150 * time.Millisecond, Silence: patience})
+	s := newScriptedDiscovery(t, CallTimeouts{Connect: testTimeout, Answer: 150 * time.Millisecond, Silence: testTimeout})
 	s.client.Fetch()
-	c := s.call()
+	c := s.nextCall()
 	go func() {
 		for text := headOpen + oneServer; ; {
 			if _, err := c.Write([]byte(text[:1])); err != nil {
@@ -211,25 +211,25 @@
 
 // While a new address fails, the watch at the previous one goes on. What it sends is used, but it is no sign that the new address
 // is watched: the router has to hear of the failure again, or nobody would try there.
-func TestPreviousAddressIsNoSignOfTheNewOne(t *testing.T) {
-	s := newScriptedDiscovery(t, generous)
+func TestListFromThePreviousAddressDoesNotHideAFailure(t *testing.T) {
+	s := newScriptedDiscovery(t, longTimeouts)
 	s.client.Watch(40)
-	previous := s.call()
-	previous.say(headOpen + oneServer + "\n")
+	previous := s.nextCall()
+	previous.writeBytewise(headOpen + oneServer + "\n")
 	s.wantList(41)
-	moved := listenLoopback(t)
-	s.client.SetAddress(moved.Addr().String())
-	acceptCall(t, moved).reset()
+	newAddress := listenLoopback(t)
+	s.client.SetAddress(newAddress.Addr().String())
+	acceptCall(t, newAddress).reset()
 	s.wantFailure()
-	previous.say(oneDrained)
+	previous.writeBytewise(oneDrained)
 	s.wantList(42)
 	s.wantFailure()
 	s.client.Watch(42)
-	c := acceptCall(t, moved)
+	c := acceptCall(t, newAddress)
 	if c.path != "/v1/servers" {
 		t.Errorf("the new address was asked for %s", c.path)
 	}
-	c.say(headOpen + oneServer)
+	c.writeBytewise(headOpen + oneServer)
 	c.Close()
 	s.wantList(41)
 	if _, err := previous.Read(make([]byte, 1)); err == nil {
@@ -239,36 +239,36 @@
 
 // A new watch that sends its list before the previous one has ended leaves one watch, and no failure.
 func TestNewWatchBeforeTheOldOneEnds(t *testing.T) {
-	s := newScriptedDiscovery(t, generous)
+	s := newScriptedDiscovery(t, longTimeouts)
 	s.client.Watch(40)
-	first := s.call()
-	first.say(headOpen + oneServer + "\n")
+	first := s.nextCall()
+	first.writeBytewise(headOpen + oneServer + "\n")
 	s.wantList(41)
 	s.client.Watch(41)
-	second := s.call()
-	second.say(headOpen + oneDrained)
+	second := s.nextCall()
+	second.writeBytewise(headOpen + oneDrained)
 	s.wantList(42)
-	first.say("{\"rev\":99}\n")
-	second.say("{\"rev\":43}\n")
+	first.writeBytewise("{\"rev\":99}\n")
+	second.writeBytewise("{\"rev\":43}\n")
 	s.wantList(43)
 }
 
 // An address that is set during a call is asked at once, and what the call to the previous one still brings is not posted.
 func TestSetAddressDuringACall(t *testing.T) {
-	s := newScriptedDiscovery(t, generous)
+	s := newScriptedDiscovery(t, longTimeouts)
 	s.client.Watch(40)
-	out := s.call() // nothing has been answered yet
+	previous := s.nextCall() // nothing has been answered yet
 	moved := listenLoopback(t)
 	s.client.SetAddress(moved.Addr().String())
 	c := acceptCall(t, moved)
-	c.say(headOpen + oneServer)
+	c.writeBytewise(headOpen + oneServer)
 	c.Close()
 	s.wantList(41)
-	out.say(headOpen + "{\"rev\":99}\n")
+	previous.writeBytewise(headOpen + "{\"rev\":99}\n")
 	watch := acceptCall(t, moved)
 	if watch.path != "/v1/servers?watch=1&from=41" {
 		t.Errorf("then asked for %s", watch.path)
 	}
-	watch.say(headOpen + oneDrained)
+	watch.writeBytewise(headOpen + oneDrained)
 	s.wantList(42)
 }
--- a/internal/session/exchange.go
+++ b/internal/session/exchange.go
@@ -51,7 +51,7 @@
 	written := time.Now()
 	var reply postgres.Reply
 	loadReport, err := l.readReply(&reply, until, t, value)
-	result, reason := taskResult{params: reply.Params, loadReport: loadReport}, carryOn
+	result, reason := taskResult{params: reply.Params, loadReport: loadReport}, notEnded
 	switch {
 	case errors.Is(err, errProtocol): // malformed: it may have run, and nothing in the answer is used
 		result, reason = taskResult{result: policy.ResultError}, transport.EndProtocol
@@ -72,7 +72,7 @@
 	default:
 		result.result, reason = policy.ResultReset, transport.ReasonOf(err)
 	}
-	if reason == carryOn && (err != nil || l.conn.Buffered() > 0) {
+	if reason == notEnded && (err != nil || l.conn.Buffered() > 0) {
 		reason = transport.EndServerFailed // more came than belongs to the answer: it must not count for the next one
 	}
 	if result.value == nil {
@@ -123,14 +123,14 @@
 	for !reply.Ready {
 		due := deadline
 		if reply.Started() {
-			due = l.stall(deadline)
+			due = l.stallDeadline(deadline)
 		}
 		if err := l.conn.Wait(1, due, t.cancelled); err != nil {
-			return row, stalled(err, due, deadline)
+			return row, stallError(err, due, deadline)
 		}
-		due = l.stall(deadline)
+		due = l.stallDeadline(deadline)
 		if err := l.conn.Wait(postgres.HeaderSize, due, t.cancelled); err != nil {
-			return row, stalled(err, due, deadline)
+			return row, stallError(err, due, deadline)
 		}
 		header, err := postgres.ParseHeader(l.conn.Peek(postgres.HeaderSize))
 		if err != nil {
@@ -141,17 +141,17 @@
 		if size > head && (header.Type != postgres.TypeDataRow || value == nil || size > maxAnswerMessage) {
 			return row, errors.Join(errProtocol, errors.New("a message is too large"))
 		}
-		due = l.stall(deadline)
+		due = l.stallDeadline(deadline)
 		if err := l.conn.Wait(head, due, t.cancelled); err != nil {
-			return row, stalled(err, due, deadline)
+			return row, stallError(err, due, deadline)
 		}
-		seen := l.conn.Peek(head)
-		if err := reply.Handle(header, seen[postgres.HeaderSize:]); err != nil {
+		received := l.conn.Peek(head)
+		if err := reply.Handle(header, received[postgres.HeaderSize:]); err != nil {
 			return row, errors.Join(errProtocol, err)
 		}
 		switch {
 		case header.Type == postgres.TypeDataRow && value == nil:
-			row = postgres.RowValue(seen[postgres.HeaderSize:])
+			row = postgres.RowValue(received[postgres.HeaderSize:])
 		case value != nil && postgres.IsForwarded(header.Type):
 			if err := l.readValue(value, size, deadline, t); err != nil {
 				return row, err
@@ -176,17 +176,17 @@
 	}
 	for remaining > 0 {
 		n := min(remaining, transport.BufferSize)
-		due := l.stall(deadline)
+		due := l.stallDeadline(deadline)
 		if err := l.conn.Fill(value, n, due, t.cancelled); err != nil {
-			return stalled(err, due, deadline)
+			return stallError(err, due, deadline)
 		}
 		remaining -= n
 	}
 	return nil
 }
 
-// stall is when an answer that has begun and stops counts as malformed.
-func (l *serverConn) stall(deadline time.Time) time.Time {
+// stallDeadline is when an answer that has begun and stops counts as malformed.
+func (l *serverConn) stallDeadline(deadline time.Time) time.Time {
 	due := time.Now().Add(time.Duration(l.all.InForce.Load().Settings.ConnectTimeout) * time.Microsecond)
 	if due.After(deadline) {
 		return deadline
@@ -194,8 +194,8 @@
 	return due
 }
 
-// stalled tells an answer that stopped from one that did not arrive in time.
-func stalled(err error, due, deadline time.Time) error {
+// stallError tells an answer that stopped from one that did not arrive in time.
+func stallError(err error, due, deadline time.Time) error {
 	if errors.Is(err, transport.ErrDeadline) && due.Before(deadline) {
 		return errStalled
 	}
@@ -224,10 +224,10 @@
 	return policy.ExecutionUnknown
 }
 
-// surplusWindow is how long after a refusal a copy of it may be taken for an answer: later ones are there before the next request is
+// duplicateRefusalWindow is how long after a refusal a copy of it may be taken for an answer: later ones are there before the next request is
 // written, and end the connection. It is shorter than the pause that policy makes at a server that has rejected a request (a tick at
 // the least), so that a retry there is believed when it is rejected too.
-const surplusWindow = 2 * time.Millisecond
+const duplicateRefusalWindow = 2 * time.Millisecond
 
 // repeatsRefusal reports whether an error repeats the refusal right before it. It may be a copy of that, which a server or something
 // on the way has sent twice and which has crossed the request written at a time: it proves nothing, and the answer is still to come.
@@ -235,7 +235,7 @@
 	if executionOf(code) != policy.ExecutionNone {
 		return false
 	}
-	repeated := code == l.lastRefusal && written.Sub(l.refusedAt) < surplusWindow
+	repeated := code == l.lastRefusal && written.Sub(l.refusedAt) < duplicateRefusalWindow
 	l.lastRefusal, l.refusedAt = code, time.Now()
 	return repeated
 }
--- a/internal/session/execution_test.go
+++ b/internal/session/execution_test.go
@@ -89,7 +89,7 @@
 		}
 	}
 	send("first", 0, policy.ExecutionNone)
-	send("later", surplusWindow, policy.ExecutionNone)
+	send("later", duplicateRefusalWindow, policy.ExecutionNone)
 	send("crossing", -time.Hour, policy.ExecutionUnknown)
 	send("on-a-new-connection", 0, policy.ExecutionNone)
 	if n := r.server.ConnsOpened(); n != 2 {
--- a/internal/session/interleaving_test.go
+++ b/internal/session/interleaving_test.go
@@ -38,7 +38,7 @@
 		Settings:   policy.Settings{Classes: []policy.Class{{Name: "look", Need: policy.NeedAny}, {Name: "put", Need: policy.NeedWrite}}},
 		ClassIndex: map[string]int{"look": 0, "put": 1}, ClassNames: []string{"look", "put"},
 	})
-	c.all.Limits.Backoff = patience
+	c.all.Limits.Backoff = testTimeout
 	return x
 }
 
@@ -55,7 +55,7 @@
 // awaitArrival waits until all that the peer has written is in our kernel.
 func (x *clientHarness) awaitArrival(closed bool) {
 	x.t.Helper()
-	for end := time.Now().Add(patience); x.c.conn.Silent() || closed && !x.c.conn.PeerClosed(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); x.c.conn.Silent() || closed && !x.c.conn.PeerClosed(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			x.t.Fatal("what the peer wrote never came")
 		}
@@ -68,7 +68,7 @@
 	select {
 	case ev := <-x.events:
 		return ev.(*routing.Request)
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		x.t.Fatal("no request was posted")
 		return nil
 	}
@@ -115,7 +115,7 @@
 		t.Errorf("ended with %v", reason)
 	}
 	for range maxPipelined {
-		if _, gone := (<-x.events).(routing.ClientDisconnected); !gone {
+		if _, disconnected := (<-x.events).(routing.ClientDisconnected); !disconnected {
 			t.Fatal("a request was posted after the close")
 		}
 	}
@@ -123,7 +123,7 @@
 
 // During the backoff after a bad message, the answers to earlier requests are written, and a disconnect is noticed. Fails where
 // the backoff only sleeps.
-func TestBackoffLetsAnswersOutAndSeesTheClose(t *testing.T) {
+func TestAnswersAndDisconnectDuringTheBackoff(t *testing.T) {
 	x := newClientHarness(t)
 	x.peer.Write(append(lookStatement("x"), postgres.AppendQuery(nil, "DROP TABLE kv")...))
 	ended := make(chan transport.Reason, 1)
@@ -148,7 +148,7 @@
 		if reason != transport.EndClientDisconnected {
 			t.Errorf("ended with %v", reason)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the close was not noticed")
 	}
 }
@@ -218,7 +218,7 @@
 			if !errors.Is(err, transport.ErrWoken) {
 				t.Errorf("%d bytes: ended with %v", part, err)
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Errorf("%d bytes: the connection goes on", part)
 		}
 	}
@@ -226,9 +226,9 @@
 
 // An idle connection is closed, and a request arrives at that moment: it is not forwarded, and the client sees an orderly end,
 // after which it may send the request elsewhere. Fails without linger in Serve.
-func TestRequestCrossesTheCloseOfARestingConnection(t *testing.T) {
+func TestRequestDuringTheCloseOfAnIdleConnection(t *testing.T) {
 	x := newClientHarness(t)
-	x.c.all.Limits.Linger = patience
+	x.c.all.Limits.Linger = testTimeout
 	startup := postgres.AppendStartup(nil, "backend", "store")
 	x.peer.Write(startup)
 	served := make(chan struct{})
@@ -255,7 +255,7 @@
 // without linger in rejectConnection.
 func TestRejectionBeforeTheStartUpIsRead(t *testing.T) {
 	x := newClientHarness(t)
-	x.c.all.Limits.Linger = patience
+	x.c.all.Limits.Linger = testTimeout
 	x.peer.Write(append(postgres.AppendStartup(nil, "backend", "store"), lookStatement("x")...))
 	x.awaitArrival(false)
 	served := make(chan struct{})
@@ -273,7 +273,7 @@
 
 func (x *clientHarness) readReady() {
 	x.t.Helper()
-	x.peer.SetReadDeadline(time.Now().Add(patience))
+	x.peer.SetReadDeadline(time.Now().Add(testTimeout))
 	for {
 		head := make([]byte, postgres.HeaderSize)
 		if _, err := io.ReadFull(x.peer, head); err != nil {
@@ -294,7 +294,7 @@
 
 func (x *clientHarness) readEnd() {
 	x.t.Helper()
-	x.peer.SetReadDeadline(time.Now().Add(patience))
+	x.peer.SetReadDeadline(time.Now().Add(testTimeout))
 	if n, err := x.peer.Read(make([]byte, 1)); n != 0 || err != io.EOF {
 		x.t.Fatalf("%d bytes, %v, want the end", n, err)
 	}
@@ -302,7 +302,7 @@
 
 // A task that is cancelled at the moment its complete answer was read leaves a connection that is not used again. Fails without
 // the check for the abort in finishTask.
-func TestAbandonedBehindItsAnswer(t *testing.T) {
+func TestCancelAfterACompleteAnswer(t *testing.T) {
 	r := newHarness(t)
 	answered := newTask(r.job("a"))
 	l := &serverConn{all: r.servers, endpoint: r.servers.endpointOf(1), current: answered}
@@ -312,7 +312,7 @@
 	e, reason, err := l.exchange(answered)
 	answered.conn = l
 	answered.Cancel()
-	if reason, err := l.finishTask(answered, e, reason, err); reason != carryOn || err != nil {
+	if reason, err := l.finishTask(answered, e, reason, err); reason != notEnded || err != nil {
 		t.Fatal(reason, err)
 	}
 	if e := r.attemptEnded(); e.Result != policy.ResultOK {
@@ -328,7 +328,7 @@
 
 // A task that is cancelled after the connection was made and before the first byte is not sent: the server never sees it. Fails
 // without the check for the abort in Write.
-func TestAbandonedBeforeItsFirstByte(t *testing.T) {
+func TestCancelBeforeTheFirstByte(t *testing.T) {
 	r := newHarness(t)
 	task := newTask(r.job("a"))
 	l := &serverConn{all: r.servers, endpoint: r.servers.endpointOf(1), current: task}
@@ -359,7 +359,7 @@
 		r := newHarness(t)
 		r.server.SetQueryHandler(handle)
 		job := r.job("a")
-		job.Deadline = job.SentAt + 4*clock.Micros(patience/time.Microsecond)
+		job.Deadline = job.SentAt + 4*clock.Micros(testTimeout/time.Microsecond)
 		r.servers.Send(job)
 		if e := r.attemptEnded(); e.Result != want {
 			t.Errorf("ended with %d, want %d", e.Result, want)
@@ -384,12 +384,12 @@
 // disconnectingQueue has the client disconnect as its request is posted.
 type disconnectingQueue struct {
 	poster
-	leave func()
+	disconnect func()
 }
 
 func (q disconnectingQueue) Post(ev routing.Event) {
 	if _, is := ev.(*routing.Request); is {
-		q.leave()
+		q.disconnect()
 	}
 	q.poster.Post(ev)
 }
@@ -400,9 +400,9 @@
 	for name, late := range map[string]bool{"before": false, "in the moment": true} {
 		t.Run(name, func(t *testing.T) {
 			x := newClientHarness(t)
-			facts := *x.c.all.InForce.Load()
-			facts.Settings.Classes[0].Need = policy.NeedSession
-			x.c.all.InForce.Store(&facts)
+			snapshot := *x.c.all.InForce.Load()
+			snapshot.Settings.Classes[0].Need = policy.NeedSession
+			x.c.all.InForce.Store(&snapshot)
 			positions := &slowPositions{}
 			x.c.all.SessionPositions = positions
 			x.peer.Write(lookStatement("x"))
@@ -419,14 +419,14 @@
 			}
 			positions.required(1)
 			close(x.events)
-			routed, gone := false, false
+			routed, disconnected := false, false
 			for ev := range x.events {
 				_, isRequest := ev.(*routing.Request)
 				routed = routed || isRequest
-				gone = !isRequest // the last event counts
+				disconnected = !isRequest // the last event counts
 			}
-			if !gone || routed != late {
-				t.Errorf("posted %v, and then the disconnect: %v", routed, gone)
+			if !disconnected || routed != late {
+				t.Errorf("posted %v, and then the disconnect: %v", routed, disconnected)
 			}
 		})
 	}
@@ -447,13 +447,13 @@
 // accept takes a connection in and reads its start-up.
 func (s *slowServer) accept() net.Conn {
 	s.t.Helper()
-	s.l.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
+	s.l.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
 	nc, err := s.l.Accept()
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(func() { nc.Close() })
-	nc.SetDeadline(time.Now().Add(patience))
+	nc.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.ReadFull(nc, make([]byte, len(postgres.AppendStartup(nil, "backend", "store")))); err != nil {
 		s.t.Fatal(err)
 	}
@@ -466,14 +466,14 @@
 // A server that is removed from the list, or gets another address, while a connection to it is being made gets no byte of a
 // request on it: the attempt never ran, and may be sent elsewhere. What is sent after its return arrives. Fails without
 // withdrawn in exchange.
-func TestWithdrawnWhileAConnectionComesUp(t *testing.T) {
+func TestWithdrawnWhileConnecting(t *testing.T) {
 	for name, change := range map[string]func(*harness){
 		"taken out": func(r *harness) { r.servers.Withdraw(1) },
 		"moved":     func(r *harness) { r.servers.SetEndpoint(1, r.server.Addr()) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t)
-			r.changeSettings(func(f *settings.Snapshot) { f.Settings.ConnectTimeout = clock.Micros(patience / time.Microsecond) })
+			r.changeSettings(func(f *settings.Snapshot) { f.Settings.ConnectTimeout = clock.Micros(testTimeout / time.Microsecond) })
 			slow := newSlowServer(t, r)
 			r.servers.Send(r.job("a"))
 			nc := slow.accept()
@@ -498,9 +498,9 @@
 
 // The time sent to a server is what is left when its first byte is written, not when the connection was begun. Fails where it is
 // computed before the connection is up.
-func TestTimeSentIsWhatIsLeft(t *testing.T) {
+func TestRequestCarriesTheRemainingTime(t *testing.T) {
 	r := newHarness(t)
-	r.changeSettings(func(f *settings.Snapshot) { f.Settings.ConnectTimeout = clock.Micros(patience / time.Microsecond) })
+	r.changeSettings(func(f *settings.Snapshot) { f.Settings.ConnectTimeout = clock.Micros(testTimeout / time.Microsecond) })
 	slow := newSlowServer(t, r)
 	job := r.job("a")
 	r.servers.Send(job)
--- a/internal/session/requests.go
+++ b/internal/session/requests.go
@@ -48,7 +48,7 @@
 	}
 	resolver := c.all.InDoubtWrites
 	in.inDoubt = in.statement.Write && resolver != nil && resolver.Covers(in.statement.Class)
-	c.known = true
+	c.sentRequest = true
 	if !c.admit(in) {
 		c.release(in)
 		return 0, nil
@@ -66,11 +66,11 @@
 	if !c.all.Buffers.Reserve(in.reserve) {
 		c.all.Counts.OverMemory.Add(1)
 		c.respondError(postgres.CodeTooManyConnections, "the gateway has no memory left for this")
-		reason, err := reasoned(c.conn.SkipUntil(body, deadline, c.interrupted))
+		reason, err := withReason(c.conn.SkipUntil(body, deadline, c.flushOrStop))
 		return nil, reason, err
 	}
 	in.text = c.all.Buffers.NewMessage()
-	if err := c.conn.Fill(in.text, body, deadline, c.interrupted); err != nil {
+	if err := c.conn.Fill(in.text, body, deadline, c.flushOrStop); err != nil {
 		c.release(in)
 		if transport.ReasonOf(err) == transport.EndTimeout {
 			c.end(errors.New("the message did not come in time"))
@@ -143,9 +143,9 @@
 // admit reports whether a request may be submitted, and rejects it unsent if not. The repeat of an in-doubt write may have run
 // already: it is looked up, and never rejected here.
 func (c *client) admit(in *received) bool {
-	known := in.inDoubt && in.statement.Retry
+	mayHaveRun := in.inDoubt && in.statement.Retry
 	switch {
-	case known:
+	case mayHaveRun:
 	case c.all.MayAdmit != nil && !c.all.MayAdmit():
 		// The process was suspended, and another gateway may have the address by now: the client may connect there.
 		c.all.Counts.AddressMoved.Add(1)
@@ -175,17 +175,17 @@
 		Arrival: in.arrival, ReadAt: c.all.Clock.Now(),
 		Timeout: clock.Micros(wait) * 1000, MinPosition: clock.Micros(in.statement.After) * 1000,
 	}
-	patience := time.Duration(wait) * time.Millisecond
+	timeout := time.Duration(wait) * time.Millisecond
 	storesPosition, group, session := c.storesPosition(in), in.arrival.Group, in.arrival.Session
 	if storesPosition && in.statement.Write {
-		q.position = &writePosition{c.all.SessionPositions, group, session, time.Now().Add(patience)}
+		q.position = &writePosition{c.all.SessionPositions, group, session, time.Now().Add(timeout)}
 	}
 	c.push(q)
 	if !storesPosition || in.statement.Write {
 		c.dispatch(q, r, in.inDoubt)
 		return
 	}
-	c.all.SessionPositions.Required(group, session, time.Now().Add(patience/positionWaitShare), func(needed policy.Position) {
+	c.all.SessionPositions.Required(group, session, time.Now().Add(timeout/positionWaitShare), func(needed policy.Position) {
 		r.MinPosition = max(r.MinPosition, needed)
 		q.postUnlessDisconnected(r)
 	})
@@ -203,10 +203,10 @@
 	}
 	payload := r.Payload.(*query)
 	st := &payload.statement
-	words, wrote := postgres.SplitStatement(bytes.Join(payload.text.BuffersFrom(0), nil))
+	statement, value := postgres.SplitStatement(bytes.Join(payload.text.BuffersFrom(0), nil))
 	q.request = r
 	q.write = c.all.InDoubtWrites.NewWrite(intents.Request{
-		ID: st.ID, Class: st.Class, Group: st.Group, Key: st.Key, Statement: words, Value: wrote, Repeat: st.Retry,
+		ID: st.ID, Class: st.Class, Group: st.Group, Key: st.Key, Statement: statement, Value: value, Repeat: st.Retry,
 		Deadline: time.Now().Add(time.Duration(st.TimeoutMillis) * time.Millisecond),
 	}, q)
 	payload.write = q.write
--- a/internal/session/server_conn.go
+++ b/internal/session/server_conn.go
@@ -74,8 +74,8 @@
 	return l.current
 }
 
-// disturbed reports whether an idle connection has been given a task or asked to close.
-func (l *serverConn) disturbed() bool {
+// hasTaskOrClosing reports whether an idle connection has been given a task or asked to close.
+func (l *serverConn) hasTaskOrClosing() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.current != nil || l.closing
@@ -99,18 +99,18 @@
 	}
 	for {
 		reason, err = l.carryOut()
-		if reason == carryOn {
+		if reason == notEnded {
 			reason, err = l.idle()
 		}
-		if reason != carryOn {
+		if reason != notEnded {
 			break
 		}
 	}
 	l.all.Ends.Record(transport.Server, l.endpoint.endpoint, reason, since, l.served, err)
 }
 
-// carryOn takes the place of the reason for a connection that has not ended.
-const carryOn = transport.Reason(255)
+// notEnded takes the place of the reason for a connection that has not ended.
+const notEnded = transport.Reason(255)
 
 // connect dials and starts up, within the connect timeout.
 func (l *serverConn) connect(t *task) (policy.Result, transport.Reason, error) {
@@ -160,7 +160,7 @@
 // finishTask closes the connection or returns it to the pool, and tells the owner how its task ended.
 func (l *serverConn) finishTask(t *task, result taskResult, reason transport.Reason, err error) (transport.Reason, error) {
 	l.served++
-	if reason != carryOn {
+	if reason != notEnded {
 		l.end()
 		switch {
 		case t.healthCheck && result.result == policy.ResultTimeout:
@@ -194,7 +194,7 @@
 		l.endpoint.idle.Put(l)
 	}
 	l.all.postEnded(t, result)
-	return carryOn, nil
+	return notEnded, nil
 }
 
 // end closes the connection.
@@ -214,7 +214,7 @@
 func (l *serverConn) idle() (transport.Reason, error) {
 	deadline := time.Now().Add(l.all.idleAfter())
 	for {
-		err := l.conn.Wait(postgres.HeaderSize, deadline, l.disturbed)
+		err := l.conn.Wait(postgres.HeaderSize, deadline, l.hasTaskOrClosing)
 		if err == nil {
 			if err = l.skipAsync(); err == nil {
 				continue
@@ -226,12 +226,12 @@
 			l.closing = true // from here on assign fails
 		}
 		l.mu.Unlock()
-		unasked := errors.Is(err, errUnsolicited)
+		unsolicited := errors.Is(err, errUnsolicited)
 		switch {
-		case next != nil && !unasked:
+		case next != nil && !unsolicited:
 			l.all.Fds.MarkBusy(l)
-			return carryOn, nil
-		case unasked:
+			return notEnded, nil
+		case unsolicited:
 			reason = transport.EndServerFailed
 		case closing:
 			err = nil
--- a/internal/session/server_conn_test.go
+++ b/internal/session/server_conn_test.go
@@ -24,8 +24,8 @@
 	events  chan routing.Event
 }
 
-// patience bounds every wait for an event; only a test that fails reaches it.
-const patience = 20 * time.Second
+// testTimeout bounds every wait for an event; only a test that fails reaches it.
+const testTimeout = 20 * time.Second
 
 func newHarness(t *testing.T) *harness {
 	t.Helper()
@@ -34,9 +34,9 @@
 		t.Fatal(err)
 	}
 	r := &harness{t: t, server: server, events: make(chan routing.Event, 64)}
-	facts := &settings.Snapshot{Settings: policy.Settings{ConnectTimeout: 250_000}, Keepalive: 30_000_000}
+	snapshot := &settings.Snapshot{Settings: policy.Settings{ConnectTimeout: 250_000}, Keepalive: 30_000_000}
 	r.servers = &Servers{
-		Owner: poster(r.events), InForce: settings.NewLive(facts), Buffers: transport.NewBuffers(1 << 24),
+		Owner: poster(r.events), InForce: settings.NewLive(snapshot), Buffers: transport.NewBuffers(1 << 24),
 		Fds: transport.NewDescriptors(1024), Ends: transport.NewEndRecorder(zerolog.Nop()), Clock: routing.NewClock(),
 		User: "backend", DB: "store",
 	}
@@ -78,7 +78,7 @@
 	select {
 	case ev := <-r.events:
 		return ev.(routing.AttemptEnded)
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		r.t.Fatal("nothing was posted")
 		return routing.AttemptEnded{}
 	}
@@ -165,7 +165,7 @@
 	}
 	select { // the connection to the old place does not linger
 	case <-r.server.Closed:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the connection to the old place stays")
 	}
 	r.servers.Send(r.job("b"))
@@ -181,7 +181,7 @@
 	r.servers.SetEndpoint(1, "127.0.0.1:9")
 	select {
 	case <-r.server.Closed:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the connection stays")
 	}
 }
@@ -256,7 +256,7 @@
 		if n != 2 {
 			t.Errorf("connection %d ended, want the idle one", n)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the idle connection stays")
 	}
 	close(release)
@@ -267,7 +267,7 @@
 
 // A health check without an answer closes the other idle connections to the server: the machine may be cut off, and when it is
 // back its kernel knows none of them.
-func TestSilentHealthCheckClosesSiblings(t *testing.T) {
+func TestHealthCheckTimeoutClosesIdleConnections(t *testing.T) {
 	r := newHarness(t)
 	arrived, release := make(chan struct{}, 2), make(chan struct{})
 	r.server.SetQueryHandler(func(q *fake.Query) {
@@ -294,7 +294,7 @@
 	for range 2 {
 		select {
 		case <-r.server.Closed:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("an idle sibling stays")
 		}
 	}
@@ -339,18 +339,18 @@
 // A malformed answer is an attempt that may have run: nothing in it is used, and its connection is never used again. None of them
 // may hold its request up until the deadline.
 func TestMalformedAnswers(t *testing.T) {
-	whole := string(fake.RowMessages([]byte("v")))
-	claims := message('S', "role\x00primary\x00") + message('S', "applied_ms\x001796133629826\x00")
+	answer := string(fake.RowMessages([]byte("v")))
+	params := message('S', "role\x00primary\x00") + message('S', "applied_ms\x001796133629826\x00")
 	for name, raw := range map[string]string{
 		"noise":                         "\x91\x02\xfe\x00\x7f\x11 and more of it",
 		"a line that never ends":        strings.Repeat("x", 300<<10),
-		"a value said to hold 3 GB":     whole[:len(whole)-len(message('C', "SELECT 1\x00"))-12] + "D\xb2\xd0\x5e\x00" + strings.Repeat("y", 300<<10),
+		"a value said to hold 3 GB":     answer[:len(answer)-len(message('C', "SELECT 1\x00"))-12] + "D\xb2\xd0\x5e\x00" + strings.Repeat("y", 300<<10),
 		"a length below four":           "T\x00\x00\x00\x01",
-		"a refusal that cannot be read": claims + message('E', "C53300") + message('Z', "I"),
-		"a row that stops":              claims + whole[:len(whole)-20],
+		"a refusal that cannot be read": params + message('E', "C53300") + message('Z', "I"),
+		"a row that stops":              params + answer[:len(answer)-20],
 		"a header that stops":           "T\x00\x00",
-		"an answer without its end":     claims + message('T', whole[5:5+26+4])[:20],
-		"noise before the end":          claims + whole + "\x00\x00\x00\x00\x00\x00\x00",
+		"an answer without its end":     params + message('T', answer[5:5+26+4])[:20],
+		"noise before the end":          params + answer + "\x00\x00\x00\x00\x00\x00\x00",
 	} {
 		r := newHarness(t)
 		r.server.SetQueryHandler(func(q *fake.Query) { q.Write([]byte(raw)) })
@@ -370,7 +370,7 @@
 }
 
 // What follows directly after a good answer is never taken for the next request's answer.
-func TestSurplusBehindAnAnswer(t *testing.T) {
+func TestExtraBytesAfterAnAnswer(t *testing.T) {
 	r := newHarness(t)
 	whole := string(fake.RowMessages([]byte("first"))) + message('Z', "I")
 	r.server.SetQueryHandler(func(q *fake.Query) {
@@ -422,9 +422,9 @@
 		}
 		q.ReplyRow([]byte("v"))
 	})
-	send := func(id string, once bool) policy.Result {
+	send := func(id string, nonIdempotent bool) policy.Result {
 		job := r.job(id)
-		job.NonIdempotent = once
+		job.NonIdempotent = nonIdempotent
 		r.servers.Send(job)
 		e := r.attemptEnded()
 		e.Value.Free()
--- a/internal/transport/close_test.go
+++ b/internal/transport/close_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// until waits until a condition holds that the kernel brings about.
-func until(t *testing.T, holds func() bool, what string) {
+// waitUntil waits waitUntil a condition holds that the kernel brings about.
+func waitUntil(t *testing.T, holds func() bool, what string) {
 	t.Helper()
 	for end := testDeadline(); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -38,7 +38,7 @@
 	for _, reset := range []bool{false, true} {
 		c, peer := connected(t)
 		peer.Write([]byte("unread"))
-		until(t, func() bool { return !c.Silent() }, "the bytes never came")
+		waitUntil(t, func() bool { return !c.Silent() }, "the bytes never came")
 		if c.PeerClosed() {
 			t.Fatal("an open connection is reported closed")
 		}
@@ -46,7 +46,7 @@
 			peer.SetLinger(0)
 		}
 		peer.Close()
-		until(t, c.PeerClosed, "the close is not seen")
+		waitUntil(t, c.PeerClosed, "the close is not seen")
 	}
 	c, _ := connected(t)
 	c.Close()
@@ -64,7 +64,7 @@
 		t.Fatal(err)
 	}
 	peer.Write([]byte("a request that nobody reads"))
-	until(t, func() bool { return !c.Silent() }, "the request never came")
+	waitUntil(t, func() bool { return !c.Silent() }, "the request never came")
 	closed := make(chan struct{})
 	go func() {
 		defer close(closed)
--- a/internal/transport/descriptors.go
+++ b/internal/transport/descriptors.go
@@ -137,7 +137,7 @@
 func (d *Descriptors) MarkIdle(x Idler, class IdleClass) {
 	var evicted Idler
 	d.mu.Lock()
-	if _, parked := d.positions[x]; !parked {
+	if _, alreadyIdle := d.positions[x]; !alreadyIdle {
 		d.positions[x] = idlePosition{d.idle[class], d.idle[class].PushBack(x)}
 		if class == IdleServedClient && d.idle[class].Len() > d.maxIdleServed {
 			evicted = d.removeOldest(class)
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -56,11 +56,11 @@
 		nc, err := l.tcp.AcceptTCP()
 		switch {
 		case err == nil:
-			stays := l.acquire()
+			admitted := l.acquire()
 			l.connections.Add(1)
 			go func() { // not WaitGroup.Go, which would allocate a second closure for each connection
 				defer l.connections.Done()
-				serve(newConn(nc, l.buffers, l.descriptors, !l.FromGateways), stays)
+				serve(newConn(nc, l.buffers, l.descriptors, !l.FromGateways), admitted)
 			}()
 		case errors.Is(err, net.ErrClosed):
 			return
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -156,33 +156,33 @@
 
 func TestWait(t *testing.T) {
 	c, peer := connected(t)
-	left := false
+	hasWork := false
 	var mu sync.Mutex
 	pending := func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return left
+		return hasWork
 	}
-	leave := func() {
+	addWork := func() {
 		mu.Lock()
-		left = true
+		hasWork = true
 		mu.Unlock()
 		c.Wake()
 	}
-	leave() // before the wait
+	addWork() // before the wait
 	if err := c.Wait(1, testDeadline(), pending); !errors.Is(err, ErrWoken) {
 		t.Fatalf("left before: %v", err)
 	}
-	left = false
+	hasWork = false
 	c.Wake() // for nothing
-	asked := make(chan struct{}, 8)
+	polled := make(chan struct{}, 8)
 	go func() {
-		<-asked
-		leave()
+		<-polled
+		addWork()
 	}()
 	err := c.Wait(1, testDeadline(), func() bool {
 		select {
-		case asked <- struct{}{}:
+		case polled <- struct{}{}:
 		default:
 		}
 		return pending()
@@ -190,7 +190,7 @@
 	if !errors.Is(err, ErrWoken) {
 		t.Fatalf("left meanwhile: %v", err)
 	}
-	left = false
+	hasWork = false
 	if err := c.Wait(1, time.Now(), pending); !errors.Is(err, ErrDeadline) {
 		t.Fatalf("at the deadline: %v", err)
 	}
