--- a/internal/session/answers.go
+++ b/internal/session/answers.go
@@ -10,18 +10,18 @@
 	"marblespan/internal/transport"
 )
 
-// maxPipelined is how many queries of one connection may await their answers. Beyond it nothing more is read: a client that
-// sends hundreds at once takes a bounded part of the memory and of the owner's time.
+// maxPipelined is the maximum number of unanswered queries per connection. When it is reached, the connection is not read from,
+// so that a client that sends hundreds of queries at once uses a bounded share of the memory and of the owner's time.
 const maxPipelined = 64
 
-// push puts a query at the end of the order of answers.
+// push appends a query to the queue, whose order is the order of the answers.
 func (c *client) push(q *pendingQuery) {
 	c.mu.Lock()
 	c.queue = append(c.queue, q)
 	c.mu.Unlock()
 }
 
-// enqueueResponse puts an answer of the gateway's own into the order of answers.
+// enqueueResponse appends an answer that the gateway itself made to the queue.
 func (c *client) enqueueResponse(text []byte) { c.push(&pendingQuery{client: c, text: text}) }
 
 // respondError answers a query that never became a request.
@@ -29,30 +29,31 @@
 	c.enqueueResponse(postgres.AppendReadyForQuery(postgres.AppendErrorResponse(nil, false, code, message, 0)))
 }
 
-// rejectStatement answers a bad statement, and penalizes it.
+// rejectStatement answers an invalid statement with an error and applies the penalty for bad messages.
 func (c *client) rejectStatement(code, message string) (transport.Reason, error) {
 	c.respondError(code, message)
 	return c.penalize()
 }
 
-// sentAhead reports whether the client has sent more than the message just read: its close may lie behind that.
+// sentAhead reports whether the client sends without waiting for answers: bytes are buffered beyond the message just read, or
+// queries are unanswered. Such a client may have closed the connection already, with the close behind unread bytes.
 func (c *client) sentAhead() bool { return c.conn.Buffered() > 0 || c.waiting() > 0 }
 
-// waiting is how many queries await their answers.
+// waiting returns the number of unanswered queries.
 func (c *client) waiting() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.queue)
 }
 
-// answerDue reports whether the oldest query has its answer.
+// answerDue reports whether the answer to the oldest query is available.
 func (c *client) answerDue() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.queue) > 0 && (c.queue[0].answer != nil || c.queue[0].text != nil)
 }
 
-// flush writes the answers that are due, in the order of their queries.
+// flush writes the available answers in the order of their queries, up to the first query without an answer.
 func (c *client) flush() (transport.Reason, error) {
 	for c.answerDue() {
 		c.mu.Lock()
@@ -70,7 +71,7 @@
 	return 0, nil
 }
 
-// writeAnswer writes one answer.
+// writeAnswer writes the answer to one query.
 func (c *client) writeAnswer(q *pendingQuery) (transport.Reason, error) {
 	if q.answer == nil {
 		return withReason(c.write(q.text))
@@ -97,7 +98,7 @@
 	return c.penalize()
 }
 
-// withReason adds the reason for which a connection ends to an error.
+// withReason returns the error together with the reason to record for the connection's end.
 func withReason(err error) (transport.Reason, error) {
 	if err != nil {
 		return transport.ReasonOf(err), err
@@ -105,8 +106,9 @@
 	return 0, nil
 }
 
-// watch waits until the oldest query has its answer or the gateway shuts down, returned as ErrWoken, or a further message has
-// arrived, completely if it fits a buffer. A client that closes meanwhile has disconnected.
+// watch waits while queries are unanswered. It returns ErrWoken when the answer to the oldest query is available or the time
+// set by cutOff has passed, and nil when another message has arrived: completely if it fits into a buffer, otherwise its header.
+// If the client closes the connection meanwhile, the reason is EndClientDisconnected.
 func (c *client) watch() (transport.Reason, error) {
 	if c.readingStopped || c.waiting() >= maxPipelined {
 		return c.watchUnread()
@@ -132,8 +134,8 @@
 	}
 }
 
-// watchUnread is watch while nothing more is read. What the client has sent stays in the socket, and its close shows in the
-// state of the connection only.
+// watchUnread does the work of watch while the connection is not read from. The bytes that the client has sent stay in the
+// socket, so a close is found only by polling the state of the connection.
 func (c *client) watchUnread() (transport.Reason, error) {
 	for !c.answerDue() {
 		if c.conn.PeerClosed() {
@@ -144,7 +146,7 @@
 	return 0, transport.ErrWoken
 }
 
-// awaitAnswer waits until an answer was delivered, or for a time.
+// awaitAnswer waits until an answer has been delivered or the timeout has passed.
 func (c *client) awaitAnswer(timeout time.Duration) {
 	wait := time.NewTimer(timeout)
 	defer wait.Stop()
@@ -154,11 +156,11 @@
 	}
 }
 
-// abandonQueries is the first step after a client has disconnected, and the last of its connection's goroutine. Answers that
-// have arrived or still arrive are dropped. Each open query goes one of two ways:
+// abandonQueries starts the cleanup after a client has disconnected. It is the last step of the connection's goroutine. Answers
+// that have arrived or still arrive are dropped. Each open query is handled in one of two ways:
 //   - A query in routing: ClientDisconnected is posted, and routing cancels the attempt (see package routing).
-//   - An in-doubt write: its resolver is told by Write.Cancel. An attempt already sent is not cancelled, so that whoever
-//     repeats the write finds its result.
+//   - An in-doubt write: Write.Cancel informs its resolver. An attempt already sent is not cancelled, so that a client that
+//     repeats the write gets its result.
 func (c *client) abandonQueries() {
 	c.mu.Lock()
 	queue := c.queue
@@ -178,7 +180,7 @@
 		c.all.Buffers.Release(q.reserve)
 		switch {
 		case q.text != nil || q.answer != nil:
-		case q.write != nil: // what has gone out is still waited for: whoever asks again has its answer
+		case q.write != nil: // an attempt already sent goes on, so that a repeat of the write gets its result
 			q.write.Cancel()
 		default:
 			c.all.Owner.Post(routing.ClientDisconnected{Client: q})
--- a/internal/session/client.go
+++ b/internal/session/client.go
@@ -13,45 +13,46 @@
 	"marblespan/internal/transport"
 )
 
-// maxBadMessages is how many bad messages a connection may send. Each is followed by a backoff twice as long as the one before,
-// so that the last ones come seconds after the first. It guards against clients that repeat the same at full speed; a client
-// in service sends none.
+// maxBadMessages is the number of bad messages after which a connection is ended. Each bad message is followed by a backoff twice
+// as long as the previous one, so that the last ones arrive seconds after the first. The limit guards against clients that repeat
+// the same bad message at full speed; a client that works correctly sends none.
 const maxBadMessages = 8
 
-// closeCheck is how often a client that is not being read from is checked for having closed: its requests are cancelled then,
-// and no attempt may begin more than 0.1 s after the close.
+// closeCheck is the interval at which a connection that is not being read from is polled for a close by the client. After a close
+// its requests are cancelled, and no attempt may begin more than 0.1 s after the close.
 const closeCheck = 40 * time.Millisecond
 
-// lateRequestGrace is how long a request may take to arrive that was on its way in when the time of its connection was up.
+// lateRequestGrace is how much longer the connection waits for a request that has begun to arrive when the idle time or, in a
+// shutdown, the time for reading is up.
 const lateRequestGrace = 100 * time.Millisecond
 
-// client is one client's connection. Its goroutine alone reads and writes the socket, and answers queries in their order; each is
-// sent on its way as soon as it has been read. The fields behind mu are shared with the goroutines that deliver answers or ask
-// for the connection's end.
+// client is one client's connection. Only its goroutine reads and writes the socket. It submits each query as soon as it has been
+// read, and writes the answers in the order of the queries. The fields guarded by mu are shared with the goroutines that deliver
+// answers or ask the connection to close.
 type client struct {
 	all         *Clients
 	conn        *transport.Conn
-	answerReady chan struct{} // an answer was delivered, for when the socket is not watched
+	answerReady chan struct{} // signals a delivered answer while the goroutine does not wait on the socket
 
-	mu      sync.Mutex
-	queue   []*pendingQuery // awaiting their answers, oldest first
-	waitingIdle bool            // waiting between requests: nothing is lost if it is woken
-	closing bool
-	cutOffAt   time.Time // in a shutdown: when incomplete messages are waited for no longer; zero: never
-	reason  transport.Reason
-	served  int
+	mu          sync.Mutex
+	queue       []*pendingQuery // unanswered, oldest first
+	waitingIdle bool            // the goroutine waits between requests; waking it interrupts no message
+	closing     bool
+	cutOffAt    time.Time // in a shutdown: the time after which nothing more is read; zero: no limit
+	reason      transport.Reason
+	served      int
 
-	firstRequestDeadline       time.Time // deadline of the first request
-	sentRequest       bool      // it has sent a complete request
-	badMessages int       // received so far
+	firstRequestDeadline time.Time // deadline of the first request
+	sentRequest          bool      // the client has sent a complete request
+	badMessages          int       // number received so far
 
 	skipping       bool             // after an error in the extended protocol, up to Sync
-	readingStopped bool             // nothing more is read: its framing is lost, or the gateway shuts down
-	writeReason         transport.Reason // why an answer could not be written while a message was read
+	readingStopped bool             // nothing more is read: the framing is lost, or the gateway shuts down
+	writeReason    transport.Reason // why an answer could not be written while a message was read
 	writeErr       error
 }
 
-// CloseIdle asks the connection to close as soon as it has nothing to do.
+// CloseIdle asks the connection to close as soon as it is idle.
 func (c *client) CloseIdle(reason transport.Reason) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,14 +64,14 @@
 	}
 }
 
-// setWaitingIdle notes whether the connection waits between requests.
+// setWaitingIdle records whether the connection waits between requests.
 func (c *client) setWaitingIdle(on bool) {
 	c.mu.Lock()
 	c.waitingIdle = on
 	c.mu.Unlock()
 }
 
-// cutOff has the connection wait for messages for no longer than lateRequest from now on.
+// cutOff limits reading from the connection: lateRequestGrace after now, nothing more is read.
 func (c *client) cutOff(now time.Time) {
 	c.mu.Lock()
 	c.cutOffAt = now.Add(lateRequestGrace)
@@ -78,14 +79,15 @@
 	time.AfterFunc(lateRequestGrace, c.conn.Wake)
 }
 
-// pastCutOff reports whether nothing more is to be read.
+// pastCutOff reports whether the time set by cutOff has passed, after which nothing more is read.
 func (c *client) pastCutOff() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.cutOffAt.IsZero() && !time.Now().Before(c.cutOffAt)
 }
 
-// flushOrStop writes the answers that are due while a message is being read, and reports whether reading has to end.
+// flushOrStop writes the available answers while a message is being read. It reports whether reading must stop: because a write
+// failed, or the time set by cutOff has passed.
 func (c *client) flushOrStop() bool {
 	if c.writeErr == nil {
 		c.writeReason, c.writeErr = c.flush()
@@ -99,8 +101,8 @@
 	return c.closing
 }
 
-// deadline is when the client must have done what it has a time limit for. Before its first request one deadline applies to
-// everything.
+// deadline returns the deadline for an action of the client with the given time limit. Before the client's first request, the
+// deadline of that request applies to all actions.
 func (c *client) deadline(limit time.Duration) time.Time {
 	if !c.sentRequest {
 		return c.firstRequestDeadline
@@ -108,19 +110,19 @@
 	return time.Now().Add(limit)
 }
 
-// run serves the start-up and then one message after another.
+// run serves the connection: the start-up, and then one message after another.
 func (c *client) run(process uint32) (transport.Reason, error) {
 	defer c.abandonQueries()
 	if reason, err := c.startup(process); err != nil {
 		return reason, err
 	}
-	if reason, draining := c.all.isDraining(); draining { // it came after Drain had listed the open connections
+	if reason, draining := c.all.isDraining(); draining { // the connection may have been registered after Drain listed the open ones
 		c.CloseIdle(reason)
 	}
 	return c.serveMessages()
 }
 
-// startup answers the connection's first packets.
+// startup reads and answers the packets before the first message. It returns a nil error when the session has started.
 func (c *client) startup(process uint32) (transport.Reason, error) {
 	for {
 		if reason, err := c.idle(4); err != nil {
@@ -159,7 +161,7 @@
 	}
 }
 
-// serveMessages reads one message after another and writes the answers. It goes on reading while answers are awaited.
+// serveMessages reads one message after another and writes the answers. It continues to read while queries are unanswered.
 func (c *client) serveMessages() (transport.Reason, error) {
 	for {
 		reason, err := c.flush()
@@ -190,7 +192,7 @@
 	}
 }
 
-// handleMessage reads one message whose header has arrived. The answer, if it has one, takes its place in the queue.
+// handleMessage reads and handles one message whose header has arrived. The answer, if the message has one, is queued.
 func (c *client) handleMessage() (transport.Reason, error) {
 	header, err := postgres.ParseHeader(c.conn.Peek(postgres.HeaderSize))
 	if err != nil {
@@ -229,7 +231,8 @@
 	return c.reject(errors.New("message of unknown type " + strconv.Quote(string(header.Type))))
 }
 
-// idle waits for n bytes between requests. What has arrived already is served, even if the connection has been asked to close.
+// idle waits for n bytes between requests. A request that has begun to arrive is served even if the connection has been asked to
+// close.
 func (c *client) idle(n int) (transport.Reason, error) {
 	kind := transport.IdleNewClient
 	if c.sentRequest {
@@ -259,7 +262,7 @@
 				defer c.mu.Unlock()
 				return c.reason, err
 			}
-			pending = c.pastCutOff // a request is on its way in: closing now would cut it off
+			pending = c.pastCutOff // a request has begun to arrive; closing now would lose it
 		case errors.Is(err, transport.ErrDeadline):
 			switch {
 			case c.conn.Buffered() > 0:
@@ -274,7 +277,8 @@
 	}
 }
 
-// penalize counts a bad message. Its sender gets the answer at once, but its next message is read only after a backoff.
+// penalize counts a bad message. The client gets its answer at once, but its next message is read only after a backoff. After
+// maxBadMessages bad messages the connection is ended.
 func (c *client) penalize() (transport.Reason, error) {
 	c.all.Counts.Malformed.Add(1)
 	if reason, err := c.flush(); err != nil {
@@ -286,7 +290,7 @@
 	return c.backOff(c.all.Limits.Backoff << c.badMessages)
 }
 
-// backOff waits before the next message is read. Answers are written meanwhile, and a disconnect is noticed.
+// backOff waits for the delay before the next message is read. Meanwhile it writes available answers and notices a disconnect.
 func (c *client) backOff(delay time.Duration) (transport.Reason, error) {
 	for end := time.Now().Add(delay); ; {
 		if reason, err := c.flush(); err != nil {
@@ -303,13 +307,13 @@
 	}
 }
 
-// reject ends a connection whose framing is lost.
+// reject ends a connection whose next message cannot be located, because the start-up or a message header is invalid.
 func (c *client) reject(cause error) (transport.Reason, error) {
 	c.all.Counts.Malformed.Add(1)
 	return c.end(cause)
 }
 
-// drainAnswers answers the open queries and reads nothing more.
+// drainAnswers stops reading and waits until every open query has been answered.
 func (c *client) drainAnswers() (transport.Reason, error) {
 	c.readingStopped = true
 	for c.waiting() > 0 {
@@ -325,7 +329,7 @@
 	return 0, nil
 }
 
-// finishShutdown answers the open queries and ends the connection, as the gateway shuts down.
+// finishShutdown waits until the open queries have been answered, and ends the connection because the gateway shuts down.
 func (c *client) finishShutdown() (transport.Reason, error) {
 	if reason, err := c.drainAnswers(); err != nil {
 		return reason, err
@@ -334,7 +338,7 @@
 	return reason, transport.ErrWoken
 }
 
-// end answers the open queries, sends a last error and leaves the client time to read it.
+// end waits until the open queries have been answered, sends the cause as a fatal error and gives the client time to read it.
 func (c *client) end(cause error) (transport.Reason, error) {
 	if reason, err := c.drainAnswers(); err != nil {
 		return reason, err
@@ -345,16 +349,16 @@
 	return transport.EndProtocol, cause
 }
 
-// announceClose tells a client between requests, before its connection is closed, that it may connect again at once. A request
-// that crosses this message takes it as its rejection: without it the client could not tell whether that request was read, and
-// would have to treat an in-doubt write as possibly run.
+// announceClose sends an error to an idle client before its connection is closed, after which the client may connect again at
+// once. If the client has just sent a request, it takes the error as that request's rejection. Without the error, it could not
+// know whether the request was read, and would have to treat an in-doubt write as possibly executed.
 func (c *client) announceClose(why string) {
 	if c.write(postgres.AppendErrorResponse(nil, true, postgres.CodeCannotConnectNow, why, 0)) == nil {
 		c.all.linger(c.conn)
 	}
 }
 
-// write writes a message to the client, within Timeouts.Answer.
+// write writes bytes to the client. The time limit is Timeouts.Answer.
 func (c *client) write(b []byte) error {
 	_, err := c.conn.Write(time.Now().Add(c.all.Limits.Answer), net.Buffers{b})
 	return err
--- a/internal/session/clients.go
+++ b/internal/session/clients.go
@@ -17,31 +17,31 @@
 
 // Timeouts are the time limits of client connections.
 type Timeouts struct {
-	FirstRequest time.Duration // from the accept until its first complete request
-	Message      time.Duration // from the first byte of a later message until its last
-	Idle         time.Duration // between requests: the machine of a long idle client may be cut off
-	Answer       time.Duration // to write an answer: the client may not read it
-	Linger       time.Duration // after the end of the sending side, for the client to read the rest
-	Backoff      time.Duration // before the next message is read after a bad one; doubled each time
+	FirstRequest time.Duration // from accepting the connection until its first complete request
+	Message      time.Duration // from the first to the last byte of a later message
+	Idle         time.Duration // between requests; bounded because the machine of a long idle client may be unreachable
+	Answer       time.Duration // for writing an answer; bounded because the client may not read it
+	Linger       time.Duration // after the sending side is shut down, for the client to read the rest
+	Backoff      time.Duration // before the next message is read after a bad one; doubled for each further one
 }
 
-// DefaultTimeouts are the limits of a gateway in service. By the platform's rules a connection may be closed after 2 s without
-// a request, and one that never sends a complete one has to be closed within 3 s; a request is small and arrives at once, in
-// however many pieces. A client that has sent a request may idle for long: its connection is closed earlier when descriptors
-// run short, or when too many idle with it.
+// DefaultTimeouts are the limits used in production. The platform's rules allow closing a connection after 2 s without a
+// request, and require closing a connection within 3 s if it never sends a complete request. A request is small and arrives
+// within a short time, even if in many pieces. A client that has sent a request may stay idle for long; its connection is closed
+// earlier when descriptors run short or too many other clients are idle as well.
 var DefaultTimeouts = Timeouts{
 	FirstRequest: 2500 * time.Millisecond, Message: 2500 * time.Millisecond, Idle: 5 * time.Minute, Answer: 5 * time.Second,
 	Linger: 200 * time.Millisecond, Backoff: 10 * time.Millisecond,
 }
 
-// shortLinger takes the place of Timeouts.Linger when descriptors run short.
+// shortLinger replaces Timeouts.Linger when descriptors run short.
 const shortLinger = 20 * time.Millisecond
 
-// maxLingerBytes bounds what is read and discarded after the last message to a client.
+// maxLingerBytes is the maximum number of bytes that are read and discarded after the last message to a client.
 const maxLingerBytes = 1 << 20
 
-// Clients serves all client connections. The exported fields are set before the first Serve and not changed afterwards. Each
-// connection has one goroutine, the caller of Serve, which ends when Serve returns.
+// Clients serves all client connections. The exported fields are set before the first call of Serve and not changed afterwards.
+// Each connection is served by one goroutine, the caller of Serve.
 type Clients struct {
 	Owner            Queue
 	InForce          *settings.Live
@@ -49,30 +49,30 @@
 	Fds              *transport.Descriptors
 	Ends             *transport.EndRecorder
 	Clock            routing.Clock
-	Ready            func() bool      // whether a request could be routed
-	MayAdmit         func() bool      // whether a request may still be submitted; nil: always
-	SessionPositions SessionPositions // nil: none are stored
-	// InDoubtWrites claims writes of in-doubt classes before they are sent; nil: there are none.
+	Ready            func() bool      // reports whether a request could be routed
+	MayAdmit         func() bool      // reports whether a request may still be submitted; nil: always
+	SessionPositions SessionPositions // nil: session positions are not stored
+	// InDoubtWrites claims writes of in-doubt classes before they are sent; nil: there are no such classes.
 	InDoubtWrites intents.Resolver
 	Limits        Timeouts
 	Counts        *ClientCounts
 
-	mu       sync.Mutex
-	open     map[*client]struct{}
-	draining bool
-	drainReason   transport.Reason // of draining
-	cutOffBegun      bool
-	started  uint32
-	lookups  atomic.Int64
+	mu          sync.Mutex
+	open        map[*client]struct{}
+	draining    bool
+	drainReason transport.Reason // why the connections are drained
+	cutOffBegun bool
+	started     uint32
+	lookups     atomic.Int64
 }
 
-// ClientCounts count what clients sent that never became a request.
+// ClientCounts counts client messages that did not become requests, by cause.
 type ClientCounts struct {
 	Empty, NotReady, Malformed, OverMemory, Unsupported, AddressMoved, PositionNotStored atomic.Int64
 }
 
-// Serve serves one connection to its end. One that cannot stay, for want of a descriptor, is rejected before its start-up, with
-// an error that says that the client may connect again.
+// Serve serves one connection until it ends. If admitted is false, no descriptor is left for the connection: Serve rejects it
+// before its start-up with an error after which the client may connect again.
 func (s *Clients) Serve(conn *transport.Conn, admitted bool) {
 	since := time.Now()
 	if !admitted {
@@ -109,7 +109,7 @@
 	s.Ends.Record(transport.Client, remote, reason, since, c.served, err)
 }
 
-// rejectConnection tells a client for which there is no descriptor to connect again.
+// rejectConnection sends the error "too many clients already" to a client for which no descriptor is left, and closes.
 func (s *Clients) rejectConnection(conn *transport.Conn, since time.Time) {
 	remote := conn.Remote()
 	refusal := postgres.AppendErrorResponse(nil, true, postgres.CodeTooManyConnections, "too many clients already", 0)
@@ -120,8 +120,8 @@
 	s.Ends.Record(transport.Client, remote, transport.EndDescriptors, since, 0, nil)
 }
 
-// linger ends a connection's sending side and waits for the client to close. A request that arrives in this very moment would
-// otherwise turn the close into a reset, which discards answers that the client has not read yet.
+// linger shuts down the sending side of a connection and waits for the client to close it. Without the wait, a request that
+// arrives at this moment would turn the close into a reset, which discards answers that the client has not read yet.
 func (s *Clients) linger(conn *transport.Conn) {
 	timeout := s.Limits.Linger
 	if s.Fds.NearLimit() {
@@ -130,8 +130,8 @@
 	conn.Linger(time.Now().Add(timeout), maxLingerBytes)
 }
 
-// Drain begins a graceful shutdown of the connections: idle ones are closed now and every other one after its answer. The reason
-// stands in their log lines.
+// Drain starts a graceful shutdown of the connections: idle ones are closed now, the others after their answers. The reason is
+// logged for each connection that ends this way.
 func (s *Clients) Drain(reason transport.Reason) {
 	s.mu.Lock()
 	s.drainReason = reason
@@ -141,14 +141,15 @@
 	}
 }
 
-// Resume ends a drain: connections that come from now on may stay.
+// Resume ends a drain: connections accepted from now on are served normally.
 func (s *Clients) Resume() {
 	s.mu.Lock()
 	s.draining = false
 	s.mu.Unlock()
 }
 
-// setAndList sets a flag of the shutdown, which connections still to come will see, and lists those that are open.
+// setAndList sets a flag of the shutdown and returns the open connections, both under the mutex. Connections that are registered
+// later check the flag themselves.
 func (s *Clients) setAndList(flag *bool) []*client {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,9 +157,9 @@
 	return slices.Collect(maps.Keys(s.open))
 }
 
-// CutOff ends every connection that has sent a part of a message and does not send the rest within lateRequest: its request has
-// not been taken, and the client sends it again elsewhere. Requests in flight are still answered. It guards the shutdown against
-// clients that send slowly or stop halfway: each would hold the gateway up for as long as it may.
+// CutOff ends every connection that has sent part of a message and does not send the rest within lateRequestGrace. The incomplete
+// request has not been submitted, so the client can send it again elsewhere. Requests in flight are still answered. Without
+// CutOff, clients that send slowly or stop halfway would delay the shutdown until their time limits expire.
 func (s *Clients) CutOff() {
 	now := time.Now()
 	for _, c := range s.setAndList(&s.cutOffBegun) {
@@ -166,7 +167,7 @@
 	}
 }
 
-// Busy is the number of client connections with open requests.
+// Busy returns the number of client connections with unanswered queries.
 func (s *Clients) Busy() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,14 +179,14 @@
 	return n
 }
 
-// Open is the number of client connections.
+// Open returns the number of open client connections.
 func (s *Clients) Open() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.open)
 }
 
-// isDraining reports whether connections are draining, and for what reason.
+// isDraining returns the reason of the last drain and reports whether the drain is still in effect.
 func (s *Clients) isDraining() (transport.Reason, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/session/discovery.go
+++ b/internal/session/discovery.go
@@ -18,23 +18,23 @@
 
 // CallTimeouts are the time limits of calls to discovery.
 type CallTimeouts struct {
-	Connect time.Duration // until the connection is up
-	Answer  time.Duration // from then on, until the complete list or the first line of a watch
-	Silence time.Duration // between two lines of a watch; an empty one comes every 2 s
+	Connect time.Duration // for establishing the connection
+	Answer  time.Duration // from then until the complete list, or the first line of a watch, has been received
+	Silence time.Duration // between two lines of a watch; discovery sends an empty line every 2 s
 }
 
-// DefaultCallTimeouts are the limits of a gateway in service. Whatever failed before, a change counts as known 6 s after discovery
-// had it and could be reached. Within that time a watch that has fallen silent has to be noticed, and the next call answered;
-// likewise a call that hangs has to be given up, and the next one answered. A test of package gateway adds both sums up, with the
-// router's pauses.
+// DefaultCallTimeouts are the limits used in production. The gateway must know a change at most 6 s after discovery has it and is
+// reachable, whatever failed before. Within that time, the gateway must detect a silent watch and get an answer to the next call,
+// or give up a call that hangs and get an answer to the next one. A test of package gateway checks both sums, including the
+// router's pauses between calls.
 var DefaultCallTimeouts = CallTimeouts{
 	Connect: 400 * time.Millisecond, Answer: 2 * time.Second, Silence: 2800 * time.Millisecond,
 }
 
-// Discovery fetches the endpoint list, and watches it on a connection that stays open. It implements routing.Discovery. Each call
-// has a goroutine of its own (Discovery.start), which ends with the call; Close waits for all.
+// Discovery fetches the endpoint list and watches it over a connection that stays open. It implements routing.Discovery. Each
+// call has a goroutine of its own (Discovery.start), which ends with the call; Close waits for all of them.
 type Discovery struct {
-	Addr    string // where discovery listens; SetAddress changes it
+	Addr    string // address of discovery; SetAddress changes it
 	Owner   Queue
 	Buffers *transport.Buffers
 	Fds     *transport.Descriptors
@@ -42,15 +42,15 @@
 	Limits  CallTimeouts
 
 	mu          sync.Mutex
-	watch       *call // the newest, or the complete list that is fetched before it
-	previous    *call // a watch at the previous address, until the new one has sent its list
+	watch       *call // the current watch, or the fetch of the complete list that precedes it
+	previous    *call // the watch at the previous address, until the new address has sent its list
 	wanted      bool  // the router has asked for a watch
-	unconfirmed bool  // this address has not answered yet: its revisions may differ
+	unconfirmed bool  // Addr has not answered yet, so its revisions may differ from those received before
 	calls       map[*call]struct{}
 	running     sync.WaitGroup
 
 	// posting is held while an update is posted to the owner, so that updates arrive in order: no list of the previous
-	// address after one of the new, no list after the failure that followed it. It is locked before mu.
+	// address arrives after a list of the new one, and no list after the failure that followed it. It is locked before mu.
 	posting sync.Mutex
 }
 
@@ -59,7 +59,7 @@
 	all          *Discovery
 	addr         string
 	watch        bool
-	thenWatch    bool // a watch follows the complete list that this call fetches
+	thenWatch    bool // this call fetches the complete list, and a watch is started after it
 	ctx          context.Context
 	stop         context.CancelFunc
 	listReceived bool // the answer has contained a list
@@ -68,8 +68,8 @@
 	conn *transport.Conn
 }
 
-// Watch subscribes to the changes after a revision, in place of a watch in progress. An address that has not answered yet is
-// asked for its complete list first.
+// Watch subscribes to the changes after a revision and replaces a watch in progress. If the address has not answered yet, the
+// complete list is fetched from it first.
 func (d *Discovery) Watch(from int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -77,14 +77,15 @@
 	d.startWatch(from)
 }
 
-// startWatch starts a watch in place of the one before. The caller holds mu.
+// startWatch cancels the current watch and starts a new one, preceded by a fetch of the complete list if the address has not
+// answered yet. The caller holds mu.
 func (d *Discovery) startWatch(from int64) {
 	d.watch.cancel()
 	d.watch = d.start(!d.unconfirmed, d.unconfirmed, from)
 }
 
-// SetAddress asks another address from now on, whenever the router has planned to ask again. The watch at the previous address
-// goes on until the new one has sent its list; then, or when it ends, nothing more is posted from it.
+// SetAddress changes the address of discovery. If the router has asked for a watch, the new address is called at once. The watch
+// at the previous address continues until the new address has sent its list; after that, nothing more is posted from it.
 func (d *Discovery) SetAddress(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -110,14 +111,14 @@
 	d.watch, d.previous = nil, nil
 }
 
-// Fetch asks for the complete list once.
+// Fetch fetches the complete list once.
 func (d *Discovery) Fetch() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.start(false, false, 0)
 }
 
-// Close ends every call and waits for them.
+// Close cancels all calls and waits until their goroutines have ended.
 func (d *Discovery) Close() {
 	d.mu.Lock()
 	d.wanted, d.watch, d.previous = false, nil, nil
@@ -129,7 +130,7 @@
 	d.running.Wait()
 }
 
-// start begins a call on a goroutine of its own. The caller holds mu.
+// start starts a call on a goroutine of its own. The caller holds mu.
 func (d *Discovery) start(watch, thenWatch bool, from int64) *call {
 	c := &call{all: d, addr: d.Addr, watch: watch, thenWatch: thenWatch}
 	c.ctx, c.stop = context.WithCancel(context.Background())
@@ -145,8 +146,9 @@
 	return c
 }
 
-// ended forgets a call, lets the watch follow the list that leads to it, and reports whether the router must hear of a failure:
-// not of a call that another has replaced, nor of one to the previous address while the new one is being asked.
+// ended removes a call that has ended, and starts the watch if the call was the fetch that precedes it. It reports whether the
+// call's failure must be posted to the router. The failure of a call that another call has replaced is not posted, and neither is
+// that of a call to the previous address while a call to the new address is in progress.
 func (d *Discovery) ended(c *call, rev int64, reason transport.Reason) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -168,7 +170,7 @@
 	return reason != transport.EndCompleted
 }
 
-// serve carries a call out and logs its end.
+// serve carries out the call, logs its end and posts its failure to the router if necessary.
 func (c *call) serve(from int64) {
 	d := c.all
 	since := time.Now()
@@ -205,7 +207,7 @@
 
 func (c *call) cancelled() bool { return c.ctx.Err() != nil }
 
-// run carries the call out. Of a complete list it returns the revision.
+// run carries out the call. For a fetch it returns the revision of the complete list.
 func (c *call) run(from int64) (int64, transport.Reason, error) {
 	conn, err := transport.Dial(c.ctx, c.addr, time.Now().Add(c.all.Limits.Connect), c.all.Buffers, c.all.Fds, true)
 	if err != nil {
@@ -233,21 +235,21 @@
 	return list.Rev, transport.EndCompleted, nil
 }
 
-// discoveryAnswer is an answer of discovery as it is read.
+// discoveryAnswer is the state of reading one answer from discovery.
 type discoveryAnswer struct {
 	call     *call
-	from     int64 // the revision that a watch was asked to start from
+	from     int64 // the revision from which the watch was requested
 	deadline time.Time
 	response *discovery.Response
-	objects  discovery.Objects // of a watch: the change under way
-	body     []byte            // of a complete list
+	objects  discovery.Objects // watch: the change that is being received
+	body     []byte            // fetch: the complete list as received so far
 }
 
-// errListTooLong is a complete list beyond discovery.MaxList.
-var errListTooLong = errors.New("the list is too long")
+// errListTooLong is returned when a complete list exceeds discovery.MaxListSize.
+var errListTooLong = errors.New("the endpoint list is too long")
 
-// read reads up to the answer's end. Only an orderly close ends an answer without a length: one that is reset has
-// broken off.
+// read reads the answer to its end. An answer without a length ends only with an orderly close; if the connection is reset, the
+// answer is incomplete.
 func (a *discoveryAnswer) read(conn *transport.Conn) (transport.Reason, error) {
 	for !a.response.Done() {
 		err := conn.Wait(1, a.deadline, a.call.cancelled)
@@ -271,8 +273,8 @@
 	return 0, nil
 }
 
-// line takes one line of the body. After each of its lines a watch has CallTimeouts.Silence for the next one, in however many
-// pieces that arrives: bytes alone are no sign of life.
+// line handles one line of the body. In a watch, each complete change or empty line extends the deadline by CallTimeouts.Silence.
+// Single bytes do not extend it: a peer that sends an endless line byte by byte would otherwise keep the watch alive forever.
 func (a *discoveryAnswer) line(text []byte) error {
 	switch {
 	case a.response.Status != discovery.StatusOK:
@@ -292,8 +294,8 @@
 	return a.call.change(change, a.from)
 }
 
-// change takes a change of a watch. No change stands for an empty line, which only says that the watch is alive; as the first
-// line it says that nothing has changed since the revision asked for.
+// change handles a change received by a watch. A nil change represents an empty line, which discovery sends to show that the
+// watch is alive; as the first line it means that nothing has changed since the requested revision.
 func (c *call) change(change []byte, from int64) error {
 	if change == nil {
 		if !c.listReceived {
@@ -308,8 +310,8 @@
 	return err
 }
 
-// postList posts a list to the owner, unless another call has replaced this one. The first list of a new address ends the watch
-// at the previous one.
+// postList posts a list to the owner, unless another call has replaced this one. The first list from a new address ends the watch
+// at the previous address.
 func (c *call) postList(list discovery.List) {
 	d := c.all
 	c.listReceived = true
@@ -327,7 +329,7 @@
 	newAddressFailed := c == d.previous && d.watch == nil
 	d.mu.Unlock()
 	d.Owner.Post(routing.EndpointListUpdate{List: list})
-	if newAddressFailed { // the router takes the list as a sign of a watch; but the new address has failed
+	if newAddressFailed { // the router concludes from a list that the watch works, so the failure is posted again
 		d.Owner.Post(routing.EndpointListUpdate{Failed: true})
 	}
 }
--- a/internal/session/exchange.go
+++ b/internal/session/exchange.go
@@ -10,15 +10,16 @@
 	"marblespan/internal/transport"
 )
 
-// This file is one request and its answer on a server's connection, and what they prove of whether the request ran.
+// This file writes one request to a server's connection, reads its answer, and derives from both whether the request ran.
 
-// maxAnswerMessage bounds one message of an answer, in bytes: the largest value, in hex, and its header.
+// maxAnswerMessage is the maximum size of one message of an answer, in bytes: the largest value, in hex, and its header.
 const maxAnswerMessage = 130 << 10
 
-// errWithdrawn says that a server was withdrawn, or has another address, before the first byte of an attempt went there.
-var errWithdrawn = errors.New("withdrawn before its first byte")
+// errWithdrawn is returned when a server was withdrawn, or got another address, before the first byte of an attempt was written.
+var errWithdrawn = errors.New("the server was withdrawn or moved before the request was sent")
 
-// withdrawn reports whether a task may not begin here any more.
+// withdrawn reports whether an attempt must no longer be started on this connection, because its server was withdrawn after the
+// attempt was sent, or the server's address has changed. Health checks are not affected.
 func (l *serverConn) withdrawn(t *task) bool {
 	return !t.healthCheck && (t.withdrawalsAtSend != l.endpoint.withdrawals.Load() || l.all.endpointOf(t.Server) != l.endpoint)
 }
@@ -47,13 +48,13 @@
 		}
 		return unsent(policy.ResultConnectFailed), reason, err
 	}
-	// From here on it may have run, unless the server itself says otherwise.
+	// From here on the request may have run, unless the server's answer proves that it did not.
 	written := time.Now()
 	var reply postgres.Reply
 	loadReport, err := l.readReply(&reply, until, t, value)
 	result, reason := taskResult{params: reply.Params, loadReport: loadReport}, notEnded
 	switch {
-	case errors.Is(err, errProtocol): // malformed: it may have run, and nothing in the answer is used
+	case errors.Is(err, errProtocol): // malformed answer: the request may have run, and nothing in the answer is used
 		result, reason = taskResult{result: policy.ResultError}, transport.EndProtocol
 	case reply.Complete():
 		result.result, result.execution, result.value = policy.ResultOK, policy.ExecutionDone, value
@@ -73,7 +74,7 @@
 		result.result, reason = policy.ResultReset, transport.ReasonOf(err)
 	}
 	if reason == notEnded && (err != nil || l.conn.Buffered() > 0) {
-		reason = transport.EndServerFailed // more came than belongs to the answer: it must not count for the next one
+		reason = transport.EndServerFailed // surplus bytes must not be taken for the answer to the next request
 	}
 	if result.value == nil {
 		value.Free()
@@ -81,11 +82,12 @@
 	return result, reason, err
 }
 
-// errFenced says that an in-doubt write may not be sent from here any more: its claim is not confirmed.
-var errFenced = errors.New("the booking is claimed by another gateway, or its claim could not be confirmed")
+// errFenced is returned when an in-doubt write must no longer be sent by this gateway, because its claim is not confirmed.
+var errFenced = errors.New("the in-doubt write is claimed by another gateway, or its claim could not be confirmed")
 
-// writeRequest writes a request. Of an in-doubt write the last byte is held back until the write is known to be claimed by this
-// gateway: a server begins with the last byte, and this process may have been suspended before any of the others.
+// writeRequest writes a request. For an in-doubt write, the last byte is held back until this gateway's claim to the write has
+// been confirmed: a server starts executing when it has the last byte, and this process may have been suspended, and have lost
+// the claim, before it wrote any of the earlier bytes.
 func (l *serverConn) writeRequest(t *task, parts net.Buffers, total int64, until time.Time) (transport.Reason, error) {
 	write := func(parts net.Buffers, total int64) (transport.Reason, error) {
 		if n, err := l.conn.Write(until, parts); n < total {
@@ -109,15 +111,16 @@
 	return write(net.Buffers{last}, 1)
 }
 
-// errProtocol marks what a server must not send.
-var errProtocol = errors.New("protocol broken")
+// errProtocol marks answers that violate the protocol.
+var errProtocol = errors.New("protocol violation")
 
-// errStalled is an answer that has begun and then stopped. What it said in complete messages holds.
-var errStalled = errors.New("the answer stopped in its middle")
+// errStalled is returned when an answer has begun and then stalled. The messages that were received completely remain valid.
+var errStalled = errors.New("the answer stalled before it was complete")
 
-// readReply reads messages up to ReadyForQuery. What belongs to the answer goes into value; of a health check's row it returns
-// the text. An answer that has begun must go on: one that stops for longer than the connect timeout counts as malformed, and its
-// request need not wait for its deadline. The price is an answer lost where a machine is held up in the middle of it.
+// readReply reads messages up to ReadyForQuery. The messages of the answer that are forwarded to the client are stored in value;
+// for a health check, readReply returns the text of the row. An answer that has begun and then stalls for longer than the connect
+// timeout counts as malformed, so that its request does not have to wait until its deadline. The cost is an answer lost if a
+// server's machine is suspended for that long in the middle of it.
 func (l *serverConn) readReply(reply *postgres.Reply, deadline time.Time, t *task, value *transport.Message) (string, error) {
 	row := ""
 	for !reply.Ready {
@@ -139,7 +142,7 @@
 		size := postgres.HeaderSize + header.Body
 		head := min(size, transport.BufferSize)
 		if size > head && (header.Type != postgres.TypeDataRow || value == nil || size > maxAnswerMessage) {
-			return row, errors.Join(errProtocol, errors.New("a message is too large"))
+			return row, errors.Join(errProtocol, errors.New("the message is too large"))
 		}
 		due = l.stallDeadline(deadline)
 		if err := l.conn.Wait(head, due, t.cancelled); err != nil {
@@ -168,8 +171,8 @@
 	return row, nil
 }
 
-// readValue reads a message into the value, a buffer at a time. A large one waits here until there is memory for it; answers that
-// are in memory already go out to their clients meanwhile.
+// readValue reads a message into the value, one buffer at a time. A large message waits here until there is memory for it, which
+// is freed as other answers are written to their clients.
 func (l *serverConn) readValue(value *transport.Message, remaining int, deadline time.Time, t *task) error {
 	if err := value.Grow(remaining, deadline, t.cancelled); err != nil {
 		return err
@@ -185,7 +188,8 @@
 	return nil
 }
 
-// stallDeadline is when an answer that has begun and stops counts as malformed.
+// stallDeadline returns the time at which an answer that stalls now counts as malformed: after the connect timeout, but no later
+// than the deadline.
 func (l *serverConn) stallDeadline(deadline time.Time) time.Time {
 	due := time.Now().Add(time.Duration(l.all.InForce.Load().Settings.ConnectTimeout) * time.Microsecond)
 	if due.After(deadline) {
@@ -194,7 +198,7 @@
 	return due
 }
 
-// stallError tells an answer that stopped from one that did not arrive in time.
+// stallError returns errStalled if err reports that due was reached and due is before the deadline; otherwise it returns err.
 func stallError(err error, due, deadline time.Time) error {
 	if errors.Is(err, transport.ErrDeadline) && due.Before(deadline) {
 		return errStalled
@@ -202,7 +206,7 @@
 	return err
 }
 
-// resultOf maps the code of an error to the result. Before the start-up is complete nothing can have run.
+// resultOf returns the result for the code of an error. Every error during the start-up means that nothing can have run.
 func resultOf(code string, starting bool) policy.Result {
 	switch {
 	case code == postgres.CodeTooManyConnections:
@@ -215,7 +219,7 @@
 	return policy.ResultError
 }
 
-// executionOf is what the code of an error in place of an answer proves.
+// executionOf returns what the code of an error, received in place of an answer, proves about the execution of the request.
 func executionOf(code string) policy.Execution {
 	switch code {
 	case postgres.CodeTooManyConnections, postgres.CodeReadOnlyTransaction, postgres.CodeSnapshotTooOld:
@@ -224,13 +228,15 @@
 	return policy.ExecutionUnknown
 }
 
-// duplicateRefusalWindow is how long after a refusal a copy of it may be taken for an answer: later ones are there before the next request is
-// written, and end the connection. It is shorter than the pause that policy makes at a server that has rejected a request (a tick at
-// the least), so that a retry there is believed when it is rejected too.
+// duplicateRefusalWindow is the time after a refusal during which a duplicate of it may still arrive and be mistaken for the answer
+// to the next request. If the next request is written later, a duplicate has already arrived and ended the connection. The window
+// is shorter than the pause of at least one Tick that package policy makes after a server has rejected a request, so that the
+// rejection of a retry at that server counts as genuine.
 const duplicateRefusalWindow = 2 * time.Millisecond
 
-// repeatsRefusal reports whether an error repeats the refusal right before it. It may be a copy of that, which a server or something
-// on the way has sent twice and which has crossed the request written at a time: it proves nothing, and the answer is still to come.
+// repeatsRefusal reports whether an error has the same code as the last refusal and answers a request that was written within
+// duplicateRefusalWindow after it. Such an error may be a duplicate of that refusal, sent twice by the server or the network while
+// the request was on its way to the server. It proves nothing about the request, whose real answer may still follow.
 func (l *serverConn) repeatsRefusal(code string, written time.Time) bool {
 	if executionOf(code) != policy.ExecutionNone {
 		return false
--- a/internal/session/lookup.go
+++ b/internal/session/lookup.go
@@ -11,12 +11,12 @@
 	"marblespan/internal/routing"
 )
 
-// lookup is the routing.Client of a read of the gateway's own.
+// lookup is the routing.Client of a read that the gateway itself sends.
 type lookup struct {
 	done func(row, answer []byte, ok bool)
 }
 
-// Answer takes the final answer.
+// Answer passes the final answer to done.
 func (l *lookup) Answer(a routing.Answer) {
 	if a.Kind != routing.AnswerServed {
 		l.done(nil, nil, false)
@@ -27,8 +27,8 @@
 	l.done(row, answer, answer != nil)
 }
 
-// Lookup reads a key as of now, as a client would, which shows whether an in-doubt write has run. It passes to done the row, and
-// the answer that the write itself would have had; done is called once and must not block.
+// Lookup reads the current value of a key in the same way as a client's request, to find out whether an in-doubt write has run. It
+// passes to done the row, and the answer that the write itself would have received. It calls done once; done must not block.
 func (s *Clients) Lookup(class, key string, group int, deadline time.Time, done func(row, answer []byte, ok bool)) {
 	inForce := s.InForce.Load()
 	index, known := inForce.ClassIndex[class]
--- a/internal/session/pending.go
+++ b/internal/session/pending.go
@@ -10,34 +10,34 @@
 	"marblespan/internal/routing"
 )
 
-// pendingQuery is one query's place in the order of answers. It is the routing.Client of the query's request.
+// pendingQuery is an unanswered query in a client's queue. It is the routing.Client of the query's request.
 type pendingQuery struct {
 	client       *client
-	text         []byte          // the answer, if it is the gateway's own
-	answer       *routing.Answer // delivered; guarded by client.mu, as disconnected is
+	text         []byte          // the answer, if the gateway itself made it
+	answer       *routing.Answer // the delivered answer; like disconnected, guarded by client.mu
 	disconnected bool
-	reserve      int // bytes set aside for it
+	reserve      int // bytes of the memory budget reserved for the query and its answer
 	position     *writePosition
 
-	write         intents.Write    // of an in-doubt write, which must be claimed before it is sent; nil: it is none
+	write         intents.Write    // an in-doubt write, which must be claimed before it is sent; nil for other queries
 	request       *routing.Request // posted once write is claimed
 	routingAnswer *routing.Answer  // kept until the resolver calls Reply; guarded by client.mu
 }
 
-// SessionPositions stores the log position of each session's last write where every gateway finds it. None of its methods
+// SessionPositions stores the log position of each session's last write so that every gateway can read it. None of the methods
 // blocks; done is called once, on any goroutine.
 type SessionPositions interface {
-	// Covers reports whether the positions of a class's sessions are stored.
+	// Covers reports whether positions are stored for sessions of the class.
 	Covers(class string) bool
 	// CanStore reports whether a position could probably be stored now.
 	CanStore(group int, session uint64) bool
-	// Store stores a position by the deadline; done is told whether it is stored.
+	// Store stores a position, and calls done with whether it was stored by the deadline.
 	Store(group int, session uint64, position policy.Position, by time.Time, done func(bool))
-	// Required finds the position that a session's read must see; 0: none.
+	// Required determines the minimum position that a read of the session requires, and calls done with it; 0: no minimum.
 	Required(group int, session uint64, by time.Time, done func(policy.Position))
 }
 
-// writePosition says where the log position of a write is stored, before its client hears that it has run.
+// writePosition specifies where the log position of a write is stored before the write's answer is delivered to the client.
 type writePosition struct {
 	store    SessionPositions
 	group    int
@@ -45,8 +45,8 @@
 	deadline time.Time
 }
 
-// Answer takes the final answer from routing, on the owner's goroutine. For an in-doubt write the resolver decides what its
-// client is told, and calls Reply.
+// Answer receives the final answer from routing, on the owner's goroutine. For an in-doubt write, the resolver decides which
+// answer the client gets, and calls Reply.
 func (q *pendingQuery) Answer(a routing.Answer) {
 	if q.write == nil {
 		q.storePositionAndDeliver(a)
@@ -68,8 +68,9 @@
 	q.write.RoutingAnswered(kind, value)
 }
 
-// inDoubtKind is what routing's answer proves of an in-doubt write. A rejection of a class that may run twice by the settings promises
-// less than an intent that says "unsent".
+// inDoubtKind returns what routing's answer proves about an in-doubt write. If the settings allow a class's writes to run twice, a
+// write may have run even though routing rejected it (Answer.MayHaveRun). Such a rejection counts as failed, because the intent may
+// record the write as unsent only if it certainly did not run.
 func inDoubtKind(a routing.Answer) indoubt.AnswerKind {
 	switch {
 	case a.Kind == routing.AnswerServed:
@@ -80,13 +81,13 @@
 	return indoubt.Failed
 }
 
-// Route posts an in-doubt write that has been claimed. The resolver calls it.
+// Route posts the request of an in-doubt write that has been claimed. The resolver calls it.
 func (q *pendingQuery) Route() { q.client.all.Owner.Post(q.request) }
 
-// Drop frees an in-doubt write that is not sent. The resolver calls it in place of Route.
+// Drop frees the request of an in-doubt write that is not sent. The resolver calls it instead of Route.
 func (q *pendingQuery) Drop() { q.request.Payload.Free() }
 
-// Reply takes the final answer to an in-doubt write from the resolver.
+// Reply receives the final answer to an in-doubt write from the resolver.
 func (q *pendingQuery) Reply(kind indoubt.AnswerKind, value []byte) {
 	c := q.client
 	c.mu.Lock()
@@ -109,8 +110,9 @@
 	q.storePositionAndDeliver(a)
 }
 
-// storePositionAndDeliver delivers an answer. That of a write whose log position has to be stored waits until it is: if it could
-// not be stored, the client must not rely on the write, and is told that it failed.
+// storePositionAndDeliver delivers an answer. If the log position of a write has to be stored, it stores the position first. If
+// that fails, it delivers a failed answer instead: the client must not rely on the write, because later reads of its session might
+// not see it.
 func (q *pendingQuery) storePositionAndDeliver(a routing.Answer) {
 	if q.position == nil || a.Kind != routing.AnswerServed {
 		q.deliver(a)
@@ -118,7 +120,7 @@
 	}
 	position := a.Position
 	if position == 0 {
-		position = q.client.all.Clock.Now() // it was written before now
+		position = q.client.all.Clock.Now() // the write ran before now, so its position is not higher
 	}
 	q.position.store.Store(q.position.group, q.position.session, position, q.position.deadline, func(stored bool) {
 		if !stored {
@@ -129,7 +131,7 @@
 	})
 }
 
-// deliver hands the final answer to the connection's goroutine.
+// deliver passes the final answer to the connection's goroutine.
 func (q *pendingQuery) deliver(a routing.Answer) {
 	c := q.client
 	c.mu.Lock()
@@ -148,8 +150,9 @@
 	}
 }
 
-// postUnlessDisconnected posts a request that had to wait. Its client may have disconnected meanwhile; routing must hear of that
-// after the request, if it hears of the request at all.
+// postUnlessDisconnected posts a request that had to wait for its session's position. If the client has disconnected meanwhile,
+// the request is dropped. If the client disconnects while the request is posted, ClientDisconnected is posted again, because
+// routing must receive it after the request.
 func (q *pendingQuery) postUnlessDisconnected(r *routing.Request) {
 	if q.isDisconnected() {
 		r.Payload.Free()
--- a/internal/session/query.go
+++ b/internal/session/query.go
@@ -9,23 +9,24 @@
 	"marblespan/internal/transport"
 )
 
-// query is a client's statement, kept for as long as an attempt may need it. It is the routing.Payload of its request.
+// query is a client's statement, kept as long as an attempt may need it. It is the routing.Payload of its request.
 type query struct {
 	text      *transport.Message
 	statement postgres.Statement
-	write     intents.Write // must still be claimed by this gateway when the last byte is sent; nil: it is no in-doubt write
+	write     intents.Write // must still be claimed by this gateway when the last byte is sent; nil unless it is an in-doubt write
 }
 
-// Share takes one more reference.
+// Share adds a reference.
 func (q *query) Share() routing.Payload {
 	q.text.Share()
 	return q
 }
 
-// Free ends one reference.
+// Free releases a reference.
 func (q *query) Free() { q.text.Free() }
 
-// parts is the message to a server: the statement as received, but for the time that the gateway waits. It returns its size too.
+// parts returns the message to a server and its size. The message is the statement as received, except that its time limit is
+// replaced by the remaining time, waitMillis.
 func (q *query) parts(waitMillis int64) (net.Buffers, int64) {
 	head, from := q.statement.AppendQueryHead(nil, q.text.FirstBuffer(), q.text.Size(), waitMillis)
 	parts := append(net.Buffers{head}, q.text.BuffersFrom(from)...)
--- a/internal/session/requests.go
+++ b/internal/session/requests.go
@@ -17,23 +17,23 @@
 	"marblespan/internal/transport"
 )
 
-// received is a query that has been read completely, with the memory reserved for it and its answer.
+// received is a completely read query, with the memory reserved for it and its answer.
 type received struct {
 	text      *transport.Message
 	reserve   int                // bytes
-	inForce   *settings.Snapshot // in force when it was read
+	inForce   *settings.Snapshot // the settings in force when the query was read
 	arrival   policy.Arrival
 	statement postgres.Statement
-	inDoubt   bool // an in-doubt write, which must be claimed before it is sent
+	inDoubt   bool // whether it is an in-doubt write, which must be claimed before it is sent
 }
 
-// release frees a query that goes no further.
+// release frees a query that does not become a request.
 func (c *client) release(in *received) {
 	in.text.Free()
 	c.all.Buffers.Release(in.reserve)
 }
 
-// handleQuery reads one query and submits it.
+// handleQuery reads one query and submits it as a request, or answers it without one.
 func (c *client) handleQuery(body int, deadline time.Time) (transport.Reason, error) {
 	in, reason, err := c.receive(body, deadline)
 	if in == nil {
@@ -57,11 +57,11 @@
 	return 0, nil
 }
 
-// receive reads a query's text. It returns none where that did not arrive completely, or nobody waits for it any more, or there
-// is no memory for it, which the client is told.
+// receive reads a query's text. It returns nil if the text did not arrive completely, if the client has closed the connection, or
+// if there is no memory for the query. In the last case the client gets an error.
 func (c *client) receive(body int, deadline time.Time) (*received, transport.Reason, error) {
-	// Of the answer only a first buffer is reserved. A larger one waits at its server's connection until there is memory for
-	// it: were the largest reserved for every request, a small gateway would reject requests for memory that nobody uses.
+	// Only one buffer is reserved for the answer. A larger answer waits at its server's connection until there is memory for it.
+	// If the maximum were reserved for every request, a small gateway would reject requests for lack of memory that is not in use.
 	in := &received{reserve: body + transport.BufferSize}
 	if !c.all.Buffers.Reserve(in.reserve) {
 		c.all.Counts.OverMemory.Add(1)
@@ -77,20 +77,21 @@
 		}
 		return nil, transport.ReasonOf(err), err
 	}
-	if c.sentAhead() && c.conn.PeerClosed() { // its close lies behind what it has sent: nobody waits for this any more
+	if c.sentAhead() && c.conn.PeerClosed() { // closed behind unread bytes or open queries: the client no longer waits for the answer
 		c.release(in)
 		return nil, transport.EndClientDisconnected, io.EOF
 	}
 	return in, 0, nil
 }
 
-// requestError is what is wrong with a query that makes no request.
+// requestError describes why a query cannot become a request.
 type requestError struct {
-	code string // PostgreSQL error code for the client
+	code string // PostgreSQL error code sent to the client
 	text string
 }
 
-// parseRequest makes a request of a query's text. An empty query makes none and is no error: its statement has no id.
+// parseRequest parses a query's text into the data of a request. An empty query does not become a request; it returns no error and
+// a statement without an ID.
 func (c *client) parseRequest(inForce *settings.Snapshot, text *transport.Message, body int) (
 	arrival policy.Arrival, statement postgres.Statement, fault *requestError,
 ) {
@@ -120,12 +121,12 @@
 	return arrival, statement, nil
 }
 
-// badClass is the error of a statement whose class does not fit.
+// badClass returns the error for a statement whose class is unknown or does not match the statement.
 func badClass(class, problem string) *requestError {
 	return &requestError{postgres.CodeInvalidParameterValue, "class " + strconv.Quote(class) + " " + problem}
 }
 
-// respondUnrouted answers a query that makes no request: an empty one, without a fault, or a bad one.
+// respondUnrouted answers a query that does not become a request: an empty query if fault is nil, otherwise an invalid one.
 func (c *client) respondUnrouted(fault *requestError) (transport.Reason, error) {
 	switch {
 	case fault == nil:
@@ -140,14 +141,14 @@
 	return 0, nil
 }
 
-// admit reports whether a request may be submitted, and rejects it unsent if not. The repeat of an in-doubt write may have run
-// already: it is looked up, and never rejected here.
+// admit reports whether a request may be submitted; if not, it rejects the request. A repeated in-doubt write is never rejected
+// here, because the write may already have run: its resolver determines the result.
 func (c *client) admit(in *received) bool {
 	mayHaveRun := in.inDoubt && in.statement.Retry
 	switch {
 	case mayHaveRun:
 	case c.all.MayAdmit != nil && !c.all.MayAdmit():
-		// The process was suspended, and another gateway may have the address by now: the client may connect there.
+		// The process was suspended, and another gateway may hold the floating address by now; the client may connect there.
 		c.all.Counts.AddressMoved.Add(1)
 		c.respondError(postgres.CodeTooManyConnections, "the address has moved to another gateway")
 		c.CloseIdle(transport.EndAddressMigrated)
@@ -160,13 +161,13 @@
 	return true
 }
 
-// storesPosition reports whether the log position of a request's session is stored where every gateway finds it.
+// storesPosition reports whether the log position of the request's session is stored for all gateways.
 func (c *client) storesPosition(in *received) bool {
 	return c.all.SessionPositions != nil && in.arrival.HasSession && c.all.SessionPositions.Covers(in.statement.Class)
 }
 
-// submit puts a request into the order of answers and sends it on its way. A read of a session whose position is stored first
-// waits for that position.
+// submit queues a request for its answer and dispatches it. A read of a session whose position is stored is posted only when the
+// position has been looked up.
 func (c *client) submit(in *received) {
 	wait := in.statement.TimeoutMillis
 	q := &pendingQuery{client: c, reserve: in.reserve}
@@ -191,11 +192,11 @@
 	})
 }
 
-// positionWaitShare is the divisor of a read's time that gives how long it waits for its session's position. The rest is left for
-// the primary, which needs no position.
+// positionWaitShare is the divisor of a read's time limit that gives how long the read waits for its session's position. The rest
+// of the time is left for an attempt at the primary, for which no position is needed.
 const positionWaitShare = 4
 
-// dispatch posts a request to routing. An in-doubt write goes to its resolver instead, which claims it first.
+// dispatch posts a request to routing. An in-doubt write is passed to its resolver instead, which claims it before it is posted.
 func (c *client) dispatch(q *pendingQuery, r *routing.Request, inDoubt bool) {
 	if !inDoubt {
 		c.all.Owner.Post(r)
--- a/internal/session/server_conn.go
+++ b/internal/session/server_conn.go
@@ -13,26 +13,26 @@
 	"marblespan/internal/transport"
 )
 
-// serverConn is one connection to a database server. It carries out one task at a time. Its goroutine alone reads and writes the
-// socket; the fields behind mu are shared with those that assign tasks, cancel them or ask for its end.
+// serverConn is one connection to a database server. It carries out one task at a time. Only its goroutine reads and writes the
+// socket; the fields guarded by mu are shared with the goroutines that assign tasks, cancel them or ask the connection to close.
 type serverConn struct {
 	all      *Servers
 	endpoint *serverEndpoint
 	conn     *transport.Conn
 
 	mu      sync.Mutex
-	current *task // being carried out; nil while idle
+	current *task // the task that is being carried out; nil while the connection is idle
 	closing bool
 	reason  transport.Reason
 	served  int
 
-	answered atomic.Int64 // when its last complete answer was read, as clock.Micros
+	answered atomic.Int64 // time at which the last complete answer was read, as clock.Micros
 
-	lastRefusal string    // code of the last error that proved that nothing ran; of its goroutine only
-	refusedAt   time.Time // when that was read
+	lastRefusal string    // code of the last error that proved that its request did not run; used by the connection's goroutine only
+	refusedAt   time.Time // time at which that error was read
 }
 
-// assign gives an idle connection its next task, unless it is about to close.
+// assign gives an idle connection its next task. It returns false if the connection is closing.
 func (l *serverConn) assign(t *task) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -45,7 +45,7 @@
 	return true
 }
 
-// abort breaks the connection off if it still carries out the task.
+// abort aborts the connection if it is still carrying out the task.
 func (l *serverConn) abort(t *task) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,14 +74,14 @@
 	return l.current
 }
 
-// hasTaskOrClosing reports whether an idle connection has been given a task or asked to close.
+// hasTaskOrClosing reports whether the connection has a task or has been asked to close.
 func (l *serverConn) hasTaskOrClosing() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.current != nil || l.closing
 }
 
-// run connects, carries out the first task, and then whatever is assigned, until the connection ends.
+// run connects, carries out the first task and then each assigned task, until the connection ends.
 func (l *serverConn) run(first *task) {
 	defer l.all.remove(l)
 	since := time.Now()
@@ -109,10 +109,10 @@
 	l.all.Ends.Record(transport.Server, l.endpoint.endpoint, reason, since, l.served, err)
 }
 
-// notEnded takes the place of the reason for a connection that has not ended.
+// notEnded is used instead of a reason while the connection has not ended.
 const notEnded = transport.Reason(255)
 
-// connect dials and starts up, within the connect timeout.
+// connect dials the server and completes the start-up, within the connect timeout.
 func (l *serverConn) connect(t *task) (policy.Result, transport.Reason, error) {
 	t.setConn(l)
 	clock := l.all.Clock
@@ -139,16 +139,16 @@
 		return policy.ResultConnectFailed, reason, err
 	}
 	if reply.Code != "" {
-		return resultOf(reply.Code, true), transport.EndRejected, errors.New("turned away with " + reply.Code)
+		return resultOf(reply.Code, true), transport.EndRejected, errors.New("the server rejected the start-up with " + reply.Code)
 	}
 	return policy.ResultOK, 0, nil
 }
 
-// carryOut carries out the current task and tells the owner how it ended. A connection whose task did not end with the server's
-// ReadyForQuery is closed before the owner hears of it.
+// carryOut carries out the current task and posts its result to the owner. If the task did not end with the server's ReadyForQuery,
+// the connection is closed before the result is posted.
 func (l *serverConn) carryOut() (transport.Reason, error) {
 	t := l.task()
-	if l.served > 0 && !l.conn.Silent() { // closed by the server: nothing was written, so another connection may be tried
+	if l.served > 0 && !l.conn.Silent() { // closed by the server; nothing was written, so the task may run on another connection
 		l.end()
 		l.all.dial(t, l.endpoint)
 		return transport.EndPeerClosed, nil
@@ -157,19 +157,20 @@
 	return l.finishTask(t, e, reason, err)
 }
 
-// finishTask closes the connection or returns it to the pool, and tells the owner how its task ended.
+// finishTask closes the connection or returns it to the pool, and posts the result of its task to the owner.
 func (l *serverConn) finishTask(t *task, result taskResult, reason transport.Reason, err error) (transport.Reason, error) {
 	l.served++
 	if reason != notEnded {
 		l.end()
 		switch {
 		case t.healthCheck && result.result == policy.ResultTimeout:
-			// The machine is cut off: when it is back its kernel knows none of the idle siblings, and a request on
-			// one of them would be lost like this check. The price is some handshakes too many.
+			// The server's machine may be unreachable. When it is back, its kernel may have forgotten the other idle
+			// connections, and a request on one of them would be lost like this health check. The cost: if the machine
+			// was reachable, some handshakes were unnecessary.
 			closeIdleConns(l.endpoint)
 		case result.result == policy.ResultReset && l.served > 1:
 			l.endpoint.suspectedAt.Store(int64(l.all.Clock.Now()))
-			if t.healthCheck { // only this connection is known to be dead; a new one shows whether the server is
+			if t.healthCheck { // the reset proves only that this connection is dead; a new one shows whether the server is
 				l.all.dial(t, l.endpoint)
 				return reason, err
 			}
@@ -181,9 +182,9 @@
 	l.current = nil
 	switch {
 	case l.closing:
-	case l.conn.Aborted(): // the task was cancelled at the moment it was done
+	case l.conn.Aborted(): // the task was cancelled just as it completed
 		l.closing, l.reason = true, transport.EndAbandoned
-	case l.all.endpointOf(l.endpoint.server) != l.endpoint: // the server has another address by now
+	case l.all.endpointOf(l.endpoint.server) != l.endpoint: // the server has moved to another address
 		l.closing, l.reason = true, transport.EndReplaced
 	}
 	closing := l.closing
@@ -207,10 +208,10 @@
 	l.conn.Close()
 }
 
-// errUnsolicited is a message from a server that no request called for.
-var errUnsolicited = errors.New("a message that nobody asked for")
+// errUnsolicited is returned when a server sends a message between requests that it may only send as part of an answer.
+var errUnsolicited = errors.New("unsolicited message from the server")
 
-// idle waits for the next task. What the server sends, and its close, is noticed at once.
+// idle waits for the next task. It detects a close by the server, or a message from it, at once.
 func (l *serverConn) idle() (transport.Reason, error) {
 	deadline := time.Now().Add(l.all.idleAfter())
 	for {
@@ -223,7 +224,7 @@
 		l.mu.Lock()
 		next, closing, reason := l.current, l.closing, l.reason
 		if next == nil {
-			l.closing = true // from here on assign fails
+			l.closing = true // from here on, assign returns false
 		}
 		l.mu.Unlock()
 		unsolicited := errors.Is(err, errUnsolicited)
@@ -241,14 +242,15 @@
 			reason = transport.ReasonOf(err)
 		}
 		l.end()
-		if next != nil { // assigned at this moment: another connection takes it
+		if next != nil { // assigned while the connection ended; a new connection carries it out
 			l.all.dial(next, l.endpoint)
 		}
 		return reason, err
 	}
 }
 
-// skipAsync skips a message that a server may send between requests; any other ends the connection.
+// skipAsync skips a message that a server may send between requests. For any other message it returns errUnsolicited, which ends
+// the connection.
 func (l *serverConn) skipAsync() error {
 	h, err := postgres.ParseHeader(l.conn.Peek(postgres.HeaderSize))
 	if err != nil || h.Type != postgres.TypeParameterStatus && h.Type != postgres.TypeNoticeResponse {
--- a/internal/session/servers.go
+++ b/internal/session/servers.go
@@ -17,11 +17,11 @@
 )
 
 // Servers holds the connections to the database servers and carries out attempts and health checks on them. The exported fields
-// are set before the first use. Its routing.Servers methods are called by the owner's goroutine; each connection has a goroutine
-// of its own (Servers.dial), which ends with the connection.
+// are set before the first use. The methods of routing.Servers are called by the owner's goroutine; each connection has a
+// goroutine of its own (Servers.dial), which ends with the connection.
 //
-// The addresses in endpoints are a copy of those on routing's endpoint list, for the connections' goroutines. Only SetEndpoint
-// and Forget write it, called by the owner's goroutine; mu guards it.
+// The map endpoints is a copy of the addresses on routing's endpoint list, for use by the connections' goroutines. It is guarded
+// by mu, and only SetEndpoint and Forget, called by the owner's goroutine, change it.
 type Servers struct {
 	Owner   Queue
 	InForce *settings.Live
@@ -39,38 +39,39 @@
 	closed    bool
 }
 
-// Queue takes events for the owner's goroutine; it is a routing.Owner.
+// Queue accepts events for the owner's goroutine. It is implemented by routing.Owner.
 type Queue interface{ Post(routing.Event) }
 
-// serverEndpoint is the address of a server, with the idle connections there.
+// serverEndpoint is the address of a server, with the idle connections to it.
 type serverEndpoint struct {
 	server      policy.ServerID
 	endpoint    string
 	idle        transport.Pool[*serverConn]
-	suspectedAt atomic.Int64 // when an idle connection was last reset under a request
-	// withdrawals counts calls of Withdraw: a task that was sent before the last one may not begin.
+	suspectedAt atomic.Int64 // time at which a reused connection was last reset during a request
+	// withdrawals counts the calls of Withdraw. An attempt that was sent before the last call must not be started.
 	withdrawals atomic.Int64
 }
 
-// suspectFor is how long idle connections to a server are not trusted with what must not run twice, after one was reset under a
-// request; later only those are that have answered since. It guards against servers, machines back from being cut off and
-// paths to them that have dropped idle connections without a word. Closing all of them instead would cost handshakes on a path
-// that resets at random. The price is some handshakes too many for writes in the seconds after a server's death.
+// suspectFor is how long no idle connection to a server is used for non-idempotent requests after a reused connection was reset
+// during a request. After that time, only idle connections that have answered since the reset are used for them. This guards
+// against idle connections that a server, a machine that was unreachable for a while, or the network has dropped without notice.
+// Closing all idle connections instead would cost handshakes on a path that resets connections at random. The cost of the rule is
+// some unnecessary handshakes for writes in the first seconds after a server has failed.
 const suspectFor = 5 * clock.Micros(time.Second/time.Microsecond)
 
 // task is one attempt or one health check. It implements routing.Attempt.
 type task struct {
 	routing.Job
 	healthCheck       bool
-	withdrawalsAtSend int64 // serverEndpoint.withdrawals when it was sent
+	withdrawalsAtSend int64 // value of serverEndpoint.withdrawals when the task was sent
 	ctx               context.Context
 	stop              context.CancelFunc
 
 	mu   sync.Mutex
-	conn *serverConn // that carries it out, while or after it connects
+	conn *serverConn // the connection that carries the task out, set before it connects
 }
 
-// Cancel gives the task up, in whatever state it is. It does not block.
+// Cancel cancels the task, whatever its state. It does not block.
 func (t *task) Cancel() {
 	t.stop()
 	t.mu.Lock()
@@ -83,14 +84,14 @@
 
 func (t *task) cancelled() bool { return t.ctx.Err() != nil }
 
-// setConn notes the connection that a cancel has to reach.
+// setConn records the connection that Cancel has to abort.
 func (t *task) setConn(l *serverConn) {
 	t.mu.Lock()
 	t.conn = l
 	t.mu.Unlock()
 }
 
-// SetEndpoint says at which address a server is. Idle connections to a former address are closed.
+// SetEndpoint sets the address of a server. Idle connections to a previous address are closed.
 func (s *Servers) SetEndpoint(server policy.ServerID, endpoint string) {
 	s.mu.Lock()
 	if s.endpoints == nil {
@@ -113,15 +114,15 @@
 	}
 }
 
-// Withdraw has every attempt at a server that has not written its first byte end as one that could not connect: it may be sent
-// elsewhere.
+// Withdraw ends every attempt at a server that has not written its first byte, with the result of a failed connect, so that it may
+// be sent to another server.
 func (s *Servers) Withdraw(server policy.ServerID) {
 	if p := s.endpointOf(server); p != nil {
 		p.withdrawals.Add(1)
 	}
 }
 
-// Forget drops a server's address once nothing is in flight there. Its idle connections are closed.
+// Forget removes a server's address and closes the idle connections to it. It is called when no attempt at the server is in flight.
 func (s *Servers) Forget(server policy.ServerID) {
 	s.mu.Lock()
 	p := s.endpoints[server]
@@ -139,7 +140,7 @@
 	}
 }
 
-// endpointOf is the address of a server; nil if there is none.
+// endpointOf returns the endpoint of a server, or nil if the server has none.
 func (s *Servers) endpointOf(server policy.ServerID) *serverEndpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,11 +167,11 @@
 	s.start(t)
 }
 
-// start gives a task to an idle connection, or to a new one.
+// start assigns a task to an idle connection, or opens a new one for it.
 func (s *Servers) start(t *task) {
 	p := s.endpointOf(t.Server)
-	if p == nil { // never listed: nothing can have run there
-		go s.postEnded(t, unsent(policy.ResultConnectFailed)) // the owner must not wait for its own queue
+	if p == nil { // the server has no address, so nothing is sent
+		go s.postEnded(t, unsent(policy.ResultConnectFailed)) // on a goroutine: the owner calls start and must not block on its own queue
 		return
 	}
 	t.withdrawalsAtSend = p.withdrawals.Load()
@@ -191,12 +192,12 @@
 	s.dial(t, p)
 }
 
-// dial starts a connection for a task. The goroutine of the connection ends when the connection does; Close waits for it.
+// dial opens a connection for a task and starts the connection's goroutine, which ends with the connection. Close waits for it.
 func (s *Servers) dial(t *task, p *serverEndpoint) {
 	l := &serverConn{all: s, endpoint: p, current: t}
 	s.mu.Lock()
 	s.conns[l] = struct{}{}
-	if s.closed { // the task of a connection that broke during Close
+	if s.closed { // the task comes from a connection that failed during Close
 		t.stop()
 		l.closing, l.reason = true, transport.EndDraining
 	}
@@ -208,7 +209,7 @@
 	}()
 }
 
-// taskResult is how a task ended.
+// taskResult is the result of a task.
 type taskResult struct {
 	result     policy.Result
 	execution  policy.Execution
@@ -217,12 +218,13 @@
 	value      *transport.Message
 }
 
-// unsent is the result of a task whose last byte was not written: a server begins with the last byte.
+// unsent returns the result of a task whose last byte was not written. Such a request has not run, because a server starts
+// executing it only when it has received the last byte.
 func unsent(result policy.Result) taskResult {
 	return taskResult{result: result, execution: policy.ExecutionNone}
 }
 
-// postEnded tells the owner how a task ended.
+// postEnded posts the end of a task, with its result, to the owner.
 func (s *Servers) postEnded(t *task, result taskResult) {
 	t.stop()
 	latency := s.Clock.Now() - t.SentAt
@@ -245,7 +247,7 @@
 
 var roles = map[string]policy.Role{"primary": policy.RolePrimary, "replica": policy.RoleReplica}
 
-// parseLoadReport reads a load report. One of which any field cannot be read counts as empty.
+// parseLoadReport parses a load report. If any field cannot be parsed, it returns an empty report.
 func (s *Servers) parseLoadReport(text string) policy.LoadReport {
 	var loadReport policy.LoadReport
 	fields, ok := postgres.LoadFields(text)
@@ -258,7 +260,8 @@
 	return loadReport
 }
 
-// Close cancels what is in flight, closes every connection and waits for their goroutines. Nothing may be started afterwards.
+// Close cancels all tasks in flight, closes every connection and waits until the connections' goroutines have ended. No task may be
+// started afterwards.
 func (s *Servers) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -279,11 +282,11 @@
 	s.mu.Unlock()
 }
 
-// idleMargin is how long before a server closes an idle connection the gateway does: a request written then would
-// end as a reset, and the server's clock for it may have started a little earlier.
+// idleMargin is how long before the server's idle timeout the gateway closes an idle connection. A request written just as the
+// server closes the connection would end with a reset, and the server's timeout may have started slightly earlier.
 const idleMargin = 2 * time.Second
 
-// idleAfter is how long a connection may be idle.
+// idleAfter returns how long a connection may be idle.
 func (s *Servers) idleAfter() time.Duration {
 	keep := time.Duration(s.InForce.Load().Keepalive) * time.Microsecond
 	if keep <= 0 {
