--- a/internal/transport/buffers.go
+++ b/internal/transport/buffers.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// BufferSize is the one size of buffers. Nearly every message fits into one; a value of 64 KiB in hex takes 17.
+// BufferSize is the size of every buffer, in bytes. Nearly every message fits into one buffer; a value of 64 KiB in hex takes 17.
 const BufferSize = 8 << 10
 
-// Buffers is a pool of buffers of BufferSize bytes, with a budget for the bytes that messages reserve. It is safe for
-// concurrent use.
+// Buffers is a pool of buffers of BufferSize bytes, with a budget for the bytes that may be reserved. It is safe for concurrent
+// use.
 type Buffers struct {
 	chunks      sync.Pool
 	readers     sync.Pool
@@ -21,7 +21,7 @@
 	maxReserved int64
 }
 
-// NewBuffers returns a pool whose messages may together reserve maxReserved bytes.
+// NewBuffers returns a pool with a budget of maxReserved bytes.
 func NewBuffers(maxReserved int64) *Buffers {
 	b := &Buffers{maxReserved: maxReserved}
 	b.chunks.New = func() any { return new([BufferSize]byte) }
@@ -29,14 +29,14 @@
 	return b
 }
 
-// Reserve reserves n bytes of the budget. It reports whether they fit; if not, nothing is reserved.
+// Reserve reserves n bytes and reports whether they fit into the budget. If they do not, nothing is reserved.
 func (b *Buffers) Reserve(n int) bool {
 	for {
 		reserved := b.reserved.Load()
 		if reserved+int64(n) > b.maxReserved {
 			return false
 		}
-		// Never above the budget, not even for a moment: another reservation would be rejected for it that fits.
+		// The budget must not be exceeded even briefly, because another reservation that fits would then be rejected.
 		if b.reserved.CompareAndSwap(reserved, reserved+int64(n)) {
 			return true
 		}
@@ -46,7 +46,7 @@
 // Release returns n reserved bytes to the budget.
 func (b *Buffers) Release(n int) { b.reserved.Add(-int64(n)) }
 
-// Reserved is the number of bytes reserved now.
+// Reserved returns the number of bytes currently reserved.
 func (b *Buffers) Reserved() int64 { return b.reserved.Load() }
 
 // Message is a sequence of bytes in pooled buffers. It is reference-counted: every owner calls Free once. Share and Free
@@ -55,7 +55,7 @@
 	pool     *Buffers
 	chunks   []*[BufferSize]byte
 	size     int
-	reserved int // bytes of the budget that Grow reserved for it
+	reserved int // bytes that Grow has reserved for the message
 	refs     atomic.Int32
 }
 
@@ -72,7 +72,7 @@
 	return m
 }
 
-// Free ends one owner's use; the last owner's call returns the buffers to the pool. A nil message may be freed.
+// Free removes an owner. When the last owner is removed, the buffers return to the pool. Free of a nil message does nothing.
 func (m *Message) Free() {
 	if m == nil || m.refs.Add(-1) > 0 {
 		return
@@ -84,12 +84,12 @@
 	m.chunks, m.size, m.reserved = nil, 0, 0
 }
 
-// growPoll is how often a message that waits for memory tries again. Memory is freed when a response has been written,
+// growPoll is the interval at which Grow retries while it waits for memory. Memory is freed when an answer has been written,
 // which takes milliseconds.
 const growPoll = time.Millisecond
 
-// Grow reserves n bytes for what is about to be added, and waits until they fit the budget. A message that fits its first
-// buffer reserves nothing: there are no more first buffers than connections. It returns ErrWoken if pending reports true
+// Grow reserves n bytes for data that is about to be added, and waits until they fit into the budget. If n is at most BufferSize
+// it reserves nothing, because there are never more first buffers than connections. It returns ErrWoken if pending reports true
 // while it waits, and ErrDeadline at the deadline.
 func (m *Message) Grow(n int, deadline time.Time, pending func() bool) error {
 	if n <= BufferSize {
@@ -108,10 +108,10 @@
 	return nil
 }
 
-// Size is the number of bytes in the message.
+// Size returns the number of bytes in the message.
 func (m *Message) Size() int { return m.size }
 
-// freeTail is the unused end of the last buffer; a new buffer is added if there is none.
+// freeTail returns the unused end of the last buffer. If that buffer is full, it adds a new one.
 func (m *Message) freeTail() []byte {
 	at := m.size % BufferSize
 	if at == 0 && m.size == len(m.chunks)*BufferSize {
@@ -120,7 +120,7 @@
 	return m.chunks[len(m.chunks)-1][at:]
 }
 
-// Append adds bytes.
+// Append appends bytes to the message.
 func (m *Message) Append(p []byte) {
 	for len(p) > 0 {
 		n := copy(m.freeTail(), p)
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// FirstBuffer is the content of the first buffer; nil for an empty message.
+// FirstBuffer returns the content of the first buffer; nil for an empty message.
 func (m *Message) FirstBuffer() []byte {
 	if len(m.chunks) == 0 {
 		return nil
@@ -149,7 +149,7 @@
 	return m.chunks[0][:min(m.size, BufferSize)]
 }
 
-// BuffersFrom is the message's content from an offset within the first buffer, as slices for one vectored write.
+// BuffersFrom returns the message's content from an offset within the first buffer, as slices for one vectored write.
 func (m *Message) BuffersFrom(at int) net.Buffers {
 	var out net.Buffers
 	for i, c := range m.chunks {
--- a/internal/transport/close_test.go
+++ b/internal/transport/close_test.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// waitUntil waits waitUntil a condition holds that the kernel brings about.
-func waitUntil(t *testing.T, holds func() bool, what string) {
+// waitUntil waits until a condition that the kernel brings about is true, and fails the test with failure if it stays false.
+func waitUntil(t *testing.T, condition func() bool, failure string) {
 	t.Helper()
-	for end := testDeadline(); !holds(); time.Sleep(time.Millisecond) {
+	for end := testDeadline(); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal(what)
+			t.Fatal(failure)
 		}
 	}
 }
 
-// An abort before a write prevents it, whatever deadline the write sets afterwards. Fails without the check of aborted in
+// An Abort before a Write prevents the write, although Write sets a new deadline. The test fails without the check of aborted in
 // Write.
 func TestAbortBeforeAWrite(t *testing.T) {
 	c, peer := connected(t)
@@ -29,16 +29,16 @@
 	}
 	c.Close()
 	if got, _ := io.ReadAll(peer); len(got) > 0 {
-		t.Errorf("the peer got %q", got)
+		t.Errorf("the peer received %q", got)
 	}
 }
 
-// A close is seen behind unread bytes, an orderly one and a reset alike; an open connection is not reported closed.
+// PeerClosed detects an orderly close and a reset behind unread bytes, and does not report an open connection as closed.
 func TestPeerClosedBehindUnreadBytes(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		c, peer := connected(t)
 		peer.Write([]byte("unread"))
-		waitUntil(t, func() bool { return !c.Silent() }, "the bytes never came")
+		waitUntil(t, func() bool { return !c.Silent() }, "the bytes did not arrive")
 		if c.PeerClosed() {
 			t.Fatal("an open connection is reported closed")
 		}
@@ -46,25 +46,25 @@
 			peer.SetLinger(0)
 		}
 		peer.Close()
-		waitUntil(t, c.PeerClosed, "the close is not seen")
+		waitUntil(t, c.PeerClosed, "the close was not detected")
 	}
 	c, _ := connected(t)
 	c.Close()
 	if !c.PeerClosed() {
-		t.Error("a connection that is closed here is reported open")
+		t.Error("a connection closed on this side is reported open")
 	}
 }
 
-// Bytes that arrive during a close do not turn it into a reset: the peer reads its complete last response and an orderly end,
-// and what it writes is accepted until it closes too. Fails if Close is called without Linger.
+// Bytes that arrive during a close do not turn it into a reset: the peer reads its complete last answer and an orderly end, and
+// its writes succeed until it closes too. The test fails if Close is called without Linger.
 func TestLingerOverUnreadBytes(t *testing.T) {
 	c, peer := connected(t)
 	answer := bytes.Repeat([]byte("answer"), 1000)
 	if _, err := c.Write(testDeadline(), net.Buffers{answer}); err != nil {
 		t.Fatal(err)
 	}
-	peer.Write([]byte("a request that nobody reads"))
-	waitUntil(t, func() bool { return !c.Silent() }, "the request never came")
+	peer.Write([]byte("an unread request"))
+	waitUntil(t, func() bool { return !c.Silent() }, "the request did not arrive")
 	closed := make(chan struct{})
 	go func() {
 		defer close(closed)
@@ -75,7 +75,7 @@
 	if err != nil || !bytes.Equal(got, answer) {
 		t.Errorf("the peer read %d bytes of %d, %v", len(got), len(answer), err)
 	}
-	for range 2 { // a reset would show at the second at the latest
+	for range 2 { // a reset would make the second write fail at the latest
 		if _, err := peer.Write([]byte("more")); err != nil {
 			t.Errorf("the connection was reset: %v", err)
 		}
@@ -84,8 +84,8 @@
 	<-closed
 }
 
-// Once a listener has accepted its backlog, the address refuses connections: nobody connects to a gateway that no longer
-// accepts and is reset when it ends. Fails if the socket stays open after Serve.
+// When a closed listener has accepted its backlog, the address refuses connections. Otherwise, clients could still connect to a
+// gateway that no longer accepts, and would be reset when it exits. The test fails if the socket stays open after Serve.
 func TestClosedListenerRefuses(t *testing.T) {
 	l, err := Listen("127.0.0.1:0", NewBuffers(1<<20), NewDescriptors(1024))
 	if err != nil {
@@ -94,9 +94,9 @@
 	l.Close()
 	l.Serve(func(c *Conn, _ bool) { c.Close() })
 	if _, err := net.Dial("tcp", l.Addr()); DialReason(err) != EndConnectionRefused {
-		t.Errorf("connecting ended with %v", err)
+		t.Errorf("Dial returned %v", err)
 	}
 	if _, err := l.tcp.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("accepting ended with %v", err)
+		t.Errorf("Accept returned %v", err)
 	}
 }
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -1,11 +1,11 @@
 // Package transport owns the sockets: listening (Listener), dialling (Dial), connections (Conn), why they ended
 // (EndRecorder), the pools of idle server connections (Pool), the buffers (Buffers, Message), and the budgets of file
-// descriptors and memory. It knows no protocol and takes no routing decision.
+// descriptors and memory. It implements no protocol and makes no routing decisions.
 //
-// The packages session, streams and gateway call it. Each Conn belongs to the one goroutine that serves it; the other types
-// are safe for concurrent use. The decisions made here: which idle connection is closed when descriptors run short
+// The packages session, streams and gateway use it. Each Conn belongs to the goroutine that serves it; the other types are safe
+// for concurrent use. This package decides which idle connection is closed when descriptors run short
 // (Descriptors.closeOldestIdle), whether a new connection is admitted (Descriptors.acquire, Descriptors.acquireClient), how
-// long a closing listener goes on accepting (Listener.Serve), and which reason a network error stands for (ReasonOf).
+// long a closing listener continues to accept (Listener.Serve), and which reason is recorded for a network error (ReasonOf).
 package transport
 
 import (
@@ -22,7 +22,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// pastDeadline is a deadline that has passed; setting it ends a read under way.
+// pastDeadline is a deadline in the past; setting it ends a read in progress.
 var pastDeadline = time.Unix(1, 0)
 
 // ErrWoken is returned by a wait that ended because its pending function reported true.
@@ -50,17 +50,17 @@
 	return &Conn{tcp: nc, reader: r, buffers: buffers, descriptors: descriptors, fromClient: fromClient}
 }
 
-// Wake ends the Wait under way if its pending function reports true; without pending work the Wait goes on.
+// Wake ends the current Wait if its pending function reports true; otherwise the Wait continues.
 func (c *Conn) Wake() { c.tcp.SetReadDeadline(pastDeadline) }
 
-// Abort ends the read or write under way, and makes every later Write and ReadFull fail with ErrDeadline.
+// Abort ends a read or write in progress, and makes every later Write and ReadFull fail with ErrDeadline.
 func (c *Conn) Abort() {
 	c.aborted.Store(true)
 	c.tcp.SetDeadline(pastDeadline)
 }
 
 // Wait blocks until n bytes can be read (nil), pending reports true (ErrWoken), or the deadline has passed (ErrDeadline).
-// The read deadline is set before pending is called: work that is stored after the call ends the read by Wake, so none is
+// The read deadline is set before pending is called. If work is stored after that call, Wake ends the read, so that no work is
 // missed.
 func (c *Conn) Wait(n int, deadline time.Time, pending func() bool) error {
 	for {
@@ -81,7 +81,7 @@
 	}
 }
 
-// Buffered is how many bytes can be read without waiting.
+// Buffered returns the number of bytes that can be read without waiting.
 func (c *Conn) Buffered() int { return c.reader.Buffered() }
 
 // Peek returns the next n bytes without consuming them. A Wait for n bytes must have succeeded before.
@@ -122,10 +122,10 @@
 	return nil
 }
 
-// ReadFull reads exactly len(b) bytes. It is for connections on which nobody calls Wake.
+// ReadFull reads exactly len(b) bytes. It is for connections on which Wake is never called.
 func (c *Conn) ReadFull(b []byte, deadline time.Time) error {
 	c.tcp.SetReadDeadline(deadline)
-	if c.aborted.Load() { // an Abort after the deadline was set ends the read; this finds one before it
+	if c.aborted.Load() { // an Abort before the deadline was set; a later one ends the read itself
 		return ErrDeadline
 	}
 	_, err := io.ReadFull(c.reader, b)
@@ -144,9 +144,9 @@
 // Aborted reports whether Abort was called; the connection must not be used again.
 func (c *Conn) Aborted() bool { return c.aborted.Load() }
 
-// Silent reports whether the peer has neither closed the connection nor sent unsolicited bytes. It queries the kernel, so
-// that it sees a close of a moment ago: a request written to a connection that the peer has closed would end in a reset, and
-// nobody could tell whether the request ran.
+// Silent reports whether the peer has neither closed the connection nor sent unsolicited bytes. It queries the kernel, so that it
+// detects a very recent close. A request written to a connection that the peer has closed would end with a reset, after which it
+// is unknown whether the request ran.
 func (c *Conn) Silent() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -164,7 +164,7 @@
 	return err == nil && silent
 }
 
-// PeerClosed reports whether the peer has shut down its sending side or reset the connection, even while received bytes are
+// PeerClosed reports whether the peer has shut down its sending side or reset the connection, even if received bytes are still
 // unread. It queries the kernel.
 func (c *Conn) PeerClosed() bool {
 	raw, err := c.tcp.SyscallConn()
@@ -192,8 +192,8 @@
 }
 
 // Linger shuts down the sending side and discards what arrives until the peer closes, maxBytes were read or the deadline has
-// passed. A close with unread bytes would reset the connection, and the reset could destroy the last response before the peer
-// has read it. A peer that sent a request in that moment sees an orderly end without a response, and may retry elsewhere.
+// passed. A close with unread bytes would reset the connection, and the reset could destroy the last answer before the peer has
+// read it. If the peer sends a request at that moment, it sees an orderly end without an answer, and may retry elsewhere.
 func (c *Conn) Linger(deadline time.Time, maxBytes int64) {
 	if c.tcp.CloseWrite() != nil {
 		return
@@ -202,5 +202,5 @@
 	io.CopyN(io.Discard, c.reader, maxBytes)
 }
 
-// Remote is the peer's address.
+// Remote returns the peer's address.
 func (c *Conn) Remote() string { return c.tcp.RemoteAddr().String() }
--- a/internal/transport/descriptors.go
+++ b/internal/transport/descriptors.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// IdleClass orders idle connections by who is at the other end. When descriptors run short, the lowest class is closed first,
-// and within a class the connection that has been idle longest.
+// IdleClass ranks idle connections by the kind of peer. When descriptors run short, connections of the lowest class are closed
+// first, and within a class the connection that has been idle longest.
 type IdleClass uint8
 
 // The classes of idle connections.
@@ -24,7 +24,7 @@
 	used          int
 	clients       int
 	limit         int
-	maxIdleServed int // how many IdleServedClient connections may be idle at once
+	maxIdleServed int // maximum number of idle connections of class IdleServedClient
 	idle          [idleClasses]*list.List
 	positions     map[Idler]idlePosition
 }
@@ -34,32 +34,33 @@
 	element *list.Element
 }
 
-// Idler is a connection that may be idle. CloseIdle makes it close if it is still idle; the call must not block.
+// Idler is a connection that can be idle. CloseIdle asks it to close as soon as it is idle; the call must not block.
 type Idler interface{ CloseIdle(Reason) }
 
-// otherDescriptors is how many descriptors are not connections: standard streams, the listener, the poller and its pipe, the
-// configuration, files that a library opens briefly, and log files.
+// otherDescriptors is the number of descriptors set aside for other uses than connections: standard streams, the listener, the
+// poller and its pipe, the configuration, files that a library opens briefly, and log files.
 const otherDescriptors = 24
 
-// headroomDescriptors is how far below the limit idle connections begin to be closed: closing takes time, and new ones open
-// meanwhile.
+// headroomDescriptors is the distance from the limit at which idle connections begin to be closed. Closing takes time, and new
+// connections are opened meanwhile.
 const headroomDescriptors = 32
 
-// urgentDescriptors are reserved for health checks and discovery, which need only a few: without them the gateway would not
-// know the state of the servers.
+// urgentDescriptors is the number of descriptors reserved for health checks and discovery, which need only a few. Without them the
+// gateway would not know the state of the servers.
 const urgentDescriptors = 8
 
-// clientQuotaPercent is the clients' quota of the descriptors, in percent. At most a third of all descriptors carry
-// requests, and each request needs another descriptor for its server: what idle clients hold beyond this quota would be
-// missing there.
+// clientQuotaPercent is the share of the descriptors that clients may use, in percent. At most a third of all descriptors carry
+// requests from clients, and each request needs another descriptor for the connection to its server. If idle clients used more
+// than this share, descriptors for servers would run out.
 const clientQuotaPercent = 55
 
-// idleServedDivisor is the divisor of the limit that gives the number of idle clients which have sent a request: a sixth,
-// half of the third that carries requests. Clients that send one request and keep the connection would otherwise fill that
-// third and leave no room for new ones. The cost: a client that pauses between requests may have to reconnect.
+// idleServedDivisor is the divisor of the limit that gives the maximum number of idle clients that have sent a request: a sixth
+// of the limit, which is half of the third that carries requests. Otherwise, clients that send one request and then keep the
+// connection would fill that third and leave no room for new clients. The cost: a client that pauses between requests may have to
+// reconnect.
 const idleServedDivisor = 6
 
-// NewDescriptors returns the account of a process that may open limit descriptors.
+// NewDescriptors returns the accounting for a process that may open limit descriptors.
 func NewDescriptors(limit int) *Descriptors {
 	return &Descriptors{
 		limit: max(limit-otherDescriptors, 2*urgentDescriptors), positions: map[Idler]idlePosition{},
@@ -67,8 +68,9 @@
 	}
 }
 
-// acquire counts a connection to a server or to discovery, and closes an idle connection where descriptors run short. It
-// reports whether the connection fits; the caller calls release in either case. An urgent one may use the last descriptors.
+// acquire counts a connection to a server, to discovery or from another gateway, and closes an idle connection if descriptors run
+// short. It reports whether a descriptor is left for the connection; the caller must call release in either case. An urgent
+// connection may use the descriptors reserved by urgentDescriptors.
 func (d *Descriptors) acquire(urgent bool) bool {
 	d.mu.Lock()
 	d.used++
@@ -83,9 +85,10 @@
 
 func (d *Descriptors) headroom() int { return min(headroomDescriptors, d.limit/4) }
 
-// acquireClient counts a client's connection and reports whether it is admitted. Where the clients' quota or the limit less the
-// headroom is used up, an idle connection is closed for it. It is rejected only if none is idle and either the quota is
-// exceeded by more than half the headroom or only urgentDescriptors are left.
+// acquireClient counts a client's connection and reports whether it is admitted. If the clients exceed their quota, or the
+// descriptors in use exceed the limit less the headroom, an idle connection is closed in its place. The new connection is rejected
+// only if no connection is idle and, in addition, the quota is exceeded by more than half the headroom or only urgentDescriptors
+// are left.
 func (d *Descriptors) acquireClient() bool {
 	d.mu.Lock()
 	d.used++
@@ -106,7 +109,8 @@
 	d.mu.Unlock()
 }
 
-// closeOldestIdle closes the idle connection of the lowest class that has been idle longest. It reports whether there was one.
+// closeOldestIdle closes, in the lowest class that has idle connections, the one that has been idle longest. It reports whether
+// there was one.
 func (d *Descriptors) closeOldestIdle() bool {
 	d.mu.Lock()
 	var idle Idler
@@ -120,7 +124,7 @@
 	return idle != nil
 }
 
-// removeOldest removes and returns the connection of a class that has been idle longest; nil if there is none. The caller
+// removeOldest removes and returns the connection of a class that has been idle longest, or nil if the class has none. The caller
 // holds mu.
 func (d *Descriptors) removeOldest(class IdleClass) Idler {
 	front := d.idle[class].Front()
@@ -159,21 +163,21 @@
 	d.mu.Unlock()
 }
 
-// Reserve counts n descriptors that are neither connections nor among otherDescriptors; a negative n releases them.
+// Reserve counts n descriptors that are neither connections nor included in otherDescriptors; a negative n releases them.
 func (d *Descriptors) Reserve(n int) {
 	d.mu.Lock()
 	d.used += n
 	d.mu.Unlock()
 }
 
-// NearLimit reports whether the descriptors in use have reached the limit less the headroom.
+// NearLimit reports whether the descriptors in use exceed the limit less the headroom.
 func (d *Descriptors) NearLimit() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.used+d.headroom() > d.limit
 }
 
-// Used is the number of descriptors counted now.
+// Used returns the number of descriptors currently counted.
 func (d *Descriptors) Used() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/transport/ends.go
+++ b/internal/transport/ends.go
@@ -12,8 +12,8 @@
 	"github.com/rs/zerolog"
 )
 
-// Reason is why a connection ended. Its String is the code in logs and counters, which docs/oncall.md explains; operators'
-// alerts match the codes, so they keep their text.
+// Reason is why a connection ended. String returns its code in logs and counters, which docs/oncall.md explains. The codes must
+// not change, because operators' alerts match them.
 type Reason uint8
 
 // The reasons.
@@ -26,16 +26,16 @@
 	EndEvicted                          // closed while idle, to free its descriptor for another
 	EndDraining                         // closed because the gateway is shutting down
 	EndAbandoned                        // an attempt on it was abandoned
-	EndTimeout                          // a read or write took too long
-	EndConnectionRefused                // the operating system of the peer refused the connection
+	EndTimeout                          // a read or write reached its deadline
+	EndConnectionRefused                // the peer's operating system refused the connection
 	EndUnreachable                      // the connection was not established in time
 	EndRejected                         // the server rejected it during start-up
 	EndProtocol                         // the peer violated the protocol
-	EndCancelRequest                    // it carried only a CancelRequest
-	EndReplaced                         // another replaced it, or the policy ended it
-	EndServerFailed                     // the server ended it by a fatal error, or closed it after a response
-	EndStatus                           // discovery responded with a status other than 200
-	EndCompleted                        // the complete response has been read
+	EndCancelRequest                    // the client sent a CancelRequest, which is the only message of its connection
+	EndReplaced                         // another call or address replaced it, or it must not be used any more
+	EndServerFailed                     // the server sent a fatal error or surplus bytes, or ended it in place of ReadyForQuery
+	EndStatus                           // discovery answered with a status other than 200
+	EndCompleted                        // the complete answer has been read
 	EndDescriptors                      // no descriptor was left for it
 	EndAddressMigrated                  // the floating IP address it used migrated to another gateway
 	EndMaintenance                      // the gateway is entering maintenance
@@ -48,10 +48,10 @@
 	"done", "descriptors", "moved", "maintenance",
 }
 
-// String is the reason's code.
+// String returns the reason's code.
 func (r Reason) String() string { return reasonCodes[r] }
 
-// ReasonOf is the reason that a read, write or dial error stands for.
+// ReasonOf returns the reason for a connection that ended with a read, write or dial error.
 func ReasonOf(err error) Reason {
 	switch {
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
@@ -64,7 +64,7 @@
 	return EndPeerReset
 }
 
-// DialReason is the reason that an error of Dial stands for.
+// DialReason returns the reason for an error of Dial.
 func DialReason(err error) Reason {
 	var timeout net.Error
 	switch {
@@ -76,7 +76,7 @@
 	return ReasonOf(err)
 }
 
-// Party is who is at the other end of a connection.
+// Party is the kind of peer at the other end of a connection.
 type Party uint8
 
 // The parties.
@@ -89,7 +89,7 @@
 
 var partyNames = [parties]string{"client", "server", "discovery"}
 
-// EndRecorder logs and counts the ends of connections: one log line and one count for each. It is safe for concurrent use.
+// EndRecorder logs and counts ended connections. It is safe for concurrent use.
 type EndRecorder struct {
 	log    zerolog.Logger
 	counts [parties][reasons]atomic.Int64
@@ -98,7 +98,8 @@
 // NewEndRecorder returns a recorder that writes to log.
 func NewEndRecorder(log zerolog.Logger) *EndRecorder { return &EndRecorder{log: log} }
 
-// Record records the end of one connection that was open since a time and served so many requests. cause may be nil.
+// Record logs and counts the end of one connection, which was opened at since and served the given number of requests. cause may
+// be nil.
 func (e *EndRecorder) Record(party Party, remote string, reason Reason, since time.Time, served int, cause error) {
 	e.counts[party][reason].Add(1)
 	line := e.log.Info().Str("party", partyNames[party]).Str("peer", remote).Stringer("reason", reason).
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -11,20 +11,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// acceptBackoff is the wait before the next Accept when the system has no descriptor left; a connection that ends frees one.
+// acceptBackoff is the wait before the next Accept after Accept has failed, normally because the process has no descriptor left.
+// A connection that ends frees one.
 const acceptBackoff = 2 * time.Millisecond
 
-// backlogWait is how long a closing listener goes on accepting connections that the kernel has already established.
+// backlogWait is how long a closing listener continues to accept connections that the kernel has already established.
 const backlogWait = 5 * time.Millisecond
 
-// maxBacklogTime bounds how long it then goes on while connections are left in the kernel's queue: it may have had no
-// processor time before, or clients go on connecting.
+// maxBacklogTime is how long a closing listener continues at most after backlogWait while connections are left in the kernel's
+// queue, because the process had no processor time before or because clients continue to connect.
 const maxBacklogTime = time.Second
 
 // Listener accepts connections until Close. Its Serve starts one goroutine for each connection; Wait waits for their end.
 type Listener struct {
-	// FromGateways is true if other gateways connect, not clients: their connections do not count against the clients' quota. It
-	// is set before Serve.
+	// FromGateways is true if other gateways connect instead of clients. Their connections do not count against the clients'
+	// quota. It is set before Serve is called.
 	FromGateways bool
 
 	tcp         *net.TCPListener
@@ -42,16 +43,16 @@
 	return &Listener{tcp: nl.(*net.TCPListener), buffers: buffers, descriptors: descriptors}, nil
 }
 
-// Addr is the address that the listener is bound to.
+// Addr returns the address that the listener is bound to.
 func (l *Listener) Addr() string { return l.tcp.Addr().String() }
 
 // Serve accepts connections until Close and calls serve for each on a goroutine of its own, which ends when serve returns.
-// It goes on accepting when descriptors run short, because a request counts from the moment the kernel has it; a connection
-// for which there is no descriptor is passed with stays false, and serve must reject it. When Serve returns, the socket is
-// closed: nobody can connect and then wait for a gateway that no longer accepts.
-func (l *Listener) Serve(serve func(conn *Conn, stays bool)) {
+// It continues to accept when descriptors run short, because a request counts from the moment the kernel has received it. If no
+// descriptor is left for a connection, serve is called with admitted set to false and must reject the connection. Serve closes the
+// socket before it returns, so that no client can connect and then wait for a gateway that no longer accepts.
+func (l *Listener) Serve(serve func(conn *Conn, admitted bool)) {
 	defer l.tcp.Close()
-	var stopAt time.Time // when a closing listener stops accepting; zero until the deadline that Close sets
+	var stopAt time.Time // when a closing listener stops accepting; zero until the deadline set by Close has passed
 	for stopAt.IsZero() || l.backlog() > 0 && time.Now().Before(stopAt) {
 		nc, err := l.tcp.AcceptTCP()
 		switch {
@@ -65,8 +66,8 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			// Past its deadline Accept returns at once, even if connections are queued. A gateway that got no processor time
-			// before would cut them all off, so the deadline is extended while some are queued.
+			// After its deadline, Accept fails at once even if connections are queued. If the process had no processor time
+			// before the deadline, they would all be reset, so the deadline is extended while connections are queued.
 			if stopAt.IsZero() {
 				stopAt = time.Now().Add(maxBacklogTime)
 				l.tcp.SetDeadline(stopAt)
@@ -78,8 +79,8 @@
 	}
 }
 
-// backlog is the number of connections in the kernel's accept queue, 0 where it is not known. For a listening socket,
-// Linux reports it as tcpi_unacked in TCP_INFO.
+// backlog returns the number of connections in the kernel's accept queue, or 0 if it is unknown. For a listening socket, Linux
+// reports the number as tcpi_unacked in TCP_INFO.
 func (l *Listener) backlog() (n int) {
 	if raw, err := l.tcp.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) {
@@ -98,8 +99,8 @@
 	return l.descriptors.acquireClient()
 }
 
-// Close makes Serve accept what is already in the kernel's queue, so that no client there is cut off, stop listening and
-// return. Close itself does not wait.
+// Close makes Serve accept the connections that are already in the kernel's queue, so that they are not reset, then stop listening
+// and return. Close itself does not wait.
 func (l *Listener) Close() {
 	l.tcp.SetDeadline(time.Now().Add(backlogWait))
 }
@@ -108,10 +109,10 @@
 func (l *Listener) Wait() { l.connections.Wait() }
 
 // ErrNoDescriptor is returned by Dial when the descriptor limit leaves none for another connection.
-var ErrNoDescriptor = errors.New("no descriptor free")
+var ErrNoDescriptor = errors.New("no file descriptor available")
 
-// Dial opens a TCP connection before the deadline and before ctx ends. An urgent one may use the last descriptors. Its error
-// is ErrNoDescriptor or the network's; DialReason gives the reason.
+// Dial opens a TCP connection. It fails when the deadline has passed or ctx is done. An urgent connection may use the last
+// descriptors. The error is ErrNoDescriptor or a network error; DialReason returns its reason.
 func Dial(ctx context.Context, addr string, deadline time.Time, buffers *Buffers, descriptors *Descriptors, urgent bool) (
 	*Conn, error,
 ) {
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// Pool holds the idle connections to one server, as a stack: the one used last is taken first, so that connections beyond
-// the need stay idle and are closed for it. It is safe for concurrent use; the zero value is an empty pool.
+// Pool holds the idle connections to one server as a stack. The most recently used connection is taken first, so that surplus
+// connections stay idle until they are closed by their idle timeout. It is safe for concurrent use; the zero value is an empty pool.
 type Pool[C comparable] struct {
 	mu   sync.Mutex
 	idle []C
@@ -19,7 +19,7 @@
 	p.mu.Unlock()
 }
 
-// Take removes and returns the connection used last; ok is false if the pool is empty.
+// Take removes and returns the most recently used connection; ok is false if the pool is empty.
 func (p *Pool[C]) Take() (c C, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -32,7 +32,7 @@
 	return c, true
 }
 
-// Remove removes one connection if it is in the pool.
+// Remove removes a connection if it is in the pool.
 func (p *Pool[C]) Remove(c C) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -41,7 +41,7 @@
 	}
 }
 
-// TakeAll removes and returns all connections, the one idle for longest first.
+// TakeAll removes and returns all connections, the longest idle first.
 func (p *Pool[C]) TakeAll() []C {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -15,10 +15,10 @@
 	"github.com/rs/zerolog"
 )
 
-// testDeadline is a deadline that only a failing test reaches.
+// testDeadline returns a deadline that only a failing test reaches.
 func testDeadline() time.Time { return time.Now().Add(20 * time.Second) }
 
-// connected returns both ends of one connection: ours, and the peer's.
+// connected returns both ends of a connection: the Conn under test and the peer's end.
 func connected(t *testing.T) (*Conn, *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -57,7 +57,7 @@
 			parts := m.BuffersFrom(at)
 			parts.WriteTo(&got)
 			if m.Size() != size || !bytes.Equal(got.Bytes(), want[at:]) {
-				t.Errorf("%d bytes came back as %d, %d after the first %d", size, m.Size(), got.Len(), at)
+				t.Errorf("a message of %d bytes has size %d, and %d bytes from offset %d", size, m.Size(), got.Len(), at)
 			}
 			if !bytes.Equal(m.FirstBuffer(), want[:min(size, BufferSize)]) {
 				t.Errorf("the first buffer of %d bytes differs", size)
@@ -65,7 +65,7 @@
 			m.Share()
 			m.Free()
 			if m.Size() != size {
-				t.Error("freed while it has another owner")
+				t.Error("freed although it has another owner")
 			}
 			m.Free()
 			if m.chunks != nil {
@@ -75,7 +75,7 @@
 	}
 	m := b.NewMessage()
 	if err := m.Fill(bytes.NewReader(make([]byte, 9)), 10); !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("a message that broke off: %v", err)
+		t.Errorf("reading a truncated message returned %v", err)
 	}
 	var none *Message
 	none.Free()
@@ -84,7 +84,7 @@
 func TestReserve(t *testing.T) {
 	b := NewBuffers(100)
 	if !b.Reserve(60) || b.Reserve(41) || !b.Reserve(40) || b.Reserve(1) {
-		t.Error("the budget of 100 was exceeded or not used")
+		t.Error("the budget of 100 was exceeded or not fully usable")
 	}
 	b.Release(60)
 	if b.Reserved() != 40 || !b.Reserve(60) {
@@ -100,14 +100,14 @@
 func (i *idler) CloseIdle(r Reason) { *i.closed = append(*i.closed, i.name+" "+r.String()) }
 
 func TestDescriptorsCloseTheOldestIdle(t *testing.T) {
-	d := NewDescriptors(otherDescriptors + 40) // some way before 40 they are short
+	d := NewDescriptors(otherDescriptors + 40) // idle connections are closed from 40 less the headroom on
 	var closed []string
 	a, b, c := &idler{"a", &closed}, &idler{"b", &closed}, &idler{"c", &closed}
 	for _, x := range []*idler{a, b, c} {
 		d.MarkIdle(x, IdleServer)
 	}
-	d.MarkBusy(a)             // it has a request now
-	d.MarkIdle(a, IdleServer) // and is idle again: the youngest
+	d.MarkBusy(a)             // a gets a request
+	d.MarkIdle(a, IdleServer) // and is idle again, so that c is now the one that has been idle longest
 	d.MarkBusy(b)
 	for range 30 {
 		if !d.acquire(true) {
@@ -115,7 +115,7 @@
 		}
 	}
 	if len(closed) != 0 {
-		t.Fatalf("%v closed with descriptors left", closed)
+		t.Fatalf("%v closed although descriptors are left", closed)
 	}
 	for range 10 {
 		if !d.acquire(true) {
@@ -141,16 +141,16 @@
 		p.Put(s)
 	}
 	p.Remove("b")
-	p.Remove("never there")
+	p.Remove("not in the pool")
 	if s, ok := p.Take(); s != "c" || !ok {
-		t.Errorf("took %q, want the one used last", s)
+		t.Errorf("took %q, want the most recently used one", s)
 	}
 	p.Put("d")
 	if all := p.TakeAll(); len(all) != 2 || all[0] != "a" || all[1] != "d" {
-		t.Errorf("%v", all)
+		t.Errorf("TakeAll returned %v", all)
 	}
 	if _, ok := p.Take(); ok {
-		t.Error("something is left")
+		t.Error("the pool is not empty after TakeAll")
 	}
 }
 
@@ -169,12 +169,12 @@
 		mu.Unlock()
 		c.Wake()
 	}
-	addWork() // before the wait
+	addWork() // before the call of Wait
 	if err := c.Wait(1, testDeadline(), pending); !errors.Is(err, ErrWoken) {
-		t.Fatalf("left before: %v", err)
+		t.Fatalf("work added before Wait: %v", err)
 	}
 	hasWork = false
-	c.Wake() // for nothing
+	c.Wake() // without work
 	polled := make(chan struct{}, 8)
 	go func() {
 		<-polled
@@ -188,7 +188,7 @@
 		return pending()
 	})
 	if !errors.Is(err, ErrWoken) {
-		t.Fatalf("left meanwhile: %v", err)
+		t.Fatalf("work added during Wait: %v", err)
 	}
 	hasWork = false
 	if err := c.Wait(1, time.Now(), pending); !errors.Is(err, ErrDeadline) {
@@ -208,7 +208,7 @@
 func TestAbortEndsAWrite(t *testing.T) {
 	c, peer := connected(t)
 	go func() {
-		io.ReadFull(peer, make([]byte, 1)) // the write is under way; an abort before it would be undone by its deadline
+		io.ReadFull(peer, make([]byte, 1)) // Abort only while the write is in progress; TestAbortBeforeAWrite tests the other order
 		c.Abort()
 	}()
 	huge := make([]byte, 64<<20) // more than any socket buffer holds
@@ -218,7 +218,8 @@
 	}
 }
 
-// A connection that the peer has closed, or on which it has sent unsolicited bytes, must not get a request.
+// Silent returns false if the peer has closed the connection or sent unsolicited bytes. No request may be written to such a
+// connection.
 func TestSilent(t *testing.T) {
 	for name, disturb := range map[string]func(*net.TCPConn){
 		"closed": func(p *net.TCPConn) { p.Close() },
@@ -230,12 +231,12 @@
 			if !c.Silent() {
 				t.Fatal("not silent at first")
 			}
-			c.Wake() // a deadline in the past must not matter
+			c.Wake() // a deadline in the past must not affect Silent
 			if !c.Silent() {
-				t.Fatal("not silent once woken")
+				t.Fatal("not silent after Wake")
 			}
 			disturb(peer)
-			// On loopback it arrives at once, but only a wait in the kernel shows when.
+			// Wait returns when the close, the reset or the bytes have arrived in the kernel.
 			c.Wait(1, testDeadline(), nil)
 			if c.Silent() {
 				t.Error("still silent")
@@ -253,57 +254,58 @@
 	l.Close()
 	fds := NewDescriptors(1024)
 	if _, err := Dial(context.Background(), addr, testDeadline(), NewBuffers(1), fds, false); ReasonOf(err) != EndConnectionRefused {
-		t.Errorf("nobody listens: %v", err)
+		t.Errorf("without a listener: %v", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if _, err := Dial(ctx, addr, testDeadline(), NewBuffers(1), fds, false); err == nil {
-		t.Error("dialled after a cancel")
+		t.Error("Dial succeeded with a cancelled context")
 	}
 	full := NewDescriptors(1)
 	for full.acquire(true) {
 	}
 	used := full.Used()
 	if _, err := Dial(context.Background(), addr, testDeadline(), NewBuffers(1), full, true); !errors.Is(err, ErrNoDescriptor) {
-		t.Errorf("at the cap: %v", err)
+		t.Errorf("at the descriptor limit: %v", err)
 	}
 	if fds.Used() != 0 || full.Used() != used {
 		t.Errorf("%d and %d descriptors counted, want 0 and %d", fds.Used(), full.Used(), used)
 	}
 }
 
-// New clients without a request are closed before a client that has been served, clients keep to their quota, and the last
-// descriptors are left to urgent calls.
+// Idle clients that have not sent a request are closed before clients that have been served, clients do not exceed their quota,
+// and the last descriptors are reserved for urgent connections.
 func TestClientDescriptorQuota(t *testing.T) {
 	const limit = 100
 	d := NewDescriptors(otherDescriptors + limit)
 	var closed []string
 	served, silent := &idler{"served", &closed}, &idler{"silent", &closed}
 	d.MarkIdle(served, IdleServedClient)
-	d.MarkIdle(silent, IdleNewClient) // later idle, and yet first
+	d.MarkIdle(silent, IdleNewClient) // idle for less time, but closed first
 	stayed := 0
 	for d.acquireClient() {
 		stayed++
 	}
 	if len(closed) < 2 || closed[0] != "silent room" || closed[1] != "served room" {
-		t.Errorf("%v closed, want the silent one and then the other", closed)
+		t.Errorf("%v closed, want the client without a request and then the served one", closed)
 	}
 	if quota := limit * clientQuotaPercent / 100; stayed < quota || stayed > quota+headroomDescriptors {
-		t.Errorf("%d clients of a share of %d", stayed, quota)
+		t.Errorf("%d clients admitted with a quota of %d", stayed, quota)
 	}
 	plain := 0
 	for ; d.acquire(false); plain++ {
 	}
 	if plain < limit/5 {
-		t.Errorf("clients left %d descriptors for servers", plain)
+		t.Errorf("only %d descriptors left for servers", plain)
 	}
 	d.release(false)
 	if !d.acquire(true) {
-		t.Error("none was left for an urgent call")
+		t.Error("no descriptor was left for an urgent connection")
 	}
 }
 
-// Clients that send one request and keep their connection are closed for new ones; connections to servers are not.
+// If too many clients that have sent a request are idle, the one that has been idle longest is closed. Idle connections to servers
+// are not limited in this way.
 func TestIdleServedClientsAreClosed(t *testing.T) {
 	const limit = 60
 	d := NewDescriptors(limit)
@@ -315,15 +317,15 @@
 		d.MarkIdle(&idler{fmt.Sprint("client", i), &closed}, IdleServedClient)
 	}
 	if len(closed) != 0 {
-		t.Errorf("%v closed with descriptors left", closed)
+		t.Errorf("%v closed although the limit is not exceeded", closed)
 	}
 	d.MarkIdle(&idler{"one more", &closed}, IdleServedClient)
 	if len(closed) != 1 || closed[0] != "client0 room" {
-		t.Errorf("%v closed, want the client that is idle for longest", closed)
+		t.Errorf("%v closed, want the client that has been idle longest", closed)
 	}
 }
 
-// A message that does not fit the budget waits for reserved memory, until its deadline or until it is abandoned.
+// Grow waits until the memory fits into the budget, the deadline has passed or pending reports true.
 func TestGrowWaitsForMemory(t *testing.T) {
 	b := NewBuffers(3 * BufferSize)
 	first, second := b.NewMessage(), b.NewMessage()
@@ -332,13 +334,13 @@
 		t.Fatal(err)
 	}
 	if err := second.Grow(BufferSize, testDeadline(), never); err != nil || b.Reserved() != 2*BufferSize {
-		t.Errorf("a first buffer was counted: %v, %d held", err, b.Reserved())
+		t.Errorf("a first buffer was reserved: %v, %d reserved", err, b.Reserved())
 	}
 	if err := second.Grow(2*BufferSize, time.Now(), never); !errors.Is(err, ErrDeadline) {
-		t.Errorf("its time up: %v", err)
+		t.Errorf("at the deadline: %v", err)
 	}
 	if err := second.Grow(2*BufferSize, testDeadline(), func() bool { return true }); !errors.Is(err, ErrWoken) {
-		t.Errorf("given up: %v", err)
+		t.Errorf("with pending true: %v", err)
 	}
 	asked := false
 	if err := second.Grow(2*BufferSize, testDeadline(), func() bool {
@@ -356,8 +358,8 @@
 	}
 }
 
-// Connections that the kernel has accepted before the listener closes are served: a request counts from there. That holds
-// also if the accepting goroutine had no processor time until long after.
+// Connections that the kernel has established before the listener closes are served, because a request counts from the moment the
+// kernel has received it. This also holds if the accepting goroutine gets no processor time until long after the close.
 func TestListenerAcceptsItsBacklog(t *testing.T) {
 	for _, late := range []time.Duration{0, 4 * backlogWait} {
 		t.Run(late.String(), func(t *testing.T) {
@@ -367,7 +369,7 @@
 				t.Fatal(err)
 			}
 			var peers []net.Conn
-			for range 20 { // nobody accepts yet
+			for range 20 { // Serve does not run yet
 				p, err := net.Dial("tcp", l.Addr())
 				if err != nil {
 					t.Fatal(err)
@@ -426,7 +428,8 @@
 	}
 }
 
-// However many reserve at once, the budget is never exceeded, not even for a moment, and what fits is not rejected for what does not.
+// Concurrent reservations never exceed the budget, not even briefly, and a reservation that fits is not rejected because of another
+// that does not fit.
 func TestReservationsAtOnce(t *testing.T) {
 	const budget = 1000
 	buffers := NewBuffers(budget)
@@ -451,6 +454,6 @@
 	}
 	reservers.Wait()
 	if over.Load() > 0 || rejected.Load() > 0 || buffers.Reserved() != 0 {
-		t.Errorf("over the budget %d times, rejected %d that fit, %d left", over.Load(), rejected.Load(), buffers.Reserved())
+		t.Errorf("budget exceeded %d times, %d fitting reservations rejected, %d bytes still reserved", over.Load(), rejected.Load(), buffers.Reserved())
 	}
 }
