--- a/internal/session/client_test.go
+++ b/internal/session/client_test.go
@@ -11,7 +11,7 @@
 	"marblespan/internal/transport"
 )
 
-// idleClient is a client's connection between requests, and its peer's end.
+// idleClient returns a client's connection between requests, and the peer's end of it.
 func idleClient(t *testing.T) (*client, net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -34,24 +34,24 @@
 	return &client{all: all, conn: conn, answerReady: make(chan struct{}, 1), sentRequest: true}, peer
 }
 
-// A connection that is asked to close after a request has reached the kernel serves that request first.
+// If a connection is asked to close after the first bytes of a request have reached the kernel, it serves the request first.
 func TestClosingDoesNotCutOffARequest(t *testing.T) {
 	c, peer := idleClient(t)
-	if _, err := peer.Write([]byte("Q")); err != nil { // the rest is still on its way
+	if _, err := peer.Write([]byte("Q")); err != nil { // the rest arrives later
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(testTimeout); c.conn.Silent(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the request never reached the kernel")
+			t.Fatal("the request did not reach the kernel")
 		}
 	}
 	c.CloseIdle(transport.EndEvicted)
 	time.AfterFunc(10*time.Millisecond, func() { peer.Write([]byte{0, 0, 0, 4}) })
 	if reason, err := c.idle(5); err != nil {
-		t.Fatalf("closed for %s (%v) with a request in the kernel", reason, err)
+		t.Fatalf("closed with reason %s (%v) although a request had begun to arrive", reason, err)
 	}
 	c.conn.Skip(5)
 	if reason, err := c.idle(5); err == nil || reason != transport.EndEvicted {
-		t.Errorf("then %s, %v, want it closed for room", reason, err)
+		t.Errorf("after the request: reason %s, %v, want the connection closed as evicted", reason, err)
 	}
 }
--- a/internal/session/discovery_test.go
+++ b/internal/session/discovery_test.go
@@ -13,7 +13,7 @@
 	"marblespan/internal/transport"
 )
 
-// scriptedDiscovery hands each call that comes to the test, which answers it byte by byte.
+// scriptedDiscovery is a discovery service whose answers the test writes itself, byte by byte.
 type scriptedDiscovery struct {
 	t        *testing.T
 	listener net.Listener
@@ -21,7 +21,7 @@
 	client   *Discovery
 }
 
-// scriptedCall is one call, of which the request has been read.
+// scriptedCall is one call whose request has been read.
 type scriptedCall struct {
 	net.Conn
 	path string
@@ -48,7 +48,7 @@
 	return l
 }
 
-// nextCall takes the next nextCall in.
+// nextCall accepts the next call.
 func (s *scriptedDiscovery) nextCall() *scriptedCall { return acceptCall(s.t, s.listener) }
 
 func acceptCall(t *testing.T, l net.Listener) *scriptedCall {
@@ -70,20 +70,20 @@
 	return &scriptedCall{nc, strings.Fields(first)[1]}
 }
 
-// writeBytewise writes bytes one by one, so that nothing depends on how they are cut.
+// writeBytewise writes one byte at a time, so that the result does not depend on how the text is split into packets.
 func (c *scriptedCall) writeBytewise(text string) {
 	for i := range len(text) {
 		c.Write([]byte{text[i]})
 	}
 }
 
-// reset breaks the connection off.
+// reset resets the connection.
 func (c *scriptedCall) reset() {
 	c.Conn.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
-// nextUpdate is the next update posted to the owner.
+// nextUpdate returns the next update posted to the owner.
 func (s *scriptedDiscovery) nextUpdate() routing.EndpointListUpdate {
 	s.t.Helper()
 	select {
@@ -110,23 +110,23 @@
 }
 
 const (
-	headOpen   = "HTTP/1.1 200 OK\r\n\r\n" // without a length: up to the connection's end
+	headOpen   = "HTTP/1.1 200 OK\r\n\r\n" // without a length: the body ends when the connection is closed
 	oneServer  = `{"rev":41,"all":true,"targets":[{"uid":"a","endpoint":"127.0.0.1:5433","pod_group":3,"state":"ready"}]}`
 	oneDrained = `{"rev":42,"all":false,"targets":[{"uid":"a","endpoint":"127.0.0.1:5433","pod_group":3,"state":"draining"}]}` + "\n"
 	indented   = "{\n  \"rev\": 42,\n  \"all\": false,\n  \"targets\": [\n    {\n      \"uid\": \"a\",\n" +
 		"      \"endpoint\": \"127.0.0.1:5433\",\n      \"pod_group\": 3,\n      \"state\": \"draining\"\n    }\n  ]\n}\n"
 )
 
-// longTimeouts limits are reached only by a test that fails.
+// longTimeouts are limits that only a failing test reaches.
 var longTimeouts = CallTimeouts{Connect: testTimeout, Answer: testTimeout, Silence: testTimeout}
 
-// A change may stand on one line or, indented, on several; whichever way it is cut, and with empty lines between.
+// A change may be on one line or, indented, on several lines, with empty lines between changes and in any split into packets.
 func TestWatchReadsIndentedChanges(t *testing.T) {
 	s := newScriptedDiscovery(t, longTimeouts)
 	s.client.Watch(40)
 	c := s.nextCall()
 	c.writeBytewise(headOpen + "\r\n")
-	s.wantList(40) // the empty line says that nothing has changed since
+	s.wantList(40) // the empty line means that nothing has changed since
 	c.writeBytewise(oneServer + "\n  \n" + indented + "\n")
 	s.wantList(41)
 	s.wantList(42)
@@ -134,7 +134,7 @@
 	s.wantFailure()
 }
 
-// A reset is no end of an answer, also where it has no length and what came can be read.
+// A reset does not complete an answer, even if the answer has no length and the received part can be parsed.
 func TestResetDoesNotCompleteAList(t *testing.T) {
 	s := newScriptedDiscovery(t, longTimeouts)
 	s.client.Fetch()
@@ -149,7 +149,7 @@
 	s.wantList(41)
 }
 
-// A truncated answer is no list, in whatever way it gives its length.
+// A truncated answer fails the fetch, whichever way the answer specifies its length.
 func TestListCutInTheMiddle(t *testing.T) {
 	for _, head := range []string{
 		headOpen, "HTTP/1.1 200 OK\r\nContent-Length: 106\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6a\r\n",
@@ -163,8 +163,8 @@
 	}
 }
 
-// A watch whose first line does not arrive in time has failed, although its header and some bytes have arrived: with a new
-// deadline for each piece it would never end. A later line has as long.
+// A watch fails if its first line does not arrive in time, even if its header and some bytes have arrived: if each piece extended
+// the deadline, the watch would never end. The same applies to a later line.
 func TestSlowWatchHasFailed(t *testing.T) {
 	short := CallTimeouts{Connect: testTimeout, Answer: 150 * time.Millisecond, Silence: 150 * time.Millisecond}
 	for _, before := range []string{"", oneServer + "\n"} {
@@ -175,7 +175,7 @@
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			for { // a line that never ends
+			for { // an endless line
 				if _, err := c.Write([]byte(" ")); err != nil {
 					return
 				}
@@ -190,7 +190,7 @@
 	}
 }
 
-// A complete list has one deadline for all of its pieces.
+// The deadline of a fetch applies to the complete list, and is not extended by each piece.
 func TestSlowListHasFailed(t *testing.T) {
 	s := newScriptedDiscovery(t, CallTimeouts{Connect: testTimeout, Answer: 150 * time.Millisecond, Silence: testTimeout})
 	s.client.Fetch()
@@ -209,8 +209,8 @@
 	s.wantFailure()
 }
 
-// While a new address fails, the watch at the previous one goes on. What it sends is used, but it is no sign that the new address
-// is watched: the router has to hear of the failure again, or nobody would try there.
+// While calls to a new address fail, the watch at the previous address continues. Its lists are posted, but the router would take
+// them for lists of a working watch and would not retry the new address, so the failure is posted again after each of them.
 func TestListFromThePreviousAddressDoesNotHideAFailure(t *testing.T) {
 	s := newScriptedDiscovery(t, longTimeouts)
 	s.client.Watch(40)
@@ -233,11 +233,11 @@
 	c.Close()
 	s.wantList(41)
 	if _, err := previous.Read(make([]byte, 1)); err == nil {
-		t.Error("the watch at the previous address goes on")
+		t.Error("the watch at the previous address continues")
 	}
 }
 
-// A new watch that sends its list before the previous one has ended leaves one watch, and no failure.
+// If a new watch sends its list before the previous watch has ended, only the new watch remains, and no failure is posted.
 func TestNewWatchBeforeTheOldOneEnds(t *testing.T) {
 	s := newScriptedDiscovery(t, longTimeouts)
 	s.client.Watch(40)
@@ -253,7 +253,7 @@
 	s.wantList(43)
 }
 
-// An address that is set during a call is asked at once, and what the call to the previous one still brings is not posted.
+// An address that is set during a call is called at once, and lists that then arrive from the previous address are not posted.
 func TestSetAddressDuringACall(t *testing.T) {
 	s := newScriptedDiscovery(t, longTimeouts)
 	s.client.Watch(40)
@@ -267,7 +267,7 @@
 	previous.writeBytewise(headOpen + "{\"rev\":99}\n")
 	watch := acceptCall(t, moved)
 	if watch.path != "/v1/servers?watch=1&from=41" {
-		t.Errorf("then asked for %s", watch.path)
+		t.Errorf("the watch requested %s", watch.path)
 	}
 	watch.writeBytewise(headOpen + oneDrained)
 	s.wantList(42)
--- a/internal/session/execution_test.go
+++ b/internal/session/execution_test.go
@@ -10,8 +10,8 @@
 	"marblespan/internal/routing"
 )
 
-// What is known of whether an attempt ran comes from the bytes alone: whatever role the server tells, an answer has run; only a
-// server's own refusal, or a last byte that was never written, proves that it has not.
+// Whether an attempt ran is derived from the bytes alone. An answer proves that it ran, whatever role the server reports. Only a
+// refusal by the server, or an unwritten last byte of the request, proves that it did not run.
 func TestExecutionOfAttempts(t *testing.T) {
 	row := string(fake.RowMessages([]byte("v")))
 	rowDescription := 1 + int(binary.BigEndian.Uint32([]byte(row[1:])))
@@ -26,15 +26,15 @@
 		"an answer":                        {reply(row + message('Z', "I")), policy.ResultOK, policy.ExecutionDone},
 		"an answer of a replica":           {reply(replica + row + replica + message('Z', "I")), policy.ResultOK, policy.ExecutionDone},
 		"an answer with a broken end":      {reply(row + message('Z', "T")), policy.ResultError, policy.ExecutionUnknown},
-		"full":                             {refusal("53300"), policy.ResultOverloaded, policy.ExecutionNone},
+		"overloaded":                       {refusal("53300"), policy.ResultOverloaded, policy.ExecutionNone},
 		"no primary":                       {refusal("25006"), policy.ResultMisdirected, policy.ExecutionNone},
 		"too far behind":                   {refusal("72000"), policy.ResultMisdirected, policy.ExecutionNone},
 		"an error":                         {refusal("XX000"), policy.ResultError, policy.ExecutionUnknown},
 		"a system error":                   {refusal("58000"), policy.ResultError, policy.ExecutionUnknown},
 		"not ready for connections":        {refusal("57P03"), policy.ResultError, policy.ExecutionUnknown},
 		"ended by an administrator":        {refusal("57P01"), policy.ResultError, policy.ExecutionUnknown},
-		"a refusal behind part of a row":   {reply(row[:rowDescription] + message('E', "SERROR\x00C53300\x00M\x00\x00") + message('Z', "I")), policy.ResultError, policy.ExecutionUnknown},
-		"a row behind a refusal":           {reply(message('E', "SERROR\x00C53300\x00Mno\x00\x00") + row), policy.ResultError, policy.ExecutionUnknown},
+		"a refusal after part of a row":    {reply(row[:rowDescription] + message('E', "SERROR\x00C53300\x00M\x00\x00") + message('Z', "I")), policy.ResultError, policy.ExecutionUnknown},
+		"a row after a refusal":            {reply(message('E', "SERROR\x00C53300\x00Mno\x00\x00") + row), policy.ResultError, policy.ExecutionUnknown},
 		"a close instead of an answer":     {func(q *fake.Query) { q.CloseConn() }, policy.ResultReset, policy.ExecutionUnknown},
 		"a reset in the middle of the row": {func(q *fake.Query) { q.Write([]byte(row[:30])); q.CloseConn() }, policy.ResultReset, policy.ExecutionUnknown},
 	} {
@@ -49,7 +49,7 @@
 	}
 }
 
-// An attempt that never had its last byte written is proven not to have run, whatever ended it.
+// An attempt whose last byte was not written has certainly not run, whatever ended it.
 func TestExecutionOfUnsentAttempts(t *testing.T) {
 	for name, prepare := range map[string]func(*harness){
 		"no such server":        func(r *harness) { r.servers.Forget(1) },
@@ -66,8 +66,9 @@
 	}
 }
 
-// A server may send a refusal twice; the copy can cross the next request on the connection and look like its answer. It proves nothing
-// of a request that was written right behind the first one, and the connection is not used again; a while later a refusal is believed.
+// A server may send a refusal twice. The duplicate may arrive just after the next request was written and look like its answer. If
+// the next request was written right after the first refusal, the same refusal proves nothing about it, and the connection is not
+// used again. A refusal of a request written after duplicateRefusalWindow counts as genuine.
 func TestRepeatedRefusalProvesNothing(t *testing.T) {
 	r := newHarness(t)
 	r.server.SetQueryHandler(func(q *fake.Query) {
--- a/internal/session/interleaving_test.go
+++ b/internal/session/interleaving_test.go
@@ -19,8 +19,8 @@
 	"marblespan/internal/transport"
 )
 
-// clientHarness is a client's connection without a goroutine of its own: the test calls its steps one by one and lets things
-// happen between two of them.
+// clientHarness contains a client's connection without a goroutine of its own: the test calls its steps one by one, so that it can
+// cause events between two of them.
 type clientHarness struct {
 	t      *testing.T
 	c      *client
@@ -46,23 +46,23 @@
 	return postgres.AppendQuery(nil, "/* id="+id+",c=look,d=4000,cluster=7 */ SELECT content FROM kv WHERE name = 'k'")
 }
 
-// largeStatement is longer than a buffer.
+// largeStatement returns a statement that is longer than a buffer.
 func largeStatement(id string) []byte {
 	return postgres.AppendQuery(nil, "/* id="+id+",c=put,d=4000,cluster=7 */ INSERT INTO kv (name, content) VALUES ('k', '\\x"+
 		strings.Repeat("01", transport.BufferSize)+"') RETURNING content")
 }
 
-// awaitArrival waits until all that the peer has written is in our kernel.
+// awaitArrival waits until bytes from the peer, and its close if closed is true, have arrived in the kernel.
 func (x *clientHarness) awaitArrival(closed bool) {
 	x.t.Helper()
 	for end := time.Now().Add(testTimeout); x.c.conn.Silent() || closed && !x.c.conn.PeerClosed(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			x.t.Fatal("what the peer wrote never came")
+			x.t.Fatal("the bytes from the peer did not arrive")
 		}
 	}
 }
 
-// nextRequest is the next request that was posted to the owner.
+// nextRequest returns the next request posted to the owner.
 func (x *clientHarness) nextRequest() *routing.Request {
 	x.t.Helper()
 	select {
@@ -81,8 +81,8 @@
 	r.Client.Answer(routing.Answer{Kind: routing.AnswerServed, Value: value})
 }
 
-// A client sends much at once and disconnects: no request is posted once its close has arrived, although the close lies behind
-// unread bytes. Fails without the check for it in receive.
+// If a client sends many queries at once and disconnects, no request is posted after its close has arrived, although the close is
+// behind unread bytes. The test fails without the check for the close in receive.
 func TestNoRequestForADisconnectedClient(t *testing.T) {
 	x := newClientHarness(t)
 	x.peer.Write(bytes.Repeat(lookStatement("x"), 200))
@@ -92,12 +92,12 @@
 		t.Errorf("ended with %v, %v", reason, err)
 	}
 	if n := len(x.events); n != 0 {
-		t.Errorf("%d events for the owner", n)
+		t.Errorf("%d events posted to the owner, want none", n)
 	}
 }
 
-// A client with maxPipelined open requests is not read from; its disconnect is noticed all the same, and each of its requests is
-// cancelled. Fails without the check for it in watchUnread.
+// A client with maxPipelined open requests is not read from, but its disconnect is detected nevertheless, and each of its requests
+// is cancelled. The test fails without the check for the close in watchUnread.
 func TestDisconnectIsNoticedWhileNothingIsRead(t *testing.T) {
 	x := newClientHarness(t)
 	x.peer.Write(bytes.Repeat(lookStatement("x"), 4*maxPipelined))
@@ -121,8 +121,8 @@
 	}
 }
 
-// During the backoff after a bad message, the answers to earlier requests are written, and a disconnect is noticed. Fails where
-// the backoff only sleeps.
+// During the backoff after a bad message, the answers to earlier requests are written, and a disconnect is detected. The test fails
+// if backOff only sleeps.
 func TestAnswersAndDisconnectDuringTheBackoff(t *testing.T) {
 	x := newClientHarness(t)
 	x.peer.Write(append(lookStatement("x"), postgres.AppendQuery(nil, "DROP TABLE kv")...))
@@ -149,12 +149,12 @@
 			t.Errorf("ended with %v", reason)
 		}
 	case <-time.After(testTimeout):
-		t.Error("the close was not noticed")
+		t.Error("the close was not detected")
 	}
 }
 
-// An answer goes out while the next message, longer than a buffer, is still on its way in. Fails where Fill is not
-// interrupted for it.
+// An answer is written while the next message, which is longer than a buffer, is still arriving. The test fails if the answer does
+// not interrupt Fill.
 func TestAnswerWhileALargeMessageComesIn(t *testing.T) {
 	x := newClientHarness(t)
 	large := largeStatement("y")
@@ -172,14 +172,14 @@
 	}
 	x.peer.Write(large[transport.BufferSize+100:])
 	if r := x.nextRequest(); r.ClientID != "y" {
-		t.Errorf("then %q was requested", r.ClientID)
+		t.Errorf("the next request is %q, want y", r.ClientID)
 	}
 	x.peer.Close()
 	<-ended
 }
 
-// A CutOff between the header of a request and its body, which has arrived, takes the request in. Fails where it ends the reading
-// at once.
+// If CutOff is called between reading the header of a request and its body, which has arrived, the request is submitted. The test
+// fails if CutOff stops the reading at once.
 func TestCutOffBetweenHeaderAndBody(t *testing.T) {
 	x := newClientHarness(t)
 	large := largeStatement("x")
@@ -195,11 +195,12 @@
 		t.Fatalf("ended with %v, %v", reason, err)
 	}
 	if r := x.nextRequest(); r.ClientID != "x" {
-		t.Errorf("%q was requested", r.ClientID)
+		t.Errorf("the request is %q, want x", r.ClientID)
 	}
 }
 
-// A message whose rest does not arrive ends the connection soon after CutOff, whether it stopped within the header or after it.
+// If the rest of a message does not arrive, its connection ends soon after CutOff, whether the message stopped within the header or
+// after it.
 func TestCutOffEndsIncompleteMessages(t *testing.T) {
 	for _, part := range []int{1, postgres.HeaderSize + 20} {
 		x := newClientHarness(t)
@@ -219,13 +220,13 @@
 				t.Errorf("%d bytes: ended with %v", part, err)
 			}
 		case <-time.After(testTimeout):
-			t.Errorf("%d bytes: the connection goes on", part)
+			t.Errorf("%d bytes: the connection was not ended", part)
 		}
 	}
 }
 
-// An idle connection is closed, and a request arrives at that moment: it is not forwarded, and the client sees an orderly end,
-// after which it may send the request elsewhere. Fails without linger in Serve.
+// If a request arrives just as its idle connection is closed, it is not forwarded, and the client sees an orderly end, after which it
+// may send the request elsewhere. The test fails without linger in Serve.
 func TestRequestDuringTheCloseOfAnIdleConnection(t *testing.T) {
 	x := newClientHarness(t)
 	x.c.all.Limits.Linger = testTimeout
@@ -239,7 +240,7 @@
 	x.readReady()
 	x.c.all.Drain(transport.EndDraining)
 	x.readEnd()
-	for range 2 { // a reset would show at the second
+	for range 2 { // a reset would make the second write fail
 		if _, err := x.peer.Write(lookStatement("x")); err != nil {
 			t.Errorf("the connection was reset: %v", err)
 		}
@@ -247,12 +248,12 @@
 	x.peer.Close()
 	<-served
 	if n := len(x.events); n != 0 {
-		t.Errorf("%d events for the owner", n)
+		t.Errorf("%d events posted to the owner, want none", n)
 	}
 }
 
-// A client for which there is no descriptor reads its complete rejection and an orderly end, whatever it has sent by then. Fails
-// without linger in rejectConnection.
+// A client that is rejected for lack of a descriptor can read the complete error and an orderly end, whatever it has sent before.
+// The test fails without linger in rejectConnection.
 func TestRejectionBeforeTheStartUpIsRead(t *testing.T) {
 	x := newClientHarness(t)
 	x.c.all.Limits.Linger = testTimeout
@@ -271,6 +272,7 @@
 	<-served
 }
 
+// readReady reads messages from the gateway up to ReadyForQuery.
 func (x *clientHarness) readReady() {
 	x.t.Helper()
 	x.peer.SetReadDeadline(time.Now().Add(testTimeout))
@@ -292,16 +294,17 @@
 	}
 }
 
+// readEnd fails the test unless the connection ends in an orderly way without further bytes.
 func (x *clientHarness) readEnd() {
 	x.t.Helper()
 	x.peer.SetReadDeadline(time.Now().Add(testTimeout))
 	if n, err := x.peer.Read(make([]byte, 1)); n != 0 || err != io.EOF {
-		x.t.Fatalf("%d bytes, %v, want the end", n, err)
+		x.t.Fatalf("read %d bytes, %v, want EOF", n, err)
 	}
 }
 
-// A task that is cancelled at the moment its complete answer was read leaves a connection that is not used again. Fails without
-// the check for the abort in finishTask.
+// If a task is cancelled just after its complete answer was read, the connection is not used again. The test fails without the check
+// for the abort in finishTask.
 func TestCancelAfterACompleteAnswer(t *testing.T) {
 	r := newHarness(t)
 	answered := newTask(r.job("a"))
@@ -316,18 +319,18 @@
 		t.Fatal(reason, err)
 	}
 	if e := r.attemptEnded(); e.Result != policy.ResultOK {
-		t.Errorf("the answer was lost: %d", e.Result)
+		t.Errorf("the task ended with result %d, want ResultOK", e.Result)
 	}
 	if _, ok := r.servers.endpointOf(1).idle.Take(); ok {
-		t.Error("the connection was kept")
+		t.Error("the connection is in the pool")
 	}
 	if reason, _ := l.idle(); reason != transport.EndAbandoned {
 		t.Errorf("the connection ended with %v", reason)
 	}
 }
 
-// A task that is cancelled after the connection was made and before the first byte is not sent: the server never sees it. Fails
-// without the check for the abort in Write.
+// A task that is cancelled between connecting and writing its first byte is not sent to the server. The test fails without the check
+// for the abort in Write.
 func TestCancelBeforeTheFirstByte(t *testing.T) {
 	r := newHarness(t)
 	task := newTask(r.job("a"))
@@ -347,7 +350,8 @@
 	}
 }
 
-// An answer that is complete but for ReadyForQuery is forwarded soon, not at the request's deadline; likewise an error.
+// An answer or an error that is complete except for ReadyForQuery is posted soon, not only at the request's deadline. So is the
+// error for an incomplete answer.
 func TestAnswerWithoutReadyForQuery(t *testing.T) {
 	for want, handle := range map[policy.Result]func(*fake.Query){
 		policy.ResultOK:    func(q *fake.Query) { q.Write(fake.RowMessages([]byte("v"))) },
@@ -369,7 +373,7 @@
 	}
 }
 
-// slowPositions returns the position that a session's read requires when the test wants it.
+// slowPositions is a SessionPositions in which the test decides when Required calls done.
 type slowPositions struct {
 	SessionPositions
 	required func(policy.Position)
@@ -381,7 +385,7 @@
 	m.required = done
 }
 
-// disconnectingQueue has the client disconnect as its request is posted.
+// disconnectingQueue is a queue that makes the client disconnect just before its request is posted.
 type disconnectingQueue struct {
 	poster
 	disconnect func()
@@ -394,10 +398,11 @@
 	q.poster.Post(ev)
 }
 
-// A read that waits for its session's position is not posted once its client has disconnected; where it disconnects at that
-// moment, routing hears of it after the request, not before. Fails without the checks in postUnlessDisconnected.
+// A read that waits for its session's position is not posted if its client disconnects meanwhile. If the client disconnects just as
+// the request is posted, ClientDisconnected is posted after the request, not only before it. The test fails without the checks in
+// postUnlessDisconnected.
 func TestDisconnectWhileAPositionIsAwaited(t *testing.T) {
-	for name, late := range map[string]bool{"before": false, "in the moment": true} {
+	for name, late := range map[string]bool{"before": false, "during the post": true} {
 		t.Run(name, func(t *testing.T) {
 			x := newClientHarness(t)
 			snapshot := *x.c.all.InForce.Load()
@@ -426,7 +431,7 @@
 				disconnected = !isRequest // the last event counts
 			}
 			if !disconnected || routed != late {
-				t.Errorf("posted %v, and then the disconnect: %v", routed, disconnected)
+				t.Errorf("request posted: %v, disconnect posted last: %v", routed, disconnected)
 			}
 		})
 	}
@@ -444,7 +449,7 @@
 	return s
 }
 
-// accept takes a connection in and reads its start-up.
+// accept accepts a connection and reads its start-up message.
 func (s *slowServer) accept() net.Conn {
 	s.t.Helper()
 	s.l.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
@@ -460,15 +465,15 @@
 	return nc
 }
 
-// admitted is a server's answer to a start-up.
+// admitted is a server's answer to a successful start-up.
 var admitted = []byte{'R', 0, 0, 0, 8, 0, 0, 0, 0, 'Z', 0, 0, 0, 5, 'I'}
 
-// A server that is removed from the list, or gets another address, while a connection to it is being made gets no byte of a
-// request on it: the attempt never ran, and may be sent elsewhere. What is sent after its return arrives. Fails without
-// withdrawn in exchange.
+// If a server is removed from the endpoint list, or gets another address, while a connection to it is being established, no byte of
+// a request is written on that connection: the attempt has not run, and may be sent elsewhere. An attempt that is sent after the
+// server has returned reaches it. The test fails without the call of withdrawn in exchange.
 func TestWithdrawnWhileConnecting(t *testing.T) {
 	for name, change := range map[string]func(*harness){
-		"taken out": func(r *harness) { r.servers.Withdraw(1) },
+		"withdrawn": func(r *harness) { r.servers.Withdraw(1) },
 		"moved":     func(r *harness) { r.servers.SetEndpoint(1, r.server.Addr()) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -483,7 +488,7 @@
 				t.Errorf("ended with %s", routing.ResultNames[e.Result])
 			}
 			if got, _ := io.ReadAll(nc); len(got) > 0 {
-				t.Errorf("the server got %q", got)
+				t.Errorf("the server received %q", got)
 			}
 			r.servers.SetEndpoint(1, r.server.Addr())
 			r.servers.Send(r.job("b"))
@@ -496,8 +501,8 @@
 	}
 }
 
-// The time sent to a server is what is left when its first byte is written, not when the connection was begun. Fails where it is
-// computed before the connection is up.
+// The time limit sent to a server is the time that remains when the request's first byte is written, not when the connection was
+// started. The test fails if the time limit is computed before the connection is established.
 func TestRequestCarriesTheRemainingTime(t *testing.T) {
 	r := newHarness(t)
 	r.changeSettings(func(f *settings.Snapshot) { f.Settings.ConnectTimeout = clock.Micros(testTimeout / time.Microsecond) })
@@ -521,7 +526,7 @@
 	}
 	sent, err := strconv.Atoi((&fake.Query{SQL: string(body)}).Field("d"))
 	if maxLeft := int(job.Deadline-job.SentAt-late) / 1000; err != nil || sent > maxLeft || sent < maxLeft/2 {
-		t.Errorf("sent %d ms (%v), %d are left", sent, err, maxLeft)
+		t.Errorf("the request carried %d ms (%v), at most %d ms remained", sent, err, maxLeft)
 	}
 	nc.Close()
 	r.attemptEnded()
--- a/internal/session/pending_test.go
+++ b/internal/session/pending_test.go
@@ -9,7 +9,7 @@
 	"marblespan/internal/routing"
 )
 
-// recordedWrite is an in-doubt write that records what it is told of routing's answer.
+// recordedWrite is an in-doubt write that records the kinds of answers passed to RoutingAnswered.
 type recordedWrite struct{ kinds []indoubt.AnswerKind }
 
 func (w *recordedWrite) Begin()  {}
@@ -19,7 +19,8 @@
 }
 func (w *recordedWrite) MaySend(context.Context, string, time.Time) bool { return false }
 
-// A rejection of a write that may have run, as the settings let it run twice, is no proof for its intent that nothing ran.
+// If the settings allow a write to run twice, routing may reject it although an attempt may have run. Such a rejection does not
+// prove that the write did not run, so it is passed on as failed.
 func TestRejectionsOfInDoubtWrites(t *testing.T) {
 	for _, c := range []struct {
 		mayHaveRun bool
@@ -29,7 +30,7 @@
 		q := &pendingQuery{client: &client{}, write: write}
 		q.Answer(routing.Answer{Kind: routing.AnswerRejected, MayHaveRun: c.mayHaveRun})
 		if len(write.kinds) != 1 || write.kinds[0] != c.want {
-			t.Errorf("may have run: %v: %v", c.mayHaveRun, write.kinds)
+			t.Errorf("with MayHaveRun %v: recorded %v", c.mayHaveRun, write.kinds)
 		}
 	}
 }
--- a/internal/session/server_conn_test.go
+++ b/internal/session/server_conn_test.go
@@ -16,7 +16,7 @@
 	"marblespan/internal/transport"
 )
 
-// harness is a Servers with an owner that only records events.
+// harness contains a Servers whose owner only records events, and a fake database server.
 type harness struct {
 	t       *testing.T
 	servers *Servers
@@ -24,7 +24,7 @@
 	events  chan routing.Event
 }
 
-// testTimeout bounds every wait for an event; only a test that fails reaches it.
+// testTimeout is the limit of every wait for an event. Only a failing test reaches it.
 const testTimeout = 20 * time.Second
 
 func newHarness(t *testing.T) *harness {
@@ -48,14 +48,14 @@
 	return r
 }
 
-// changeSettings puts changed settings in force.
+// changeSettings changes the settings in force.
 func (r *harness) changeSettings(change func(*settings.Snapshot)) {
 	next := *r.servers.InForce.Load()
 	change(&next)
 	r.servers.InForce.Store(&next)
 }
 
-// poster hands what is posted to a channel.
+// poster sends posted events to a channel.
 type poster chan routing.Event
 
 func (p poster) Post(ev routing.Event) { p <- ev }
@@ -79,12 +79,12 @@
 	case ev := <-r.events:
 		return ev.(routing.AttemptEnded)
 	case <-time.After(testTimeout):
-		r.t.Fatal("nothing was posted")
+		r.t.Fatal("no event was posted")
 		return routing.AttemptEnded{}
 	}
 }
 
-// idleConn returns the connection that has carried out one task and is idle now.
+// idleConn returns a connection that has carried out one task and is idle, removed from the pool.
 func (r *harness) idleConn() *serverConn {
 	r.t.Helper()
 	r.servers.Send(r.job("first"))
@@ -98,8 +98,8 @@
 	return l
 }
 
-// The server has closed, the kernel knows, and the task came before the goroutine saw it: written now, the request would
-// end as a reset that may have run. It must go out on another connection instead.
+// The server has closed the connection, but a task is assigned before the connection's goroutine has seen the close. If the request
+// were written now, it would end with a reset, after which it may have run. It must be sent on another connection instead.
 func TestTaskOnAConnectionThatHasJustClosed(t *testing.T) {
 	r := newHarness(t)
 	first := newTask(r.job("first"))
@@ -111,7 +111,7 @@
 	r.server.ResetConns()
 	<-r.server.Closed
 	l.current = newTask(r.job("second"))
-	l.carryOut() // here, where no goroutine of its own sees the end first
+	l.carryOut() // called by the test, because a goroutine of the connection might see the close first
 	if e := r.attemptEnded(); e.Result != policy.ResultOK {
 		t.Errorf("ended with %s", routing.ResultNames[e.Result])
 	}
@@ -120,12 +120,12 @@
 	}
 }
 
-// A task assigned to a connection at the moment it ends is carried out by another.
+// A task assigned to a connection just as the connection ends is carried out by another one.
 func TestTaskAssignedToAnEndingConnection(t *testing.T) {
 	r := newHarness(t)
 	l := r.idleConn()
 	done := make(chan struct{})
-	l.mu.Lock() // the goroutine wakes up to a closed connection, and finds the task there
+	l.mu.Lock() // the goroutine wakes because of the close, and finds the task once it has the mutex
 	go func() {
 		r.server.ResetConns()
 		<-r.server.Closed
@@ -142,7 +142,7 @@
 	}
 }
 
-// A server that gets another address while an attempt is in flight gets nothing new at the former one.
+// If the address of a server changes while an attempt is in flight, no further attempts are sent to the previous address.
 func TestEndpointChangedWhileBusy(t *testing.T) {
 	r := newHarness(t)
 	other, err := fake.NewServer("primary")
@@ -154,7 +154,7 @@
 	r.server.SetQueryHandler(func(q *fake.Query) {
 		close(arrived)
 		<-release
-		q.ReplyRow([]byte("old place"))
+		q.ReplyRow([]byte("previous address"))
 	})
 	r.servers.Send(r.job("a"))
 	<-arrived
@@ -163,18 +163,18 @@
 	if e := r.attemptEnded(); e.Result != policy.ResultOK {
 		t.Errorf("ended with %s", routing.ResultNames[e.Result])
 	}
-	select { // the connection to the old place does not linger
+	select { // the connection to the previous address is closed
 	case <-r.server.Closed:
 	case <-time.After(testTimeout):
-		t.Fatal("the connection to the old place stays")
+		t.Fatal("the connection to the previous address was not closed")
 	}
 	r.servers.Send(r.job("b"))
 	if e := r.attemptEnded(); e.Result != policy.ResultOK || len(other.Queries()) != 1 {
-		t.Errorf("ended with %s, %d statements at the new place", routing.ResultNames[e.Result], len(other.Queries()))
+		t.Errorf("ended with %s, %d statements at the new address", routing.ResultNames[e.Result], len(other.Queries()))
 	}
 }
 
-// An idle connection to a former address is closed.
+// An idle connection to a previous address is closed.
 func TestEndpointChangedWhileIdle(t *testing.T) {
 	r := newHarness(t)
 	r.servers.endpointOf(1).idle.Put(r.idleConn())
@@ -182,11 +182,11 @@
 	select {
 	case <-r.server.Closed:
 	case <-time.After(testTimeout):
-		t.Error("the connection stays")
+		t.Error("the connection was not closed")
 	}
 }
 
-// A cancel while the connection is being made, and one of an attempt to a server never listed.
+// An attempt that is cancelled before its connection is established, and an attempt at a server without an address, send nothing.
 func TestCancelBeforeAnythingIsWritten(t *testing.T) {
 	r := newHarness(t)
 	task := newTask(r.job("a"))
@@ -203,7 +203,7 @@
 	}
 }
 
-// A value larger than what was reserved for it would exceed the memory budget.
+// An answer message larger than maxAnswerMessage ends the attempt with an error, so that it cannot exceed the memory budget.
 func TestOversizedAnswer(t *testing.T) {
 	r := newHarness(t)
 	r.server.SetQueryHandler(func(q *fake.Query) { q.ReplyRow(make([]byte, maxAnswerMessage)) })
@@ -214,7 +214,7 @@
 	<-r.server.Closed
 }
 
-// Role, position and load that a server reports reach the owner with the outcome, in its units.
+// The role, position and load that a server reports are posted to the owner with the result, in the owner's units.
 func TestAnswerCarriesRoleAndPosition(t *testing.T) {
 	r := newHarness(t)
 	r.server.Position.Store(1_796_133_629_826)
@@ -233,7 +233,7 @@
 	}
 }
 
-// The router may close idle connections; a busy one ends after its answer.
+// CloseIdle closes idle connections only; an attempt in flight still gets its answer.
 func TestCloseIdle(t *testing.T) {
 	r := newHarness(t)
 	arrived, release := make(chan struct{}, 2), make(chan struct{})
@@ -254,10 +254,10 @@
 	select {
 	case n := <-r.server.Closed:
 		if n != 2 {
-			t.Errorf("connection %d ended, want the idle one", n)
+			t.Errorf("connection %d was closed, want the idle one", n)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("the idle connection stays")
+		t.Fatal("the idle connection was not closed")
 	}
 	close(release)
 	if e := r.attemptEnded(); e.Job.ID != "slow" || e.Result != policy.ResultOK {
@@ -265,8 +265,8 @@
 	}
 }
 
-// A health check without an answer closes the other idle connections to the server: the machine may be cut off, and when it is
-// back its kernel knows none of them.
+// A health check without an answer closes the other idle connections to the server. Its machine may be unreachable, and when it is
+// back, its kernel may have forgotten them.
 func TestHealthCheckTimeoutClosesIdleConnections(t *testing.T) {
 	r := newHarness(t)
 	arrived, release := make(chan struct{}, 2), make(chan struct{})
@@ -295,13 +295,13 @@
 		select {
 		case <-r.server.Closed:
 		case <-time.After(testTimeout):
-			t.Fatal("an idle sibling stays")
+			t.Fatal("an idle connection was not closed")
 		}
 	}
 }
 
-// Between requests a server may send a parameter's new value; any other message ends the connection, and a task that was
-// assigned at that moment is carried out on another.
+// Between requests a server may send a parameter's new value. Any other message ends the connection, and a task that was assigned
+// just then is carried out on another one.
 func TestUnsolicitedMessages(t *testing.T) {
 	r := newHarness(t)
 	queries := make(chan *fake.Query, 4)
@@ -314,7 +314,7 @@
 	first.Write([]byte("S\x00\x00\x00\x08a\x00b\x00"))
 	r.servers.Send(r.job("second"))
 	if e := r.attemptEnded(); e.Result != policy.ResultOK {
-		t.Fatalf("behind a parameter's value: ended with %s", routing.ResultNames[e.Result])
+		t.Fatalf("after a parameter's value: ended with %s", routing.ResultNames[e.Result])
 	}
 	second := <-queries
 	l, _ := r.servers.endpointOf(1).idle.Take()
@@ -323,34 +323,34 @@
 	l.current = newTask(r.job("third"))
 	l.mu.Unlock()
 	if e := r.attemptEnded(); e.Result != policy.ResultOK {
-		t.Errorf("given as an error came: ended with %s", routing.ResultNames[e.Result])
+		t.Errorf("assigned as an error arrived: ended with %s", routing.ResultNames[e.Result])
 	}
 	if third := <-queries; third.Conn == second.Conn {
 		t.Error("carried out on the connection that had failed")
 	}
 }
 
-// message is a message as a server writes it, made here and not by the gateway's codec.
+// message returns a message as a server writes it. It does not use the gateway's codec, which is under test.
 func message(kind byte, body string) string {
 	n := len(body) + 4
 	return string([]byte{kind, byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)}) + body
 }
 
-// A malformed answer is an attempt that may have run: nothing in it is used, and its connection is never used again. None of them
-// may hold its request up until the deadline.
+// After a malformed answer, the request may have run, nothing in the answer is used, and the connection is not used again. A
+// malformed answer must not delay the result until the request's deadline.
 func TestMalformedAnswers(t *testing.T) {
 	answer := string(fake.RowMessages([]byte("v")))
 	params := message('S', "role\x00primary\x00") + message('S', "applied_ms\x001796133629826\x00")
 	for name, raw := range map[string]string{
-		"noise":                         "\x91\x02\xfe\x00\x7f\x11 and more of it",
-		"a line that never ends":        strings.Repeat("x", 300<<10),
-		"a value said to hold 3 GB":     answer[:len(answer)-len(message('C', "SELECT 1\x00"))-12] + "D\xb2\xd0\x5e\x00" + strings.Repeat("y", 300<<10),
+		"random bytes":                  "\x91\x02\xfe\x00\x7f\x11 and more of it",
+		"an endless line":               strings.Repeat("x", 300<<10),
+		"a declared value size of 3 GB": answer[:len(answer)-len(message('C', "SELECT 1\x00"))-12] + "D\xb2\xd0\x5e\x00" + strings.Repeat("y", 300<<10),
 		"a length below four":           "T\x00\x00\x00\x01",
 		"a refusal that cannot be read": params + message('E', "C53300") + message('Z', "I"),
 		"a row that stops":              params + answer[:len(answer)-20],
 		"a header that stops":           "T\x00\x00",
 		"an answer without its end":     params + message('T', answer[5:5+26+4])[:20],
-		"noise before the end":          params + answer + "\x00\x00\x00\x00\x00\x00\x00",
+		"random bytes before the end":   params + answer + "\x00\x00\x00\x00\x00\x00\x00",
 	} {
 		r := newHarness(t)
 		r.server.SetQueryHandler(func(q *fake.Query) { q.Write([]byte(raw)) })
@@ -360,22 +360,22 @@
 			t.Errorf("%s: ended with %s, role %d at %d", name, routing.ResultNames[e.Result], e.Role, e.Position)
 		}
 		if e.Latency > 4_000_000 {
-			t.Errorf("%s: held for %d us", name, e.Latency)
+			t.Errorf("%s: ended only after %d us", name, e.Latency)
 		}
 		<-r.server.Closed
 		if n := r.servers.Fds.Used(); n != 0 {
-			t.Errorf("%s: %d connections kept", name, n)
+			t.Errorf("%s: %d connections still open", name, n)
 		}
 	}
 }
 
-// What follows directly after a good answer is never taken for the next request's answer.
+// Bytes that follow directly after a valid answer are not taken for the answer to the next request.
 func TestExtraBytesAfterAnAnswer(t *testing.T) {
 	r := newHarness(t)
-	whole := string(fake.RowMessages([]byte("first"))) + message('Z', "I")
+	answer := string(fake.RowMessages([]byte("first"))) + message('Z', "I")
 	r.server.SetQueryHandler(func(q *fake.Query) {
 		if q.ID() == "first" {
-			q.Write([]byte(whole + whole))
+			q.Write([]byte(answer + answer))
 			return
 		}
 		q.ReplyRow([]byte("second"))
@@ -392,11 +392,11 @@
 		e.Value.Free()
 	}
 	if n := r.server.ConnsOpened(); n != 2 {
-		t.Errorf("%d connections opened, want one for each", n)
+		t.Errorf("%d connections opened, want one for each request", n)
 	}
 }
 
-// A good answer with a load report that cannot be read is served; nothing of the report is used.
+// A valid answer is served even if its load report cannot be parsed; no field of the report is used.
 func TestUnreadableLoadReport(t *testing.T) {
 	r := newHarness(t)
 	r.server.SetQueryHandler(func(q *fake.Query) {
@@ -408,11 +408,11 @@
 		t.Errorf("ended with %s, report %+v", routing.ResultNames[e.Result], e.LoadReport)
 	}
 	if r.servers.parseLoadReport("x0=1796133629.826,x1=zero").HasPosition {
-		t.Error("half a report was believed")
+		t.Error("a field of a partly unreadable report was used")
 	}
 }
 
-// Where idle connections are reset under requests, what is not idempotent is sent on a new one.
+// After a reused connection was reset during a request, non-idempotent requests are sent on a new connection.
 func TestSuspectedConnections(t *testing.T) {
 	r := newHarness(t)
 	r.server.SetQueryHandler(func(q *fake.Query) {
@@ -433,25 +433,25 @@
 	send("first", true)
 	send("second", true)
 	if n := r.server.ConnsOpened(); n != 1 {
-		t.Fatalf("%d connections opened with nothing to doubt", n)
+		t.Fatalf("%d connections opened before any reset, want 1", n)
 	}
 	if res := send("reset", false); res != policy.ResultReset {
 		t.Fatalf("ended with %s", routing.ResultNames[res])
 	}
 	send("third", false)
-	send("fourth", false) // on the connection that is kept
+	send("fourth", false) // reuses the idle connection, because it is idempotent
 	before := r.server.ConnsOpened()
 	if res := send("fifth", true); res != policy.ResultOK || r.server.ConnsOpened() != before+1 {
-		t.Errorf("ended with %s on connection %d, want a new one behind %d", routing.ResultNames[res],
+		t.Errorf("ended with %s, %d connections opened, want one more than %d", routing.ResultNames[res],
 			r.server.ConnsOpened(), before)
 	}
 	r.servers.endpointOf(1).suspectedAt.Store(0)
 	if send("sixth", true); r.server.ConnsOpened() != before+1 {
-		t.Error("a new connection with nothing left to doubt")
+		t.Error("a new connection was opened although no reset was recent")
 	}
 }
 
-// A health check that is reset on an idle connection says nothing about the server: it is repeated on a new one.
+// A health check that is reset on a reused connection proves nothing about the server, so it is repeated on a new connection.
 func TestHealthCheckResetOnAnIdleConnection(t *testing.T) {
 	r := newHarness(t)
 	r.servers.endpointOf(1).idle.Put(r.idleConn())
