--- a/internal/session/clients.go
+++ b/internal/session/clients.go
@@ -109,7 +109,7 @@
 	s.Ends.Record(transport.Client, remote, reason, since, c.served, err)
 }
 
-// rejectConnection sends the error "too many clients already" to a client for which no descriptor is left, and closes.
+// rejectConnection sends the error "too many clients already" to a client for which no descriptor is left, and closes the connection.
 func (s *Clients) rejectConnection(conn *transport.Conn, since time.Time) {
 	remote := conn.Remote()
 	refusal := postgres.AppendErrorResponse(nil, true, postgres.CodeTooManyConnections, "too many clients already", 0)
--- a/internal/session/discovery.go
+++ b/internal/session/discovery.go
@@ -84,8 +84,9 @@
 	d.watch = d.start(!d.unconfirmed, d.unconfirmed, from)
 }
 
-// SetAddress changes the address of discovery. If the router has asked for a watch, the new address is called at once. The watch
-// at the previous address continues until the new address has sent its list; after that, nothing more is posted from it.
+// SetAddress changes the address of discovery. If the router has asked for a watch, the new address is called at once, without
+// waiting for the router's next planned call. The watch at the previous address continues until the new address has sent its list;
+// after that, nothing more is posted from it.
 func (d *Discovery) SetAddress(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/session/discovery_test.go
+++ b/internal/session/discovery_test.go
@@ -227,7 +227,7 @@
 	s.client.Watch(42)
 	c := acceptCall(t, newAddress)
 	if c.path != "/v1/servers" {
-		t.Errorf("the new address was asked for %s", c.path)
+		t.Errorf("the first request to the new address was for %s", c.path)
 	}
 	c.writeBytewise(headOpen + oneServer)
 	c.Close()
--- a/internal/session/server_conn_test.go
+++ b/internal/session/server_conn_test.go
@@ -93,7 +93,7 @@
 	}
 	l, ok := r.servers.endpointOf(1).idle.Take()
 	if !ok {
-		r.t.Fatal("no connection was kept")
+		r.t.Fatal("the connection was not returned to the pool")
 	}
 	return l
 }
@@ -229,7 +229,7 @@
 	p := (<-r.events).(routing.HealthCheckEnded)
 	if p.Result != policy.ResultOK || p.LoadReport.Position != 1_796_133_629_826_000 || p.LoadReport.Role != policy.RolePrimary ||
 		p.LoadReport.Util != 250 {
-		t.Errorf("%+v", p)
+		t.Errorf("the health check ended with %+v", p)
 	}
 }
 
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -107,7 +107,7 @@
 		d.MarkIdle(x, IdleServer)
 	}
 	d.MarkBusy(a)             // a gets a request
-	d.MarkIdle(a, IdleServer) // and is idle again, so that c is now the one that has been idle longest
+	d.MarkIdle(a, IdleServer) // and is idle again, for less time than c
 	d.MarkBusy(b)
 	for range 30 {
 		if !d.acquire(true) {
