--- a/internal/raftnode/calls.go
+++ b/internal/raftnode/calls.go
@@ -9,23 +9,23 @@
 	api "marblespan/api/raftstorepb"
 )
 
-// retryPause is how long a shard whose last call failed counts as unavailable before one caller may try it again.
+// retryBackoff is how long a shard counts as unavailable after a failed call. One caller may try the shard again after that.
 const retryBackoff = 500 * time.Millisecond
 
-// pendingCalls are the calls that wait for a response. The event loop owns them.
+// pendingCalls holds the calls that wait for a response. It is owned by the event loop.
 type pendingCalls struct {
-	done   map[uint64]func(raftstore.Response) // by the call's number
+	done   map[uint64]func(raftstore.Response) // by call ID
 	lastID uint64
 }
 
-// add registers a call and returns its number.
+// add registers a call and returns its ID.
 func (p *pendingCalls) add(done func(raftstore.Response)) uint64 {
 	p.lastID++
 	p.done[p.lastID] = done
 	return p.lastID
 }
 
-// complete passes a response to the call that it belongs to.
+// complete passes a response to the call that it belongs to. A response without a pending call is ignored.
 func (p *pendingCalls) complete(a raftstore.Response) {
 	if done := p.done[a.ID]; done != nil {
 		delete(p.done, a.ID)
@@ -33,7 +33,7 @@
 	}
 }
 
-// abandon completes all calls with StatusDeadlineExceeded: the node is closing, and they may have been carried out.
+// abandon completes all calls with StatusDeadlineExceeded, because the node is closing and the calls may have been carried out.
 func (p *pendingCalls) abandon() {
 	for id, done := range p.done {
 		delete(p.done, id)
@@ -41,16 +41,16 @@
 	}
 }
 
-// shardAvailability tells which shards are likely to respond. It may be used from any goroutine.
+// shardAvailability tracks which shards are likely to respond. It is safe for concurrent use.
 type shardAvailability struct {
-	count atomic.Int64 // of shards; 0: no store is known
-	// failedAt is when a shard's last call failed, in microseconds of Unix time; 0: it succeeded.
+	count atomic.Int64 // number of shards; 0 means that no store is known
+	// failedAt is the time at which a shard's last call failed, in microseconds of Unix time; 0 means that it succeeded.
 	failedAt [raftstore.MaxShards + 1]atomic.Int64
 }
 
 func (s *shardAvailability) setCount(shards int) { s.count.Store(int64(shards)) }
 
-// shardOf is the shard that a key belongs to; known is false as long as no store is known.
+// shardOf returns the shard that a key belongs to. known is false as long as no store is known.
 func (s *shardAvailability) shardOf(key []byte) (shard uint32, known bool) {
 	count := int(s.count.Load())
 	if count == 0 {
@@ -59,14 +59,15 @@
 	return raftstore.ShardOf(key, count), true
 }
 
-// available tells whether a shard's last call succeeded, or it is this caller's turn to try it again.
+// available reports whether a call to a shard should be tried: the shard's last call succeeded, or retryBackoff has passed since the
+// failure. In the latter case only one of several concurrent callers gets true, and the backoff starts again.
 func (s *shardAvailability) available(shard uint32) bool {
 	failedAt := &s.failedAt[shard]
 	last, now := failedAt.Load(), time.Now().UnixMicro()
 	return last == 0 || now-last > retryBackoff.Microseconds() && failedAt.CompareAndSwap(last, now)
 }
 
-// record keeps whether a shard's call succeeded.
+// record stores whether a call to a shard succeeded, for available.
 func (s *shardAvailability) record(shard uint32, status raftstore.Status) {
 	at := int64(0)
 	switch status {
@@ -76,9 +77,9 @@
 	s.failedAt[shard].Store(at)
 }
 
-// Submit starts a call. It does not block: if the inbox is full or the node is closing, it calls done itself, with StatusNotSent.
-// Otherwise the event loop calls done with the response, at the deadline at the latest, or when the node closes; a call that is still
-// in the inbox then gets no response. done must not block.
+// Submit starts a call without blocking. If the inbox is full or the node is closing, Submit itself calls done with StatusNotSent.
+// Otherwise the event loop calls done with the response no later than at the deadline, or when the node closes; but if the call is
+// still in the inbox when the node closes, done is never called. done must not block.
 func (n *Node) Submit(request raftstore.Request, deadline time.Time, done func(raftstore.Response)) {
 	submit := func() {
 		request.ID, request.Deadline = n.calls.add(done), n.clock.Now()+micros(time.Until(deadline))
@@ -93,14 +94,15 @@
 	done(raftstore.Response{Status: raftstore.StatusNotSent})
 }
 
-// Available tells whether a call about a key is likely to succeed now: the shard's last one did, or it is time to try again.
+// Available reports whether a call for a key is likely to succeed now: the last RaisePosition call to the key's shard succeeded, or
+// its failure is long enough ago that this caller may try again. It returns false if no store is known.
 func (n *Node) Available(key []byte) bool {
 	shard, known := n.shards.shardOf(key)
 	return known && n.shards.available(shard)
 }
 
-// RaisePosition raises the position under a key to at least a value, to be kept for ttl. done is called as by Submit, with true if a
-// majority has stored it.
+// RaisePosition raises the position stored under a key to at least the given one, and keeps it for ttl. done is called as described
+// for Submit, with true if a majority of the shard's members has stored the position.
 func (n *Node) RaisePosition(key []byte, position uint64, ttl time.Duration, deadline time.Time, done func(bool)) {
 	shard, known := n.shards.shardOf(key)
 	if !known {
@@ -114,8 +116,8 @@
 	})
 }
 
-// ReadPosition reads the position under a key; 0: there is none. done is called as by Submit; known is false if the position could
-// not be read in time, or may have been lost with an earlier epoch of the shard.
+// ReadPosition reads the position stored under a key; 0 means that there is none. done is called as described for Submit. known is
+// false if the position could not be read in time, or may have been lost with an earlier epoch of the shard.
 func (n *Node) ReadPosition(key []byte, deadline time.Time, done func(position uint64, known bool)) {
 	shard, known := n.shards.shardOf(key)
 	if !known {
@@ -127,8 +129,8 @@
 	})
 }
 
-// Call starts a call about a key: a command or, if that is nil, a read. done is called as by Submit; without a store the status
-// is StatusNotSent.
+// Call starts a call for a key: the command or, if command is nil, a read. done is called as described for Submit. If no store is
+// known, the status is StatusNotSent.
 func (n *Node) Call(key []byte, command *api.Command, deadline time.Time, done func(raftstore.Response)) {
 	shard, known := n.shards.shardOf(key)
 	if !known {
--- a/internal/raftnode/commands.go
+++ b/internal/raftnode/commands.go
@@ -12,24 +12,25 @@
 	api "marblespan/api/raftstorepb"
 )
 
-// The errors of operators' commands.
+// Errors returned by operators' commands.
 var (
 	// ErrClosing means that the node is closing.
 	ErrClosing = errors.New("state store: the gateway is shutting down")
-	// ErrStoreExists means that there is a store already.
-	ErrStoreExists = errors.New("state store: bootstrapped already")
-	// ErrNoStore means that no store has been bootstrapped yet, as far as this gateway knows.
-	ErrNoStore = errors.New("state store: there is none yet; bootstrap it first")
-	// ErrNoMembers means that this gateway has no members of Raft groups, by its settings or after a fault of its disk.
+	// ErrStoreExists means that a store has already been bootstrapped.
+	ErrStoreExists = errors.New("state store: already bootstrapped")
+	// ErrNoStore means that, as far as this gateway knows, no store has been bootstrapped yet.
+	ErrNoStore = errors.New("state store: not bootstrapped yet; bootstrap it first")
+	// ErrNoMembers means that this gateway has no members of Raft groups, because of its settings or after a disk failure.
 	ErrNoMembers = errors.New("state store: this gateway runs no Raft groups")
-	// ErrNoAnswer means that the ledger has not answered in time. The command may still come into force, and may be repeated.
-	ErrNoAnswer = errors.New("state store: the ledger has not answered in time; the command may still come into force, and may be repeated")
-	// ErrFormatTooOld means that a gateway that runs Raft groups has a version without maintenance orders.
-	ErrFormatTooOld = errors.New("state store: a gateway that runs Raft groups has a version without maintenance orders; update it first")
+	// ErrNoAnswer means that the ledger did not respond before the deadline. The command may still take effect, and may be repeated.
+	ErrNoAnswer = errors.New("state store: the ledger did not respond before the deadline; the command may still take effect, and may be repeated")
+	// ErrFormatTooOld means that a gateway that runs Raft groups has a version that does not support maintenance orders.
+	ErrFormatTooOld = errors.New("state store: a gateway that runs Raft groups has a version that does not support maintenance orders; update that gateway first")
 )
 
-// Bootstrap makes a new store of so many shards with so many voters each. first tells that there was no store before whose records
-// could be missed. It returns ErrStoreExists, ErrNoMembers or ErrClosing if there can be none.
+// Bootstrap creates a new store with the given number of shards and of voters in each group. first asserts that there was no earlier
+// store whose records could be missing from the new one. Bootstrap returns ErrStoreExists, ErrNoMembers or ErrClosing if the store
+// cannot be created.
 func (n *Node) Bootstrap(shards, voters int, first bool) error {
 	return n.onEventLoop(func(o raftstore.Overview) error {
 		switch {
@@ -43,33 +44,34 @@
 	})
 }
 
-// RemoveStore records that a gateway's disk will never come back. It must be called where the ledger is led.
+// RemoveStore records that a gateway's disk is permanently lost. It must be called on the gateway that leads the ledger.
 func (n *Node) RemoveStore(gateway string) error {
 	return n.onLedgerLeader(func(o raftstore.Overview) error {
 		if !slices.ContainsFunc(o.Stores, func(s raftstore.StoreView) bool { return s.Name == gateway && !s.Removed }) {
-			return fmt.Errorf("state store: no gateway %q runs Raft groups", gateway)
+			return fmt.Errorf("state store: no gateway named %q runs Raft groups", gateway)
 		}
 		n.host.Handle(n.clock.Now(), raftstore.StoreRemoved{Name: gateway})
 		return nil
 	})
 }
 
-// ResetShard begins a new epoch of a shard that has lost its majority for good; its records are lost. It must be called where the
-// ledger is led.
+// ResetShard begins a new epoch of a shard that has permanently lost its majority; the shard's records are lost. It must be called
+// on the gateway that leads the ledger.
 func (n *Node) ResetShard(shard uint32) error {
 	return n.onLedgerLeader(func(o raftstore.Overview) error {
 		switch {
 		case shard == raftstore.LedgerGroup || int(shard) >= len(o.Groups):
-			return fmt.Errorf("state store: there is no shard %d, only 1 to %d", shard, len(o.Groups)-1)
+			return fmt.Errorf("state store: shard %d does not exist; shards are numbered 1 to %d", shard, len(o.Groups)-1)
 		case n.host.GroupReported(shard):
-			return fmt.Errorf("state store: shard %d has a leader and works; only a shard without one is reset", shard)
+			return fmt.Errorf("state store: shard %d has a leader and works; only a shard without a leader can be reset", shard)
 		}
 		n.host.Handle(n.clock.Now(), raftstore.ShardReset{Shard: shard})
 		return nil
 	})
 }
 
-// onLedgerLeader runs a function on the event loop if this gateway leads the ledger. Otherwise its error names the leader.
+// onLedgerLeader runs a function on the event loop if this gateway leads the ledger. Otherwise it returns an error that names the
+// leader, if this gateway knows it.
 func (n *Node) onLedgerLeader(do func(raftstore.Overview) error) error {
 	return n.onEventLoop(func(o raftstore.Overview) error {
 		if len(o.Groups) == 0 {
@@ -83,13 +85,13 @@
 		case n.settings.Node:
 			return do(o)
 		case "":
-			return errors.New("state store: this gateway does not lead the ledger, and does not know which one does; run the command at another one")
+			return errors.New("state store: this gateway does not lead the ledger and does not know which gateway does; run the command on another gateway")
 		}
 		return fmt.Errorf("state store: %s leads the ledger, not this gateway; run the command there", leader)
 	})
 }
 
-// onEventLoop runs a function on the event loop and waits for its result.
+// onEventLoop runs a function on the event loop and returns its result, or ErrClosing if the node closes first.
 func (n *Node) onEventLoop(do func(raftstore.Overview) error) error {
 	result := make(chan error, 1)
 	if !n.enqueue(inboxItem{run: func() { result <- do(n.host.Overview()) }}) {
@@ -103,15 +105,15 @@
 	}
 }
 
-// SetMaintenanceReport passes this gateway's own state to the host, for the maintenance order.
+// SetMaintenanceReport passes this gateway's report on its own state to the host, for maintenance planning.
 func (n *Node) SetMaintenanceReport(own raftstore.GatewayReport) { n.enqueue(inboxItem{event: own}) }
 
-// SetMaintenanceLimits puts other limits in force.
+// SetMaintenanceLimits replaces the limits on how many machines are taken out for maintenance.
 func (n *Node) SetMaintenanceLimits(l maintenance.Limits) {
 	n.enqueue(inboxItem{event: raftstore.LimitsChanged{Limits: l}})
 }
 
-// RunMaintenanceCommand passes an operator's command to the ledger and returns the ledger's reply. Commands run one at a time.
+// RunMaintenanceCommand sends an operator's command to the ledger and returns the ledger's reply. Commands run one at a time.
 func (n *Node) RunMaintenanceCommand(command maintenance.Command, deadline time.Time) (reply string, err error) {
 	n.commandMu.Lock()
 	defer n.commandMu.Unlock()
@@ -127,7 +129,8 @@
 	return "", ErrNoAnswer
 }
 
-// MaintenanceListing returns the maintenance order as the ledger's leader has it or, with ErrNoAnswer, as it is known here.
+// MaintenanceListing returns the maintenance order from the ledger's leader. If the leader does not respond, it returns the order as
+// this gateway knows it, and ErrNoAnswer.
 func (n *Node) MaintenanceListing(deadline time.Time) (maintenance.Listing, error) {
 	a := n.submitAndWait(raftstore.Request{Shard: raftstore.LedgerGroup, Get: &api.Get{Key: []byte(raftstore.MaintenanceKey)}}, deadline)
 	if a.Status == raftstore.StatusOK {
@@ -138,10 +141,10 @@
 	return listing, ErrNoAnswer
 }
 
-// submitAndWait starts a call and waits for its response; the status is StatusNotSent if the node closes before.
-func (n *Node) submitAndWait(submitAndWait raftstore.Request, deadline time.Time) raftstore.Response {
+// submitAndWait starts a call and waits for its response. The status is StatusNotSent if the node closes first.
+func (n *Node) submitAndWait(request raftstore.Request, deadline time.Time) raftstore.Response {
 	answered := make(chan raftstore.Response, 1)
-	n.Submit(submitAndWait, deadline, func(a raftstore.Response) { answered <- a })
+	n.Submit(request, deadline, func(a raftstore.Response) { answered <- a })
 	select {
 	case a := <-answered:
 		return a
--- a/internal/raftnode/disk.go
+++ b/internal/raftnode/disk.go
@@ -10,12 +10,12 @@
 	"marblespan/internal/raftstore"
 )
 
-// storage is the storage file with its witness. Start opens them; from then on the disk writer alone writes to them, until Close
-// has waited for its end.
+// storage holds the storage file and its witness. Start opens the files. After that, only the disk writer writes to them, until Close
+// closes them when the disk writer has ended.
 type storage struct {
-	file    *raftstorage.File    // nil: the groups are in memory only
-	witness *raftstorage.Witness // nil: none
-	writes  chan raftstore.Write // to the disk writer; the host has at most one write under way
+	file    *raftstorage.File    // nil if the groups are kept in memory only
+	witness *raftstorage.Witness // nil if there is none
+	writes  chan raftstore.Write // to the disk writer; the host has at most one write in flight
 }
 
 // close closes the files.
@@ -28,7 +28,8 @@
 	}
 }
 
-// write makes a write durable. The witness is updated with those that others may hear of.
+// write makes a write durable and records it in the witness. Nothing is recorded until all members have completed recovery
+// (raftstore.Write.Recovered), because the witness may confirm the disk only then.
 func (s *storage) write(w raftstore.Write) error {
 	if s.file == nil {
 		return nil
@@ -42,8 +43,8 @@
 	return s.witness.Record(w.Store, s.file.Sequence())
 }
 
-// openStorage opens the storage file and the witness, if there are to be any, and reads what is stored. trusted tells whether the
-// file is known to be the one that was written last, which a new file is, too.
+// openStorage opens the storage file and the witness, if the settings name them, and reads the stored state. trusted is true if the
+// file is known to contain the last write of the previous start: the witness confirms it, or the file is new.
 func (n *Node) openStorage() (stored *raftstore.StoredState, trusted bool, err error) {
 	if !n.settings.RunsGroups || n.settings.StoragePath == "" {
 		return nil, false, nil
@@ -64,8 +65,8 @@
 	return stored, trusted, nil
 }
 
-// openFile opens the storage file. A damaged one is renamed, so that somebody can look at it: the gateway has lost its disk, and
-// continues with a new file.
+// openFile opens the storage file. A damaged file is renamed, so that an operator can examine it. The gateway has then lost its disk
+// and continues with a new file.
 func (n *Node) openFile(path string) (*raftstorage.File, *raftstore.StoredState, error) {
 	file, stored, err := raftstorage.Open(path)
 	var damaged *raftstorage.DamagedError
@@ -73,15 +74,15 @@
 		return file, stored, err
 	}
 	renamed := fmt.Sprintf("%s.damaged-%d", path, time.Now().Unix())
-	n.log.Error().Err(err).Str("kept_as", renamed).Msg("state store: the disk counts as lost")
+	n.log.Error().Err(err).Str("kept_as", renamed).Msg("state store: the storage file is damaged; renaming it and starting with a new one")
 	if err := os.Rename(path, renamed); err != nil {
 		return nil, nil, err
 	}
 	return raftstorage.Open(path)
 }
 
-// runDiskWriter writes to the storage file. After a fault it writes nothing more; the host is told, and the node continues without
-// members. It ends when quit is closed.
+// runDiskWriter carries out the host's writes to the storage file until quit is closed. After a write that failed it writes nothing
+// more: it sends DiskFailed to the host, and the node continues without members of the Raft groups.
 func (n *Node) runDiskWriter() {
 	failed := false
 	for {
--- a/internal/raftnode/eventloop.go
+++ b/internal/raftnode/eventloop.go
@@ -6,16 +6,17 @@
 	"marblespan/internal/raftstore"
 )
 
-// pollInterval is how often the gateways that are reachable are read from the settings' functions.
+// pollInterval is how often the event loop calls Settings.Peers and Settings.Members.
 const pollInterval = time.Second
 
-// inboxItem is work for the event loop: an event for the host, or a function to run; one of the two is nil.
+// inboxItem is work for the event loop: either an event for the host or a function to run. The other field is nil.
 type inboxItem struct {
 	event raftstore.Event
 	run   func()
 }
 
-// enqueue gives the event loop something that must not be lost; it may block. It returns false if the node is closing.
+// enqueue adds an item to the event loop's inbox. It blocks while the inbox is full, because the item must not be lost. It returns
+// false if the node is closing.
 func (n *Node) enqueue(item inboxItem) bool {
 	select {
 	case n.inbox <- item:
@@ -25,7 +26,8 @@
 	}
 }
 
-// runEventLoop owns the host and the pending calls. It ends when quit is closed, and completes the calls that still wait.
+// runEventLoop runs the event loop, which owns the host and the pending calls. When quit is closed, it completes the calls that still
+// wait for a response, and returns.
 func (n *Node) runEventLoop() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -46,7 +48,7 @@
 		case item := <-n.inbox:
 			n.handle(item)
 		}
-		n.handleWaiting(eventBatch - 1)
+		n.handleQueued(eventBatch - 1)
 		if now := n.clock.Now(); now >= n.host.NextTick() {
 			n.host.Handle(now, raftstore.Tick{})
 		}
@@ -54,7 +56,7 @@
 	}
 }
 
-// pollMembers tells the host which gateways are reachable.
+// pollMembers passes the names of the reachable gateways to the host and, if maintenance is enabled, their membership.
 func (n *Node) pollMembers() {
 	n.host.Handle(n.clock.Now(), raftstore.PeersChanged{Names: n.settings.Peers()})
 	if n.settings.MaintenanceLimits != nil {
@@ -62,8 +64,8 @@
 	}
 }
 
-// handleWaiting handles what is in the inbox already, up to limit items, so that one Flush and one write serve them all.
-func (n *Node) handleWaiting(limit int) {
+// handleQueued handles up to limit items that are already in the inbox, so that one Flush and one write serve all of them.
+func (n *Node) handleQueued(limit int) {
 	for range limit {
 		select {
 		case item := <-n.inbox:
@@ -82,7 +84,7 @@
 	n.host.Handle(n.clock.Now(), item.event)
 }
 
-// carryOut carries out the actions that the host asks for.
+// carryOut carries out the actions that the host requests.
 func (n *Node) carryOut() {
 	actions := n.host.Flush()
 	n.shards.setCount(n.host.Shards())
@@ -91,7 +93,7 @@
 		case raftstore.Send:
 			n.send(action)
 		case raftstore.Write:
-			n.storage.writes <- action // it does not block: the host asks for the next write after this one's result
+			n.storage.writes <- action // does not block: the host requests the next write only after the result of this one
 		case raftstore.Response:
 			n.Counters.Responses[action.Status].Add(1)
 			n.calls.complete(action)
--- a/internal/raftnode/node.go
+++ b/internal/raftnode/node.go
@@ -1,16 +1,16 @@
 // Package raftnode runs a gateway's raftstore.Host, a pure state machine, and connects it to the storage file and to the streams to
-// the other gateways. It decides nothing itself: the host does, in its Handle and Flush. internal/raftgateway starts a node for the
-// gateway; the experiments start nodes of their own.
+// the other gateways. All decisions are made by the host, in its methods Handle and Flush. internal/raftgateway starts the node of a
+// gateway; the experiments start their own nodes.
 //
-// Start starts three goroutines, each for the lifetime of the node, which end when Close closes quit:
+// Start starts three goroutines. Each runs for the lifetime of the node and ends when Close closes quit:
 //
-//   - the event loop (runEventLoop) owns the host and the calls that wait for a response. Everything that needs them is passed to it
-//     through the inbox: events, and functions from other goroutines.
+//   - the event loop (runEventLoop) owns the host and the calls that wait for a response. Other goroutines use these only by passing
+//     events and functions to the event loop through the inbox.
 //   - the disk writer (runDiskWriter) owns the storage file and the witness. Nothing else writes to them.
-//   - the bulk sender (runBulkSender) sends snapshots and other large packets at the rate that repair may use.
+//   - the bulk sender (runBulkSender) sends snapshots and other large packets, no faster than Settings.RepairRate.
 //
-// The streams' goroutines call packetReceived. Clients' calls (Submit and what builds on it) never block; the operators' commands
-// and the queries for status wait for the event loop.
+// The goroutines of package streams call packetReceived. Submit and the calls that are built on it never block; the operators'
+// commands and the status queries wait for the event loop.
 package raftnode
 
 import (
@@ -28,49 +28,53 @@
 	"marblespan/internal/streams"
 )
 
-// Settings are what a node is started with; most come from the operators' file.
+// Settings configures a node. Most of the values come from the operators' file.
 type Settings struct {
 	Node, Zone string
 	Weight     uint32
-	// RunsGroups tells whether this gateway has members of the Raft groups; without them it sends its calls to those that do.
+	// RunsGroups reports whether this gateway has members of the Raft groups. If not, it sends its calls to gateways that have them.
 	RunsGroups bool
-	// StoragePath is the storage file; empty: the groups are kept in memory only, and a restart counts as a lost disk.
+	// StoragePath is the path of the storage file. If it is empty, the groups are kept in memory only, and a restart counts as the
+	// loss of a disk.
 	StoragePath string
-	// WitnessPath is the file that records the storage's latest write (see raftstorage.Witness); empty: none.
+	// WitnessPath is the path of the file that records the latest write to the storage file (see raftstorage.Witness). If it is
+	// empty, there is no witness.
 	WitnessPath   string
-	Tick          time.Duration // of Raft's timers
-	RepairAfter   time.Duration // how long a gateway is silent before its members are replaced
-	MaxRepairs    int           // repairs at the same time
-	RepairRate    int           // bytes a second for large packets
-	MaxShardBytes int64         // memory of a shard's records
-	MinLogBytes   int64         // a log shorter than this is not replaced by a snapshot
-	// RecordFormat is the latest format of records that this gateway understands; 0: this version's.
+	Tick          time.Duration // interval of Raft's timers
+	RepairAfter   time.Duration // how long a gateway must be silent before its members are replaced
+	MaxRepairs    int           // maximum number of concurrent repairs
+	RepairRate    int           // bandwidth for large packets, in bytes per second
+	MaxShardBytes int64         // memory limit for the records of a shard
+	MinLogBytes   int64         // size from which a log may be replaced by a snapshot
+	// RecordFormat is the latest record format that this gateway understands; 0 means the latest format of this version.
 	RecordFormat uint32
-	Peers        func() []string // names of the gateways that are reachable; called once a second by the event loop
+	Peers        func() []string // names of the reachable gateways; called once a second by the event loop
 
-	// MaintenanceLimits bound how many machines are taken out for maintenance; nil: none is, and Members and OnOrder are not used.
+	// MaintenanceLimits bounds how many machines are taken out for maintenance at a time. If it is nil, no machine is taken out, and
+	// Members and OnOrder are not used.
 	MaintenanceLimits *maintenance.Limits
 	Members           func() []maintenance.Member // called once a second by the event loop
-	// OnOrder receives each new maintenance order. The event loop calls it: it must not block.
+	// OnOrder is called with each new maintenance order. It must not block, because the event loop calls it.
 	OnOrder func(index uint64, o *maintenance.Order)
 }
 
-// The bounds of the queues, and how many events are handled before their results are carried out.
+// maxEvents, maxCalls and maxBulkPackets bound the queues. eventBatch is the number of inbox items that are handled before the host's
+// actions are carried out.
 const (
-	maxEvents      = 4096   // in the inbox
-	maxCalls       = 20_000 // that wait for a response
-	maxBulkPackets = 32     // that wait for the bulk sender
+	maxEvents      = 4096   // items in the inbox
+	maxCalls       = 20_000 // calls that wait for a response
+	maxBulkPackets = 32     // packets that wait for the bulk sender
 	eventBatch     = 512
 )
 
-// Clock is the host's clock. It never steps back.
+// Clock is the host's clock, which never goes backwards. At converts its readings to times for timers.
 type Clock struct {
 	Now func() clock.Micros
 	At  func(clock.Micros) time.Time
 }
 
-// Node is a gateway's part in the Raft groups. Its methods may be called from any goroutine; those named in the package comment
-// run on one goroutine only.
+// Node runs a gateway's members of the Raft groups and sends its calls to the state store. Its methods are safe for concurrent use,
+// except the goroutine functions that are named in the package comment.
 type Node struct {
 	Counters Counters
 
@@ -85,19 +89,19 @@
 
 	streams    *streams.Streams
 	bulk       chan raftstore.Send
-	lastPacket atomic.Uint32 // number of the latest packet that was sent in parts
+	lastPacket atomic.Uint32 // number of the last packet that was sent in parts
 	received   reassembler
 
 	shards    shardAvailability
-	commandMu sync.Mutex // one maintenance command at a time, so that they reach the ledger in order
+	commandMu sync.Mutex // serializes maintenance commands, so that they reach the ledger in order
 
-	leadershipTransferred chan struct{} // closed by the event loop when the host leads nothing any more
+	leadershipTransferred chan struct{} // closed by the event loop when the host no longer leads any group
 	quit                  chan struct{}
 	closeOnce             sync.Once
 	goroutines            sync.WaitGroup
 }
 
-// Start opens the storage file and starts the node's goroutines. Close ends them.
+// Start opens the storage file and starts the node's goroutines. The caller must call Close to end them.
 func Start(settings Settings, clock Clock, peerStreams *streams.Streams, log zerolog.Logger) (*Node, error) {
 	n := &Node{
 		settings: settings, clock: clock, log: log, streams: peerStreams,
@@ -121,7 +125,7 @@
 	return n, nil
 }
 
-// hostConfig is the host's configuration, with numbers drawn for this incarnation.
+// hostConfig returns the host's configuration, with new random IDs for this incarnation.
 func (n *Node) hostConfig() raftstore.Config {
 	s := &n.settings
 	return raftstore.Config{
@@ -133,20 +137,21 @@
 
 func micros(d time.Duration) clock.Micros { return clock.Micros(d.Microseconds()) }
 
-// randomID draws a number that is unique as far as 63 random bits are. It is never 0.
+// randomID returns an ID with 63 random bits, which make it unique in practice. It is never 0.
 func randomID() uint64 {
 	var b [8]byte
-	rand.Read(b[:]) // it never fails
+	rand.Read(b[:]) // never returns an error
 	return binary.BigEndian.Uint64(b[:]) | 1
 }
 
-// Name is this gateway's name.
+// Name returns the name of this gateway.
 func (n *Node) Name() string { return n.settings.Node }
 
-// transferTimeout bounds how long TransferLeadership waits.
+// transferTimeout is how long TransferLeadership waits at most.
 const transferTimeout = time.Second
 
-// TransferLeadership hands over the groups that this gateway leads, and waits until others lead them, a second at most.
+// TransferLeadership transfers the leadership of the groups that this gateway leads to other gateways, and waits for at most
+// transferTimeout until this is done.
 func (n *Node) TransferLeadership() {
 	n.enqueue(inboxItem{event: raftstore.DrainRequested{}})
 	select {
@@ -155,8 +160,8 @@
 	}
 }
 
-// Close ends the goroutines, waits for them and closes the files. Calls that the host has get StatusDeadlineExceeded. It may be called
-// more than once.
+// Close ends the goroutines, waits for them and closes the files. Pending calls that have reached the host are completed with
+// StatusDeadlineExceeded. Close may be called more than once.
 func (n *Node) Close() {
 	n.closeOnce.Do(func() { close(n.quit) })
 	n.goroutines.Wait()
--- a/internal/raftnode/node_test.go
+++ b/internal/raftnode/node_test.go
@@ -20,10 +20,10 @@
 	"marblespan/internal/transport"
 )
 
-// testTimeout is when a test gives up.
+// testTimeout is how long a test waits before it fails.
 const testTimeout = 30 * time.Second
 
-// listen opens streams on the loopback interface that find others by route.
+// listen starts streams on the loopback interface. route returns the address of a peer.
 func listen(t *testing.T, name string, start time.Time, route func(to string) (string, bool)) *streams.Streams {
 	t.Helper()
 	x, err := streams.Listen("127.0.0.1:0", streams.Settings{
@@ -37,7 +37,7 @@
 	return x
 }
 
-// testCluster is a few nodes on the loopback interface, with their files in one directory.
+// testCluster is a set of nodes on the loopback interface, with their files in one directory.
 type testCluster struct {
 	dir    string
 	mu     sync.Mutex
@@ -83,7 +83,7 @@
 	return n
 }
 
-// tryRaise raises a position and tells whether it was stored.
+// tryRaise raises a position and reports whether it was stored.
 func tryRaise(n *Node, key []byte, position uint64) bool {
 	stored := make(chan bool, 1)
 	n.RaisePosition(key, position, time.Hour, time.Now().Add(testTimeout), func(ok bool) { stored <- ok })
@@ -115,7 +115,7 @@
 	}
 }
 
-// Three nodes bootstrap a store, store positions and transfer leadership, and one that restarts finds its disk.
+// Three nodes bootstrap a store, store positions and transfer leadership. A node that restarts continues with the content of its disk.
 func TestNode(t *testing.T) {
 	cluster := &testCluster{dir: t.TempDir(), routes: map[string]string{}}
 	a, b, c := cluster.start(t, "a"), cluster.start(t, "b"), cluster.start(t, "c")
@@ -141,7 +141,7 @@
 	for i := range 300 {
 		raise(t, nodes[i%3], fmt.Sprint("session ", i), uint64(i+1))
 	}
-	raise(t, a, "session 7", 3) // a lower position, late: the stored one stays
+	raise(t, a, "session 7", 3) // a late, lower position does not replace the stored one
 	for i := range 300 {
 		wantPosition(t, nodes[(i+2)%3], fmt.Sprint("session ", i), uint64(i+1))
 	}
@@ -150,7 +150,7 @@
 		t.Error("a key that is too long was stored")
 	}
 	if !b.Available([]byte("session 1")) {
-		t.Error("not available, though all was stored")
+		t.Error("not available, although all calls succeeded")
 	}
 	a.TransferLeadership()
 	for _, g := range a.Overview().Groups {
@@ -170,11 +170,11 @@
 		}
 	}
 	if restarted.Counters.Notices[raftstore.NoticeMemberStale].Load()+restarted.Counters.Notices[raftstore.NoticeStoreRenumbered].Load() > 0 {
-		t.Error("the disk of a counts as lost after its restart")
+		t.Error("the disk of a is treated as lost after its restart")
 	}
 }
 
-// A damaged storage file is renamed and kept; the node starts with a new one.
+// A damaged storage file is renamed and kept, and the node starts with a new file.
 func TestDamagedStorageFileIsRenamed(t *testing.T) {
 	cluster := &testCluster{dir: t.TempDir(), routes: map[string]string{}}
 	damaged := bytes.Repeat([]byte("no store"), 4096)
@@ -184,7 +184,7 @@
 	}
 	a := cluster.start(t, "a")
 	if o := a.Overview(); o.Store == 0 || o.DiskFailure != "" {
-		t.Errorf("the node has no storage: %+v", o)
+		t.Errorf("the node has no usable storage: %+v", o)
 	}
 	kept, err := filepath.Glob(path + ".damaged-*")
 	if err != nil || len(kept) != 1 {
--- a/internal/raftnode/packets.go
+++ b/internal/raftnode/packets.go
@@ -12,26 +12,27 @@
 	"marblespan/internal/streams"
 )
 
-// partSize is how much of a large packet is in one stream message, in bytes; a packet has at most maxParts of them.
+// A packet of more than partSize bytes is split into parts of partSize bytes, each sent in one stream message. A packet has at most
+// maxParts parts.
 const (
 	partSize = 256 << 10
 	maxParts = 1024
 )
 
-// maxPartialPackets is how many packets of one sender may be incomplete at a time.
+// maxPartialPackets is the maximum number of incomplete packets that are kept for a sender.
 const maxPartialPackets = 4
 
-// The first byte of a stream message: what follows is a complete packet, or a part of one behind its number, its position and the
-// number of parts, each in four bytes.
+// The first byte of a stream message states its kind. After completePacket follows a complete packet. After packetPart follow the
+// packet's number, the part's position and the number of parts, in four bytes each, and then the part.
 const (
 	completePacket = iota
 	packetPart
 )
 
-// partHeaderSize is the size of a part's header in bytes.
+// partHeaderSize is the size of a part's header in bytes, including the kind.
 const partHeaderSize = 1 + 3*4
 
-// partHeader says which part of which packet follows.
+// partHeader identifies a part of a packet.
 type partHeader struct {
 	packet, position, parts uint32
 }
@@ -50,8 +51,8 @@
 	return partHeader{binary.BigEndian.Uint32(b[1:]), binary.BigEndian.Uint32(b[5:]), binary.BigEndian.Uint32(b[9:])}, true
 }
 
-// packetReceived handles a stream message; the streams' goroutines call it. If the inbox is full the packet is dropped, as a
-// network would.
+// packetReceived handles a stream message. It is called on the goroutines of package streams. If the inbox is full, it drops the
+// packet, just as a network may lose one.
 func (n *Node) packetReceived(from string, message []byte) {
 	packet, complete := n.received.add(from, message)
 	if !complete {
@@ -65,20 +66,20 @@
 	}
 }
 
-// reassembler puts packets together from their parts. The zero value is ready for use, from several goroutines.
+// reassembler assembles packets from their parts. The zero value is ready for use. It is safe for concurrent use.
 type reassembler struct {
 	mu       sync.Mutex
 	bySender map[string][]*partialPacket
 }
 
-// partialPacket is a packet of which some parts have been received.
+// partialPacket is a packet of which only some parts have been received. next is the position of the part that is expected next.
 type partialPacket struct {
 	packet, next, parts uint32
 	body                []byte
 }
 
-// add takes in a stream message. It returns the packet if that is complete with it. A packet's parts come in order, as they are
-// sent on one stream; one that has a gap is dropped.
+// add processes a stream message. If the message completes a packet, add returns the packet. The parts of a packet arrive in order,
+// because they are sent on one stream; a packet with a missing part is dropped.
 func (r *reassembler) add(from string, message []byte) (packet []byte, complete bool) {
 	if len(message) > 0 && message[0] == completePacket {
 		return slices.Clone(message[1:]), true
@@ -109,7 +110,7 @@
 	return p.body, p.next == header.parts
 }
 
-// begin makes a partial packet. If the sender has too many, its oldest is dropped: it will hardly be completed.
+// begin adds a partial packet. If the sender has too many, its oldest one is dropped, because that is the least likely to be completed.
 func (r *reassembler) begin(from string, header partHeader) {
 	if r.bySender == nil {
 		r.bySender = map[string][]*partialPacket{}
@@ -121,8 +122,8 @@
 	r.bySender[from] = append(all, &partialPacket{packet: header.packet, parts: header.parts})
 }
 
-// send sends a packet, or passes it to the bulk sender; the event loop calls it. It does not block: what has no room is dropped,
-// and the host sends it again.
+// send sends a packet, or passes a bulk packet to the bulk sender. The event loop calls it, so it does not block: if a queue is full,
+// the packet is dropped, and the host sends it again.
 func (n *Node) send(packet raftstore.Send) {
 	if !packet.Bulk {
 		n.sendPacket(packet, func(int) bool { return true })
@@ -135,8 +136,8 @@
 	}
 }
 
-// sendPacket sends a packet, in parts if it is large. Before each message it calls wait with the size in bytes, and stops if wait
-// returns false.
+// sendPacket sends a packet, in parts if it is larger than partSize. Before each message it calls wait with the message's size in
+// bytes, and stops if wait returns false.
 func (n *Node) sendPacket(packet raftstore.Send, wait func(size int) bool) {
 	if len(packet.Body) <= partSize && wait(len(packet.Body)) {
 		n.sendMessage(streams.Message{To: packet.To, Channel: streams.StateStore, Body: append([]byte{completePacket}, packet.Body...)})
@@ -149,13 +150,13 @@
 		}
 		message := append(header.append(make([]byte, 0, partHeaderSize+len(part))), part...)
 		if !n.sendMessage(streams.Message{To: packet.To, Channel: streams.StateStore, Body: message, NoDrop: true}) {
-			return // the parts that have arrived are useless; the host sends the packet again
+			return // the parts already sent are useless without this one; the host sends the whole packet again
 		}
 		header.position++
 	}
 }
 
-// sendMessage gives a message to the streams. It returns false if they did not take it.
+// sendMessage queues a message for sending. It returns false if the message was not accepted.
 func (n *Node) sendMessage(m streams.Message) bool {
 	if err := n.streams.Send(m); err != nil {
 		n.Counters.SendFailures.Add(1)
@@ -166,7 +167,7 @@
 	return true
 }
 
-// runBulkSender sends large packets one after the other, no faster than the repair rate. It ends when quit is closed.
+// runBulkSender sends bulk packets one after the other, no faster than Settings.RepairRate, until quit is closed.
 func (n *Node) runBulkSender() {
 	limit := rate.NewLimiter(rate.Limit(n.settings.RepairRate), partSize)
 	wait := func(size int) bool {
--- a/internal/raftnode/packets_test.go
+++ b/internal/raftnode/packets_test.go
@@ -9,14 +9,14 @@
 	"marblespan/internal/streams"
 )
 
-// A packet that is too large for one stream message arrives in parts; it is complete only if all of them came in order.
+// A packet that is too large for one stream message arrives in parts. It is complete only if all parts arrived in order.
 func TestReassembler(t *testing.T) {
 	part := func(packet, position, parts uint32, body string) string {
 		return string(partHeader{packet, position, parts}.append(nil)) + body
 	}
 	type step struct {
 		from, message string
-		want          string // empty: no packet is complete yet
+		want          string // empty if the message completes no packet
 	}
 	for _, c := range []struct {
 		name  string
@@ -49,8 +49,8 @@
 	}
 }
 
-// The layout of stream messages is written out here: a complete packet behind a 0, parts behind a 1 with the packet's number, the
-// part's position and the number of parts.
+// Guards the layout of stream messages against accidental changes: a 0 and a complete packet, or a 1, the packet's number, the part's
+// position, the number of parts and the part.
 func TestMessageLayout(t *testing.T) {
 	routes := map[string]string{}
 	route := func(to string) (string, bool) { return routes[to], true }
@@ -77,7 +77,7 @@
 						t.Fatalf("part %d of %d was sent as %.20q, want %.20q", i+1, len(c.headers), got, want)
 					}
 				case <-time.After(testTimeout):
-					t.Fatalf("part %d of %d never came", i+1, len(c.headers))
+					t.Fatalf("part %d of %d did not arrive", i+1, len(c.headers))
 				}
 				packet, complete := receiver.add("a", []byte(want))
 				if complete != (i == len(c.headers)-1) || complete && string(packet) != c.body {
--- a/internal/raftnode/status.go
+++ b/internal/raftnode/status.go
@@ -9,12 +9,12 @@
 	"marblespan/internal/raftstore"
 )
 
-// Counters count since the start.
+// Counters counts a node's activity since its start.
 type Counters struct {
-	Sent, SentBytes, SendFailures atomic.Int64 // messages to other gateways, and bytes
-	Received                      atomic.Int64 // packets
-	EventsDropped                 atomic.Int64 // packets that found the inbox full
-	Writes                        atomic.Int64 // to the storage file
+	Sent, SentBytes, SendFailures atomic.Int64 // stream messages to other gateways, their bytes, and failures to send
+	Received                      atomic.Int64 // complete packets
+	EventsDropped                 atomic.Int64 // packets dropped because the inbox was full
+	Writes                        atomic.Int64 // writes to the storage file
 	Responses                     [raftstore.Statuses]atomic.Int64
 	Notices                       [raftstore.NoticeKinds]atomic.Int64
 }
@@ -37,7 +37,7 @@
 	line.Msg("state store counters")
 }
 
-// noticeLevel is the log level of a notice: a warning for what an operator should look at.
+// noticeLevel returns the log level of a notice. It is a warning if an operator should look into the notice.
 func noticeLevel(notice raftstore.NoticeKind) zerolog.Level {
 	switch notice {
 	case raftstore.NoticeGroupLost, raftstore.NoticeDiskFailed, raftstore.NoticeForeignCluster, raftstore.NoticeMemberStale, raftstore.NoticeStoreRemoved, raftstore.NoticeStoreRenumbered, raftstore.NoticeFormatTooOld:
@@ -48,10 +48,10 @@
 	return zerolog.InfoLevel
 }
 
-// noticeMessage is the event text of notices. The test cluster reads their lines by it.
+// noticeMessage is the message of a notice's log line. The test cluster finds the lines of notices by this text.
 const noticeMessage = "copies"
 
-// logNotice counts and logs what the host has noticed.
+// logNotice counts and logs a notice of the host.
 func (n *Node) logNotice(notice raftstore.Notice) {
 	n.Counters.Notices[notice.Kind].Add(1)
 	line := n.log.WithLevel(noticeLevel(notice.Kind)).Stringer("what", notice.Kind)
@@ -70,22 +70,22 @@
 	line.Msg(noticeMessage)
 }
 
-// Overview returns the host's state; it is empty if the node is closing.
+// Overview returns an overview of the host's state. It is empty if the node is closing.
 func (n *Node) Overview() (o raftstore.Overview) {
 	n.onEventLoop(func(now raftstore.Overview) error { o = now; return nil })
 	return o
 }
 
-// awaitInterval is how often AwaitComplete and AwaitIncomplete poll.
+// awaitInterval is how often AwaitComplete and AwaitIncomplete check the state.
 const awaitInterval = 5 * time.Millisecond
 
-// AwaitComplete waits until every group has all its voters, by the ledger that is known here. It returns false if that takes
-// longer than timeout.
+// AwaitComplete waits until every group has all its voters according to this gateway's copy of the ledger. It returns false if that
+// takes longer than timeout.
 func (n *Node) AwaitComplete(timeout time.Duration) bool {
 	return n.awaitComplete(timeout, true)
 }
 
-// AwaitIncomplete waits until some group lacks a voter. It returns false if that takes longer than timeout.
+// AwaitIncomplete waits until at least one group lacks a voter. It returns false if that takes longer than timeout.
 func (n *Node) AwaitIncomplete(timeout time.Duration) bool {
 	return n.awaitComplete(timeout, false)
 }
--- a/internal/raftnode/status_test.go
+++ b/internal/raftnode/status_test.go
@@ -11,7 +11,8 @@
 	"marblespan/internal/raftstore"
 )
 
-// Operators and the test cluster read the log lines of notices and counters: their event texts and the names of their fields.
+// The messages and field names of the log lines of notices and counters must not change, because operators and the test cluster read
+// them.
 func TestLogLines(t *testing.T) {
 	for _, c := range []struct {
 		name string
