--- a/internal/raftstorage/bucket.go
+++ b/internal/raftstorage/bucket.go
@@ -10,13 +10,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The sizes of a checksum and of a number in bytes.
+// Sizes of a stored checksum and a stored number, in bytes.
 const (
 	checksumSize = 8
 	numberSize   = 8
 )
 
-// checksum is what stands behind a value.
+// checksum returns the checksum over a key and its value. It is stored after the value.
 func checksum(key, value []byte) []byte {
 	d := xxhash.New()
 	d.Write(key)
@@ -24,8 +24,9 @@
 	return binary.BigEndian.AppendUint64(nil, d.Sum64())
 }
 
-// verified returns a value without its checksum. The value is a copy: the file's pages are valid during the transaction only.
-func verified(key, raw []byte) ([]byte, error) {
+// verify checks a stored value and returns a copy of it without its checksum. It is a copy because the file's pages are valid only
+// during the transaction.
+func verify(key, raw []byte) ([]byte, error) {
 	size := len(raw) - checksumSize
 	if size < 0 {
 		return nil, fmt.Errorf("%w: the value of %q has %d bytes, fewer than a checksum", ErrChecksum, key, len(raw))
@@ -36,27 +37,27 @@
 	return append([]byte(nil), raw[:size]...), nil
 }
 
-// bucket reads and writes values with their checksums.
+// bucket wraps a bbolt bucket whose values are stored with checksums.
 type bucket struct{ *bbolt.Bucket }
 
 func (b bucket) set(key, value []byte) error {
 	return b.Put(key, slices.Concat(value, checksum(key, value)))
 }
 
-// get reads a value; nil: there is none.
+// get returns the value of a key, or nil if there is none.
 func (b bucket) get(key []byte) ([]byte, error) {
 	raw := b.Get(key)
 	if raw == nil {
 		return nil, nil
 	}
-	return verified(key, raw)
+	return verify(key, raw)
 }
 
 func (b bucket) setNumber(key []byte, n uint64) error {
 	return b.set(key, binary.BigEndian.AppendUint64(nil, n))
 }
 
-// number reads a number; 0: there is none.
+// number returns the number under a key, or 0 if there is none.
 func (b bucket) number(key []byte) (uint64, error) {
 	v, err := b.get(key)
 	if err != nil || v == nil {
@@ -76,25 +77,25 @@
 	return b.set(key, v)
 }
 
-// message reads a message. found is false if there is none.
+// message decodes the message under a key into m. found is false if there is none.
 func (b bucket) message(key []byte, m proto.Message) (found bool, err error) {
 	v, err := b.get(key)
 	if err != nil || v == nil {
 		return false, err
 	}
 	if err := proto.Unmarshal(v, m); err != nil {
-		return false, fmt.Errorf("the message %q: %w", key, err)
+		return false, fmt.Errorf("decode the message under %q: %w", key, err)
 	}
 	return true, nil
 }
 
-// each passes all values to a function, in the order of their keys. It skips nested buckets.
+// each calls a function with each key and value, in the order of the keys. It skips nested buckets.
 func (b bucket) each(do func(key, value []byte) error) error {
 	return b.ForEach(func(key, raw []byte) error {
 		if raw == nil {
 			return nil
 		}
-		v, err := verified(key, raw)
+		v, err := verify(key, raw)
 		if err != nil {
 			return err
 		}
--- a/internal/raftstorage/errors.go
+++ b/internal/raftstorage/errors.go
@@ -9,30 +9,30 @@
 	bbolterrors "go.etcd.io/bbolt/errors"
 )
 
-// The causes of a DamagedError that this package finds itself; others are the file library's.
+// Causes of a DamagedError that this package detects. Other causes are errors of bbolt.
 var (
-	// ErrFormat means that the file is another program's, or has another version of the layout.
+	// ErrFormat means that the file belongs to another program or has another version of the layout.
 	ErrFormat = errors.New("not a state store of this version")
-	// ErrChecksum means that a value is not what was written.
+	// ErrChecksum means that a value does not match its checksum.
 	ErrChecksum = errors.New("checksum mismatch")
-	// ErrIncomplete means that something is missing, or stands where it must not.
+	// ErrIncomplete means that part of the content is missing, or is in a place where it must not be.
 	ErrIncomplete = errors.New("inconsistent content")
 )
 
 var (
 	// ErrLocked means that another process has the file open.
 	ErrLocked = errors.New("another process has the file open")
-	// ErrWriteFailed means that an earlier write has failed, since when the file takes none.
+	// ErrWriteFailed means that the file accepts no more writes because an earlier write failed.
 	ErrWriteFailed = errors.New("raftstorage: not written, because an earlier write failed")
 )
 
-// DamagedError means that a file must not be used: nothing in it can be relied on. Its gateway has lost its disk.
+// DamagedError means that a file must not be used, because none of its content can be relied on. Its gateway has lost its disk.
 type DamagedError struct {
 	Path  string
 	Cause error
 }
 
-// Error names the file and the cause.
+// Error returns a message with the path of the file and the cause.
 func (d *DamagedError) Error() string {
 	return fmt.Sprintf("raftstorage: %s is damaged: %v", d.Path, d.Cause)
 }
@@ -40,7 +40,7 @@
 // Unwrap returns the cause.
 func (d *DamagedError) Unwrap() error { return d.Cause }
 
-// accessError is an error that says nothing about the file's content.
+// accessError is an error in opening the file that does not indicate damaged content.
 type accessError struct{ error }
 
 // openError classifies an error of bbolt.Open.
@@ -54,10 +54,10 @@
 	return err
 }
 
-// guardContent runs a function that reads or writes a file, and turns what is wrong with the content, a panic of the file library
-// among it, into a *DamagedError. The library trusts the lengths in the file's pages: a damaged one leads beyond the memory that
-// the file is mapped to, and an access there ends the process unless this goroutine asks for a panic. That costs nothing as long
-// as every address is valid.
+// guardContent runs a function that reads or writes a file. It converts every error that may be caused by damaged content, and every
+// panic of bbolt, into a *DamagedError. bbolt does not check the lengths in the file's pages: with a damaged length it accesses memory
+// outside of the mapped file, which ends the process unless SetPanicOnFault turns the fault into a panic on this goroutine. The setting
+// costs nothing as long as every address is valid.
 func guardContent(path string, do func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
--- a/internal/raftstorage/file.go
+++ b/internal/raftstorage/file.go
@@ -1,9 +1,9 @@
-// Package raftstorage keeps a gateway's members of the Raft groups in one file (go.etcd.io/bbolt): one transaction with one sync for each
-// raftstore.Write. Every value has a checksum over its key and itself, so that damage is noticed. A file that is damaged anywhere
-// counts as damaged as a whole: its gateway has lost its disk, and gets the content from the other members.
+// Package raftstorage stores a gateway's members of the Raft groups in one file (go.etcd.io/bbolt). Each raftstore.Write is one
+// transaction with one sync. Every value has a checksum over its key and itself, so that damage is detected. A file that is damaged
+// anywhere is treated as damaged as a whole: its gateway has lost its disk, and gets the content from the other members.
 //
-// internal/raftnode opens the file and is the only writer (see Open); the command that checks a store reads a file that is not in
-// use with Check. The layout is in layout.go; the decisions about what counts as damaged are in File.load and guardContent.
+// internal/raftnode opens the file and is its only writer (see Open). The command that checks a store uses Check to read a file that is
+// not in use. The layout is described in layout.go. File.load and guardContent decide which content is damaged.
 package raftstorage
 
 import (
@@ -16,30 +16,31 @@
 	"marblespan/internal/raftstore"
 )
 
-// lockTimeout is how long Open and Check wait for a file that another process has open.
+// lockTimeout is how long Open and Check wait for the lock of a file that another process has open.
 const lockTimeout = time.Second
 
-// File is an open storage file. One goroutine owns it (see Open).
+// File is an open storage file. It is owned by one goroutine (see Open).
 type File struct {
 	db       *bbolt.DB
-	sequence uint64 // writes that the file has seen, in all incarnations
-	store    uint64 // number of the disk; 0: nothing has been written yet
+	sequence uint64 // number of writes to the file, over all incarnations
+	store    uint64 // ID of the store on this disk; 0 if nothing has been written yet
 	failed   bool   // a write has failed
 }
 
 // Open opens a storage file for writing, or creates it, and reads its content.
 //
-// One process has the file open: it is locked, and Open waits a second for the lock before it returns ErrLocked. In that process one
-// goroutine writes to it, the gateway's disk writer (internal/raftnode), which also is the last to use it before Close.
+// Only one process can have the file open, because Open locks it. If another process holds the lock, Open waits for one second and then
+// returns ErrLocked. Within the process, only the gateway's disk writer (internal/raftnode) writes to the file, and the file may be closed
+// only after the disk writer has ended.
 //
-// A *DamagedError means that the content cannot be used; raftnode then renames the file, and opens a new one. Any other error says
-// nothing about the content.
+// A *DamagedError means that the content cannot be used; raftnode then renames the file and opens a new one. Any other error does not
+// mean that the content is damaged.
 func Open(path string) (*File, *raftstore.StoredState, error) {
 	f := &File{}
 	var stored *raftstore.StoredState
 	err := guardContent(path, func() (err error) {
-		// The list of free pages is kept in the file: to rebuild it the library reads all pages on a goroutine of its own, where
-		// nothing recovers from the panic that a damaged page causes.
+		// The list of free pages is stored in the file (NoFreelistSync is not set), because to rebuild the list bbolt would read all
+		// pages on a separate goroutine, where a panic caused by a damaged page could not be recovered.
 		f.db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType})
 		if err != nil {
 			return openError(err)
@@ -54,8 +55,8 @@
 	return f, stored, nil
 }
 
-// Check reads a file that no process has open for writing, and changes nothing. Its errors are those of Open; a file that does not
-// exist is an error, too.
+// Check reads a file that no process has open for writing, and does not change it. It returns the same errors as Open, and also an
+// error if the file does not exist.
 func Check(path string) (*raftstore.StoredState, error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, fmt.Errorf("raftstorage: %w", err)
@@ -76,13 +77,13 @@
 	return stored, nil
 }
 
-// Sequence is the number of writes that the file has seen in all incarnations.
+// Sequence returns the number of writes to the file, over all incarnations.
 func (f *File) Sequence() uint64 { return f.sequence }
 
-// Write makes a write durable before it returns. Only the goroutine that owns the file may call it: raftnode's disk writer.
+// Write makes a write durable before it returns. It may be called only by the goroutine that owns the file, raftnode's disk writer.
 //
-// After an error the file takes no more writes (ErrWriteFailed): the kernel may have dropped the pages that it could not write,
-// and would report success the next time.
+// After an error the file accepts no more writes (ErrWriteFailed), because the kernel may have dropped the pages that it could not
+// write, and would report success for the next sync.
 func (f *File) Write(w raftstore.Write) error {
 	if f.failed {
 		return ErrWriteFailed
--- a/internal/raftstorage/file_test.go
+++ b/internal/raftstorage/file_test.go
@@ -17,7 +17,7 @@
 	"marblespan/internal/raftstore"
 )
 
-// randomWrite makes a write that fits what is stored, as a host makes them.
+// randomWrite returns a random write that is consistent with the stored state, as a host would produce it.
 func randomWrite(rng *rand.Rand, image raftstore.Image) raftstore.Write {
 	w := raftstore.Write{Store: max(image.Store, 7), Incarnation: image.Incarnation + uint64(rng.IntN(2))}
 	if image.Store != 0 && rng.IntN(40) == 0 {
@@ -42,7 +42,8 @@
 	return w
 }
 
-// randomMemberWrite makes one member's part of a write; changed is false if there is none. stored is nil if it is a new member.
+// randomMemberWrite returns one member's part of a write. changed is false if the write has no part for the member. stored is nil if
+// the member is new.
 func randomMemberWrite(rng *rand.Rand, group uint32, stored *raftstore.StoredMember) (w raftstore.MemberWrite, changed bool) {
 	w = raftstore.MemberWrite{Group: group, Epoch: 1, Member: uint64(group) + 10}
 	next := nextIndex(stored)
@@ -61,7 +62,7 @@
 		w.Snapshot = randomSnapshot(rng, group, index)
 	default:
 		if stored != nil && len(stored.Entries) > 2 && rng.IntN(3) == 0 {
-			next -= 2 // they replace the last ones
+			next -= 2 // the new entries replace the last two
 		}
 		for range rng.IntN(4) {
 			w.Entries = append(w.Entries, &pb.Entry{Index: new(next), Term: new(uint64(2)), Data: fmt.Append(nil, rng.Uint64())})
@@ -72,7 +73,7 @@
 	return w, true
 }
 
-// nextIndex is the index behind what a member has stored.
+// nextIndex returns the index after the last one that a member has stored.
 func nextIndex(stored *raftstore.StoredMember) uint64 {
 	switch {
 	case stored == nil:
@@ -85,7 +86,7 @@
 	return 1
 }
 
-// randomSnapshot makes a snapshot of up to three pieces.
+// randomSnapshot returns a snapshot of up to three pieces.
 func randomSnapshot(rng *rand.Rand, group uint32, index uint64) *pb.Snapshot {
 	data := make([]byte, rng.IntN(3*pieceSize))
 	for i := range data {
@@ -94,7 +95,7 @@
 	return &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{Index: new(index), Term: new(uint64(3)), ConfState: &pb.ConfState{Voters: []uint64{1, 2}}}}
 }
 
-// describe writes out what is stored, for comparison.
+// describe formats the stored state, for comparison.
 func describe(s *raftstore.StoredState) string {
 	out := fmt.Sprintf("%d %d %s %v", s.Store, s.Incarnation, s.Ledger, s.Retired)
 	for _, g := range s.Members {
@@ -109,7 +110,7 @@
 	return out
 }
 
-// openWant opens a file that must have this content.
+// openWant opens a file and fails the test if its content, as formatted by describe, is not want.
 func openWant(t *testing.T, path, want string) *File {
 	t.Helper()
 	f, stored, err := Open(path)
@@ -122,8 +123,8 @@
 	return f
 }
 
-// What is read back is what raftstore.Image, the model of a disk, has after the same writes, however often the file is closed in
-// between; and a file that was torn within a write has the content before or after it.
+// After any writes, and however often the file is closed in between, the file has the same content as raftstore.Image, the model of a
+// disk, after the same writes. If a write was torn, the file has the content before or after that write.
 func TestFile(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -160,8 +161,8 @@
 
 const pageSize = 4096
 
-// checkTornWrites makes files in which some pages of a write have reached the disk and others have the content before it. The first
-// two pages, of which one says where all others begin, were written in part or not at all.
+// checkTornWrites creates files in which only some pages of a write have reached the disk, and the other pages have the content before
+// the write. The first two pages (bbolt's meta pages, one of which refers to all other pages) were written in part or not at all.
 func checkTornWrites(t *testing.T, rng *rand.Rand, before []byte, path, was, is string) {
 	t.Helper()
 	after, err := os.ReadFile(path)
@@ -185,7 +186,7 @@
 	}
 }
 
-// tornFile mixes the pages of two files.
+// tornFile returns a file that has some pages of before and others of after.
 func tornFile(rng *rand.Rand, before, after []byte) []byte {
 	torn := bytes.Clone(before)
 	if len(after) > len(torn) && rng.IntN(2) == 0 {
@@ -198,16 +199,16 @@
 	}
 	for meta := range 2 {
 		if at := meta * pageSize; rng.IntN(2) == 0 && !bytes.Equal(before[at:at+pageSize], after[at:at+pageSize]) {
-			copy(torn[at:at+40], after[at:at+40]) // the page's checksum is behind that
+			copy(torn[at:at+40], after[at:at+40]) // these bytes do not include the page's checksum
 		}
 	}
 	return torn
 }
 
-// A damaged byte is noticed, or is in a place that nothing is read from.
+// Damage to the file is detected, unless it is in bytes that are never read.
 func TestDamagedFile(t *testing.T) {
 	if raceDetector {
-		t.Skip("the race detector's check of pointers ends the process before the file's own checks see anything")
+		t.Skip("the race detector's pointer checks end the process before the file's own checks detect the damage")
 	}
 	rng := rand.New(rand.NewPCG(5, 1))
 	path := filepath.Join(t.TempDir(), "store.db")
@@ -221,13 +222,13 @@
 		image = image.Apply(w)
 	}
 	f.Close()
-	sound, err := os.ReadFile(path)
+	intact, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	files := 0
 	openContent := func(content []byte) (*File, *raftstore.StoredState, error) {
-		files++ // a new path each time: the library may keep a file open, and locked, on which it panicked
+		files++ // a new path each time, because bbolt may keep a file open and locked after a panic
 		path := fmt.Sprint(path, files)
 		if err := os.WriteFile(path, content, 0o600); err != nil {
 			t.Fatal(err)
@@ -236,27 +237,27 @@
 	}
 
 	t.Run("one bit", func(t *testing.T) {
-		noticed := 0
+		detected := 0
 		for range 150 {
-			content := bytes.Clone(sound)
+			content := bytes.Clone(intact)
 			content[rng.IntN(len(content))] ^= 1 << rng.IntN(8)
 			var damaged *DamagedError
 			f, stored, err := openContent(content)
 			switch {
 			case errors.As(err, &damaged):
-				noticed++
+				detected++
 				continue
 			case err != nil:
 				t.Fatal(err)
 			}
 			f.Close()
 			if describe(stored) != describe(image.State()) {
-				t.Fatal("a flipped bit was not noticed")
+				t.Fatal("a flipped bit was not detected")
 			}
 		}
-		t.Logf("%d of 150 noticed, the others are where nothing is read from", noticed)
-		if noticed < 6 { // some 30 of them: the places of the pages in the file differ from run to run
-			t.Errorf("%d of 150 flipped bits were noticed, want 6 at least", noticed)
+		t.Logf("%d of 150 flipped bits were detected; the others are in bytes that are never read", detected)
+		if detected < 6 { // usually about 30; the positions of the pages in the file differ from run to run
+			t.Errorf("%d of 150 flipped bits were detected, want at least 6", detected)
 		}
 	})
 
@@ -270,7 +271,7 @@
 	for _, step := range []int{16, 64, 333, 1024, 4096} {
 		for _, from := range []int{0, 4096, 16384} {
 			t.Run(fmt.Sprintf("every byte %d from %d", step, from), func(t *testing.T) {
-				content := bytes.Clone(sound)
+				content := bytes.Clone(intact)
 				for i := from + 8; i < len(content); i += step {
 					content[i] ^= 0x55
 				}
@@ -281,12 +282,12 @@
 	for _, c := range []struct {
 		name    string
 		content []byte
-		cause   error // nil: the library's
+		cause   error // nil if the cause is an error of bbolt
 	}{
 		{"text", []byte("this is no store"), nil},
-		{"too short", sound[:5000], nil},
+		{"too short", intact[:5000], nil},
 		{"zeros", make([]byte, 32768), nil},
-		{"length beyond all memory", withHugeLengths(t, sound), nil},
+		{"length beyond all memory", withHugeLengths(t, intact), nil},
 		{"another program's", contentOf(t, func(tx *bbolt.Tx) error { _, err := tx.CreateBucket([]byte("other")); return err }), ErrFormat},
 		{"later format", contentOf(t, func(tx *bbolt.Tx) error {
 			facts, err := tx.CreateBucket(bucketFacts)
@@ -306,10 +307,11 @@
 	}
 }
 
-// withHugeLengths returns a file in which each element that may be that of "format" says that its value has two gigabytes.
-func withHugeLengths(t *testing.T, sound []byte) []byte {
+// withHugeLengths returns a copy of a file in which each page element that may belong to the key "format" has a value length of about
+// two gigabytes.
+func withHugeLengths(t *testing.T, intact []byte) []byte {
 	t.Helper()
-	content := bytes.Clone(sound)
+	content := bytes.Clone(intact)
 	element := append(binary.LittleEndian.AppendUint32(nil, uint32(len(keyFormat))), 16, 0, 0)
 	lengths := 0
 	for at := 0; ; lengths++ {
@@ -321,12 +323,12 @@
 		content[at] = 0x7f
 	}
 	if lengths == 0 {
-		t.Error("no length was found to change")
+		t.Error("found no length to change")
 	}
 	return content
 }
 
-// contentOf returns a file of the library with what a transaction writes.
+// contentOf returns the content of a bbolt file that contains only the changes of one transaction.
 func contentOf(t *testing.T, write func(*bbolt.Tx) error) []byte {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "other.db")
@@ -344,7 +346,7 @@
 	return content
 }
 
-// What says nothing about the content is no DamagedError.
+// An error that does not indicate damaged content is not a DamagedError.
 func TestAccessErrors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store.db")
 	f, _, err := Open(path)
@@ -374,7 +376,7 @@
 	}
 }
 
-// After a write that failed the file takes no more writes.
+// After a failed write the file accepts no more writes.
 func TestNoWriteAfterFailure(t *testing.T) {
 	f, _, err := Open(filepath.Join(t.TempDir(), "store.db"))
 	if err != nil {
@@ -383,7 +385,7 @@
 	t.Cleanup(f.Close)
 	f.db.Close()
 	if err := f.Write(raftstore.Write{Store: 7}); err == nil || errors.Is(err, ErrWriteFailed) {
-		t.Errorf("first write: %v, want the library's error", err)
+		t.Errorf("first write: %v, want an error of bbolt", err)
 	}
 	if err := f.Write(raftstore.Write{Store: 7}); !errors.Is(err, ErrWriteFailed) {
 		t.Errorf("second write: %v, want %v", err, ErrWriteFailed)
--- a/internal/raftstorage/load.go
+++ b/internal/raftstorage/load.go
@@ -11,7 +11,7 @@
 	"marblespan/internal/raftstore"
 )
 
-// load reads the content of the file. An empty file is new, and has none.
+// load reads the content of the file. A file without buckets is new; its state is empty.
 func (f *File) load() (*raftstore.StoredState, error) {
 	stored := &raftstore.StoredState{}
 	err := f.db.View(func(tx *bbolt.Tx) error {
@@ -27,7 +27,7 @@
 		}
 		groups := tx.Bucket(bucketGroups)
 		if groups == nil {
-			return fmt.Errorf("%w: there is no bucket %q", ErrIncomplete, bucketGroups)
+			return fmt.Errorf("%w: bucket %q is missing", ErrIncomplete, bucketGroups)
 		}
 		return groups.ForEachBucket(func(key []byte) error {
 			member, err := loadMember(key, groups.Bucket(key))
@@ -42,7 +42,7 @@
 	return stored, nil
 }
 
-// loadFacts reads what the file says about itself.
+// loadFacts reads the file's metadata (bucketFacts).
 func (f *File) loadFacts(facts bucket, stored *raftstore.StoredState) error {
 	version, err := facts.number(keyFormat)
 	if err != nil {
@@ -60,7 +60,7 @@
 		}
 	}
 	if stored.Store == 0 {
-		return fmt.Errorf("%w: the disk has no number under %q", ErrIncomplete, keyStore)
+		return fmt.Errorf("%w: the store ID under %q is missing", ErrIncomplete, keyStore)
 	}
 	if stored.Ledger, err = facts.get(keyView); err != nil {
 		return err
@@ -69,7 +69,7 @@
 	return err
 }
 
-// loadRetired reads the members that must not take part again.
+// loadRetired reads the list of members that must not take part again.
 func loadRetired(facts bucket) (refs []raftstore.MemberRef, err error) {
 	raw, err := facts.get(keyRetired)
 	if err != nil {
@@ -84,7 +84,7 @@
 	return refs, nil
 }
 
-// loadMember reads a member's bucket.
+// loadMember reads a member from its bucket.
 func loadMember(key []byte, raw *bbolt.Bucket) (member raftstore.StoredMember, err error) {
 	if len(key) != refSize {
 		return member, fmt.Errorf("%w: the member's key %x has %d bytes, want %d", ErrIncomplete, key, len(key), refSize)
@@ -113,7 +113,7 @@
 	return member, err
 }
 
-// loadPieces joins the pieces of a snapshot's data.
+// loadPieces reads a snapshot's data from its pieces.
 func loadPieces(raw *bbolt.Bucket) (data []byte, err error) {
 	if raw == nil {
 		return nil, nil
@@ -130,7 +130,7 @@
 	return data, err
 }
 
-// loadLog reads the entries of a log, which have successive indexes.
+// loadLog reads the entries of a log, and checks that their indexes are consecutive.
 func loadLog(raw *bbolt.Bucket) (entries []*pb.Entry, err error) {
 	if raw == nil {
 		return nil, nil
--- a/internal/raftstorage/race_test.go
+++ b/internal/raftstorage/race_test.go
@@ -2,6 +2,6 @@
 
 package raftstorage
 
-// raceDetector: the race detector comes with a check of pointers that ends the process where the library makes one from a damaged
-// length, before it is read.
+// raceDetector reports whether the tests run with the race detector. The race detector enables pointer checks that end the process when
+// bbolt computes a pointer from a damaged length, even before bbolt reads from it.
 const raceDetector = true
--- a/internal/raftstorage/witness.go
+++ b/internal/raftstorage/witness.go
@@ -7,24 +7,26 @@
 	"os"
 )
 
-// Witness is a small file that records the storage's latest write. It is on a file system that is empty after a start of the
-// machine (/run). A process that restarts recognizes by it that the storage file is the one that it left, and its members need not
-// ask the others for their latest state. After a start of the machine, or with an older copy of the storage file, it does not match.
+// Witness is a small file that records the latest write to the storage file. It is on a file system that is empty after each boot of
+// the machine (/run). If a restarted process finds that the witness matches the storage file, it knows that this file contains its last
+// write, and its members need not ask the other members for their latest state. The witness does not match after a reboot of the
+// machine, or if the storage file has been replaced by an older copy.
 //
-// The goroutine that writes the storage file (see Open) also writes the witness.
+// The goroutine that writes to the storage file (see Open) also writes the witness.
 type Witness struct {
 	file   *os.File
 	bootID []byte
 }
 
-// The file has the disk's number, the number of writes and the ID of the machine's boot.
+// witnessHeaderSize is the size of the store ID and of the number of writes. After these, the file contains the boot ID.
 const witnessHeaderSize = 2 * numberSize
 
-// bootIDPath names the ID that the kernel draws at each start of the machine.
+// bootIDPath is the file with the random ID that the kernel generates at each boot.
 const bootIDPath = "/proc/sys/kernel/random/boot_id"
 
-// OpenWitness opens the witness, or creates it. known tells whether it has recorded this disk, with no more writes than the disk has
-// now. If not, it is emptied: it must not match by itself once the disk has more writes.
+// OpenWitness opens the witness file, or creates it. known reports whether the witness has recorded this store since the machine's boot,
+// with no more writes than the storage file has now (sequence). If not, the witness is emptied, because otherwise it could match
+// wrongly once the storage file has more writes.
 func OpenWitness(path string, store, sequence uint64) (w *Witness, known bool, err error) {
 	bootID, err := os.ReadFile(bootIDPath)
 	if err != nil {
@@ -45,7 +47,7 @@
 	return w, false, nil
 }
 
-// matches tells whether the witness has recorded this disk since the machine's start, with no more writes than sequence.
+// matches reports whether the witness has recorded this store since the machine's boot, with no more writes than sequence.
 func (w *Witness) matches(store, sequence uint64) bool {
 	raw := make([]byte, witnessHeaderSize+len(w.bootID))
 	if n, _ := w.file.ReadAt(raw, 0); n != len(raw) || store == 0 {
@@ -55,7 +57,8 @@
 	return recorded == store && writes <= sequence && bytes.Equal(bootID, w.bootID)
 }
 
-// Record records the disk's number and how many writes it has. It must be called before the latest write is acknowledged to anybody.
+// Record records the store ID and the number of writes to the storage file. It must be called before the latest write is acknowledged
+// to other members or clients.
 func (w *Witness) Record(store, sequence uint64) error {
 	b := binary.BigEndian.AppendUint64(nil, store)
 	b = binary.BigEndian.AppendUint64(b, sequence)
--- a/internal/raftstorage/witness_test.go
+++ b/internal/raftstorage/witness_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// The witness knows the disk that was written last, and no other one.
+// The witness matches only the store that was written last.
 func TestWitness(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "witness")
 	for _, c := range []struct {
 		name            string
 		store, sequence uint64
 		known           bool
-		record          uint64 // 0: nothing is recorded
+		record          uint64 // 0 if nothing is recorded
 	}{
 		{"new", 7, 0, false, 5},
 		{"same", 7, 5, true, 6},
@@ -22,7 +22,7 @@
 		{"another disk", 8, 9, false, 0},
 		{"emptied since", 7, 7, false, 0},
 		{"emptied since, more writes", 7, 9, false, 9},
-		{"recorded anew", 7, 9, true, 0},
+		{"recorded again", 7, 9, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w, known, err := OpenWitness(path, c.store, c.sequence)
@@ -40,12 +40,12 @@
 			}
 		})
 	}
-	t.Run("another start of the machine", func(t *testing.T) {
+	t.Run("another boot of the machine", func(t *testing.T) {
 		if err := os.WriteFile(path, make([]byte, 60), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if _, known, _ := OpenWitness(path, 0, 0); known {
-			t.Error("the witness of another start of the machine is known")
+			t.Error("the witness of another boot of the machine matches")
 		}
 	})
 }
--- a/internal/raftstorage/write.go
+++ b/internal/raftstorage/write.go
@@ -11,7 +11,7 @@
 	"marblespan/internal/raftstore"
 )
 
-// apply carries out a write in a transaction. If the disk has another number than before, its former content goes.
+// apply applies a write in a transaction. If the store ID differs from the stored one, the former content of the file is deleted.
 func (f *File) apply(tx *bbolt.Tx, w raftstore.Write) error {
 	if f.store != 0 && f.store != w.Store {
 		for _, name := range [][]byte{bucketGroups, bucketFacts} {
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// writeFacts writes what the file says about itself.
+// writeFacts writes the file's metadata (bucketFacts).
 func (f *File) writeFacts(facts bucket, w raftstore.Write) error {
 	err := errors.Join(facts.setNumber(keyFormat, format), facts.setNumber(keyStore, w.Store),
 		facts.setNumber(keyIncarnation, w.Incarnation), facts.setNumber(keySequence, f.sequence+1))
@@ -53,7 +53,7 @@
 	return errors.Join(err, readErr, facts.set(keyRetired, retired))
 }
 
-// writeMember writes one member's part: it is removed, or gets a snapshot, entries and a hard state, each if there is one.
+// writeMember applies one member's part of a write: it deletes the member, or writes the snapshot, entries and hard state that are set.
 func writeMember(groups *bbolt.Bucket, w *raftstore.MemberWrite) error {
 	key := memberKey(w.Group, w.Epoch, w.Member)
 	if w.Delete {
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// truncateLog removes the entries that a snapshot replaces: those up to its index or, without Keep, all.
+// truncateLog removes the entries that a snapshot replaces: those up to the snapshot's index if KeepEntries is set, and otherwise all.
 func truncateLog(log *bbolt.Bucket, w *raftstore.MemberWrite) error {
 	last := w.Snapshot.GetMetadata().GetIndex()
 	c := log.Cursor()
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// writeSnapshot replaces a member's snapshot: its data in pieces, then its metadata.
+// writeSnapshot replaces a member's snapshot. It writes the data in pieces, and then the metadata.
 func writeSnapshot(member *bbolt.Bucket, snapshot *pb.Snapshot) error {
 	if member.Bucket(bucketPieces) != nil {
 		if err := member.DeleteBucket(bucketPieces); err != nil {
@@ -120,7 +120,7 @@
 	return bucket{member}.setMessage(keySnapshot, &pb.Snapshot{Metadata: snapshot.GetMetadata()})
 }
 
-// writeEntries appends entries to a log. Those that it has from the first one's index on go before.
+// writeEntries appends entries to a log. It first removes the stored entries from the first new entry's index on.
 func writeEntries(log *bbolt.Bucket, entries []*pb.Entry) error {
 	if len(entries) == 0 {
 		return nil
