--- a/internal/raftgateway/check.go
+++ b/internal/raftgateway/check.go
@@ -10,15 +10,15 @@
 	"marblespan/internal/raftstore"
 )
 
-// storeContents is the summary of a storage file that the command for checks prints.
+// storeContents is the summary of a storage file that the command that checks a store prints.
 type storeContents struct {
 	Disk        string           `json:"disk"`
-	Incarnation uint64           `json:"life"` // microseconds of Unix time at the gateway's latest start
+	Incarnation uint64           `json:"life"` // time of the gateway's latest start, in microseconds of Unix time
 	Members     []memberContents `json:"groups"`
-	Retired     int              `json:"retired"` // members that must not take part again
+	Retired     int              `json:"retired"` // number of members that must not take part again
 }
 
-// memberContents is the summary of a group member.
+// memberContents is the summary of one member of a Raft group.
 type memberContents struct {
 	Group         uint32 `json:"group"`
 	Epoch         uint32 `json:"epoch"`
@@ -27,10 +27,10 @@
 	CommitIndex   uint64 `json:"commit"`
 	SnapshotIndex uint64 `json:"snapshot"`
 	SnapshotBytes int    `json:"snapshot_bytes"`
-	LastIndex     uint64 `json:"last"` // of the log or, if that is empty, of the snapshot
+	LastIndex     uint64 `json:"last"` // last index of the log or, if the log is empty, of the snapshot
 }
 
-// checkStore reads a storage file that no gateway has open, and prints a summary: as JSON or as text. Its errors are those of
+// checkStore reads a storage file that no gateway has open, and prints a summary as JSON or as text. It returns the errors of
 // raftstorage.Check.
 func checkStore(path string, asJSON bool, out io.Writer) error {
 	stored, err := raftstorage.Check(path)
--- a/internal/raftgateway/check_test.go
+++ b/internal/raftgateway/check_test.go
@@ -15,7 +15,7 @@
 	"marblespan/internal/raftstore"
 )
 
-// The summary of a storage file in JSON has the keys of the golden file, all of them and no others, and is written as that stands.
+// The JSON summary of a storage file has exactly the keys of the golden file, and its encoding is identical to the golden file.
 func TestContentsGolden(t *testing.T) {
 	want := storeContents{
 		Disk: "00000000000000bb", Incarnation: 1_767_225_600_000_000, Retired: 1,
@@ -36,7 +36,7 @@
 	}
 }
 
-// The check of a storage file prints what was written to it; an unreadable file is an error.
+// Checking a storage file prints a summary of what was written to it. It returns an error if the file is damaged or missing.
 func TestCheckStore(t *testing.T) {
 	dir := t.TempDir()
 	path, damaged := filepath.Join(dir, "store.db"), filepath.Join(dir, "damaged.db")
--- a/internal/raftgateway/records_test.go
+++ b/internal/raftgateway/records_test.go
@@ -9,7 +9,7 @@
 	"marblespan/internal/raftstore"
 )
 
-// A status counts as success or as not applied only if that is certain.
+// A status is converted to a success or to "not applied" only if the outcome is certain.
 func TestReplyFrom(t *testing.T) {
 	for _, c := range []struct {
 		status raftstore.Status
--- a/internal/raftgateway/status.go
+++ b/internal/raftgateway/status.go
@@ -7,7 +7,7 @@
 	"marblespan/internal/raftstore"
 )
 
-// Status is the state of the store as this gateway knows it.
+// Status returns the state of the store as this gateway knows it.
 func (s store) Status() gateway.StateStoreStatus {
 	o := s.Overview()
 	status := gateway.StateStoreStatus{
@@ -44,10 +44,10 @@
 	return gateway.ReplicaStatus{Number: r.ID, Node: r.Name, Lost: r.Lost}
 }
 
-// formatID writes a drawn number: that of a store or of a disk.
+// formatID formats a random ID, such as that of a cluster or of a store, in hexadecimal.
 func formatID(id uint64) string { return fmt.Sprintf("%016x", id) }
 
-// optionalID writes a drawn number; empty: there is none.
+// optionalID formats a random ID. It returns an empty string for 0, which means that there is no ID.
 func optionalID(id uint64) string {
 	if id == 0 {
 		return ""
--- a/internal/raftgateway/store.go
+++ b/internal/raftgateway/store.go
@@ -1,9 +1,9 @@
-// Package raftgateway connects the gateway (internal/gateway) to the state store (internal/raftnode). Only the program
-// marblespan-raft links it, since what it needs costs memory that a gateway without a state store must not pay: Register gives the
-// gateway the functions that open and check a store.
+// Package raftgateway connects the gateway (internal/gateway) to the state store (internal/raftnode). Register gives the gateway the
+// functions that open and check a store. Only the program marblespan-raft links this package, because its dependencies cost memory that
+// a gateway without a state store should not need.
 //
-// It has no state and no goroutines of its own: a store is a raftnode.Node, whose responses this package translates into the
-// gateway's terms on the goroutine that has them.
+// The package has no state and no goroutines of its own. A store is a raftnode.Node; the package converts its responses to the types
+// that the gateway uses, on the goroutine that delivers the response.
 package raftgateway
 
 import (
@@ -18,30 +18,30 @@
 	"marblespan/internal/raftstore"
 )
 
-// minLogBytes is how long a shard's log is before a snapshot replaces it, in bytes.
+// minLogBytes is the size that a shard's log must reach before it may be replaced by a snapshot, in bytes.
 const minLogBytes = 1 << 20
 
-// Format is the latest format of records that this program claims to understand; empty: this version's. The tests of upgrades link
-// programs with another one (-ldflags -X).
+// Format is the latest record format that this program claims to understand. If it is empty, that is the latest format of this version.
+// The upgrade tests set it with -ldflags -X to build programs that claim another format.
 var Format string
 
-// Register gives the gateway of this process the functions that need the state store. It must be called before the gateway starts.
+// Register gives the gateway of this process the functions that depend on the state store. It must be called before the gateway starts.
 func Register() {
 	gateway.OpenStore = openStore
 	gateway.CheckStore = checkStore
 	gateway.OpenIntents = func(s intents.Settings) intents.Resolver { return intents.New(s) }
 }
 
-// store is a node with the methods that the gateway expects.
+// store wraps a node with the methods that the gateway expects (gateway.Store).
 type store struct{ *raftnode.Node }
 
-// openStore starts a node. It ends with the store's Close.
+// openStore starts a node. The caller must close the returned store.
 func openStore(s gateway.StoreSettings) (gateway.Store, error) {
 	nodeClock := raftnode.Clock{
 		Now: func() clock.Micros { return clock.Micros(s.Clock.Now()) },
 		At:  func(t clock.Micros) time.Time { return s.Clock.Time(clock.Micros(t)) },
 	}
-	format, _ := strconv.ParseUint(Format, 10, 32) // 0 if it is empty: this version's
+	format, _ := strconv.ParseUint(Format, 10, 32) // 0 if Format is empty, which selects the format of this version
 	c := s.StateStore
 	node, err := raftnode.Start(raftnode.Settings{
 		Node: s.Node, Zone: s.Zone, Weight: s.Weight, RunsGroups: c.RunsRaftNode(s.Node), StoragePath: c.StoragePath(), WitnessPath: c.Witness,
@@ -55,7 +55,7 @@
 	return store{node}, nil
 }
 
-// SetMaintenanceReport passes on what an incarnation of this gateway reports for the maintenance order.
+// SetMaintenanceReport passes the report of an incarnation of this gateway to the state store, for maintenance planning.
 func (s store) SetMaintenanceReport(incarnation uint64, r maintenance.Report) {
 	s.Node.SetMaintenanceReport(raftstore.GatewayReport{Incarnation: incarnation, Report: r})
 }
