--- a/internal/streams/frame.go
+++ b/internal/streams/frame.go
@@ -10,16 +10,18 @@
 	"marblespan/internal/transport"
 )
 
-// version is the version of the layout of greetings and frames.
+// version is the version of the format of greetings and frames.
 const version = 1
 
-// greetingSize is the size of the listener's greeting in bytes: the version and a random number for this stream.
+// greetingSize is the size in bytes of the greeting that the listener sends: the version and a random number for the stream.
 const greetingSize = 1 + 16
 
-// errInvalidFrame is a frame that is forged, out of order or malformed, or a hello that is not for this gateway.
-var errInvalidFrame = errors.New("streams: frame is not valid")
+// errInvalidFrame means that a frame is forged, out of order or malformed, that a hello is not addressed to this gateway, or that a
+// greeting has another version.
+var errInvalidFrame = errors.New("streams: invalid frame")
 
-// purpose is what frames are signed for: it keeps those of one stream from being valid on another.
+// purpose returns the context that is included in the signature of a stream's frames. It prevents the frames of one stream from being
+// valid on another.
 func purpose(deployment string, greeting []byte) string {
 	return "marblespan streams\x00" + deployment + "\x00" + string(greeting)
 }
@@ -33,7 +35,7 @@
 	return binary.BigEndian.Uint64(b), true
 }
 
-// appendHello writes the first frame's body: the names of sender and receiver.
+// appendHello appends the body of a stream's first frame: the names of the sender and the receiver.
 func appendHello(b []byte, from, to string) []byte {
 	b = append(b, byte(len(from)))
 	b = append(b, from...)
@@ -48,7 +50,7 @@
 	return from, to, from != "" && len(to) <= MaxNameLength
 }
 
-// writer is the sending end of a stream. It belongs to the goroutine of its peer.
+// writer is the sending end of a stream. It is owned by the goroutine of its peer (peer.run).
 type writer struct {
 	streams  *Streams
 	conn     *transport.Conn
@@ -57,7 +59,7 @@
 	buffer   []byte
 }
 
-// appendFrame adds a frame to the buffer: its length (4 bytes), channel, body and signed trailer.
+// appendFrame appends a frame to the buffer: its length (4 bytes), channel, body and signed trailer.
 func (w *writer) appendFrame(channel Channel, body []byte) {
 	w.sequence++
 	w.buffer = binary.BigEndian.AppendUint32(w.buffer, uint32(1+len(body)+sealed.Size))
@@ -72,13 +74,13 @@
 	n, err := w.conn.Write(time.Now().Add(writeTimeout), net.Buffers{w.buffer})
 	w.streams.Counts.SentBytes.Add(n)
 	w.buffer = w.buffer[:0]
-	if cap(w.buffer) > maxBatchBytes { // the buffer of a large message is not kept
+	if cap(w.buffer) > maxBatchBytes { // do not keep the buffer of a large message
 		w.buffer = nil
 	}
 	return err
 }
 
-// reader is the receiving end of a stream. It belongs to the goroutine of serve.
+// reader is the receiving end of a stream. It is owned by the goroutine that runs serve.
 type reader struct {
 	streams   *Streams
 	conn      *transport.Conn
@@ -90,7 +92,7 @@
 	reserved  int
 }
 
-// next reads a frame and checks its signature and order. Its body is valid until release.
+// next reads a frame and verifies its signature and sequence number. The returned body is valid until release is called.
 func (r *reader) next(deadline time.Time) (Channel, []byte, error) {
 	var head [4]byte
 	if err := r.conn.ReadFull(head[:], deadline); err != nil {
@@ -101,7 +103,7 @@
 		return 0, nil, errInvalidFrame
 	}
 	deadline = time.Now().Add(writeTimeout)
-	for !r.streams.settings.Buffers.Reserve(size) { // what frees memory is an answer written, a matter of milliseconds
+	for !r.streams.settings.Buffers.Reserve(size) { // memory becomes free when answers have been written, within milliseconds
 		if time.Now().After(deadline) {
 			return 0, nil, transport.ErrDeadline
 		}
@@ -125,7 +127,7 @@
 	return Channel(b[0]), b[1 : size-sealed.Size], nil
 }
 
-// release gives back the memory of a frame.
+// release returns the memory of the last frame to the budget.
 func (r *reader) release() {
 	r.streams.settings.Buffers.Release(r.reserved)
 	r.reserved = 0
--- a/internal/streams/inbound.go
+++ b/internal/streams/inbound.go
@@ -9,8 +9,8 @@
 	"marblespan/internal/transport"
 )
 
-// serve receives one inbound stream, from its handshake until it ends. admitted tells whether there is a descriptor for it in
-// the budget of calls.
+// serve handles one inbound connection, from its handshake until the stream ends. admitted is false if the descriptor budget
+// has no room for the connection; serve then closes it.
 func (x *Streams) serve(conn *transport.Conn, admitted bool) {
 	defer conn.Close()
 	x.mu.Lock()
@@ -55,11 +55,12 @@
 	}
 }
 
-// acceptHandshake sends the greeting with the random number that binds the stream, and reads the hello that names its sender.
+// acceptHandshake sends the greeting, whose random number the signatures of the stream's frames include, and reads the hello,
+// which contains the sender's name.
 func (x *Streams) acceptHandshake(c *transport.Conn) (*reader, error) {
 	greeting := make([]byte, greetingSize)
 	greeting[0] = version
-	rand.Read(greeting[1:]) // it never fails
+	rand.Read(greeting[1:]) // never returns an error
 	deadline := time.Now().Add(handshakeTimeout)
 	if _, err := c.Write(deadline, net.Buffers{greeting}); err != nil {
 		return nil, err
--- a/internal/streams/peer.go
+++ b/internal/streams/peer.go
@@ -6,11 +6,11 @@
 	"marblespan/internal/transport"
 )
 
-// peer is another gateway, and the queue of messages to it. Its goroutine is run, in sender.go.
+// peer represents another gateway, and has the queue of messages to it. Its goroutine executes run, in sender.go.
 type peer struct {
 	streams *Streams
 	name    string
-	wake    chan struct{} // has room for one: a message was queued
+	wake    chan struct{} // signals that a message was queued; has a capacity of 1
 
 	mu          sync.Mutex
 	queue       []Message
@@ -18,7 +18,8 @@
 	conn        *transport.Conn // the open stream, for abort
 }
 
-// enqueue queues a message. In a full queue the oldest messages that may be dropped give way; they are returned.
+// enqueue queues a message. If the queue is full, it drops the oldest messages without NoDrop to make room, and returns them.
+// It returns ErrQueueFull if there is still no room.
 func (p *peer) enqueue(m Message) (dropped []Message, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -42,7 +43,7 @@
 	return dropped, nil
 }
 
-// removeQueued takes one message out of the queue, and releases its memory.
+// removeQueued removes one message from the queue and releases its memory.
 func (p *peer) removeQueued(index int) {
 	size := len(p.queue[index].Body)
 	p.queuedBytes -= size
@@ -50,7 +51,8 @@
 	p.queue = append(p.queue[:index], p.queue[index+1:]...)
 }
 
-// dequeue takes out messages of up to limit bytes together, and one at least, and releases their memory.
+// dequeue removes messages from the head of the queue and releases their memory. It returns messages of up to limit bytes in
+// total, but at least one message unless the queue is empty.
 func (p *peer) dequeue(limit int) (all []Message) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,7 +68,7 @@
 	return all
 }
 
-// abort ends the write that is under way.
+// abort ends the write in progress, if any, by aborting the open stream.
 func (p *peer) abort() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -75,7 +77,8 @@
 	}
 }
 
-// setConn notes which stream is open, for abort. It tells whether the stream may be used.
+// setConn stores the connection of the open stream, for abort; nil means that no stream is open. It returns false if the
+// streams are closing, and the connection must not be used.
 func (p *peer) setConn(c *transport.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,7 +86,7 @@
 	return !p.streams.closing()
 }
 
-// reportLost counts messages that did not go out, and tells their senders.
+// reportLost counts messages that were not written completely, and calls their OnLost functions.
 func (p *peer) reportLost(all []Message, handedOver bool) {
 	p.streams.Counts.Lost.Add(int64(len(all)))
 	for i := range all {
--- a/internal/streams/ping.go
+++ b/internal/streams/ping.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Ping sends a message to a peer and waits for its answer on the stream back. It returns how long both took, or ErrTimeout,
-// ErrUnreachable or an error of Send.
+// Ping sends a message to a peer and waits for the answer on the peer's stream to this gateway. It returns the round-trip time,
+// or ErrTimeout, ErrUnreachable or an error of Send.
 func (x *Streams) Ping(name string, deadline time.Time) (time.Duration, error) {
 	answer := make(chan struct{}, 1)
 	x.mu.Lock()
@@ -37,12 +37,12 @@
 	}
 }
 
-// answerPing answers on the stream to the sender. Where that fails the sender runs into its timeout.
+// answerPing sends the answer to a ping on the stream to its sender. If that fails, the sender's Ping returns ErrTimeout.
 func (x *Streams) answerPing(from string, body []byte) {
 	x.Send(Message{To: from, Channel: pong, Body: slices.Clone(body)})
 }
 
-// handlePong hands an answer to the Ping that waits for it.
+// handlePong passes an answer to the Ping call that waits for it.
 func (x *Streams) handlePong(_ string, body []byte) {
 	number, ok := readPingNumber(body)
 	if !ok {
--- a/internal/streams/sender.go
+++ b/internal/streams/sender.go
@@ -7,7 +7,7 @@
 	"marblespan/internal/transport"
 )
 
-// closing tells whether Close was called.
+// closing reports whether Close has been called.
 func (x *Streams) closing() bool {
 	select {
 	case <-x.quit:
@@ -17,15 +17,15 @@
 	}
 }
 
-// sender is the state of a peer's goroutine.
+// sender is the state of a peer's goroutine (peer.run).
 type sender struct {
 	*peer
-	stream  *writer // nil: none is open
+	stream  *writer // nil if no stream is open
 	opened  time.Time
 	backoff time.Duration
 }
 
-// run is the peer's goroutine: it sends what is queued, until nothing was queued for idleTimeout or the streams are closed.
+// run is the peer's goroutine. It sends queued messages until nothing has been queued for idleTimeout, or the streams are closed.
 func (p *peer) run() {
 	s := sender{peer: p, backoff: minBackoff}
 	for p.awaitMessages() {
@@ -33,7 +33,7 @@
 		if s.stream == nil && !s.open() {
 			continue
 		}
-		if p.streams.closing() { // an abort before the next write's deadline is set would not end that write
+		if p.streams.closing() { // if Close has called abort before the next write sets its deadline, the abort would not end that write
 			continue
 		}
 		s.sendBatch()
@@ -42,8 +42,8 @@
 	p.reportLost(p.dequeue(MaxQueued+MaxBody), false)
 }
 
-// open opens a stream and begins it with a hello. It tells whether the stream may be used; where none can be opened all queued
-// messages are lost.
+// open opens a stream and buffers the hello as its first frame. It reports whether the stream may be used. If no stream can be
+// opened, all queued messages are lost.
 func (s *sender) open() bool {
 	stream, err := s.streams.dial(s.name)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return true
 }
 
-// close closes the stream, if there is one.
+// close closes the stream, if one is open.
 func (s *sender) close() {
 	if s.stream != nil {
 		s.setConn(nil)
@@ -70,8 +70,8 @@
 	}
 }
 
-// closeIfEnded closes a stream that the peer has ended. Where that was soon after it was opened the peer rejects it, so the
-// next attempt waits.
+// closeIfEnded closes the stream if the peer has ended it. If the peer ended it soon after it was opened, the peer is probably
+// rejecting streams, so closeIfEnded waits for the backoff before the next attempt.
 func (s *sender) closeIfEnded() {
 	if s.stream == nil || s.stream.conn.Silent() {
 		return
@@ -82,7 +82,7 @@
 	}
 }
 
-// waitBackoff waits before the next attempt, and doubles the backoff.
+// waitBackoff waits for the backoff, or until the streams are closed, and then doubles the backoff up to maxBackoff.
 func (s *sender) waitBackoff() {
 	select {
 	case <-time.After(s.backoff):
@@ -91,7 +91,7 @@
 	s.backoff = min(2*s.backoff, maxBackoff)
 }
 
-// sendBatch writes queued messages together.
+// sendBatch writes up to maxBatchBytes of queued messages with one write.
 func (s *sender) sendBatch() {
 	batch := s.dequeue(maxBatchBytes)
 	for i := range batch {
@@ -108,8 +108,8 @@
 	}
 }
 
-// awaitMessages waits until a message is queued. It tells whether the goroutine goes on: false when the streams are closed, or
-// when the peer was idle for long and has been removed.
+// awaitMessages waits until a message is queued. It returns false if the peer's goroutine must end, because the streams are
+// closed, or because nothing was queued for idleTimeout and the peer has been removed.
 func (p *peer) awaitMessages() bool {
 	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
@@ -138,7 +138,7 @@
 	return len(p.queue) > 0
 }
 
-// removeIfIdle removes the peer from the streams, unless a message is queued.
+// removeIfIdle removes the peer from Streams.peers and returns true, unless a message is queued.
 func (p *peer) removeIfIdle() bool {
 	p.streams.mu.Lock()
 	defer p.streams.mu.Unlock()
@@ -149,7 +149,7 @@
 	return true
 }
 
-// dial opens a stream to a peer and reads its greeting. It ends early when the streams are closed.
+// dial connects to a peer and reads the peer's greeting. It stops dialing early if the streams are closed.
 func (x *Streams) dial(name string) (*writer, error) {
 	addr, known := x.settings.AddressOf(name)
 	if !known {
--- a/internal/streams/streams.go
+++ b/internal/streams/streams.go
@@ -1,13 +1,14 @@
-// Package streams carries messages between gateways that are too large for a datagram: one TCP stream in each direction
-// between two gateways, opened by whoever has something to send. Frames are signed with the keys of the datagrams and bound to
-// a random number of the listener, so that a recorded stream is of no use. The package knows no message and decides nothing.
+// Package streams carries messages between gateways that are too large for a datagram. Between two gateways there is one TCP
+// stream in each direction, which is opened by the gateway that sends on it. Frames are signed with the same keys as datagrams.
+// The signature includes a random number that the listener has chosen for the stream, so that an attacker cannot replay a
+// recorded stream. The package does not interpret the messages of other packages.
 //
-// internal/gossip makes the Streams of a gateway; internal/raftnode sends and receives by Send and Handle. All methods may be
-// called from any goroutine.
+// internal/gossip creates the Streams of a gateway; internal/raftnode uses Send and Handle. All methods are safe for concurrent
+// use.
 //
-// Goroutines: one accepts connections, from Listen until Close; one serves each inbound stream (serve), until the stream ends
-// or Close aborts it; one sends to each peer (peer.run), from the first message until there was none for idleTimeout, or
-// Close. Close waits for all of them.
+// Goroutines: one accepts connections, from Listen until Close. One for each inbound stream (serve) runs until the stream ends
+// or Close aborts it. One for each peer (peer.run) sends the queued messages; it runs from the first message until no message
+// has been queued for idleTimeout, or until Close. Close waits for all of them.
 package streams
 
 import (
@@ -21,25 +22,26 @@
 	"marblespan/internal/transport"
 )
 
-// MaxBody is the size of the largest message, in bytes.
+// MaxBody is the maximum size of a message's body, in bytes.
 const MaxBody = 1 << 20
 
-// MaxQueued is how many bytes may be queued for one peer.
+// MaxQueued is the maximum number of bytes that are queued for one peer.
 const MaxQueued = 4 << 20
 
-// MaxNameLength is the length of the longest name of a gateway, in bytes.
+// MaxNameLength is the maximum length of a gateway's name, in bytes.
 const MaxNameLength = 40
 
-// maxBatchBytes is how many bytes of queued messages are written together. Larger buffers are not kept.
+// maxBatchBytes is the maximum number of bytes of queued messages that are written together. Larger buffers are not kept for
+// reuse.
 const maxBatchBytes = 256 << 10
 
-// maxHandshakes is how many inbound connections may be in their handshake; further ones are closed. It bounds what strangers
-// cost.
+// maxHandshakes is the maximum number of inbound connections that may be in their handshake at the same time; further
+// connections are closed. It bounds the resources that unauthenticated connections can use.
 const maxHandshakes = 16
 
-// The timeouts. A stream without messages is closed by its sender after idleTimeout, and by its receiver after readTimeout; one
-// that does not take a batch within writeTimeout is given up, and the next message opens another. The backoff between two
-// attempts doubles from minBackoff to maxBackoff.
+// The timeouts. A stream without messages is closed by its sender after idleTimeout, and by its receiver after readTimeout. If
+// a batch cannot be written within writeTimeout, the sender closes the stream, and the next message opens a new one. The backoff
+// between two attempts to open a stream doubles from minBackoff to maxBackoff.
 const (
 	dialTimeout      = time.Second
 	handshakeTimeout = 2 * time.Second
@@ -50,7 +52,7 @@
 	maxBackoff       = time.Second
 )
 
-// The errors of Send and Ping.
+// Errors returned by Send and Ping.
 var (
 	ErrQueueFull   = errors.New("streams: the queue of the peer is full")
 	ErrUnknownPeer = errors.New("streams: the address of the peer is not known")
@@ -60,10 +62,10 @@
 	ErrUnreachable = errors.New("streams: no stream can be opened to the peer, or it broke")
 )
 
-// Channel tells the kinds of messages on a stream apart. It is one byte on the wire.
+// Channel identifies the kind of a message, and thereby its handler. It is one byte on the wire.
 type Channel uint8
 
-// The channels. hello, ping and pong are the package's own. ChannelCount is how many there are.
+// The channels. hello, ping and pong are used only by this package. ChannelCount is the number of channels.
 const (
 	hello Channel = iota
 	ping
@@ -77,11 +79,12 @@
 	To      string
 	Channel Channel
 	Body    []byte
-	// NoDrop keeps the message in a full queue; without it, the oldest messages give way to later ones.
+	// NoDrop keeps the message when the queue is full. To make room for a new message, a full queue drops its oldest messages
+	// without NoDrop.
 	NoDrop bool
-	// OnLost is called once if the message is known not to have been handed to the kernel completely. With handedOver it was
-	// in part, and may have arrived all the same. It must not wait, and may be nil. A message for which it is not called may
-	// be lost too, with the machine that it was under way to.
+	// OnLost is called once if the message was not passed to the kernel completely. handedOver is true if it may have been
+	// passed in part; the message may have arrived nevertheless. OnLost must not block, and may be nil. A message may also be
+	// lost without a call of OnLost, for example if the receiving machine fails.
 	OnLost func(handedOver bool)
 }
 
@@ -91,23 +94,23 @@
 	}
 }
 
-// Settings are those of one gateway. AddressOf is called on the goroutines that send.
+// Settings configures the streams of one gateway. AddressOf is called on the goroutines of the peers.
 type Settings struct {
 	Node        string
 	Deployment  string
-	Start       uint64       // when the gateway started, microseconds of Unix time
-	Keys        []sealed.Key // the first one signs, all are accepted
+	Start       uint64       // time at which the gateway started, in microseconds of Unix time
+	Keys        []sealed.Key // the first key signs; all keys are accepted
 	AddressOf   func(name string) (addr string, known bool)
-	Buffers     *transport.Buffers // the memory that queued and received messages are taken from
+	Buffers     *transport.Buffers // memory budget for queued and received messages
 	Descriptors *transport.Descriptors
 }
 
-// Counts are the counters since the start.
+// Counts has the counters since the start.
 type Counts struct {
 	Opened, Accepted, DialsFailed, Rejected, Sent, SentBytes, Received, Dropped, Lost atomic.Int64
 }
 
-// Streams are all streams of one gateway.
+// Streams manages all streams of one gateway.
 type Streams struct {
 	Counts Counts
 
@@ -128,7 +131,7 @@
 	lastPing uint64
 }
 
-// Listen listens at an address, host and port, and starts the goroutine that accepts connections. It ends in Close.
+// Listen listens on an address (host:port) and starts the goroutine that accepts connections, which ends in Close.
 func Listen(bind string, s Settings) (*Streams, error) {
 	x := &Streams{
 		settings: s, acceptDone: make(chan struct{}), handshakes: make(chan struct{}, maxHandshakes), quit: make(chan struct{}),
@@ -149,22 +152,24 @@
 	return x, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that the streams listen on.
 func (x *Streams) Addr() string { return x.listener.Addr() }
 
-// SetKeys changes the keys; the first one signs. Streams signed with a key that was removed end, and are opened again.
+// SetKeys replaces the keys; the first key signs. If a peer still signs with a key that was removed, its stream is closed, and the
+// peer opens a new one for its next message.
 func (x *Streams) SetKeys(keys []sealed.Key) {
 	keys = slices.Clone(keys)
 	x.keys.Store(&keys)
 }
 
-// Handle sets the handler of a channel's messages. It is called on the goroutine of the stream that they come on; the body is
-// valid until it returns.
+// Handle sets the handler of a channel's messages. The handler is called on the goroutine of the stream on which the message was
+// received; the body is valid until the handler returns.
 func (x *Streams) Handle(c Channel, handler func(from string, body []byte)) {
 	x.handlers[c].Store(&handler)
 }
 
-// Send queues a message, and does not wait. Where it returns an error nothing was queued, and OnLost is not called.
+// Send queues a message without waiting for it to be sent. If it returns an error, the message was not queued, and its OnLost is
+// not called.
 func (x *Streams) Send(m Message) error {
 	if len(m.Body) > MaxBody {
 		return ErrTooLarge
@@ -189,7 +194,7 @@
 	return err
 }
 
-// Close ends all streams and waits for their goroutines. Queued messages are lost.
+// Close ends all streams and waits for the goroutines. Messages that are still queued are lost.
 func (x *Streams) Close() {
 	x.mu.Lock()
 	if x.closed {
--- a/internal/streams/streams_test.go
+++ b/internal/streams/streams_test.go
@@ -20,7 +20,7 @@
 	second = sealed.Key{Number: 2, Secret: []byte("another secret, also long enough")}
 )
 
-// testTimeout is when a test gives up.
+// testTimeout is how long a test waits before it fails.
 const testTimeout = 20 * time.Second
 
 func eventually(t *testing.T, what string, holds func() bool) {
@@ -32,7 +32,7 @@
 	}
 }
 
-// testNode is one gateway's streams, and the messages that it received, as sender:body.
+// testNode is the Streams of one gateway, and records the messages that it received, as sender:body.
 type testNode struct {
 	*Streams
 	received chan string
@@ -64,11 +64,11 @@
 			t.Fatalf("got %.60q, want %.60q", got, want)
 		}
 	case <-time.After(testTimeout):
-		t.Fatalf("%.60q never came", want)
+		t.Fatalf("%.60q did not arrive", want)
 	}
 }
 
-// pair is two gateways with a relay on the way from a to b.
+// pair starts two gateways, with a relay on the path from a to b.
 func pair(t *testing.T) (a, b *testNode, relay *fake.Relay) {
 	t.Helper()
 	a, b = newTestNode(t, "a", first), newTestNode(t, "b", first)
@@ -107,11 +107,11 @@
 	lost := make(chan bool, 1)
 	a.Send(Message{To: "nobody", Channel: StateStore, OnLost: func(sent bool) { lost <- sent }})
 	if <-lost {
-		t.Error("sent to nobody")
+		t.Error("a message to an unknown peer was sent")
 	}
-	// A reset ends the stream; the next message opens another one.
+	// A reset ends the stream; the next message opens a new one.
 	relay.ResetStreams()
-	eventually(t, "a stream after the reset", func() bool {
+	eventually(t, "a new stream is opened after the reset", func() bool {
 		a.Send(Message{To: "b", Channel: StateStore, Body: []byte("again")})
 		select {
 		case got := <-b.received:
@@ -120,7 +120,7 @@
 			return false
 		}
 	})
-	// Keys change in steps, and the streams go on.
+	// The keys are rotated step by step, and messages still arrive.
 	for _, x := range []*testNode{a, b} {
 		x.SetKeys([]sealed.Key{first, second})
 	}
@@ -132,11 +132,12 @@
 	}
 	send("with the second key")
 	b.want(t, "a:with the second key")
-	eventually(t, "all memory is given back", func() bool { return a.buffers.Reserved()+b.buffers.Reserved() == 0 })
+	eventually(t, "all memory is released", func() bool { return a.buffers.Reserved()+b.buffers.Reserved() == 0 })
 }
 
-// A stalled stream fills its queue: the oldest messages that may be dropped give way, the others are rejected, and the sender
-// of each message that was not sent is told, also at the end.
+// The queue of a stalled stream fills up. Then the oldest messages without NoDrop are dropped, and messages with NoDrop are
+// rejected once the queue has no other messages. OnLost is called for each message that was not sent, including those that are
+// still queued at Close.
 func TestStalledStream(t *testing.T) {
 	a, b, relay := pair(t)
 	a.Send(Message{To: "b", Channel: StateStore, Body: []byte("first")})
@@ -148,43 +149,43 @@
 	var lost, kept atomic.Int64
 	body := make([]byte, 512<<10)
 	sent := 0
-	for a.Counts.Dropped.Load() < 3 { // until the kernels' and the relay's buffers are full, and the queue
+	for a.Counts.Dropped.Load() < 3 { // until the buffers of the kernel and of the relay, and the queue, are full
 		if err := a.Send(Message{To: "b", Channel: StateStore, Body: body, OnLost: func(bool) { lost.Add(1) }}); err != nil {
 			t.Fatal(err)
 		}
 		if sent++; sent > 1000 {
-			t.Fatal("nothing gives way")
+			t.Fatal("no message is dropped")
 		}
 	}
 	var err error
 	for n := 0; err == nil; n++ {
 		if err = a.Send(Message{To: "b", Channel: StateStore, Body: body, NoDrop: true, OnLost: func(bool) { kept.Add(1) }}); n > 20 {
-			t.Fatal("a full queue takes all")
+			t.Fatal("a full queue accepts further messages")
 		}
 	}
 	if !errors.Is(err, ErrQueueFull) || kept.Load() != 0 {
-		t.Errorf("%v, %d that may not give way did", err, kept.Load())
+		t.Errorf("%v, and %d messages with NoDrop were dropped", err, kept.Load())
 	}
 	if held := a.buffers.Reserved(); held > MaxQueued {
-		t.Errorf("%d bytes wait", held)
+		t.Errorf("%d bytes are reserved, more than MaxQueued", held)
 	}
 	begin := time.Now()
 	a.Close()
 	if took := time.Since(begin); took > writeTimeout/2 {
-		t.Errorf("the end took %v", took)
+		t.Errorf("Close took %v", took)
 	}
 	if lost.Load() < 3 || kept.Load() < MaxQueued/int64(len(body))-1 {
-		t.Errorf("%d and %d told", lost.Load(), kept.Load())
+		t.Errorf("OnLost was called for %d messages without and %d with NoDrop", lost.Load(), kept.Load())
 	}
 	if err := a.Send(Message{To: "b"}); !errors.Is(err, ErrClosed) {
 		t.Errorf("got %v, want %v", err, ErrClosed)
 	}
 	if a.buffers.Reserved() != 0 {
-		t.Errorf("%d bytes are still held", a.buffers.Reserved())
+		t.Errorf("%d bytes are still reserved", a.buffers.Reserved())
 	}
 }
 
-// Close does not wait for busy streams: a deadline that is set after an abort must not undo it.
+// Close does not wait for busy streams. Close would hang if a deadline that is set after an abort could undo the abort.
 func TestCloseWhileBusy(t *testing.T) {
 	for range 200 {
 		a, b, _ := pair(t)
@@ -197,12 +198,12 @@
 		b.Close()
 		a.Close()
 		if took := time.Since(begin); took > writeTimeout {
-			t.Fatalf("the end took %v", took)
+			t.Fatalf("both Close calls took %v", took)
 		}
 	}
 }
 
-// Nothing is accepted from one that has no key, means another gateway, replays or omits a frame, or sends nothing.
+// Nothing is accepted from a sender that has no valid key, addresses another gateway, replays or omits a frame, or sends nothing.
 func TestForgedStreams(t *testing.T) {
 	b := newTestNode(t, "b", first)
 	frames := func(key sealed.Key, to string, greeting []byte, change func([]byte) []byte) []byte {
@@ -225,10 +226,10 @@
 		{"a recorded stream", first, "b", func([]byte) []byte { return recorded }, false},
 		{"another key", second, "b", same, false},
 		{"another secret", sealed.Key{Number: 1, Secret: second.Secret}, "b", same, false},
-		{"meant for another", first, "c", same, false},
-		{"a frame left out", first, "b", func(b []byte) []byte { return b[4+1+3+sealed.Size:] }, false},
-		{"a frame twice", first, "b", func(b []byte) []byte { n := 4 + 1 + 3 + sealed.Size; return append(bytes.Clone(b[:n]), b...) }, false},
-		{"a bit", first, "b", func(b []byte) []byte { b[len(b)-70] ^= 1; return b }, false},
+		{"addressed to another gateway", first, "c", same, false},
+		{"a missing frame", first, "b", func(b []byte) []byte { return b[4+1+3+sealed.Size:] }, false},
+		{"a repeated frame", first, "b", func(b []byte) []byte { n := 4 + 1 + 3 + sealed.Size; return append(bytes.Clone(b[:n]), b...) }, false},
+		{"a flipped bit", first, "b", func(b []byte) []byte { b[len(b)-70] ^= 1; return b }, false},
 		{"too long", first, "b", func(b []byte) []byte { b[0] = 0xff; return b }, false},
 		{"too short", first, "b", func(b []byte) []byte { return []byte{0, 0, 0, 3, 1, 2, 3} }, false},
 		{"no frame", first, "b", func([]byte) []byte { return nil }, false},
@@ -243,19 +244,19 @@
 			if err := conn.ReadFull(greeting, time.Now().Add(testTimeout)); err != nil {
 				t.Fatal(err)
 			}
-			refused := b.Counts.Rejected.Load()
+			rejected := b.Counts.Rejected.Load()
 			conn.Write(time.Now().Add(testTimeout), net.Buffers{frames(c.key, c.to, greeting, c.change)})
 			if c.accepted {
 				b.want(t, "a:taken")
 				return
 			}
-			eventually(t, "it is refused", func() bool { return b.Counts.Rejected.Load() > refused })
+			eventually(t, "the stream is rejected", func() bool { return b.Counts.Rejected.Load() > rejected })
 			if len(b.received) > 0 {
 				t.Errorf("accepted: %s", <-b.received)
 			}
 		})
 	}
 	if b.buffers.Reserved() != 0 {
-		t.Errorf("%d bytes are held", b.buffers.Reserved())
+		t.Errorf("%d bytes are still reserved at the end", b.buffers.Reserved())
 	}
 }
