--- a/internal/gossip/agent.go
+++ b/internal/gossip/agent.go
@@ -1,10 +1,11 @@
-// Package gossip carries the gossip of internal/membership over UDP: an Agent has one socket, one goroutine that owns it and
-// the membership machine, and the streams to other gateways. It decides nothing about members. internal/gateway starts and
-// stops it, and hears of each change of the view by a callback.
+// Package gossip runs the gossip protocol of internal/membership over UDP. An Agent has one socket, one goroutine that owns the
+// socket and the membership state machine (called the machine below), and the streams to other gateways. All decisions about
+// members are made by the machine. internal/gateway starts and stops the agent, and receives each change of the membership view
+// through a callback.
 //
-// The goroutine is that of datagrams.Loop; it starts in Start and ends in Close. loopHandler is what it calls:
-// HandleDatagram checks a datagram, drops it with a counted fault, or hands its message to the machine; CheckTimers does what
-// is due. handle gives an event to the machine and carries out the actions that come of it.
+// The goroutine is that of datagrams.Loop. It starts in Start, ends in Close, and calls the methods of loopHandler:
+// HandleDatagram verifies a datagram and passes its message to the machine, or drops the datagram and counts the fault;
+// CheckTimers handles the timers that are due. handle passes an event to the machine and carries out the resulting actions.
 package gossip
 
 import (
@@ -24,47 +25,50 @@
 	"marblespan/internal/transport"
 )
 
-// Settings are those of the operators' file. Reload changes them, but for Node, Deployment, Bind and Advertise.
+// Settings configures an Agent, from the operators' file. Reload can change all fields except Node, Deployment, Bind, Advertise,
+// Buffers and Fds.
 type Settings struct {
 	Node       string
-	Deployment string // part of every signature, keeps deployments with the same secret apart
+	Deployment string // part of every signature; separates deployments that have the same secret
 	Bind       netip.AddrPort
-	Advertise  netip.AddrPort // where others reach it; zero: where it is bound
+	Advertise  netip.AddrPort // address at which other gateways reach this one; zero means the bound address
 	Join       []netip.AddrPort
-	Keys       []sealed.Key // the first one signs, all are accepted
+	Keys       []sealed.Key // the first key signs; all keys are accepted
 	Zone       string
 	Weight     uint32
-	Interval   time.Duration // how long one probe may take
-	// Via is where an advertised address is reached from here, if not there: across a translation of addresses.
+	Interval   time.Duration // maximum duration of a probe
+	// Via maps an advertised address to the address at which this gateway reaches it, if the two differ because of network
+	// address translation.
 	Via map[netip.AddrPort]netip.AddrPort
-	// Buffers and Fds are the budgets of the streams, which use the same addresses as datagrams; nil: there are no streams.
+	// Buffers and Fds are the memory and descriptor budgets of the streams, which use the same addresses as datagrams. If Buffers
+	// is nil, there are no streams.
 	Buffers *transport.Buffers
 	Fds     *transport.Descriptors
 }
 
-// Clock is a clock that never steps back. Time converts its readings for timers.
+// Clock is a clock that never goes backwards. Time converts its readings to times for timers.
 type Clock struct {
 	Now  func() clock.Micros
 	Time func(clock.Micros) time.Time
 }
 
-// Self is what the gateway tells of itself beside its settings.
+// Self is the metadata that the gateway advertises about itself in addition to its settings.
 type Self struct {
 	Version  string
-	Settings uint64 // digest of its platform settings
+	Settings uint64 // digest of the gateway's platform settings
 	Flags    membership.Flags
 }
 
-// Counts are the counters since the start.
+// Counts has the counters since the start.
 type Counts struct {
 	Sent, SendFailed, Received, SentBytes, Changes, Deaths, Refutations, PathChanges atomic.Int64
 	Dropped                                                                          [sealed.FaultCount]atomic.Int64
 	Noticed                                                                          [membership.NoticeCount]atomic.Int64
 }
 
-// Agent is this gateway's part in the membership.
+// Agent runs this gateway's participation in the membership protocol.
 type Agent struct {
-	// Streams carry what is too large for a datagram; nil without.
+	// Streams carries messages that are too large for a datagram. It is nil if there are no streams.
 	Streams *streams.Streams
 	Counts  Counts
 
@@ -74,24 +78,25 @@
 	log      zerolog.Logger
 	loop     *datagrams.Loop
 
-	// These belong to the loop's goroutine.
+	// The following fields are owned by the loop's goroutine.
 	settings     Settings
-	lastSelf     Self // as the machine knows it
+	lastSelf     Self // value that was last passed to the machine
 	machine      *membership.Machine
 	replay       *sealed.ReplayGuard[sender]
 	senderCount  int
 	drops        *datagrams.DropLog
-	advertisedOf map[netip.AddrPort]netip.AddrPort // Settings.Via in the other direction
+	advertisedOf map[netip.AddrPort]netip.AddrPort // inverse of Settings.Via
 
-	// These are shared with the goroutines of the streams and with Close.
-	addresses    sync.Map // name to netip.AddrPort, as advertised
+	// The following fields are shared with the goroutines of the streams and with Close.
+	addresses    sync.Map // member name to advertised netip.AddrPort
 	streamRoutes atomic.Pointer[map[netip.AddrPort]netip.AddrPort]
-	leaveDone    chan struct{} // closed once others have been told that this gateway leaves
+	leaveDone    chan struct{} // closed when other members have been notified that this gateway leaves
 }
 
-// Start binds the socket, joins and starts the goroutine, which runs until Close. startTime is the system clock's time in
-// microseconds of Unix time: it is this gateway's generation. self is called again whenever the goroutine checks its timers.
-// onChange is called on that goroutine with each change of the view, and must not wait; it may be nil.
+// Start binds the socket and starts the goroutine, which joins the other members and runs until Close. startTime is the system
+// clock's time in microseconds of Unix time; it becomes this gateway's generation. self returns the current metadata; it is
+// called at the start and whenever the goroutine checks its timers. onChange is called on that goroutine with each change of the
+// membership view. It must not block, and may be nil.
 func Start(s Settings, clock Clock, startTime uint64, self func() Self, onChange func(membership.MemberChanged), log zerolog.Logger) (*Agent, error) {
 	loop, err := datagrams.Listen(s.Bind, codec.MaxSize)
 	if err != nil {
@@ -124,14 +129,15 @@
 
 func micros(d time.Duration) clock.Micros { return clock.Micros(d.Microseconds()) }
 
-// meta is what the machine tells of this gateway.
+// meta returns the metadata that the machine advertises for this gateway.
 func (a *Agent) meta() membership.Meta {
 	return membership.Meta{
 		Zone: a.settings.Zone, Weight: a.settings.Weight, Version: a.lastSelf.Version, Settings: a.lastSelf.Settings, Flags: a.lastSelf.Flags,
 	}
 }
 
-// streamAddress is where a member's streams are opened to. A dead member has one too, as it may be alive all the same.
+// streamAddress returns the address for opening a stream to a member. Dead members have an address too, because a member that was
+// declared dead may still be alive.
 func (a *Agent) streamAddress(name string) (string, bool) {
 	advertised, known := a.addresses.Load(name)
 	if !known {
@@ -144,7 +150,7 @@
 	return to.String(), true
 }
 
-// updateRoutes takes over Settings.Via, for streams and for the sources of datagrams.
+// updateRoutes derives from Settings.Via the addresses of streams and the advertised addresses of the sources of datagrams.
 func (a *Agent) updateRoutes() {
 	a.streamRoutes.Store(&a.settings.Via)
 	a.advertisedOf = make(map[netip.AddrPort]netip.AddrPort, len(a.settings.Via))
@@ -153,10 +159,10 @@
 	}
 }
 
-// Addr is where the socket is bound.
+// Addr returns the address that the socket is bound to.
 func (a *Agent) Addr() netip.AddrPort { return a.loop.Addr() }
 
-// Reload takes over keys, join addresses, Via, zone, weight and interval.
+// Reload applies new keys, join addresses, Via, zone, weight and interval.
 func (a *Agent) Reload(next Settings) {
 	a.loop.Do(func() {
 		next.Node, next.Deployment, next.Bind, next.Advertise = a.settings.Node, a.settings.Deployment, a.settings.Bind, a.settings.Advertise
@@ -170,13 +176,13 @@
 	})
 }
 
-// leaveTimeout is how long Close waits at the most until others have been told that this gateway leaves.
+// leaveTimeout is how long Close waits at most until other members have been notified that this gateway leaves.
 const leaveTimeout = 500 * time.Millisecond
 
-// Leave begins to tell the others that this gateway leaves. It does not wait until they know.
+// Leave starts to notify the other members that this gateway leaves. It does not wait until they have been notified.
 func (a *Agent) Leave() { a.loop.Do(func() { a.handle(membership.LeaveRequested{}) }) }
 
-// Close leaves, and ends the goroutine, the socket and the streams.
+// Close leaves the membership, ends the goroutine, and closes the socket and the streams.
 func (a *Agent) Close() {
 	a.Leave()
 	select {
--- a/internal/gossip/agent_test.go
+++ b/internal/gossip/agent_test.go
@@ -16,15 +16,15 @@
 	"marblespan/internal/protocol/sealed"
 )
 
-// hour is what the clock of an agent shows when it starts.
+// hour is the reading of an agent's clock when the agent starts.
 const hour clock.Micros = 3_600_000_000
 
-// testTimeout is when a test gives up.
+// testTimeout is how long a test waits before it fails.
 const testTimeout = 20 * time.Second
 
 var key = sealed.Key{Number: 1, Secret: []byte("a secret of sixteen or more")}
 
-// startAgent starts an agent on loopback. The channel gets every change of its view.
+// startAgent starts an agent on the loopback interface. The returned channel receives every change of its membership view.
 func startAgent(t *testing.T, name string, start uint64, join ...netip.AddrPort) (*Agent, chan membership.MemberChanged) {
 	t.Helper()
 	begin := time.Now()
@@ -44,7 +44,7 @@
 	return p, changes
 }
 
-// awaitState waits until an agent sees a member in a state.
+// awaitState waits until an agent reports that a member has changed to a state.
 func awaitState(t *testing.T, changes chan membership.MemberChanged, name string, state membership.State) membership.MemberChanged {
 	t.Helper()
 	for timeout := time.After(testTimeout); ; {
@@ -54,22 +54,22 @@
 				return c
 			}
 		case <-timeout:
-			t.Fatalf("%s is not seen %v within %v", name, state, testTimeout)
+			t.Fatalf("%s was not reported as %v within %v", name, state, testTimeout)
 		}
 	}
 }
 
-// awaitDrop waits until an agent has counted one more datagram dropped for a fault than before.
+// awaitDrop waits until an agent's count of datagrams that were dropped for a fault differs from before.
 func awaitDrop(t *testing.T, a *Agent, fault sealed.Fault, before int64) {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); a.Counts.Dropped[fault].Load() == before; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("no drop is counted for fault %s", fault.Name())
+			t.Fatalf("no dropped datagram was counted for fault %s", fault.Name())
 		}
 	}
 }
 
-// signed is a message as a datagram of a deployment.
+// signed encodes a message as a datagram that is signed for a deployment.
 func signed(t *testing.T, msg membership.Message, deployment string, k sealed.Key, sequence uint64) []byte {
 	t.Helper()
 	raw, err := codec.Append(nil, msg, sealed.Trailer{Start: 1, Sequence: sequence}, deployment, k)
@@ -79,7 +79,8 @@
 	return raw
 }
 
-// Three agents find each other by one address, exchange their metadata, see one leave, and drop what strangers send.
+// Three agents find each other through the address of one of them, exchange metadata, and see one of them leave. They drop
+// datagrams that are malformed, replayed, or not validly signed.
 func TestAgents(t *testing.T) {
 	a, seenA := startAgent(t, "a", 1000)
 	b, seenB := startAgent(t, "b", 2000, a.Addr())
@@ -97,11 +98,11 @@
 	if err != nil || json.Unmarshal(raw, &s) != nil || len(s.Members) != 3 || !s.Members[0].Self || s.Members[0].ForMS > 60_000 || s.Members[1].Name != "a" || s.Members[2].SettingsDiffer {
 		t.Errorf("got %s, error %v, want c itself, a and b with the same settings", raw, err)
 	}
-	stranger, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(a.Addr()))
+	conn, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(a.Addr()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { stranger.Close() })
+	t.Cleanup(func() { conn.Close() })
 	ping := membership.Message{
 		Kind: membership.Ping, From: "x", Generation: 1, Records: []membership.Record{{Name: "x", Address: b.Addr(), Generation: 1}},
 	}
@@ -121,14 +122,14 @@
 	} {
 		t.Run(invalid.name, func(t *testing.T) {
 			before := a.Counts.Dropped[invalid.want].Load()
-			stranger.Write(invalid.raw)
+			conn.Write(invalid.raw)
 			awaitDrop(t, a, invalid.want, before)
 		})
 	}
 	valid := signed(t, ping, "", key, 1)
 	before := a.Counts.Dropped[sealed.Replayed].Load()
-	stranger.Write(valid)
-	stranger.Write(valid) // a replay
+	conn.Write(valid)
+	conn.Write(valid) // a replay
 	awaitState(t, seenA, "x", membership.Alive)
 	awaitDrop(t, a, sealed.Replayed, before)
 	b.Close()
@@ -137,5 +138,5 @@
 	next := a.settings
 	next.Keys = []sealed.Key{{Number: 2, Secret: []byte("another secret, also long enough")}, key}
 	a.Reload(next)
-	awaitState(t, seenA, "x", membership.Dead) // it was never there; c, which has the old key only, is not dead for the new one
+	awaitState(t, seenA, "x", membership.Dead) // x never existed; c, which has only the old key, is not declared dead because of the key change
 }
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Answers name flags by the names that scripts know.
+// The names of flags in a Status must not change, because operators' scripts depend on them.
 func TestFlagNamesGolden(t *testing.T) {
 	var all strings.Builder
 	for _, f := range flagNames {
--- a/internal/gossip/loop.go
+++ b/internal/gossip/loop.go
@@ -9,29 +9,29 @@
 	"marblespan/internal/protocol/sealed"
 )
 
-// This file is what the agent's goroutine does: datagrams and timers become events of the machine, and the machine's actions
-// are carried out.
+// This file has the code that the agent's goroutine runs. It converts datagrams and timers to events of the machine, and carries
+// out the machine's actions.
 
-// replayWindow is how many messages of a sender may overtake one that still counts: an ack that took longer than the next one
-// is an ack all the same.
+// replayWindow is how far the messages of a sender may be reordered: a message is still accepted if at most this many later ones
+// have arrived before it. For example, an ack that arrives after the next ack is still valid.
 const replayWindow = 64
 
-// maxSenders bounds how many senders the replay guard keeps. Only who has a key can fill it.
+// maxSenders is the maximum number of senders that the replay guard tracks. Only senders that have a key are counted.
 const maxSenders = 4 * membership.MaxMembers
 
-// sender identifies the sender of datagrams. Its address is part of it, as two processes may have one name.
+// sender identifies the sender of datagrams. It includes the address because two processes may have the same name.
 type sender struct {
 	name    string
 	address netip.AddrPort
 }
 
-// loopHandler is the agent as its loop calls it.
+// loopHandler implements datagrams.Handler for an Agent.
 type loopHandler struct{ *Agent }
 
-// Start joins.
+// Start starts the machine, which joins the other members.
 func (h loopHandler) Start() { h.handle(membership.Started{}) }
 
-// NextTimer is when the machine's next timer is due.
+// NextTimer returns the time at which the machine's next timer is due, or the zero time if there is none.
 func (h loopHandler) NextTimer() time.Time {
 	if at, ok := h.machine.Next(); ok {
 		return h.clock.Time(at)
@@ -39,7 +39,7 @@
 	return time.Time{}
 }
 
-// CheckTimers tells the machine of changes of the gateway itself, and has it do what is due.
+// CheckTimers passes a change of the gateway's own metadata to the machine, and sends it a Tick if a timer is due.
 func (h loopHandler) CheckTimers() {
 	if now := h.self(); now != h.lastSelf {
 		h.lastSelf = now
@@ -50,7 +50,7 @@
 	}
 }
 
-// HandleDatagram checks one datagram and hands its message to the machine, or drops it.
+// HandleDatagram verifies a datagram and passes its message to the machine, or drops the datagram.
 func (h loopHandler) HandleDatagram(b []byte, from netip.AddrPort) {
 	h.Counts.Received.Add(1)
 	msg, fault := h.check(b, from)
@@ -64,8 +64,8 @@
 	h.handle(membership.MessageReceived{Source: from, Message: msg})
 }
 
-// check parses a datagram and verifies that it is authentic (codec.Parse) and new. Forged datagrams, replays and garbage have
-// a fault.
+// check parses a datagram and verifies that it is authentic (codec.Parse) and not a replay. For a datagram that is forged, replayed
+// or malformed, it returns the fault.
 func (a *Agent) check(b []byte, source netip.AddrPort) (membership.Message, sealed.Fault) {
 	msg, trailer, fault := codec.Parse(b, a.settings.Deployment, a.settings.Keys)
 	if fault != sealed.NoFault {
@@ -75,7 +75,7 @@
 	a.reserveSender(from)
 	fresh, movedOn := a.replay.Accept(from, sealed.MessageID{Start: trailer.Start, Sequence: trailer.Sequence}, trailer.ReceiverStart)
 	if movedOn {
-		a.log.Warn().Str("peer", msg.From).Msg("peers know a later start of this gateway: its clock was set back; moved past it")
+		a.log.Warn().Str("peer", msg.From).Msg("peers know a later start time of this gateway, because its clock was set back; now using a start time after that one")
 	}
 	if !fresh {
 		return msg, sealed.Replayed
@@ -83,7 +83,8 @@
 	return msg, sealed.NoFault
 }
 
-// reserveSender counts a sender that the replay guard does not know. Where there are too many all are forgotten.
+// reserveSender counts a sender that the replay guard does not track yet. If there are more than maxSenders, the replay guard
+// drops all senders.
 func (a *Agent) reserveSender(from sender) {
 	if a.replay.KnownStart(from) != 0 {
 		return
@@ -94,13 +95,13 @@
 	}
 }
 
-// drop counts and logs a datagram that check rejected.
+// drop counts and logs a datagram that was rejected by check.
 func (a *Agent) drop(fault sealed.Fault, from netip.AddrPort) {
 	a.Counts.Dropped[fault].Add(1)
 	a.drops.Dropped(fault.Name(), from)
 }
 
-// handle hands an event to the machine and carries out the actions that come of it.
+// handle passes an event to the machine and carries out the resulting actions.
 func (a *Agent) handle(ev membership.Event) {
 	for _, action := range a.machine.Handle(a.clock.Now(), ev) {
 		switch action := action.(type) {
@@ -111,15 +112,15 @@
 		case membership.PathChanged:
 			a.pathChanged(action.State)
 		case membership.Notice:
-			a.noticed(action)
+			a.handleNotice(action)
 		case membership.LeaveCompleted:
 			close(a.leaveDone)
 		}
 	}
 }
 
-// send signs a message and writes it to the socket. One that cannot be sent is counted; the machine deals with it as with any
-// lost message.
+// send signs a message and writes it to the socket. A message that cannot be sent is only counted, because the machine handles it
+// like any lost message.
 func (a *Agent) send(s membership.Send) {
 	to := s.Address
 	if via, known := a.settings.Via[to]; known {
@@ -140,7 +141,7 @@
 	a.Counts.SentBytes.Add(int64(len(b)))
 }
 
-// memberChanged counts and logs a change of the view, and tells the gateway of it.
+// memberChanged counts and logs a change of the membership view, and calls onChange with it.
 func (a *Agent) memberChanged(c membership.MemberChanged) {
 	a.Counts.Changes.Add(1)
 	a.addresses.Store(c.Name, c.Address)
@@ -152,20 +153,20 @@
 	}
 	line := a.log.Info()
 	if c.State == membership.Suspect || c.State == c.Previous && !c.NewGeneration {
-		line = a.log.Debug() // most suspicions are refuted; the counters show how many
+		line = a.log.Debug() // because most suspicions are refuted; the counters show how many
 	}
 	line.Str("member", c.Name).Uint64("life", c.Generation).Stringer("from", c.Previous).Stringer("to", c.State).Bool("new", c.NewGeneration).
 		Str("by", c.ReportedBy).Str("at", c.Address.String()).Msg("member")
 }
 
-// pathChanged counts and logs a change of this member's own report on a path.
+// pathChanged counts and logs a change in what this member reports about its path to a peer.
 func (a *Agent) pathChanged(p membership.PathState) {
 	a.Counts.PathChanges.Add(1)
 	a.log.Info().Str("member", p.Peer).Bool("unheard", p.OutboundLost).Bool("deaf", p.InboundLost).Msg("member path")
 }
 
-// noticed counts and logs what the machine has found out about this member.
-func (a *Agent) noticed(n membership.Notice) {
+// handleNotice counts and logs a notice of the machine about this member.
+func (a *Agent) handleNotice(n membership.Notice) {
 	a.Counts.Noticed[n.Kind].Add(1)
 	line := a.log.Warn()
 	if n.Kind == membership.SuspicionRefuted {
--- a/internal/gossip/status.go
+++ b/internal/gossip/status.go
@@ -11,45 +11,46 @@
 	"marblespan/internal/membership"
 )
 
-// Member is one member as this gateway sees it, for the command line.
+// Member describes one member as this gateway sees it, for the command line.
 type Member struct {
 	Name           string   `json:"name"`
 	Self           bool     `json:"self,omitempty"`
 	Address        string   `json:"at"`
-	Generation     uint64   `json:"life"` // when it started, microseconds of Unix time
+	Generation     uint64   `json:"life"` // time at which the member started, in microseconds of Unix time
 	Incarnation    uint32   `json:"incarnation"`
 	State          string   `json:"state"`
-	ForMS          int64    `json:"for_ms"`       // for how long it has been in that state
-	ReportedBy     string   `json:"by,omitempty"` // who suspects it, or declared it dead
-	LastReceivedMS int64    `json:"heard_ms_ago"` // since its last message; -1: there was none
-	RTTMicros      int64    `json:"rtt_us"`       // 0: not known
+	ForMS          int64    `json:"for_ms"`       // how long the member has been in this state
+	ReportedBy     string   `json:"by,omitempty"` // member that suspects this one, or declared it dead
+	LastReceivedMS int64    `json:"heard_ms_ago"` // time since its last message; -1 if none was received
+	RTTMicros      int64    `json:"rtt_us"`       // 0 if not known
 	Zone           string   `json:"zone,omitempty"`
 	Weight         uint32   `json:"weight"`
 	Version        string   `json:"version"`
-	Settings       string   `json:"settings"`        // digest of its platform settings
-	SettingsDiffer bool     `json:"settings_differ"` // from this gateway's
+	Settings       string   `json:"settings"`        // digest of the member's platform settings
+	SettingsDiffer bool     `json:"settings_differ"` // the digest differs from this gateway's
 	Flags          []string `json:"flags"`
-	LostPaths      []string `json:"cut"` // as from -> to
-	// StreamMicros is how long a message over a stream and its answer took, StreamFault why there was none; only where tried.
+	LostPaths      []string `json:"cut"` // lost directions of paths, as "from -> to"
+	// StreamMicros is the round-trip time of a ping over streams, and StreamFault the reason why there was no answer. They are
+	// set only by StatusWithStreams.
 	StreamMicros int64  `json:"stream_us,omitempty"`
 	StreamFault  string `json:"stream_fault,omitempty"`
 }
 
-// Status is how this gateway sees all members, itself first, the others by name.
+// Status describes all members as this gateway sees them: first this gateway, then the others in the order of their names.
 type Status struct {
 	Node        string   `json:"node"`
 	Excluded    bool     `json:"left_out"` // another process owns its name
-	LocalHealth int      `json:"health"`   // by how much it stretches its timeouts; 1: healthy
+	LocalHealth int      `json:"health"`   // factor by which this gateway extends its timeouts; 1 if healthy
 	Members     []Member `json:"members"`
 }
 
-// flagNames are the flags as answers name them.
+// flagNames maps flags to their names in a Status.
 var flagNames = []struct {
 	flag membership.Flags
 	name string
 }{{membership.Draining, "draining"}, {membership.Stalled, "stood still"}, {membership.NoDisk, "no disk"}}
 
-// Status returns how this gateway sees all members. It is empty after Close.
+// Status returns all members as this gateway sees them. It is empty after Close.
 func (a *Agent) Status() (s Status) {
 	a.loop.Do(func() {
 		now := a.clock.Now()
@@ -63,7 +64,7 @@
 	return s
 }
 
-// describe is one member as this gateway, whose own record is given, sees it at a time.
+// describe converts the machine's view of a member to a Member, at the time now. own is this gateway's own record.
 func describe(v membership.View, own membership.Record, now clock.Micros) Member {
 	m := Member{
 		Name: v.Name, Self: v.Self, Address: v.Address.String(), Generation: v.Generation, Incarnation: v.Incarnation,
@@ -85,7 +86,7 @@
 	return m
 }
 
-// lostDirections names the lost directions of a path, as from -> to.
+// lostDirections returns the lost directions of a path, each as "from -> to".
 func lostDirections(p membership.PathState) (directions []string) {
 	if p.OutboundLost {
 		directions = append(directions, p.Reporter+" -> "+p.Peer)
@@ -96,10 +97,11 @@
 	return directions
 }
 
-// streamPingTimeout is how long streams are tried for a status.
+// streamPingTimeout is how long StatusWithStreams waits for the answers to its pings.
 const streamPingTimeout = 1500 * time.Millisecond
 
-// StatusWithStreams returns how this gateway sees all members, and tries a stream to each alive one and back.
+// StatusWithStreams returns the same as Status and, if there are streams, also pings each other member that is alive or suspect over
+// the streams in both directions.
 func (a *Agent) StatusWithStreams() Status {
 	s := a.Status()
 	deadline := time.Now().Add(streamPingTimeout)
