--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock has the one type for time of the pure state machines. They read no clock: whoever drives one passes the time in.
+// Package clock defines the time type of the pure state machines. They read no clock; the caller passes the current time in.
 package clock
 
-// Micros is a point in time or a duration in whole microseconds, on the clock of whoever drives the state machine.
+// Micros is a point in time or a duration in whole microseconds, on the clock of the state machine's caller.
 type Micros int64
--- a/internal/settings/decimal.go
+++ b/internal/settings/decimal.go
@@ -6,21 +6,21 @@
 	"strings"
 )
 
-// What ParseScaled finds wrong.
+// The errors of ParseScaled.
 var (
 	errNotNumber  = errors.New("not a number")
 	errOutOfRange = errors.New("not a number within range")
 )
 
-// maxIntegerPart bounds the part of a number before its point, so that it fits an int64 when scaled by up to 10^5; scaled by
-// 10^6, as positions in seconds are, it fits up to 9.2e12.
+// maxIntegerPart is the largest accepted integer part of a number. Scaled by up to 10^5 it fits an int64. Scaled by 10^6, as
+// log positions in seconds are, only integer parts up to 9.2e12 fit.
 const maxIntegerPart = 1e13
 
-// maxExponentForm bounds the absolute value of a number with an exponent.
+// maxExponentForm is the largest accepted absolute value of a number in exponent notation.
 const maxExponentForm = 1e15
 
-// ParseScaled reads a decimal number as a whole number of 10^-digits, rounded down. The part before the point may be up to
-// maxIntegerPart.
+// ParseScaled parses a decimal number and returns it as a whole number of units of 10^-digits, rounded down. The integer part
+// may be at most maxIntegerPart.
 func ParseScaled(text string, digits int) (int64, error) {
 	if strings.ContainsAny(text, "eE") {
 		value, err := strconv.ParseFloat(text, 64)
@@ -42,14 +42,14 @@
 	if !negative {
 		return value, nil
 	}
-	if !exact { // down is away from 0
+	if !exact { // rounding down moves a negative number away from 0
 		return -value - 1, nil
 	}
 	return -value, nil
 }
 
-// appendFraction appends the first digits of a fraction to a whole number; missing ones are 0. It reports whether those left
-// out were all 0.
+// appendFraction appends the given number of digits of a decimal fraction to value, its integer part; missing digits count as
+// 0. exact reports whether all digits that were left out are 0.
 func appendFraction(value int64, fraction string, digits int) (scaled int64, exact bool, err error) {
 	exact = true
 	for i := range max(digits, len(fraction)) {
--- a/internal/settings/loadreport.go
+++ b/internal/settings/loadreport.go
@@ -5,7 +5,7 @@
 	"marblespan/internal/policy"
 )
 
-// The fields of a load report that are read, by the platform's names.
+// The load report fields that the gateway uses, by the names that the platform gives them.
 const (
 	fieldPosition    = "x0" // log position, in seconds
 	fieldRole        = "x1" // rolePrimary on the primary
@@ -15,7 +15,8 @@
 	rolePrimary = 1
 )
 
-// fieldDigits is how many decimals of a field are kept; it fails for fields that are skipped.
+// fieldDigits returns the number of decimals that are kept of a field's value. known is false for a field that the gateway
+// does not use.
 func fieldDigits(field string) (digits int, known bool) {
 	switch field {
 	case fieldPosition:
@@ -28,8 +29,8 @@
 	return 0, false
 }
 
-// SetLoadReportField sets one field of a load report, by the platform's name for it. A position is counted in seconds from
-// epoch. Fields of unknown names are skipped; a value that is no number is an error.
+// SetLoadReportField sets the field of a load report that has the given platform name. A log position is a number of seconds
+// since epoch. Fields with unknown names are ignored. A value that is not a number is an error.
 func SetLoadReportField(loadReport *policy.LoadReport, field, value string, epoch clock.Micros) error {
 	digits, known := fieldDigits(field)
 	if !known {
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -9,10 +9,11 @@
 	"marblespan/internal/policy"
 )
 
-// Parse reads a gateway's settings from JSON. Unknown keys are skipped. A word that is missing or unknown takes its strictest
-// meaning and is noted in Warnings: an effect is non-idempotent, a freshness check none, and a need the primary.
+// Parse parses a gateway's settings from JSON. Unknown keys are ignored. A missing or unknown word gets its strictest meaning:
+// the effect is non-idempotent, the servers make no freshness check, and requests need the primary. Each unknown word and each
+// missing effect adds a warning to Snapshot.Warnings.
 //
-// Errors are a *KeyError where one key is at fault.
+// If a single key is at fault, the error is a *KeyError.
 func Parse(raw []byte) (*Snapshot, error) {
 	var wire wireSettings
 	if err := json.Unmarshal(raw, &wire); err != nil {
@@ -22,9 +23,9 @@
 		}
 		return nil, fmt.Errorf("settings cannot be read: %w", err)
 	}
-	// Where several keys are at fault, the first in this order is reported.
+	// If several keys are invalid, the error is about the key that is read first in this order.
 	p := parser{out: &Snapshot{ClassIndex: map[string]int{}, LoadReportFields: wire.LoadReport.Fields}}
-	p.readClasses(wire.Classes, &wire.Family)
+	p.readClasses(wire.Classes, &wire.Replication)
 	p.checkTenants(wire.Tenants)
 	p.readDeployment(&wire)
 	p.readLimits(&wire.Limits)
@@ -35,29 +36,29 @@
 	return p.out, nil
 }
 
-// parser fills in an InForce. It remembers the first error, and reads on.
+// parser fills in a Snapshot. It keeps the first error and continues.
 type parser struct {
 	out *Snapshot
 	err error
 }
 
-// warn notes that a key was missing or not understood.
+// warn adds a warning that a key's value is missing, unknown or out of range.
 func (p *parser) warn(key, format string, args ...any) {
 	p.out.Warnings = append(p.out.Warnings, &KeyError{key, fmt.Sprintf(format, args...)})
 }
 
-// readClasses reads the classes and, from the lists by class in family, what data each needs.
-func (p *parser) readClasses(classes []wireClass, family *wireFamily) {
+// readClasses reads the classes. Two lists in replication hold, for each class, which data it needs and its staleness bound.
+func (p *parser) readClasses(classes []wireClass, replication *wireReplication) {
 	for i, class := range classes {
 		p.out.ClassNames = append(p.out.ClassNames, class.Name)
-		p.out.Settings.Classes = append(p.out.Settings.Classes, p.readClass(i, &class, family))
+		p.out.Settings.Classes = append(p.out.Settings.Classes, p.readClass(i, &class, replication))
 	}
-	p.checkLength("family_info.freshness", len(family.Needs), len(classes))
-	p.checkLength("family_info.oldest_data_ms", len(family.StalenessBounds), len(classes))
+	p.checkLength("family_info.freshness", len(replication.Needs), len(classes))
+	p.checkLength("family_info.oldest_data_ms", len(replication.StalenessBounds), len(classes))
 }
 
-// readClass reads the class at an index.
-func (p *parser) readClass(i int, wire *wireClass, family *wireFamily) policy.Class {
+// readClass reads the class at index i.
+func (p *parser) readClass(i int, wire *wireClass, replication *wireReplication) policy.Class {
 	key := fmt.Sprintf("classes[%d].", i)
 	class := policy.Class{
 		Name:             wire.Name,
@@ -69,40 +70,41 @@
 		LateWeight:       p.thousandths(key+"late_worth", wire.LateWeight),
 		ObjectiveStretch: p.thousandths(key+"aim_stretch", wire.ObjectiveStretch),
 	}
-	if i < len(family.Needs) {
-		if need, ok := needs[family.Needs[i]]; ok {
+	if i < len(replication.Needs) {
+		if need, ok := needs[replication.Needs[i]]; ok {
 			class.Need = need
 		} else {
-			p.warn(fmt.Sprintf("family_info.freshness[%d]", i), "%.40q is not known", family.Needs[i])
+			p.warn(fmt.Sprintf("family_info.freshness[%d]", i), "unknown value %.40q", replication.Needs[i])
 		}
 	}
-	if i < len(family.StalenessBounds) {
-		class.StalenessBound = p.micros(fmt.Sprintf("family_info.oldest_data_ms[%d]", i), family.StalenessBounds[i])
+	if i < len(replication.StalenessBounds) {
+		class.StalenessBound = p.micros(fmt.Sprintf("family_info.oldest_data_ms[%d]", i), replication.StalenessBounds[i])
 	}
 	p.checkName(key+"name", wire.Name, p.out.ClassIndex, i)
 	if wire.Effect == "" {
 		p.warn(key+"effect", "missing")
 	}
 	if class.Deadline == 0 {
-		p.warn(key+"give_up_ms", "missing or 0: no request could be answered")
+		p.warn(key+"give_up_ms", "missing or 0: no request could be answered in time")
 	}
 	if ttl := p.micros(key+"key_ttl_ms", wire.IdempotencyKeyTTL); wire.Effect == effectIdempotencyKey && ttl == 0 {
-		p.warn(key+"key_ttl_ms", "missing or 0: no repeat could be told")
+		p.warn(key+"key_ttl_ms", "missing or 0: servers could not recognize repeated requests")
 	}
 	return class
 }
 
-// checkLength warns of a list by class that has not one entry for each class. An empty list is none.
+// checkLength warns if a list does not have one entry for each class. An empty list counts as absent.
 func (p *parser) checkLength(key string, entries, classes int) {
 	if entries != 0 && entries != classes {
 		p.warn(key, "has %d entries for %d classes", entries, classes)
 	}
 }
 
-// quotaRounding is how far over 1000 the quotas of all tenants may add up, in thousandths, because they are written rounded.
+// quotaRounding is how far the sum of all quotas, in thousandths, may exceed 1000. The quotas in the settings are rounded, so
+// their sum can be slightly more than the whole.
 const quotaRounding = 5
 
-// checkTenants warns of names that are missing or stand twice, and of quotas that are 0, or over the whole together.
+// checkTenants warns about tenant names that are missing or duplicated, quotas of 0, and quotas that together exceed the whole.
 func (p *parser) checkTenants(tenants []wireTenant) {
 	names, total := map[string]int{}, int64(0)
 	for i, tenant := range tenants {
@@ -110,29 +112,29 @@
 		p.checkName(key+"name", tenant.Name, names, i)
 		quota := p.thousandths(key+"portion", tenant.Quota)
 		if tenant.Quota != "" && quota == 0 {
-			p.warn(key+"portion", "%s is no share", string(tenant.Quota))
+			p.warn(key+"portion", "%s is less than the smallest quota, 0.001", string(tenant.Quota))
 		}
 		if total += quota; quota > 1000 || total > 1000+quotaRounding {
-			p.warn(key+"portion", "%s brings the shares over the whole", string(tenant.Quota))
+			p.warn(key+"portion", "with %s, the sum of the quotas is more than 1", string(tenant.Quota))
 		}
 	}
 }
 
-// readDeployment reads what describes the gateway's place and the database servers.
+// readDeployment reads the settings that describe the gateway's place in the deployment and the database servers.
 func (p *parser) readDeployment(wire *wireSettings) {
-	out, s, family := p.out, &p.out.Settings, &wire.Family
-	out.PositionEpoch = p.micros("family_info.counted_from_ms", family.PositionEpoch)
+	out, s, replication := p.out, &p.out.Settings, &wire.Replication
+	out.PositionEpoch = p.micros("family_info.counted_from_ms", replication.PositionEpoch)
 	out.Keepalive = p.micros("policy_limits.keepalive_ms", wire.Limits.Keepalive)
 	s.Gateways, s.Ordinal, s.Zone = wire.Gateways, wire.Ordinal, wire.Zone
 	s.Tick = p.micros("granularity_ms", wire.Tick)
-	s.FreshnessCheck = lookupEnum(p, "family_info.checks", freshnessChecks, family.FreshnessCheck)
-	s.FreshnessCheckWait = p.micros("family_info.wait_ms", family.FreshnessCheckWait)
-	s.SessionPositionsCarried = family.SessionPositions == positionsCarried
-	s.AnswersCarryPosition = family.AnswersCarryPosition
+	s.FreshnessCheck = lookupEnum(p, "family_info.checks", freshnessChecks, replication.FreshnessCheck)
+	s.FreshnessCheckWait = p.micros("family_info.wait_ms", replication.FreshnessCheckWait)
+	s.SessionPositionsCarried = replication.SessionPositions == positionsCarried
+	s.AnswersCarryPosition = replication.AnswersCarryPosition
 	s.ListSubscribed = lookupEnum(p, "membership_mode", membershipModes, wire.MembershipMode)
 }
 
-// readLimits reads what the gateway can and may do.
+// readLimits reads which operations the gateway can and may use, and their limits.
 func (p *parser) readLimits(limits *wireLimits) {
 	s := &p.out.Settings
 	s.CanHealthCheck = limits.CanHealthCheck
@@ -145,7 +147,7 @@
 	s.ConnectTimeout = p.micros("policy_limits.connect_timeout_ms", limits.ConnectTimeout)
 }
 
-// readRules reads the rules for the use of servers, and the costs.
+// readRules reads the rules for using servers, and the costs.
 func (p *parser) readRules(rules *wireRules, costs *wireCosts) {
 	s := &p.out.Settings
 	s.AnswerSlack = p.micros("rules.grace_to_answer_ms", rules.AnswerSlack)
@@ -157,25 +159,25 @@
 	s.OverloadFactor = p.thousandths("rules.overload_factor", rules.OverloadFactor)
 	s.CrossZoneCost = p.thousandths("costs.cross_zone", costs.CrossZone)
 	if s.CrossZoneCost > 1000 {
-		p.warn("costs.cross_zone", "%s is more than one point a request", costs.CrossZone)
+		p.warn("costs.cross_zone", "%s is more than one point per request", costs.CrossZone)
 	}
 	s.OverloadWindow = p.micros("rules.fall_ms", rules.OverloadWindow)
 }
 
-// lookupWord looks a word up in a table. One that is missing or unknown gets the zero value, which is the strictest; an
-// unknown one is warned of.
+// lookupEnum looks up a word in a table. A missing or unknown word yields the zero value, which is the strictest; an unknown
+// word also adds a warning.
 func lookupEnum[T any](p *parser, key string, table map[string]T, text string) T {
 	value, ok := table[text]
 	if !ok && text != "" {
-		p.warn(key, "%.40q is not known", text)
+		p.warn(key, "unknown value %.40q", text)
 	}
 	return value
 }
 
-// checkName warns of a name that is missing or stands twice, and keeps it with its index.
+// checkName warns about a name that is missing or duplicated, and records the name with its index i.
 func (p *parser) checkName(key, name string, names map[string]int, i int) {
 	if _, twice := names[name]; twice {
-		p.warn(key, "%.40q stands twice", name)
+		p.warn(key, "duplicate name %.40q", name)
 	}
 	if name == "" {
 		p.warn(key, "missing")
@@ -183,7 +185,7 @@
 	names[name] = i
 }
 
-// thousandths reads a number as a whole number of thousandths; an absent one is 0, a negative one is warned of.
+// thousandths parses a number as a whole number of thousandths. An absent number is 0; a negative number adds a warning.
 func (p *parser) thousandths(key string, n wireNumber) int64 {
 	if n == "" {
 		return 0
@@ -198,7 +200,7 @@
 	return value
 }
 
-// micros reads a number of milliseconds, of which a thousandth is a microsecond.
+// micros parses a number of milliseconds and returns it in microseconds, which are thousandths of a millisecond.
 func (p *parser) micros(key string, n wireNumber) clock.Micros {
 	return clock.Micros(p.thousandths(key, n))
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -25,7 +25,7 @@
 		}
 	}
 	if c := f.Settings.Classes[0]; c.Effect != policy.EffectNonIdempotent || c.Need != policy.NeedWrite {
-		t.Errorf("unknown words are not read strictly: %+v", c)
+		t.Errorf("unknown words did not get their strictest meaning: %+v", c)
 	}
 }
 
@@ -62,7 +62,7 @@
 		t.Errorf("%+v", rep)
 	}
 	if SetLoadReportField(&rep, "x0", "late", 0) == nil {
-		t.Error("a position that is no number was taken")
+		t.Error("a position that is not a number was accepted")
 	}
 }
 
@@ -73,11 +73,11 @@
 		t.Fatal(err)
 	}
 	if f.HasSession(0) || !f.HasSession(1) || !f.HasSession(2) {
-		t.Error("sessions belong to session reads and writes")
+		t.Error("want a session for session reads and writes only")
 	}
 }
 
-// A price for crossing zones is read in thousandths of a point; without one nothing costs anything, as before there was one.
+// The cost of crossing zones is parsed in thousandths of a point. Without that key the cost is 0, as it was before the key existed.
 func TestCosts(t *testing.T) {
 	for in, want := range map[string]int64{`{}`: 0, `{"costs":{}}`: 0, `{"costs":{"cross_zone":0.049,"waste":0.03}}`: 49} {
 		f, err := Parse([]byte(in))
--- a/internal/settings/wire.go
+++ b/internal/settings/wire.go
@@ -2,24 +2,24 @@
 
 import "marblespan/internal/policy"
 
-// wireSettings are the settings as the platform writes them. Its keys stand in the tags; the fields have the names that
-// policy.Settings gives them.
+// wireSettings is the JSON form of the settings, as the platform writes them. The struct tags hold the platform's keys; the
+// fields have the names that policy.Settings uses.
 type wireSettings struct {
-	Classes        []wireClass    `json:"classes"`
-	Tenants        []wireTenant   `json:"realms"`
-	Gateways       int            `json:"balancers"`
-	Ordinal        int            `json:"ordinal"`
-	Tick           wireNumber     `json:"granularity_ms"`
-	Zone           string         `json:"locality"`
-	MembershipMode string         `json:"membership_mode"`
-	Family         wireFamily     `json:"family_info"`
-	Limits         wireLimits     `json:"policy_limits"`
-	Costs          wireCosts      `json:"costs"`
-	LoadReport     wireLoadReport `json:"report"`
-	Rules          wireRules      `json:"rules"`
+	Classes        []wireClass     `json:"classes"`
+	Tenants        []wireTenant    `json:"realms"`
+	Gateways       int             `json:"balancers"`
+	Ordinal        int             `json:"ordinal"`
+	Tick           wireNumber      `json:"granularity_ms"`
+	Zone           string          `json:"locality"`
+	MembershipMode string          `json:"membership_mode"`
+	Replication    wireReplication `json:"family_info"`
+	Limits         wireLimits      `json:"policy_limits"`
+	Costs          wireCosts       `json:"costs"`
+	LoadReport     wireLoadReport  `json:"report"`
+	Rules          wireRules       `json:"rules"`
 }
 
-// wireClass is a class of requests. What data it needs stands in wireFamily.
+// wireClass is a class of requests. The data that the class needs is in wireReplication.
 type wireClass struct {
 	Name              string     `json:"name"`
 	LatencyObjective  wireNumber `json:"aim_ms"`
@@ -31,14 +31,14 @@
 	ObjectiveStretch  wireNumber `json:"aim_stretch"`
 }
 
-// wireTenant is one of those whom requests belong to.
+// wireTenant is one of the tenants that requests belong to.
 type wireTenant struct {
 	Name  string     `json:"name"`
 	Quota wireNumber `json:"portion"`
 }
 
-// wireFamily says how the database servers replicate and check freshness.
-type wireFamily struct {
+// wireReplication describes how the database servers replicate and check freshness.
+type wireReplication struct {
 	FreshnessCheck       string       `json:"checks"`
 	StalenessBounds      []wireNumber `json:"oldest_data_ms"` // by class
 	Needs                []string     `json:"freshness"`      // by class
@@ -48,7 +48,7 @@
 	PositionEpoch        wireNumber   `json:"counted_from_ms"`
 }
 
-// wireLimits say what a gateway can and may do.
+// wireLimits describes which operations a gateway can and may use, and their limits.
 type wireLimits struct {
 	CanCancel         bool       `json:"cancelling"`
 	ConnectTimeout    wireNumber `json:"connect_timeout_ms"`
@@ -61,7 +61,7 @@
 	CanHedge          bool       `json:"second_copies"`
 }
 
-// wireCosts are prices, in points of a request.
+// wireCosts holds the costs of a request, in points.
 type wireCosts struct {
 	CrossZone wireNumber `json:"cross_zone"`
 }
@@ -71,7 +71,7 @@
 	Fields []string `json:"fields"`
 }
 
-// wireRules are the platform's rules for the use of servers.
+// wireRules holds the platform's rules for using servers.
 type wireRules struct {
 	SubscribeWithin    wireNumber `json:"ask_within_ms"`
 	SlowStartMinWeight wireNumber `json:"cold_from"`
@@ -83,10 +83,11 @@
 	RemovedStayUsable  bool       `json:"dropped_stay_open"`
 }
 
-// wireNumber is a number kept as its text until its unit is known.
+// wireNumber is a JSON number that is kept as text until its unit is known.
 type wireNumber string
 
-// UnmarshalJSON keeps whatever stands there. The reader finds out whether it is a number, and names its key if not.
+// UnmarshalJSON keeps the raw text of any value except null. The parser later checks whether the text is a number; if it is
+// not, its error names the key.
 func (n *wireNumber) UnmarshalJSON(raw []byte) error {
 	if string(raw) != "null" {
 		*n = wireNumber(raw)
@@ -94,15 +95,15 @@
 	return nil
 }
 
-// effectIdempotencyKey is the effect of a class whose servers drop repeats by an idempotency key, within a window of time.
+// effectIdempotencyKey is the effect of a class whose servers drop repeats by their idempotency key, within a time window.
 const effectIdempotencyKey = "guarded"
 
-// positionsCarried says that session reads carry the log position of their session's last write.
+// positionsCarried means that a session read carries the log position of its session's last write.
 const positionsCarried = "brought"
 
 var effects = map[string]policy.Effect{
 	"free": policy.EffectIdempotent, "single_shot": policy.EffectNonIdempotent,
-	effectIdempotencyKey: policy.EffectNonIdempotent, // read in the strictest sense: never repeated, in spite of its key
+	effectIdempotencyKey: policy.EffectNonIdempotent, // the strictest reading: never sent again, in spite of its key
 }
 
 var needs = map[string]policy.Need{
@@ -110,7 +111,7 @@
 	"strong": policy.NeedFresh, "mutate": policy.NeedWrite,
 }
 
-// membershipModes tells whether the endpoint list has to be subscribed to.
+// membershipModes gives, for each membership mode, whether the gateway must subscribe to the endpoint list.
 var membershipModes = map[string]bool{"subscribe": true, "automatic": false}
 
 var freshnessChecks = map[string]policy.FreshnessCheck{
