--- a/internal/routing/actions.go
+++ b/internal/routing/actions.go
@@ -2,7 +2,7 @@
 
 import "marblespan/internal/policy"
 
-// perform carries out the router's actions, in order.
+// perform carries out the router's actions in order.
 func (c *Core) perform(actions []policy.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
@@ -33,12 +33,12 @@
 			c.discovery.Fetch()
 		case policy.Log:
 			c.logPolicy(a)
-		case policy.SendToPeer: // gateways have no path to one another for it
+		case policy.SendToPeer: // ignored: gateways have no connection to each other for these messages
 		}
 	}
 }
 
-// logPolicy logs a line of the router's, with the name on the list of the server that it is about.
+// logPolicy writes a log line from the router, with the UID of the server that the line is about.
 func (c *Core) logPolicy(a policy.Log) {
 	line := c.log.Info().Str("from", "module")
 	if a.Server != 0 {
@@ -47,10 +47,10 @@
 	line.Msg(a.Text)
 }
 
-// startAttempt sends an attempt to its server. It checks once more what policy has decided, because a mistake there could
-// otherwise run a request twice or without end: the request must be open, no other attempt in flight, its deadline not over
-// and MaxAttempts (at least 1) not reached. An attempt that fails the check is not sent; the router is told so by
-// policy.ResultNotSent, after the other actions of its step.
+// startAttempt sends an attempt to its server. It repeats checks that policy has already made, because a mistake in policy could
+// otherwise run a request twice or retry it without end: the request must be open, have no other attempt in flight, be within
+// its deadline and have made fewer than MaxAttempts attempts (one is always allowed). An attempt that fails a check is not
+// sent; the router receives its outcome, policy.ResultNotSent, after the other actions of the same step.
 func (c *Core) startAttempt(a policy.Send) {
 	q := c.requests.byID[a.ID]
 	if q == nil {
@@ -59,7 +59,7 @@
 	index := len(q.attempts)
 	q.attempts = append(q.attempts, nil)
 	deadline := min(a.Until, q.deadline)
-	if q.closed || q.inFlight > 0 || deadline <= c.now || index >= max(q.inForce.Settings.MaxAttempts, 1) {
+	if q.closed || q.inFlight > 0 || deadline <= c.now || index >= max(q.settings.Settings.MaxAttempts, 1) {
 		c.Counts.Outcomes[policy.ResultNotSent]++
 		c.pending = append(c.pending, policy.Outcome{
 			ID: q.id, Attempt: index, Server: a.Server, Result: policy.ResultNotSent,
@@ -75,7 +75,7 @@
 	})
 }
 
-// cancelAttempt gives up an attempt, unless it has ended already.
+// cancelAttempt cancels an attempt unless it has already ended.
 func (c *Core) cancelAttempt(a policy.Cancel) {
 	q := c.requests.byID[a.ID]
 	if q != nil && a.Attempt < len(q.attempts) && q.attempts[a.Attempt] != nil {
@@ -83,7 +83,7 @@
 	}
 }
 
-// watch starts a watch from the revision known here, or stops it.
+// watch starts a watch from the revision of the current endpoint list, or stops the watch.
 func (c *Core) watch(on bool) {
 	c.Counts.Watches++
 	if on {
--- a/internal/routing/clock.go
+++ b/internal/routing/clock.go
@@ -6,18 +6,18 @@
 	"marblespan/internal/clock"
 )
 
-// Clock reads Unix time at its making plus the monotonic time since, so that it never steps back.
+// Clock returns the Unix time of its creation plus the monotonic time elapsed since, so that its readings never go backwards.
 type Clock struct{ start time.Time }
 
-// NewClock makes a clock.
+// NewClock returns a clock.
 func NewClock() Clock { return Clock{time.Now()} }
 
-// Now reads the clock.
+// Now returns the current time.
 func (c Clock) Now() clock.Micros {
 	return clock.Micros(c.start.UnixMicro()) + clock.Micros(time.Since(c.start)/time.Microsecond)
 }
 
-// Time converts a reading of the clock, for deadlines.
+// Time converts a reading of the clock to a time.Time, for deadlines.
 func (c Clock) Time(m clock.Micros) time.Time {
 	return c.start.Add(time.Duration(m-clock.Micros(c.start.UnixMicro())) * time.Microsecond)
 }
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -10,8 +10,8 @@
 	"marblespan/internal/settings"
 )
 
-// Core is what the owner's goroutine owns: the router, the open requests, the timers, the endpoint list and the counters. It
-// reads no clock, starts no goroutine and has no lock; Owner says how other goroutines reach it.
+// Core is the state of the owner's goroutine: the router, the open requests, the timers, the endpoint list and the counters. It
+// reads no clock, starts no goroutines and has no locks; see Owner for how other goroutines reach it.
 type Core struct {
 	Counts Counts
 
@@ -21,24 +21,25 @@
 	log       zerolog.Logger
 
 	inForce        *settings.Snapshot
-	counterIndexes []int // among Counts, of the classes in inForce
+	counterIndexes []int // index in Counts of each class of inForce
 
 	startedAt clock.Micros
-	now       clock.Micros // of the event being handled
+	now       clock.Micros // time of the event being handled
 	timers    timers
-	pending   []policy.Event // caused by the router's own actions, to be handled after them
+	pending   []policy.Event // caused by the router's own actions; handled after them
 	requests  requestTable
 	endpoints endpointList
 
 	requestLog requestLog
 }
 
-// maxListWait is how long after a start the gateway is not ready while the first list of a discovery that pushes is missing.
-// The list that came with the configuration may be old, and policy takes a pushed list as known from the first moment on.
-// A silent discovery agent must not keep the gateway out of service for longer: restarts are to be over within 10 s.
+// maxListWait bounds how long after its start the gateway is not ready because it waits for the first pushed endpoint list. It
+// waits because the list that came with the configuration may be old, while policy assumes that a pushed list is known from
+// the start. The wait is bounded so that a silent discovery agent cannot keep the gateway out of service: a restart must be
+// over within 10 s.
 const maxListWait = clock.Micros(3 * time.Second / time.Microsecond)
 
-// NewCore starts the router with the endpoint list that the gateway last had.
+// NewCore starts the router with known, the endpoint list that the gateway last had.
 func NewCore(
 	now clock.Micros, seed uint64, inForce *settings.Snapshot, known EndpointListUpdate, servers Servers, disc Discovery,
 	log zerolog.Logger,
@@ -50,35 +51,35 @@
 	c.counterIndexes = c.Counts.counterIndexes(inForce.ClassNames)
 	router, first := policy.New(now, seed, inForce.Settings)
 	c.router = router
-	// The list comes first, so that a watch asks for the changes after it.
+	// Apply the list before the first actions, so that a watch among them asks for the changes after this list.
 	c.updateEndpointList(known, policy.ListCached)
 	c.perform(first)
 	c.handlePending()
 	return c
 }
 
-// Ready reports whether a request could be routed: the list names a server, and where the list is pushed it has been
-// received since the start or waited for long enough.
+// Ready reports whether requests can be routed: the list names a server and, if lists are pushed, a list has been received
+// since the start or maxListWait has passed.
 func (c *Core) Ready() bool {
 	awaited := c.inForce.Settings.ListPushed && !c.endpoints.received && c.now-c.startedAt < maxListWait
 	return c.endpoints.anyListed() && !awaited
 }
 
-// Health is how well the gateway can serve.
+// Health describes how well the gateway can serve requests.
 type Health struct {
 	policy.Health
 	ListFailing bool // the last call for the endpoint list failed
 }
 
-// Health reports how well the gateway can serve. Groups count that had a request within the time given.
+// Health returns how well the gateway can serve requests. Only groups that had a request within the given time count.
 func (c *Core) Health(within clock.Micros) Health {
 	return Health{c.router.Health(within), c.endpoints.failing}
 }
 
-// OpenRequests is the number of requests that still await their answer.
+// OpenRequests returns the number of requests that have not been answered.
 func (c *Core) OpenRequests() int { return len(c.requests.byClient) }
 
-// Handle takes in one event.
+// Handle handles one event.
 func (c *Core) Handle(now clock.Micros, ev Event) {
 	c.now = max(c.now, now)
 	switch e := ev.(type) {
@@ -99,7 +100,7 @@
 	c.handlePending()
 }
 
-// Expire handles the timers that have come due.
+// Expire handles the timers that are due.
 func (c *Core) Expire(now clock.Micros) {
 	c.now = max(c.now, now)
 	for {
@@ -112,10 +113,10 @@
 	}
 }
 
-// NextTimer is when Expire has something to do, if a timer is set.
+// NextTimer returns the time of the next timer for Expire, and whether a timer is set.
 func (c *Core) NextTimer() (clock.Micros, bool) { return c.timers.first() }
 
-// Reconfigure puts other settings in force. Open requests are finished under those that they came under.
+// Reconfigure puts next in force. Open requests finish under the settings that were in force when they arrived.
 func (c *Core) Reconfigure(next *settings.Snapshot) {
 	c.inForce, c.counterIndexes = next, c.Counts.counterIndexes(next.ClassNames)
 	c.Counts.Reloads++
@@ -123,10 +124,10 @@
 	c.handlePending()
 }
 
-// step gives the router one event and carries out its actions.
+// step passes one event to the router and carries out the actions that it returns.
 func (c *Core) step(ev policy.Event) { c.perform(c.router.Step(c.now, ev)) }
 
-// handlePending gives the router the events that its own actions have caused, until there are none.
+// handlePending passes events that were caused by the router's own actions to the router, until none are left.
 func (c *Core) handlePending() {
 	for len(c.pending) > 0 {
 		ev := c.pending[0]
--- a/internal/routing/core_test.go
+++ b/internal/routing/core_test.go
@@ -27,14 +27,14 @@
  "rules": {"ask_within_ms": 10000, "cold_from": 0.26, "fall_ms": 3000, "grace_to_answer_ms": 20,
   "overload_factor": 4, "ramp_time_ms": 16000, "stop_sending_within_ms": 250}}`
 
-// start is a time like those of a real clock.
+// start is a time in the range of a real clock.
 const start = clock.Micros(1_767_225_600_000_000)
 
 type fakeServers struct {
 	jobs      []Job
 	cancelled []int
 	withdrawn []policy.ServerID
-	probes    []policy.ServerID
+	checked   []policy.ServerID
 	endpoints map[policy.ServerID]string
 }
 
@@ -50,7 +50,7 @@
 	return fakeAttempt{s, len(s.jobs) - 1}
 }
 func (s *fakeServers) HealthCheck(id policy.ServerID, sent, until clock.Micros) {
-	s.probes = append(s.probes, id)
+	s.checked = append(s.checked, id)
 }
 func (s *fakeServers) CloseIdle(policy.ServerID)                 {}
 func (s *fakeServers) Withdraw(id policy.ServerID)               { s.withdrawn = append(s.withdrawn, id) }
@@ -67,7 +67,7 @@
 
 func (c *fakeClient) Answer(a Answer) { c.answers = append(c.answers, a) }
 
-// fakePayload counts the references to it.
+// fakePayload counts its references.
 type fakePayload struct{ references int }
 
 func (p *fakePayload) Share() Payload { p.references++; return p }
@@ -90,7 +90,7 @@
 
 func newHarness(t *testing.T) *harness {
 	t.Helper()
-	facts, err := settings.Parse([]byte(testSettings))
+	parsed, err := settings.Parse([]byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,11 +98,11 @@
 	known := EndpointListUpdate{List: discovery.List{Rev: 41, Full: true, Entries: []discovery.Entry{
 		entry("p", discovery.Ready, true), entry("a", discovery.Ready, false), entry("b", discovery.Ready, false),
 	}}}
-	r.core = NewCore(r.now, 5, facts, known, r.servers, r.discovery, zerolog.Nop())
+	r.core = NewCore(r.now, 5, parsed, known, r.servers, r.discovery, zerolog.Nop())
 	return r
 }
 
-// advance moves the clock on, with every timer at its time.
+// advance moves the clock forward by interval and expires every timer at its time.
 func (r *harness) advance(interval clock.Micros) {
 	end := r.now + interval
 	for {
@@ -124,7 +124,7 @@
 	return c, p
 }
 
-// endAttempt ends the n-th job and frees its payload, as Servers does.
+// endAttempt ends the n-th job and frees its payload, as an implementation of Servers does.
 func (r *harness) endAttempt(n int, res policy.Result) {
 	j := r.servers.jobs[n]
 	j.Payload.Free()
@@ -158,11 +158,11 @@
 	r := newHarness(t)
 	c, p := r.request(0, 900_000)
 	if len(r.servers.jobs) != 1 {
-		t.Fatalf("%d sends", len(r.servers.jobs))
+		t.Fatalf("%d attempts sent, want 1", len(r.servers.jobs))
 	}
 	j := r.servers.jobs[0]
 	if j.Deadline > r.now+900_000 || j.Deadline <= r.now || j.SentAt != r.now {
-		t.Errorf("sent at %d until %d, now %d", j.SentAt, j.Deadline, r.now)
+		t.Errorf("sent at %d with deadline %d, now %d", j.SentAt, j.Deadline, r.now)
 	}
 	r.advance(20_000)
 	r.endAttempt(0, policy.ResultOK)
@@ -170,13 +170,13 @@
 	r.advance(2_000_000)
 	r.wantAnswers(c, AnswerServed)
 	if p.references != 0 || r.core.OpenRequests() != 0 || len(r.core.requests.byID) != 0 {
-		t.Errorf("%d references, %d open, %d kept", p.references, r.core.OpenRequests(), len(r.core.requests.byID))
+		t.Errorf("%d references, %d open requests, %d requests in the table, want none", p.references, r.core.OpenRequests(), len(r.core.requests.byID))
 	}
 }
 
-// An answer is final for the router too. Were it not told so, each one would leave an attempt that it counts as in flight for
-// good, and soon no server would have capacity left.
-func TestAnswersLeaveNothingOut(t *testing.T) {
+// An answer is final for the router too. If its outcome were not marked as final, the router would count the attempt as in
+// flight forever, and soon no server would have capacity left.
+func TestAnsweredAttemptsAreNotInFlight(t *testing.T) {
 	r := newHarness(t)
 	for n := range 1000 {
 		c, _ := r.request(0, 900_000)
@@ -189,7 +189,7 @@
 	}
 }
 
-// A non-idempotent request that may have run is failed, never rejected and never sent again; one that never ran is.
+// A non-idempotent request that may have run is failed: it is not rejected and not sent again. A request that did not run is.
 func TestOutcomeDecidesTheAnswer(t *testing.T) {
 	const read, write = 0, 1 // classes
 	for _, c := range []struct {
@@ -222,31 +222,31 @@
 			r.advance(2_000_000)
 			r.wantAnswers(client, c.kind)
 			if n := len(r.servers.jobs); n > 4 {
-				t.Errorf("%d attempts of four allowed", n)
+				t.Errorf("%d attempts, want at most 4", n)
 			}
 		})
 	}
 }
 
-// The attempt of a client that disconnects is cancelled; its late outcome is still taken in, and answered to nobody.
+// When a client disconnects, its attempt is cancelled. The attempt's late outcome is still handled, but no answer is sent.
 func TestClientDisconnected(t *testing.T) {
 	r := newHarness(t)
 	c, p := r.request(1, 1_000_000)
 	r.advance(10_000)
 	r.core.Handle(r.now, ClientDisconnected{Client: c})
 	if len(r.servers.cancelled) != 1 {
-		t.Fatalf("%d cancels", len(r.servers.cancelled))
+		t.Fatalf("%d attempts cancelled, want 1", len(r.servers.cancelled))
 	}
 	r.endAttempt(0, policy.ResultOK)
 	r.core.Handle(r.now, ClientDisconnected{Client: c})
 	r.advance(3_000_000)
 	r.wantAnswers(c)
 	if p.references != 0 || len(r.core.requests.byID) != 0 {
-		t.Errorf("%d references, %d kept", p.references, len(r.core.requests.byID))
+		t.Errorf("%d references, %d requests in the table, want none", p.references, len(r.core.requests.byID))
 	}
 }
 
-// Time spent in the owner's queue is taken off the client's timeout.
+// The time that a request waits in the owner's queue is subtracted from the client's timeout.
 func TestQueueTimeCounts(t *testing.T) {
 	r := newHarness(t)
 	c := &fakeClient{}
@@ -255,7 +255,7 @@
 		ReadAt: r.now - 400_000, Timeout: 1_000_000,
 	})
 	if u := r.servers.jobs[0].Deadline; u > r.now+600_000 || u < r.now+500_000 {
-		t.Errorf("given up after %d us, want just under 600000", u-r.now)
+		t.Errorf("the attempt has %d us until its deadline, want just under 600000", u-r.now)
 	}
 	r.advance(600_000)
 	r.wantAnswers(c, AnswerFailed)
@@ -269,36 +269,36 @@
 	})
 	r.wantAnswers(c, AnswerRejected)
 	if p.references != 0 || r.core.Counts.UnknownGroup != 1 {
-		t.Errorf("%d references, %d counted", p.references, r.core.Counts.UnknownGroup)
+		t.Errorf("%d references, want 0; %d requests of unknown groups counted, want 1", p.references, r.core.Counts.UnknownGroup)
 	}
 }
 
 func TestEndpointListUpdates(t *testing.T) {
 	r := newHarness(t)
 	if len(r.discovery.watchedFrom) != 1 || r.discovery.watchedFrom[0] != 41 {
-		t.Fatalf("watched from %v, want the version of the list it had", r.discovery.watchedFrom)
+		t.Fatalf("watches from revisions %v, want one from 41, that of the known list", r.discovery.watchedFrom)
 	}
 	if len(r.servers.endpoints) != 3 || !r.core.Ready() {
-		t.Fatalf("%v placed", r.servers.endpoints)
+		t.Fatalf("endpoints %v, want 3 and a core that is ready", r.servers.endpoints)
 	}
 	moved := entry("a", discovery.Draining, false)
 	moved.Endpoint = "127.0.0.9:1"
 	r.core.Handle(r.now, EndpointListUpdate{List: discovery.List{Rev: 42, Entries: []discovery.Entry{moved}}})
 	if len(r.servers.endpoints) != 3 || r.servers.endpoints[2] != "127.0.0.9:1" {
-		t.Errorf("a server that moved is %v", r.servers.endpoints)
+		t.Errorf("endpoints %v after a server changed its address", r.servers.endpoints)
 	}
 	r.core.Handle(r.now, EndpointListUpdate{Failed: true})
 	r.advance(5_000_000)
 	if len(r.discovery.watchedFrom) < 2 || r.discovery.watchedFrom[1] != 42 {
-		t.Errorf("asked again from %v", r.discovery.watchedFrom)
+		t.Errorf("watches from revisions %v, want the second from 42", r.discovery.watchedFrom)
 	}
-	// A draining server gets nothing new.
+	// A draining server gets no new attempts.
 	for range 30 {
 		r.request(0, 900_000)
 	}
 	for _, j := range r.servers.jobs {
 		if j.Server == 2 {
-			t.Fatal("a send to a draining server")
+			t.Fatal("an attempt was sent to a draining server")
 		}
 	}
 	r.core.Handle(r.now, EndpointListUpdate{List: discovery.List{Rev: 50, Full: true}})
@@ -324,26 +324,26 @@
 		got += tok.RequestID
 	}
 	if got != "abcd" {
-		t.Errorf("order %s", got)
+		t.Errorf("order %s, want abcd", got)
 	}
 	if _, ok := ts.first(); ok {
-		t.Error("a timer is left")
+		t.Error("a timer is left after all were due")
 	}
 }
 
-// The clock's readings only go forward, and deadlines made of them are moments of the same clock.
+// The clock's readings never go backwards, and Time converts them to the same clock's time.
 func TestClock(t *testing.T) {
 	c := NewClock()
 	last := c.Now()
 	for range 1000 {
 		now := c.Now()
 		if now < last {
-			t.Fatalf("%d after %d", now, last)
+			t.Fatalf("the clock read %d after %d", now, last)
 		}
 		last = now
 	}
 	if got := c.Time(last).Sub(c.start); got < 0 || c.Time(last+1000).Sub(c.Time(last)).Microseconds() != 1000 {
-		t.Errorf("%v after the start", got)
+		t.Errorf("Time is %v after the clock's start, or 1000 us are not 1000 us apart", got)
 	}
 }
 
@@ -353,19 +353,19 @@
 	go o.Run(func(clock.Micros) *Core { return r.core })
 	ran := false
 	if !o.Call(func(*Core) { ran = true }) || !ran {
-		t.Fatal("the owner did not run what it was asked")
+		t.Fatal("the owner did not run the function")
 	}
 	o.Stop()
-	for range 2 * queueLength { // nobody may block on an owner that has stopped
+	for range 2 * queueLength { // Post must not block after the owner has stopped
 		o.Post(ClientDisconnected{})
 	}
 	if o.Call(func(*Core) {}) {
-		t.Error("a stopped owner ran something")
+		t.Error("an owner that has stopped ran a function")
 	}
 }
 
-// Servers are replaced without end: nothing stays of one that was removed. One that comes back while an attempt is in flight at
-// it keeps its number.
+// Servers are replaced again and again, so no state of a removed server may be kept. A server that comes back while an attempt
+// is in flight at it keeps its ServerID.
 func TestReplacedServersAreForgotten(t *testing.T) {
 	r := newHarness(t)
 	update := func(entries ...discovery.Entry) {
@@ -384,7 +384,7 @@
 	r.advance(1_000_000)
 	if m := r.core.endpoints; len(m.idByUID) != before || len(m.uidByID) != before || len(m.listed) != before ||
 		len(r.servers.endpoints) != before {
-		t.Errorf("%d numbers, %d uids, %d live and %d places kept, want %d", len(m.idByUID), len(m.uidByID), len(m.listed),
+		t.Errorf("%d ids, %d uids, %d listed and %d endpoints kept, want %d of each", len(m.idByUID), len(m.uidByID), len(m.listed),
 			len(r.servers.endpoints), before)
 	}
 	for len(r.servers.jobs) == 0 || r.servers.jobs[len(r.servers.jobs)-1].Server == 1 {
@@ -396,12 +396,12 @@
 	update(entry(uid, discovery.Removed, false))
 	update(entry(uid, discovery.Ready, false))
 	if r.core.endpoints.idByUID[uid] != id {
-		t.Error("a server that came back while an attempt was out got another number")
+		t.Error("a server that came back while an attempt was in flight got another id")
 	}
 	r.endAttempt(last, policy.ResultOK)
 }
 
-// A client's id for a request is kept for just as long as the request is open or in flight.
+// A client's id for a request is kept exactly as long as the request is open or in flight.
 func TestClientIDsInUse(t *testing.T) {
 	r := newHarness(t)
 	request := func() *fakeClient {
@@ -420,12 +420,12 @@
 	r.wantAnswers(request())
 	r.endAttempt(1, policy.ResultOK)
 	if len(r.core.requests.byClientID) != 0 {
-		t.Errorf("%d names kept", len(r.core.requests.byClientID))
+		t.Errorf("%d client ids kept, want 0", len(r.core.requests.byClientID))
 	}
 }
 
-// A request read under other settings gets its class by name, and is rejected unsent if that class needs other data now or is
-// no more. Each class keeps its index among the counters.
+// A request that was read under other settings gets its class by name. It is rejected without an attempt if that class now
+// needs different data or no longer exists. Each class keeps its index in the counters.
 func TestClassesAreFoundByNameAfterAChange(t *testing.T) {
 	r := newHarness(t)
 	old := r.core.inForce
@@ -436,10 +436,10 @@
 	next.Settings.Classes = []policy.Class{c[0], c[1], c[0]}
 	next.Settings.Classes[0].Name = "extra"
 	r.core.Reconfigure(&next)
-	request := func(facts *settings.Snapshot, class int) *fakeClient {
+	request := func(parsed *settings.Snapshot, class int) *fakeClient {
 		f := &fakeClient{}
 		r.core.Handle(r.now, &Request{
-			Client: f, Payload: &fakePayload{references: 1}, Settings: facts, Arrival: policy.Arrival{Class: class, Group: 7},
+			Client: f, Payload: &fakePayload{references: 1}, Settings: parsed, Arrival: policy.Arrival{Class: class, Group: 7},
 			ReadAt: r.now, Timeout: 1_000_000,
 		})
 		return f
@@ -453,15 +453,15 @@
 	other.Settings.Classes = []policy.Class{c[1], c[1]}
 	r.core.Reconfigure(&other)
 	sends := len(r.servers.jobs)
-	r.wantAnswers(request(old, 0), AnswerRejected)   // no more
-	r.wantAnswers(request(&next, 0), AnswerRejected) // a write now
+	r.wantAnswers(request(old, 0), AnswerRejected)   // the class no longer exists
+	r.wantAnswers(request(&next, 0), AnswerRejected) // the class now consists of writes
 	if n := r.core.Counts; n.ClassChanged != 2 || len(r.servers.jobs) != sends {
-		t.Errorf("%d strays, %d sent", n.ClassChanged, len(r.servers.jobs)-sends)
+		t.Errorf("%d requests with a changed class, want 2; %d attempts sent, want 0", n.ClassChanged, len(r.servers.jobs)-sends)
 	}
 }
 
-// A cordoned server gets nothing new, whatever the list says meanwhile, and is in slow start once it is uncordoned. The state
-// on the list is kept.
+// A cordoned server gets no new attempts, even if an update lists it as ready, and is in slow start after it is uncordoned. Its
+// state on the list is kept.
 func TestCordonedServers(t *testing.T) {
 	r := newHarness(t)
 	cordon := func(uids ...string) { r.core.Handle(r.now, Call{Do: func(c *Core) { c.SetCordoned(uids) }}) }
@@ -479,15 +479,15 @@
 		return out
 	}
 	if to := sentTo(40); !to["a"] || !to["b"] {
-		t.Fatalf("before: %v", to)
+		t.Fatalf("before the cordon, attempts went to %v", to)
 	}
 	cordon("a", "unknown")
 	if to := sentTo(40); to["a"] || !to["b"] || r.core.InFlightAt("a") != 0 {
-		t.Errorf("cordoned: %v", to)
+		t.Errorf("cordoned, attempts went to %v", to)
 	}
 	r.core.Handle(r.now, EndpointListUpdate{List: discovery.List{Rev: 42, Entries: []discovery.Entry{entry("a", discovery.Ready, false), entry("unknown", discovery.Ready, false)}}})
 	if to := sentTo(40); to["a"] || to["unknown"] {
-		t.Errorf("cordoned, and on the list again: %v", to)
+		t.Errorf("cordoned, and listed as ready again, attempts went to %v", to)
 	}
 	cordon()
 	view := func(uid string) policy.ServerView { v, _ := r.core.viewOf(uid); return v }
@@ -495,7 +495,7 @@
 		t.Errorf("uncordoned: %+v", v)
 	}
 	if to := sentTo(40); !to["a"] {
-		t.Errorf("uncordoned: %v", to)
+		t.Errorf("uncordoned, attempts went to %v", to)
 	}
 	cordon("b")
 	r.core.Handle(r.now, EndpointListUpdate{List: discovery.List{Rev: 43, Entries: []discovery.Entry{entry("b", discovery.Draining, false)}}})
@@ -504,23 +504,23 @@
 		t.Errorf("uncordoned, and draining on the list: %+v", v)
 	}
 	if group, known := r.core.GroupOf("a"); !known || group != 7 {
-		t.Errorf("group %d, %v", group, known)
+		t.Errorf("group %d, known %v, want group 7", group, known)
 	}
 	if all := r.core.Servers(map[int]bool{7: true}); len(all) != 4 {
-		t.Errorf("%d servers", len(all))
+		t.Errorf("%d servers, want 4", len(all))
 	}
 }
 
-// A read that needs current data is not served by the answer of a server that says it is a replica, which an old list named as
-// primary: it is sent again. Other reads take such answers.
+// A read that needs current data must not be served by a replica that an old list names as primary: if the server reports the
+// replica role, the read is sent again. Other reads accept such answers.
 func TestAnswersOfReplicas(t *testing.T) {
 	for need, want := range map[string]int{"strong": 0, "eventual": 1} {
-		facts, err := settings.Parse([]byte(strings.Replace(testSettings, `"eventual"`, `"`+need+`"`, 1)))
+		parsed, err := settings.Parse([]byte(strings.Replace(testSettings, `"eventual"`, `"`+need+`"`, 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		r := newHarness(t)
-		r.core.Reconfigure(facts)
+		r.core.Reconfigure(parsed)
 		c, _ := r.request(0, 900_000)
 		if len(r.servers.jobs) == 0 {
 			r.advance(100_000)
@@ -528,20 +528,20 @@
 		j := r.servers.jobs[0]
 		r.core.Handle(r.now, AttemptEnded{Job: j, Result: policy.ResultOK, Execution: policy.ExecutionDone, Latency: 1000, Role: policy.RoleReplica, Position: r.now})
 		if len(c.answers) != want || r.core.Counts.StaleAnswers != int64(1-want) {
-			t.Errorf("%s: %d answers, %d not current", need, len(c.answers), r.core.Counts.StaleAnswers)
+			t.Errorf("%s: %d answers, %d discarded as stale", need, len(c.answers), r.core.Counts.StaleAnswers)
 		}
 		for _, j := range r.servers.jobs[1:] {
 			r.core.Handle(r.now, AttemptEnded{Job: j, Result: policy.ResultOK, Execution: policy.ExecutionDone, Latency: 1000, Role: policy.RolePrimary, Position: r.now})
 		}
 		r.advance(1_000_000)
 		if len(c.answers) != 1 {
-			t.Errorf("%s: %d answers in the end", need, len(c.answers))
+			t.Errorf("%s: %d answers in the end, want 1", need, len(c.answers))
 		}
 	}
 }
 
-// Whatever a server says of itself and however its answer is taken, a request that must not run twice is sent once, unless the attempt
-// is proven not to have run, and then fails, at once. One that may run again is sent again.
+// For every role that a server reports and every result, a request that must not run twice is sent only once, and fails at once if
+// the attempt is not served, unless the attempt is proven not to have run. A request that may run again is sent again.
 func TestWhatRanIsNeitherSentAgainNorRejected(t *testing.T) {
 	for _, effect := range []string{"single_shot", "guarded", "free"} {
 		for _, need := range []string{"strong", "mutate"} {
@@ -557,15 +557,15 @@
 	}
 }
 
-// checkOneAttempt ends the first attempt of a request in one way and checks what follows.
+// checkOneAttempt ends the first attempt of a request with the given outcome and checks what the core does next.
 func checkOneAttempt(t *testing.T, effect, need string, result policy.Result, role policy.Role, execution policy.Execution) {
 	text := strings.Replace(testSettings, `"effect": "single_shot"`, `"effect": "`+effect+`", "group": "all", "key_ttl_ms": 5000`, 1)
-	facts, err := settings.Parse([]byte(strings.Replace(text, `"mutate"`, `"`+need+`"`, 1)))
+	parsed, err := settings.Parse([]byte(strings.Replace(text, `"mutate"`, `"`+need+`"`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := newHarness(t)
-	r.core.Reconfigure(facts)
+	r.core.Reconfigure(parsed)
 	c, _ := r.request(1, 900_000)
 	ended := AttemptEnded{Job: r.servers.jobs[0], Result: result, Execution: execution, Latency: 1000, Role: role, Position: r.now}
 	r.core.Handle(r.now, ended)
@@ -580,9 +580,9 @@
 	}
 	r.advance(1_000_000)
 	if sends := len(r.servers.jobs); effect != "free" && mayHaveRun && sends > 1 {
-		t.Errorf("sent %d times", sends)
+		t.Errorf("sent %d times, want once", sends)
 	}
 	if len(c.answers) != 1 {
-		t.Errorf("%d answers", len(c.answers))
+		t.Errorf("%d answers, want 1", len(c.answers))
 	}
 }
--- a/internal/routing/counters.go
+++ b/internal/routing/counters.go
@@ -6,8 +6,8 @@
 	"marblespan/internal/policy"
 )
 
-// The names of results, list forms and kinds of answers in the log lines of counters. Operators' tools read them: they stay
-// when the constants are renamed.
+// The names of results, list forms and answer kinds in the log lines of counters. Operators' tools read these names, so they
+// must not change when the constants are renamed.
 var (
 	ResultNames = [...]string{
 		policy.ResultOK:            "served",
@@ -32,22 +32,22 @@
 	}
 )
 
-// Counts are the owner's counters since the start. Those by class are indexed as ClassNames; a class keeps its index for as
-// long as the gateway runs, also when the settings change.
+// Counts holds the owner's counters since the start. Counters by class have the same indexes as ClassNames. A class keeps its
+// index as long as the gateway runs, even if the settings change.
 type Counts struct {
 	ClassNames  []string
-	Requests    []int64                       // by class: taken in
+	Requests    []int64                       // by class: requests passed to the router
 	Sends       []int64                       // by class: attempts sent
-	Disconnects []int64                       // by class: clients that left before their answer
+	Disconnects []int64                       // by class: clients that disconnected before their answer
 	Answers     [len(AnswerKindNames)][]int64 // by kind and class
 	Outcomes    [len(ResultNames)]int64       // of attempts
-	// Reasons counts, by kind of answer, why requests ended without a served one.
+	// Reasons counts requests that ended without a server's answer, by kind of answer and reason.
 	Reasons      [len(AnswerKindNames)][len(policy.ReasonNames)]int64
-	Executions   [len(policy.ExecutionNames)]int64 // of attempts: whether they ran
-	StaleAnswers int64                             // answers of replicas to reads that need the primary, discarded
+	Executions   [len(policy.ExecutionNames)]int64 // by whether the attempt ran
+	StaleAnswers int64                             // answers discarded: a replica answered a read that needs the primary
 
 	UnknownGroup int64 // requests rejected because no list has ever named their group
-	ClassChanged int64 // requests rejected because their class changed while they were on their way in
+	ClassChanged int64 // requests rejected because their class changed after they were read
 
 	HealthChecks     [len(ResultNames)]int64
 	HealthChecksSent int64
@@ -59,7 +59,7 @@
 	Reloads int64 // of the settings
 }
 
-// counterIndexes finds the indexes of classes by their names; new ones are added.
+// counterIndexes returns the indexes of the named classes, and adds classes that are new.
 func (n *Counts) counterIndexes(classes []string) []int {
 	indexes := make([]int, len(classes))
 	for i, name := range classes {
@@ -71,7 +71,7 @@
 	return indexes
 }
 
-// addClass adds a counter of each kind for a class and returns its index.
+// addClass adds the counters of a new class and returns the class's index.
 func (n *Counts) addClass(name string) int {
 	n.ClassNames = append(n.ClassNames, name)
 	n.Requests = append(n.Requests, 0)
@@ -83,4 +83,4 @@
 	return len(n.ClassNames) - 1
 }
 
-var _ = [1]struct{}{}[policy.ResultMisdirected-policy.Result(len(ResultNames)-1)] // every result has its name
+var _ = [1]struct{}{}[policy.ResultMisdirected-policy.Result(len(ResultNames)-1)] // fails to compile unless every result has a name
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -7,19 +7,19 @@
 	"marblespan/internal/settings"
 )
 
-// endpointList is the endpoint list as received, with the number under which the router knows each server. It belongs to the
-// owner's goroutine, like all of Core.
+// endpointList is the endpoint list as received, with the ServerID that the router uses for each server. Like all of Core, it
+// belongs to the owner's goroutine.
 type endpointList struct {
-	revision int64 // of the last list or change received
+	revision int64 // revision of the last list or change received
 	received bool  // discovery has sent a list or a change since the start
 	failing  bool  // the last call for the list failed
 
 	idByUID     map[string]policy.ServerID
 	uidByID     map[policy.ServerID]string
 	lastID      policy.ServerID
-	listed      map[string]bool // by UID: on the list and not removed
-	knownGroups map[int]bool    // every group that a list has named
-	// cordoned are the servers that operators have cordoned, by UID, with the state that the list gives them; nil: none.
+	listed      map[string]bool // by UID: servers on the list that are not removed
+	knownGroups map[int]bool    // every group that any list has named
+	// cordoned has the servers that operators have cordoned: by UID, their state on the list. It is nil if there are none.
 	cordoned map[string]policy.EndpointState
 }
 
@@ -30,8 +30,8 @@
 	}
 }
 
-// forget drops a server's number once the router keeps nothing of the server. Servers are replaced without end, and the maps
-// must not grow with them. One that comes back later is new to everybody.
+// forget drops a server's ServerID after the router has dropped its state of the server. Servers are replaced again and again
+// as long as the gateway runs, and the maps must not grow with each. A server that comes back later is treated as new.
 func (l *endpointList) forget(id policy.ServerID) {
 	delete(l.idByUID, l.uidByID[id])
 	delete(l.uidByID, id)
@@ -39,7 +39,7 @@
 
 func (l *endpointList) anyListed() bool { return len(l.listed) > 0 }
 
-// idOf is the number of a server; a new one has its number assigned.
+// idOf returns the ServerID of a server, and assigns one to a new server.
 func (l *endpointList) idOf(uid string) policy.ServerID {
 	id, ok := l.idByUID[uid]
 	if !ok {
@@ -50,7 +50,8 @@
 	return id
 }
 
-// effectiveState is the state of a server for the router: that on the list, unless operators have cordoned it.
+// effectiveState returns the state of a server that the router gets, given its state on the list. The two differ only if
+// operators have cordoned the server; its state on the list is then kept for uncordon.
 func (l *endpointList) effectiveState(uid string, listed policy.EndpointState) policy.EndpointState {
 	if _, cordoned := l.cordoned[uid]; !cordoned {
 		return listed
@@ -59,7 +60,7 @@
 	return cordonedState(listed)
 }
 
-// cordonedState is the state of a cordoned server, by its state on the list.
+// cordonedState returns the state of a cordoned server that the router gets, given its state on the list.
 func cordonedState(listed policy.EndpointState) policy.EndpointState {
 	if listed == policy.EndpointReady {
 		return policy.EndpointDraining
@@ -71,7 +72,7 @@
 	discovery.Removed: policy.EndpointRemoved, discovery.Ready: policy.EndpointReady, discovery.Draining: policy.EndpointDraining,
 }
 
-// listForm is the form of an update from discovery.
+// listForm returns the form of an update from discovery.
 func listForm(update EndpointListUpdate) policy.ListForm {
 	switch {
 	case update.Failed:
@@ -82,8 +83,8 @@
 	return policy.ListDelta
 }
 
-// updateEndpointList takes in an update of the endpoint list and tells the router. Servers learns the addresses first, so
-// that an attempt finds its server.
+// updateEndpointList applies an update of the endpoint list and passes it to the router. The addresses are set in Servers
+// first, so that an attempt finds its server.
 func (c *Core) updateEndpointList(update EndpointListUpdate, form policy.ListForm) {
 	c.Counts.ListUpdates[form]++
 	c.endpoints.failing = form == policy.ListFailed
@@ -103,8 +104,8 @@
 	c.step(out)
 }
 
-// updateEndpoint takes in one entry of the list and returns it as the router sees it. An entry that removes a server not
-// known here changes nothing, and the router is not told.
+// updateEndpoint applies one entry of the list and returns it as the router sees it. An entry that removes an unknown server
+// changes nothing and is not passed to the router.
 func (c *Core) updateEndpoint(entry discovery.Entry) (policy.Endpoint, bool) {
 	list := &c.endpoints
 	removed := entry.State == discovery.Removed
@@ -128,8 +129,8 @@
 	}, true
 }
 
-// SetCordoned cordons exactly the servers named: to the router they drain, whatever the list says. Those cordoned before and
-// not named any more return to service in slow start, as if they had just started.
+// SetCordoned cordons exactly the named servers: the router sees them as draining even while they are ready on the list.
+// Servers that were cordoned and are no longer named return to service in slow start, as if they had just started.
 func (c *Core) SetCordoned(uids []string) {
 	named := map[string]bool{}
 	out := policy.EndpointUpdate{Form: policy.ListCordoned}
@@ -154,8 +155,8 @@
 	}
 }
 
-// cordon notes a server as cordoned. It reports whether the router has to be told: a server that is not known yet is cordoned
-// when it comes onto the list.
+// cordon marks a server as cordoned. changed reports whether the router must get the returned endpoint. A server that is not
+// known yet is cordoned when it appears on the list.
 func (c *Core) cordon(uid string) (endpoint policy.Endpoint, changed bool) {
 	list := &c.endpoints
 	if _, already := list.cordoned[uid]; already {
@@ -175,7 +176,7 @@
 	return view.Endpoint, true
 }
 
-// uncordon returns a server to the state that the list gives it. It reports whether the router has to be told.
+// uncordon restores a server's state on the list. changed reports whether the router must get the returned endpoint.
 func (c *Core) uncordon(uid string) (endpoint policy.Endpoint, changed bool) {
 	listed := c.endpoints.cordoned[uid]
 	delete(c.endpoints.cordoned, uid)
@@ -187,7 +188,7 @@
 	return view.Endpoint, true
 }
 
-// viewOf is the router's view of a server.
+// viewOf returns the router's view of a server.
 func (c *Core) viewOf(uid string) (view policy.ServerView, known bool) {
 	id, known := c.endpoints.idByUID[uid]
 	if !known {
@@ -196,13 +197,13 @@
 	return c.router.View(id)
 }
 
-// ServerState is the router's view of a server, under the server's name on the list.
+// ServerState is the router's view of a server, with the server's UID on the list.
 type ServerState struct {
 	UID string
 	policy.ServerView
 }
 
-// Servers lists the servers of some groups that the list names, in no particular order.
+// Servers returns the servers on the list that belong to the given groups, in no particular order.
 func (c *Core) Servers(groups map[int]bool) (all []ServerState) {
 	for uid := range c.endpoints.listed {
 		if view, known := c.viewOf(uid); known && groups[view.Group] {
@@ -212,13 +213,13 @@
 	return all
 }
 
-// GroupOf is the group of a server, if the list names the server.
+// GroupOf returns the group of a server. known is false if the server is not on the list.
 func (c *Core) GroupOf(uid string) (group int, known bool) {
 	view, known := c.viewOf(uid)
 	return view.Group, known && c.endpoints.listed[uid]
 }
 
-// InFlightAt is how many attempts are in flight at a server; 0 if it is not known.
+// InFlightAt returns the number of attempts in flight at a server, or 0 if the server is not known.
 func (c *Core) InFlightAt(uid string) int {
 	view, _ := c.viewOf(uid)
 	return view.InFlight
--- a/internal/routing/events.go
+++ b/internal/routing/events.go
@@ -8,29 +8,29 @@
 	"marblespan/internal/transport"
 )
 
-// Event is one of the events below.
+// Event is an event for Core.Handle, of one of the types below.
 type Event interface{ event() }
 
 // Request is a client's complete request.
 type Request struct {
 	Client      Client
-	ClientID    string // the id that the client gave it; empty: none
+	ClientID    string // id that the client assigned to the request; empty: none
 	Payload     Payload
-	Settings    *settings.Snapshot // the settings it was read by, which Arrival.Class is an index into; nil: those in force
+	Settings    *settings.Snapshot // settings it was read under, to whose classes Arrival.Class is an index; nil: those in force
 	Arrival     policy.Arrival     // ID and TimeLeft are filled in by Core
 	ReadAt      clock.Micros       // when its last byte was read
-	Timeout     clock.Micros       // how long the client waits from then on
-	MinPosition clock.Micros       // the log position that it must see; 0: none
+	Timeout     clock.Micros       // how long the client waits, counted from ReadAt
+	MinPosition clock.Micros       // log position that the answer must include; 0: none
 }
 
-// ClientDisconnected says that a client left before its answer. The package comment gives the chain that follows.
+// ClientDisconnected reports that a client disconnected before its answer. The package comment describes what follows.
 type ClientDisconnected struct{ Client Client }
 
-// AttemptEnded says how an attempt ended. Value is set if Result is policy.ResultOK.
+// AttemptEnded reports how an attempt ended. Value is set if Result is policy.ResultOK.
 type AttemptEnded struct {
 	Job        Job
 	Result     policy.Result
-	Execution  policy.Execution // Servers sets it, and nothing lowers it afterwards
+	Execution  policy.Execution // set by Servers; what it proves is never weakened afterwards
 	Latency    clock.Micros
 	Role       policy.Role
 	Position   policy.Position
@@ -38,7 +38,7 @@
 	Value      *transport.Message
 }
 
-// HealthCheckEnded says how a health check ended.
+// HealthCheckEnded reports how a health check ended.
 type HealthCheckEnded struct {
 	Server     policy.ServerID
 	Result     policy.Result
@@ -46,7 +46,7 @@
 	LoadReport policy.LoadReport
 }
 
-// EndpointListUpdate is the endpoint list or changes to it (List.All tells which), or a call for it that failed.
+// EndpointListUpdate is the complete endpoint list (List.Full) or changes to it, or reports that a call for it failed.
 type EndpointListUpdate struct {
 	List   discovery.List
 	Failed bool
--- a/internal/routing/owner.go
+++ b/internal/routing/owner.go
@@ -6,16 +6,16 @@
 	"marblespan/internal/clock"
 )
 
-// queueLength is how many events may wait for the owner before Post blocks. A burst of a thousand connections fits; the
-// owner itself never waits for a sender.
+// queueLength is how many events may wait for the owner before Post blocks. It is enough for a burst of a thousand connections.
+// The owner itself never waits for a sender.
 const queueLength = 4096
 
-// Owner runs a Core on one goroutine, that of Run, behind a queue of events. That goroutine alone reads and writes
-// everything in Core: the policy state machine, the queue's receiving end, the timers, the open requests, the counters and
-// the endpoint list (Core.endpoints), including which servers are cordoned. Other goroutines reach it by Post and Call only.
+// Owner runs a Core on one goroutine, that of Run, behind a queue of events. Only that goroutine receives from the queue and
+// reads and writes the Core: the policy state machine, the timers, the open requests, the counters and the endpoint list
+// (Core.endpoints), including which servers are cordoned. Other goroutines reach the Core only through Post and Call.
 //
 // The addresses in session.Servers are a copy for the connections' goroutines, guarded by a mutex there. Only the owner's
-// goroutine writes it, through Servers.SetEndpoint and Servers.Forget; the others read it.
+// goroutine writes the copy, through Servers.SetEndpoint and Servers.Forget; the other goroutines read it.
 type Owner struct {
 	clock Clock
 	queue chan Event
@@ -23,14 +23,14 @@
 	done  chan struct{}
 }
 
-// NewOwner makes an owner whose queue takes events from now on; Run handles them.
+// NewOwner returns an owner whose queue accepts events immediately; Run handles them.
 func NewOwner(clock Clock) *Owner {
 	return &Owner{
 		clock: clock, queue: make(chan Event, queueLength), stop: make(chan struct{}), done: make(chan struct{}),
 	}
 }
 
-// Post queues an event for the owner. It blocks while the queue is full; once the owner has stopped, the event is dropped.
+// Post queues an event for the owner. It blocks while the queue is full. After the owner has stopped, it drops the event.
 func (o *Owner) Post(ev Event) {
 	select {
 	case o.queue <- ev:
@@ -38,8 +38,8 @@
 	}
 }
 
-// Call runs a function on the owner's goroutine and waits for it. It reports whether the function ran; it does not once the
-// owner has stopped. The function must not keep the Core, nor call Post or Call.
+// Call runs a function on the owner's goroutine and waits for it. It reports whether the function ran; after the owner has
+// stopped, functions no longer run. The function must not keep the Core, and must not call Post or Call.
 func (o *Owner) Call(do func(*Core)) bool {
 	ran := make(chan struct{})
 	o.Post(Call{func(c *Core) { do(c); close(ran) }})
@@ -51,7 +51,7 @@
 	}
 }
 
-// Run makes a Core by start and drives it until Stop. The calling goroutine becomes the owner's.
+// Run creates a Core with start and runs it until Stop is called. The calling goroutine becomes the owner's goroutine.
 func (o *Owner) Run(start func(now clock.Micros) *Core) {
 	defer close(o.done)
 	c := start(o.clock.Now())
--- a/internal/routing/requestlog.go
+++ b/internal/routing/requestlog.go
@@ -7,20 +7,20 @@
 	"marblespan/internal/policy"
 )
 
-// The log names requests that ended without a served answer, and answers of servers that were not passed on. Both kinds come in
-// bursts of thousands when a group is lost or full: each has its own limit.
+// The log has a line for each request that ended without a server's answer, and for each server's answer that was not passed
+// on. Both kinds of line come in bursts of thousands when a group is down or overloaded, so each kind has its own limit.
 const (
-	maxLoggedBurst = 50                       // lines at once
-	logInterval    = 200 * clock.Micros(1000) // one more line each
+	maxLoggedBurst = 50                       // lines that may be written at once
+	logInterval    = 200 * clock.Micros(1000) // after a burst, one more line per interval
 )
 
-// lineLimit limits the lines of one kind. It counts those left out; the next line tells how many.
+// lineLimit limits the log lines of one kind. It counts the lines left out; the next line written includes that number.
 type lineLimit struct {
-	spentUntil clock.Micros // the lines so far are paid for by then
-	leftOut    int64
+	spentUntil clock.Micros // each line written moves this forward by logInterval; it must not pass the current time
+	leftOut    int64        // lines left out since the last one written
 }
 
-// take reports whether a line may be written now, and how many were left out before it.
+// take reports whether a line may be written now, and if so how many lines were left out before it.
 func (l *lineLimit) take(now clock.Micros) (leftOut int64, ok bool) {
 	l.spentUntil = max(l.spentUntil, now-maxLoggedBurst*logInterval)
 	if l.spentUntil+logInterval > now {
@@ -32,24 +32,24 @@
 	return leftOut, true
 }
 
-// requestLog holds the limits of the lines about requests.
+// requestLog holds the limits of the log lines about requests.
 type requestLog struct{ unserved, unused lineLimit }
 
-// endedAttempt is what is remembered of an attempt that was not served, for the log.
+// endedAttempt is the record of an attempt that was not served, for the log.
 type endedAttempt struct {
 	server   policy.ServerID
-	received policy.Result // as it ended on the connection
-	result   policy.Result // as it was taken
-	role     policy.Role   // that the server told
+	received policy.Result // as received from Servers
+	result   policy.Result // as passed to the router
+	role     policy.Role   // as reported by the server
 
 	execution policy.Execution
 	latency   clock.Micros
 }
 
-// roleNames are the roles' names in the log.
+// roleNames has the names of roles in the log.
 var roleNames = [...]string{policy.RoleUnknown: "", policy.RolePrimary: "primary", policy.RoleReplica: "replica"}
 
-// addTo writes the attempt into a log line.
+// addTo adds the attempt's fields to a log line.
 func (a endedAttempt) addTo(line *zerolog.Event, c *Core) {
 	line.Str("server", c.endpoints.uidByID[a.server]).Str("result", ResultNames[a.result])
 	if a.received != a.result {
@@ -61,7 +61,7 @@
 	line.Str("execution", policy.ExecutionNames[a.execution]).Int64("took_us", int64(a.latency))
 }
 
-// logUnserved logs a request that ends without a served answer: why, after how long, and how each of its attempts ended.
+// logUnserved logs a request that ends without a server's answer: the reason, the time it took, and how each attempt ended.
 func (c *Core) logUnserved(q *request, kind AnswerKind, reason string) {
 	leftOut, ok := c.requestLog.unserved.take(c.now)
 	if !ok {
@@ -79,7 +79,7 @@
 		Int64("left_out", leftOut).Msg("request not served")
 }
 
-// logUnused logs a server's answer that is not passed on to the client.
+// logUnused logs a server's answer that is not passed on to the client, and the reason.
 func (c *Core) logUnused(q *request, a endedAttempt, why string) {
 	leftOut, ok := c.requestLog.unused.take(c.now)
 	if !ok {
--- a/internal/routing/requestlog_test.go
+++ b/internal/routing/requestlog_test.go
@@ -10,8 +10,8 @@
 	"marblespan/internal/policy"
 )
 
-// A request that is not served leaves one line that says why and how its attempts ended; a burst leaves a bounded number, and the
-// next line says how many were left out.
+// A request that is not served is logged in one line, with the reason and how each attempt ended. A burst of such requests writes
+// a limited number of lines, and the next line has the number of lines left out.
 func TestUnservedRequestsAreLogged(t *testing.T) {
 	r, log := newHarness(t), &bytes.Buffer{}
 	r.core.log = zerolog.New(log)
@@ -31,7 +31,7 @@
 		r.core.logUnserved(&request{}, AnswerFailed, "stopping")
 	}
 	if n := strings.Count(log.String(), "\n"); n != maxLoggedBurst-1 {
-		t.Errorf("%d lines of a burst", n)
+		t.Errorf("%d lines logged for a burst of 200", n)
 	}
 	log.Reset()
 	r.core.now += logInterval
--- a/internal/routing/requests.go
+++ b/internal/routing/requests.go
@@ -8,34 +8,34 @@
 	"marblespan/internal/settings"
 )
 
-// request is one request that the router knows of.
+// request is a request that has been passed to the router.
 type request struct {
-	id       string // given by Core
-	clientID string // given by the client; empty: none
+	id       string // assigned by Core
+	clientID string // assigned by the client; empty: none
 	client   Client
 	payload  Payload
 	group    int
 	readAt   clock.Micros // when its last byte was read
 	deadline clock.Micros
 
-	inForce      *settings.Snapshot // the settings it is finished under
-	class        int                // index among their classes
-	counterIndex int                // of its class among Counts
+	settings     *settings.Snapshot // settings in force when it arrived; it finishes under them
+	class        int                // index into the classes of those settings
+	counterIndex int                // index of its class in Counts
 
-	attempts []Attempt // by index; nil where one was not sent or has ended
-	inFlight int       // attempts sent that have not ended
+	attempts []Attempt // by attempt index; nil for an attempt that was not sent or has ended
+	inFlight int       // number of attempts that were sent and have not ended
 	ended    []endedAttempt
 	closed   bool // answered, or its client has disconnected
 }
 
-// requestClass is the class of a request in the settings it is finished under.
-func (q *request) requestClass() *policy.Class { return &q.inForce.Settings.Classes[q.class] }
+// requestClass returns the class of the request in the settings that it finishes under.
+func (q *request) requestClass() *policy.Class { return &q.settings.Settings.Classes[q.class] }
 
 // requestTable holds the requests that are open or have an attempt in flight.
 type requestTable struct {
 	byID       map[string]*request
 	byClientID map[string]*request
-	byClient   map[Client]*request // open ones only
+	byClient   map[Client]*request // only open requests
 	lastID     uint64
 }
 
@@ -45,7 +45,7 @@
 	}
 }
 
-// add gives a request its id and keeps it. The id is the gateway's own, because a client's could be any text.
+// add assigns an id to a request and stores the request. The gateway uses ids of its own because a client's id can be any text.
 func (t *requestTable) add(q *request) {
 	t.lastID++
 	q.id = "r" + strconv.FormatUint(t.lastID, 10)
@@ -63,12 +63,12 @@
 	}
 }
 
-// handleRequest gives a request to the router. It answers at once, unseen by the router, where that could not decide well:
-//   - No list has ever named the group. Nothing could serve it, and the router would keep state for any number that a
-//     client makes up.
-//   - The settings changed while the request was on its way in, and its class with them (classOf).
-//   - The client's id is that of a request still open or in flight. Each request has an id of its own; a second one under it
-//     could run the first a second time. The first is left alone.
+// handleRequest passes a request to the router. It answers a request immediately, without the router, in these cases:
+//   - No endpoint list has ever named the group. No server could serve the request, and the router would keep state for any
+//     group number that a client makes up.
+//   - The settings changed after the request was read, and its class changed with them (see classOf).
+//   - The client's id is that of a request that is still open or in flight. Ids are unique to a request, so the second request
+//     could run the first one again. The first request is not affected.
 func (c *Core) handleRequest(e *Request) {
 	if !c.endpoints.knownGroups[e.Arrival.Group] {
 		c.Counts.UnknownGroup++
@@ -89,21 +89,22 @@
 	q := &request{
 		clientID: e.ClientID, client: e.Client, payload: e.Payload, group: e.Arrival.Group, readAt: e.ReadAt,
 		deadline: e.ReadAt + e.Timeout,
-		inForce:  c.inForce, class: class, counterIndex: c.counterIndexes[class],
+		settings: c.inForce, class: class, counterIndex: c.counterIndexes[class],
 	}
 	c.requests.add(q)
 	c.Counts.Requests[q.counterIndex]++
 	c.step(c.arrival(q, e))
 }
 
-// answerUnsent answers a request that the router never sees.
+// answerUnsent answers a request that is not passed to the router.
 func answerUnsent(e *Request, kind AnswerKind) {
 	e.Payload.Free()
 	e.Client.Answer(Answer{Kind: kind})
 }
 
-// classOf finds a request's class among the settings in force, by its name if it was read under other settings. It fails if
-// the class is no more or its need has changed: what was read as one class must not be sent as another.
+// classOf returns the index of a request's class in the settings in force. If the request was read under other settings, the
+// class is found by its name. ok is false if the class no longer exists or needs different data, because a request that was
+// read as one class must not be sent as another.
 func (c *Core) classOf(e *Request) (class int, ok bool) {
 	if e.Settings == nil || e.Settings == c.inForce {
 		return e.Arrival.Class, true
@@ -112,7 +113,7 @@
 	return class, ok && c.inForce.Settings.Classes[class].Need == e.Settings.Settings.Classes[e.Arrival.Class].Need
 }
 
-// arrival is a request as the router sees it. The time it waited in the queue is taken off the client's timeout.
+// arrival returns a request as the router sees it. The time that it waited in the queue is subtracted from the client's timeout.
 func (c *Core) arrival(q *request, e *Request) policy.Arrival {
 	a := e.Arrival
 	a.Class, a.ID, a.TimeLeft = q.class, q.id, max(q.deadline-c.now, 0)
@@ -122,8 +123,9 @@
 	return a
 }
 
-// handleClientDisconnected closes the client's open request, if it has one, and tells the router. The router may cancel the
-// attempt in flight; its end is still awaited. The package comment gives the whole chain, and the fork for in-doubt writes.
+// handleClientDisconnected closes the client's open request, if it has one, and passes the event to the router. The router may
+// cancel the attempt in flight, which still ends with an AttemptEnded. The package comment describes the whole sequence, and
+// the different one for in-doubt writes.
 func (c *Core) handleClientDisconnected(e ClientDisconnected) {
 	q := c.requests.byClient[e.Client]
 	if q == nil {
@@ -134,11 +136,11 @@
 	c.step(policy.ClientDisconnected{ID: q.id})
 }
 
-// handleAttemptEnded takes in the end of an attempt. A served answer goes to the client before the router hears of it: it is
-// final in any case.
+// handleAttemptEnded handles the end of an attempt. A server's answer goes to the client before the outcome goes to the router,
+// because the answer is final whatever the router does.
 func (c *Core) handleAttemptEnded(ended AttemptEnded) {
 	received := ended.Result
-	ended.Execution = ended.Execution.RaisedBy(received) // before the result is taken for anything else
+	ended.Execution = ended.Execution.RaisedBy(received) // uses the result as received, before it may be replaced below
 	c.Counts.Outcomes[received]++
 	c.Counts.Executions[ended.Execution]++
 	q := c.requests.byID[ended.Job.ID]
@@ -161,7 +163,8 @@
 	c.requests.forgetIfDone(q)
 }
 
-// passOn answers an open request with what an attempt was served, or frees that and remembers the attempt for the log.
+// passOn sends the server's answer of an attempt to the client if the request is open. Otherwise it frees the answer, and if the
+// attempt was not served it records the attempt for the log.
 func (c *Core) passOn(q *request, ended AttemptEnded, received policy.Result) {
 	if ended.Result == policy.ResultOK && !q.closed {
 		c.answer(q, Answer{Kind: AnswerServed, Value: ended.Value, Position: ended.Position})
@@ -181,15 +184,15 @@
 	}
 }
 
-// answeredByStaleReplica reports whether a read that needs current data (policy.NeedFresh) was answered by a server that says
-// it is a replica. It was taken for the primary, by an old list or before a failover, and its data may be behind; where
-// servers check nothing, nobody else would notice. It has run all the same: AttemptEnded.Execution says so, and what must not run
-// twice fails here. The price is an answer lost where the replica happened to be current.
+// answeredByStaleReplica reports whether a read that needs current data (policy.NeedFresh) was answered by a server that
+// reports the replica role. Such a server was taken for the primary because the endpoint list was old or a failover followed,
+// and its data may be behind. If the servers do not check freshness, this is the only check. AttemptEnded.Execution still shows
+// that the read ran, so a request that must not run twice fails. The cost is that an answer is lost if the replica was current.
 func answeredByStaleReplica(q *request, e AttemptEnded) bool {
 	return e.Result == policy.ResultOK && e.Role == policy.RoleReplica && q.requestClass().Need == policy.NeedFresh
 }
 
-// endUnserved answers a request by its id, unless it is closed, with other than a server's answer.
+// endUnserved rejects or fails the request with the given id, unless it is closed, and counts and logs the reason.
 func (c *Core) endUnserved(id string, a Answer, reason policy.Reason) {
 	q := c.requests.byID[id]
 	if q == nil || q.closed {
@@ -200,14 +203,14 @@
 	c.answer(q, a)
 }
 
-// answer gives an open request its one final answer.
+// answer sends an open request its one final answer.
 func (c *Core) answer(q *request, a Answer) {
 	c.Counts.Answers[a.Kind][q.counterIndex]++
 	c.closeRequest(q)
 	q.client.Answer(a)
 }
 
-// closeRequest ends a request for its client. Attempts may still be in flight.
+// closeRequest closes a request: its client gets no answer after this one. Attempts may still be in flight.
 func (c *Core) closeRequest(q *request) {
 	q.closed = true
 	delete(c.requests.byClient, q.client)
@@ -215,8 +218,8 @@
 	c.requests.forgetIfDone(q)
 }
 
-// FailAll fails every open request, for the end of the graceful shutdown: what is in flight for it may have run. None is left
-// without an answer.
+// FailAll fails every open request at the end of a graceful shutdown, so that none is left without an answer. The requests are
+// failed, not rejected, because their attempts in flight may have run.
 func (c *Core) FailAll() {
 	for _, q := range c.requests.byClient {
 		c.logUnserved(q, AnswerFailed, "stopping")
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,28 +1,29 @@
-// Package routing hosts the decisions of package policy in a gateway: it turns what happens on the sockets into events for
-// policy.Router, and the actions that the router returns into attempts, health checks, timers and answers. It makes no
-// routing decision of its own, except the few checks named below, and never blocks on a socket.
+// Package routing runs package policy in a gateway: it turns what happens on the sockets into events for policy.Router, and
+// carries out the actions that the router returns as attempts, health checks, timers and answers. It makes no routing
+// decisions of its own, except for the few checks listed below, and never blocks on a socket.
 //
-// The goroutine of Owner.Run owns all state: the router, the queue's receiving end, the timers, the open requests and the
-// endpoint list. Package gateway starts it. Package session calls in: its connections post a Request, ClientDisconnected,
-// AttemptEnded or HealthCheckEnded, and its discovery an EndpointListUpdate. Routing calls out through the interfaces Client,
-// Servers and Discovery, which session implements; what they bring about comes back as an event on the queue.
+// The goroutine of Owner.Run owns all state: the router, the receiving end of the event queue, the timers, the open requests
+// and the endpoint list. Package gateway starts this goroutine. Package session posts events to it: a connection posts Request,
+// ClientDisconnected, AttemptEnded and HealthCheckEnded, and the discovery client posts EndpointListUpdate. Package routing
+// calls session through the interfaces Client, Servers and Discovery; the results come back as events on the queue.
 //
-// Where to look:
-//   - Core.Handle takes in every event and Core.perform carries out every action.
-//   - Core.handleRequest rejects requests that policy must not see: an unknown group, a class that changed, an id in use.
-//   - Core.startAttempt holds back attempts that must not go out, and checks MaxAttempts once more.
-//   - Core.handleAttemptEnded reads an answer of a replica to a read that needs the primary as misdirected. That it ran stands.
+// Entry points for readers:
+//   - Core.Handle handles every event, and Core.perform carries out every action.
+//   - Core.handleRequest rejects requests that must not reach policy: an unknown group, a class that changed, an id in use.
+//   - Core.startAttempt does not send attempts that are no longer allowed, and checks MaxAttempts a second time.
+//   - Core.handleAttemptEnded treats a replica's answer to a read that needs the primary as misdirected. The attempt still
+//     counts as executed.
 //
 // # When a client disconnects
 //
-// Session notices it and calls client.abandonQueries (answers.go), which posts ClientDisconnected for each open query.
-// Core.Handle closes the request, so that nothing which still arrives for it is answered, and steps the router with
-// policy.ClientDisconnected. The router may return policy.Cancel for the attempt in flight; Attempt.Cancel (session's
-// task.Cancel) then breaks off the dial or the server's connection. The attempt still ends in one AttemptEnded, after which
-// Core forgets the request.
+// Package session detects the disconnect and calls client.abandonQueries (answers.go), which posts ClientDisconnected for each
+// open query. Core.Handle closes the request, so that results that arrive later are not sent to the client, and passes
+// policy.ClientDisconnected to the router. The router may return policy.Cancel for the attempt in flight; Attempt.Cancel
+// (task.Cancel in session) then aborts the dial or closes the server connection. The attempt still ends with one AttemptEnded,
+// after which Core forgets the request.
 //
-// In-doubt writes fork off before that: for them client.abandonQueries posts nothing here and calls intents.Write.Cancel
-// instead. An attempt already sent runs to its end, so that whoever repeats the write finds its result.
+// In-doubt writes are handled differently: client.abandonQueries posts no event for them, but calls intents.Write.Cancel. An
+// attempt that has already been sent runs to its end, so that a client that repeats the write can get its result.
 package routing
 
 import (
@@ -31,72 +32,72 @@
 	"marblespan/internal/transport"
 )
 
-// Payload is the text of a client's query. It is reference-counted: Share takes one more reference, and the holder of each
+// Payload is the text of a client's query. It is reference-counted: Share adds a reference, and the holder of each reference
 // calls Free once.
 type Payload interface {
 	Share() Payload
 	Free()
 }
 
-// Client receives the answer to one request. Answer is called at most once, on the owner's goroutine; it takes over the
-// value and must not block.
+// Client receives the answer to one request. Answer is called at most once, on the owner's goroutine. It takes ownership of
+// Answer.Value and must not block.
 type Client interface{ Answer(Answer) }
 
 // AnswerKind is the kind of a final answer.
 type AnswerKind uint8
 
-// The kinds of answers.
+// The kinds of final answers.
 const (
 	AnswerServed      AnswerKind = iota // a server's answer
-	AnswerRejected                      // not served; it is safe to retry
-	AnswerFailed                        // not served; it may have run
-	AnswerDuplicateID                   // its id is that of a request still open
+	AnswerRejected                      // not served; the client may safely retry
+	AnswerFailed                        // not served; the request may have run
+	AnswerDuplicateID                   // not served; a request with the same id is still open
 )
 
 // Answer is the one final answer to a request.
 type Answer struct {
 	Kind       AnswerKind
 	Value      *transport.Message // the server's answer; set if Kind is AnswerServed
-	Position   policy.Position    // the server's log position after it; 0: unknown
-	RetryAfter clock.Micros       // advice to a rejected client; 0: none
-	MayHaveRun bool               // of a rejection: an attempt may have run, and a second run does no harm
+	Position   policy.Position    // the server's log position after the request; 0: unknown
+	RetryAfter clock.Micros       // how long a rejected client should wait before it retries; 0: no advice
+	MayHaveRun bool               // for AnswerRejected: an attempt may have run, but running the request again does no harm
 }
 
 // Job is one attempt that Servers carries out.
 type Job struct {
-	ID            string // the request's, given by Core
+	ID            string // the request's id, assigned by Core
 	Attempt       int    // index among the request's attempts
 	Server        policy.ServerID
-	Payload       Payload      // a reference of its own, freed by Servers
-	SentAt        clock.Micros // when the router asked for it
-	Deadline      clock.Micros // when to give it up
-	NonIdempotent bool         // it must not run twice: a reset that may have hidden its answer ends its request
+	Payload       Payload      // the job's own reference, freed by Servers
+	SentAt        clock.Micros // when the router sent the attempt
+	Deadline      clock.Micros // when Servers gives the attempt up
+	NonIdempotent bool         // the request must not run twice: it ends if a connection reset may have lost its answer
 }
 
-// Attempt is an attempt in flight. Cancel gives it up if it has not ended; it must not block.
+// Attempt is an attempt in flight. Cancel gives the attempt up unless it has ended, and must not block.
 type Attempt interface{ Cancel() }
 
 // Servers carries out attempts and health checks. Its methods are called on the owner's goroutine only and must not block.
-// Each job ends in one AttemptEnded, each health check in one HealthCheckEnded.
+// Each job ends with one AttemptEnded, and each health check with one HealthCheckEnded.
 type Servers interface {
 	Send(Job) Attempt
 	HealthCheck(server policy.ServerID, sent, until clock.Micros)
 	// CloseIdle closes the idle connections to a server.
 	CloseIdle(policy.ServerID)
-	// Withdraw ends the attempts at a server that have not written anything yet as failed to connect.
+	// Withdraw ends those attempts at a server that have not written anything yet, with policy.ResultConnectFailed.
 	Withdraw(policy.ServerID)
-	// SetEndpoint says at which address a server is.
+	// SetEndpoint sets the address of a server.
 	SetEndpoint(server policy.ServerID, endpoint string)
-	// Forget drops the address of a server that nothing is in flight at any more.
+	// Forget drops the address of a server at which nothing is in flight any more.
 	Forget(server policy.ServerID)
 }
 
-// Discovery fetches the endpoint list. Its methods are called on the owner's goroutine only and must not block. What it
-// receives comes back as EndpointListUpdate.
+// Discovery fetches the endpoint list. Its methods are called on the owner's goroutine only and must not block. Lists and
+// changes that it receives are posted as EndpointListUpdate events.
 type Discovery interface {
-	// Watch subscribes to the changes after a revision, in place of an earlier watch.
+	// Watch subscribes to the changes after a revision. It replaces an earlier watch.
 	Watch(from int64)
 	StopWatch()
-	// Fetch asks for the complete list once.
+	// Fetch requests the complete list once.
 	Fetch()
 }
--- a/internal/routing/timers.go
+++ b/internal/routing/timers.go
@@ -7,7 +7,7 @@
 	"marblespan/internal/policy"
 )
 
-// timers holds the timers that the router has set, by their time and, at the same time, in the order they were set.
+// timers holds the timers that the router has set, ordered by time. Timers with the same time keep the order they were set in.
 type timers struct {
 	heap         timerHeap
 	lastSequence uint64
@@ -24,7 +24,7 @@
 	heap.Push(&t.heap, timer{at, t.lastSequence, event})
 }
 
-// first is the time of the next timer, if one is set.
+// first returns the time of the next timer, and whether a timer is set.
 func (t *timers) first() (clock.Micros, bool) {
 	if len(t.heap) == 0 {
 		return 0, false
@@ -32,7 +32,7 @@
 	return t.heap[0].at, true
 }
 
-// due takes out the next timer that has come due, and returns it.
+// due removes and returns the next timer that is due at now, if there is one.
 func (t *timers) due(now clock.Micros) (policy.Timer, bool) {
 	if len(t.heap) == 0 || t.heap[0].at > now {
 		return policy.Timer{}, false
--- a/internal/settings/wire.go
+++ b/internal/settings/wire.go
@@ -103,7 +103,7 @@
 
 var effects = map[string]policy.Effect{
 	"free": policy.EffectIdempotent, "single_shot": policy.EffectNonIdempotent,
-	effectIdempotencyKey: policy.EffectNonIdempotent, // the strictest reading: never sent again, in spite of its key
+	effectIdempotencyKey: policy.EffectNonIdempotent, // the strictest reading: never repeated, in spite of its key
 }
 
 var needs = map[string]policy.Need{
