--- a/internal/simhost/host.go
+++ b/internal/simhost/host.go
@@ -1,6 +1,7 @@
-// Package simhost hosts many routers behind the simulator's wire: it routes each event of a batch to the instance that it
-// names, writes the actions back, and keeps the instances apart. It makes no decision. Command simhost calls Run, whose
-// goroutine owns all state; there is no other. The main steps are host.handleLine, host.handleMessage and host.guard.
+// Package simhost runs many routers for the simulator: it passes each event of a batch to the instance that the event is
+// addressed to, writes the resulting actions back, and isolates the instances from each other. It makes no decisions. Command
+// simhost calls Run, whose goroutine owns all state; there are no other goroutines. The main steps are host.handleLine,
+// host.handleMessage and host.guard.
 package simhost
 
 import (
@@ -17,16 +18,16 @@
 
 // Sizes of buffers, in bytes.
 const (
-	maxLine       = 64 << 20 // one line of input: an endpoint sheet is one line
-	initialLine   = 1 << 20
-	writtenAtOnce = 1 << 16
+	maxLineLength     = 64 << 20 // longest line of input; a whole endpoint sheet is one line
+	initialLineBuffer = 1 << 20
+	writeBufferSize   = 1 << 16
 )
 
-// What is wrong with the order of lines, or with an event, whatever its instance.
+// Errors about the order of lines. They end the run because they do not belong to one instance.
 var (
-	errNestedBatch     = errors.New("a batch began inside a batch")
-	errNoBatchToEnd    = errors.New("a batch ended that had not begun")
-	errOutsideBatch    = errors.New("an event stands outside a batch")
+	errNestedBatch     = errors.New("a batch began inside another batch")
+	errNoBatchToEnd    = errors.New("the end of a batch that had not begun")
+	errOutsideBatch    = errors.New("a message outside a batch")
 	errUnfinishedBatch = errors.New("input ended inside a batch")
 )
 
@@ -34,31 +35,31 @@
 type instance struct {
 	settings *settings.Snapshot
 	router   *policy.Router
-	broken   bool // it has had a fault: its events are skipped until it is started again
+	broken   bool // it had a fault; its events are ignored until it is started again
 }
 
-// sheet is the endpoint sheet last sent under a number.
+// sheet is the latest endpoint sheet with a given number.
 type sheet struct {
 	endpoints []policy.Endpoint
 	sent      bool
 }
 
-// host runs every instance of one process.
+// host runs all instances of the process.
 type host struct {
-	now       clock.Micros // of the batch
+	now       clock.Micros // time of the current batch
 	inBatch   bool
 	sheets    [simwire.MaxSheets]sheet
 	instances map[int]*instance
-	reply     []byte // to the batch, so far
+	reply     []byte // reply to the current batch so far
 }
 
-// Run serves batches from in until it ends and writes a reply to each to out. A defect that belongs to one instance is
-// reported on complaints and in the reply as that instance's fault; the others go on. Any other defect ends the run.
-func Run(in io.Reader, out, complaints io.Writer) error {
+// Run reads batches from in until its end and writes a reply to each batch to out. A fault of one instance is reported in
+// errorLog and in the reply, and the other instances continue. Any other error ends the run.
+func Run(in io.Reader, out, errorLog io.Writer) error {
 	h := &host{instances: map[int]*instance{}}
 	lines := bufio.NewScanner(in)
-	lines.Buffer(make([]byte, initialLine), maxLine)
-	w := bufio.NewWriterSize(out, writtenAtOnce)
+	lines.Buffer(make([]byte, initialLineBuffer), maxLineLength)
+	w := bufio.NewWriterSize(out, writeBufferSize)
 	for number := 1; lines.Scan(); number++ {
 		if len(lines.Bytes()) == 0 {
 			continue
@@ -67,7 +68,7 @@
 		var fault *simwire.FaultError
 		switch {
 		case errors.As(err, &fault):
-			fmt.Fprintf(complaints, "simhost: line %d: %v\n", number, err)
+			fmt.Fprintf(errorLog, "simhost: line %d: %v\n", number, err)
 			h.breakInstance(fault)
 		case err != nil:
 			return fmt.Errorf("line %d: %w", number, err)
@@ -86,13 +87,13 @@
 	return nil
 }
 
-// breakInstance puts a fault into the reply. The instance's events are skipped until it is started again.
+// breakInstance adds a fault of an instance to the reply. The instance's events are ignored until it is started again.
 func (h *host) breakInstance(fault *simwire.FaultError) {
 	h.reply = simwire.AppendFault(h.reply, fault.Instance, fault.Text)
 	h.instances[fault.Instance] = &instance{broken: true}
 }
 
-// sendReply writes the reply to a batch and begins the next one.
+// sendReply writes the reply to a batch, and clears it for the next batch.
 func (h *host) sendReply(w *bufio.Writer) error {
 	if _, err := w.Write(simwire.AppendDone(h.reply)); err != nil {
 		return err
@@ -113,7 +114,7 @@
 	case isFault && h.isBroken(fault.Instance):
 		return false, nil
 	case isFault && !h.inBatch:
-		return false, errors.New(err.Error()) // not a fault of the instance: there is no reply that could carry it
+		return false, errors.New(err.Error()) // ends the run: outside a batch there is no reply that could report the fault
 	case err != nil:
 		return false, err
 	}
@@ -154,7 +155,7 @@
 	return nil
 }
 
-// start starts an instance, in place of an earlier one of its number.
+// start starts an instance. It replaces an earlier instance with the same number.
 func (h *host) start(m simwire.StartInstance) error {
 	h.instances[m.Instance] = &instance{settings: m.Settings}
 	return h.guard(m.Instance, func(in *instance) []policy.Action {
@@ -164,7 +165,7 @@
 	})
 }
 
-// updateEndpointList gives an instance the entries of a sheet.
+// updateEndpointList passes the entries of a sheet to an instance.
 func (h *host) updateEndpointList(m simwire.EndpointListChanged) error {
 	update := policy.EndpointUpdate{Form: m.Form}
 	if m.Form != policy.ListFailed {
@@ -177,7 +178,7 @@
 	return h.step(m.Instance, update)
 }
 
-// settingsOf is the settings of a started instance; nil if there is none.
+// settingsOf returns the settings of a started instance, or nil if there is no such instance.
 func (h *host) settingsOf(number int) *settings.Snapshot {
 	if in := h.instances[number]; in != nil {
 		return in.settings
@@ -191,13 +192,13 @@
 	return in != nil && in.broken
 }
 
-// step gives an instance's router one event.
+// step passes one event to the router of an instance.
 func (h *host) step(number int, event policy.Event) error {
 	return h.guard(number, func(in *instance) []policy.Action { return in.router.Step(h.now, event) })
 }
 
-// guard runs one decision of an instance and puts its actions into the reply. A panic of the router becomes that instance's
-// fault. A broken instance decides nothing.
+// guard calls decide for an instance and adds the resulting actions to the reply. If the router panics, the panic becomes a
+// fault of that instance. For a broken instance, decide is not called.
 func (h *host) guard(number int, decide func(*instance) []policy.Action) (err error) {
 	in := h.instances[number]
 	if in == nil {
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -9,7 +9,7 @@
 	"marblespan/internal/policy"
 )
 
-// AppendActions writes an instance's actions, one line each.
+// AppendActions appends the actions of an instance to b, one line each.
 func AppendActions(b []byte, instance int, actions []policy.Action) []byte {
 	for _, a := range actions {
 		b = appendAction(b, instance, a)
@@ -17,17 +17,17 @@
 	return b
 }
 
-// AppendFault writes the action that says an instance's decision code failed.
+// AppendFault appends the action that reports a fault of an instance.
 func AppendFault(b []byte, instance int, text string) []byte {
 	return endAction(appendText(beginAction(b, nameFault, instance), text))
 }
 
-// AppendDone ends the reply to a batch.
+// AppendDone appends the line that ends the reply to a batch.
 func AppendDone(b []byte) []byte {
 	return append(b, `["`+nameReplyEnd+"\"]\n"...)
 }
 
-// appendAction writes one action, or nothing for one that the simulator does not take.
+// appendAction appends one action, or nothing for an action that the simulator does not support.
 func appendAction(b []byte, instance int, action policy.Action) []byte {
 	switch a := action.(type) {
 	case policy.Send:
@@ -45,7 +45,7 @@
 		b = appendNumber(beginAction(b, nameHealthCheck, instance), int64(a.Server))
 	case policy.CloseIdle:
 		b = appendNumber(beginAction(b, nameCloseIdle, instance), int64(a.Server))
-	case policy.Forget, policy.Withdraw: // the simulator keeps its own servers; what is sent there has begun
+	case policy.Forget, policy.Withdraw: // the simulator manages its servers itself, and an attempt sent there has already begun
 		return b
 	case policy.SendToPeer:
 		b = appendPeer(beginAction(b, nameSendToPeer, instance), a.To)
@@ -63,7 +63,7 @@
 	return endAction(b)
 }
 
-// beginAction writes what each action begins with: its name and its instance.
+// beginAction appends the beginning of an action: its name and its instance.
 func beginAction(b []byte, name string, instance int) []byte {
 	b = append(append(append(b, `["`...), name...), `",`...)
 	return strconv.AppendInt(b, int64(instance), 10)
@@ -73,7 +73,7 @@
 
 func appendNumber(b []byte, v int64) []byte { return strconv.AppendInt(append(b, ','), v, 10) }
 
-// appendPeer writes the number of a peer, or the sign for all of them.
+// appendPeer appends the number of a peer, or "*" for all peers.
 func appendPeer(b []byte, peer int) []byte {
 	if peer == policy.AllPeers {
 		return append(b, `,"*"`...)
@@ -81,7 +81,7 @@
 	return appendNumber(b, int64(peer))
 }
 
-// appendMillis writes a time in milliseconds, with the fraction that it has.
+// appendMillis appends a time in milliseconds, with a fraction if it is not a whole number.
 func appendMillis(b []byte, v clock.Micros) []byte {
 	b = append(b, ',')
 	if v < 0 {
@@ -95,6 +95,6 @@
 }
 
 func appendText(b []byte, s string) []byte {
-	quoted, _ := json.Marshal(s) // a string always marshals
+	quoted, _ := json.Marshal(s) // marshalling a string cannot fail
 	return append(append(b, ','), quoted...)
 }
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -11,15 +11,15 @@
 	"marblespan/internal/settings"
 )
 
-// What is wrong with a line that is no message.
+// Errors about a line that is not a valid message.
 var (
-	errNotMessage   = errors.New("not a message: a line holds one array that begins with a name")
-	errNameNotText  = errors.New("not a message: its name is no text")
-	errStartLacking = errors.New("START: it lacks its seed or its settings")
+	errNotMessage      = errors.New("not a message: a line holds one array that begins with a name")
+	errNameNotText     = errors.New("not a message: its first value is not a string")
+	errStartIncomplete = errors.New("START: it lacks its seed or its settings")
 )
 
-// Decode reads one line. settingsOf finds the settings of a started instance, or nil. A defect in what is addressed to one
-// instance is a *FaultError; any other defect concerns the whole run.
+// Decode decodes one line. settingsOf returns the settings of a started instance, or nil. An error in a message that is
+// addressed to one instance is a *FaultError; any other error affects the whole run.
 func Decode(line []byte, settingsOf func(instance int) *settings.Snapshot) (Message, error) {
 	var values []json.RawMessage
 	if err := json.Unmarshal(line, &values); err != nil || len(values) == 0 {
@@ -48,7 +48,7 @@
 	}
 	instance := r.count(0)
 	if r.err != nil {
-		return nil, fmt.Errorf("%.40q: it names no instance", name)
+		return nil, fmt.Errorf("%.40q: no valid instance number", name)
 	}
 	message, err := decodeInstanceMessage(name, instance, r, settingsOf)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return message, nil
 }
 
-// checked returns a message, unless its row had a defect.
+// checked returns a message, or the error that occurred when its row was read.
 func checked(name string, message Message, r *row) (Message, error) {
 	if r.err != nil {
 		return nil, fmt.Errorf("%s: %w", name, r.err)
@@ -65,13 +65,13 @@
 	return message, nil
 }
 
-// decodeInstanceMessage reads a message addressed to one instance, which is value 0.
+// decodeInstanceMessage decodes a message that is addressed to one instance, whose number is value 0 of the row.
 func decodeInstanceMessage(name string, instance int, r *row, settingsOf func(int) *settings.Snapshot) (Message, error) {
 	switch name {
 	case nameStartInstance:
 		seed := r.seed(1)
 		if r.err != nil || r.absent(2) {
-			return nil, errStartLacking
+			return nil, errStartIncomplete
 		}
 		parsed, err := settings.Parse(r.values[2])
 		return StartInstance{instance, seed, parsed}, err
@@ -97,7 +97,7 @@
 	return checked(name, InstanceEvent{instance, event}, r)
 }
 
-// event reads an event of a started instance. The error is that the name is unknown; defects in values stay in the row.
+// event decodes an event for a started instance. It returns an error if the name is unknown; an error in a value is kept in r.err.
 func (r *row) event(name string, inForce *settings.Snapshot) (policy.Event, error) {
 	switch name {
 	case nameArrival:
@@ -125,7 +125,7 @@
 	return nil, fmt.Errorf("unknown event %.40q", name)
 }
 
-// The values of an arrival that are read, by index.
+// Indexes of the values of an arrival that are used.
 const (
 	arrivalID         = 1
 	arrivalSession    = 2
@@ -151,10 +151,10 @@
 	return arrival
 }
 
-// The values of an outcome, by index.
+// Indexes of the values of an outcome.
 const (
 	outcomeID         = 1
-	outcomeNote       = 2 // role and position, packed; see roleCodes
+	outcomeNote       = 2 // role and log position in one number; see roleCodes
 	outcomeLatency    = 3
 	outcomeServer     = 4
 	outcomeResult     = 5
@@ -179,7 +179,8 @@
 	return outcome
 }
 
-// loadReport reads a load report, whose values are in the order of the settings' fields. Fields of unknown names are skipped.
+// loadReport decodes a load report. Its values are in the order of Snapshot.LoadReportFields; fields with unknown names are
+// ignored.
 func (r *row) loadReport(i int, inForce *settings.Snapshot) policy.LoadReport {
 	var report policy.LoadReport
 	if r.absent(i) {
@@ -205,7 +206,7 @@
 	return report
 }
 
-// endpoints reads the entries of a sheet.
+// endpoints decodes the entries of a sheet.
 func (r *row) endpoints(i int) []policy.Endpoint {
 	var entries [][]json.RawMessage
 	if r.absent(i) || json.Unmarshal(r.values[i], &entries) != nil {
@@ -224,7 +225,7 @@
 	return endpoints
 }
 
-// The values of a sheet's entry that are read, by index.
+// Indexes of the values of a sheet's entry that are used.
 const (
 	endpointPrimary = 0
 	endpointWeight  = 1
@@ -252,7 +253,7 @@
 	return endpoint
 }
 
-// timerOf is the timer of a token on the wire.
+// timerOf returns the timer that a token on the wire stands for.
 func timerOf(token string) policy.Timer {
 	if token == sweepToken {
 		return policy.Timer{Kind: policy.TimerSweep}
@@ -260,7 +261,7 @@
 	return policy.Timer{RequestID: token}
 }
 
-// timerToken is the token under which a timer goes over the wire.
+// timerToken returns the token that stands for a timer on the wire.
 func timerToken(timer policy.Timer) string {
 	if timer.Kind == policy.TimerSweep {
 		return sweepToken
--- a/internal/simwire/row.go
+++ b/internal/simwire/row.go
@@ -9,19 +9,21 @@
 	"marblespan/internal/settings"
 )
 
-// row reads the values of one message by their index and remembers the first defect; after one, values read are zero.
+// row reads the values of one message by their indexes and keeps the first error in err. A value that cannot be read is returned
+// as zero.
 type row struct {
 	values []json.RawMessage
 	err    error
 }
 
+// fail records that value i is not what was expected, unless there is an earlier error.
 func (r *row) fail(i int, want string) {
 	if r.err == nil {
 		r.err = fmt.Errorf("value %d is not %s", i, want)
 	}
 }
 
-// absent reports whether a value is null or not there at all.
+// absent reports whether a value is null or missing.
 func (r *row) absent(i int) bool { return i >= len(r.values) || string(r.values[i]) == "null" }
 
 func (r *row) integer(i int) int64 {
@@ -34,15 +36,15 @@
 	return 0
 }
 
-// integerOr reads an integer; an absent one is the default.
-func (r *row) integerOr(i int, byDefault int64) int64 {
+// integerOr reads an integer. If the value is absent, it returns defaultValue.
+func (r *row) integerOr(i int, defaultValue int64) int64 {
 	if r.absent(i) {
-		return byDefault
+		return defaultValue
 	}
 	return r.integer(i)
 }
 
-// unsigned reads an integer from 0 up that fits a number of bits.
+// unsigned reads a non-negative integer that fits into the given number of bits.
 func (r *row) unsigned(i int, bits int) uint64 {
 	if !r.absent(i) {
 		if value, err := strconv.ParseUint(string(r.values[i]), 10, bits); err == nil {
@@ -53,7 +55,7 @@
 	return 0
 }
 
-// maxCount bounds a count.
+// maxCount is the largest value that count accepts.
 const maxCount = 1 << 31
 
 // count reads an integer from 0 to maxCount.
@@ -66,7 +68,7 @@
 	return int(value)
 }
 
-// seed reads any integer, also one past 63 bits or below zero.
+// seed reads an integer that may be negative or need all 64 bits of a uint64.
 func (r *row) seed(i int) uint64 {
 	if !r.absent(i) {
 		if value, err := strconv.ParseUint(string(r.values[i]), 10, 64); err == nil {
@@ -92,7 +94,7 @@
 	return value
 }
 
-// micros reads milliseconds with a fraction; an absent value is 0.
+// micros reads a number of milliseconds, possibly with a fraction. An absent value is 0.
 func (r *row) micros(i int) clock.Micros {
 	if r.absent(i) {
 		return 0
@@ -100,7 +102,7 @@
 	return clock.Micros(r.scaled(i, 3))
 }
 
-// scaled reads a number that is there as a whole number of 10^-digits.
+// scaled reads a number, which must not be absent, and returns it in units of 10^-digits.
 func (r *row) scaled(i, digits int) int64 {
 	value, err := settings.ParseScaled(string(r.values[i]), digits)
 	if err != nil {
@@ -109,7 +111,7 @@
 	return value
 }
 
-// lookupCode reads a code and looks it up in a table; want names what the codes stand for.
+// lookupCode reads a code and looks it up in a table. want describes the expected codes, for the error.
 func lookupCode[T any](r *row, table map[int64]T, i int, want string) T {
 	value, ok := table[r.integer(i)]
 	if !ok {
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,9 +1,10 @@
-// Package simwire translates between the simulator's wire and the terms of package policy: words, units and shapes. Package
-// simhost calls Decode for each line it reads, and AppendActions for what its routers decide. The package keeps no state,
-// starts no goroutine and makes no decision.
+// Package simwire translates between the simulator's wire format and the types of package policy: names, units and structure.
+// Package simhost calls Decode for each line that it reads, and AppendActions for the actions of its routers. The package keeps
+// no state, starts no goroutines and makes no decisions.
 //
-// The wire's words stand in words.go only. decode.go reads messages, row.go the values in them, actions.go writes actions.
-// Times on the wire are milliseconds with a fraction; here they become whole microseconds, without loss.
+// All names of the wire format are in words.go. decode.go decodes messages, row.go decodes the values in a message, and
+// actions.go encodes actions. Times on the wire are milliseconds with a fraction; Decode converts them to whole microseconds
+// without loss.
 package simwire
 
 import (
@@ -14,52 +15,52 @@
 	"marblespan/internal/settings"
 )
 
-// MaxSheets is how many endpoint sheets the wire numbers, from 0.
+// MaxSheets is the number of endpoint sheets on the wire. They are numbered from 0.
 const MaxSheets = 16
 
-// FaultError is a defect that belongs to one instance; the others are not concerned.
+// FaultError is a fault of one instance, which does not affect the other instances.
 type FaultError struct {
 	Instance int
 	Text     string
 }
 
-// Error names the instance and the defect.
+// Error returns the number of the instance and the text of the fault.
 func (e *FaultError) Error() string { return fmt.Sprintf("instance %d: %s", e.Instance, e.Text) }
 
-// Message is one decoded line, of one of the types below.
+// Message is a decoded line, of one of the types below.
 type Message interface{ message() }
 
-// BatchBegin begins a batch of messages at one time.
+// BatchBegin begins a batch of messages. Now is the time of all of them.
 type BatchBegin struct{ Now clock.Micros }
 
-// BatchEnd ends a batch; a reply is due.
+// BatchEnd ends a batch, to which a reply must be written.
 type BatchEnd struct{}
 
-// StartInstance starts an instance, in place of an earlier one of the same number.
+// StartInstance starts an instance. It replaces an earlier instance with the same number.
 type StartInstance struct {
 	Instance int
 	Seed     uint64
 	Settings *settings.Snapshot
 }
 
-// StopInstance ends an instance.
+// StopInstance stops an instance.
 type StopInstance struct{ Instance int }
 
-// EndpointSheet carries entries of the endpoint list under a number that EndpointListChanged refers to. A number may be used
-// again.
+// EndpointSheet carries entries of the endpoint list under a number, to which EndpointListChanged refers. A later sheet may use
+// the same number again.
 type EndpointSheet struct {
 	Number    int
 	Endpoints []policy.Endpoint
 }
 
-// EndpointListChanged gives an instance the endpoint list, or changes to it, by the number of a sheet.
+// EndpointListChanged gives an instance the endpoint list, or changes to it, that a sheet contains.
 type EndpointListChanged struct {
 	Instance int
 	Form     policy.ListForm
 	Sheet    int // not set if Form is policy.ListFailed
 }
 
-// InstanceEvent is any other event of an instance.
+// InstanceEvent is any other event for an instance.
 type InstanceEvent struct {
 	Instance int
 	Event    policy.Event
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -40,7 +40,7 @@
 				Deadline: 900_000, PriorityWeight: 2000, LateWeight: 250},
 			{Name: "put", Need: policy.NeedWrite, Effect: policy.EffectNonIdempotent, LatencyObjective: 700_000, Deadline: 5_000_000,
 				PriorityWeight: 6000},
-			// Unknown words take the strictest meaning.
+			// Unknown words get the strictest meaning.
 			{Name: "odd", Need: policy.NeedWrite, Effect: policy.EffectNonIdempotent, LatencyObjective: 700_000,
 				Deadline: 5_000_000, PriorityWeight: 1000},
 		},
@@ -54,7 +54,7 @@
 	}
 	for _, bad := range []string{`[]`, `{"granularity_ms": "soon"}`, `{"rules": {"cold_from": "x"}}`, `{`} {
 		if _, err := settings.Parse([]byte(bad)); err == nil {
-			t.Errorf("%s was taken", bad)
+			t.Errorf("%s was accepted", bad)
 		}
 	}
 }
@@ -132,7 +132,7 @@
 	f := testSettings(t)
 	for _, c := range []struct {
 		line  string
-		named bool // the defect belongs to an instance
+		named bool // the error is a *FaultError, of one instance
 	}{
 		{``, false}, {`{}`, false}, {`[]`, false}, {`[3]`, false}, {`["TICK"]`, false}, {`["TICK","x"]`, false},
 		{`["LEDGER",16,[]]`, false}, {`["LEDGER",-1,[]]`, false}, {`["LEDGER",0,[[1]]]`, false},
@@ -151,7 +151,7 @@
 		})
 		var fault *FaultError
 		if err == nil || errors.As(err, &fault) != c.named {
-			t.Errorf("%s: error %v, belongs to an instance: %v", c.line, err, !c.named)
+			t.Errorf("%s: error %v, is a fault of an instance: %v", c.line, err, !c.named)
 		}
 	}
 }
--- a/internal/simwire/words.go
+++ b/internal/simwire/words.go
@@ -36,14 +36,14 @@
 	nameReplyEnd    = "YIELD"
 )
 
-// Codes of the wire.
+// The codes that the wire uses.
 var (
 	results = map[int64]policy.Result{
 		200: policy.ResultOK, 500: policy.ResultError, 503: policy.ResultOverloaded, 504: policy.ResultTimeout,
 		502: policy.ResultConnectFailed, 598: policy.ResultReset, 499: policy.ResultCancelled,
 		410: policy.ResultNotSent, 404: policy.ResultMisdirected,
 	}
-	// executions are what the wire's outcomes prove of whether an attempt ran; of the others it is not known.
+	// executions gives the results that prove whether an attempt ran. For the other results that is unknown.
 	executions = map[policy.Result]policy.Execution{
 		policy.ResultOK: policy.ExecutionDone, policy.ResultOverloaded: policy.ExecutionNone,
 		policy.ResultConnectFailed: policy.ExecutionNone, policy.ResultNotSent: policy.ExecutionNone,
@@ -58,12 +58,12 @@
 	roles = map[int64]policy.Role{0: policy.RoleUnknown, 1: policy.RolePrimary, 2: policy.RoleReplica}
 )
 
-// roleCodes is how many codes a role takes up in a response's note: the note is the position, in milliseconds, times this,
-// plus the role's code.
+// roleCodes is the number of role codes. It separates the two parts of the note in an outcome: the note is the log position in
+// milliseconds, multiplied by roleCodes, plus the code of the role.
 const roleCodes = 4
 
-// flagClientRetry is the bit of an arrival's flags that says that the client repeats itself.
+// flagClientRetry is the bit of an arrival's flags that marks a client's retry.
 const flagClientRetry = 2
 
-// sweepToken is the wire's name of the sweep timer; every other timer is named by its request's id.
+// sweepToken stands for the sweep timer on the wire. The token of every other timer is the id of its request.
 const sweepToken = "sweep"
