--- a/internal/routing/core_test.go
+++ b/internal/routing/core_test.go
@@ -189,7 +189,8 @@
 	}
 }
 
-// A non-idempotent request that may have run is failed: it is not rejected and not sent again. A request that did not run is.
+// A non-idempotent request that may have run is failed: it is neither sent again nor rejected. A request that did not run, or that
+// is idempotent, is sent again, and is rejected if no attempt is served.
 func TestOutcomeDecidesTheAnswer(t *testing.T) {
 	const read, write = 0, 1 // classes
 	for _, c := range []struct {
--- a/internal/routing/events.go
+++ b/internal/routing/events.go
@@ -46,7 +46,8 @@
 	LoadReport policy.LoadReport
 }
 
-// EndpointListUpdate is the complete endpoint list (List.Full) or changes to it, or reports that a call for it failed.
+// EndpointListUpdate carries the complete endpoint list or, unless List.Full is set, changes to it. If Failed is set, a call for
+// the list failed.
 type EndpointListUpdate struct {
 	List   discovery.List
 	Failed bool
--- a/internal/routing/requests.go
+++ b/internal/routing/requests.go
@@ -67,8 +67,8 @@
 //   - No endpoint list has ever named the group. No server could serve the request, and the router would keep state for any
 //     group number that a client makes up.
 //   - The settings changed after the request was read, and its class changed with them (see classOf).
-//   - The client's id is that of a request that is still open or in flight. Ids are unique to a request, so the second request
-//     could run the first one again. The first request is not affected.
+//   - The client's id is that of a request that is still open or in flight. Each request has an id of its own, so a second
+//     request with the same id could run the first one a second time. The first request is not affected.
 func (c *Core) handleRequest(e *Request) {
 	if !c.endpoints.knownGroups[e.Arrival.Group] {
 		c.Counts.UnknownGroup++
@@ -185,7 +185,7 @@
 }
 
 // answeredByStaleReplica reports whether a read that needs current data (policy.NeedFresh) was answered by a server that
-// reports the replica role. Such a server was taken for the primary because the endpoint list was old or a failover followed,
+// reports the replica role. Such a server was taken for the primary because the endpoint list was old or a failover happened,
 // and its data may be behind. If the servers do not check freshness, this is the only check. AttemptEnded.Execution still shows
 // that the read ran, so a request that must not run twice fails. The cost is that an answer is lost if the replica was current.
 func answeredByStaleReplica(q *request, e AttemptEnded) bool {
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -51,7 +51,7 @@
 	AnswerServed      AnswerKind = iota // a server's answer
 	AnswerRejected                      // not served; the client may safely retry
 	AnswerFailed                        // not served; the request may have run
-	AnswerDuplicateID                   // not served; a request with the same id is still open
+	AnswerDuplicateID                   // not served; a request with the same id is still open or in flight
 )
 
 // Answer is the one final answer to a request.
--- a/internal/simhost/host.go
+++ b/internal/simhost/host.go
@@ -26,7 +26,7 @@
 // Errors about the order of lines. They end the run because they do not belong to one instance.
 var (
 	errNestedBatch     = errors.New("a batch began inside another batch")
-	errNoBatchToEnd    = errors.New("the end of a batch that had not begun")
+	errNoBatchToEnd    = errors.New("a batch ended without having begun")
 	errOutsideBatch    = errors.New("a message outside a batch")
 	errUnfinishedBatch = errors.New("input ended inside a batch")
 )
--- a/internal/simwire/words.go
+++ b/internal/simwire/words.go
@@ -43,7 +43,7 @@
 		502: policy.ResultConnectFailed, 598: policy.ResultReset, 499: policy.ResultCancelled,
 		410: policy.ResultNotSent, 404: policy.ResultMisdirected,
 	}
-	// executions gives the results that prove whether an attempt ran. For the other results that is unknown.
+	// executions has the results that prove whether an attempt ran. For the other results it is unknown.
 	executions = map[policy.Result]policy.Execution{
 		policy.ResultOK: policy.ExecutionDone, policy.ResultOverloaded: policy.ExecutionNone,
 		policy.ResultConnectFailed: policy.ExecutionNone, policy.ResultNotSent: policy.ExecutionNone,
@@ -58,8 +58,8 @@
 	roles = map[int64]policy.Role{0: policy.RoleUnknown, 1: policy.RolePrimary, 2: policy.RoleReplica}
 )
 
-// roleCodes is the number of role codes. It separates the two parts of the note in an outcome: the note is the log position in
-// milliseconds, multiplied by roleCodes, plus the code of the role.
+// roleCodes is the number of codes reserved for the role in the note of an outcome. The note is the log position in milliseconds,
+// multiplied by roleCodes, plus the code of the role.
 const roleCodes = 4
 
 // flagClientRetry is the bit of an arrival's flags that marks a client's retry.
