--- a/internal/routing/core_test.go
+++ b/internal/routing/core_test.go
@@ -170,7 +170,8 @@
 	r.advance(2_000_000)
 	r.wantAnswers(c, AnswerServed)
 	if p.references != 0 || r.core.OpenRequests() != 0 || len(r.core.requests.byID) != 0 {
-		t.Errorf("%d references, %d open requests, %d requests in the table, want none", p.references, r.core.OpenRequests(), len(r.core.requests.byID))
+		t.Errorf("%d references, %d open requests, %d requests in the table, want none",
+			p.references, r.core.OpenRequests(), len(r.core.requests.byID))
 	}
 }
 
