--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -1,23 +1,23 @@
 package policy
 
-// primaryDrawsPerObjective is how often within its objective a request that needs the primary draws
-// anew against a limit below one attempt.
+// primaryDrawsPerObjective is the number of times within its objective that a request for the primary
+// gets a new random number against a limit below one attempt.
 const primaryDrawsPerObjective = 16
 
-// inService tells whether the endpoint list and health checks let anything be sent to a server at
-// all. Ejection does not count here: only the choice of replicas looks at it (candidateReplicas).
+// inService reports whether the endpoint list and health checks allow anything to be sent to a server. It
+// ignores ejection, which counts only in the choice of replicas (candidateReplicas).
 func (r *Router) inService(s *server) bool { return !s.excluded && !s.down }
 
-// admits tells whether a request may go to a server now, within a share of the server's limit in
+// admits reports whether a request may be sent to a server now, within a share of the server's limit in
 // thousandths.
 func (r *Router) admits(s *server, req *request, share int64) bool {
 	return r.inService(s) && r.hasCapacity(s, req, share)
 }
 
-// hasCapacity tells whether this gateway may have one more attempt in flight at a server, within a
-// share of its limit. In slow start the limit shrinks by the server's weight, and what is sent
-// keeps to a budget. Of a limit below one attempt a share below one takes the square: reads must
-// not crowd writes out of the primary.
+// hasCapacity reports whether this gateway may have one more attempt in flight at a server, within a
+// share of the server's limit. In slow start the limit is reduced by the server's weight, and the work
+// sent is bounded by a budget. A limit below one attempt is the chance of admission; with a share below
+// one the chance is squared, so that reads do not crowd writes out of the primary.
 func (r *Router) hasCapacity(s *server, req *request, share int64) bool {
 	if r.now < s.backOffUntil {
 		return false
@@ -34,12 +34,13 @@
 	return int64(len(s.inFlight)+1)*one <= capacity && (weight == one || r.withinSlowStartBudget(s, req, weight))
 }
 
-// admissionDraw is a request's random draw, from 0 to 999. A limit below one attempt is the chance
-// that a request may go: one attempt from each gateway would let hundreds of gateways overload a
-// server, and a fixed rate is too much for gateways with little traffic and too little for busy
-// ones. It is drawn anew after each objective, and more often for what can go only to the primary.
+// admissionDraw returns a request's random number, from 0 to 999. A limit below one attempt is the chance
+// that a request is admitted: one attempt in flight from each of hundreds of gateways would overload a
+// server, and a fixed rate would be too high for gateways with little traffic and too low for busy ones.
+// The number is drawn again after each objective, and more often for a request that only the primary can
+// serve.
 //
-// The harm: some requests wait or end though there was capacity.
+// Trade-off: some requests wait or end although there was capacity.
 func (r *Router) admissionDraw(req *request) int64 {
 	if r.now >= req.admissionDrawUntil {
 		req.admissionDraw = int64(r.rng.below(one))
--- a/internal/policy/api.go
+++ b/internal/policy/api.go
@@ -2,17 +2,17 @@
 
 import "marblespan/internal/clock"
 
-// Position is a log position: the clock time up to which a server has applied every commit. Zero is
-// unknown.
+// Position is a log position: the clock time up to which a server has applied every commit. Zero means
+// that it is unknown.
 type Position = clock.Micros
 
-// ServerID names a database server. It tells nothing but identity.
+// ServerID identifies a database server and carries no other meaning.
 type ServerID uint32
 
-// Event is one of the events below: what happened, as Step takes it in.
+// Event is an input of Step: one of the event types below.
 type Event interface{ event() }
 
-// Arrival is a request handed to this router.
+// Arrival reports that a client's request has reached this router.
 type Arrival struct {
 	ID          string
 	Class       int // index into Settings.Classes
@@ -20,49 +20,50 @@
 	Session     uint64 // valid if HasSession
 	HasSession  bool
 	TimeLeft    clock.Micros // until the client stops waiting
-	ClientRetry bool         // the client says that it repeats an earlier request
-	SinceWrite  clock.Micros // least age of the session's last commit, as it or a gateway says; 0: none
+	ClientRetry bool         // the client marked the request as a repetition of an earlier one
+	SinceWrite  clock.Micros // minimum age of the session's last commit, reported by client or gateway; 0: none
 }
 
-// AnswerStarted tells that the answer to an attempt began to flow; the request is bound to it.
+// AnswerStarted reports that the answer to an attempt has begun to arrive. The request is bound to this
+// attempt from then on.
 type AnswerStarted struct {
 	ID      string
 	Attempt int
 }
 
-// Outcome is how an attempt ended. Each Send gets exactly one.
+// Outcome reports how an attempt ended. Each Send is followed by exactly one Outcome.
 type Outcome struct {
 	ID         string
 	Attempt    int
 	Server     ServerID
 	Result     Result
 	Execution  Execution
-	Final      bool // the request has its final answer
+	Final      bool // the request has received its final answer
 	Latency    clock.Micros
 	Role       Role
 	Position   Position
 	LoadReport LoadReport
 }
 
-// ClientDisconnected tells that the client left and its request is over.
+// ClientDisconnected reports that the client has disconnected, which ends its request.
 type ClientDisconnected struct{ ID string }
 
-// TimerKind says what a timer is for.
+// TimerKind is the purpose of a timer.
 type TimerKind uint8
 
 // The kinds of timers.
 const (
-	TimerRequest TimerKind = iota // the end of one request
+	TimerRequest TimerKind = iota // limits the time of one request
 	TimerSweep                    // the periodic sweep over all servers and groups
 )
 
-// Timer tells that a timer set by SetTimer has come due.
+// Timer reports that a timer set by SetTimer has expired.
 type Timer struct {
 	Kind      TimerKind
-	RequestID string // of a TimerRequest
+	RequestID string // for TimerRequest only
 }
 
-// HealthCheckEnded is the result of one HealthCheck.
+// HealthCheckEnded reports the result of a HealthCheck.
 type HealthCheckEnded struct {
 	Server     ServerID
 	Result     Result
@@ -70,13 +71,13 @@
 	LoadReport LoadReport
 }
 
-// EndpointUpdate is a change of the endpoint list, or all of it.
+// EndpointUpdate carries the complete endpoint list or changes to it, depending on Form.
 type EndpointUpdate struct {
 	Form      ListForm
 	Endpoints []Endpoint
 }
 
-// PeerMessage holds bytes from another gateway.
+// PeerMessage carries bytes received from another gateway.
 type PeerMessage struct {
 	From int
 	Data []byte
@@ -94,17 +95,17 @@
 // Result is how an attempt or a health check ended.
 type Result uint8
 
-// The results. None of them tells whether the attempt ran: Execution does.
+// The results. A result does not determine whether the server ran the attempt; Execution does.
 const (
 	ResultOK            Result = iota
 	ResultError                // answered with an error
-	ResultOverloaded           // rejected as the server was full
+	ResultOverloaded           // rejected because the server was full
 	ResultTimeout              // no answer in time
-	ResultConnectFailed        // no connection, or it broke before the last byte was written
-	ResultReset                // the connection broke
-	ResultCancelled            // given up by Cancel
-	ResultNotSent              // not sent any more
-	ResultMisdirected          // not used: the server is not the primary, or too far behind
+	ResultConnectFailed        // no connection, or it broke before the last byte of the request was written
+	ResultReset                // the connection broke after the last byte of the request was written
+	ResultCancelled            // ended by Cancel
+	ResultNotSent              // never sent, because it was no longer allowed
+	ResultMisdirected          // not served or answer not used: server is not primary, or too far behind
 )
 
 // Role is a server's role in its group.
@@ -117,30 +118,30 @@
 	RoleReplica
 )
 
-// LoadReport is what a server says of itself; it is late, and may be wrong.
+// LoadReport is what a server reports about its own state. It arrives late and may be wrong.
 type LoadReport struct {
 	Position    Position // as of the report
 	HasPosition bool
 	Role        Role
 	Queue       int64 // waiting requests, in thousandths
 	HasQueue    bool
-	Util        int64 // busy share of its processors, in thousandths
+	Util        int64 // busy share of the server's processors, in thousandths
 	HasUtil     bool
 }
 
-// ListForm is the form of an endpoint list.
+// ListForm is the form of an EndpointUpdate.
 type ListForm uint8
 
-// The forms of lists.
+// The forms of endpoint updates.
 const (
-	ListDelta    ListForm = iota // only what changed
-	ListFull                     // all; what is missing is removed
-	ListCached                   // all, as this gateway last had it
-	ListFailed                   // the query failed or the subscription broke; no endpoints
-	ListCordoned                 // only what operators cordon or put back; nothing from discovery
+	ListDelta    ListForm = iota // only the changed endpoints
+	ListFull                     // the complete list; servers that it does not name are removed
+	ListCached                   // the complete list as this gateway last received it
+	ListFailed                   // the query failed or the subscription broke; carries no endpoints
+	ListCordoned                 // only servers that operators cordon or put back; nothing from discovery
 )
 
-// EndpointState is a server's state on the list.
+// EndpointState is a server's state in the endpoint list.
 type EndpointState uint8
 
 // The endpoint states.
@@ -156,30 +157,30 @@
 	Group   int
 	Zone    string
 	State   EndpointState
-	Started clock.Micros // last start; 0: long ago
-	Primary bool         // as far as the list knows
+	Started clock.Micros // time of the last start; 0: long ago
+	Primary bool         // according to the list
 	Weight  int64        // in thousandths
 }
 
-// Action is one of the actions below: what the caller of Step has to carry out.
+// Action is an output of Step that its caller must carry out: one of the action types below.
 type Action interface{ action() }
 
-// Send passes a request to a server as its next attempt.
+// Send sends a request to a server as its next attempt.
 type Send struct {
 	ID     string
 	Server ServerID
-	Until  clock.Micros // clock time to give the attempt up
+	Until  clock.Micros // clock time at which the attempt is given up
 }
 
-// Reject ends a request unserved and tells the client that a retry does no harm.
+// Reject ends a request without serving it and tells the client that a retry is harmless.
 type Reject struct {
 	ID         string
 	RetryAfter clock.Micros // 0: no advice
 	Reason     Reason
-	MayHaveRun bool // an attempt may have run, and a second run does no harm
+	MayHaveRun bool // an attempt may have run, but a second run is harmless
 }
 
-// Fail ends a request and promises nothing.
+// Fail ends a request without promising that a retry is harmless.
 type Fail struct {
 	ID     string
 	Reason Reason
@@ -191,24 +192,24 @@
 	Attempt int
 }
 
-// SetTimer asks for the event Timer at the clock time At.
+// SetTimer requests the event Timer at the clock time At.
 type SetTimer struct {
 	At    clock.Micros
 	Timer Timer
 }
 
-// HealthCheck asks a server for its load report.
+// HealthCheck requests a server's load report.
 type HealthCheck struct{ Server ServerID }
 
-// CloseIdle closes idle connections to a server.
+// CloseIdle closes the idle connections to a server.
 type CloseIdle struct{ Server ServerID }
 
-// Withdraw takes back what was sent to a server and has not begun there: it must not begin any
-// more, and ends as ResultConnectFailed.
+// Withdraw ends the attempts that were sent to a server but have not begun there, such as those that wait
+// for a connection. They must not begin later, and end as ResultConnectFailed.
 type Withdraw struct{ Server ServerID }
 
-// Forget tells that nothing is remembered of a server any more: it is off the list and has no
-// attempt in flight.
+// Forget reports that the router has dropped all state about a server, because the server is not listed
+// any more and has no attempt in flight.
 type Forget struct{ Server ServerID }
 
 // SendToPeer sends bytes to another gateway, or to all of them.
@@ -217,19 +218,19 @@
 	Data []byte
 }
 
-// AllPeers is the receiver of a SendToPeer to every other gateway.
+// AllPeers addresses a SendToPeer to every other gateway.
 const AllPeers = -1
 
 // Log is a line for the operators' log.
 type Log struct {
 	Text   string
-	Server ServerID // that it is about; 0: none
+	Server ServerID // the server that the line is about; 0: none
 }
 
-// Watch asks for changes of the endpoint list from now on, or stops them.
+// Watch subscribes to changes of the endpoint list, or ends the subscription.
 type Watch struct{ On bool }
 
-// Fetch asks for the whole endpoint list once.
+// Fetch requests the complete endpoint list once.
 type Fetch struct{}
 
 func (Send) action()        {}
--- a/internal/policy/attempts.go
+++ b/internal/policy/attempts.go
@@ -5,15 +5,15 @@
 // attempt is one send of a request to one server.
 type attempt struct {
 	request  *request
-	index    int // among the request's attempts
+	index    int // in request.attempts
 	server   *server
 	sentAt   clock.Micros
 	inFlight bool
-	// execution is ExecutionUnknown while it is in flight.
+	// execution is ExecutionUnknown while the attempt is in flight.
 	execution Execution
 }
 
-// send makes the next attempt. No other function of the package sends.
+// send sends a request to a server as its next attempt. No other function of the package emits Send.
 func (r *Router) send(req *request, s *server) {
 	a := &attempt{request: req, index: len(req.attempts), server: s, sentAt: r.now, inFlight: true}
 	req.attempts = append(req.attempts, a)
@@ -30,11 +30,11 @@
 		s.slowStartSends = append(s.slowStartSends, slowStartSend{at: r.now, work: r.expectedWork(req)})
 		s.slowStartDrawnAt = r.now
 	}
-	r.emit(Send{ID: req.id, Server: s.id, Until: max(r.endOf(req), r.now+1)})
+	r.emit(Send{ID: req.id, Server: s.id, Until: max(r.expiryOf(req), r.now+1)})
 }
 
-// completeAttempt takes in how an attempt ended, and ends its request, queues it for a retry, or
-// leaves it as it is when its final answer was given.
+// completeAttempt records how an attempt ended. It then ends the request, queues it for a retry, or
+// changes nothing if the request already has its final answer.
 func (r *Router) completeAttempt(e Outcome) {
 	req := r.requests[e.ID]
 	if req == nil || e.Attempt < 0 || e.Attempt >= len(req.attempts) || !req.attempts[e.Attempt].inFlight {
@@ -62,7 +62,7 @@
 	r.dispatch(req.group)
 }
 
-// learnFromOutcome takes from an outcome what it tells of the server: role, position, health,
+// learnFromOutcome updates the router's knowledge of a server from an outcome: role, position, health,
 // latency, errors.
 func (r *Router) learnFromOutcome(ended *attempt, e Outcome) {
 	srv, req := ended.server, ended.request
@@ -96,8 +96,8 @@
 	}
 }
 
-// observeAnswer takes in a served answer: the usual latency of its class, and the server's latency,
-// errors and work.
+// observeAnswer records a served answer in the typical latency of its class, in the server's latency and
+// errors, and in the work meter.
 func (r *Router) observeAnswer(s *server, req *request, e Outcome) {
 	if req.class.typicalLatency == 0 {
 		req.class.typicalLatency = e.Latency
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -7,15 +7,15 @@
 	"marblespan/internal/clock"
 )
 
-// maxSubscribeBackOff bounds the time between two attempts to subscribe, in microseconds: what the
-// list tells counts as known after 6 s.
+// maxSubscribeBackOff bounds the back-off between two attempts to subscribe, in microseconds, because
+// changes of the endpoint list count as known after 6 s.
 const maxSubscribeBackOff = 600_000
 
-// listing is what the endpoint list tells of a server.
+// listing is a server's entry in the endpoint list.
 type listing struct {
 	zone          string
 	state         EndpointState
-	excluded      bool // draining, or removed where that binds: nothing new may be sent
+	excluded      bool // draining, or removed if removal excludes: nothing new may be sent
 	listedPrimary bool
 	startedAt     clock.Micros // 0: long ago
 }
@@ -23,13 +23,13 @@
 // subscription is the state of the subscription to the endpoint list.
 type subscription struct {
 	subscribed       bool
-	subscribing      bool         // asked for, and no answer yet
-	subscribeAt      clock.Micros // of the last attempt, or of the next one
+	subscribing      bool         // requested, and not answered yet
+	subscribeAt      clock.Micros // time of the last attempt; after a failure, of the next one
 	subscribeBackOff clock.Micros
 }
 
-// updateEndpoints takes in an update of the endpoint list. A complete list removes the servers that
-// it does not name.
+// updateEndpoints applies an update of the endpoint list. A complete list removes the servers that it
+// does not name.
 func (r *Router) updateEndpoints(e EndpointUpdate) {
 	if e.Form == ListFailed {
 		r.subscribeFailed()
@@ -60,8 +60,9 @@
 	}
 }
 
-// updateEndpoint takes in one entry. Draining binds at once. What waits for a connection to a
-// server that has just restarted is withdrawn and placed again, within the slow start budget.
+// updateEndpoint applies one entry of the endpoint list. Draining takes effect at once. If the entry
+// shows that the server has restarted, the attempts that wait for a connection to it are withdrawn and
+// placed again, within the slow start budget.
 func (r *Router) updateEndpoint(e Endpoint) {
 	s := r.servers[e.Server]
 	if s == nil {
@@ -88,7 +89,7 @@
 	}
 }
 
-// addServer makes a server that nothing is known of yet.
+// addServer creates a server about which nothing is known yet.
 func (r *Router) addServer(id ServerID, g *group) *server {
 	s := &server{id: id, group: g}
 	s.limit = r.initialLimit()
@@ -98,8 +99,8 @@
 	return s
 }
 
-// endpointRemoved takes a server off the list. That excludes it, unless the settings say that
-// removed servers stay usable.
+// endpointRemoved records that a server is not on the list any more. This excludes the server, unless the
+// settings keep removed servers usable.
 func (r *Router) endpointRemoved(s *server) {
 	s.state = EndpointRemoved
 	s.listedPrimary = false
@@ -108,8 +109,8 @@
 	}
 }
 
-// exclude takes a server out of service by the endpoint list; what waits for a connection to it
-// does not begin any more.
+// exclude takes a server out of service because of the endpoint list. The attempts that wait for a
+// connection to it are withdrawn.
 func (r *Router) exclude(s *server) {
 	s.excluded = true
 	r.emit(Withdraw{Server: s.id})
@@ -118,16 +119,17 @@
 	}
 }
 
-// removable tells whether a server may be dropped from memory: the list has removed it, and that
-// binds or it has been out of reach for as long as a list may be old. So a list that is wrong loses
-// nothing learned.
+// removable reports whether the router may drop its state about a server. The list must have removed the
+// server, no attempt may be in flight, and the server must be excluded, or unreachable for as long as a
+// list may be out of date. While removed servers stay usable, a wrong list thus loses nothing that the
+// router has learned.
 func (r *Router) removable(s *server) bool {
 	dead := s.down && r.now-s.lastSeenAt > max(r.settings.SubscribeWithin, r.settings.SlowStartWindow)
 	return s.state == EndpointRemoved && len(s.inFlight) == 0 && (s.excluded || dead)
 }
 
-// keepSubscribed gives up an attempt to subscribe that had no answer in time, and makes the next
-// one when it is due.
+// keepSubscribed treats an attempt to subscribe as failed if it is not answered in time, and starts the
+// next attempt when it is due.
 func (r *Router) keepSubscribed() {
 	timeout := max(r.settings.SubscribeWithin/4, r.settings.ConnectTimeout)
 	if r.settings.ListSubscribed && r.subscribing && r.now-r.subscribeAt > timeout {
@@ -138,16 +140,16 @@
 	}
 }
 
-// subscribe subscribes to the endpoint list.
+// subscribe starts an attempt to subscribe to the endpoint list.
 func (r *Router) subscribe() {
 	r.subscribing = true
 	r.subscribeAt = r.now
 	r.emit(Watch{On: true})
 }
 
-// subscribeFailed plans the next attempt, with a back-off that doubles and jitter, so that many
-// gateways do not come in step. Where changes count as known at once, the first one comes with the
-// next sweep.
+// subscribeFailed schedules the next attempt to subscribe. The back-off doubles and has jitter, so that
+// many gateways do not subscribe at the same time. If the list is pushed, its changes count as known at
+// once, and the first new attempt is made at the next sweep.
 func (r *Router) subscribeFailed() {
 	r.subscribed = false
 	r.subscribing = false
--- a/internal/policy/execution.go
+++ b/internal/policy/execution.go
@@ -1,18 +1,18 @@
 package policy
 
-// Execution says whether a server has run an attempt. It is a fact of its own, set where the bytes are
-// seen, and alone decides on retries and rejections. A Result cannot stand for it: results also speak of
-// roles, freshness and health, and are rewritten for those.
+// Execution is whether a server has run an attempt. It is set by the code that reads and writes the
+// connection, and it alone decides on retries and rejections. A Result cannot take its place, because
+// results also describe roles, freshness and health, and are rewritten for those purposes.
 type Execution uint8
 
-// The executions. The zero value promises nothing.
+// The executions. The zero value makes no promise.
 const (
-	ExecutionUnknown Execution = iota // it may have run, or may yet run
-	ExecutionNone                     // proven: it has not run, and will not
+	ExecutionUnknown Execution = iota // it may have run, or may still run
+	ExecutionNone                     // it is proven that it has not run and will not run
 	ExecutionDone                     // a server has run it
 )
 
-// ExecutionNames are the names in the log and in counters. Operators' tools read them.
+// ExecutionNames are the names of the executions in logs and counters. Operators' tools read them.
 var ExecutionNames = [...]string{
 	ExecutionUnknown: "unknown",
 	ExecutionNone:    "none",
--- a/internal/policy/health.go
+++ b/internal/policy/health.go
@@ -2,43 +2,43 @@
 
 import "marblespan/internal/clock"
 
-// checkTokensPerArrival is how many health checks for freshness, and of dead servers, each arrival
-// pays for, in thousandths.
+// checkTokensPerArrival is the number of tokens, in thousandths, that each arrival adds for health checks
+// of freshness and of servers that are down.
 const checkTokensPerArrival = 250
 
-// health is whether a server is reachable, and how it is checked.
+// health is whether a server is reachable, and the state of its health checks.
 type health struct {
 	lastSeenAt      clock.Micros // last sign of life
-	suspect         bool         // a connection failed or broke: a health check shall tell whether it is down
+	suspect         bool         // a connection failed or broke: a health check must show if it is down
 	down            bool         // its health checks fail
 	downAt          clock.Micros
-	recheckInterval clock.Micros // while it is down; doubles
+	recheckInterval clock.Micros // between health checks while it is down; doubles
 	checking        bool         // a health check is in flight
 	checkedAt       clock.Micros // start of the last health check
-	failedChecks    int          // in a row
+	failedChecks    int          // consecutive failures
 }
 
-// replicationState is a server's place in its group's replication.
+// replicationState is a server's role and position in the replication of its group.
 type replicationState struct {
-	position     Position // the highest known
+	position     Position // highest known
 	role         Role
-	roleProvenAt clock.Micros // time of the newest proof of the role
+	roleProvenAt clock.Micros // time of the newest evidence of the role
 
-	misdirectedUntil   clock.Micros // it turned a read away as too far behind: tried only if known fresh
-	misdirectedBackOff clock.Micros // the last such time; doubles
-	writeMisdirectedAt clock.Micros // last time that it turned away a write or a fresh read
+	misdirectedUntil   clock.Micros // until then used only if known fresh: it rejected a read as too far behind
+	misdirectedBackOff clock.Micros // length of the last such period; doubles
+	writeMisdirectedAt clock.Micros // last time that it rejected a write or a fresh read
 }
 
-// checkBudget bounds the health checks for freshness and of dead servers.
+// checkBudget bounds the health checks of freshness and of servers that are down.
 type checkBudget struct {
-	checkTokens int64 // in thousandths; filled by arrivals
+	checkTokens int64 // in thousandths; added by arrivals
 }
 
-// observeAlive takes in a sign of life. A server that was down may have restarted, so it enters
-// slow start unless something shows that it ran all the while: an answer to an attempt made before,
-// or a position that it can only have reached since. This avoids slow start for servers that only
-// this gateway could not reach.
-func (r *Router) observeAlive(s *server, ran bool) {
+// observeAlive records a sign of life. A server that was down may have restarted, so it enters slow start
+// unless keptRunning is set. That is the case if there is evidence that it did not restart: an answer to
+// an attempt made before, or a position that it can only have reached while it counted as down. Servers
+// that only this gateway could not reach thereby skip slow start.
+func (r *Router) observeAlive(s *server, keptRunning bool) {
 	s.lastSeenAt = r.now
 	s.failedChecks = 0
 	s.suspect = false
@@ -46,16 +46,16 @@
 		s.down = false
 		s.recheckInterval = 0
 		s.limit = one
-		if !ran {
+		if !keptRunning {
 			s.startedAt = max(s.startedAt, r.now)
 		}
-		r.logServer(s, "server %d is back, in slow start: %v", s.id, !ran)
+		r.logServer(s, "server %d is back in service, slow start: %v", s.id, !keptRunning)
 	}
 }
 
-// markDown takes a server out of service until a health check or an answer shows it alive, and
-// cancels its idempotent attempts so that they are retried elsewhere. Each further failed check
-// doubles the interval to the next.
+// markDown takes a server out of service until a health check or an answer shows that it is alive. It
+// cancels the idempotent attempts in flight at the server, so that they are retried elsewhere. Each
+// further failed check doubles the interval to the next one, up to maxObjective.
 func (r *Router) markDown(s *server) {
 	if !s.down {
 		s.down = true
@@ -74,17 +74,18 @@
 	}
 }
 
-// startHealthCheck asks a server for its load report.
+// startHealthCheck requests a server's load report.
 func (r *Router) startHealthCheck(s *server) {
 	s.checking = true
 	s.checkedAt = r.now
 	r.emit(HealthCheck{Server: s.id})
 }
 
-// healthCheckDue tells whether to check a server's health: to find a lost primary, to see whether a
-// server that is down is back, and when one with attempts in flight has gone silent. An answer that
-// told a server's role is as good as a check, and arrivals pay for the checks of servers that are
-// down.
+// healthCheckDue reports whether to start a health check of a server: to see whether a server that is
+// down or suspect can be reached, to find an unknown primary, or because a server with attempts in flight
+// has gone silent. While the primary is unknown, an answer that shows the server's role replaces a check.
+// Checks of servers that are down are paid for by arrivals, except for one after each maxBackOffFactor
+// objectives.
 func (r *Router) healthCheckDue(g *group, s *server) bool {
 	since := r.now - s.checkedAt
 	switch {
@@ -102,20 +103,21 @@
 	return false
 }
 
-// mayHealthCheck tells whether a health check is allowed and its result would be used: a request
-// came to the group since the last one, or waits there or at the server. It guards against health
-// checks that outnumber requests.
+// mayHealthCheck reports whether a health check is allowed and its result would be used: a request has
+// arrived for the group since the last check of the server, or one is waiting in the group or in flight
+// at the server. This keeps health checks from outnumbering requests.
 //
-// The harm: a restart that the endpoint list does not tell is found later.
+// Trade-off: a restart that the endpoint list does not report is found later.
 func (r *Router) mayHealthCheck(g *group, s *server) bool {
 	used := g.lastRequestAt > 0 && g.lastRequestAt >= s.checkedAt || len(g.queue)+len(s.inFlight) > 0
 	return used && r.settings.CanHealthCheck && !s.checking && !s.excluded
 }
 
-// checkStalestReplicas checks replicas whose known position is older than half the smallest bound,
-// the one checked longest ago first, as far as the arrivals pay for it.
+// checkStalestReplicas starts health checks of replicas whose known position and last check are older
+// than half the smallest staleness bound, as far as the tokens added by arrivals allow. The replica
+// checked longest ago comes first.
 //
-// The harm: with little traffic most positions are old.
+// Trade-off: with little traffic most positions are old.
 func (r *Router) checkStalestReplicas(g *group) {
 	for r.settings.FreshnessCheck != FreshnessCheckNone && r.checkTokens >= one {
 		var stalest *server
@@ -133,8 +135,9 @@
 	}
 }
 
-// healthCheckEnded takes in the result of a health check. A report is as old as its position: that
-// dates the role in it. Two failures in a row take a server down.
+// healthCheckEnded processes the result of a health check. The position in a report shows how old the
+// report is, so the role in it counts as evidence from that time. After two consecutive failures the
+// server is marked as down.
 func (r *Router) healthCheckEnded(e HealthCheckEnded) {
 	s := r.servers[e.Server]
 	if s == nil {
@@ -158,16 +161,16 @@
 	}
 }
 
-// observePosition takes in how far a server has applied the log. A position never goes back, and
-// one in the future is not believed.
+// observePosition records how far a server has applied the log. A position never goes back, and one in
+// the future is ignored.
 func (r *Router) observePosition(s *server, pos Position) {
 	if pos > s.position && pos <= r.now {
 		s.position = pos
 	}
 }
 
-// observeMisdirected notes that a server turned a request away untouched: it is not the primary, or
-// too far behind.
+// observeMisdirected records that a server did not serve a request because it is not the primary, or
+// because it is too far behind.
 func (r *Router) observeMisdirected(s *server, req *request) {
 	if needsPrimary(req) {
 		s.writeMisdirectedAt = r.now
--- a/internal/policy/limit.go
+++ b/internal/policy/limit.go
@@ -2,43 +2,43 @@
 
 import "marblespan/internal/clock"
 
-// The tuned numbers of the adaptive concurrency limit. Shares are in thousandths.
+// Parameters of the adaptive concurrency limit. Shares are in thousandths.
 const (
-	initialFleetLimit  = 12  // attempts in flight at one server, of all gateways, before anything is learned
-	limitFloorPart     = 3   // cuts leave this part of the initial limit ...
-	minAdmissionChance = 50  // ... or this chance of one attempt
-	latencyRatioHigh   = 450 // mean latency over objective at which a server's limit is cut
-	latencyRatioLow    = 350 // below it a limit in full use grows
-	limitCutFactor     = 850 // what a cut leaves of a limit
-	maxCuts            = 8   // a cut counts for the half objectives since the last outcome, up to so many more
-	limitRecoveryPart  = 8   // a limit below one grows by this part of what it lacks with each quick answer
-	smoothing          = 12  // outcomes that a moving mean looks back on
+	initialFleetLimit    = 12  // initial number of attempts in flight at one server, over all gateways
+	limitFloorDivisor    = 3   // cuts leave the initial limit divided by this ...
+	minAdmissionChance   = 50  // ... or this chance of one attempt, whichever is higher
+	latencyRatioHigh     = 450 // mean latency over objective above which a server's limit is cut
+	latencyRatioLow      = 350 // mean latency over objective below which a limit in full use grows
+	limitCutFactor       = 850 // share of the limit that remains after a cut
+	maxCuts              = 8   // maximum of additional cuts: one for each half objective since the last outcome
+	limitRecoveryDivisor = 8   // a quick answer raises a limit below one by its distance to one, divided by this
+	smoothing            = 12  // number of outcomes that a moving mean covers
 )
 
-// concurrencyLimit is how many attempts this gateway lets be in flight at one server, and what it
-// follows.
+// concurrencyLimit is the number of attempts that this gateway may have in flight at one server, and the
+// state from which it is adapted.
 type concurrencyLimit struct {
-	limit         int64 // in thousandths of an attempt; below one it is the chance that a request may go
+	limit         int64 // in thousandths of an attempt; below one it is the chance that a request is admitted
 	limitCutAt    clock.Micros
 	latencyRatio  int64 // moving mean of latency over objective, in thousandths
 	latencySeenAt clock.Micros
 
-	backOffUntil clock.Micros // it rejected a request unseen or could not be reached: left alone until then
-	backOff      clock.Micros // the last such time; doubles
+	backOffUntil clock.Micros // until then nothing is sent, because it was overloaded or could not be reached
+	backOff      clock.Micros // length of the last such period; doubles
 }
 
-// initialLimit is a server's limit before anything is learned of it.
+// initialLimit returns the limit of a server about which nothing has been learned.
 func (r *Router) initialLimit() int64 {
 	return max(one, initialFleetLimit*one/int64(r.settings.Gateways))
 }
 
-// observeLatency follows a server's latency against the objectives, and adapts the limit: it is cut
-// when the mean nears the objective, and grows when it is in full use and answers stay quick. This
-// guards against slow, overloaded and starting servers alike. The mean weighs an outcome by the
+// observeLatency compares a server's latency with the objective of the class and adapts the limit. The
+// limit is cut when the mean nears the objective, and grows when it is in full use and answers are quick.
+// This guards against slow, overloaded and starting servers alike. The mean weights an outcome by the
 // time since the last one, so that gateways with little traffic learn as well.
 //
-// The harm: a run of costly requests holds a sound server back; at a gateway with little traffic
-// one slow answer does.
+// Trade-off: a run of costly requests reduces the use of a healthy server; at a gateway with little
+// traffic a single slow answer does.
 func (r *Router) observeLatency(s *server, req *request, latency clock.Micros) {
 	ratio := min(int64(latency*one/req.class.LatencyObjective), 4*one)
 	elapsed := int64(r.now - s.latencySeenAt)
@@ -51,27 +51,28 @@
 		}
 	case s.latencyRatio < latencyRatioLow && int64(len(s.inFlight)+2)*one > s.limit:
 		growth := one * one / max(s.limit, one) / int64(r.settings.Gateways)
-		s.limit += max(growth, (one-min(s.limit, one))/limitRecoveryPart)
+		s.limit += max(growth, (one-min(s.limit, one))/limitRecoveryDivisor)
 	}
 	s.latencySeenAt = r.now
 }
 
-// cutLimit lowers a server's limit, the more the longer nothing was heard of it: where outcomes are
-// rare, each stands for many at other gateways. The floor is a part of the initial limit: with so
-// few attempts the latency is the server's own, and a limit that low recovers slowly.
+// cutLimit lowers a server's limit, the more the longer there has been no outcome from it: where outcomes
+// are rare, each stands for many at other gateways. The floor is a part of the initial limit, for two
+// reasons: with so few attempts in flight the latency is caused by the server itself, and a lower limit
+// would recover slowly.
 func (r *Router) cutLimit(s *server) {
-	floor := max(minAdmissionChance, initialFleetLimit*one/limitFloorPart/int64(r.settings.Gateways))
+	floor := max(minAdmissionChance, initialFleetLimit*one/limitFloorDivisor/int64(r.settings.Gateways))
 	for n := min((r.now-max(s.limitCutAt, s.latencySeenAt))/(r.minObjective/2), maxCuts); n >= 0; n-- {
 		s.limit = max(floor, s.limit*limitCutFactor/one)
 	}
 	s.limitCutAt = r.now
 }
 
-// backOffFrom leaves a server alone that rejected a request unseen or could not be reached, twice
-// as long each time until it answers. Such a server answers at once and looks idle: a full queue,
-// no connection, a drain not yet listed.
+// backOffFrom stops sending to a server that rejected a request for overload or could not be reached. The
+// period doubles each time until the server answers. Such a server responds at once and looks idle, for
+// example because its queue is full, it accepts no connection, or its drain is not listed yet.
 //
-// The harm: a short back-off too many.
+// Trade-off: some short back-offs are unnecessary.
 func (r *Router) backOffFrom(s *server) {
 	r.cutLimit(s)
 	s.backOff = min(max(s.backOff*2, r.sweepInterval()), r.minObjective)
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -2,23 +2,23 @@
 
 import "marblespan/internal/clock"
 
-// The tuned numbers of outlier detection.
+// Parameters of outlier detection.
 const (
 	outlierErrorShare = 400 // share of failed outcomes at which a replica is ejected, in thousandths ...
-	outlierPeerFactor = 2   // ... if it is this many times the mean of its peers
+	outlierPeerFactor = 2   // ... if it is at least this many times the mean share of its peers
 )
 
-// outlierState is how a server compares with its peers.
+// outlierState is the state of outlier detection for one server.
 type outlierState struct {
 	errorShare   int64 // moving share of attempts that failed, in thousandths
 	ejected      bool
 	ejectedAt    clock.Micros
-	ejectionTime clock.Micros // of the last ejection; doubles
+	ejectionTime clock.Micros // length of the last ejection; doubles
 }
 
-// detectOutlier follows the share of attempts that ended in an error, a broken connection or a
-// rejection for overload, and ejects a replica that is far worse than its peers. It never acts
-// where all are as bad. Slowness is left to the concurrency limit.
+// detectOutlier updates the share of a server's attempts that ended in an error, a broken connection or a
+// rejection for overload, and ejects a replica whose share is far higher than that of its peers. If all
+// are equally bad, none is ejected. Slow servers are handled by the concurrency limit instead.
 func (r *Router) detectOutlier(s *server, failed bool) {
 	s.errorShare -= s.errorShare / smoothing
 	if failed {
@@ -43,12 +43,13 @@
 	r.logServer(s, "server %d ejected for %d ms, error share %d", s.id, s.ejectionTime/1000, s.errorShare)
 }
 
-// unejectExpired ends an ejection whose time is over: one attempt at a time, and the next failed
-// one ejects again. It also doubles a limit below one attempt each time so long has passed without
-// a cut, or a server that is seldom used would stay avoided for good. Resetting the limit at once
-// would have hundreds of gateways, each with few outcomes, overload a server again and again.
+// unejectExpired ends an ejection whose time is over. After it, the server gets one attempt at a time,
+// and the next failed one ejects it again. unejectExpired also doubles a limit below one attempt after
+// each long period without a cut, because a server that is seldom used would otherwise be avoided
+// forever. If the limit were reset at once, hundreds of gateways, each with few outcomes, would overload
+// a server again and again.
 //
-// The harm: a server that is sound again is used fully some seconds later.
+// Trade-off: a server that has recovered is used fully only some seconds later.
 func (r *Router) unejectExpired(s *server) {
 	if s.ejected && r.now-s.ejectedAt >= s.ejectionTime {
 		s.ejected = false
--- a/internal/policy/primary.go
+++ b/internal/policy/primary.go
@@ -2,15 +2,16 @@
 
 import "marblespan/internal/clock"
 
-// needsPrimary tells whether only the primary may serve a request.
+// needsPrimary reports whether only the primary may serve a request.
 func needsPrimary(req *request) bool {
 	return req.class.Need == NeedWrite || req.class.Need == NeedFresh
 }
 
-// placeOnPrimary sends writes and fresh reads to the last known primary. Without one, fresh reads
-// wait, and writes try the other servers with at most half of their attempts: the one listed as the
-// primary first, then the one furthest ahead, since that one gets elected. A server that turned a
-// write away is left out for half of the smallest objective, for all writes together.
+// placeOnPrimary returns the server for a write or a fresh read, or nil if the request has to wait. It is
+// the known primary if that has capacity. Without a primary in service, fresh reads wait, and writes try
+// the other servers with at most half of their attempts: first the server listed as the primary, then the
+// one furthest ahead, because that one is elected. A server that rejected a write or a fresh read as
+// misdirected is skipped by all writes for half of the smallest objective.
 func (r *Router) placeOnPrimary(req *request) *server {
 	if p := req.group.primary; p != nil && r.inService(p) {
 		if r.admits(p, req, one) {
@@ -35,8 +36,8 @@
 	return best
 }
 
-// observeRole takes in a proof of a server's role by the time at which it held: an older proof
-// never overrides a newer one.
+// observeRole records evidence that a server had a role at the given time. Older evidence never overrides
+// newer evidence.
 func (r *Router) observeRole(s *server, role Role, at clock.Micros) {
 	g := s.group
 	if role == RoleUnknown || at < s.roleProvenAt {
@@ -46,7 +47,7 @@
 	s.roleProvenAt = at
 	switch {
 	case role == RolePrimary && g.primary != s && at >= g.primaryProvenAt:
-		r.logServer(s, "group %d: primary is %d", g.id, s.id)
+		r.logServer(s, "group %d: primary is server %d", g.id, s.id)
 		g.primary = s
 		g.primaryProvenAt = at
 		s.writeMisdirectedAt = 0
@@ -54,15 +55,15 @@
 	case role == RolePrimary && g.primary == s:
 		g.primaryProvenAt = max(g.primaryProvenAt, at)
 	case role == RoleReplica && g.primary == s && at >= g.primaryProvenAt:
-		r.losePrimary(g, "it says that it is a replica")
+		r.losePrimary(g, "it reports that it is a replica")
 	}
 }
 
-// observeOutcomeRole takes the role from an outcome. That a server is a replica holds from now on.
-// That it is the primary was so when the work was done: what a former primary still finishes after
-// a failover must not bring its role back.
+// observeOutcomeRole records the role that an outcome shows. If the server is a replica, this is evidence
+// as of now. If it is the primary, this is evidence only as of the time when the work was done: an
+// attempt that a former primary finishes after a failover must not restore its role.
 //
-// The harm: a primary known only by slow answers is believed later.
+// Trade-off: a primary that is known only from slow answers is recognized later.
 func (r *Router) observeOutcomeRole(a *attempt, e Outcome) {
 	if e.Result == ResultOK && a.request.class.Need == NeedWrite {
 		e.Role = RolePrimary
@@ -74,15 +75,15 @@
 	r.observeRole(a.server, e.Role, at)
 }
 
-// losePrimary forgets the primary of a group; health checks and writes look for the next one.
+// losePrimary clears the known primary of a group. Health checks and writes then search for the next one.
 func (r *Router) losePrimary(g *group, why string) {
-	r.logServer(g.primary, "group %d: primary lost: %s; %d attempts in flight there, %d requests wait", g.id,
+	r.logServer(g.primary, "group %d: primary lost: %s; %d attempts in flight to it, %d requests waiting", g.id,
 		why, len(g.primary.inFlight), len(g.queue))
 	g.primary = nil
 }
 
-// adoptListedPrimary believes the endpoint list as long as no proof of a primary was ever seen in
-// the group.
+// adoptListedPrimary takes the primary from the endpoint list as long as there has been no evidence of a
+// primary in the group.
 func (r *Router) adoptListedPrimary(g *group) {
 	if g.primary != nil || g.primaryProvenAt > 0 {
 		return
--- a/internal/policy/queue.go
+++ b/internal/policy/queue.go
@@ -6,14 +6,14 @@
 	"marblespan/internal/clock"
 )
 
-// The tuned numbers of the queue. Shares are in thousandths.
+// Parameters of the queue. Shares are in thousandths.
 const (
-	expectedLatencyFactor = 2   // an answer may well take this many times the usual latency ...
-	maxExpectedShare      = 750 // ... but counts as no more than this share of the objective
-	infeasiblePart        = 4   // with less left than this part of it nothing is sent
+	expectedLatencyFactor = 2   // an answer is expected within this many times the typical latency ...
+	maxExpectedShare      = 750 // ... but at most within this share of the objective
+	infeasibleDivisor     = 4   // nothing is sent with less time left than the expected latency divided by this
 )
 
-// enqueue puts a request into its group's queue; the dispatch that follows may send it at once.
+// enqueue adds a request to its group's queue. The dispatch that follows may send it at once.
 func (r *Router) enqueue(req *request) {
 	if !req.queued {
 		req.queued = true
@@ -21,9 +21,9 @@
 	}
 }
 
-// dispatch serves a group's queue: the highest value for the expected work first, the oldest among
-// equals. A request that is likely to be late comes last, and gets its final answer now if the
-// others have left it no capacity.
+// dispatch serves a group's queue: the highest value for the expected work first, and the oldest first
+// among equals. A request that is likely to be late comes last, and gets its final answer now if the
+// others have left no capacity for it. A request with too little time left for any attempt is finished.
 func (r *Router) dispatch(g *group) {
 	queue := slices.Clone(g.queue)
 	slices.SortStableFunc(queue, func(a, b *request) int { return int(r.dispatchValue(b) - r.dispatchValue(a)) })
@@ -31,7 +31,7 @@
 		if req.done {
 			continue
 		}
-		if r.now+r.expectedLatency(req)/infeasiblePart > r.endOf(req) {
+		if r.now+r.expectedLatency(req)/infeasibleDivisor > r.expiryOf(req) {
 			r.finish(req, ReasonTooLate)
 		} else if s := r.place(req); s != nil {
 			r.send(req, s)
@@ -41,7 +41,7 @@
 	}
 }
 
-// place finds a server for a request, or nil: it waits.
+// place returns a server for a request, or nil if the request has to wait.
 func (r *Router) place(req *request) *server {
 	if needsPrimary(req) {
 		return r.placeOnPrimary(req)
@@ -49,8 +49,8 @@
 	return r.placeRead(req)
 }
 
-// dispatchValue is the order of the queue: what an answer still earns, divided by the usual latency
-// of the class in ms.
+// dispatchValue returns the value by which the queue is ordered: the weight that an answer can still
+// earn, divided by the typical latency of the class in ms.
 func (r *Router) dispatchValue(req *request) int64 {
 	weight := req.class.PriorityWeight
 	if r.likelyLate(req) {
@@ -61,17 +61,16 @@
 	return weight * one / int64(max(req.class.typicalLatency/1000, 1))
 }
 
-// expectedLatency is how long an answer may well take, bounded by a share of the objective so that
-// no new request looks infeasible. With less time left most attempts would time out and waste the
-// server's work.
+// expectedLatency returns the time within which an answer is expected, bounded by a share of the
+// objective so that no new request looks infeasible. With less time left, most attempts would time out
+// and waste the server's work.
 //
-// The harm: where latency varies little, some requests are given up that would just have been
-// answered.
+// Trade-off: where latency varies little, some requests are given up that would just have been answered.
 func (r *Router) expectedLatency(req *request) clock.Micros {
 	return min(req.class.typicalLatency*expectedLatencyFactor, req.class.LatencyObjective*maxExpectedShare/one)
 }
 
-// likelyLate tells that a request may well run out of time. Sent while others wait, it would mostly
-// waste the server's work; where a server has capacity left it costs nobody, and clients with short
-// timeouts are still served.
-func (r *Router) likelyLate(req *request) bool { return r.now+r.expectedLatency(req) > r.endOf(req) }
+// likelyLate reports whether a request is likely to run out of time. Sending it while others wait would
+// mostly waste the server's work. Sending it to a server with spare capacity takes nothing from other
+// requests, and lets clients with short timeouts be served.
+func (r *Router) likelyLate(req *request) bool { return r.now+r.expectedLatency(req) > r.expiryOf(req) }
--- a/internal/policy/random.go
+++ b/internal/policy/random.go
@@ -1,9 +1,9 @@
 package policy
 
-// random is a splitmix64 sequence: fast, seeded, and the same on every machine.
+// random is a splitmix64 generator: fast, seeded, and with the same output on every machine.
 type random struct{ state uint64 }
 
-// below draws a number from 0 to n-1.
+// below returns a random number from 0 to n-1.
 func (r *random) below(n int) int {
 	r.state += 0x9e3779b97f4a7c15
 	z := r.state
--- a/internal/policy/read.go
+++ b/internal/policy/read.go
@@ -2,19 +2,20 @@
 
 import "slices"
 
-// The tuned numbers of reads from replicas. Shares are in thousandths.
+// Parameters of reads from replicas. Shares are in thousandths.
 const (
-	levelPart          = 8   // replicas within this part of the smallest bound count as equally far ahead
-	crowdedFactor      = 2   // a replica is crowded beyond this many times the emptiest one's attempts, plus one
+	toleranceDivisor   = 8   // a smaller lag than the smallest bound over this counts as equally far ahead
+	crowdedFactor      = 2   // a replica is crowded above this many times the fewest attempts, plus one
 	longReadBounds     = 2   // a read is long if its objective is over this many times the smallest bound
-	checkWaitPart      = 3   // a read waits for health checks of replicas for this part of its objective
-	readShareOfPrimary = 500 // of the primary's limit, which reads for replicas may fill
+	checkWaitDivisor   = 3   // a read waits for health checks of replicas for its objective over this
+	readShareOfPrimary = 500 // share of the primary's limit that reads for replicas may use
 )
 
-// placeRead is the freshness gate and the choice of a replica; every read for replicas passes
-// through it at the moment it is sent. It tries, in this order: the replicas known to be fresh
-// enough; where servers check freshness themselves, the replicas furthest ahead; where they do not,
-// a health check that may show one to be fresh; the primary.
+// placeRead returns the server for a read that replicas may serve, or nil if the read has to wait. It
+// checks freshness and chooses the replica; every such read passes through it at the moment it is sent.
+// It tries, in this order: the replicas known to be fresh enough; if servers check freshness themselves,
+// the replicas furthest ahead; if they do not, a health check that may show that a replica is fresh
+// enough; the primary.
 func (r *Router) placeRead(req *request) *server {
 	candidates, required := r.candidateReplicas(req), r.requiredPosition(req)
 	if r.isLongRead(req) {
@@ -43,18 +44,18 @@
 	return nil
 }
 
-// isLongRead tells that a read which any server may serve may take longer than the smallest
-// staleness bound.
+// isLongRead reports whether a read that any server may serve may take longer than the smallest staleness
+// bound.
 func (r *Router) isLongRead(req *request) bool {
 	return req.class.Need == NeedAny && req.class.LatencyObjective > r.minBound*longReadBounds
 }
 
-// longReadReplicas keeps, of the candidates, every other replica of the group, in the order of ids
-// that all gateways share. A replica may apply nothing while it runs a long read; spread over all
-// replicas they would leave none fresh. The primary's data are current in any case, so it may help
-// out.
+// longReadReplicas returns the candidates that are among every other replica of the group, in the order
+// of server ids, which is the same for all gateways. A replica may apply no commits while it runs a long
+// read, so long reads on all replicas would leave none of them fresh. The primary's data is always
+// current, so it may serve long reads too.
 //
-// The harm: where long reads do not stop replication, their half may be the fuller one.
+// Trade-off: where long reads do not stop replication, their half of the replicas may be the busier one.
 func (r *Router) longReadReplicas(g *group, candidates []*server) (out []*server) {
 	n := 0
 	for _, s := range g.servers {
@@ -72,14 +73,14 @@
 	return out
 }
 
-// awaitsHealthCheck has replicas checked for a bounded read that finds none fresh, and tells
-// whether the read should wait for that before the primary takes it. It acts where servers do not
-// check freshness: there an old known position rules a replica out, and with little traffic most
-// are old. All waiting reads share one check. The replica furthest ahead is checked first, so that
-// few positions have to be known, and none again within half the bound or before it can have caught
-// up.
+// awaitsHealthCheck starts a health check of a replica for a bounded read that found no fresh one, and
+// reports whether the read should wait for the result before it goes to the primary. It does so only if
+// servers do not check freshness: then a replica with an old known position cannot be used, and with
+// little traffic most positions are old. All waiting reads share one check. The replica furthest ahead is
+// checked first, so that few positions have to be known. No replica is checked again within half the
+// bound, or before it can have caught up.
 //
-// The harm: the read is later by the check.
+// Trade-off: the check delays the read.
 func (r *Router) awaitsHealthCheck(req *request, candidates []*server) bool {
 	if req.class.Need != NeedBounded || req.settings.FreshnessCheck != FreshnessCheckNone ||
 		!r.settings.CanHealthCheck {
@@ -102,9 +103,9 @@
 	return r.now < req.awaitsCheckUntil
 }
 
-// requiredPosition is the log position that a replica must have reached to serve a read sent now.
-// Where session positions are kept here, a read must see each write of its session that was
-// answered by now; one still in flight may have been committed.
+// requiredPosition returns the log position that a replica must have reached to serve a read sent now. If
+// the router remembers the session's writes, the read must see each of them that has been answered by
+// now; a write that is still in flight may already have been committed.
 func (r *Router) requiredPosition(req *request) Position {
 	switch {
 	case req.class.Need == NeedBounded:
@@ -117,13 +118,13 @@
 	return max(req.requiredPosition, req.session.position)
 }
 
-// candidateReplicas lists the replicas that may take a read now: in service, with capacity, not
-// crowded. Ejected ones are listed only when no other is left, so an ejection never empties a
+// candidateReplicas returns the replicas that may take a read now: in service, with capacity, and not
+// crowded. Ejected replicas are returned only if no other is left, so that ejection never empties a
 // group.
 //
-// The harm: a session moves away from its replica while that is crowded.
+// Trade-off: a session moves away from its replica while that is crowded.
 func (r *Router) candidateReplicas(req *request) []*server {
-	var open, ejected []*server
+	var available, ejected []*server
 	fewest := -1
 	for _, s := range req.group.servers {
 		if s == req.group.primary || !r.inService(s) || slices.Contains(req.misdirectedBy, s.id) {
@@ -137,19 +138,20 @@
 		case s.ejected:
 			ejected = append(ejected, s)
 		default:
-			open = append(open, s)
+			available = append(available, s)
 		}
 	}
-	if len(open) == 0 {
+	if len(available) == 0 {
 		return ejected
 	}
-	return slices.DeleteFunc(open, func(s *server) bool { return len(s.inFlight) > fewest*crowdedFactor+1 })
+	return slices.DeleteFunc(available, func(s *server) bool { return len(s.inFlight) > fewest*crowdedFactor+1 })
 }
 
-// preferOwnZone keeps the replicas of this gateway's own zone whose latency is below the cut of the
-// limit, if there are any, where crossing zones has a price.
+// preferOwnZone returns the replicas in this gateway's zone whose latency ratio is below
+// latencyRatioHigh, provided that there are any and that crossing zones has a cost. Otherwise it returns
+// all given replicas.
 //
-// The harm: a zone with more requests than replicas fills them up to that latency.
+// Trade-off: a zone with too many requests for its replicas loads them up to that latency.
 func (r *Router) preferOwnZone(from []*server) []*server {
 	var out []*server
 	for _, s := range from {
@@ -163,8 +165,8 @@
 	return out
 }
 
-// drawReplica keeps the session's sticky replica while it qualifies, and draws another one at
-// random when it does not.
+// drawReplica returns the session's sticky replica if it is among the given replicas. Otherwise it
+// chooses one of them at random, which becomes the sticky replica.
 func (r *Router) drawReplica(req *request, from []*server) *server {
 	if len(from) == 0 {
 		return nil
@@ -183,12 +185,12 @@
 	return s
 }
 
-// furthestAhead is what to try when no replica is known to be fresh enough and the servers check it
-// themselves: the replica with the highest known position, and those about as far. An old position
-// rules none out, for load reports may be late while the data is not; a rejected read does, for a
-// time that doubles until a read is served.
+// furthestAhead returns the replicas to try if none is known to be fresh enough and the servers check
+// freshness themselves: the one with the highest known position, and those about equally far ahead. An
+// old known position excludes no replica, because load reports may be late although the data is current.
+// A rejected read does, for a period that doubles until a read is served.
 //
-// The harm: some rejected reads where all replicas really lag.
+// Trade-off: some reads are rejected while all replicas really lag.
 func (r *Router) furthestAhead(candidates []*server) []*server {
 	var top Position
 	var ahead []*server
@@ -198,5 +200,5 @@
 			ahead = append(ahead, s)
 		}
 	}
-	return slices.DeleteFunc(ahead, func(s *server) bool { return s.position < top-r.minBound/levelPart })
+	return slices.DeleteFunc(ahead, func(s *server) bool { return s.position < top-r.minBound/toleranceDivisor })
 }
--- a/internal/policy/requests.go
+++ b/internal/policy/requests.go
@@ -5,27 +5,27 @@
 // request is one accepted request, from its arrival to its final answer.
 type request struct {
 	id       string
-	settings *Settings // in force when it came; it is finished under them, as its class
+	settings *Settings // in force on arrival; the request is finished under them, and as its class
 	class    *classState
 	group    *group
 	session  *session // nil: none
 
-	requiredPosition Position // what a replica must have applied, as far as it came with the request
+	requiredPosition Position // the position that a replica must have applied, if it came with the request
 	deadline         clock.Micros
 	objectiveAt      clock.Micros
-	awaitsCheckUntil clock.Micros // a bounded read waits for health checks of replicas until then
+	awaitsCheckUntil clock.Micros // until then a bounded read waits for health checks of replicas
 
 	attempts      []*attempt // all, by index
-	misdirectedBy []ServerID // replicas that turned it away as too far behind
+	misdirectedBy []ServerID // replicas that rejected it as too far behind
 
-	admissionDraw      int64 // against limits below one attempt, in thousandths
+	admissionDraw      int64 // random number against limits below one attempt, in thousandths
 	admissionDrawUntil clock.Micros
 
 	queued bool
-	done   bool // its final answer is given
+	done   bool // it has its final answer, or its client has disconnected
 }
 
-// outstanding counts the attempts in flight.
+// outstanding returns the number of attempts in flight.
 func (req *request) outstanding() int {
 	n := 0
 	for _, a := range req.attempts {
@@ -36,14 +36,14 @@
 	return n
 }
 
-// writesSession tells whether the request is a write whose commit its session's later reads must
-// see.
+// writesSession reports whether the request is a write that the later reads of its session must see.
 func (req *request) writesSession() bool { return req.class.Need == NeedWrite && req.session != nil }
 
-// acceptRequest takes a request in, sets its timer and queues it. With nothing sent by half of its
-// time it ends then: a later rejection would cost the client the time in which it could retry.
+// acceptRequest records a request, sets its timer and queues it. If nothing has been sent by half of the
+// request's time, the request ends then, because a later rejection would cost the client the time in
+// which it could retry.
 //
-// The harm: waiting on might have served it.
+// Trade-off: the request might have been served if it had waited longer.
 func (r *Router) acceptRequest(e Arrival) {
 	if r.requests[e.ID] != nil || e.Class < 0 || e.Class >= len(r.classes) {
 		return
@@ -52,7 +52,7 @@
 	req := &request{
 		id: e.ID, settings: r.settings, class: c, group: r.groupOf(e.Group),
 		deadline: r.now + e.TimeLeft, objectiveAt: r.now + c.LatencyObjective,
-		awaitsCheckUntil: r.now + c.LatencyObjective/checkWaitPart,
+		awaitsCheckUntil: r.now + c.LatencyObjective/checkWaitDivisor,
 	}
 	r.requests[req.id] = req
 	r.retryTokens = min(r.retryTokens+retryTokensPerArrival, maxSavedTokens*one)
@@ -61,18 +61,19 @@
 	if e.HasSession {
 		req.session = r.sessions.get(e.Session)
 	}
-	if c.Need == NeedSession && e.SinceWrite > 0 { // the commit that it must see comes with the request
+	if c.Need == NeedSession && e.SinceWrite > 0 { // the request carries the age of the commit that it must see
 		req.requiredPosition = r.now - e.SinceWrite
 	}
 	halfway := r.now + e.TimeLeft/2 - r.settings.Tick
-	r.setTimer(max(min(r.endOf(req), halfway), r.now+1), Timer{RequestID: req.id})
+	r.setTimer(max(min(r.expiryOf(req), halfway), r.now+1), Timer{RequestID: req.id})
 	r.enqueue(req)
 	r.dispatch(req.group)
 }
 
-// endOf is the time after which an answer to a request earns nothing: the latency objective for an
-// idempotent class without a late weight, a tick before the client stops waiting for any other.
-func (r *Router) endOf(req *request) clock.Micros {
+// expiryOf returns the time after which an answer to a request earns nothing. That is one tick before the
+// client stops waiting. For an idempotent class without a late weight it is no later than the latency
+// objective.
+func (r *Router) expiryOf(req *request) clock.Micros {
 	last := req.deadline - req.settings.Tick
 	if req.class.LateWeight == 0 && req.class.Effect == EffectIdempotent {
 		return min(last, req.objectiveAt)
@@ -80,26 +81,26 @@
 	return last
 }
 
-// requestTimer ends a request at its end, or halfway to it if nothing was sent for it by then.
+// requestTimer ends a request that has expired, or that is halfway to its deadline without an attempt.
 func (r *Router) requestTimer(id string) {
 	req := r.requests[id]
 	switch {
 	case req == nil:
-	case r.now >= r.endOf(req):
+	case r.now >= r.expiryOf(req):
 		r.finish(req, ReasonTimeUp)
 	case len(req.attempts) == 0:
 		r.finish(req, ReasonNothingSent)
 	default:
-		r.setTimer(r.endOf(req), Timer{RequestID: id})
+		r.setTimer(r.expiryOf(req), Timer{RequestID: id})
 	}
 }
 
-// finish gives the one final answer that is not a served one, and stops what is still in flight. It
-// rejects where it is true that a retry does no harm, and fails the request otherwise. A rejected
-// client is asked to stay away for as long as it heeds: lack of capacity or of a primary mostly
-// outlasts its patience.
+// finish gives a request its final answer if it is not served, and cancels the attempts that are still in
+// flight. It rejects the request if a retry is harmless, and fails it otherwise. The retry advice of a
+// rejection is the longest that the client obeys, because a lack of capacity or of a primary mostly
+// outlasts the client's patience.
 //
-// The harm: after a short fault it comes back later than it could.
+// Trade-off: after a short fault the client comes back later than it could.
 func (r *Router) finish(req *request, reason Reason) {
 	if req.done {
 		return
@@ -116,7 +117,7 @@
 	r.closeRequest(req)
 }
 
-// closeRequest marks a request as over and cancels its attempts in flight.
+// closeRequest marks a request as done and cancels its attempts in flight.
 func (r *Router) closeRequest(req *request) {
 	req.done = true
 	if req.queued {
@@ -131,7 +132,7 @@
 	r.releaseRequest(req)
 }
 
-// releaseRequest drops the record of a request that is over, once its last attempt has ended.
+// releaseRequest drops the record of a request that is done once its last attempt has ended.
 func (r *Router) releaseRequest(req *request) {
 	if req.done && req.outstanding() == 0 {
 		delete(r.requests, req.id)
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -1,19 +1,20 @@
 package policy
 
-// The tuned numbers of the retry budget. A token is 1000 thousandths.
+// Parameters of the retry budget. One token is 1000 thousandths.
 const (
-	retryTokensPerArrival = 200 // retries of what may have run, for each arrival, in thousandths
-	maxSavedTokens        = 10  // such retries saved up; health checks save as many
+	retryTokensPerArrival = 200 // tokens for retries that each arrival adds, in thousandths
+	maxSavedTokens        = 10  // maximum of tokens saved for retries, and likewise for health checks
 )
 
-// retryBudget bounds the retries of attempts that may have run. It is one of four bounds on retries: mayRetry
-// below has the second, placeOnPrimary (half of a write's attempts while no primary is known) the third, and
-// routing.Core.startAttempt, which checks the number of attempts and the deadline once more, the fourth.
+// retryBudget bounds the retries of attempts that may have run. It is one of four bounds on retries. The
+// others are mayRetry below, placeOnPrimary (half of a write's attempts while no primary is known), and
+// routing.Core.startAttempt, which checks the number of attempts and the deadline once more.
 type retryBudget struct {
-	retryTokens int64 // in thousandths; filled by arrivals
+	retryTokens int64 // in thousandths; added by arrivals
 }
 
-// mayHaveRun tells whether any attempt of a request ran or may have run. Those in flight may.
+// mayHaveRun reports whether any attempt of a request ran or may have run. An attempt in flight may have
+// run.
 func mayHaveRun(req *request) bool {
 	for _, a := range req.attempts {
 		if a.execution != ExecutionNone {
@@ -23,27 +24,28 @@
 	return false
 }
 
-// mayRetry tells whether a request may have another attempt: its final answer is not given, it has
-// attempts left, none is in flight, and a second run would do no harm.
+// mayRetry reports whether a request may have another attempt: it has no final answer, it has attempts
+// left, none is in flight, and a second run is harmless.
 func (r *Router) mayRetry(req *request) bool {
 	return !req.done && len(req.attempts) < req.settings.MaxAttempts && req.outstanding() == 0 && mayReject(req)
 }
 
-// mayReject tells whether it is true that the client may retry without harm: the class is
-// idempotent, or nothing may have run.
+// mayReject reports whether the client can be told that a retry is harmless: the class is idempotent, or
+// no attempt may have run.
 func mayReject(req *request) bool {
 	return req.class.Effect == EffectIdempotent || !mayHaveRun(req)
 }
 
-// takeRetryToken pays for a retry out of the budget and tells whether it could, so that slowness or
-// errors everywhere do not multiply the load. A retry of what never ran costs nothing.
+// takeRetryToken takes a token for a retry from the budget and reports whether there was one. The budget
+// prevents slow servers or errors everywhere from multiplying the load. The retry of an attempt that
+// never ran is free.
 //
-// The harm: with an empty budget a read ends that a retry could have saved.
+// Trade-off: while the budget is empty, a read ends that a retry could have saved.
 func (r *Router) takeRetryToken(ended *attempt) bool {
 	return ended.execution == ExecutionNone || takeToken(&r.retryTokens)
 }
 
-// takeToken takes one token from a budget, if there is one.
+// takeToken takes one token from a budget and reports whether there was one.
 func takeToken(budget *int64) bool {
 	if *budget < one {
 		return false
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -1,41 +1,41 @@
-// Package policy decides, for one gateway, where each request of a replicated database goes.
+// Package policy decides, for one gateway, which server gets each request for a replicated database.
 //
-// A Router is a pure state machine: Step turns (now, event) into actions. It owns no clock,
-// goroutine, socket or file, and draws random numbers only from the seed it was given. Package
-// routing drives it on its one goroutine, which alone may call it; package simhost drives it on the
-// simulator's wire. What it learns it forgets with the process.
+// A Router is a pure state machine: Step turns a time and an event into actions. It has no clock,
+// goroutine, socket or file, and takes its random numbers only from the seed that it was created with.
+// Package routing drives it in production from a single goroutine, which alone may call it; package simhost
+// drives it in the simulator. All of its state is in memory and is lost when the process ends.
 //
 // The path of a request:
 //
-//	Arrival -> acceptRequest: note its objective and deadline, set its timer, queue it
-//	        -> dispatch: the queue of its group, the highest value for the expected work first
+//	Arrival -> acceptRequest: record its objective and deadline, set its timer, queue it
+//	        -> dispatch: serve the queue of its group, the highest value for the expected work first
 //	        -> place: placeOnPrimary for writes and fresh reads, placeRead for the others
 //	        -> send, or wait in the queue until something changes
 //	Outcome -> learnFromOutcome: role, position, health, latency, errors
-//	        -> completeAttempt: served, or queued again as mayRetry and takeRetryToken allow, or finished
-//	Timer   -> requestTimer: finish at the request's end
+//	        -> completeAttempt: served; queued again if mayRetry and takeRetryToken allow it; or finished
+//	Timer   -> requestTimer: finish the request when it expires
 //	        -> sweep: subscription, removed servers, expired ejections, health checks, the queues
 //
-// Where the decisions stand:
+// Where each decision is made:
 //
 //   - Whether a server may be used: inService (drains, removals, health checks) and hasCapacity (back-off,
-//     concurrency limit, slow start). Of the placements only candidateReplicas looks at ejection.
-//   - Which replica: the freshness gate in placeRead, then drawReplica with the session's sticky replica.
+//     concurrency limit, slow start). Only candidateReplicas takes ejection into account.
+//   - Which replica: the freshness check in placeRead, then drawReplica with the session's sticky replica.
 //   - Down servers and health checks: healthCheckDue, healthCheckEnded, markDown, observeAlive.
 //   - The concurrency limit: observeLatency and cutLimit. Slow start: slowStartWeight, withinSlowStartBudget.
-//   - Outliers: detectOutlier ejects; the sweep only ends ejections (unejectExpired).
-//   - Retries are bounded in four places: mayRetry (attempts left, none in flight, no harm in a second run),
+//   - Outliers: detectOutlier ejects; unejectExpired, called by the sweep, ends ejections.
+//   - Retries are bounded in four places: mayRetry (attempts left, none in flight, a second run harmless),
 //     takeRetryToken (the budget), placeOnPrimary (half of a write's attempts while no primary is known), and
 //     routing.Core, which checks attempts, deadline and attempts in flight again before it sends, and ends
-//     what it does not send as ResultNotSent.
-//   - Every final answer that is not a served one passes through finish. Only an answer that was served, or
-//     the disconnect of its client, ends a request without it.
+//     an attempt that it does not send as ResultNotSent.
+//   - Every final answer other than a served one is given by finish. Only a served answer or the
+//     disconnect of the client ends a request without it.
 //
-// Package routing decides four things itself, before the router hears of them: it turns a fresh read that
-// a server answered as a replica into ResultMisdirected, though it ran; it rejects requests of groups
-// that no list has named, of classes that changed on the way, and with the id of a request still in hand;
-// it keeps a server that operators cordon draining whatever the list says; and it fails what is still
-// unanswered when the gateway stops.
+// Package routing makes four decisions itself, before the router gets the event. It turns a fresh read that
+// a server answered as a replica into ResultMisdirected, although the read ran. It rejects requests for
+// groups that no endpoint list has named, for classes that have changed in the meantime, and with the id of
+// a request that is still open. It keeps a server that operators cordon draining, whatever the list
+// contains. And it fails all requests that are still unanswered when the gateway stops.
 package policy
 
 import (
@@ -46,26 +46,27 @@
 	"marblespan/internal/clock"
 )
 
-// one is the whole of a share that is counted in thousandths.
+// one is 1 as a fixed-point number: shares and limits are counted in thousandths.
 const one = 1000
 
-// maxBackOffFactor bounds intervals that double: they grow up to this many learned objectives.
+// maxBackOffFactor bounds intervals that double to this multiple of maxObjective.
 const maxBackOffFactor = 8
 
-// sweepsPerObjective is how often the sweep runs within the smallest latency objective.
+// sweepsPerObjective is the number of sweeps within the smallest latency objective.
 const sweepsPerObjective = 16
 
-// Router decides for one gateway. It is not safe for concurrent use: one goroutine calls it.
+// Router makes the decisions of one gateway. It is not safe for concurrent use: a single goroutine must
+// make all calls.
 type Router struct {
 	settings *Settings // in force
 	classes  []*classState
 	rng      random
 	now      clock.Micros // never goes back
-	actions  []Action     // of the step under way
+	actions  []Action     // of the current step
 
 	servers    map[ServerID]*server
 	groups     map[int]*group
-	groupsByID []*group // in the order of their ids
+	groupsByID []*group // sorted by id
 	requests   map[string]*request
 	sessions   *sessions
 
@@ -76,7 +77,7 @@
 	subscription
 }
 
-// server is what this gateway knows of one database server.
+// server is this gateway's state of one database server.
 type server struct {
 	id        ServerID
 	group     *group
@@ -94,15 +95,15 @@
 // group is a primary and its replicas.
 type group struct {
 	id              int
-	servers         []*server // by id
-	primary         *server   // nil: not known
+	servers         []*server // sorted by id
+	primary         *server   // nil: unknown
 	primaryProvenAt clock.Micros
-	queue           []*request   // waiting for a server
-	lastRequestAt   clock.Micros // last arrival of a request; 0: never
+	queue           []*request   // requests that wait for a server
+	lastRequestAt   clock.Micros // arrival of the last request; 0: never
 }
 
-// New makes a router and returns the actions to carry out first. The same seed, settings and events
-// give the same actions.
+// New creates a router and returns the first actions to carry out. The same seed, settings and events
+// always produce the same actions.
 func New(now clock.Micros, seed uint64, settings Settings) (*Router, []Action) {
 	r := &Router{
 		rng:         random{seed},
@@ -114,7 +115,7 @@
 		workMeter:   workMeter{workSince: now},
 		retryBudget: retryBudget{retryTokens: maxSavedTokens * one},
 	}
-	r.adopt(settings)
+	r.applySettings(settings)
 	r.setTimer(now+r.sweepInterval(), Timer{Kind: TimerSweep})
 	if r.settings.ListSubscribed {
 		r.subscribe()
@@ -122,8 +123,8 @@
 	return r, r.takeActions()
 }
 
-// Step takes in one event and returns the actions that it calls for, in order. Time never goes
-// back: an earlier now counts as the last one.
+// Step processes one event and returns the resulting actions in order. Time never goes back: an earlier
+// now is replaced by the latest one so far.
 func (r *Router) Step(now clock.Micros, ev Event) []Action {
 	r.now = max(r.now, now)
 	switch e := ev.(type) {
@@ -150,9 +151,8 @@
 	return r.takeActions()
 }
 
-// sweep does what time alone calls for: it keeps the subscription to the endpoint list, drops
-// removed servers, ends ejections that are over, starts health checks that are due, and serves the
-// queues.
+// sweep does the periodic work: it maintains the subscription to the endpoint list, drops removed
+// servers, ends expired ejections, starts health checks that are due, and serves the queues.
 func (r *Router) sweep() {
 	r.setTimer(r.now+r.sweepInterval(), Timer{Kind: TimerSweep})
 	r.keepSubscribed()
@@ -174,12 +174,12 @@
 	}
 }
 
-// sweepInterval is the time from one sweep to the next.
+// sweepInterval returns the time from one sweep to the next.
 func (r *Router) sweepInterval() clock.Micros {
 	return max(r.settings.Tick, r.minObjective/sweepsPerObjective)
 }
 
-// groupOf finds a group, or makes an empty one.
+// groupOf returns the group with the given id, and creates it if it does not exist.
 func (r *Router) groupOf(id int) *group {
 	g := r.groups[id]
 	if g == nil {
@@ -191,22 +191,22 @@
 	return g
 }
 
-// takeActions hands over the actions gathered so far.
+// takeActions returns the actions collected so far and clears the list.
 func (r *Router) takeActions() (out []Action) {
 	out, r.actions = r.actions, nil
 	return out
 }
 
-// emit adds an action to those of the step under way.
+// emit adds an action to those of the current step.
 func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
 
-// setTimer asks for a timer event.
+// setTimer requests a timer event.
 func (r *Router) setTimer(at clock.Micros, t Timer) { r.emit(SetTimer{At: at, Timer: t}) }
 
-// log writes a line for the operators.
+// log adds a line to the operators' log.
 func (r *Router) log(format string, a ...any) { r.emit(Log{Text: fmt.Sprintf(format, a...)}) }
 
-// logServer is log for a line about a server.
+// logServer adds a line about a server to the operators' log.
 func (r *Router) logServer(s *server, format string, a ...any) {
 	r.emit(Log{Text: fmt.Sprintf(format, a...), Server: s.id})
 }
--- a/internal/policy/sessions.go
+++ b/internal/policy/sessions.go
@@ -1,34 +1,37 @@
 package policy
 
-// maxSessions is how many sessions are remembered; the positions of older ones merge into one floor.
+// maxSessions is the number of sessions that are remembered. The highest position of all forgotten ones
+// is kept as one floor.
 const maxSessions = 1 << 14
 
-// session is what is remembered of one session.
+// session is the state that is remembered for one session.
 type session struct {
 	key            uint64
-	position       Position // of its last commit through this gateway, as far as is known
-	writesInFlight int      // attempts of its writes
-	replica        ServerID // valid if sticky
+	position       Position // of its last known commit through this gateway
+	writesInFlight int      // attempts of its writes that are in flight
+	replica        ServerID // its sticky replica; valid if sticky
 	sticky         bool
 }
 
-// sessions is a store of bounded size that forgets the session first seen longest ago. All of its
-// memory is allocated at the start, so that it does not grow through the day.
+// sessions is a store of bounded size. When it is full, it replaces the session that was first seen
+// longest ago. All of its memory is allocated at the start, so that it does not grow while the gateway
+// runs.
 type sessions struct {
 	byKey map[uint64]*session
 	ring  []session
 	next  int
-	floor Position // the highest position of a session that was forgotten
+	floor Position // the highest position of a forgotten session
 }
 
-// newSessions makes a store for so many sessions.
+// newSessions creates a store for size sessions.
 func newSessions(size int) *sessions {
 	return &sessions{byKey: make(map[uint64]*session, size), ring: make([]session, 0, size)}
 }
 
-// get finds a session, or makes one that begins at the highest position ever forgotten. A request
-// that still holds the forgotten session can only raise the position of the new one. A session with
-// a write in flight is not forgotten.
+// get returns the session with the given key. If there is none, it creates one whose position is the
+// highest of any forgotten session. A request that still refers to a forgotten session can only raise the
+// position of the new one in its place. A session with a write in flight is not forgotten, unless all of
+// them have one.
 func (t *sessions) get(key uint64) *session {
 	if s := t.byKey[key]; s != nil {
 		return s
@@ -53,8 +56,8 @@
 	return s
 }
 
-// recordSessionWrite notes for the later reads of a session how an attempt of its write ended. What
-// may have run counts as committed by now: its answer may have been lost.
+// recordSessionWrite updates a session's position for its later reads when an attempt of its write has
+// ended. An attempt that may have run counts as committed by now, because its answer may have been lost.
 func (r *Router) recordSessionWrite(ended *attempt, e Outcome) {
 	sess := ended.request.session
 	sess.writesInFlight--
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -2,19 +2,19 @@
 
 import "marblespan/internal/clock"
 
-// Need says how current the data behind a request must be.
+// Need is how current the data behind a request must be.
 type Need uint8
 
-// The needs, from the least to the most demanding.
+// The needs, from least to most demanding.
 const (
-	NeedAny     Need = iota // every server will do
-	NeedBounded             // no older than the class's staleness bound when sent
-	NeedSession             // all that the session has written
-	NeedFresh               // all that was written before the request came in
-	NeedWrite               // changes data: only the primary takes it
+	NeedAny     Need = iota // any server may serve it
+	NeedBounded             // data no older than the class's staleness bound when the request is sent
+	NeedSession             // data with all writes of the session
+	NeedFresh               // data with every write made before the request arrived
+	NeedWrite               // changes data: only the primary may run it
 )
 
-// Effect says what a second run of a request may do.
+// Effect is the harm that a second run of a request may do.
 type Effect uint8
 
 // The effects. The zero value is the strictest.
@@ -23,53 +23,52 @@
 	EffectIdempotent                  // may run again without harm
 )
 
-// FreshnessCheck says what a server does with a read for which it is too far behind.
+// FreshnessCheck is what a server does with a read for which its data is too old.
 type FreshnessCheck uint8
 
-// The checks. The zero value trusts the servers with nothing.
+// The checks. The zero value is the strictest: the router must not rely on the servers.
 const (
-	FreshnessCheckNone   FreshnessCheck = iota // it answers from what it has
+	FreshnessCheckNone   FreshnessCheck = iota // it serves the read from its old data
 	FreshnessCheckReject                       // it rejects the read as misdirected at once
 	FreshnessCheckWait                         // it waits a while to catch up, then rejects it as misdirected
 )
 
-// Class is one kind of request.
+// Class is one class of requests.
 type Class struct {
-	Name             string // identifies it when the settings change
+	Name             string // identifies the class when the settings change
 	Need             Need
 	Effect           Effect
-	StalenessBound   clock.Micros // of NeedBounded
-	LatencyObjective clock.Micros // an answer within this time earns all of the weight
-	Deadline         clock.Micros // the client's patience over all attempts
+	StalenessBound   clock.Micros // for NeedBounded
+	LatencyObjective clock.Micros // an answer within this time earns the full priority weight
+	Deadline         clock.Micros // how long the client waits, over all attempts
 	PriorityWeight   int64        // in thousandths
-	LateWeight       int64        // share of the weight after the objective, in thousandths
+	LateWeight       int64        // share of the weight earned after the objective, in thousandths
 	ObjectiveStretch int64        // the objective grows by this multiple of the request's work, in thousandths
 }
 
-// Settings is all that a router is told at its start. Zero values are read as the strictest
-// sensible meaning.
+// Settings configures a router. Zero values are given the strictest meaning that makes sense.
 type Settings struct {
 	Classes []Class
 	Tick    clock.Micros // shortest time between two events
-	Zone    string       // where this gateway is; compared, never read
+	Zone    string       // this gateway's zone; only compared with those of servers
 
 	// The fleet of gateways.
-	Gateways        int // how many serve these servers
-	Ordinal         int // which of them this one is
+	Gateways        int // number of gateways that share these servers
+	Ordinal         int // number of this gateway among them
 	CanMessagePeers bool
 
-	// What the servers do and tell.
+	// Capabilities of the servers.
 	FreshnessCheck          FreshnessCheck
-	FreshnessCheckWait      clock.Micros // how long FreshnessCheckWait lasts
-	SessionPositionsCarried bool         // by session reads; otherwise the router remembers writes
-	AnswersCarryPosition    bool         // every answer does
+	FreshnessCheckWait      clock.Micros // how long a server waits to catch up
+	SessionPositionsCarried bool         // by session reads; otherwise the router remembers the writes
+	AnswersCarryPosition    bool         // every answer carries the server's position
 
 	// The endpoint list.
-	ListSubscribed    bool         // the list is subscribed to, not given
-	ListPushed        bool         // its changes count as known here at once, received or not
-	SubscribeWithin   clock.Micros // after this long without a subscription the list counts as known
-	DrainGrace        clock.Micros // sends to a draining or removed server must have ended after it
-	RemovedStayUsable bool         // only draining excludes a server, not removal from the list
+	ListSubscribed    bool         // the router subscribes to the list; otherwise it is given the list
+	ListPushed        bool         // changes count as known here at once, received or not
+	SubscribeWithin   clock.Micros // the list counts as known after this long without a subscription
+	DrainGrace        clock.Micros // after this long nothing may be sent to a draining or removed server
+	RemovedStayUsable bool         // only draining excludes a server; removal from the list does not
 
 	// Attempts and final answers.
 	CanHealthCheck    bool
@@ -79,48 +78,49 @@
 	MaxRetryAfter     clock.Micros
 	MaxAttempts       int
 	ConnectTimeout    clock.Micros
-	AnswerSlack       clock.Micros // a final answer this long after the deadline still counts
+	AnswerSlack       clock.Micros // a final answer up to this long after the deadline still counts
 
 	// Slow start.
-	SlowStartMinWeight int64        // least share of capacity at a server's start, in thousandths
-	SlowStartWindow    clock.Micros // slow start ends this long after the start
-	OverloadFactor     int64        // load that brings a server in slow start down, in thousandths
-	OverloadWindow     clock.Micros // ... of its capacity, if it lasts for this long
+	SlowStartMinWeight int64        // share of its capacity that a server has at its start, in thousandths
+	SlowStartWindow    clock.Micros // length of slow start, from the server's start
+	OverloadFactor     int64        // load that makes a server in slow start fail, in thousandths ...
+	OverloadWindow     clock.Micros // ... of its capacity, if the load lasts for this long
 
-	// CrossZoneCost is the price of each attempt that goes to another zone, in thousandths of a point; points
-	// count as a share of requests.
+	// CrossZoneCost is the cost of each attempt that goes to another zone, in thousandths of a point. Points
+	// are given as a share of requests.
 	CrossZoneCost int64
 }
 
-// objectiveSpread bounds what is learned to the pace of objectives up to this many times the
-// smallest.
+// objectiveSpread limits maxObjective to this many times minObjective, so that one class with a long
+// objective does not slow down all that the router learns.
 const objectiveSpread = 3
 
-// classState is a class, and what has been learned of it.
+// classState is a class and what the router has learned about it.
 type classState struct {
 	Class
-	typicalLatency clock.Micros // moving mean of its answers; 0: none yet
+	typicalLatency clock.Micros // moving mean of the latency of its answers; 0: no answer yet
 }
 
-// intervals are the paces that follow from the settings' classes.
+// intervals are the time scales that are derived from the classes in the settings.
 type intervals struct {
-	minObjective clock.Micros // the smallest latency objective: the pace of sweeps and of finding a primary
-	maxObjective clock.Micros // the largest, within objectiveSpread: the pace of what is learned
-	minBound     clock.Micros // the smallest staleness bound: the pace of health checks for freshness
+	minObjective clock.Micros // smallest latency objective: time scale of sweeps and of finding a primary
+	maxObjective clock.Micros // largest one, limited by objectiveSpread: time scale of what is learned
+	minBound     clock.Micros // smallest staleness bound: time scale of health checks for freshness
 }
 
-// Reconfigure puts other settings in force. A request in hand is finished under those that it came
-// under. What has been learned of servers, groups, sessions, and of classes that keep their names
-// stays.
+// Reconfigure replaces the settings. A request that has already arrived is finished under the settings in
+// force on its arrival. The router keeps what it has learned about servers, groups, sessions, and classes
+// that keep their names.
 func (r *Router) Reconfigure(now clock.Micros, settings Settings) []Action {
 	r.now = max(r.now, now)
-	r.adopt(settings)
+	r.applySettings(settings)
 	return r.takeActions()
 }
 
-// adopt takes settings over. Servers that the list has removed are looked at again: removal may
-// bind only now, and what was excluded stays so until the list says ready.
-func (r *Router) adopt(settings Settings) {
+// applySettings puts new settings in force. It processes the servers that the list has removed once more,
+// because the new settings may let removal exclude them. A server that is already excluded stays excluded
+// until the list marks it as ready.
+func (r *Router) applySettings(settings Settings) {
 	known := map[string]clock.Micros{}
 	for _, k := range r.classes {
 		known[k.Name] = k.typicalLatency
@@ -132,7 +132,7 @@
 	}
 	r.normalizeSettings()
 	r.deriveIntervals()
-	r.meanRequestWork = int64(r.minObjective / unseenWorkPart / 2)
+	r.meanRequestWork = int64(r.minObjective / unseenWorkDivisor / 2)
 	for _, g := range r.groupsByID {
 		for _, s := range g.servers {
 			if s.state == EndpointRemoved {
@@ -142,8 +142,8 @@
 	}
 }
 
-// normalizeSettings gives missing or contradictory settings the strictest reading that still works,
-// with a log line.
+// normalizeSettings replaces missing or contradictory settings by the strictest values that still work,
+// and logs each time value that it replaces.
 func (r *Router) normalizeSettings() {
 	s := r.settings
 	r.raiseTo(&s.Tick, 1, "tick")
@@ -153,22 +153,22 @@
 	for i, c := range r.classes {
 		r.raiseTo(&c.Deadline, s.Tick, "deadline")
 		if c.LatencyObjective <= 0 || c.LatencyObjective > c.Deadline {
-			r.log("class %d: latency objective read as its deadline", i)
+			r.log("class %d: latency objective is missing or longer than the deadline, using the deadline", i)
 			c.LatencyObjective = c.Deadline
 		}
 	}
 }
 
-// raiseTo raises a setting that is too small to the minimum.
+// raiseTo raises a setting that is below its minimum to the minimum, and logs the change.
 func (r *Router) raiseTo(v *clock.Micros, minimum clock.Micros, name string) {
 	if *v < minimum {
-		r.log("setting %s is %d us, read as %d", name, *v, minimum)
+		r.log("setting %s is %d us, using the minimum of %d us", name, *v, minimum)
 		*v = minimum
 	}
 }
 
-// deriveIntervals finds the intervals that follow from the classes. Without a class the connect
-// timeout stands for the objective, without a bounded one the objective for the bound.
+// deriveIntervals computes the intervals from the classes. Without classes it uses the connect timeout as
+// the objective, and without a class that has a staleness bound the smallest objective as the bound.
 func (r *Router) deriveIntervals() {
 	r.intervals = intervals{}
 	for _, c := range r.classes {
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -2,16 +2,16 @@
 
 import "marblespan/internal/clock"
 
-// The tuned numbers of slow start.
+// Parameters of slow start.
 const (
-	maxSlowStartDraw = 1500 // in thousandths of one request; above one, as the share of the budget is a guess
-	unseenWorkPart   = 4    // a request of a class not yet seen counts as this part of its objective
+	maxSlowStartDraw  = 1500 // in thousandths of one request; above one, as the budget's share is an estimate
+	unseenWorkDivisor = 4    // expected work of a class without answers: its objective divided by this
 )
 
-// slowStartState is what was sent to a server in slow start.
+// slowStartState records what was sent to a server in slow start.
 type slowStartState struct {
 	slowStartSends   []slowStartSend // within the last overload window
-	slowStartDraw    int64           // against a budget below one send, in thousandths
+	slowStartDraw    int64           // random number against a budget below one send, in thousandths
 	slowStartDrawnAt clock.Micros
 }
 
@@ -25,12 +25,12 @@
 type workMeter struct {
 	workServed      int64 // since workSince
 	workSince       clock.Micros
-	usualWork       int64 // moving mean of one server's work in an overload window
+	meanServerWork  int64 // moving mean of one server's work in an overload window
 	meanRequestWork int64 // moving mean of one request's work
 }
 
-// slowStartWeight is the least share of its capacity that a server has by now, in thousandths: from
-// the settings' minimum at its start, in a straight line, to one.
+// slowStartWeight returns the share of its capacity that a server has now, at least, in thousandths. It
+// grows linearly from SlowStartMinWeight at the start of the server to one at the end of slow start.
 func (r *Router) slowStartWeight(s *server) int64 {
 	age := r.now - s.startedAt
 	if s.startedAt == 0 || age >= r.settings.SlowStartWindow {
@@ -40,13 +40,14 @@
 	return first + (one-first)*int64(max(age, 0))/int64(r.settings.SlowStartWindow)
 }
 
-// withinSlowStartBudget keeps the work sent within any overload window under what brings a server
-// in slow start down. Each gateway keeps to its own share, measured by the work that it usually
-// gets from one server, so that all gateways together stay below the overload however unevenly they
-// are used. Less than one request is a chance, drawn once a window. Every attempt counts as the
-// usual work of its class, rejected ones too.
+// withinSlowStartBudget reports whether a request may be sent to a server in slow start. It keeps the
+// work sent within any overload window below the load that makes such a server fail. Each gateway keeps
+// to its own share, which is based on the work that one server usually does for it, so that all gateways
+// together stay below the overload however unevenly they are used. A budget of less than one request is
+// used as a probability, with one random number per window. Every attempt counts as the typical work of
+// its class, even if it is rejected.
 //
-// The harm: capacity comes back slowly.
+// Trade-off: capacity comes back slowly.
 func (r *Router) withinSlowStartBudget(s *server, req *request, weight int64) bool {
 	for len(s.slowStartSends) > 0 && r.now-s.slowStartSends[0].at >= r.settings.OverloadWindow {
 		s.slowStartSends = s.slowStartSends[1:]
@@ -59,21 +60,21 @@
 	for _, send := range s.slowStartSends {
 		used += send.work
 	}
-	share := max(r.usualWork, initialFleetLimit*r.meanRequestWork/int64(r.settings.Gateways))
+	share := max(r.meanServerWork, initialFleetLimit*r.meanRequestWork/int64(r.settings.Gateways))
 	return used < share*r.settings.OverloadFactor/one*weight/one
 }
 
-// expectedWork is the work that a request may be, as far as its class has been seen, in
-// microseconds.
+// expectedWork returns the work that a request is expected to cause, in microseconds: the typical latency
+// of its class, or a part of the objective as long as the class has no answers.
 func (r *Router) expectedWork(req *request) int64 {
 	if t := req.class.typicalLatency; t > 0 {
 		return int64(t)
 	}
-	return int64(req.class.LatencyObjective / unseenWorkPart)
+	return int64(req.class.LatencyObjective / unseenWorkDivisor)
 }
 
-// recordWork adds an answered request to the meter, and takes the mean over the servers in service
-// after each window.
+// recordWork adds an answered request to the meter. After each overload window it updates meanServerWork
+// with the mean over the servers in service.
 func (r *Router) recordWork(req *request) {
 	r.workServed += r.expectedWork(req)
 	r.meanRequestWork += (r.expectedWork(req) - r.meanRequestWork) / smoothing
@@ -88,7 +89,7 @@
 		}
 	}
 	mean := r.workServed * int64(r.settings.OverloadWindow) / int64(elapsed) / max(servers, 1)
-	r.usualWork += (mean - r.usualWork) / 2
+	r.meanServerWork += (mean - r.meanServerWork) / 2
 	r.workServed = 0
 	r.workSince = r.now
 }
--- a/internal/policy/view.go
+++ b/internal/policy/view.go
@@ -2,14 +2,14 @@
 
 import "marblespan/internal/clock"
 
-// Health is what a router knows of its servers, for those who decide whether its gateway is of use.
+// Health summarizes a router's servers, for callers that decide whether its gateway can serve requests.
 type Health struct {
-	UsableServers        int // in service: excluded neither by the list nor by health checks
-	GroupsWithoutPrimary int // groups with a request lately that have no known primary
+	UsableServers        int // in service: excluded neither by the endpoint list nor by health checks
+	GroupsWithoutPrimary int // groups with a recent request but without a known primary
 }
 
-// Health counts. Groups without a request in the last interval are left out: their primaries are
-// not looked for.
+// Health returns the current summary. GroupsWithoutPrimary leaves out groups without a request in the
+// last interval, because the router does not search for the primary of an idle group.
 func (r *Router) Health(interval clock.Micros) (h Health) {
 	for _, g := range r.groupsByID {
 		for _, s := range g.servers {
@@ -24,18 +24,19 @@
 	return h
 }
 
-// ServerView is what a router knows of one server, for those who decide whether it can be spared.
+// ServerView is a router's state of one server, for callers that decide whether the server can be taken
+// out of service.
 type ServerView struct {
 	Endpoint      // as listed
 	Primary       bool
 	Down          bool
 	InSlowStart   bool
-	Lag           clock.Micros // between its position and its last sign of life
-	LastRequestAt clock.Micros // of its group; 0: never
-	InFlight      int          // attempts
+	Lag           clock.Micros // from its position to its last sign of life
+	LastRequestAt clock.Micros // last arrival of a request for its group; 0: never
+	InFlight      int          // attempts in flight
 }
 
-// View tells of one server.
+// View returns the state of one server and reports whether the server is known.
 func (r *Router) View(id ServerID) (v ServerView, known bool) {
 	s := r.servers[id]
 	if s == nil {
