--- a/internal/policy/endpoints_test.go
+++ b/internal/policy/endpoints_test.go
@@ -10,10 +10,10 @@
 
 func TestDrainsAreObeyedAtOnce(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		update policy.EndpointUpdate
-		loose  bool
-		open   bool // may still be sent to
+		name              string
+		update            policy.EndpointUpdate
+		removedStayUsable bool
+		usable            bool // may still be sent to
 	}{
 		{"draining", policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{
 			{Server: 2, Group: 1, State: policy.EndpointDraining}}}, false, false},
@@ -21,30 +21,30 @@
 			{Server: 2, Group: 1, State: policy.EndpointRemoved}}}, false, false},
 		{"left out of a full list", policy.EndpointUpdate{Form: policy.ListFull, Endpoints: []policy.Endpoint{
 			endpoint(1, true)}}, false, false},
-		{"removed where only draining binds", policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{
+		{"removed where only draining excludes", policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{
 			{Server: 2, Group: 1, State: policy.EndpointRemoved}}}, true, true},
-		{"draining where only draining binds", policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{
+		{"draining where only draining excludes", policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{
 			{Server: 2, Group: 1, State: policy.EndpointDraining}}}, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			set := settings()
-			set.RemovedStayUsable = c.loose
+			set.RemovedStayUsable = c.removedStayUsable
 			g := newGateway(t, set)
 			g.group(2)
-			g.fresh(1, 0)
-			g.fresh(2, 0)
+			g.reportPosition(1, 0)
+			g.reportPosition(2, 0)
 			g.step(c.update)
 			g.arrive("q", anyRead)
-			if got := sent(g.acts, "q"); len(got) != 1 || (got[0] == 2) != c.open {
+			if got := sent(g.acts, "q"); len(got) != 1 || (got[0] == 2) != c.usable {
 				t.Errorf("sent to %v", got)
 			}
 		})
 	}
 }
 
-// A server that the list excludes gets nothing more: what waits for a connection there is withdrawn at once.
-// Where only draining binds, removal alone withdraws nothing. What was to go to a server that has restarted
-// since is withdrawn too.
+// Once the list excludes a server, nothing more is sent to it, and attempts that wait for a connection to it are
+// withdrawn at once. Where only draining excludes a server, its removal withdraws nothing. Attempts at a server
+// that has restarted since they were sent are withdrawn too.
 func TestUnstartedAttemptsAreWithdrawn(t *testing.T) {
 	for _, c := range []struct {
 		onlyDraining bool
@@ -68,13 +68,13 @@
 			}
 		}
 		if n != c.want {
-			t.Errorf("%+v: taken back %d times", c, n)
+			t.Errorf("%+v: withdrawn %d times", c, n)
 		}
 	}
 }
 
-// Where only draining binds, a list may drop running servers for a while: they stay in use. One that is truly
-// removed must still leave memory, or it is checked for ever.
+// Where only draining excludes a server, a list may omit running servers for a while, and they stay in use. The
+// router must still drop its state about a server that is really gone, or it would be checked forever.
 func TestRemovedServersAreForgottenOnlyWhenOutOfReach(t *testing.T) {
 	set := settings()
 	set.RemovedStayUsable = true
@@ -111,7 +111,7 @@
 		t.Errorf("%d of 4000 reads were served while the list was empty", served)
 	}
 	if last[3] > 30_000*ms {
-		t.Errorf("a server that is removed and out of reach was still tried %d s on", last[3]/1000/ms)
+		t.Errorf("a server that is removed and unreachable was still tried after %d s", last[3]/1000/ms)
 	}
 }
 
@@ -120,7 +120,7 @@
 	set.ListSubscribed = true
 	g := newGateway(t, set)
 	if count[policy.Watch](g.acts) != 1 {
-		t.Fatal("it does not subscribe at its start")
+		t.Fatal("the router does not subscribe at its start")
 	}
 	g.group(2)
 	asks := func(span clock.Micros) (n int, last clock.Micros) {
@@ -139,7 +139,7 @@
 		t.Errorf("%d attempts to subscribe in the first 2 s of failure, %d in the next 20 s", early, late)
 	}
 	if g.now-last > 1000*ms {
-		t.Error("it stopped subscribing")
+		t.Error("the router stopped trying to subscribe")
 	}
 	for range 400 {
 		if count[policy.Watch](g.sweep(25*ms)) > 0 {
@@ -148,9 +148,9 @@
 	}
 	g.step(policy.EndpointUpdate{Form: policy.ListDelta})
 	if n, _ := asks(8000 * ms); n != 0 {
-		t.Errorf("%d attempts to subscribe with a subscription that stands", n)
+		t.Errorf("%d attempts to subscribe while subscribed", n)
 	}
-	// Two gateways with different seeds do not subscribe in step.
+	// Gateways with different seeds do not subscribe at the same time.
 	spans := map[clock.Micros]bool{}
 	for seed := uint64(1); seed < 9; seed++ {
 		r, _ := policy.New(origin, seed, set)
@@ -163,13 +163,13 @@
 		}
 	}
 	if len(spans) < 4 {
-		t.Errorf("eight gateways subscribe again at only %d moments", len(spans))
+		t.Errorf("eight gateways subscribe again at only %d different times", len(spans))
 	}
 }
 
-// Attempts to subscribe that fail are made ever more seldom, and yet often enough: whatever failed before, a
-// change counts as known 6 s after discovery had it and could be reached. internal/gateway adds these
-// intervals to the time limits of the calls.
+// The back-off between failed attempts to subscribe grows, but stays bounded: whatever failed before, a change
+// counts as known 6 s after discovery had it and could be reached. internal/gateway adds these intervals to the
+// time limits of the calls.
 func TestSubscribeBackOff(t *testing.T) {
 	set := settings()
 	set.ListSubscribed = true
@@ -194,15 +194,15 @@
 		}
 	}
 	if first, last := sum[0]/seeds, sum[askings-1]/seeds; last < first*2 {
-		t.Errorf("the first pause is %d ms in the mean, the last %d", first/ms, last/ms)
+		t.Errorf("the mean of the first back-off is %d ms, that of the last %d", first/ms, last/ms)
 	}
 	if longest > 950*ms {
-		t.Errorf("a pause of %d ms", longest/ms)
+		t.Errorf("a back-off of %d ms", longest/ms)
 	}
 }
 
-// A pushed list counts as known here at once: a watch that ends is opened again with the next sweep, and only
-// what fails again waits.
+// Changes of a pushed list count as known at once. When its watch ends, the router subscribes again at the next
+// sweep, and backs off only if that fails too.
 func TestPushedListIsSubscribedToAtOnce(t *testing.T) {
 	set := settings()
 	set.ListSubscribed, set.ListPushed = true, true
@@ -211,7 +211,7 @@
 	g.step(policy.EndpointUpdate{Form: policy.ListDelta})
 	g.step(policy.EndpointUpdate{Form: policy.ListFailed})
 	if count[policy.Watch](g.sweep(1*ms)) != 1 {
-		t.Error("it is not subscribed to again at once")
+		t.Error("the router does not subscribe again at once")
 	}
 	g.step(policy.EndpointUpdate{Form: policy.ListFailed})
 	if count[policy.Watch](g.sweep(1*ms)) != 0 {
@@ -229,6 +229,6 @@
 		n += count[policy.Watch](g.sweep(25 * ms))
 	}
 	if n < 1 {
-		t.Error("it never subscribed again")
+		t.Error("the router never subscribed again")
 	}
 }
--- a/internal/policy/fleet_test.go
+++ b/internal/policy/fleet_test.go
@@ -9,20 +9,20 @@
 	"marblespan/internal/policy"
 )
 
-// fleet is many routers that share nothing but the servers: rules that bind them together are asserted on their sum.
+// fleet is a set of routers that share nothing but the servers. It is for rules that bound the sum over all routers.
 type fleet struct {
-	rigs  []*gateway
-	share []float64 // of the traffic, a router each
-	rng   *rand.Rand
-	n     int
-	due   []reply
-	sends map[policy.ServerID][]clock.Micros
-	stand func(clock.Micros) float64 // attempts that one server answers in a second; the others it rejects
-	spent map[policy.ServerID]float64
-	tries map[string]int
+	gateways []*gateway
+	share    []float64 // share of the traffic of each router
+	rng      *rand.Rand
+	n        int
+	due      []pendingAnswer
+	sends    map[policy.ServerID][]clock.Micros
+	capacity func(clock.Micros) float64 // attempts that one server answers in a second; it rejects the others
+	load     map[policy.ServerID]float64
+	attempts map[string]int
 }
 
-type reply struct {
+type pendingAnswer struct {
 	at clock.Micros
 	g  *gateway
 	id string
@@ -31,16 +31,16 @@
 	r  policy.Result
 }
 
-// newFleet makes n routers over one group; the first tenth of them carries half of the traffic.
+// newFleet creates n routers over one group. The first tenth of them carries half of the traffic.
 func newFleet(t *testing.T, n, servers int, set policy.Settings) *fleet {
 	f := &fleet{rng: rand.New(rand.NewSource(1)), sends: map[policy.ServerID][]clock.Micros{},
-		spent: map[policy.ServerID]float64{}, tries: map[string]int{}, stand: func(clock.Micros) float64 { return 1e6 }}
+		load: map[policy.ServerID]float64{}, attempts: map[string]int{}, capacity: func(clock.Micros) float64 { return 1e6 }}
 	set.Gateways = n
 	for i := range n {
 		g := &gateway{t: t, now: origin}
 		g.r, g.acts = policy.New(g.now, uint64(i+1), set)
 		g.group(servers)
-		f.rigs = append(f.rigs, g)
+		f.gateways = append(f.gateways, g)
 		share := 0.5 / (0.9 * float64(n))
 		if i < n/10 {
 			share = 0.5 / (0.1 * float64(n))
@@ -50,43 +50,43 @@
 	return f
 }
 
-// run plays any reads at a rate a second, by all routers together; each attempt is answered after 50 ms.
+// run sends reads of the any class, rate per second over all routers. Each attempt is answered after 50 ms.
 func (f *fleet) run(span clock.Micros, rate float64) {
-	now := f.rigs[0].now
+	now := f.gateways[0].now
 	for end := now + span; now < end; now += 25 * ms {
-		for id := range f.spent {
-			f.spent[id] = max(0, f.spent[id]-0.025*f.stand(now))
+		for id := range f.load {
+			f.load[id] = max(0, f.load[id]-0.025*f.capacity(now))
 		}
-		for i, g := range f.rigs {
+		for i, g := range f.gateways {
 			g.now = now
-			f.note(g, g.step(policy.Timer{Kind: policy.TimerSweep}))
+			f.recordSends(g, g.step(policy.Timer{Kind: policy.TimerSweep}))
 			if f.rng.Float64() < rate*0.025*f.share[i] {
 				f.n++
-				f.note(g, g.arrive(fmt.Sprint("a", f.n), anyRead))
+				f.recordSends(g, g.arrive(fmt.Sprint("a", f.n), anyRead))
 			}
 		}
-		var left []reply
+		var left []pendingAnswer
 		for _, d := range f.due {
 			if d.at > now {
 				left = append(left, d)
 				continue
 			}
-			f.note(d.g, d.g.outcome(d.id, d.n, d.s, d.r))
+			f.recordSends(d.g, d.g.outcome(d.id, d.n, d.s, d.r))
 		}
 		f.due = append(left, f.due[len(f.due):]...)
 	}
-	for _, g := range f.rigs {
+	for _, g := range f.gateways {
 		g.now = now
 	}
 }
 
-func (f *fleet) note(g *gateway, acts []policy.Action) {
+func (f *fleet) recordSends(g *gateway, acts []policy.Action) {
 	for _, a := range acts {
 		if s, ok := a.(policy.Send); ok {
 			f.sends[s.Server] = append(f.sends[s.Server], g.now)
-			d := reply{g.now + 50*ms, g, s.ID, s.Server, f.tries[s.ID], policy.ResultOK}
-			f.tries[s.ID]++
-			if f.spent[s.Server]++; f.spent[s.Server] > 1+f.stand(g.now)/2 {
+			d := pendingAnswer{g.now + 50*ms, g, s.ID, s.Server, f.attempts[s.ID], policy.ResultOK}
+			f.attempts[s.ID]++
+			if f.load[s.Server]++; f.load[s.Server] > 1+f.capacity(g.now)/2 {
 				d.r = policy.ResultOverloaded
 			}
 			f.due = append(f.due, d)
@@ -95,12 +95,13 @@
 	g.all = nil
 }
 
-// A budget of one send a window each is hundreds from hundreds of gateways. A server in slow start must stand the sum of
-// them, the few busy ones and the many with little traffic, and must still get requests.
+// A budget of one send per overload window and gateway adds up to hundreds of sends from hundreds of gateways. The
+// sum over all gateways, a few busy ones and many with little traffic, must not overload a server in slow start, and
+// the server must still get requests.
 func TestSlowStartBudgetHoldsForAllGateways(t *testing.T) {
 	for _, c := range []struct {
 		n       int
-		restart bool // half of the gateways start as the servers do, and have measured nothing
+		restart bool // half of the gateways start together with the servers and have measured nothing
 	}{{3, false}, {20, false}, {20, true}, {30, false}, {30, true}, {40, false}, {200, false}, {200, true}} {
 		n := c.n
 		set := settings()
@@ -111,9 +112,9 @@
 		for id := policy.ServerID(2); id <= replicas+1; id++ {
 			warm += len(f.sends[id])
 		}
-		capacity := float64(warm) / replicas / 20 / 0.7 // answered a second at 70% load
-		started := f.rigs[0].now
-		for i, g := range f.rigs {
+		capacity := float64(warm) / replicas / 20 / 0.7 // answers per second, as the servers were at 70% load
+		started := f.gateways[0].now
+		for i, g := range f.gateways {
 			if c.restart && i%2 == 0 {
 				set.Gateways = n
 				g.r, g.acts = policy.New(g.now, uint64(1000+i), set)
@@ -128,10 +129,10 @@
 			g.step(policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: update})
 		}
 		f.sends = map[policy.ServerID][]clock.Micros{}
-		f.stand = func(now clock.Micros) float64 {
+		f.capacity = func(now clock.Micros) float64 {
 			return capacity * (0.25 + 0.75*float64(now-started)/float64(set.SlowStartWindow))
 		}
-		f.run(9_000*ms, 400) // the whole group is in slow start, and all gateways want it
+		f.run(9_000*ms, 400) // all replicas are in slow start, and all gateways send to them
 		total := 0
 		for id := policy.ServerID(2); id <= replicas+1; id++ {
 			at := f.sends[id]
@@ -144,18 +145,19 @@
 				weight := float64(set.SlowStartMinWeight)/1000 + 0.75*float64(at[i]-started)/float64(set.SlowStartWindow)
 				limit := float64(set.OverloadFactor) / 1000 * weight * capacity * float64(set.OverloadWindow) / 1e6
 				if float64(k-i) > limit {
-					t.Fatalf("%+v: %d sends to server %d in slow start within an overload window, it stands %.0f", c, k-i, id, limit)
+					t.Fatalf("%+v: %d sends to server %d in slow start within an overload window, it can take %.0f", c, k-i, id, limit)
 				}
 			}
 		}
 		if total < 100 {
-			t.Errorf("%+v: only %d sends to the newcomers: they never warm up", c, total)
+			t.Errorf("%+v: only %d sends to the servers in slow start: they never warm up", c, total)
 		}
 	}
 }
 
-// One attempt in flight from each of hundreds of gateways overloads a server though each has few. Below one attempt the
-// limit is a chance; it recovers when answers are quick again, or with time alone.
+// One attempt in flight from each of hundreds of gateways overloads a server, although each gateway sends little.
+// Below one attempt the limit is the chance of admission. It recovers when answers are quick again, or with time
+// alone.
 func TestQuietGatewayHoldsBackByChance(t *testing.T) {
 	set := settings()
 	set.Gateways = 200
@@ -186,7 +188,7 @@
 		return float64(went) / float64(reads)
 	}
 	if got := share(20, policy.ResultOK); got < 0.9 {
-		t.Errorf("%.2f of the reads went to a sound replica", got)
+		t.Errorf("%.2f of the reads went to a healthy replica", got)
 	}
 	for range 6 {
 		share(1, policy.ResultTimeout)
@@ -195,15 +197,16 @@
 	if got := share(40, policy.ResultTimeout); got > 0.6 {
 		t.Errorf("%.2f of the reads still go to a replica that answers none in time", got)
 	}
-	for range 100 { // ten seconds, as time passes in service
+	for range 100 { // ten seconds with regular sweeps
 		g.sweep(100 * ms)
 	}
 	if got := share(40, policy.ResultOK); got < 0.8 {
-		t.Errorf("%.2f of the reads go to a replica that has been sound for long", got)
+		t.Errorf("%.2f of the reads go to a replica that has been healthy for a long time", got)
 	}
 }
 
-// A limited server must not starve the busy gateways: each of their requests has the same chance as one of a gateway with little traffic.
+// A limited server must not starve the busy gateways: each of their requests has the same chance of admission as one
+// of a gateway with little traffic.
 func TestBusyGatewayHasTheSameChance(t *testing.T) {
 	shares := map[clock.Micros]float64{}
 	for _, gap := range []clock.Micros{25 * ms, 1000 * ms} {
@@ -234,7 +237,8 @@
 	}
 }
 
-// A write that loses its draw at a limited primary must not be late for it: it has nowhere else to go.
+// A write that is not admitted at first by a limited primary must get further chances within its objective, because
+// no other server can take it.
 func TestWritesDrawAgainWithinTheirObjective(t *testing.T) {
 	set := settings()
 	set.Gateways, set.CanHealthCheck = 200, false
@@ -263,11 +267,11 @@
 		}
 	}
 	if went < 40 || went < 5*first {
-		t.Errorf("of 100 writes at a limited primary %d went at once and %d within their objective", first, went)
+		t.Errorf("of 100 writes to a limited primary %d were sent at once and %d within their objective", first, went)
 	}
 }
 
-// Reads that fall back to a limited primary get less of its chance than what only it can take.
+// Reads that fall back to a limited primary use less of its capacity than requests that only the primary can take.
 func TestReadsLeaveALimitedPrimaryToWrites(t *testing.T) {
 	went := map[int]int{}
 	for _, class := range []int{freshRead, boundedRead} {
@@ -289,7 +293,7 @@
 		}
 	}
 	if went[boundedRead]*4 > went[freshRead]*3 {
-		t.Errorf("%d bounded reads went to a limited primary, and %d that have nowhere else to go",
+		t.Errorf("%d bounded reads went to a limited primary, and %d fresh reads, which only it can serve",
 			went[boundedRead], went[freshRead])
 	}
 }
--- a/internal/policy/harness_test.go
+++ b/internal/policy/harness_test.go
@@ -9,7 +9,7 @@
 
 const (
 	ms     = clock.Micros(1000)
-	origin = 1_000_000 * ms // a start well away from zero, so that positions may lie before it
+	origin = 1_000_000 * ms // well above zero, so that positions may be earlier
 )
 
 // The classes of the test settings, by index.
@@ -19,7 +19,7 @@
 	sessionRead
 	freshRead
 	nonIdempotentWrite
-	lateRead // bounded, with a weight after its objective
+	lateRead // bounded, with a weight after the objective
 )
 
 func settings() policy.Settings {
@@ -52,6 +52,7 @@
 	all  []policy.Action
 }
 
+// newGateway creates a router with the given settings and an empty endpoint list.
 func newGateway(t *testing.T, set policy.Settings) *gateway {
 	g := &gateway{t: t, now: origin}
 	g.r, g.acts = policy.New(g.now, 7, set)
@@ -70,17 +71,17 @@
 	return g
 }
 
-// sweep lets time pass and delivers the sweep timer.
+// sweep advances the time and delivers the sweep timer.
 func (g *gateway) sweep(d clock.Micros) []policy.Action {
 	return g.after(d).step(policy.Timer{Kind: policy.TimerSweep})
 }
 
-// endpoint is a ready server of group 1 past its slow start.
+// endpoint returns a ready server of group 1 that is past its slow start.
 func endpoint(id policy.ServerID, primary bool) policy.Endpoint {
 	return policy.Endpoint{Server: id, Group: 1, State: policy.EndpointReady, Primary: primary}
 }
 
-// group lists server 1 as the primary and the others as replicas.
+// group delivers a list of n servers: server 1 is the primary, the others are replicas.
 func (g *gateway) group(n int) {
 	var ms []policy.Endpoint
 	for id := 1; id <= n; id++ {
@@ -89,25 +90,26 @@
 	g.step(policy.EndpointUpdate{Form: policy.ListCached, Endpoints: ms})
 }
 
-// fresh reports a server's position, so long ago.
-func (g *gateway) fresh(id policy.ServerID, ago clock.Micros) {
+// reportPosition delivers a load report with a position that is as old as ago.
+func (g *gateway) reportPosition(id policy.ServerID, ago clock.Micros) {
 	role := policy.RoleReplica
 	if id == 1 {
 		role = policy.RolePrimary
 	}
-	g.checked(id, role, g.now-ago)
+	g.reportHealth(id, role, g.now-ago)
 }
 
-// newFreshPair is a router over a primary, server 1, and a replica, server 2, both known to be fresh now.
+// newFreshPair returns a router with a primary, server 1, and a replica, server 2, both with a current position.
 func newFreshPair(t *testing.T) *gateway {
 	g := newGateway(t, settings())
 	g.group(2)
-	g.fresh(1, 0)
-	g.fresh(2, 0)
+	g.reportPosition(1, 0)
+	g.reportPosition(2, 0)
 	return g
 }
 
-func (g *gateway) checked(id policy.ServerID, role policy.Role, pos policy.Position) {
+// reportHealth delivers a successful health check with the given role and position.
+func (g *gateway) reportHealth(id policy.ServerID, role policy.Role, pos policy.Position) {
 	g.step(policy.HealthCheckEnded{
 		Server: id, Result: policy.ResultOK,
 		LoadReport: policy.LoadReport{Position: pos, HasPosition: true, Role: role},
@@ -118,12 +120,12 @@
 	return g.step(policy.Arrival{ID: id, Class: class, Group: 1, TimeLeft: 2000 * ms})
 }
 
-func (g *gateway) arriveOf(id string, class int, session uint64) []policy.Action {
+func (g *gateway) arriveInSession(id string, class int, session uint64) []policy.Action {
 	return g.step(policy.Arrival{ID: id, Class: class, Group: 1, TimeLeft: 2000 * ms, Session: session, HasSession: true})
 }
 
-// provenBy is what a result proves where nothing was rewritten on its way.
-func provenBy(res policy.Result) policy.Execution {
+// executionFor returns the execution that a result proves if the result has not been rewritten.
+func executionFor(res policy.Result) policy.Execution {
 	switch res {
 	case policy.ResultOK:
 		return policy.ExecutionDone
@@ -135,13 +137,13 @@
 
 func (g *gateway) outcome(id string, attempt int, server policy.ServerID, res policy.Result) []policy.Action {
 	return g.step(policy.Outcome{
-		ID: id, Attempt: attempt, Server: server, Result: res, Execution: provenBy(res), Final: res == policy.ResultOK, Latency: 50 * ms,
+		ID: id, Attempt: attempt, Server: server, Result: res, Execution: executionFor(res), Final: res == policy.ResultOK, Latency: 50 * ms,
 	})
 }
 
-// readPast plays one any read: the bad server ends each attempt with res at once, the others answer. It returns how
-// many attempts met the bad server.
-func (g *gateway) readPast(id string, bad policy.ServerID, res policy.Result) int {
+// readWithFaultyServer plays one read of the any class. The bad server ends each attempt with res at once, the
+// others answer. It returns the number of attempts at the bad server.
+func (g *gateway) readWithFaultyServer(id string, bad policy.ServerID, res policy.Result) int {
 	tries := 0
 	acts := g.arrive(id, anyRead)
 	for n := range 6 {
@@ -159,7 +161,7 @@
 	return tries
 }
 
-// sent returns the servers that the actions send a request to.
+// sent returns the servers to which the actions send a request.
 func sent(acts []policy.Action, id string) []policy.ServerID {
 	var out []policy.ServerID
 	for _, a := range acts {
@@ -170,7 +172,7 @@
 	return out
 }
 
-// ending returns "reject", "fail" or "" for a request.
+// ending returns how the actions end a request: "reject", "fail", or "" if they do not.
 func ending(acts []policy.Action, id string) string {
 	for _, a := range acts {
 		switch a := a.(type) {
--- a/internal/policy/health_test.go
+++ b/internal/policy/health_test.go
@@ -8,8 +8,8 @@
 	"marblespan/internal/policy"
 )
 
-// Connections that break at a server whose health checks succeed do not mark it down: the others would carry
-// its load, and a whole group would seem to restart for ever.
+// Broken connections do not mark a server as down while its health checks succeed. Otherwise the other servers
+// would have to carry its load, and a whole group would seem to restart again and again.
 func TestBrokenConnectionsDoNotMarkDown(t *testing.T) {
 	g := newGateway(t, settings())
 	g.group(3)
@@ -31,21 +31,21 @@
 		}
 		for _, a := range g.sweep(5 * ms) {
 			if p, ok := a.(policy.HealthCheck); ok {
-				g.fresh(p.Server, 0)
+				g.reportPosition(p.Server, 0)
 			}
 		}
 	}
 	if used[2] < 60 || used[3] < 60 {
-		t.Errorf("200 reads over two replicas with a reset in five: %v", used)
+		t.Errorf("200 reads over two replicas, one in five reset: %v", used)
 	}
 }
 
 func TestSilentServerIsCheckedAndLeft(t *testing.T) {
 	g := newGateway(t, settings())
 	g.group(3)
-	g.fresh(1, 0)
-	g.fresh(2, 0)
-	g.fresh(3, 0)
+	g.reportPosition(1, 0)
+	g.reportPosition(2, 0)
+	g.reportPosition(3, 0)
 	set := policy.ServerID(0)
 	g.step(policy.Arrival{ID: "q", Class: lateRead, Group: 1, TimeLeft: 2000 * ms})
 	set = sent(g.acts, "q")[0]
@@ -58,22 +58,22 @@
 					g.step(policy.HealthCheckEnded{Server: a.Server, Result: policy.ResultTimeout})
 					cancelled = cancelled || count[policy.Cancel](g.acts) > 0
 				} else {
-					g.fresh(a.Server, 0)
+					g.reportPosition(a.Server, 0)
 				}
 			}
 		}
 	}
 	if !cancelled {
-		t.Fatal("the read was left with a server that answers neither it nor health checks")
+		t.Fatal("the read was not cancelled at a server that answers neither the read nor health checks")
 	}
 	g.outcome("q", 0, set, policy.ResultCancelled)
 	if got := sent(g.acts, "q"); len(got) != 1 || got[0] == set {
-		t.Errorf("moved to %v from %d", got, set)
+		t.Errorf("retried at %v after %d", got, set)
 	}
 }
 
-// readFor plays reads of one group, each answered at once, and answers every health check. It returns the
-// checks by server.
+// readFor plays reads of one group, each answered at once, and answers every health check. It returns the number
+// of checks by server.
 func (g *gateway) readFor(span, gap clock.Micros) map[policy.ServerID]int {
 	checks := map[policy.ServerID]int{}
 	for t, n := clock.Micros(0), 0; t < span; t += 25 * ms {
@@ -86,7 +86,7 @@
 		for _, a := range g.sweep(25 * ms) {
 			if p, ok := a.(policy.HealthCheck); ok {
 				checks[p.Server]++
-				g.fresh(p.Server, 0)
+				g.reportPosition(p.Server, 0)
 			}
 		}
 	}
@@ -107,7 +107,7 @@
 	if at[1] > 1 {
 		t.Errorf("the known primary was checked %d times", at[1])
 	}
-	// No health check piles up on one that does not answer.
+	// A server that does not answer a health check gets no second one at the same time.
 	n := 0
 	for i := range 100 {
 		g.arrive(fmt.Sprint("u", i), boundedRead)
@@ -118,11 +118,11 @@
 		}
 	}
 	if n != 1 {
-		t.Errorf("%d health checks out at once", n)
+		t.Errorf("%d health checks in flight at once", n)
 	}
 }
 
-// Hundreds of gateways that each check for freshness at full pace would send more health checks than
+// Hundreds of gateways that each check for freshness at the full rate would send more health checks than
 // requests.
 func TestHealthChecksDoNotOutnumberRequests(t *testing.T) {
 	for _, gap := range []clock.Micros{0, 5000 * ms, 1000 * ms, 200 * ms} {
@@ -138,21 +138,21 @@
 			reads = int(20_000 * ms / gap)
 		}
 		if total > reads {
-			t.Errorf("a read each %d ms: %d health checks for %d reads", gap/ms, total, reads)
+			t.Errorf("one read per %d ms: %d health checks for %d reads", gap/ms, total, reads)
 		}
 		if reads > 0 && total == 0 {
-			t.Errorf("a read each %d ms: no health check at all", gap/ms)
+			t.Errorf("one read per %d ms: no health check at all", gap/ms)
 		}
 	}
 }
 
-// Servers that are down are checked no oftener than arrivals pay for: hundreds of gateways would check each
-// of them for ever.
+// Servers that are down are checked no more often than the tokens from arrivals allow. Otherwise hundreds of
+// gateways would check each of them forever.
 func TestHealthChecksOfDownServersArePaidByArrivals(t *testing.T) {
 	g := newGateway(t, settings())
 	g.group(3)
 	checks := 0
-	for i := range 2400 { // a minute, a read a second
+	for i := range 2400 { // one minute, one read per second
 		if i%40 == 0 {
 			id := fmt.Sprint("d", i)
 			for n := range 3 {
@@ -178,7 +178,7 @@
 				g.step(policy.HealthCheckEnded{Server: 3, Result: policy.ResultConnectFailed})
 				continue
 			}
-			g.fresh(p.Server, 0)
+			g.reportPosition(p.Server, 0)
 		}
 	}
 	if checks < 5 || checks > 40 {
@@ -186,9 +186,9 @@
 	}
 }
 
-// One class with a long objective does not set the pace of all: a server that is down is checked again after
-// times like those of the shorter objectives.
-func TestLongObjectiveSetsNoPace(t *testing.T) {
+// One class with a long objective does not slow down the router: a server that is down is checked again at
+// intervals that follow the shorter objectives.
+func TestLongObjectiveDoesNotDelayHealthChecks(t *testing.T) {
 	asked := func(longest clock.Micros) int {
 		set := settings()
 		set.Classes[anyRead].LatencyObjective, set.Classes[anyRead].Deadline = longest, 2*longest
--- a/internal/policy/limit_test.go
+++ b/internal/policy/limit_test.go
@@ -8,24 +8,24 @@
 	"marblespan/internal/policy"
 )
 
-// A server that rejects for overload in no time looks idle. It must be left alone, not draw more.
+// A server that rejects at once for overload looks idle. It must get fewer requests, not more.
 func TestQuickRejectionsDoNotAttract(t *testing.T) {
 	g := newGateway(t, settings())
 	g.group(4)
 	tries := 0
 	for i := range 200 {
-		tries += g.after(5*ms).readPast(fmt.Sprint("q", i), 2, policy.ResultOverloaded)
+		tries += g.after(5*ms).readWithFaultyServer(fmt.Sprint("q", i), 2, policy.ResultOverloaded)
 	}
 	if tries == 0 || tries > 12 {
-		t.Errorf("%d of 200 requests met the server that is full", tries)
+		t.Errorf("%d attempts of 200 requests went to the overloaded server", tries)
 	}
 }
 
-// Slow answers lower what may be in flight at a server; quick ones raise it again.
+// Slow answers lower the limit of attempts in flight at a server; quick answers raise it again.
 func TestLimitFollowsLatency(t *testing.T) {
 	g := newGateway(t, settings())
 	g.group(2)
-	g.fresh(1, 0)
+	g.reportPosition(1, 0)
 	run := func(tag string, latency clock.Micros) int {
 		for i := range 200 {
 			id := fmt.Sprint(tag, i)
@@ -47,11 +47,11 @@
 	before := run("a", 60*ms)
 	slow := run("b", 390*ms)
 	if slow*2 > before || slow < 1 {
-		t.Errorf("%d in flight at once while quick, %d after slow answers", before, slow)
+		t.Errorf("%d attempts in flight after quick answers, %d after slow ones", before, slow)
 	}
 }
 
-// oneOfManyGateways is one of 200 gateways, with a single replica.
+// oneOfManyGateways returns one of 200 gateways, with a single replica and no primary.
 func oneOfManyGateways(t *testing.T) *gateway {
 	set := settings()
 	set.Gateways = 200
@@ -61,9 +61,9 @@
 	return g
 }
 
-// Where hundreds of gateways each see little, a limit far below one attempt recovers after a few quick
-// answers: grown by a part of itself it took dozens, seconds apart each, and reads were rejected beside idle
-// servers.
+// Where hundreds of gateways each send little, a limit far below one attempt must recover after a few quick
+// answers. When each answer raised it only by a fraction of itself, recovery took dozens of answers, each seconds
+// apart, and reads were rejected while servers were idle.
 func TestSmallLimitsRecover(t *testing.T) {
 	g := oneOfManyGateways(t)
 	read := func(n int, took clock.Micros) (to int) {
@@ -82,9 +82,9 @@
 	}
 }
 
-// A limit that was not cut for long is doubled, not reset: of hundreds of gateways with few outcomes each
-// would reset every few seconds, and all together they would keep an overloaded server full of work that
-// times out.
+// A limit that has not been cut for a long time is doubled, not reset. With resets, hundreds of gateways with few
+// outcomes each would reset their limits every few seconds, and together keep an overloaded server full of work
+// that times out.
 func TestSmallLimitsAreNotResetAtOnce(t *testing.T) {
 	g := oneOfManyGateways(t)
 	for i := range 60 {
@@ -93,7 +93,7 @@
 			g.step(policy.Outcome{ID: id, Server: 2, Final: true, Latency: 390 * ms})
 		}
 	}
-	went := func(span clock.Micros) (n int) { // whose requests end before they tell anything
+	went := func(span clock.Micros) (n int) { // the requests end before their latency is observed
 		g.sweep(span)
 		for i := range 100 {
 			id := fmt.Sprint("r", g.now, i)
@@ -106,12 +106,12 @@
 		return n
 	}
 	if n := went(3300 * ms); n == 0 || n > 50 {
-		t.Errorf("%d of 100 requests went after one span", n)
+		t.Errorf("%d of 100 requests were sent after one doubling", n)
 	}
 	for range 4 {
 		g.sweep(3300 * ms)
 	}
 	if n := went(3300 * ms); n < 60 {
-		t.Errorf("%d of 100 requests went after six spans", n)
+		t.Errorf("%d of 100 requests were sent after six doublings", n)
 	}
 }
--- a/internal/policy/outlier_test.go
+++ b/internal/policy/outlier_test.go
@@ -12,15 +12,15 @@
 	g.group(4)
 	tries := 0
 	for i := range 400 {
-		tries += g.after(5*ms).readPast(fmt.Sprint("q", i), 2, policy.ResultError)
+		tries += g.after(5*ms).readWithFaultyServer(fmt.Sprint("q", i), 2, policy.ResultError)
 		g.sweep(0)
 	}
 	if tries < 5 || tries > 40 {
-		t.Errorf("%d attempts met the server that fails, want few and some trials", tries)
+		t.Errorf("%d attempts at the failing server, want 5 to 40", tries)
 	}
 }
 
-// An ejection never empties a group.
+// Replicas stay in use if all of them fail, because ejection never empties a group.
 func TestEjectionNeverEmptiesAGroup(t *testing.T) {
 	set := settings()
 	g := newGateway(t, set)
--- a/internal/policy/placement_test.go
+++ b/internal/policy/placement_test.go
@@ -8,12 +8,12 @@
 	"marblespan/internal/policy"
 )
 
-// The placement by class, and the freshness gate.
+// Each class goes to the right server, and a replica serves a read only if its data is fresh enough.
 func TestPlacementByClass(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		class  int
-		lag    clock.Micros // of the one replica, server 2
+		lag    clock.Micros // of the only replica, server 2
 		checks policy.FreshnessCheck
 		want   policy.ServerID
 	}{
@@ -30,42 +30,42 @@
 			set.FreshnessCheck = c.checks
 			g := newGateway(t, set)
 			g.group(2)
-			g.fresh(1, 0)
-			g.fresh(2, c.lag)
+			g.reportPosition(1, 0)
+			g.reportPosition(2, c.lag)
 			g.arrive("q", c.class)
 			g.wantSent("q", c.want)
 		})
 	}
 }
 
-// Where servers check freshness, the replica furthest ahead is tried first.
+// If servers check freshness, the replica furthest ahead is tried first.
 func TestReplicaFurthestAheadFirst(t *testing.T) {
 	set := settings()
 	set.FreshnessCheck = policy.FreshnessCheckWait
 	g := newGateway(t, set)
 	g.group(4)
-	g.fresh(2, 5000*ms)
-	g.fresh(3, 2000*ms)
-	g.fresh(4, 9000*ms)
+	g.reportPosition(2, 5000*ms)
+	g.reportPosition(3, 2000*ms)
+	g.reportPosition(4, 9000*ms)
 	g.arrive("q", boundedRead)
 	g.wantSent("q", 3)
-	// It is misdirected there: the next one ahead, and 3 is left out for a while even for others.
+	// Server 3 rejects the read: the next one ahead is tried, and other reads avoid 3 for a while too.
 	g.outcome("q", 0, 3, policy.ResultMisdirected)
 	g.wantSent("q", 2)
 	g.arrive("r", boundedRead)
 	g.wantSent("r", 2)
 }
 
-// Late load reports: positions look old while the data is not. Only a misdirected read rules a replica out
-// where servers check.
+// Load reports may be late: positions look old although the data is current. If servers check freshness, only a
+// rejected read excludes a replica.
 func TestOldPositionsDoNotSendReadsToThePrimary(t *testing.T) {
 	set := settings()
 	set.FreshnessCheck = policy.FreshnessCheckWait
 	g := newGateway(t, set)
 	g.group(3)
-	g.fresh(1, 0)
-	g.fresh(2, 4000*ms)
-	g.fresh(3, 4000*ms)
+	g.reportPosition(1, 0)
+	g.reportPosition(2, 4000*ms)
+	g.reportPosition(3, 4000*ms)
 	for i := range 10 {
 		id := fmt.Sprint("q", i)
 		g.after(20*ms).arrive(id, boundedRead)
@@ -75,7 +75,7 @@
 		}
 		g.outcome(id, 0, got[0], policy.ResultOK)
 	}
-	// When both have turned it away, the primary takes the read, and later ones at once.
+	// When both replicas have rejected the read, the primary takes it, and later reads at once.
 	g.arrive("m", boundedRead)
 	first := sent(g.acts, "m")[0]
 	g.outcome("m", 0, first, policy.ResultMisdirected)
@@ -85,8 +85,8 @@
 	g.wantSent("n", 1)
 }
 
-// Replicas of the own zone are drawn first where crossing zones has a price, until their latency nears the
-// objective; then those of other zones take over.
+// If crossing zones has a cost, replicas of the gateway's own zone are used first. When their latency nears the
+// objective, replicas of other zones are used too.
 func TestOwnZoneFirst(t *testing.T) {
 	for _, cost := range []int64{0, 49} {
 		set := settings()
@@ -123,13 +123,13 @@
 			t.Errorf("cost %d: %d reads in the zone, %d out of it", cost, east, west)
 		}
 		if _, west = read(200, 395*ms); west < 60 {
-			t.Errorf("cost %d: only %d of 200 reads left a strained zone", cost, west)
+			t.Errorf("cost %d: only %d of 200 reads left an overloaded zone", cost, west)
 		}
 	}
 }
 
-// Reads that take longer than the smallest bound go to the same half of the replicas at every gateway,
-// whatever its seed: a replica may apply nothing while it runs one. Without a replica of that half they go to
+// Reads that take longer than the smallest bound go to the same half of the replicas at every gateway, whatever
+// its seed, because a replica may apply nothing while it runs one. If no replica of that half is left, they go to
 // the others.
 func TestLongReadsTakeEveryOtherReplica(t *testing.T) {
 	set := settings()
@@ -140,7 +140,7 @@
 		g.r, _ = policy.New(g.now, seed, set)
 		g.group(5)
 		for id := policy.ServerID(1); id <= 5; id++ {
-			g.fresh(id, 0)
+			g.reportPosition(id, 0)
 		}
 		for n := range 4 {
 			id := fmt.Sprint("q", n)
@@ -162,16 +162,16 @@
 	g.wantSent("q", 2)
 }
 
-// A long read waits for its half of the replicas rather than stop replication at another; the primary's data
-// are current in any case.
+// A long read waits for its half of the replicas rather than stop replication at another one. The primary may
+// serve it, because its data is always current.
 func TestLongReadsStayOnTheirReplicas(t *testing.T) {
 	set := settings()
 	set.Classes[anyRead].LatencyObjective, set.Classes[anyRead].Deadline = 5000*ms, 10_000*ms
-	set.Gateways = 12 // one attempt at a server to begin with
+	set.Gateways = 12 // the initial limit is one attempt at a server
 	g := newGateway(t, set)
 	g.group(3)
 	for id := policy.ServerID(1); id <= 3; id++ {
-		g.fresh(id, 0)
+		g.reportPosition(id, 0)
 	}
 	g.arrive("a", anyRead)
 	g.wantSent("a", 3)
@@ -185,7 +185,7 @@
 	g.wantSent("b", 3)
 }
 
-// healthChecksOf returns the servers that the actions check.
+// healthChecksOf returns the servers whose health the actions check.
 func healthChecksOf(acts []policy.Action) (out []policy.ServerID) {
 	for _, a := range acts {
 		if p, ok := a.(policy.HealthCheck); ok {
@@ -195,14 +195,14 @@
 	return out
 }
 
-// A bounded read that finds no fresh replica checks the one furthest ahead and goes there on its report; all
-// that wait share the check. Hundreds of gateways that each know only old positions would otherwise fill the
-// primary with reads.
+// A bounded read that finds no fresh replica has the one furthest ahead checked, and goes there on its report.
+// All waiting reads share the check. Otherwise hundreds of gateways that each know only old positions would fill
+// the primary with reads.
 func TestBoundedReadChecksAReplicaFirst(t *testing.T) {
 	g := newGateway(t, settings())
 	g.group(4)
 	for id, ago := range []clock.Micros{0, 900 * ms, 850 * ms, 1000 * ms} {
-		g.fresh(policy.ServerID(id+1), ago)
+		g.reportPosition(policy.ServerID(id+1), ago)
 	}
 	g.after(10 * ms)
 	if asked := healthChecksOf(g.arrive("a", boundedRead)); len(asked) != 1 || asked[0] != 3 {
@@ -212,20 +212,20 @@
 	if asked := healthChecksOf(g.arrive("b", boundedRead)); len(asked) != 0 {
 		t.Fatalf("a second read checked %v", asked)
 	}
-	g.after(5*ms).fresh(3, 100*ms)
+	g.after(5*ms).reportPosition(3, 100*ms)
 	g.wantSent("a", 3)
 	g.wantSent("b", 3)
 	g.outcome("a", 0, 3, policy.ResultOK)
-	g.arrive("c", boundedRead) // the position still holds
+	g.arrive("c", boundedRead) // the position is still fresh enough
 	g.wantSent("c", 3)
 }
 
-// A replica found to be behind is not checked again for the same read; the primary takes it when no replica
-// is left, and when a report is not worth waiting for any longer.
+// A replica found to be behind is not checked again for the same read. The primary takes the read when no replica
+// is left, or when the wait for a report has taken too long.
 func TestBoundedReadFallsBackToThePrimary(t *testing.T) {
 	g := newGateway(t, settings())
 	g.group(3)
-	g.fresh(1, 0)
+	g.reportPosition(1, 0)
 	g.after(10 * ms)
 	g.arrive("a", boundedRead)
 	for n := range 2 {
@@ -233,7 +233,7 @@
 		if len(asked) != 1 {
 			t.Fatalf("step %d: checked %v", n, asked)
 		}
-		g.after(5*ms).fresh(asked[0], 2000*ms)
+		g.after(5*ms).reportPosition(asked[0], 2000*ms)
 	}
 	g.wantSent("a", 1)
 
@@ -251,11 +251,11 @@
 	}
 }
 
-// However many reads there are, replicas that all lag are checked a bounded number of times.
+// The number of health checks of lagging replicas is bounded, however many reads there are.
 func TestHealthChecksAreShared(t *testing.T) {
 	g := newGateway(t, settings())
 	g.group(5)
-	g.fresh(1, 0)
+	g.reportPosition(1, 0)
 	checks := 0
 	for n := range 200 {
 		checks += len(healthChecksOf(g.arrive(fmt.Sprint("q", n), boundedRead)))
--- a/internal/policy/primary_test.go
+++ b/internal/policy/primary_test.go
@@ -7,7 +7,7 @@
 	"marblespan/internal/policy"
 )
 
-// What proves which server is the primary, and what does not.
+// These cases show which evidence identifies the primary of a group, and which does not.
 func TestPrimaryEvidence(t *testing.T) {
 	primaryIs := func(g *gateway, want policy.ServerID) {
 		g.t.Helper()
@@ -16,33 +16,33 @@
 		g.wantSent(id, want)
 		g.outcome(id, 0, want, policy.ResultOK)
 	}
-	t.Run("a late report does not override newer proof", func(t *testing.T) {
+	t.Run("a late report does not override newer evidence", func(t *testing.T) {
 		g := newGateway(t, settings())
 		g.group(3)
 		g.after(1000 * ms)
-		g.checked(2, policy.RolePrimary, g.now)
+		g.reportHealth(2, policy.RolePrimary, g.now)
 		primaryIs(g, 2)
-		g.checked(1, policy.RolePrimary, g.now-500*ms) // a report from before the switch
+		g.reportHealth(1, policy.RolePrimary, g.now-500*ms) // a report from before the switch
 		primaryIs(g, 2)
-		g.checked(2, policy.RoleReplica, g.now-500*ms) // and one of before its election
+		g.reportHealth(2, policy.RoleReplica, g.now-500*ms) // a report from before its election
 		primaryIs(g, 2)
-		g.checked(3, policy.RolePrimary, g.now+50*ms) // never from the future
-		g.after(100*ms).checked(3, policy.RolePrimary, g.now)
+		g.reportHealth(3, policy.RolePrimary, g.now+50*ms) // never from the future
+		g.after(100*ms).reportHealth(3, policy.RolePrimary, g.now)
 		primaryIs(g, 3)
 	})
-	t.Run("the list is believed only until there is proof", func(t *testing.T) {
+	t.Run("the list is used only until there is evidence", func(t *testing.T) {
 		g := newGateway(t, settings())
 		g.group(3)
 		primaryIs(g, 1)
-		g.after(10*ms).checked(2, policy.RolePrimary, g.now)
+		g.after(10*ms).reportHealth(2, policy.RolePrimary, g.now)
 		g.group(3)
 		primaryIs(g, 2)
 	})
-	t.Run("a misdirected write takes the role away, and the next server is tried", func(t *testing.T) {
+	t.Run("a misdirected write clears the primary, and the next server is tried", func(t *testing.T) {
 		g := newGateway(t, settings())
 		g.group(3)
-		g.fresh(2, 300*ms)
-		g.fresh(3, 100*ms)
+		g.reportPosition(2, 300*ms)
+		g.reportPosition(3, 100*ms)
 		g.arrive("w", nonIdempotentWrite)
 		g.wantSent("w", 1)
 		g.after(ms).outcome("w", 0, 1, policy.ResultMisdirected)
@@ -50,14 +50,14 @@
 		g.after(ms).outcome("w", 1, 3, policy.ResultMisdirected)
 		g.wantSent("w", 2)
 		g.after(ms).outcome("w", 2, 2, policy.ResultMisdirected)
-		g.wantSent("w") // one round is enough: it waits
+		g.wantSent("w") // every server was tried once: the write waits
 		g.wantEnd("w", "")
-		// Another write does not go the round again.
+		// Another write does not try all servers again.
 		g.arrive("v", nonIdempotentWrite)
 		g.wantSent("v")
 		g.arrive("f", freshRead)
 		g.wantSent("f")
-		// The new primary shows itself in the role of an answer: all that waits goes there.
+		// An answer shows the role of the new primary: all waiting requests go there.
 		g.after(ms).arrive("a", anyRead)
 		to := sent(g.acts, "a")[0]
 		g.after(ms).step(policy.Outcome{ID: "a", Server: to, Final: true, Latency: ms, Role: policy.RolePrimary})
@@ -65,10 +65,10 @@
 			g.wantSent(id, to)
 		}
 	})
-	t.Run("what a former primary still finishes does not bring its role back", func(t *testing.T) {
+	t.Run("an attempt that a former primary finishes does not restore its role", func(t *testing.T) {
 		g := newGateway(t, settings())
 		g.group(3)
-		g.fresh(1, 0)
+		g.reportPosition(1, 0)
 		g.arrive("w", nonIdempotentWrite)
 		g.wantSent("w", 1)
 		g.after(50*ms).arrive("v", nonIdempotentWrite)
@@ -80,18 +80,18 @@
 		g.arrive("f", freshRead)
 		g.wantSent("f")
 	})
-	t.Run("a lost primary is looked for by health checks", func(t *testing.T) {
+	t.Run("health checks search for a lost primary", func(t *testing.T) {
 		g := newGateway(t, settings())
 		g.group(3)
 		g.sweep(25 * ms)
 		for id := policy.ServerID(1); id <= 3; id++ {
-			g.fresh(id, 0)
+			g.reportPosition(id, 0)
 		}
 		g.arrive("w", nonIdempotentWrite)
 		g.outcome("w", 0, 1, policy.ResultReset)
 		checks := 0
 		for i := range 40 {
-			g.arrive(fmt.Sprint("f", i), freshRead) // somebody waits for a primary
+			g.arrive(fmt.Sprint("f", i), freshRead) // a request waits for a primary
 			for _, a := range g.sweep(25 * ms) {
 				if p, ok := a.(policy.HealthCheck); ok {
 					checks++
@@ -108,7 +108,7 @@
 func TestDrainingPrimaryTakesNoWrite(t *testing.T) {
 	g := newGateway(t, settings())
 	g.group(2)
-	g.fresh(1, 0)
+	g.reportPosition(1, 0)
 	drained := endpoint(1, true)
 	drained.State = policy.EndpointDraining
 	g.step(policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{drained}})
@@ -116,11 +116,11 @@
 	g.wantSent("w", 2)
 	g.outcome("w", 0, 2, policy.ResultMisdirected)
 	g.wantSent("w")
-	g.after(50*ms).checked(2, policy.RolePrimary, g.now)
+	g.after(50*ms).reportHealth(2, policy.RolePrimary, g.now)
 	g.wantSent("w", 2)
 }
 
-// An answer that tells a replica's role is as good as a health check while the primary is looked for.
+// While the primary is unknown, an answer that shows a replica's role replaces a health check.
 func TestAnsweredRolesSaveHealthChecks(t *testing.T) {
 	checks := map[bool]int{}
 	for _, told := range []bool{false, true} {
@@ -153,6 +153,6 @@
 		}
 	}
 	if checks[true]*3 > checks[false] {
-		t.Errorf("%d health checks where answers tell roles, %d where they do not", checks[true], checks[false])
+		t.Errorf("%d health checks where answers show roles, %d where they do not", checks[true], checks[false])
 	}
 }
--- a/internal/policy/property_test.go
+++ b/internal/policy/property_test.go
@@ -9,9 +9,9 @@
 	"marblespan/internal/policy"
 )
 
-// world records the events and actions of one router, and asserts the rules on each action. It models no
-// server: outcomes, positions, roles and lists are random, only legal.
-type world struct {
+// ruleChecker drives one router with random events and asserts the rules on each action. It does not simulate
+// servers: outcomes, positions, roles and lists are random, as far as they are allowed.
+type ruleChecker struct {
 	t          *testing.T
 	seed       int64
 	set        policy.Settings
@@ -22,8 +22,8 @@
 	order      []string
 	srv        map[policy.ServerID]*modelServer
 	ids        []policy.ServerID
-	timer      []policy.SetTimer
-	unanswered []policy.ServerID
+	timers     []policy.SetTimer
+	openChecks []policy.ServerID
 	n          int
 }
 
@@ -33,79 +33,79 @@
 	deadline clock.Micros
 	arrived  clock.Micros
 	need     policy.Position
-	tries    []*modelAttempt
-	over     bool // ended by the router, by a final outcome or by the client
+	attempts []*modelAttempt
+	done     bool // ended by the router, by a final outcome or by the client
 	answered int
 }
 
 type modelAttempt struct {
-	server policy.ServerID
-	at     clock.Micros
-	out    bool
-	never  bool
+	server   policy.ServerID
+	at       clock.Micros
+	inFlight bool
+	neverRan bool
 }
 
 type modelServer struct {
-	group   int
-	state   policy.EndpointState
-	known   policy.Position // highest position reported
-	wasTold bool            // reported or listed as the primary, and not denied since
+	group        int
+	state        policy.EndpointState
+	known        policy.Position // highest position reported
+	mayBePrimary bool            // reported or listed as the primary, and not reported as a replica since
 }
 
-func (w *world) fail(format string, a ...any) {
+func (w *ruleChecker) fail(format string, a ...any) {
 	w.t.Helper()
 	w.t.Fatalf("seed %d, at %d: %s", w.seed, w.now-origin, fmt.Sprintf(format, a...))
 }
 
-func (w *world) do(acts []policy.Action) {
+func (w *ruleChecker) checkActions(acts []policy.Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case policy.Send:
 			w.send(a)
 		case policy.Reject:
-			q := w.ending(a.ID)
-			for _, t := range q.tries {
-				if !t.never && w.set.Classes[q.class].Effect == policy.EffectNonIdempotent {
+			q := w.recordEnd(a.ID)
+			for _, t := range q.attempts {
+				if !t.neverRan && w.set.Classes[q.class].Effect == policy.EffectNonIdempotent {
 					w.fail("%s: a non-idempotent request that may have run was rejected", a.ID)
 				}
 			}
 		case policy.Fail:
-			w.ending(a.ID)
+			w.recordEnd(a.ID)
 		case policy.Cancel:
-			if q := w.reqs[a.ID]; q == nil || a.Attempt >= len(q.tries) {
-				w.fail("%s: cancel of an attempt never made", a.ID)
+			if q := w.reqs[a.ID]; q == nil || a.Attempt >= len(q.attempts) {
+				w.fail("%s: cancel of an attempt that was never sent", a.ID)
 			}
 		case policy.SetTimer:
 			if a.At <= w.now {
-				w.fail("a timer in the past")
+				w.fail("a timer is set in the past")
 			}
-			w.timer = append(w.timer, a)
+			w.timers = append(w.timers, a)
 		case policy.HealthCheck:
 			s := w.srv[a.Server]
 			if s == nil {
-				w.fail("health check of %d, never listed", a.Server)
+				w.fail("health check of server %d, which was never listed", a.Server)
 			}
-			w.unanswered = append(w.unanswered, a.Server)
+			w.openChecks = append(w.openChecks, a.Server)
 		}
 	}
 }
 
-func (w *world) ending(id string) *modelRequest {
+func (w *ruleChecker) recordEnd(id string) *modelRequest {
 	q := w.reqs[id]
-	if q == nil || q.over {
-		w.fail("%s: a final answer to a request that is over", id)
+	if q == nil || q.done {
+		w.fail("%s: a final answer to an unknown or ended request", id)
 	}
 	if w.now > q.deadline+w.set.AnswerSlack {
 		w.fail("%s: answered %d us past its deadline", id, w.now-q.deadline)
 	}
-	q.over, q.answered = true, q.answered+1
+	q.done, q.answered = true, q.answered+1
 	return q
 }
 
-func (w *world) send(a policy.Send) {
+func (w *ruleChecker) send(a policy.Send) {
 	q, s := w.reqs[a.ID], w.srv[a.Server]
-	if q == nil || q.over {
-		w.fail("%s: sent though it is over", a.ID)
+	if q == nil || q.done {
+		w.fail("%s: an unknown or ended request was sent", a.ID)
 	}
 	if s == nil || s.group != q.group {
 		w.fail("%s: sent to %d, outside its group", a.ID, a.Server)
@@ -113,19 +113,19 @@
 	if s.state != policy.EndpointReady && !(w.set.RemovedStayUsable && s.state == policy.EndpointRemoved) {
 		w.fail("%s: sent to %d in state %d", a.ID, a.Server, s.state)
 	}
-	if len(q.tries) >= w.set.MaxAttempts {
+	if len(q.attempts) >= w.set.MaxAttempts {
 		w.fail("%s: more attempts than allowed", a.ID)
 	}
 	c := w.set.Classes[q.class]
-	for _, t := range q.tries {
+	for _, t := range q.attempts {
 		switch {
-		case t.out && !w.set.CanHedge:
+		case t.inFlight && !w.set.CanHedge:
 			w.fail("%s: two attempts in flight", a.ID)
-		case !t.never && c.Effect == policy.EffectNonIdempotent:
+		case !t.neverRan && c.Effect == policy.EffectNonIdempotent:
 			w.fail("%s: a non-idempotent request that may have run was sent again", a.ID)
 		}
 	}
-	if w.set.FreshnessCheck == policy.FreshnessCheckNone && !s.wasTold {
+	if w.set.FreshnessCheck == policy.FreshnessCheckNone && !s.mayBePrimary {
 		need := q.need
 		switch c.Need {
 		case policy.NeedBounded:
@@ -134,15 +134,15 @@
 			need = q.arrived
 		}
 		if c.Need != policy.NeedWrite && c.Need != policy.NeedAny && s.known < need {
-			w.fail("%s: a read that needs %d went to %d, known at %d", a.ID, need-origin, a.Server, s.known-origin)
+			w.fail("%s: a read that needs position %d was sent to server %d, whose known position is %d", a.ID, need-origin, a.Server, s.known-origin)
 		}
 	}
-	q.tries = append(q.tries, &modelAttempt{server: a.Server, at: w.now, out: true})
+	q.attempts = append(q.attempts, &modelAttempt{server: a.Server, at: w.now, inFlight: true})
 }
 
-func (w *world) step(ev policy.Event) { w.do(w.r.Step(w.now, ev)) }
+func (w *ruleChecker) step(ev policy.Event) { w.checkActions(w.r.Step(w.now, ev)) }
 
-func (w *world) arrive() {
+func (w *ruleChecker) arrive() {
 	w.n++
 	id := fmt.Sprint("q", w.n)
 	class := w.rng.Intn(len(w.set.Classes))
@@ -161,11 +161,11 @@
 	w.step(e)
 }
 
-func (w *world) outcome() {
+func (w *ruleChecker) endAttempt() {
 	var ids []string
 	for _, id := range w.order {
-		for _, t := range w.reqs[id].tries {
-			if t.out {
+		for _, t := range w.reqs[id].attempts {
+			if t.inFlight {
 				ids = append(ids, id)
 				break
 			}
@@ -177,19 +177,19 @@
 	id := ids[w.rng.Intn(len(ids))]
 	q := w.reqs[id]
 	k := 0
-	for !q.tries[k].out {
+	for !q.attempts[k].inFlight {
 		k++
 	}
-	t, s := q.tries[k], w.srv[q.tries[k].server]
+	t, s := q.attempts[k], w.srv[q.attempts[k].server]
 	res := []policy.Result{0, 0, 0, 0, 0, 0, 0, 1, 2, 3, 4, 5, 6, 8}[w.rng.Intn(14)]
-	t.out = false
-	// Any result may come with any execution: roles, freshness and health rewrite results.
-	execution := provenBy(res)
+	t.inFlight = false
+	// Any result may come with any execution, because results are rewritten for roles, freshness and health.
+	execution := executionFor(res)
 	if w.rng.Intn(3) == 0 {
 		execution = []policy.Execution{policy.ExecutionUnknown, policy.ExecutionNone, policy.ExecutionDone}[w.rng.Intn(3)]
 	}
 	wasWhole := res == policy.ResultOK || res == policy.ResultError || res == policy.ResultTimeout || res == policy.ResultReset
-	t.never = execution == policy.ExecutionNone && !wasWhole
+	t.neverRan = execution == policy.ExecutionNone && !wasWhole
 	o := policy.Outcome{ID: id, Attempt: k, Server: t.server, Result: res, Execution: execution, Latency: w.now - t.at}
 	switch res {
 	case policy.ResultOK, policy.ResultError, policy.ResultOverloaded, policy.ResultMisdirected:
@@ -201,16 +201,16 @@
 			o.Position = w.now - clock.Micros(w.rng.Intn(1500))*ms
 			s.known = max(s.known, o.Position)
 		}
-		s.wasTold = s.wasTold && o.Role != policy.RoleReplica || o.Role == policy.RolePrimary
+		s.mayBePrimary = s.mayBePrimary && o.Role != policy.RoleReplica || o.Role == policy.RolePrimary
 	}
 	if res == policy.ResultOK {
-		q.over = true
+		q.done = true
 	}
-	o.Final = q.over
+	o.Final = q.done
 	w.step(o)
 }
 
-func (w *world) update() {
+func (w *ruleChecker) updateEndpoint() {
 	id := w.ids[w.rng.Intn(len(w.ids))]
 	s := w.srv[id]
 	s.state = policy.EndpointReady
@@ -222,35 +222,36 @@
 		m.Started = w.now - clock.Micros(w.rng.Intn(3000))*ms
 	}
 	if m.Primary {
-		s.wasTold = true
+		s.mayBePrimary = true
 	}
 	w.step(policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{m}})
 }
 
-func (w *world) report() {
-	if len(w.unanswered) == 0 {
+func (w *ruleChecker) endHealthCheck() {
+	if len(w.openChecks) == 0 {
 		return
 	}
-	id := w.unanswered[0]
-	w.unanswered = w.unanswered[1:]
+	id := w.openChecks[0]
+	w.openChecks = w.openChecks[1:]
 	p := policy.HealthCheckEnded{Server: id, Result: []policy.Result{0, 0, 0, 0, 0, 0, 0, 2, 3, 4}[w.rng.Intn(10)], Latency: ms}
 	if p.Result == policy.ResultOK {
 		s := w.srv[id]
 		p.LoadReport.HasPosition, p.LoadReport.Position = true, w.now-clock.Micros(w.rng.Intn(2500))*ms
 		p.LoadReport.Role = []policy.Role{policy.RolePrimary, policy.RoleReplica, policy.RoleReplica}[w.rng.Intn(3)]
 		s.known = max(s.known, p.LoadReport.Position)
-		s.wasTold = s.wasTold || p.LoadReport.Role == policy.RolePrimary
+		s.mayBePrimary = s.mayBePrimary || p.LoadReport.Role == policy.RolePrimary
 	}
 	w.step(p)
 }
 
-// due delivers the timers that have come due, as the wire does: at the first tick at or after their time.
-func (w *world) due() {
+// fireTimers delivers the timers that are due, each at the first tick at or after its time, as the simulator
+// does.
+func (w *ruleChecker) fireTimers() {
 	for fired := true; fired; {
 		fired = false
-		for i, a := range w.timer {
+		for i, a := range w.timers {
 			if a.At <= w.now {
-				w.timer = append(w.timer[:i:i], w.timer[i+1:]...)
+				w.timers = append(w.timers[:i:i], w.timers[i+1:]...)
 				w.step(a.Timer)
 				fired = true
 				break
@@ -259,23 +260,23 @@
 	}
 }
 
-func (w *world) clientsLeave() {
+func (w *ruleChecker) disconnectClients() {
 	for _, id := range w.order {
 		q := w.reqs[id]
-		if !q.over && (w.now > q.deadline+w.set.AnswerSlack) {
+		if !q.done && (w.now > q.deadline+w.set.AnswerSlack) {
 			w.fail("%s: no final answer by its deadline", id)
 		}
-		if !q.over && w.rng.Intn(500) == 0 {
-			q.over = true
+		if !q.done && w.rng.Intn(500) == 0 {
+			q.done = true
 			w.step(policy.ClientDisconnected{ID: id})
 		}
 	}
 	if len(w.order) > 400 {
 		var kept []string
 		for _, id := range w.order {
-			open := !w.reqs[id].over
-			for _, t := range w.reqs[id].tries {
-				open = open || t.out
+			open := !w.reqs[id].done
+			for _, t := range w.reqs[id].attempts {
+				open = open || t.inFlight
 			}
 			if open {
 				kept = append(kept, id)
@@ -298,41 +299,41 @@
 		set.ListSubscribed, set.RemovedStayUsable = seed%5 == 0, seed%7 == 0
 		set.Gateways, set.CanCancel, set.CanSendRetryAfter = []int{1, 2, 3, 40, 250}[seed%5], seed%4 != 0, seed%3 == 0
 		set.MaxAttempts = 1 + int(seed%8)
-		w := &world{t: t, seed: seed, set: set, rng: rng, now: origin,
+		w := &ruleChecker{t: t, seed: seed, set: set, rng: rng, now: origin,
 			reqs: map[string]*modelRequest{}, srv: map[policy.ServerID]*modelServer{}}
 		r, acts := policy.New(w.now, uint64(seed), set)
 		w.r = r
-		w.do(acts)
+		w.checkActions(acts)
 		var list []policy.Endpoint
 		for id := policy.ServerID(1); id <= 8; id++ {
 			g := 1 + int(id)%2
-			w.srv[id] = &modelServer{group: g, state: policy.EndpointReady, wasTold: id <= 2}
+			w.srv[id] = &modelServer{group: g, state: policy.EndpointReady, mayBePrimary: id <= 2}
 			w.ids = append(w.ids, id)
 			list = append(list, policy.Endpoint{Server: id, Group: g, State: policy.EndpointReady, Primary: id <= 2})
 		}
 		w.step(policy.EndpointUpdate{Form: policy.ListCached, Endpoints: list})
 		for range 4000 {
 			w.now += 5 * ms
-			w.due()
-			w.clientsLeave()
+			w.fireTimers()
+			w.disconnectClients()
 			for k := rng.Intn(4); k > 0; k-- {
 				switch n := rng.Intn(20); {
 				case n < 4:
 					w.arrive()
 				case n < 15:
-					w.outcome()
+					w.endAttempt()
 				case n < 19:
-					w.report()
+					w.endHealthCheck()
 				case rng.Intn(3) == 0:
-					w.update()
+					w.updateEndpoint()
 				}
 			}
 		}
 		for _, q := range w.reqs {
-			sends, ends = sends+len(q.tries), ends+q.answered
+			sends, ends = sends+len(q.attempts), ends+q.answered
 		}
 	}
 	if sends < 20_000 || ends < 20_000 {
-		t.Fatalf("these days prove little: %d sends, %d final answers", sends, ends)
+		t.Fatalf("too few events to check the rules: %d sends, %d final answers", sends, ends)
 	}
 }
--- a/internal/policy/queue.go
+++ b/internal/policy/queue.go
@@ -21,9 +21,9 @@
 	}
 }
 
-// dispatch serves a group's queue: the highest value for the expected work first, and the oldest first
-// among equals. A request that is likely to be late comes last, and gets its final answer now if the
-// others have left no capacity for it. A request with too little time left for any attempt is finished.
+// dispatch serves a group's queue: the highest value per expected work first, and the oldest first among
+// equals. A request that is likely to be late comes last, and gets its final answer now if the others
+// have left no capacity for it. A request with too little time left for any attempt is finished.
 func (r *Router) dispatch(g *group) {
 	queue := slices.Clone(g.queue)
 	slices.SortStableFunc(queue, func(a, b *request) int { return int(r.dispatchValue(b) - r.dispatchValue(a)) })
--- a/internal/policy/queue_test.go
+++ b/internal/policy/queue_test.go
@@ -8,14 +8,14 @@
 	"marblespan/internal/policy"
 )
 
-// A waiting request that could not be answered within its objective any more is given up at once, not sent to
-// time out.
+// A waiting request that cannot be answered within its objective any more is given up at once, because it would
+// only time out if it were sent.
 func TestInfeasibleIsNotSent(t *testing.T) {
 	set := settings()
 	set.CanSendRetryAfter = true
 	g := newGateway(t, set)
 	g.group(2)
-	g.fresh(1, 0)
+	g.reportPosition(1, 0)
 	for i := range 60 {
 		id := fmt.Sprint("a", i)
 		g.after(10*ms).arrive(id, freshRead)
@@ -36,18 +36,18 @@
 	g.wantEnd(waiting, "reject")
 	for _, a := range g.acts {
 		if r, ok := a.(policy.Reject); ok && r.ID == waiting && r.RetryAfter != set.MaxRetryAfter {
-			t.Errorf("advice to come back in %d us", r.RetryAfter)
+			t.Errorf("retry advice of %d us, want the maximum", r.RetryAfter)
 		}
 	}
 }
 
-// When the primary's capacity is scarce, the request with the higher priority weight goes first.
+// While the primary has no spare capacity, the request with the higher priority weight is sent first.
 func TestHighestPriorityFirst(t *testing.T) {
 	set := settings()
 	set.Classes[nonIdempotentWrite].PriorityWeight = 3000
 	g := newGateway(t, set)
 	g.group(2)
-	g.fresh(1, 0)
+	g.reportPosition(1, 0)
 	n := 0
 	for ; ; n++ {
 		if len(sent(g.arrive(fmt.Sprint("f", n), freshRead), fmt.Sprint("f", n))) == 0 {
@@ -60,9 +60,9 @@
 	g.wantSent("w", 1)
 }
 
-// A request with less time left than an answer may well take still goes to a server with capacity: rejecting
-// it would shut clients with short timeouts out of idle servers. Without capacity, or with too little time,
-// it is answered at once.
+// A request with less time left than the expected latency is still sent to a server with capacity: rejecting it
+// would keep clients with short timeouts away from idle servers. Without capacity, or with too little time, it is
+// rejected at once.
 func TestShortDeadlinesUseIdleServers(t *testing.T) {
 	g := newGateway(t, settings())
 	g.group(2)
@@ -74,17 +74,17 @@
 		}
 		g.after(100 * ms).step(policy.Outcome{ID: id, Server: to[0], Final: true, Latency: 100 * ms})
 	}
-	hasty := func(id string, left clock.Micros) []policy.Action {
+	arriveWithTimeLeft := func(id string, left clock.Micros) []policy.Action {
 		return g.step(policy.Arrival{ID: id, Class: anyRead, Group: 1, TimeLeft: left})
 	}
-	hasty("hopeless", 40*ms)
+	arriveWithTimeLeft("hopeless", 40*ms)
 	g.wantSent("hopeless")
 	g.wantEnd("hopeless", "reject")
 	full := 0
-	for ; len(sent(hasty(fmt.Sprint("h", full), 120*ms), fmt.Sprint("h", full))) == 1; full++ {
+	for ; len(sent(arriveWithTimeLeft(fmt.Sprint("h", full), 120*ms), fmt.Sprint("h", full))) == 1; full++ {
 	}
 	if full == 0 {
-		t.Error("a request with little time found no capacity at idle servers")
+		t.Error("a request with little time left was not sent to an idle server")
 	}
 	g.wantEnd(fmt.Sprint("h", full), "reject")
 	g.arrive("patient", anyRead)
--- a/internal/policy/read.go
+++ b/internal/policy/read.go
@@ -4,10 +4,10 @@
 
 // Parameters of reads from replicas. Shares are in thousandths.
 const (
-	toleranceDivisor   = 8   // a smaller lag than the smallest bound over this counts as equally far ahead
+	toleranceDivisor   = 8   // replicas within minBound over this of the furthest count as equally far ahead
 	crowdedFactor      = 2   // a replica is crowded above this many times the fewest attempts, plus one
 	longReadBounds     = 2   // a read is long if its objective is over this many times the smallest bound
-	checkWaitDivisor   = 3   // a read waits for health checks of replicas for its objective over this
+	checkWaitDivisor   = 3   // a read waits for health checks for its objective divided by this
 	readShareOfPrimary = 500 // share of the primary's limit that reads for replicas may use
 )
 
--- a/internal/policy/requests_test.go
+++ b/internal/policy/requests_test.go
@@ -11,12 +11,12 @@
 
 func TestEveryRequestEnds(t *testing.T) {
 	for class := range settings().Classes {
-		for _, servers := range []int{0, 2} { // queued for want of a server, and in flight at one that never answers
+		for _, servers := range []int{0, 2} { // queued without a server, and in flight at a server that never answers
 			set := settings()
 			g := newGateway(t, set)
 			if servers > 0 {
 				g.group(servers)
-				g.fresh(1, 0)
+				g.reportPosition(1, 0)
 			}
 			g.arrive("q", class)
 			var at clock.Micros
@@ -26,11 +26,11 @@
 				}
 			}
 			if at <= origin || at > origin+2000*ms {
-				t.Fatalf("class %d: its timer is at %d", class, at-origin)
+				t.Fatalf("class %d: the request timer is set at %d us", class, at-origin)
 			}
 			g.now = at
 			g.step(policy.Timer{RequestID: "q"})
-			for _, a := range g.acts { // half of its time is over, and an attempt is out
+			for _, a := range g.acts { // half of the time is over, and an attempt is in flight
 				if s, ok := a.(policy.SetTimer); ok && s.Timer.RequestID == "q" && ending(g.acts, "q") == "" {
 					g.now = s.At
 					g.step(policy.Timer{RequestID: "q"})
@@ -38,32 +38,33 @@
 				}
 			}
 			if ending(g.acts, "q") == "" {
-				t.Errorf("class %d with %d servers has no final answer at its end", class, servers)
+				t.Errorf("class %d with %d servers has no final answer when it expires", class, servers)
 			}
 			g.step(policy.Timer{RequestID: "q"})
 			if ending(g.acts, "q") != "" {
 				t.Errorf("class %d was answered twice", class)
 			}
 			if out := sent(g.acts, "q"); len(out) > 0 {
-				t.Errorf("class %d was sent to %v after its end", class, out)
+				t.Errorf("class %d was sent to %v after its final answer", class, out)
 			}
 		}
 	}
 }
 
-// A non-idempotent write in flight at its end fails: it may have run, so it would be false to reject it.
+// A non-idempotent write that is still in flight when it expires fails. It may have run, so a rejection, which
+// tells the client that a retry is harmless, would be wrong.
 func TestNonIdempotentInFlightIsNotRejected(t *testing.T) {
 	g := newGateway(t, settings())
 	g.group(2)
-	g.fresh(1, 0)
+	g.reportPosition(1, 0)
 	g.arrive("w", nonIdempotentWrite)
 	g.now += 1995 * ms
 	g.step(policy.Timer{RequestID: "w"})
 	g.wantEnd("w", "fail")
 }
 
-// A request for which nothing was sent by half of its time is rejected then, so that its client can retry;
-// what is in flight at a server goes on to its end.
+// A request is rejected at half of its time if nothing has been sent by then, so that its client can retry. A
+// request in flight at a server continues until it expires.
 func TestNothingSentByHalfTime(t *testing.T) {
 	g := newGateway(t, settings())
 	g.group(2)
@@ -79,12 +80,12 @@
 	g.arrive("out", nonIdempotentWrite)
 	g.wantSent("out", 1)
 	at := timer("out")
-	for i := range 20 { // no capacity is left for the last of them
+	for i := range 20 { // the last of them finds no capacity
 		g.arrive(fmt.Sprint("w", i), nonIdempotentWrite)
 	}
 	g.wantSent("w19")
 	if held := timer("w19"); held >= 1000*ms || held != at {
-		t.Errorf("looked at after %d us of 2 s", held)
+		t.Errorf("the timer is set at %d us of 2 s, want about half of it", held)
 	}
 	g.now = origin + at
 	g.step(policy.Timer{RequestID: "w19"})
@@ -92,7 +93,7 @@
 	g.step(policy.Timer{RequestID: "out"})
 	g.wantEnd("out", "")
 	if end := timer("out"); end < 1900*ms || end >= 2000*ms {
-		t.Errorf("then ends after %d us of 2 s", end)
+		t.Errorf("the second timer is set at %d us of 2 s, want the end", end)
 	}
 }
 
@@ -115,7 +116,7 @@
 	g.step(policy.Outcome{ID: "q", Attempt: -1, Server: 1})
 	g.step(policy.Arrival{ID: "neg", Class: anyRead, Group: 1, TimeLeft: -5 * ms})
 	if ending(g.acts, "neg") == "" {
-		t.Error("a request whose time is up got no answer")
+		t.Error("a request without time left got no answer")
 	}
 }
 
@@ -125,7 +126,7 @@
 		g.group(6)
 		for i := range 300 {
 			id := fmt.Sprint("q", i)
-			for _, s := range sent(g.after(3*ms).arriveOf(id, i%7, uint64(i%20)), id) {
+			for _, s := range sent(g.after(3*ms).arriveInSession(id, i%7, uint64(i%20)), id) {
 				g.outcome(id, 0, s, policy.Result(i%4))
 			}
 			g.sweep(0)
--- a/internal/policy/retry_test.go
+++ b/internal/policy/retry_test.go
@@ -8,7 +8,7 @@
 	"marblespan/internal/policy"
 )
 
-// What an outcome proves decides what may follow.
+// The result of an attempt and the effect of the class decide whether a request is retried, rejected or failed.
 func TestRetryTable(t *testing.T) {
 	const again, reject, fail = "again", "reject", "fail"
 	ran := []policy.Result{policy.ResultError, policy.ResultTimeout, policy.ResultReset, policy.ResultCancelled}
@@ -28,12 +28,12 @@
 			t.Run(fmt.Sprint(c.class, "/", res, "/", c.wait), func(t *testing.T) {
 				g := newGateway(t, settings())
 				g.group(3)
-				g.fresh(1, 0)
+				g.reportPosition(1, 0)
 				first := sent(g.arrive("q", c.class), "q")[0]
 				g.after(c.wait).outcome("q", 0, first, res)
 				acts := append([]policy.Action(nil), g.acts...)
-				// The next primary shows itself, so that a write that waits can go.
-				g.after(ms).checked(2, policy.RolePrimary, g.now)
+				// A report shows the next primary, so that a waiting write can be sent.
+				g.after(ms).reportHealth(2, policy.RolePrimary, g.now)
 				acts = append(acts, g.acts...)
 				acts = append(acts, g.sweep(260*ms)...)
 				got := ending(acts, "q")
@@ -64,7 +64,7 @@
 	g.wantEnd("q", "reject")
 }
 
-// Errors everywhere must not multiply the load: what may have run is retried within a budget.
+// Errors everywhere must not multiply the load: retries of attempts that may have run are bounded by a budget.
 func TestRetryBudget(t *testing.T) {
 	g := newGateway(t, settings())
 	g.group(5)
@@ -85,6 +85,6 @@
 		}
 	}
 	if more == 0 || more > first/5+10 {
-		t.Errorf("%d further attempts for %d requests", more, first)
+		t.Errorf("%d retries of %d requests", more, first)
 	}
 }
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -8,7 +8,7 @@
 // The path of a request:
 //
 //	Arrival -> acceptRequest: record its objective and deadline, set its timer, queue it
-//	        -> dispatch: serve the queue of its group, the highest value for the expected work first
+//	        -> dispatch: serve the queue of its group, the highest value per expected work first
 //	        -> place: placeOnPrimary for writes and fresh reads, placeRead for the others
 //	        -> send, or wait in the queue until something changes
 //	Outcome -> learnFromOutcome: role, position, health, latency, errors
--- a/internal/policy/sessions.go
+++ b/internal/policy/sessions.go
@@ -30,8 +30,8 @@
 
 // get returns the session with the given key. If there is none, it creates one whose position is the
 // highest of any forgotten session. A request that still refers to a forgotten session can only raise the
-// position of the new one in its place. A session with a write in flight is not forgotten, unless all of
-// them have one.
+// position of the new one in its place. A session with a write in flight is not forgotten, unless every
+// session has one.
 func (t *sessions) get(key uint64) *session {
 	if s := t.byKey[key]; s != nil {
 		return s
--- a/internal/policy/settings_test.go
+++ b/internal/policy/settings_test.go
@@ -7,8 +7,9 @@
 	"marblespan/internal/policy"
 )
 
-// New settings change nothing that was learned: a drain, a slow start, a role, positions, a non-idempotent
-// attempt in flight. A server that the list has removed is excluded once removal binds.
+// New settings discard nothing that was learned: a drain, a slow start, a role, positions, a non-idempotent
+// attempt in flight. A server that the list has removed becomes excluded if the new settings let removal exclude
+// it.
 func TestReconfigureForgetsNothing(t *testing.T) {
 	loose := settings()
 	loose.RemovedStayUsable = true
@@ -16,8 +17,8 @@
 	strict.Gateways, strict.Classes[nonIdempotentWrite].Effect = 12, policy.EffectIdempotent
 	g := newGateway(t, loose)
 	g.group(5)
-	g.fresh(1, 0)
-	g.checked(2, policy.RolePrimary, g.now) // which took over
+	g.reportPosition(1, 0)
+	g.reportHealth(2, policy.RolePrimary, g.now) // after a failover to server 2
 	starting := endpoint(5, false)
 	starting.Started = g.now
 	g.step(policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{
@@ -43,15 +44,15 @@
 			}
 		}
 		if used[3] > 0 || used[4] > 0 {
-			t.Errorf("what drains or is removed was sent to after a change: %v", used)
+			t.Errorf("a draining or removed server was used after a change: %v", used)
 		}
 		if used[5] > 40 {
-			t.Errorf("a server in slow start is taken for warm after a change: %v", used)
+			t.Errorf("slow start was lost after a change: %v", used)
 		}
 	}
 	g.outcome("w", 0, 2, policy.ResultTimeout)
 	g.wantSent("w")
-	g.wantEnd("w", "fail") // non-idempotent when it came
+	g.wantEnd("w", "fail") // its class was non-idempotent on arrival
 	g.arrive("v", nonIdempotentWrite)
-	g.wantSent("v", 2) // the role is still known, though the list says otherwise
+	g.wantSent("v", 2) // the role is still known, although the list names another primary
 }
--- a/internal/policy/shape_test.go
+++ b/internal/policy/shape_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// policyFiles reads the names of the files that hold the decisions from the deployment's own list.
+// policyFiles returns the names of the files under policy in the deploy file.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("..", "..", "deploy", "balancer.toml"))
@@ -29,7 +29,7 @@
 	return names
 }
 
-// packageFiles lists the package's own files outside tests.
+// packageFiles returns the package's Go files without the tests.
 func packageFiles(t *testing.T) []string {
 	t.Helper()
 	all, err := filepath.Glob("*.go")
@@ -39,15 +39,15 @@
 	return slices.DeleteFunc(all, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
 }
 
-// Every file of the package stands under policy in the deploy file, and nothing else does: all decisions are in one
-// package. The operators read it at night, so its lines are short.
+// The deploy file lists exactly the files of this package under policy, because all decisions are in one package.
+// Lines are short because operators read these files at night.
 func TestModuleShape(t *testing.T) {
 	var want []string
 	for _, name := range packageFiles(t) {
 		want = append(want, "internal/policy/"+name)
 	}
 	if got := policyFiles(t); !slices.Equal(got, want) {
-		t.Errorf("policy in the deploy file is %q, the package has %q", got, want)
+		t.Errorf("the deploy file lists %q under policy, the package has %q", got, want)
 	}
 	for _, name := range packageFiles(t) {
 		text, err := os.ReadFile(name)
@@ -62,7 +62,8 @@
 	}
 }
 
-// The package is a pure state machine: nothing that reads a clock, a file, a socket or global randomness.
+// The package is a pure state machine: it imports nothing that reads a clock, a file, a socket or global
+// randomness.
 func TestImportsArePure(t *testing.T) {
 	allowed := map[string]bool{`"fmt"`: true, `"sort"`: true, `"slices"`: true, `"cmp"`: true, `"math/bits"`: true, `"marblespan/internal/clock"`: true}
 	for _, name := range packageFiles(t) {
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -8,14 +8,15 @@
 	"marblespan/internal/policy"
 )
 
-// A server in slow start takes what an overload window allows, whatever comes back and however quickly.
+// A server in slow start gets no more than the budget of an overload window allows, whatever the results of its
+// attempts and however quickly they end.
 func TestSlowStartBudget(t *testing.T) {
 	for _, res := range []policy.Result{policy.ResultMisdirected, policy.ResultError, policy.ResultOK} {
 		t.Run(fmt.Sprint(res), func(t *testing.T) {
 			set := settings()
 			g := newGateway(t, set)
 			g.group(3)
-			// This gateway has measured nothing yet: the budget must hold all the same.
+			// The budget must hold although this gateway has measured nothing yet.
 			starting := endpoint(3, false)
 			starting.Started = g.now
 			g.step(policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{starting}})
@@ -32,7 +33,7 @@
 						n++
 						acts = g.outcome(id, k, 3, res)
 					} else {
-						// Warm servers answer about eight requests a window each.
+						// Each warm server answers about eight requests per window.
 						if i%25 == 0 {
 							g.outcome(id, k, got[0], policy.ResultOK)
 						}
@@ -40,7 +41,7 @@
 					}
 				}
 			}
-			// A warm server's sixteen answers a window at most, times overload factor and least weight.
+			// A warm server gives at most 16 answers per window. The factor is 3, and the weight at most a half.
 			if limit := 16 * 3 / 2; n == 0 || n > limit {
 				t.Errorf("%d sends to a server in slow start within a window, want 1 to %d", n, limit)
 			}
@@ -48,20 +49,21 @@
 	}
 }
 
-// A server in slow start stands work, not sends: a request that takes twenty times the usual counts twenty
-// times. Counted as one each, the long reads that go to few servers would bring a new one down.
+// The budget of a server in slow start counts work, not sends: a request that takes twenty times the usual counts
+// twenty times. If each counted as one, the long reads, which go to few servers, would overload a server that has
+// just started.
 func TestSlowStartBudgetCountsWork(t *testing.T) {
 	set := settings()
 	set.Classes[anyRead].LatencyObjective, set.Classes[anyRead].Deadline = 5000*ms, 10_000*ms
 	set.Gateways = 12
 	g := newGateway(t, set)
-	g.group(3) // 3 takes the long reads
-	g.fresh(1, 0)
+	g.group(3) // server 3 gets the long reads
+	g.reportPosition(1, 0)
 	end := func(id string, to policy.ServerID, took clock.Micros) {
 		g.step(policy.Outcome{ID: id, Server: to, Final: true, Latency: took})
 	}
-	for n := range 400 { // 20 s: twenty short reads a second, and a long one
-		g.after(50*ms).fresh(2, 0)
+	for n := range 400 { // 20 s: twenty short reads and one long read per second
+		g.after(50*ms).reportPosition(2, 0)
 		id := fmt.Sprint("s", n)
 		if len(sent(g.arrive(id, boundedRead), id)) == 1 {
 			end(id, sent(g.acts, id)[0], 50*ms)
@@ -74,29 +76,30 @@
 	starting.Started = g.now
 	g.step(policy.EndpointUpdate{Form: policy.ListDelta, Endpoints: []policy.Endpoint{starting}})
 	long := 0
-	for n := range 40 { // an overload window
+	for n := range 40 { // one overload window
 		id := fmt.Sprint("c", n)
 		if to := sent(g.after(50*ms).arrive(id, anyRead), id); len(to) == 1 && to[0] == 3 {
 			long++
 			end(id, 3, 1000*ms)
 		}
 	}
-	// In the mean a server gives 2 s of work to this gateway in a window at most; a quarter of it, thrice.
+	// On average a server does at most 2 s of work for this gateway per window; the budget is a quarter of it, times three.
 	if long > 2 {
-		t.Errorf("%d s of work to a server that has just started", long)
+		t.Errorf("%d s of work sent to a server that has just started", long)
 	}
 }
 
-// A server that could not be reached may have restarted: it is in slow start though no list said so.
+// A server that could not be reached may have restarted, so it enters slow start even if no list reports a
+// restart.
 func TestServerBackFromDownIsInSlowStart(t *testing.T) {
 	g := newGateway(t, settings())
 	g.group(2)
-	g.fresh(1, 0)
+	g.reportPosition(1, 0)
 	g.arrive("q", anyRead)
 	g.wantSent("q", 2)
 	g.outcome("q", 0, 2, policy.ResultConnectFailed)
 	g.arrive("r", anyRead)
-	g.wantSent("r", 1) // the primary takes it while the replica is backed off from
+	g.wantSent("r", 1) // the primary takes it during the back-off from the replica
 	probed := false
 	for _, a := range g.sweep(25 * ms) {
 		if p, ok := a.(policy.HealthCheck); ok && p.Server == 2 {
@@ -104,7 +107,7 @@
 		}
 	}
 	if !probed {
-		t.Error("no health check to tell whether it is down")
+		t.Error("no health check of a server that could not be reached")
 	}
 	g.step(policy.HealthCheckEnded{Server: 2, Result: policy.ResultConnectFailed})
 	again := 0
@@ -115,12 +118,12 @@
 		}
 	}
 	if again != 1 {
-		t.Errorf("%d health checks behind one that failed: a single one may have met a lossy path", again)
+		t.Errorf("%d health checks after a failed one, want 1: a single failure may be due to packet loss", again)
 	}
 	g.step(policy.HealthCheckEnded{Server: 2, Result: policy.ResultConnectFailed})
 	g.after(400*ms).arrive("still", anyRead)
 	g.wantSent("still", 1)
-	g.fresh(2, 0)
+	g.reportPosition(2, 0)
 	at2 := 0
 	for i := range 20 {
 		id := fmt.Sprint("s", i)
@@ -131,24 +134,24 @@
 		}
 	}
 	if at2 != 1 {
-		t.Errorf("%d attempts in flight at a server just back, want 1", at2)
+		t.Errorf("%d attempts in flight at a server that has just recovered, want 1", at2)
 	}
 }
 
-// Out of reach of one gateway is not out of service: a server that has applied the log meanwhile has not
-// restarted, and skips slow start. One that comes back behind is in slow start.
+// A server may be unreachable only from one gateway. If it has applied the log in the meantime, it has not
+// restarted and skips slow start. If its position is behind when it is back, it enters slow start.
 func TestUnreachableServerSkipsSlowStart(t *testing.T) {
 	sends := func(ago clock.Micros) int {
 		set := settings()
 		set.Gateways = 12
 		g := newGateway(t, set)
 		g.group(2)
-		g.fresh(1, 0)
-		g.fresh(2, 0)
+		g.reportPosition(1, 0)
+		g.reportPosition(2, 0)
 		for range 2 {
 			g.step(policy.HealthCheckEnded{Server: 2, Result: policy.ResultReset})
 		}
-		g.after(3000*ms).fresh(2, ago)
+		g.after(3000*ms).reportPosition(2, ago)
 		n := 0
 		for i := range 100 { // answered at once
 			id := fmt.Sprint("q", i)
@@ -163,9 +166,9 @@
 		return n
 	}
 	if n := sends(50 * ms); n != 100 {
-		t.Errorf("%d of 100 reads to a replica that ran all the while", n)
+		t.Errorf("%d of 100 reads were sent to a replica that kept running", n)
 	}
 	if n := sends(3500 * ms); n > 30 {
-		t.Errorf("%d of 100 reads in a second to one that came back behind", n)
+		t.Errorf("%d of 100 reads in a second were sent to a replica that came back behind", n)
 	}
 }
