--- a/internal/policy/property_test.go
+++ b/internal/policy/property_test.go
@@ -134,7 +134,8 @@
 			need = q.arrived
 		}
 		if c.Need != policy.NeedWrite && c.Need != policy.NeedAny && s.known < need {
-			w.fail("%s: a read that needs position %d was sent to server %d, whose known position is %d", a.ID, need-origin, a.Server, s.known-origin)
+			w.fail("%s: a read that needs position %d was sent to server %d, whose known position is %d",
+				a.ID, need-origin, a.Server, s.known-origin)
 		}
 	}
 	q.attempts = append(q.attempts, &modelAttempt{server: a.Server, at: w.now, inFlight: true})
