--- a/internal/assignment/rank.go
+++ b/internal/assignment/rank.go
@@ -25,17 +25,17 @@
 // ranking is the names of the members in the order of their rank for a subject: those of its zone first, then by score.
 func ranking(members []Member, s Subject) []string {
 	type candidate struct {
-		name  string
-		near  bool
-		score uint64
+		name   string
+		inZone bool
+		score  uint64
 	}
 	candidates := make([]candidate, len(members))
 	for i, m := range members {
 		candidates[i] = candidate{m.Name, s.Zone == "" || m.Zone == s.Zone, score(m, s.Key)}
 	}
 	slices.SortFunc(candidates, func(a, b candidate) int {
-		if a.near != b.near {
-			if a.near {
+		if a.inZone != b.inZone {
+			if a.inZone {
 				return -1
 			}
 			return 1
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -17,12 +17,12 @@
 	leaveNodes  = 6
 )
 
-// A member that was stalled accuses nobody for stallGraceIntervals; it shows itself as such for stalledShownIntervals. It was
+// A member that was stalled accuses nobody for stallGraceIntervals; it shows itself as such for stalledFlagIntervals. It was
 // stalled if its timer ran late by an interval divided by stallDivisor.
 const (
-	stallGraceIntervals   = 2
-	stalledShownIntervals = 10 * stallGraceIntervals
-	stallDivisor          = 2
+	stallGraceIntervals  = 2
+	stalledFlagIntervals = 10 * stallGraceIntervals
+	stallDivisor         = 2
 )
 
 // Machine is one member's state. Its zero value is of no use; New makes one. It is not safe for concurrent use.
@@ -39,7 +39,7 @@
 	running         bool
 	excluded        bool // another process owns its name
 	leaveRoundsLeft int  // 0: it does not leave
-	accuseFrom      clock.Micros
+	stallGraceUntil clock.Micros
 	stalledUntil    clock.Micros
 	randomState     uint64
 	actions         []Action // of the event in hand
@@ -95,7 +95,7 @@
 	lastAck        clock.Micros // last answer to a probe, its own or by a helper
 	rtt            clock.Micros
 	suspectedSince clock.Micros // when the probe began that was not answered
-	accusers       []string     // who suspect it, maxConfirmations+1 at the most
+	suspectedBy    []string     // who suspect it, maxConfirmations+1 at the most
 	lastHelper     string       // the helper that reached it last
 	indirectOnly   int          // probes in a row that were answered by way of helpers only
 	lastDirectPing uint32       // number of its last ping that came directly
@@ -120,7 +120,7 @@
 	c := *m
 	c.members = slices.Clone(m.members)
 	for i := range c.members {
-		c.members[i].accusers = slices.Clone(c.members[i].accusers)
+		c.members[i].suspectedBy = slices.Clone(c.members[i].suspectedBy)
 	}
 	c.index, c.pathIndex = cloneMap(m.index), cloneMap(m.pathIndex)
 	c.pathStates, c.memberGossip, c.pathGossip = slices.Clone(m.pathStates), m.memberGossip.clone(), m.pathGossip.clone()
@@ -251,7 +251,7 @@
 		}
 	}
 	for _, e := range m.currentSuspects() {
-		next = min(next, max(m.suspicionDeadline(e), m.accuseFrom))
+		next = min(next, max(m.suspicionDeadline(e), m.stallGraceUntil))
 	}
 	return next, true
 }
@@ -307,8 +307,8 @@
 	if m.cfg.WithoutLifeguard || late < m.cfg.Interval/stallDivisor {
 		return
 	}
-	m.accuseFrom = now + stallGraceIntervals*m.cfg.Interval
-	m.stalledUntil = now + stalledShownIntervals*m.cfg.Interval
+	m.stallGraceUntil = now + stallGraceIntervals*m.cfg.Interval
+	m.stalledUntil = now + stalledFlagIntervals*m.cfg.Interval
 	for i := range m.members {
 		e := &m.members[i]
 		e.suspectedSince += late
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -103,7 +103,7 @@
 // adoptRecord takes over a record whole. A suspect counts as alive first, and its accuser as one of those who confirm it.
 func (m *Machine) adoptRecord(now clock.Micros, e *member, r Record, newGeneration bool) {
 	previous := e.State
-	e.Record, e.stateSince, e.accusers = r, now, nil
+	e.Record, e.stateSince, e.suspectedBy = r, now, nil
 	if r.State == Suspect {
 		e.State, e.ReportedBy = Alive, ""
 	}
@@ -118,7 +118,7 @@
 // updateMember takes over a later incarnation of the same generation: the member is alive, and its metadata may differ.
 func (m *Machine) updateMember(now clock.Micros, e *member, r Record) {
 	previous, previousMeta := e.State, e.Meta
-	e.Incarnation, e.Meta, e.Address, e.State, e.ReportedBy, e.accusers = r.Incarnation, r.Meta, r.Address, Alive, "", nil
+	e.Incarnation, e.Meta, e.Address, e.State, e.ReportedBy, e.suspectedBy = r.Incarnation, r.Meta, r.Address, Alive, "", nil
 	if previous != Alive {
 		e.stateSince = now
 	}
--- a/internal/membership/modelcheck_test.go
+++ b/internal/membership/modelcheck_test.go
@@ -373,7 +373,7 @@
 	{name: "the dead come back in the same generation", alterEvent: func(m *Machine, now clock.Micros, ev Event) Event {
 		if h, ok := ev.(MessageReceived); ok {
 			if e := m.find(h.Message.From); e != nil && e.State == Dead && e.Generation == h.Message.Generation {
-				e.State, e.accusers = Alive, nil
+				e.State, e.suspectedBy = Alive, nil
 			}
 		}
 		return ev
@@ -412,11 +412,11 @@
 		if next, ok := m.Next(); ok && now > next+interval {
 			for i := range m.members {
 				if e := &m.members[i]; e.State == Alive {
-					e.State, e.suspectedSince, e.lastAck, e.accusers = Suspect, 1, 0, []string{m.self.Name}
+					e.State, e.suspectedSince, e.lastAck, e.suspectedBy = Suspect, 1, 0, []string{m.self.Name}
 					m.suspected = append(m.suspected, e.Name)
 				}
 			}
-			m.lastEvent, m.accuseFrom = now, 0
+			m.lastEvent, m.stallGraceUntil = now, 0
 		}
 		return ev
 	}},
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -127,7 +127,7 @@
 	m.sendNacks(now)
 	failed := m.removeFailedProbes(now)
 	m.continueProbes(now)
-	if now < m.accuseFrom {
+	if now < m.stallGraceUntil {
 		return
 	}
 	for _, p := range failed {
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -9,8 +9,8 @@
 // This file is what a member does about itself: it refutes suspicions, starts new generations, and settles conflicts about
 // its name.
 
-// excludedRejoinFraction is the part of the usual rejoin interval after which an excluded member tries to join again.
-const excludedRejoinFraction = 5
+// excludedRejoinDivisor is the part of the usual rejoin interval after which an excluded member tries to join again.
+const excludedRejoinDivisor = 5
 
 // updateMeta changes this member's metadata, and has it spread. The Stalled flag is the machine's own.
 func (m *Machine) updateMeta(meta Meta) {
@@ -50,15 +50,15 @@
 }
 
 // startGeneration goes on in a new generation. The last one has ended for the others, for good.
-func (m *Machine) startGeneration(generation uint64, why Notice) {
+func (m *Machine) startGeneration(generation uint64, notice Notice) {
 	m.self.Generation, m.self.Incarnation, m.generationStart = generation, 0, m.lastEvent
 	for i := range m.members {
 		e := &m.members[i]
 		e.path, e.indirectOnly = PathState{}, 0
 	}
 	m.bumpIncarnation()
-	why.Generation = generation
-	m.emit(why)
+	notice.Generation = generation
+	m.emit(notice)
 }
 
 // handleNameConflict deals with another process of this member's name. The one that started later has to go and is told so.
@@ -98,7 +98,7 @@
 	}
 	m.self.State = Alive
 	m.self.Generation++
-	m.excluded, m.nextRejoin = true, now+rejoinIntervals*m.cfg.Interval/excludedRejoinFraction
+	m.excluded, m.nextRejoin = true, now+rejoinIntervals*m.cfg.Interval/excludedRejoinDivisor
 	m.forgetMembers()
 	m.emit(Notice{Kind: Excluded, Address: owner.Address, Generation: owner.Generation})
 }
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -36,7 +36,7 @@
 	thousandths := minSuspicionIntervals * 1000
 	if !m.cfg.WithoutLifeguard {
 		needed := max(min(maxConfirmations, m.countAlive()-1), 0)
-		score := confirmationScore(needed, len(e.accusers)-1)
+		score := confirmationScore(needed, len(e.suspectedBy)-1)
 		thousandths = maxSuspicionIntervals*1000 - (maxSuspicionIntervals-minSuspicionIntervals)*score
 	}
 	deadline := e.suspectedSince + m.cfg.Interval*clock.Micros(thousandths)*clock.Micros(m.LocalHealth())/1000
@@ -55,7 +55,7 @@
 
 // expireSuspicions declares dead the suspects that nobody has found alive in time.
 func (m *Machine) expireSuspicions(now clock.Micros) {
-	if now < m.accuseFrom {
+	if now < m.stallGraceUntil {
 		return
 	}
 	for _, e := range m.currentSuspects() {
@@ -69,22 +69,22 @@
 
 // suspect takes in that somebody, or this member itself, accuses another one since a time. A further accuser confirms a
 // suspicion, and is spread as long as that shortens its deadline.
-func (m *Machine) suspect(now clock.Micros, e *member, incarnation uint32, accuser string, since clock.Micros) {
-	if accuser == e.Name || slices.Contains(e.accusers, accuser) && e.State == Suspect {
+func (m *Machine) suspect(now clock.Micros, e *member, incarnation uint32, reporter string, since clock.Micros) {
+	if reporter == e.Name || slices.Contains(e.suspectedBy, reporter) && e.State == Suspect {
 		return
 	}
 	switch {
-	case e.State == Suspect && len(e.accusers) > maxConfirmations:
+	case e.State == Suspect && len(e.suspectedBy) > maxConfirmations:
 		return
 	case e.State == Suspect:
-		e.accusers = append(e.accusers, accuser)
-		e.ReportedBy = accuser
+		e.suspectedBy = append(e.suspectedBy, reporter)
+		e.ReportedBy = reporter
 		m.gossipMember(e.Name)
 		return
 	}
 	previous := e.State
-	e.State, e.ReportedBy, e.Incarnation, e.stateSince = Suspect, accuser, incarnation, now
-	e.suspectedSince, e.accusers = since, []string{accuser}
+	e.State, e.ReportedBy, e.Incarnation, e.stateSince = Suspect, reporter, incarnation, now
+	e.suspectedSince, e.suspectedBy = since, []string{reporter}
 	m.suspected = append(m.suspected, e.Name)
 	m.gossipMember(e.Name)
 	m.emit(MemberChanged{Record: e.Record, Previous: previous})
@@ -96,7 +96,7 @@
 	if e.Generation != r.Generation {
 		e.lastHelper, e.rtt = "", 0
 	}
-	e.Record, e.stateSince, e.accusers, e.indirectOnly, e.path = r, now, nil, 0, PathState{}
+	e.Record, e.stateSince, e.suspectedBy, e.indirectOnly, e.path = r, now, nil, 0, PathState{}
 	m.digestStale = true
 	m.gossipMember(e.Name)
 	m.emit(MemberChanged{Record: r, Previous: previous})
--- a/internal/vrrp/damper.go
+++ b/internal/vrrp/damper.go
@@ -16,8 +16,8 @@
 // maxFlaps bounds the doubling of the delay against overflow; Damping.MaxDelay is reached long before.
 const maxFlaps = 20
 
-// flapMemory is after how many times Damping.MaxDelay without a flap the count starts again.
-const flapMemory = 4
+// flapResetMultiple is after how many times Damping.MaxDelay without a flap the count starts again.
+const flapResetMultiple = 4
 
 // activationEnded counts an activation that lasted less than the window as a flap.
 func (d *damper) activationEnded(now, lasted clock.Micros, cfg Damping) {
@@ -31,7 +31,7 @@
 	if cfg.InitialDelay <= 0 {
 		return
 	}
-	if d.flaps > 0 && now-d.lastFlap > flapMemory*cfg.MaxDelay {
+	if d.flaps > 0 && now-d.lastFlap > flapResetMultiple*cfg.MaxDelay {
 		d.flaps = 0
 	}
 	d.blockedUntil = now + min(cfg.InitialDelay<<d.flaps, cfg.MaxDelay)
--- a/internal/vrrp/machine_test.go
+++ b/internal/vrrp/machine_test.go
@@ -15,7 +15,7 @@
 
 var self, other, third = netip.MustParseAddr("127.0.0.2"), netip.MustParseAddr("127.0.0.3"), netip.MustParseAddr("127.0.0.4")
 
-func base() Config {
+func baseConfig() Config {
 	return Config{VRID: 1, Priority: 128, AdvertisementInterval: 100 * ms, Preempt: true, LocalAddress: self}
 }
 
@@ -85,7 +85,7 @@
 			}
 		})
 	}
-	b := newHarness(t, base(), true)
+	b := newHarness(t, baseConfig(), true)
 	b.requireState(Backup)
 	b.advance(349 * ms)
 	b.requireState(Backup)
@@ -113,7 +113,7 @@
 }
 
 func TestOwnerIsActiveAtOnce(t *testing.T) {
-	cfg := base()
+	cfg := baseConfig()
 	cfg.Priority = PriorityOwner
 	newHarness(t, cfg, true).requireState(Active)
 	b := newHarness(t, cfg, false)
@@ -127,7 +127,7 @@
 
 // A backup follows the advertised interval of the active router, not its own.
 func TestFollowsTheAdvertisedInterval(t *testing.T) {
-	b := newHarness(t, base(), true)
+	b := newHarness(t, baseConfig(), true)
 	b.handle(AdvertisementReceived{other, 200, 1000 * ms})
 	b.advance(3499 * ms)
 	b.requireState(Backup)
@@ -139,7 +139,7 @@
 }
 
 func TestRelease(t *testing.T) {
-	b := newHarness(t, base(), true)
+	b := newHarness(t, baseConfig(), true)
 	b.receive(other, 200)
 	b.advance(10 * ms)
 	b.receive(third, PriorityRelease) // not the active one
@@ -177,7 +177,7 @@
 		{other, PriorityRelease, true}, {netip.MustParseAddr("127.0.0.1"), 255, false},
 	} {
 		t.Run(fmt.Sprintf("priority %d from %v", c.priority, c.from), func(t *testing.T) {
-			b := newHarness(t, base(), true)
+			b := newHarness(t, baseConfig(), true)
 			b.advance(360 * ms)
 			b.requireState(Active)
 			out := b.receive(c.from, c.priority)
@@ -197,7 +197,7 @@
 		after   clock.Micros // 0: never
 	}{{true, 0, 350 * ms}, {true, 1000 * ms, 1350 * ms}, {false, 0, 0}} {
 		t.Run(fmt.Sprintf("preempt %v, delay %d ms", c.preempt, c.delay/ms), func(t *testing.T) {
-			cfg := base()
+			cfg := baseConfig()
 			cfg.Preempt, cfg.PreemptDelay = c.preempt, c.delay
 			b := newHarness(t, cfg, true)
 			start := b.now
@@ -214,7 +214,7 @@
 }
 
 func TestTrackingLowersThePriority(t *testing.T) {
-	cfg := base()
+	cfg := baseConfig()
 	cfg.PrioritySteps = [ConditionCount]uint8{NoPrimary: 30, DiscoverySilent: 90, DescriptorsLow: 90}
 	b := newHarness(t, cfg, true)
 	b.advance(360 * ms)
@@ -243,7 +243,7 @@
 
 // A process that was stalled becomes a backup before it handles anything else, without an advertisement.
 func TestStalledProcess(t *testing.T) {
-	b := newHarness(t, base(), true)
+	b := newHarness(t, baseConfig(), true)
 	b.advance(360 * ms)
 	lease := b.m.Lease()
 	b.now = lease + 1
@@ -266,7 +266,7 @@
 }
 
 func TestActivateFailed(t *testing.T) {
-	cfg := base()
+	cfg := baseConfig()
 	cfg.Damping = Damping{Window: 500 * ms, InitialDelay: 1000 * ms, MaxDelay: 3000 * ms}
 	b := newHarness(t, cfg, true)
 	b.advance(360 * ms)
@@ -286,7 +286,7 @@
 
 // Each flap doubles the delay, up to the bound. A long activation is no flap, and after a quiet time the count starts again.
 func TestDamping(t *testing.T) {
-	cfg := base()
+	cfg := baseConfig()
 	cfg.Damping = Damping{Window: 500 * ms, InitialDelay: 1000 * ms, MaxDelay: 3000 * ms}
 	b := newHarness(t, cfg, true)
 	var held []clock.Micros
@@ -316,9 +316,9 @@
 }
 
 func TestReconfigured(t *testing.T) {
-	b := newHarness(t, base(), true)
+	b := newHarness(t, baseConfig(), true)
 	b.advance(360 * ms)
-	next := base()
+	next := baseConfig()
 	next.Priority, next.AdvertisementInterval, next.VRID, next.LocalAddress = 90, 50*ms, 9, third
 	out := b.handle(ConfigChanged{next})
 	if a, ok := firstAction[SendAdvertisement](out); !ok || a != (SendAdvertisement{90, 50 * ms}) || b.m.config.VRID != 1 || b.m.config.LocalAddress != self {
@@ -332,7 +332,7 @@
 // sends no advertisement but a release, no router is active that is not ready, and the lease covers active times only.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := base()
+		cfg := baseConfig()
 		cfg.Priority = rapid.Uint8Range(1, 255).Draw(t, "priority")
 		cfg.Preempt = rapid.Bool().Draw(t, "preempt")
 		cfg.PreemptDelay = clock.Micros(rapid.IntRange(0, 3).Draw(t, "delay")) * 100 * ms
--- a/internal/vrrp/modelcheck_test.go
+++ b/internal/vrrp/modelcheck_test.go
@@ -63,7 +63,7 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
-			res := modelcheck.BreadthFirst(s.world(nil), modelcheck.Limits{MaxStates: maxStates / fewerStates})
+			res := modelcheck.BreadthFirst(s.world(nil), modelcheck.Limits{MaxStates: maxStates / statesDivisor})
 			t.Logf("%d states, %d transitions, depth %d, complete: %v", res.States, res.Transitions, res.Depth, res.Complete)
 			if res.Counterexample != nil {
 				t.Error(res.Counterexample)
--- a/internal/vrrp/mutants_test.go
+++ b/internal/vrrp/mutants_test.go
@@ -93,7 +93,7 @@
 }
 
 func TestMutantsAreCaught(t *testing.T) {
-	if fewerStates > 1 {
+	if statesDivisor > 1 {
 		t.Skip("the same runs as without the race detector, many times slower")
 	}
 	for _, mut := range mutants {
--- a/internal/vrrp/norace_test.go
+++ b/internal/vrrp/norace_test.go
@@ -2,4 +2,4 @@
 
 package vrrp
 
-const fewerStates = 1
+const statesDivisor = 1
--- a/internal/vrrp/priority.go
+++ b/internal/vrrp/priority.go
@@ -3,11 +3,11 @@
 // effectivePriority is the priority to advertise: that of the settings less the steps of all conditions that hold. It is at
 // least 1: 0 would release the address, and the last gateway left must still be able to hold it.
 func effectivePriority(priority uint8, steps [ConditionCount]uint8, h Health) uint8 {
-	left := int(priority)
-	for c, wrong := range h.Conditions {
-		if wrong {
-			left -= int(steps[c])
+	effective := int(priority)
+	for c, holds := range h.Conditions {
+		if holds {
+			effective -= int(steps[c])
 		}
 	}
-	return uint8(max(left, 1))
+	return uint8(max(effective, 1))
 }
--- a/internal/vrrp/race_test.go
+++ b/internal/vrrp/race_test.go
@@ -2,5 +2,5 @@
 
 package vrrp
 
-// fewerStates keeps the explorations short where every step costs many times the usual.
-const fewerStates = 10
+// statesDivisor keeps the explorations short where every step costs many times the usual.
+const statesDivisor = 10
--- a/internal/vrrp/timers.go
+++ b/internal/vrrp/timers.go
@@ -8,9 +8,9 @@
 // stalled. A poll interval is half an advertisement interval, so that a busy processor is not taken for a stall at once.
 const stallPollLimit = 3
 
-// lateTimerFraction is the part of an advertisement interval (a quarter) by which a timer may be handled late. A backup that
+// lateTimerDivisor is the part of an advertisement interval (a quarter) by which a timer may be handled late. A backup that
 // is later than that may have unread advertisements, and waits that long again for them to be read.
-const lateTimerFraction = 4
+const lateTimerDivisor = 4
 
 // leaseIntervals is for how many intervals after an advertisement its sender may act as the active router. No peer takes
 // over sooner: the shortest Active_Down_Interval is longer by its Skew_Time.
@@ -69,7 +69,7 @@
 // took over must not be disturbed. A backup starts its timer again, as it may have missed advertisements; one that is only a
 // little late waits for unread advertisements to be read.
 func (m *Machine) checkStall(now clock.Micros) []Action {
-	tolerance := m.config.AdvertisementInterval / lateTimerFraction
+	tolerance := m.config.AdvertisementInterval / lateTimerDivisor
 	next, _ := m.Next()
 	switch {
 	case m.state == Active && now > m.Lease():
