--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -1,7 +1,7 @@
 package membership
 
-// viewDigest is a digest of all alive members, this one among them, with their generations and incarnations. Two members with
-// the same digest have the same view. It is never 0, which stands for a digest not known yet.
+// viewDigest returns a digest of the names, generations and incarnations of all members that have not ended, including this
+// one. Two members with the same digest have the same view. The digest is never 0, because 0 marks a digest that is not known.
 func (m *Machine) viewDigest() uint64 {
 	if !m.digestStale {
 		return m.digest
@@ -23,7 +23,7 @@
 	return m.digest
 }
 
-// countAlive counts the other members that have not ended.
+// countAlive returns the number of other members that have not ended.
 func (m *Machine) countAlive() int {
 	m.viewDigest()
 	return m.alivePeers
@@ -35,8 +35,8 @@
 	fnvPrime  uint64 = 1099511628211
 )
 
-// recordHash is FNV-1a over a record's name, generation and incarnation. It is mixed once more, as the hashes of a view are
-// combined by exclusive or.
+// recordHash returns the FNV-1a hash of a record's name, generation and incarnation. The result is mixed further because
+// viewDigest combines the hashes by exclusive or.
 func recordHash(r Record) uint64 {
 	h := fnvOffset
 	for i := range len(r.Name) {
--- a/internal/membership/gossip_queue.go
+++ b/internal/membership/gossip_queue.go
@@ -5,14 +5,15 @@
 	"slices"
 )
 
-// broadcast is one piece of gossip: the record of the member of a name, or a report on a path.
+// broadcast identifies one piece of gossip: either the record of the member called name, or reporter's report on the path to
+// peer.
 type broadcast struct{ name, reporter, peer string }
 
-// gossipQueue holds what is still to be spread, and offers first what was transmitted least often (memberlist's
-// TransmitLimitedQueue).
+// gossipQueue holds the gossip that still has to be sent, and offers the pieces with the fewest transmissions first, like
+// memberlist's TransmitLimitedQueue.
 type gossipQueue struct {
-	levels    [][]broadcast     // by the number of transmits; an entry counts only if transmits agrees
-	transmits map[broadcast]int // how often each was transmitted
+	levels    [][]broadcast     // pieces by number of transmissions; an entry whose level differs from transmits is stale
+	transmits map[broadcast]int // number of transmissions of each queued piece
 }
 
 func (q *gossipQueue) clone() gossipQueue {
@@ -24,10 +25,10 @@
 	return c
 }
 
-// empty tells that there is nothing to spread.
+// empty reports whether the queue holds no gossip.
 func (q *gossipQueue) empty() bool { return len(q.transmits) == 0 }
 
-// enqueue has a piece spread, from the beginning if it is queued already.
+// enqueue adds a piece. If the piece is queued already, its number of transmissions is set back to zero.
 func (q *gossipQueue) enqueue(b broadcast) {
 	if transmits, queued := q.transmits[b]; queued && transmits == 0 {
 		return
@@ -38,7 +39,7 @@
 	q.place(b, 0)
 }
 
-// place puts a piece at the end of a level.
+// place appends a piece to a level and records the level as its number of transmissions.
 func (q *gossipQueue) place(b broadcast, level int) {
 	for len(q.levels) <= level {
 		q.levels = append(q.levels, nil)
@@ -47,18 +48,18 @@
 	q.levels[level] = append(q.levels[level], b)
 }
 
-// offerResult is what becomes of a piece that is offered to a message.
+// offerResult is the result of offering a piece of gossip to a message.
 type offerResult uint8
 
 const (
-	offerSent     offerResult = iota // it goes out with this message
-	offerTooLarge                    // it does not fit; a smaller one may
-	offerObsolete                    // there is nothing to spread any more
-	offerFull                        // nothing fits any more
+	offerSent     offerResult = iota // the message contains the piece
+	offerTooLarge                    // the piece does not fit, but a smaller one may
+	offerObsolete                    // the member or report no longer exists, so the piece is dropped
+	offerFull                        // the message has no room for any other piece
 )
 
-// take offers the pieces, those transmitted least often first, until a message is full. A piece that was transmitted limit
-// times is dropped.
+// take offers pieces to a message until it is full, those with the fewest transmissions first. A piece is dropped after limit
+// transmissions.
 func (q *gossipQueue) take(limit int, offer func(broadcast) offerResult) {
 	type sentPiece struct {
 		broadcast
@@ -73,7 +74,7 @@
 		for ; next < len(queued) && !full; next++ {
 			b := queued[next]
 			if transmits, live := q.transmits[b]; !live || transmits != level {
-				continue // it was enqueued again, or dropped
+				continue // a stale entry: the piece was enqueued again or dropped since
 			}
 			switch offer(b) {
 			case offerSent:
@@ -98,7 +99,7 @@
 	}
 }
 
-// remaining is what is left of a level: the pieces that were offered and wait, before those that were not offered.
+// remaining returns the pieces left in a level: those that were offered but not sent, then those that were not offered.
 func remaining(waiting, unoffered []broadcast) []broadcast {
 	if len(waiting) == 0 {
 		return unoffered
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -7,18 +7,18 @@
 	"marblespan/internal/clock"
 )
 
-// This file finds members: by the addresses to join at, and again after a partition.
+// This file contacts members that are not in the view: through the join addresses, and after a partition.
 
-// rejoinIntervals is how many intervals lie between two attempts to reach a dead member, and join addresses that have not
+// rejoinIntervals is the number of intervals between two attempts to reach a dead member and the join addresses that have not
 // answered.
 const rejoinIntervals = 25
 
-// fastJoinAttempts is how often a member that knows nobody tries to join in every interval; later it tries as seldom as it
-// pings the dead.
+// fastJoinAttempts is the number of attempts to join that a member without any alive peer makes at a rate of one per interval.
+// After that it tries once per rejoinIntervals.
 const fastJoinAttempts = 10
 
-// rejoin pings one of the dead, and the addresses to join at that no alive member has answered from. Halves that were
-// partitioned find each other again by it, whichever half tries first.
+// rejoin pings one dead member, and the join addresses from which no alive member has answered. This is how the two halves of
+// a partition find each other again; an attempt by either half is sufficient.
 func (m *Machine) rejoin(now clock.Micros) {
 	every := m.cfg.Interval
 	if m.countAlive() > 0 || m.joinAttempts >= fastJoinAttempts && !m.excluded {
@@ -36,7 +36,7 @@
 	}
 }
 
-// pingNextDead pings the dead in turn, one at a time.
+// pingNextDead pings one dead member. Successive calls go through the dead members in turn.
 func (m *Machine) pingNextDead() {
 	var dead []*member
 	for i := range m.members {
@@ -50,7 +50,7 @@
 	}
 }
 
-// noteJoinAnswer notes which member answers from an address to join at.
+// noteJoinAnswer records which member answered from a join address. Other addresses are ignored.
 func (m *Machine) noteJoinAnswer(source netip.AddrPort, name string) {
 	if !slices.Contains(m.cfg.Join, source) {
 		return
@@ -62,7 +62,8 @@
 	m.joinSources, m.joinNames = append(m.joinSources, source), append(m.joinNames, name)
 }
 
-// joinAddressCovered tells whether an alive member, or this one itself, has answered from an address to join at.
+// joinAddressCovered reports whether the member that last answered from a join address is alive or is this member itself. An
+// excluded member treats no address as covered.
 func (m *Machine) joinAddressCovered(address netip.AddrPort) bool {
 	i := slices.Index(m.joinSources, address)
 	if i < 0 || m.excluded {
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -8,24 +8,25 @@
 	"marblespan/internal/clock"
 )
 
-// retainEndedFor is how long an ended member is remembered.
+// retainEndedFor is how long a member is kept in the view after it died or left.
 const retainEndedFor clock.Micros = 3_600_000_000
 
-// A member that leaves tells leaveNodes others in each of leaveRounds rounds.
+// A member that leaves announces this in leaveRounds rounds, to leaveNodes other members in each.
 const (
 	leaveRounds = 4
 	leaveNodes  = 6
 )
 
-// A member that was stalled accuses nobody for stallGraceIntervals; it shows itself as such for stalledFlagIntervals. It was
-// stalled if its timer ran late by an interval divided by stallDivisor.
+// A member counts as stalled if its timer ran late by an interval divided by stallDivisor. It then suspects no other member
+// for stallGraceIntervals, and sets its Stalled flag for stalledFlagIntervals.
 const (
 	stallGraceIntervals  = 2
 	stalledFlagIntervals = 10 * stallGraceIntervals
 	stallDivisor         = 2
 )
 
-// Machine is one member's state. Its zero value is of no use; New makes one. It is not safe for concurrent use.
+// Machine is the membership state machine of one member. The zero value is not usable; New returns a Machine. It is not safe
+// for concurrent use.
 type Machine struct {
 	cfg  Config
 	self Record
@@ -34,80 +35,80 @@
 	detector
 	joining
 
-	lastEvent       clock.Micros // when anything was handled last
+	lastEvent       clock.Micros // when the last event was handled
 	generationStart clock.Micros
 	running         bool
-	excluded        bool // another process owns its name
-	leaveRoundsLeft int  // 0: it does not leave
-	stallGraceUntil clock.Micros
-	stalledUntil    clock.Micros
+	excluded        bool         // another process owns this member's name
+	leaveRoundsLeft int          // 0: the member is not leaving
+	stallGraceUntil clock.Micros // until then, after a stall, no member is suspected or declared dead
+	stalledUntil    clock.Micros // until then the Stalled flag is set
 	randomState     uint64
-	actions         []Action // of the event in hand
+	actions         []Action // actions of the event being handled
 }
 
-// view is what is known of others.
+// view holds what is known about the other members.
 type view struct {
 	members     []member
-	index       map[string]int  // place in members by name
-	pathStates  []PathState     // the latest report of each reporter on each path, this member's own among them
-	pathIndex   map[pathKey]int // place in pathStates
-	digest      uint64          // of all alive members, see viewDigest
-	alivePeers  int             // how many others have not ended
-	digestStale bool            // digest and alivePeers are to be computed again
+	index       map[string]int  // index into members by name
+	pathStates  []PathState     // the latest report of each reporter on each path, including this member's own reports
+	pathIndex   map[pathKey]int // index into pathStates
+	digest      uint64          // digest of all members that have not ended, see viewDigest
+	alivePeers  int             // number of other members that have not ended
+	digestStale bool            // digest and alivePeers must be recomputed
 }
 
-// gossip is what is still to be spread.
+// gossip holds the information that still has to be sent to other members.
 type gossip struct {
-	memberGossip gossipQueue // of records; it has messages sent out of turn
-	pathGossip   gossipQueue // of path reports; they go out with what is sent anyway
+	memberGossip gossipQueue // records; while there are any, additional pings are sent to carry them
+	pathGossip   gossipQueue // path reports; they are only added to messages that are sent anyway
 	nextGossip   clock.Micros
-	syncPage     int // next of members to be sent to those whose view differs
+	syncPage     int // index in members of the last record sent to members whose view differs
 }
 
 // detector is the state of the failure detector.
 type detector struct {
 	nextProbe      clock.Micros
-	lastNumber     uint32   // of the pings sent
-	probeOrder     []string // whom to probe in turn
-	probeTurn      int      // next of probeOrder
-	reprobe        []string // whom to probe out of turn, as the path to them may be lost
+	lastNumber     uint32   // number of the last ping sent
+	probeOrder     []string // members to probe, in this order
+	probeTurn      int      // index in probeOrder of the next member to probe
+	reprobe        []string // members to probe before their turn because the path to them may be lost
 	probes         []probe
 	relayedPings   []relayedPing
 	helperRequests []helperRequest
-	helperMisses   int      // helpers' missing answers, in thousandths of all
-	suspected      []string // every suspect, and some that are none any more
+	helperMisses   int      // moving average of the share of requests that helpers did not answer, in thousandths
+	suspected      []string // all suspects, and possibly members that are no longer suspected
 }
 
-// joining is what is under way to find members, and to find ended ones again.
+// joining is the state of the attempts to find new members and to find dead ones again.
 type joining struct {
 	nextRejoin     clock.Micros
 	joinAttempts   int
-	joinSources    []netip.AddrPort // addresses to join at that have answered
-	joinNames      []string         // who answered, at the same places
+	joinSources    []netip.AddrPort // join addresses that have answered
+	joinNames      []string         // the member that answered from joinSources[i]
 	lastDeadPinged int
 }
 
-// member is another member, as this one knows it.
+// member is another member as this one knows it.
 type member struct {
 	Record
 	stateSince     clock.Micros
-	lastReceived   clock.Micros // last message from itself
-	lastAck        clock.Micros // last answer to a probe, its own or by a helper
+	lastReceived   clock.Micros // when the last message from the member itself arrived
+	lastAck        clock.Micros // when the last answer to a probe arrived, from the member or from a helper
 	rtt            clock.Micros
-	suspectedSince clock.Micros // when the probe began that was not answered
-	suspectedBy    []string     // who suspect it, maxConfirmations+1 at the most
-	lastHelper     string       // the helper that reached it last
-	indirectOnly   int          // probes in a row that were answered by way of helpers only
-	lastDirectPing uint32       // number of its last ping that came directly
-	digest         uint64       // of its view, as it last sent it
-	unaware        bool         // it does not know this generation of this member
-	path           PathState    // of the path to it, as this member reports it
+	suspectedSince clock.Micros // start of the unanswered probe that led to the suspicion
+	suspectedBy    []string     // members that suspect this one, at most maxConfirmations+1
+	lastHelper     string       // the helper that most recently reached the member
+	indirectOnly   int          // consecutive probes that were answered only through helpers
+	lastDirectPing uint32       // number of the last ping received directly from the member
+	digest         uint64       // digest of the member's view, from its last message
+	unaware        bool         // the member does not know the current generation of this machine's member
+	path           PathState    // this machine's own report on the path to the member
 }
 
-// pathKey is who reports on the path to whom.
+// pathKey identifies the reports of one member on its path to a peer.
 type pathKey struct{ reporter, peer string }
 
-// New makes a member that knows nobody.
+// New returns a machine that is not started and knows no other member.
 func New(cfg Config) *Machine {
 	m := &Machine{cfg: cfg, randomState: cfg.Seed}
 	m.index, m.pathIndex, m.digestStale = map[string]int{}, map[pathKey]int{}, true
@@ -115,7 +116,7 @@
 	return m
 }
 
-// Clone is an independent copy, for tests and the model checker.
+// Clone returns an independent copy, for tests and the model checker.
 func (m *Machine) Clone() *Machine {
 	c := *m
 	c.members = slices.Clone(m.members)
@@ -138,18 +139,18 @@
 	return c
 }
 
-// Self is what this member tells of itself.
+// Self returns this member's own record.
 func (m *Machine) Self() Record { return m.self }
 
-// Excluded tells that another process owns this member's name, and that it takes no part.
+// Excluded reports whether this member does not participate because another process owns its name.
 func (m *Machine) Excluded() bool { return m.excluded }
 
-// StalledUntil is until when this member shows that it was stalled: whoever holds something by time must not trust what it
-// knew before.
+// StalledUntil returns the time until which this member sets its Stalled flag. Until then, a caller that holds something for a
+// limited time, such as a lease, must not rely on what it knew before the stall.
 func (m *Machine) StalledUntil() clock.Micros { return m.stalledUntil }
 
-// LocalHealth is Lifeguard's local health multiplier: by how much this member stretches its timeouts because it misses
-// answers that others get. 1 is healthy, maxLocalHealth the worst.
+// LocalHealth returns Lifeguard's local health multiplier: the factor by which this member extends its timeouts because it
+// does not receive answers that it should. 1 is healthy; maxLocalHealth is the worst.
 func (m *Machine) LocalHealth() int {
 	if m.cfg.WithoutLifeguard {
 		return 1
@@ -157,7 +158,7 @@
 	return 1 + m.helperMisses*(maxLocalHealth-1)/1000
 }
 
-// Members lists all members as this one sees them, itself first.
+// Members returns all members as this one sees them, itself first.
 func (m *Machine) Members() []View {
 	all := []View{{Record: m.self, Self: true, Since: m.generationStart, LastReceived: m.lastEvent}}
 	for i := range m.members {
@@ -173,7 +174,7 @@
 	return all
 }
 
-// generationOver tells whether a generation of a member has ended, or is not known.
+// generationOver reports whether a generation of a member has ended or is not the one that is known.
 func (m *Machine) generationOver(name string, generation uint64) bool {
 	if name == m.self.Name {
 		return generation != m.self.Generation
@@ -182,7 +183,7 @@
 	return e == nil || e.Generation != generation || e.State.Ended()
 }
 
-// Lookup is the record of another member; false: it is not known.
+// Lookup returns the record of another member. The result is false if the member is not known.
 func (m *Machine) Lookup(name string) (Record, bool) {
 	if e := m.find(name); e != nil {
 		return e.Record, true
@@ -190,7 +191,7 @@
 	return Record{}, false
 }
 
-// find is another member by its name, or nil. The pointer is valid until a member is added or removed.
+// find returns the other member with the given name, or nil. The pointer is valid until a member is added or removed.
 func (m *Machine) find(name string) *member {
 	if i, ok := m.index[name]; ok {
 		return &m.members[i]
@@ -198,7 +199,7 @@
 	return nil
 }
 
-// random draws a number below n. Without a seed it is always 0.
+// random returns a pseudo-random number in [0, n). Without a seed it always returns 0.
 func (m *Machine) random(n int) int {
 	if m.cfg.Seed == 0 || n <= 1 {
 		return 0
@@ -210,7 +211,7 @@
 	return int((z ^ z>>31) >> 1 % uint64(n))
 }
 
-// pickAlive draws one of the members that have not ended, of those that pass; nil: there is none.
+// pickAlive returns a random member among those that have not ended and for which pass returns true, or nil if there is none.
 func (m *Machine) pickAlive(pass func(*member) bool) *member {
 	var candidates []*member
 	for i := range m.members {
@@ -224,10 +225,10 @@
 	return candidates[m.random(len(candidates))]
 }
 
-// anyMember lets every member pass.
+// anyMember is a filter for pickAlive that accepts every member.
 func anyMember(*member) bool { return true }
 
-// Next is when a Tick is due; false: never, as the member has not started or has left.
+// Next returns the time at which a Tick is due. The result is false if the member has not started or has left.
 func (m *Machine) Next() (clock.Micros, bool) {
 	if !m.running {
 		return 0, false
@@ -256,8 +257,8 @@
 	return next, true
 }
 
-// Handle takes in one event and returns what is to be done, in order. Time never goes back: an earlier time counts as the
-// last one. After each event the machine does all that is due.
+// Handle processes one event and returns the actions to carry out, in order. If now is earlier than the time of the previous
+// event, that time is used instead. After every event, Handle also does all work that is due, as for a Tick.
 func (m *Machine) Handle(now clock.Micros, ev Event) []Action {
 	now = max(now, m.lastEvent)
 	m.actions = nil
@@ -298,9 +299,9 @@
 	m.nextProbe, m.nextGossip, m.nextRejoin = now, now, now
 }
 
-// detectStall checks whether the process did not run for a while. What lies unread in the socket must be read before anybody
-// is accused, so for some time nobody is. Others were not late to one that could not listen, so their deadlines move on by
-// the pause.
+// detectStall checks whether the process did not run for a while. After a stall, the socket may hold unread messages, which
+// must be read before any member is suspected; so no member is suspected for stallGraceIntervals. Deadlines of other members
+// are extended by the duration of the stall, because this process could not receive their answers during it.
 func (m *Machine) detectStall(now clock.Micros) {
 	due, _ := m.Next()
 	late := now - max(due, m.lastEvent)
@@ -325,7 +326,7 @@
 	m.emit(Notice{Kind: ProcessStalled, StallDuration: late})
 }
 
-// clearStall takes the Stalled flag back when its time is over.
+// clearStall clears the Stalled flag once stalledUntil has passed.
 func (m *Machine) clearStall(now clock.Micros) {
 	if m.self.Meta.Flags&Stalled != 0 && now >= m.stalledUntil {
 		m.self.Meta.Flags &^= Stalled
@@ -333,7 +334,7 @@
 	}
 }
 
-// tick does all that is due.
+// tick does all work that is due.
 func (m *Machine) tick(now clock.Micros) {
 	if m.leaveRoundsLeft > 0 {
 		m.tickLeaving(now)
@@ -361,7 +362,7 @@
 	}
 }
 
-// sendGossip spreads what is new out of turn, by pings that wait for no answer.
+// sendGossip sends additional pings that only carry queued gossip; no answer to them is awaited.
 func (m *Machine) sendGossip(now clock.Micros) {
 	m.nextGossip = now + m.cfg.Interval/gossipDivisor
 	for range gossipNodes {
@@ -371,7 +372,8 @@
 	}
 }
 
-// forgetEnded removes members that ended long ago, and the path reports of ended reporters.
+// forgetEnded removes members that died or left more than retainEndedFor ago, and the path reports of generations that have
+// ended.
 func (m *Machine) forgetEnded(now clock.Micros) {
 	for i := 0; i < len(m.members); {
 		if e := &m.members[i]; e.State.Ended() && now-e.stateSince > retainEndedFor {
@@ -383,7 +385,7 @@
 	m.retainPaths(func(p PathState) bool { return !m.generationOver(p.Reporter, p.Generation) })
 }
 
-// startLeaving begins to tell the others that this member leaves.
+// startLeaving marks this member as having left, and queues this as the only gossip.
 func (m *Machine) startLeaving(now clock.Micros) {
 	m.self.State = Left
 	m.digestStale = true
@@ -392,7 +394,7 @@
 	m.gossipMember(m.self.Name)
 }
 
-// tickLeaving tells some others that this member leaves, and stops after the last round.
+// tickLeaving announces to leaveNodes other members that this member leaves, and stops the machine after the last round.
 func (m *Machine) tickLeaving(now clock.Micros) {
 	if now < m.nextGossip {
 		return
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,16 +1,17 @@
-// Package membership decides which gateways are there: the SWIM protocol (Das, Gupta and Motivala 2002) with the extensions
-// for slow members that Lifeguard adds to it (Dadgar, Phillips and Currey 2018), and what gateways need beside that: reports
-// on paths that are lost in one direction, generations that tell a restarted member from its former self, members that were
-// stalled, and partitioned halves that find each other again.
+// Package membership tracks which gateways are running. It implements the SWIM protocol (Das, Gupta and Motivala 2002) with
+// Lifeguard's extensions for slow members (Dadgar, Phillips and Currey 2018). On top of these it reports paths that are lost
+// in one direction, uses generations to distinguish a restarted member from its previous run, handles members whose process
+// was stalled, and rejoins the two halves of a healed partition.
 //
-// The package is a pure state machine: events with their times go in by Machine.Handle, messages to send and changes of the
-// view come out as actions. It owns no clock, socket or goroutine, and its random draws come from a seed. Times are whole
-// microseconds of a clock that never steps back. internal/gossip calls it, on one goroutine, and carries out its actions;
-// internal/experiments/members and the tests call it with simulated clocks and networks.
+// The package is a pure state machine: Machine.Handle takes events with their times and returns actions, which are messages
+// to send and changes of the view. It owns no clock, socket or goroutine, and its random numbers come from a seed. Times are
+// whole microseconds of a clock that never steps back. internal/gossip calls it from a single goroutine and carries out its
+// actions; internal/experiments/members and the tests call it with simulated clocks and networks.
 //
-// The main decisions are in these functions: handleMessage takes in messages, mergeRecord and mergeSelf decide which record
-// counts, startProbe and advanceProbes are the failure detector, suspicionDeadline says when a suspect is dead, and
-// newSyncMessage what a message carries. This file is the interface. docs/membership.md has the design.
+// The main decisions are in these functions: handleMessage processes received messages, mergeRecord and mergeSelf decide
+// which of two records wins, startProbe and advanceProbes are the failure detector, suspicionDeadline computes when a suspect
+// is declared dead, and newSyncMessage chooses the contents of a message. This file holds the interface. The design is
+// described in docs/membership.md.
 package membership
 
 import (
@@ -19,28 +20,29 @@
 	"marblespan/internal/clock"
 )
 
-// The bounds of Config.Interval, in microseconds. Below the minimum a core that other processes use looks like a death; above
-// the maximum a death is noticed only after minutes.
+// The bounds of Config.Interval, in microseconds. With a shorter interval, a member whose CPU core is busy with other
+// processes would be declared dead; with a longer one, a dead member would be detected only after minutes.
 const (
 	MinInterval clock.Micros = 50_000
 	MaxInterval clock.Micros = 10_000_000
 )
 
-// MaxMembers is how many other members are kept, those that have ended among them. Where none has ended, further ones are
-// not taken in.
+// MaxMembers is the largest number of other members that are kept, including dead ones and those that have left. When the
+// table is full and holds no dead or left member to remove, new members are ignored.
 const MaxMembers = 1024
 
-// The longest strings of a record, in bytes.
+// The maximum lengths of a record's strings, in bytes.
 const (
 	MaxNameLength    = 40
 	MaxZoneLength    = 20
 	MaxVersionLength = 20
 )
 
-// State is what a member is believed to be.
+// State is the state of a member as another member sees it.
 type State uint8
 
-// The states. Dead and Left are final for a generation: whoever comes back has a new one. StateCount is how many there are.
+// The states. Dead and Left are final for a generation: a member that comes back starts a new generation. StateCount is the
+// number of states.
 const (
 	Alive State = iota
 	Suspect
@@ -51,129 +53,131 @@
 
 var stateNames = [StateCount]string{"alive", "suspect", "dead", "left"}
 
-// String is the state's name in logs and answers.
+// String returns the state's name as used in logs and in answers on the control socket.
 func (s State) String() string { return stateNames[s] }
 
-// Ended tells whether a generation in this state is over.
+// Ended reports whether the state is Dead or Left, which end a generation.
 func (s State) Ended() bool { return s == Dead || s == Left }
 
-// Flags are bits that a member tells of itself.
+// Flags are bits that a member publishes about itself.
 type Flags uint32
 
 // The flags.
 const (
-	Draining Flags = 1 << iota // it is about to end
-	Stalled                    // its process did not run for longer than others wait for an ack, a moment ago
-	NoDisk                     // it stores nothing over a restart
+	Draining Flags = 1 << iota // the member is shutting down
+	Stalled                    // the member's process recently did not run for longer than other members wait for an ack
+	NoDisk                     // the member stores nothing that survives a restart
 )
 
-// Meta is what a member tells of itself beside its name and address. The machine spreads it and itself reads only the Stalled
-// flag.
+// Meta is the metadata that a member publishes about itself in addition to its name and address. The machine distributes it
+// to the other members; the only part that the machine itself interprets is the Stalled flag.
 type Meta struct {
 	Zone     string
 	Weight   uint32
-	Version  string // of its program
-	Settings uint64 // digest of its settings
+	Version  string // version of the member's program
+	Settings uint64 // digest of the member's settings
 	Flags    Flags
 }
 
-// Record is the state of a member as others know it. The later generation counts; within it the higher incarnation, and in
-// the same incarnation a suspicion overrides being alive. An end is final.
+// Record is the state of a member as other members know it. Of two records of a member, the one with the later generation
+// wins. Within a generation, Dead and Left are final; otherwise the higher incarnation wins, and within an incarnation
+// Suspect overrides Alive.
 type Record struct {
 	Name        string
 	Address     netip.AddrPort
-	Generation  uint64 // when it started, microseconds of Unix time, or just past an earlier generation
-	Incarnation uint32 // raised by the member itself to refute a suspicion, and for new metadata
+	Generation  uint64 // start time in microseconds of Unix time, or one more than an earlier generation
+	Incarnation uint32 // incremented by the member itself to refute a suspicion or to publish new metadata
 	State       State
-	ReportedBy  string // who suspects it, or declared it dead
+	ReportedBy  string // the member that suspects it or declared it dead
 	Meta        Meta
 }
 
-// PathState is a member's report on the path between itself and another one that others reach. A path may be lost in one
-// direction only.
+// PathState is a member's report on the network path between itself and a peer that other members can reach. A path may be
+// lost in one direction only.
 type PathState struct {
 	Reporter, Peer string
-	Generation     uint64 // of Reporter
-	Number         uint32 // of its reports on that path; the latest counts
+	Generation     uint64 // generation of Reporter
+	Number         uint32 // sequence number of Reporter's reports on this path; the highest is the latest
 	OutboundLost   bool   // the peer does not receive what the reporter sends
 	InboundLost    bool   // the reporter does not receive what the peer sends
 }
 
-// Healthy tells that the path is lost in neither direction.
+// Healthy reports whether the path works in both directions.
 func (p PathState) Healthy() bool { return !p.OutboundLost && !p.InboundLost }
 
 // Kind is a kind of message.
 type Kind uint8
 
-// The kinds.
+// The kinds of messages.
 const (
-	Ping         Kind = iota + 1 // answered by an Ack; Number 0: no answer is waited for
-	Ack                          // the answer; with a Target, a helper sends it for that member
+	Ping         Kind = iota + 1 // answered with an Ack; if Number is 0, the sender does not wait for it
+	Ack                          // answers a Ping; if Target is set, a helper sends it on behalf of Target
 	IndirectPing                 // asks a helper to ping Target
-	Nack                         // Target has not answered the helper so far
-	Reject                       // the name is taken, by the member of the first record
+	Nack                         // a helper reports that Target has not answered it so far
+	Reject                       // the receiver's name belongs to another process, described by the first record
 	kinds
 )
 
-// Known tells whether a kind is one of the above.
+// Known reports whether k is one of the kinds above.
 func (k Kind) Known() bool { return k >= Ping && k < kinds }
 
-// Message is one datagram. Records and Paths are the gossip that rides on it.
+// Message is the content of one datagram. Records and Paths are gossip carried along with it.
 type Message struct {
 	Kind               Kind
 	From               string
 	Generation         uint64
 	Incarnation        uint32
-	To                 string // whom it is meant for; empty: whoever is at the address
+	To                 string // name of the receiver; empty: any member at the address
 	ToGeneration       uint64
-	Number             uint32 // of the ping; its answers repeat it
+	Number             uint32 // number of the ping, repeated in its answers
 	Target             string
 	TargetAddress      netip.AddrPort
-	Origin             string // in a Ping: for whom a helper sends it
+	Origin             string // in a Ping from a helper: the member that asked for it
 	OriginNumber       uint32
-	DirectPingReceived bool   // in an Ack to a helper: the origin's own ping arrived, too
-	Digest             uint64 // of the sender's view
+	DirectPingReceived bool   // in an Ack to a helper: the origin's own ping arrived as well
+	Digest             uint64 // digest of the sender's view
 	Records            []Record
 	Paths              []PathState
 }
 
-// MaxMessageSize is the size of the largest encoded message, in bytes. With the signed trailer's 60 it is 1,200.
+// MaxMessageSize is the size of the largest encoded message, in bytes. The signed trailer adds 60 bytes, which makes 1,200.
 const MaxMessageSize = 1_140
 
 // Config is the configuration of one member.
 type Config struct {
 	Name             string
-	Address          netip.AddrPort // where others reach it
-	Generation       uint64         // when it started, microseconds of Unix time
+	Address          netip.AddrPort // the address at which other members reach it
+	Generation       uint64         // start time in microseconds of Unix time
 	Interval         clock.Micros   // how long one probe may take
 	Meta             Meta
-	Join             []netip.AddrPort // addresses of members to join by
-	Seed             uint64           // of its random draws; 0: none are made, and everything goes in turn
-	WithoutLifeguard bool             // plain SWIM, without the extensions for slow members: for use as a baseline only
+	Join             []netip.AddrPort // addresses of members to contact in order to join
+	Seed             uint64           // seed of the random numbers; 0: every choice is made in a fixed order instead
+	WithoutLifeguard bool             // plain SWIM without the extensions for slow members; only for use as a baseline
 }
 
 // Event is one of the events below.
 type Event interface{ event() }
 
-// Started begins probing and joining. LeaveRequested ends it; LeaveCompleted follows once others have been told.
+// Started makes the machine begin to join and to probe. LeaveRequested makes it leave; the machine emits LeaveCompleted after
+// it has told other members.
 type (
 	Started        struct{}
 	LeaveRequested struct{}
 )
 
-// MessageReceived is an authentic and valid message. Source is the address that it came from.
+// MessageReceived carries a message that the caller has authenticated and validated. Source is the sender's address.
 type MessageReceived struct {
 	Source  netip.AddrPort
 	Message Message
 }
 
-// Tick is the timer step. It is due when Machine.Next says, and may come more often.
+// Tick is the timer step. It is due at the time returned by Machine.Next; additional Ticks are harmless.
 type Tick struct{}
 
-// MetaUpdated changes this member's metadata. The Stalled flag is the machine's own and is not taken from here.
+// MetaUpdated changes this member's metadata, except for the Stalled flag, which the machine sets itself.
 type MetaUpdated struct{ Meta Meta }
 
-// Reconfigured brings another interval and other addresses to join by.
+// Reconfigured changes the interval and the join addresses.
 type Reconfigured struct {
 	Interval clock.Micros
 	Join     []netip.AddrPort
@@ -186,37 +190,38 @@
 func (MetaUpdated) event()     {}
 func (Reconfigured) event()    {}
 
-// Action is one of the actions below, to be carried out in order.
+// Action is one of the actions below. The caller carries them out in order.
 type Action interface{ action() }
 
-// Send sends a message. To is empty where the address is one to join by, or one that a message came from.
+// Send asks the caller to send a message. To is empty if the receiver is known only by its address: a join address, or the
+// source of a received message.
 type Send struct {
 	To      string
 	Address netip.AddrPort
 	Message Message
 }
 
-// MemberChanged is a change of the view: a member was added, suspected, found alive again or ended, or its metadata changed.
-// Previous is its state before; NewGeneration, that this generation was not known.
+// MemberChanged reports a change of the view: a member was added, was suspected, is alive again, died, left, or changed its
+// metadata. Previous is the member's former state. NewGeneration is set if this generation of the member was not known before.
 type MemberChanged struct {
 	Record
 	Previous      State
 	NewGeneration bool
 }
 
-// PathChanged is a change of the path between this member and another one, as this one reports it.
+// PathChanged reports that this member's own report on the path to another member has changed.
 type PathChanged struct{ State PathState }
 
-// Notice is something that a member has found out about itself.
+// Notice reports something that this member has found out about itself.
 type Notice struct {
 	Kind          NoticeKind
-	ReportedBy    string         // who suspected it, or declared it dead
-	Address       netip.AddrPort // of the other process of its name
-	Generation    uint64         // its own from now on, or the other process's
+	ReportedBy    string         // the member that suspected this one or declared it dead
+	Address       netip.AddrPort // address of the other process with the same name
+	Generation    uint64         // this member's new generation, or that of the other process
 	StallDuration clock.Micros   // for how long the process did not run
 }
 
-// LeaveCompleted tells that the others have been told that this member leaves.
+// LeaveCompleted reports that this member has told other members that it leaves, and has stopped.
 type LeaveCompleted struct{}
 
 func (Send) action()           {}
@@ -228,30 +233,30 @@
 // NoticeKind is a kind of notice.
 type NoticeKind uint8
 
-// The kinds of notices. NoticeCount is how many there are.
+// The kinds of notices. "It" is this member. NoticeCount is the number of kinds.
 const (
-	ProcessStalled   NoticeKind = iota // its process did not run for a while: others may have gone on without it
-	SuspicionRefuted                   // it was suspected, and has answered by a higher incarnation
-	DeclaredDead                       // it was declared dead, and the others have gone on without it. It goes on in a new generation
-	ClockSetBack                       // others know a later generation of it: its clock was set back. It goes on in a generation past that
-	NameConflict                       // another process has its name. This one started earlier and stays
-	Excluded                           // another process has its name. This one started later and takes no part
-	Readmitted                         // it takes part again after it was excluded
+	ProcessStalled   NoticeKind = iota // its process did not run for a while, so other members may have declared it dead
+	SuspicionRefuted                   // it was suspected and has refuted the suspicion with a higher incarnation
+	DeclaredDead                       // other members declared it dead; it continues in a new generation
+	ClockSetBack                       // others know a later generation of it, as its clock was set back; it continues after that one
+	NameConflict                       // another process has the same name; this one started earlier and keeps it
+	Excluded                           // another process has the same name; this one started later and does not participate
+	Readmitted                         // it was excluded and now participates again
 	NoticeCount
 )
 
 var noticeNames = [NoticeCount]string{"stood_still", "refuted", "outcast", "moved_past", "namesake", "left_out", "let_in"}
 
-// String is the kind's code in the log and in the names of counters.
+// String returns the kind's code, which appears in logs and in the names of counters.
 func (n NoticeKind) String() string { return noticeNames[n] }
 
-// View is one member as this one sees it.
+// View is one member as this machine sees it.
 type View struct {
 	Record
 	Self         bool
-	Since        clock.Micros // start of the present state
-	LastReceived clock.Micros // last message from itself; 0: never
-	RTT          clock.Micros // of the last ping that was answered directly; 0: none was
-	LostPaths    []PathState  // paths between it and others that either side reports as lost
-	LastHelper   string       // the helper that reached it last; empty: none did
+	Since        clock.Micros // start of the current state
+	LastReceived clock.Micros // when the last message from the member itself arrived; 0: never
+	RTT          clock.Micros // round-trip time of the last ping that was answered directly; 0: none so far
+	LostPaths    []PathState  // paths between the member and others that either side reports as lost
+	LastHelper   string       // the helper that most recently reached the member; empty: none
 }
