--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -7,10 +7,11 @@
 	"marblespan/internal/clock"
 )
 
-// This file merges records of other members into the view. The later generation wins, within it the higher incarnation; a
-// suspicion overrides being alive in the same incarnation, and an end is final.
+// This file merges received records of other members into the view. The later generation wins. Within a generation, Dead and
+// Left are final; otherwise the higher incarnation wins, and within an incarnation Suspect overrides Alive.
 
-// mergeRecord takes over a record if it is later than what is known. source and msg are where it came from.
+// mergeRecord applies a record if it is later than what is known. msg is the message that contained the record, and source is
+// the address from which it arrived.
 func (m *Machine) mergeRecord(now clock.Micros, record Record, source netip.AddrPort, msg Message) {
 	if record.Name == m.self.Name {
 		m.mergeSelf(record)
@@ -37,8 +38,9 @@
 	}
 }
 
-// mergeNewGeneration takes over a later generation of a known member. At another address it is another process of the same
-// name, which has to wait until the known one has ended; if it speaks for itself it is told so.
+// mergeNewGeneration applies a record with a later generation of a known member. If the record has another address, it belongs
+// to another process with the same name, and is ignored until the known one has ended. If that process itself sent the record,
+// it is sent a Reject.
 func (m *Machine) mergeNewGeneration(now clock.Micros, known *member, record Record, source netip.AddrPort, msg Message) {
 	conflict := !record.State.Ended() && !known.State.Ended() && record.Address != known.Address
 	switch {
@@ -49,15 +51,15 @@
 	}
 }
 
-// reject tells a process that another one owns its name.
+// reject sends a Reject to a process whose name is owned by another process.
 func (m *Machine) reject(to netip.AddrPort, name string, generation uint64, owner Record) {
 	out := m.newMessage(Reject, nil)
 	out.To, out.ToGeneration, out.Target, out.Records = name, generation, name, []Record{owner}
 	m.emit(Send{Address: to, Message: out})
 }
 
-// addMember takes in a member that was not known, also one that has ended already. A full table gives up the member that
-// ended first; where none has ended the new one is left out.
+// addMember adds a member that was not known, even if it has ended already. If the table is full, the member that ended first
+// is removed; if no member has ended, the new one is ignored.
 func (m *Machine) addMember(now clock.Micros, r Record) {
 	if len(m.members) >= MaxMembers && !m.removeOldestEnded() {
 		return
@@ -70,7 +72,7 @@
 	m.adoptRecord(now, &m.members[len(m.members)-1], r, true)
 }
 
-// removeOldestEnded removes the member that ended first. It tells whether there was one.
+// removeOldestEnded removes the member that ended first. It returns false if no member has ended.
 func (m *Machine) removeOldestEnded() bool {
 	oldest := -1
 	for i := range m.members {
@@ -85,7 +87,7 @@
 	return true
 }
 
-// removeMember forgets the member at a place of the table.
+// removeMember removes the member at index i.
 func (m *Machine) removeMember(i int) {
 	delete(m.index, m.members[i].Name)
 	m.members = slices.Delete(m.members, i, i+1)
@@ -94,13 +96,14 @@
 	}
 }
 
-// startMemberGeneration begins a later generation of a known member.
+// startMemberGeneration resets the state kept for a known member and applies a record of a later generation.
 func (m *Machine) startMemberGeneration(now clock.Micros, e *member, r Record) {
 	e.lastHelper, e.rtt, e.indirectOnly, e.path, e.lastDirectPing, e.lastReceived, e.lastAck = "", 0, 0, PathState{}, 0, 0, 0
 	m.adoptRecord(now, e, r, !r.State.Ended())
 }
 
-// adoptRecord takes over a record whole. A suspect counts as alive first, and its accuser as one of those who confirm it.
+// adoptRecord replaces a member's record. If the record's state is Suspect, the member is first set to Alive and then suspected
+// on behalf of the record's ReportedBy, so that further reports count as confirmations.
 func (m *Machine) adoptRecord(now clock.Micros, e *member, r Record, newGeneration bool) {
 	previous := e.State
 	e.Record, e.stateSince, e.suspectedBy = r, now, nil
@@ -115,7 +118,8 @@
 	}
 }
 
-// updateMember takes over a later incarnation of the same generation: the member is alive, and its metadata may differ.
+// updateMember applies a record with a later incarnation of the same generation. The member becomes Alive, and its metadata
+// may change.
 func (m *Machine) updateMember(now clock.Micros, e *member, r Record) {
 	previous, previousMeta := e.State, e.Meta
 	e.Incarnation, e.Meta, e.Address, e.State, e.ReportedBy, e.suspectedBy = r.Incarnation, r.Meta, r.Address, Alive, "", nil
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -5,28 +5,29 @@
 	"slices"
 )
 
-// This file makes messages: their header, the gossip that rides on them, and pages of the whole view for members whose view
+// This file builds messages: their header, the gossip that they carry, and pages of the whole view for members whose view
 // differs.
 
-// retransmitMultiplier times the logarithm of the number of members is how often a record is transmitted (memberlist's
-// RetransmitMult).
+// retransmitMultiplier, multiplied by the base-2 logarithm of the number of members, is the number of times that a record is
+// transmitted, like memberlist's RetransmitMult.
 const retransmitMultiplier = 3
 
-// gossipDivisor is the part of an interval, as its divisor, after which gossip is sent out of turn, to gossipNodes others.
+// While there are queued records, additional pings that carry gossip are sent to gossipNodes random members every
+// Config.Interval/gossipDivisor.
 const (
 	gossipDivisor = 4
 	gossipNodes   = 2
 )
 
-// The largest encoded sizes of a message's parts, in bytes: the header without its sender's name but with three other names,
-// and a path report without its names. minRecordSize is the smallest size of a record.
+// Encoded sizes in bytes: the largest header, without the sender's name but with three other names; the smallest record; and
+// the largest path report, without its names.
 const (
 	maxHeaderSize = 2 + 2 + 11 + 6 + 3*(2+MaxNameLength) + 11 + 6 + 26 + 6 + 2 + 9
 	minRecordSize = 40
 	maxPathSize   = 2 + 4 + 6 + 4 + 11
 )
 
-// recordSize is the largest encoded size of a record, in bytes.
+// recordSize returns an upper bound of the encoded size of a record, in bytes.
 func recordSize(r Record) int {
 	address := 2 + 2 + 4 + 4
 	if !r.Address.Addr().Is4() {
@@ -35,21 +36,23 @@
 	return 3 + 2 + len(r.Name) + address + 11 + 6 + 2 + 2 + len(r.ReportedBy) + 2 + len(r.Meta.Zone) + 6 + 2 + len(r.Meta.Version) + 9 + 6
 }
 
-// pathSize is the largest encoded size of a report on a path, in bytes.
+// pathSize returns an upper bound of the encoded size of a path report, in bytes.
 func pathSize(reporter, peer string) int { return maxPathSize + len(reporter) + len(peer) }
 
-// ping pings a member, for this one itself or as a helper for an origin. Number 0 waits for no answer.
+// ping sends a Ping to a member, either for this member itself or, if origin is not empty, as a helper of origin. With number
+// 0, no answer is awaited.
 func (m *Machine) ping(target *member, number uint32, origin string, originNumber uint32) {
 	msg := m.newSyncMessage(Ping, target, target.digest != 0 && target.digest != m.viewDigest())
 	msg.Number, msg.Origin, msg.OriginNumber = number, origin, originNumber
 	m.emit(Send{To: target.Name, Address: target.Address, Message: msg})
 }
 
-// newMessage makes a message to a member, or to one that is not known (nil), with the gossip that is due.
+// newMessage returns a message to a member, including queued gossip. to is nil if the receiver is not in the view.
 func (m *Machine) newMessage(kind Kind, to *member) Message { return m.newSyncMessage(kind, to, false) }
 
-// newSyncMessage makes a message, and if sync is set fills the room that gossip leaves with a page of the whole view. A
-// receiver that does not know this member gets its record; one that is suspected or has ended here is told so.
+// newSyncMessage is like newMessage, but if sync is set, it fills the remaining space with a page of the whole view. The
+// message includes this member's own record if the receiver does not know it, and the receiver's record if the receiver is
+// suspected or has ended in this member's view, so that the receiver can refute that or start a new generation.
 func (m *Machine) newSyncMessage(kind Kind, to *member, sync bool) Message {
 	b := messageBuilder{
 		Message: Message{
@@ -76,18 +79,19 @@
 	return b.Message
 }
 
-// messageBuilder is a message being filled. freeBytes is how many bytes are left for records and path reports.
+// messageBuilder is a message under construction. freeBytes is the space left for records and path reports.
 type messageBuilder struct {
 	Message
 	freeBytes int
 }
 
-// has tells whether the message has a record of a name.
+// has reports whether the message contains a record of the member with the given name.
 func (b *messageBuilder) has(name string) bool {
 	return slices.ContainsFunc(b.Records, func(r Record) bool { return r.Name == name })
 }
 
-// add adds a record that is not in the message yet. It tells whether it did.
+// add adds a record if there is space for it and the message has none of the same member yet. It reports whether the record
+// was added.
 func (b *messageBuilder) add(r Record) bool {
 	size := recordSize(r)
 	if size > b.freeBytes || b.has(r.Name) {
@@ -98,7 +102,7 @@
 	return true
 }
 
-// addPath adds a path report if there is room for it. It tells whether it did.
+// addPath adds a path report if there is space for it, and reports whether it was added.
 func (b *messageBuilder) addPath(p PathState) bool {
 	size := pathSize(p.Reporter, p.Peer)
 	if size > b.freeBytes {
@@ -109,7 +113,8 @@
 	return true
 }
 
-// addGossip adds what was transmitted least often so far: records first, path reports where there is room left.
+// addGossip adds queued gossip, starting with what has been transmitted least often: first records, then path reports if space
+// is left.
 func (m *Machine) addGossip(b *messageBuilder) {
 	if m.memberGossip.empty() && m.pathGossip.empty() {
 		return
@@ -119,7 +124,7 @@
 	m.pathGossip.take(rounds, func(item broadcast) offerResult { return m.offerPath(b, pathKey{item.reporter, item.peer}) })
 }
 
-// offerRecord adds a member's record to a message if it fits.
+// offerRecord adds the record of the member called name to a message if it fits.
 func (m *Machine) offerRecord(b *messageBuilder, name string) offerResult {
 	record := m.self
 	if name != m.self.Name {
@@ -150,20 +155,21 @@
 	return offerSent
 }
 
-// addSyncPage adds the records that follow the last page, as many as there is room for, this member's own after all others.
+// addSyncPage adds as many records as fit, starting after the last record of the previous page. This member's own record comes
+// after those of all others.
 func (m *Machine) addSyncPage(b *messageBuilder) {
 	for range len(m.members) + 1 {
 		m.syncPage = (m.syncPage + 1) % (len(m.members) + 1)
 		if m.syncPage == len(m.members) {
 			b.add(m.self)
 		} else if r := m.members[m.syncPage].Record; !b.add(r) && !b.has(r.Name) {
-			m.syncPage-- // it comes first next time
+			m.syncPage-- // the next page starts with this record
 			return
 		}
 	}
 }
 
-// truncateRecords drops the last records of a message that has become too large.
+// truncateRecords removes records from the end of a message that has become larger than MaxMessageSize.
 func (m *Machine) truncateRecords(msg *Message) {
 	size := maxHeaderSize + len(m.self.Name)
 	for _, p := range msg.Paths {
@@ -177,5 +183,5 @@
 	}
 }
 
-// gossipMember has a member's record spread from the beginning.
+// gossipMember queues a member's record as gossip that has not been transmitted yet.
 func (m *Machine) gossipMember(name string) { m.memberGossip.enqueue(broadcast{name: name}) }
--- a/internal/membership/modelcheck_test.go
+++ b/internal/membership/modelcheck_test.go
@@ -13,13 +13,14 @@
 	"marblespan/internal/modelcheck"
 )
 
-// The clock of the model: an interval of 1200 units, and messages that take at most 1.
+// The time units of the model: a probe interval is 1200 units, and a message takes at most 1 unit.
 const (
 	interval = 1200
 	delay    = 1
 )
 
-// mutant breaks one thing about the machine: its state or event before it handles it, or the actions that come of it.
+// mutant makes the machine wrong in one point: alterEvent changes the machine or the event before it is handled, and
+// alterActions changes the machine or the resulting actions afterwards.
 type mutant struct {
 	name         string
 	alterEvent   func(m *Machine, now clock.Micros, ev Event) Event
@@ -31,9 +32,9 @@
 	id, nodes        int
 	mutant           *mutant
 	machine          *Machine
-	endedGenerations map[string]uint64 // the latest generation that it has seen end, by name
-	violation        string            // the invariant that it violated itself; empty: none
-	clockSetBack     bool              // its clock is set back between two generations
+	endedGenerations map[string]uint64 // the latest generation of each member that this node has seen end
+	violation        string            // the invariant that this node's own view violated; empty: none
+	clockSetBack     bool              // the node's clock is set back between two generations
 }
 
 func nodeName(i int) string { return string(rune('a' + i)) }
@@ -43,7 +44,8 @@
 }
 
 func (g modelNode) Boot(now int64) (modelcheck.Node, []modelcheck.Message) {
-	// Generations are as far apart as clocks make them: a machine that starts new ones of its own stays below its next start.
+	// Multiplied by 1000, so that generations that a running machine starts on its own, which are one higher each, stay below
+	// the generation of its next restart, as they do with real clocks.
 	generation := uint64(now) * 1000
 	if g.clockSetBack {
 		generation = 1<<40 - generation
@@ -89,7 +91,8 @@
 	return n, sent
 }
 
-// checkChange compares a change with what came before: the end of a generation is final.
+// checkChange records a violation if a member becomes alive or suspect in a generation that this node has already seen end, or
+// in an earlier one.
 func (g *modelNode) checkChange(a MemberChanged) {
 	switch ended := a.State.Ended(); {
 	case !ended && a.Generation <= g.endedGenerations[a.Name]:
@@ -129,10 +132,11 @@
 	return strings.TrimSpace(b.String()) + "]"
 }
 
-// convergeTime is how long after the last fault all must know each other again: a ping to the dead, a probe and the longest
-// suspicion, and the time that gossip takes.
+// convergeTime is the time after the last fault within which all members must see each other correctly again. It covers a ping
+// to a dead member, a probe, the longest suspicion, and the time that gossip takes.
 const convergeTime = (rejoinIntervals + 3*maxSuspicionIntervals) * interval
 
+// invariant returns the check of every state.
 func invariant(w *modelcheck.World) func(*modelcheck.State) error {
 	return func(s *modelcheck.State) error {
 		for i := range s.Nodes {
@@ -149,19 +153,19 @@
 				}
 				o := s.Nodes[j].(modelNode)
 				r, known := g.machine.Lookup(nodeName(j))
-				// A member that is believed alive in a generation is in that generation itself: one that was declared dead
-				// learns of it before it is believed again.
+				// No member is considered alive in a generation later than its own, because only the member itself starts a new
+				// generation, after it has learned that it was declared dead.
 				if known && !r.State.Ended() && s.DownUntil[j] == 0 && r.Generation > o.machine.self.Generation && !g.clockSetBack {
-					return fmt.Errorf("%s believes generation %d of %s alive, which is in generation %d", nodeName(i), r.Generation, nodeName(j), o.machine.self.Generation)
+					return fmt.Errorf("%s considers generation %d of %s alive, but that member is in generation %d", nodeName(i), r.Generation, nodeName(j), o.machine.self.Generation)
 				}
 				if !s.FaultFree(delay) || s.Now-s.LastFaultAt < convergeTime {
 					continue
 				}
 				switch up := s.DownUntil[j] == 0; {
 				case up && (!known || r.State != Alive || r.Generation != o.machine.self.Generation):
-					return fmt.Errorf("%s does not hold %s alive long after the last fault: %v", nodeName(i), nodeName(j), r.State)
+					return fmt.Errorf("%s does not consider %s alive long after the last fault: %v", nodeName(i), nodeName(j), r.State)
 				case !up && known && !r.State.Ended():
-					return fmt.Errorf("%s holds %s %v long after its end", nodeName(i), nodeName(j), r.State)
+					return fmt.Errorf("%s still has %s as %v long after it crashed", nodeName(i), nodeName(j), r.State)
 				}
 			}
 		}
@@ -169,17 +173,18 @@
 	}
 }
 
+// scenario is a number of nodes and the faults that may happen to them.
 type scenario struct {
 	name         string
 	nodes        int
 	faults       modelcheck.Faults
-	downFor      int64 // how long a crashed node stays down; 0: for good
-	clockSetBack bool  // its clock is set back while it is down
+	downFor      int64 // how long a crashed node stays down; 0: permanently
+	clockSetBack bool  // a crashed node's clock is set back while it is down
 }
 
 var scenarios = []scenario{
 	{"three, no fault", 3, modelcheck.Faults{}, 0, false},
-	{"three, a crash for good", 3, modelcheck.Faults{Crash: 1}, 0, false},
+	{"three, a permanent crash", 3, modelcheck.Faults{Crash: 1}, 0, false},
 	{"three, a crash and a restart", 3, modelcheck.Faults{Crash: 1}, 30 * interval, false},
 	{"three, a quick restart", 3, modelcheck.Faults{Crash: 2}, interval / 2, false},
 	{"three, a restart with the clock set back", 3, modelcheck.Faults{Crash: 1, Lose: 1}, 30 * interval, true},
@@ -205,10 +210,11 @@
 	return w
 }
 
-// walkSlots bounds how many walks run at a time, as the tests of other packages run real processes beside.
+// walkSlots limits how many walks run at a time, because tests of other packages may run real processes at the same time.
 var walkSlots = make(chan bool, 2)
 
-// randomWalk makes one run of moves drawn at random, faults less often than others, until long after the last fault.
+// randomWalk makes random moves, with faults less often than other moves, until convergeTime after the last fault has passed.
+// It returns an error when a state violates the invariant.
 func randomWalk(sc scenario, mut *mutant, seed uint64) error {
 	walkSlots <- true
 	defer func() { <-walkSlots }()
@@ -235,11 +241,12 @@
 			if disturbed[j] = disturbed[j] || state.PausedUntil[j]-state.Now > 3*interval || slices.Max(state.PartitionedUntil) > 0; disturbed[j] || state.DownUntil[j] != 0 {
 				continue
 			}
-			// The few losses of a run may have a member suspected, but never declared dead: there is time to refute it.
+			// The few messages lost in a run may cause a member to be suspected, but never to be declared dead, because it has
+			// enough time to refute the suspicion. Members that were paused or partitioned for long are exempt.
 			o := state.Nodes[j].(modelNode)
 			for i := range state.Nodes {
 				if r, known := state.Nodes[i].(modelNode).machine.Lookup(nodeName(j)); known && r.State == Dead && r.Generation == o.machine.self.Generation && state.DownUntil[i] == 0 {
-					err = fmt.Errorf("%s holds %s dead, which was never stalled or partitioned for long", nodeName(i), nodeName(j))
+					err = fmt.Errorf("%s considers %s dead, although it was never stalled or partitioned for long", nodeName(i), nodeName(j))
 				}
 			}
 		}
@@ -250,7 +257,7 @@
 	return nil
 }
 
-// walksPerScenario is how many random walks each scenario gets.
+// walksPerScenario is the number of random walks for each scenario.
 const walksPerScenario = 5
 
 func TestRandomWalks(t *testing.T) {
@@ -266,9 +273,9 @@
 	}
 }
 
-// singleOrder is a world in which moves without a fault happen in one order, and a fault may come at every moment between two
-// times. Breadth first all of these runs are checked; with every order of messages the search would not get past the first
-// moments.
+// singleOrder is a world in which moves without a fault happen in a single order, and a fault may happen at any moment between
+// two times. A breadth-first search covers all of these runs; if it also had to try every order of messages, it would not get
+// beyond the first moments.
 type singleOrder struct {
 	*modelcheck.World
 	from, to int64
@@ -286,11 +293,12 @@
 	return out
 }
 
-// One fault, at every moment of an interval in which three or four members know each other, and a second one at the same
-// moments: no invariant is violated on the way, and all know each other long after it.
+// TestFaultAtEveryMoment injects a fault at every moment of an interval in which three or four members know each other, and
+// where the scenario allows it a second one: no state violates an invariant, and all members see each other correctly
+// convergeTime after the fault.
 func TestFaultAtEveryMoment(t *testing.T) {
 	if runDivisor > 1 {
-		t.Skip("the same states as without the race detector, many times slower")
+		t.Skip("explores the same states as without the race detector, but many times slower")
 	}
 	for _, c := range []struct {
 		scenario
@@ -319,7 +327,7 @@
 	}
 }
 
-// withoutRecords drops the records for which skip holds from a message.
+// withoutRecords returns the event with the records for which skip returns true removed, if it is a message.
 func withoutRecords(ev Event, skip func(Record) bool) Event {
 	h, ok := ev.(MessageReceived)
 	if !ok {
@@ -329,7 +337,8 @@
 	return h
 }
 
-// Each of these machines is wrong in one point. The walks must find a run that shows it, or the invariants prove nothing.
+// Each of these mutants is wrong in one point. The walks must find a violation for each; a mutant that is not caught shows
+// that the invariants are too weak.
 var mutants = []mutant{
 	{name: "never suspects", alterActions: func(m *Machine, now clock.Micros, out []Action) []Action {
 		for i := range m.probes {
@@ -343,7 +352,7 @@
 		}
 		return out
 	}},
-	{name: "a suspicion kills at once", alterActions: func(m *Machine, now clock.Micros, out []Action) []Action {
+	{name: "declares a suspect dead at once", alterActions: func(m *Machine, now clock.Micros, out []Action) []Action {
 		for i := range m.members {
 			m.members[i].suspectedSince, m.members[i].lastAck = now-99*interval, 0
 		}
@@ -370,7 +379,7 @@
 	{name: "ignores that it was declared dead", alterEvent: func(m *Machine, now clock.Micros, ev Event) Event {
 		return withoutRecords(ev, func(r Record) bool { return r.Name == m.self.Name && r.State.Ended() })
 	}},
-	{name: "the dead come back in the same generation", alterEvent: func(m *Machine, now clock.Micros, ev Event) Event {
+	{name: "a dead member comes back in the same generation", alterEvent: func(m *Machine, now clock.Micros, ev Event) Event {
 		if h, ok := ev.(MessageReceived); ok {
 			if e := m.find(h.Message.From); e != nil && e.State == Dead && e.Generation == h.Message.Generation {
 				e.State, e.suspectedBy = Alive, nil
@@ -386,7 +395,7 @@
 		}
 		return ev
 	}},
-	{name: "makes up a new generation for a dead member", alterActions: func(m *Machine, now clock.Micros, out []Action) []Action {
+	{name: "invents a new generation for a dead member", alterActions: func(m *Machine, now clock.Micros, out []Action) []Action {
 		for i := range m.members {
 			if e := &m.members[i]; e.State == Dead {
 				e.State, e.Generation = Alive, e.Generation+1
@@ -394,7 +403,7 @@
 		}
 		return out
 	}},
-	{name: "a new generation that is no later than the last", alterActions: func(m *Machine, now clock.Micros, out []Action) []Action {
+	{name: "starts a new generation that is not later than the last", alterActions: func(m *Machine, now clock.Micros, out []Action) []Action {
 		for _, a := range out {
 			if n, ok := a.(Notice); ok && n.Kind == DeclaredDead {
 				m.self.Generation--
@@ -408,7 +417,7 @@
 	{name: "does not answer unknown members", alterActions: func(m *Machine, now clock.Micros, out []Action) []Action {
 		return slices.DeleteFunc(out, func(a Action) bool { s, ok := a.(Send); return ok && s.To == "" })
 	}},
-	{name: "accuses after a stall what lies unread", alterEvent: func(m *Machine, now clock.Micros, ev Event) Event {
+	{name: "suspects members after a stall before reading their messages", alterEvent: func(m *Machine, now clock.Micros, ev Event) Event {
 		if next, ok := m.Next(); ok && now > next+interval {
 			for i := range m.members {
 				if e := &m.members[i]; e.State == Alive {
@@ -420,7 +429,7 @@
 		}
 		return ev
 	}},
-	{name: "ignores what the dead say of it", alterEvent: func(m *Machine, now clock.Micros, ev Event) Event {
+	{name: "ignores the records of it that a dead member sends", alterEvent: func(m *Machine, now clock.Micros, ev Event) Event {
 		if h, ok := ev.(MessageReceived); ok {
 			if e := m.find(h.Message.From); e != nil && e.State == Dead && e.Generation == h.Message.Generation {
 				h.Message.Records = nil
@@ -429,14 +438,14 @@
 		}
 		return ev
 	}},
-	{name: "tells no suspect that it is suspected", alterEvent: func(m *Machine, now clock.Micros, ev Event) Event {
+	{name: "does not process records of itself", alterEvent: func(m *Machine, now clock.Micros, ev Event) Event {
 		return withoutRecords(ev, func(r Record) bool { return r.Name == m.self.Name })
 	}},
 }
 
 func TestMutantsAreCaught(t *testing.T) {
 	if runDivisor > 1 {
-		t.Skip("the same runs as without the race detector, many times slower")
+		t.Skip("makes the same runs as without the race detector, but many times slower")
 	}
 	for _, mut := range mutants {
 		t.Run(mut.name, func(t *testing.T) {
--- a/internal/membership/paths.go
+++ b/internal/membership/paths.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// This file keeps what members report of the paths between them, their own reports among it.
+// This file keeps the members' reports on the paths between them, including this member's own reports.
 
-// maxPaths bounds the path reports that are kept.
+// maxPaths is the largest number of path reports that are kept.
 const maxPaths = 8192
 
-// reportPath has a new state of the path to another member spread.
+// reportPath records a new state of the path to another member and queues the report as gossip.
 func (m *Machine) reportPath(peer *member, state PathState) {
 	state.Reporter, state.Peer, state.Generation, state.Number = m.self.Name, peer.Name, m.self.Generation, peer.path.Number+1
 	peer.path = state
@@ -15,8 +15,8 @@
 	m.emit(PathChanged{state})
 }
 
-// mergePath takes over a report on a path if it is later than the known one of the same reporter. A full table gives up
-// healthy paths and those of ended reporters; where there are none the new report is left out.
+// mergePath stores a path report if it is later than the known one of the same reporter. If the table is full, reports of
+// healthy paths and of ended reporters are removed; if there are none to remove, the new report is ignored.
 func (m *Machine) mergePath(state PathState) {
 	key := pathKey{state.Reporter, state.Peer}
 	i, known := m.pathIndex[key]
@@ -40,12 +40,12 @@
 	m.pathGossip.enqueue(broadcast{reporter: state.Reporter, peer: state.Peer})
 }
 
-// laterThan tells whether a report is later than another one of the same path by the same reporter.
+// laterThan reports whether p is later than another report by the same reporter on the same path.
 func (p PathState) laterThan(other PathState) bool {
 	return p.Generation > other.Generation || p.Generation == other.Generation && p.Number > other.Number
 }
 
-// retainPaths drops the reports that are not to be kept.
+// retainPaths removes the reports for which keep returns false.
 func (m *Machine) retainPaths(keep func(PathState) bool) {
 	m.pathStates = slices.DeleteFunc(m.pathStates, func(p PathState) bool { return !keep(p) })
 	clear(m.pathIndex)
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -7,55 +7,55 @@
 	"marblespan/internal/clock"
 )
 
-// This file is the failure detector: direct probes, and indirect ones by way of helpers.
+// This file contains the failure detector: direct probes, and indirect probes through helpers.
 
-// probesPerInterval is how many others a member probes in an interval. A death is first noticed by whoever probes next, so
-// this sets how soon that is; its price is so many pings and acks.
+// probesPerInterval is the number of members that a member probes per interval. A dead member is detected by the next member
+// that probes it, so a higher value detects deaths sooner but costs proportionally more pings and acks.
 const probesPerInterval = 3
 
-// indirectProbeHelpers is how many others are asked to probe a member that does not answer directly.
+// indirectProbeHelpers is the number of helpers that are asked to probe a member that does not answer directly.
 const indirectProbeHelpers = 3
 
-// The parts of an interval, as its divisors: a direct ack is waited for half of it, and helpers the other half; a helper
-// sends its nack after a quarter, so that it arrives in time.
+// Divisors of the interval: a probe waits half an interval for the direct ack, and the other half for answers from helpers. A
+// helper sends its nack after a quarter of an interval, so that the nack arrives in time.
 const (
 	directAckDivisor = 2
 	nackDivisor      = 4
 )
 
-// maxLocalHealth bounds by how much an unhealthy member stretches its timeouts. localHealthSamples is over how many answers
-// of helpers its health is averaged.
+// maxLocalHealth is the largest factor by which an unhealthy member extends its timeouts. localHealthSamples is the number of
+// requests to helpers over which the moving average behind that factor is taken.
 const (
 	maxLocalHealth     = 9
 	localHealthSamples = 16
 )
 
-// pathLostAfter is how many probes in a row must fail directly, and be answered by way of helpers, before a path counts as
-// lost. Local health multiplies it.
+// pathLostAfter is the number of consecutive probes that must get no direct answer but one through a helper before the path
+// counts as lost. It is multiplied by the local health.
 const pathLostAfter = 3
 
-// probe is one probe under way.
+// probe is one probe in progress.
 type probe struct {
 	number     uint32
 	target     string
-	generation uint64 // of the target
+	generation uint64 // generation of the target
 	sentAt     clock.Micros
-	nextStep   clock.Micros // when to go on with helpers, or to fail
-	direct     bool         // only the first ping is out, and no helper is asked yet
+	nextStep   clock.Micros // when to ask helpers (again), or to give up
+	direct     bool         // only the first direct ping was sent; no helper has been asked yet
 }
 
-// relayedPing is one ping that this member sends as a helper.
+// relayedPing is a ping that this member sent as a helper.
 type relayedPing struct {
 	number        uint32
 	target        string
-	origin        string // who asked for it
+	origin        string // the member that asked for the ping
 	originAddress netip.AddrPort
-	originNumber  uint32 // of the origin's probe
+	originNumber  uint32 // number of the origin's probe
 	sentAt        clock.Micros
 	nackSent      bool
 }
 
-// helperRequest is one request to a helper. Its answer, ack or nack, shows whether this member itself is healthy.
+// helperRequest is a request to a helper. A missing answer, whether ack or nack, indicates that this member itself is unhealthy.
 type helperRequest struct {
 	helper   string
 	number   uint32
@@ -63,8 +63,8 @@
 	answered bool
 }
 
-// startProbe probes the next member: every other time one whose path may be lost, else in a random order in which everybody
-// has its turn before anybody comes again.
+// startProbe probes the next member. Every second probe goes to a member whose path may be lost, if there is one; all others
+// go through the members in a random order, which is shuffled again when every member has been probed.
 func (m *Machine) startProbe(now clock.Micros) {
 	name := ""
 	m.lastNumber++
@@ -91,13 +91,13 @@
 	}
 }
 
-// isProbed tells whether a probe of a member is under way.
+// isProbed reports whether a probe of the member is in progress.
 func (m *Machine) isProbed(name string) bool {
 	return slices.ContainsFunc(m.probes, func(p probe) bool { return p.target == name })
 }
 
-// scheduleProbe gives a new member a random place in the rest of the order, so that it need not wait until all others have
-// had their turn.
+// scheduleProbe inserts a new member at a random position in the rest of the order, so that it does not have to wait until all
+// others have been probed.
 func (m *Machine) scheduleProbe(name string) {
 	at := 0
 	if m.cfg.Seed != 0 {
@@ -106,7 +106,7 @@
 	m.probeOrder = slices.Insert(m.probeOrder, min(m.probeTurn+at, len(m.probeOrder)), name)
 }
 
-// shuffleProbeOrder makes a new order of all members that have not ended.
+// shuffleProbeOrder sets a new random order of all members that have not ended.
 func (m *Machine) shuffleProbeOrder() {
 	m.probeTurn, m.probeOrder = 0, m.probeOrder[:0:0]
 	for i := range m.members {
@@ -120,8 +120,8 @@
 	}
 }
 
-// advanceProbes does what is due for all probes, this member's own and those it makes for others. An unhealthy member probes
-// longer and more often before it accuses anybody.
+// advanceProbes does all work that is due for this member's own probes and for those that it relays for others, and suspects
+// the targets of failed probes. An unhealthy member waits longer and sends more pings before it suspects a target.
 func (m *Machine) advanceProbes(now clock.Micros) {
 	m.sampleHelpers(now)
 	m.sendNacks(now)
@@ -136,7 +136,7 @@
 	}
 }
 
-// sampleHelpers measures local health by the requests to helpers whose time is over.
+// sampleHelpers updates the local health from the requests to helpers whose time for an answer is over.
 func (m *Machine) sampleHelpers(now clock.Micros) {
 	wait := m.cfg.Interval / directAckDivisor
 	for _, r := range m.helperRequests {
@@ -147,8 +147,8 @@
 	m.helperRequests = slices.DeleteFunc(m.helperRequests, func(r helperRequest) bool { return now >= r.sentAt+wait })
 }
 
-// sampleHelper notes whether a helper answered. Helpers are members that nobody suspects, so where many of them are silent
-// it is this member, or its network, that is unhealthy.
+// sampleHelper adds one request to the moving average of unanswered requests. Helpers are members that are not suspected, so
+// if many of them do not answer, the cause is this member or its network.
 func (m *Machine) sampleHelper(missed bool) {
 	sample := 0
 	if missed {
@@ -157,7 +157,8 @@
 	m.helperMisses += (sample - m.helperMisses) / localHealthSamples
 }
 
-// sendNacks tells the origins of relayed pings that the target has not answered yet, and gives up those of long ago.
+// sendNacks sends a Nack to the origin of each relayed ping whose target has not answered in time, and discards relayed pings
+// that are older than maxLocalHealth intervals.
 func (m *Machine) sendNacks(now clock.Micros) {
 	t := m.cfg.Interval
 	for i := range m.relayedPings {
@@ -171,8 +172,8 @@
 	m.relayedPings = slices.DeleteFunc(m.relayedPings, func(r relayedPing) bool { return now >= r.sentAt+maxLocalHealth*t })
 }
 
-// removeFailedProbes takes out the probes whose time is over and returns them. Those of targets that have ended meanwhile
-// are dropped.
+// removeFailedProbes removes the probes that have timed out and returns them. It also removes, but does not return, probes
+// whose target has ended or started a new generation since.
 func (m *Machine) removeFailedProbes(now clock.Micros) (failed []probe) {
 	timeout := m.cfg.Interval * clock.Micros(m.LocalHealth())
 	m.probes = slices.DeleteFunc(m.probes, func(p probe) bool {
@@ -189,8 +190,8 @@
 	return failed
 }
 
-// continueProbes asks helpers for the targets that have not answered directly. Where local health allows more time the
-// target itself is pinged again, too.
+// continueProbes asks helpers to probe the targets that have not answered in time. If this member's local health has extended
+// the timeout, so that helpers are asked more than once, each further round also pings the target directly again.
 func (m *Machine) continueProbes(now clock.Micros) {
 	for i := range m.probes {
 		p := &m.probes[i]
@@ -207,7 +208,7 @@
 	}
 }
 
-// requestIndirectProbes asks helpers to probe a target: the one that reached it last, and some at random.
+// requestIndirectProbes asks helpers to probe a target: the helper that reached it most recently, and random alive members.
 func (m *Machine) requestIndirectProbes(now clock.Micros, p *probe, target *member) {
 	var chosen []string
 	request := func(helper *member) {
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -7,18 +7,18 @@
 	"marblespan/internal/clock"
 )
 
-// This file takes in messages: handleMessage decides whether the sender counts, merges what it says of others, and calls the
-// handler of the message's kind.
+// This file processes received messages: handleMessage decides whether to accept the sender, merges the records and path
+// reports of the message, and calls the handler for the message's kind.
 
-// maxRelayedPings bounds the pings that are under way for other members.
+// maxRelayedPings is the largest number of pings that this member relays for others at a time.
 const maxRelayedPings = 256
 
-// handleMessage takes in one authentic message. Messages for another member, and those of ended generations, change nothing
-// about their sender.
+// handleMessage processes one authenticated message. A message that is addressed to another member, or that comes from a
+// generation that has ended, does not change what is known about its sender.
 func (m *Machine) handleMessage(now clock.Micros, source netip.AddrPort, msg Message) {
 	switch {
 	case msg.From == m.self.Name && msg.Generation == m.self.Generation:
-		m.noteJoinAnswer(source, msg.From) // its own message came back: the address is its own
+		m.noteJoinAnswer(source, msg.From) // this member's own message came back, so the address is its own
 		return
 	case msg.Kind == Reject:
 		m.handleReject(now, msg)
@@ -42,10 +42,10 @@
 	case sender == nil:
 		m.handleUnknownSender(source, msg)
 		return
-	case sender.Generation != msg.Generation: // its name is another process's here
+	case sender.Generation != msg.Generation: // another process owns the sender's name
 		return
 	}
-	if sender.lastReceived == 0 { // the message itself made it known
+	if sender.lastReceived == 0 { // the sender became known through this message
 		m.noteSender(now, sender, msg)
 	}
 	switch msg.Kind {
@@ -60,7 +60,7 @@
 	}
 }
 
-// readmits tells whether a message shows that this excluded member is accepted again, and ends the exclusion.
+// readmits reports whether a message to this excluded member shows that it is accepted again. If so, it ends the exclusion.
 func (m *Machine) readmits(msg Message) bool {
 	if msg.Kind != Ack || msg.ToGeneration != m.self.Generation {
 		return false
@@ -70,14 +70,15 @@
 	return true
 }
 
-// hasEnded tells whether a generation of the member is known to have ended.
+// hasEnded reports whether a generation of the member is known to have ended.
 func (e *member) hasEnded(generation uint64) bool {
 	return generation < e.Generation || generation == e.Generation && e.State.Ended()
 }
 
-// handleEndedSender takes in a message of a generation that has ended here. Its sender is believed again only in a new
-// generation, and the answer tells it so. What it says of this member counts all the same: after a partition each half holds
-// the other dead.
+// handleEndedSender processes a message from a generation that has ended in this member's view. The sender is accepted again
+// only in a new generation; if its known record is Dead or Left, the answer contains that record, so that the sender starts
+// one. The sender's records of this member are merged all the same, because after a partition each half considers the other
+// half dead.
 func (m *Machine) handleEndedSender(source netip.AddrPort, sender *member, msg Message) {
 	for _, r := range msg.Records {
 		if r.Name == m.self.Name {
@@ -89,7 +90,7 @@
 	}
 }
 
-// mergeMessage takes over what a message says of its sender and of others.
+// mergeMessage merges the information that a message contains about its sender and about other members and paths.
 func (m *Machine) mergeMessage(now clock.Micros, source netip.AddrPort, msg Message) {
 	if sender := m.find(msg.From); sender != nil && sender.Generation == msg.Generation {
 		m.noteSender(now, sender, msg)
@@ -102,20 +103,21 @@
 	}
 }
 
-// noteSender notes that a member was heard from directly, and what it knows.
+// noteSender records that a message arrived from the member itself, the digest of the member's view, and whether the member
+// knows the current generation of this one.
 func (m *Machine) noteSender(now clock.Micros, sender *member, msg Message) {
 	sender.lastReceived, sender.digest, sender.unaware = now, msg.Digest, msg.ToGeneration != m.self.Generation
 }
 
-// handleUnknownSender answers a ping of one that knows this member's address and is not a member yet. The answer tells it
-// whom to introduce itself to.
+// handleUnknownSender answers a ping from a sender that is not in the view. The answer contains this member's record, so that
+// the sender learns about this member and can send it its own record.
 func (m *Machine) handleUnknownSender(source netip.AddrPort, msg Message) {
 	if msg.Kind == Ping {
 		m.reply(source, nil, msg)
 	}
 }
 
-// handlePing answers a ping, its sender's own or a helper's.
+// handlePing answers a ping, whether the sender sent it for itself or as a helper.
 func (m *Machine) handlePing(source netip.AddrPort, sender *member, msg Message) {
 	if msg.Origin == "" && msg.Number != 0 {
 		sender.lastDirectPing = msg.Number
@@ -123,7 +125,8 @@
 	m.reply(source, sender, msg)
 }
 
-// reply acks a message. A sender that knows other members than this one is sent some of them, too.
+// reply sends an Ack in answer to a message. If the sender's view differs from this member's view, the Ack also contains a page
+// of this member's view.
 func (m *Machine) reply(source netip.AddrPort, sender *member, to Message) {
 	msg := m.newSyncMessage(Ack, sender, to.Digest != m.viewDigest())
 	msg.To, msg.ToGeneration, msg.Number = to.From, 0, to.Number
@@ -137,8 +140,8 @@
 	m.emit(Send{To: name, Address: address, Message: msg})
 }
 
-// handleIndirectPing pings the target of an indirect probe for its origin. The answer goes to the origin by forwardAck, a
-// missing one by sendNacks.
+// handleIndirectPing pings the target of an indirect probe on behalf of its origin. If the target answers, forwardAck sends the
+// answer to the origin; otherwise sendNacks sends the origin a Nack.
 func (m *Machine) handleIndirectPing(now clock.Micros, origin *member, msg Message) {
 	if msg.Target == m.self.Name || len(m.relayedPings) >= maxRelayedPings {
 		return
@@ -157,7 +160,8 @@
 	m.emit(Send{To: msg.Target, Address: msg.TargetAddress, Message: out})
 }
 
-// handleAck takes in an answer: a member's own, or a helper's that has reached the target of an indirect probe.
+// handleAck processes an Ack, either from the pinged member itself or from a helper that reached the target of an indirect
+// probe.
 func (m *Machine) handleAck(now clock.Micros, sender *member, msg Message) {
 	if msg.Target != "" {
 		m.handleIndirectAck(now, sender, msg)
@@ -171,7 +175,7 @@
 	}
 }
 
-// completeProbe ends the probe that a member has answered itself. It tells whether there was one.
+// completeProbe ends the probe that the target has answered directly. It reports whether there was such a probe.
 func (m *Machine) completeProbe(now clock.Micros, target *member, number uint32) bool {
 	i := slices.IndexFunc(m.probes, func(p probe) bool { return p.number == number && p.target == target.Name })
 	if i < 0 {
@@ -188,7 +192,7 @@
 	return true
 }
 
-// forwardAck sends the answer to a relayed ping on to the member that asked for it.
+// forwardAck forwards the answer to a relayed ping to the member that asked for the ping.
 func (m *Machine) forwardAck(target *member, msg Message) {
 	i := slices.IndexFunc(m.relayedPings, func(r relayedPing) bool { return r.number == msg.Number && r.target == target.Name })
 	if i < 0 {
@@ -204,8 +208,8 @@
 	m.emit(Send{To: relayed.origin, Address: relayed.originAddress, Message: out})
 }
 
-// handleIndirectAck takes in a helper's answer: the target is alive, and where that happens again and again the path to it
-// is lost in one direction.
+// handleIndirectAck processes an Ack from a helper. It shows that the target is alive; if several probes in a row are answered
+// only through helpers, the path to the target is reported as lost in one direction.
 func (m *Machine) handleIndirectAck(now clock.Micros, helper *member, msg Message) {
 	m.helperAnswered(helper.Name, msg.Number)
 	i := slices.IndexFunc(m.probes, func(p probe) bool { return p.number == msg.Number && p.target == msg.Target })
@@ -222,17 +226,17 @@
 		}
 		return
 	}
-	// Where the target did get the direct ping, its answer is what was lost.
+	// If the target received the direct ping, its direct answer was lost; otherwise the ping was lost.
 	lost := PathState{OutboundLost: !msg.DirectPingReceived, InboundLost: msg.DirectPingReceived}
 	if target.path.OutboundLost != lost.OutboundLost || target.path.InboundLost != lost.InboundLost {
 		m.reportPath(target, lost)
 	}
 }
 
-// handleNack takes in a helper's message that the target has not answered it: the helper itself is reachable.
+// handleNack processes a helper's report that the target has not answered. It shows that the helper itself is reachable.
 func (m *Machine) handleNack(helper *member, msg Message) { m.helperAnswered(helper.Name, msg.Number) }
 
-// helperAnswered notes that a helper has answered a request, with an ack or a nack.
+// helperAnswered records that a helper has answered a request with an Ack or a Nack.
 func (m *Machine) helperAnswered(helper string, number uint32) {
 	for i := range m.helperRequests {
 		if r := &m.helperRequests[i]; r.helper == helper && r.number == number {
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -6,13 +6,14 @@
 	"marblespan/internal/clock"
 )
 
-// This file is what a member does about itself: it refutes suspicions, starts new generations, and settles conflicts about
-// its name.
+// This file maintains a member's own record: the member refutes suspicions, starts new generations, and resolves conflicts
+// about its name.
 
-// excludedRejoinDivisor is the part of the usual rejoin interval after which an excluded member tries to join again.
+// excludedRejoinDivisor is the divisor of the usual rejoin delay that gives the delay before a newly excluded member tries to
+// join again.
 const excludedRejoinDivisor = 5
 
-// updateMeta changes this member's metadata, and has it spread. The Stalled flag is the machine's own.
+// updateMeta changes this member's metadata and distributes it. The Stalled flag keeps the value that the machine has set.
 func (m *Machine) updateMeta(meta Meta) {
 	meta.Flags = meta.Flags&^Stalled | m.self.Meta.Flags&Stalled
 	if meta != m.self.Meta {
@@ -21,15 +22,15 @@
 	}
 }
 
-// bumpIncarnation has this member's own record spread as the latest.
+// bumpIncarnation increments this member's incarnation and queues its record as gossip, so that it replaces earlier records.
 func (m *Machine) bumpIncarnation() {
 	m.self.Incarnation++
 	m.digestStale = true
 	m.gossipMember(m.self.Name)
 }
 
-// mergeSelf takes in what another member says of this one. A suspicion is refuted by a higher incarnation, a death or a later
-// generation answered by a new generation.
+// mergeSelf processes a received record of this member itself. It refutes a suspicion with a higher incarnation. If the record
+// says that this member has ended, or has a later generation, the member starts a new generation.
 func (m *Machine) mergeSelf(r Record) {
 	switch {
 	case m.excluded || r.Generation < m.self.Generation || m.leaveRoundsLeft > 0:
@@ -49,7 +50,8 @@
 	}
 }
 
-// startGeneration goes on in a new generation. The last one has ended for the others, for good.
+// startGeneration continues in a new generation, because other members consider the current one to be over and cannot accept
+// it again.
 func (m *Machine) startGeneration(generation uint64, notice Notice) {
 	m.self.Generation, m.self.Incarnation, m.generationStart = generation, 0, m.lastEvent
 	for i := range m.members {
@@ -61,8 +63,8 @@
 	m.emit(notice)
 }
 
-// handleNameConflict deals with another process of this member's name. The one that started later has to go and is told so.
-// Hearing of an earlier one is no reason to go, as it may be this member's own past.
+// handleNameConflict reacts to another process with this member's name. If the other process started later, it is sent a
+// Reject. If it started earlier, nothing is done, because it may be an earlier run of this member.
 func (m *Machine) handleNameConflict(other netip.AddrPort, generation uint64) {
 	if m.excluded || generation < m.self.Generation || other == m.self.Address {
 		return
@@ -71,7 +73,7 @@
 	m.emit(Notice{Kind: NameConflict, Address: other, Generation: generation})
 }
 
-// handleReject takes in that another process owns this member's name.
+// handleReject processes a Reject, which says that another process owns this member's name.
 func (m *Machine) handleReject(now clock.Micros, msg Message) {
 	if msg.Target != m.self.Name || msg.ToGeneration != m.self.Generation || len(msg.Records) == 0 || m.leaveRoundsLeft > 0 {
 		return
@@ -85,8 +87,9 @@
 	}
 }
 
-// yieldName leaves the name to its owner: this member takes no part until somebody accepts it again. Where it has joined
-// already it leaves first, so that the owner is not taken for its past.
+// yieldName gives up the name to its owner: this member does not participate until another member accepts it again. It first
+// announces to some members that its current generation has left, so that members that already know this generation do not
+// mistake the owner for an earlier run of it.
 func (m *Machine) yieldName(now clock.Micros, owner Record) {
 	m.self.State = Left
 	for range leaveNodes {
@@ -103,7 +106,7 @@
 	m.emit(Notice{Kind: Excluded, Address: owner.Address, Generation: owner.Generation})
 }
 
-// forgetMembers drops all that is known of others, and all that is under way with them.
+// forgetMembers discards everything known about other members, and all probes and requests in progress.
 func (m *Machine) forgetMembers() {
 	m.members, m.index, m.digestStale = nil, map[string]int{}, true
 	m.pathStates, m.pathIndex = nil, map[pathKey]int{}
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -6,17 +6,17 @@
 	"marblespan/internal/clock"
 )
 
-// This file is what becomes of a member that does not answer: suspicion, its deadline, and death.
+// This file handles members that do not answer: they are suspected, and declared dead at the suspicion's deadline.
 
-// The bounds of a suspicion in intervals, counted from the ping that was not answered: the minimum is for one that
-// maxConfirmations others confirm, the maximum for one that nobody does.
+// The shortest and longest duration of a suspicion in intervals, counted from the ping that was not answered. The minimum
+// applies when maxConfirmations other members confirm the suspicion, the maximum when no other member does.
 const (
 	minSuspicionIntervals = 6
 	maxSuspicionIntervals = 18
 	maxConfirmations      = 3
 )
 
-// currentSuspects lists the members that anybody suspects.
+// currentSuspects returns the members whose state is Suspect.
 func (m *Machine) currentSuspects() (all []*member) {
 	m.suspected = slices.DeleteFunc(m.suspected, func(name string) bool {
 		e := m.find(name)
@@ -29,9 +29,10 @@
 	return all
 }
 
-// suspicionDeadline is when a suspicion becomes a death: sooner the more others confirm it, later the worse this member's
-// local health, and never while the suspect has answered a probe within the minimum. Messages that are no answers do not
-// count: a member that receives nothing is of no use, however much it sends.
+// suspicionDeadline returns the time at which a suspect is declared dead. The deadline is earlier the more members confirm the
+// suspicion, and later the worse this member's local health. It is at least minSuspicionIntervals after the suspect's last
+// answer to a probe. Other messages from the suspect do not postpone it, because a member that sends but does not receive is
+// not usable.
 func (m *Machine) suspicionDeadline(e *member) clock.Micros {
 	thousandths := minSuspicionIntervals * 1000
 	if !m.cfg.WithoutLifeguard {
@@ -46,14 +47,14 @@
 	return deadline
 }
 
-// confirmationScore is how far a suspicion is confirmed, in thousandths: log(have+1)/log(needed+1), as Lifeguard has it.
-// needed is maxConfirmations at the most.
+// confirmationScore returns how far a suspicion is confirmed, in thousandths: log(have+1)/log(needed+1), as in Lifeguard.
+// needed is at most maxConfirmations.
 func confirmationScore(needed, have int) int {
 	table := [][]int{{1000}, {0, 1000}, {0, 631, 1000}, {0, 500, 792, 1000}}[needed]
 	return table[max(min(have, needed), 0)]
 }
 
-// expireSuspicions declares dead the suspects that nobody has found alive in time.
+// expireSuspicions declares dead the suspects whose deadline has passed.
 func (m *Machine) expireSuspicions(now clock.Micros) {
 	if now < m.stallGraceUntil {
 		return
@@ -67,8 +68,9 @@
 	}
 }
 
-// suspect takes in that somebody, or this member itself, accuses another one since a time. A further accuser confirms a
-// suspicion, and is spread as long as that shortens its deadline.
+// suspect processes a report that a member has been failing since a given time. reporter is the member that suspects it, which
+// may be this one. A report from a further member confirms the suspicion, and is passed on as gossip as long as it brings the
+// deadline forward.
 func (m *Machine) suspect(now clock.Micros, e *member, incarnation uint32, reporter string, since clock.Micros) {
 	if reporter == e.Name || slices.Contains(e.suspectedBy, reporter) && e.State == Suspect {
 		return
@@ -90,7 +92,7 @@
 	m.emit(MemberChanged{Record: e.Record, Previous: previous})
 }
 
-// endGeneration takes over a record that ends a generation: its member is dead, or has left.
+// endGeneration applies a record that ends a member's generation because the member is dead or has left.
 func (m *Machine) endGeneration(now clock.Micros, e *member, r Record) {
 	previous := e.State
 	if e.Generation != r.Generation {
