--- a/internal/vrrp/actions.go
+++ b/internal/vrrp/actions.go
@@ -7,19 +7,19 @@
 // Action is an output of Machine.Handle. The caller carries the actions out in order.
 type Action interface{ action() }
 
-// Activate asks for the floating listener to be opened. Each activation has a listener and clients of its own.
+// Activate asks the caller to open the floating listener. Each activation has its own listener and its own clients.
 type Activate struct{ Activation uint32 }
 
-// SendAdvertisement asks for an advertisement to every peer.
+// SendAdvertisement asks the caller to send an advertisement to every peer.
 type SendAdvertisement struct {
 	Priority              uint8
 	AdvertisementInterval clock.Micros
 }
 
-// AnnounceAddress asks for the network to be told where the address is now, as a gratuitous ARP does.
+// AnnounceAddress asks the caller to announce to the network that this gateway now holds the address, as a gratuitous ARP does.
 type AnnounceAddress struct{ Activation uint32 }
 
-// Deactivate asks for the floating listener to be closed. Requests taken under the activation are still answered.
+// Deactivate asks the caller to close the floating listener. Requests accepted during the activation are still answered.
 type Deactivate struct {
 	Activation uint32
 	Cause      Cause
@@ -40,23 +40,23 @@
 // Cause is why the state changed.
 type Cause uint8
 
-// The causes. CauseCount is their number.
+// The causes. CauseCount is the number of causes.
 const (
 	CauseStartup        Cause = iota
-	CauseShutdown             // it was told to stop
-	CauseActiveDown           // no advertisement came for Active_Down_Interval
+	CauseShutdown             // the machine received a Shutdown event
+	CauseActiveDown           // no advertisement arrived for Active_Down_Interval
 	CauseReleased             // the active router released the address
-	CausePreempted            // one of higher priority, or of the same and a higher address, advertised
-	CauseNotReady             // the gateway can serve no request
+	CausePreempted            // a router advertised a higher priority, or the same priority from a higher address
+	CauseNotReady             // the gateway cannot serve requests
 	CauseStalled              // the process was stalled for longer than its lease
 	CauseActivateFailed       // the floating listener could not be opened
 	CauseCount
 )
 
-// causeNames are the causes as logs and counters name them; operators read them.
+// causeNames holds the names of the causes in logs and counters, which operators read.
 var causeNames = [CauseCount]string{
 	"startup", "shutdown", "silence", "given_up", "preempted", "not_ready", "stood_still", "take_failed",
 }
 
-// String is the cause's code in the log.
+// String returns the cause's name in logs and counters.
 func (c Cause) String() string { return causeNames[c] }
--- a/internal/vrrp/damper.go
+++ b/internal/vrrp/damper.go
@@ -4,19 +4,19 @@
 	"marblespan/internal/clock"
 )
 
-// damper keeps a gateway whose state flaps from becoming active. It guards against an address that moves to and fro because
-// advertisements come late, each time closing the clients' connections. The cost: if the others fail meanwhile, the address is
-// taken up to Damping.MaxDelay later.
+// damper keeps a gateway whose state flaps from becoming active. Otherwise, late advertisements could make the address move
+// back and forth between gateways, and every move closes the clients' connections. The cost of damping is that if the other
+// gateways fail in the meantime, this one becomes active up to Damping.MaxDelay later.
 type damper struct {
 	flaps        uint8
-	lastFlap     clock.Micros // when the last flap was
+	lastFlap     clock.Micros // when the last flap was counted
 	blockedUntil clock.Micros
 }
 
-// maxFlaps bounds the doubling of the delay against overflow; Damping.MaxDelay is reached long before.
+// maxFlaps limits the doubling of the delay so that it does not overflow. Damping.MaxDelay is reached long before.
 const maxFlaps = 20
 
-// flapResetMultiple is after how many times Damping.MaxDelay without a flap the count starts again.
+// The count of flaps is reset after a time of flapResetMultiple times Damping.MaxDelay without a flap.
 const flapResetMultiple = 4
 
 // activationEnded counts an activation that lasted less than the window as a flap.
@@ -26,7 +26,8 @@
 	}
 }
 
-// recordFlap blocks the gateway, for twice as long as the last time unless that is long ago.
+// recordFlap counts a flap and keeps the gateway from becoming active: for Damping.InitialDelay after the first flap, and for
+// twice as long after each further one, up to Damping.MaxDelay.
 func (d *damper) recordFlap(now clock.Micros, cfg Damping) {
 	if cfg.InitialDelay <= 0 {
 		return
--- a/internal/vrrp/events.go
+++ b/internal/vrrp/events.go
@@ -15,23 +15,24 @@
 	Shutdown struct{}
 )
 
-// AdvertisementReceived is an advertisement of another router. The caller has checked its form and its signature.
+// AdvertisementReceived carries an advertisement of another router. The caller has checked its format and its signature.
 type AdvertisementReceived struct {
 	From                  netip.Addr
 	Priority              uint8
 	AdvertisementInterval clock.Micros
 }
 
-// Tick tells that time has passed. It is due when Machine.Next says; more of them do no harm.
+// Tick is the timer step. It is due at the time returned by Machine.Next; additional Ticks are harmless.
 type Tick struct{}
 
-// HealthChanged carries the gateway's health.
+// HealthChanged carries the gateway's new health.
 type HealthChanged struct{ Health Health }
 
-// ActivateFailed tells that the floating listener that an Activate asked for could not be opened.
+// ActivateFailed reports that the floating listener for an Activate action could not be opened.
 type ActivateFailed struct{ Activation uint32 }
 
-// ConfigChanged carries new settings. VRID and LocalAddress are kept.
+// ConfigChanged carries new settings. Its VRID and LocalAddress are ignored; the machine keeps the ones that it was created
+// with.
 type ConfigChanged struct{ Config Config }
 
 func (Startup) event()               {}
--- a/internal/vrrp/machine.go
+++ b/internal/vrrp/machine.go
@@ -1,14 +1,14 @@
 // Package vrrp decides which of several gateways holds a floating address. It is the state machine of VRRP version 3
-// (RFC 9568) with three additions: the priority follows the gateway's own health, a state that flaps is damped, and a process
-// that was stalled does not act on its old state.
+// (RFC 9568) with three additions: the priority depends on the gateway's own health, a gateway that flaps between active and
+// backup is damped, and a process that was stalled does not act on its old state.
 //
-// It is pure: Machine.Handle takes an event and the time, and returns the actions to carry out. There is no clock, socket,
-// goroutine or random source in it; times are whole microseconds of a clock that never steps back. The caller is
-// internal/floatingip, whose one goroutine owns every Machine.
+// The state machine is pure: Machine.Handle takes an event and the time, and returns the actions to carry out. It uses no
+// clock, socket, goroutine or random source. Times are whole microseconds of a clock that never steps back. The caller is
+// internal/floatingip, where a single goroutine owns all Machines.
 //
-// The main decisions: Machine.receiveAsBackup and Machine.receiveAsActive (which router is followed, who stays active),
-// Machine.tick (when a backup takes over), Machine.checkStall (what a stalled process does), Machine.Lease (how long requests
-// may be taken), effectivePriority and damper.
+// The main decisions are in Machine.receiveAsBackup and Machine.receiveAsActive (which router is followed, and which one stays
+// active), Machine.tick (when a backup takes over), Machine.checkStall (what happens after a stall), Machine.Lease (until when
+// requests may be accepted), effectivePriority and damper.
 package vrrp
 
 import (
@@ -27,11 +27,11 @@
 	Active
 )
 
-// String is the state's name in the RFC.
+// String returns the state's name in the RFC, in lower case.
 func (s State) String() string { return [...]string{"initialize", "backup", "active"}[s] }
 
-// Machine is the state of one group on one gateway. New makes one; the zero value is not usable. It is a plain value: a copy
-// is independent of the original.
+// Machine is the state of one virtual router on one gateway. New returns a Machine; the zero value is not usable. A Machine is a
+// plain value: a copy is independent of the original.
 type Machine struct {
 	config     Config
 	health     Health
@@ -40,44 +40,45 @@
 
 	lastHandled        clock.Micros // when the last event was handled
 	lastSent           clock.Micros // when the last advertisement was sent; valid while active
-	timer              clock.Micros // the advertisement timer while active, the active-down timer while backup
+	timer              clock.Micros // expiry of the advertisement timer while active, or of the active-down timer while backup
 	activeInterval     clock.Micros // the interval that the active router advertised
-	activeRouter       remoteRouter
-	otherRouter        remoteRouter // the last other router that advertised and was not followed
-	stateSince         clock.Micros // start of this state
-	released           bool         // the active router released the address, and no other is followed since
+	activeRouter       remoteRouter // the router that this backup follows
+	otherRouter        remoteRouter // the last router that advertised as active without being followed
+	stateSince         clock.Micros // start of the current state
+	released           bool         // the active router released the address, and no other router has been followed since
 	preemptAfter       clock.Micros // when an active router of lower priority may be preempted; 0: none advertised
-	advertisementsSent uint32       // of this activation
+	advertisementsSent uint32       // number of advertisements sent in this activation
 	damper             damper
 }
 
-// New returns a machine in Initialize.
+// New returns a machine in state Initialize.
 func New(cfg Config) Machine { return Machine{config: cfg} }
 
-// State is the present state.
+// State returns the current state.
 func (m *Machine) State() State { return m.state }
 
-// Activation numbers the times that this machine became active, from 1.
+// Activation returns how many times this machine has become active, which is also the number of the latest activation.
 func (m *Machine) Activation() uint32 { return m.activation }
 
-// Priority is the priority in force: that of the settings less the steps of all conditions that hold.
+// Priority returns the effective priority: the configured priority minus the steps of all conditions that hold.
 func (m *Machine) Priority() uint8 {
 	return effectivePriority(m.config.Priority, m.config.PrioritySteps, m.health)
 }
 
-// Ready tells whether the gateway may be active at all.
+// Ready reports whether the gateway can serve requests. Only a ready gateway becomes or stays active.
 func (m *Machine) Ready() bool { return m.health.Ready }
 
-// ActiveRouter is the address of the active router that a backup follows. It is the zero value where none is known.
+// ActiveRouter returns the address of the active router that a backup follows, or the zero value if none is known.
 func (m *Machine) ActiveRouter() netip.Addr { return m.activeRouter.from }
 
-// Since is when the present state began.
+// Since returns the time at which the current state began.
 func (m *Machine) Since() clock.Micros { return m.stateSince }
 
-// PreemptBlockedUntil is until when damping keeps the gateway from taking the address.
+// PreemptBlockedUntil returns the time until which damping keeps the gateway from becoming active.
 func (m *Machine) PreemptBlockedUntil() clock.Micros { return m.damper.blockedUntil }
 
-// Handle processes one event and returns the actions to carry out. Time never goes back: an earlier now counts as the last one.
+// Handle processes one event and returns the actions to carry out. If now is earlier than the time of the previous event, that
+// time is used instead.
 func (m *Machine) Handle(now clock.Micros, ev Event) []Action {
 	now = max(now, m.lastHandled)
 	out := m.checkStall(now)
@@ -109,8 +110,8 @@
 	return m.tick(now, out)
 }
 
-// healthChanged takes over the gateway's health. An active router that is not ready releases the address at once. A backup
-// that becomes ready waits its Skew_Time, so that several do not become active in the same moment.
+// healthChanged stores the gateway's new health. An active router that is not ready releases the address at once. A backup that
+// becomes ready waits for at least its Skew_Time, so that several backups do not become active simultaneously.
 func (m *Machine) healthChanged(now clock.Micros, h Health, out []Action) []Action {
 	wasReady := m.health.Ready
 	m.health = h
@@ -123,13 +124,13 @@
 	return out
 }
 
-// configChanged takes over new settings. An active router advertises a new interval at once.
+// configChanged applies new settings. An active router advertises a new interval at once.
 func (m *Machine) configChanged(now clock.Micros, next Config, out []Action) []Action {
 	next.VRID, next.LocalAddress = m.config.VRID, m.config.LocalAddress
 	changed := next.AdvertisementInterval != m.config.AdvertisementInterval
 	m.config = next
 	if m.state == Active && changed {
-		return m.advertise(now, out) // backups learn the new interval before they wait by the old one
+		return m.advertise(now, out) // so that backups stop using the old interval for their timers
 	}
 	return out
 }
--- a/internal/vrrp/machine_test.go
+++ b/internal/vrrp/machine_test.go
@@ -19,7 +19,7 @@
 	return Config{VRID: 1, Priority: 128, AdvertisementInterval: 100 * ms, Preempt: true, LocalAddress: self}
 }
 
-// machineHarness drives a machine in virtual time, with a Tick whenever one is due.
+// machineHarness runs a machine in virtual time, with a Tick whenever one is due.
 type machineHarness struct {
 	t   *testing.T
 	m   Machine
@@ -39,7 +39,7 @@
 	return b.out
 }
 
-// advance lets time pass, Tick by Tick, and returns all actions.
+// advance moves the time forward by duration, handles every Tick that is due, and returns all actions.
 func (b *machineHarness) advance(duration clock.Micros) (all []Action) {
 	end := b.now + duration
 	for {
@@ -73,7 +73,8 @@
 	return a, false
 }
 
-// The figures of RFC 9568, 6.1, for priority 128 and an interval of 100 ms: Skew_Time 50 ms, Active_Down_Interval 350 ms.
+// The timers follow RFC 9568, 6.1. For priority 128 and an interval of 100 ms, Skew_Time is 50 ms and Active_Down_Interval is
+// 350 ms.
 func TestStandardTimers(t *testing.T) {
 	for _, c := range []struct {
 		priority       uint8
@@ -142,7 +143,7 @@
 	b := newHarness(t, baseConfig(), true)
 	b.receive(other, 200)
 	b.advance(10 * ms)
-	b.receive(third, PriorityRelease) // not the active one
+	b.receive(third, PriorityRelease) // ignored, because third is not the active router
 	b.advance(60 * ms)
 	b.requireState(Backup)
 	b.receive(other, PriorityRelease)
@@ -162,11 +163,11 @@
 		t.Errorf("%v", out)
 	}
 	if _, ok := b.m.Next(); ok || b.m.Lease() != 0 {
-		t.Error("a machine that was shut down goes on")
+		t.Error("a machine that was shut down still has a timer or a lease")
 	}
 }
 
-// Who stays active of two that meet: RFC 9568, 6.4.3.
+// Which of two active routers stays active: RFC 9568, 6.4.3.
 func TestTwoActive(t *testing.T) {
 	for _, c := range []struct {
 		from     netip.Addr
@@ -182,7 +183,7 @@
 			b.requireState(Active)
 			out := b.receive(c.from, c.priority)
 			_, released := firstAction[Deactivate](out)
-			_, answered := firstAction[SendAdvertisement](out) // the one that is preempted advertises once more
+			_, answered := firstAction[SendAdvertisement](out) // also sent by a router that is preempted
 			if (b.m.State() == Active) != c.stays || released == c.stays || !answered {
 				t.Errorf("%+v: %v, %v", c, b.m.State(), out)
 			}
@@ -229,10 +230,10 @@
 			t.Errorf("%v: priority %d, %v", ConditionNames[c.wrong], b.m.Priority(), all)
 		}
 	}
-	b.requireState(Active) // the last gateway left holds the address, whatever is wrong
+	b.requireState(Active) // the last remaining gateway holds the address even if all conditions lower its priority
 	out := b.handle(HealthChanged{Health{}})
 	if _, ok := firstAction[Deactivate](out); !ok || out[0] != (SendAdvertisement{PriorityRelease, 100 * ms}) {
-		t.Errorf("not ready any more: %v", out)
+		t.Errorf("after it became not ready: %v", out)
 	}
 	b.advance(5000 * ms)
 	b.requireState(Backup)
@@ -241,7 +242,7 @@
 	b.requireState(Active)
 }
 
-// A process that was stalled becomes a backup before it handles anything else, without an advertisement.
+// An active router whose process was stalled becomes a backup before it handles any event, without sending an advertisement.
 func TestStalledProcess(t *testing.T) {
 	b := newHarness(t, baseConfig(), true)
 	b.advance(360 * ms)
@@ -254,7 +255,7 @@
 	}
 	b.advance(349 * ms)
 	b.requireState(Backup)
-	b.now += 5000 * ms // again, as a backup: its state is old
+	b.now += 5000 * ms // a second stall, as a backup, which must restart its timer
 	b.handle(Tick{})
 	b.advance(349 * ms)
 	b.requireState(Backup)
@@ -271,7 +272,7 @@
 	b := newHarness(t, cfg, true)
 	b.advance(360 * ms)
 	if out := b.handle(ActivateFailed{Activation: 7}); len(out) > 0 {
-		t.Errorf("another activation's failure: %v", out)
+		t.Errorf("the failure of another activation must be ignored: %v", out)
 	}
 	out := b.handle(ActivateFailed{Activation: 1})
 	b.requireState(Backup)
@@ -284,7 +285,8 @@
 	b.requireState(Active)
 }
 
-// Each flap doubles the delay, up to the bound. A long activation is no flap, and after a quiet time the count starts again.
+// Each flap doubles the delay, up to the maximum. A long activation does not count as a flap, and after a time without flaps
+// the count starts again.
 func TestDamping(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Damping = Damping{Window: 500 * ms, InitialDelay: 1000 * ms, MaxDelay: 3000 * ms}
@@ -301,7 +303,7 @@
 		b.requireState(Backup)
 	}
 	if fmt.Sprint(held) != "[1000 2000 3000 3000]" {
-		t.Errorf("delays of %v", held)
+		t.Errorf("delays of %v ms, want 1000, 2000, 3000 and 3000", held)
 	}
 	b.advance(20_000 * ms)
 	b.receive(other, 200)
@@ -311,7 +313,7 @@
 	b.advance(360 * ms)
 	b.receive(other, 200)
 	if got := b.m.PreemptBlockedUntil() - b.now; got != 1000*ms {
-		t.Errorf("after a quiet time a delay of %d ms", got/ms)
+		t.Errorf("after a time without flaps: delay of %d ms, want 1000", got/ms)
 	}
 }
 
@@ -328,8 +330,8 @@
 	b.requireState(Backup)
 }
 
-// For any events in any order: Activate and Deactivate alternate, the activation number grows, a router that is not active
-// sends no advertisement but a release, no router is active that is not ready, and the lease covers active times only.
+// For any events in any order: Activate and Deactivate alternate, the activation number increases, a router that is not active
+// sends no advertisement except a release, a router that is not ready is never active, and there is a lease only while active.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := baseConfig()
@@ -375,21 +377,21 @@
 					held, last = true, a.Activation
 				case Deactivate:
 					if !held || a.Activation != last {
-						t.Fatalf("deactivates %d of %d, held %v", a.Activation, last, held)
+						t.Fatalf("deactivates activation %d, latest %d, held %v", a.Activation, last, held)
 					}
 					held = false
 				case SendAdvertisement:
 					if a.Priority != PriorityRelease && !held || stale {
-						t.Fatalf("advertises %d, held %v, stalled %v", a.Priority, held, stale)
+						t.Fatalf("advertises priority %d, held %v, stalled %v", a.Priority, held, stale)
 					}
 				case AnnounceAddress:
 					if !held || a.Activation != last {
-						t.Fatal("announces what it does not hold")
+						t.Fatal("announces an address that it does not hold")
 					}
 				}
 			}
 			if held != (m.State() == Active) || held && !m.Ready() || (m.Lease() > 0) != held {
-				t.Fatalf("held %v in %v, ready %v, lease %d", held, m.State(), m.Ready(), m.Lease())
+				t.Fatalf("held %v in state %v, ready %v, lease %d", held, m.State(), m.Ready(), m.Lease())
 			}
 			if at, ok := m.Next(); ok != (m.State() != Initialize) || ok && at <= now-1 {
 				t.Fatalf("next Tick at %d, now %d", at, now)
--- a/internal/vrrp/model_test.go
+++ b/internal/vrrp/model_test.go
@@ -11,15 +11,15 @@
 	"marblespan/internal/modelcheck"
 )
 
-// The time units of the model: with an advertisement interval of 1024 units, one step of priority is 4 units of Skew_Time.
-// A message takes at most 1 unit. A Tick is due twice an interval.
+// The time units of the model: an advertisement interval is 1024 units, so that a difference of one in priority changes
+// Skew_Time by 4 units. A message takes at most 1 unit. A Tick is due at least twice per interval.
 const (
 	interval = 1024
 	delay    = 1
 )
 
-// mutant makes the machine wrong in one point. It may change the machine and the event before it is handled, the machine and
-// the actions after it, and the check of the lease.
+// mutant makes the machine wrong in one point. before may change the machine and the event before the event is handled, after
+// may change the machine and the actions afterwards, and mayTakeRequests replaces the check of the lease.
 type mutant struct {
 	name            string
 	before          func(m *Machine, now clock.Micros, ev Event) Event
@@ -27,13 +27,13 @@
 	mayTakeRequests func(m *Machine, now clock.Micros) bool
 }
 
-// node is a machine as a node of the model checker.
+// node adapts a machine to the model checker's Node interface.
 type node struct {
 	id, nodes  int
 	cfg        Config
 	m          Machine
 	mutant     *mutant
-	receivedAt []clock.Micros // for the invariants only: when the last advertisement of each was read, 0 after a release
+	receivedAt []clock.Micros // only for the invariants: when the last advertisement of each node was handled; 0 after a release
 }
 
 func addr(i int) netip.Addr { return netip.AddrFrom4([4]byte{127, 0, 0, byte(i + 1)}) }
@@ -127,13 +127,15 @@
 	return clock.Micros(now) <= n.m.Lease()
 }
 
-// needlessTakeover records a take-over from an active router whose advertisements were being received.
+// needlessTakeover describes a takeover from an active router whose advertisements were still being received. It is empty if
+// none has happened.
 type needlessTakeover struct{ what string }
 
 func (n needlessTakeover) Key(int64) string { return n.what }
 
-// recordNeedlessTakeover looks at a transition. A router that just became active must not have received an advertisement in the
-// last three intervals, nor have one unread, of an active router that runs and is ready and that it may not preempt.
+// recordNeedlessTakeover checks a transition for a needless takeover: a router became active although it received an
+// advertisement in the last three intervals, or has an unread one, from an active router that is running and ready and that
+// it may not preempt.
 func recordNeedlessTakeover(before, after *modelcheck.State) modelcheck.History {
 	if before == nil {
 		return needlessTakeover{}
@@ -161,9 +163,10 @@
 	return needlessTakeover{}
 }
 
-// invariant returns the check of every state. bound is the longest time without an active router once there are no faults any
-// more. With strict, leases never overlap, not even while advertisements are in flight; this holds where no router preempts and
-// no two priorities are equal. A paused router counts as if it resumed now, before its machine has handled an event.
+// invariant returns the check of every state. bound is the longest time after the last fault during which there may be no
+// active router, or more than one. If strict is set, leases must never overlap, not even while advertisements are in flight;
+// this holds if no router preempts and all priorities differ. A paused router is treated as if it resumed now and had not
+// handled an event yet.
 func invariant(full modelcheck.Faults, bound int64, strict bool) func(*modelcheck.State) error {
 	return func(r *modelcheck.State) error {
 		if m, ok := r.History.(needlessTakeover); ok && m.what != "" {
@@ -190,16 +193,16 @@
 			for j := range i {
 				b := r.Nodes[j].(node)
 				if strict && r.DownUntil[j] == 0 && a.mayTakeRequests(r.Now) && b.mayTakeRequests(r.Now) {
-					return fmt.Errorf("%d and %d may both take work", j, i)
+					return fmt.Errorf("%d and %d may both accept requests", j, i)
 				}
 				if r.DownUntil[j] != 0 || b.m.state != Active || r.InFlight(i, j, delay) {
 					continue
 				}
 				if network && r.FaultsLeft.Pause == full.Pause {
-					return fmt.Errorf("%d and %d are both active, with nothing lost, late or standing still", j, i)
+					return fmt.Errorf("%d and %d are both active although no message was lost or delayed and no node was paused", j, i)
 				}
 				if network && r.Running(i) && r.Running(j) && a.mayTakeRequests(r.Now) && b.mayTakeRequests(r.Now) {
-					return fmt.Errorf("%d and %d both take work after a pause", j, i)
+					return fmt.Errorf("%d and %d may both accept requests after a pause", j, i)
 				}
 				if calm {
 					return fmt.Errorf("%d and %d are still both active", j, i)
@@ -207,7 +210,7 @@
 			}
 		}
 		if calm && ready > 0 && active == 0 {
-			return errors.New("nobody is active, though the network is whole and somebody ready")
+			return errors.New("no node is active although there are no more faults and a node is ready")
 		}
 		return nil
 	}
--- a/internal/vrrp/modelcheck_test.go
+++ b/internal/vrrp/modelcheck_test.go
@@ -7,7 +7,7 @@
 	"marblespan/internal/modelcheck"
 )
 
-// scenario is one group of routers with the faults that are explored.
+// scenario is a set of routers of one virtual router, with the faults that may happen to them.
 type scenario struct {
 	name         string
 	priorities   []uint8
@@ -20,21 +20,21 @@
 }
 
 var scenarios = []scenario{
-	{"two, not preempting: a pause and a doubled one", []uint8{200, 100}, false, 0, Damping{},
+	{"two, not preempting: a pause and a duplicate", []uint8{200, 100}, false, 0, Damping{},
 		modelcheck.Faults{Pause: 1, Duplicate: 1}, 0, true},
-	{"two: lost and late", []uint8{200, 100}, true, 0, Damping{}, modelcheck.Faults{Lose: 1, Delay: 1}, 0, false},
-	{"two: six lost", []uint8{200, 100}, true, 0, Damping{}, modelcheck.Faults{Lose: 6}, 0, false},
-	{"two: doubled and late", []uint8{200, 100}, true, 0, Damping{}, modelcheck.Faults{Duplicate: 1, Delay: 1}, 0, false},
-	{"two: a pause and a change", []uint8{200, 100}, true, 0, Damping{}, modelcheck.Faults{Pause: 1, EnvironmentChange: 1}, 0, false},
+	{"two: a loss and a delay", []uint8{200, 100}, true, 0, Damping{}, modelcheck.Faults{Lose: 1, Delay: 1}, 0, false},
+	{"two: six losses", []uint8{200, 100}, true, 0, Damping{}, modelcheck.Faults{Lose: 6}, 0, false},
+	{"two: a duplicate and a delay", []uint8{200, 100}, true, 0, Damping{}, modelcheck.Faults{Duplicate: 1, Delay: 1}, 0, false},
+	{"two: a pause and a change of readiness", []uint8{200, 100}, true, 0, Damping{}, modelcheck.Faults{Pause: 1, EnvironmentChange: 1}, 0, false},
 	{"two: a pause and a crash", []uint8{200, 100}, true, 0, Damping{}, modelcheck.Faults{Pause: 1, Crash: 1}, 0, false},
-	{"two alike, not preempting: two pauses", []uint8{100, 100}, false, 0, Damping{}, modelcheck.Faults{Pause: 2}, 0, false},
-	{"two alike: late and changes", []uint8{100, 100}, true, 0, Damping{}, modelcheck.Faults{Delay: 1, EnvironmentChange: 2}, 0, false},
-	{"two, delayed and damped: two late", []uint8{200, 199}, true, 2 * interval, Damping{4 * interval, interval, 4 * interval},
+	{"two of equal priority, not preempting: two pauses", []uint8{100, 100}, false, 0, Damping{}, modelcheck.Faults{Pause: 2}, 0, false},
+	{"two of equal priority: a delay and changes of readiness", []uint8{100, 100}, true, 0, Damping{}, modelcheck.Faults{Delay: 1, EnvironmentChange: 2}, 0, false},
+	{"two with preempt delay and damping: two delays", []uint8{200, 199}, true, 2 * interval, Damping{4 * interval, interval, 4 * interval},
 		modelcheck.Faults{Delay: 2}, 16 * interval, false},
-	{"three: a crash and a change", []uint8{200, 150, 100}, true, 0, Damping{}, modelcheck.Faults{Crash: 1, EnvironmentChange: 1}, 0, false},
-	{"three alike: a pause", []uint8{100, 100, 100}, false, 0, Damping{}, modelcheck.Faults{Pause: 1}, 0, false},
-	{"three: a loss and a change", []uint8{200, 150, 100}, true, 0, Damping{}, modelcheck.Faults{Lose: 1, EnvironmentChange: 1}, 0, false},
-	{"three: one late and a change", []uint8{200, 150, 100}, false, 0, Damping{}, modelcheck.Faults{Delay: 1, EnvironmentChange: 1}, 0, false},
+	{"three: a crash and a change of readiness", []uint8{200, 150, 100}, true, 0, Damping{}, modelcheck.Faults{Crash: 1, EnvironmentChange: 1}, 0, false},
+	{"three of equal priority: a pause", []uint8{100, 100, 100}, false, 0, Damping{}, modelcheck.Faults{Pause: 1}, 0, false},
+	{"three: a loss and a change of readiness", []uint8{200, 150, 100}, true, 0, Damping{}, modelcheck.Faults{Lose: 1, EnvironmentChange: 1}, 0, false},
+	{"three: a delay and a change of readiness", []uint8{200, 150, 100}, false, 0, Damping{}, modelcheck.Faults{Delay: 1, EnvironmentChange: 1}, 0, false},
 }
 
 func (s scenario) world(mut *mutant) *modelcheck.World {
@@ -56,7 +56,7 @@
 	return w
 }
 
-// maxStates bounds one exploration; only those of three routers reach it.
+// maxStates limits one exploration. Only the scenarios with three routers reach it.
 const maxStates = 60_000
 
 func TestExplore(t *testing.T) {
--- a/internal/vrrp/mutants_test.go
+++ b/internal/vrrp/mutants_test.go
@@ -7,29 +7,29 @@
 	"marblespan/internal/modelcheck"
 )
 
-// Each of these machines is wrong in one point. The model checker must find a counterexample for each, or its invariants are
-// too weak.
+// Each of these mutants is wrong in one point. The model checker must find a counterexample for each; a mutant that is not
+// caught shows that the invariants are too weak.
 var mutants = []mutant{
-	{name: "holds the address though it is not ready", before: func(m *Machine, now clock.Micros, ev Event) Event {
+	{name: "stays active although it is not ready", before: func(m *Machine, now clock.Micros, ev Event) Event {
 		if n, ok := ev.(HealthChanged); ok && !n.Health.Ready && m.state == Active {
 			m.health = n.Health
 			return nil
 		}
 		return ev
 	}},
-	{name: "does not give way to a higher priority", before: func(m *Machine, now clock.Micros, ev Event) Event {
+	{name: "stays active despite a higher priority", before: func(m *Machine, now clock.Micros, ev Event) Event {
 		if h, ok := ev.(AdvertisementReceived); ok && m.state == Active && h.Priority > m.Priority() {
 			return nil
 		}
 		return ev
 	}},
-	{name: "does not settle a tie", before: func(m *Machine, now clock.Micros, ev Event) Event {
+	{name: "stays active despite an equal priority", before: func(m *Machine, now clock.Micros, ev Event) Event {
 		if h, ok := ev.(AdvertisementReceived); ok && m.state == Active && h.Priority == m.Priority() {
 			return nil
 		}
 		return ev
 	}},
-	{name: "does not answer a lower one", before: func(m *Machine, now clock.Micros, ev Event) Event {
+	{name: "does not answer a lower priority", before: func(m *Machine, now clock.Micros, ev Event) Event {
 		if h, ok := ev.(AdvertisementReceived); ok && m.state == Active && h.Priority < m.Priority() {
 			return nil
 		}
@@ -41,7 +41,7 @@
 		}
 		return ev
 	}},
-	{name: "takes over on waking, with its messages unread", before: func(m *Machine, now clock.Micros, ev Event) Event {
+	{name: "takes over after a pause before reading its messages", before: func(m *Machine, now clock.Micros, ev Event) Event {
 		if m.state == Backup && now >= m.timerDue() {
 			m.lastHandled, m.timer = now, now
 		}
@@ -53,13 +53,13 @@
 		}
 		return ev
 	}},
-	{name: "follows whoever advertised last", before: func(m *Machine, now clock.Micros, ev Event) Event {
+	{name: "follows the router that advertised last", before: func(m *Machine, now clock.Micros, ev Event) Event {
 		if _, ok := ev.(AdvertisementReceived); ok && m.state == Backup {
 			m.activeRouter.receivedAt -= 4 * interval
 		}
 		return ev
 	}},
-	{name: "forgets the rival", after: func(m *Machine, now clock.Micros, out []Action) []Action {
+	{name: "forgets the other router", after: func(m *Machine, now clock.Micros, out []Action) []Action {
 		m.otherRouter = remoteRouter{}
 		return out
 	}},
@@ -69,22 +69,22 @@
 		}
 		return out
 	}},
-	{name: "waits two intervals only", after: func(m *Machine, now clock.Micros, out []Action) []Action {
+	{name: "waits only two intervals", after: func(m *Machine, now clock.Micros, out []Action) []Action {
 		if m.state == Backup {
 			m.timer = min(m.timer, now+2*interval)
 		}
 		return out
 	}},
-	{name: "does not wait anew when it hears the active one", before: func(m *Machine, now clock.Micros, ev Event) Event {
+	{name: "ignores advertisements while it is a backup", before: func(m *Machine, now clock.Micros, ev Event) Event {
 		if h, ok := ev.(AdvertisementReceived); ok && m.state == Backup && h.Priority != PriorityRelease && m.health.Ready {
 			return nil
 		}
 		return ev
 	}},
-	{name: "takes work for as long as it thinks it is active", mayTakeRequests: func(m *Machine, now clock.Micros) bool {
+	{name: "accepts requests after its lease has expired", mayTakeRequests: func(m *Machine, now clock.Micros) bool {
 		return m.state == Active
 	}},
-	{name: "goes for the address although it is not ready", after: func(m *Machine, now clock.Micros, out []Action) []Action {
+	{name: "becomes active although it is not ready", after: func(m *Machine, now clock.Micros, out []Action) []Action {
 		if m.state == Backup && !m.health.Ready && now >= m.timer {
 			return m.becomeActive(now, CauseActiveDown, out)
 		}
@@ -94,7 +94,7 @@
 
 func TestMutantsAreCaught(t *testing.T) {
 	if statesDivisor > 1 {
-		t.Skip("the same runs as without the race detector, many times slower")
+		t.Skip("makes the same runs as without the race detector, but many times slower")
 	}
 	for _, mut := range mutants {
 		t.Run(mut.name, func(t *testing.T) {
--- a/internal/vrrp/priority.go
+++ b/internal/vrrp/priority.go
@@ -1,7 +1,7 @@
 package vrrp
 
-// effectivePriority is the priority to advertise: that of the settings less the steps of all conditions that hold. It is at
-// least 1: 0 would release the address, and the last gateway left must still be able to hold it.
+// effectivePriority returns the priority to advertise: the configured priority minus the steps of all conditions that hold. It
+// is at least 1, because 0 would release the address, and the last remaining gateway must still be able to hold it.
 func effectivePriority(priority uint8, steps [ConditionCount]uint8, h Health) uint8 {
 	effective := int(priority)
 	for c, holds := range h.Conditions {
--- a/internal/vrrp/race_test.go
+++ b/internal/vrrp/race_test.go
@@ -2,5 +2,5 @@
 
 package vrrp
 
-// statesDivisor keeps the explorations short where every step costs many times the usual.
+// statesDivisor divides maxStates, because the race detector makes every step many times slower.
 const statesDivisor = 10
--- a/internal/vrrp/receive.go
+++ b/internal/vrrp/receive.go
@@ -6,7 +6,7 @@
 	"marblespan/internal/clock"
 )
 
-// remoteRouter is what the last advertisement of another router said. The zero value is none.
+// remoteRouter holds the contents of the last advertisement of another router. The zero value means that there is none.
 type remoteRouter struct {
 	from       netip.Addr
 	priority   uint8
@@ -14,21 +14,22 @@
 	interval   clock.Micros
 }
 
-// alive tells whether the router advertised within the last three of its intervals.
+// alive reports whether the router advertised within the last three of its advertisement intervals.
 func (h remoteRouter) alive(now clock.Micros) bool {
 	return h.from.IsValid() && now-h.receivedAt < leaseIntervals*h.interval
 }
 
-// staysActive tells whether the router is alive and will remain active when it meets the sender of e, which advertises too.
+// staysActive reports whether the router is alive and will remain active when both it and the sender of e advertise as active.
 func (h remoteRouter) staysActive(now clock.Micros, e AdvertisementReceived) bool {
 	return h.alive(now) && h.from != e.From &&
 		(h.priority > e.Priority || h.priority == e.Priority && e.From.Less(h.from))
 }
 
-// receiveAsBackup is RFC 9568, 6.4.2, with three departures.
-//   - Of two routers that advertise, the one that will remain active is followed, and a release by the other is ignored.
-//     Otherwise a router that finds out late that it is no longer active makes every backup take over from the one that is.
-//   - When the followed router releases the address, the other one is followed, if it is alive.
+// receiveAsBackup implements RFC 9568, 6.4.2, with three deviations:
+//   - If two routers advertise, the backup follows the one that will remain active and ignores a release by the other one.
+//     Otherwise a router that learns late that it is no longer active would make every backup take over from the router that
+//     is active.
+//   - When the followed router releases the address, the other router is followed if it is alive.
 //   - An active router of lower priority is not preempted before the preempt delay and damping are over.
 func (m *Machine) receiveAsBackup(now clock.Micros, e AdvertisementReceived) {
 	received := remoteRouter{e.From, e.Priority, now, e.AdvertisementInterval}
@@ -43,17 +44,17 @@
 	case e.Priority == PriorityRelease:
 	case m.activeRouter.staysActive(now, e):
 		m.otherRouter = received
-	case m.mayPreempt(now, e.Priority): // its down timer runs on
+	case m.mayPreempt(now, e.Priority): // the active-down timer is not restarted, so this backup takes over when it expires
 	default:
 		if m.activeRouter.from != received.from && m.activeRouter.alive(now) {
-			m.otherRouter = m.activeRouter // it is followed again if the new one releases the address
+			m.otherRouter = m.activeRouter // the former router is followed again if the new one releases the address
 		}
 		m.follow(received)
 	}
 }
 
-// followOtherRouter follows the other router that advertised, now that the followed one is gone, unless it is to be preempted.
-// It tells whether it does.
+// followOtherRouter makes this backup follow otherRouter, after the followed router has released the address or stopped
+// advertising. It does nothing if otherRouter is not alive or may be preempted. It reports whether otherRouter is now followed.
 func (m *Machine) followOtherRouter(now clock.Micros) bool {
 	other := m.otherRouter
 	m.otherRouter = remoteRouter{}
@@ -64,7 +65,7 @@
 	return true
 }
 
-// mayPreempt tells whether an active router of this priority may be preempted now.
+// mayPreempt reports whether an active router of the given priority may be preempted now.
 func (m *Machine) mayPreempt(now clock.Micros, priority uint8) bool {
 	if priority >= m.Priority() {
 		m.preemptAfter = 0
@@ -73,7 +74,7 @@
 	return m.config.Preempt && m.health.Ready && m.preemptDelayOver(now)
 }
 
-// follow makes r the active router that this backup waits for.
+// follow makes h the active router that this backup follows, and restarts the active-down timer.
 func (m *Machine) follow(h remoteRouter) {
 	if m.otherRouter.from == h.from {
 		m.otherRouter = remoteRouter{}
@@ -82,7 +83,7 @@
 	m.timer = h.receivedAt + m.downInterval()
 }
 
-// preemptDelayOver tells whether the preempt delay, which it starts if need be, and damping are over.
+// preemptDelayOver reports whether the preempt delay and damping are over. It starts the preempt delay if it is not running.
 func (m *Machine) preemptDelayOver(now clock.Micros) bool {
 	if m.preemptAfter == 0 {
 		m.preemptAfter = now + m.config.PreemptDelay
@@ -90,18 +91,20 @@
 	return now >= m.preemptAfter && now >= m.damper.blockedUntil
 }
 
-// receiveAsActive is RFC 9568, 6.4.3, with one departure: a router that is preempted advertises once more.
+// receiveAsActive implements RFC 9568, 6.4.3, with one deviation: a router that is preempted advertises once more.
 func (m *Machine) receiveAsActive(now clock.Micros, e AdvertisementReceived, out []Action) []Action {
 	switch {
 	case e.Priority == PriorityRelease:
 		return m.advertise(now, out)
 	case e.Priority > m.Priority(), e.Priority == m.Priority() && m.config.LocalAddress.Less(e.From):
-		// The other router may have been active all the time, and would not announce the address again, though the
-		// network may lead it here. This advertisement makes it announce once more. The RFC has none.
+		// The other router may have been active for some time already. It would then not announce the address again, although
+		// the network may still direct the address to this gateway. This additional advertisement, which the RFC does not
+		// have, makes the other router announce the address once more.
 		out = m.becomeBackup(now, CausePreempted, append(out, SendAdvertisement{m.Priority(), m.config.AdvertisementInterval}))
 		m.follow(remoteRouter{e.From, e.Priority, now, e.AdvertisementInterval})
 		return out
 	}
-	// A router of lower priority believes that it is active: it and the network are told at once where the address is.
+	// A router that must give way to this one also advertises as active. Advertise at once so that it becomes a backup, and
+	// announce the address again because the network may direct it to the other router.
 	return append(m.advertise(now, out), AnnounceAddress{m.activation})
 }
--- a/internal/vrrp/timers.go
+++ b/internal/vrrp/timers.go
@@ -4,32 +4,35 @@
 	"marblespan/internal/clock"
 )
 
-// stallPollLimit is how many poll intervals may pass without an event before a backup concludes that its process was
-// stalled. A poll interval is half an advertisement interval, so that a busy processor is not taken for a stall at once.
+// stallPollLimit is the number of poll intervals that may pass without an event before a backup concludes that its process was
+// stalled. A poll interval is half an advertisement interval; the limit keeps a delay on a busy processor from counting as a
+// stall immediately.
 const stallPollLimit = 3
 
-// lateTimerDivisor is the part of an advertisement interval (a quarter) by which a timer may be handled late. A backup that
-// is later than that may have unread advertisements, and waits that long again for them to be read.
+// A timer may be handled late by up to an advertisement interval divided by lateTimerDivisor. A backup that is later than that
+// may have unread advertisements, and waits for the same time again so that they are read first.
 const lateTimerDivisor = 4
 
-// leaseIntervals is for how many intervals after an advertisement its sender may act as the active router. No peer takes
-// over sooner: the shortest Active_Down_Interval is longer by its Skew_Time.
+// leaseIntervals is the number of intervals after an advertisement for which its sender may act as the active router. No peer
+// takes over earlier, because every Active_Down_Interval is three intervals plus the peer's Skew_Time.
 const leaseIntervals = 3
 
-// SkewTime is Skew_Time of RFC 9568, 6.1: the higher the priority, the sooner a backup takes over.
+// SkewTime returns Skew_Time of RFC 9568, 6.1. It is shorter for a higher priority, so that the backup with the highest
+// priority takes over first.
 func SkewTime(priority uint8, interval clock.Micros) clock.Micros {
 	return (256 - clock.Micros(priority)) * interval / 256
 }
 
-// ActiveDownInterval is Active_Down_Interval of RFC 9568, 6.1: how long a backup waits for an advertisement of the active
+// ActiveDownInterval returns Active_Down_Interval of RFC 9568, 6.1: how long a backup waits for an advertisement of the active
 // router before it takes over.
 func ActiveDownInterval(priority uint8, interval clock.Micros) clock.Micros {
 	return 3*interval + SkewTime(priority, interval)
 }
 
-// Lease is the time after which no request may be taken under the present activation unless another advertisement is sent
-// first, for peers may have taken over. It is checked for every request: after a stall, the goroutine that takes requests may
-// run before the one that owns the machine. It is 0 while not active.
+// Lease returns the time until which requests may be accepted in the current activation, or 0 if the router is not active.
+// After that time peers may have taken over, unless another advertisement has been sent, which extends the lease. The lease is
+// checked for every request, because after a stall the goroutine that accepts requests may run before the one that owns the
+// machine.
 func (m *Machine) Lease() clock.Micros {
 	if m.state != Active {
 		return 0
@@ -37,7 +40,7 @@
 	return m.lastSent + leaseIntervals*m.config.AdvertisementInterval
 }
 
-// Next is when a Tick is due. It returns false in Initialize.
+// Next returns the time at which a Tick is due. It returns false in state Initialize.
 func (m *Machine) Next() (clock.Micros, bool) {
 	if m.state == Initialize {
 		return 0, false
@@ -49,10 +52,11 @@
 	return min(m.timerDue(), poll), true
 }
 
-// pollInterval is the longest time between two Ticks; a gap of several shows a stall.
+// pollInterval returns the longest time between two Ticks. If several such intervals pass without an event, the process was
+// stalled.
 func (m *Machine) pollInterval() clock.Micros { return m.config.AdvertisementInterval / 2 }
 
-// timerDue is when the timer in force expires. For a backup it is never before the end of damping.
+// timerDue returns the time at which the timer of the current state expires. For a backup this is not before damping is over.
 func (m *Machine) timerDue() clock.Micros {
 	if m.state == Backup {
 		return max(m.timer, m.damper.blockedUntil)
@@ -60,14 +64,14 @@
 	return m.timer
 }
 
-// downInterval is Active_Down_Interval for the interval that the active router advertised.
+// downInterval returns Active_Down_Interval for the interval that the active router advertised.
 func (m *Machine) downInterval() clock.Micros {
 	return ActiveDownInterval(m.Priority(), m.activeInterval)
 }
 
-// checkStall looks for a stall of the process. A router that was active becomes a backup without an advertisement: whoever
-// took over must not be disturbed. A backup starts its timer again, as it may have missed advertisements; one that is only a
-// little late waits for unread advertisements to be read.
+// checkStall checks whether the process was stalled. An active router whose lease has expired becomes a backup without sending
+// an advertisement, which would interfere with a router that has taken over. A backup that was stalled restarts its timer,
+// because it may have missed advertisements; one that is only slightly late waits until unread advertisements have been read.
 func (m *Machine) checkStall(now clock.Micros) []Action {
 	tolerance := m.config.AdvertisementInterval / lateTimerDivisor
 	next, _ := m.Next()
@@ -82,7 +86,7 @@
 	return nil
 }
 
-// tick acts on the timer in force, if it has expired.
+// tick does what the timer of the current state requires if it has expired.
 func (m *Machine) tick(now clock.Micros, out []Action) []Action {
 	switch {
 	case m.state == Active && now >= m.timer:
--- a/internal/vrrp/transitions.go
+++ b/internal/vrrp/transitions.go
@@ -4,10 +4,11 @@
 	"marblespan/internal/clock"
 )
 
-// announcePeriod is the number of advertisements between two announcements once an activation has lasted that long.
+// announcePeriod is the number of advertisements between two announcements of the address, once an activation has sent that
+// many advertisements.
 const announcePeriod = 64
 
-// startup is the Startup event of RFC 9568, 6.4.1.
+// startup handles the Startup event of RFC 9568, 6.4.1.
 func (m *Machine) startup(now clock.Micros, out []Action) []Action {
 	m.activeInterval = m.config.AdvertisementInterval
 	if m.Priority() == PriorityOwner && m.health.Ready {
@@ -17,7 +18,7 @@
 	return m.setState(now, Backup, CauseStartup, out)
 }
 
-// shutdown is the Shutdown event of RFC 9568, 6.4.2 and 6.4.3.
+// shutdown handles the Shutdown event of RFC 9568, 6.4.2 and 6.4.3.
 func (m *Machine) shutdown(now clock.Micros, out []Action) []Action {
 	if m.state == Active {
 		out = m.release(now, CauseShutdown, out)
@@ -28,7 +29,8 @@
 	return m.setState(now, Initialize, CauseShutdown, out)
 }
 
-// becomeActive wins the address. The listener is opened before the network is told, so that no connection is refused.
+// becomeActive starts an activation. The listener is opened before the address is announced to the network, so that no
+// connection is refused.
 func (m *Machine) becomeActive(now clock.Micros, cause Cause, out []Action) []Action {
 	m.activation++
 	m.advertisementsSent = 0
@@ -37,12 +39,12 @@
 	return append(m.advertise(now, append(out, Activate{m.activation})), AnnounceAddress{m.activation})
 }
 
-// advertise sends an advertisement, starts the advertisement timer, and repeats the announcement where it is due.
+// advertise sends an advertisement, restarts the advertisement timer, and repeats the announcement of the address when due.
 func (m *Machine) advertise(now clock.Micros, out []Action) []Action {
 	m.lastSent, m.timer = now, now+m.config.AdvertisementInterval
 	out = append(out, SendAdvertisement{m.Priority(), m.config.AdvertisementInterval})
-	// An announcement may be lost, and nobody asks for it again. So the 2nd, 4th, 8th and so on advertisement repeats it,
-	// later every 64th. The RFC sends one.
+	// An announcement may be lost, and no other machine requests it again. Therefore it is repeated with the 2nd, 4th, 8th
+	// and so on advertisement, and later with every 64th. The RFC sends it only once.
 	m.advertisementsSent++
 	if n := m.advertisementsSent; n > 1 && (n%announcePeriod == 0 || n < announcePeriod && n&(n-1) == 0) {
 		out = append(out, AnnounceAddress{m.activation})
@@ -50,12 +52,12 @@
 	return out
 }
 
-// release becomes a backup and advertises priority 0, so that the others wait for their Skew_Time only.
+// release makes an active router a backup and advertises priority 0, so that the other routers wait only for their Skew_Time.
 func (m *Machine) release(now clock.Micros, cause Cause, out []Action) []Action {
 	return m.becomeBackup(now, cause, append(out, SendAdvertisement{PriorityRelease, m.config.AdvertisementInterval}))
 }
 
-// becomeBackup ends the activation without an advertisement.
+// becomeBackup ends the activation without sending an advertisement.
 func (m *Machine) becomeBackup(now clock.Micros, cause Cause, out []Action) []Action {
 	if cause == CausePreempted || cause == CauseStalled {
 		m.damper.activationEnded(now, now-m.stateSince, m.config.Damping)
