--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -7,7 +7,7 @@
 	"marblespan/internal/clock"
 )
 
-// This file contacts members that are not in the view: through the join addresses, and after a partition.
+// This file finds members through the join addresses, and finds dead members again, for example after a partition.
 
 // rejoinIntervals is the number of intervals between two attempts to reach a dead member and the join addresses that have not
 // answered.
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -62,7 +62,7 @@
 	memberGossip gossipQueue // records; while there are any, additional pings are sent to carry them
 	pathGossip   gossipQueue // path reports; they are only added to messages that are sent anyway
 	nextGossip   clock.Micros
-	syncPage     int // index in members of the last record sent to members whose view differs
+	syncPage     int // index in members of the last record sent in a page of the view
 }
 
 // detector is the state of the failure detector.
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -21,7 +21,7 @@
 )
 
 // The bounds of Config.Interval, in microseconds. With a shorter interval, a member whose CPU core is busy with other
-// processes would be declared dead; with a longer one, a dead member would be detected only after minutes.
+// processes could be declared dead; with a longer one, a dead member would be detected only after minutes.
 const (
 	MinInterval clock.Micros = 50_000
 	MaxInterval clock.Micros = 10_000_000
@@ -65,7 +65,7 @@
 // The flags.
 const (
 	Draining Flags = 1 << iota // the member is shutting down
-	Stalled                    // the member's process recently did not run for longer than other members wait for an ack
+	Stalled                    // the member's process was recently stalled for longer than other members wait for an ack
 	NoDisk                     // the member stores nothing that survives a restart
 )
 
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// mergeNewGeneration applies a record with a later generation of a known member. If the record has another address, it belongs
-// to another process with the same name, and is ignored until the known one has ended. If that process itself sent the record,
-// it is sent a Reject.
+// mergeNewGeneration applies a record with a later generation of a known member. If neither generation has ended and their
+// addresses differ, the record belongs to another process with the same name, and is ignored. If that process itself sent the
+// record, it is sent a Reject.
 func (m *Machine) mergeNewGeneration(now clock.Micros, known *member, record Record, source netip.AddrPort, msg Message) {
 	conflict := !record.State.Ended() && !known.State.Ended() && record.Address != known.Address
 	switch {
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -30,8 +30,8 @@
 	localHealthSamples = 16
 )
 
-// pathLostAfter is the number of consecutive probes that must get no direct answer but one through a helper before the path
-// counts as lost. It is multiplied by the local health.
+// pathLostAfter is the number of consecutive probes that must be answered only through a helper, and not directly, before the
+// path counts as lost. It is multiplied by the local health.
 const pathLostAfter = 3
 
 // probe is one probe in progress.
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -9,8 +9,7 @@
 // This file maintains a member's own record: the member refutes suspicions, starts new generations, and resolves conflicts
 // about its name.
 
-// excludedRejoinDivisor is the divisor of the usual rejoin delay that gives the delay before a newly excluded member tries to
-// join again.
+// A member that has just been excluded tries to join again after the usual rejoin delay divided by excludedRejoinDivisor.
 const excludedRejoinDivisor = 5
 
 // updateMeta changes this member's metadata and distributes it. The Stalled flag keeps the value that the machine has set.
@@ -50,8 +49,8 @@
 	}
 }
 
-// startGeneration continues in a new generation, because other members consider the current one to be over and cannot accept
-// it again.
+// startGeneration moves this member to a new generation, because other members consider the current one to be over and never
+// accept it again.
 func (m *Machine) startGeneration(generation uint64, notice Notice) {
 	m.self.Generation, m.self.Incarnation, m.generationStart = generation, 0, m.lastEvent
 	for i := range m.members {
