--- a/internal/assignment/assignment.go
+++ b/internal/assignment/assignment.go
@@ -1,82 +1,82 @@
-// Package assignment decides which of several gateways does which periodic work, such as checking the health of a database
-// server: which one does it, when, and which one takes over when that one is silent.
+// Package assignment distributes periodic work, such as health checks of database servers, among several gateways: it decides
+// which gateway does the work for a subject, when, and which one takes over if that gateway does not report.
 //
-// No other package uses it yet: it is to come with shared periodic duties (docs/ROADMAP.md).
+// No other package uses it yet. It is intended for periodic duties that gateways share (docs/ROADMAP.md).
 //
-// It needs no agreement. Every gateway ranks the members that it sees for every subject by rendezvous hashing (Thaler and
-// Ravishankar). The first in rank does the work each period and reports it; the second takes over one Step after the report
-// is overdue, the third another Step later, and so on. Differing views of the members cost extra work but leave no gap: a
-// gateway that receives no report does the work itself in the end.
+// The gateways do not need to reach agreement. For every subject, each gateway ranks the members in its view by rendezvous
+// hashing (Thaler and Ravishankar). The first in rank does the work each period and reports it; the second takes over one Step
+// after the report is overdue, the third another Step later, and so on. If gateways have different views of the members, some
+// work is done more than once, but none is omitted: a gateway that receives no report eventually does the work itself.
 //
-// It is a pure state machine: times and events in, assignments out. It owns no clock, socket, goroutine or random source;
-// times are microseconds of a monotonic clock. One goroutine owns a Scheduler and calls all its methods.
+// The package is a pure state machine: it takes times and events and returns assignments. It owns no clock, socket, goroutine
+// or random source. Times are microseconds of a monotonic clock. One goroutine owns a Scheduler and calls all its methods.
 //
 // The main decisions are in ranking (the order of the members), Scheduler.rank (which members count as failed) and
-// Scheduler.dueAt (when work is due here). This file holds the interface: configuration, events and assignments.
+// Scheduler.dueAt (when work is due on this gateway). This file holds the interface: configuration, events and assignments.
 package assignment
 
 import "marblespan/internal/clock"
 
-// Member is a gateway that takes part.
+// Member is a gateway among which the work is distributed.
 type Member struct {
 	Name   string
-	Zone   string // only compared with a subject's zone
-	Weight uint8  // its share of the work, relative to the others: 1 to MaxWeight
+	Zone   string // members in the zone of a subject rank before all others
+	Weight uint8  // the member's share of the work relative to other members: 1 to MaxWeight
 }
 
-// MaxWeight is the largest weight; a larger one counts as MaxWeight, and 0 counts as 1.
+// MaxWeight is the largest weight. Larger weights are treated as MaxWeight, and 0 is treated as 1.
 const MaxWeight = 16
 
-// Subject is what periodic work is done for, such as a database server.
+// Subject is the object of periodic work, such as a database server.
 type Subject struct {
-	Key  string // differs for each incarnation of a server: a restarted one is another subject
+	Key  string // differs for each incarnation of a server, so that a restarted server is another subject
 	Zone string
 }
 
-// Config is how the work of one kind is done. All gateways should have the same, apart from Self and Seed; where they differ,
-// work is done more often than needed, or later by the difference.
+// Config configures one kind of work. All gateways should have the same configuration, except for Self and Seed. If the
+// configurations differ, work is done more often than necessary, or late by the difference.
 type Config struct {
 	Self       Member
-	Period     clock.Micros // between two runs for a subject that is in demand
-	IdlePeriod clock.Micros // between two runs for a subject without demand
-	MinPeriod  clock.Micros // no demand makes a period shorter: it bounds the work that a subject gets from all members together
-	Step       clock.Micros // how much later than the previous one each next in rank takes over
-	MaxDelay   clock.Micros // no rank waits longer than this, apart from the jitter
-	Jitter     clock.Micros // a random delay up to this, so that members of equal rank do not act at the same moment
-	Assignees  int          // how many members do the work each period; 0 counts as 1
+	Period     clock.Micros // time between two runs for a subject that is in demand
+	IdlePeriod clock.Micros // time between two runs for a subject without demand
+	MinPeriod  clock.Micros // lower limit for a demanded period; limits the work that all members together do for a subject
+	Step       clock.Micros // additional delay with which each further rank takes over
+	MaxDelay   clock.Micros // upper limit for the delay of any rank, not including the jitter
+	Jitter     clock.Micros // upper limit for a random delay, so that members with equal rank do not act simultaneously
+	Assignees  int          // number of members that do the work each period; 0 is treated as 1
 	Seed       uint64
 }
 
-// Gap is the longest time between two runs for a subject, as long as one member is alive, reaches the subject and has its
-// Handle called at the times of Next: the period, the longest delay of a rank, and the jitter. The latency of reports adds to
-// it where other members are heard.
+// Gap returns the longest time between two runs for a subject with the given period: the period, the longest delay of a rank,
+// and the jitter. This holds as long as at least one member is alive, reaches the subject, and has its Handle called at the
+// times that Next returns. If the member receives reports from others, their latency is added.
 func (c Config) Gap(period clock.Micros) clock.Micros { return period + c.MaxDelay + c.Jitter }
 
 // Event is one of the events below.
 type Event interface{ event() }
 
-// MembersChanged gives all members that exist now, with or without this one.
+// MembersChanged carries the complete list of current members. The list need not include this gateway.
 type MembersChanged struct{ Members []Member }
 
-// SubjectsChanged gives all subjects that exist now.
+// SubjectsChanged carries the complete list of current subjects.
 type SubjectsChanged struct{ All []Subject }
 
-// WorkReported is a member's report that it has done the work for a subject, Age ago.
+// WorkReported carries another member's report that it has done the work for a subject.
 type WorkReported struct {
 	Key       string
 	From      string
-	Age       clock.Micros // since the work was done
-	Succeeded bool         // the subject responded; if not, another member may reach it
+	Age       clock.Micros // time since the work was done
+	Succeeded bool         // the subject responded; if it did not, another member may still be able to reach it
 }
 
-// WorkDone is the end of an assignment to this gateway.
+// WorkDone reports that this gateway has finished an assignment.
 type WorkDone struct {
 	Key       string
 	Succeeded bool
 }
 
-// WorkDemanded is the demand of a member, or of this one, that the work for a subject is done at least every Period, for a
-// Duration. It replaces that member's earlier demand.
+// WorkDemanded carries the demand of a member, which may be this one, that the work for a subject be done at least once per
+// Period for the given Duration. It replaces that member's earlier demand for the subject.
 type WorkDemanded struct {
 	Key      string
 	From     string
@@ -84,7 +84,7 @@
 	Duration clock.Micros
 }
 
-// Tick is sent at the time of Scheduler.Next.
+// Tick is the timer step. It is due at the time returned by Scheduler.Next.
 type Tick struct{}
 
 func (MembersChanged) event()  {}
@@ -94,8 +94,9 @@
 func (WorkDemanded) event()    {}
 func (Tick) event()            {}
 
-// Assignment tells this gateway to do the work for a subject now, and to report it to the others and by WorkDone here.
+// Assignment asks the caller to do the work for a subject now, to report the result to the other members, and to pass a
+// WorkDone event to the Scheduler.
 type Assignment struct {
 	Key  string
-	Rank int // 0: this gateway is the first in rank; otherwise it takes over
+	Rank int // rank of this gateway for the subject; 0 is the first
 }
--- a/internal/assignment/due.go
+++ b/internal/assignment/due.go
@@ -10,7 +10,8 @@
 	"marblespan/internal/clock"
 )
 
-// period is the shortest period in demand, within the bounds. It drops demands that have ended.
+// period returns the shortest demanded period, limited to the range from MinPeriod to IdlePeriod. It also removes demands that
+// have ended.
 func (s *Scheduler) period(t *task) clock.Micros {
 	p := s.cfg.IdlePeriod
 	for from, w := range t.demands {
@@ -23,7 +24,8 @@
 	return max(p, s.cfg.MinPeriod)
 }
 
-// rank is this gateway's rank, where members that failed lately come after all others.
+// rank returns this gateway's rank for a task, or -1 if the gateway is not a member. Members that failed recently rank after
+// all others.
 func (s *Scheduler) rank(t *task) int {
 	if t.position < 0 {
 		return -1
@@ -38,7 +40,8 @@
 	return ahead
 }
 
-// takeoverDelay is how much later than the assignees a member of a rank takes over; 0 for the assignees themselves.
+// takeoverDelay returns how much later than the assignees a member with the given rank takes over. It is 0 for the assignees
+// themselves.
 func (s *Scheduler) takeoverDelay(t *task, rank int) clock.Micros {
 	if rank = rank - s.cfg.Assignees + 1; rank <= 0 {
 		return 0
@@ -46,8 +49,8 @@
 	return min(clock.Micros(rank)*s.cfg.Step, s.cfg.MaxDelay) + t.jitter
 }
 
-// dueAt is when this gateway does the work for a subject unless a report comes first; ok is false while it has the work in
-// hand or is no member.
+// dueAt returns the time at which this gateway does the work for a subject unless a report arrives first. ok is false if the
+// work is already running on this gateway, or if this gateway is not a member.
 func (s *Scheduler) dueAt(t *task) (at clock.Micros, ok bool) {
 	rank := s.rank(t)
 	if t.running || rank < 0 {
@@ -55,25 +58,25 @@
 	}
 	period := s.period(t)
 	base := t.lastSuccess + period
-	if t.lastSuccess == 0 { // no success is known yet: without a random delay all new subjects would be due at one moment
+	if t.lastSuccess == 0 { // no success is known yet; without a random delay all new subjects would be due simultaneously
 		base = t.createdAt + min(t.jitter, period)
 	}
 	at = base + s.takeoverDelay(t, rank)
 	if rank < s.cfg.Assignees && t.positionSince > t.lastSuccess {
-		// The work has just moved to this gateway, which waits for its jitter first; but never longer than any rank waits, or
-		// a view that changes all the time would delay it for ever.
+		// The work has just moved to this gateway, so it first waits for its jitter. It never waits longer than the last rank
+		// would, because otherwise a view that changes all the time could postpone the work indefinitely.
 		at = max(at, min(t.positionSince+t.jitter, base+s.cfg.MaxDelay+s.cfg.Jitter))
 	}
 	if t.lastAttempt > 0 {
-		at = max(at, t.lastAttempt+max(period, s.cfg.MinPeriod)) // a failing subject gets no more work than others
+		at = max(at, t.lastAttempt+max(period, s.cfg.MinPeriod)) // a failing subject is not retried more often than others
 	}
 	return at, true
 }
 
-// reschedule sets when a task is evaluated next: when it is due, or when a demand or a failure ends before that, which changes
-// when it is due.
+// reschedule sets the time at which a task is evaluated next: when it is due, or earlier if a demand or a failure ends before
+// that, because this changes when the task is due.
 func (s *Scheduler) reschedule(t *task) {
-	s.period(t) // drops the demands that have ended
+	s.period(t) // removes the demands that have ended
 	t.wakeAt = never
 	if at, ok := s.dueAt(t); ok {
 		t.wakeAt = at
@@ -103,7 +106,7 @@
 	return out
 }
 
-// randomJitter is a pseudo-random delay from 0 to the configured jitter, derived from the seed.
+// randomJitter returns a pseudo-random delay from 0 to the configured jitter, derived from the seed.
 func (s *Scheduler) randomJitter(t *task) clock.Micros {
 	if s.cfg.Jitter <= 0 {
 		return 0
--- a/internal/assignment/queue.go
+++ b/internal/assignment/queue.go
@@ -1,6 +1,6 @@
 package assignment
 
-// queue is a heap of tasks by wakeAt, for container/heap.
+// queue is a heap of tasks ordered by wakeAt. It implements heap.Interface.
 type queue []*task
 
 func (q queue) Len() int           { return len(q) }
@@ -10,7 +10,7 @@
 	q[i].index, q[j].index = i, j
 }
 
-// Push and Pop implement heap.Interface; heap.Push and heap.Pop are what callers use.
+// Push and Pop implement heap.Interface. Callers use heap.Push and heap.Pop instead.
 func (q *queue) Push(x any) {
 	d := x.(*task)
 	d.index = len(*q)
--- a/internal/assignment/rank.go
+++ b/internal/assignment/rank.go
@@ -7,8 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// score is a member's score for a subject in rendezvous hashing: the highest of as many hashes as its weight. So its share of all
-// subjects is proportional to its weight, and a member that joins or leaves moves only the subjects that it gets or had.
+// score returns a member's score for a subject in rendezvous hashing: the highest of as many hashes as the member's weight.
+// This makes a member's share of all subjects proportional to its weight. When a member joins or leaves, only the subjects that
+// it receives or had are moved.
 func score(m Member, key string) uint64 {
 	var digest xxhash.Digest
 	best := uint64(0)
@@ -22,7 +23,8 @@
 	return best
 }
 
-// ranking is the names of the members in the order of their rank for a subject: those of its zone first, then by score.
+// ranking returns the names of the members in the order of their rank for a subject: members in the subject's zone first, and
+// within both parts by descending score.
 func ranking(members []Member, s Subject) []string {
 	type candidate struct {
 		name   string
--- a/internal/assignment/rank_test.go
+++ b/internal/assignment/rank_test.go
@@ -16,7 +16,7 @@
 	return all
 }
 
-// A member that leaves moves only its own subjects; the order of the others stays.
+// When a member leaves, only its own subjects move; the order of the other members does not change.
 func TestLeavingMovesOnlyItsOwn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 40).Draw(t, "members")
@@ -49,22 +49,22 @@
 		first[ranking(all, Subject{Key: fmt.Sprint(i)})[0]]++
 	}
 	if share := float64(first["n0"]) / n; share < 0.46 || share > 0.54 {
-		t.Errorf("a weight of 4 beside four of 1 has a share of %.2f, want 0.50", share)
+		t.Errorf("a member of weight 4, with four others of weight 1, has a share of %.2f, want 0.50", share)
 	}
 	for i := range 100 {
 		r := ranking(all, Subject{Key: fmt.Sprint(i), Zone: "a"})
 		if r[0] != "n1" && r[0] != "n2" || r[1] != "n1" && r[1] != "n2" {
-			t.Fatalf("%v for a server in zone a", r)
+			t.Fatalf("ranking %v for a server in zone a, want n1 and n2 first", r)
 		}
 	}
 }
 
-// For any order of events, a gateway gets an assignment for each subject within the bound after the last run it knows of, never
-// while it has one, and never for a subject that was removed.
+// For any order of events, a gateway gets an assignment for each subject within the bound after the last run that it knows of.
+// It never gets one while an assignment for the subject is running, or for a subject that was removed.
 func TestSchedulerProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := config("n0", rapid.Uint64().Draw(t, "seed"))
-		cfg.Assignees = rapid.IntRange(0, 2).Draw(t, "holders")
+		cfg.Assignees = rapid.IntRange(0, 2).Draw(t, "assignees")
 		scheduler := New(cfg)
 		keys := []string{"a", "b", "c"}
 		now, started := clock.Micros(1), map[string]clock.Micros{}
@@ -79,7 +79,7 @@
 		}
 		for range rapid.IntRange(1, 120).Draw(t, "events") {
 			step := clock.Micros(rapid.SampledFrom([]int{0, 1, 20, 100, 400}).Draw(t, "gap")) * ms
-			for end := now + step; ; { // it gets a Tick whenever it asks for one
+			for end := now + step; ; { // the scheduler gets a Tick whenever one is due
 				at, ok := scheduler.Next()
 				if !ok || at > end {
 					now = end
--- a/internal/assignment/scheduler.go
+++ b/internal/assignment/scheduler.go
@@ -9,20 +9,20 @@
 	"marblespan/internal/clock"
 )
 
-// failurePeriods is for how many periods a member that got no response from a subject ranks behind the others for it. It
-// guards against a first in rank whose own network path is cut. If the subject is down for all, the work moves from member to
-// member.
+// failurePeriods is the number of periods for which a member that got no response from a subject ranks behind the others for
+// that subject. Otherwise a subject would stay assigned to a member that cannot reach it because its own network path is
+// interrupted. If no member can reach the subject, the work moves from member to member.
 const failurePeriods = 8
 
 // never is a time that is never reached.
 const never clock.Micros = math.MaxInt64
 
-// Scheduler is one gateway's state of all work of one kind.
+// Scheduler is one gateway's state for all work of one kind.
 type Scheduler struct {
 	cfg         Config
 	members     []Member
-	tasks       map[string]*task
-	queue       queue // all tasks, by wakeAt
+	tasks       map[string]*task // by key of the subject
+	queue       queue            // all tasks, ordered by wakeAt
 	now         clock.Micros
 	randomDraws uint64
 }
@@ -31,18 +31,18 @@
 type task struct {
 	subject       Subject
 	ranking       []string
-	position      int          // of this gateway in the ranking; -1: it is no member
+	position      int          // index of this gateway in the ranking; -1: not a member
 	lastSuccess   clock.Micros // when any member last succeeded; 0: never
 	lastAttempt   clock.Micros // when this gateway last started the work
-	running       bool         // this gateway has an assignment that has not ended
-	createdAt     clock.Micros // when the subject was first known here
-	positionSince clock.Micros // when this gateway got its position
+	running       bool         // this gateway has an unfinished assignment for the subject
+	createdAt     clock.Micros // when the subject became known to this gateway
+	positionSince clock.Micros // when this gateway's position last changed
 	jitter        clock.Micros // random delay of the current wait
 	demands       map[string]demand
-	failedUntil   map[string]clock.Micros // until when failed members rank behind the others, by name
+	failedUntil   map[string]clock.Micros // by name of a failed member: until when it ranks behind the others
 
-	wakeAt clock.Micros // the next time at which time alone may change anything about it
-	index  int          // in the queue
+	wakeAt clock.Micros // when the task must be evaluated next if no event concerns it before
+	index  int          // index in the queue
 }
 
 type demand struct {
@@ -50,14 +50,14 @@
 	until  clock.Micros
 }
 
-// New returns a scheduler that sees no other member and no subject.
+// New returns a scheduler that knows no other member and no subject.
 func New(cfg Config) *Scheduler {
 	cfg.Assignees = max(cfg.Assignees, 1)
 	return &Scheduler{cfg: cfg, members: []Member{cfg.Self}, tasks: map[string]*task{}}
 }
 
-// Handle applies one event and returns the work that is due now, in the order of the keys. A time before that of the last call
-// counts as that of the last call.
+// Handle processes one event and returns assignments for the work that is due now, ordered by key. If now is earlier than the
+// time of the previous call, that time is used instead.
 func (s *Scheduler) Handle(now clock.Micros, event Event) []Assignment {
 	s.now = max(s.now, now)
 	switch e := event.(type) {
@@ -85,7 +85,8 @@
 	return s.takeDue()
 }
 
-// Next is when Handle must be called with a Tick unless another event comes first; ok is false if no time is set.
+// Next returns the time at which Handle must be called with a Tick unless another event comes first. ok is false if no Tick is
+// needed.
 func (s *Scheduler) Next() (at clock.Micros, ok bool) {
 	if len(s.queue) == 0 || s.queue[0].wakeAt == never {
 		return 0, false
@@ -93,7 +94,7 @@
 	return s.queue[0].wakeAt, true
 }
 
-// Period is the current period of a subject; 0 for an unknown one.
+// Period returns the current period of a subject, or 0 if the subject is not known.
 func (s *Scheduler) Period(key string) clock.Micros {
 	if t := s.tasks[key]; t != nil {
 		return s.period(t)
@@ -101,7 +102,8 @@
 	return 0
 }
 
-// Rank is this gateway's rank for a subject, 0 for the first; -1 if it has none. Members that failed lately rank last.
+// Rank returns this gateway's rank for a subject, where 0 is the first, or -1 if the gateway is not a member or the subject is
+// not known. Members that failed recently rank last.
 func (s *Scheduler) Rank(key string) int {
 	if t := s.tasks[key]; t != nil {
 		return s.rank(t)
@@ -109,7 +111,8 @@
 	return -1
 }
 
-// Ranking is the order of all members for a subject as this gateway sees it, whether they failed lately or not.
+// Ranking returns the names of all members in their order for a subject as this gateway sees it. Recent failures do not affect
+// this order. The result is nil if the subject is not known.
 func (s *Scheduler) Ranking(key string) []string {
 	if t := s.tasks[key]; t != nil {
 		return slices.Clone(t.ranking)
@@ -117,8 +120,8 @@
 	return nil
 }
 
-// replaceMembers sets the members. A member that returns takes its work back gradually: it waits for its jitter first, and the
-// member before it goes on until it receives a report.
+// replaceMembers replaces the list of members. A member that returns takes its work back gradually: it first waits for its
+// jitter, and the member that did the work in the meantime continues until it receives a report.
 func (s *Scheduler) replaceMembers(members []Member) {
 	s.members = slices.Clone(members)
 	slices.SortFunc(s.members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
@@ -128,7 +131,7 @@
 	}
 }
 
-// rankMembers ranks the members for a subject anew.
+// rankMembers recomputes the ranking for a task. If this gateway's position changes, it draws a new jitter.
 func (s *Scheduler) rankMembers(t *task) {
 	before := t.position
 	t.ranking = ranking(s.members, t.subject)
@@ -140,7 +143,7 @@
 	s.reschedule(t)
 }
 
-// replaceSubjects sets the subjects; the state of those that remain is kept.
+// replaceSubjects replaces the list of subjects. The state of subjects that remain is kept.
 func (s *Scheduler) replaceSubjects(all []Subject) {
 	present := map[string]bool{}
 	for _, subject := range all {
@@ -164,7 +167,8 @@
 	}
 }
 
-// recordReport applies a report of any member, this one included. A success older than the last known one changes nothing.
+// recordReport applies a report of any member, including this one. A success that is not later than the last known success
+// does not change when the work is due.
 func (s *Scheduler) recordReport(t *task, report WorkReported) {
 	at := s.now - max(report.Age, 0)
 	if !report.Succeeded {
--- a/internal/assignment/sim_test.go
+++ b/internal/assignment/sim_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// sim is gateways on a simulated network and clock. All random draws come from its seed.
+// sim runs gateways on a simulated network and clock. All random numbers come from its seed.
 type sim struct {
 	rng       *rand.Rand
 	now       clock.Micros
@@ -27,10 +27,10 @@
 	subjects  []Subject
 	events    eventHeap
 	order     uint64
-	probes    map[string][]clock.Micros // of each subject, by any instance
+	probes    map[string][]clock.Micros // by key of the subject: the times at which any instance did the work
 	latency   func(from, to int) (clock.Micros, bool)
 	reaches   func(instance int, key string) bool
-	detect    clock.Micros // how long until the others remove a failed instance from their members; 0: they never do
+	detect    clock.Micros // time until the other instances remove a failed one from their members; 0: they never do
 	messages  int
 }
 
@@ -38,7 +38,7 @@
 	index     int
 	scheduler *Scheduler
 	alive     bool
-	wakeAt    clock.Micros // no tick of its own is scheduled before
+	wakeAt    clock.Micros // when its next Tick is scheduled
 }
 
 type event struct {
@@ -128,7 +128,7 @@
 	}
 }
 
-// demand has every living instance demand work for all subjects.
+// demand passes a demand for all subjects to every instance that is alive.
 func (s *sim) demand(period, span clock.Micros) {
 	for _, n := range s.instances {
 		for _, x := range s.subjects {
@@ -147,23 +147,24 @@
 	s.now = end
 }
 
-// kill stops instances at once; the others remove them from their members after a while.
+// kill stops the given instances immediately. The others remove them from their members after s.detect.
 func (s *sim) kill(which []int) {
 	for _, i := range which {
 		s.instances[i].alive = false
 	}
 	if s.detect > 0 {
-		s.after(s.detect, func() { s.views() })
+		s.after(s.detect, func() { s.updateViews() })
 	}
 }
 
-func (s *sim) views() {
+// updateViews passes the list of instances that are alive to each of them.
+func (s *sim) updateViews() {
 	for _, n := range s.instances {
 		s.deliver(n, MembersChanged{s.members()})
 	}
 }
 
-// gaps lists the longest gap of each subject between two times, including those at both ends, in ascending order.
+// gaps returns the longest gap of each subject between two times, in ascending order. The gaps at both ends are included.
 func (s *sim) gaps(from, to clock.Micros) (all []clock.Micros) {
 	for _, x := range s.subjects {
 		last, longest := from, clock.Micros(0)
@@ -190,21 +191,21 @@
 	return n
 }
 
-const lasting = 1 << 40
+const unlimited = 1 << 40 // a duration longer than any simulation
 
-// The work that a server gets does not grow with the number of instances.
+// The work done for a server does not grow with the number of instances.
 func TestFlatInTheNumberOfInstances(t *testing.T) {
 	for _, n := range []int{1, 3, 30, 300} {
 		t.Run(fmt.Sprint(n, " instances"), func(t *testing.T) {
 			s := newSim(uint64(n), n, 10)
-			s.demand(500*ms, lasting)
+			s.demand(500*ms, unlimited)
 			s.run(5000 * ms)
 			from := s.now
 			s.run(20_000 * ms)
 			perSubject := float64(s.count(from, s.now)) / 10 / 20
-			t.Logf("%d instances: %.2f a second for each server, %d messages", n, perSubject, s.messages)
+			t.Logf("%d instances: %.2f probes a second for each server, %d messages", n, perSubject, s.messages)
 			if perSubject < 1.9 || perSubject > 3 {
-				t.Errorf("%d instances: %.2f probes a second, want about 2 and at most 1.5 times as many", n, perSubject)
+				t.Errorf("%d instances: %.2f probes a second for each server, want 1.9 to 3", n, perSubject)
 			}
 			if gap := s.gaps(from, s.now); gap[len(gap)-1] > config("", 0).Gap(500*ms) {
 				t.Errorf("%d instances: a gap of %d ms without faults", n, gap[len(gap)-1]/ms)
@@ -213,20 +214,20 @@
 	}
 }
 
-// 46 in 100 instances fail at once: no server goes without a health check for longer than the bound.
+// 46% of the instances fail simultaneously: no server is without a health check for longer than the bound.
 func TestManyMembersFail(t *testing.T) {
 	bound := config("", 0).Gap(500*ms) + 10*ms
 	for _, c := range []struct{ instances, subjects int }{{3, 12}, {20, 40}, {100, 40}} {
 		for _, detect := range []clock.Micros{0, 1000 * ms} {
 			s := newSim(uint64(c.instances), c.instances, c.subjects)
 			s.detect = detect
-			s.demand(500*ms, lasting)
+			s.demand(500*ms, unlimited)
 			s.run(3000 * ms)
 			from := s.now
 			s.kill(s.rng.Perm(c.instances)[:c.instances*46/100])
 			s.run(6000 * ms)
 			gaps := s.gaps(from, s.now)
-			t.Logf("%d instances, %d servers, noticed after %d ms: gaps of %d, %d and %d ms", c.instances, c.subjects, detect/ms,
+			t.Logf("%d instances, %d servers, failures detected after %d ms: gaps of %d (median), %d (99%%) and %d ms (longest)", c.instances, c.subjects, detect/ms,
 				gaps[len(gaps)/2]/ms, gaps[len(gaps)*99/100]/ms, gaps[len(gaps)-1]/ms)
 			if gaps[len(gaps)-1] > bound {
 				t.Errorf("a gap of %d ms, want at most %d", gaps[len(gaps)-1]/ms, bound/ms)
@@ -235,28 +236,28 @@
 	}
 }
 
-// Loss, delay and differing views cost extra work but leave no gaps.
+// Loss, delay and differing views of the members cause additional work but no gaps.
 func TestFaultyNetwork(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		spoil   func(s *sim)
-		maxRate float64 // health checks of each server a second, at most
+		disturb func(s *sim)
+		maxRate float64 // upper limit for the health checks of each server per second
 	}{
-		{"three in ten lost, delays up to a second", func(s *sim) {
+		{"30% lost, delays up to a second", func(s *sim) {
 			s.latency = func(int, int) (clock.Micros, bool) { return clock.Micros(s.rng.IntN(1000)) * ms, s.rng.IntN(10) >= 3 }
 		}, 12},
-		{"nothing arrives", func(s *sim) { s.latency = func(int, int) (clock.Micros, bool) { return 0, false } }, 42},
-		{"two halves", func(s *sim) {
+		{"all messages lost", func(s *sim) { s.latency = func(int, int) (clock.Micros, bool) { return 0, false } }, 42},
+		{"partitioned into two halves", func(s *sim) {
 			s.latency = func(from, to int) (clock.Micros, bool) { return 2 * ms, from%2 == to%2 }
 		}, 6},
-		{"the first half is not heard by the second", func(s *sim) {
+		{"the second half does not receive from the first", func(s *sim) {
 			s.latency = func(from, to int) (clock.Micros, bool) { return 2 * ms, !(from < 10 && to >= 10) }
 		}, 6},
 		{"one joins and leaves in a loop", func(s *sim) {
 			var loop func()
 			loop = func() {
 				s.instances[3].alive = !s.instances[3].alive
-				s.views()
+				s.updateViews()
 				s.after(90*ms, loop)
 			}
 			loop()
@@ -264,25 +265,26 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newSim(5, 20, 20)
-			s.demand(500*ms, lasting)
+			s.demand(500*ms, unlimited)
 			s.run(3000 * ms)
-			c.spoil(s)
+			c.disturb(s)
 			from := s.now
 			s.run(15_000 * ms)
 			gaps := s.gaps(from, s.now)
 			each := float64(s.count(from, s.now)) / 20 / 15
 			t.Logf("%s: gaps up to %d ms, %.1f probes a second for each server", c.name, gaps[len(gaps)-1]/ms, each)
 			if bound := config("", 0).Gap(500*ms) + 10*ms; gaps[len(gaps)-1] > bound || each > c.maxRate {
-				t.Errorf("%s: a gap of %d ms, at most %d; %.1f probes a second, at most %.1f", c.name, gaps[len(gaps)-1]/ms, bound/ms, each, c.maxRate)
+				t.Errorf("%s: a gap of %d ms, want at most %d; %.1f probes a second, want at most %.1f", c.name, gaps[len(gaps)-1]/ms, bound/ms, each, c.maxRate)
 			}
 		})
 	}
 }
 
-// A first in rank that cannot reach a server leaves it to the next one, without a gap and without a delay each time.
+// If the first in rank cannot reach a server, the next one takes over the work, without a gap and without a takeover delay in
+// every period.
 func TestUnreachableSubjectMovesOn(t *testing.T) {
 	s := newSim(9, 5, 20)
-	s.demand(500*ms, lasting)
+	s.demand(500*ms, unlimited)
 	s.run(3000 * ms)
 	s.reaches = func(n int, _ string) bool { return n != 2 }
 	from := s.now
@@ -297,7 +299,8 @@
 	}
 }
 
-// A subject without demand gets work rarely; one demand of any member raises it for all, up to the bound.
+// The work for a subject without demand is done rarely. A demand from any member makes all members do it more often, up to the
+// limit that MinPeriod sets.
 func TestDemand(t *testing.T) {
 	s := newSim(11, 6, 1)
 	s.run(20_000 * ms)
