--- a/internal/indoubt/actions.go
+++ b/internal/indoubt/actions.go
@@ -2,27 +2,28 @@
 
 import "marblespan/internal/clock"
 
-// Action is one of the actions below, to be carried out in the order in which Resolver.Handle returns them.
+// Action is an output of Resolver.Handle: one of the action types in this file. The caller carries out the actions in the order in
+// which they are returned.
 type Action interface{ action() }
 
 // Put stores an intent if the stored one has this version. StoreReplied answers it.
 type Put struct {
 	Call      uint64
 	Key       string
-	Version   uint64 // 0: only if there is none
+	Version   uint64 // 0 stores the intent only if there is none yet
 	Intent    Intent
-	Retention clock.Micros // how long it is stored
+	Retention clock.Micros // how long the intent is stored
 	Deadline  clock.Micros
 }
 
-// Get reads an intent with all changes that were acknowledged before. StoreReplied answers it.
+// Get reads an intent, including every change that was acknowledged before the call. StoreReplied answers it.
 type Get struct {
 	Call     uint64
 	Key      string
 	Deadline clock.Micros
 }
 
-// Route sends a claimed write to routing. RoutingAnswered answers it.
+// Route passes a claimed write to routing. RoutingAnswered answers it.
 type Route struct{ ID uint64 }
 
 // Permit answers PermissionRequested.
@@ -31,24 +32,24 @@
 	Granted     bool
 }
 
-// Reply is a client's final answer. A write that was routed gets it only after its RoutingAnswered.
+// Reply gives the client its final answer. If the write was passed to routing, Reply comes only after RoutingAnswered.
 type Reply struct {
 	ID    uint64
 	Kind  AnswerKind
-	Value []byte // of a served write; nil: as in RoutingAnswered
+	Value []byte // the answer of a served write; nil if it is the value of RoutingAnswered
 }
 
-// Lookup asks for a read at the primary, as of now, that shows whether a write ran. LookupAnswered answers it.
+// Lookup requests a read of the current data at the primary that shows whether a write ran. LookupAnswered answers it.
 type Lookup struct {
 	ID       uint64
 	Key      string
 	Deadline clock.Micros
 }
 
-// Finished tells that the resolver has forgotten a write.
+// Finished reports that the resolver has removed a write.
 type Finished struct{ ID uint64 }
 
-// LogTransition reports a transition of a write, for log and counters.
+// LogTransition reports a transition of a write, for the log and the counters.
 type LogTransition struct {
 	Transition Transition
 	Key        string
@@ -71,23 +72,24 @@
 // The transitions.
 const (
 	Claimed          Transition = iota // the intent is stored: this gateway may send the write
-	ClaimFailed                        // the intent was not stored in time: rejected unsent
-	AnswerKnown                        // a repeat, and its answer was known
-	AwaitingOwner                      // a repeat that waits for the gateway that has the write
-	TakenOver                          // the owner has ended, or its time is over: this gateway took its claim over
-	FoundByLookup                      // a lookup has shown that it ran
-	RepliedInDoubt                     // a repeat, and all that it can be told is that the write may have run
-	Fenced                             // claimed here, and taken over by another gateway since: nothing more is sent
-	Released                           // it never ran, and the store is told so
+	ClaimFailed                        // the intent was not stored in time: the write is not sent
+	AnswerKnown                        // a repeat is answered with the stored answer
+	AwaitingOwner                      // a repeat waits for the gateway that has the write in flight
+	TakenOver                          // this gateway took over the claim because its owner ended or ran out of time
+	FoundByLookup                      // a lookup showed that the write ran
+	RepliedInDoubt                     // the answer is only that the write may have run
+	Fenced                             // another gateway took over this gateway's claim: nothing more is sent
+	Released                           // the write never ran, and Unsent is stored as its outcome
 	OutcomeNotStored                   // the outcome could not be stored in time
-	TooManyInFlight                    // rejected: the class has its maximum in flight
+	TooManyInFlight                    // not sent, because the class has MaxInFlight writes in flight
 	Transitions                        // the number of transitions
 )
 
-// transitionNames are part of the log and of the answers on the control socket: operators' alerts read them.
+// transitionNames appear in the log and in answers on the control socket. They must not change because operators' alerts match
+// them.
 var transitionNames = [Transitions]string{
 	"claimed", "not_promised", "known", "awaited", "taken_over", "found_out", "in_doubt", "barred", "released", "unsettled", "too_many",
 }
 
-// String is the transition's code in logs and counters.
+// String returns the transition's name as it appears in logs and counters.
 func (t Transition) String() string { return transitionNames[t] }
--- a/internal/indoubt/cancel.go
+++ b/internal/indoubt/cancel.go
@@ -1,7 +1,8 @@
 package indoubt
 
-// requestCanceled lets a client go. A write of which an attempt was permitted is still waited for, so that a repeat gets its answer;
-// a write of which none was is given up by routing. Neither is permitted a further attempt. What only read or waited is forgotten.
+// requestCanceled handles a client that has stopped waiting. No further attempt of its write is permitted. If an attempt was
+// already permitted, the resolver still waits for its answer, so that a repeat of the request can get it; otherwise routing gives
+// the write up. A request that was only reading the stored intent or waiting for another request is forgotten.
 func (r *Resolver) requestCanceled(id uint64) {
 	w := r.find(id)
 	if w == nil || w.client != clientWaiting {
@@ -12,8 +13,8 @@
 	case followingWrite, awaitingOwner, readingIntent, lookingUp:
 		w.phase = finished
 	case routed, confirmingClaim:
-		// Only ever raised: a fence stays, and an attempt that was permitted stays known. A permission that is being confirmed
-		// is denied by the fence.
+		// fence keeps an existing fence and keeps the record that an attempt was permitted. If an attempt waits for the claim
+		// to be confirmed, claimConfirmed denies its permission because of the fence.
 		w.sending.state = w.sending.state.fence()
 	}
 }
--- a/internal/indoubt/claim.go
+++ b/internal/indoubt/claim.go
@@ -1,8 +1,9 @@
 package indoubt
 
-// This file takes a request to its claim: the intent that is stored before anything is sent.
+// This file claims the write of a request: the claim is an intent that is stored before anything is sent.
 
-// requestReceived admits a request, and claims its write or follows the one that is in flight here.
+// requestReceived admits a request. It claims the write, or makes the request follow another one that already has the same write
+// in flight at this gateway.
 func (r *Resolver) requestReceived(request RequestReceived) {
 	r.writes = append(r.writes, write{request: request, receivedAt: r.now})
 	w := &r.writes[len(r.writes)-1]
@@ -12,7 +13,8 @@
 		return
 	}
 	if other := r.sameWrite(w); other != nil {
-		// Two requests at once are one write, marked as a repeat or not: what runs for the other could be this one's.
+		// Two simultaneous requests with the same key count as one write, whether or not the second is marked as a repeat: the
+		// write that runs for the first request may be the one that this client asked for.
 		w.phase, w.followed = followingWrite, other.request.ID
 		r.logTransition(w, AwaitingOwner)
 		return
@@ -20,7 +22,7 @@
 	r.claim(w, 0, 0)
 }
 
-// inFlight counts the writes of a class.
+// inFlight returns the number of writes of a class that are in flight.
 func (r *Resolver) inFlight(class string) (n int) {
 	for i := range r.writes {
 		if r.writes[i].request.Class == class {
@@ -30,7 +32,7 @@
 	return n
 }
 
-// sameWrite is the request that has the same write in flight here; nil: none has.
+// sameWrite returns the request that already has the same write in flight at this gateway, or nil.
 func (r *Resolver) sameWrite(w *write) *write {
 	for i := range r.writes {
 		other := &r.writes[i]
@@ -41,7 +43,7 @@
 	return nil
 }
 
-// claim asks the store for a claim, in place of an intent of this version that was claimed this often.
+// claim stores a claim in place of an intent that has the given version and has been claimed claimCount times.
 func (r *Resolver) claim(w *write, version uint64, claimCount uint32) {
 	w.phase, w.version = claiming, version
 	w.intent = Intent{
@@ -52,7 +54,7 @@
 	r.put(w, w.request.Deadline)
 }
 
-// claimStored routes a claimed write. A conflict is where the resolution of another gateway's write begins.
+// claimStored continues with the result of storing the claim. A conflict starts the resolution of another gateway's write.
 func (r *Resolver) claimStored(w *write, reply StoreReplied) {
 	switch reply.Result {
 	case OK:
@@ -63,7 +65,7 @@
 	case NotApplied:
 		r.logTransition(w, ClaimFailed)
 		r.finish(w, w.notSentAnswer(), nil)
-	case Unknown: // the claim may still be applied, and nobody else would store its outcome
+	case Unknown: // the claim may still be applied, and then no other gateway would store its outcome
 		r.logTransition(w, ClaimFailed)
 		r.reply(w, w.notSentAnswer(), nil)
 		r.storeOutcome(w, Unsent, nil, false)
@@ -77,9 +79,9 @@
 		if w.mayBeRepeat() {
 			r.reply(w, Failed, nil)
 		}
-		r.reply(w, Rejected, nil) // nothing was sent for this request
+		r.reply(w, Rejected, nil) // nothing was sent for this request; has no effect if the client was answered above
 		r.storeOutcome(w, InDoubt, nil, false)
-	case w.client != clientWaiting || r.now >= w.request.Deadline: // nobody waits for it
+	case w.client != clientWaiting || r.now >= w.request.Deadline: // the client no longer waits for the write
 		r.release(w, w.notSentAnswer())
 	default:
 		w.phase, w.sending.validUntil = routed, w.call.startedAt+r.cfg.SendWindow
@@ -88,13 +90,14 @@
 	}
 }
 
-// earlierClaimMayBeLost tells whether the store may have lost an earlier claim of the same write: by a request that came before
-// this one, or by a repeat that came while this one waited. A request that came after the loss and is no repeat has no such rival.
+// earlierClaimMayBeLost reports whether the store may have lost an earlier claim of the same write. That claim may have been made
+// for a request that came before this one, or for a repeat that came while this one waited. If this request came after the loss
+// and is not a repeat, no such claim can exist.
 func (r *Resolver) earlierClaimMayBeLost(w *write, reply StoreReplied) bool {
 	return reply.PossiblyLost && w.intent.ClaimCount == 1 && (w.mayBeRepeat() || reply.SinceLoss <= r.now-w.receivedAt)
 }
 
-// resumeFollowers goes on with the requests that follow one whose client has its answer, or that is finished.
+// resumeFollowers continues each request that follows another one whose client has its answer, or that is finished.
 func (r *Resolver) resumeFollowers() {
 	for i := range r.writes {
 		w := &r.writes[i]
@@ -104,7 +107,7 @@
 		other := r.find(w.followed)
 		switch {
 		case other == nil || other.phase == finished:
-			r.claim(w, 0, 0) // the store knows the outcome
+			r.claim(w, 0, 0) // the claim conflicts with the stored outcome, which is then read
 		case other.hasKnownAnswer():
 			r.logTransition(w, AnswerKnown)
 			r.finish(w, Served, other.intent.Value)
@@ -112,7 +115,7 @@
 	}
 }
 
-// hasKnownAnswer tells whether the client has its answer and it can be given to followers.
+// hasKnownAnswer reports whether the client has its answer and the answer can also be given to followers.
 func (w *write) hasKnownAnswer() bool {
 	return w.client != clientWaiting && w.phase == storingOutcome && w.intent.State == Answered && w.intent.ValueComplete
 }
--- a/internal/indoubt/deadlines.go
+++ b/internal/indoubt/deadlines.go
@@ -2,7 +2,7 @@
 
 import "marblespan/internal/clock"
 
-// Next is when a Tick is due; false: at no time, unless another event comes.
+// Next returns the time at which a Tick is due. It returns false if no Tick is due before the next event.
 func (r *Resolver) Next() (at clock.Micros, ok bool) {
 	for i := range r.writes {
 		due, waits := r.writes[i].due()
@@ -13,7 +13,7 @@
 	return at, ok
 }
 
-// due is when a write has something to do without an event; false: never.
+// due returns the time at which a write has something to do without an event. It returns false if there is no such time.
 func (w *write) due() (clock.Micros, bool) {
 	switch w.phase {
 	case awaitingOwner:
@@ -27,12 +27,12 @@
 	case confirmingClaim:
 		return w.sending.attemptDeadline, true
 	case claiming, readingIntent, takingOver, lookingUp:
-		return w.request.Deadline, w.client == clientWaiting // whatever the store does, the client has its answer in time
+		return w.request.Deadline, w.client == clientWaiting // the client gets its answer in time even if the store does not reply
 	}
 	return 0, false
 }
 
-// handleDue goes on with each write that is due.
+// handleDue continues each write that is due.
 func (r *Resolver) handleDue() {
 	for i := range r.writes {
 		w := &r.writes[i]
@@ -54,10 +54,10 @@
 	}
 }
 
-// replyNow gives a client its final answer by what is known now. Calls of the store that are in flight go on.
+// replyNow gives a client its final answer from what is known now. Store calls that are in flight continue.
 func (r *Resolver) replyNow(w *write) {
 	switch w.phase {
-	case claiming: // nothing was sent, and nothing will be
+	case claiming: // nothing was sent and nothing will be
 		r.reply(w, w.notSentAnswer(), nil)
 	case storingOutcome, rereadingIntent:
 		r.replyByOutcome(w)
@@ -66,7 +66,7 @@
 	}
 }
 
-// shutdownStarted answers every client that does not wait for routing.
+// shutdownStarted answers every client whose write is not in routing.
 func (r *Resolver) shutdownStarted() {
 	for i := range r.writes {
 		if w := &r.writes[i]; !w.inRouting() && w.phase != finished {
--- a/internal/indoubt/events.go
+++ b/internal/indoubt/events.go
@@ -2,56 +2,56 @@
 
 import "marblespan/internal/clock"
 
-// Event is one of the events below, the input of Resolver.Handle.
+// Event is an input of Resolver.Handle: one of the event types in this file.
 type Event interface{ event() }
 
-// RequestReceived tells that a client requests a write.
+// RequestReceived reports that a client has requested a write.
 type RequestReceived struct {
 	ID        uint64 // unique within this resolver
 	Key       string // requests with equal keys are the same write
-	RequestID string // the client's id
+	RequestID string // the client's ID of the request
 	Class     string
 	Group     int
-	Server    string       // that is likely to get it
-	Repeat    bool         // the client marked it as a repeat
-	Deadline  clock.Micros // when its client stops waiting
+	Server    string       // the server that is likely to get the write
+	Repeat    bool         // the client marked the request as a repeat
+	Deadline  clock.Micros // when the client stops waiting
 	Policy    Policy
 }
 
 // StoreReplied is the result of a Put or Get.
 type StoreReplied struct {
-	Call         uint64 // of the Put or Get
+	Call         uint64 // the Call of the Put or Get
 	Result       Result
-	Version      uint64       // of the intent, after a change or as read
-	Intent       *Intent      // as read; nil: there is none
-	Age          clock.Micros // at least this long since the intent was last changed
-	PossiblyLost bool         // an intent that is not found may have been lost within the retention
-	SinceLoss    clock.Micros // at least this long since that loss
+	Version      uint64       // the version of the intent, as read or after the change
+	Intent       *Intent      // the intent as read; nil if there is none
+	Age          clock.Micros // at least this much time has passed since the intent was last changed
+	PossiblyLost bool         // there was no intent, but the store may have lost one within its retention
+	SinceLoss    clock.Micros // at least this much time has passed since that loss
 }
 
 // Result is the result of a store call.
 type Result uint8
 
-// The results.
+// The results of a store call.
 const (
 	OK         Result = iota
-	Conflict          // the intent has another version than the Put expects
-	NotApplied        // the call was not carried out, and never will be
-	Unknown           // no reply in time: a change may still be applied
+	Conflict          // the stored intent has a different version from the one that the Put expects
+	NotApplied        // the call was not carried out and never will be
+	Unknown           // no reply in time: a Put may still be applied
 )
 
-// PermissionRequested asks whether the last byte of an attempt may be written now. One Permit answers it.
+// PermissionRequested asks whether the last byte of an attempt may be written now. Exactly one Permit answers it.
 type PermissionRequested struct {
 	ID, Attempt uint64
-	Server      string       // that gets the attempt; empty: as before
-	Deadline    clock.Micros // after it a permission is of no use
+	Server      string       // the server that gets the attempt; empty if it is the same as before
+	Deadline    clock.Micros // a permission given after this time cannot be used
 }
 
-// RoutingAnswered is the final answer of routing to a write that Route sent on its way.
+// RoutingAnswered is the final answer of routing to a write that was passed to it with Route.
 type RoutingAnswered struct {
 	ID            uint64
 	Kind          AnswerKind
-	Value         []byte // of a served write; nil if it is too large to be stored
+	Value         []byte // the answer of a served write; nil if it is too large to be stored
 	ValueComplete bool   // Value is the whole answer
 }
 
@@ -60,31 +60,33 @@
 
 // The kinds of answers.
 const (
-	Served   AnswerKind = iota // it ran
-	Rejected                   // nothing of it ran for this request
-	Failed                     // it may have run
+	Served   AnswerKind = iota // the write ran
+	Rejected                   // the write did not run for this request
+	Failed                     // the write may have run
 )
 
-// GatewayEnded tells that an incarnation of a gateway, and all before it, have ended: they send nothing any more.
+// GatewayEnded reports that an incarnation of a gateway and all its earlier incarnations have ended and send nothing more.
 type GatewayEnded struct {
 	Gateway     string
-	Incarnation uint64 // the latest that ended
+	Incarnation uint64 // the latest incarnation that ended
 }
 
-// ShutdownStarted tells that this gateway is about to stop: whoever waits for anything but routing gets its final answer at once.
+// ShutdownStarted reports that this gateway is about to stop. Every client whose write is not in routing gets its final answer at
+// once.
 type ShutdownStarted struct{}
 
 // LookupAnswered is the result of Lookup.
 type LookupAnswered struct {
 	ID    uint64
-	Found bool   // the write ran. If false, it may still run
-	Value []byte // what the write's own answer would have been
+	Found bool   // true if the read showed that the write ran; if false, the write may still run
+	Value []byte // the answer that the write itself would have had
 }
 
-// RequestCanceled tells that a client waits no longer. What was begun for it is brought to an end.
+// RequestCanceled reports that a client has stopped waiting. The steps that were started for its request are still brought to an
+// end.
 type RequestCanceled struct{ ID uint64 }
 
-// Tick tells that time has passed. It is due when Next says; more are harmless.
+// Tick reports that time has passed. It is due at the time that Resolver.Next returns; additional ticks are harmless.
 type Tick struct{}
 
 func (RequestReceived) event()     {}
--- a/internal/indoubt/in_flight.go
+++ b/internal/indoubt/in_flight.go
@@ -2,17 +2,17 @@
 
 import "marblespan/internal/clock"
 
-// InFlightWrite describes one write in flight, for operators.
+// InFlightWrite describes a write in flight, for operators.
 type InFlightWrite struct {
 	Key       string
 	RequestID string
 	Class     string
 	Phase     string       // one of phaseNames
-	Age       clock.Micros // since its request came
+	Age       clock.Micros // time since its request was received
 	Intent    Intent       // as last known, without the answer
 }
 
-// InFlight lists the writes in flight, in the order in which their requests came.
+// InFlight lists the writes in flight in the order in which their requests were received.
 func (r *Resolver) InFlight(now clock.Micros) []InFlightWrite {
 	var all []InFlightWrite
 	for i := range r.writes {
--- a/internal/indoubt/indoubt.go
+++ b/internal/indoubt/indoubt.go
@@ -1,88 +1,94 @@
-// Package indoubt resolves in-doubt writes: writes of the classes that must not run twice, whose gateway may die after it sent
-// them and before it answered.
+// Package indoubt resolves in-doubt writes. A write is in doubt when its gateway died after sending it and before answering the
+// client. The package handles the classes of writes that must not run twice.
 //
-// Before such a write is sent, its gateway claims it: it stores an intent (Intent) in the state store, on condition that no
-// other gateway has one. When the write is answered, the outcome is stored in the intent. The way of a write, by the functions
-// of Resolver that decide:
+// Before a gateway sends such a write, it claims the write: it stores an intent (Intent) in the state store, on condition that no
+// other gateway has stored one. When the write is answered, the gateway stores the outcome in the intent. A write passes through
+// these functions of Resolver:
 //
 //	requestReceived -> claim -> claimStored -> Route -> permissionRequested [-> claimConfirmed] -> routingAnswered
 //	  -> storeOutcome -> outcomeStored
 //
-// A write whose gateway died is resolved only when a client asks again, at any gateway; without a repeat its intent stays open
-// until its retention ends. The repeat's claim conflicts with the stored intent, and then (takeover.go):
+// A write whose gateway died is resolved only when the client repeats the request, at any gateway. Without a repeat the intent
+// stays open until its retention ends. The claim of the repeat conflicts with the stored intent, which starts the resolution in
+// takeover.go:
 //
 //	claimStored (Conflict) -> readIntent -> intentRead -> awaitOwner -> takeOver -> takeoverStored -> lookupOrFinish -> lookupAnswered
 //	  -> storeOutcome
 //
-// Each step may end the chain early: the intent has the answer already (intentRead), the owner is alive and stores its outcome
-// (awaitOwner polls for it), or no lookup can tell (lookupOrFinish), in which case the client is told that the write may have run.
-// requestCanceled (cancel.go) is the branch for a client that stops waiting: what was begun for it is still brought to an end.
+// Each step may end the chain early: the intent already contains the answer (intentRead), the owner is alive and stores its
+// outcome (awaitOwner polls for it), or no lookup can show whether the write ran (lookupOrFinish). In the last case the client's
+// answer is that the write may have run. When a client stops waiting, requestCanceled (cancel.go) still brings the steps that
+// were started for its request to an end.
 //
-// The package is a pure state machine: events (events.go) go in, actions (actions.go) come out. It owns no clock, socket or
-// goroutine and draws no random numbers. Times are microseconds of a clock that never steps back. Each gateway has one Resolver;
-// the goroutine of internal/intents calls it and carries its actions out. docs/in-doubt.md has the design, and why no order of
-// events runs a write twice.
+// The package is a pure state machine: Resolver.Handle takes events (events.go) and returns actions (actions.go). It owns no
+// clock, socket or goroutine and draws no random numbers. Times are in microseconds and come from a clock that never steps back.
+// Each gateway has one Resolver; the goroutine of internal/intents calls it and carries out its actions. docs/in-doubt.md
+// describes the design and explains why no order of events makes a write run twice.
 package indoubt
 
 import "marblespan/internal/clock"
 
-// State is what an intent promises about its write.
+// State is the state of a write as recorded in its intent.
 type State uint8
 
-// The states of an intent. Their numbers are stored.
+// The states of an intent. Their numeric values are stored in the state store.
 const (
-	Open     State = 1 + iota // its owner may send it, or has sent it
-	Answered                  // it ran; the answer is in the intent, unless it was too large
-	Unsent                    // its owner states that no attempt ran, and sends none any more
-	InDoubt                   // it may have run, or may still run
+	Open     State = 1 + iota // the owner may send the write, or has sent it
+	Answered                  // the write ran; the intent contains the answer unless the answer was too large
+	Unsent                    // the owner has recorded that no attempt ran and that it will send none
+	InDoubt                   // the write may have run, or may still run
 	States                    // one past the last state
 )
 
 var stateNames = [States]string{"", "open", "answered", "unsent", "in_doubt"}
 
-// String is the state's name in logs.
+// String returns the state's name as it appears in logs.
 func (s State) String() string { return stateNames[s%States] }
 
-// Intent is what the store keeps of a write, as JSON. A later version may add keys; the present ones never change.
+// Intent is the record of a write in the state store, encoded as JSON. A later version may add keys, but the present keys never
+// change.
 type Intent struct {
 	State         State        `json:"state"`
-	Owner         string       `json:"owner"`            // the gateway that claimed it last
-	Incarnation   uint64       `json:"life"`             // of the owner
-	RequestID     string       `json:"id"`               // the client's id of the request that it was claimed for
-	Class         string       `json:"class"`            // of the write
-	Group         int          `json:"group"`            // of servers
-	Server        string       `json:"server,omitempty"` // that the last attempt was meant for; for diagnosis only
-	ClaimCount    uint32       `json:"attempt"`          // how often it was claimed, from 1
-	TimeLeft      clock.Micros `json:"left"`             // from the claim to the deadline of its request
+	Owner         string       `json:"owner"`            // the gateway that last claimed the write
+	Incarnation   uint64       `json:"life"`             // the owner's incarnation
+	RequestID     string       `json:"id"`               // the client's ID of the request that the write was claimed for
+	Class         string       `json:"class"`            // the class of the write
+	Group         int          `json:"group"`            // the group of servers that the write goes to
+	Server        string       `json:"server,omitempty"` // the server chosen for the last attempt; for diagnosis only
+	ClaimCount    uint32       `json:"attempt"`          // how many times the write has been claimed, starting at 1
+	TimeLeft      clock.Micros `json:"left"`             // the time from the claim to the deadline of its request
 	Value         []byte       `json:"value,omitempty"`  // the answer
 	ValueComplete bool         `json:"kept,omitempty"`   // Value is the whole answer
 	SettledBy     string       `json:"by,omitempty"`     // the gateway that stored the outcome, if it is not the owner
 }
 
-// sameClaim tells whether two versions of an intent belong to one claim.
+// sameClaim reports whether two versions of an intent belong to the same claim.
 func (i *Intent) sameClaim(other *Intent) bool {
 	return i.Owner == other.Owner && i.Incarnation == other.Incarnation && i.RequestID == other.RequestID && i.ClaimCount == other.ClaimCount
 }
 
 // Config describes one gateway. All durations are in microseconds.
 type Config struct {
-	Gateway     string // its name
-	Incarnation uint64 // a higher one after each start
-	// SendWindow is how long after a claim was requested or confirmed its owner may send without confirming it again.
+	Gateway     string // the gateway's name
+	Incarnation uint64 // increases with each start of the gateway
+	// SendWindow is how long the owner may send after it requested or last confirmed its claim, without confirming the claim
+	// again.
 	SendWindow clock.Micros
-	// PollInterval is the time between two reads of an intent that another gateway owns, and between retries of storing an outcome.
+	// PollInterval is the time between two reads of an intent that another gateway owns, and between retries of storing an
+	// outcome.
 	PollInterval clock.Micros
-	// OwnerGrace is how long after the deadline of its request an owner may still store an outcome: what its servers take to give up.
+	// OwnerGrace is how long after the deadline of its request an owner may still store an outcome. It covers the time that
+	// servers take to give up a request.
 	OwnerGrace clock.Micros
-	// OutcomeTimeout is how long after its client has its answer the resolver keeps trying to store the outcome.
+	// OutcomeTimeout is how long the resolver keeps trying to store the outcome after the client has received its answer.
 	OutcomeTimeout clock.Micros
 }
 
-// Policy is what the operators' file says of a class.
+// Policy contains the settings of a class in the operators' file.
 type Policy struct {
-	RepeatsMarked    bool         // clients mark a request that they repeat; otherwise each request may be a repeat
-	StoreBeforeReply bool         // an answer waits until the outcome is stored
+	RepeatsMarked    bool         // clients mark the requests that they repeat; otherwise any request may be a repeat
+	StoreBeforeReply bool         // the client gets its answer only after the outcome is stored
 	HasLookup        bool         // a read can show whether the write ran
-	MaxInFlight      int          // writes of the class in flight at one gateway; further ones are rejected unsent
+	MaxInFlight      int          // limit on writes of the class in flight at one gateway; further ones are rejected unsent
 	Retention        clock.Micros // how long an intent is stored
 }
--- a/internal/indoubt/outcome.go
+++ b/internal/indoubt/outcome.go
@@ -2,14 +2,14 @@
 
 // This file stores the outcome of a write in its intent.
 
-// release replies, and stores that nothing was sent.
+// release replies to the client and stores that nothing was sent.
 func (r *Resolver) release(w *write, kind AnswerKind) {
 	r.logTransition(w, Released)
 	r.reply(w, kind, nil)
 	r.storeOutcome(w, Unsent, nil, false)
 }
 
-// storeOutcome stores what became of a write. From here on no attempt is permitted.
+// storeOutcome stores the outcome of a write. From then on no attempt is permitted.
 func (r *Resolver) storeOutcome(w *write, state State, value []byte, complete bool) {
 	w.phase, w.sending.state = storingOutcome, w.sending.state.fence()
 	w.intent.State, w.intent.Value, w.intent.ValueComplete = state, value, complete
@@ -24,7 +24,7 @@
 	r.put(w, w.outcomeDeadline)
 }
 
-// outcomeStored finishes the write once the store has its outcome; after a conflict the stored intent is read first.
+// outcomeStored finishes the write once its outcome is stored. After a conflict it reads the stored intent first.
 func (r *Resolver) outcomeStored(w *write, reply StoreReplied) {
 	switch reply.Result {
 	case OK:
@@ -37,7 +37,8 @@
 	}
 }
 
-// intentReread stores the outcome over what a conflict has shown, or finishes if that says as much.
+// intentReread continues after a conflict, with the stored intent as read: it stores the outcome again if the outcome should
+// replace that intent, and otherwise finishes the write.
 func (r *Resolver) intentReread(w *write, reply StoreReplied) {
 	if reply.Result != OK {
 		w.retryAt = r.now + r.cfg.PollInterval
@@ -46,9 +47,9 @@
 	w.phase = storingOutcome
 	switch {
 	case reply.Intent == nil && (reply.PossiblyLost || w.intent.State != Unsent):
-		r.complete(w) // its retention has ended, or it is lost: no outcome is of use any more
+		r.complete(w) // the intent's retention has ended or the store lost it, so storing the outcome has no use
 	case reply.Intent == nil:
-		w.version = 0 // the claim was not applied yet, and must not be any more
+		w.version = 0 // the claim has not been applied yet; storing Unsent makes a late claim conflict
 		r.put(w, w.outcomeDeadline)
 	case !mayReplace(&w.intent, reply.Intent):
 		r.complete(w)
@@ -58,8 +59,9 @@
 	}
 }
 
-// mayReplace tells whether an outcome is to replace the stored intent. Only the claim's own owner states that it was never sent; an
-// outcome replaces a doubt, whoever stored it; and a later claim is never touched.
+// mayReplace reports whether an outcome may replace the stored intent. Any outcome replaces Open. Answered and Unsent also replace
+// InDoubt, regardless of which gateway stored it; Unsent can only come from the owner of the claim. The intent of a later claim is
+// never replaced.
 func mayReplace(outcome, stored *Intent) bool {
 	if !outcome.sameClaim(stored) {
 		return false
@@ -73,8 +75,8 @@
 	return false
 }
 
-// retryOutcome is due while the outcome is not stored. At the deadline a client that waits gets its answer, stored or not; then
-// OutcomeTimeout is left for storing it.
+// retryOutcome tries again to store the outcome. At outcomeDeadline a client that still waits gets its answer although the
+// outcome is not stored, and the resolver keeps trying for another OutcomeTimeout.
 func (r *Resolver) retryOutcome(w *write) {
 	if r.now >= w.outcomeDeadline {
 		if w.client != clientWaiting {
@@ -93,7 +95,7 @@
 	}
 }
 
-// replyByOutcome gives a client the answer that its write has, stored or not.
+// replyByOutcome gives the client the answer that follows from the outcome of its write, whether or not the outcome is stored.
 func (r *Resolver) replyByOutcome(w *write) {
 	switch w.intent.State {
 	case Answered:
@@ -105,7 +107,7 @@
 	}
 }
 
-// complete replies and forgets a write of which nothing more has to be stored.
+// complete replies to the client and finishes a write for which nothing more has to be stored.
 func (r *Resolver) complete(w *write) {
 	r.replyByOutcome(w)
 	w.phase = finished
--- a/internal/indoubt/resolver.go
+++ b/internal/indoubt/resolver.go
@@ -6,28 +6,28 @@
 	"marblespan/internal/clock"
 )
 
-// Resolver has the writes that are in flight at one gateway. Its zero value is not ready; New makes one. It is not safe for
-// concurrent use.
+// Resolver holds the writes that are in flight at one gateway and decides their next steps. Use New to create a Resolver; the zero
+// value is not usable. A Resolver is not safe for concurrent use.
 type Resolver struct {
 	cfg           Config
 	now           clock.Micros
 	lastCall      uint64
-	writes        []write        // in the order in which their requests came
+	writes        []write        // in the order in which their requests were received
 	endedGateways []GatewayEnded // the latest incarnation of each gateway that is known to have ended
-	actions       []Action       // of the event in hand
+	actions       []Action       // the actions of the event that is being handled
 }
 
-// New makes a resolver without writes.
+// New returns a Resolver without writes.
 func New(cfg Config) *Resolver { return &Resolver{cfg: cfg} }
 
-// Clone returns a copy that shares nothing that changes.
+// Clone returns a copy that shares no mutable state with r.
 func (r *Resolver) Clone() *Resolver {
 	c := *r
 	c.writes, c.endedGateways, c.actions = slices.Clone(r.writes), slices.Clone(r.endedGateways), nil
 	return &c
 }
 
-// Handle takes in one event and returns the actions that follow from it.
+// Handle handles one event and returns the actions that follow from it.
 func (r *Resolver) Handle(now clock.Micros, ev Event) []Action {
 	r.now, r.actions = max(r.now, now), nil
 	r.dispatch(ev)
@@ -61,11 +61,11 @@
 		r.requestCanceled(ev.ID)
 	case ShutdownStarted:
 		r.shutdownStarted()
-	case Tick: // handleDue does the rest
+	case Tick: // handleDue, which runs after every event, does the work
 	}
 }
 
-// storeReplied hands the result of a store call to the step that its write is at.
+// storeReplied passes the result of a store call to the function for the write's current phase.
 func (r *Resolver) storeReplied(reply StoreReplied) {
 	if reply.Call == 0 {
 		return
@@ -116,7 +116,7 @@
 	r.emit(LogTransition{Transition: t, Key: w.request.Key, RequestID: w.request.RequestID, Intent: w.intent})
 }
 
-// reply gives the client its final answer, once.
+// reply gives the client its final answer. It has no effect if the client has been answered or has canceled.
 func (r *Resolver) reply(w *write, kind AnswerKind, value []byte) {
 	if w.client == clientWaiting {
 		w.client = clientAnswered
@@ -124,19 +124,19 @@
 	}
 }
 
-// finish replies and forgets a write of which nothing has to be stored.
+// finish replies with the given answer and finishes a write for which nothing has to be stored.
 func (r *Resolver) finish(w *write, kind AnswerKind, value []byte) {
 	r.reply(w, kind, value)
 	w.phase = finished
 }
 
-// finishInDoubt tells the client that the write may have run, and forgets it.
+// finishInDoubt replies that the write may have run, and finishes the write.
 func (r *Resolver) finishInDoubt(w *write) {
 	r.logTransition(w, RepliedInDoubt)
 	r.finish(w, Failed, nil)
 }
 
-// put stores the write's intent, on condition that the stored one has the write's version.
+// put stores the write's intent, on condition that the stored intent has the version in w.version.
 func (r *Resolver) put(w *write, deadline clock.Micros) {
 	r.emit(Put{
 		Call: r.newCall(w), Key: w.request.Key, Version: w.version, Intent: w.intent, Retention: w.request.Policy.Retention, Deadline: deadline,
@@ -147,7 +147,7 @@
 	r.emit(Get{Call: r.newCall(w), Key: w.request.Key, Deadline: deadline})
 }
 
-// newCall makes a new call the one whose reply the write waits for.
+// newCall returns the ID of a new store call, and records it as the call whose reply the write waits for.
 func (r *Resolver) newCall(w *write) uint64 {
 	r.lastCall++
 	w.call = pendingCall{id: r.lastCall, startedAt: r.now}
--- a/internal/indoubt/send.go
+++ b/internal/indoubt/send.go
@@ -1,8 +1,9 @@
 package indoubt
 
-// This file permits the attempts of a claimed write, and takes in the answer of routing.
+// This file permits the attempts of a claimed write and handles the answer of routing.
 
-// permissionRequested answers whether an attempt may be written, at once or after the claim is confirmed.
+// permissionRequested answers whether an attempt may be written: at once while the claim is valid, otherwise after the claim is
+// confirmed.
 func (r *Resolver) permissionRequested(request PermissionRequested) {
 	w := r.find(request.ID)
 	if w != nil && request.Server != "" {
@@ -20,7 +21,7 @@
 	}
 }
 
-// replyPermission ends the confirmation of a claim.
+// replyPermission ends the confirmation of a claim and answers the attempt that waits for it.
 func (r *Resolver) replyPermission(w *write, granted bool) {
 	w.phase = routed
 	if granted {
@@ -29,11 +30,11 @@
 	r.emit(Permit{w.request.ID, w.sending.attempt, granted})
 }
 
-// claimConfirmed permits the attempt if the stored claim is still this one.
+// claimConfirmed permits the attempt if the stored claim is still this gateway's.
 func (r *Resolver) claimConfirmed(w *write, reply StoreReplied) {
 	switch {
 	case reply.Result != OK, w.sending.state.fenced():
-		r.replyPermission(w, false) // without a fence a later attempt may ask again
+		r.replyPermission(w, false) // if the write is not fenced, a later attempt may request permission again
 	case reply.Intent == nil || reply.Version != w.version:
 		w.sending.state = w.sending.state.fence()
 		r.logTransition(w, Fenced)
@@ -43,7 +44,7 @@
 		r.replyPermission(w, false)
 	default:
 		w.sending.validUntil = w.call.startedAt + r.cfg.SendWindow
-		if r.now > w.sending.validUntil { // the read took too long, or this gateway stood still
+		if r.now > w.sending.validUntil { // the read took too long, or this process was paused
 			w.phase = routed
 			r.permissionRequested(PermissionRequested{ID: w.request.ID, Attempt: w.sending.attempt, Deadline: w.sending.attemptDeadline})
 			return
@@ -52,13 +53,13 @@
 	}
 }
 
-// confirmationTimedOut denies an attempt whose claim was not confirmed in time.
+// confirmationTimedOut denies permission to an attempt whose claim was not confirmed in time.
 func (r *Resolver) confirmationTimedOut(w *write) {
 	w.call.id = 0
 	r.replyPermission(w, false)
 }
 
-// routingAnswered replies to the client, and stores the outcome.
+// routingAnswered replies to the client and stores the outcome.
 func (r *Resolver) routingAnswered(w *write, answer RoutingAnswered) {
 	if w.phase == confirmingClaim {
 		r.confirmationTimedOut(w)
@@ -77,6 +78,6 @@
 			r.storeOutcome(w, InDoubt, nil, false)
 			return
 		}
-		r.release(w, Failed) // no attempt was permitted, whatever routing knows
+		r.release(w, Failed) // no attempt was permitted, so Unsent is stored although routing reports Failed
 	}
 }
--- a/internal/indoubt/takeover.go
+++ b/internal/indoubt/takeover.go
@@ -2,21 +2,21 @@
 
 import "slices"
 
-// This file resolves a write that another gateway, or an earlier incarnation of this one, has claimed. It begins only when a client
-// asks again and its claim meets the stored intent:
+// This file resolves a write that was claimed by another gateway or by an earlier incarnation of this one. The resolution begins
+// only when a client repeats its request and the claim of the repeat conflicts with the stored intent:
 //
 //	readIntent -> intentRead -> awaitOwner -> takeOver -> takeoverStored -> lookupOrFinish -> lookupAnswered -> storeOutcome
 
-// readIntent reads the intent that a claim or a takeover met in place of the one that it expected.
+// readIntent reads the stored intent after a claim or a takeover conflicted with it.
 func (r *Resolver) readIntent(w *write) {
 	w.phase = readingIntent
 	r.get(w, w.request.Deadline)
 }
 
-// intentRead goes on from the state of the stored intent.
+// intentRead continues according to the state of the stored intent.
 func (r *Resolver) intentRead(w *write, reply StoreReplied) {
 	switch {
-	case reply.Result != OK: // there is an intent, and it cannot be read
+	case reply.Result != OK: // there is an intent, but it cannot be read
 		r.finishInDoubt(w)
 		return
 	case reply.Intent == nil:
@@ -40,22 +40,24 @@
 	}
 }
 
-// intentMissing claims a write whose intent is gone, once, unless the intent may have been lost.
+// intentMissing handles a write whose intent is no longer stored. It claims the write again, at most once. If the store may have
+// lost the intent and the request may be a repeat, the write is in doubt.
 func (r *Resolver) intentMissing(w *write, reply StoreReplied) {
 	if reply.PossiblyLost && w.mayBeRepeat() || w.takeover.reclaimed {
 		r.finishInDoubt(w)
 		return
 	}
-	w.takeover.reclaimed = true // its retention has ended meanwhile
+	w.takeover.reclaimed = true // the intent's retention has ended in the meantime
 	r.claim(w, 0, 0)
 }
 
-// answerRead gives the client the stored answer, or claims a new write in place of an old one.
+// answerRead replies with the stored answer, or claims a new write if the stored answer belongs to an earlier one.
 func (r *Resolver) answerRead(w *write, reply StoreReplied) {
 	switch {
 	case !w.mayBeRepeat() && reply.Age > r.now-w.receivedAt:
-		// Another write with the same statement, later. One that was answered while this request was here may be its own: the
-		// client may have asked again, and have been served, before the claim of the first request came through.
+		// The request is not a repeat and the stored write was answered before the request came, so this is a new write with the
+		// same statement. A write that was answered after the request came may be the request's own: the client may have repeated
+		// the request and been served before the claim of the first request reached the store.
 		r.claim(w, w.version, w.intent.ClaimCount)
 	case w.intent.ValueComplete:
 		r.logTransition(w, AnswerKnown)
@@ -65,13 +67,13 @@
 	}
 }
 
-// awaitOwner leaves an open intent to its owner for as long as the owner may still store the outcome, then takes it over.
+// awaitOwner leaves an open intent to its owner while the owner may still store the outcome, and then takes the intent over.
 func (r *Resolver) awaitOwner(w *write) {
 	if r.ownerEnded(&w.intent) || r.now >= w.takeover.ownerDeadline {
 		r.takeOver(w)
 		return
 	}
-	if !w.takeover.lookupStarted && r.lookupPossible(w) { // the owner may be dead, and not yet be known to be
+	if !w.takeover.lookupStarted && r.lookupPossible(w) { // the owner may be dead without this gateway knowing it yet
 		w.takeover.lookupStarted = true
 		r.startLookup(w)
 		return
@@ -83,7 +85,7 @@
 	w.retryAt = min(r.now+r.cfg.PollInterval, w.takeover.ownerDeadline)
 }
 
-// ownerEnded tells whether an intent's owner is known to send nothing any more, except what its kernel may still have.
+// ownerEnded reports whether an intent's owner is known to send nothing more, apart from bytes that its kernel may still hold.
 func (r *Resolver) ownerEnded(intent *Intent) bool {
 	if intent.Owner == r.cfg.Gateway {
 		return intent.Incarnation != r.cfg.Incarnation // an earlier incarnation of this gateway
@@ -91,17 +93,17 @@
 	return slices.ContainsFunc(r.endedGateways, func(x GatewayEnded) bool { return x.Gateway == intent.Owner && intent.Incarnation <= x.Incarnation })
 }
 
-// intentPolled goes on from what a poll has read while the owner may still store the outcome.
+// intentPolled continues with the result of a poll, made while the owner may still store the outcome.
 func (r *Resolver) intentPolled(w *write, reply StoreReplied) {
-	if reply.Result != OK { // the next poll may read it
+	if reply.Result != OK { // the next poll may succeed
 		w.retryAt = r.now + r.cfg.PollInterval
 		return
 	}
 	r.intentRead(w, reply)
 }
 
-// pollOwner is due while a write awaits its owner: it gives up at the client's deadline, takes over at the owner's, and reads the
-// intent again before.
+// pollOwner runs when a write that awaits its owner is due. It gives up at the client's deadline, takes the intent over at the
+// owner's deadline, and until then reads the intent again.
 func (r *Resolver) pollOwner(w *write) {
 	switch {
 	case r.now >= w.request.Deadline:
@@ -116,7 +118,8 @@
 	}
 }
 
-// gatewayEnded remembers which incarnations have ended, and takes over what they own and a client here waits for.
+// gatewayEnded records that incarnations have ended, and takes over the intents that they own if a request at this gateway waits
+// for them.
 func (r *Resolver) gatewayEnded(ended GatewayEnded) {
 	i := slices.IndexFunc(r.endedGateways, func(known GatewayEnded) bool { return known.Gateway == ended.Gateway })
 	if i < 0 {
@@ -131,15 +134,15 @@
 	}
 }
 
-// takeOver puts another owner's open intent in doubt. The changed version fences the owner: when it confirms its claim it finds
-// that it has lost it, and does not send.
+// takeOver changes another owner's open intent to InDoubt. The new version fences the owner: when the owner confirms its claim, it
+// finds that the claim is lost and does not send.
 func (r *Resolver) takeOver(w *write) {
 	w.phase = takingOver
 	w.intent.State, w.intent.SettledBy = InDoubt, r.cfg.Gateway
 	r.put(w, w.request.Deadline)
 }
 
-// takeoverStored looks the write up once the owner is fenced.
+// takeoverStored starts the lookup once the takeover is stored and so the owner is fenced.
 func (r *Resolver) takeoverStored(w *write, reply StoreReplied) {
 	switch reply.Result {
 	case OK:
@@ -153,12 +156,13 @@
 	}
 }
 
-// lookupPossible tells whether a lookup exists for the class, and somebody waits for its result.
+// lookupPossible reports whether the class has a lookup and the client still waits for its result.
 func (r *Resolver) lookupPossible(w *write) bool {
 	return w.request.Policy.HasLookup && w.client == clientWaiting && r.now < w.request.Deadline
 }
 
-// lookupOrFinish asks a lookup whether a write that is in doubt has run. Without one the client hears that it may have.
+// lookupOrFinish starts a lookup that shows whether an in-doubt write ran. If no lookup is possible, the client's answer is that
+// the write may have run.
 func (r *Resolver) lookupOrFinish(w *write) {
 	if !r.lookupPossible(w) {
 		r.finishInDoubt(w)
@@ -172,7 +176,8 @@
 	r.emit(Lookup{ID: w.request.ID, Key: w.request.Key, Deadline: w.request.Deadline})
 }
 
-// lookupAnswered settles a write that a lookup has found. One that it has not found may still run: its bytes may be on their way.
+// lookupAnswered replies and stores the outcome if the lookup showed that the write ran. Otherwise the write may still run because
+// its bytes may still be on their way to the server.
 func (r *Resolver) lookupAnswered(w *write, answer LookupAnswered) {
 	switch {
 	case answer.Found:
--- a/internal/indoubt/write.go
+++ b/internal/indoubt/write.go
@@ -2,7 +2,7 @@
 
 import "marblespan/internal/clock"
 
-// write is one request for a write that is in flight at this gateway.
+// write is a client's write request that is in flight at this gateway.
 type write struct {
 	request    RequestReceived
 	receivedAt clock.Micros
@@ -10,38 +10,39 @@
 	client     clientState
 	call       pendingCall
 	intent     Intent // as last read, or as it is to be stored
-	version    uint64 // of the stored intent, as last known; 0: there is none
+	version    uint64 // last known version of the stored intent; 0 if there is none
 	sending    sending
 	takeover   takeover
 	retryAt    clock.Micros // awaitingOwner, storingOutcome, rereadingIntent: when to call the store again
-	// outcomeDeadline is when storing the outcome is given up; while the client waits for it, when the client gets its answer.
+	// outcomeDeadline is when the resolver stops trying to store the outcome. While the client still waits, it is when the client
+	// gets its answer whether or not the outcome is stored.
 	outcomeDeadline clock.Micros
-	followed        uint64 // followingWrite: the ID of the request that it follows
+	followed        uint64 // followingWrite: the ID of the request that this one follows
 }
 
-// phase is what a write waits for.
+// phase is the step that a write is at, named by what the write waits for.
 type phase uint8
 
 const (
 	claiming        phase = iota // the claim is being stored
 	readingIntent                // the stored intent is being read
-	awaitingOwner                // another gateway owns the intent, and may still store its outcome
+	awaitingOwner                // another gateway owns the intent and may still store its outcome
 	takingOver                   // another gateway's claim is being taken over
-	lookingUp                    // a lookup is asked whether the write ran
+	lookingUp                    // a lookup is reading whether the write ran
 	routed                       // claimed, and in routing
-	confirmingClaim              // in routing, and the claim is being read before an attempt is permitted
+	confirmingClaim              // in routing; the claim is being read again before an attempt is permitted
 	storingOutcome               // the outcome is being stored
-	rereadingIntent              // storing the outcome met another version, which is being read
+	rereadingIntent              // storing the outcome conflicted with another version, which is being read
 	followingWrite               // this gateway has the same write in flight for another request
-	finished                     // to be forgotten at the end of this event
+	finished                     // removed at the end of the current event
 )
 
-// phaseNames are part of the answers on the control socket.
+// phaseNames appear in the answers on the control socket.
 var phaseNames = [finished]string{
 	"claiming", "reading", "waiting", "taking_over", "looking", "under_way", "confirming", "settling", "settling", "following",
 }
 
-// clientState tells whether a client still waits for its final answer.
+// clientState records whether the client still waits for its final answer.
 type clientState uint8
 
 const (
@@ -52,34 +53,34 @@
 
 // pendingCall is the store call that a write waits for.
 type pendingCall struct {
-	id        uint64 // 0: none
+	id        uint64 // 0 if there is none
 	startedAt clock.Micros
 }
 
-// sending is what a claimed write may do in routing.
+// sending is the state of a claimed write that is in routing: whether its attempts may be sent.
 type sending struct {
 	state           sendState
-	validUntil      clock.Micros // until then an attempt may be permitted without confirming the claim
-	attempt         uint64       // confirmingClaim: the attempt that waits for its permission
-	attemptDeadline clock.Micros // confirmingClaim: until when it waits
+	validUntil      clock.Micros // until this time an attempt may be permitted without confirming the claim
+	attempt         uint64       // confirmingClaim: the attempt that waits for permission
+	attemptDeadline clock.Micros // confirmingClaim: when the attempt stops waiting for permission
 }
 
-// sendState tells whether an attempt was permitted, and whether a further one may be.
+// sendState records whether an attempt has been permitted, and whether further attempts may be.
 type sendState uint8
 
 const (
-	notPermitted      sendState = iota // none was permitted yet: the write has not run
-	permittedOnce                      // at least one was permitted: the write may have run
-	fencedUnsent                       // none was permitted, and none will be
-	fencedAfterPermit                  // one was permitted, and no further one will be
+	notPermitted      sendState = iota // no attempt has been permitted yet: the write has not run
+	permittedOnce                      // at least one attempt was permitted: the write may have run
+	fencedUnsent                       // no attempt was permitted, and none will be
+	fencedAfterPermit                  // at least one attempt was permitted, and no further one will be
 )
 
 func (s sendState) fenced() bool { return s == fencedUnsent || s == fencedAfterPermit }
 
-// mayHaveRun tells whether an attempt was permitted.
+// mayHaveRun reports whether an attempt was permitted, so that the write may have run.
 func (s sendState) mayHaveRun() bool { return s == permittedOnce || s == fencedAfterPermit }
 
-// permit is the state after an attempt was permitted.
+// permit returns the state after an attempt was permitted.
 func (s sendState) permit() sendState {
 	if s.fenced() {
 		return fencedAfterPermit
@@ -87,7 +88,7 @@
 	return permittedOnce
 }
 
-// fence is the state after which no attempt is permitted.
+// fence returns the state in which no further attempt is permitted.
 func (s sendState) fence() sendState {
 	if s.mayHaveRun() {
 		return fencedAfterPermit
@@ -95,21 +96,21 @@
 	return fencedUnsent
 }
 
-// takeover is how far the resolution of another gateway's intent is.
+// takeover is the progress of resolving another gateway's intent.
 type takeover struct {
-	ownerDeadline clock.Micros // from then on the owner cannot store an outcome any more
-	reclaimed     bool         // the intent was gone, and was claimed anew; this is done once
-	lookupStarted bool         // a lookup was asked while the owner may still store the outcome; this is done once
+	ownerDeadline clock.Micros // from this time on the owner can no longer store an outcome
+	reclaimed     bool         // the intent was missing and the write was claimed again; done at most once
+	lookupStarted bool         // a lookup was started while the owner may still store the outcome; done at most once
 }
 
-// mayBeRepeat tells whether the request may repeat an earlier one.
+// mayBeRepeat reports whether the request may repeat an earlier one.
 func (w *write) mayBeRepeat() bool { return w.request.Repeat || !w.request.Policy.RepeatsMarked }
 
-// inRouting tells whether the write was given to routing and not answered.
+// inRouting reports whether the write was passed to routing and routing has not answered yet.
 func (w *write) inRouting() bool { return w.phase == routed || w.phase == confirmingClaim }
 
-// notSentAnswer is the answer to a request of which nothing was sent. A marked repeat must not be told that nothing ran: the first
-// request may have run.
+// notSentAnswer returns the answer to a request for which nothing was sent. For a marked repeat the answer is Failed, not
+// Rejected, because the first request may have run.
 func (w *write) notSentAnswer() AnswerKind {
 	if w.request.Repeat {
 		return Failed
