--- a/internal/intents/intents_test.go
+++ b/internal/intents/intents_test.go
@@ -104,7 +104,8 @@
 	return v
 }
 
-// A write is claimed, permitted, answered and its outcome stored; a repeat at another gateway gets the same answer, and is not routed.
+// A write is claimed, permitted, answered and its outcome stored; a repeat at another gateway gets the same answer, and is not
+// routed.
 func TestRepeatGetsStoredAnswer(t *testing.T) {
 	store := newMemoryStore()
 	a, b := startService(t, "a", store, nil), startService(t, "b", store, nil)
--- a/internal/intents/service.go
+++ b/internal/intents/service.go
@@ -12,7 +12,7 @@
 	"marblespan/internal/indoubt"
 )
 
-// The durations of indoubt.Config.
+// The durations in indoubt.Config.
 const (
 	sendWindow     = 250 * time.Millisecond
 	pollInterval   = 100 * time.Millisecond
@@ -20,7 +20,7 @@
 	outcomeTimeout = 5 * time.Second
 )
 
-// idlePollInterval is how often WaitIdle looks whether writes are in flight.
+// idlePollInterval is how often WaitIdle checks whether writes are in flight.
 const idlePollInterval = 5 * time.Millisecond
 
 // Service drives the resolver of one gateway. It implements Resolver.
@@ -32,18 +32,18 @@
 	lastID           atomic.Uint64
 
 	mu    sync.Mutex
-	queue []func()      // for the goroutine; bounded by the writes in flight
-	wake  chan struct{} // has a message while queue may have entries
+	queue []func()      // functions for the goroutine to call; bounded by the number of writes in flight
+	wake  chan struct{} // holds a message while queue may have entries
 
 	quit    chan struct{} // closed by Close
 	running sync.WaitGroup
 
-	// Of the goroutine only.
+	// Only the goroutine accesses the fields below.
 	resolver *indoubt.Resolver
 	writes   map[uint64]*write
 }
 
-// New makes a service and starts its goroutine, which Close ends.
+// New returns a Service and starts its goroutine, which Close ends.
 func New(settings Settings) *Service {
 	s := &Service{
 		settings: settings, logLimiter: rate.NewLimiter(maxLogLines, 2*maxLogLines),
@@ -57,30 +57,30 @@
 	return s
 }
 
-// Close ends the goroutine and waits for it. Writes in flight get no answer any more.
+// Close ends the goroutine and waits for it to return. Writes that are still in flight get no answer.
 func (s *Service) Close() {
 	close(s.quit)
 	s.running.Wait()
 }
 
-// Covers tells whether writes of a class are claimed before they are sent.
+// Covers reports whether writes of a class are claimed before they are sent.
 func (s *Service) Covers(class string) bool {
 	_, covered := s.settings.Classes[class]
 	return covered
 }
 
-// SetStore sets the store. Before it is set every write is rejected.
+// SetStore sets the store. Every write is rejected until a store is set.
 func (s *Service) SetStore(store Store) { s.store.Store(&store) }
 
-// GatewayEnded tells that an incarnation of a gateway, and all before it, have ended.
+// GatewayEnded informs the service that an incarnation of a gateway and all its earlier incarnations have ended.
 func (s *Service) GatewayEnded(gateway string, incarnation uint64) {
 	s.post(func() { s.handle(indoubt.GatewayEnded{Gateway: gateway, Incarnation: incarnation}) })
 }
 
-// StartShutdown gives each client that does not wait for routing its final answer.
+// StartShutdown gives every client whose write is not in routing its final answer.
 func (s *Service) StartShutdown() { s.post(func() { s.handle(indoubt.ShutdownStarted{}) }) }
 
-// InFlight lists the writes in flight; after Close there are none.
+// InFlight lists the writes in flight. After Close it returns nil.
 func (s *Service) InFlight() []indoubt.InFlightWrite {
 	listed := make(chan []indoubt.InFlightWrite, 1)
 	s.post(func() { listed <- s.resolver.InFlight(s.settings.Now()) })
@@ -92,7 +92,7 @@
 	}
 }
 
-// WaitIdle waits until no write is in flight, at most for timeout, and tells whether none is.
+// WaitIdle waits until no write is in flight, but at most for timeout. It reports whether no write is in flight.
 func (s *Service) WaitIdle(timeout time.Duration) bool {
 	for deadline := time.Now().Add(timeout); len(s.InFlight()) > 0; time.Sleep(idlePollInterval) {
 		if time.Now().After(deadline) {
@@ -102,8 +102,8 @@
 	return true
 }
 
-// post has the goroutine call do. It never blocks: the goroutine of routing calls it. An event is made into an indoubt.Event within do:
-// passed in as one it would take an allocation more.
+// post makes the service's goroutine call do. It never blocks because the goroutine of routing calls it. Callers construct the
+// indoubt.Event inside do, because passing an event as an argument would cost one more allocation.
 func (s *Service) post(do func()) {
 	s.mu.Lock()
 	s.queue = append(s.queue, do)
@@ -114,7 +114,7 @@
 	}
 }
 
-// run is the goroutine.
+// run is the main loop of the service's goroutine.
 func (s *Service) run() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -182,7 +182,7 @@
 	}
 }
 
-// startLookup reads the row that a write has written if it ran.
+// startLookup starts reading the row that shows whether a write ran.
 func (s *Service) startLookup(l indoubt.Lookup) {
 	w := s.writes[l.ID]
 	class := s.settings.Classes[w.request.Class]
@@ -192,7 +192,7 @@
 	})
 }
 
-// shows tells whether a row that a lookup has read shows that a write of a value ran.
+// shows reports whether a row read by a lookup shows that a write of the value written ran.
 func (c Class) shows(row, written []byte) bool {
 	if c.LookupText != "" {
 		return bytes.Contains(row, []byte(c.LookupText))
--- a/internal/intents/store.go
+++ b/internal/intents/store.go
@@ -9,13 +9,13 @@
 	"marblespan/internal/indoubt"
 )
 
-// keyPrefix begins the key of each intent in the store. It is part of what is stored, and never changes.
+// keyPrefix is the prefix of the key of each intent in the store. It is stored and must never change.
 const keyPrefix = "booking "
 
-// shortKeyBytes is how many bytes at a key's end tell writes apart in logs and commands.
+// shortKeyBytes is the number of bytes at the end of a key that identify a write in logs and commands.
 const shortKeyBytes = 8
 
-// Key is the key of a write's intent in the store. Two requests with the same class, group and statement are the same write.
+// Key returns the key of a write's intent in the store. Two requests with the same class, group and statement are the same write.
 func Key(class string, group int, statement []byte) string {
 	sum := sha256.New()
 	fmt.Fprintf(sum, "%q %d ", class, group)
@@ -23,7 +23,7 @@
 	return keyPrefix + string(sum.Sum(nil))
 }
 
-// ShortKey is a key as logs and commands show it, in hexadecimal.
+// ShortKey returns the short hexadecimal form of a key that logs and commands show.
 func ShortKey(key string) string {
 	if len(key) < 2*shortKeyBytes {
 		return key
@@ -54,7 +54,7 @@
 	s.post(func() { s.handle(indoubt.StoreReplied{Call: call, Result: indoubt.NotApplied}) })
 }
 
-// storeReplied is what a store calls with the result of a call.
+// storeReplied returns the function that the store calls with the result of a call.
 func (s *Service) storeReplied(call uint64) func(StoreReply) {
 	return func(reply StoreReply) {
 		ev := indoubt.StoreReplied{
@@ -68,8 +68,8 @@
 	}
 }
 
-// parseIntent reads a stored intent. Of one that this version of the gateway cannot read only its existence is known: its write may
-// have run.
+// parseIntent decodes a stored intent. If this version of the gateway cannot decode it, parseIntent returns an intent in the state
+// InDoubt, because all that is known is that an intent exists, so the write may have run.
 func parseIntent(value []byte) *indoubt.Intent {
 	var intent indoubt.Intent
 	if json.Unmarshal(value, &intent) != nil {
--- a/internal/intents/write.go
+++ b/internal/intents/write.go
@@ -7,24 +7,24 @@
 	"marblespan/internal/indoubt"
 )
 
-// write is one request for a write. It implements Write.
+// write is a client's write request. It implements Write.
 type write struct {
 	service *Service
 	id      uint64
 	request Request
 	client  Client
 
-	// Of the service's goroutine only.
+	// Only the service's goroutine accesses the fields below.
 	routed     bool
-	permission chan bool // of the attempt that waits; nil: none does
+	permission chan bool // gets the permission for the attempt that waits for one; nil if none waits
 }
 
-// NewWrite makes a write, of which nothing happens before Begin.
+// NewWrite returns a write for a request. The write does nothing before Begin is called.
 func (s *Service) NewWrite(request Request, client Client) Write {
 	return &write{service: s, id: s.lastID.Add(1), request: request, client: client}
 }
 
-// Begin claims the write. Its Client is told at once, or later, to route it, or its answer.
+// Begin claims the write. Afterwards, possibly at once, Client.Route is called to route the write, or Client.Reply to answer it.
 func (w *write) Begin() {
 	s, request := w.service, &w.request
 	deadline := s.settings.Now() + micros(time.Until(request.Deadline))
@@ -37,19 +37,19 @@
 	})
 }
 
-// RoutingAnswered takes the final answer of routing. Value is nil if it is larger than MaxStoredAnswer.
+// RoutingAnswered passes on the final answer of routing. value is nil if the answer is larger than MaxStoredAnswer.
 func (w *write) RoutingAnswered(kind indoubt.AnswerKind, value []byte) {
 	w.service.post(func() {
 		w.service.handle(indoubt.RoutingAnswered{ID: w.id, Kind: kind, Value: value, ValueComplete: value != nil})
 	})
 }
 
-// Cancel tells that the client waits no longer.
+// Cancel informs the service that the client has stopped waiting.
 func (w *write) Cancel() {
 	w.service.post(func() { w.service.handle(indoubt.RequestCanceled{ID: w.id}) })
 }
 
-// MaySend asks whether the last byte of an attempt may be written now, and waits for the permission until the deadline.
+// MaySend reports whether the last byte of an attempt may be written now. It waits for the permission until the deadline.
 func (w *write) MaySend(ctx context.Context, server string, deadline time.Time) bool {
 	s, permission := w.service, make(chan bool, 1)
 	until := s.settings.Now() + micros(time.Until(deadline))
