--- a/internal/maintenance/command.go
+++ b/internal/maintenance/command.go
@@ -7,16 +7,16 @@
 	"marblespan/internal/clock"
 )
 
-// Verb is what an operator wants. Its numbers are on the wire and on disk.
+// Verb is the kind of an operator's command. Its numeric values are on the wire and on disk.
 type Verb uint8
 
 // The verbs; Verbs is one above the last.
 const (
-	Add    Verb = 1 + iota // a machine is to be taken out
-	Done                   // the work at a machine is over
-	Cancel                 // a machine is to be left alone
-	Pause                  // nobody goes, and whoever is about to leave stays
-	Resume                 // they may again; with one machine named: what only an operator can know of it is so, go on
+	Add    Verb = 1 + iota // take a machine out of service when its turn comes
+	Done                   // the work on a machine is finished
+	Cancel                 // end the maintenance of a machine
+	Pause                  // take no further machine out of service; machines that have not reached Out go back to Requested
+	Resume                 // end the pause; for one named machine: go on although a condition cannot be verified automatically
 	Verbs
 )
 
@@ -24,15 +24,16 @@
 type Command struct {
 	Verb        Verb
 	Kind        Kind
-	Name        string       // of the machine; empty: all machines
-	Group       int          // of a server
+	Name        string       // the machine's name; empty for all machines
+	Group       int          // the group of a server
 	Duration    clock.Micros // with Add: how long the work may take
 	Comment     string       // with Add: at most MaxCommentLength bytes
-	RequestedBy string       // the gateway that took the command
+	RequestedBy string       // the gateway that received the command
 }
 
-// Command carries out an operator's command, as an entry of the ledger with this time and index. It tells whether it was accepted,
-// and what came of it in plain words. The answer is stored with the client's session, so its texts are part of the ledger.
+// Command carries out an operator's command, as an entry of the ledger with this time and index. It returns whether the command
+// was accepted and an answer for the operator. The answer is stored with the client's session, so its texts are part of the
+// ledger.
 func (o *Order) Command(now clock.Micros, index uint64, from ClientSession, c Command) (ok bool, answer string) {
 	if from.Client != 0 {
 		last, isNew := o.openSession(from)
@@ -57,7 +58,8 @@
 	return o.commandOne(now, index, c.Verb, machine)
 }
 
-// openSession notes that a client's command is carried out. isNew is false for one that came before: result is what came of it then.
+// openSession records that a client's command is being carried out. isNew is false if the command arrived before or arrives after
+// a later command of the same client; result then holds the answer.
 func (o *Order) openSession(from ClientSession) (result ClientSession, isNew bool) {
 	i := slices.IndexFunc(o.Sessions, func(s ClientSession) bool { return s.Client == from.Client })
 	switch {
@@ -75,7 +77,7 @@
 	return ClientSession{}, true
 }
 
-// closeSession stores what came of the command whose session was opened last.
+// closeSession stores the result of the command whose session was opened last.
 func (o *Order) closeSession(ok bool, answer string) {
 	last := &o.Sessions[len(o.Sessions)-1]
 	last.OK, last.Answer = ok, answer
@@ -96,7 +98,7 @@
 		}
 		return false, fmt.Sprintf("%s was not out: it is %s", m.Label(), m.State)
 	case Cancel:
-		label := m.Label() // canceling may move the machine in memory
+		label := m.Label() // read before cancel, which may move other machines into the memory that m points to
 		o.cancel(now, index, m)
 		return true, label + " is out of the order"
 	case Resume:
@@ -119,7 +121,8 @@
 	return false, "a machine is to be named"
 }
 
-// pause has nobody go. Machines that have begun to drain have not been touched yet, and are of more use in service.
+// pause stops taking machines out of service. Machines that are draining go back to Requested: no work on them has begun, and
+// they are more useful in service.
 func (o *Order) pause(now clock.Micros, index uint64) {
 	o.Paused = true
 	for i := range o.Machines {
@@ -129,7 +132,8 @@
 	}
 }
 
-// resume has machines go again, also past those that are overdue.
+// resume lets machines be taken out of service again. It also overrides machines that are overdue, so that the others no longer
+// wait for them.
 func (o *Order) resume() {
 	o.Paused = false
 	for i := range o.Machines {
@@ -139,7 +143,7 @@
 	}
 }
 
-// add puts a machine at the end of the order.
+// add appends a machine to the order.
 func (o *Order) add(now clock.Micros, index uint64, c Command) (ok bool, answer string) {
 	if active := o.activeCount(); active >= MaxMachines {
 		return false, fmt.Sprintf("%d machines are in the order, and no more fit", active)
--- a/internal/maintenance/doc.go
+++ b/internal/maintenance/doc.go
@@ -1,22 +1,24 @@
-// Package maintenance decides in which order machines (gateways and database servers) are taken out of service for work: which
-// one is next, when it may be touched, and when it counts as back.
+// Package maintenance decides in which order machines (gateways and database servers) are taken out of service for maintenance
+// work: which machine is next, when operators may work on it, and when it counts as returned.
 //
-// An Order is replicated: it is part of the ledger, the Raft group that holds what concerns the whole state store
-// (internal/raftstore). It changes by the ledger's entries alone, through Order.Command (what an operator says) and Order.Step
-// (what the leader decides). Both are deterministic, so every gateway that applies the same entries has the same order.
+// The list of machines (Order) is replicated. It is part of the ledger, the Raft group with the data that concerns the whole
+// state store (internal/raftstore). Only entries of the ledger change it, through Order.Command (an operator's command) and
+// Order.Step (a decision of the leader). Both are deterministic, so every gateway that applies the same entries has the same
+// order.
 //
-// A gateway or a server may go by this chain:
+// A gateway or a server is taken out of service in these steps:
 //
-//   - The ledger's leader, and nobody else, decides. With each tick raftstore's Host.planMaintenance calls Planner.Plan with the order
-//     and a ClusterView of what the gateways have reported.
-//   - Planner.Plan asks evaluator.reasonToWait for each machine that is requested: first what concerns all
+//   - Only the ledger's leader decides. On each tick, Host.planMaintenance in raftstore calls Planner.Plan with the order and a
+//     ClusterView, which contains the reports of the gateways.
+//   - Planner.Plan calls evaluator.reasonToWait for each requested machine. It first checks what concerns all machines
 //     (evaluator.clusterFault, evaluator.placeReason), then evaluator.gatewayReasonToWait or evaluator.serverReasonToWait.
 //     The first machine that has no reason to wait gets a Step to Next.
-//   - evaluator.next, evaluator.draining and Planner.away take a machine further, or back, from there.
-//   - Each member of the ledger's Raft group checks again in Order.Step, from the ledger alone, what must never be violated:
-//     the places, one server of a group at a time, no two gateways that share a shard, no shard that is incomplete. A Step that
-//     was made for another Revision of the machine has no effect.
+//   - From there, evaluator.next, evaluator.draining and Planner.away move the machine to a later state or back to an earlier one.
+//   - Each member of the ledger's Raft group checks the safety rules again in Order.Step, from the ledger alone: the limits on
+//     machines out of service, one server of a group at a time, no two gateways that share a shard, no incomplete shard. A Step
+//     that was decided for another Revision of the machine has no effect.
 //
-// The package is pure: no goroutine, no clock, no I/O. An Order and a Planner belong to the goroutine of the raftstore Host that
-// has them. All times are microseconds of the ledger's own time. docs/maintenance.md has the design, and every rule with its reason.
+// The package is pure: no goroutine, no clock, no I/O. An Order and a Planner belong to the goroutine of their raftstore Host.
+// All times are in microseconds of the ledger's own time. docs/maintenance.md describes the design and gives the reason for every
+// rule.
 package maintenance
--- a/internal/maintenance/evaluator.go
+++ b/internal/maintenance/evaluator.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// evaluator decides by an order and what the leader knows at one moment. It changes neither.
+// evaluator makes decisions from an order and the leader's view of the cluster at one moment. It changes neither.
 type evaluator struct {
 	order  *Order
 	view   *ClusterView
 	limits Limits
 }
 
-// unexcuseSteps are for gateways that were excused and are not dead any more.
+// unexcuseSteps returns a step for each excused gateway that is no longer dead.
 func (e evaluator) unexcuseSteps() (steps []Step) {
 	for _, name := range e.order.Excused {
 		if g := e.view.gateway(name); e.view.AllReported && (g == nil || g.Presence != Dead) {
@@ -23,7 +23,7 @@
 	return steps
 }
 
-// rosterSteps enroll incarnations that are new, and unenroll those that have ended in an orderly way.
+// rosterSteps returns the steps that enroll new incarnations and unenroll those that have shut down gracefully.
 func (e evaluator) rosterSteps() (steps []Step) {
 	for _, g := range e.view.Gateways {
 		switch last := e.order.EnrolledIncarnation(g.Name); {
@@ -36,7 +36,7 @@
 	return steps
 }
 
-// stepFor is the step that a decision for a machine in progress comes to; due is false where there is none to make.
+// stepFor returns the step that follows from a decision for a machine in progress. due is false if there is no step to take.
 func (e evaluator) stepFor(m *Machine, d decision) (step Step, due bool) {
 	step = Step{ID: m.ID, Revision: m.Revision}
 	switch {
@@ -52,7 +52,7 @@
 	return step, true
 }
 
-// stepToNext is the step by which it is a machine's turn.
+// stepToNext returns the step that changes a machine's state to Next.
 func (e evaluator) stepToNext(m *Machine) Step {
 	step := e.placeStep(m)
 	step.ID, step.Revision, step.To = m.ID, m.Revision, Next
@@ -62,7 +62,7 @@
 	return step
 }
 
-// placeStep is a step with the limits in force and the machine's zone, as Order.hasPlace goes by.
+// placeStep returns a step that contains only what Order.hasPlace reads: the current limits and the machine's zone.
 func (e evaluator) placeStep(m *Machine) Step {
 	step := Step{MaxGateways: e.limits.MaxGateways, MaxPerZone: e.limits.MaxPerZone, MaxServers: e.limits.MaxServers}
 	if g := e.view.gateway(m.Name); m.Kind == Gateway && g != nil {
@@ -71,7 +71,7 @@
 	return step
 }
 
-// isLate tells whether a machine is away for longer than it was to be.
+// isLate reports whether a machine is out of service for longer than planned.
 func (e evaluator) isLate(m *Machine) bool {
 	switch m.State {
 	case Out:
@@ -82,7 +82,7 @@
 	return false
 }
 
-// reasonToWait is why a machine that is requested may not go yet; none: it may.
+// reasonToWait returns why a requested machine may not be taken out of service yet. The zero Reason means that it may.
 func (e evaluator) reasonToWait(m *Machine) Reason {
 	if e.order.Paused {
 		return because(AllPaused)
@@ -96,7 +96,8 @@
 	return e.machineReasonToWait(m)
 }
 
-// machineReasonToWait is why a machine may not go for the sake of those that serve with it.
+// machineReasonToWait returns why a machine may not be taken out of service because the other gateways, or the other servers of
+// its group, need it.
 func (e evaluator) machineReasonToWait(m *Machine) Reason {
 	if m.Kind == Server {
 		return e.serverReasonToWait(m)
@@ -104,8 +105,8 @@
 	return e.gatewayReasonToWait(m)
 }
 
-// clusterFault is what is wrong in the cluster that is not maintenance itself; none: nothing is. The machine that is evaluated is no
-// fault, whatever its state. maxLoad is what the gateways may carry, in thousandths of their capacity.
+// clusterFault returns a fault in the cluster that is not caused by maintenance, or the zero Reason. The state of the evaluated
+// machine itself does not count as a fault. maxLoad is the load that the gateways may carry, in thousandths of their capacity.
 func (e evaluator) clusterFault(evaluated *Machine, maxLoad int) Reason {
 	if !e.view.AllReported {
 		return because(ReportsMissing)
@@ -119,7 +120,8 @@
 	return e.overload(nil, maxLoad)
 }
 
-// missingGateway is a gateway that is dead or silent, is not excused and not at work.
+// missingGateway returns a reason if a gateway is dead or silent, unless that gateway is excused, is out for maintenance or is the
+// evaluated machine.
 func (e evaluator) missingGateway(evaluated *Machine) Reason {
 	for _, g := range e.view.Gateways {
 		m := e.order.Find(Gateway, g.Name, 0)
@@ -135,7 +137,7 @@
 	return Reason{}
 }
 
-// underReplicatedShard is a shard below its replicas that no gateway in progress holds.
+// underReplicatedShard returns a reason if a shard has too few replicas, unless one of its hosts is a gateway in progress.
 func (e evaluator) underReplicatedShard() Reason {
 	inProgress := func(name string) bool {
 		m := e.order.Find(Gateway, name, 0)
@@ -149,7 +151,8 @@
 	return Reason{}
 }
 
-// overload tells whether the ready gateways, without one, have too much to carry. maxLoad is in thousandths of their capacity.
+// overload returns a reason if the ready gateways other than without would have to carry more than maxLoad, in thousandths of
+// their capacity, or if no such gateway is left. If without is nil, all ready gateways count.
 func (e evaluator) overload(without *Machine, maxLoad int) Reason {
 	load, ready := 0, 0
 	for _, g := range e.view.Gateways {
@@ -170,7 +173,7 @@
 	return Reason{}
 }
 
-// placeReason tells whether the limits leave no place.
+// placeReason returns a reason if the limits do not allow one more machine out of service.
 func (e evaluator) placeReason(m *Machine) Reason {
 	if e.order.hasPlace(m, e.placeStep(m)) {
 		return Reason{}
@@ -184,10 +187,11 @@
 	return about(PlacesTaken, strings.Join(names, "; "))
 }
 
-// gatewayReasonToWait is why a gateway may not go for the sake of its zone, its floating addresses, the load and its shards.
+// gatewayReasonToWait returns why a gateway may not be taken out of service, considering its zone, its floating addresses, the
+// load and its shards.
 func (e evaluator) gatewayReasonToWait(m *Machine) Reason {
 	g := e.view.gateway(m.Name)
-	if !g.isThere() {
+	if !g.isReporting() {
 		return because(GatewayNotReporting)
 	}
 	if ready := e.otherReadyInZone(g); ready < e.limits.KeepReady {
@@ -204,7 +208,7 @@
 	return e.shardReason(m)
 }
 
-// otherReadyInZone is how many other gateways of a gateway's zone are ready.
+// otherReadyInZone returns the number of other ready gateways in the gateway's zone.
 func (e evaluator) otherReadyInZone(g *GatewayStatus) (ready int) {
 	for _, other := range e.view.Gateways {
 		if other.Presence == Alive && other.Ready && other.Zone == g.Zone && other.Name != g.Name {
@@ -214,14 +218,14 @@
 	return ready
 }
 
-// otherReadyFor tells whether another gateway is ready for a floating address group.
+// otherReadyFor reports whether another gateway of a floating address group is ready.
 func (e evaluator) otherReadyFor(g *GatewayStatus, group string) bool {
 	return slices.ContainsFunc(e.view.Gateways, func(other GatewayStatus) bool {
 		return other.Presence == Alive && other.Ready && other.Name != g.Name && slices.Contains(other.FloatingGroups, group)
 	})
 }
 
-// shardReason is why a gateway may not go for the sake of its shards.
+// shardReason returns why a gateway may not be taken out of service, considering its shards.
 func (e evaluator) shardReason(m *Machine) Reason {
 	if other := e.order.sharedShardConflict(m, e.view); other != nil {
 		return Reason{Cause: SharedShard, Subject: other.Name, Detail: other.State.String()}
@@ -237,12 +241,13 @@
 	return Reason{}
 }
 
-// migratesShards tells whether a gateway's shards are on their way to others, because it will be out for longer than RepairAfter.
+// migratesShards reports whether a gateway's shards are being migrated to other gateways because the gateway will be out for
+// longer than RepairAfter.
 func (e evaluator) migratesShards(m *Machine) bool {
 	return m.State == Next && e.view.shardCount(m.Name) > 0 && m.Duration > e.limits.RepairAfter
 }
 
-// serverReasonToWait is why a server may not go for the sake of its group.
+// serverReasonToWait returns why a server may not be taken out of service, considering its group.
 func (e evaluator) serverReasonToWait(m *Machine) Reason {
 	if _, known := e.view.combinedReport(m.Group, m.Name); !known {
 		return because(ServerUnknown)
@@ -276,7 +281,7 @@
 	return Reason{}
 }
 
-// next tells what becomes of a machine whose turn it is.
+// next returns the decision for a machine that is Next.
 func (e evaluator) next(m *Machine) decision {
 	reason := e.clusterFault(m, e.limits.MaxLoad)
 	if !reason.exists() {
@@ -300,7 +305,7 @@
 	return decision{to: Draining}
 }
 
-// draining tells what becomes of a machine that finishes what it has.
+// draining returns the decision for a machine that is Draining.
 func (e evaluator) draining(m *Machine) decision {
 	if m.Kind == Server {
 		return e.serverDraining(m)
@@ -308,8 +313,9 @@
 	return e.gatewayDraining(m)
 }
 
-// gatewayDraining lets a gateway go once its incarnation that drains has reported, after the ledger's entry that told it to, that
-// nothing is in flight there, or once it has ended in an orderly way. A fault elsewhere turns it back.
+// gatewayDraining returns the decision for a gateway that is Draining. The gateway goes to Out once the draining incarnation,
+// after it applied the ledger entry that started the draining, has reported that it has nothing in flight, or once it has shut
+// down gracefully. A fault elsewhere in the cluster sends it back to Requested.
 func (e evaluator) gatewayDraining(m *Machine) decision {
 	if !e.view.AllReported {
 		return stay(Draining, because(ReportsMissingWhileDraining))
@@ -320,14 +326,14 @@
 		return decision{to: Out}
 	case g == nil || g.Presence == Dead:
 		return stay(Draining, because(DiedWhileDraining))
-	case g.Presence == Left && g.Incarnation >= m.Incarnation: // it has answered all that it had, as on any orderly end
+	case g.Presence == Left && g.Incarnation >= m.Incarnation: // a graceful shutdown answers all requests in flight
 		return decision{to: Out}
 	case g.Incarnation > m.Incarnation:
 		return stay(Requested, because(RestartedWhileDraining))
 	case g.Presence == Silent:
 		return stay(Draining, because(IdleReport))
 	}
-	// A gateway that is merely silent is no reason to turn back, and the load may be a quarter above the limit.
+	// A gateway that is only silent does not send the machine back, and the load may be a quarter above the limit.
 	if fault := e.clusterFault(m, e.limits.MaxLoad+e.limits.MaxLoad/4); fault.exists() && fault.Cause != GatewaySilent {
 		return stay(Requested, fault)
 	}
@@ -342,7 +348,8 @@
 	return decision{to: Out}
 }
 
-// serverDraining lets a server go once every gateway on the roster has nothing in flight there. A fault in its group turns it back.
+// serverDraining returns the decision for a server that is Draining. The server goes to Out once no gateway on the roster can have
+// requests in flight at it. A fault in its group sends it back to Requested.
 func (e evaluator) serverDraining(m *Machine) decision {
 	if r := e.serverReasonToWait(m); r.exists() && r.Cause != ServerUnknown && !m.Overridden {
 		return stay(Requested, r)
@@ -365,14 +372,14 @@
 	return stay(Draining, reason)
 }
 
-// unquiescedGateways lists the gateways on the roster that may still have something in flight at a server: busy are those that are
-// there and have not reported that they are done, unreachable those that are not there.
+// unquiescedGateways returns the gateways on the roster that may still have requests in flight at a server. busy are those that
+// report, but have not reported the server as quiesced; unreachable are those that do not report.
 func (e evaluator) unquiescedGateways(m *Machine) (busy, unreachable []string) {
 	for _, enrolled := range e.order.Roster {
 		g := e.view.gateway(enrolled.Name)
 		switch {
-		case g.isThere() && g.Incarnation == enrolled.Incarnation && g.LedgerIndex >= m.ChangeIndex && slices.Contains(g.Quiesced, m.ID):
-		case g.isThere():
+		case g.isReporting() && g.Incarnation == enrolled.Incarnation && g.LedgerIndex >= m.ChangeIndex && slices.Contains(g.Quiesced, m.ID):
+		case g.isReporting():
 			busy = append(busy, enrolled.Name)
 		case !m.Overridden && !e.wasOut(enrolled):
 			unreachable = append(unreachable, enrolled.Name)
@@ -381,8 +388,8 @@
 	return busy, unreachable
 }
 
-// wasOut tells whether a gateway has had nothing in flight since it last reported: it may be touched, admits nothing, and any later
-// incarnation of it enrolls first.
+// wasOut reports whether a gateway cannot have requests in flight since its last report: it is Out and admits nothing, and a later
+// incarnation of it has to enroll before it sends anything.
 func (e evaluator) wasOut(enrolled Enrollment) bool {
 	m := e.order.Find(Gateway, enrolled.Name, 0)
 	return m != nil && m.State == Out && m.Incarnation >= enrolled.Incarnation
--- a/internal/maintenance/machine.go
+++ b/internal/maintenance/machine.go
@@ -6,75 +6,77 @@
 	"marblespan/internal/clock"
 )
 
-// Kind is a kind of machine. Its numbers are on the wire and on disk.
+// Kind is a kind of machine. Its numeric values are on the wire and on disk.
 type Kind uint8
 
-// The kinds of machines; Kinds is their count.
+// The kinds of machines; Kinds is the number of kinds.
 const (
 	Gateway Kind = iota
 	Server
 	Kinds
 )
 
-// String is the kind in plain words.
+// String returns the name of the kind.
 func (k Kind) String() string { return [Kinds]string{"gateway", "server"}[k%Kinds] }
 
-// State is how far the maintenance of a machine has come. Its numbers are on the wire and on disk.
+// State is the progress of a machine's maintenance. Its numeric values are on the wire and on disk.
 type State uint8
 
-// The states of a machine; States is their count. A machine is active in all states before Back.
+// The states of a machine; States is the number of states. A machine is active in all states before Back.
 const (
-	Requested State = iota // it waits for its turn
-	Next                   // it is its turn: shards that would be missed are migrated first
-	Draining               // it takes no new work, and finishes what is in flight
-	Out                    // it may be touched
-	Returning              // it is there again, and has to show that it is healthy
-	Back                   // done
-	Canceled               // an operator has taken it out of the order
+	Requested State = iota // the machine waits for its turn
+	Next                   // the machine is next; if it will be out for long, its shards are migrated first
+	Draining               // the machine takes no new work and finishes what is in flight
+	Out                    // the machine is out of service and may be worked on
+	Returning              // the machine is running again and has to stay healthy for a while
+	Back                   // the maintenance is finished
+	Canceled               // an operator has canceled the maintenance
 	States
 )
 
-// stateNames are what operators read; they are older than the constants' names.
+// stateNames are the names that operators see. They differ from the constants' names because they are older and must not change.
 var stateNames = [States]string{"asked", "next", "leaving", "out", "returning", "back", "dropped"}
 
-// String is the state as operators read it.
+// String returns the name of the state that operators see.
 func (s State) String() string { return stateNames[s%States] }
 
 // Machine is one machine in the order.
 type Machine struct {
-	ID          uint64 // given once, ascending in the order of the requests
+	ID          uint64 // unique; ascends in the order of the requests
 	Kind        Kind
 	Name        string
 	Group       int    // of a server: the replication group that it belongs to
-	Zone        string // of a gateway, from its turn on
+	Zone        string // of a gateway: set when the machine becomes Next
 	State       State
-	Revision    uint32       // counts its changes of state
+	Revision    uint32       // number of changes of state
 	ChangeIndex uint64       // the ledger's index at the last change of state
 	Since       clock.Micros // the ledger's time at the last change of state
-	OutSince    clock.Micros // when it last came to be Out
+	OutSince    clock.Micros // when the machine last went from Draining to Out
 	Duration    clock.Micros // how long the work may take
-	Incarnation uint64       // of a gateway: the one that drains, or that has come back
-	Comment     string       // the operator's words
-	RequestedBy string       // the gateway that took the operator's request
-	Overdue     bool         // it is away for longer than Duration
-	// Overridden is set when an operator, or ExcuseAfter, has decided that the others go on all the same. A machine that is overdue
-	// and overridden takes up no place any more; only those that share a shard or a group with it still wait for it.
+	Incarnation uint64       // of a gateway: the incarnation that drains or that has returned
+	Comment     string       // the operator's comment
+	RequestedBy string       // the gateway that received the operator's request
+	Overdue     bool         // the machine is out of service for longer than allowed
+	// Overridden is set when an operator, or the limit ExcuseAfter, has decided that other machines go on without waiting for this
+	// one. A machine that is both overdue and overridden no longer counts against the limits. Only machines that share a shard or
+	// a group with it still wait for it.
 	Overridden bool
 }
 
-// active tells whether the maintenance of a machine is not over yet.
+// active reports whether the maintenance of the machine has not ended yet.
 func (m *Machine) active() bool { return m.State < Back }
 
-// inProgress tells whether a machine is, or is about to be, out of service.
+// inProgress reports whether the machine is out of service or about to be.
 func (m *Machine) inProgress() bool { return m.State > Requested && m.State < Back }
 
-// occupiesPlace tells whether a machine takes up one of the places that the limits leave.
+// occupiesPlace reports whether the machine counts against the limits on machines out of service.
 func (m *Machine) occupiesPlace() bool { return m.inProgress() && !(m.Overdue && m.Overridden) }
 
-// Cordoned tells whether gateways send a server nothing new, or a gateway takes nothing new.
+// Cordoned reports whether the machine gets no new work: a cordoned gateway admits no new requests, and gateways send no new
+// requests to a cordoned server.
 func (m *Machine) Cordoned() bool { return m.State == Draining || m.State == Out }
 
-// Label names a machine among others, for operators.
+// Label returns the name that identifies the machine to operators.
 func (m *Machine) Label() string {
 	if m.Kind == Server {
 		return fmt.Sprintf("%s of group %d", m.Name, m.Group)
@@ -82,7 +84,7 @@
 	return m.Name
 }
 
-// StateText is a machine's state as operators read it. paused is the order's Paused.
+// StateText returns the machine's state as operators see it. paused is Order.Paused.
 func (m *Machine) StateText(paused bool) string {
 	switch {
 	case m.Overdue:
@@ -93,7 +95,7 @@
 	return m.State.String()
 }
 
-// setState changes a machine's state. now and index are the ledger's time and index.
+// setState changes the machine's state. now and index are the ledger's time and index.
 func (m *Machine) setState(now clock.Micros, index uint64, to State) {
 	if m.State == Draining && to == Out {
 		m.OutSince = now
--- a/internal/maintenance/model_test.go
+++ b/internal/maintenance/model_test.go
@@ -46,7 +46,8 @@
 	applied int
 }
 
-// cluster is one state of the model: the ledger's log as it is applied, three gateways, one of which leads, two servers and an operator.
+// cluster is one state of the model: the ledger's log as it is applied, three gateways, one of which leads, two servers and an
+// operator.
 type cluster struct {
 	now          clock.Micros
 	index        uint64
--- a/internal/maintenance/order.go
+++ b/internal/maintenance/order.go
@@ -6,33 +6,36 @@
 	"marblespan/internal/clock"
 )
 
-// ClientSession is the last command of one client: one that arrives again has the same answer, one that arrives late has no effect.
+// ClientSession records the last command of one client. If the same command arrives again it gets the same answer; an earlier
+// command that arrives late has no effect.
 type ClientSession struct {
 	Client, Sequence uint64
-	OK               bool // whether the command was carried out
+	OK               bool // the command was carried out
 	Answer           string
 }
 
-// Enrollment is an incarnation of a gateway that may send to servers. A gateway sends nothing before it finds itself on the roster,
-// and knows with that which servers are cordoned; so those on the roster are all that can have anything in flight at a server.
+// Enrollment is an incarnation of a gateway that may send to servers. A gateway sends nothing before it finds itself on the
+// roster in its copy of the order, and that copy also shows which servers are cordoned. Therefore only gateways on the roster can
+// have requests in flight at a server.
 type Enrollment struct {
 	Name        string
 	Incarnation uint64
 }
 
-// Order is all machines in the order of their requests, those whose maintenance is over for a while.
+// Order is the maintenance order: all machines in the order of their requests. It keeps the last maxDone machines whose
+// maintenance has ended.
 type Order struct {
-	Paused   bool   // an operator has said that nobody goes
-	LastID   uint64 // the last Machine.ID that was given
+	Paused   bool   // an operator has paused maintenance
+	LastID   uint64 // the last Machine.ID that was assigned
 	Machines []Machine
-	Excused  []string // gateways that are dead, and that are not waited for by an operator's decision
+	Excused  []string // dead gateways that an operator has decided not to wait for
 	Sessions []ClientSession
 	Roster   []Enrollment
 }
 
-// The bounds of what an order keeps.
+// Limits on the size of an order.
 const (
-	MaxMachines      = 256 // active
+	MaxMachines      = 256 // active machines
 	maxRoster        = 1024
 	maxDone          = 32 // machines that are back or canceled
 	maxSessions      = 64
@@ -40,14 +43,14 @@
 	MaxNameLength    = 64  // bytes
 )
 
-// Clone is a deep copy of the order.
+// Clone returns a deep copy of the order.
 func (o *Order) Clone() *Order {
 	c := *o
 	c.Machines, c.Excused, c.Sessions, c.Roster = slices.Clone(o.Machines), slices.Clone(o.Excused), slices.Clone(o.Sessions), slices.Clone(o.Roster)
 	return &c
 }
 
-// EnrolledIncarnation is the incarnation of a gateway that is on the roster; 0: none is.
+// EnrolledIncarnation returns the incarnation of a gateway that is on the roster, or 0 if none is.
 func (o *Order) EnrolledIncarnation(name string) uint64 {
 	for _, e := range o.Roster {
 		if e.Name == name {
@@ -57,7 +60,7 @@
 	return 0
 }
 
-// enroll puts an incarnation on the roster in place of all before it. It tells whether the roster has changed.
+// enroll puts an incarnation on the roster in place of all earlier ones. It reports whether the roster has changed.
 func (o *Order) enroll(e Enrollment) bool {
 	if o.EnrolledIncarnation(e.Name) >= e.Incarnation || len(o.Roster) >= maxRoster {
 		return false
@@ -67,14 +70,14 @@
 	return true
 }
 
-// unenroll takes an incarnation and all before it off the roster. It tells whether the roster has changed.
+// unenroll removes an incarnation and all earlier ones from the roster. It reports whether the roster has changed.
 func (o *Order) unenroll(e Enrollment) bool {
 	before := len(o.Roster)
 	o.Roster = slices.DeleteFunc(o.Roster, func(x Enrollment) bool { return x.Name == e.Name && x.Incarnation <= e.Incarnation })
 	return len(o.Roster) < before
 }
 
-// excuse has a dead gateway not be waited for.
+// excuse marks a dead gateway as one that maintenance does not wait for, and removes it from the roster.
 func (o *Order) excuse(name string) {
 	if !slices.Contains(o.Excused, name) {
 		o.Excused = append(o.Excused, name)
@@ -82,14 +85,15 @@
 	o.unenroll(Enrollment{name, o.EnrolledIncarnation(name)})
 }
 
-// unexcuse has a gateway that is alive again be waited for. It tells whether it was excused.
+// unexcuse removes the mark of a gateway that is alive again. It reports whether the gateway was excused.
 func (o *Order) unexcuse(gateway string) bool {
 	before := len(o.Excused)
 	o.Excused = slices.DeleteFunc(o.Excused, func(name string) bool { return name == gateway })
 	return len(o.Excused) < before
 }
 
-// Find is the active machine of a name; nil: none is. The group tells servers of one name apart; below 0 any will do.
+// Find returns the active machine with this kind and name, or nil. For a server the group must match too, unless group is
+// negative.
 func (o *Order) Find(kind Kind, name string, group int) *Machine {
 	for i := range o.Machines {
 		if m := &o.Machines[i]; m.active() && m.Kind == kind && m.Name == name && (kind == Gateway || group < 0 || m.Group == group) {
@@ -99,7 +103,7 @@
 	return nil
 }
 
-// byID is the machine of an ID; nil: it is not there any more.
+// byID returns the machine with this ID, or nil if the order no longer contains it.
 func (o *Order) byID(id uint64) *Machine {
 	if i := slices.IndexFunc(o.Machines, func(m Machine) bool { return m.ID == id }); i >= 0 {
 		return &o.Machines[i]
@@ -107,7 +111,7 @@
 	return nil
 }
 
-// Position is a machine's position among the active ones, from 1; 0: it is not active.
+// Position returns a machine's position among the active machines, starting at 1, or 0 if it is not active.
 func (o *Order) Position(id uint64) (position int) {
 	if m := o.byID(id); m == nil || !m.active() {
 		return 0
@@ -120,7 +124,7 @@
 	return position
 }
 
-// activeCount is how many machines are active.
+// activeCount returns the number of active machines.
 func (o *Order) activeCount() (count int) {
 	for i := range o.Machines {
 		if o.Machines[i].active() {
@@ -130,7 +134,7 @@
 	return count
 }
 
-// trimDone drops the oldest machines whose maintenance is over, down to maxDone of them.
+// trimDone removes the oldest machines whose maintenance has ended, so that at most maxDone of them remain.
 func (o *Order) trimDone() {
 	done := len(o.Machines) - o.activeCount()
 	o.Machines = slices.DeleteFunc(o.Machines, func(m Machine) bool {
@@ -142,7 +146,7 @@
 	})
 }
 
-// cancel ends the maintenance of a machine where it stands.
+// cancel ends the maintenance of a machine, whatever its state.
 func (o *Order) cancel(now clock.Micros, index uint64, m *Machine) {
 	m.setState(now, index, Canceled)
 	o.trimDone()
--- a/internal/maintenance/planner.go
+++ b/internal/maintenance/planner.go
@@ -6,23 +6,23 @@
 	"marblespan/internal/clock"
 )
 
-// Planner makes the ledger's leader's decisions. It remembers only since when machines that have returned are healthy: another
-// leader begins to count anew.
+// Planner makes the decisions of the ledger's leader. Its only state is the time since which each returning machine has been
+// healthy. A new leader has a new Planner, which starts to measure that time again.
 type Planner struct {
-	healthySince map[uint64]clock.Micros // by the machine's ID
+	healthySince map[uint64]clock.Micros // by Machine.ID
 }
 
-// Clone is a deep copy of the planner.
+// Clone returns a deep copy of the planner.
 func (p *Planner) Clone() *Planner {
 	c := &Planner{healthySince: map[uint64]clock.Micros{}}
 	maps.Copy(c.healthySince, p.healthySince)
 	return c
 }
 
-// Waits are the texts of the reasons for which machines wait, by the machine's ID.
+// Waits maps the ID of each waiting machine to the text of the reason why it waits.
 type Waits map[uint64]string
 
-// note keeps a reason, where there is one.
+// note records the text of a reason, unless the reason is the zero Reason.
 func (w Waits) note(id uint64, r Reason) {
 	if r.exists() {
 		w[id] = r.String()
@@ -33,22 +33,23 @@
 type Listing struct {
 	Order  *Order
 	Waits  Waits
-	Leader string       // empty: the leader has not answered, and the order is what is known elsewhere
-	Now    clock.Micros // by the ledger's time
+	Leader string       // empty if the leader has not answered; Order then comes from another gateway
+	Now    clock.Micros // the ledger's time
 }
 
-// decision is what becomes of a machine that is in progress.
+// decision is the next state of a machine that is in progress.
 type decision struct {
-	to          State  // its state as it is: it waits
-	incarnation uint64 // of a gateway, with a change; 0: as it was
-	reason      Reason // what it waits for, or why it is turned back
+	to          State  // the present state if the machine waits
+	incarnation uint64 // of a gateway: its new incarnation; 0 if it does not change
+	reason      Reason // what the machine waits for, or why it goes back to an earlier state
 }
 
-// stay has a machine wait in a state for a reason.
+// stay returns the decision that a machine waits in a state for a reason.
 func stay(state State, r Reason) decision { return decision{to: state, reason: r} }
 
-// Plan decides which steps to take next, and tells what all other machines wait for. Machines that are in progress come first; one
-// more goes only where none of them has a step to make. The caller has led the ledger since the Planner was made.
+// Plan decides which steps to take next and returns the reasons why the other machines wait. Machines that are in progress come
+// first. A requested machine becomes Next only if there is no other step to take. The caller must have led the ledger without
+// interruption since the Planner was created.
 func (p *Planner) Plan(order *Order, view *ClusterView, limits Limits) (steps []Step, waits Waits) {
 	p.forget(order)
 	waits = Waits{}
@@ -70,14 +71,15 @@
 		}
 		reason := e.reasonToWait(m)
 		waits.note(m.ID, reason)
-		if !reason.exists() && len(steps) == 0 { // the machines behind it are evaluated by the order after this step
+		// Only one machine becomes Next at a time, because whether another one may go depends on the order after this step.
+		if !reason.exists() && len(steps) == 0 {
 			steps = append(steps, e.stepToNext(m))
 		}
 	}
 	return steps, waits
 }
 
-// forget drops what is remembered of machines that are not returning any more.
+// forget deletes the entries of machines that are no longer returning.
 func (p *Planner) forget(order *Order) {
 	if p.healthySince == nil {
 		p.healthySince = map[uint64]clock.Micros{}
@@ -89,7 +91,7 @@
 	}
 }
 
-// decide tells what becomes of a machine that is in progress.
+// decide returns the decision for a machine that is in progress.
 func (p *Planner) decide(e evaluator, m *Machine) decision {
 	switch m.State {
 	case Next:
@@ -100,7 +102,7 @@
 	return p.away(e, m)
 }
 
-// away tells what becomes of a machine that is out, or on its way back.
+// away returns the decision for a machine that is Out or Returning.
 func (p *Planner) away(e evaluator, m *Machine) decision {
 	if m.Kind == Server {
 		return p.serverAway(e, m)
@@ -108,11 +110,12 @@
 	return p.gatewayAway(e, m)
 }
 
-// gatewayAway tells what becomes of a gateway that is out, or on its way back: a later incarnation of it is its return.
+// gatewayAway returns the decision for a gateway that is Out or Returning. The gateway counts as returned when a later
+// incarnation of it reports.
 func (p *Planner) gatewayAway(e evaluator, m *Machine) decision {
 	g := e.view.gateway(m.Name)
 	if m.State == Out {
-		if g.isThere() && g.Incarnation > m.Incarnation {
+		if g.isReporting() && g.Incarnation > m.Incarnation {
 			return decision{to: Returning, incarnation: g.Incarnation}
 		}
 		return stay(Out, because(Work))
@@ -120,7 +123,7 @@
 	switch {
 	case g != nil && (g.Presence == Dead || g.Presence == Left):
 		return stay(Out, because(Return))
-	case !g.isThere():
+	case !g.isReporting():
 		return p.settle(e, m, because(AnyReport))
 	case g.Incarnation > m.Incarnation:
 		return decision{Returning, g.Incarnation, because(Stability)}
@@ -134,7 +137,7 @@
 	return p.settle(e, m, Reason{})
 }
 
-// serverAway tells what becomes of a server that is out, or on its way back.
+// serverAway returns the decision for a server that is Out or Returning.
 func (p *Planner) serverAway(e evaluator, m *Machine) decision {
 	if m.State == Out {
 		return stay(Out, because(ServerWork))
@@ -153,8 +156,8 @@
 	return p.settle(e, m, Reason{})
 }
 
-// settle counts for how long a machine that returned has been healthy; it is back after SettleTime without a break. A reason tells
-// why it is not healthy now.
+// settle measures how long a returning machine has been healthy. The machine goes to Back after it has been healthy for SettleTime
+// without interruption. reason is why the machine is not healthy now; it is the zero Reason if the machine is healthy.
 func (p *Planner) settle(e evaluator, m *Machine, reason Reason) decision {
 	if reason.exists() {
 		delete(p.healthySince, m.ID)
--- a/internal/maintenance/reason.go
+++ b/internal/maintenance/reason.go
@@ -5,17 +5,17 @@
 	"strings"
 )
 
-// Cause is why a machine waits.
+// Cause is the kind of reason for which a machine waits.
 type Cause uint8
 
-// The causes. The first of them hold a machine back before its turn, or turn it back; the others say what a machine whose turn it
-// is waits for.
+// The causes. The first three groups keep a machine in Requested or send it back there. The last group is what a machine in a
+// later state waits for.
 const (
-	NoCause Cause = iota // it does not wait
+	NoCause Cause = iota // the machine does not wait
 
-	// What concerns all machines.
+	// Causes that concern all machines.
 	AllPaused
-	ReportsMissing // before a machine goes
+	ReportsMissing // before a machine drains
 	GatewayDead
 	GatewaySilent
 	ShardUnderReplicated
@@ -23,14 +23,14 @@
 	TooMuchLoad
 	PlacesTaken
 
-	// What concerns a gateway.
+	// Causes that concern a gateway.
 	GatewayNotReporting
 	ZoneNotReady
 	NoOtherForAddress
 	SharedShard
 	ShardIncomplete
 
-	// What concerns a server.
+	// Causes that concern a server.
 	ServerUnknown
 	PeerDown
 	PeerWarmingUp
@@ -39,7 +39,7 @@
 	OnlyServer
 	NoPrimary
 
-	// What a machine whose turn it is waits for.
+	// Causes for which a machine waits once it is Next or later.
 	OtherPrimary
 	Restarted
 	ShardsMigrating
@@ -68,8 +68,8 @@
 	causeCount
 )
 
-// reasonTexts are what operators read. {subject} is Reason.Subject, {quoted} the same in quotes, {detail} Reason.Detail and {count}
-// Reason.Count.
+// reasonTexts are the texts that operators see. {subject} stands for Reason.Subject, {quoted} for the subject in quotes, {detail}
+// for Reason.Detail and {count} for Reason.Count.
 var reasonTexts = [causeCount]string{
 	AllPaused:            "an operator's go: all are held",
 	ReportsMissing:       "the ledger's leader has not heard everybody yet",
@@ -122,24 +122,24 @@
 	Settling:        "it to stay well for a while",
 }
 
-// Reason is why a machine waits. The zero Reason is none.
+// Reason is why a machine waits. The zero Reason means that the machine does not wait.
 type Reason struct {
 	Cause   Cause
-	Subject string // the machine, machines, zone or group that it is about
-	Detail  string // what more there is to say of the subject, or other machines
-	Count   int    // gateways, shards or percent, by the cause
+	Subject string // the machines, the zone or the group that the reason names
+	Detail  string // depending on the cause: the state of the subject, or further machines
+	Count   int    // depending on the cause: a number of gateways or shards, or a percentage
 }
 
-// because is a reason that needs no more than its cause.
+// because returns a reason that consists only of its cause.
 func because(c Cause) Reason { return Reason{Cause: c} }
 
-// about is a reason with a subject.
+// about returns a reason with a subject.
 func about(c Cause, subject string) Reason { return Reason{Cause: c, Subject: subject} }
 
-// exists tells whether there is a reason to wait.
+// exists reports whether there is a reason to wait.
 func (r Reason) exists() bool { return r.Cause != NoCause }
 
-// String is the reason as operators read it; none is empty.
+// String returns the reason as operators see it. For the zero Reason it returns the empty string.
 func (r Reason) String() string {
 	if r.Cause >= causeCount {
 		return ""
--- a/internal/maintenance/step.go
+++ b/internal/maintenance/step.go
@@ -2,36 +2,38 @@
 
 import "marblespan/internal/clock"
 
-// Step is a decision of the ledger's leader: a machine's change of state, made for one Revision of it, or a change of the roster.
-// Exactly one of the three parts is set: Enroll, Unenroll or Unexcuse; Overdue or Override; or To.
+// Step is a decision of the ledger's leader: a change of a machine's state, decided for one Revision of the machine, or a change
+// of the roster or of the excused gateways. Exactly one of these three parts is set: one of Enroll, Unenroll and Unexcuse; one of
+// Overdue and Override; or To.
 type Step struct {
-	ID          uint64 // of the machine
-	Revision    uint32 // of the machine when the step was decided
-	To          State
-	Incarnation uint64 // of a gateway; 0: as it was
-	Zone        string // of a gateway, with To Next
-	Overdue     bool   // the machine is away for too long; its state stays
-	Override    bool   // the others go on without it; its state stays
+	ID          uint64 // the machine's ID
+	Revision    uint32 // the machine's revision when the step was decided
+	To          State  // the machine's new state
+	Incarnation uint64 // of a gateway: its new incarnation; 0 if it does not change
+	Zone        string // of a gateway; set if To is Next
+	Overdue     bool   // the machine is out of service for too long; its state does not change
+	Override    bool   // the other machines go on without waiting for this one; its state does not change
 
 	Unexcuse string     // a gateway that was excused and is alive again
-	Enroll   Enrollment // an incarnation that is to be on the roster
-	Unenroll Enrollment // an incarnation that has ended in an orderly way
+	Enroll   Enrollment // an incarnation to put on the roster
+	Unenroll Enrollment // an incarnation that has shut down gracefully
 
-	// The limits by the leader's operators' file, with To Next.
+	// The limits in the leader's operators' file; set if To is Next.
 	MaxGateways, MaxPerZone, MaxServers int
 }
 
-// Shards tells who holds which shards, as the ledger has it at the place of its log where a step is applied.
+// Shards describes which gateways hold which shards, according to the ledger at the index at which a step is applied.
 type Shards interface {
-	// Complete tells whether every shard that a gateway holds has all its replicas and none on its way.
+	// Complete reports whether every shard that a gateway holds has all its replicas and no replica that is being moved.
 	Complete(gateway string) bool
-	// ShareShard tells whether two gateways hold replicas of the same shard.
+	// ShareShard reports whether two gateways hold replicas of the same shard.
 	ShareShard(a, b string) bool
 }
 
-// Step carries out a leader's decision, as an entry of the ledger with this time and index. It does so only if the machine is still
-// the one that the step was made for, and if what must never be violated is kept: no more machines away than there are places, no
-// two servers of one group, no two gateways that share a shard, no shard that is incomplete. It tells whether anything has changed.
+// Step carries out a decision of the leader, as an entry of the ledger with this time and index, and reports whether anything has
+// changed. A step for a machine has an effect only if the machine still has the Revision that the step was decided for and the
+// safety rules hold: no more machines out of service than the limits allow, no two servers of one group, no two gateways that
+// share a shard, and no incomplete shard.
 func (o *Order) Step(now clock.Micros, index uint64, s Step, shards Shards) bool {
 	switch {
 	case s.Enroll.Name != "":
@@ -55,7 +57,7 @@
 		if o.Paused || !o.hasPlace(machine, s) {
 			return false
 		}
-		machine.Zone = s.Zone // also if the check that follows fails: each version of the program has to leave the same order
+		machine.Zone = s.Zone // set even if the check below fails: every version of the program must produce the same order
 	}
 	if !o.shardsPermit(machine, s, shards) {
 		return false
@@ -74,7 +76,7 @@
 	return true
 }
 
-// markOverdue marks a machine as overdue or overridden, and tells whether that is new.
+// markOverdue marks the machine as overdue or overridden and reports whether this changed the machine.
 func (m *Machine) markOverdue(s Step) bool {
 	before := *m
 	m.Overdue = m.Overdue || s.Overdue && (m.State == Out || m.State == Returning)
@@ -82,7 +84,8 @@
 	return *m != before
 }
 
-// shardsPermit tells whether a gateway's shards stay safe if it takes a step: they are complete, and nobody else who holds one goes.
+// shardsPermit reports whether the step leaves a gateway's shards safe: they are complete, and no other gateway that holds one of
+// them is in progress. Only steps to Next and Draining are checked.
 func (o *Order) shardsPermit(m *Machine, s Step, shards Shards) bool {
 	if m.Kind != Gateway || s.To != Next && s.To != Draining {
 		return true
@@ -90,7 +93,7 @@
 	return o.sharedShardConflict(m, shards) == nil && shards.Complete(m.Name)
 }
 
-// mayFollow tells whether a step may lead from a state to another.
+// mayFollow reports whether a step may change a machine's state from one state to another.
 func mayFollow(from, to State) bool {
 	switch from {
 	case Requested:
@@ -107,7 +110,8 @@
 	return false
 }
 
-// hasPlace tells whether the step's limits leave a place for one more machine.
+// hasPlace reports whether the step's limits allow one more machine out of service, and for a server, whether no other server of
+// its group is in progress.
 func (o *Order) hasPlace(m *Machine, s Step) bool {
 	gateways, inZone, servers := 0, 0, 0
 	for i := range o.Machines {
@@ -135,7 +139,7 @@
 	return gateways < s.MaxGateways && inZone < s.MaxPerZone
 }
 
-// sharedShardConflict is a gateway that is in progress and shares a shard with a machine; nil: none is.
+// sharedShardConflict returns another gateway that is in progress and shares a shard with the machine, or nil.
 func (o *Order) sharedShardConflict(m *Machine, shards Shards) *Machine {
 	for i := range o.Machines {
 		if other := &o.Machines[i]; other.ID != m.ID && other.Kind == Gateway && other.inProgress() && shards.ShareShard(m.Name, other.Name) {
--- a/internal/maintenance/view.go
+++ b/internal/maintenance/view.go
@@ -6,59 +6,59 @@
 	"marblespan/internal/clock"
 )
 
-// Limits are what the leader's operators' file allows.
+// Limits are the limits that the leader's operators' file sets.
 type Limits struct {
-	MaxGateways  int          // away at once
-	MaxPerZone   int          // gateways of one zone away at once
-	MaxServers   int          // database servers away at once; of each group one at the most
-	KeepReady    int          // ready gateways that a zone keeps
-	MaxLoad      int          // what the remaining gateways may have to carry, in thousandths of their capacity
-	SettleTime   clock.Micros // for how long a machine that returned has to be healthy
-	ReturnWithin clock.Micros // after which a machine that is returning is overdue
-	ExcuseAfter  clock.Micros // after which a machine that is overdue holds nobody up any more; 0: never
-	// RepairAfter is after how long a silent gateway's shards get another host: a gateway that is out for longer has them migrated
-	// first.
+	MaxGateways  int          // gateways out of service at once
+	MaxPerZone   int          // gateways of one zone out of service at once
+	MaxServers   int          // database servers out of service at once; at most one of each group
+	KeepReady    int          // ready gateways that must remain in a zone
+	MaxLoad      int          // load that the remaining gateways may have to carry, in thousandths of their capacity
+	SettleTime   clock.Micros // how long a machine that has returned must be healthy before it counts as back
+	ReturnWithin clock.Micros // how long a machine may be returning before it is overdue
+	ExcuseAfter  clock.Micros // how long after its Duration an overdue machine stops delaying the others; 0 for never
+	// RepairAfter is how long a gateway may be silent before its shards are moved to another host. The shards of a gateway that is
+	// going to be out for longer are migrated first.
 	RepairAfter clock.Micros
 }
 
-// Presence is what the leader knows of whether a gateway is there.
+// Presence is what the leader knows about whether a gateway is running.
 type Presence uint8
 
 // The presences.
 const (
 	Alive  Presence = iota
-	Silent          // it is alive by the membership, and has not reported lately
+	Silent          // alive according to the membership, but it has not reported lately
 	Dead
-	Left // it has ended in an orderly way
+	Left // it has shut down gracefully
 )
 
-// Member is a gateway as the membership has it.
+// Member is a gateway as listed by the membership.
 type Member struct {
 	Name, Zone  string
 	Presence    Presence // Alive, Dead or Left
 	Incarnation uint64
 }
 
-// Report is what a gateway tells of itself and of what it sees.
+// Report is what a gateway reports about itself and about the servers that it sees.
 type Report struct {
-	LedgerIndex    uint64 // the ledger's index by which it acts
-	Ready          bool   // it would admit something new
-	Idle           bool   // nothing of its own is in flight, and it holds no floating address
-	Leads          bool   // it leads a shard, or the ledger
-	Load           int    // share of its processors that it uses, in thousandths
+	LedgerIndex    uint64 // the index of the last ledger entry that the gateway has applied and acts on
+	Ready          bool   // the gateway would admit new requests
+	Idle           bool   // the gateway has no request in flight and holds no floating address
+	Leads          bool   // the gateway leads a shard or the ledger
+	Load           int    // processor usage, in thousandths of the gateway's capacity
 	FloatingGroups []string
-	Quiesced       []uint64 // machines in the order that it sends nothing to, and has nothing in flight at
+	Quiesced       []uint64 // IDs of machines in the order that the gateway sends nothing to and has nothing in flight at
 	Servers        []ServerReport
 }
 
-// ServerReport is how one gateway sees a database server of a group that the order concerns.
+// ServerReport is how one gateway sees a database server of a group that has a server in the order.
 type ServerReport struct {
 	Group                             int
 	Name                              string
 	Primary, Down, WarmingUp, Lagging bool
 }
 
-// GatewayStatus is one gateway. The report is the last one of this incarnation.
+// GatewayStatus is what the leader knows about one gateway. The report is the last one of this incarnation.
 type GatewayStatus struct {
 	Name, Zone  string
 	Incarnation uint64
@@ -66,32 +66,32 @@
 	Report
 }
 
-// ShardStatus is one shard, or the ledger.
+// ShardStatus is the state of one shard, or of the ledger.
 type ShardStatus struct {
 	Hosts           []string // the gateways that hold a replica
-	Complete        bool     // all its replicas are there, none is on its way, and its leader says so
-	UnderReplicated bool     // it has fewer replicas than it is to have
+	Complete        bool     // the shard's leader confirms that all replicas exist and none is being moved
+	UnderReplicated bool     // the shard has fewer replicas than configured
 }
 
-// ClusterView is what the leader knows beside the order, at one moment.
+// ClusterView is what the leader knows about the cluster at one moment, apart from the order.
 type ClusterView struct {
 	Now         clock.Micros
-	AllReported bool // the leader has led for long enough to have a report of every gateway that is there
+	AllReported bool // the leader has led for long enough to have a report from every gateway that is running
 	Gateways    []GatewayStatus
 	Shards      []ShardStatus
 }
 
-// Complete implements Shards by what the leader knows.
+// Complete implements Shards from the leader's view.
 func (v *ClusterView) Complete(gateway string) bool {
 	return !slices.ContainsFunc(v.Shards, func(s ShardStatus) bool { return !s.Complete && slices.Contains(s.Hosts, gateway) })
 }
 
-// ShareShard implements Shards by what the leader knows.
+// ShareShard implements Shards from the leader's view.
 func (v *ClusterView) ShareShard(a, b string) bool {
 	return slices.ContainsFunc(v.Shards, func(s ShardStatus) bool { return slices.Contains(s.Hosts, a) && slices.Contains(s.Hosts, b) })
 }
 
-// shardCount is of how many shards a gateway holds a replica.
+// shardCount returns the number of shards of which a gateway holds a replica.
 func (v *ClusterView) shardCount(gateway string) (count int) {
 	for _, s := range v.Shards {
 		if slices.Contains(s.Hosts, gateway) {
@@ -101,7 +101,7 @@
 	return count
 }
 
-// gateway is the gateway of a name; nil: it is not known.
+// gateway returns the status of the gateway with this name, or nil if it is unknown.
 func (v *ClusterView) gateway(name string) *GatewayStatus {
 	if i := slices.IndexFunc(v.Gateways, func(g GatewayStatus) bool { return g.Name == name }); i >= 0 {
 		return &v.Gateways[i]
@@ -109,11 +109,11 @@
 	return nil
 }
 
-// isThere tells whether a gateway is known and alive, and has reported lately.
-func (g *GatewayStatus) isThere() bool { return g != nil && g.Presence == Alive }
+// isReporting reports whether the gateway is known, is alive and has reported lately.
+func (g *GatewayStatus) isReporting() bool { return g != nil && g.Presence == Alive }
 
-// combinedReport is what all gateways that report say of a server together: the worst of it, and that it is the primary if all
-// that know it say so. known is false where none knows it.
+// combinedReport combines what all reporting gateways report about a server. It takes the worst of each property, and the server
+// is the primary only if all gateways that know it report so. known is false if no gateway knows the server.
 func (v *ClusterView) combinedReport(group int, name string) (all ServerReport, known bool) {
 	all = ServerReport{Group: group, Name: name, Primary: true}
 	for _, g := range v.Gateways {
@@ -131,7 +131,7 @@
 	return all, known
 }
 
-// serversOfGroup lists the servers of a group that any gateway knows, sorted.
+// serversOfGroup returns the sorted names of the servers of a group that at least one reporting gateway knows.
 func (v *ClusterView) serversOfGroup(group int) (names []string) {
 	for _, g := range v.Gateways {
 		for _, s := range g.Servers {
@@ -144,7 +144,7 @@
 	return names
 }
 
-// isPrimary tells whether any gateway takes a server for its group's primary.
+// isPrimary reports whether at least one reporting gateway considers the server the primary of its group.
 func (v *ClusterView) isPrimary(group int, name string) bool {
 	return slices.ContainsFunc(v.Gateways, func(g GatewayStatus) bool {
 		return g.Presence == Alive && slices.ContainsFunc(g.Servers, func(s ServerReport) bool { return s.Group == group && s.Name == name && s.Primary })
