--- a/internal/indoubt/explore_test.go
+++ b/internal/indoubt/explore_test.go
@@ -22,18 +22,19 @@
 	{"a crash, with a lookup", model{policy: withLookup, budget: budget{repeats: 1, crashes: 1, endReports: 1, failovers: 1}}},
 	{"failed store calls", model{policy: marked, budget: budget{repeats: 1, failedCalls: 2}}},
 	{"failed store calls, repeats not marked", model{policy: unmarked, budget: budget{repeats: 1, failedCalls: 2, shutdowns: 1}}},
-	{"a pause, and a wrong report of an end", model{policy: marked, budget: budget{repeats: 1, pauses: 1, endReports: 1}}},
-	{"a pause, a wrong report of an end and failed store calls", model{policy: withLookup, budget: budget{repeats: 1, pauses: 1, endReports: 1, failedCalls: 1}}},
+	{"a pause and a wrong report that a gateway ended", model{policy: marked, budget: budget{repeats: 1, pauses: 1, endReports: 1}}},
+	{"a pause, a wrong report that a gateway ended, and failed store calls", model{policy: withLookup, budget: budget{repeats: 1, pauses: 1, endReports: 1, failedCalls: 1}}},
 	{"the store loses intents", model{policy: marked, budget: budget{repeats: 1, storeLosses: 1, crashes: 1}}},
 	{"the store loses intents, repeats not marked", model{policy: unmarked, budget: budget{repeats: 1, storeLosses: 1}}},
 	{"two repeats", model{policy: marked, budget: budget{repeats: 2, endReports: 1, failedCalls: 1}}},
 }
 
-// maxStates bounds an exploration in CI.
+// maxStates is the limit on the states of one exploration in CI.
 const maxStates = 30_000
 
-// Whatever the order of events between two gateways, the store, the server and a client that repeats its request: the write runs
-// at most once, each request gets one answer, and nothing that may have run is reported unsent.
+// TestExplore explores the orders of events between two gateways, the store, the server and a client that repeats its request. In
+// every order the write runs at most once, each request gets exactly one answer, and no write that may have run is reported as
+// unsent.
 func TestExplore(t *testing.T) {
 	for _, a := range scenarios {
 		t.Run(a.name, func(t *testing.T) {
@@ -42,18 +43,18 @@
 			if r.Counterexample != nil {
 				t.Fatalf("%d states\n%v", r.States, r.Counterexample)
 			}
-			t.Logf("%d states, %d moves, depth %d, whole: %v", r.States, r.Transitions, r.Depth, r.Complete)
+			t.Logf("%d states, %d transitions, depth %d, complete: %v", r.States, r.Transitions, r.Depth, r.Complete)
 		})
 	}
 }
 
-// walksPerScenario is how many random walks of each scenario are made in CI, and maxSteps how long they are at most.
+// walksPerScenario is the number of random walks of each scenario in CI, and maxSteps the maximum length of a walk.
 const (
 	walksPerScenario = 600
 	maxSteps         = 60
 )
 
-// Random walks reach depths that the search of all states does not.
+// TestWalks checks random walks, which reach greater depths than the breadth-first search of TestExplore.
 func TestWalks(t *testing.T) {
 	for _, a := range scenarios {
 		t.Run(a.name, func(t *testing.T) {
--- a/internal/indoubt/in_flight_test.go
+++ b/internal/indoubt/in_flight_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The control socket names the phases of a write by these words, in the order of the phases.
+// The control socket shows these names of the phases, listed in the order of the phases.
 func TestPhaseWordsGolden(t *testing.T) {
 	got := strings.Join(phaseNames[:], "\n") + "\n"
 	if want, err := os.ReadFile(filepath.Join("testdata", "phases.txt")); err != nil || got != string(want) {
--- a/internal/indoubt/model_test.go
+++ b/internal/indoubt/model_test.go
@@ -12,7 +12,7 @@
 	"marblespan/internal/modelcheck"
 )
 
-// The clock of the model, in units of which a run has a few hundred.
+// Times of the model's clock. A run lasts a few hundred units.
 const (
 	clientTimeout = 100
 	lastTick      = 260
@@ -20,26 +20,26 @@
 
 var testConfig = Config{SendWindow: 30, PollInterval: 45, OwnerGrace: 20, OutcomeTimeout: 100}
 
-// stage is how far an attempt is.
+// stage is the progress of an attempt.
 type stage uint8
 
 const (
 	serverChosen       stage = iota // routing has chosen a server
-	awaitingPermission              // it waits for the permission to write its last byte
-	permitted                       // it has the permission, and has not written its last byte
-	inKernel                        // its last byte is written
-	answeredByServer                // the server has run it, and its answer is on the way
+	awaitingPermission              // the attempt waits for the permission to write its last byte
+	permitted                       // the attempt has the permission and has not written its last byte
+	inKernel                        // the last byte is written
+	answeredByServer                // the server has run the write, and its answer is on the way
 	ended
 )
 
-// attempt is one attempt to send a write, and the gateway's incarnation that made it.
+// attempt is one attempt to send a write, with the gateway and the incarnation that made it.
 type attempt struct {
 	gateway, incarnation int
 	id                   uint64
 	stage                stage
 }
 
-// storeCall is a call of the store that is in flight.
+// storeCall is a store call in flight.
 type storeCall struct {
 	gateway, incarnation int
 	put                  Put
@@ -57,13 +57,14 @@
 	answered             bool
 	kind                 AnswerKind
 	value                string
-	canceled             bool // the client waits no longer
+	canceled             bool // the client has stopped waiting
 }
 
-// budget is how often each kind of fault, and a repeat, may still happen.
+// budget is how many times a repeat and each kind of fault may still happen.
 type budget struct{ repeats, crashes, failedCalls, storeLosses, endReports, failovers, pauses, shutdowns int }
 
-// world is two gateways, the store as its contract has it, a server and a client that repeats its request.
+// world is one state of the model: two gateways, a store that behaves as its contract allows, a server and a client that repeats
+// its request.
 type world struct {
 	now           clock.Micros
 	resolvers     [2]*Resolver
@@ -80,12 +81,12 @@
 	lookups       []clientRequest // requests that wait for a lookup
 	requests      []clientRequest
 	runs          int
-	effectVisible bool // a lookup at the primary finds it
+	effectVisible bool // whether a lookup at the primary finds the write
 	budget        budget
 	broken        string
 }
 
-// model is a scenario: the class's policy, the budget of faults, and a mutant or none.
+// model is a scenario: the policy of the class, the budget of faults, and a mutant or nil.
 type model struct {
 	policy Policy
 	budget budget
@@ -119,7 +120,7 @@
 	return &c
 }
 
-// Key identifies a state.
+// Key returns a key that identifies the state.
 func (m model) Key(w *world) string {
 	text := fmt.Sprint(w.now, w.incarnations, w.down, w.version, w.versions, w.lost, w.lostAt, w.intentAt, w.attempts, w.requests, w.lookups, w.runs, w.effectVisible, w.budget, w.broken)
 	if w.intent != nil {
@@ -135,7 +136,7 @@
 	return string(binary.BigEndian.AppendUint32(b, uint32(len(text))))
 }
 
-// Show prints a state.
+// Describe returns a description of the state for traces.
 func (m model) Describe(w *world) string {
 	out := fmt.Sprintf("t=%d runs=%d", w.now, w.runs)
 	if w.intent != nil {
@@ -150,7 +151,7 @@
 	return out
 }
 
-// handle gives a resolver an event and carries out its actions.
+// handle passes an event to a gateway's resolver and carries out the resulting actions.
 func (m model) handle(w *world, g int, ev Event) {
 	d := w.resolvers[g]
 	if m.mutant != nil && m.mutant.before != nil {
@@ -183,8 +184,8 @@
 	}
 }
 
-// checkSendStates: that an attempt was permitted is never forgotten, a fence is never lifted, and a write whose client has gone is
-// fenced.
+// checkSendStates checks that the record of a permitted attempt is never lost, that a fence is never removed, and that a write
+// whose client has canceled is fenced.
 func (w *world) checkSendStates(before []write, d *Resolver) {
 	for i := range before {
 		now := d.find(before[i].request.ID)
@@ -194,13 +195,13 @@
 		was, is := before[i].sending.state, now.sending.state
 		switch {
 		case was.mayHaveRun() && !is.mayHaveRun():
-			w.broken = "a permitted attempt was forgotten"
+			w.broken = "the record of a permitted attempt was lost"
 		case was.fenced() && !is.fenced():
-			w.broken = "a fence was lifted"
+			w.broken = "a fence was removed"
 		case was.fenced() && !was.mayHaveRun() && is.mayHaveRun():
-			w.broken = "an attempt was permitted behind a fence"
+			w.broken = "an attempt of a fenced write was permitted"
 		case now.client == clientCanceled && now.inRouting() && !is.fenced():
-			w.broken = "a write whose client has gone may still be sent"
+			w.broken = "a write whose client has canceled may still be sent"
 		}
 	}
 }
@@ -228,7 +229,7 @@
 	m.handle(w, g, RoutingAnswered{ID: p.ID, Kind: Rejected})
 }
 
-// mayStillRun tells whether the write ran, or its last byte may still reach a server.
+// mayStillRun reports whether the write has run or may still run because its last byte may still reach a server.
 func (w *world) mayStillRun() bool {
 	return w.runs > 0 || slices.ContainsFunc(w.attempts, func(a attempt) bool {
 		return a.stage == inKernel || a.stage == permitted && a.incarnation == w.incarnations[a.gateway] && !w.down[a.gateway]
@@ -250,28 +251,29 @@
 		}
 		switch {
 		case r.Kind == Served && w.runs != 1:
-			w.broken = fmt.Sprintf("served, and it ran %d times", w.runs)
+			w.broken = fmt.Sprintf("answered served, but the write ran %d times", w.runs)
 		case r.Kind == Served && a.value != "answer":
-			w.broken = "served with another answer: " + a.value
+			w.broken = "answered served with a wrong answer: " + a.value
 		case r.Kind == Rejected && a.repeat && w.mayStillRun():
-			w.broken = "a repeat is rejected, though the write may have run"
+			w.broken = "a repeat was rejected although the write may have run"
 		case r.Kind == Rejected && slices.ContainsFunc(w.attempts, func(x attempt) bool {
 			return x.gateway == g && x.incarnation == a.incarnation && x.id == a.id && x.stage != ended
 		}):
-			w.broken = "rejected while an attempt may still be sent"
+			w.broken = "a request was rejected while an attempt may still be sent"
 		}
 	}
 }
 
-// Check tells which invariant is broken.
+// CheckInvariant returns an error that names the violated invariant, or nil. It also fails if no further event can happen and a
+// client still waits for its answer.
 func (m model) CheckInvariant(w *world) error {
 	switch {
 	case w.broken != "":
 		return errors.New(w.broken)
 	case w.runs > 1:
-		return errors.New("it ran twice")
+		return errors.New("the write ran more than once")
 	case w.intent != nil && w.intent.State == Unsent && w.mayStillRun():
-		return errors.New("the store says that it never ran, and it may have")
+		return errors.New("the stored intent is unsent although the write may have run or may still run")
 	}
 	if len(w.calls)+len(w.lookups) > 0 || slices.ContainsFunc(w.attempts, func(a attempt) bool { return a.stage != ended }) {
 		return nil
@@ -289,10 +291,10 @@
 	return nil
 }
 
-// addMove adds what follows from one event to the moves of a state.
+// addMove adds a move: do changes a copy of the state as one event would.
 type addMove func(name string, do func(w *world))
 
-// Moves are all events that can happen next.
+// Transitions returns a transition for each event that can happen next.
 func (m model) Transitions(w *world) (all []modelcheck.Transition[*world]) {
 	add := func(name string, do func(w *world)) {
 		next := w.clone()
@@ -326,7 +328,8 @@
 	}
 }
 
-// gatewayMoves are the start, the ticks, the crash and the shutdown of a gateway, and a report to the other one that it ended.
+// gatewayMoves adds the start, the ticks, the crash and the shutdown of a gateway, and a report to the other gateway that it
+// ended.
 func (m model) gatewayMoves(w *world, g int, add addMove) {
 	if w.down[g] {
 		add(fmt.Sprint("start g", g), func(w *world) { m.boot(w, g) })
@@ -352,7 +355,7 @@
 	}
 }
 
-// crash ends a gateway's incarnation, with its lookups and the attempts whose last byte is not written.
+// crash ends a gateway's incarnation together with its lookups and the attempts whose last byte is not written.
 func (w *world) crash(g int) {
 	w.budget.crashes--
 	w.down[g] = true
@@ -364,19 +367,19 @@
 	}
 }
 
-// shutDown starts a gateway's shutdown: each client that does not wait for routing must have its answer then.
+// shutDown starts a gateway's shutdown and checks that every client whose write is not in routing has its answer afterwards.
 func (m model) shutDown(w *world, g int) {
 	w.budget.shutdowns--
 	m.handle(w, g, ShutdownStarted{})
 	for _, a := range w.requests {
 		routes := slices.ContainsFunc(w.attempts, func(x attempt) bool { return x.gateway == g && x.id == a.id && x.incarnation == a.incarnation })
 		if a.gateway == g && a.incarnation == w.incarnations[g] && !a.answered && !a.canceled && !routes && w.broken == "" {
-			w.broken = fmt.Sprintf("request %d has no answer at the shutdown", a.id)
+			w.broken = fmt.Sprintf("request %d has no answer after the shutdown started", a.id)
 		}
 	}
 }
 
-// environmentMoves are a pause of everything, a loss of the store, and a failover to a primary without the write.
+// environmentMoves adds a pause of all processes, a loss of the stored intent, and a failover to a primary that lacks the write.
 func (m model) environmentMoves(w *world, add addMove) {
 	if w.budget.pauses > 0 {
 		add("time passes", func(w *world) {
@@ -391,7 +394,7 @@
 		})
 	}
 	if w.budget.failovers > 0 && w.effectVisible {
-		add("a primary without the commit", func(w *world) {
+		add("failover to a primary without the write", func(w *world) {
 			w.budget.failovers--
 			w.effectVisible = false
 		})
@@ -431,7 +434,7 @@
 	}
 }
 
-// apply carries out a call at the store.
+// apply carries out a call in the store.
 func (w *world) apply(c *storeCall) {
 	c.applied = true
 	if !c.isPut {
@@ -454,6 +457,7 @@
 	c.result.Version = w.version
 }
 
+// anyVersion is used by mutants for a Put that is applied whatever the stored version is.
 const anyVersion = ^uint64(0)
 
 func (m model) callMoves(w *world, i int, c storeCall, add addMove) {
@@ -475,7 +479,7 @@
 	}
 	switch {
 	case !alive:
-		add(fmt.Sprintf("call %d of g%d is lost with it", id, c.gateway), func(w *world) { end(w, StoreReplied{}) })
+		add(fmt.Sprintf("call %d of g%d is lost because the gateway ended", id, c.gateway), func(w *world) { end(w, StoreReplied{}) })
 	case c.applied:
 		add(fmt.Sprintf("reply to call %d of g%d", id, c.gateway), func(w *world) { end(w, c.result) })
 	}
@@ -492,7 +496,7 @@
 			add(fmt.Sprintf("call %d of g%d times out, and may still be applied", id, c.gateway), func(w *world) {
 				w.budget.failedCalls--
 				late := c
-				late.incarnation = -1 // its reply reaches nobody
+				late.incarnation = -1 // no incarnation gets its reply
 				w.calls = append(w.calls, late)
 				end(w, StoreReplied{Call: id, Result: Unknown})
 			})
@@ -510,31 +514,31 @@
 	}
 	switch x.stage {
 	case serverChosen:
-		add("asks for permission", func(w *world) {
+		add("permission requested", func(w *world) {
 			w.attempts[i].stage = awaitingPermission
 			m.handle(w, x.gateway, PermissionRequested{ID: x.id, Attempt: 1, Deadline: w.now + clientTimeout})
 		})
 		add("no connection", func(w *world) { end(w, RoutingAnswered{Kind: Rejected}) })
 		add("attempt timed out", func(w *world) { end(w, RoutingAnswered{Kind: Failed}) })
 	case permitted:
-		add("last byte", func(w *world) { w.attempts[i].stage = inKernel })
+		add("last byte written", func(w *world) { w.attempts[i].stage = inKernel })
 	case inKernel:
-		add("runs", func(w *world) {
+		add("the write runs", func(w *world) {
 			w.attempts[i].stage = answeredByServer
 			w.runs++
 			w.effectVisible = true
 		})
 		add("rejected by the server", func(w *world) { end(w, RoutingAnswered{Kind: Rejected}) })
 		if alive {
-			add("reset before it runs", func(w *world) {
+			add("connection reset before the write runs", func(w *world) {
 				w.attempts[i].gateway, w.attempts[i].incarnation = x.gateway, -1 // its bytes may still reach the server
 				m.handle(w, x.gateway, RoutingAnswered{ID: x.id, Kind: Failed})
 			})
 		}
 	case answeredByServer:
-		add("the answer", func(w *world) { end(w, RoutingAnswered{Kind: Served, Value: []byte("answer"), ValueComplete: true}) })
+		add("the server's answer arrives", func(w *world) { end(w, RoutingAnswered{Kind: Served, Value: []byte("answer"), ValueComplete: true}) })
 		if alive {
-			add("reset", func(w *world) { end(w, RoutingAnswered{Kind: Failed}) })
+			add("connection reset", func(w *world) { end(w, RoutingAnswered{Kind: Failed}) })
 		}
 	}
 }
--- a/internal/indoubt/mutants_test.go
+++ b/internal/indoubt/mutants_test.go
@@ -8,16 +8,17 @@
 	"marblespan/internal/modelcheck"
 )
 
-// mutant is a resolver that is wrong in one point: it changes an event before the resolver takes it in, or the actions after.
+// mutant is a fault that is injected into a resolver: before changes an event before the resolver handles it, after changes the
+// actions that the resolver returns.
 type mutant struct {
 	name   string
 	before func(resolver *Resolver, ev Event) Event
 	after  func(resolver *Resolver, out []Action) []Action
 }
 
-// Each of these resolvers is wrong in one point. The random walks must find it.
+// mutants each contain one fault, which the random walks must find.
 var mutants = []mutant{
-	{name: "shuts down without an answer to clients that wait for the store", before: func(_ *Resolver, ev Event) Event {
+	{name: "the shutdown does not answer clients that wait for the store", before: func(_ *Resolver, ev Event) Event {
 		if _, is := ev.(ShutdownStarted); is {
 			return nil
 		}
@@ -28,14 +29,14 @@
 			s.Result, s.Version = OK, 1
 		}
 	})},
-	{name: "a claim that met a conflict counts as stored", before: onStoreReply(func(w *write, s *StoreReplied) {
+	{name: "a claim that conflicted counts as stored", before: onStoreReply(func(w *write, s *StoreReplied) {
 		if w.phase == claiming && s.Result == Conflict {
 			s.Result = OK
 		}
 	})},
-	{name: "an intent in doubt is claimed anew", before: readAs(InDoubt, Unsent)},
-	{name: "another gateway's open intent is claimed anew", before: readAs(Open, Unsent)},
-	{name: "a repeat is claimed whatever is stored", before: func(_ *Resolver, ev Event) Event {
+	{name: "an intent in doubt is claimed again", before: readAs(InDoubt, Unsent)},
+	{name: "another gateway's open intent is claimed again", before: readAs(Open, Unsent)},
+	{name: "a repeat is claimed regardless of the stored intent", before: func(_ *Resolver, ev Event) Event {
 		if a, is := ev.(RequestReceived); is && a.Repeat {
 			a.Repeat = false
 			return a
@@ -47,12 +48,12 @@
 		}
 		return p
 	})},
-	{name: "the gateway that takes over sends", before: onStoreReply(func(w *write, s *StoreReplied) {
+	{name: "the gateway that takes over an intent sends the write", before: onStoreReply(func(w *write, s *StoreReplied) {
 		if w.phase == takingOver && s.Result == OK {
 			w.phase, w.intent.State = claiming, Open
 		}
 	})},
-	{name: "a write that a lookup does not find has not run", before: func(resolver *Resolver, ev Event) Event {
+	{name: "a write that a lookup does not find counts as unsent", before: func(resolver *Resolver, ev Event) Event {
 		if l, is := ev.(LookupAnswered); is && !l.Found {
 			if w := resolver.find(l.ID); w != nil && w.phase == lookingUp {
 				r := w.intent
@@ -69,11 +70,11 @@
 		}
 		return ev
 	}},
-	{name: "intents are stored whatever their version", after: onAction(func(_ *Resolver, p Put) Action {
+	{name: "intents are stored regardless of the stored version", after: onAction(func(_ *Resolver, p Put) Action {
 		p.Version = anyVersion
 		return p
 	})},
-	{name: "a lost intent never existed", before: onStoreReply(func(_ *write, s *StoreReplied) { s.PossiblyLost = false })},
+	{name: "a lost intent counts as never stored", before: onStoreReply(func(_ *write, s *StoreReplied) { s.PossiblyLost = false })},
 	{name: "a routed write is released when its client cancels", before: func(resolver *Resolver, ev Event) Event {
 		if g, is := ev.(RequestCanceled); is {
 			if w := resolver.find(g.ID); w != nil && w.phase == routed {
@@ -82,13 +83,13 @@
 		}
 		return ev
 	}},
-	{name: "a repeat is rejected", after: onAction(func(_ *Resolver, r Reply) Action {
+	{name: "a write that may have run is answered as rejected", after: onAction(func(_ *Resolver, r Reply) Action {
 		if r.Kind == Failed {
 			r.Kind = Rejected
 		}
 		return r
 	})},
-	{name: "an answer is given twice", after: func(_ *Resolver, out []Action) []Action {
+	{name: "a client is answered twice", after: func(_ *Resolver, out []Action) []Action {
 		for _, a := range out {
 			if r, is := a.(Reply); is {
 				return append(out, r)
@@ -100,7 +101,7 @@
 		resolver.writes = slices.DeleteFunc(resolver.writes, func(w write) bool { return w.phase == followingWrite })
 		return ev
 	}},
-	{name: "no answer where the write is in doubt", after: func(_ *Resolver, out []Action) []Action {
+	{name: "a client is not answered if its write is in doubt", after: func(_ *Resolver, out []Action) []Action {
 		return slices.DeleteFunc(out, func(a Action) bool {
 			r, is := a.(Reply)
 			return is && r.Kind == Failed
@@ -108,7 +109,7 @@
 	}},
 }
 
-// onStoreReply changes the replies of the store before a resolver takes them in.
+// onStoreReply returns a function that lets do change each reply of the store before the resolver handles it.
 func onStoreReply(do func(w *write, s *StoreReplied)) func(*Resolver, Event) Event {
 	return func(resolver *Resolver, ev Event) Event {
 		s, is := ev.(StoreReplied)
@@ -124,7 +125,7 @@
 	}
 }
 
-// onAction changes one kind of action.
+// onAction returns a function that replaces each action of one type by the result of do.
 func onAction[A Action](do func(resolver *Resolver, a A) Action) func(*Resolver, []Action) []Action {
 	return func(resolver *Resolver, out []Action) []Action {
 		for i, x := range out {
@@ -136,7 +137,7 @@
 	}
 }
 
-// readAs has each intent of one state be read as one of another.
+// readAs returns a function that makes the resolver read each intent in one state as an intent in another state.
 func readAs(state, into State) func(*Resolver, Event) Event {
 	return onStoreReply(func(_ *write, s *StoreReplied) {
 		if s.Intent != nil && s.Intent.State == state {
@@ -147,7 +148,8 @@
 	})
 }
 
-// weightedModel makes ticks and moves of the client rarer than all others.
+// weightedModel repeats all moves except ticks and the client's moves, so that random walks choose ticks and client moves less
+// often.
 type weightedModel struct{ model }
 
 func (m weightedModel) Transitions(w *world) (all []modelcheck.Transition[*world]) {
@@ -162,7 +164,7 @@
 
 func TestMutantsAreCaught(t *testing.T) {
 	if stateDivisor > 1 {
-		t.Skip("the same runs as without the race detector, many times slower")
+		t.Skip("these runs are the same as without the race detector, but many times slower")
 	}
 	for _, mut := range mutants {
 		t.Run(mut.name, func(t *testing.T) {
--- a/internal/indoubt/race_test.go
+++ b/internal/indoubt/race_test.go
@@ -2,5 +2,6 @@
 
 package indoubt
 
-// stateDivisor divides the number of states: one goroutine looks at all of them.
+// stateDivisor divides the number of explored states under the race detector, which finds nothing here because a single goroutine
+// explores all states of a scenario.
 const stateDivisor = 10
--- a/internal/intents/intents_test.go
+++ b/internal/intents/intents_test.go
@@ -16,7 +16,7 @@
 	"marblespan/internal/indoubt"
 )
 
-// testTimeout is when a test gives up waiting.
+// testTimeout is how long a test waits before it fails.
 const testTimeout = 20 * time.Second
 
 // memoryStore is a Store in memory.
@@ -50,7 +50,7 @@
 type testClient struct {
 	routed, dropped chan bool
 	reply           chan indoubt.AnswerKind
-	value           string // of the reply
+	value           string // the value of the reply
 }
 
 func newTestClient() *testClient {
@@ -64,7 +64,8 @@
 	c.reply <- kind
 }
 
-// startService starts the service of one gateway. Without a store it has none; without a lookup its class has none.
+// startService starts the service of one gateway. store is nil for a service without a store, lookup nil for a class without a
+// lookup.
 func startService(t *testing.T, name string, store Store, lookup func(done func(row, answer []byte, ok bool))) *Service {
 	t.Helper()
 	begin := time.Now()
@@ -104,8 +105,8 @@
 	return v
 }
 
-// A write is claimed, permitted, answered and its outcome stored; a repeat at another gateway gets the same answer, and is not
-// routed.
+// A write is claimed, permitted and answered, and its outcome is stored. A repeat at another gateway gets the same answer and is
+// not routed.
 func TestRepeatGetsStoredAnswer(t *testing.T) {
 	store := newMemoryStore()
 	a, b := startService(t, "a", store, nil), startService(t, "b", store, nil)
@@ -130,8 +131,8 @@
 	receive(t, repeat.dropped, "drop of the repeat")
 }
 
-// While a gateway has a write in routing, a lookup answers a repeat at another one; the write of a client that has canceled is not
-// permitted any more.
+// While a write is in routing at one gateway, a lookup answers its repeat at another gateway. After the client has canceled, no
+// attempt of the write is permitted.
 func TestLookupAnswersRepeat(t *testing.T) {
 	store := newMemoryStore()
 	lookup := func(done func(row, answer []byte, ok bool)) { done([]byte("is there"), []byte("read"), true) }
@@ -140,7 +141,7 @@
 	w := begin(a, first, "two", false)
 	receive(t, first.routed, "route")
 	if v := a.InFlight(); len(v) != 1 || v[0].Phase != "under_way" || v[0].Intent.State != indoubt.Open {
-		t.Errorf("in flight: %+v, want one that is under way and open", v)
+		t.Errorf("writes in flight: %+v, want one in the phase under_way and the state open", v)
 	}
 	w.Cancel()
 	repeat := newTestClient()
@@ -149,11 +150,11 @@
 		t.Errorf("reply to the repeat %v %q, want %v %q", kind, repeat.value, indoubt.Served, "read")
 	}
 	if w.MaySend(context.Background(), "p", time.Now().Add(testTimeout)) {
-		t.Error("an attempt was permitted, though its client has canceled")
+		t.Error("an attempt was permitted although the client has canceled")
 	}
 }
 
-// The write of a gateway that has ended is taken over when its client asks again: without a lookup it stays in doubt.
+// The write of a gateway that has ended is taken over when its client repeats the request. Without a lookup it stays in doubt.
 func TestRepeatTakesOverFromEndedGateway(t *testing.T) {
 	store := newMemoryStore()
 	a, b := startService(t, "a", store, nil), startService(t, "b", store, nil)
@@ -169,11 +170,11 @@
 	var intent indoubt.Intent
 	stored := store.values[Key("order", 7, []byte("three"))]
 	if err := json.Unmarshal(stored.Value, &intent); err != nil || intent.State != indoubt.InDoubt || intent.Owner != "a" || intent.SettledBy != "b" {
-		t.Errorf("%v, stored %+v, want one in doubt of a, settled by b", err, intent)
+		t.Errorf("error %v, stored intent %+v, want an intent of a in the state in_doubt, settled by b", err, intent)
 	}
 }
 
-// Without a store a write cannot be claimed, and is rejected.
+// Without a store a write cannot be claimed and is rejected.
 func TestRejectedWithoutStore(t *testing.T) {
 	client := newTestClient()
 	begin(startService(t, "d", nil, nil), client, "four", false)
@@ -182,7 +183,8 @@
 	}
 }
 
-// Beyond the class's maximum in flight a write is rejected, and a repeat is told that it may have run.
+// When the class has its maximum of writes in flight, a further write is rejected. A further repeat is answered Failed because the
+// first request may have run.
 func TestMaxInFlight(t *testing.T) {
 	s := startService(t, "a", newMemoryStore(), nil)
 	for _, statement := range []string{"one", "two", "three", "four"} {
@@ -212,7 +214,7 @@
 	}
 }
 
-// An intent is stored as JSON under a key made of its write's statement, as earlier versions store it.
+// The format of stored intents must not change: an intent is stored as JSON under a key derived from the statement of its write.
 func TestLayoutOfRecords(t *testing.T) {
 	key := Key("put", 2, []byte("the words"))
 	if got, want := hex.EncodeToString([]byte(key)), "626f6f6b696e6720154611b754480b8f5ef6219b62ba7243e4c0f98d7e87919227945f109ee61220"; got != want {
@@ -223,11 +225,11 @@
 		State: indoubt.Answered, Owner: "gw-1", Incarnation: 3, RequestID: "request 4", Class: "put", Group: 5, Server: "db-6", ClaimCount: 7, TimeLeft: 8, Value: []byte("answer"), ValueComplete: true, SettledBy: "gw-9",
 	}
 	if got, err := json.Marshal(want); err != nil || string(got) != text {
-		t.Errorf("%v, written as\n%s\nwant\n%s", err, got, text)
+		t.Errorf("error %v, encoded as\n%s\nwant\n%s", err, got, text)
 	}
 	var got indoubt.Intent
 	if err := json.Unmarshal([]byte(text), &got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%v, read as %+v", err, got)
+		t.Errorf("error %v, decoded as %+v, want %+v", err, got, want)
 	}
 	for state, want := range []indoubt.State{indoubt.Open, indoubt.Answered, indoubt.Unsent, indoubt.InDoubt} {
 		if int(want) != state+1 {
