--- a/internal/indoubt/claim.go
+++ b/internal/indoubt/claim.go
@@ -43,7 +43,8 @@
 	return nil
 }
 
-// claim stores a claim in place of an intent that has the given version and has been claimed claimCount times.
+// claim requests that a claim is stored if the stored intent has the given version, or if there is none and version is 0.
+// claimCount is the number of earlier claims in that intent.
 func (r *Resolver) claim(w *write, version uint64, claimCount uint32) {
 	w.phase, w.version = claiming, version
 	w.intent = Intent{
--- a/internal/indoubt/indoubt.go
+++ b/internal/indoubt/indoubt.go
@@ -1,5 +1,6 @@
-// Package indoubt resolves in-doubt writes. A write is in doubt when its gateway died after sending it and before answering the
-// client. The package handles the classes of writes that must not run twice.
+// Package indoubt resolves in-doubt writes. A write is in doubt when it is unknown whether it ran, in particular because its
+// gateway died after sending it and before answering the client. The package handles the classes of writes that must not run
+// twice.
 //
 // Before a gateway sends such a write, it claims the write: it stores an intent (Intent) in the state store, on condition that no
 // other gateway has stored one. When the write is answered, the gateway stores the outcome in the intent. A write passes through
--- a/internal/indoubt/send.go
+++ b/internal/indoubt/send.go
@@ -2,8 +2,8 @@
 
 // This file permits the attempts of a claimed write and handles the answer of routing.
 
-// permissionRequested answers whether an attempt may be written: at once while the claim is valid, otherwise after the claim is
-// confirmed.
+// permissionRequested decides whether an attempt may be written: at once within the SendWindow of the claim, otherwise after the
+// claim is confirmed.
 func (r *Resolver) permissionRequested(request PermissionRequested) {
 	w := r.find(request.ID)
 	if w != nil && request.Server != "" {
--- a/internal/intents/intents.go
+++ b/internal/intents/intents.go
@@ -92,7 +92,7 @@
 	Version        uint64
 	Value          []byte
 	Found          bool
-	PossiblyLost   bool          // if Found is false: the value may have existed and been lost
+	PossiblyLost   bool          // there was no value, but the store may have lost one
 	Age, SinceLoss time.Duration // at least this much time has passed since the value was changed, and since the loss
 }
 
--- a/internal/maintenance/evaluator.go
+++ b/internal/maintenance/evaluator.go
@@ -120,7 +120,7 @@
 	return e.overload(nil, maxLoad)
 }
 
-// missingGateway returns a reason if a gateway is dead or silent, unless that gateway is excused, is out for maintenance or is the
+// missingGateway returns a reason if a gateway is dead or silent, unless that gateway is excused, is Out or Returning, or is the
 // evaluated machine.
 func (e evaluator) missingGateway(evaluated *Machine) Reason {
 	for _, g := range e.view.Gateways {
@@ -314,8 +314,8 @@
 }
 
 // gatewayDraining returns the decision for a gateway that is Draining. The gateway goes to Out once the draining incarnation,
-// after it applied the ledger entry that started the draining, has reported that it has nothing in flight, or once it has shut
-// down gracefully. A fault elsewhere in the cluster sends it back to Requested.
+// after it applied the ledger entry that started the draining, has reported that it is idle and leads neither a shard nor the
+// ledger, or once it has shut down gracefully. A fault elsewhere in the cluster sends it back to Requested.
 func (e evaluator) gatewayDraining(m *Machine) decision {
 	if !e.view.AllReported {
 		return stay(Draining, because(ReportsMissingWhileDraining))
--- a/internal/maintenance/model_test.go
+++ b/internal/maintenance/model_test.go
@@ -22,23 +22,23 @@
 
 var testLimits = Limits{MaxGateways: 1, MaxPerZone: 1, MaxServers: 1, KeepReady: 1, MaxLoad: 900, SettleTime: 10, ReturnWithin: 200, RepairAfter: 1000}
 
-// chain has neighbours share a shard each.
+// chainedShards are shards such that each gateway shares one with its neighbor: a with b, and b with c.
 var chainedShards = []ShardStatus{{Hosts: []string{"a", "b"}, Complete: true}, {Hosts: []string{"b", "c"}, Complete: true}}
 
-// gatewayModel is one gateway: what runs there and what it knows.
+// gatewayModel is the state of one gateway: what is in flight there and its copy of the order.
 type gatewayModel struct {
 	up, hasRequest  bool
-	inFlightAt      [2]bool // it has a request in flight at a server
+	inFlightAt      [2]bool // whether it has a request in flight at each server
 	incarnation     uint64
-	order           *Order // as it knows it
+	order           *Order // its copy of the order, as of ledgerIndex
 	ledgerIndex     uint64
-	reportInTransit *GatewayStatus // to the leader
+	reportInTransit *GatewayStatus // its report that has not reached the leader yet
 }
 
-// eventBudget is how often each event may still happen.
+// eventBudget is how many times each event may still happen.
 type eventBudget struct{ crash, falseSuspicion, leaderChange, duplicate, delay, staleStep, leave, pause, cancel, override, promote, restart int }
 
-// proposal is an entry for the log: a step or a command.
+// proposal is an entry for the ledger's log: a step or a command.
 type proposal struct {
 	step    *Step
 	command *Command
@@ -46,8 +46,8 @@
 	applied int
 }
 
-// cluster is one state of the model: the ledger's log as it is applied, three gateways, one of which leads, two servers and an
-// operator.
+// cluster is one state of the model: the order as applied from the ledger's log, three gateways of which one leads, two servers
+// and an operator.
 type cluster struct {
 	now          clock.Micros
 	index        uint64
@@ -55,32 +55,32 @@
 	gateways     [3]gatewayModel
 	leader       int
 	planner      *Planner
-	statuses     [3]GatewayStatus
-	reported     [3]bool // to this leader
-	pending      []proposal
-	toRequest    []string // maintenance still to be requested
-	lastSequence uint64   // of the operator's commands
+	statuses     [3]GatewayStatus // what the leader knows about each gateway
+	reported     [3]bool          // whether each gateway has reported to this leader
+	pending      []proposal       // entries that are still to be applied
+	toRequest    []string         // machines for which maintenance is still to be requested
+	lastSequence uint64           // sequence number of the operator's last command
 	primary      int
 	budget       eventBudget
 	violation    string
 }
 
-// mutant is one fault that is put into the code under test or its environment.
+// mutant is a fault that is injected into the code under test or its environment.
 type mutant struct {
 	name            string
-	caughtBy        string                                         // the arrangement that shows it
-	view            func(w *cluster, f *ClusterView)               // what the leader goes by
-	step            func(o *Order, s *Step)                        // before it is applied
-	shards          func(Shards) Shards                            // by which it is applied
-	session         func(a *ClientSession)                         // of a command
+	caughtBy        string                                         // the arrangement whose walks must find the fault
+	view            func(w *cluster, f *ClusterView)               // changes the leader's view
+	step            func(o *Order, s *Step)                        // changes a step before it is applied
+	shards          func(Shards) Shards                            // changes the shards that a step is checked against
+	session         func(a *ClientSession)                         // changes the session of a command
 	skipsEnrollment bool                                           // gateways serve before they are enrolled
-	cordons         func(g *gatewayModel, m *Machine, d bool) bool // whether a gateway takes a machine for cordoned
-	report          func(w *cluster, g int, f *GatewayStatus)      // a gateway's report
+	cordons         func(g *gatewayModel, m *Machine, d bool) bool // returns whether a gateway considers a machine cordoned
+	report          func(w *cluster, g int, f *GatewayStatus)      // changes a gateway's report
 }
 
 // model is the state machine that is explored: an arrangement of events, with or without a mutant.
 type model struct {
-	onlyReplica bool // requests go to the replica only, and time stands still
+	onlyReplica bool // gateways send to the replica only, and time does not pass
 	toRequest   []string
 	limits      Limits
 	budget      eventBudget
@@ -136,13 +136,13 @@
 	return out
 }
 
-// isEnrolled tells whether a gateway is on the roster, as far as it knows.
+// isEnrolled reports whether a gateway is on the roster in its own copy of the order.
 func (m model) isEnrolled(w *cluster, i int) bool {
 	g := &w.gateways[i]
 	return g.order.EnrolledIncarnation(names[i]) == g.incarnation || m.mutant != nil && m.mutant.skipsEnrollment
 }
 
-// cordoned tells whether a gateway, by what it knows, sends nothing to a machine, or admits nothing new.
+// cordoned reports whether a machine is cordoned in a gateway's own copy of the order.
 func (m model) cordoned(g *gatewayModel, kind Kind, name string) bool {
 	x := g.order.Find(kind, name, group)
 	d := x != nil && x.Cordoned()
@@ -152,7 +152,7 @@
 	return d
 }
 
-// report is what a gateway reports.
+// report returns a gateway's report.
 func (m model) report(w *cluster, i int) *GatewayStatus {
 	g := &w.gateways[i]
 	f := &GatewayStatus{Name: names[i], Incarnation: g.incarnation, Report: Report{
@@ -170,7 +170,7 @@
 	return f
 }
 
-// plan has the leader decide.
+// plan returns the steps that the leader decides on.
 func (m model) plan(w *cluster) []Step {
 	f := &ClusterView{Now: w.now, AllReported: true, Gateways: slices.Clone(w.statuses[:]), Shards: chainedShards}
 	for i := range f.Gateways {
@@ -186,7 +186,7 @@
 	return steps
 }
 
-// apply applies an entry of the log.
+// apply applies an entry of the log to the order.
 func (m model) apply(w *cluster, p *proposal) {
 	w.index++
 	next := w.order.Clone()
@@ -209,7 +209,7 @@
 		effect = !reflect.DeepEqual(w.order.Machines, next.Machines) || w.order.Paused != next.Paused
 	}
 	if effect && p.applied > 0 && w.violation == "" && (p.step == nil || p.step.ID > 0) { // the roster is idempotent
-		w.violation = "an entry had its effect twice"
+		w.violation = "an entry took effect twice"
 	}
 	if effect {
 		p.applied++
@@ -237,16 +237,16 @@
 		}
 		for _, name := range away {
 			if (&ClusterView{Shards: chainedShards}).ShareShard(name, x.Name) {
-				return fmt.Errorf("%s and %s are away and share a shard", name, x.Name)
+				return fmt.Errorf("%s and %s are both in progress and share a shard", name, x.Name)
 			}
 		}
 		away = append(away, x.Name)
 	}
 	switch {
 	case gateways > m.limits.MaxGateways:
-		return errors.New("more gateways are away than there are places")
+		return errors.New("more gateways are in progress than the limits allow")
 	case inGroup > 1:
-		return errors.New("two of a group are away")
+		return errors.New("two servers of one group are in progress")
 	}
 	for i := range w.order.Machines {
 		x := &w.order.Machines[i]
@@ -255,10 +255,10 @@
 		}
 		for k, g := range w.gateways {
 			if x.Kind == Gateway && names[k] == x.Name && g.up && g.hasRequest {
-				return fmt.Errorf("%s may be touched and has something under way", x.Name)
+				return fmt.Errorf("%s is out and still has a request in flight", x.Name)
 			}
 			if x.Kind == Server && g.up && g.inFlightAt[slices.Index(servers[:], x.Name)] {
-				return fmt.Errorf("%s may be touched and %s has something out there", x.Name, names[k])
+				return fmt.Errorf("%s is out and %s still has a request in flight there", x.Name, names[k])
 			}
 		}
 	}
@@ -273,7 +273,7 @@
 	return proposal{command: &c, session: ClientSession{Client: 1, Sequence: w.lastSequence}}
 }
 
-// entries adds the moves by which entries come into the log: at once, later, or at once and once more later.
+// entries adds the moves by which entries reach the log: at once, delayed, or at once and a second time later.
 func (m model) entries(w *cluster, name string, make func(w *cluster) []proposal, add func(string, func(*cluster))) {
 	add(name, func(w *cluster) {
 		for _, p := range make(w) {
@@ -281,10 +281,10 @@
 		}
 	})
 	if w.budget.delay > 0 {
-		add(name+", late", func(w *cluster) { w.budget.delay--; w.pending = append(w.pending, make(w)...) })
+		add(name+", delayed", func(w *cluster) { w.budget.delay--; w.pending = append(w.pending, make(w)...) })
 	}
 	if w.budget.duplicate > 0 {
-		add(name+", and again later", func(w *cluster) {
+		add(name+", and duplicated later", func(w *cluster) {
 			w.budget.duplicate--
 			for _, p := range make(w) {
 				m.apply(w, &p)
@@ -309,7 +309,7 @@
 		all = append(all, modelcheck.Transition[*cluster]{Name: name, Next: next})
 	}
 	for i, name := range w.toRequest {
-		m.entries(w, "ask for "+name, func(w *cluster) []proposal {
+		m.entries(w, "request maintenance of "+name, func(w *cluster) []proposal {
 			w.toRequest = slices.Delete(w.toRequest, i, i+1)
 			return []proposal{w.command(command(Add, name))}
 		}, add)
@@ -323,15 +323,15 @@
 		}, add)
 	}
 	for i := range w.pending {
-		add("an entry comes late", func(w *cluster) {
+		add("a delayed entry is applied", func(w *cluster) {
 			p := w.pending[i]
 			w.pending = slices.Delete(w.pending, i, i+1)
 			m.apply(w, &p)
 		})
 	}
 	for _, x := range w.order.Machines {
-		if w.budget.staleStep > 0 && x.State == Requested { // of a leader with another view
-			add("a stray step for "+x.Name, func(w *cluster) {
+		if w.budget.staleStep > 0 && x.State == Requested { // a step by a leader with another view of the cluster
+			add("a stale step for "+x.Name, func(w *cluster) {
 				w.budget.staleStep--
 				m.commit(w, proposal{step: &Step{ID: x.ID, Revision: x.Revision, To: Next, MaxGateways: m.limits.MaxGateways, MaxPerZone: m.limits.MaxPerZone, MaxServers: m.limits.MaxServers}})
 			})
@@ -342,7 +342,7 @@
 	}
 	m.operatorMoves(w, add)
 	if !m.onlyReplica {
-		add("time", func(w *cluster) { w.now += testLimits.SettleTime })
+		add("time passes", func(w *cluster) { w.now += testLimits.SettleTime })
 	}
 	return all
 }
@@ -356,16 +356,16 @@
 		})
 	} else {
 		if g.ledgerIndex < w.index {
-			add(name+" hears the ledger", func(w *cluster) { w.applyLedger(i) })
+			add(name+" applies the ledger", func(w *cluster) { w.applyLedger(i) })
 		}
 		if g.hasRequest {
-			add(name+" is done", func(w *cluster) { w.gateways[i].hasRequest = false })
+			add(name+" finishes its request", func(w *cluster) { w.gateways[i].hasRequest = false })
 		} else if !m.onlyReplica && m.isEnrolled(w, i) && !m.cordoned(g, Gateway, name) {
-			add(name+" takes something", func(w *cluster) { w.gateways[i].hasRequest = true })
+			add(name+" admits a request", func(w *cluster) { w.gateways[i].hasRequest = true })
 		}
 		for s, server := range servers {
 			if g.inFlightAt[s] {
-				add(name+" has its answer from "+server, func(w *cluster) { w.gateways[i].inFlightAt[s] = false })
+				add(name+" gets an answer from "+server, func(w *cluster) { w.gateways[i].inFlightAt[s] = false })
 			} else if (!m.onlyReplica || s == 1) && m.isEnrolled(w, i) && !m.cordoned(g, Server, server) {
 				add(name+" sends to "+server, func(w *cluster) { w.gateways[i].inFlightAt[s] = true })
 			}
@@ -375,31 +375,31 @@
 			add(name+" reports slowly", func(w *cluster) { w.budget.delay--; w.gateways[i].reportInTransit = m.report(w, i) })
 		}
 		if w.budget.leave > 0 && !g.hasRequest && g.inFlightAt == [2]bool{} {
-			add(name+" is ended", func(w *cluster) { w.budget.leave--; w.gateways[i].up = false; w.statuses[i].Presence = Left })
+			add(name+" shuts down", func(w *cluster) { w.budget.leave--; w.gateways[i].up = false; w.statuses[i].Presence = Left })
 		}
 		if w.budget.crash > 0 {
-			add("kill "+name, func(w *cluster) { w.budget.crash--; w.gateways[i].up = false })
+			add("crash of "+name, func(w *cluster) { w.budget.crash--; w.gateways[i].up = false })
 		}
 		if w.budget.leaderChange > 0 && i != w.leader {
-			add(name+" leads", func(w *cluster) {
+			add(name+" becomes the leader", func(w *cluster) {
 				w.budget.leaderChange--
 				w.makeLeader(i)
 			})
 		}
 		if w.budget.falseSuspicion > 0 && w.statuses[i].Presence == Alive {
 			for _, p := range []Presence{Dead, Silent} {
-				add(fmt.Sprint(name, " is wrongly ", p), func(w *cluster) { w.budget.falseSuspicion--; w.statuses[i].Presence = p })
+				add(fmt.Sprint(name, " is falsely given presence ", p), func(w *cluster) { w.budget.falseSuspicion--; w.statuses[i].Presence = p })
 			}
 		}
 		if w.statuses[i].Presence != Alive {
-			add(name+" is seen", func(w *cluster) { w.statuses[i].Presence = Alive })
+			add(name+" is considered alive", func(w *cluster) { w.statuses[i].Presence = Alive })
 		}
 	}
 	if !g.up && w.statuses[i].Presence == Alive {
-		add(name+" is found dead", func(w *cluster) { w.statuses[i].Presence = Dead })
+		add(name+" is considered dead", func(w *cluster) { w.statuses[i].Presence = Dead })
 	}
 	if g.reportInTransit != nil {
-		add("the leader hears "+name, func(w *cluster) { w.deliverReport(i) })
+		add("the leader receives the report of "+name, func(w *cluster) { w.deliverReport(i) })
 	}
 }
 
@@ -413,14 +413,15 @@
 	if g.reportInTransit.Incarnation >= w.statuses[i].Incarnation {
 		g.reportInTransit.Presence = w.statuses[i].Presence
 		if g.reportInTransit.Incarnation > w.statuses[i].Incarnation {
-			g.reportInTransit.Presence = Alive // membership tells of the new incarnation
+			g.reportInTransit.Presence = Alive // the membership also learns of the new incarnation
 		}
 		w.statuses[i], w.reported[i] = *g.reportInTransit, true
 	}
 	g.reportInTransit = nil
 }
 
-// makeLeader has another gateway lead. Of what the last leader knew it has the incarnations, and who is there.
+// makeLeader makes another gateway the leader. Of the former leader's knowledge, the new leader keeps only the incarnations and
+// the presence of the gateways.
 func (w *cluster) makeLeader(i int) {
 	w.leader, w.planner, w.reported = i, &Planner{}, [3]bool{}
 	for k := range w.statuses {
@@ -433,35 +434,35 @@
 		i := slices.Index(names[:], x.Name)
 		switch {
 		case x.State == Out && x.Kind == Gateway && w.gateways[i].up && w.gateways[i].incarnation == x.Incarnation:
-			add("work at "+x.Name, func(w *cluster) { w.gateways[i].up = false })
+			add("maintenance stops "+x.Name, func(w *cluster) { w.gateways[i].up = false })
 		case x.State == Out && x.Kind == Server:
-			m.entries(w, x.Name+" is done", func(w *cluster) []proposal { return []proposal{w.command(command(Done, x.Name))} }, add)
+			m.entries(w, x.Name+" is reported as done", func(w *cluster) []proposal { return []proposal{w.command(command(Done, x.Name))} }, add)
 		case x.State == Draining && x.Kind == Gateway && w.budget.restart > 0 && w.gateways[i].up:
 			add("restart "+x.Name, func(w *cluster) { w.budget.restart--; w.gateways[i].up = false })
 		}
 		if x.inProgress() && w.budget.cancel > 0 {
-			m.entries(w, "drop "+x.Name, func(w *cluster) []proposal {
+			m.entries(w, "cancel "+x.Name, func(w *cluster) []proposal {
 				w.budget.cancel--
 				w.toRequest = append(w.toRequest, x.Name)
 				return []proposal{w.command(command(Cancel, x.Name))}
 			}, add)
 		}
 		if x.State == Draining && x.Kind == Server && w.budget.override > 0 {
-			add("go "+x.Name, func(w *cluster) { w.budget.override--; m.commit(w, w.command(command(Resume, x.Name))) })
+			add("resume "+x.Name, func(w *cluster) { w.budget.override--; m.commit(w, w.command(command(Resume, x.Name))) })
 		}
 	}
 	if w.budget.pause > 0 {
-		m.entries(w, "hold", func(w *cluster) []proposal { w.budget.pause--; return []proposal{w.command(Command{Verb: Pause})} }, add)
+		m.entries(w, "pause", func(w *cluster) []proposal { w.budget.pause--; return []proposal{w.command(Command{Verb: Pause})} }, add)
 	}
 	if w.order.Paused {
-		add("go", func(w *cluster) { m.commit(w, w.command(Command{Verb: Resume})) })
+		add("resume", func(w *cluster) { m.commit(w, w.command(Command{Verb: Resume})) })
 	}
 	if w.budget.promote > 0 {
 		add("promote", func(w *cluster) { w.budget.promote--; w.primary = 1 - w.primary })
 	}
 }
 
-// repair has nothing go wrong from here on, and checks that the maintenance of every machine comes to its end.
+// repair lets the cluster run without further faults and checks that the maintenance of every machine ends.
 func (m model) repair(w *cluster) error {
 	w.toRequest = nil
 	for range 200 {
@@ -510,5 +511,5 @@
 			w.pending = append(w.pending, proposal{step: &s})
 		}
 	}
-	return fmt.Errorf("something waits for ever: %s", m.Describe(w))
+	return fmt.Errorf("a machine waits forever: %s", m.Describe(w))
 }
--- a/internal/maintenance/modelcheck_test.go
+++ b/internal/maintenance/modelcheck_test.go
@@ -15,19 +15,19 @@
 	model
 }{
 	{"two gateways", model{toRequest: []string{"a", "b"}, limits: testLimits, budget: eventBudget{crash: 1, leaderChange: 1, delay: 1}}},
-	{"two places, and shared shards", model{toRequest: []string{"a", "b", "c"}, limits: wideLimits, budget: eventBudget{staleStep: 2, duplicate: 1}}},
+	{"two places and shared shards", model{toRequest: []string{"a", "b", "c"}, limits: wideLimits, budget: eventBudget{staleStep: 2, duplicate: 1}}},
 	{"both servers of a group", model{toRequest: []string{"r", "p"}, limits: wideLimits, budget: eventBudget{staleStep: 1, promote: 1}}},
-	{"a server, a crash and a wrong word", model{onlyReplica: true, toRequest: []string{"r"}, limits: testLimits, budget: eventBudget{crash: 1, falseSuspicion: 1}}},
-	{"a server, and a gateway that is ended", model{onlyReplica: true, toRequest: []string{"r"}, limits: testLimits, budget: eventBudget{leave: 1}}},
-	{"a server, and another leader", model{onlyReplica: true, toRequest: []string{"r"}, limits: testLimits, budget: eventBudget{leave: 1, leaderChange: 1, delay: 1}}},
-	{"a gateway, restarted while it leaves", model{toRequest: []string{"a"}, limits: testLimits, budget: eventBudget{restart: 1, leaderChange: 1, delay: 1}}},
-	{"hold and drop", model{toRequest: []string{"a"}, limits: testLimits, budget: eventBudget{pause: 1, cancel: 1, duplicate: 1, delay: 2}}},
-	{"an operator's word", model{toRequest: []string{"r", "a"}, limits: testLimits, budget: eventBudget{override: 1, falseSuspicion: 1, crash: 1}}},
+	{"a server, a crash and a false suspicion", model{onlyReplica: true, toRequest: []string{"r"}, limits: testLimits, budget: eventBudget{crash: 1, falseSuspicion: 1}}},
+	{"a server and a gateway that shuts down", model{onlyReplica: true, toRequest: []string{"r"}, limits: testLimits, budget: eventBudget{leave: 1}}},
+	{"a server and a new leader", model{onlyReplica: true, toRequest: []string{"r"}, limits: testLimits, budget: eventBudget{leave: 1, leaderChange: 1, delay: 1}}},
+	{"a gateway restarted while draining", model{toRequest: []string{"a"}, limits: testLimits, budget: eventBudget{restart: 1, leaderChange: 1, delay: 1}}},
+	{"pause and cancel", model{toRequest: []string{"a"}, limits: testLimits, budget: eventBudget{pause: 1, cancel: 1, duplicate: 1, delay: 2}}},
+	{"an operator's override", model{toRequest: []string{"r", "a"}, limits: testLimits, budget: eventBudget{override: 1, falseSuspicion: 1, crash: 1}}},
 	{"everything", model{toRequest: []string{"a", "p", "b", "r"}, limits: wideLimits,
 		budget: eventBudget{crash: 2, falseSuspicion: 2, leaderChange: 2, duplicate: 2, delay: 3, staleStep: 2, leave: 1, pause: 1, cancel: 1, promote: 2, restart: 1}}},
 }
 
-// maxStates bounds a search of all states, the others the random walks.
+// maxStates limits the breadth-first search of each arrangement; the other constants set the size of the random walks.
 const (
 	maxStates           = 12_000
 	walksPerArrangement = 150
@@ -45,7 +45,7 @@
 	}
 }
 
-// randomWalk makes random moves, then repairs the cluster.
+// randomWalk makes random moves and then checks that the cluster can be repaired.
 func randomWalk(m model, seed uint64) error {
 	recorder := &recordingModel{model: m}
 	if _, broken := modelcheck.RandomWalk[*cluster](recorder, seed, movesPerWalk); broken != nil {
@@ -54,20 +54,20 @@
 	return m.repair(recorder.current.clone())
 }
 
-// recordingModel is a model that keeps the state that was checked last.
+// recordingModel is a model that records the state that was checked last.
 type recordingModel struct {
 	model
 	current *cluster
 }
 
-// Moves weighs the moves that make progress, so that they are drawn more often.
+// Transitions repeats the moves that make progress, so that random walks choose them more often.
 func (l *recordingModel) Transitions(w *cluster) []modelcheck.Transition[*cluster] {
 	all := l.model.Transitions(w)
 	for _, mv := range all {
-		if strings.HasPrefix(mv.Name, "decide") && !strings.HasSuffix(mv.Name, "late") {
+		if strings.HasPrefix(mv.Name, "decide") && !strings.HasSuffix(mv.Name, "delayed") {
 			all = append(all, mv, mv, mv, mv)
 		}
-		if strings.HasSuffix(mv.Name, "reports") || strings.HasSuffix(mv.Name, "hears the ledger") {
+		if strings.HasSuffix(mv.Name, "reports") || strings.HasSuffix(mv.Name, "applies the ledger") {
 			all = append(all, mv)
 		}
 	}
@@ -79,7 +79,8 @@
 	return l.model.CheckInvariant(w)
 }
 
-// TestRandomWalks goes deeper than the search of all states does: no invariant is violated, and in the end no machine waits.
+// TestRandomWalks reaches greater depths than the breadth-first search: no invariant may be violated, and after the cluster is
+// repaired no machine may wait forever.
 func TestRandomWalks(t *testing.T) {
 	for _, a := range arrangements {
 		t.Run(a.name, func(t *testing.T) {
--- a/internal/maintenance/planner.go
+++ b/internal/maintenance/planner.go
@@ -33,7 +33,7 @@
 type Listing struct {
 	Order  *Order
 	Waits  Waits
-	Leader string       // empty if the leader has not answered; Order then comes from another gateway
+	Leader string       // empty if the leader has not answered; Order is then the queried gateway's own copy
 	Now    clock.Micros // the ledger's time
 }
 
--- a/internal/maintenance/race_test.go
+++ b/internal/maintenance/race_test.go
@@ -2,5 +2,6 @@
 
 package maintenance
 
-// reduction is by how much the search is smaller under the race detector: nothing here runs at the same time.
+// reduction divides the size of the searches under the race detector, which finds nothing here because each search runs in a
+// single goroutine.
 const reduction = 10
--- a/internal/maintenance/reason.go
+++ b/internal/maintenance/reason.go
@@ -8,8 +8,8 @@
 // Cause is the kind of reason for which a machine waits.
 type Cause uint8
 
-// The causes. The first three groups keep a machine in Requested or send it back there. The last group is what a machine in a
-// later state waits for.
+// The causes. The first three groups keep a machine in Requested or send it back there. The last group contains the
+// other causes for which a machine in a later state waits or goes back.
 const (
 	NoCause Cause = iota // the machine does not wait
 
@@ -39,7 +39,7 @@
 	OnlyServer
 	NoPrimary
 
-	// Causes for which a machine waits once it is Next or later.
+	// Causes that concern a machine that is Next or in a later state.
 	OtherPrimary
 	Restarted
 	ShardsMigrating
--- a/internal/maintenance/reason_test.go
+++ b/internal/maintenance/reason_test.go
@@ -9,11 +9,11 @@
 		}
 	}
 	if text := (Reason{}).String(); text != "" || (Reason{}).exists() {
-		t.Errorf("no reason reads %q", text)
+		t.Errorf("the text of the zero Reason is %q, want an empty text", text)
 	}
 }
 
-// Operators read these texts, and know them from docs/maintenance.md.
+// Operators see these texts, and docs/maintenance.md quotes them.
 func TestReasonText(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -32,11 +32,11 @@
 		{"unreachable gateways", Reason{Cause: GatewaysUnreachable, Detail: "gw-3"}, "gw-3 cannot be reached and may still send there: say go if it cannot"},
 		{"busy and unreachable gateways", Reason{Cause: ServerQuiescenceAndUnreachable, Subject: "gw-1", Detail: "gw-3"},
 			"the word of gw-1 that nothing is out there; gw-3 cannot be reached and may still send there: say go if it cannot"},
-		{"a name in braces is a name", about(GatewayDead, "{count}"), "{count} is dead"},
+		{"placeholder in a name is not replaced", about(GatewayDead, "{count}"), "{count} is dead"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.reason.String(); got != c.want {
-				t.Errorf("reads %q, want %q", got, c.want)
+				t.Errorf("the text is %q, want %q", got, c.want)
 			}
 		})
 	}
--- a/internal/maintenance/step.go
+++ b/internal/maintenance/step.go
@@ -3,8 +3,8 @@
 import "marblespan/internal/clock"
 
 // Step is a decision of the ledger's leader: a change of a machine's state, decided for one Revision of the machine, or a change
-// of the roster or of the excused gateways. Exactly one of these three parts is set: one of Enroll, Unenroll and Unexcuse; one of
-// Overdue and Override; or To.
+// of the roster or of the excused gateways. A Step sets exactly one of three parts: To; or Overdue or Override; or Enroll,
+// Unenroll or Unexcuse.
 type Step struct {
 	ID          uint64 // the machine's ID
 	Revision    uint32 // the machine's revision when the step was decided
