--- a/internal/knownred/knownred.go
+++ b/internal/knownred/knownred.go
@@ -1,5 +1,5 @@
-// Package knownred judges a run of all tests against the list of those that are known to fail. The list is KNOWN-RED.txt at the
-// root of the repository: a line a test, "PACKAGE TEST: cause (issue N)".
+// Package knownred compares the results of a test run with the list of tests that are known to fail. The list is the file
+// KNOWN-RED.txt at the root of the repository. It has one line for each test: "PACKAGE TEST: cause (issue N)".
 package knownred
 
 import (
@@ -12,13 +12,13 @@
 	"strings"
 )
 
-// MostEntries is how many tests may be known to fail at a time.
-const MostEntries = 3
+// MaxEntries is the maximum number of tests on the list.
+const MaxEntries = 3
 
-// Test names a test: the path of its package below the module, and its name.
+// Test identifies a test by the path of its package relative to the module, and by its name.
 type Test struct{ Package, Name string }
 
-// String is the form in which CI prints it.
+// String returns the test in the form in which CI prints it: "PACKAGE TEST".
 func (t Test) String() string { return t.Package + " " + t.Name }
 
 // Entry is one line of the list.
@@ -27,7 +27,8 @@
 	Cause string
 }
 
-// ParseList reads the list. It fails where a line names no test or no cause, where a test stands twice, and beyond MostEntries.
+// ParseList reads the list. It returns an error if a line lacks the test or the cause, if a test is listed twice, or if the list
+// has more than MaxEntries tests.
 func ParseList(list io.Reader) ([]Entry, error) {
 	var entries []Entry
 	lines := bufio.NewScanner(list)
@@ -43,16 +44,16 @@
 		}
 		entry := Entry{Test: Test{Package: words[0], Name: words[1]}, Cause: cause}
 		if slices.ContainsFunc(entries, func(e Entry) bool { return e.Test == entry.Test }) {
-			return nil, fmt.Errorf("%s stands twice", entry.Test)
+			return nil, fmt.Errorf("%s is listed twice", entry.Test)
 		}
-		if entries = append(entries, entry); len(entries) > MostEntries {
-			return nil, fmt.Errorf("more than %d tests", MostEntries)
+		if entries = append(entries, entry); len(entries) > MaxEntries {
+			return nil, fmt.Errorf("more than %d tests are listed", MaxEntries)
 		}
 	}
 	return entries, lines.Err()
 }
 
-// event is a line of "go test -json", as far as it is of use here.
+// event has the fields of a line of "go test -json" output that this package uses.
 type event struct {
 	Action  string
 	Package string
@@ -60,16 +61,16 @@
 	Output  string
 }
 
-// Results is how tests ended.
+// Results holds the outcomes of a test run.
 type Results struct {
-	// Failed and Passed hold top-level tests; of a test that ran more than once a failure counts.
+	// Failed and Passed hold top-level tests. A test that ran more than once and failed at least once is in Failed.
 	Failed, Passed map[Test]bool
-	// Broken lists the packages that failed with no test of theirs: they could not be built, or ended early.
+	// Broken lists the packages that failed although none of their tests did: they could not be built, or the run ended early.
 	Broken []string
 }
 
-// Read takes in the output of "go test -json" of a module and copies what the tests print, but for that of tests that passed,
-// to out.
+// Read reads the output of "go test -json" for a module. It copies the output of packages and of failed tests to out, and omits
+// the output of tests that passed.
 func Read(run io.Reader, module string, out io.Writer) (Results, error) {
 	r := Results{Failed: map[Test]bool{}, Passed: map[Test]bool{}}
 	printed := map[Test][]string{}
@@ -104,18 +105,18 @@
 	}
 }
 
-// Judge lists what is wrong with a run: failures that are not on the list, tests on it that passed or were not there, and
-// packages that broke. No faults, and the run counts as passed.
-func Judge(entries []Entry, r Results) (faults []string) {
+// Check compares a run with the list of known failures and returns the faults: tests that failed and are not on the list, tests
+// on the list that passed or did not run, and packages that could not be tested. A run without faults counts as passed.
+func Check(entries []Entry, r Results) (faults []string) {
 	known := map[Test]bool{}
 	for _, e := range entries {
 		known[e.Test] = true
 		switch {
 		case r.Failed[e.Test]:
 		case r.Passed[e.Test]:
-			faults = append(faults, e.Test.String()+" is on the list of known failures and passes")
+			faults = append(faults, e.Test.String()+" is on the list of known failures but passes")
 		default:
-			faults = append(faults, e.Test.String()+" is on the list of known failures and does not exist")
+			faults = append(faults, e.Test.String()+" is on the list of known failures but did not run")
 		}
 	}
 	for test := range r.Failed {
--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownred_test.go
@@ -18,7 +18,7 @@
 		"TestB: cause":      "is not PACKAGE TEST",
 		"internal/a TestB":  "is not PACKAGE TEST",
 		"internal/a TestB:": "is not PACKAGE TEST",
-		line + line:         "stands twice",
+		line + line:         "is listed twice",
 		strings.ReplaceAll(line, "%", "1") + strings.ReplaceAll(line, "%", "2") + strings.ReplaceAll(line, "%", "3") +
 			strings.ReplaceAll(line, "%", "4"): "more than 3",
 	} {
@@ -37,7 +37,7 @@
 {"Action":"fail","Package":"m/a"}
 `
 
-func TestJudge(t *testing.T) {
+func TestCheck(t *testing.T) {
 	bad, good, none := Entry{Test{"a", "TestBad"}, "c"}, Entry{Test{"a", "TestGood"}, "c"}, Entry{Test{"a", "TestNone"}, "c"}
 	for _, c := range []struct {
 		name    string
@@ -45,10 +45,10 @@
 		run     string
 		want    []string
 	}{
-		{"a failure that is known", []Entry{bad}, run, nil},
-		{"one that is not", nil, run, []string{"a TestBad failed"}},
-		{"a known one that passes", []Entry{bad, good}, run, []string{"a TestGood is on the list of known failures and passes"}},
-		{"a known one that is gone", []Entry{bad, none}, run, []string{"a TestNone is on the list of known failures and does not exist"}},
+		{"a known failure", []Entry{bad}, run, nil},
+		{"an unknown failure", nil, run, []string{"a TestBad failed"}},
+		{"a known failure that passes", []Entry{bad, good}, run, []string{"a TestGood is on the list of known failures but passes"}},
+		{"a known failure that did not run", []Entry{bad, none}, run, []string{"a TestNone is on the list of known failures but did not run"}},
 		{"a package that cannot be built", nil, `{"Action":"fail","Package":"m/b"}`, []string{"b could not be tested"}},
 		{"a failure in a second run", []Entry{bad}, run + `{"Action":"fail","Package":"m/a","Test":"TestGood"}`, []string{"a TestGood failed"}},
 	} {
@@ -56,7 +56,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := Judge(c.entries, results); !reflect.DeepEqual(got, c.want) {
+		if got := Check(c.entries, results); !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
 		}
 	}
@@ -65,6 +65,6 @@
 		t.Errorf("printed %q, %v", out.String(), err)
 	}
 	if _, err := Read(strings.NewReader("no JSON"), "m", &out); err == nil {
-		t.Error("a run that cannot be read was taken")
+		t.Error("output that is not JSON was accepted")
 	}
 }
--- a/internal/knownred/run/main.go
+++ b/internal/knownred/run/main.go
@@ -1,5 +1,6 @@
-// Command run is for CI: it reads "go test -json" on standard input and the list of known failures that its argument names, and
-// ends with 1 where anything else failed, or a test on the list did not.
+// Command run checks a test run in CI. It reads the output of "go test -json" on standard input and the list of known failures from
+// the file that its argument names. It exits with 1 if a test that is not on the list failed, if a test on the list did not fail,
+// or if a package could not be tested.
 package main
 
 import (
@@ -12,13 +13,13 @@
 const module = "marblespan"
 
 func main() {
-	if err := judge(os.Args[1:]); err != nil {
+	if err := run(os.Args[1:]); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-func judge(args []string) error {
+func run(args []string) error {
 	if len(args) != 1 {
 		return fmt.Errorf("usage: run LIST")
 	}
@@ -38,7 +39,7 @@
 	for _, e := range entries {
 		fmt.Printf("known to fail: %s: %s\n", e.Test, e.Cause)
 	}
-	faults := knownred.Judge(entries, results)
+	faults := knownred.Check(entries, results)
 	for _, f := range faults {
 		fmt.Println(f)
 	}
