--- a/internal/vrrp/race_test.go
+++ b/internal/vrrp/race_test.go
@@ -2,5 +2,5 @@
 
 package vrrp
 
-// fewerStates keeps the explorations short where every step costs many times the usual.
-const fewerStates = 10
+// statesDivisor divides maxStates, because the race detector makes every step many times slower.
+const statesDivisor = 10
