--- a/internal/gossip/agent_test.go
+++ b/internal/gossip/agent_test.go
@@ -138,5 +138,6 @@
 	next := a.settings
 	next.Keys = []sealed.Key{{Number: 2, Secret: []byte("another secret, also long enough")}, key}
 	a.Reload(next)
-	awaitState(t, seenA, "x", membership.Dead) // x never existed; c, which has only the old key, is not declared dead because of the key change
+	// x never existed. c, which has only the old key, is not declared dead because of the key change.
+	awaitState(t, seenA, "x", membership.Dead)
 }
--- a/internal/raftnode/node_test.go
+++ b/internal/raftnode/node_test.go
@@ -150,7 +150,7 @@
 		t.Error("a key that is too long was stored")
 	}
 	if !b.Available([]byte("session 1")) {
-		t.Error("not available, although all calls succeeded")
+		t.Error("not available, although all positions were stored")
 	}
 	a.TransferLeadership()
 	for _, g := range a.Overview().Groups {
