--- a/internal/raftstorage/file_test.go
+++ b/internal/raftstorage/file_test.go
@@ -290,17 +290,17 @@
 		{"length beyond all memory", withHugeLengths(t, intact), nil},
 		{"another program's", contentOf(t, func(tx *bbolt.Tx) error { _, err := tx.CreateBucket([]byte("other")); return err }), ErrFormat},
 		{"later format", contentOf(t, func(tx *bbolt.Tx) error {
-			facts, err := tx.CreateBucket(bucketFacts)
-			return errors.Join(err, bucket{facts}.setNumber(keyFormat, format+1))
+			metadata, err := tx.CreateBucket(bucketMetadata)
+			return errors.Join(err, bucket{metadata}.setNumber(keyFormat, format+1))
 		}), ErrFormat},
 		{"without members' bucket", contentOf(t, func(tx *bbolt.Tx) error {
-			facts, err := tx.CreateBucket(bucketFacts)
-			return errors.Join(err, bucket{facts}.setNumber(keyFormat, format), bucket{facts}.setNumber(keyStore, 7))
+			metadata, err := tx.CreateBucket(bucketMetadata)
+			return errors.Join(err, bucket{metadata}.setNumber(keyFormat, format), bucket{metadata}.setNumber(keyStore, 7))
 		}), ErrIncomplete},
 		{"value of another key", contentOf(t, func(tx *bbolt.Tx) error {
-			facts, err := tx.CreateBucket(bucketFacts)
-			err = errors.Join(err, bucket{facts}.setNumber(keyFormat, format))
-			return errors.Join(err, facts.Put(keyStore, facts.Get(keyFormat)))
+			metadata, err := tx.CreateBucket(bucketMetadata)
+			err = errors.Join(err, bucket{metadata}.setNumber(keyFormat, format))
+			return errors.Join(err, metadata.Put(keyStore, metadata.Get(keyFormat)))
 		}), ErrChecksum},
 	} {
 		t.Run(c.name, func(t *testing.T) { wantDamaged(t, c.content, c.cause) })
--- a/internal/raftstorage/layout.go
+++ b/internal/raftstorage/layout.go
@@ -25,7 +25,7 @@
 //	    pieces        the pieces of the snapshot's data, by pieceKey
 //	    log           the log entries, by entryKey
 var (
-	bucketFacts    = []byte("facts")
+	bucketMetadata = []byte("facts")
 	bucketGroups   = []byte("groups")
 	bucketLog      = []byte("log")
 	bucketPieces   = []byte("pieces")
@@ -33,7 +33,7 @@
 	keyStore       = []byte("store")
 	keyIncarnation = []byte("life")
 	keySequence    = []byte("sequence")
-	keyView        = []byte("view")
+	keyLedger      = []byte("view")
 	keyRetired     = []byte("retired")
 	keyHardState   = []byte("hard")
 	keySnapshot    = []byte("snapshot")
--- a/internal/raftstorage/load.go
+++ b/internal/raftstorage/load.go
@@ -15,14 +15,14 @@
 func (f *File) load() (*raftstore.StoredState, error) {
 	stored := &raftstore.StoredState{}
 	err := f.db.View(func(tx *bbolt.Tx) error {
-		facts := tx.Bucket(bucketFacts)
-		if facts == nil {
+		metadata := tx.Bucket(bucketMetadata)
+		if metadata == nil {
 			if name, _ := tx.Cursor().First(); name != nil {
-				return fmt.Errorf("%w: found bucket %q, want %q", ErrFormat, name, bucketFacts)
+				return fmt.Errorf("%w: found bucket %q, want %q", ErrFormat, name, bucketMetadata)
 			}
 			return nil
 		}
-		if err := f.loadFacts(bucket{facts}, stored); err != nil {
+		if err := f.loadMetadata(bucket{metadata}, stored); err != nil {
 			return err
 		}
 		groups := tx.Bucket(bucketGroups)
@@ -42,9 +42,9 @@
 	return stored, nil
 }
 
-// loadFacts reads the file's metadata (bucketFacts).
-func (f *File) loadFacts(facts bucket, stored *raftstore.StoredState) error {
-	version, err := facts.number(keyFormat)
+// loadMetadata reads the file's metadata (bucketMetadata).
+func (f *File) loadMetadata(metadata bucket, stored *raftstore.StoredState) error {
+	version, err := metadata.number(keyFormat)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrFormat, err)
 	}
@@ -55,23 +55,23 @@
 		key  []byte
 		into *uint64
 	}{{keyStore, &stored.Store}, {keyIncarnation, &stored.Incarnation}, {keySequence, &f.sequence}} {
-		if *number.into, err = facts.number(number.key); err != nil {
+		if *number.into, err = metadata.number(number.key); err != nil {
 			return err
 		}
 	}
 	if stored.Store == 0 {
 		return fmt.Errorf("%w: the store ID under %q is missing", ErrIncomplete, keyStore)
 	}
-	if stored.Ledger, err = facts.get(keyView); err != nil {
+	if stored.Ledger, err = metadata.get(keyLedger); err != nil {
 		return err
 	}
-	stored.Retired, err = loadRetired(facts)
+	stored.Retired, err = loadRetired(metadata)
 	return err
 }
 
 // loadRetired reads the list of members that must not take part again.
-func loadRetired(facts bucket) (refs []raftstore.MemberRef, err error) {
-	raw, err := facts.get(keyRetired)
+func loadRetired(metadata bucket) (refs []raftstore.MemberRef, err error) {
+	raw, err := metadata.get(keyRetired)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/raftstorage/write.go
+++ b/internal/raftstorage/write.go
@@ -14,13 +14,13 @@
 // apply applies a write in a transaction. If the store ID differs from the stored one, the former content of the file is deleted.
 func (f *File) apply(tx *bbolt.Tx, w raftstore.Write) error {
 	if f.store != 0 && f.store != w.Store {
-		for _, name := range [][]byte{bucketGroups, bucketFacts} {
+		for _, name := range [][]byte{bucketGroups, bucketMetadata} {
 			if err := tx.DeleteBucket(name); err != nil {
 				return err
 			}
 		}
 	}
-	facts, err := tx.CreateBucketIfNotExists(bucketFacts)
+	metadata, err := tx.CreateBucketIfNotExists(bucketMetadata)
 	if err != nil {
 		return err
 	}
@@ -28,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	if err := f.writeFacts(bucket{facts}, w); err != nil {
+	if err := f.writeMetadata(bucket{metadata}, w); err != nil {
 		return err
 	}
 	for i := range w.Members {
@@ -39,18 +39,18 @@
 	return nil
 }
 
-// writeFacts writes the file's metadata (bucketFacts).
-func (f *File) writeFacts(facts bucket, w raftstore.Write) error {
-	err := errors.Join(facts.setNumber(keyFormat, format), facts.setNumber(keyStore, w.Store),
-		facts.setNumber(keyIncarnation, w.Incarnation), facts.setNumber(keySequence, f.sequence+1))
+// writeMetadata writes the file's metadata (bucketMetadata).
+func (f *File) writeMetadata(metadata bucket, w raftstore.Write) error {
+	err := errors.Join(metadata.setNumber(keyFormat, format), metadata.setNumber(keyStore, w.Store),
+		metadata.setNumber(keyIncarnation, w.Incarnation), metadata.setNumber(keySequence, f.sequence+1))
 	if w.Ledger != nil {
-		err = errors.Join(err, facts.set(keyView, w.Ledger))
+		err = errors.Join(err, metadata.set(keyLedger, w.Ledger))
 	}
-	retired, readErr := facts.get(keyRetired)
+	retired, readErr := metadata.get(keyRetired)
 	for _, ref := range w.Retired {
 		retired = append(retired, memberKey(ref.Group, ref.Epoch, ref.Member)...)
 	}
-	return errors.Join(err, readErr, facts.set(keyRetired, retired))
+	return errors.Join(err, readErr, metadata.set(keyRetired, retired))
 }
 
 // writeMember applies one member's part of a write: it deletes the member, or writes the snapshot, entries and hard state that are set.
