--- a/internal/floatingip/loop.go
+++ b/internal/floatingip/loop.go
@@ -7,10 +7,10 @@
 	"marblespan/internal/vrrp"
 )
 
-// loopHandler is the VRRPRouter as the handler of its datagrams.Loop.
+// loopHandler implements the handler of the datagrams.Loop for a VRRPRouter.
 type loopHandler VRRPRouter
 
-// Start starts every group.
+// Start reads the gateway's health and starts the machine of every group.
 func (h *loopHandler) Start() {
 	r := (*VRRPRouter)(h)
 	r.updateHealth()
@@ -19,7 +19,7 @@
 	}
 }
 
-// NextTimer is when the next Tick of a machine is due.
+// NextTimer returns when the next Tick of any machine is due, or the zero time if none is.
 func (h *loopHandler) NextTimer() (next time.Time) {
 	for _, g := range h.groups {
 		if at, ok := g.machine.Next(); ok {
@@ -31,12 +31,12 @@
 	return next
 }
 
-// HandleDatagram checks one datagram, and passes it to its group's machine or drops it.
+// HandleDatagram validates one datagram and passes it to its group's machine, or drops it.
 func (h *loopHandler) HandleDatagram(b []byte, from netip.AddrPort) {
 	(*VRRPRouter)(h).receive(b, from)
 }
 
-// CheckTimers passes on a change of the gateway's health, and a Tick to each machine that is due.
+// CheckTimers passes a change of the gateway's health to all machines, and a Tick to each machine whose timer is due.
 func (h *loopHandler) CheckTimers() {
 	r := (*VRRPRouter)(h)
 	r.updateHealth()
@@ -48,7 +48,7 @@
 	}
 }
 
-// updateHealth tells the machines the gateway's health, if it has changed.
+// updateHealth passes the gateway's health to all machines if it has changed since the last call.
 func (r *VRRPRouter) updateHealth() {
 	if h := r.health(); h != r.lastHealth {
 		r.lastHealth = h
@@ -58,7 +58,7 @@
 	}
 }
 
-// handle passes an event to a group's machine and carries out the actions.
+// handle passes an event to a group's machine and carries out the actions that the machine returns.
 func (r *VRRPRouter) handle(g *group, ev vrrp.Event) {
 	wasActive := g.machine.State() == vrrp.Active
 	actions := g.machine.Handle(r.clock.Now(), ev)
@@ -72,14 +72,14 @@
 	}
 }
 
-// carryOut carries out one action. It returns false where the listener of an Activate could not be opened: the machine has
-// been told and its answer carried out, and the actions that follow the Activate are void.
+// carryOut carries out one action. It returns false if it could not open the listener for an Activate. It has then passed an
+// ActivateFailed to the machine and carried out the resulting actions; the caller must skip the actions after the Activate.
 func (r *VRRPRouter) carryOut(g *group, action vrrp.Action) bool {
 	switch a := action.(type) {
 	case vrrp.Activate:
 		r.Counters.Activations.Add(1)
 		if err := r.address.Activate(g.Name, g.Listen, r.mayTakeRequests(g)); err != nil {
-			r.log.Error().Err(err).Str("group", g.Name).Msg("floating listener")
+			r.log.Error().Err(err).Str("group", g.Name).Msg("failed to open the floating listener")
 			r.handle(g, vrrp.ActivateFailed(a))
 			return false
 		}
@@ -88,7 +88,8 @@
 		r.address.Deactivate(g.Name)
 	case vrrp.SendAdvertisement:
 		r.advertise(g, a)
-		// Only after sending: had the process been stalled before, no peer would have received the advertisement.
+		// The lease is extended only after the send: if the process stalls before it, no peer receives the advertisement, and the
+		// lease must not run on.
 		g.leaseEnd.Store(int64(g.machine.Lease()))
 	case vrrp.AnnounceAddress:
 		r.announce(g)
@@ -99,8 +100,9 @@
 	return true
 }
 
-// mayTakeRequests returns the gate of an activation: whether its lease still runs. The gate reads the clock itself, so that
-// after a stall it is closed even for a goroutine that runs before the router's.
+// mayTakeRequests returns the gate of an activation, a function that reports whether the activation's lease is still valid. The
+// gate reads the clock itself, so that after a stall of the process it is closed even for a goroutine that runs before the
+// router's goroutine.
 func (r *VRRPRouter) mayTakeRequests(g *group) func() bool {
 	return func() bool { return int64(r.clock.Now()) <= g.leaseEnd.Load() }
 }
--- a/internal/floatingip/receive.go
+++ b/internal/floatingip/receive.go
@@ -21,8 +21,8 @@
 	r.handle(g, vrrp.AdvertisementReceived{From: from.Addr(), Priority: m.Priority, AdvertisementInterval: clock.Micros(m.Interval)})
 }
 
-// validate finds the group of a datagram and verifies that it is from a peer, authentic (codec.Parse) and not a replay. The
-// cheap checks come first: a datagram from elsewhere costs no check of a signature.
+// validate finds the group of a datagram and verifies that the datagram is from a peer, authentic (codec.Parse) and not a replay.
+// The cheap checks come first, so that no signature is verified for a datagram from an unknown address.
 func (r *VRRPRouter) validate(b []byte, from netip.AddrPort) (*group, codec.Message, sealed.Fault) {
 	var none codec.Message
 	peer := r.peerByAddress(from)
@@ -58,13 +58,14 @@
 	return g, m, sealed.NoFault
 }
 
-// countDropped counts and logs a datagram that validate rejected.
+// countDropped counts and logs a datagram that validate has rejected.
 func (r *VRRPRouter) countDropped(fault sealed.Fault, from netip.AddrPort) {
 	r.Counters.Dropped[fault].Add(1)
 	r.dropLog.Dropped(fault.Name(), from)
 }
 
-// peerByAddress finds the peer that sends from an address; nil: none. The settings have each address once.
+// peerByAddress returns the peer that sends from an address, or nil if there is none. No two peers in the settings share an
+// address.
 func (r *VRRPRouter) peerByAddress(from netip.AddrPort) *Peer {
 	for i := range r.settings.Peers {
 		if r.settings.Peers[i].Address == from {
@@ -74,7 +75,8 @@
 	return nil
 }
 
-// groupByVRID finds a group by its virtual router identifier; nil: none. The settings have each identifier once.
+// groupByVRID returns the group with a virtual router identifier, or nil if there is none. No two groups in the settings share
+// one.
 func (r *VRRPRouter) groupByVRID(vrid uint8) *group {
 	for _, g := range r.groups {
 		if g.Machine.VRID == vrid {
--- a/internal/floatingip/router.go
+++ b/internal/floatingip/router.go
@@ -1,7 +1,8 @@
-// Package floatingip joins the VRRP machines of internal/vrrp to the network. A VRRPRouter has one UDP socket and one goroutine,
-// which owns the machines of all groups; internal/gateway starts and closes it. It decides nothing: VRRPRouter.validate passes
-// on the authentic messages of peers, VRRPRouter.handle carries out what a machine asks for, on the network or by the
-// program's AddressHandler. VRRPRouter.mayTakeRequests is the check of the lease that requests go through.
+// Package floatingip connects the VRRP state machines of internal/vrrp to the network. A VRRPRouter has one UDP socket and one
+// goroutine, which owns the machines of all groups; internal/gateway starts and closes it. The router makes no decisions itself:
+// VRRPRouter.validate passes authentic messages of peers to the machines, and VRRPRouter.handle carries out the machines' actions
+// on the network or through the program's AddressHandler. Every request at a floating address must first pass the lease check
+// that VRRPRouter.mayTakeRequests returns.
 package floatingip
 
 import (
@@ -18,8 +19,8 @@
 	"marblespan/internal/vrrp"
 )
 
-// VRRPRouter takes part in VRRP for all groups of a gateway. All but its counters and each group's leaseEnd belong to the
-// goroutine of its loop.
+// VRRPRouter takes part in VRRP for all groups of a gateway. All its state except the counters and each group's leaseEnd is owned
+// by the goroutine of its loop.
 type VRRPRouter struct {
 	settings Settings
 	clock    Clock
@@ -36,22 +37,22 @@
 	Counters Counters
 }
 
-// Counters count since the start of the router. They may be read from any goroutine.
+// Counters holds the router's counters since its start. They may be read from any goroutine.
 type Counters struct {
 	Sent, SendFailed, Received, Announced, Activations, StartAdvanced atomic.Int64
 	Dropped                                                           [sealed.FaultCount]atomic.Int64
 	Deactivations                                                     [vrrp.CauseCount]atomic.Int64 // by cause
 }
 
-// group is a Group with its machine.
+// group is a Group with its VRRP state machine.
 type group struct {
 	Group
 	machine  vrrp.Machine
-	leaseEnd atomic.Int64 // until when requests may be taken, in clock.Micros; 0: not active
+	leaseEnd atomic.Int64 // time until which requests may be accepted, in clock.Micros; 0: not active
 }
 
-// Start binds the socket and starts every group. Close ends the goroutine that it starts. start is the system clock's time in
-// microseconds of Unix time; it only tells this incarnation of the gateway from the others.
+// Start binds the socket and starts every group on a new goroutine, which Close ends. start is the system clock's time in
+// microseconds of Unix time; it serves only to distinguish this incarnation of the gateway from earlier and later ones.
 func Start(s Settings, clock Clock, start uint64, address AddressHandler, health func() vrrp.Health, log zerolog.Logger) (
 	*VRRPRouter, error,
 ) {
@@ -70,18 +71,18 @@
 	return router, nil
 }
 
-// Addr is the address that the socket is bound to.
+// Addr returns the address that the socket is bound to.
 func (r *VRRPRouter) Addr() netip.AddrPort { return r.loop.Addr() }
 
-// SocketErrors counts errors of the socket that came instead of a datagram.
+// SocketErrors returns how many reads from the socket returned an error instead of a datagram.
 func (r *VRRPRouter) SocketErrors() int64 { return r.loop.SocketErrors.Load() }
 
-// runOnLoop runs a function on the router's goroutine and waits for it. It returns false where the router is closed and the
-// function did not run.
+// runOnLoop runs a function on the router's goroutine and waits until it returns. If the router is closed, runOnLoop returns
+// false and does not run the function.
 func (r *VRRPRouter) runOnLoop(do func()) bool { return r.loop.Do(do) }
 
-// Reload takes over new peers, keys, announcement targets and the machines' settings. Groups are matched by name; their names,
-// addresses and listeners stay.
+// Reload applies new peers, keys, announcement targets and settings of the machines. Groups are matched by name; their names,
+// addresses and listeners do not change.
 func (r *VRRPRouter) Reload(next Settings) {
 	r.runOnLoop(func() {
 		next.Node, next.Bind = r.settings.Node, r.settings.Bind
@@ -103,7 +104,7 @@
 	})
 }
 
-// Shutdown releases every address at once. Groups with KeepUntilTakenOver are left out unless everyGroup is set.
+// Shutdown releases the addresses at once. Groups with KeepUntilTakenOver are skipped unless everyGroup is set.
 func (r *VRRPRouter) Shutdown(everyGroup bool) {
 	r.runOnLoop(func() {
 		for _, g := range r.groups {
@@ -114,7 +115,7 @@
 	})
 }
 
-// Startup has every group that was shut down take part again.
+// Startup makes every group that was shut down take part in VRRP again.
 func (r *VRRPRouter) Startup() {
 	r.runOnLoop(func() {
 		for _, g := range r.groups {
@@ -123,11 +124,11 @@
 	})
 }
 
-// Close releases what is still held, ends the router's goroutine and closes the socket.
+// Close releases all addresses that are still held, ends the router's goroutine and closes the socket.
 func (r *VRRPRouter) Close() {
 	r.Shutdown(true)
 	r.loop.Close()
 }
 
-// Stall blocks the router's goroutine for a duration. It is for tests of a stalled process.
+// Stall blocks the router's goroutine for a duration. Tests use it to simulate a stalled process.
 func (r *VRRPRouter) Stall(duration time.Duration) { r.runOnLoop(func() { time.Sleep(duration) }) }
--- a/internal/floatingip/router_test.go
+++ b/internal/floatingip/router_test.go
@@ -25,7 +25,7 @@
 	newKey = codec.Key{Number: 2, Secret: []byte("the new secret of the pair")}
 )
 
-// fakeAddressHandler takes the place of the program.
+// fakeAddressHandler is an AddressHandler that counts its calls.
 type fakeAddressHandler struct {
 	mu          sync.Mutex
 	activated   int
@@ -57,16 +57,16 @@
 	return h.activated > h.deactivated
 }
 
-func eventually(t *testing.T, what string, condition func() bool) {
+func eventually(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal(what)
+			t.Fatal(failure)
 		}
 	}
 }
 
-// pair is two routers with a path between them.
+// pair is two routers that are connected by a fake network path.
 type pair struct {
 	t        *testing.T
 	path     *fake.Path
@@ -129,62 +129,64 @@
 	}
 }
 
-func (p *pair) settles(who int) {
+// awaitActive waits until one router, and not the other, is active.
+func (p *pair) awaitActive(router int) {
 	p.t.Helper()
-	eventually(p.t, "the wrong router is active", func() bool { return p.handlers[who].active() && !p.handlers[1-who].active() })
+	eventually(p.t, "the wrong router is active", func() bool { return p.handlers[router].active() && !p.handlers[1-router].active() })
 }
 
-// The system clock of a gateway is set back while it is down. Its peer, to which its messages are older than those of its
-// earlier incarnation, tells it the later start, and accepts its messages again.
+// The system clock of a gateway is set back while the gateway is down. After the restart its messages look older to its peer than
+// those of its earlier incarnation, so the peer drops them as replays. The peer's advertisements carry the later start; the
+// gateway advances its own start past it, and the peer then accepts its messages again.
 func TestClockSetBack(t *testing.T) {
 	p := newPair(t)
 	p.start(0, p.settings(0, 200, oldKey), 5_000_000)
 	p.start(1, p.settings(1, 100, oldKey), 5_000_000)
-	p.settles(0)
+	p.awaitActive(0)
 	p.routers[0].Close()
-	p.settles(1)
+	p.awaitActive(1)
 	p.start(0, p.settings(0, 200, oldKey), 1_000_000)
-	p.settles(0)
+	p.awaitActive(0)
 	if n := p.routers[0].Counters.StartAdvanced.Load(); n != 1 {
-		t.Errorf("moved %d times", n)
+		t.Errorf("the start was advanced %d times, want 1", n)
 	}
 	sent := p.routers[1].Counters.Sent.Load()
-	eventually(t, "no more advertisements of the active router", func() bool { return p.path.Delivered(0, 1) > 50 })
+	eventually(t, "the active router has sent too few advertisements", func() bool { return p.path.Delivered(0, 1) > 50 })
 	if n := p.routers[1].Counters.Sent.Load(); n != sent || !p.handlers[0].active() {
-		t.Errorf("the backup has sent %d messages", n-sent)
+		t.Errorf("the backup sent %d messages, or the active router released the address", n-sent)
 	}
 }
 
-// Keys change while both run: the new one is known to all, then used, then the old one is removed. The active router stays
-// the same throughout.
+// The keys change while both routers run: first both accept the new key, then both sign with it, then the old key is removed. The
+// same router stays active throughout.
 func TestKeysChangeInService(t *testing.T) {
 	p := newPair(t)
 	p.start(0, p.settings(0, 200, oldKey), 1)
 	p.start(1, p.settings(1, 100, oldKey), 1)
-	p.settles(0)
+	p.awaitActive(0)
 	for _, keys := range [][]codec.Key{{oldKey, newKey}, {newKey, oldKey}, {newKey}} {
 		for i, priority := range []uint8{200, 100} {
 			p.routers[i].Reload(p.settings(i, priority, keys...))
 		}
 		n := p.path.Delivered(0, 1)
-		eventually(t, "the active router sends nothing", func() bool { return p.path.Delivered(0, 1) > n+10 })
+		eventually(t, "the active router sends no advertisements", func() bool { return p.path.Delivered(0, 1) > n+10 })
 	}
 	if p.handlers[0].activated != 1 || p.handlers[1].activated != 0 {
-		t.Errorf("taken %d and %d times", p.handlers[0].activated, p.handlers[1].activated)
+		t.Errorf("the routers activated the address %d and %d times, want 1 and 0", p.handlers[0].activated, p.handlers[1].activated)
 	}
-	// A gateway that was forgotten is a stranger from now on.
+	// A gateway that still signs with the old key is not accepted any more.
 	p.routers[1].Reload(p.settings(1, 100, oldKey))
-	eventually(t, "a message with a key that is gone counts", func() bool {
+	eventually(t, "messages signed with an unknown key are not dropped", func() bool {
 		return p.routers[1].Counters.Dropped[sealed.UnknownKey].Load() > 0 && p.handlers[1].active()
 	})
 }
 
-// Messages from strangers and replays change nothing, and each is counted under its fault.
-func TestStrangersAndReplays(t *testing.T) {
+// Messages that are invalid, not from a peer, or replayed change nothing, and each is counted under its fault.
+func TestInvalidMessagesAndReplays(t *testing.T) {
 	p := newPair(t)
 	s0 := p.settings(0, 200, oldKey)
 	p.start(1, p.settings(1, 100, oldKey), 1)
-	eventually(t, "it does not take the address", func() bool { return p.handlers[1].active() })
+	eventually(t, "the router did not activate the address", func() bool { return p.handlers[1].active() })
 	message := func(change func(*codec.Message)) []byte {
 		m := codec.Message{
 			VRID: 9, Priority: 250, Interval: interval, Addresses: s0.Groups[0].Addresses,
@@ -216,27 +218,27 @@
 			c.b[0] = 0x21
 		}
 		p.path.Inject(0, 1, c.b)
-		eventually(t, "not counted: "+c.fault.Name(), func() bool { return counts.Dropped[c.fault].Load() == before+1 })
+		eventually(t, "not counted under its fault: "+c.fault.Name(), func() bool { return counts.Dropped[c.fault].Load() == before+1 })
 	}
-	stranger, err := net.DialUDP("udp4", nil, p.ends[1])
+	unknownSender, err := net.DialUDP("udp4", nil, p.ends[1])
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer stranger.Close()
-	stranger.Write(message(func(m *codec.Message) { m.Sequence = 9 }))
-	eventually(t, "a stranger is not counted", func() bool { return counts.Dropped[sealed.WrongSource].Load() == 1 })
+	defer unknownSender.Close()
+	unknownSender.Write(message(func(m *codec.Message) { m.Sequence = 9 }))
+	eventually(t, "a message from an unknown address is not counted", func() bool { return counts.Dropped[sealed.WrongSource].Load() == 1 })
 	if !p.handlers[1].active() || p.handlers[1].activated != 1 {
-		t.Error("one of these messages moved the address")
+		t.Error("an invalid message changed which router is active")
 	}
-	good := message(func(m *codec.Message) { m.Sequence = 10 })
-	p.path.Inject(0, 1, good)
-	eventually(t, "a good one does nothing", func() bool { return !p.handlers[1].active() })
+	valid := message(func(m *codec.Message) { m.Sequence = 10 })
+	p.path.Inject(0, 1, valid)
+	eventually(t, "a valid advertisement of higher priority does not end the activation", func() bool { return !p.handlers[1].active() })
 	before := counts.Dropped[sealed.Replayed].Load()
-	p.path.Inject(0, 1, good)
+	p.path.Inject(0, 1, valid)
 	eventually(t, "a replay is not counted", func() bool { return counts.Dropped[sealed.Replayed].Load() == before+1 })
 }
 
-// A gateway that cannot open the listener releases the address to the other one.
+// A gateway that cannot open the floating listener leaves the address to the other gateway.
 func TestListenerFails(t *testing.T) {
 	p := newPair(t)
 	s := p.settings(0, 200, oldKey)
@@ -246,31 +248,31 @@
 	p.handlers[0].fail = errors.New("in use")
 	p.handlers[0].mu.Unlock()
 	p.start(1, p.settings(1, 100, oldKey), 1)
-	eventually(t, "nobody takes over", func() bool { return p.handlers[1].active() })
-	eventually(t, "the other one is not followed", func() bool {
+	eventually(t, "the other router does not take over", func() bool { return p.handlers[1].active() })
+	eventually(t, "the failed router does not become a backup of the other one", func() bool {
 		st := p.routers[0].Status()[0]
 		return st.State == "backup" && st.PreemptBlockedMS > 0 && st.ActiveRouter == "127.0.0.3"
 	})
 	if p.handlers[0].gate != nil {
-		t.Error("it was taken all the same")
+		t.Error("the address was activated although the listener failed")
 	}
 }
 
 func TestStatusAndGate(t *testing.T) {
 	p := newPair(t)
 	p.start(0, p.settings(0, 200, oldKey), 1)
-	eventually(t, "it does not take the address", func() bool { return p.handlers[0].active() && p.handlers[0].gate() })
+	eventually(t, "the router did not activate the address", func() bool { return p.handlers[0].active() && p.handlers[0].gate() })
 	st := p.routers[0].Status()
 	if len(st) != 1 || st[0].State != "active" || st[0].Activation != 1 || st[0].Priority != 200 || strings.Join(st[0].Addresses, "") != "192.0.2.10" {
 		t.Errorf("%+v", st)
 	}
 	p.routers[0].Shutdown(false)
 	if p.handlers[0].gate() || p.handlers[0].active() {
-		t.Error("it still takes work")
+		t.Error("requests are still accepted after the shutdown")
 	}
 	p.routers[0].Close()
 	if p.routers[0].Status() != nil {
-		t.Error("a closed router answers")
+		t.Error("a closed router returns a status")
 	}
 	p.routers[0] = nil
 }
--- a/internal/floatingip/send.go
+++ b/internal/floatingip/send.go
@@ -22,7 +22,8 @@
 	}
 }
 
-// announce sends an announcement of the group's addresses to everyone who directs connections to them.
+// announce sends an announcement of the group's addresses to every announcement target, which then directs connections for these
+// addresses here.
 func (r *VRRPRouter) announce(g *group) {
 	for _, to := range r.settings.AnnounceTo {
 		o := r.replayGuard.NextID()
@@ -34,7 +35,7 @@
 	}
 }
 
-// send writes one datagram, unless encoding it failed, and counts the outcome.
+// send sends one datagram and counts the outcome. err is the error of encoding the datagram, which also counts as a failed send.
 func (r *VRRPRouter) send(b []byte, err error, to netip.AddrPort, sent *atomic.Int64) {
 	if err == nil {
 		err = r.loop.Send(b, to)
--- a/internal/floatingip/settings.go
+++ b/internal/floatingip/settings.go
@@ -9,17 +9,17 @@
 	"marblespan/internal/vrrp"
 )
 
-// AddressHandler is what the program does when an address is won or lost. Both methods run on the router's goroutine and must
-// not wait for clients.
+// AddressHandler is implemented by the program to act when this gateway becomes active for a floating address or stops being so.
+// Both methods run on the router's goroutine and must not wait for clients.
 type AddressHandler interface {
-	// Activate opens the listener of a group. gate tells, at any time and on any goroutine, whether the activation may
-	// still take requests.
+	// Activate opens the listener of a group. gate reports whether the activation may still accept requests; it may be called
+	// at any time and on any goroutine.
 	Activate(group string, listen netip.AddrPort, gate func() bool) error
-	// Deactivate closes the listener. Requests already taken are answered before their clients are closed.
+	// Deactivate closes the listener. Requests that were already accepted are answered before their clients are closed.
 	Deactivate(group string)
 }
 
-// Peer is another gateway that takes part.
+// Peer is another gateway that takes part in VRRP for the same addresses.
 type Peer struct {
 	Node    uint8
 	Address netip.AddrPort
@@ -31,21 +31,23 @@
 	Addresses []netip.Addr
 	Listen    netip.AddrPort
 	Machine   vrrp.Config
-	// KeepUntilTakenOver: a gateway that is shutting down keeps the address, at its lowered priority, until a peer takes it.
+	// KeepUntilTakenOver makes a gateway that is shutting down keep the address, at its lowered priority, until a peer takes it
+	// over.
 	KeepUntilTakenOver bool
 }
 
-// Settings are the operators' settings. A reload may change all but Node, Bind and each group's name, addresses and listener.
+// Settings are the operators' settings. A reload may change all of them except Node, Bind and each group's name, addresses and
+// listener.
 type Settings struct {
 	Node       uint8
 	Bind       netip.AddrPort
 	Peers      []Peer
-	Keys       []codec.Key // the first one signs
+	Keys       []codec.Key // the first one signs; all are accepted
 	AnnounceTo []netip.AddrPort
 	Groups     []Group
 }
 
-// Clock is a clock that never steps back. Time converts one of its times.
+// Clock is a monotonic clock. Now returns its current time, and Time converts one of its times to a time.Time.
 type Clock struct {
 	Now  func() clock.Micros
 	Time func(clock.Micros) time.Time
--- a/internal/floatingip/status.go
+++ b/internal/floatingip/status.go
@@ -4,7 +4,7 @@
 	"marblespan/internal/vrrp"
 )
 
-// Status is the state of one group, as `marblespan vrrp status` shows it. The JSON keys are read by operators.
+// Status is the state of one group, as `marblespan vrrp status` shows it. Operators' tools read the JSON keys.
 type Status struct {
 	Group              string   `json:"group"`
 	VRID               uint8    `json:"vrid"`
