--- a/internal/gateway/client_test.go
+++ b/internal/gateway/client_test.go
@@ -627,7 +627,7 @@
 }
 
 // Nor does it wait for clients that go on connecting and say nothing.
-func TestStopDoesNotWaitForACrowd(t *testing.T) {
+func TestStopDoesNotWaitForNewConnections(t *testing.T) {
 	w := newTestGateway(t, nil)
 	w.expectAnswer(w.dial(), readQuery("a"), "value of a", "")
 	stopped, crowd := make(chan struct{}), make(chan struct{})
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// answerQuestion answers a question on the control socket. The questions' words are what gateways and commands of different versions
-// say to each other, and stay.
+// answerQuestion answers a question on the control socket. The wording of the questions must not change, because commands of
+// other versions send them to this gateway.
 func (g *Gateway) answerQuestion(question string) (any, error) {
 	switch question {
 	case "vrrp status":
--- a/internal/gateway/control_test.go
+++ b/internal/gateway/control_test.go
@@ -41,36 +41,36 @@
 	}
 }
 
-// storeDouble answers for a store, and notes what it was told. The methods that it lacks are not called.
-type storeDouble struct {
+// fakeStore answers for a store, and notes what it was told. The methods that it lacks are not called.
+type fakeStore struct {
 	Store
 	told string
 }
 
-func (s *storeDouble) Status() StateStoreStatus { return StateStoreStatus{Node: "gw-1"} }
+func (s *fakeStore) Status() StateStoreStatus { return StateStoreStatus{Node: "gw-1"} }
 
-func (s *storeDouble) Bootstrap(shards, copies int, first bool) error {
+func (s *fakeStore) Bootstrap(shards, copies int, first bool) error {
 	s.told = fmt.Sprintf("found %d shards, %d copies, first %v", shards, copies, first)
 	return nil
 }
 
-func (s *storeDouble) RemoveStore(node string) error {
+func (s *fakeStore) RemoveStore(node string) error {
 	s.told = "gone " + node
 	return nil
 }
 
-func (s *storeDouble) ResetShard(shard uint32) error {
+func (s *fakeStore) ResetShard(shard uint32) error {
 	s.told = fmt.Sprint("anew ", shard)
 	return errors.New("the ledger is led elsewhere")
 }
 
-func (s *storeDouble) RunMaintenanceCommand(c maintenance.Command, _ time.Time) (string, error) {
+func (s *fakeStore) RunMaintenanceCommand(c maintenance.Command, _ time.Time) (string, error) {
 	s.told = fmt.Sprintf("verb %d by %s", c.Verb, c.RequestedBy)
 	return "it is so", nil
 }
 
 // Listing has a machine in each state, and one that is overdue.
-func (s *storeDouble) MaintenanceListing(time.Time) (maintenance.Listing, error) {
+func (s *fakeStore) MaintenanceListing(time.Time) (maintenance.Listing, error) {
 	order := &maintenance.Order{Paused: true}
 	for state := range maintenance.States {
 		order.Machines = append(order.Machines, maintenance.Machine{
@@ -82,9 +82,9 @@
 }
 
 // deskDouble has a booking in each state in hand. The methods that it lacks are not called.
-type resolverDouble struct{ intents.Resolver }
+type fakeResolver struct{ intents.Resolver }
 
-func (resolverDouble) InFlight() (all []indoubt.InFlightWrite) {
+func (fakeResolver) InFlight() (all []indoubt.InFlightWrite) {
 	for state := range indoubt.States {
 		all = append(all, indoubt.InFlightWrite{
 			Key: "0123456789abcdef", RequestID: "r-1", Class: "order", Phase: "claiming", Age: 5000,
@@ -94,14 +94,14 @@
 	return all
 }
 
-func (resolverDouble) TransitionCount(n indoubt.Transition) int64 { return int64(n) + 1 }
+func (fakeResolver) TransitionCount(n indoubt.Transition) int64 { return int64(n) + 1 }
 
 // Each question on the control socket is known, and is answered as it always was, by a gateway with all sections but those
 // that need sockets and by one with none. Questions that cannot be understood are answered as ever too.
 func TestQuestionsGolden(t *testing.T) {
-	store := &storeDouble{}
+	store := &fakeStore{}
 	whole := &Gateway{
-		store: store, intents: resolverDouble{}, maintenance: &maintenanceAgent{},
+		store: store, intents: fakeResolver{}, maintenance: &maintenanceAgent{},
 		operators: &config.Operators{
 			Members: &config.Members{Node: "gw-1"}, StateStore: &config.StateStore{Shards: 16, Voters: 3}, Maintenance: &config.Maintenance{DefaultDuration: 20 * time.Minute},
 		},
--- a/internal/gateway/counters.go
+++ b/internal/gateway/counters.go
@@ -8,14 +8,14 @@
 	"marblespan/internal/transport"
 )
 
-// LogCounters logs all counters: a line for each class, one for each way in which connections ended, one for the gateway as a
-// whole, and those of the sections that are switched on.
+// LogCounters logs all counters: one line for each class, one for each kind of peer and reason of ended connections, one for the
+// whole gateway, those of the routing core, and those of the sections that are enabled in the operators' file.
 func (g *Gateway) LogCounters() {
 	g.owner.Call(g.logRoutingCounters)
 	g.logConnectionCounters()
 }
 
-// logConnectionCounters logs what is counted outside the routing owner.
+// logConnectionCounters logs all counters that are kept outside the routing core.
 func (g *Gateway) logConnectionCounters() {
 	g.connectionEnds.Each(func(party string, reason transport.Reason, n int64) {
 		g.log.Info().Str("party", party).Stringer("reason", reason).Int64("ended", n).Msg("connections ended")
@@ -31,7 +31,7 @@
 	g.logIntentCounters()
 }
 
-// logRoutingCounters logs what the routing core counts. It runs on the owner's goroutine.
+// logRoutingCounters logs the routing core's counters. It runs on the routing owner's goroutine.
 func (g *Gateway) logRoutingCounters(c *routing.Core) {
 	n := &c.Counts
 	for i, name := range n.ClassNames {
@@ -54,7 +54,7 @@
 		Int64("class_changed", n.ClassChanged).Int64("not_current", n.StaleAnswers).Int64("settings_reloads", n.Reloads).Msg("endpoint lists")
 }
 
-// addCounts adds a field for each name to a log line.
+// addCounts adds a field for each name and its count to a log line.
 func addCounts(line *zerolog.Event, names []string, counts []int64) *zerolog.Event {
 	for i, name := range names {
 		line = line.Int64(name, counts[i])
--- a/internal/gateway/draining_test.go
+++ b/internal/gateway/draining_test.go
@@ -12,8 +12,8 @@
 	"marblespan/internal/fake"
 )
 
-// ways are the ways in which a client leaves.
-var ways = map[string]func(*net.TCPConn){
+// disconnectKinds are the disconnectKinds in which a client leaves.
+var disconnectKinds = map[string]func(*net.TCPConn){
 	"closed":      func(c *net.TCPConn) { c.Close() },
 	"half closed": func(c *net.TCPConn) { c.CloseWrite() },
 	"reset":       func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
@@ -31,7 +31,7 @@
 // A request whose client has left is not sent on, wherever it is by then: waiting in the queue, or between two attempts.
 // Fails where Gone does not end the request in the module (Dropped).
 func TestClientLeavesBeforeAnAttempt(t *testing.T) {
-	for name, leave := range ways {
+	for name, leave := range disconnectKinds {
 		t.Run(name, func(t *testing.T) {
 			w := newTestGateway(t, nil)
 			w.replica.SetQueryHandler(func(q *fake.Query) { q.ReplyError("25006") })
@@ -56,9 +56,9 @@
 	}
 }
 
-// askWithSlowPrimary is a gateway that has been asked to write x, and the primary's end of the connection for it, which has not
+// writeToConnectingPrimary is a gateway that has been asked to write x, and the primary's end of the connection for it, which has not
 // come up: the start-up is read, and not answered.
-func askWithSlowPrimary(t *testing.T) (*testGateway, *clientConn, net.Conn) {
+func writeToConnectingPrimary(t *testing.T) (*testGateway, *clientConn, net.Conn) {
 	t.Helper()
 	primary := must2(net.Listen("tcp", "127.0.0.1:0"))
 	t.Cleanup(func() { primary.Close() })
@@ -86,9 +86,9 @@
 // Likewise while a connection to a server is coming up: nothing is written on it once it has. Fails where a cancel does
 // not reach a link that is connecting.
 func TestClientLeavesWhileAConnectionComesUp(t *testing.T) {
-	for name, leave := range ways {
+	for name, leave := range disconnectKinds {
 		t.Run(name, func(t *testing.T) {
-			w, c, server := askWithSlowPrimary(t)
+			w, c, server := writeToConnectingPrimary(t)
 			leave(c.Conn.(*net.TCPConn))
 			w.expectDisconnects(1, 1)
 			server.Write([]byte{'R', 0, 0, 0, 8, 0, 0, 0, 0, 'Z', 0, 0, 0, 5, 'I'})
@@ -101,7 +101,7 @@
 
 // Likewise behind others of the same connection, more of them than are asked at once.
 func TestClientLeavesInAPipeline(t *testing.T) {
-	for name, leave := range ways {
+	for name, leave := range disconnectKinds {
 		t.Run(name, func(t *testing.T) {
 			w := newTestGateway(t, nil)
 			hold, arrived, release := blockingHandler(t)
--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -18,9 +18,9 @@
 	knownAfterReload = 4 * time.Second // from a SIGHUP that moves discovery
 )
 
-// askPauses are the longest pauses that the module makes before the first ask after a watch that stood, and before any
+// longestWatchDelays are the longest pauses that the module makes before the first ask after a watch that stood, and before any
 // other, by these settings.
-func askPauses(facts *settings.Snapshot) (first, any time.Duration) {
+func longestWatchDelays(facts *settings.Snapshot) (first, any time.Duration) {
 	const seeds, askings = 200, 10
 	start := clock.Micros(1_767_225_600_000_000)
 	for seed := uint64(1); seed <= seeds; seed++ {
@@ -66,7 +66,7 @@
 			for i := range w.InForce.Settings.Classes {
 				w.InForce.Settings.Classes[i].LatencyObjective = aim
 			}
-			first, any := askPauses(w.InForce)
+			first, any := longestWatchDelays(w.InForce)
 			for name, path := range map[string]struct{ sum, most time.Duration }{
 				// The watch fell silent right behind a line; the next call is answered in the last moment.
 				"silent watch": {limits.Silence + first + call, knownAfterReach},
--- a/internal/gateway/floatingip.go
+++ b/internal/gateway/floatingip.go
@@ -18,66 +18,67 @@
 	"marblespan/internal/vrrp"
 )
 
-// healthInterval is how often the routing owner is asked for the gateway's health. After healthTTL without its answer the
-// gateway counts as not ready: an owner that hangs serves nobody.
+// healthInterval is how often the gateway's health is sampled from the routing owner. A sample older than healthTTL makes the
+// gateway count as not ready, because no request is served while the owner hangs.
 const (
 	healthInterval = 50 * time.Millisecond
 	healthTTL      = time.Second
 )
 
-// groupInUseFor is for how long after its last request a replication group counts as in use.
+// groupInUseFor is how long a replication group counts as in use after its last request.
 const groupInUseFor = clock.Micros(30 * time.Second / time.Microsecond)
 
-// minReadyBuffer is how many bytes must fit the messages' budget before the gateway is ready: a request and its answer.
+// minReadyBuffer is how many bytes must be free in the message buffers for the gateway to be ready: enough for a request and its
+// answer.
 const minReadyBuffer = 4 * transport.BufferSize
 
-// floatingAddresses is the gateway's part in floating addresses: the VRRP speaker, and what is served under each activation. A
-// nil one is a gateway without. Its health poll runs on a goroutine of its own, which close ends.
+// floatingAddresses runs the gateway's floating addresses: the VRRP router, and the listener and clients of each activation. It
+// is nil in a gateway without floating addresses. Its health poll runs on a goroutine of its own, which close ends.
 type floatingAddresses struct {
 	g           *Gateway
-	speaker     *floatingip.VRRPRouter
+	router      *floatingip.VRRPRouter
 	counts      session.ClientCounts
-	health      atomic.Pointer[healthSeen]
+	health      atomic.Pointer[healthSample]
 	stopping    atomic.Bool
-	releasedAll atomic.Bool                    // every address is released
-	groups      atomic.Pointer[[]config.Group] // in force
+	releasedAll atomic.Bool                    // the last releaseAll released every address
+	groups      atomic.Pointer[[]config.Group] // in force; a reload replaces them
 	quit        chan struct{}
 	polling     sync.WaitGroup
 
 	mu          sync.Mutex
-	activations map[*activation]struct{}
-	holding     map[string]*activation // by group
+	activations map[*activation]struct{} // all that still have clients or an open listener
+	current     map[string]*activation   // by group: the activations of addresses that this gateway holds
 }
 
-// healthSeen is the gateway's health, and when the routing owner told it.
-type healthSeen struct {
+// healthSample is the gateway's health, and when it was sampled from the routing owner.
+type healthSample struct {
 	vrrp.Health
 	at time.Time
 }
 
-// activation is one span of time in which this gateway is active for a floating address (Active Router, RFC 9568). Each has
-// its own listener and its own clients, so that winning the address back while requests of the last activation are still in
-// flight is no special case.
+// activation is one period in which this gateway is the Active Router (RFC 9568) of a floating address. Each activation has its
+// own listener and clients, so that the gateway can regain the address, without special handling, while requests of an earlier
+// activation are still in flight.
 type activation struct {
-	clients  *session.Clients
-	listener *transport.Listener
-	freed    chan struct{} // its listener is closed
-	ending   atomic.Bool   // nothing new is taken
+	clients        *session.Clients
+	listener       *transport.Listener
+	listenerClosed chan struct{} // closed once the listener is closed and accepts nothing more
+	rejectsNew     atomic.Bool   // new requests are rejected, because the address is about to be released
 }
 
-// startFloating binds the speaker's socket and begins to take part.
+// startFloating starts the VRRP router, which binds its socket, and the health poll.
 func startFloating(g *Gateway) (*floatingAddresses, error) {
 	f := &floatingAddresses{
-		g: g, quit: make(chan struct{}), activations: map[*activation]struct{}{}, holding: map[string]*activation{},
+		g: g, quit: make(chan struct{}), activations: map[*activation]struct{}{}, current: map[string]*activation{},
 	}
-	f.health.Store(&healthSeen{at: time.Now()})
+	f.health.Store(&healthSample{at: time.Now()})
 	f.groups.Store(&g.operators.Groups)
 	clock := floatingip.Clock{
 		Now:  func() clock.Micros { return clock.Micros(g.clock.Now()) },
 		Time: func(m clock.Micros) time.Time { return g.clock.Time(clock.Micros(m)) },
 	}
 	var err error
-	if f.speaker, err = floatingip.Start(speakerSettings(g.operators), clock, uint64(time.Now().UnixMicro()), f, f.currentHealth, g.log); err != nil {
+	if f.router, err = floatingip.Start(vrrpSettings(g.operators), clock, uint64(time.Now().UnixMicro()), f, f.currentHealth, g.log); err != nil {
 		return nil, err
 	}
 	g.descriptors.Reserve(1 + len(g.operators.Groups)) // the socket and the listeners
@@ -85,15 +86,15 @@
 	return f, nil
 }
 
-// speakerSettings translates the operators' settings into the speaker's.
-func speakerSettings(ops *config.Operators) floatingip.Settings {
+// vrrpSettings converts the operators' settings to those of the VRRP router.
+func vrrpSettings(ops *config.Operators) floatingip.Settings {
 	v := ops.VRRP
-	speaker := floatingip.Settings{Node: v.Node, Bind: v.Bind, AnnounceTo: v.Announce}
+	settings := floatingip.Settings{Node: v.Node, Bind: v.Bind, AnnounceTo: v.Announce}
 	for _, p := range v.Peers {
-		speaker.Peers = append(speaker.Peers, floatingip.Peer(p))
+		settings.Peers = append(settings.Peers, floatingip.Peer(p))
 	}
 	for _, k := range v.Keys {
-		speaker.Keys = append(speaker.Keys, codec.Key{Number: k.Number, Secret: []byte(k.Secret)})
+		settings.Keys = append(settings.Keys, codec.Key{Number: k.Number, Secret: []byte(k.Secret)})
 	}
 	for _, g := range ops.Groups {
 		m := vrrp.Config{
@@ -101,25 +102,26 @@
 			PreemptDelay: micros(g.PreemptDelay), LocalAddress: v.Bind.Addr(),
 			Damping: vrrp.Damping{Window: micros(g.Damping.Window), InitialDelay: micros(g.Damping.InitialHold), MaxDelay: micros(g.Damping.MaxHold)},
 		}
-		lingers := false
+		keepUntilTakenOver := false
 		for _, t := range g.Track {
 			for c, name := range vrrp.ConditionNames {
 				if name == t.Condition {
 					m.PrioritySteps[c] = t.Step
-					lingers = lingers || vrrp.Condition(c) == vrrp.Draining
+					keepUntilTakenOver = keepUntilTakenOver || vrrp.Condition(c) == vrrp.Draining
 				}
 			}
 		}
-		speaker.Groups = append(speaker.Groups, floatingip.Group{
-			Name: g.Name, Addresses: g.Addresses, Listen: g.Listen, Machine: m, KeepUntilTakenOver: lingers,
+		settings.Groups = append(settings.Groups, floatingip.Group{
+			Name: g.Name, Addresses: g.Addresses, Listen: g.Listen, Machine: m, KeepUntilTakenOver: keepUntilTakenOver,
 		})
 	}
-	return speaker
+	return settings
 }
 
 func micros(d time.Duration) clock.Micros { return clock.Micros(d / time.Microsecond) }
 
-// poll samples the health until quit is closed. The speaker must not wait for the routing owner, so it reads the last sample.
+// poll samples the health until quit is closed. The VRRP router reads only the last sample, because it must not wait for the
+// routing owner.
 func (f *floatingAddresses) poll() {
 	tick := time.NewTicker(healthInterval)
 	defer tick.Stop()
@@ -133,85 +135,85 @@
 	}
 }
 
-// sampleHealth asks the routing owner for the gateway's health and stores it.
+// sampleHealth reads the gateway's health from the routing owner and stores it. Once the owner has stopped it stores nothing.
 func (f *floatingAddresses) sampleHealth() {
-	seen := &healthSeen{}
+	sample := &healthSample{}
 	if !f.g.owner.Call(func(c *routing.Core) {
 		h := c.Health(groupInUseFor)
-		seen.Ready = c.Ready() && h.UsableServers > 0
-		seen.Conditions[vrrp.NoServer] = h.UsableServers == 0
-		seen.Conditions[vrrp.NoPrimary] = h.GroupsWithoutPrimary > 0
-		seen.Conditions[vrrp.DiscoverySilent] = h.ListFailing
+		sample.Ready = c.Ready() && h.UsableServers > 0
+		sample.Conditions[vrrp.NoServer] = h.UsableServers == 0
+		sample.Conditions[vrrp.NoPrimary] = h.GroupsWithoutPrimary > 0
+		sample.Conditions[vrrp.DiscoverySilent] = h.ListFailing
 	}) {
 		return
 	}
 	if f.g.buffers.Reserve(minReadyBuffer) {
 		f.g.buffers.Release(minReadyBuffer)
-	} else if f.holds() == 0 {
-		seen.Ready = false // a gateway that holds an address keeps it: busy is not broken
+	} else if f.activeCount() == 0 {
+		sample.Ready = false // a gateway that holds an address stays ready and keeps it: it is overloaded, not broken
 	}
-	seen.Conditions[vrrp.DescriptorsLow] = f.g.descriptors.NearLimit()
-	seen.at = time.Now()
-	f.health.Store(seen)
+	sample.Conditions[vrrp.DescriptorsLow] = f.g.descriptors.NearLimit()
+	sample.at = time.Now()
+	f.health.Store(sample)
 }
 
-// holds is how many floating addresses this gateway holds.
-func (f *floatingAddresses) holds() int {
+// activeCount returns for how many floating addresses this gateway is active.
+func (f *floatingAddresses) activeCount() int {
 	if f == nil {
 		return 0
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.holding)
+	return len(f.current)
 }
 
-// currentHealth is the gateway's health by the last sample, for the speaker. It does not block.
+// currentHealth returns the gateway's health according to the last sample, for the VRRP router. It does not block.
 func (f *floatingAddresses) currentHealth() vrrp.Health {
-	seen := f.health.Load()
-	h := seen.Health
-	h.Ready = h.Ready && time.Since(seen.at) < healthTTL && f.g.maintenance.admits()
+	sample := f.health.Load()
+	h := sample.Health
+	h.Ready = h.Ready && time.Since(sample.at) < healthTTL && f.g.maintenance.admits()
 	h.Conditions[vrrp.Draining] = f.stopping.Load()
 	return h
 }
 
-// Activate opens the floating listener for a new activation. A listener of an earlier activation that is not closed yet is waited
-// for, a few milliseconds at most.
+// Activate opens the floating listener for a new activation. If an earlier activation's listener at the same address is not
+// closed yet, Activate waits for it, which takes a few milliseconds at most.
 func (f *floatingAddresses) Activate(group string, listen netip.AddrPort, gate func() bool) error {
 	f.mu.Lock()
-	var before []*activation
+	var earlier []*activation
 	for t := range f.activations {
-		before = append(before, t)
+		earlier = append(earlier, t)
 	}
 	f.mu.Unlock()
-	for _, t := range before {
+	for _, t := range earlier {
 		if t.listener.Addr() == listen.String() {
-			<-t.freed
+			<-t.listenerClosed
 		}
 	}
 	l, err := transport.Listen(listen.String(), f.g.buffers, f.g.descriptors)
 	if err != nil {
 		return err
 	}
-	t := &activation{listener: l, clients: f.g.newClients(&f.counts, f.g.clients.Limits), freed: make(chan struct{})}
+	t := &activation{listener: l, clients: f.g.newClients(&f.counts, f.g.clients.Limits), listenerClosed: make(chan struct{})}
 	admits := t.clients.MayAdmit
-	t.clients.MayAdmit = func() bool { return gate() && !t.ending.Load() && (admits == nil || admits()) }
+	t.clients.MayAdmit = func() bool { return gate() && !t.rejectsNew.Load() && (admits == nil || admits()) }
 	f.mu.Lock()
-	f.activations[t], f.holding[group] = struct{}{}, t
+	f.activations[t], f.current[group] = struct{}{}, t
 	f.mu.Unlock()
 	go func() {
 		l.Serve(t.clients.Serve)
-		close(t.freed)
+		close(t.listenerClosed)
 	}()
 	return nil
 }
 
-// Deactivate closes the floating listener. Requests that were taken are answered as in a shutdown: idle clients are closed so
-// that they connect again where the address is now, the others after their answers, and a client that has sent half a message
-// is not waited for.
+// Deactivate closes the floating listener. Requests that were accepted are answered as in a shutdown: idle clients are closed, so
+// that they reconnect to the gateway that now holds the address, and the others are closed after their answers. For
+// the rest of a message that has arrived only in part, the gateway waits no longer than partialMessageGrace.
 func (f *floatingAddresses) Deactivate(group string) {
 	f.mu.Lock()
-	t := f.holding[group]
-	delete(f.holding, group)
+	t := f.current[group]
+	delete(f.current, group)
 	f.mu.Unlock()
 	if t == nil { // Activate never succeeded
 		return
@@ -219,62 +221,65 @@
 	t.listener.Close()
 	t.clients.Drain(transport.EndAddressMigrated)
 	go func() {
-		<-t.freed
+		<-t.listenerClosed
 		time.Sleep(partialMessageGrace)
 		t.clients.CutOff()
-		t.listener.Wait() // every request ends by its deadline at the latest
+		t.listener.Wait() // ends, because every request ends by its deadline at the latest
 		f.mu.Lock()
 		delete(f.activations, t)
 		f.mu.Unlock()
 	}()
 }
 
-// reload takes over what may change.
+// reload applies the operators' settings that may change while the gateway runs.
 func (f *floatingAddresses) reload(ops *config.Operators) {
 	if f != nil && ops.VRRP != nil {
 		f.groups.Store(&ops.Groups)
-		f.speaker.Reload(speakerSettings(ops))
+		f.router.Reload(vrrpSettings(ops))
 	}
 }
 
-// releaseAll releases every address; those that linger for a better holder only the last time.
+// releaseAll releases the addresses. Unless last is set, it leaves out those that are kept until a better gateway takes them
+// over.
 func (f *floatingAddresses) releaseAll(last bool) {
 	if f != nil {
 		f.stopping.Store(true)
 		f.releasedAll.Store(last)
 		f.quiesce(last)
-		f.speaker.Shutdown(last)
+		f.router.Shutdown(last)
 	}
 }
 
-// quiesce has the addresses that are about to be released take nothing new, and waits for what is in flight there: a network
-// that cuts flows when an address moves would leave it in doubt. Harm: meanwhile new requests are rejected unsent. An address
-// that lingers moves as soon as a better gateway hears of the drain; until then, or for its drain timeout, it takes nothing
-// new either, and serves on after that.
+// quiesce rejects new requests at the addresses that are about to be released and waits, up to their drain timeouts, until the
+// requests in flight there have ended. Otherwise a network that cuts connections when an address moves would leave those requests
+// in doubt. The cost is that new requests are rejected unsent in the meantime.
+//
+// An address that is kept until taken over moves as soon as a better gateway learns of the drain. It too rejects new requests,
+// but is not waited for: if it has not moved when its drain timeout is over, it accepts requests again.
 func (f *floatingAddresses) quiesce(last bool) {
-	var bound time.Duration
-	var ending []*activation
+	var timeout time.Duration
+	var releasing []*activation
 	f.mu.Lock()
 	for _, g := range *f.groups.Load() {
-		t := f.holding[g.Name]
+		t := f.current[g.Name]
 		if t == nil || g.DrainTimeout <= 0 {
 			continue
 		}
-		t.ending.Store(true)
+		t.rejectsNew.Store(true)
 		if last || !slices.ContainsFunc(g.Track, func(t config.Track) bool { return t.Condition == vrrp.ConditionNames[vrrp.Draining] }) {
-			ending, bound = append(ending, t), max(bound, g.DrainTimeout)
+			releasing, timeout = append(releasing, t), max(timeout, g.DrainTimeout)
 		} else {
-			time.AfterFunc(g.DrainTimeout, func() { t.ending.Store(f.releasedAll.Load()) })
+			time.AfterFunc(g.DrainTimeout, func() { t.rejectsNew.Store(f.releasedAll.Load()) })
 		}
 	}
 	f.mu.Unlock()
 	busy := func(t *activation) bool { return t.clients.Busy() > 0 }
-	for late := time.Now().Add(bound); slices.ContainsFunc(ending, busy) && time.Now().Before(late); {
+	for end := time.Now().Add(timeout); slices.ContainsFunc(releasing, busy) && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// open is how many clients are connected over floating addresses.
+// open returns how many clients are connected over floating addresses.
 func (f *floatingAddresses) open() (n int) {
 	if f == nil {
 		return 0
@@ -287,21 +292,21 @@
 	return n
 }
 
-// close ends the speaker and the health poll.
+// close closes the VRRP router and ends the health poll.
 func (f *floatingAddresses) close() {
 	if f != nil {
-		f.speaker.Close()
+		f.router.Close()
 		close(f.quit)
 		f.polling.Wait()
 	}
 }
 
-// status is how each address stands, for operators.
+// status returns the state of each floating address, for operators.
 func (f *floatingAddresses) status() []floatingip.Status {
 	if f == nil {
 		return []floatingip.Status{}
 	}
-	return f.speaker.Status()
+	return f.router.Status()
 }
 
 // logCounters logs the counters of floating addresses.
@@ -309,10 +314,10 @@
 	if f == nil {
 		return
 	}
-	c := &f.speaker.Counters
+	c := &f.router.Counters
 	line := f.g.log.Info().Int64("sent", c.Sent.Load()).Int64("send_failed", c.SendFailed.Load()).
 		Int64("received", c.Received.Load()).Int64("announced", c.Announced.Load()).Int64("tenures", c.Activations.Load()).
-		Int64("start_moved", c.StartAdvanced.Load()).Int64("socket_errors", f.speaker.SocketErrors()).Int64("moved_requests", f.counts.AddressMoved.Load()).Int("clients", f.open())
+		Int64("start_moved", c.StartAdvanced.Load()).Int64("socket_errors", f.router.SocketErrors()).Int64("moved_requests", f.counts.AddressMoved.Load()).Int("clients", f.open())
 	for fault := sealed.NoFault + 1; fault < sealed.FaultCount; fault++ {
 		if n := c.Dropped[fault].Load(); n > 0 {
 			line = line.Int64("dropped_"+fault.Name(), n)
--- a/internal/gateway/floatingip_test.go
+++ b/internal/gateway/floatingip_test.go
@@ -265,7 +265,7 @@
 		f.expectServed(20)
 		t.Logf("%s: %+v", c.name, f.ledger.Totals())
 	}
-	if n := &f.gateways[0].floating.speaker.Counters.Dropped; n[1].Load() == 0 {
+	if n := &f.gateways[0].floating.router.Counters.Dropped; n[1].Load() == 0 {
 		t.Error("no garbage was counted")
 	}
 }
@@ -296,7 +296,7 @@
 	f.expectServed(20)
 	f.gateways[0].Stop()
 	f.gateways[0] = nil
-	if _, _, held := f.holds(1); held || f.state(1) != "backup" {
+	if _, _, held := f.activations(1); held || f.state(1) != "backup" {
 		t.Fatalf("it is %s", f.state(1))
 	}
 	next := *f.gateways[1].cfg
@@ -306,15 +306,15 @@
 	f.expectServed(20)
 }
 
-// holds tells of a gateway's tenures: how many still serve, their clients, and whether it holds the address.
-func (f *gatewayFleet) holds(i int) (tenures, clients int, held bool) {
+// activations tells of a gateway's tenures: how many still serve, their clients, and whether it activations the address.
+func (f *gatewayFleet) activations(i int) (tenures, clients int, held bool) {
 	fl := f.gateways[i].floating
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	for t := range fl.activations {
 		clients += t.clients.Open()
 	}
-	return len(fl.activations), clients, len(fl.holding) > 0
+	return len(fl.activations), clients, len(fl.current) > 0
 }
 
 func (f *gatewayFleet) open(addr string) *clientConn {
@@ -359,8 +359,8 @@
 	f.awaitActive(0) // preempted, with the first tenure's booking still out
 	idle.Close()
 	half.Close()
-	eventually(t, func() bool { tenures, clients, held := f.holds(0); return tenures == 2 && clients == 1 && held },
-		func() string { return fmt.Sprint(f.holds(0)) })
+	eventually(t, func() bool { tenures, clients, held := f.activations(0); return tenures == 2 && clients == 1 && held },
+		func() string { return fmt.Sprint(f.activations(0)) })
 	second := f.open(f.floating[0])
 	second.Write(query(put("x3")))
 	<-arrived
@@ -374,7 +374,7 @@
 		c.readUntil('E') // sent away, now that it is idle
 		c.expectEnd()
 	}
-	eventually(t, func() bool { n, _, _ := f.holds(0); return n == 0 }, func() string { return "a tenure is left" })
+	eventually(t, func() bool { n, _, _ := f.activations(0); return n == 0 }, func() string { return "a tenure is left" })
 	for _, sql := range f.primary.Queries() {
 		if strings.Contains(sql, "id=x2") {
 			t.Error("half a request was taken for a whole one")
@@ -398,7 +398,7 @@
 	if kinds, bodies := c.readUntil('E'); !strings.Contains(bodies[0], "C53300\x00") && !strings.Contains(bodies[0], "C57P03\x00") {
 		t.Errorf("%s %q", kinds, bodies)
 	}
-	eventually(t, func() bool { _, _, held := f.holds(0); return held && f.state(0) == "active" }, func() string { return "the address is gone" })
+	eventually(t, func() bool { _, _, held := f.activations(0); return held && f.state(0) == "active" }, func() string { return "the address is gone" })
 	served := func() bool {
 		c := f.open(f.floating[0])
 		defer c.Close()
@@ -409,7 +409,7 @@
 	eventually(t, func() bool {
 		fl.mu.Lock()
 		defer fl.mu.Unlock()
-		return !fl.holding["counters"].ending.Load()
+		return !fl.current["counters"].rejectsNew.Load()
 	}, func() string { return "it takes nothing any more" })
 	if !served() {
 		t.Error("it does not serve on")
@@ -435,7 +435,7 @@
 	late := make(chan struct{}) // as if the clock had run on while the process stood still
 	go func() {
 		defer close(late)
-		f.gateways[0].floating.speaker.Stall(4 * fleetInterval)
+		f.gateways[0].floating.router.Stall(4 * fleetInterval)
 	}()
 	eventually(t, func() bool { return !gate() }, func() string { return "the gate stays open while the speaker stands still" })
 	c.Write(query(writeQuery("x1")))
@@ -448,7 +448,7 @@
 	}
 	f.expectLogged(0, `"cause":"stood_still"`)
 	f.awaitActive(0)
-	if m := vrrp.CauseStalled; fl.speaker.Counters.Deactivations[m].Load() == 0 {
+	if m := vrrp.CauseStalled; fl.router.Counters.Deactivations[m].Load() == 0 {
 		t.Error("not counted")
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,18 +1,19 @@
-// Package gateway is the gateway itself: it starts it, keeps it running and stops it. The programs' command line (internal/cli)
+// Package gateway builds a gateway from its parts, and starts, reloads and stops it. The programs' command line (internal/cli)
 // calls Run; tests call Start.
 //
 // The main decisions are in
 //
 //   - handleSignals: what each signal does;
-//   - Start (start.go): in which order the parts come up, and what the operators' file switches on;
+//   - Start (start.go): the order in which the parts start, and which parts the operators' file enables;
 //   - Gateway.Reload (reload.go): what may change while the gateway runs;
 //   - Gateway.Stop (stop.go): the steps of a graceful shutdown, and how long each may take;
-//   - Gateway.isReady and maintenanceAgent.admits (maintenance.go): whether anything new is admitted;
-//   - Gateway.answerQuestion (control.go): what operators may ask.
+//   - Gateway.isReady and maintenanceAgent.admits (maintenance.go): whether new clients and requests are admitted;
+//   - Gateway.answerQuestion (control.go): the questions that operators may ask on the control socket.
 //
-// A gateway has these goroutines: the routing owner's, which alone touches the routing core (g.owner.Call runs a function on it);
-// the listener's and those of the connections, which internal/session owns; with their sections of the operators' file the floating
-// addresses' health poll and the maintenance agent's loop. Gateway.end ends all of them and waits for them.
+// A gateway has these goroutines: the routing owner's, the only one that accesses the routing core (g.owner.Call runs a function
+// on it); the listener's and those of the connections, which internal/session owns; and, if the operators' file has the sections
+// for them, the floating addresses' health poll and the maintenance agent's loop. Gateway.end ends the goroutines that serve no
+// client and waits for them.
 package gateway
 
 import (
@@ -37,29 +38,30 @@
 	"marblespan/internal/transport"
 )
 
-// heapShare is the share of the memory limit that the garbage collector aims to stay under, in hundredths. The rest is left to
+// heapLimitPercent is the percentage of the memory limit that the garbage collector tries to stay under. The rest is left for
 // stacks and the kernel's accounting.
-const heapShare = 75
+const heapLimitPercent = 75
 
-// signalQueue is how many signals may wait while one is dealt with; the system folds further ones of a kind anyway.
-const signalQueue = 16
+// signalQueueSize is how many signals may be queued while one is handled. Further ones are dropped; the system
+// merges pending signals of one kind anyway.
+const signalQueueSize = 16
 
 // Gateway is one running gateway.
 type Gateway struct {
-	cfg         *config.Config    // as at the start; what may change meanwhile stands in inForce, settings and discovery
+	cfg         *config.Config    // as at the start; inForce, settings and discovery hold what a reload may change
 	operators   *config.Operators // as at the start
 	incarnation uint64            // microseconds of Unix time at the start
 
-	// What a reload changes.
+	// State that a reload changes.
 	reloadMutex sync.Mutex
 	inForce     *settings.Live
-	settings    map[string]any // those in force, as written
+	settings    map[string]any // the settings in force, as written in the configuration
 
 	log      zerolog.Logger
 	closeLog func()
 	clock    routing.Clock
 
-	// What serves clients, and what all of it shares.
+	// The parts that serve clients, and what they share.
 	owner          *routing.Owner
 	buffers        *transport.Buffers
 	descriptors    *transport.Descriptors
@@ -70,26 +72,26 @@
 	servers        *session.Servers
 	discovery      *session.Discovery
 
-	// What the operators' file switches on. Methods of nil pointers do nothing, so that callers need not ask.
+	// The parts that the operators' file enables. Methods of the pointer types do nothing on nil, so that callers need not check.
 	floating    *floatingAddresses // nil without a floating address
 	members     *members           // nil without a members section
 	store       Store              // nil without a state-store section
-	positions   *sessionPositions  // nil where no session's position is stored
+	positions   *sessionPositions  // nil unless session positions are stored
 	intents     intents.Resolver   // nil without an in-doubt section
 	maintenance *maintenanceAgent  // nil without a maintenance section
 	control     *control.Server    // nil without a control socket
 
-	ready    atomic.Bool // a request could be routed; stays true
+	ready    atomic.Bool // the routing core can route requests; once true, it stays true
 	stopping atomic.Bool
 }
 
-// Load reads both configurations, the platform's and the operators'.
+// Load is a function that reads both configurations, the platform's and the operators'.
 type Load func() (*config.Config, *config.Operators, error)
 
-// Run runs a gateway until SIGTERM or SIGINT, and returns when it has stopped. On SIGUSR1 it logs its counters, and on SIGHUP it
-// takes over what load reads, also while it stops: drains are still announced then.
+// Run runs a gateway until SIGTERM or SIGINT, and returns when it has stopped. On SIGUSR1 it logs its counters. On SIGHUP it
+// reloads the configurations with load, even while the gateway is stopping, because drains of servers are still announced then.
 func Run(load Load, out io.Writer) error {
-	signals := make(chan os.Signal, signalQueue)
+	signals := make(chan os.Signal, signalQueueSize)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
 	defer signal.Stop(signals)
 	cfg, ops, err := load()
@@ -97,7 +99,7 @@
 		return err
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Cores))))
-	debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * heapShare / 100)
+	debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * heapLimitPercent / 100)
 	g, err := Start(cfg, ops, out)
 	if err != nil {
 		return err
@@ -107,7 +109,7 @@
 	return nil
 }
 
-// handleSignals does what signals ask for until the gateway has stopped.
+// handleSignals handles signals until the gateway has stopped.
 func (g *Gateway) handleSignals(signals <-chan os.Signal, load Load) {
 	var stopped chan struct{} // nil until the first signal to stop; then closed when Stop returns
 	for {
@@ -133,10 +135,10 @@
 	}
 }
 
-// Addr is the address that clients connect to.
+// Addr returns the address that clients connect to.
 func (g *Gateway) Addr() string { return g.listener.Addr() }
 
-// isReady tells whether a request could be routed and is admitted.
+// isReady reports whether new requests are admitted and can be routed.
 func (g *Gateway) isReady() bool {
 	if !g.maintenance.admits() {
 		return false
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -313,7 +313,7 @@
 }
 
 // The idle connections to a process that has died are noticed: the next write opens a new one.
-func TestDeadIdleConnectionSwallowsNoWrite(t *testing.T) {
+func TestDeadIdleConnectionLosesNoWrite(t *testing.T) {
 	w := newTestGateway(t, nil)
 	c := w.dial()
 	for i := range 20 {
--- a/internal/gateway/intents.go
+++ b/internal/gateway/intents.go
@@ -9,11 +9,12 @@
 	"marblespan/internal/intents"
 )
 
-// OpenIntents makes the resolver of in-doubt writes. It is set before the gateway starts, by the program that has a state
-// store (internal/raftgateway).
+// OpenIntents creates the resolver of in-doubt writes. A program with a state store (internal/raftgateway) sets it before the
+// gateway starts; in other programs it is nil.
 var OpenIntents func(intents.Settings) intents.Resolver
 
-// newIntents makes the resolver where the operators' file has in-doubt sections; nil: there are none.
+// newIntents creates the resolver of in-doubt writes. It returns nil if the operators' file has no in-doubt section or
+// OpenIntents is not set.
 func newIntents(g *Gateway) intents.Resolver {
 	if len(g.operators.InDoubt) == 0 || OpenIntents == nil {
 		return nil
@@ -41,27 +42,27 @@
 	return OpenIntents(s)
 }
 
-// IntentsStatus is the in-doubt writes that a gateway has in flight, as operators read them.
+// IntentsStatus lists the in-doubt writes that a gateway has in flight, for operators.
 type IntentsStatus struct {
 	Node   string           `json:"node"`
 	Open   []Intent         `json:"open"`
-	Counts map[string]int64 `json:"counts"` // since the start, by transition
+	Counts map[string]int64 `json:"counts"` // by transition, since the gateway's start
 }
 
 // Intent is one in-doubt write in flight.
 type Intent struct {
-	Booking string `json:"booking"` // its key, shortened, as in the logs of all gateways
+	Booking string `json:"booking"` // its shortened key, the same as in the logs of all gateways
 	ID      string `json:"id"`      // of the request
 	Class   string `json:"class"`
 	Phase   string `json:"phase"`
 	ForMS   int64  `json:"for_ms"`
-	State   string `json:"state,omitempty"` // of the intent that is stored, as last known
+	State   string `json:"state,omitempty"` // of the stored intent, as last known to this gateway
 	Owner   string `json:"owner,omitempty"`
 	Server  string `json:"server,omitempty"`
 	Attempt uint32 `json:"attempt,omitempty"`
 }
 
-// intentsStatus lists the in-doubt writes that are in flight.
+// intentsStatus returns the in-doubt writes that are in flight and the counters of their transitions.
 func (g *Gateway) intentsStatus() (any, error) {
 	if g.intents == nil {
 		return nil, errors.New("this gateway has no in-doubt section")
--- a/internal/gateway/maintenance.go
+++ b/internal/gateway/maintenance.go
@@ -21,67 +21,69 @@
 	"marblespan/internal/transport"
 )
 
-// reportInterval is how often a gateway reports for the maintenance order; a change of the order is acted on at once.
+// reportInterval is how often a gateway sends its report to the ledger's leader. A change of the order is acted on at once.
 const reportInterval = 250 * time.Millisecond
 
-// roleFreshness is for how long after a request to a group its primary counts as known here.
+// roleFreshness is how long after the last request to a group this gateway's own knowledge of the group's primary counts as
+// current. After that the endpoint list is used.
 const roleFreshness = clock.Micros(5 * time.Second / time.Microsecond)
 
-// lingerTimeout is for how long a draining gateway waits for another one to take a floating address that lingers.
-const lingerTimeout = 2 * time.Second
+// takeoverTimeout is how long a draining gateway waits for another one to take over a floating address that it keeps until then.
+const takeoverTimeout = 2 * time.Second
 
-// commandTimeout is how long an operator's command may take; the control socket waits a little longer.
+// commandTimeout is how long an operator's command may take. The control socket's timeout is a little longer.
 const commandTimeout = 1500 * time.Millisecond
 
-// maintenanceAgent is the gateway's part in the maintenance order (internal/maintenance): it admits nothing new when its own
-// turn says so, sends servers nothing new when theirs does, and reports. A nil one is a gateway without. It decides nothing:
-// the order is decided by the ledger's leader. Its loop runs on a goroutine of its own, which close ends.
+// maintenanceAgent carries out the maintenance order (internal/maintenance) on this gateway: it drains the gateway or cordons
+// servers when the order says so, and reports the gateway's state. It makes no decisions about the order; the ledger's leader
+// does. It is nil in a gateway without a maintenance section. Its loop runs on a goroutine of its own, which close ends.
 type maintenanceAgent struct {
-	g     *Gateway
-	began time.Time
-	wake  chan struct{}
-	quit  chan struct{}
-	done  sync.WaitGroup
-
-	next            atomic.Pointer[indexedOrder] // the latest order, not yet applied
-	ledgerTimeout   atomic.Int64                 // how long a start waits for the ledger, nanoseconds
-	maxReplicaLag   atomic.Int64                 // from when on a replica counts as behind, microseconds
-	enrolled        atomic.Bool                  // the ledger knows this incarnation
-	draining        atomic.Bool                  // nothing new is admitted; a front sees that it is not ready
-	closedToClients atomic.Bool                  // nor are requests accepted of clients that have a connection
+	g         *Gateway
+	startedAt time.Time
+	wake      chan struct{}
+	quit      chan struct{}
+	done      sync.WaitGroup
+
+	next            atomic.Pointer[indexedOrder] // the latest order received, which the loop applies
+	ledgerTimeout   atomic.Int64                 // how long a starting gateway waits to be enrolled in the ledger, in nanoseconds
+	maxReplicaLag   atomic.Int64                 // the lag above which a replica is reported as lagging, in microseconds
+	enrolled        atomic.Bool                  // the ledger has this incarnation as enrolled
+	draining        atomic.Bool                  // nothing new is admitted, and the gateway reports that it is not ready to the fronts
+	closedToClients atomic.Bool                  // requests of connected clients are rejected too
 
 	// Owned by the loop's goroutine.
 	order         indexedOrder
 	incarnation   uint64
-	drainingSince time.Time // when it began to drain
+	drainingSince time.Time // when draining began
 	cpuUsed       time.Duration
 	cpuSampledAt  time.Time
 	lastLoad      int // in thousandths
 }
 
-// indexedOrder is an order, and the ledger's index that it is of.
+// indexedOrder is an order, and the ledger index at which it was read.
 type indexedOrder struct {
 	index uint64
 	*maintenance.Order
 }
 
-// newMaintenanceAgent makes the agent that the operators' file asks for; nil: none.
+// newMaintenanceAgent creates the agent, or returns nil if the operators' file has no maintenance section.
 func newMaintenanceAgent(g *Gateway) *maintenanceAgent {
 	if g.operators.Maintenance == nil {
 		return nil
 	}
-	a := &maintenanceAgent{g: g, began: time.Now(), wake: make(chan struct{}, 1), quit: make(chan struct{}), order: indexedOrder{Order: &maintenance.Order{}}, incarnation: g.incarnation}
+	a := &maintenanceAgent{g: g, startedAt: time.Now(), wake: make(chan struct{}, 1), quit: make(chan struct{}), order: indexedOrder{Order: &maintenance.Order{}}, incarnation: g.incarnation}
 	a.configure(g.operators.Maintenance)
 	return a
 }
 
-// configure puts the section's settings in force.
+// configure applies the settings of the maintenance section.
 func (a *maintenanceAgent) configure(c *config.Maintenance) {
 	a.ledgerTimeout.Store(int64(c.LedgerTimeout))
 	a.maxReplicaLag.Store(c.MaxReplicaLag.Microseconds())
 }
 
-// maintenanceLimits translates the operators' limits into the order's; nil: there is no maintenance.
+// maintenanceLimits converts the operators' limits to those of the maintenance order. It returns nil if the operators' file lacks
+// the maintenance or the state-store section.
 func maintenanceLimits(ops *config.Operators) *maintenance.Limits {
 	c := ops.Maintenance
 	if c == nil || ops.StateStore == nil {
@@ -108,7 +110,7 @@
 	}
 }
 
-// reload takes over what may change.
+// reload applies the settings of maintenance that may change while the gateway runs.
 func (a *maintenanceAgent) reload(ops *config.Operators) {
 	if a != nil && ops.Maintenance != nil && ops.StateStore != nil {
 		a.configure(ops.Maintenance)
@@ -116,7 +118,7 @@
 	}
 }
 
-// orderChanged is called with each change of the order, by the state store's goroutine. It does not block.
+// orderChanged passes a changed order to the loop. The state store's goroutine calls it at every change, so it does not block.
 func (a *maintenanceAgent) orderChanged(index uint64, o *maintenance.Order) {
 	a.next.Store(&indexedOrder{index, o})
 	select {
@@ -125,20 +127,20 @@
 	}
 }
 
-// admits tells whether anything new is to be admitted here. A gateway that starts must first find itself enrolled in the
-// ledger, and knows with that which servers are cordoned; where the ledger cannot be heard it serves all the same after the
-// ledger timeout.
+// admits reports whether new clients and requests are admitted. A gateway that starts first waits until the order shows it as
+// enrolled in the ledger, because it then also knows which servers are cordoned. If it does not learn this within the ledger
+// timeout, it admits requests all the same.
 func (a *maintenanceAgent) admits() bool {
-	return a == nil || !a.draining.Load() && (a.enrolled.Load() || time.Since(a.began) > time.Duration(a.ledgerTimeout.Load()))
+	return a == nil || !a.draining.Load() && (a.enrolled.Load() || time.Since(a.startedAt) > time.Duration(a.ledgerTimeout.Load()))
 }
 
-// acceptsRequests tells whether a request of a client that is connected is accepted. A draining gateway still accepts them for
-// a moment.
+// acceptsRequests reports whether requests of connected clients are accepted. A draining gateway accepts them until
+// closedToClients is set, minDrainDelay after the drain began.
 func (a *maintenanceAgent) acceptsRequests() bool {
 	return !a.closedToClients.Load() && (a.draining.Load() || a.admits())
 }
 
-// run is the agent's loop.
+// run is the agent's loop. It applies new orders, continues a drain, and sends reports.
 func (a *maintenanceAgent) run() {
 	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
@@ -157,12 +159,12 @@
 	}
 }
 
-// apply acts on a new order: it cordons servers, and begins or ends draining.
+// apply carries out a new order: it cordons servers, and begins or ends draining.
 func (a *maintenanceAgent) apply(next indexedOrder) {
 	node := a.g.operators.Members.Node
 	a.logChanges(next.Order)
 	if known := next.EnrolledIncarnation(node); known > a.incarnation && !a.enrolled.Load() {
-		a.incarnation = known + 1 // the clock was set back since the last start
+		a.incarnation = known + 1 // the clock was set back since the last start; use a later incarnation than the known one
 	}
 	a.enrolled.Store(next.EnrolledIncarnation(node) == a.incarnation)
 	var cordoned []string
@@ -176,7 +178,7 @@
 	}
 	m := next.Find(maintenance.Gateway, node, 0)
 	switch drain := m != nil && m.Cordoned(); {
-	case a.g.stopping.Load(): // it shuts down, whatever the order says
+	case a.g.stopping.Load(): // the shutdown continues whatever the order says
 	case drain && !a.draining.Load():
 		a.drainingSince = time.Now()
 		a.draining.Store(true)
@@ -192,8 +194,9 @@
 	a.order = next
 }
 
-// continueDrain goes on with draining: fronts and clients have a moment to see it, as on SIGTERM; then idle clients are sent
-// away, and a floating address that nobody has taken is released.
+// continueDrain continues a drain in steps. Fronts and clients first have minDrainDelay to notice the drain, as on SIGTERM. After
+// that requests are rejected and idle clients are closed. After takeoverTimeout the floating addresses that no gateway has taken
+// over are released.
 func (a *maintenanceAgent) continueDrain() {
 	if !a.draining.Load() || a.g.stopping.Load() {
 		return
@@ -202,18 +205,19 @@
 		a.closedToClients.Store(true)
 		a.g.clients.Drain(transport.EndMaintenance)
 	}
-	if time.Since(a.drainingSince) > lingerTimeout && a.g.floating.holds() > 0 {
+	if time.Since(a.drainingSince) > takeoverTimeout && a.g.floating.activeCount() > 0 {
 		a.g.floating.releaseAll(true)
 	}
 }
 
-// idle tells whether nothing is in flight here, and nothing new is admitted. open is how many requests the routing core has.
+// idle reports whether this gateway has nothing in flight and admits nothing new. open is the number of requests in the routing
+// core.
 func (a *maintenanceAgent) idle(open int) bool {
-	return a.closedToClients.Load() && open == 0 && a.g.clients.Busy() == 0 && a.g.floating.holds() == 0 && a.g.floating.open() == 0 &&
+	return a.closedToClients.Load() && open == 0 && a.g.clients.Busy() == 0 && a.g.floating.activeCount() == 0 && a.g.floating.open() == 0 &&
 		(a.g.intents == nil || len(a.g.intents.InFlight()) == 0)
 }
 
-// sendReport reports to the ledger's leader what this gateway is and sees.
+// sendReport sends a report on this gateway's state and on its view of the servers to the ledger's leader.
 func (a *maintenanceAgent) sendReport() {
 	groups := map[int]bool{}
 	for i := range a.order.Machines {
@@ -227,7 +231,7 @@
 		open = c.OpenRequests()
 		for _, s := range c.Servers(groups) {
 			primary := s.ServerView.Primary
-			if a.g.clock.Now()-s.LastRequestAt > roleFreshness { // nobody has asked for the primary here lately; the endpoint list may know better
+			if a.g.clock.Now()-s.LastRequestAt > roleFreshness { // no recent request has shown which server is the primary, so use the endpoint list
 				primary = s.Endpoint.Primary
 			}
 			r.Servers = append(r.Servers, maintenance.ServerReport{
@@ -255,7 +259,7 @@
 	a.g.store.SetMaintenanceReport(a.incarnation, r)
 }
 
-// sampleLoad is the share of its processors that the process has used since the last sample, in thousandths.
+// sampleLoad returns the share of the gateway's cores that the process has used since the last sample, in thousandths.
 func (a *maintenanceAgent) sampleLoad() int {
 	var use syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &use) != nil {
@@ -273,14 +277,16 @@
 	return a.lastLoad
 }
 
-// logChanges logs each machine whose state differs from the last order's.
+// logChanges logs each machine whose state differs from its state in the last order.
 func (a *maintenanceAgent) logChanges(next *maintenance.Order) {
 	before := map[uint64]string{}
 	for i := range a.order.Machines {
 		m := &a.order.Machines[i]
 		before[m.ID] = m.StateText(a.order.Paused)
 	}
-	for i := range 2 * len(next.Machines) { // those that are in service again first, so that a reader of the log never counts more away than there were
+	// Machines that are back in service are logged first, so that a reader of the log never counts more machines out of service
+	// at the same time than there were.
+	for i := range 2 * len(next.Machines) {
 		m := &next.Machines[i%len(next.Machines)]
 		back := m.State == maintenance.Requested || m.State >= maintenance.Back
 		if to := m.StateText(next.Paused); before[m.ID] != to && back == (i < len(next.Machines)) {
@@ -289,32 +295,32 @@
 	}
 }
 
-// MaintenanceStatus is the maintenance order, as operators read it.
+// MaintenanceStatus is the maintenance order, for operators.
 type MaintenanceStatus struct {
-	Node     string          `json:"node"`             // the asked gateway
-	Leader   string          `json:"leader,omitempty"` // of the ledger; empty: it has not answered, and this is what is known here
+	Node     string          `json:"node"`             // the gateway that answers
+	Leader   string          `json:"leader,omitempty"` // the ledger's leader; empty: it did not answer, and this is the order as this gateway last knew it
 	Paused   bool            `json:"held"`
 	Machines []MachineStatus `json:"machines"`
 }
 
-// MachineStatus is one machine in the order.
+// MachineStatus is the state of one machine in the maintenance order.
 type MachineStatus struct {
-	Position    int    `json:"place,omitempty"` // among those that are active; 0: its maintenance is over
+	Position    int    `json:"place,omitempty"` // in the queue, among the machines whose maintenance is not over; 0: it is over
 	Machine     string `json:"machine"`
 	Kind        string `json:"kind"`
 	Group       int    `json:"group,omitempty"`
 	State       string `json:"state"`
-	ForMS       int64  `json:"for_ms"` // it is in this state
+	ForMS       int64  `json:"for_ms"` // how long the machine has been in this state
 	WorkMS      int64  `json:"work_ms"`
 	Waits       string `json:"waits,omitempty"`
 	Comment     string `json:"why,omitempty"`
 	RequestedBy string `json:"by,omitempty"`
 }
 
-// errNoMaintenance is the answer of a gateway without a maintenance section.
+// errNoMaintenance is returned by a gateway without a maintenance section.
 var errNoMaintenance = errors.New("this gateway has no maintenance section")
 
-// answerMaintenance answers operators' commands and questions about maintenance.
+// answerMaintenance answers operators' questions about the maintenance order and carries out their commands.
 func (g *Gateway) answerMaintenance(words []string) (any, error) {
 	if g.maintenance == nil || g.store == nil {
 		return nil, errNoMaintenance
@@ -336,13 +342,13 @@
 	return g.store.RunMaintenanceCommand(command, deadline)
 }
 
-// maintenanceVerbs are the verbs by the control socket's words.
+// maintenanceVerbs maps the words of the control socket to the verbs of maintenance commands.
 var maintenanceVerbs = map[string]maintenance.Verb{
 	"add": maintenance.Add, "done": maintenance.Done, "drop": maintenance.Cancel, "hold": maintenance.Pause, "go": maintenance.Resume,
 }
 
-// parseMaintenanceCommand reads a verb, a quoted name of a machine, how long the work takes, and a quoted comment; all but the first
-// may be missing. A duration that is missing or 0 is defaultDuration.
+// parseMaintenanceCommand parses a verb, the quoted name of a machine, the duration of the work, and a quoted comment. All but
+// the verb may be missing. A duration that is missing or 0 means defaultDuration.
 func parseMaintenanceCommand(words []string, defaultDuration clock.Micros) (c maintenance.Command, err error) {
 	c.Duration = defaultDuration
 	if c.Verb = maintenanceVerbs[words[0]]; c.Verb == 0 {
@@ -370,8 +376,8 @@
 	return c, nil
 }
 
-// findMachine finds out what kind of machine a name is: a gateway among the members, or a server on the endpoint list. Where
-// both have it, or to be sure, "gateway:" or "server:" stands before it.
+// findMachine determines whether a command's machine is a gateway among the members or a server on the endpoint list, and sets
+// the command's kind and group. The prefix "gateway:" or "server:" states the kind; it is required if the name is both.
 func (g *Gateway) findMachine(command *maintenance.Command) error {
 	kind, name, prefixed := strings.Cut(command.Name, ":")
 	if !prefixed || kind != "gateway" && kind != "server" {
@@ -382,7 +388,7 @@
 	if o := g.maintenance.next.Load(); o != nil {
 		order = o.Order
 	}
-	isGateway := name == g.operators.Members.Node || g.members.knows(name) || order.Find(maintenance.Gateway, name, 0) != nil
+	isGateway := name == g.operators.Members.Node || g.members.isKnown(name) || order.Find(maintenance.Gateway, name, 0) != nil
 	isServer, group := false, 0
 	if m := order.Find(maintenance.Server, name, -1); m != nil {
 		isServer, group = true, m.Group
@@ -395,49 +401,50 @@
 	switch {
 	case kind == "gateway" || kind == "" && isGateway && !isServer:
 		if !isGateway {
-			return fmt.Errorf("no gateway %s is known here", name)
+			return fmt.Errorf("gateway %s is not known to this gateway", name)
 		}
 	case kind == "server" || kind == "" && isServer && !isGateway:
 		if !isServer {
-			return fmt.Errorf("no server %s is on the list", name)
+			return fmt.Errorf("server %s is not on the endpoint list", name)
 		}
 		command.Kind, command.Group = maintenance.Server, group
 	case isGateway && isServer:
-		return fmt.Errorf("%s is a gateway and a server: say gateway:%s or server:%s", name, name, name)
+		return fmt.Errorf("%s is the name of a gateway and of a server: use gateway:%s or server:%s", name, name, name)
 	default:
-		return fmt.Errorf("no gateway and no server %s is known here", name)
+		return fmt.Errorf("no gateway or server named %s is known to this gateway", name)
 	}
 	return nil
 }
 
-// maintenanceList is the order by its leader or, if that does not answer, as it is known here.
+// maintenanceList returns the order as the ledger's leader has it or, if the leader does not answer, as this gateway last knew
+// it.
 func (g *Gateway) maintenanceList(deadline time.Time) (MaintenanceStatus, error) {
 	listing, err := g.store.MaintenanceListing(deadline)
 	s := MaintenanceStatus{Node: g.operators.Members.Node, Leader: listing.Leader, Paused: listing.Order.Paused, Machines: []MachineStatus{}}
 	for i := range listing.Order.Machines {
 		m := &listing.Order.Machines[i]
-		unit := MachineStatus{
+		status := MachineStatus{
 			Machine: m.Name, Kind: m.Kind.String(), Group: m.Group, State: m.StateText(listing.Order.Paused), WorkMS: int64(m.Duration) / 1000, Comment: m.Comment, RequestedBy: m.RequestedBy,
 			Waits: listing.Waits[m.ID], Position: listing.Order.Position(m.ID),
 		}
 		if err == nil {
-			unit.ForMS = max(int64(listing.Now-m.Since)/1000, 0)
+			status.ForMS = max(int64(listing.Now-m.Since)/1000, 0)
 		}
-		s.Machines = append(s.Machines, unit)
+		s.Machines = append(s.Machines, status)
 	}
 	return s, nil
 }
 
-// knows tells whether a member of a name is known, there or not.
-func (m *members) knows(name string) bool {
+// isKnown reports whether a member of this name was ever seen, whether it is alive now or not.
+func (m *members) isKnown(name string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	_, known := m.known[name]
 	return known
 }
 
-// presences lists who there is, this gateway among them.
-func (m *members) presences() (all []maintenance.Member) {
+// maintenanceMembers returns all known members, including this gateway, as the maintenance order needs them.
+func (m *members) maintenanceMembers() (all []maintenance.Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	own := m.g.operators.Members
@@ -448,8 +455,8 @@
 	return all
 }
 
-// recordPresence keeps what the membership tells of a gateway, unless a later incarnation of it is known.
-func (m *members) recordPresence(c membership.MemberChanged) {
+// recordMember stores a member's changed state, unless a later incarnation of the member is already known.
+func (m *members) recordMember(c membership.MemberChanged) {
 	x := maintenance.Member{Name: c.Name, Zone: c.Meta.Zone, Incarnation: c.Generation}
 	switch c.State {
 	case membership.Dead:
@@ -465,7 +472,8 @@
 	m.known[c.Name] = x
 }
 
-// resume takes part again in floating addresses that were released.
+// resume makes this gateway take part in VRRP again for the floating addresses that releaseAll released, and accept requests
+// there.
 func (f *floatingAddresses) resume() {
 	if f == nil {
 		return
@@ -473,9 +481,9 @@
 	f.stopping.Store(false)
 	f.releasedAll.Store(false)
 	f.mu.Lock()
-	for _, t := range f.holding {
-		t.ending.Store(false)
+	for _, t := range f.current {
+		t.rejectsNew.Store(false)
 	}
 	f.mu.Unlock()
-	f.speaker.Startup()
+	f.router.Startup()
 }
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -19,20 +19,20 @@
 	"marblespan/internal/protocol/sealed"
 )
 
-// Version is the program's, as CHANGELOG.md has it. A variable, so that a build for a test can name another one.
+// Version is the program's version, as in CHANGELOG.md. It is a variable so that a test build can set another one.
 var Version = "0.2.0"
 
-// members is the gateway's part in the membership. A nil one is a gateway without. Its callbacks run on the gossip agent's
-// goroutine.
+// members connects the gateway to the membership. It is nil in a gateway without a members section. Its callbacks self and
+// memberChanged run on the gossip agent's goroutine.
 type members struct {
-	g        *Gateway
-	gossip   *gossip.Agent
-	settings atomic.Uint64 // digest of the settings in force
-	draining atomic.Bool
-	alive    atomic.Pointer[[]string]
+	g              *Gateway
+	gossip         *gossip.Agent
+	settingsDigest atomic.Uint64 // digest of the settings in force
+	draining       atomic.Bool
+	alive          atomic.Pointer[[]string]
 
 	mu    sync.Mutex
-	known map[string]maintenance.Member // all others that were ever seen; nil: nobody asks
+	known map[string]maintenance.Member // all other members ever seen; nil without a maintenance section, which alone needs them
 }
 
 // startMembers starts the gossip agent.
@@ -41,14 +41,14 @@
 	if g.maintenance != nil {
 		m.known = map[string]maintenance.Member{}
 	}
-	m.settings.Store(digest(g.settings))
+	m.settingsDigest.Store(digest(g.settings))
 	m.alive.Store(&[]string{})
 	clock := gossip.Clock{
 		Now:  func() clock.Micros { return clock.Micros(g.clock.Now()) },
 		Time: func(t clock.Micros) time.Time { return g.clock.Time(clock.Micros(t)) },
 	}
 	var err error
-	s := peersSettings(g.operators)
+	s := gossipSettings(g.operators)
 	s.Buffers, s.Fds = g.buffers, g.descriptors
 	if m.gossip, err = gossip.Start(s, clock, g.incarnation, m.self, m.memberChanged, g.log); err != nil {
 		return nil, err
@@ -57,7 +57,8 @@
 	return m, nil
 }
 
-// digest tells settings apart; the order of their keys does not matter, nor the gateway's own number among them.
+// digest returns a hash by which gateways detect that their settings differ. It does not depend on the order of the keys, nor on
+// ordinal, which is different on every gateway.
 func digest(settings map[string]any) uint64 {
 	common := maps.Clone(settings)
 	delete(common, "ordinal")
@@ -65,9 +66,9 @@
 	return xxhash.Sum64(raw)
 }
 
-// self is what the gateway tells the others of itself.
+// self returns what the gateway tells the other members about itself.
 func (m *members) self() gossip.Self {
-	s := gossip.Self{Version: Version, Settings: m.settings.Load()}
+	s := gossip.Self{Version: Version, Settings: m.settingsDigest.Load()}
 	if c := m.g.operators.StateStore; c == nil || c.StoragePath() == "" || !c.RunsRaftNode(m.g.operators.Members.Node) {
 		s.Flags |= membership.NoDisk
 	}
@@ -77,8 +78,8 @@
 	return s
 }
 
-// peersSettings says the operators' settings in the terms of peers.
-func peersSettings(ops *config.Operators) gossip.Settings {
+// gossipSettings converts the operators' settings to those of the gossip agent.
+func gossipSettings(ops *config.Operators) gossip.Settings {
 	m := ops.Members
 	s := gossip.Settings{
 		Node: m.Node, Deployment: m.Deployment, Bind: m.Bind, Advertise: m.Advertise, Join: m.Join, Zone: m.Zone, Weight: m.Weight,
@@ -93,36 +94,36 @@
 	return s
 }
 
-// reload takes over what may change.
+// reload applies the settings of the membership that may change while the gateway runs.
 func (m *members) reload(ops *config.Operators, settings map[string]any) {
 	if m != nil && ops.Members != nil {
-		m.settings.Store(digest(settings))
-		m.gossip.Reload(peersSettings(ops))
+		m.settingsDigest.Store(digest(settings))
+		m.gossip.Reload(gossipSettings(ops))
 	}
 }
 
-// setDraining tells the others whether this gateway is about to end, or to be out.
+// setDraining sets whether the other members are told that this gateway is draining, for a shutdown or for maintenance.
 func (m *members) setDraining(on bool) {
 	if m != nil {
 		m.draining.Store(on)
 	}
 }
 
-// announceLeave tells the others that this gateway leaves. It does not wait until they know.
+// announceLeave tells the other members that this gateway is leaving. It does not wait for them to receive this.
 func (m *members) announceLeave() {
 	if m != nil {
 		m.gossip.Leave()
 	}
 }
 
-// close leaves and ends the gossip agent.
+// close leaves the membership and ends the gossip agent.
 func (m *members) close() {
 	if m != nil {
 		m.gossip.Close()
 	}
 }
 
-// status is the members as they are known here, with how their streams stand if that is asked for.
+// status returns the members as this gateway knows them, with the state of the streams to them if streams is set.
 func (m *members) status(streams bool) (any, error) {
 	if m == nil {
 		return nil, errors.New("this gateway has no members section")
@@ -147,9 +148,9 @@
 			line = line.Int64("dropped_"+fault.Name(), n)
 		}
 	}
-	for what := range membership.NoticeCount {
-		if n := c.Noticed[what].Load(); n > 0 {
-			line = line.Int64("noticed_"+what.String(), n)
+	for notice := range membership.NoticeCount {
+		if n := c.Noticed[notice].Load(); n > 0 {
+			line = line.Int64("noticed_"+notice.String(), n)
 		}
 	}
 	line.Msg("members counters")
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -35,8 +35,8 @@
 	w.gateway.Reload(&next, w.gateway.operators, nil)
 }
 
-// asked waits for a call and returns its path.
-func asked(t *testing.T, d *fake.Discovery) string {
+// awaitDiscoveryRequest waits for a call and returns its path.
+func awaitDiscoveryRequest(t *testing.T, d *fake.Discovery) string {
 	t.Helper()
 	select {
 	case line := <-d.Requests:
@@ -61,10 +61,10 @@
 	next := must2(fake.NewDiscovery(draining...))
 	defer next.Close()
 	w.reload(next.Addr())
-	if path := asked(t, next); path != "/v1/servers" {
+	if path := awaitDiscoveryRequest(t, next); path != "/v1/servers" {
 		t.Errorf("a strange address was first asked for %s", path)
 	}
-	if path := asked(t, next); path != "/v1/servers?watch=1&from=1" {
+	if path := awaitDiscoveryRequest(t, next); path != "/v1/servers?watch=1&from=1" {
 		t.Errorf("then for %s", path)
 	}
 	w.lists(formFull, 3) // the list, and the watch's first line, which holds it again
@@ -106,7 +106,7 @@
 	w.lists(formFailed, 3)
 	failed := w.counts().Watches
 	w.reload(w.discovery.Addr())
-	if path := asked(t, w.discovery); path != "/v1/servers" {
+	if path := awaitDiscoveryRequest(t, w.discovery); path != "/v1/servers" {
 		t.Errorf("asked for %s", path)
 	}
 	w.lists(formFull, 1)
@@ -127,7 +127,7 @@
 	for range 3 {
 		w.gateway.Reload(&next, w.gateway.operators, nil)
 	}
-	w.expectLogged("take a restart", `"name","limits.sockets"`)
+	w.expectLogged("require a restart", `"name","limits.sockets"`)
 	w.expectAnswer(w.dial(), readQuery("d"), "value of d", "")
 	if n := w.counts(); n.Watches != 1 || n.ListUpdates[formFailed] != 0 {
 		t.Errorf("%d watches, lists by form %v", n.Watches, n.ListUpdates)
--- a/internal/gateway/settings_test.go
+++ b/internal/gateway/settings_test.go
@@ -47,8 +47,8 @@
 	return next, err
 }
 
-// load does what SIGHUP does.
-func (w *testGateway) load(settings string) {
+// reloadSettings does what SIGHUP does.
+func (w *testGateway) reloadSettings(settings string) {
 	next, err := w.with(settings)
 	w.gateway.Reload(next, w.gateway.operators, err)
 }
@@ -98,10 +98,10 @@
 	}
 	for round := range 3 {
 		for _, s := range []string{movedSettings, testSettings} {
-			w.load(s)
+			w.reloadSettings(s)
 			more()
 		}
-		w.load(strings.Replace(movedSettings, `"checks": "none"`, `"checks": "perhaps"`, 1))
+		w.reloadSettings(strings.Replace(movedSettings, `"checks": "none"`, `"checks": "perhaps"`, 1))
 		w.expectLogged("reload failed", "settings.family_info.checks")
 		if got, want := w.counts().Reloads, int64(2*round+2); got != want {
 			t.Errorf("%d reloads of the settings, want %d", got, want)
@@ -111,7 +111,7 @@
 	var both sync.WaitGroup
 	for range 2 {
 		both.Add(1)
-		go func() { defer both.Done(); w.load(movedSettings) }()
+		go func() { defer both.Done(); w.reloadSettings(movedSettings) }()
 	}
 	both.Wait()
 	more()
@@ -161,9 +161,9 @@
 			done <- fmt.Sprint(code, err)
 		}()
 		<-arrived
-		w.load(harmless)
+		w.reloadSettings(harmless)
 		if back {
-			w.load(testSettings)
+			w.reloadSettings(testSettings)
 		}
 		w.replica.Role.Store("primary")
 		w.primary.ResetConns()
@@ -187,7 +187,7 @@
 	w.lists(formDelta, 1)
 	client := w.dial()
 	for k, s := range []string{movedSettings, testSettings, movedSettings} {
-		w.load(s)
+		w.reloadSettings(s)
 		for n := range 5 {
 			id := fmt.Sprintf("d%d-%d", k, n)
 			w.expectAnswer(client, readQuery(id), "value of "+id, "")
--- a/internal/gateway/start.go
+++ b/internal/gateway/start.go
@@ -18,28 +18,30 @@
 	"marblespan/internal/transport"
 )
 
-// The servers' side of the protocol takes any user; these are the names that clients use too.
+// The database servers accept any user and database name. The gateway uses the same names as the clients do.
 const (
 	serverUser     = "backend"
 	serverDatabase = "store"
 )
 
-// messageShare is the share of the memory limit that messages in flight may hold, in hundredths.
-const messageShare = 50
+// messageMemoryPercent is the percentage of the memory limit that messages in flight may occupy.
+const messageMemoryPercent = 50
 
-// logLines is how many lines the log may lag behind before it drops some rather than hold anybody up.
-const logLines = 8192
+// logBufferLines is how many log lines may wait to be written. When the buffer is full, lines are dropped so that logging never
+// blocks.
+const logBufferLines = 8192
 
-// logPoll is how often the log's writer looks for lines. It could be woken by them instead, but that wake can be missed
-// (the library signals without holding the lock): the line then waited for the next one, seconds in a quiet gateway.
-const logPoll = 20 * time.Millisecond
+// logPollInterval is how often the log's writer polls for new lines. The library's alternative, to wake the writer for each line,
+// can miss a wake-up because the library signals without holding the lock. The line then waits until the next line is logged,
+// which took seconds in a quiet gateway.
+const logPollInterval = 20 * time.Millisecond
 
-// Start starts a gateway, which serves once it returns.
+// Start starts a gateway. When it returns without an error, the gateway accepts clients.
 func Start(cfg *config.Config, ops *config.Operators, out io.Writer) (*Gateway, error) {
 	return start(cfg, ops, out, func(*Gateway) {})
 }
 
-// start lets tests tune time limits before anything runs.
+// start is Start with a function by which tests change time limits before any goroutine runs.
 func start(cfg *config.Config, ops *config.Operators, out io.Writer, tune func(*Gateway)) (*Gateway, error) {
 	g := newGateway(cfg, ops, out)
 	tune(g)
@@ -49,20 +51,20 @@
 	}
 	g.log.Info().Str("listen", g.listener.Addr()).Str("discovery", cfg.Discovery).Str("operators", ops.Summary()).Msg("started")
 	g.warnOfFormerWords(ops)
-	if err := g.startOperators(); err != nil {
+	if err := g.startOptionalParts(); err != nil {
 		g.abort()
 		return nil, err
 	}
 	return g, nil
 }
 
-// newGateway makes a gateway's parts. Nothing runs yet but the log.
+// newGateway creates a gateway's parts. Only the log's writer runs yet.
 func newGateway(cfg *config.Config, ops *config.Operators, out io.Writer) *Gateway {
 	log, closeLog := newLog(cfg.Name, out)
 	g := &Gateway{
 		cfg: cfg, operators: ops, inForce: settings.NewLive(cfg.InForce), settings: cfg.Settings,
 		log: log, closeLog: closeLog, clock: routing.NewClock(), acceptDone: make(chan struct{}),
-		buffers:        transport.NewBuffers(int64(cfg.MemoryMB) << 20 * messageShare / 100),
+		buffers:        transport.NewBuffers(int64(cfg.MemoryMB) << 20 * messageMemoryPercent / 100),
 		descriptors:    transport.NewDescriptors(cfg.Sockets),
 		connectionEnds: transport.NewEndRecorder(log),
 	}
@@ -83,11 +85,12 @@
 	return g
 }
 
-// newLog makes the log, whose lines are written by a goroutine of the library's, and closeLog, which ends that goroutine.
+// newLog creates the log, whose lines a goroutine of the diode library writes to out, and closeLog, which ends that goroutine.
 func newLog(name string, out io.Writer) (log zerolog.Logger, closeLog func()) {
 	dropped := &atomic.Int64{}
-	// The log's writer would close what it writes to, and with it standard error, where the last line may still be due.
-	w := diode.NewWriter(struct{ io.Writer }{out}, logLines, logPoll, func(lost int) { dropped.Add(int64(lost)) })
+	// The struct hides out's Close method. Otherwise w.Close would close out, which is standard error, where the program may
+	// still have to write its last line.
+	w := diode.NewWriter(struct{ io.Writer }{out}, logBufferLines, logPollInterval, func(lost int) { dropped.Add(int64(lost)) })
 	log = zerolog.New(w).With().Timestamp().Str("gateway", name).Logger()
 	return log, func() {
 		if lines := dropped.Load(); lines > 0 {
@@ -97,8 +100,8 @@
 	}
 }
 
-// serve starts the goroutines that serve clients: the routing owner's, which owner.Stop ends, and the listener's, which
-// listener.Close ends.
+// serve starts the goroutines that serve clients: the routing owner's, which ends with owner.Stop, and the listener's, which ends
+// with listener.Close.
 func (g *Gateway) serve() (err error) {
 	if g.listener, err = transport.Listen(g.cfg.Listen, g.buffers, g.descriptors); err != nil {
 		return fmt.Errorf("listen: %w", err)
@@ -114,7 +117,8 @@
 	return nil
 }
 
-// newClients makes a set of clients beside the ones there are; they share everything but their listener.
+// newClients creates the clients of one listener: the gateway's own, or that of an activation of a floating address. All sets of
+// clients share the gateway's other parts.
 func (g *Gateway) newClients(counts *session.ClientCounts, limits session.Timeouts) *session.Clients {
 	c := &session.Clients{
 		Owner: g.owner, InForce: g.inForce, Buffers: g.buffers, Fds: g.descriptors, Ends: g.connectionEnds, Clock: g.clock,
@@ -130,8 +134,8 @@
 	return c
 }
 
-// startOperators starts what the operators' file switches on.
-func (g *Gateway) startOperators() (err error) {
+// startOptionalParts starts the parts that the operators' file enables.
+func (g *Gateway) startOptionalParts() (err error) {
 	if g.operators.Members != nil {
 		if g.members, err = startMembers(g); err != nil {
 			return fmt.Errorf("members: %w", err)
@@ -157,7 +161,7 @@
 	return nil
 }
 
-// abort ends a gateway that could not start whole and has served nobody.
+// abort stops a gateway at once after one of its parts failed to start.
 func (g *Gateway) abort() {
 	g.floating.releaseAll(true)
 	g.listener.Close()
--- a/internal/gateway/startupmemory_linux.go
+++ b/internal/gateway/startupmemory_linux.go
@@ -7,10 +7,10 @@
 	"syscall"
 )
 
-// releaseStartupMemory has the kernel unmap the program's own code and constants, which come back page by page as they are used: the
-// command line, the readers of configuration and all else that only a start needs do not stay resident. It guards small
-// gateways, whose memory limit counts them. It may harm the first requests by the few microseconds that each page takes to
-// be mapped again. Only mappings that cannot have been written to are touched.
+// releaseStartupMemory makes the kernel drop the resident pages of the program's own code and constants. Pages are mapped again
+// when they are next used, so that code that only a start needs, such as the command line and the configuration parsers, does not
+// stay resident. This helps small gateways, whose memory limit includes these pages. The cost is a few microseconds on the first
+// requests for each page that is mapped again. Only read-only mappings are dropped, because they cannot hold modified data.
 func releaseStartupMemory() {
 	self, err := os.Executable()
 	if err != nil {
--- a/internal/gateway/startupmemory_other.go
+++ b/internal/gateway/startupmemory_other.go
@@ -2,5 +2,5 @@
 
 package gateway
 
-// releaseStartupMemory does nothing here.
+// releaseStartupMemory does nothing on systems other than Linux.
 func releaseStartupMemory() {}
--- a/internal/gateway/statestore.go
+++ b/internal/gateway/statestore.go
@@ -21,38 +21,41 @@
 	"marblespan/internal/streams"
 )
 
-// Store is this gateway's part in the state store (internal/raftnode). It is linked into a program of its own, for what it needs costs
-// memory that a gateway without it must not pay: OpenStore is nil in the smaller program. No method but TransferLeadership, Close,
-// those of operators' commands and of status blocks; functions that are passed as done must not block either.
+// Store is this gateway's node of the state store (internal/raftnode). Only a separate program links its implementation, because
+// the packages it needs take memory even when unused; in the smaller program, OpenStore is nil. Only TransferLeadership, Close
+// and the methods for operators' commands and for status may block. Functions that are passed as done must not block.
 type Store interface {
-	// Available tells whether a call about a key is likely to succeed now.
+	// Available reports whether a call for a key is likely to succeed now.
 	Available(key []byte) bool
-	// RaisePosition raises the position under a key to at least a value, to be kept for ttl. done is called with true if it is stored.
+	// RaisePosition raises the position stored under a key to at least a value, and keeps it for ttl. It calls done with whether
+	// the position is stored.
 	RaisePosition(key []byte, position uint64, ttl time.Duration, deadline time.Time, done func(bool))
-	// ReadPosition reads the position under a key. known is false if it could not be read in time, or may have been lost.
+	// ReadPosition reads the position stored under a key and passes it to done. known is false if the position could not be read
+	// in time or may have been lost.
 	ReadPosition(key []byte, deadline time.Time, done func(position uint64, known bool))
 	intents.Store
 	Status() StateStoreStatus
-	// Bootstrap makes a new store; first tells that there was none before whose records could be missed.
+	// Bootstrap creates a new store. first states that there was no store before whose records could be missing from the new one.
 	Bootstrap(shards, voters int, first bool) error
-	// RemoveStore records that a gateway's disk will never come back; ResetShard gives up what a shard held. Both must be called where
-	// the ledger is led.
+	// RemoveStore records that a gateway's disk will never come back. ResetShard abandons the records of a shard. Both must be
+	// called on the gateway that leads the ledger.
 	RemoveStore(node string) error
 	ResetShard(shard uint32) error
-	// SetMaintenanceReport passes on what this incarnation of the gateway reports for the maintenance order. RunMaintenanceCommand
-	// passes an operator's command to the ledger and returns its reply; MaintenanceListing is the order as the ledger's leader has it
-	// or, with an error, as it is known here.
+	// SetMaintenanceReport sets the report that this incarnation of the gateway sends for the maintenance order.
+	// RunMaintenanceCommand passes an operator's command to the ledger and returns the reply. MaintenanceListing returns the
+	// order as the ledger's leader has it or, with an error, as this gateway last knew it.
 	SetMaintenanceReport(incarnation uint64, r maintenance.Report)
 	RunMaintenanceCommand(c maintenance.Command, deadline time.Time) (reply string, err error)
 	MaintenanceListing(deadline time.Time) (maintenance.Listing, error)
 	SetMaintenanceLimits(maintenance.Limits)
 	LogCounters()
-	// TransferLeadership waits, a second at most, until others lead the groups that are led here.
+	// TransferLeadership hands the leadership of all Raft groups led by this gateway to others, and waits for that for at most a
+	// second.
 	TransferLeadership()
 	Close()
 }
 
-// StoreSettings is what a store is opened with.
+// StoreSettings holds the settings and dependencies with which a store is opened.
 type StoreSettings struct {
 	StateStore *config.StateStore
 	Node, Zone string
@@ -61,31 +64,32 @@
 	Streams    *streams.Streams
 	LivePeers  func() []string
 	Log        zerolog.Logger
-	// MaintenanceLimits is nil where no machine is taken out for maintenance; Members and OnOrder are used otherwise only.
+	// MaintenanceLimits is nil if there is no maintenance section. Members and OnOrder are used only if it is not nil.
 	MaintenanceLimits *maintenance.Limits
 	Members           func() []maintenance.Member
 	OnOrder           func(index uint64, o *maintenance.Order)
 }
 
-// OpenStore opens the state store. It is set before the gateway starts, by the program that has one (internal/raftgateway).
+// OpenStore opens the state store. The program that has a state store (internal/raftgateway) sets it before the gateway starts.
 var OpenStore func(StoreSettings) (Store, error)
 
-// CheckStore prints what is in a store's file that no gateway has open. It is set with OpenStore.
+// CheckStore prints the contents of a store's file, which no gateway may have open. It is set together with OpenStore.
 var CheckStore func(path string, raw bool, out io.Writer) error
 
-// sessionPositions keeps the positions of sessions' last commits in the state store, so that their reads see them through any
-// gateway. Before the store is open nothing is stored, and every read of such a session must see all there is.
+// sessionPositions keeps the log positions of sessions' last commits in the state store, so that a session's reads see its
+// commits through any gateway. Until the store is open nothing is stored, and every read of such a session must see all commits.
 type sessionPositions struct {
 	clock     routing.Clock
 	classes   map[string]bool
-	fast      bool // an answer does not wait until its position is stored
+	fast      bool // answers do not wait until their positions are stored
 	retention time.Duration
 	store     atomic.Pointer[Store]
 
-	Promised, NotStored, Lookups, Found, Unknown, Ahead atomic.Int64
+	Stored, NotStored, Lookups, Found, Unknown, Ahead atomic.Int64
 }
 
-// newSessionPositions makes what the operators' file asks for; nil: no class's sessions are stored.
+// newSessionPositions creates the session positions that the operators' file configures, or returns nil if it names no class
+// whose session positions are stored.
 func newSessionPositions(ops *config.Operators, clock routing.Clock) *sessionPositions {
 	if ops.StateStore == nil || len(ops.StateStore.SessionMarks) == 0 {
 		return nil
@@ -97,26 +101,27 @@
 	return p
 }
 
-// Covers tells whether a class's sessions are stored.
+// Covers reports whether the positions of a class's sessions are stored.
 func (p *sessionPositions) Covers(class string) bool { return p.classes[class] }
 
-// CanStore tells whether a session's position is likely to be stored now. Where answers do not wait for that, it need not be.
+// CanStore reports whether a write of a session may be sent now. It is false if the session's position probably could not be
+// stored; if answers do not wait for the position to be stored, it is always true.
 func (p *sessionPositions) CanStore(group int, session uint64) bool {
 	s := p.store.Load()
 	return p.fast || s != nil && (*s).Available(sessionKey(group, session))
 }
 
-// sessionKey is the store's key of a session of a replication group.
+// sessionKey returns the key under which the state store keeps the position of a session of a replication group.
 func sessionKey(group int, session uint64) []byte {
 	b := binary.BigEndian.AppendUint32([]byte("session "), uint32(group))
 	return binary.BigEndian.AppendUint64(b, session)
 }
 
-// Store stores the position of a session's commit. done is called with whether the answer may be given.
+// Store stores the position of a session's commit. It calls done with whether the answer may be sent to the client.
 func (p *sessionPositions) Store(group int, session uint64, position policy.Position, deadline time.Time, done func(bool)) {
 	stored := func(ok bool) {
 		if ok {
-			p.Promised.Add(1)
+			p.Stored.Add(1)
 		} else {
 			p.NotStored.Add(1)
 		}
@@ -135,9 +140,9 @@
 	(*s).RaisePosition(sessionKey(group, session), uint64(position), p.retention, deadline, stored)
 }
 
-// Required finds the position that a session's read must see. Where it cannot be had that is all there is: the primary has it.
-// So it is where the stored position lies ahead of everything, as after a failover that has lost commits: nobody waits for
-// what will not come.
+// Required passes the position that a session's read must see to done. If the position cannot be read, the read must see
+// everything up to now, which the primary has. The same holds if the stored position lies in the future, as after a failover that
+// has lost commits: a read that required it would wait for commits that never come.
 func (p *sessionPositions) Required(group int, session uint64, deadline time.Time, done func(policy.Position)) {
 	p.Lookups.Add(1)
 	s := p.store.Load()
@@ -166,12 +171,12 @@
 func (g *Gateway) startStore() error {
 	c := g.operators.StateStore
 	if OpenStore == nil {
-		return errors.New("this program has no store; marblespan-raft has")
+		return errors.New("this program is built without a state store; use marblespan-raft")
 	}
 	s, err := OpenStore(StoreSettings{
 		StateStore: c, Node: g.operators.Members.Node, Zone: g.operators.Members.Zone, Weight: g.operators.Members.Weight, Clock: g.clock,
-		Streams: g.members.gossip.Streams, LivePeers: g.members.names, Log: g.log,
-		MaintenanceLimits: maintenanceLimits(g.operators), Members: g.members.presences, OnOrder: g.maintenance.orderChanged,
+		Streams: g.members.gossip.Streams, LivePeers: g.members.livePeers, Log: g.log,
+		MaintenanceLimits: maintenanceLimits(g.operators), Members: g.members.maintenanceMembers, OnOrder: g.maintenance.orderChanged,
 	})
 	if err != nil {
 		return err
@@ -187,7 +192,7 @@
 	return nil
 }
 
-// answerStateStore answers operators' commands and questions about the state store.
+// answerStateStore answers operators' questions about the state store and carries out their commands.
 func (g *Gateway) answerStateStore(words []string) (any, error) {
 	if g.store == nil {
 		return nil, errors.New("this gateway has no copies section")
@@ -219,31 +224,31 @@
 		g.store.LogCounters()
 	}
 	if m := g.positions; m != nil {
-		g.log.Info().Int64("promised", m.Promised.Load()).Int64("unkept", m.NotStored.Load()).Int64("asked", m.Lookups.Load()).
+		g.log.Info().Int64("promised", m.Stored.Load()).Int64("unkept", m.NotStored.Load()).Int64("asked", m.Lookups.Load()).
 			Int64("found", m.Found.Load()).Int64("unknown", m.Unknown.Load()).Int64("ahead", m.Ahead.Load()).
 			Int64("refused_unsent", g.clients.Counts.PositionNotStored.Load()).Msg("session position counters")
 	}
 }
 
-// names lists the other members that live.
-func (m *members) names() []string { return *m.alive.Load() }
+// livePeers returns the names of the other members that are alive.
+func (m *members) livePeers() []string { return *m.alive.Load() }
 
-// memberChanged keeps the list of members that are alive, and tells the resolver of in-doubt writes whose incarnations have
+// memberChanged updates the list of live members, and tells the resolver of in-doubt writes which incarnations of the member have
 // ended.
 func (m *members) memberChanged(c membership.MemberChanged) {
 	if c.Name == m.g.operators.Members.Node {
 		return
 	}
 	if m.known != nil {
-		m.recordPresence(c)
+		m.recordMember(c)
 	}
 	if b := m.g.intents; b != nil && c.State.Ended() {
 		b.GatewayEnded(c.Name, c.Generation)
 	} else if b != nil && c.Generation > 0 {
-		b.GatewayEnded(c.Name, c.Generation-1) // all before this one
+		b.GatewayEnded(c.Name, c.Generation-1) // earlier incarnations have ended
 	}
 	var next []string
-	for _, name := range m.names() {
+	for _, name := range m.livePeers() {
 		if name != c.Name {
 			next = append(next, name)
 		}
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -1,20 +1,20 @@
 package gateway
 
-// StateStoreStatus is how the state store stands, as one gateway knows it and operators read it.
+// StateStoreStatus is the state of the state store as one gateway knows it, for operators.
 type StateStoreStatus struct {
 	Node        string        `json:"node"`
 	BootstrapID string        `json:"founding"` // empty: there is no store
 	Index       uint64        `json:"ledger_index"`
 	Voters      int           `json:"copies"`
-	Format      uint32        `json:"format"` // of records, the latest that may be used
-	StoreID     string        `json:"disk"`   // this gateway's; empty: it holds nothing
+	Format      uint32        `json:"format"` // the latest format of records that may be used
+	StoreID     string        `json:"disk"`   // of this gateway; empty: it holds no records
 	Failed      string        `json:"failed,omitempty"`
 	Waiting     int           `json:"waiting"`
 	Stores      []StoreStatus `json:"disks"`
 	Groups      []GroupStatus `json:"groups"`
 }
 
-// StoreStatus is one gateway's disk that the ledger knows.
+// StoreStatus is a gateway's disk as recorded in the ledger.
 type StoreStatus struct {
 	Number  string `json:"number"`
 	Node    string `json:"node"`
@@ -23,7 +23,7 @@
 	Removed bool   `json:"gone,omitempty"`
 }
 
-// GroupStatus is one Raft group: a shard, or the ledger.
+// GroupStatus is the state of one Raft group: a shard or the ledger.
 type GroupStatus struct {
 	Group    uint32              `json:"group"` // 0: the ledger
 	Epoch    uint32              `json:"epoch"`
@@ -34,14 +34,14 @@
 	Here     *LocalReplicaStatus `json:"here,omitempty"`
 }
 
-// ReplicaStatus is one replica of a group.
+// ReplicaStatus is one replica of a Raft group.
 type ReplicaStatus struct {
 	Number uint64 `json:"number"`
 	Node   string `json:"node"`
 	Lost   bool   `json:"lost,omitempty"`
 }
 
-// LocalReplicaStatus is the asked gateway's own replica.
+// LocalReplicaStatus is the state of the replica that the answering gateway itself holds.
 type LocalReplicaStatus struct {
 	Number  uint64 `json:"number"`
 	Leader  string `json:"leader"`
--- a/internal/gateway/stopping_test.go
+++ b/internal/gateway/stopping_test.go
@@ -22,13 +22,13 @@
 		close(ended)
 	}()
 	resting.expectEnd()
-	time.Sleep(beyondDrain)
+	time.Sleep(holdAfterDrain)
 	return ended
 }
 
-// beyondDrain is how long a test holds its request up behind the closing of the clients that rest, so that a gateway that
+// holdAfterDrain is how long a test holds its request up behind the closing of the clients that rest, so that a gateway that
 // does not wait for requests under way is past that by then. One that does has longer to wait than this.
-const beyondDrain = 100 * time.Millisecond
+const holdAfterDrain = 100 * time.Millisecond
 
 // wantServed reads one answer and its value's end.
 func (c *clientConn) wantServed(value string) {
@@ -59,7 +59,7 @@
 
 // One that waits for its connection to come up is sent once it has, also while the gateway stops.
 func TestStopWhileAConnectionComesUp(t *testing.T) {
-	w, c, server := askWithSlowPrimary(t)
+	w, c, server := writeToConnectingPrimary(t)
 	ended := w.stop()
 	server.Write([]byte{'R', 0, 0, 0, 8, 0, 0, 0, 0, 'S', 0, 0, 0, 17, 'r', 'o', 'l', 'e', 0, 'p', 'r', 'i', 'm', 'a', 'r', 'y', 0})
 	server.Write([]byte{'Z', 0, 0, 0, 5, 'I'})
