--- a/internal/gateway/client_test.go
+++ b/internal/gateway/client_test.go
@@ -17,7 +17,7 @@
 	"marblespan/internal/routing"
 )
 
-// What a client writes, byte by byte, made here and not by the gateway's codec.
+// The functions below encode a client's messages without the gateway's codec, so that a fault of the codec is noticed.
 
 func packet(code uint32, rest string) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(8+len(rest)))
@@ -32,7 +32,7 @@
 
 func query(sql string) []byte { return typed('Q', sql+"\x00") }
 
-// clientConn is one client connection read message by message.
+// clientConn is a client's connection that is read message by message.
 type clientConn struct {
 	net.Conn
 	t *testing.T
@@ -50,7 +50,7 @@
 	return &clientConn{nc, w.t, bufio.NewReader(nc)}
 }
 
-// raw is a connection that has started up.
+// raw opens a connection and completes the start-up.
 func (w *testGateway) raw() *clientConn {
 	w.t.Helper()
 	c := w.open()
@@ -70,7 +70,7 @@
 	return head[0], string(body), err
 }
 
-// readUntil reads up to a message of one type and returns the types and bodies on the way.
+// readUntil reads messages up to and including one of a type, or a fatal error, and returns the types and bodies of all of them.
 func (c *clientConn) readUntil(kind byte) (kinds string, bodies []string) {
 	c.t.Helper()
 	for {
@@ -85,6 +85,7 @@
 	}
 }
 
+// expectEnd checks that the gateway closes the connection without a further message.
 func (c *clientConn) expectEnd() {
 	c.t.Helper()
 	if k, body, err := c.readMessage(); err == nil {
@@ -92,7 +93,7 @@
 	}
 }
 
-// blockingHandler is a way to handle queries: each tells its id when it arrives, and is answered once they are released, at the
+// blockingHandler returns a query handler that sends each query's id to arrived and answers only after release is called, at the
 // latest when the test ends.
 func blockingHandler(t *testing.T) (handle func(*fake.Query), arrived chan string, release func()) {
 	arrived, gate := make(chan string, 1024), make(chan struct{})
@@ -135,7 +136,7 @@
 	w.expectLogged(`"party":"client"`, `"reason":"terminate"`)
 }
 
-// Pipelined queries are answered in their order, also where a later one could have been answered sooner.
+// Pipelined queries are answered in the order in which they were sent, even if a later one could have been answered sooner.
 func TestPipelining(t *testing.T) {
 	w := newTestGateway(t, nil)
 	slow := make(chan struct{})
@@ -146,7 +147,7 @@
 	c := w.raw()
 	var all []byte
 	all = append(all, query(writeQuery("w1"))...)
-	for i := range 60 { // more than one buffer
+	for i := range 60 { // more than fit into one buffer
 		key := strings.Repeat("k", 250)
 		all = append(all, query(strings.Replace(readQuery(fmt.Sprint("r", i)), "'k'", "'"+key+"'", 1))...)
 	}
@@ -167,8 +168,8 @@
 	}
 }
 
-// Queries sent ahead are asked at once, whatever the ones before them wait for, and answered in order; what a bad one among
-// them gets has its place in that order too. A client that goes away leaves none of them behind.
+// Pipelined queries are sent to servers at once, even while earlier ones wait for their answers, and are answered in order. The
+// error for an invalid query keeps its place in that order too. When the client disconnects, all of its queries end.
 func TestQueriesSentAheadDoNotWait(t *testing.T) {
 	w := newTestGateway(t, nil)
 	hold, arrived, release := blockingHandler(t)
@@ -177,7 +178,7 @@
 	c.Write(append(append(append(query(writeQuery("w1")), query(readQuery("r1"))...), query("nonsense")...), query(writeQuery("w2"))...))
 	for _, id := range []string{"w1", "w2"} {
 		if got := <-arrived; got != id {
-			t.Errorf("%s came to the primary, want %s", got, id)
+			t.Errorf("the primary received %s, want %s", got, id)
 		}
 	}
 	eventually(t, func() bool { return w.counts().Answers[routing.AnswerServed][0] == 1 },
@@ -191,20 +192,20 @@
 
 	hold, arrived, _ = blockingHandler(t)
 	w.primary.SetQueryHandler(hold)
-	gone := w.raw()
+	leaving := w.raw()
 	var all []byte
 	for i := range 20 {
 		all = append(all, query(writeQuery(fmt.Sprint("g", i)))...)
 	}
-	gone.Write(all)
+	leaving.Write(all)
 	<-arrived
-	eventually(t, func() bool { return w.counts().Requests[1] == 22 }, func() string { return "not all were asked" })
-	gone.Close()
+	eventually(t, func() bool { return w.counts().Requests[1] == 22 }, func() string { return "not all queries were routed" })
+	leaving.Close()
 	eventually(t, func() bool { return w.counts().Disconnects[1] == 20 && w.gateway.buffers.Reserved() == 0 },
 		func() string { return fmt.Sprintf("%+v, %d bytes held", w.counts(), w.gateway.buffers.Reserved()) })
 }
 
-// Hundreds of queries at once are all answered, though only some of them are under way at a time.
+// Hundreds of pipelined queries are all answered, although only some of them are routed at the same time.
 func TestMoreQueriesAheadThanAreRoutedAtOnce(t *testing.T) {
 	w := newTestGateway(t, nil)
 	c := w.raw()
@@ -231,7 +232,7 @@
 		name string
 		in   []byte
 		code string
-		live bool // the connection goes on
+		live bool // the connection stays open
 	}{
 		{"no comment", query("SELECT 1"), "08P01", true},
 		{"unknown class", query(strings.Replace(readQuery("a"), "c=look", "c=nothing", 1)), "22023", true},
@@ -262,7 +263,7 @@
 			if kinds, _ := conn.readUntil('Z'); kinds != "IZ" {
 				t.Errorf("%s: then %s", c.name, kinds)
 			}
-		} else if k, _, err := conn.readMessage(); err != io.EOF { // a reset could take the last word with it
+		} else if k, _, err := conn.readMessage(); err != io.EOF { // a reset could discard the error before the client reads it
 			t.Errorf("%s: then %q, %v", c.name, k, err)
 		}
 	}
@@ -285,7 +286,7 @@
 	}
 }
 
-// A value of 64 KiB, in hex both ways, arrives whole.
+// A value of 64 KiB, encoded in hex in the query and in the answer, arrives complete.
 func TestLargeValues(t *testing.T) {
 	w := newTestGateway(t, nil)
 	value := bytes.Repeat([]byte("0123456789abcdef"), 8<<10) // 128 KiB of hex
@@ -303,14 +304,14 @@
 		func() string { return fmt.Sprint(w.gateway.buffers.Reserved(), " bytes still held") })
 }
 
-// Beyond the memory budget a request is refused before any attempt.
+// A request that exceeds the memory budget is rejected before any attempt.
 func TestMemoryBudget(t *testing.T) {
 	w := newTestGateway(t, func(c *config.Config) { c.MemoryMB = 32 }) // 16 MB for messages
 	hold, _, release := blockingHandler(t)
 	w.primary.SetQueryHandler(hold)
 	w.replica.SetQueryHandler(hold)
 	value := strings.Repeat("00", 60<<10)
-	const clients = 180 // each holds an eighth of a megabyte: more than there is
+	const clients = 180 // each request takes an eighth of a megabyte: more than the budget in total
 	var conns []*clientConn
 	for i := range clients {
 		c := w.raw()
@@ -319,30 +320,30 @@
 	}
 	eventually(t, func() bool { return w.gateway.clients.Counts.OverMemory.Load() > 0 },
 		func() string {
-			return fmt.Sprintf("nothing was refused for memory: %d held, %+v", w.gateway.buffers.Reserved(), w.counts())
+			return fmt.Sprintf("no request was rejected for memory: %d bytes reserved, %+v", w.gateway.buffers.Reserved(), w.counts())
 		})
 	if held := w.gateway.buffers.Reserved(); held > 16<<20 {
-		t.Errorf("%d bytes held", held)
+		t.Errorf("%d bytes reserved", held)
 	}
 	release()
-	served, refused := 0, 0
+	served, rejected := 0, 0
 	for _, c := range conns {
 		kinds, bodies := c.readUntil('Z')
 		switch {
 		case kinds == "TDCZ":
 			served++
 		case kinds == "EZ" && strings.Contains(bodies[0], "C53300\x00"):
-			refused++
+			rejected++
 		default:
 			t.Fatalf("%s %q", kinds, bodies)
 		}
 	}
-	if served == 0 || refused == 0 {
-		t.Errorf("%d served, %d refused", served, refused)
+	if served == 0 || rejected == 0 {
+		t.Errorf("%d served, %d rejected", served, rejected)
 	}
 }
 
-// A client that does not read its answers holds up nobody else, and is cut off by a deadline.
+// A client that does not read its answers delays no other client, and is disconnected after a timeout.
 func TestStuckReader(t *testing.T) {
 	w := newTestGateway(t, nil, func(g *Gateway) { g.clients.Limits.Answer = 300 * time.Millisecond })
 	w.replica.SetQueryHandler(func(q *fake.Query) { q.ReplyRow(bytes.Repeat([]byte("x"), 64<<10)) })
@@ -359,7 +360,7 @@
 	w.expectLogged(`"party":"client"`, `"reason":"timeout"`)
 }
 
-// At the descriptor cap idle clients go first, the oldest before the others, and none that has a request out.
+// When the descriptors run out, idle clients are closed, the one idle longest first, and no client that has a request in flight.
 func TestDescriptorCap(t *testing.T) {
 	w := newTestGateway(t, func(c *config.Config) { c.Sockets = 64 })
 	arrived, release := make(chan struct{}, 8), make(chan struct{})
@@ -373,43 +374,44 @@
 	<-arrived
 	oldest := w.raw()
 	var conns []*clientConn
-	for range 60 { // one after the other, so that their order is known
+	for range 60 { // one after the other, so that the order in which they became idle is known
 		conns = append(conns, w.raw())
 	}
 	oldest.expectEnd()
 	w.expectLogged(`"party":"client"`, `"reason":"room"`)
-	// Those that were asked to close count until they have: meanwhile a request may find no descriptor for its server.
+	// Clients that the gateway is closing keep their descriptors until they are closed, so until then a request may find no
+	// descriptor for its server.
 	eventually(t, func() bool { return w.gateway.descriptors.Used() < 64-24-8 },
 		func() string {
-			return fmt.Sprint(w.gateway.descriptors.Used(), " connections, and idle ones are not closed")
+			return fmt.Sprint(w.gateway.descriptors.Used(), " descriptors in use: idle connections are not closed")
 		})
 	newest := conns[len(conns)-1]
 	newest.Write(query(readQuery("n")))
 	if kinds, _ := newest.readUntil('Z'); kinds != "TDCZ" {
-		t.Errorf("the newest got %s", kinds)
+		t.Errorf("the newest client got %s", kinds)
 	}
 	if n := w.gateway.descriptors.Used(); n > 64 {
 		t.Errorf("%d connections open", n)
 	}
 	close(release)
 	if kinds, _ := busy.readUntil('Z'); kinds != "TDCZ" {
-		t.Errorf("the request that was out got %s", kinds)
+		t.Errorf("the request in flight got %s", kinds)
 	}
 }
 
 func TestDiscoveryFaults(t *testing.T) {
 	w := newTestGateway(t, nil)
 	if first := <-w.discovery.Requests; !strings.Contains(first, "watch=1&from=1 ") {
-		t.Fatalf("asked %q", first)
+		t.Fatalf("the first request to discovery was %q", first)
 	}
 	lists := func(form int) int64 { return w.counts().ListUpdates[form] }
 	const delta, full, failed = formDelta, formFull, formFailed
-	eventually(t, func() bool { return lists(full) == 1 }, func() string { return "no list came" })
+	eventually(t, func() bool { return lists(full) == 1 }, func() string { return "no list was received" })
 
 	moved := w.targets()[1]
 	moved.State = "draining"
 	w.discovery.Push(moved)
-	eventually(t, func() bool { return lists(delta) == 1 }, func() string { return "no change came" })
+	eventually(t, func() bool { return lists(delta) == 1 }, func() string { return "no change was received" })
 	c := w.dial()
 	w.expectAnswer(c, readQuery("d"), "value of d", "")
 	if n := len(w.replica.Queries()); n != 0 {
@@ -423,9 +425,9 @@
 	} {
 		w.discovery.SetRawResponse(answer)
 		w.discovery.ResetConns()
-		want := int64(2 * (i + 1)) // the watch that was cut, and the call that followed
+		want := int64(2 * (i + 1)) // the watch that was reset, and the call that followed
 		eventually(t, func() bool { return lists(failed) >= want },
-			func() string { return fmt.Sprintf("%d failures told, want %d", lists(failed), want) })
+			func() string { return fmt.Sprintf("%d failed lists, want %d", lists(failed), want) })
 		w.discovery.SetRawResponse("")
 		n := lists(full)
 		eventually(t, func() bool { return lists(full) > n }, func() string { return "no list after " + answer })
@@ -435,7 +437,7 @@
 	w.expectAnswer(c, readQuery("e"), "value of e", "")
 }
 
-// A watch on which not even empty lines come, and a call that is never answered, have failed.
+// A watch on which not even empty lines arrive counts as failed, and so does a call that is never answered.
 func TestDiscoverySilence(t *testing.T) {
 	w := newTestGateway(t, nil, func(g *Gateway) {
 		g.discovery.Limits.Answer, g.discovery.Limits.Silence = 200*time.Millisecond, 200*time.Millisecond
@@ -448,10 +450,10 @@
 	eventually(t, func() bool { return w.counts().ListUpdates[failed] >= n+3 },
 		func() string { return fmt.Sprintf("lists by form %v", w.counts().ListUpdates) })
 	w.expectLogged(`"party":"discovery"`, `"reason":"timeout"`)
-	w.expectAnswer(w.dial(), readQuery("a"), "value of a", "") // the list it had still serves
+	w.expectAnswer(w.dial(), readQuery("a"), "value of a", "") // the last list is still used
 }
 
-// A client that never starts up, and one that stops in the middle of a message, are ended; one that idles is closed.
+// A client that never completes the start-up, or stops in the middle of a message, is disconnected. An idle client is closed.
 func TestClientTimeouts(t *testing.T) {
 	w := newTestGateway(t, nil, func(g *Gateway) {
 		g.clients.Limits.FirstRequest, g.clients.Limits.Message = 300*time.Millisecond, 100*time.Millisecond
@@ -472,21 +474,21 @@
 		t.Errorf("half a message: %s %q", kinds, bodies)
 	}
 	halfway.expectEnd()
-	drips := w.raw() // one time for the whole message, not one for each read
+	slow := w.raw() // the timeout is for the whole message, not for each read
 	since := time.Now()
 	for _, b := range query(readQuery("a")) {
-		if _, err := drips.Write([]byte{b}); err != nil {
+		if _, err := slow.Write([]byte{b}); err != nil {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	if took := time.Since(since); took > testTimeout/2 {
-		t.Errorf("a message in drips was read for %v", took)
+		t.Errorf("a message that arrives byte by byte was read for %v", took)
 	}
 	w.raw().expectEnd()
 	w.expectLogged(`"party":"client"`, `"reason":"timeout"`)
 	w.expectLogged(`"party":"client"`, `"reason":"idle"`)
-	served := w.raw() // one that has been served idles for as long as others may
+	served := w.raw() // a client that was served is closed after the same idle time
 	served.Write(query(readQuery("served")))
 	served.readUntil('Z')
 	served.expectEnd()
@@ -515,8 +517,8 @@
 	w.expectLogged("endpoint lists", `"watches":1`)
 }
 
-// A client that sends bad statements is answered each time, ever later, and then ended; its like at full speed costs
-// nobody else anything.
+// A client that sends invalid statements gets an error for each, after longer and longer delays, and is disconnected in the end.
+// Other clients are not affected, even if it sends them as fast as it can.
 func TestRepeatedBadStatements(t *testing.T) {
 	w := newTestGateway(t, nil, func(g *Gateway) { g.clients.Limits.Backoff = time.Millisecond })
 	bad := w.raw()
@@ -547,8 +549,8 @@
 	w.expectAnswer(w.dial(), readQuery("fine"), "value of fine", "")
 }
 
-// An id that another request has under way is turned away, whoever uses it, and that request is served untouched. Once it
-// is over, the id may be used again.
+// A request with the id of another request in flight is rejected, whichever client sends it, and the request in flight is not
+// affected. Once that request is answered, the id may be used again.
 func TestIDInUse(t *testing.T) {
 	w := newTestGateway(t, nil)
 	hold, arrived, release := blockingHandler(t)
@@ -568,7 +570,7 @@
 	}
 }
 
-// A client that finds no room is told so before its start-up, in a way that invites it to come again.
+// A client for which there is no descriptor gets an error before its start-up, with a code on which clients try again later.
 func TestNoCapacityForAClient(t *testing.T) {
 	w := newTestGateway(t, func(c *config.Config) { c.Sockets = 64 })
 	hold, _, _ := blockingHandler(t)
@@ -587,15 +589,15 @@
 		}
 		c.Write(query(writeQuery(fmt.Sprint("b", busy))))
 		eventually(t, func() bool { return w.counts().Requests[1] == int64(busy+1) },
-			func() string { return fmt.Sprintf("request %d did not come in", busy) })
+			func() string { return fmt.Sprintf("request %d was not counted", busy) })
 	}
 	if busy < 10 || busy > 40 {
-		t.Errorf("%d clients found room, with 64 descriptors", busy)
+		t.Errorf("%d clients were accepted, with 64 descriptors", busy)
 	}
 	w.expectLogged(`"party":"client"`, `"reason":"descriptors"`)
 }
 
-// A stop waits for requests under way and for no message that has come in part only, whatever is sent behind it.
+// Stop waits for requests in flight, but not for messages that have arrived only in part, even behind a request in flight.
 func TestStopDoesNotWaitForHalfMessages(t *testing.T) {
 	w := newTestGateway(t, func(c *config.Config) {}, func(g *Gateway) { g.clients.Limits.FirstRequest = testTimeout })
 	hold, arrived, release := blockingHandler(t)
@@ -603,7 +605,7 @@
 	silent, half, halfStart := w.open(), w.raw(), w.open()
 	half.Write(query(readQuery("h"))[:30])
 	halfStart.Write(startup()[:10])
-	behind := w.raw() // half a message behind a request that is under way
+	behind := w.raw() // sends half a message behind a request that is in flight
 	behind.Write(append(query(writeQuery("b")), query(readQuery("c"))[:30]...))
 	<-arrived
 	stopped := make(chan struct{})
@@ -622,11 +624,11 @@
 	select {
 	case <-stopped:
 	case <-time.After(testTimeout / 2):
-		t.Error("the stop waits")
+		t.Error("Stop does not return")
 	}
 }
 
-// Nor does it wait for clients that go on connecting and say nothing.
+// Stop does not wait for clients that keep connecting without sending a request.
 func TestStopDoesNotWaitForNewConnections(t *testing.T) {
 	w := newTestGateway(t, nil)
 	w.expectAnswer(w.dial(), readQuery("a"), "value of a", "")
@@ -652,11 +654,11 @@
 	close(stopped)
 	<-crowd
 	if took := time.Since(since); took > 4*time.Second {
-		t.Errorf("the stop took %v", took)
+		t.Errorf("Stop took %v", took)
 	}
 }
 
-// What no server has answered when the gateway has to leave is failed, not left without an answer.
+// A request that no server has answered when the time for Stop is over gets an error instead of no answer.
 func TestStopFailsWhatIsLeft(t *testing.T) {
 	w := newTestGateway(t, nil)
 	hold, arrived, _ := blockingHandler(t)
--- a/internal/gateway/control_test.go
+++ b/internal/gateway/control_test.go
@@ -19,9 +19,9 @@
 	"marblespan/internal/vrrp"
 )
 
-// The golden files in testdata are what operators ask and are told. They change only where that is meant to change; then
-// "go test ./internal/gateway -run Golden -update" writes them anew.
-var update = flag.Bool("update", false, "write the golden files anew")
+// The golden files in testdata hold operators' questions and their answers. They change only if the answers are meant to change;
+// "go test ./internal/gateway -run Golden -update" then rewrites them.
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 // compareGolden compares a text with a golden file in testdata.
 func compareGolden(t *testing.T, name, got string) {
@@ -41,35 +41,35 @@
 	}
 }
 
-// fakeStore answers for a store, and notes what it was told. The methods that it lacks are not called.
+// fakeStore is a Store that records the last call. The tests do not call the methods that it lacks.
 type fakeStore struct {
 	Store
-	told string
+	lastCall string
 }
 
 func (s *fakeStore) Status() StateStoreStatus { return StateStoreStatus{Node: "gw-1"} }
 
-func (s *fakeStore) Bootstrap(shards, copies int, first bool) error {
-	s.told = fmt.Sprintf("found %d shards, %d copies, first %v", shards, copies, first)
+func (s *fakeStore) Bootstrap(shards, voters int, first bool) error {
+	s.lastCall = fmt.Sprintf("found %d shards, %d copies, first %v", shards, voters, first)
 	return nil
 }
 
 func (s *fakeStore) RemoveStore(node string) error {
-	s.told = "gone " + node
+	s.lastCall = "gone " + node
 	return nil
 }
 
 func (s *fakeStore) ResetShard(shard uint32) error {
-	s.told = fmt.Sprint("anew ", shard)
+	s.lastCall = fmt.Sprint("anew ", shard)
 	return errors.New("the ledger is led elsewhere")
 }
 
 func (s *fakeStore) RunMaintenanceCommand(c maintenance.Command, _ time.Time) (string, error) {
-	s.told = fmt.Sprintf("verb %d by %s", c.Verb, c.RequestedBy)
+	s.lastCall = fmt.Sprintf("verb %d by %s", c.Verb, c.RequestedBy)
 	return "it is so", nil
 }
 
-// Listing has a machine in each state, and one that is overdue.
+// MaintenanceListing returns an order with a machine in each state, and one that is overdue.
 func (s *fakeStore) MaintenanceListing(time.Time) (maintenance.Listing, error) {
 	order := &maintenance.Order{Paused: true}
 	for state := range maintenance.States {
@@ -81,7 +81,7 @@
 	return maintenance.Listing{Order: order, Waits: maintenance.Waits{1: "its turn"}, Leader: "gw-2", Now: 3_000_000}, nil
 }
 
-// deskDouble has a booking in each state in hand. The methods that it lacks are not called.
+// fakeResolver is a resolver with a write in flight in each state. The tests do not call the methods that it lacks.
 type fakeResolver struct{ intents.Resolver }
 
 func (fakeResolver) InFlight() (all []indoubt.InFlightWrite) {
@@ -96,11 +96,11 @@
 
 func (fakeResolver) TransitionCount(n indoubt.Transition) int64 { return int64(n) + 1 }
 
-// Each question on the control socket is known, and is answered as it always was, by a gateway with all sections but those
-// that need sockets and by one with none. Questions that cannot be understood are answered as ever too.
+// The answers to all questions on the control socket, including those with errors, match the golden files. The questions are
+// asked of a gateway with all sections except those that need sockets, and of a gateway with none.
 func TestQuestionsGolden(t *testing.T) {
 	store := &fakeStore{}
-	whole := &Gateway{
+	allSections := &Gateway{
 		store: store, intents: fakeResolver{}, maintenance: &maintenanceAgent{},
 		operators: &config.Operators{
 			Members: &config.Members{Node: "gw-1"}, StateStore: &config.StateStore{Shards: 16, Voters: 3}, Maintenance: &config.Maintenance{DefaultDuration: 20 * time.Minute},
@@ -112,7 +112,7 @@
 		questions []string
 	}{
 		{"no-sections", &Gateway{}, []string{"members", "members streams", "vrrp status", "copies", "intents", "maintain", "", "how"}},
-		{"all-sections", whole, []string{
+		{"all-sections", allSections, []string{
 			"copies", "copies found", "copies found first", `copies gone "gw-2"`, "copies gone gw-2", "copies anew 3", "copies anew x", "copies how",
 			"intents",
 			"maintain", "maintain hold", "maintain go", "maintain add x", "maintain done x", "maintain drop x", "maintain go x",
@@ -122,7 +122,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			var all strings.Builder
 			for _, question := range c.questions {
-				store.told = ""
+				store.lastCall = ""
 				answer, err := c.gateway.answerQuestion(question)
 				if err != nil {
 					answer = map[string]string{"error": err.Error()}
@@ -131,14 +131,14 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				fmt.Fprintf(&all, "question: %s\nanswer: %s\nthe store was told: %s\n\n", question, raw, store.told)
+				fmt.Fprintf(&all, "question: %s\nanswer: %s\nthe store was told: %s\n\n", question, raw, store.lastCall)
 			}
 			compareGolden(t, c.name+".txt", all.String())
 		})
 	}
 }
 
-// The words for states and conditions in answers are those that they always were.
+// The names of states and conditions in answers match the golden file.
 func TestWordsGolden(t *testing.T) {
 	var all strings.Builder
 	for state := range membership.StateCount {
--- a/internal/gateway/draining_test.go
+++ b/internal/gateway/draining_test.go
@@ -12,14 +12,14 @@
 	"marblespan/internal/fake"
 )
 
-// disconnectKinds are the disconnectKinds in which a client leaves.
+// disconnectKinds are the ways in which a client disconnects.
 var disconnectKinds = map[string]func(*net.TCPConn){
 	"closed":      func(c *net.TCPConn) { c.Close() },
 	"half closed": func(c *net.TCPConn) { c.CloseWrite() },
 	"reset":       func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 }
 
-// expectDisconnects waits until so many requests of a class are known to have lost their client.
+// expectDisconnects waits until n requests of a class are counted as disconnected from their clients.
 func (w *testGateway) expectDisconnects(class int, n int64) {
 	w.t.Helper()
 	eventually(w.t, func() bool { return w.counts().Disconnects[class] == n },
@@ -28,36 +28,36 @@
 		})
 }
 
-// A request whose client has left is not sent on, wherever it is by then: waiting in the queue, or between two attempts.
-// Fails where Gone does not end the request in the module (Dropped).
+// A request whose client has disconnected is not sent to a server, even if the request is queued or between two attempts. The
+// test fails if policy.ClientDisconnected does not end the request in the router.
 func TestClientLeavesBeforeAnAttempt(t *testing.T) {
 	for name, leave := range disconnectKinds {
 		t.Run(name, func(t *testing.T) {
 			w := newTestGateway(t, nil)
 			w.replica.SetQueryHandler(func(q *fake.Query) { q.ReplyError("25006") })
-			turnedAway := make(chan struct{}, 64)
+			rejected := make(chan struct{}, 64)
 			w.primary.SetQueryHandler(func(q *fake.Query) {
 				q.ReplyError("53300")
-				turnedAway <- struct{}{}
+				rejected <- struct{}{}
 			})
-			w.primary.RejectStartups("") // it takes connections, and turns each request away unseen
+			w.primary.RejectStartups("") // connections come up, and the handler rejects each request
 			c := w.raw()
 			c.Write(query(writeQuery("x")))
-			<-turnedAway
+			<-rejected
 			leave(c.Conn.(*net.TCPConn))
 			w.expectDisconnects(1, 1)
 			before := len(w.primary.Queries())
 			w.primary.SetQueryHandler(func(q *fake.Query) { q.ReplyRow([]byte("v")) })
 			w.expectAnswer(w.dial(), writeQuery("y"), "v", "")
 			if got := w.primary.Queries()[before:]; len(got) != 1 || !strings.Contains(got[0], "id=y") {
-				t.Errorf("behind the close the primary got %q", got)
+				t.Errorf("after the disconnect the primary got %q", got)
 			}
 		})
 	}
 }
 
-// writeToConnectingPrimary is a gateway that has been asked to write x, and the primary's end of the connection for it, which has not
-// come up: the start-up is read, and not answered.
+// writeToConnectingPrimary sends the write x to a new gateway. It returns the gateway, the client, and the primary's end of the
+// connection for the write, which is not up yet: the start-up message has been read but not answered.
 func writeToConnectingPrimary(t *testing.T) (*testGateway, *clientConn, net.Conn) {
 	t.Helper()
 	primary := must2(net.Listen("tcp", "127.0.0.1:0"))
@@ -83,8 +83,8 @@
 	return w, c, server
 }
 
-// Likewise while a connection to a server is coming up: nothing is written on it once it has. Fails where a cancel does
-// not reach a link that is connecting.
+// If the client disconnects while the connection to a server is coming up, nothing is sent on that connection once it is up. The
+// test fails if the cancellation does not reach a server connection that is still connecting.
 func TestClientLeavesWhileAConnectionComesUp(t *testing.T) {
 	for name, leave := range disconnectKinds {
 		t.Run(name, func(t *testing.T) {
@@ -93,13 +93,13 @@
 			w.expectDisconnects(1, 1)
 			server.Write([]byte{'R', 0, 0, 0, 8, 0, 0, 0, 0, 'Z', 0, 0, 0, 5, 'I'})
 			if got, _ := io.ReadAll(server); len(got) > 0 {
-				t.Errorf("behind the close the server got %q", got)
+				t.Errorf("after the disconnect the server got %q", got)
 			}
 		})
 	}
 }
 
-// Likewise behind others of the same connection, more of them than are asked at once.
+// If a client disconnects with more pipelined requests than are routed at once, none of the waiting ones is sent to a server.
 func TestClientLeavesInAPipeline(t *testing.T) {
 	for name, leave := range disconnectKinds {
 		t.Run(name, func(t *testing.T) {
@@ -114,7 +114,7 @@
 			}
 			go c.Write(all)
 			<-arrived
-			eventually(t, func() bool { return w.counts().Requests[1] >= 60 }, func() string { return "not asked ahead" })
+			eventually(t, func() bool { return w.counts().Requests[1] >= 60 }, func() string { return "the pipelined requests were not routed" })
 			leave(c.Conn.(*net.TCPConn))
 			eventually(t, func() bool {
 				n := w.counts()
@@ -124,14 +124,14 @@
 			release()
 			w.expectAnswer(w.dial(), writeQuery("y"), "value of y", "")
 			if n := w.counts(); n.Sends[1] != sent+1 || n.Requests[1] >= pipelined {
-				t.Errorf("%d attempts behind the close; %d requests asked", n.Sends[1]-sent-1, n.Requests[1])
+				t.Errorf("%d attempts after the disconnect; %d requests routed", n.Sends[1]-sent-1, n.Requests[1])
 			}
 		})
 	}
 }
 
-// Idle clients that fill the descriptors while discovery is down take them neither from discovery's return nor from servers,
-// and a request that is read has its answer. Fails where idle clients are not asked to give way (makeRoom).
+// Idle clients that use up the descriptors while discovery is down do not prevent the gateway from connecting to discovery again,
+// nor to servers, and a request that was read is answered. The test fails if idle clients are not closed to free descriptors.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	w := newTestGateway(t, func(c *config.Config) { c.Sockets = 64 })
 	w.lists(formFull, 1)
@@ -154,6 +154,6 @@
 	w.expectAnswer(c, readQuery("a"), "value of a", "")
 	w.expectAnswer(c, writeQuery("b"), "value of b", "")
 	if n := len(w.replica.Queries()); n != 0 {
-		t.Error("a read went to a server that discovery calls draining since its return")
+		t.Error("a read went to a server that discovery has reported as draining since it is back")
 	}
 }
--- a/internal/gateway/floatingip_test.go
+++ b/internal/gateway/floatingip_test.go
@@ -17,7 +17,8 @@
 
 const fleetSecret = "the secret of this fleet"
 
-// gatewayFleet is several gateways that share a floating address, with servers, discovery, a switch and a path between them.
+// gatewayFleet is several gateways that share a floating address, with database servers, discovery, a network switch that directs
+// clients to the address, and a fake network path between the gateways.
 type gatewayFleet struct {
 	t             *testing.T
 	primary       *fake.Server
@@ -26,7 +27,7 @@
 	addressSwitch *fake.Switch
 	path          *fake.Path
 	ends          []*net.UDPAddr
-	floating      []string // each one's floating listener
+	floating      []string // the address of each gateway's floating listener
 	gateways      []*Gateway
 	logs          []*logBuffer
 	conf          []func(change func(string) string) *config.Operators
@@ -35,11 +36,11 @@
 	load          sync.WaitGroup
 }
 
-// fleetInterval is short, so that much happens in little time; on a machine that is busy a gateway may then step back now
-// and then, which must do no harm either.
+// fleetInterval is the advertisement interval. It is short, so that the tests run many changes in little time. On a busy machine
+// a gateway may therefore give up the address now and then, which must not break anything either.
 const fleetInterval = 50 * time.Millisecond
 
-// newGatewayFleet starts a gateway for each priority. tune may change what a gateway is told.
+// newGatewayFleet starts a gateway for each priority. tune may change a gateway's configuration.
 func newGatewayFleet(t *testing.T, preempt bool, tune func(i int, c *config.Config), priorities ...int) *gatewayFleet {
 	t.Helper()
 	checkLeaks(t)
@@ -116,7 +117,7 @@
 	for _, fault := range faults {
 		f.t.Error(fault)
 	}
-	f.t.Logf("%d bookings ran; told to clients: %+v", runs, f.ledger.Totals())
+	f.t.Logf("%d writes ran; answers to clients: %+v", runs, f.ledger.Totals())
 	if f.t.Failed() {
 		for i, log := range f.logs {
 			for _, line := range strings.Split(log.String(), "\n") {
@@ -128,7 +129,7 @@
 	}
 }
 
-// startLoad keeps clients writing at the floating address until the test ends.
+// startLoad starts clients that write through the floating address until the test ends.
 func (f *gatewayFleet) startLoad(clients int) {
 	for c := range clients {
 		f.load.Add(1)
@@ -162,26 +163,26 @@
 	return all
 }
 
-// awaitActive waits until one gateway is active, any or a certain one, and the switch leads to it.
+// awaitActive waits until exactly one gateway is active and the switch leads to it. want is that gateway, or -1 for any.
 func (f *gatewayFleet) awaitActive(want int) int {
 	f.t.Helper()
-	holder := -1
+	active := -1
 	eventually(f.t, func() bool {
 		all := f.active()
 		if len(all) != 1 || want >= 0 && all[0] != want {
 			return false
 		}
-		holder = all[0]
+		active = all[0]
 		at, _ := f.addressSwitch.ActiveGateway()
-		return at == f.floating[holder]
+		return at == f.floating[active]
 	}, func() string {
 		at, _ := f.addressSwitch.ActiveGateway()
-		return fmt.Sprintf("active are %v, the switch leads to %s, listeners are %v", f.active(), at, f.floating)
+		return fmt.Sprintf("the active gateways are %v, the switch leads to %s, the listeners are %v", f.active(), at, f.floating)
 	})
-	return holder
+	return active
 }
 
-// expectServed waits until that many more writes have been served.
+// expectServed waits until a number of further writes have been served.
 func (f *gatewayFleet) expectServed(more int) {
 	f.t.Helper()
 	n := f.ledger.Totals().Counts[fake.Served]
@@ -189,19 +190,20 @@
 		func() string { return fmt.Sprintf("%+v", f.ledger.Totals()) })
 }
 
-// expectLogged waits for a line of a gateway's log that holds all the words.
+// expectLogged waits for a line of a gateway's log that contains all the words.
 func (f *gatewayFleet) expectLogged(i int, words ...string) {
 	f.t.Helper()
 	(&testGateway{t: f.t, log: f.logs[i]}).expectLogged(words...)
 }
 
-func (f *gatewayFleet) split() {
+// awaitSplit waits until more than one gateway is active.
+func (f *gatewayFleet) awaitSplit() {
 	f.t.Helper()
-	eventually(f.t, func() bool { return len(f.active()) > 1 }, func() string { return "no split came of it" })
+	eventually(f.t, func() bool { return len(f.active()) > 1 }, func() string { return "no second gateway became active" })
 }
 
-// Under load, one trouble of the network after another. After each the network is whole again and one gateway holds the
-// address; no booking runs twice, and what clients were told is true.
+// Network faults occur one after another under load. After each fault the network is repaired, and exactly one gateway becomes
+// active. No write runs twice, and the answers to clients agree with what the servers did.
 func TestFaultsUnderLoad(t *testing.T) {
 	f := newGatewayFleet(t, true, nil, 200, 150, 100)
 	f.startLoad(6)
@@ -211,31 +213,31 @@
 		do    func()
 		split bool
 	}{
-		{"the active one is not heard", func() {
+		{"no peer receives the active gateway's advertisements", func() {
 			f.path.Set(0, 1, fake.Impairment{Drop: true})
 			f.path.Set(0, 2, fake.Impairment{Drop: true})
 		}, true},
-		{"the active one does not hear", func() {
+		{"the active gateway receives no advertisements", func() {
 			f.path.Set(1, 0, fake.Impairment{Drop: true})
 			f.path.Set(2, 0, fake.Impairment{Drop: true})
 		}, false},
-		{"advertisements come later than the down interval", func() {
+		{"advertisements arrive later than the active down interval", func() {
 			f.path.SetAll(fake.Impairment{Delay: 6 * fleetInterval})
 		}, false},
-		{"advertisements are doubled and come in the wrong order", func() {
+		{"advertisements are duplicated and reordered", func() {
 			f.path.SetAll(fake.Impairment{Duplicates: 2, Reorder: true})
 		}, false},
-		{"two sides, old flows go on", func() { f.path.Isolate(0, true) }, true},
-		{"two sides, old flows are cut", func() {
+		{"network partition, old connections continue", func() { f.path.Isolate(0, true) }, true},
+		{"network partition, old connections are reset", func() {
 			f.addressSwitch.ResetOnTakeover = true
 			f.path.Isolate(0, true)
 		}, true},
-		{"two sides, and a reload of priorities, peers and keys on both", func() {
+		{"network partition, and a reload of priorities, peers and keys on both sides", func() {
 			f.path.Isolate(0, true)
-			f.split()
+			f.awaitSplit()
 			for i := range f.gateways {
 				f.reload(i, func(s string) string {
-					if i == 0 { // a peer less, until the next reload
+					if i == 0 { // one peer fewer, until the next reload
 						s = strings.Replace(s, "peer 3 ", "# ", 1)
 					}
 					s = strings.Replace(s, "key 1 ", "key 2 \"a newer secret of theirs\"\nkey 1 ", 1)
@@ -243,12 +245,12 @@
 				})
 			}
 		}, true},
-		{"the new key stays, the old one goes, the priority is back", func() {
+		{"the old key is removed, the priority is restored", func() {
 			for i := range f.gateways {
 				f.reload(i, func(s string) string { return strings.Replace(s, "key 1 ", "key 1 \"the secret of this fleet\"\n#", 1) })
 			}
 		}, false},
-		{"garbage", func() {
+		{"invalid datagrams", func() {
 			for n := range 3000 {
 				f.path.Inject(1, 0, make([]byte, n%300))
 				f.path.Inject(0, 1, append([]byte{0x31, 51, 255, 1, 0, 5}, make([]byte, n%100)...))
@@ -257,7 +259,7 @@
 	} {
 		c.do()
 		if c.split {
-			f.split()
+			f.awaitSplit()
 		}
 		f.expectServed(20)
 		f.path.SetAll(fake.Impairment{})
@@ -266,7 +268,7 @@
 		t.Logf("%s: %+v", c.name, f.ledger.Totals())
 	}
 	if n := &f.gateways[0].floating.router.Counters.Dropped; n[1].Load() == 0 {
-		t.Error("no garbage was counted")
+		t.Error("no invalid datagram was counted")
 	}
 }
 
@@ -282,13 +284,13 @@
 	f.expectServed(50)
 }
 
-// A gateway without servers never takes the address, whatever its priority, and takes it as soon as it can serve.
+// A gateway without servers does not become active, even with the highest priority. It does so once it has servers.
 func TestBackupThatIsNotReady(t *testing.T) {
-	lonely := must2(fake.NewDiscovery())
-	t.Cleanup(lonely.Close)
+	emptyDiscovery := must2(fake.NewDiscovery())
+	t.Cleanup(emptyDiscovery.Close)
 	f := newGatewayFleet(t, true, func(i int, c *config.Config) {
 		if i == 1 {
-			c.KnownServers.Entries, c.Discovery = nil, lonely.Addr()
+			c.KnownServers.Entries, c.Discovery = nil, emptyDiscovery.Addr()
 		}
 	}, 100, 250)
 	f.awaitActive(0)
@@ -297,7 +299,7 @@
 	f.gateways[0].Stop()
 	f.gateways[0] = nil
 	if _, _, held := f.activations(1); held || f.state(1) != "backup" {
-		t.Fatalf("it is %s", f.state(1))
+		t.Fatalf("the gateway without servers is %s", f.state(1))
 	}
 	next := *f.gateways[1].cfg
 	next.Discovery = f.discovery.Addr()
@@ -306,8 +308,9 @@
 	f.expectServed(20)
 }
 
-// activations tells of a gateway's tenures: how many still serve, their clients, and whether it activations the address.
-func (f *gatewayFleet) activations(i int) (tenures, clients int, held bool) {
+// activations returns the number of a gateway's activations that have not ended, the number of their clients, and whether the
+// gateway is active.
+func (f *gatewayFleet) activations(i int) (n, clients int, active bool) {
 	fl := f.gateways[i].floating
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -328,8 +331,9 @@
 	return c
 }
 
-// The address is lost with a booking out, a client that has sent half a message and one that is idle, won back while that
-// tenure still answers, and lost again: every booking gets its one answer, where it was taken.
+// A gateway loses the address while it has a write in flight, a client that has sent half a message, and an idle client. It
+// regains the address while the first activation's write is still in flight, and loses it again. Every write gets exactly one
+// answer, on the connection on which it was accepted.
 func TestAddressRegainedWithRequestsInFlight(t *testing.T) {
 	f := newGatewayFleet(t, true, nil, 200, 100)
 	f.awaitActive(0)
@@ -341,25 +345,25 @@
 	<-arrived
 	half.Write(query(put("x2"))[:40])
 
-	prefer := func(priority int) { // the other gateway's priority
+	setOtherPriority := func(priority int) { // of gateway 1
 		f.reload(1, func(s string) string { return strings.Replace(s, "priority 100", fmt.Sprint("priority ", priority), 1) })
 	}
-	prefer(250)
+	setOtherPriority(250)
 	f.awaitActive(1)
 	if kinds, bodies := idle.readUntil('E'); kinds != "E" || !strings.Contains(bodies[0], "C57P03\x00") {
-		t.Errorf("an idle client gets %s %q", kinds, bodies)
+		t.Errorf("the idle client got %s %q", kinds, bodies)
 	}
 	idle.expectEnd()
-	half.readUntil('E') // its request was not taken, and it is told so
+	half.readUntil('E') // its request was not accepted, and it gets an error
 	half.expectEnd()
 	if _, err := net.Dial("tcp", f.floating[0]); err == nil {
-		t.Error("it still listens")
+		t.Error("the first gateway still listens at the address")
 	}
-	prefer(100)
-	f.awaitActive(0) // preempted, with the first tenure's booking still out
+	setOtherPriority(100)
+	f.awaitActive(0) // preempts the other gateway, with the first activation's write still in flight
 	idle.Close()
 	half.Close()
-	eventually(t, func() bool { tenures, clients, held := f.activations(0); return tenures == 2 && clients == 1 && held },
+	eventually(t, func() bool { n, clients, active := f.activations(0); return n == 2 && clients == 1 && active },
 		func() string { return fmt.Sprint(f.activations(0)) })
 	second := f.open(f.floating[0])
 	second.Write(query(put("x3")))
@@ -371,13 +375,13 @@
 		if kinds, bodies := c.readUntil('Z'); kinds != "TDCZ" || !strings.HasSuffix(bodies[1], want) {
 			t.Errorf("%s %q, want %s", kinds, bodies, want)
 		}
-		c.readUntil('E') // sent away, now that it is idle
+		c.readUntil('E') // disconnected, now that it is idle
 		c.expectEnd()
 	}
-	eventually(t, func() bool { n, _, _ := f.activations(0); return n == 0 }, func() string { return "a tenure is left" })
+	eventually(t, func() bool { n, _, _ := f.activations(0); return n == 0 }, func() string { return "an activation has not ended" })
 	for _, sql := range f.primary.Queries() {
 		if strings.Contains(sql, "id=x2") {
-			t.Error("half a request was taken for a whole one")
+			t.Error("an incomplete request was sent to the primary")
 		}
 	}
 	f.expectLogged(0, "connection ended", `"reason":"moved"`)
@@ -385,7 +389,8 @@
 	f.expectLogged(0, `"cause":"shutdown"`)
 }
 
-// An address that lingers on SIGTERM takes nothing new for its let-go, in which a better gateway would take it; then it serves on.
+// A floating address that is kept on SIGTERM until taken over rejects new requests during its drain timeout, in which a better
+// gateway would take it over. If none does, it accepts requests again.
 func TestDrainTimeoutOfALingeringAddress(t *testing.T) {
 	f := newGatewayFleet(t, true, nil, 200)
 	f.awaitActive(0)
@@ -398,7 +403,7 @@
 	if kinds, bodies := c.readUntil('E'); !strings.Contains(bodies[0], "C53300\x00") && !strings.Contains(bodies[0], "C57P03\x00") {
 		t.Errorf("%s %q", kinds, bodies)
 	}
-	eventually(t, func() bool { _, _, held := f.activations(0); return held && f.state(0) == "active" }, func() string { return "the address is gone" })
+	eventually(t, func() bool { _, _, active := f.activations(0); return active && f.state(0) == "active" }, func() string { return "the address was released" })
 	served := func() bool {
 		c := f.open(f.floating[0])
 		defer c.Close()
@@ -410,13 +415,13 @@
 		fl.mu.Lock()
 		defer fl.mu.Unlock()
 		return !fl.current["counters"].rejectsNew.Load()
-	}, func() string { return "it takes nothing any more" })
+	}, func() string { return "requests are still rejected after the drain timeout" })
 	if !served() {
-		t.Error("it does not serve on")
+		t.Error("a request after the drain timeout was not served")
 	}
 }
 
-// A tenure whose lease has run out takes nothing new: what comes is refused unsent, and its client sent away.
+// An activation whose lease has expired accepts no requests: a new request is rejected unsent, and its client disconnected.
 func TestLeaseRunsOut(t *testing.T) {
 	f := newGatewayFleet(t, true, nil, 200)
 	f.awaitActive(0)
@@ -430,30 +435,30 @@
 	fl.mu.Unlock()
 	gate := held.clients.MayAdmit
 	if !gate() {
-		t.Fatal("the gate of the holder is shut")
+		t.Fatal("the gate of the active gateway is closed")
 	}
-	late := make(chan struct{}) // as if the clock had run on while the process stood still
+	stalled := make(chan struct{}) // closed when the router's goroutine, which simulates a stalled process, continues
 	go func() {
-		defer close(late)
+		defer close(stalled)
 		f.gateways[0].floating.router.Stall(4 * fleetInterval)
 	}()
-	eventually(t, func() bool { return !gate() }, func() string { return "the gate stays open while the speaker stands still" })
+	eventually(t, func() bool { return !gate() }, func() string { return "the gate stays open while the VRRP router is stalled" })
 	c.Write(query(writeQuery("x1")))
 	if kinds, bodies := c.readUntil('E'); !strings.Contains(bodies[0], "C53300\x00") && !strings.Contains(bodies[0], "C57P03\x00") {
 		t.Errorf("%s %q", kinds, bodies)
 	}
-	<-late
+	<-stalled
 	if n := len(f.primary.Queries()); n != 0 {
 		t.Errorf("%d statements were sent", n)
 	}
 	f.expectLogged(0, `"cause":"stood_still"`)
 	f.awaitActive(0)
 	if m := vrrp.CauseStalled; fl.router.Counters.Deactivations[m].Load() == 0 {
-		t.Error("not counted")
+		t.Error("the deactivation was not counted")
 	}
 }
 
-// A gateway that cannot have its socket says so and does not start half.
+// A gateway that cannot bind the VRRP socket returns the error from Start and leaves nothing running.
 func TestFloatingAddressInUse(t *testing.T) {
 	f := newGatewayFleet(t, true, nil, 200)
 	f.awaitActive(0)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -34,7 +34,7 @@
  "rules": {"ask_within_ms": 10000, "cold_from": 0.26, "fall_ms": 3000, "grace_to_answer_ms": 20,
   "overload_factor": 4, "ramp_time_ms": 16000, "stop_sending_within_ms": 250}}`
 
-// testTimeout bounds every wait of a test for an event; it is reached only when the test fails.
+// testTimeout limits every wait for an event. A test reaches it only when it fails.
 const testTimeout = 20 * time.Second
 
 // logBuffer collects the gateway's log.
@@ -55,7 +55,7 @@
 	return l.b.String()
 }
 
-// testGateway is a gateway with a primary, a replica and discovery around it.
+// testGateway is a gateway with a fake primary, replica and discovery.
 type testGateway struct {
 	t         *testing.T
 	primary   *fake.Server
@@ -67,6 +67,7 @@
 	stopped   bool
 }
 
+// newTestGateway starts a gateway. change may change its configuration, and tune its time limits.
 func newTestGateway(t *testing.T, change func(*config.Config), tune ...func(*Gateway)) *testGateway {
 	t.Helper()
 	checkLeaks(t)
@@ -121,10 +122,10 @@
 	}
 }
 
-// checkLeaks compares goroutines and descriptors at the test's end with those at its start.
+// checkLeaks fails the test if more goroutines or descriptors are left at its end than there were at its start.
 func checkLeaks(t *testing.T) {
 	t.Helper()
-	if l, err := net.Listen("tcp", "127.0.0.1:0"); err == nil { // the first socket brings the poller's own descriptors
+	if l, err := net.Listen("tcp", "127.0.0.1:0"); err == nil { // the first socket makes the runtime open the poller's own descriptors
 		l.Close()
 	}
 	goroutines, fds := runtime.NumGoroutine(), descriptors()
@@ -145,20 +146,20 @@
 	return len(list)
 }
 
-// eventually waits until something holds.
-func eventually(t *testing.T, holds func() bool, otherwise func() string) {
+// eventually waits until a condition is true. If it does not become true in time, the test fails with failure's text.
+func eventually(t *testing.T, condition func() bool, failure func() string) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
-		if holds() {
+		if condition() {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal(otherwise())
+			t.Fatal(failure())
 		}
 	}
 }
 
-// expectLogged waits for a log line that holds all of the words.
+// expectLogged waits for a log line that contains all of the words.
 func (w *testGateway) expectLogged(words ...string) {
 	w.t.Helper()
 	eventually(w.t, func() bool {
@@ -175,7 +176,7 @@
 	}, func() string { return fmt.Sprintf("no log line with %q in\n%s", words, w.log) })
 }
 
-// counts reads the owner's counters.
+// counts returns a copy of the routing core's counters.
 func (w *testGateway) counts() (c routing.Counts) {
 	w.gateway.owner.Call(func(core *routing.Core) {
 		c = core.Counts
@@ -187,7 +188,7 @@
 	return c
 }
 
-// dial opens a client's connection with an independent client library.
+// dial opens a client connection with pgconn, a client library that shares no code with the gateway.
 func (w *testGateway) dial() *pgconn.PgConn {
 	w.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -208,7 +209,7 @@
 	return "/* id=" + id + ",c=put,d=5000,cluster=7 */ INSERT INTO kv (name, content) VALUES ('k', '\\x01') RETURNING content"
 }
 
-// exec sends one statement and returns its value, or the SQLSTATE it failed with.
+// exec sends one statement and returns the value in its result, or the SQLSTATE of the error.
 func exec(c *pgconn.PgConn, sql string) (value, code string, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -251,34 +252,34 @@
 		t.Errorf("the statement changed: %q", got[0])
 	}
 	w.expectAnswer(c, readQuery("a2"), "value of a2", "")
-	if n := w.replica.ConnsOpened(); n > 2 { // one for reads, and perhaps one for a probe beside them
+	if n := w.replica.ConnsOpened(); n > 2 { // one for reads, and perhaps one for a health check at the same time
 		t.Errorf("%d connections for two reads one after the other", n)
 	}
 	eventually(t, func() bool { n := w.counts(); return n.Answers[routing.AnswerServed][0] == 2 && n.Requests[1] == 1 },
 		func() string { return fmt.Sprintf("%+v", w.counts()) })
 }
 
-// Every row of the protocol's table of outcomes, as the client and the server see it.
+// The answer to the client, and the number of attempts, for each outcome of an attempt that the protocol distinguishes.
 func TestOutcomeTable(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		sql     func(string) string
 		handle  func(*fake.Query)
-		code    string // what the client gets
-		repeats bool   // whether the request may be sent again
+		code    string // the SQLSTATE that the client gets
+		repeats bool   // the request may be sent again
 	}{
-		{"miss of a write", writeQuery, func(q *fake.Query) { q.ReplyError("25006") }, "53300", true},
+		{"write at a replica", writeQuery, func(q *fake.Query) { q.ReplyError("25006") }, "53300", true},
 		{"error", writeQuery, func(q *fake.Query) { q.ReplyError("XX000") }, "58000", false},
-		{"turned away", writeQuery, func(q *fake.Query) { q.ReplyError("53300") }, "53300", true},
+		{"rejected", writeQuery, func(q *fake.Query) { q.ReplyError("53300") }, "53300", true},
 		{"reset after the last byte", writeQuery, func(q *fake.Query) { q.CloseConn() }, "58000", false},
-		{"broken off in the value", writeQuery, func(q *fake.Query) {
+		{"reset within the value", writeQuery, func(q *fake.Query) {
 			row := fake.RowMessages([]byte("some value"))
 			q.Write(row[:len(row)-20])
 			q.CloseConn()
 		}, "58000", false},
 		{"not PostgreSQL", writeQuery, func(q *fake.Query) { q.Write([]byte("HTTP/1.1 200 OK\r\n\r\n")) }, "58000", false},
 		{"ready without a row", writeQuery, func(q *fake.Query) { q.Write([]byte{'Z', 0, 0, 0, 5, 'I'}) }, "58000", false},
-		{"silence", func(id string) string { return strings.Replace(writeQuery(id), "d=5000", "d=300", 1) },
+		{"no answer", func(id string) string { return strings.Replace(writeQuery(id), "d=5000", "d=300", 1) },
 			func(*fake.Query) {}, "58000", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -296,12 +297,13 @@
 				t.Errorf("sent %d times", n)
 			}
 			w.primary.SetQueryHandler(func(q *fake.Query) { q.ReplyRow([]byte("fine")) })
-			w.expectAnswer(client, "", "", "") // the client's connection lives on
+			w.expectAnswer(client, "", "", "") // the client's connection stays open
 		})
 	}
 }
 
-// A refused connection proves that nothing ran: a write waits for its server and is served or refused, not failed.
+// A failed start-up proves that the write had no effect. The write waits for its server and is served or rejected, but not
+// failed.
 func TestServerDownAtWrite(t *testing.T) {
 	w := newTestGateway(t, nil)
 	w.primary.RejectStartups("57P03")
@@ -312,7 +314,7 @@
 	}
 }
 
-// The idle connections to a process that has died are noticed: the next write opens a new one.
+// The gateway notices that idle connections were closed because the server's process died: the next write opens a new connection.
 func TestDeadIdleConnectionLosesNoWrite(t *testing.T) {
 	w := newTestGateway(t, nil)
 	c := w.dial()
@@ -325,7 +327,7 @@
 	}
 }
 
-// An answer behind which the server closes counts, and the next request takes another connection.
+// If the server closes the connection right after an answer, the answer counts, and the next request uses another connection.
 func TestServerClosesBehindAnswer(t *testing.T) {
 	w := newTestGateway(t, nil)
 	w.primary.SetQueryHandler(func(q *fake.Query) {
@@ -339,7 +341,7 @@
 	}
 }
 
-// A connection on which an attempt timed out is closed, and never used again.
+// A connection on which an attempt timed out is closed and not used again.
 func TestTimedOutConnectionIsClosed(t *testing.T) {
 	w := newTestGateway(t, nil)
 	conns := make(chan int, 16)
@@ -359,7 +361,7 @@
 	}
 }
 
-// A client that closes while its request is out is noticed, and what is out for it is given up.
+// If a client disconnects while its request is in flight, the gateway cancels the attempt.
 func TestClientGoneCancels(t *testing.T) {
 	w := newTestGateway(t, nil)
 	arrived := make(chan int, 1)
@@ -385,7 +387,7 @@
 	w.expectAnswer(w.dial(), readQuery("a"), "value of a", "")
 	w.cfg.Listen = w.gateway.Addr()
 	if _, err := Start(w.cfg, w.gateway.operators, w.log); err == nil {
-		t.Fatal("two gateways under one address")
+		t.Fatal("two gateways listen at one address")
 	}
 	w.gateway.Stop()
 	w.gateway = must2(Start(w.cfg, w.gateway.operators, w.log))
@@ -419,7 +421,7 @@
 		close(done)
 	}()
 	w.expectLogged("stopping")
-	// The front still sends: a new connection is served as before.
+	// The front may still send clients to this gateway: a new connection is served as before.
 	w.expectAnswer(w.dial(), readQuery("new"), "value of new", "")
 	if _, err := idle.Read(make([]byte, 1)); err == nil {
 		t.Error("an idle connection got something")
@@ -427,24 +429,24 @@
 	w.expectLogged(`"party":"client"`, `"reason":"drain"`)
 	select {
 	case <-done:
-		t.Fatal("stopped with requests out")
+		t.Fatal("stopped with requests in flight")
 	default:
 	}
 	close(release)
 	for range writes {
 		if got := <-results; got != "late<nil>" {
-			t.Errorf("a request taken before the stop ended with %s", got)
+			t.Errorf("a request accepted before the stop ended with %s", got)
 		}
 	}
 	<-done
 	w.stopped = true
 	w.expectLogged("stopped")
 	if _, err := net.Dial("tcp", w.gateway.Addr()); err == nil {
-		t.Error("the address still accepts")
+		t.Error("the address still accepts connections")
 	}
 }
 
-// blockedWriter holds up whoever writes until it is let go.
+// blockedWriter blocks all writes until held is closed. It closes blocked at the first write.
 type blockedWriter struct {
 	logBuffer
 	held    chan struct{}
@@ -458,7 +460,7 @@
 	return b.logBuffer.Write(p)
 }
 
-// A log that nobody reads holds up nobody.
+// A log whose output is blocked delays no request.
 func TestBlockedLog(t *testing.T) {
 	w := newTestGateway(t, nil)
 	out := &blockedWriter{held: make(chan struct{}), blocked: make(chan struct{})}
@@ -475,6 +477,6 @@
 	w.gateway.Stop()
 	w.stopped = true
 	if !strings.Contains(out.String(), "stopped") {
-		t.Error("the last line is missing")
+		t.Error("the last log line is missing")
 	}
 }
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -19,7 +19,7 @@
 	formFailed = 3
 )
 
-// lists waits until so many lists of a form have come in.
+// lists waits until at least a number of lists of a form have been received.
 func (w *testGateway) lists(form int, least int64) {
 	w.t.Helper()
 	eventually(w.t, func() bool { return w.counts().ListUpdates[form] >= least },
@@ -28,14 +28,14 @@
 		})
 }
 
-// reload gives the gateway the same configuration with another discovery.
+// reload reloads the gateway's configuration with another address of discovery.
 func (w *testGateway) reload(addr string) {
 	next := *w.cfg
 	next.Discovery = addr
 	w.gateway.Reload(&next, w.gateway.operators, nil)
 }
 
-// awaitDiscoveryRequest waits for a call and returns its path.
+// awaitDiscoveryRequest waits for a call to discovery and returns its path.
 func awaitDiscoveryRequest(t *testing.T, d *fake.Discovery) string {
 	t.Helper()
 	select {
@@ -47,8 +47,8 @@
 	}
 }
 
-// A new address of discovery is asked for its whole list, for its versions may be others, and watched from there on.
-// The end of the old watch is no failure.
+// After a reload with a new address of discovery, the gateway asks this address for the full list, because the versions there may
+// differ, and then watches it. The end of the old watch does not count as a failure.
 func TestReloadMovesDiscovery(t *testing.T) {
 	w := newTestGateway(t, nil)
 	w.lists(formFull, 1)
@@ -62,26 +62,26 @@
 	defer next.Close()
 	w.reload(next.Addr())
 	if path := awaitDiscoveryRequest(t, next); path != "/v1/servers" {
-		t.Errorf("a strange address was first asked for %s", path)
+		t.Errorf("the new address was first asked for %s", path)
 	}
 	if path := awaitDiscoveryRequest(t, next); path != "/v1/servers?watch=1&from=1" {
-		t.Errorf("then for %s", path)
+		t.Errorf("the new address was then asked for %s", path)
 	}
-	w.lists(formFull, 3) // the list, and the watch's first line, which holds it again
+	w.lists(formFull, 3) // the old address's list, the new one's, and the first line of the new watch, which is the full list again
 	w.expectLogged(`"party":"discovery"`, w.discovery.Addr(), `"reason":"replaced"`)
 	w.expectAnswer(w.dial(), readQuery("d"), "value of d", "")
 	if n := len(w.replica.Queries()); n != 0 {
-		t.Error("a read went to a server that the new address calls draining")
+		t.Error("a read went to a server that the new address reports as draining")
 	}
 	w.discovery.ResetConns()
 	next.Push(w.targets()[1])
 	w.lists(formDelta, 5)
 	if n := w.counts().ListUpdates[formFailed]; n != 0 {
-		t.Errorf("%d failures told to the module", n)
+		t.Errorf("%d failed lists reported to the router", n)
 	}
 }
 
-// Until the new address has told its list the old watch goes on; what the new one fails with is a failed call as any.
+// The old watch continues until the new address has sent its list. A failure of the new address counts like any failed call.
 func TestReloadToAnAddressThatFails(t *testing.T) {
 	w := newTestGateway(t, nil)
 	w.lists(formFull, 1)
@@ -100,9 +100,9 @@
 	w.lists(formDelta, 2)
 }
 
-// However long the module means to wait after failures, a new address is asked at once.
+// A new address of discovery is asked at once, however long the router would wait after failures before the next call.
 func TestReloadDoesNotWaitForTheNextPoll(t *testing.T) {
-	w := newTestGateway(t, func(c *config.Config) { c.Discovery = "127.0.0.1:1" }) // nobody listens there
+	w := newTestGateway(t, func(c *config.Config) { c.Discovery = "127.0.0.1:1" }) // nothing listens there
 	w.lists(formFailed, 3)
 	failed := w.counts().Watches
 	w.reload(w.discovery.Addr())
@@ -110,12 +110,12 @@
 		t.Errorf("asked for %s", path)
 	}
 	w.lists(formFull, 1)
-	if n := w.counts().Watches; n != failed { // the module was not the one who asked
-		t.Skipf("the module asked %d times meanwhile", n-failed)
+	if n := w.counts().Watches; n != failed { // the router has asked too, so the call may have been its own
+		t.Skipf("the router asked %d times in the meantime", n-failed)
 	}
 }
 
-// A reload that is at fault changes nothing and names its key; keys that need a restart are named too.
+// A faulty reload changes nothing, and its key is logged. Changed keys that require a restart are logged too.
 func TestReloadFaults(t *testing.T) {
 	w := newTestGateway(t, nil)
 	w.lists(formFull, 1)
@@ -134,7 +134,8 @@
 	}
 }
 
-// Several moves in a row leave one watch, at the last address; a move behind the end does no harm.
+// After several reloads in a row, each with another address of discovery, only the last address is watched. A reload after Stop
+// does no harm.
 func TestReloadsInARow(t *testing.T) {
 	w := newTestGateway(t, nil)
 	w.lists(formFull, 1)
@@ -152,11 +153,11 @@
 	w.lists(formDelta, 1)
 	eventually(t, func() bool {
 		return strings.Count(w.log.String(), `"party":"discovery"`) >= 4
-	}, func() string { return "calls that were replaced go on" })
+	}, func() string { return "replaced calls were not ended" })
 	w.stopped = true
 	w.gateway.Stop()
 	w.reload(w.discovery.Addr())
 	if w.gateway.owner.Call(func(*routing.Core) {}) {
-		t.Error("the owner still runs")
+		t.Error("the routing owner still runs")
 	}
 }
--- a/internal/gateway/settings_test.go
+++ b/internal/gateway/settings_test.go
@@ -16,8 +16,8 @@
 	"marblespan/internal/settings"
 )
 
-// movedSettings are those of a deployment put together otherwise: servers that check nothing, no primary on the list, the
-// classes in another order and one more, a price for crossing zones.
+// movedSettings are the settings of a different deployment: the servers check no positions, the endpoint list does not show the
+// primary, there is one class more and the classes are in another order, and crossing zones has a cost.
 const movedSettings = `{"balancers": 40, "ordinal": 3, "locality": "here",
  "classes": [
   {"name": "long", "aim_ms": 5000, "give_up_ms": 10000, "effect": "free", "points": 6, "late_worth": 0.2},
@@ -33,7 +33,7 @@
  "rules": {"ask_within_ms": 10000, "cold_from": 0.16, "fall_ms": 2000, "grace_to_answer_ms": 20,
   "overload_factor": 2.5, "ramp_time_ms": 18000, "stop_sending_within_ms": 2000}}`
 
-// with is the running configuration with other settings, as a file would bring them.
+// with returns the running configuration with other settings, as read from a file.
 func (w *testGateway) with(settings string) (*config.Config, error) {
 	raw, _ := json.Marshal(map[string]any{
 		"name": "n0", "listen": "127.0.0.1:1", "discovery": w.discovery.Addr(), "seed": "8c1f30d27a5be964",
@@ -47,24 +47,24 @@
 	return next, err
 }
 
-// reloadSettings does what SIGHUP does.
+// reloadSettings does what the gateway does on SIGHUP, with other settings.
 func (w *testGateway) reloadSettings(settings string) {
 	next, err := w.with(settings)
 	w.gateway.Reload(next, w.gateway.operators, err)
 }
 
-// There, back, there again, a faulty file between, and two at once, with reads and writes under way all the time: each
-// request has one final answer, all are served but the few whose class changed on their way in, and no write reaches a
-// server twice.
+// Under load the settings change back and forth, with faulty files in between and two reloads at once at the end. Each request
+// gets one final answer, all are served except the few whose class changes between reading and routing them, and no write reaches
+// a server twice.
 func TestSettingsThereAndBackUnderLoad(t *testing.T) {
 	w := newTestGateway(t, nil)
-	now := func() { // positions as servers that keep up report them
+	updatePositions := func() { // as servers without replication lag report them
 		w.primary.Position.Store(time.Now().UnixMilli())
 		w.replica.Position.Store(time.Now().UnixMilli())
 	}
-	now()
+	updatePositions()
 	var stop atomic.Bool
-	var asked, served, refused atomic.Int64
+	var sent, served, rejected atomic.Int64
 	var wg sync.WaitGroup
 	clients := make([]*pgconn.PgConn, 6)
 	for k := range clients {
@@ -75,38 +75,38 @@
 		go func() {
 			defer wg.Done()
 			for n := 0; !stop.Load(); n++ {
-				now()
+				updatePositions()
 				sql := readQuery(fmt.Sprintf("l%d-%d", k, n))
 				if n%3 == 0 {
 					sql = writeQuery(fmt.Sprintf("p%d-%d", k, n))
 				}
-				asked.Add(1)
+				sent.Add(1)
 				switch value, code, err := exec(c, sql); {
 				case err == nil && code == "" && value != "":
 					served.Add(1)
-				case err == nil && code == "53300": // only where the class changed while it was on its way in
-					refused.Add(1)
+				case err == nil && code == "53300": // only if the class changed between reading and routing the request
+					rejected.Add(1)
 				default:
 					t.Errorf("%s: value %q code %q, %v", sql, value, code, err)
 				}
 			}
 		}()
 	}
-	more := func() { // some more requests go through under what is in force now
+	awaitMore := func() { // waits until further requests are served under the present settings
 		from := served.Load()
 		eventually(t, func() bool { return served.Load() > from+60 || t.Failed() }, func() string { return "no progress" })
 	}
 	for round := range 3 {
 		for _, s := range []string{movedSettings, testSettings} {
 			w.reloadSettings(s)
-			more()
+			awaitMore()
 		}
 		w.reloadSettings(strings.Replace(movedSettings, `"checks": "none"`, `"checks": "perhaps"`, 1))
 		w.expectLogged("reload failed", "settings.family_info.checks")
 		if got, want := w.counts().Reloads, int64(2*round+2); got != want {
 			t.Errorf("%d reloads of the settings, want %d", got, want)
 		}
-		more()
+		awaitMore()
 	}
 	var both sync.WaitGroup
 	for range 2 {
@@ -114,7 +114,7 @@
 		go func() { defer both.Done(); w.reloadSettings(movedSettings) }()
 	}
 	both.Wait()
-	more()
+	awaitMore()
 	stop.Store(true)
 	wg.Wait()
 	ran := map[string]int{}
@@ -129,31 +129,31 @@
 		}
 	}
 	n := w.counts()
-	if n.Reloads != 7 { // two at once that bring the same are one
+	if n.Reloads != 7 { // the two concurrent reloads bring the same settings and count as one
 		t.Errorf("%d reloads of the settings, want 7", n.Reloads)
 	}
-	if asked.Load() != served.Load()+refused.Load() || refused.Load() != n.ClassChanged {
-		t.Errorf("%d requests, %d served, %d refused, %d of a changed class", asked.Load(), served.Load(), refused.Load(),
+	if sent.Load() != served.Load()+rejected.Load() || rejected.Load() != n.ClassChanged {
+		t.Errorf("%d requests, %d served, %d rejected, %d of a changed class", sent.Load(), served.Load(), rejected.Load(),
 			n.ClassChanged)
 	}
 	total := int64(0)
 	for _, of := range n.Requests {
 		total += of
 	}
-	if total+n.ClassChanged != asked.Load() {
-		t.Errorf("counted %d requests by class and %d strays, asked %d", total, n.ClassChanged, asked.Load())
+	if total+n.ClassChanged != sent.Load() {
+		t.Errorf("counted %d requests by class and %d of a changed class, sent %d", total, n.ClassChanged, sent.Load())
 	}
 	w.expectLogged("settings in force", "family_info.checks", "costs", "rules.overload_factor")
 }
 
-// A write that is out when the settings change is finished under those that it came under: new ones that call its class
-// harmless do not make it so, and neither does the death of its primary.
+// A write that is in flight when the settings change is finished under the settings with which it was read. If its connection to
+// the primary is then reset it is not sent again, even if the new settings declare its class as free of effects.
 func TestWriteInFlightDuringAReload(t *testing.T) {
 	for _, back := range []bool{false, true} {
 		w := newTestGateway(t, nil)
 		handle, arrived, release := blockingHandler(t)
 		w.primary.SetQueryHandler(handle)
-		harmless := strings.Replace(movedSettings, "single_shot", "free", 1)
+		freeOfEffect := strings.Replace(movedSettings, "single_shot", "free", 1)
 		done := make(chan string, 1)
 		client := w.dial()
 		go func() {
@@ -161,7 +161,7 @@
 			done <- fmt.Sprint(code, err)
 		}()
 		<-arrived
-		w.reloadSettings(harmless)
+		w.reloadSettings(freeOfEffect)
 		if back {
 			w.reloadSettings(testSettings)
 		}
@@ -171,13 +171,13 @@
 			t.Errorf("the write ended with %s", got)
 		}
 		if n := len(w.primary.Queries()) + len(w.replica.Queries()); n != 1 {
-			t.Errorf("it was sent %d times", n)
+			t.Errorf("the write was sent %d times", n)
 		}
 		release()
 	}
 }
 
-// A drain that was told before the settings change binds after it.
+// A server that discovery reports as draining before the settings change stays draining after the change.
 func TestDrainSurvivesAReload(t *testing.T) {
 	w := newTestGateway(t, nil)
 	w.lists(formFull, 1)
@@ -198,7 +198,7 @@
 	}
 }
 
-// What is at fault in new settings is named, and nothing changes.
+// The key at fault in new settings is named, and nothing changes.
 func TestFaultySettingsAreNamed(t *testing.T) {
 	w := newTestGateway(t, nil)
 	for change, key := range map[[2]string]string{
--- a/internal/gateway/stopping_test.go
+++ b/internal/gateway/stopping_test.go
@@ -11,26 +11,27 @@
 	"marblespan/internal/routing"
 )
 
-// stop begins a stop, and returns once it has closed the clients that rest: until then the gateway serves as before.
+// stop calls Stop on another goroutine and returns holdAfterDrain after idle clients were closed; before that, the gateway serves
+// as usual. ended is closed when Stop has returned.
 func (w *testGateway) stop() (ended chan struct{}) {
 	w.t.Helper()
-	resting := w.raw()
+	idle := w.raw()
 	w.stopped = true
 	ended = make(chan struct{})
 	go func() {
 		w.gateway.Stop()
 		close(ended)
 	}()
-	resting.expectEnd()
+	idle.expectEnd()
 	time.Sleep(holdAfterDrain)
 	return ended
 }
 
-// holdAfterDrain is how long a test holds its request up behind the closing of the clients that rest, so that a gateway that
-// does not wait for requests under way is past that by then. One that does has longer to wait than this.
+// holdAfterDrain is how long a test delays its request after idle clients were closed. By then a gateway that fails to wait for
+// requests in flight has gone on to the next step of the shutdown. A gateway that does wait waits for longer than this.
 const holdAfterDrain = 100 * time.Millisecond
 
-// wantServed reads one answer and its value's end.
+// wantServed reads one answer and checks that its value ends with the given text.
 func (c *clientConn) wantServed(value string) {
 	c.t.Helper()
 	if kinds, bodies := c.readUntil('Z'); kinds != "TDCZ" || !strings.HasSuffix(bodies[1], value) {
@@ -38,8 +39,8 @@
 	}
 }
 
-// A request that was read and is not with routing yet when the stop begins is routed and answered. This and the next two fail
-// where the stop does not wait for clients with requests under way.
+// A request that was read but has not reached the routing core when Stop begins is still routed and answered. This test and the
+// next two fail if Stop does not wait for clients with requests in flight.
 func TestStopBeforeARequestIsRouted(t *testing.T) {
 	w := newTestGateway(t, nil)
 	c := w.raw()
@@ -57,7 +58,7 @@
 	<-ended
 }
 
-// One that waits for its connection to come up is sent once it has, also while the gateway stops.
+// A request that waits for a connection to a server is sent once the connection is up, even while the gateway is stopping.
 func TestStopWhileAConnectionComesUp(t *testing.T) {
 	w, c, server := writeToConnectingPrimary(t)
 	ended := w.stop()
@@ -71,31 +72,31 @@
 	<-ended
 }
 
-// A further attempt that falls due while the gateway stops is made.
+// A retry that becomes due while the gateway is stopping is sent.
 func TestStopBeforeARetry(t *testing.T) {
 	w := newTestGateway(t, func(c *config.Config) {
 		c.InForce.Settings.MaxAttempts = 1 << 20
 		for i := range c.InForce.Settings.Classes {
-			c.InForce.Settings.Classes[i].LatencyObjective = 100_000 // the pauses between attempts follow it
+			c.InForce.Settings.Classes[i].LatencyObjective = 100_000 // the delays between attempts depend on it
 		}
 	})
 	w.replica.SetQueryHandler(func(q *fake.Query) { q.ReplyError("25006") })
-	turnedAway := make(chan struct{}, 1024)
+	rejected := make(chan struct{}, 1024)
 	w.primary.SetQueryHandler(func(q *fake.Query) {
 		q.ReplyError("53300")
-		turnedAway <- struct{}{}
+		rejected <- struct{}{}
 	})
 	c := w.raw()
 	c.Write(query(strings.Replace(writeQuery("x"), "d=5000", "d=20000", 1)))
-	<-turnedAway
+	<-rejected
 	ended := w.stop()
 	w.primary.SetQueryHandler(func(q *fake.Query) { q.ReplyRow([]byte("at last")) })
 	c.wantServed("at last")
 	<-ended
 }
 
-// A watch that is reset right before servers begin to drain is opened again, and what it missed is heard: nothing goes to
-// them. The same when nothing but silence comes from the new watch at first.
+// A watch is reset right before a server begins to drain. The gateway opens a new watch and learns of the drain, so that no
+// request is sent to the server. The same holds if the new watch is silent at first.
 func TestWatchResetBeforeADrain(t *testing.T) {
 	for _, answer := range []string{"", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"} {
 		w := newTestGateway(t, func(c *config.Config) {}, func(g *Gateway) { g.discovery.Limits.Answer = 200 * time.Millisecond })
@@ -117,7 +118,7 @@
 	}
 }
 
-// A client that comes again on the same connection before its first request has ended, with a new id, is asked beside it;
+// If a client repeats a request under a new id on the same connection before the first request has ended, both are routed, and
 // each id is sent once.
 func TestRepeatBeforeTheFirstHasEnded(t *testing.T) {
 	w := newTestGateway(t, nil)
