--- a/internal/floatingip/loop.go
+++ b/internal/floatingip/loop.go
@@ -88,8 +88,8 @@
 		r.address.Deactivate(g.Name)
 	case vrrp.SendAdvertisement:
 		r.advertise(g, a)
-		// The lease is extended only after the send: if the process stalls before it, no peer receives the advertisement, and the
-		// lease must not run on.
+		// The lease is extended only after the send. If the process stalls before the send, no peer receives the advertisement
+		// and one may take over, so the lease must not have been extended by then.
 		g.leaseEnd.Store(int64(g.machine.Lease()))
 	case vrrp.AnnounceAddress:
 		r.announce(g)
--- a/internal/gateway/client_test.go
+++ b/internal/gateway/client_test.go
@@ -182,7 +182,7 @@
 		}
 	}
 	eventually(t, func() bool { return w.counts().Answers[routing.AnswerServed][0] == 1 },
-		func() string { return "the read behind the write was not served" })
+		func() string { return "the read after the write was not served" })
 	release()
 	for _, want := range []string{"value of w1", "value of r1", "08P01", "value of w2"} {
 		if kinds, bodies := c.readUntil('Z'); !strings.Contains(strings.Join(bodies, ""), want) {
@@ -570,7 +570,8 @@
 	}
 }
 
-// A client for which there is no descriptor gets an error before its start-up, with a code on which clients try again later.
+// If the gateway has no descriptor left for a client, it sends an error before the start-up, with a code on which clients try
+// again later.
 func TestNoCapacityForAClient(t *testing.T) {
 	w := newTestGateway(t, func(c *config.Config) { c.Sockets = 64 })
 	hold, _, _ := blockingHandler(t)
@@ -619,7 +620,7 @@
 	}
 	release()
 	if kinds, bodies := behind.readUntil('Z'); kinds != "TDCZ" || !strings.HasSuffix(bodies[1], "value of b") {
-		t.Errorf("the request under way got %s %q", kinds, bodies)
+		t.Errorf("the request in flight got %s %q", kinds, bodies)
 	}
 	select {
 	case <-stopped:
@@ -669,6 +670,6 @@
 	w.stopped = true
 	w.gateway.Stop()
 	if kinds, bodies := c.readUntil('Z'); kinds != "EZ" || !strings.Contains(bodies[0], "C58000\x00") {
-		t.Errorf("the request under way got %s %q", kinds, bodies)
+		t.Errorf("the request in flight got %s %q", kinds, bodies)
 	}
 }
--- a/internal/gateway/floatingip.go
+++ b/internal/gateway/floatingip.go
@@ -40,7 +40,7 @@
 	counts      session.ClientCounts
 	health      atomic.Pointer[healthSample]
 	stopping    atomic.Bool
-	releasedAll atomic.Bool                    // the last releaseAll released every address
+	releasedAll atomic.Bool                    // every address is or is being released; resume clears it
 	groups      atomic.Pointer[[]config.Group] // in force; a reload replaces them
 	quit        chan struct{}
 	polling     sync.WaitGroup
@@ -208,8 +208,8 @@
 }
 
 // Deactivate closes the floating listener. Requests that were accepted are answered as in a shutdown: idle clients are closed, so
-// that they reconnect to the gateway that now holds the address, and the others are closed after their answers. For
-// the rest of a message that has arrived only in part, the gateway waits no longer than partialMessageGrace.
+// that they reconnect to the gateway that now holds the address, and the others are closed after their answers. For the rest of a
+// message that has arrived only in part, the gateway waits no longer than partialMessageGrace.
 func (f *floatingAddresses) Deactivate(group string) {
 	f.mu.Lock()
 	t := f.current[group]
--- a/internal/gateway/maintenance.go
+++ b/internal/gateway/maintenance.go
@@ -47,8 +47,8 @@
 	next            atomic.Pointer[indexedOrder] // the latest order received, which the loop applies
 	ledgerTimeout   atomic.Int64                 // how long a starting gateway waits to be enrolled in the ledger, in nanoseconds
 	maxReplicaLag   atomic.Int64                 // the lag above which a replica is reported as lagging, in microseconds
-	enrolled        atomic.Bool                  // the ledger has this incarnation as enrolled
-	draining        atomic.Bool                  // nothing new is admitted, and the gateway reports that it is not ready to the fronts
+	enrolled        atomic.Bool                  // this incarnation is enrolled in the ledger
+	draining        atomic.Bool                  // nothing new is admitted; fronts see that the gateway is not ready
 	closedToClients atomic.Bool                  // requests of connected clients are rejected too
 
 	// Owned by the loop's goroutine.
@@ -60,7 +60,7 @@
 	lastLoad      int // in thousandths
 }
 
-// indexedOrder is an order, and the ledger index at which it was read.
+// indexedOrder is an order, and the ledger index whose state it reflects.
 type indexedOrder struct {
 	index uint64
 	*maintenance.Order
@@ -127,9 +127,9 @@
 	}
 }
 
-// admits reports whether new clients and requests are admitted. A gateway that starts first waits until the order shows it as
-// enrolled in the ledger, because it then also knows which servers are cordoned. If it does not learn this within the ledger
-// timeout, it admits requests all the same.
+// admits reports whether new clients and requests are admitted. A starting gateway admits nothing until the order shows it as
+// enrolled in the ledger, because only then does it know which servers are cordoned. If that does not happen within the ledger
+// timeout, the gateway admits requests all the same.
 func (a *maintenanceAgent) admits() bool {
 	return a == nil || !a.draining.Load() && (a.enrolled.Load() || time.Since(a.startedAt) > time.Duration(a.ledgerTimeout.Load()))
 }
--- a/internal/gateway/settings_test.go
+++ b/internal/gateway/settings_test.go
@@ -147,13 +147,13 @@
 }
 
 // A write that is in flight when the settings change is finished under the settings with which it was read. If its connection to
-// the primary is then reset it is not sent again, even if the new settings declare its class as free of effects.
+// the primary is then reset it is not sent again, even if the new settings give its class the effect "free".
 func TestWriteInFlightDuringAReload(t *testing.T) {
 	for _, back := range []bool{false, true} {
 		w := newTestGateway(t, nil)
 		handle, arrived, release := blockingHandler(t)
 		w.primary.SetQueryHandler(handle)
-		freeOfEffect := strings.Replace(movedSettings, "single_shot", "free", 1)
+		effectFree := strings.Replace(movedSettings, "single_shot", "free", 1)
 		done := make(chan string, 1)
 		client := w.dial()
 		go func() {
@@ -161,7 +161,7 @@
 			done <- fmt.Sprint(code, err)
 		}()
 		<-arrived
-		w.reloadSettings(freeOfEffect)
+		w.reloadSettings(effectFree)
 		if back {
 			w.reloadSettings(testSettings)
 		}
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -63,7 +63,7 @@
 	s.stopping.Store(true)
 	s.members.setDraining(true)
 	if s.store != nil {
-		go s.store.TransferLeadership() // takes a second at most; the Raft groups led here get new leaders before this gateway is gone
+		go s.store.TransferLeadership() // takes a second at most; the Raft groups led here get new leaders before this gateway ends
 	}
 	s.floating.releaseAll(false)
 }
