--- a/internal/assignment/rank.go
+++ b/internal/assignment/rank.go
@@ -7,8 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// score is a member's score for a subject in rendezvous hashing: the highest of as many hashes as its weight. So its share of all
-// subjects is proportional to its weight, and a member that joins or leaves moves only the subjects that it gets or had.
+// score returns a member's score for a subject in rendezvous hashing: the highest of as many hashes as the member's weight.
+// This makes a member's share of all subjects proportional to its weight. When a member joins or leaves, only the subjects that
+// it receives or had are moved.
 func score(m Member, key string) uint64 {
 	var digest xxhash.Digest
 	best := uint64(0)
@@ -22,20 +23,21 @@
 	return best
 }
 
-// ranking is the names of the members in the order of their rank for a subject: those of its zone first, then by score.
+// ranking returns the names of the members in the order of their rank for a subject: members in the subject's zone first, and
+// within both parts by descending score.
 func ranking(members []Member, s Subject) []string {
 	type candidate struct {
-		name  string
-		near  bool
-		score uint64
+		name   string
+		inZone bool
+		score  uint64
 	}
 	candidates := make([]candidate, len(members))
 	for i, m := range members {
 		candidates[i] = candidate{m.Name, s.Zone == "" || m.Zone == s.Zone, score(m, s.Key)}
 	}
 	slices.SortFunc(candidates, func(a, b candidate) int {
-		if a.near != b.near {
-			if a.near {
+		if a.inZone != b.inZone {
+			if a.inZone {
 				return -1
 			}
 			return 1
