--- a/internal/config/lines/check.go
+++ b/internal/config/lines/check.go
@@ -11,7 +11,7 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// checker is made when a file is first checked.
+// checker returns the validator, which is created at the first call.
 var checker = sync.OnceValue(func() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
@@ -23,10 +23,10 @@
 	return v
 })
 
-// fieldNamespace matches what the checker calls a field: the struct, the directive, and its index where it is repeated.
+// fieldNamespace matches a field's namespace in a validation error: the struct, the directive, and the index if it is repeated.
 var fieldNamespace = regexp.MustCompile(`^[^.]*\.([^.\[]+)(?:\[(\d+)\])?`)
 
-// Check tells what the validate tags of a root and of its sections forbid, each with the line that it was read from.
+// Check returns a fault for each violation of a validate tag in the root struct and in its sections, with the directive's line.
 func Check(file string, from any) Faults {
 	root := reflect.ValueOf(from).Elem()
 	faults := checkStruct(file, root)
@@ -46,7 +46,7 @@
 	return faults
 }
 
-// checkStruct checks the directives of one section, or those before all sections.
+// checkStruct checks the directives of one section, or those before the first section.
 func checkStruct(file string, section reflect.Value) (faults Faults) {
 	violations, ok := errors.AsType[validator.ValidationErrors](checker().Struct(section.Addr().Interface()))
 	if !ok {
@@ -62,7 +62,7 @@
 	return faults
 }
 
-// describeViolation says what a validate tag demands.
+// describeViolation returns a text that describes the violated requirement.
 func describeViolation(e validator.FieldError) string {
 	n := e.Param()
 	counted := map[reflect.Kind]string{reflect.Slice: " of them", reflect.String: " characters"}[e.Kind()]
--- a/internal/config/lines/decode.go
+++ b/internal/config/lines/decode.go
@@ -8,15 +8,15 @@
 	"strings"
 )
 
-// Decode fills a struct from directives. Its fields, and those of the structs that its sections fill, tell what may be set:
+// Decode fills a struct from directives. The tags of its fields, and of the fields of its sections' structs, define the directives:
 //
-//	conf:"name"          a directive. A slice takes any number of them; a struct takes its values in the order of its fields.
-//	conf:"name,secret"   likewise, but Print hides its last value
-//	section:"name"       a pointer to a struct, or a slice of structs, each filled by one section
+//	conf:"name"          a directive. A slice accepts any number of them; a struct takes the values in the order of its fields.
+//	conf:"name,secret"   likewise, but Print hides the last value
+//	section:"name"       a pointer to a struct, or a slice of structs. Each section fills one struct.
 //	title:"true"         in a section's struct: the value on the line that begins the section
 //
-// A section's struct embeds Source, which tells the lines it was read from. A type with a method Defaults is filled by it
-// first. All faults are told at once.
+// A section's struct embeds Source, which records the lines that it was read from. If a type has a method Defaults, Decode calls it
+// before it sets any field. Decode returns all faults, not only the first.
 func Decode(file string, directives []Directive, into any) Faults {
 	root := reflect.ValueOf(into).Elem()
 	applyDefaults(root)
@@ -35,13 +35,13 @@
 	return d.faults
 }
 
-// Source tells which lines a section was read from.
+// Source records the lines that a section was read from.
 type Source struct {
-	Line int // of the line that begins it; 0 for what stands before all sections
-	at   map[string][]int
+	Line int              // the line that begins the section; 0 for the directives before the first section
+	at   map[string][]int // the lines of each directive
 }
 
-// LineOf is the line of a directive, of the i-th where it may be repeated, or else that of the section.
+// LineOf returns the line of the i-th occurrence of a directive, or the line of the section if there is no such occurrence.
 func (s Source) LineOf(directive string, i int) int {
 	if list := s.at[directive]; i < len(list) {
 		return list[i]
@@ -49,7 +49,7 @@
 	return s.Line
 }
 
-// Sections lists the keywords that begin the sections of a root struct, in the order of its fields.
+// Sections returns the keywords of the sections of a root struct, in the order of its fields.
 func Sections(root any) (keywords []string) {
 	t := reflect.TypeOf(root).Elem()
 	for i := range t.NumField() {
@@ -60,24 +60,24 @@
 	return keywords
 }
 
-// decoder is what Decode has read so far.
+// decoder holds the state of one call of Decode.
 type decoder struct {
 	file     string
 	root     reflect.Value
-	section  reflect.Value // the one that directives are in now; the root before all sections
+	section  reflect.Value // the section of the next directive; root before the first section
 	repeated []repeatedSection
 	faults   Faults
 }
 
-// repeatedSection is a section that is an element of a slice. It is appended once all lines are read: a slice may move its
-// elements as it grows.
+// repeatedSection is a section that becomes an element of a slice. It is appended after all lines are read, because a slice may
+// move its elements when it grows, and decoder.section would then refer to the old copy.
 type repeatedSection struct{ field, section reflect.Value }
 
 func (d *decoder) fault(x Directive, format string, a ...any) {
 	d.faults = append(d.faults, Fault{d.file, x.Line, x.Name, fmt.Sprintf(format, a...)})
 }
 
-// decodeSection begins a section in the field that its keyword fills.
+// decodeSection begins a section: it creates the section's struct and stores it in the field that has the keyword as its tag.
 func (d *decoder) decodeSection(field reflect.Value, keyword Directive) {
 	section := reflect.New(field.Type().Elem())
 	applyDefaults(section.Elem())
@@ -98,7 +98,7 @@
 	*sourceOf(section) = Source{line, map[string][]int{}}
 }
 
-// setTitle reads the value on the line that begins a section.
+// setTitle sets the title field of a section to the value on the line that begins it.
 func (d *decoder) setTitle(keyword Directive) {
 	for i := range d.section.NumField() {
 		if d.section.Type().Field(i).Tag.Get("title") != "true" {
@@ -116,7 +116,7 @@
 	}
 }
 
-// decodeDirective reads a directive into the field of the section that it sets.
+// decodeDirective sets the field of the current section that belongs to a directive.
 func (d *decoder) decodeDirective(x Directive) {
 	var known []string
 	for i := range d.section.NumField() {
@@ -154,7 +154,8 @@
 	d.parseValues(field, x, x.Values)
 }
 
-// splitValues gives each element of a slice its values: a repeated directive may have several plain values in a line.
+// splitValues returns the values for each element that a line adds to a slice. A repeatable directive may have several plain values
+// on one line; each of them is an element.
 func splitValues(element reflect.Type, values []string) [][]string {
 	if kindOf(element) == composite || len(values) <= 1 {
 		return [][]string{values}
@@ -162,7 +163,7 @@
 	return slices.Collect(slices.Chunk(values, 1))
 }
 
-// parseValues reads a directive's values into a field, or into the fields of a struct.
+// parseValues parses a directive's values into a field, or into the fields of a struct.
 func (d *decoder) parseValues(field reflect.Value, x Directive, values []string) {
 	parts := partsOf(field)
 	if len(values) != len(parts) {
@@ -176,7 +177,7 @@
 	}
 }
 
-// partsOf are what the values of a directive fill: the fields of a struct, or the field itself.
+// partsOf returns the values that a directive's values are parsed into: the fields of a struct, or the field itself.
 func partsOf(field reflect.Value) []reflect.Value {
 	if kindOf(field.Type()) != composite {
 		return []reflect.Value{field}
@@ -188,14 +189,14 @@
 	return parts
 }
 
-// applyDefaults calls the method Defaults of a struct that has one.
+// applyDefaults calls the method Defaults of a value if it has one.
 func applyDefaults(v reflect.Value) {
 	if x, ok := v.Addr().Interface().(interface{ Defaults() }); ok {
 		x.Defaults()
 	}
 }
 
-// sourceOf is the Source that a section's struct embeds.
+// sourceOf returns the Source that a section's struct embeds, or a new one if it embeds none.
 func sourceOf(section reflect.Value) *Source {
 	if f := section.FieldByName("Source"); f.IsValid() {
 		return f.Addr().Interface().(*Source)
@@ -203,7 +204,7 @@
 	return &Source{}
 }
 
-// sectionField finds the field that a section's keyword fills.
+// sectionField returns the field that has a section's keyword as its tag.
 func sectionField(root reflect.Value, keyword string) (field reflect.Value, ok bool) {
 	for i := range root.NumField() {
 		if root.Type().Field(i).Tag.Get("section") == keyword {
@@ -213,7 +214,7 @@
 	return reflect.Value{}, false
 }
 
-// directiveName is the directive that sets a field, and whether it is a secret; empty: none does.
+// directiveName returns the name of the directive that sets a field, or "" if there is none, and whether its value is a secret.
 func directiveName(f reflect.StructField) (name string, secret bool) {
 	name, option, _ := strings.Cut(f.Tag.Get("conf"), ",")
 	return name, option == "secret"
--- a/internal/config/lines/lines.go
+++ b/internal/config/lines/lines.go
@@ -1,8 +1,10 @@
-// Package lines reads settings in the manner of classic daemons: one directive a line, a name and its values; sections begin
-// with a keyword line and last until the next one; # begins a comment; a value with blanks or # stands in double quotes. It
-// knows no setting: what there is to set is told by the fields of a struct. Package config is its caller: Parse makes
-// directives of a text, Decode fills the struct with them, Check applies its validate tags, and Print writes what is in force.
-// The package keeps no state but the parser and the checker, which are made once and safe for all goroutines.
+// Package lines reads configuration files like those of classic Unix daemons. Each line has one directive: a name and its values. A
+// line with a keyword begins a section, which ends at the next keyword. A comment begins with #. A value that contains blanks or #
+// is written in double quotes. The package has no settings of its own: the tags of a struct define which directives there are.
+//
+// Package config is the caller. Parse splits a text into directives, Decode fills the struct from them, Check applies the validate
+// tags, and Print writes the settings. The package's only state is the parser and the validator, which are created once and are safe
+// for concurrent use.
 package lines
 
 import (
@@ -15,22 +17,22 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// Directive is one line that sets something or begins a section.
+// Directive is a line that sets a value or begins a section.
 type Directive struct {
 	Line   int
 	Name   string
 	Values []string
 }
 
-// Fault is one thing that is wrong with a file.
+// Fault is one error in a file.
 type Fault struct {
 	File      string
-	Line      int // 0: the file as a whole
+	Line      int // 0: the fault concerns the file as a whole
 	Directive string
 	Text      string
 }
 
-// Error is file:line: directive: what is wrong.
+// Error returns the fault as "file:line: directive: text".
 func (f Fault) Error() string {
 	where := f.File
 	if f.Line > 0 {
@@ -42,10 +44,10 @@
 	return where + ": " + f.Text
 }
 
-// Faults are all that is wrong with a file, in the order of its lines.
+// Faults lists all errors in a file, in the order of its lines.
 type Faults []Fault
 
-// Error is a line for each fault.
+// Error returns the faults, each on a line of its own.
 func (f Faults) Error() string {
 	all := make([]string, len(f))
 	for i := range f {
@@ -57,13 +59,13 @@
 // maxLineBytes bounds a line's length, in bytes.
 const maxLineBytes = 4096
 
-// row is a line as the grammar sees it.
+// row is the result of parsing a line.
 type row struct {
 	Name   string   `parser:"@Word"`
 	Values []string `parser:"@(Word | String)*"`
 }
 
-// grammar is built when a file is first read: a gateway without one has no need of it.
+// grammar is built when the first line is parsed, because a gateway without an operators' file does not need it.
 var grammar = sync.OnceValue(func() *participle.Parser[row] {
 	return participle.MustBuild[row](
 		participle.Lexer(lexer.MustSimple([]lexer.SimpleRule{
@@ -76,7 +78,7 @@
 	)
 })
 
-// Parse reads a text line by line. Faulty lines are told and left out.
+// Parse reads a text line by line. A line that cannot be parsed is returned as a fault instead of a directive.
 func Parse(file, text string) ([]Directive, Faults) {
 	var all []Directive
 	var faults Faults
@@ -85,7 +87,7 @@
 			continue
 		}
 		if len(line) > maxLineBytes {
-			faults = append(faults, Fault{file, i + 1, "", fmt.Sprintf("the line has over %d bytes", maxLineBytes)})
+			faults = append(faults, Fault{file, i + 1, "", fmt.Sprintf("the line is longer than %d bytes", maxLineBytes)})
 			continue
 		}
 		r, err := grammar().ParseString("", line)
@@ -98,7 +100,7 @@
 	return all, faults
 }
 
-// describeSyntaxError says at which column a line is wrong, and what is.
+// describeSyntaxError returns the column and the message of a syntax error.
 func describeSyntaxError(err error) string {
 	if at, ok := errors.AsType[participle.Error](err); ok {
 		return fmt.Sprintf("column %d: %s", at.Position().Column, strings.TrimPrefix(at.Message(), "lexer: "))
@@ -106,7 +108,7 @@
 	return err.Error()
 }
 
-// Quote writes a value so that Parse reads it back.
+// Quote returns a value in the form in which Parse reads it, with quotes if they are needed.
 func Quote(s string) string {
 	if s != "" && !strings.ContainsAny(s, " \t\r\n\"#\\") {
 		return s
--- a/internal/config/lines/print.go
+++ b/internal/config/lines/print.go
@@ -6,10 +6,10 @@
 	"reflect"
 )
 
-// hiddenSecret stands in for a secret.
+// hiddenSecret is printed in place of a secret.
 const hiddenSecret = "********"
 
-// Print writes what is in force, defaults among it, as Parse reads it; only secrets are hidden.
+// Print writes the settings, including defaults, in the format that Parse reads, except that secrets are hidden.
 func Print(w io.Writer, from any) error {
 	p := printer{w: w}
 	root := reflect.ValueOf(from).Elem()
@@ -30,7 +30,7 @@
 	return p.err
 }
 
-// printer writes lines until one cannot be written.
+// printer writes lines until a write fails.
 type printer struct {
 	w   io.Writer
 	err error
--- a/internal/config/lines/value.go
+++ b/internal/config/lines/value.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// Size is a number of bytes: a number, or one with k, m or g behind it for the powers of 1,024.
+// Size is a number of bytes. In a file it may have the suffix k, m or g for a power of 1,024.
 type Size int64
 
-// kind tells how many values a directive of a type takes.
+// kind determines how many values a directive of a type takes.
 type kind uint8
 
 const (
 	plain     kind = iota // one value
-	composite             // a struct whose fields are the values of a directive
+	composite             // a struct: one value for each field
 )
 
 var (
@@ -34,7 +34,7 @@
 	return plain
 }
 
-// parseValue reads one value into a field of one of the types that settings have.
+// parseValue parses a value into a field. The field's type must be one of those that settings may have.
 func parseValue(field reflect.Value, text string) error {
 	if u, ok := field.Addr().Interface().(encoding.TextUnmarshaler); ok {
 		if text == "" || u.UnmarshalText([]byte(text)) != nil {
@@ -52,17 +52,18 @@
 		field.SetInt(value)
 		return err
 	}
-	return parseKind(field, text)
+	return parseBasic(field, text)
 }
 
-// parseKind reads a value of a type that is no more than its kind. A kind that no setting has is a fault of the program.
-func parseKind(field reflect.Value, text string) error {
+// parseBasic parses a value into a field of a basic type. It panics if settings cannot have the type, because that is a programming
+// error.
+func parseBasic(field reflect.Value, text string) error {
 	switch field.Kind() {
 	case reflect.String:
 		field.SetString(text)
 		return nil
 	case reflect.Bool:
-		return parseSwitch(field, text)
+		return parseBool(field, text)
 	case reflect.Int, reflect.Int64:
 		value, err := strconv.ParseInt(text, 10, field.Type().Bits())
 		if err != nil {
@@ -78,10 +79,10 @@
 		field.SetUint(value)
 		return nil
 	}
-	panic("a setting of type " + field.Type().String())
+	panic("settings cannot have the type " + field.Type().String())
 }
 
-func parseSwitch(field reflect.Value, text string) error {
+func parseBool(field reflect.Value, text string) error {
 	switch text {
 	case "on", "yes", "true":
 		field.SetBool(true)
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// describeType says what a value of a type looks like.
+// describeType returns a description of a type's values for error messages.
 func describeType(t reflect.Type) string {
 	switch t.String() {
 	case "netip.AddrPort":
@@ -106,7 +107,7 @@
 	return t.String()
 }
 
-// parseDuration reads a duration, which must name its unit: "100" of what?
+// parseDuration parses a duration. A number without a unit, such as "100", is an error because it is ambiguous, except "0".
 func parseDuration(text string) (time.Duration, error) {
 	v, err := time.ParseDuration(text)
 	if err != nil || strings.TrimLeft(text, "0123456789") == "" && text != "0" {
@@ -118,10 +119,10 @@
 	return v, nil
 }
 
-// units are the suffixes of sizes, in bytes.
+// units maps the suffixes of sizes to bytes.
 var units = map[byte]int64{'k': 1 << 10, 'm': 1 << 20, 'g': 1 << 30}
 
-// parseSize reads a number of bytes.
+// parseSize parses a number of bytes.
 func parseSize(text string) (int64, error) {
 	number, unit := text, int64(1)
 	if n := len(text); n > 0 && units[text[n-1]|0x20] > 0 {
