--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,9 +1,11 @@
-// Package config reads, checks and defaults the gateway's configuration, and is the only place that does. It has two parts:
+// Package config reads and checks the gateway's configuration and applies its defaults. No other package does this. The
+// configuration has two parts:
 //
-//   - the platform's, a JSON file that the environment names: Load and Parse make a Config of it;
-//   - the operators' own file, in the manner of classic daemons: LoadOperators and ParseOperators make Operators of it. Package
-//     lines reads its lines; formerWords has the words of earlier versions, which are still taken.
+//   - the platform's configuration, a JSON file whose path is in an environment variable. Load and Parse read it into a Config.
+//   - the operators' file, which has one directive on each line, like the files of classic Unix daemons. LoadOperators and
+//     ParseOperators read it into Operators. Package lines parses its lines. formerWords lists the directives of earlier versions,
+//     which are still accepted.
 //
-// internal/cli loads both at the start and on SIGHUP and hands them to the gateway, which may take over what RestartRequired does not
-// name. What is loaded is not changed afterwards, so that goroutines may share it.
+// internal/cli loads both parts at the start and on SIGHUP and passes them to the gateway. A running gateway can apply all changes
+// except those that RestartRequired lists. A loaded configuration is not modified afterwards, so goroutines may share it.
 package config
--- a/internal/config/former.go
+++ b/internal/config/former.go
@@ -7,11 +7,11 @@
 	"marblespan/internal/config/lines"
 )
 
-// formerKey is a former word and the section that it stands in; "" for one that begins a section.
+// formerKey is a former word and the section to which it belongs. The section is "" if the word begins a section itself.
 type formerKey struct{ section, name string }
 
-// formerWords has the words that earlier versions had, in the sections by their new words, and the words in their place. A
-// file may still write them, with a warning for each.
+// formerWords maps the directives and section keywords of earlier versions to their present names. The sections in the keys have
+// their present names. A file may still use a former word; the gateway logs a warning for each one.
 var formerWords = map[formerKey]string{
 	{"", "copies"}: "state-store",
 
@@ -38,7 +38,7 @@
 	{"group", "let-go"}: "drain-timeout",
 }
 
-// FormerWord is a directive, or a section, that a file writes by its former word.
+// FormerWord is an occurrence of a directive or a section keyword that a file writes under the name of an earlier version.
 type FormerWord struct {
 	File   string
 	Line   int
@@ -46,15 +46,15 @@
 	New    string
 }
 
-// String is the warning for operators.
+// String returns the warning for operators.
 func (w FormerWord) String() string {
 	return fmt.Sprintf("%s:%d: %s: a former word, which is still taken; the word is now %s", w.File, w.Line, w.Former, w.New)
 }
 
-// FormerWords are the former words that the file writes, in the order of its lines.
+// FormerWords returns the former words that the file uses, in the order of its lines.
 func (o *Operators) FormerWords() []FormerWord { return o.formerWords }
 
-// replaceFormerWords puts the new words in the place of former ones, and returns what it replaced.
+// replaceFormerWords renames former words among the directives to their present names, and returns those that it renamed.
 func replaceFormerWords(file string, directives []lines.Directive) (replaced []FormerWord) {
 	sections := lines.Sections(&Operators{})
 	section := ""
@@ -71,8 +71,9 @@
 	return replaced
 }
 
-// newWordFor finds the new word for a directive that stands in a section. The former word copies has two: with a value, in
-// the section that it began, it was a directive; else it began the section.
+// newWordFor returns the present name of a directive in the given section; ok is false if the directive is not a former word. The
+// former word copies has two present names: with a value, inside the section that it began, it was a directive; otherwise it began
+// that section.
 func newWordFor(section string, d lines.Directive) (newWord string, ok bool) {
 	asSection, beginsSection := formerWords[formerKey{"", d.Name}]
 	asDirective, isDirective := formerWords[formerKey{section, d.Name}]
@@ -82,8 +83,8 @@
 	return asSection, beginsSection
 }
 
-// nameAsWritten has the faults of lines with a former word name the word that stands in the file.
-func nameAsWritten(faults lines.Faults, replaced []FormerWord) {
+// restoreFormerWords changes the faults of lines that use a former word so that they name the directive as the file writes it.
+func restoreFormerWords(faults lines.Faults, replaced []FormerWord) {
 	for i := range faults {
 		for _, w := range replaced {
 			if faults[i].Line == w.Line && faults[i].Directive == w.New {
--- a/internal/config/former_test.go
+++ b/internal/config/former_test.go
@@ -9,7 +9,8 @@
 	"marblespan/internal/config/lines"
 )
 
-// Each former word stands in a section that there is, is no directive of it any more, and its new word is one.
+// TestFormerWordsTable checks the entries of formerWords: the section exists, the new word is one of its directives, and the former
+// word is not.
 func TestFormerWordsTable(t *testing.T) {
 	directives := map[string][]string{}
 	root := reflect.TypeFor[Operators]()
@@ -31,7 +32,7 @@
 		}
 		inSection := func(word string) bool { return strings.Contains(" "+strings.Join(known, " ")+" ", " "+word+" ") }
 		if inSection(former.name) || !inSection(newWord) {
-			t.Errorf("%q in %q: the new word is %q, and there is %v", former.name, former.section, newWord, known)
+			t.Errorf("%q in %q: the new word is %q, the section has %v", former.name, former.section, newWord, known)
 		}
 	}
 }
@@ -44,7 +45,7 @@
 		{"none", "control /x\n", nil},
 		{"a section and its directives", "members\nnode a\nbind 127.0.0.2:1\nkey 1 0123456789abcdef\n\ncopies # a comment\nholders all\ncopies 3\nstore memory\n",
 			[]string{"6 copies state-store", "7 holders raft-nodes", "8 copies voters", "9 store storage"}},
-		{"a former directive in the section by its new word", "members\nnode a\nbind 127.0.0.2:1\nkey 1 0123456789abcdef\nstate-store\nholders all\nvoters 3\nstorage memory\n",
+		{"a former directive in a section with its new keyword", "members\nnode a\nbind 127.0.0.2:1\nkey 1 0123456789abcdef\nstate-store\nholders all\nvoters 3\nstorage memory\n",
 			[]string{"6 holders raft-nodes"}},
 		{"a directive that may be repeated", "members\nnode a\nbind 127.0.0.2:1\nkey 1 0123456789abcdef\nstate-store\nholders a\nraft-nodes b\nholders c\nstorage memory\n",
 			[]string{"6 holders raft-nodes", "8 holders raft-nodes"}},
@@ -72,7 +73,7 @@
 	}
 }
 
-// A fault in a line with a former word names the word that stands there.
+// TestFaultsOfFormerWords checks that a fault in a line with a former word names the directive as the file writes it.
 func TestFaultsOfFormerWords(t *testing.T) {
 	edit := func(old, new string) string {
 		if !strings.Contains(sampleConf, old) {
@@ -83,12 +84,12 @@
 	for _, c := range []struct{ name, text, want string }{
 		{"the new word, then the former", edit("voters 5", "voters 5\n copies 5"), "x:40: copies: given twice, first in line 39"},
 		{"the former word, then the new", edit("voters 5", "copies 5\n voters 5"), "x:40: voters: given twice, first in line 39"},
-		{"both sections", sampleConf + "copies\n", "x:50: copies: given twice"},
-		{"a section with a value", "copies 3\n", "x:1: copies: begins a section and takes no value"},
-		{"a value", edit("voters 5", "copies three"), `x:39: copies: "three" is no whole number, or too large`},
-		{"what a value must be", edit("voters 5", "copies 4"), "x:39: copies: must be one of 1, 3, 5"},
-		{"what values say together", edit("repair-after 30s", "heal-after 1s"), "x:42: heal-after: 1s is below 2s, or 20 heartbeats"},
-		{"a section alone", strings.Replace(edit(memberLines(), ""), "state-store\n", "copies\n", 1), "x:28: copies: there is no members section: the state store runs on members"},
+		{"a section by both keywords", sampleConf + "copies\n", "x:50: copies: given twice"},
+		{"a section keyword with a value", "copies 3\n", "x:1: copies: begins a section and takes no value"},
+		{"an invalid value", edit("voters 5", "copies three"), `x:39: copies: "three" is no whole number, or too large`},
+		{"a value out of range", edit("voters 5", "copies 4"), "x:39: copies: must be one of 1, 3, 5"},
+		{"values that contradict each other", edit("repair-after 30s", "heal-after 1s"), "x:42: heal-after: 1s is below 2s, or 20 heartbeats"},
+		{"a section without the one that it requires", strings.Replace(edit(memberLines(), ""), "state-store\n", "copies\n", 1), "x:28: copies: requires a members section"},
 		{"in another section", edit("zone a", "holders a"), "x:9: holders: is not known here; there is advertise, bind, deployment, interval, join, key, node, via, weight, zone"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/config/indoubt.go
+++ b/internal/config/indoubt.go
@@ -6,34 +6,34 @@
 	"marblespan/internal/config/lines"
 )
 
-// The bounds of how long the outcome of an in-doubt write is kept. It must outlast the longest time that a client goes on
-// asking.
+// The bounds of the time for which the outcome of an in-doubt write is kept. It must be longer than the time for which a client
+// keeps repeating its request.
 const (
 	minRetention = 10 * time.Second
 	maxRetention = 24 * time.Hour
 )
 
-// InDoubt is one section in-doubt: what is promised of the writes of a class before they are sent.
+// InDoubt is a section in-doubt: how the outcomes of in-doubt writes of one class are determined, and for how long they are kept.
 type InDoubt struct {
 	lines.Source
 	Class       string        `title:"true" validate:"required,max=64"`
-	Clients     string        `conf:"clients" validate:"oneof=mark do-not-mark"` // what they do with a request that they repeat
-	Order       string        `conf:"order" validate:"oneof=safe fast"`
+	Clients     string        `conf:"clients" validate:"oneof=mark do-not-mark"` // whether clients mark a request that they repeat
+	Order       string        `conf:"order" validate:"oneof=safe fast"`          // safe: the outcome is stored before the client gets its answer
 	Retention   time.Duration `conf:"retention"`
-	MaxInFlight int           `conf:"max-in-flight" validate:"min=1,max=16384"`  // writes
-	Lookup      []string      `conf:"lookup" validate:"max=2,dive,min=1,max=64"` // a class of reads, and a text that shows that the write ran
+	MaxInFlight int           `conf:"max-in-flight" validate:"min=1,max=16384"`  // writes in flight at a time
+	Lookup      []string      `conf:"lookup" validate:"max=2,dive,min=1,max=64"` // the class of a read, and a text in its result that shows that the write was executed
 }
 
-// Defaults are what the section has that it does not name.
+// Defaults sets the values that apply where the file does not set a directive of the section.
 func (d *InDoubt) Defaults() {
 	d.Clients, d.Order, d.Retention, d.MaxInFlight = "mark", "fast", 10*time.Minute, 4096
 }
 
 func checkInDoubt(operators *Operators, faults *faultList) {
-	seen := map[string]bool{} // classes
+	seen := map[string]bool{} // the classes of the sections checked so far
 	for _, d := range operators.InDoubt {
 		if operators.StateStore == nil {
-			faults.add(d.Source, "in-doubt", 0, "there is no state-store section: what is promised is kept in it")
+			faults.add(d.Source, "in-doubt", 0, "requires a state-store section, which stores the outcomes of writes")
 		}
 		if seen[d.Class] {
 			faults.add(d.Source, "in-doubt", 0, "%s is there twice", d.Class)
--- a/internal/config/maintenance.go
+++ b/internal/config/maintenance.go
@@ -6,32 +6,32 @@
 	"marblespan/internal/config/lines"
 )
 
-// The bounds of how long maintenance of a machine may take.
+// The bounds of the time that maintenance of a machine may take.
 const (
 	minWorkDuration = time.Second
 	maxWorkDuration = 7 * 24 * time.Hour
 )
 
-// maxWait bounds the other durations of a maintenance section.
+// maxWait is the upper bound of the other durations of a maintenance section, except excuse-after.
 const maxWait = time.Hour
 
-// Maintenance is the section maintenance: by what limits machines are taken out.
+// Maintenance is the section maintenance: the limits within which machines are taken out of service.
 type Maintenance struct {
 	lines.Source
-	MaxGateways     int           `conf:"max-gateways" validate:"min=1,max=1024"` // out at once
-	MaxPerZone      int           `conf:"max-per-zone" validate:"min=1,max=1024"` // gateways of one zone
-	MaxServers      int           `conf:"max-servers" validate:"min=1,max=1024"`  // out at once, one of a group at the most
-	KeepReady       int           `conf:"keep-ready" validate:"min=0,max=100"`    // ready gateways that a zone keeps
-	MaxLoad         int           `conf:"max-load" validate:"min=1,max=100"`      // percent that those who stay may have to carry
-	DefaultDuration time.Duration `conf:"default-duration"`                       // of the work, if the operator has not said
-	SettleTime      time.Duration `conf:"settle-time"`                            // for which one that is back has to be well
-	ReturnWithin    time.Duration `conf:"return-within"`
-	ExcuseAfter     time.Duration `conf:"excuse-after"` // of one that is overdue; 0: never
-	MaxReplicaLag   time.Duration `conf:"behind"`       // beyond which a replica does not count as well
-	LedgerTimeout   time.Duration `conf:"unheard"`      // for which a start waits for the ledger
+	MaxGateways     int           `conf:"max-gateways" validate:"min=1,max=1024"` // gateways out at the same time
+	MaxPerZone      int           `conf:"max-per-zone" validate:"min=1,max=1024"` // gateways of one zone out at the same time
+	MaxServers      int           `conf:"max-servers" validate:"min=1,max=1024"`  // database servers out at the same time, at most one of each group
+	KeepReady       int           `conf:"keep-ready" validate:"min=0,max=100"`    // ready gateways that must remain in a zone
+	MaxLoad         int           `conf:"max-load" validate:"min=1,max=100"`      // load that the remaining gateways may have to carry, in percent of their capacity
+	DefaultDuration time.Duration `conf:"default-duration"`                       // of the work, if the operator gives no duration
+	SettleTime      time.Duration `conf:"settle-time"`                            // for which a machine that has returned must be healthy
+	ReturnWithin    time.Duration `conf:"return-within"`                          // after which a machine that is returning is overdue
+	ExcuseAfter     time.Duration `conf:"excuse-after"`                           // after which the order no longer waits for an overdue machine; 0: never
+	MaxReplicaLag   time.Duration `conf:"behind"`                                 // above which a replica does not count as healthy
+	LedgerTimeout   time.Duration `conf:"unheard"`                                // for which a starting gateway waits for the ledger before it serves
 }
 
-// Defaults are what the section has that it does not name.
+// Defaults sets the values that apply where the file does not set a directive of the section.
 func (m *Maintenance) Defaults() {
 	m.MaxGateways, m.MaxPerZone, m.MaxServers, m.KeepReady, m.MaxLoad = 1, 1, 1, 1, 70
 	m.DefaultDuration, m.SettleTime, m.ReturnWithin = 20*time.Minute, 10*time.Second, 5*time.Minute
@@ -40,7 +40,7 @@
 
 func (m *Maintenance) check(operators *Operators, faults *faultList) {
 	if operators.StateStore == nil {
-		faults.add(m.Source, "maintenance", 0, "there is no state-store section: the order is kept in it")
+		faults.add(m.Source, "maintenance", 0, "requires a state-store section, which stores the maintenance order")
 	}
 	if m.DefaultDuration < minWorkDuration || m.DefaultDuration > maxWorkDuration {
 		faults.add(m.Source, "default-duration", 0, "%v is not from %v to %v", m.DefaultDuration, minWorkDuration, maxWorkDuration)
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -7,20 +7,20 @@
 	"marblespan/internal/config/lines"
 )
 
-// The interval between the probes of members, and its bounds.
+// The default of the interval between probes of members, and its bounds.
 const (
 	defaultProbeInterval = 200 * time.Millisecond
 	minProbeInterval     = 50 * time.Millisecond
 	maxProbeInterval     = 10 * time.Second
 )
 
-// Members is the section members: how gateways know which of them are alive.
+// Members is the section members: how the gateways detect which of them are alive.
 type Members struct {
 	lines.Source
 	Node       string           `conf:"node" validate:"required,max=40,printascii"`
 	Deployment string           `conf:"deployment" validate:"max=40"`
 	Bind       netip.AddrPort   `conf:"bind" validate:"required"`
-	Advertise  netip.AddrPort   `conf:"advertise"` // where others reach it, if not at bind
+	Advertise  netip.AddrPort   `conf:"advertise"` // the address at which other members reach this gateway, if it is not Bind
 	Join       []netip.AddrPort `conf:"join" validate:"max=64"`
 	Keys       []Key            `conf:"key,secret" validate:"min=1,max=4,unique=Number,dive"`
 	Zone       string           `conf:"zone" validate:"max=20"`
@@ -29,16 +29,16 @@
 	Via        []Via            `conf:"via" validate:"max=1024,unique=At"`
 }
 
-// Via is where an address that a member advertises is reached from here.
+// Via maps the address At that a member advertises to the address Via at which this gateway reaches the member.
 type Via struct{ At, Via netip.AddrPort }
 
-// Key is a shared secret. The first one signs; all are accepted.
+// Key is a shared secret. Messages are signed with the first key of a section; messages signed with any of them are accepted.
 type Key struct {
 	Number uint8
 	Secret string `validate:"min=16,max=256"`
 }
 
-// Defaults are what the section has that it does not name.
+// Defaults sets the values that apply where the file does not set a directive of the section.
 func (m *Members) Defaults() { m.Weight, m.Interval = 1, defaultProbeInterval }
 
 func (m *Members) check(faults *faultList) {
@@ -54,12 +54,12 @@
 	}
 	for i, address := range m.Join {
 		if address.Addr().Is4() != m.Bind.Addr().Is4() {
-			faults.add(m.Source, "join", i, "%v is of another family than bind", address)
+			faults.add(m.Source, "join", i, "%v is not of the same address family as bind", address)
 		}
 	}
 	for i, v := range m.Via {
 		if v.Via.Addr().Is4() != m.Bind.Addr().Is4() {
-			faults.add(m.Source, "via", i, "%v is of another family than bind", v.Via)
+			faults.add(m.Source, "via", i, "%v is not of the same address family as bind", v.Via)
 		}
 	}
 }
--- a/internal/config/operators.go
+++ b/internal/config/operators.go
@@ -13,10 +13,10 @@
 	"marblespan/internal/config/lines"
 )
 
-// EnvOperators names the operators' file where the command line does not.
+// EnvOperators is the environment variable that holds the path of the operators' file. The flag --conf takes precedence over it.
 const EnvOperators = "MARBLESPAN_CONF"
 
-// Operators is the operators' own file. What it does not name is off; without the file everything in it is.
+// Operators holds the settings of the operators' file. A feature whose section is missing is off; without the file all of them are.
 type Operators struct {
 	lines.Source
 	Control     string       `conf:"control" validate:"max=100"` // path of the control socket
@@ -30,8 +30,8 @@
 	formerWords []FormerWord
 }
 
-// LoadOperators reads the operators' file. Without a path there is none, and all of it is off. Its errors are
-// lines.Faults, all that is wrong at once.
+// LoadOperators reads the operators' file at path. An empty path means that there is no file, and all of its features are off. An
+// error is of type lines.Faults and lists everything that is wrong with the file.
 func LoadOperators(path string) (*Operators, error) {
 	if path == "" {
 		return &Operators{}, nil
@@ -46,41 +46,41 @@
 	return ParseOperators(path, string(raw))
 }
 
-// ParseOperators reads the file's content. Its errors are lines.Faults.
+// ParseOperators reads the content of an operators' file; file is its name in messages. An error is of type lines.Faults.
 func ParseOperators(file, text string) (*Operators, error) {
 	o := &Operators{}
 	directives, faults := lines.Parse(file, text)
 	o.formerWords = replaceFormerWords(file, directives)
 	faults = append(faults, lines.Decode(file, directives, o)...)
-	if len(faults) == 0 { // what could not be read would only be found missing
+	if len(faults) == 0 { // after a parse fault, Check would also report that the value is missing
 		faults = lines.Check(file, o)
 		faults = append(faults, o.checkSections(file)...)
 	}
 	if len(faults) > 0 {
-		nameAsWritten(faults, o.formerWords)
+		restoreFormerWords(faults, o.formerWords)
 		slices.SortStableFunc(faults, func(a, b lines.Fault) int { return cmp.Compare(a.Line, b.Line) })
 		return nil, faults
 	}
 	return o, nil
 }
 
-// Print writes what is in force, secrets hidden.
+// Print writes the settings, including defaults, in the format of the file. Secrets are hidden.
 func (o *Operators) Print(w io.Writer) error { return lines.Print(w, o) }
 
-// faultList collects what several directives of a file, which are right by themselves, say together that cannot be.
+// faultList collects the faults that the validate tags cannot express, such as directives that contradict each other.
 type faultList struct {
 	file   string
 	faults lines.Faults
 }
 
-// add adds a fault of a directive, of the i-th where it may be repeated.
+// add adds a fault of a directive. For a directive that may be repeated, i is the index of the occurrence.
 func (l *faultList) add(section lines.Source, directive string, i int, format string, a ...any) {
 	l.faults = append(l.faults, lines.Fault{
 		File: l.file, Line: section.LineOf(directive, i), Directive: directive, Text: fmt.Sprintf(format, a...),
 	})
 }
 
-// checkSections checks what the validate tags cannot say.
+// checkSections checks the rules that the validate tags cannot express.
 func (o *Operators) checkSections(file string) lines.Faults {
 	faults := &faultList{file: file}
 	if o.VRRP != nil {
@@ -100,7 +100,7 @@
 	return faults.faults
 }
 
-// RestartRequired lists the directives whose values in next cannot be taken over by a running gateway.
+// RestartRequired returns the directives that differ in next and cannot be changed in a running gateway.
 func (o *Operators) RestartRequired(next *Operators) []string {
 	var changed []string
 	compare := func(name string, same bool) {
@@ -128,7 +128,7 @@
 	return changed
 }
 
-// stateStoreWithoutLines is the section without the lines that it stands in; a zero one where there is none.
+// stateStoreWithoutLines returns the state-store section without its line numbers, or a zero StateStore if there is none.
 func (o *Operators) stateStoreWithoutLines() (section StateStore) {
 	if o.StateStore != nil {
 		section = *o.StateStore
@@ -137,7 +137,7 @@
 	return section
 }
 
-// inDoubtWithoutLines are the sections without the lines that they stand in.
+// inDoubtWithoutLines returns the in-doubt sections without their line numbers.
 func (o *Operators) inDoubtWithoutLines() (sections []InDoubt) {
 	for _, section := range o.InDoubt {
 		section.Source = lines.Source{}
@@ -146,7 +146,8 @@
 	return sections
 }
 
-// groupIdentities is what cannot change of the groups, in whatever order they stand in the file.
+// groupIdentities returns the settings of each group that a running gateway cannot change, sorted so that the groups' order in the
+// file does not matter.
 func (o *Operators) groupIdentities() (identities []string) {
 	for _, g := range o.Groups {
 		identities = append(identities, fmt.Sprint(g.Name, g.VRID, g.Addresses, g.Listen))
@@ -155,7 +156,7 @@
 	return identities
 }
 
-// Summary names the sections that are on, for the log.
+// Summary returns the names of the sections that the file has, for the log.
 func (o *Operators) Summary() string {
 	var on []string
 	if o.Members != nil {
--- a/internal/config/operators_test.go
+++ b/internal/config/operators_test.go
@@ -62,7 +62,7 @@
     lookup seat " there"
 `
 
-// memberLines are the sample's members section.
+// memberLines returns the members section of sampleConf.
 func memberLines() string {
 	from := strings.Index(sampleConf, "members\n")
 	return sampleConf[from:strings.Index(sampleConf, "vrrp\n")]
@@ -95,7 +95,7 @@
 	if g := o.Groups[1]; g.Priority != 100 || !g.Preempt || g.Interval != 100*time.Millisecond || len(g.Addresses) != 2 {
 		t.Errorf("%+v", g)
 	}
-	// What is printed is read back to the same, but for the secrets.
+	// The printed file parses to the same settings once the hidden secrets are replaced.
 	var b strings.Builder
 	if err := o.Print(&b); err != nil {
 		t.Fatal(err)
@@ -118,7 +118,8 @@
 	}
 }
 
-// Every fault is told with its line and directive, all in one go.
+// TestOperatorsFaults checks that a fault is reported with its line and directive, and that all faults of a file are reported
+// together.
 func TestOperatorsFaults(t *testing.T) {
 	edit := func(old, new string) string {
 		if !strings.Contains(sampleConf, old) {
@@ -133,18 +134,18 @@
 		{"section twice", edit("group boards", "vrrp\ngroup boards"), `x:32: vrrp: given twice`},
 		{"a member without a name", edit("    node gw-1\n", ""), `x:4: node: is missing`},
 		{"a member's interval", edit("interval 300ms", "interval 20s"), `x:10: interval: 20s is not from 50ms to 10s`},
-		{"a member anywhere", edit("bind 127.0.0.2:7946", "bind 0.0.0.0:7946"), `x:6: bind: 0.0.0.0:7946 is no address that others could know this gateway by; name one with advertise`},
-		{"joining another family", edit("join 127.0.0.3:7946", "join [::1]:7946"), `x:7: join: [::1]:7946 is of another family than bind`},
-		{"a way into another family", edit("127.0.0.9:7001", "[::1]:7001"), `x:11: via: [::1]:7001 is of another family than bind`},
+		{"a member at an unspecified address", edit("bind 127.0.0.2:7946", "bind 0.0.0.0:7946"), `x:6: bind: 0.0.0.0:7946 is no address that others could know this gateway by; name one with advertise`},
+		{"join in another address family", edit("join 127.0.0.3:7946", "join [::1]:7946"), `x:7: join: [::1]:7946 is not of the same address family as bind`},
+		{"via in another address family", edit("127.0.0.9:7001", "[::1]:7001"), `x:11: via: [::1]:7001 is not of the same address family as bind`},
 		{"no value", edit("vrid 51", "vrid"), `x:23: vrid: takes 1 value, and has 0`},
 		{"too many", edit("vrid 51", "vrid 51 52"), `x:23: vrid: takes 1 value, and has 2`},
-		{"pair", edit("peer 2 127", "peer 127"), `x:16: peer: takes 2 values, and has 1`},
-		{"number", edit("vrid 51", "vrid 256"), `x:23: vrid: "256" is no whole number from 0 to 255`},
-		{"address", edit("127.0.0.2:1112", "127.0.0.2"), `x:15: bind: "127.0.0.2" is no address with a port, such as 127.0.0.1:6433`},
+		{"a missing value of a pair", edit("peer 2 127", "peer 127"), `x:16: peer: takes 2 values, and has 1`},
+		{"number out of range", edit("vrid 51", "vrid 256"), `x:23: vrid: "256" is no whole number from 0 to 255`},
+		{"address without a port", edit("127.0.0.2:1112", "127.0.0.2"), `x:15: bind: "127.0.0.2" is no address with a port, such as 127.0.0.1:6433`},
 		{"no unit", edit("interval 1s", "interval 100"), `x:27: interval: "100" is no span of time with a unit, such as 100ms, 2s or 5m`},
-		{"switch", edit("preempt off", "preempt maybe"), `x:28: preempt: "maybe" is neither on nor off`},
+		{"neither on nor off", edit("preempt off", "preempt maybe"), `x:28: preempt: "maybe" is neither on nor off`},
 		{"missing", edit("    vrid 51\n", ""), `x:22: vrid: is missing`},
-		{"condition", edit("no-primary", "no-luck"),
+		{"unknown condition", edit("no-primary", "no-luck"),
 			`x:29: track: must be one of no-server, no-primary, discovery-silent, descriptors, draining`},
 		{"short secret", edit("sixteen-characters-or-more", "short"), `x:19: key: must be 16 characters or more`},
 		{"priority", edit("priority 200", "priority 0"), `x:26: priority: must be 1 or more`},
@@ -153,27 +154,27 @@
 		{"own address", edit("peer 3 127.0.0.4", "peer 3 127.0.0.2"), `x:17: peer: 127.0.0.2:1112 is this gateway's own address`},
 		{"same vrid", edit("vrid 52", "vrid 51"), `x:33: vrid: 51 is that of group counters too`},
 		{"same listener", edit(":6435", ":6434"), `x:35: listen: 127.0.0.2:6434 is that of group counters too`},
-		{"families", edit("2001:db8::2", "192.0.2.7"), `x:34: address: 192.0.2.7 is of another family than the first`},
-		{"interval's grain", edit("interval 1s", "interval 15ms"), `x:27: interval: 15ms is no multiple of 10ms from 10ms to 40.95s`},
+		{"addresses of two families", edit("2001:db8::2", "192.0.2.7"), `x:34: address: 192.0.2.7 is not of the same address family as the first address`},
+		{"an interval that is not a multiple of its unit", edit("interval 1s", "interval 15ms"), `x:27: interval: 15ms is no multiple of 10ms from 10ms to 40.95s`},
 		{"damping", edit("100ms 1s", "2s 1s"), `x:31: damp: the first hold, 2s, is longer than the longest, 1s`},
 		{"open quote", edit(`blank.sock"`, "blank.sock"), `x:2: column 9: invalid input text "\"/tmp/with blank..."`},
-		{"no vrrp", "group a\nvrid 1\naddress 1.2.3.4\nlisten 127.0.0.1:1\n", `x:1: group: there is no vrrp section`},
-		{"no group", "vrrp\nnode 1\nbind 127.0.0.1:1\nkey 1 0123456789abcdef\n", `x:1: vrrp: there is no group to hold an address for`},
-		{"a state store without members", edit(memberLines(), ""), `x:28: state-store: there is no members section: the state store runs on members`},
+		{"no vrrp", "group a\nvrid 1\naddress 1.2.3.4\nlisten 127.0.0.1:1\n", `x:1: group: requires a vrrp section`},
+		{"no group", "vrrp\nnode 1\nbind 127.0.0.1:1\nkey 1 0123456789abcdef\n", `x:1: vrrp: requires a group section with a floating address`},
+		{"a state store without members", edit(memberLines(), ""), `x:28: state-store: requires a members section`},
 		{"an even number of voters", edit("voters 5", "voters 4"), `x:39: voters: must be one of 1, 3, 5`},
 		{"a disk without a path", edit("storage disk /var/c.db", "storage disk"), `x:40: storage: "disk" is neither memory nor disk and a path`},
-		{"a witness of nothing", edit("storage disk /var/c.db", "storage memory"), `x:41: witness: there is no disk for it to tell of`},
-		{"a repair at each restart", edit("repair-after 30s", "repair-after 1s"), `x:42: repair-after: 1s is below 2s, or 20 heartbeats`},
-		{"a heartbeat", edit("repair-after 30s", "heartbeat 3s"), `x:42: heartbeat: 3s is not from 20ms to 2s`},
-		{"marks for ever", edit("repair-after 30s", "marks-ttl 25h"), `x:42: marks-ttl: 25h0m0s is not from 1s to 24h0m0s`},
+		{"a witness without a disk", edit("storage disk /var/c.db", "storage memory"), `x:41: witness: requires storage on disk`},
+		{"a repair-after shorter than a restart", edit("repair-after 30s", "repair-after 1s"), `x:42: repair-after: 1s is below 2s, or 20 heartbeats`},
+		{"a heartbeat out of range", edit("repair-after 30s", "heartbeat 3s"), `x:42: heartbeat: 3s is not from 20ms to 2s`},
+		{"a marks-ttl that is too long", edit("repair-after 30s", "marks-ttl 25h"), `x:42: marks-ttl: 25h0m0s is not from 1s to 24h0m0s`},
 		{"a retention that is too short", edit("retention 1m", "retention 1s"), `x:48: retention: 1s is not from 10s to 24h0m0s`},
-		{"clients that do neither", edit("clients do-not-mark", "clients maybe"), `x:46: clients: must be one of mark, do-not-mark`},
+		{"an unknown value of clients", edit("clients do-not-mark", "clients maybe"), `x:46: clients: must be one of mark, do-not-mark`},
 		{"a class twice", sampleConf + "in-doubt order\n", `x:50: in-doubt: order is there twice`},
-		{"in-doubt writes without a state store", "in-doubt order\n", `x:1: in-doubt: there is no state-store section: what is promised is kept in it`},
-		{"maintenance without a state store", "maintenance\n", `x:1: maintenance: there is no state-store section: the order is kept in it`},
-		{"work that takes no time", sampleConf + "maintenance\n default-duration 1ms\n", `x:51: default-duration: 1ms is not from 1s to 168h0m0s`},
-		{"a load of more than all", sampleConf + "maintenance\n max-load 101\n", `x:51: max-load: must be 100 or less`},
-		{"bytes", "control \x01\n", `x:1: column 9: invalid input text "\x01"`},
+		{"in-doubt writes without a state store", "in-doubt order\n", `x:1: in-doubt: requires a state-store section, which stores the outcomes of writes`},
+		{"maintenance without a state store", "maintenance\n", `x:1: maintenance: requires a state-store section, which stores the maintenance order`},
+		{"a default duration that is too short", sampleConf + "maintenance\n default-duration 1ms\n", `x:51: default-duration: 1ms is not from 1s to 168h0m0s`},
+		{"a load of more than 100 percent", sampleConf + "maintenance\n max-load 101\n", `x:51: max-load: must be 100 or less`},
+		{"a control character", "control \x01\n", `x:1: column 9: invalid input text "\x01"`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := ParseOperators("x", c.text)
@@ -192,7 +193,8 @@
 	}
 }
 
-// The file that comes with the project is read as it stands.
+// TestShippedOperatorsFile checks that deploy/marblespan.conf parses and switches nothing on, and that it parses with its example
+// uncommented.
 func TestShippedOperatorsFile(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("..", "..", "deploy", "marblespan.conf"))
 	if err != nil {
@@ -201,7 +203,6 @@
 	if o, err := ParseOperators("marblespan.conf", string(raw)); err != nil || o.Summary() != "" {
 		t.Errorf("it switches on %q: %v", o.Summary(), err)
 	}
-	// With its example uncommented it is read too.
 	var on strings.Builder
 	for _, line := range strings.Split(string(raw), "\n") {
 		on.WriteString(strings.TrimPrefix(line, "#:") + "\n")
@@ -223,7 +224,7 @@
 	}
 }
 
-// Whatever is read is printed so that it is read back to the same.
+// FuzzOperators checks that the settings of any valid file are printed so that they parse to the same settings.
 func FuzzOperators(f *testing.F) {
 	f.Add(sampleConf)
 	f.Add("vrrp\nnode 300\n")
@@ -240,7 +241,7 @@
 		var b, c strings.Builder
 		o.Print(&b)
 		if o.VRRP != nil {
-			return // its secrets are hidden
+			return // its secrets are hidden, so the printed file does not parse
 		}
 		again, err := ParseOperators("y", b.String())
 		if err != nil {
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -15,7 +15,7 @@
 	"marblespan/internal/settings"
 )
 
-// The environment's names.
+// The environment variables.
 const (
 	envName      = "PROXY_NAME"
 	envListen    = "PROXY_LISTEN"
@@ -23,14 +23,14 @@
 	envConfig    = "PROXY_CONFIG"
 )
 
-// The limits where the configuration names none.
+// The limits that apply if the configuration does not set them.
 const (
 	defaultCores    = 1
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
 )
 
-// The bounds of the limits: the least that the gateway can work with, and more than any machine has.
+// The bounds of the limits. The lower bounds are the least that the gateway can work with; the upper bounds exceed any machine.
 const (
 	maxCores    = 1024
 	minMemoryMB = 32
@@ -39,7 +39,7 @@
 	maxSockets  = 1 << 20
 )
 
-// Config is the platform's configuration: all that a gateway is told at its start.
+// Config is the platform's configuration, which a gateway gets at its start.
 type Config struct {
 	Name         string
 	Listen       string
@@ -48,62 +48,63 @@
 	Cores        float64
 	MemoryMB     int
 	Sockets      int
-	KnownServers discovery.List // that discovery had told before the start
+	KnownServers discovery.List // the last endpoint list that the platform had from discovery before the start
 	InForce      *settings.Snapshot
-	Settings     map[string]any // as written, to tell what a reload changes
+	Settings     map[string]any // as in the file, so that a reload can log which keys changed
 }
 
-// faulty is a *settings.KeyError: it names the key of the file or the environment variable that is at fault.
-func faulty(key, format string, a ...any) error {
+// keyError returns a *settings.KeyError, which names the key of the file or the environment variable that is at fault.
+func keyError(key, format string, a ...any) error {
 	return &settings.KeyError{Key: key, Text: fmt.Sprintf(format, a...)}
 }
 
-// Load reads the configuration that the environment points to.
+// Load reads the configuration file whose path is in the environment variable PROXY_CONFIG.
 func Load(env func(string) string) (*Config, error) {
 	path := env(envConfig)
 	if path == "" {
-		return nil, faulty(envConfig, "not set; it names the configuration file")
+		return nil, keyError(envConfig, "not set; it names the configuration file")
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, faulty(envConfig, "the file cannot be read: %v", errors.Unwrap(err))
+		return nil, keyError(envConfig, "the file cannot be read: %v", errors.Unwrap(err))
 	}
 	return Parse(raw, env)
 }
 
-// wireConfig is the file, with the platform's keys.
-type wireConfig struct {
+// fileConfig is the JSON object in the file.
+type fileConfig struct {
 	Name      *string         `json:"name"`
 	Listen    *string         `json:"listen"`
 	Discovery *string         `json:"discovery"`
 	Seed      *string         `json:"seed"`
-	Limits    wireLimits      `json:"limits"`
+	Limits    fileLimits      `json:"limits"`
 	Known     json.RawMessage `json:"known"`
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// wireLimits are what the platform grants the gateway.
-type wireLimits struct {
+// fileLimits holds the resources that the platform grants to the gateway.
+type fileLimits struct {
 	Cores    *float64 `json:"cores"`
 	MemoryMB *int     `json:"memory_mb"`
 	Sockets  *int     `json:"sockets"`
 }
 
-// Parse reads the configuration file's content. What it leaves out the environment may say. Its errors are *settings.KeyError.
+// Parse reads the content of the configuration file. The name and the addresses may come from the environment if the file does not
+// set them. Its errors are of type *settings.KeyError.
 func Parse(raw []byte, env func(string) string) (*Config, error) {
-	var w wireConfig
+	var w fileConfig
 	if err := json.Unmarshal(raw, &w); err != nil {
 		if kind, ok := errors.AsType[*json.UnmarshalTypeError](err); ok && kind.Field != "" {
-			return nil, faulty(kind.Field, "is a %s, not of the type expected", kind.Value)
+			return nil, keyError(kind.Field, "is a %s, which is not the expected type", kind.Value)
 		}
-		return nil, faulty(envConfig, "the file is not a JSON object: %v", err)
+		return nil, keyError(envConfig, "the file is not a JSON object: %v", err)
 	}
 	c := &Config{
-		Name: choose(w.Name, env(envName)), Listen: choose(w.Listen, env(envListen)),
-		Discovery: choose(w.Discovery, env(envDiscovery)), Cores: defaultCores, MemoryMB: defaultMemoryMB,
+		Name: valueOr(w.Name, env(envName)), Listen: valueOr(w.Listen, env(envListen)),
+		Discovery: valueOr(w.Discovery, env(envDiscovery)), Cores: defaultCores, MemoryMB: defaultMemoryMB,
 		Sockets: defaultSockets,
 	}
-	for _, step := range []func(wireConfig) error{c.checkAddresses, c.readSeed, c.readLimits, c.readKnownServers, c.readSettings} {
+	for _, step := range []func(fileConfig) error{c.checkAddresses, c.readSeed, c.readLimits, c.readKnownServers, c.readSettings} {
 		if err := step(w); err != nil {
 			return nil, err
 		}
@@ -111,86 +112,86 @@
 	return c, nil
 }
 
-func (c *Config) checkAddresses(wireConfig) error {
+func (c *Config) checkAddresses(fileConfig) error {
 	for _, address := range []struct{ key, value string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
 		if address.value == "" {
-			return faulty(address.key, "missing")
+			return keyError(address.key, "missing")
 		}
 		if err := checkAddress(address.value); err != nil {
-			return faulty(address.key, "%q is no address: %v", address.value, err)
+			return keyError(address.key, "%q is not an address: %v", address.value, err)
 		}
 	}
 	return nil
 }
 
-func (c *Config) readSeed(w wireConfig) (err error) {
+func (c *Config) readSeed(w fileConfig) (err error) {
 	if w.Seed == nil {
-		return faulty("seed", "missing")
+		return keyError("seed", "missing")
 	}
 	if c.Seed, err = strconv.ParseUint(*w.Seed, 16, 64); err != nil {
-		return faulty("seed", "%.40q is not a hexadecimal number of 64 bits", *w.Seed)
+		return keyError("seed", "%.40q is not a hexadecimal number of 64 bits", *w.Seed)
 	}
 	return nil
 }
 
-func (c *Config) readLimits(w wireConfig) error {
+func (c *Config) readLimits(w fileConfig) error {
 	limits := w.Limits
 	if limits.Cores != nil {
 		if c.Cores = *limits.Cores; c.Cores <= 0 || c.Cores > maxCores {
-			return faulty("limits.cores", "%v is not above 0", c.Cores)
+			return keyError("limits.cores", "%v is not above 0 and at most %d", c.Cores, maxCores)
 		}
 	}
 	if limits.MemoryMB != nil {
 		if c.MemoryMB = *limits.MemoryMB; c.MemoryMB < minMemoryMB || c.MemoryMB > maxMemoryMB {
-			return faulty("limits.memory_mb", "%d is not from %d up", c.MemoryMB, minMemoryMB)
+			return keyError("limits.memory_mb", "%d is not from %d to %d", c.MemoryMB, minMemoryMB, maxMemoryMB)
 		}
 	}
 	if limits.Sockets != nil {
 		if c.Sockets = *limits.Sockets; c.Sockets < minSockets || c.Sockets > maxSockets {
-			return faulty("limits.sockets", "%d is not from %d up", c.Sockets, minSockets)
+			return keyError("limits.sockets", "%d is not from %d to %d", c.Sockets, minSockets, maxSockets)
 		}
 	}
 	return nil
 }
 
-func (c *Config) readKnownServers(w wireConfig) (err error) {
+func (c *Config) readKnownServers(w fileConfig) (err error) {
 	if !present(w.Known) {
 		return nil
 	}
 	if c.KnownServers, err = discovery.ParseList(w.Known); err != nil {
-		return faulty("known", "%v", err)
+		return keyError("known", "%v", err)
 	}
 	return nil
 }
 
-func (c *Config) readSettings(w wireConfig) (err error) {
+func (c *Config) readSettings(w fileConfig) (err error) {
 	if !present(w.Settings) {
-		return faulty("settings", "missing")
+		return keyError("settings", "missing")
 	}
 	if c.InForce, err = settings.Parse(w.Settings); err != nil {
 		if fault, ok := errors.AsType[*settings.KeyError](err); ok {
-			return faulty("settings."+fault.Key, "%s", fault.Text)
+			return keyError("settings."+fault.Key, "%s", fault.Text)
 		}
-		return faulty("settings", "%v", err)
+		return keyError("settings", "%v", err)
 	}
-	if warnings := c.InForce.Warnings; len(warnings) > 0 { // the simulator's wire takes them; the platform's file is to be corrected
-		return faulty("settings."+warnings[0].Key, "%s", warnings[0].Text)
+	if warnings := c.InForce.Warnings; len(warnings) > 0 { // acceptable in the simulator's settings; the platform's file must be corrected
+		return keyError("settings."+warnings[0].Key, "%s", warnings[0].Text)
 	}
-	// In the simulator a pushed list comes by itself. Over sockets it comes on a watch, which has to be opened.
+	// The simulator pushes the endpoint list without a subscription. Over sockets, the gateway must open a watch to receive it.
 	if s := &c.InForce.Settings; !s.ListSubscribed {
 		s.ListSubscribed, s.ListPushed = true, true
 	}
 	if len(c.InForce.ClassNames) == 0 {
-		return faulty("settings.classes", "names no class")
+		return keyError("settings.classes", "names no class")
 	}
 	if err := json.Unmarshal(w.Settings, &c.Settings); err != nil {
-		return faulty("settings", "%v", err)
+		return keyError("settings", "%v", err)
 	}
 	return nil
 }
 
-// RestartRequired lists the keys whose values in next differ from those in force and cannot be taken over by a running gateway.
-// The seed and the list last known only matter at a start.
+// RestartRequired returns the keys whose values differ in next and cannot be changed in a running gateway. The seed and the known
+// endpoint list are not among them, because they only matter at a start.
 func (c *Config) RestartRequired(next *Config) []string {
 	var keys []string
 	for _, k := range []struct {
@@ -208,7 +209,7 @@
 	return keys
 }
 
-// Changed lists the keys whose values differ between two objects, a key of an object within as outer.inner, in order.
+// Changed returns the sorted keys whose values differ between two JSON objects. A key of a nested object is written outer.inner.
 func Changed(from, to map[string]any) []string {
 	var keys []string
 	for key := range from {
@@ -231,15 +232,15 @@
 	return keys
 }
 
-// choose is what the file gives, or else the fallback.
-func choose(given *string, fallback string) string {
+// valueOr returns the value that the file gives, or the fallback if it gives none.
+func valueOr(given *string, fallback string) string {
 	if given != nil && *given != "" {
 		return *given
 	}
 	return fallback
 }
 
-// present tells whether the file has a key, and not as null.
+// present reports whether the file has a key with a value other than null.
 func present(raw json.RawMessage) bool { return len(raw) > 0 && !bytes.Equal(raw, []byte("null")) }
 
 func checkAddress(addr string) error {
@@ -248,10 +249,10 @@
 		return err
 	}
 	if net.ParseIP(host) == nil {
-		return errors.New("its host is no IP address")
+		return errors.New("the host is not an IP address")
 	}
 	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 {
-		return errors.New("its port is no number from 1 to 65535")
+		return errors.New("the port is not a number from 1 to 65535")
 	}
 	return nil
 }
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -21,10 +21,10 @@
 	return raw
 }
 
-func none(string) string { return "" }
+func emptyEnv(string) string { return "" }
 
 func TestSample(t *testing.T) {
-	c, err := Parse(sample(t), none)
+	c, err := Parse(sample(t), emptyEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,7 +34,7 @@
 	}
 }
 
-// change sets or removes the key at a path and returns the configuration.
+// change returns the sample configuration with the key at a path set to a value, or removed if the value is nil.
 func change(t *testing.T, path string, value any) []byte {
 	t.Helper()
 	var all map[string]any
@@ -54,7 +54,7 @@
 	return raw
 }
 
-// classWith is a list of one keyed write with a key set or removed.
+// classWith returns a list of one class of keyed writes, with one of its keys set to a value, or removed if the value is nil.
 func classWith(key string, value any) []any {
 	class := map[string]any{"name": "put", "aim_ms": 100, "give_up_ms": 500, "effect": "guarded", "key_ttl_ms": 700, "points": 1}
 	if class[key] = value; value == nil {
@@ -63,7 +63,7 @@
 	return []any{class}
 }
 
-// tenants is a list of names with their shares.
+// tenants returns a list of tenants from pairs of a name and a share.
 func tenants(pairs ...any) (list []any) {
 	for i := 0; i < len(pairs); i += 2 {
 		list = append(list, map[string]any{"name": pairs[i], "portion": pairs[i+1], "quota_per_s": 10})
@@ -71,9 +71,9 @@
 	return list
 }
 
-// Shares that add up to the whole are none at fault, also where they are written rounded.
-func TestSharesOfTheWhole(t *testing.T) {
-	if _, err := Parse(change(t, "settings.realms", tenants("a", 0.334, "b", 0.333, "c", 0.334)), none); err != nil {
+// TestRoundedTenantShares checks that shares are accepted if their sum exceeds 1 only because they are rounded.
+func TestRoundedTenantShares(t *testing.T) {
+	if _, err := Parse(change(t, "settings.realms", tenants("a", 0.334, "b", 0.333, "c", 0.334)), emptyEnv); err != nil {
 		t.Error(err)
 	}
 }
@@ -115,7 +115,7 @@
 		{"settings.realms", tenants("", 0.5), "settings.realms[0].name"},
 	} {
 		t.Run(fmt.Sprintf("%s=%v", c.path, c.value), func(t *testing.T) {
-			_, err := Parse(change(t, c.path, c.value), none)
+			_, err := Parse(change(t, c.path, c.value), emptyEnv)
 			if fault, ok := errors.AsType[*settings.KeyError](err); !ok || fault.Key != c.key {
 				t.Errorf("%v, want the key %s named", err, c.key)
 			}
@@ -134,11 +134,11 @@
 }
 
 func TestDefaults(t *testing.T) {
-	c, err := Parse(change(t, "limits", nil), none)
+	c, err := Parse(change(t, "limits", nil), emptyEnv)
 	if err != nil || c.Cores != defaultCores || c.MemoryMB != defaultMemoryMB || c.Sockets != defaultSockets {
 		t.Errorf("%+v, %v", c, err)
 	}
-	if c, err = Parse(change(t, "known", nil), none); err != nil || len(c.KnownServers.Entries) != 0 {
+	if c, err = Parse(change(t, "known", nil), emptyEnv); err != nil || len(c.KnownServers.Entries) != 0 {
 		t.Errorf("without a list: %+v, %v", c, err)
 	}
 }
@@ -164,25 +164,26 @@
 	f.Add(raw)
 	f.Add([]byte(`{"limits":{"cores":1e400}}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		if c, err := Parse(raw, none); err == nil && (c.InForce == nil || len(c.InForce.ClassNames) == 0) {
-			t.Fatal("a configuration without classes")
+		if c, err := Parse(raw, emptyEnv); err == nil && (c.InForce == nil || len(c.InForce.ClassNames) == 0) {
+			t.Fatal("a configuration without classes was accepted")
 		}
 	})
 }
 
-// However discovery tells, the gateway has to open a watch; a word for it that is not known is a fault.
-func TestListIsAskedForInEveryMode(t *testing.T) {
+// TestListIsSubscribedInEveryMode checks that the gateway subscribes to the endpoint list in every membership mode, because it gets
+// the list only on a watch, and that an unknown mode is a fault.
+func TestListIsSubscribedInEveryMode(t *testing.T) {
 	for mode, pushed := range map[string]bool{"subscribe": false, "automatic": true} {
-		c, err := Parse(change(t, "settings.membership_mode", mode), none)
+		c, err := Parse(change(t, "settings.membership_mode", mode), emptyEnv)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if s := c.InForce.Settings; !s.ListSubscribed || s.ListPushed != pushed {
-			t.Errorf("%s: asked %v, pushed %v", mode, s.ListSubscribed, s.ListPushed)
+			t.Errorf("%s: subscribed %v, pushed %v", mode, s.ListSubscribed, s.ListPushed)
 		}
 	}
 	var fault *settings.KeyError
-	_, err := Parse(change(t, "settings.membership_mode", "by post"), none)
+	_, err := Parse(change(t, "settings.membership_mode", "by post"), emptyEnv)
 	if !errors.As(err, &fault) || fault.Key != "settings.membership_mode" {
 		t.Errorf("an unknown mode: %v", err)
 	}
--- a/internal/config/statestore.go
+++ b/internal/config/statestore.go
@@ -17,42 +17,42 @@
 	maxMarksTTL    = 24 * time.Hour
 )
 
-// minRepairHeartbeats is how many heartbeats repair-after has to last: a node that misses fewer may be alive.
+// minRepairHeartbeats is the minimum of repair-after in heartbeats, because a node that misses fewer heartbeats may still be alive.
 const minRepairHeartbeats = 20
 
-// AllMembers stands for every gateway among the Raft nodes.
+// AllMembers, as the name of a Raft node, means that every gateway is a Raft node.
 const AllMembers = "all"
 
-// StateStore is the section state-store: the replicated state of the gateways, and which of them run its Raft groups.
+// StateStore is the section state-store: the settings of the gateways' replicated state, and the gateways that run its Raft groups.
 type StateStore struct {
 	lines.Source
-	RaftNodes    []string      `conf:"raft-nodes" validate:"min=1,max=1024,dive,min=1,max=40"` // names, or AllMembers
-	Voters       int           `conf:"voters" validate:"oneof=1 3 5"`                          // of each group
+	RaftNodes    []string      `conf:"raft-nodes" validate:"min=1,max=1024,dive,min=1,max=40"` // names of gateways, or AllMembers
+	Voters       int           `conf:"voters" validate:"oneof=1 3 5"`                          // of each Raft group
 	Shards       int           `conf:"shards" validate:"min=1,max=64"`
-	Storage      []string      `conf:"storage" validate:"min=1,max=2"` // memory, or disk and a path
+	Storage      []string      `conf:"storage" validate:"min=1,max=2"` // "memory", or "disk" and a path
 	Witness      string        `conf:"witness" validate:"max=200"`
 	Heartbeat    time.Duration `conf:"heartbeat"`
-	RepairAfter  time.Duration `conf:"repair-after"` // for which a silent node keeps its replicas
+	RepairAfter  time.Duration `conf:"repair-after"` // how long a silent node keeps its replicas
 	MaxRepairs   int           `conf:"max-repairs" validate:"min=1,max=64"`
 	RepairRate   lines.Size    `conf:"repair-rate" validate:"min=65536"` // bytes a second
-	Memory       lines.Size    `conf:"memory" validate:"min=65536"`      // of a shard's records
-	SessionMarks []string      `conf:"session-marks" validate:"max=64"`  // classes
+	Memory       lines.Size    `conf:"memory" validate:"min=65536"`      // for the records of a shard
+	SessionMarks []string      `conf:"session-marks" validate:"max=64"`  // classes of requests
 	MarksMode    string        `conf:"marks-mode" validate:"oneof=safe fast"`
 	MarksTTL     time.Duration `conf:"marks-ttl"`
 }
 
-// Defaults are what the section has that it does not name.
+// Defaults sets the values that apply where the file does not set a directive of the section.
 func (s *StateStore) Defaults() {
 	s.Voters, s.Shards, s.Heartbeat, s.RepairAfter, s.MaxRepairs = 3, 16, 100*time.Millisecond, 10*time.Minute, 2
 	s.RepairRate, s.Memory, s.MarksMode, s.MarksTTL = 8<<20, 4<<20, "safe", time.Hour
 }
 
-// RunsRaftNode tells whether a gateway is among the Raft nodes.
+// RunsRaftNode reports whether a gateway is one of the Raft nodes.
 func (s *StateStore) RunsRaftNode(node string) bool {
 	return slices.Contains(s.RaftNodes, AllMembers) || slices.Contains(s.RaftNodes, node)
 }
 
-// StoragePath is the file of the storage; empty: it is memory.
+// StoragePath returns the path of the storage file, or "" if the storage is memory.
 func (s *StateStore) StoragePath() string {
 	if len(s.Storage) == 2 {
 		return s.Storage[1]
@@ -60,8 +60,8 @@
 	return ""
 }
 
-// storageIsKnown tells whether storage is memory, or disk with a path.
-func (s *StateStore) storageIsKnown() bool {
+// storageIsValid reports whether storage is "memory", or "disk" with a path.
+func (s *StateStore) storageIsValid() bool {
 	switch len(s.Storage) {
 	case 1:
 		return s.Storage[0] == "memory"
@@ -73,13 +73,13 @@
 
 func (s *StateStore) check(operators *Operators, faults *faultList) {
 	if operators.Members == nil {
-		faults.add(s.Source, "state-store", 0, "there is no members section: the state store runs on members")
+		faults.add(s.Source, "state-store", 0, "requires a members section")
 	}
-	if !s.storageIsKnown() {
+	if !s.storageIsValid() {
 		faults.add(s.Source, "storage", 0, "%q is neither memory nor disk and a path", strings.Join(s.Storage, " "))
 	}
 	if s.Witness != "" && s.StoragePath() == "" {
-		faults.add(s.Source, "witness", 0, "there is no disk for it to tell of")
+		faults.add(s.Source, "witness", 0, "requires storage on disk")
 	}
 	if s.Heartbeat < minHeartbeat || s.Heartbeat > maxHeartbeat {
 		faults.add(s.Source, "heartbeat", 0, "%v is not from %v to %v", s.Heartbeat, minHeartbeat, maxHeartbeat)
--- a/internal/config/vrrp.go
+++ b/internal/config/vrrp.go
@@ -7,19 +7,19 @@
 	"marblespan/internal/config/lines"
 )
 
-// The standard's default priority of a backup, and an advertisement interval that suits one room.
+// The default priority of a backup in RFC 9568, and an advertisement interval that suits gateways in one room.
 const (
 	defaultPriority              = 100
 	defaultAdvertisementInterval = 100 * time.Millisecond
 )
 
-// The bounds of an advertisement's interval on the wire; the lower one is its unit too.
+// The bounds of the advertisement interval on the wire. The lower bound is also the unit of the interval.
 const (
 	minAdvertisementInterval = 10 * time.Millisecond
 	maxAdvertisementInterval = 40950 * time.Millisecond
 )
 
-// VRRP is the section vrrp: how gateways speak with each other about floating addresses.
+// VRRP is the section vrrp: how the gateways exchange messages about floating addresses.
 type VRRP struct {
 	lines.Source
 	Node     uint8            `conf:"node" validate:"required"`
@@ -29,13 +29,13 @@
 	Announce []netip.AddrPort `conf:"announce" validate:"max=16"`
 }
 
-// Peer is another gateway.
+// Peer is another gateway: its node number and the address of its VRRP socket.
 type Peer struct {
 	Node    uint8 `validate:"required"`
 	Address netip.AddrPort
 }
 
-// Group is one section group: one floating address, or several that move together.
+// Group is a section group: one or more floating addresses that move together.
 type Group struct {
 	lines.Source
 	Name         string         `title:"true" validate:"required,max=40"`
@@ -48,20 +48,20 @@
 	PreemptDelay time.Duration  `conf:"preempt-delay" validate:"max=3600000000000"`
 	Track        []Track        `conf:"track" validate:"unique=Condition,dive"`
 	Damping      Damping        `conf:"damp"`
-	DrainTimeout time.Duration  `conf:"drain-timeout" validate:"min=0,max=1000000000"` // for which a graceful shutdown waits for requests in flight
+	DrainTimeout time.Duration  `conf:"drain-timeout" validate:"min=0,max=1000000000"` // how long a graceful shutdown waits for requests in flight
 }
 
-// Track lowers the priority by a step while a condition holds.
+// Track lowers the group's priority by Step while Condition holds.
 type Track struct {
 	Condition string `validate:"oneof=no-server no-primary discovery-silent descriptors draining"`
 	Step      uint8
 }
 
-// Damping holds back a gateway that loses the address within Window of winning it: for InitialHold, twice as long each time,
-// at most for MaxHold.
+// Damping delays a gateway that loses the address within Window after it became active. The first delay is InitialHold. Each
+// further one is twice as long as the one before, up to MaxHold.
 type Damping struct{ Window, InitialHold, MaxHold time.Duration }
 
-// Defaults are what the section has that it does not name.
+// Defaults sets the values that apply where the file does not set a directive of the section.
 func (g *Group) Defaults() {
 	g.Priority, g.Interval, g.Preempt, g.DrainTimeout = defaultPriority, defaultAdvertisementInterval, true, 50*time.Millisecond
 	g.Damping = Damping{Window: 2 * time.Second, InitialHold: 500 * time.Millisecond, MaxHold: 5 * time.Second}
@@ -76,23 +76,23 @@
 			faults.add(v.Source, "peer", i, "%v is this gateway's own address", peer.Address)
 		}
 		if peer.Address.Addr().Is4() != v.Bind.Addr().Is4() {
-			faults.add(v.Source, "peer", i, "%v is of another family than bind", peer.Address)
+			faults.add(v.Source, "peer", i, "%v is not of the same address family as bind", peer.Address)
 		}
 	}
 	if v.Bind.Addr().IsUnspecified() {
-		faults.add(v.Source, "bind", 0, "%v is no address that peers could know this gateway by", v.Bind)
+		faults.add(v.Source, "bind", 0, "%v is not an address at which peers can reach this gateway", v.Bind)
 	}
 	if len(operators.Groups) == 0 {
-		faults.add(v.Source, "vrrp", 0, "there is no group to hold an address for")
+		faults.add(v.Source, "vrrp", 0, "requires a group section with a floating address")
 	}
 }
 
-// checkGroups checks each group, and what no two of them may share.
+// checkGroups checks each group, and that no two groups have the same name, VRID or listen address.
 func checkGroups(operators *Operators, faults *faultList) {
-	vrids, names, listeners := map[uint8]string{}, map[string]bool{}, map[netip.AddrPort]string{} // the groups seen so far
+	vrids, names, listeners := map[uint8]string{}, map[string]bool{}, map[netip.AddrPort]string{} // of the groups checked so far
 	for _, g := range operators.Groups {
 		if operators.VRRP == nil {
-			faults.add(g.Source, "group", 0, "there is no vrrp section")
+			faults.add(g.Source, "group", 0, "requires a vrrp section")
 		}
 		if other, ok := vrids[g.VRID]; ok {
 			faults.add(g.Source, "vrid", 0, "%d is that of group %s too", g.VRID, other)
@@ -111,7 +111,7 @@
 func (g *Group) check(faults *faultList) {
 	for i, address := range g.Addresses {
 		if address.Is4() != g.Addresses[0].Is4() {
-			faults.add(g.Source, "address", i, "%v is of another family than the first", address)
+			faults.add(g.Source, "address", i, "%v is not of the same address family as the first address", address)
 		}
 	}
 	if g.Interval < minAdvertisementInterval || g.Interval > maxAdvertisementInterval || g.Interval%minAdvertisementInterval != 0 {
