--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -10,7 +10,7 @@
 	"marblespan/internal/config/lines"
 )
 
-// check prints what is in force of both configurations, and warns of former words.
+// check prints the settings of both configurations, including defaults, and warns of former words in the operators' file.
 func (c *command) check(*cobra.Command, []string) error {
 	platform, operators, err := c.load()
 	if err != nil {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,8 +1,8 @@
-// Package cli is the command line of marblespan, and of marblespan-raft, which has the state store too: the command for the gateway
-// itself, and those that ask a running one over its control socket. Main is what both programs call.
+// Package cli implements the command line of the programs marblespan and marblespan-raft, which is marblespan with the state store
+// linked in. One command runs the gateway; the others query a running gateway over its control socket. Both programs call Main.
 //
-// Each command has a file; query is what those that ask have in common; formerCommands has the words of earlier versions. The
-// package keeps no state between calls.
+// Each command has a file. The type query has the code that the querying commands share. formerCommands lists the names that
+// commands had in earlier versions. The package keeps no state between calls.
 package cli
 
 import (
@@ -21,14 +21,14 @@
 
 // The exit codes.
 const (
-	exitFault = 1 // a configuration is at fault, or the command failed
-	exitUsage = 2 // the command line is
+	exitFault = 1 // the configuration is invalid, or the command failed
+	exitUsage = 2 // the command line is invalid
 )
 
-// usageError is a command line that cannot be understood.
+// usageError is the error of an invalid command line.
 type usageError struct{ error }
 
-// Main runs the command line and returns its exit code: 0, exitFault or exitUsage.
+// Main runs the command line and returns the exit code: 0, exitFault or exitUsage.
 func Main(args []string, env func(string) string, out, errs io.Writer) int {
 	c := command{env: env, out: out, errs: errs, args: args}
 	root := c.root()
@@ -40,29 +40,29 @@
 		return 0
 	}
 	printError(errs, err)
-	if _, ok := errors.AsType[usageError](err); ok || strings.HasPrefix(err.Error(), "unknown command") { // cobra's has no type
+	if _, ok := errors.AsType[usageError](err); ok || strings.HasPrefix(err.Error(), "unknown command") { // cobra has no type for this error
 		return exitUsage
 	}
 	return exitFault
 }
 
-// printError prints an error, each fault in a line of its own.
+// printError prints each line of an error with the program's name in front. Each fault of a configuration is one line.
 func printError(w io.Writer, err error) {
 	for _, line := range strings.Split(err.Error(), "\n") {
 		fmt.Fprintln(w, "marblespan:", line)
 	}
 }
 
-// command is one call of the program.
+// command holds the environment and the arguments of one call of the program.
 type command struct {
 	env  func(string) string
 	out  io.Writer // standard output
 	errs io.Writer // standard error
 	conf string    // --conf
-	args []string
+	args []string  // all arguments, for marblespan-raft
 }
 
-// noArguments and oneArgument say what arguments a command takes, in the words of this package's errors.
+// noArguments is the argument check of commands that take none. It replaces the check of cobra, whose errors have no type.
 func noArguments(cmd *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return usageError{fmt.Errorf("%s takes no arguments, and has %q", cmd.CommandPath(), args)}
@@ -70,6 +70,7 @@
 	return nil
 }
 
+// oneArgument returns the argument check of commands that take one argument, which what describes.
 func oneArgument(what string) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		if len(args) != 1 {
@@ -83,16 +84,16 @@
 	root := &cobra.Command{
 		Use: "marblespan", Short: "A query router for sharded, replicated databases",
 		Long: "marblespan routes the requests of PostgreSQL clients to the servers of sharded, replicated databases.\n" +
-			"Without a command it is the gateway. PROXY_CONFIG names the platform's configuration; --conf, or\n" +
-			config.EnvOperators + ", the operators' own file.",
+			"Without a command it runs the gateway. PROXY_CONFIG is the path of the platform's configuration; --conf or\n" +
+			config.EnvOperators + " is the path of the operators' file.",
 		SilenceUsage: true, SilenceErrors: true, RunE: c.gateway,
 		CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true},
 	}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
-	root.PersistentFlags().StringVar(&c.conf, "conf", "", "the operators' file (default: $"+config.EnvOperators+")")
+	root.PersistentFlags().StringVar(&c.conf, "conf", "", "path of the operators' file (default: $"+config.EnvOperators+")")
 	root.AddCommand(
-		&cobra.Command{Use: "gateway", Short: "Run the gateway, as without a command", Args: noArguments, RunE: c.gateway},
-		&cobra.Command{Use: "check", Short: "Read both configurations and print what is in force", Args: noArguments, RunE: c.check},
+		&cobra.Command{Use: "gateway", Short: "Run the gateway; this is the default command", Args: noArguments, RunE: c.gateway},
+		&cobra.Command{Use: "check", Short: "Check both configurations and print their settings, including defaults", Args: noArguments, RunE: c.check},
 		&cobra.Command{Use: "version", Short: "Print the version", Args: noArguments, RunE: c.version},
 		c.vrrp(), c.members(), c.stateStore(), c.intents(), c.maintenance(),
 		c.asFormer(c.stateStore()), c.asFormer(c.maintenance()),
@@ -100,7 +101,7 @@
 	return root
 }
 
-// operatorsPath is the path of the operators' file; empty: there is none.
+// operatorsPath returns the path of the operators' file, or "" if there is none.
 func (c *command) operatorsPath() string {
 	if c.conf != "" {
 		return c.conf
@@ -108,14 +109,14 @@
 	return c.env(config.EnvOperators)
 }
 
-// load reads both configurations. The gateway calls it again on SIGHUP.
+// load reads both configurations. The gateway calls it at its start and on SIGHUP.
 func (c *command) load() (*config.Config, *config.Operators, error) {
 	platform, platformErr := config.Load(c.env)
 	operators, operatorsErr := config.LoadOperators(c.operatorsPath())
-	return platform, operators, errors.Join(platformErr, operatorsErr) // both are read in any case, so that all faults are told at once
+	return platform, operators, errors.Join(platformErr, operatorsErr) // the faults of both files, so that operators see all at once
 }
 
-// gateway runs the gateway until it is told to stop.
+// gateway runs the gateway until it is stopped. If the gateway needs the state store, marblespan-raft replaces this process.
 func (c *command) gateway(*cobra.Command, []string) error {
 	if operators, err := config.LoadOperators(c.operatorsPath()); err == nil && needsRaftProgram(operators) {
 		return execRaftProgram(c.args)
--- a/internal/cli/former.go
+++ b/internal/cli/former.go
@@ -6,7 +6,8 @@
 	"github.com/spf13/cobra"
 )
 
-// formerCommands has the names that commands had in earlier versions, and that their subcommands had, by the present ones.
+// formerCommands maps the present names of commands to their names in earlier versions. subcommands does the same for those of
+// their subcommands whose names changed.
 var formerCommands = map[string]struct {
 	name        string
 	subcommands map[string]string
@@ -15,11 +16,11 @@
 	"maintenance": {"maintain", map[string]string{"cancel": "drop", "pause": "hold", "resume": "go"}},
 }
 
-// asFormer gives a command and its subcommands the names that they had in earlier versions. They work as they did, are left out
-// of the help, and say the present name on standard error.
+// asFormer changes the names of a command and its subcommands to those that they had in earlier versions. Under these names, they
+// work as under the present ones, are left out of the help, and print a warning with the present name on standard error.
 func (c *command) asFormer(group *cobra.Command) *cobra.Command {
 	former := formerCommands[group.Name()]
-	group.SetOut(c.errs) // cobra prints Deprecated here; answers go to c.out, and so does the help
+	group.SetOut(c.errs) // where cobra prints Deprecated; the help and the answers go to c.out
 	help := group.HelpFunc()
 	group.SetHelpFunc(func(cmd *cobra.Command, args []string) {
 		cmd.SetOut(c.out)
--- a/internal/cli/intents.go
+++ b/internal/cli/intents.go
@@ -12,7 +12,7 @@
 )
 
 func (c *command) intents() *cobra.Command {
-	cmd := &cobra.Command{Use: "intents", Short: "Ask a running gateway which in-doubt writes are in flight, and how they end", Args: noArguments}
+	cmd := &cobra.Command{Use: "intents", Short: "Show a gateway's in-doubt writes in flight, and how many have ended in which way", Args: noArguments}
 	q := c.newQuery(cmd.Flags())
 	cmd.RunE = func(*cobra.Command, []string) error { return q.printIntents() }
 	return cmd
--- a/internal/cli/members.go
+++ b/internal/cli/members.go
@@ -13,9 +13,9 @@
 
 func (c *command) members() *cobra.Command {
 	var streams bool
-	cmd := &cobra.Command{Use: "members", Short: "Ask a running gateway which gateways are members, and how they are", Args: noArguments}
+	cmd := &cobra.Command{Use: "members", Short: "Show the members and their states, as a gateway sees them", Args: noArguments}
 	q := c.newQuery(cmd.Flags())
-	cmd.Flags().BoolVar(&streams, "streams", false, "try a stream to each of them and back, which datagrams do not show")
+	cmd.Flags().BoolVar(&streams, "streams", false, "also test a TCP stream to each member and back, because datagrams may get through where streams do not")
 	cmd.RunE = func(*cobra.Command, []string) error { return q.printMembers(streams) }
 	return cmd
 }
@@ -53,7 +53,7 @@
 	return w.Flush()
 }
 
-// memberRow is a member's row of the table, but for the column of streams.
+// memberRow returns a member's row of the table, without the column STREAM.
 func memberRow(m gossip.Member) string {
 	name, lastReceived, settings := m.Name, "-", "same"
 	if m.Self {
--- a/internal/cli/query.go
+++ b/internal/cli/query.go
@@ -13,23 +13,23 @@
 	"marblespan/internal/control"
 )
 
-// query is what the commands that ask a running gateway have in common.
+// query is the common part of the commands that query a running gateway.
 type query struct {
 	*command
-	socket string // --socket; empty: the one that the operators' file names
+	socket string // --socket; empty: the socket in the operators' file
 	json   bool   // --json
 }
 
-// newQuery adds the flags that all queries have.
+// newQuery returns a query and adds the flags that all queries have.
 func (c *command) newQuery(flags *pflag.FlagSet) *query {
 	q := &query{command: c}
-	flags.StringVar(&q.socket, "socket", "", "the gateway's control socket (default: as the operators' file says)")
+	flags.StringVar(&q.socket, "socket", "", "path of the gateway's control socket (default: the one in the operators' file)")
 	flags.BoolVar(&q.json, "json", false, "print the answer as JSON")
 	return q
 }
 
-// fetch asks the gateway a question and decodes its answer. The questions are part of what gateways and commands of different
-// versions say to each other, and keep their words.
+// fetch sends a question to the gateway and decodes the answer. The questions must not change, because the gateway may have another
+// version than this program.
 func (q *query) fetch(question string, into any) error {
 	socket := q.socket
 	if socket == "" {
@@ -38,14 +38,14 @@
 			return err
 		}
 		if socket = operators.Control; socket == "" {
-			return usageError{errors.New("no control socket: name one with --socket, or a file that has one with --conf")}
+			return usageError{errors.New("no control socket: give its path with --socket, or an operators' file that has one with --conf")}
 		}
 	}
 	return control.Query(socket, question, into)
 }
 
-// printSentence asks a question that is answered by a sentence, and prints that.
-func (q *query) printSentence(question string) error {
+// printAnswer sends a question whose answer is a sentence, and prints the sentence.
+func (q *query) printAnswer(question string) error {
 	var answer string
 	if err := q.fetch(question, &answer); err != nil {
 		return err
@@ -54,17 +54,17 @@
 	return err
 }
 
-// writeJSON prints an answer as it came, indented.
+// writeJSON prints an answer as indented JSON.
 func writeJSON(w io.Writer, v any) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
 	return e.Encode(v)
 }
 
-// milliseconds is a duration as an answer has it.
+// milliseconds converts a duration in an answer.
 func milliseconds(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// roundTrip is a round trip time as a table shows it.
+// roundTrip formats a round-trip time for a table.
 func roundTrip(micros int64) string {
 	if micros <= 0 {
 		return "-"
@@ -72,7 +72,7 @@
 	return (time.Duration(micros) * time.Microsecond).String()
 }
 
-// yesOrNo is a switch as a table shows it.
+// yesOrNo formats a boolean for a table.
 func yesOrNo(b bool) string {
 	if b {
 		return "yes"
@@ -80,7 +80,7 @@
 	return "no"
 }
 
-// orDash is a text as a table shows it, which has no empty cells.
+// orDash formats a text for a table, with a dash for an empty text.
 func orDash(s string) string {
 	if s == "" {
 		return "-"
--- a/internal/cli/vrrp.go
+++ b/internal/cli/vrrp.go
@@ -16,7 +16,7 @@
 		Use: "vrrp", Short: "Floating addresses", Args: noArguments,
 		RunE: func(*cobra.Command, []string) error { return usageError{errors.New("vrrp needs a command: status")} },
 	}
-	status := &cobra.Command{Use: "status", Short: "Ask a running gateway which addresses it holds", Args: noArguments}
+	status := &cobra.Command{Use: "status", Short: "Show the floating addresses of a gateway, and which of them it holds", Args: noArguments}
 	q := c.newQuery(status.Flags())
 	status.RunE = func(*cobra.Command, []string) error { return q.printFloatingAddresses() }
 	group.AddCommand(status)
