--- a/internal/datagrams/datagrams.go
+++ b/internal/datagrams/datagrams.go
@@ -1,9 +1,9 @@
-// Package datagrams is a UDP socket with the one goroutine that owns it and the state of whoever handles its datagrams: the
-// agent of internal/gossip and the VRRP router of internal/floatingip are its handlers. It knows no protocol. A handler decides
-// by itself which datagrams to drop, and may log them by a DropLog.
+// Package datagrams provides a UDP socket and the goroutine that reads from it. The goroutine also owns the state of the handler of
+// the datagrams. The handlers are the agent of internal/gossip and the VRRP router of internal/floatingip. The package does not
+// depend on a protocol: the handler decides which datagrams to drop, and may log them with a DropLog.
 //
-// Loop.Run is the goroutine: it reads datagrams in batches, runs tasks of other goroutines (Do), and has the handler check its
-// timers. It ends by Close.
+// Loop.Run is the function of the goroutine. It reads datagrams in batches, runs tasks for other goroutines (Do), and calls the
+// handler to check its timers. It runs until Close.
 package datagrams
 
 import (
@@ -16,46 +16,46 @@
 	"time"
 )
 
-// taskQueue is how many tasks may wait for the goroutine.
-const taskQueue = 16
+// taskQueueSize is how many tasks may wait for the goroutine.
+const taskQueueSize = 16
 
-// batch is how many datagrams are read before timers are checked again, so that a flood of garbage costs no more than reading
-// it.
-const batch = 64
+// batchSize is how many datagrams are read before the timers are checked again. Without a bound, a flood of garbage would keep the
+// goroutine from its timers; with a check after each datagram, the flood would cost more than reading it.
+const batchSize = 64
 
-// receiveBuffer is the size of the socket's buffer requested of the kernel, in bytes: some thousand datagrams, for the moments
-// in which the goroutine does not run. The kernel gives no more than its own limit (net.core.rmem_max).
-const receiveBuffer = 1 << 20
+// receiveBufferSize is the size in bytes of the socket's receive buffer that is requested from the kernel. It is enough for some
+// thousand datagrams that arrive while the goroutine does not run. The kernel limits the size to net.core.rmem_max.
+const receiveBufferSize = 1 << 20
 
-// past is a read deadline that is over: setting it wakes the reader.
+// past is a read deadline in the past. Setting it wakes a goroutine that is blocked in a read.
 var past = time.Unix(1, 0)
 
-// Handler handles what a loop reads. Its methods are called on the loop's goroutine only.
+// Handler handles the datagrams that a loop reads. Its methods are only called on the loop's goroutine.
 type Handler interface {
-	// Start is called first.
+	// Start is called once, before all other methods.
 	Start()
-	// NextTimer is when the next timer is due; zero: there is none.
+	// NextTimer returns when the next timer is due, or the zero time if there is none.
 	NextTimer() time.Time
-	// HandleDatagram takes in one datagram, or drops it. Its bytes are valid until it returns.
+	// HandleDatagram handles or drops one datagram. b is only valid until HandleDatagram returns.
 	HandleDatagram(b []byte, from netip.AddrPort)
-	// CheckTimers does what is due. It is called after each batch of datagrams, and when NextTimer has come.
+	// CheckTimers runs the timers that are due. It is called after each batch of datagrams, and when the time of NextTimer comes.
 	CheckTimers()
 }
 
-// Loop is a socket and its goroutine.
+// Loop is a UDP socket and the goroutine that reads from it.
 type Loop struct {
-	// SocketErrors counts errors that the socket returned instead of a datagram.
+	// SocketErrors counts the errors of reads from the socket, except timeouts.
 	SocketErrors atomic.Int64
 
-	conn   *net.UDPConn
-	tasks  chan func()
-	done   chan struct{} // closed when Run returns
-	ending bool          // set by Close on the goroutine
-	buffer []byte        // of one datagram
+	conn    *net.UDPConn
+	tasks   chan func()
+	done    chan struct{} // closed when Run returns
+	closing bool          // set by Close, on the loop's goroutine
+	buffer  []byte        // for one datagram
 }
 
-// Listen binds a socket for datagrams of at most maxSize bytes; longer ones are cut to maxSize+1 bytes, so that they can be
-// told from valid ones. Run has to be called for it, or CloseUnstarted.
+// Listen binds a socket for datagrams of at most maxSize bytes. A longer datagram is truncated to maxSize+1 bytes, so that the
+// handler can recognize it as too long. The caller must call Run or CloseUnstarted.
 func Listen(bind netip.AddrPort, maxSize int) (*Loop, error) {
 	network := "udp6"
 	if bind.Addr().Is4() {
@@ -65,11 +65,11 @@
 	if err != nil {
 		return nil, err
 	}
-	conn.SetReadBuffer(receiveBuffer) // a smaller buffer than requested has to do
-	return &Loop{conn: conn, tasks: make(chan func(), taskQueue), done: make(chan struct{}), buffer: make([]byte, maxSize+1)}, nil
+	conn.SetReadBuffer(receiveBufferSize) // best effort: the loop also works with a smaller buffer
+	return &Loop{conn: conn, tasks: make(chan func(), taskQueueSize), done: make(chan struct{}), buffer: make([]byte, maxSize+1)}, nil
 }
 
-// Addr is where the socket is bound.
+// Addr returns the address that the socket is bound to.
 func (l *Loop) Addr() netip.AddrPort { return l.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
 // Send writes one datagram.
@@ -78,12 +78,13 @@
 	return err
 }
 
-// Run is the loop's goroutine. It reads datagrams until Close.
+// Run reads datagrams until Close. The caller runs it in a goroutine of its own.
 func (l *Loop) Run(h Handler) {
 	defer close(l.done)
 	h.Start()
-	for !l.ending {
-		// The deadline is set before the tasks are checked, so that a task queued later wakes the read.
+	for !l.closing {
+		// The deadline is set before the queue is checked. Do sets a past deadline after it has queued a task, so a task that is
+		// queued after the check wakes the read.
 		l.conn.SetReadDeadline(h.NextTimer())
 		select {
 		case task := <-l.tasks:
@@ -101,12 +102,12 @@
 	}
 }
 
-// readBatch waits for a datagram, and handles it and those that wait behind it, up to a batch.
+// readBatch waits for a datagram, and handles it and those that have already arrived after it, at most batchSize in all.
 func (l *Loop) readBatch(h Handler) error {
 	size, from, err := l.conn.ReadFromUDPAddrPort(l.buffer)
 	for n := 1; err == nil && size >= 0; n++ {
 		h.HandleDatagram(l.buffer[:size], netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
-		if n == batch {
+		if n == batchSize {
 			break
 		}
 		size, from, err = l.readWaiting()
@@ -114,7 +115,7 @@
 	return err
 }
 
-// readWaiting reads a datagram without waiting; size -1: there is none.
+// readWaiting reads a datagram that has already arrived. The size is -1 if there is none.
 func (l *Loop) readWaiting() (size int, from netip.AddrPort, err error) {
 	raw, err := l.conn.SyscallConn()
 	if err != nil {
@@ -136,7 +137,7 @@
 	return size, from, errors.Join(err, readErr)
 }
 
-// addrPort is the address of a datagram's sender; zero for an address that is neither IPv4 nor IPv6.
+// addrPort converts the address of a datagram's sender. It returns the zero AddrPort for an address that is neither IPv4 nor IPv6.
 func addrPort(peer syscall.Sockaddr) netip.AddrPort {
 	switch p := peer.(type) {
 	case *syscall.SockaddrInet4:
@@ -147,7 +148,7 @@
 	return netip.AddrPort{}
 }
 
-// Do runs a function on the goroutine and waits for it. It tells whether it ran: it does not after Close.
+// Do runs a function on the loop's goroutine and waits for it. It reports whether the function ran; after Close it does not.
 func (l *Loop) Do(task func()) bool {
 	ran := make(chan struct{})
 	select {
@@ -164,12 +165,12 @@
 	}
 }
 
-// CloseUnstarted closes the socket of a loop whose Run was never called.
+// CloseUnstarted closes the socket of a loop whose Run has not been called.
 func (l *Loop) CloseUnstarted() { l.conn.Close() }
 
-// Close ends the goroutine, waits for it, and closes the socket.
+// Close stops Run, waits until it has returned, and closes the socket.
 func (l *Loop) Close() {
-	l.Do(func() { l.ending = true })
+	l.Do(func() { l.closing = true })
 	<-l.done
 	l.conn.Close()
 }
--- a/internal/datagrams/datagrams_test.go
+++ b/internal/datagrams/datagrams_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// countingHandler counts its calls.
+// countingHandler counts the calls of its methods.
 type countingHandler struct {
 	started, checked, read atomic.Int64
 	last                   atomic.Value
@@ -31,8 +31,8 @@
 
 func (c *countingHandler) CheckTimers() { c.checked.Add(1) }
 
-// Datagrams are read in batches between two checks of the timers; tasks run while none come; timers are checked when they are
-// due; Close returns at once.
+// TestLoop checks that datagrams are read in batches between two checks of the timers, that tasks run while no datagrams arrive,
+// that timers are checked when they are due, and that Close ends the loop.
 func TestLoop(t *testing.T) {
 	for _, address := range []string{"127.0.0.1:0", "[::1]:0"} {
 		l, err := Listen(netip.MustParseAddrPort(address), 8)
@@ -51,14 +51,14 @@
 		defer from.Close()
 		wait := func(what string, holds func() bool) {
 			t.Helper()
-			for late := time.Now().Add(20 * time.Second); !holds(); time.Sleep(time.Millisecond) {
-				if time.Now().After(late) {
+			for deadline := time.Now().Add(20 * time.Second); !holds(); time.Sleep(time.Millisecond) {
+				if time.Now().After(deadline) {
 					t.Fatal(what)
 				}
 			}
 		}
 		busy := make(chan bool)
-		go l.Do(func() { <-busy }) // what comes meanwhile waits in the kernel
+		go l.Do(func() { <-busy }) // datagrams that arrive meanwhile wait in the kernel's buffer
 		const n = 200
 		for range n - 1 {
 			from.Write([]byte("x"))
@@ -66,12 +66,12 @@
 		from.Write([]byte("far too long"))
 		before := c.checked.Load()
 		close(busy)
-		wait("not all was read", func() bool { return c.read.Load() == n })
+		wait("not all datagrams were read", func() bool { return c.read.Load() == n })
 		if checks := c.checked.Load() - before; checks > n/2 {
 			t.Errorf("timers were checked %d times for %d datagrams", checks, n)
 		}
 		if got := c.last.Load(); got != "far too l" {
-			t.Errorf("a long datagram came as %q", got)
+			t.Errorf("a datagram that is too long was read as %q", got)
 		}
 		before = c.checked.Load()
 		c.next.Store(int64(time.Millisecond))
@@ -79,7 +79,7 @@
 		wait("timers were not checked", func() bool { return c.checked.Load() > before+2 })
 		l.Close()
 		if l.Do(func() {}) {
-			t.Error("a task ran after the end")
+			t.Error("a task ran after Close")
 		}
 	}
 }
--- a/internal/datagrams/drops.go
+++ b/internal/datagrams/drops.go
@@ -7,14 +7,15 @@
 	"golang.org/x/time/rate"
 )
 
-// The bounds of the log lines about dropped datagrams: a flood of garbage must not become a flood of lines.
+// The rate limit of log lines about dropped datagrams, so that a flood of garbage does not flood the log.
 const (
 	dropLinesPerSecond = 1
 	dropLinesBurst     = 5
 )
 
-// DropLog logs dropped datagrams at a bounded rate, and with each line how many were not logged since the last one. Whoever
-// receives a datagram decides whether it is dropped, counts it, and calls Dropped. It belongs to the loop's goroutine.
+// DropLog logs dropped datagrams at a limited rate. Each line has the number of drops that were not logged since the line before.
+// The handler of the datagrams drops and counts a datagram, and then calls Dropped. A DropLog may only be used on the loop's
+// goroutine.
 type DropLog struct {
 	log       zerolog.Logger
 	text      string
@@ -22,12 +23,12 @@
 	notLogged int64
 }
 
-// NewDropLog makes a log whose lines have one text.
+// NewDropLog returns a DropLog whose lines all have the same message.
 func NewDropLog(log zerolog.Logger, text string) *DropLog {
 	return &DropLog{log: log, text: text, limit: rate.NewLimiter(dropLinesPerSecond, dropLinesBurst)}
 }
 
-// Dropped logs a dropped datagram, if the rate allows it, by the name of its fault and its source address.
+// Dropped logs a dropped datagram with the name of its fault and its source address, if the rate limit allows it.
 func (d *DropLog) Dropped(fault string, from netip.AddrPort) {
 	if !d.limit.Allow() {
 		d.notLogged++
--- a/internal/datagrams/drops_test.go
+++ b/internal/datagrams/drops_test.go
@@ -9,7 +9,7 @@
 	"github.com/rs/zerolog"
 )
 
-// A flood of dropped datagrams becomes a few lines, which name the fault and the source.
+// TestDropLogIsBounded checks that a flood of dropped datagrams is logged as a few lines, with the fault and the source.
 func TestDropLogIsBounded(t *testing.T) {
 	var out bytes.Buffer
 	d := NewDropLog(zerolog.New(&out), "message dropped")
@@ -25,6 +25,6 @@
 		t.Errorf("got %s, want %s", lines[0], want)
 	}
 	if d.notLogged == 0 {
-		t.Error("no drop was left out")
+		t.Error("no drop was counted as not logged")
 	}
 }
