--- a/cmd/marblespan/deploy_test.go
+++ b/cmd/marblespan/deploy_test.go
@@ -10,8 +10,9 @@
 	"testing"
 )
 
-// The operators load a library of theirs into each gateway before it starts, which a static executable would pass over
-// in silence. What the deploy file builds must name an interpreter and the C library.
+// TestDeployedGatewayIsDynamicallyLinked checks that the executable that deploy/balancer.toml builds has a dynamic linker and
+// imports the C library. Operators preload a library of their own into each gateway, and a static executable would silently
+// ignore it.
 func TestDeployedGatewayIsDynamicallyLinked(t *testing.T) {
 	if runtime.GOOS != "linux" {
 		t.Skip("the deploy file is for Linux")
@@ -21,7 +22,7 @@
 		t.Fatal(err)
 	}
 	if _, err := exec.LookPath(string(regexp.MustCompile(`\S+`).Find(cc))); err != nil {
-		t.Skip("no C compiler at hand")
+		t.Skip("no C compiler found")
 	}
 	root := filepath.Join("..", "..")
 	deploy, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
@@ -31,7 +32,7 @@
 	line := regexp.MustCompile(`(?m)^build = "(.*)\./cmd/\.\.\."`).FindSubmatch(deploy)
 	run := regexp.MustCompile(`(?m)^run = "exec (\S+)"`).FindSubmatch(deploy)
 	if line == nil || run == nil {
-		t.Fatal("the deploy file names no build of ./cmd/... or no run by exec")
+		t.Fatal("the deploy file does not build ./cmd/... or does not run a program with exec")
 	}
 	dir := t.TempDir()
 	command := regexp.MustCompile(`-o bin/`).ReplaceAllLiteralString(string(line[1]), "-o "+dir+"/") + "./cmd/marblespan"
@@ -50,6 +51,6 @@
 		t.Errorf("the gateway is linked statically: it imports %v, %v", libraries, err)
 	}
 	if f.Section(".interp") == nil {
-		t.Error("the gateway names no interpreter")
+		t.Error("the gateway has no dynamic linker (section .interp)")
 	}
 }
--- a/cmd/marblespan/floating_test.go
+++ b/cmd/marblespan/floating_test.go
@@ -17,9 +17,11 @@
 	"marblespan/internal/fake"
 )
 
-// A process that holds the address stands still for longer than its peers would wait, and a booking arrives meanwhile.
-// When it wakes the booking is refused, unsent; after that the address is won again and serves. `vrrp status` tells of it.
-func TestFrozenHolder(t *testing.T) {
+// TestSuspendedActiveGateway suspends the gateway that holds a floating address for longer than its peers would wait for its
+// advertisements, and sends it a booking meanwhile. The gateway must lose the address when it resumes, and reject the booking
+// without sending it to a server, because a peer may hold the address by then. Then it must become active again, and serve
+// requests.
+func TestSuspendedActiveGateway(t *testing.T) {
 	server, err := fake.NewServer("primary")
 	if err != nil {
 		t.Fatal(err)
@@ -64,35 +66,35 @@
 	}
 	book := func(c *pgconn.PgConn, id string) string {
 		_, err := c.Exec(ctx, "/* id="+id+",c=booking,d=5000,cluster=1 */ INSERT INTO kv (name, content) VALUES ('"+id+"', '\\x01') RETURNING content").ReadAll()
-		var refused *pgconn.PgError
-		if errors.As(err, &refused) {
-			return refused.Code
+		var rejected *pgconn.PgError
+		if errors.As(err, &rejected) {
+			return rejected.Code
 		}
 		return fmt.Sprint(err)
 	}
 	c := connect()
 	if got := book(c, "a"); got != "<nil>" {
-		t.Fatalf("a booking before: %s", got)
+		t.Fatalf("a booking before the suspension: %s", got)
 	}
 	cmd.Process.Signal(syscall.SIGSTOP)
-	for !stopped(t, cmd.Process.Pid) { // the signal is sent, but threads on other cores may still run
+	for !stopped(t, cmd.Process.Pid) { // threads on other cores may still run after the signal is sent
 		time.Sleep(time.Millisecond)
 	}
 	answer := make(chan string, 1)
 	go func() { answer <- book(c, "b") }()
-	time.Sleep(600 * time.Millisecond) // the one wait that is the test itself
+	time.Sleep(600 * time.Millisecond) // the suspension that is tested: longer than peers wait at an interval of 100 ms
 	cmd.Process.Signal(syscall.SIGCONT)
 	if got := <-answer; got != "53300" && got != "57P03" {
-		t.Errorf("a booking that came while it stood still: %s", got)
+		t.Errorf("a booking during the suspension: %s", got)
 	}
 	waitFor(`"cause":"stood_still"`)
 	waitFor(`"to":"active"`)
 	if got := book(connect(), "c"); got != "<nil>" {
-		t.Errorf("a booking after: %s", got)
+		t.Errorf("a booking after the suspension: %s", got)
 	}
 	for _, sql := range server.Queries() {
 		if strings.Contains(sql, "id=b,") {
-			t.Error("the booking was sent")
+			t.Error("the booking was sent to a server")
 		}
 	}
 	var out, errs strings.Builder
@@ -108,16 +110,16 @@
 		t.Error(err)
 	}
 	if _, err := os.Stat(socket); err == nil {
-		t.Error("the control socket is left")
+		t.Error("the control socket was not removed")
 	}
 }
 
-// stopped tells whether every thread of a process stands still.
+// stopped reports whether every thread of a process is stopped.
 func stopped(t *testing.T, pid int) bool {
 	t.Helper()
 	stats, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
 	if err != nil || len(stats) == 0 {
-		t.Fatalf("no threads of %d are to be seen: %v", pid, err)
+		t.Fatalf("cannot list the threads of process %d: %v", pid, err)
 	}
 	for _, name := range stats {
 		raw, err := os.ReadFile(name)
--- a/cmd/marblespan/main.go
+++ b/cmd/marblespan/main.go
@@ -1,4 +1,5 @@
-// Command marblespan is the gateway: it serves PostgreSQL clients and routes their requests to database servers.
+// Command marblespan runs the gateway, which accepts requests of PostgreSQL clients and routes them to database servers. Its
+// subcommands check the configuration and query a running gateway.
 package main
 
 import (
--- a/cmd/marblespan/main_test.go
+++ b/cmd/marblespan/main_test.go
@@ -21,7 +21,7 @@
 	"marblespan/internal/fake"
 )
 
-// asGateway makes the test's own binary run as the gateway.
+// asGateway is an environment variable that makes the test binary run as the gateway.
 const asGateway = "MARBLESPAN_TEST_RUN"
 
 func TestMain(m *testing.M) {
@@ -36,7 +36,7 @@
 	os.Exit(m.Run())
 }
 
-// gateway is a process that runs the gateway.
+// gateway returns a command that runs the gateway in a process of its own.
 func gateway(t *testing.T, config, mode string) *exec.Cmd {
 	t.Helper()
 	self, err := os.Executable()
@@ -80,7 +80,8 @@
 	return l.Addr().String()
 }
 
-// Whatever is wrong at the start is reported in one plain line that names the key, with a non-zero exit code.
+// TestBadStarts checks that an error at the start is reported with the key at fault and without a stack trace, and that the exit
+// code is 1 or 2.
 func TestBadStarts(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -105,14 +106,14 @@
 	}
 }
 
-// start runs the gateway with one primary behind it, and returns its log, line by line.
+// start runs the gateway with server as the only primary, and returns the process and its log, line by line.
 func start(t *testing.T, addr string, server *fake.Server) (*exec.Cmd, *bufio.Scanner) {
 	t.Helper()
 	cmd, log, _ := startAt(t, addr, server)
 	return cmd, log
 }
 
-// startAt also returns the path of the configuration.
+// startAt is like start, and also returns the path of the configuration.
 func startAt(t *testing.T, addr string, server *fake.Server) (*exec.Cmd, *bufio.Scanner, string) {
 	t.Helper()
 	target := fake.Endpoint{
@@ -134,17 +135,17 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	ended := time.AfterFunc(60*time.Second, func() { cmd.Process.Kill() })
+	killer := time.AfterFunc(60*time.Second, func() { cmd.Process.Kill() })
 	t.Cleanup(func() {
-		ended.Stop()
+		killer.Stop()
 		cmd.Process.Kill()
 		disc.Close()
 	})
 	return cmd, bufio.NewScanner(log), path
 }
 
-// Values of 64 KiB in hex, both ways, on hundreds of connections at once: whatever is not served is refused, and the
-// process stays under its limit.
+// TestMemoryUnderLargeValues sends values of 64 KiB, written in hex, on hundreds of connections at once, and reads values of the
+// same size. The gateway must serve or reject each request, and must stay below its memory limit.
 func TestMemoryUnderLargeValues(t *testing.T) {
 	server, err := fake.NewServer("primary")
 	if err != nil {
@@ -156,9 +157,9 @@
 	addr := freeAddr(t)
 	cmd, lines := start(t, addr, server)
 	if !lines.Scan() {
-		t.Fatal("nothing was said")
+		t.Fatal("the gateway logged nothing")
 	}
-	go func() { // the log must be read, or its lines are dropped
+	go func() { // the gateway drops log lines that are not read
 		for lines.Scan() {
 		}
 	}()
@@ -186,7 +187,7 @@
 						return err.Error()
 					}
 					if string(res[0].Rows[0][0]) != value {
-						return "another value"
+						return "the value is not the one that was sent"
 					}
 					served++
 				}
@@ -208,7 +209,7 @@
 	}
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", cmd.Process.Pid))
 	if err != nil {
-		t.Skip("no /proc here to read the peak of memory from")
+		t.Skip("no /proc to read the memory peak from")
 	}
 	for _, line := range strings.Split(string(status), "\n") {
 		if f := strings.Fields(line); len(f) == 3 && f[0] == "VmHWM:" {
@@ -221,7 +222,8 @@
 	}
 }
 
-// The process serves, prints its counters on SIGUSR1, and leaves with 0 on SIGTERM.
+// TestProcess checks that the process serves requests, logs its counters on SIGUSR1, reloads its configuration on SIGHUP, and
+// exits with 0 on SIGTERM.
 func TestProcess(t *testing.T) {
 	server, err := fake.NewServer("primary")
 	if err != nil {
@@ -278,7 +280,7 @@
 	until("reloaded")
 	cmd.Process.Signal(syscall.SIGTERM)
 	until("stopping")
-	cmd.Process.Signal(syscall.SIGHUP) // while it stops: taken over as before
+	cmd.Process.Signal(syscall.SIGHUP) // a reload also works during the graceful shutdown
 	until("reloaded")
 	until(`"party":"client"`, `"reason":"drain"`)
 	until(`"class":"booking"`, `"served":1`)
--- a/cmd/marblespan/race_test.go
+++ b/cmd/marblespan/race_test.go
@@ -2,5 +2,5 @@
 
 package main
 
-// raceEnabled tells that the race detector's own memory comes on top of the gateway's.
+// raceEnabled reports whether the race detector is on. Its memory comes on top of the gateway's, so memory limits are not checked.
 const raceEnabled = true
--- a/cmd/marblespan/signals_test.go
+++ b/cmd/marblespan/signals_test.go
@@ -18,9 +18,9 @@
 	"marblespan/internal/fake"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// until reads the log up to a line that holds the words.
+// until reads the log up to a line that contains words.
 func until(t *testing.T, lines *bufio.Scanner, words string) {
 	t.Helper()
 	for lines.Scan() {
@@ -33,7 +33,7 @@
 
 func connect(t *testing.T, addr string) *pgconn.PgConn {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	c, err := pgconn.Connect(ctx, "postgres://backend@"+addr+"/store?sslmode=disable")
 	if err != nil {
@@ -47,7 +47,7 @@
 }
 
 func ask(c *pgconn.PgConn, sql string) (string, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	res, err := c.Exec(ctx, sql).ReadAll()
 	if err != nil || len(res) == 0 || len(res[0].Rows) == 0 {
@@ -56,9 +56,9 @@
 	return string(res[0].Rows[0][0]), nil
 }
 
-// SIGHUP right before SIGTERM, right behind it, and a second SIGTERM, with a request under way: the request has its answer,
-// and the process ends once, with 0. Fails where a second SIGTERM stops the gateway again, and where a reload that meets
-// the stop waits for an owner that has ended.
+// TestSignalsCross sends SIGHUP immediately before and after SIGTERM, and SIGTERM several times, while a request is in flight.
+// The request must get its answer, and the process must stop once and exit with 0. The test guards against two failures: a second
+// SIGTERM that starts the shutdown again, and a reload during the shutdown that waits for the owner goroutine after it has ended.
 func TestSignalsCross(t *testing.T) {
 	server, err := fake.NewServer("primary")
 	if err != nil {
@@ -84,14 +84,14 @@
 	cmd.Process.Signal(syscall.SIGHUP)
 	cmd.Process.Signal(syscall.SIGTERM)
 	until(t, lines, `"stopping"`)
-	for range 3 { // the answer to a later SIGHUP shows that the SIGTERM before it was taken in
+	for range 3 { // the reload shows that the SIGTERM before it has been handled
 		cmd.Process.Signal(syscall.SIGTERM)
 		cmd.Process.Signal(syscall.SIGHUP)
 		until(t, lines, `"reloaded"`)
 	}
 	close(release)
 	if got := <-answered; got != "value of a <nil>" {
-		t.Errorf("the request under way got %s", got)
+		t.Errorf("the request in flight got %s", got)
 	}
 	cmd.Process.Signal(syscall.SIGHUP)
 	stopping := 0
@@ -105,9 +105,9 @@
 	}
 }
 
-// A process that is killed right behind an accept, with a connection that has said nothing and one whose request is half
-// there, is followed by one that serves at the same address.
-func TestKillBehindAccept(t *testing.T) {
+// TestKillAfterAccept kills the process immediately after it has accepted two connections, one that has sent nothing and one that
+// has sent part of a message. Both connections must end, and the next process must serve requests at the same address.
+func TestKillAfterAccept(t *testing.T) {
 	server, err := fake.NewServer("primary")
 	if err != nil {
 		t.Fatal(err)
@@ -131,7 +131,7 @@
 	}
 	cmd.Wait()
 	for _, nc := range open {
-		nc.SetReadDeadline(time.Now().Add(patience))
+		nc.SetReadDeadline(time.Now().Add(testTimeout))
 		if n, err := nc.Read(make([]byte, 1)); n > 0 || err == nil {
 			t.Errorf("read %d bytes, %v", n, err)
 		}
@@ -148,8 +148,9 @@
 	}
 }
 
-// Answers that are half written when the stop begins, as their client does not read yet, go out whole, and the client sees an
-// orderly end behind them. Fails where the process ends without waiting for its clients.
+// TestStopInTheMiddleOfAnswers begins the graceful shutdown while answers are partly written, because the client does not read
+// yet. The client must get all answers complete, and then an orderly end of the connection. The test guards against a process
+// that exits without waiting for its clients.
 func TestStopInTheMiddleOfAnswers(t *testing.T) {
 	server, err := fake.NewServer("primary")
 	if err != nil {
@@ -171,7 +172,7 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(patience))
+	nc.SetDeadline(time.Now().Add(testTimeout))
 	text := "\x00\x03\x00\x00user\x00backend\x00database\x00store\x00\x00"
 	all := append(binary.BigEndian.AppendUint32(nil, uint32(len(text)+4)), text...)
 	for i := range answers {
@@ -184,22 +185,22 @@
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
 	until(t, lines, `"stopping"`)
-	resting, err := net.Dial("tcp", addr)
+	late, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer resting.Close()
-	resting.SetDeadline(time.Now().Add(patience))
-	if _, err := io.ReadAll(resting); err != nil { // it is closed once the gateway takes no more
+	defer late.Close()
+	late.SetDeadline(time.Now().Add(testTimeout))
+	if _, err := io.ReadAll(late); err != nil { // the gateway closes the connection because it accepts no more clients
 		t.Fatal(err)
 	}
-	go func() { // the log must be read, or the process may wait for it
+	go func() { // read the log, or the process may block in writing it
 		for lines.Scan() {
 		}
 	}()
 	got, err := io.ReadAll(nc)
 	if n := bytes.Count(got, value); n != answers || err != nil {
-		t.Errorf("%d whole answers of %d, then %v", n, answers, err)
+		t.Errorf("%d complete answers of %d, then %v", n, answers, err)
 	}
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("ended with %v", err)
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,5 @@
-// Command simhost runs the decision module on the bench's wire, from standard input to standard output.
+// Command simhost runs routers for the simulator. It reads the simulator's messages on standard input and writes the routers'
+// actions to standard output.
 package main
 
 import (
@@ -10,7 +11,7 @@
 
 func main() {
 	if len(os.Args) > 1 {
-		fmt.Fprintln(os.Stderr, "simhost: takes no arguments; it reads the bench's wire on standard input")
+		fmt.Fprintln(os.Stderr, "simhost: takes no arguments; it reads the simulator's messages on standard input")
 		os.Exit(2)
 	}
 	if err := simhost.Run(os.Stdin, os.Stdout, os.Stderr); err != nil {
