--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -258,8 +258,8 @@
 	}
 }
 
-// TestQuestionsGolden checks the question that each command with a one-sentence answer sends. Under its former name, a command must
-// send the same question, and print its present name once on standard error.
+// TestQuestionsGolden checks the question that each command with a one-sentence answer sends. Under its former name, a command
+// must send the same question, and print its present name once on standard error.
 func TestQuestionsGolden(t *testing.T) {
 	var all, allFormer strings.Builder
 	for _, c := range []struct{ args, former []string }{
--- a/internal/cli/maintenance.go
+++ b/internal/cli/maintenance.go
@@ -153,8 +153,8 @@
 	return w.Flush()
 }
 
-// awaitOut waits until all machines are out of service. It prints what each of them waits for whenever that changes. If the gateway
-// does not answer, awaitOut tries again, because the gateway may itself be the machine that is taken out.
+// awaitOut waits until all machines are out of service. It prints what each of them waits for whenever that changes. If the
+// gateway does not answer, awaitOut tries again, because the gateway may itself be the machine that is taken out.
 func (q *query) awaitOut(machines []string) error {
 	printed := map[string]string{} // the last line for each machine; under "", the last error
 	for waiting := machines; len(waiting) > 0; time.Sleep(waitPoll) {
--- a/internal/cli/query.go
+++ b/internal/cli/query.go
@@ -28,8 +28,8 @@
 	return q
 }
 
-// fetch sends a question to the gateway and decodes the answer. The questions must not change, because the gateway may have another
-// version than this program.
+// fetch sends a question to the gateway and decodes the answer. The questions must not change, because the gateway may have
+// another version than this program.
 func (q *query) fetch(question string, into any) error {
 	socket := q.socket
 	if socket == "" {
--- a/internal/cli/statestore.go
+++ b/internal/cli/statestore.go
@@ -32,7 +32,8 @@
 	return nil
 }
 
-// needsRaftProgram reports whether the operators' file has a state-store section and this program does not include the state store.
+// needsRaftProgram reports whether the operators' file has a state-store section and this program does not include the state
+// store.
 func needsRaftProgram(operators *config.Operators) bool {
 	return gateway.OpenStore == nil && operators != nil && operators.StateStore != nil
 }
--- a/internal/config/former_test.go
+++ b/internal/config/former_test.go
@@ -9,8 +9,8 @@
 	"marblespan/internal/config/lines"
 )
 
-// TestFormerWordsTable checks the entries of formerWords: the section exists, the new word is one of its directives, and the former
-// word is not.
+// TestFormerWordsTable checks the entries of formerWords: the section exists, the new word is one of its directives, and the
+// former word is not.
 func TestFormerWordsTable(t *testing.T) {
 	directives := map[string][]string{}
 	root := reflect.TypeFor[Operators]()
--- a/internal/config/lines/decode.go
+++ b/internal/config/lines/decode.go
@@ -8,15 +8,16 @@
 	"strings"
 )
 
-// Decode fills a struct from directives. The tags of its fields, and of the fields of its sections' structs, define the directives:
+// Decode fills a struct from directives. The tags of its fields, and of the fields of its sections' structs, define the
+// directives:
 //
 //	conf:"name"          a directive. A slice accepts any number of them; a struct takes the values in the order of its fields.
 //	conf:"name,secret"   likewise, but Print hides the last value
 //	section:"name"       a pointer to a struct, or a slice of structs. Each section fills one struct.
 //	title:"true"         in a section's struct: the value on the line that begins the section
 //
-// A section's struct embeds Source, which records the lines that it was read from. If a type has a method Defaults, Decode calls it
-// before it sets any field. Decode returns all faults, not only the first.
+// A section's struct embeds Source, which records the lines that it was read from. If a type has a method Defaults, Decode calls
+// it before it sets any field. Decode returns all faults, not only the first.
 func Decode(file string, directives []Directive, into any) Faults {
 	root := reflect.ValueOf(into).Elem()
 	applyDefaults(root)
@@ -154,8 +155,8 @@
 	d.parseValues(field, x, x.Values)
 }
 
-// splitValues returns the values for each element that a line adds to a slice. A repeatable directive may have several plain values
-// on one line; each of them is an element.
+// splitValues returns the values for each element that a line adds to a slice. A repeatable directive may have several plain
+// values on one line; each of them is an element.
 func splitValues(element reflect.Type, values []string) [][]string {
 	if kindOf(element) == composite || len(values) <= 1 {
 		return [][]string{values}
--- a/internal/config/lines/value.go
+++ b/internal/config/lines/value.go
@@ -55,8 +55,8 @@
 	return parseBasic(field, text)
 }
 
-// parseBasic parses a value into a field of a basic type. It panics if settings cannot have the type, because that is a programming
-// error.
+// parseBasic parses a value into a field of a basic type. It panics if settings cannot have the type, because that is a
+// programming error.
 func parseBasic(field reflect.Value, text string) error {
 	switch field.Kind() {
 	case reflect.String:
--- a/internal/config/operators.go
+++ b/internal/config/operators.go
@@ -16,7 +16,8 @@
 // EnvOperators is the environment variable that holds the path of the operators' file. The flag --conf takes precedence over it.
 const EnvOperators = "MARBLESPAN_CONF"
 
-// Operators holds the settings of the operators' file. A feature whose section is missing is off; without the file all of them are.
+// Operators holds the settings of the operators' file. A feature whose section is missing is off; without the file all of them
+// are.
 type Operators struct {
 	lines.Source
 	Control     string       `conf:"control" validate:"max=100"` // path of the control socket
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -170,8 +170,8 @@
 	})
 }
 
-// TestListIsSubscribedInEveryMode checks that the gateway subscribes to the endpoint list in every membership mode, because it gets
-// the list only on a watch, and that an unknown mode is a fault.
+// TestListIsSubscribedInEveryMode checks that the gateway subscribes to the endpoint list in every membership mode, because it
+// gets the list only on a watch, and that an unknown mode is a fault.
 func TestListIsSubscribedInEveryMode(t *testing.T) {
 	for mode, pushed := range map[string]bool{"subscribe": false, "automatic": true} {
 		c, err := Parse(change(t, "settings.membership_mode", mode), emptyEnv)
--- a/internal/config/statestore.go
+++ b/internal/config/statestore.go
@@ -17,13 +17,15 @@
 	maxMarksTTL    = 24 * time.Hour
 )
 
-// minRepairHeartbeats is the minimum of repair-after in heartbeats, because a node that misses fewer heartbeats may still be alive.
+// minRepairHeartbeats is the minimum of repair-after in heartbeats, because a node that misses fewer heartbeats may still be
+// alive.
 const minRepairHeartbeats = 20
 
 // AllMembers, as the name of a Raft node, means that every gateway is a Raft node.
 const AllMembers = "all"
 
-// StateStore is the section state-store: the settings of the gateways' replicated state, and the gateways that run its Raft groups.
+// StateStore is the section state-store: the settings of the gateways' replicated state, and the gateways that run its Raft
+// groups.
 type StateStore struct {
 	lines.Source
 	RaftNodes    []string      `conf:"raft-nodes" validate:"min=1,max=1024,dive,min=1,max=40"` // names of gateways, or AllMembers
