--- a/cmd/marblespan/floating_test.go
+++ b/cmd/marblespan/floating_test.go
@@ -19,8 +19,8 @@
 
 // TestSuspendedActiveGateway suspends the gateway that holds a floating address for longer than its peers would wait for its
 // advertisements, and sends it a booking meanwhile. The gateway must lose the address when it resumes, and reject the booking
-// without sending it to a server, because a peer may hold the address by then. Then it must become active again, and serve
-// requests.
+// without sending it to a server, because a peer may hold the address by then. Then it must become active again, serve requests,
+// and be shown as active by `vrrp status`.
 func TestSuspendedActiveGateway(t *testing.T) {
 	server, err := fake.NewServer("primary")
 	if err != nil {
--- a/cmd/marblespan/race_test.go
+++ b/cmd/marblespan/race_test.go
@@ -2,5 +2,5 @@
 
 package main
 
-// raceEnabled reports whether the race detector is on. Its memory comes on top of the gateway's, so memory limits are not checked.
+// raceEnabled reports whether the race detector is on. Its memory comes on top of the gateway's, so the memory limit is not checked.
 const raceEnabled = true
--- a/internal/cli/maintenance.go
+++ b/internal/cli/maintenance.go
@@ -78,7 +78,7 @@
 
 func (q *query) pause() *cobra.Command {
 	return &cobra.Command{
-		Use: "pause", Short: "Take no further machines out of service; one that is still draining stays in service, one that is out stays out", Args: noArguments,
+		Use: "pause", Short: "Take no further machines out of service; a machine that has not left yet stays in service, one that is out stays out", Args: noArguments,
 		RunE: func(*cobra.Command, []string) error { return q.printAnswer("maintain hold") },
 	}
 }
@@ -86,10 +86,9 @@
 func (q *query) resume() *cobra.Command {
 	return &cobra.Command{
 		Use: "resume [MACHINE...]", Short: "End a pause, or confirm for a machine that the order may go on", Args: minMachines(0),
-		Long: "Without a machine, it ends a pause, and the order no longer waits for machines that are overdue. With a machine, it confirms what\n" +
-			"only an operator can know: an overdue machine is no longer waited for; a primary is taken out although it is one; a server is\n" +
-			"taken out without an answer from gateways that cannot be reached; work may begin on a gateway that died while it was draining;\n" +
-			"a dead gateway that is not in the order is not waited for.",
+		Long: "Without a machine, the command ends a pause, and overdue machines no longer delay the others. With a machine, it confirms what\n" +
+			"only an operator can know: an overdue machine, or a dead gateway outside the order, no longer delays the others; a primary may be\n" +
+			"taken out; a server does not wait for unreachable gateways; work may begin on a gateway that died while it was draining.",
 		RunE: func(_ *cobra.Command, machines []string) error {
 			if len(machines) == 0 {
 				return q.printAnswer("maintain go")
--- a/internal/cli/statestore.go
+++ b/internal/cli/statestore.go
@@ -59,7 +59,7 @@
 			return q.printAnswer("copies found")
 		},
 	}
-	cmd.Flags().BoolVar(&first, "first", false, "confirm that there was no store before, so no records can be lost")
+	cmd.Flags().BoolVar(&first, "first", false, "confirm that there was no store before whose records could be lost")
 	return cmd
 }
 
--- a/internal/config/former.go
+++ b/internal/config/former.go
@@ -7,7 +7,7 @@
 	"marblespan/internal/config/lines"
 )
 
-// formerKey is a former word and the section to which it belongs. The section is "" if the word begins a section itself.
+// formerKey is a former word and the section to which it belongs. The section is "" if the former word begins a section.
 type formerKey struct{ section, name string }
 
 // formerWords maps the directives and section keywords of earlier versions to their present names. The sections in the keys have
--- a/internal/config/former_test.go
+++ b/internal/config/former_test.go
@@ -88,7 +88,7 @@
 		{"a section keyword with a value", "copies 3\n", "x:1: copies: begins a section and takes no value"},
 		{"an invalid value", edit("voters 5", "copies three"), `x:39: copies: "three" is no whole number, or too large`},
 		{"a value out of range", edit("voters 5", "copies 4"), "x:39: copies: must be one of 1, 3, 5"},
-		{"values that contradict each other", edit("repair-after 30s", "heal-after 1s"), "x:42: heal-after: 1s is below 2s, or 20 heartbeats"},
+		{"a duration that is too short", edit("repair-after 30s", "heal-after 1s"), "x:42: heal-after: 1s is below 2s, or 20 heartbeats"},
 		{"a section without the one that it requires", strings.Replace(edit(memberLines(), ""), "state-store\n", "copies\n", 1), "x:28: copies: requires a members section"},
 		{"in another section", edit("zone a", "holders a"), "x:9: holders: is not known here; there is advertise, bind, deployment, interval, join, key, node, via, weight, zone"},
 	} {
--- a/internal/config/indoubt.go
+++ b/internal/config/indoubt.go
@@ -21,7 +21,7 @@
 	Order       string        `conf:"order" validate:"oneof=safe fast"`          // safe: the outcome is stored before the client gets its answer
 	Retention   time.Duration `conf:"retention"`
 	MaxInFlight int           `conf:"max-in-flight" validate:"min=1,max=16384"`  // writes in flight at a time
-	Lookup      []string      `conf:"lookup" validate:"max=2,dive,min=1,max=64"` // the class of a read, and a text in its result that shows that the write was executed
+	Lookup      []string      `conf:"lookup" validate:"max=2,dive,min=1,max=64"` // the class of a read, and the text in its result that shows that a write ran
 }
 
 // Defaults sets the values that apply where the file does not set a directive of the section.
--- a/internal/config/maintenance.go
+++ b/internal/config/maintenance.go
@@ -12,7 +12,7 @@
 	maxWorkDuration = 7 * 24 * time.Hour
 )
 
-// maxWait is the upper bound of the other durations of a maintenance section, except excuse-after.
+// maxWait is the upper bound of settle-time, return-within, behind and unheard.
 const maxWait = time.Hour
 
 // Maintenance is the section maintenance: the limits within which machines are taken out of service.
