--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -6,17 +6,17 @@
 	"marblespan/internal/clock"
 )
 
-// This file is what becomes of a member that does not answer: suspicion, its deadline, and death.
+// This file handles members that do not answer: they are suspected, and declared dead at the suspicion's deadline.
 
-// The bounds of a suspicion in intervals, counted from the ping that was not answered: the minimum is for one that
-// maxConfirmations others confirm, the maximum for one that nobody does.
+// The shortest and longest duration of a suspicion in intervals, counted from the ping that was not answered. The minimum
+// applies when maxConfirmations other members confirm the suspicion, the maximum when no other member does.
 const (
 	minSuspicionIntervals = 6
 	maxSuspicionIntervals = 18
 	maxConfirmations      = 3
 )
 
-// currentSuspects lists the members that anybody suspects.
+// currentSuspects returns the members whose state is Suspect.
 func (m *Machine) currentSuspects() (all []*member) {
 	m.suspected = slices.DeleteFunc(m.suspected, func(name string) bool {
 		e := m.find(name)
@@ -29,14 +29,15 @@
 	return all
 }
 
-// suspicionDeadline is when a suspicion becomes a death: sooner the more others confirm it, later the worse this member's
-// local health, and never while the suspect has answered a probe within the minimum. Messages that are no answers do not
-// count: a member that receives nothing is of no use, however much it sends.
+// suspicionDeadline returns the time at which a suspect is declared dead. The deadline is earlier the more members confirm the
+// suspicion, and later the worse this member's local health. It is at least minSuspicionIntervals after the suspect's last
+// answer to a probe. Other messages from the suspect do not postpone it, because a member that sends but does not receive is
+// not usable.
 func (m *Machine) suspicionDeadline(e *member) clock.Micros {
 	thousandths := minSuspicionIntervals * 1000
 	if !m.cfg.WithoutLifeguard {
 		needed := max(min(maxConfirmations, m.countAlive()-1), 0)
-		score := confirmationScore(needed, len(e.accusers)-1)
+		score := confirmationScore(needed, len(e.suspectedBy)-1)
 		thousandths = maxSuspicionIntervals*1000 - (maxSuspicionIntervals-minSuspicionIntervals)*score
 	}
 	deadline := e.suspectedSince + m.cfg.Interval*clock.Micros(thousandths)*clock.Micros(m.LocalHealth())/1000
@@ -46,16 +47,16 @@
 	return deadline
 }
 
-// confirmationScore is how far a suspicion is confirmed, in thousandths: log(have+1)/log(needed+1), as Lifeguard has it.
-// needed is maxConfirmations at the most.
+// confirmationScore returns how far a suspicion is confirmed, in thousandths: log(have+1)/log(needed+1), as in Lifeguard.
+// needed is at most maxConfirmations.
 func confirmationScore(needed, have int) int {
 	table := [][]int{{1000}, {0, 1000}, {0, 631, 1000}, {0, 500, 792, 1000}}[needed]
 	return table[max(min(have, needed), 0)]
 }
 
-// expireSuspicions declares dead the suspects that nobody has found alive in time.
+// expireSuspicions declares dead the suspects whose deadline has passed.
 func (m *Machine) expireSuspicions(now clock.Micros) {
-	if now < m.accuseFrom {
+	if now < m.stallGraceUntil {
 		return
 	}
 	for _, e := range m.currentSuspects() {
@@ -67,36 +68,37 @@
 	}
 }
 
-// suspect takes in that somebody, or this member itself, accuses another one since a time. A further accuser confirms a
-// suspicion, and is spread as long as that shortens its deadline.
-func (m *Machine) suspect(now clock.Micros, e *member, incarnation uint32, accuser string, since clock.Micros) {
-	if accuser == e.Name || slices.Contains(e.accusers, accuser) && e.State == Suspect {
+// suspect processes a report that a member has been failing since a given time. reporter is the member that suspects it, which
+// may be this one. A report from a further member confirms the suspicion, and is passed on as gossip as long as it makes the
+// deadline earlier.
+func (m *Machine) suspect(now clock.Micros, e *member, incarnation uint32, reporter string, since clock.Micros) {
+	if reporter == e.Name || slices.Contains(e.suspectedBy, reporter) && e.State == Suspect {
 		return
 	}
 	switch {
-	case e.State == Suspect && len(e.accusers) > maxConfirmations:
+	case e.State == Suspect && len(e.suspectedBy) > maxConfirmations:
 		return
 	case e.State == Suspect:
-		e.accusers = append(e.accusers, accuser)
-		e.ReportedBy = accuser
+		e.suspectedBy = append(e.suspectedBy, reporter)
+		e.ReportedBy = reporter
 		m.gossipMember(e.Name)
 		return
 	}
 	previous := e.State
-	e.State, e.ReportedBy, e.Incarnation, e.stateSince = Suspect, accuser, incarnation, now
-	e.suspectedSince, e.accusers = since, []string{accuser}
+	e.State, e.ReportedBy, e.Incarnation, e.stateSince = Suspect, reporter, incarnation, now
+	e.suspectedSince, e.suspectedBy = since, []string{reporter}
 	m.suspected = append(m.suspected, e.Name)
 	m.gossipMember(e.Name)
 	m.emit(MemberChanged{Record: e.Record, Previous: previous})
 }
 
-// endGeneration takes over a record that ends a generation: its member is dead, or has left.
+// endGeneration applies a record that ends a member's generation because the member is dead or has left.
 func (m *Machine) endGeneration(now clock.Micros, e *member, r Record) {
 	previous := e.State
 	if e.Generation != r.Generation {
 		e.lastHelper, e.rtt = "", 0
 	}
-	e.Record, e.stateSince, e.accusers, e.indirectOnly, e.path = r, now, nil, 0, PathState{}
+	e.Record, e.stateSince, e.suspectedBy, e.indirectOnly, e.path = r, now, nil, 0, PathState{}
 	m.digestStale = true
 	m.gossipMember(e.Name)
 	m.emit(MemberChanged{Record: r, Previous: previous})
