--- a/internal/config/statestore.go
+++ b/internal/config/statestore.go
@@ -21,7 +21,7 @@
 // alive.
 const minRepairHeartbeats = 20
 
-// AllMembers, as the name of a Raft node, means that every gateway is a Raft node.
+// AllMembers in the list of Raft nodes means that every gateway is a Raft node.
 const AllMembers = "all"
 
 // StateStore is the section state-store: the settings of the gateways' replicated state, and the gateways that run its Raft
