--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -48,9 +48,9 @@
 	Cores        float64
 	MemoryMB     int
 	Sockets      int
-	KnownServers discovery.List // the last endpoint list that the platform had from discovery before the start
-	InForce      *settings.Snapshot
-	Settings     map[string]any // as in the file, so that a reload can log which keys changed
+	KnownServers discovery.List     // the last endpoint list that the platform had from discovery before the start
+	InForce      *settings.Snapshot // the parsed settings
+	Settings     map[string]any     // as in the file, so that a reload can log which keys changed
 }
 
 // keyError returns a *settings.KeyError, which names the key of the file or the environment variable that is at fault.
--- a/internal/knownred/knownred.go
+++ b/internal/knownred/knownred.go
@@ -63,7 +63,7 @@
 
 // Results holds the outcomes of a test run.
 type Results struct {
-	// Failed and Passed hold top-level tests. A test that ran more than once and failed at least once is in Failed.
+	// Failed and Passed hold top-level tests. A test that ran more than once and failed at least once counts as failed.
 	Failed, Passed map[Test]bool
 	// Broken lists the packages that failed although none of their tests did: they could not be built, or the run ended early.
 	Broken []string
