--- a/internal/experiments/demo/demo.go
+++ b/internal/experiments/demo/demo.go
@@ -49,7 +49,7 @@
 	}
 	fmt.Fprintf(w, "%d gateways with one floating address, a primary and %d replicas; all of it stand-ins but the gateways. Ask:\n\n", o.Nodes, o.Replicas)
 	fmt.Fprintf(w, "    psql \"host=%s port=%s user=backend dbname=store sslmode=disable\" \\\n", host(cluster.Switch.Addr()), port(cluster.Switch.Addr()))
-	fmt.Fprintf(w, "      -c \"/* id=1,c=%s,d=900,cluster=%d */ SELECT content FROM kv WHERE name = 'a'\"\n\n", testcluster.ClassView, testcluster.Group)
+	fmt.Fprintf(w, "      -c \"/* id=1,c=%s,d=900,cluster=%d */ SELECT content FROM kv WHERE name = 'a'\"\n\n", testcluster.ClassView, testcluster.FirstGroup)
 	for _, n := range cluster.Nodes {
 		fmt.Fprintf(w, "gateway %d itself: host=%s port=%s\n", n.Number, host(n.Listen), port(n.Listen))
 	}
--- a/internal/experiments/failover/load.go
+++ b/internal/experiments/failover/load.go
@@ -62,7 +62,7 @@
 	l := &bookingLoad{stopping: make(chan struct{}), spreader: &front{nodes: f.Nodes, unavailableFrom: map[int]time.Time{}, detectionDelay: o.FrontDetectionDelay}}
 	for c := range 2 * o.Clients {
 		b := &fake.Client{
-			Name: fmt.Sprint("c", c), Class: testcluster.ClassBooking, Group: testcluster.Group, Timeout: time.Second, MaxAttempts: 1000, Backoff: 5 * time.Millisecond,
+			Name: fmt.Sprint("c", c), Class: testcluster.ClassBooking, Group: testcluster.FirstGroup, Timeout: time.Second, MaxAttempts: 1000, Backoff: 5 * time.Millisecond,
 			Addr: f.Switch.Addr, Ledger: &l.floatingLedger, Route: f.Switch.GatewayOf,
 		}
 		if c >= o.Clients {
--- a/internal/testcluster/check.go
+++ b/internal/testcluster/check.go
@@ -414,7 +414,7 @@
 		served := len(r.responses) == 1 && r.responses[0].What == EndServed
 		switch {
 		case served:
-			op.Output, op.Return = strings.HasSuffix(r.responses[0].Value, There), r.responses[0].At
+			op.Output, op.Return = strings.HasSuffix(r.responses[0].Value, Present), r.responses[0].At
 		case r.submitted.Class != ClassBooking || len(r.responses) == 1 && r.responses[0].What == EndRejected || len(r.executions) == 0:
 			continue
 		}
@@ -464,7 +464,7 @@
 		if r.submitted == nil || r.submitted.Class != ClassMine || len(r.responses) != 1 || r.responses[0].What != EndServed {
 			continue
 		}
-		if at, known := booked[r.submitted.Key]; known && at < r.submitted.At && !strings.HasSuffix(r.responses[0].Value, There) {
+		if at, known := booked[r.submitted.Key]; known && at < r.submitted.At && !strings.HasSuffix(r.responses[0].Value, Present) {
 			out = append(out, Violation{At: r.responses[0].At, Text: fmt.Sprintf(
 				"%s does not see %s, which was booked at %.3fs", id, r.submitted.Key, float64(at)/1e6)})
 		}
--- a/internal/testcluster/check_test.go
+++ b/internal/testcluster/check_test.go
@@ -21,7 +21,7 @@
 func booked(ms int64, id, key, end string) story {
 	value := ""
 	if end == EndServed {
-		value = id + There
+		value = id + Present
 	}
 	return story{
 		at(ms, Event{Kind: RequestSent, Node: 1, ID: id, Client: "c", Class: ClassBooking, Key: key, Timeout: 1_000_000}),
@@ -124,7 +124,7 @@
 		{"an answer that never came", "answers", join(without(booked(100, "a", "k", EndServed), ResponseReceived))},
 		{"two answers", "answers", join(booked(100, "a", "k", EndServed), story{at(150, Event{Kind: ResponseReceived, Node: 1, ID: "a", What: EndFailed})})},
 		{"an answer that nobody asked for", "answers", join(without(booked(100, "a", "k", EndServed), RequestSent))},
-		{"another's value", "answers", join(viewed(100, "a", ClassView, "r1", "b"+There, 1))},
+		{"another's value", "answers", join(viewed(100, "a", ClassView, "r1", "b"+Present, 1))},
 		{"a connection reset", "answers", join(lost)},
 		{"reset by the gateway's death", "", join(lost, fault(105, 300, "at 1s kill 1"), story{ended(107, "signal: killed")})},
 		{"reset, written to one that had just died", "", join(lost, fault(20, 300, "at 1s kill 1"), story{ended(25, "signal: killed")})},
@@ -157,8 +157,8 @@
 		{"a quote that ran and failed", "", join(ending(viewed(100, "a", ClassQuote, "p", Absent, 0), EndFailed))},
 		{"a quote that was refused", "", join(without(ending(viewed(100, "a", ClassQuote, "p", Absent, 0), EndRejected), RequestExecuted))},
 		{"a booked seat that is not seen", "linearizable", join(booked(100, "a", "k", EndServed), viewed(200, "b", ClassSeat, "p", Absent, 0))},
-		{"a seat seen and then not", "linearizable", join(booked(100, "a", "k", EndFailed), viewed(103, "b", ClassSeat, "p", There, 0), viewed(200, "c", ClassSeat, "p", Absent, 0))},
-		{"a booking in doubt that takes effect later", "", join(booked(100, "a", "k", EndFailed), viewed(200, "b", ClassSeat, "p", Absent, 0), viewed(300, "c", ClassSeat, "p", There, 0))},
+		{"a seat seen and then not", "linearizable", join(booked(100, "a", "k", EndFailed), viewed(103, "b", ClassSeat, "p", Present, 0), viewed(200, "c", ClassSeat, "p", Absent, 0))},
+		{"a booking in doubt that takes effect later", "", join(booked(100, "a", "k", EndFailed), viewed(200, "b", ClassSeat, "p", Absent, 0), viewed(300, "c", ClassSeat, "p", Present, 0))},
 		{"a session that does not see what it has booked", "sessions", join(booked(100, "a", "k", EndServed), viewed(200, "b", ClassMine, "r1", Absent, 1))},
 		{"a session that may not have booked", "", join(booked(100, "a", "k", EndFailed), viewed(200, "b", ClassMine, "r1", Absent, 1))},
 		{"a session asked while it books", "", join(booked(100, "a", "k", EndServed), viewed(105, "b", ClassMine, "r1", Absent, 1))},
@@ -168,10 +168,10 @@
 		{"sent to a server that was worked at", "", join(story{phase(50, workStarted+"r1"), phase(90, workEnded+"r1")}, viewed(100, "a", ClassView, "r1", Absent, 1))},
 		{"two gateways away", "order", join(story{standing(10, 1, "g2", "out"), standing(20, 1, "g3", "leaving")})},
 		{"one away after the other", "", join(story{standing(10, 1, "g2", "out"), standing(20, 1, "g2", "back"), standing(20, 1, "g3", "leaving"), standing(30, 2, "g2", "out")})},
-		{"asked again, and the answer is known", "", join(booked(100, "a", "k", EndFailed), again(200, "b", "k", EndServed, "a"+There))},
-		{"asked again, and a read shows it", "", join(booked(100, "a", "k", EndFailed), story{looked(205, "k")}, again(200, "b", "k", EndServed, "look-1"+There))},
-		{"asked again, and a read of another key", "answers,bookings", join(booked(100, "a", "k", EndFailed), story{looked(205, "j")}, again(200, "b", "k", EndServed, "look-1"+There))},
-		{"asked again, and another booking's answer", "answers,bookings", join(booked(100, "a", "j", EndServed), again(200, "b", "k", EndServed, "a"+There))},
+		{"asked again, and the answer is known", "", join(booked(100, "a", "k", EndFailed), again(200, "b", "k", EndServed, "a"+Present))},
+		{"asked again, and a read shows it", "", join(booked(100, "a", "k", EndFailed), story{looked(205, "k")}, again(200, "b", "k", EndServed, "look-1"+Present))},
+		{"asked again, and a read of another key", "answers,bookings", join(booked(100, "a", "k", EndFailed), story{looked(205, "j")}, again(200, "b", "k", EndServed, "look-1"+Present))},
+		{"asked again, and another booking's answer", "answers,bookings", join(booked(100, "a", "j", EndServed), again(200, "b", "k", EndServed, "a"+Present))},
 		{"asked again and refused, and it ran", "told", join(booked(100, "a", "k", EndFailed), again(200, "b", "k", EndRejected, ""))},
 		{"asked again as the connection is closed, and it ran", "", join(booked(100, "a", "k", EndFailed), closing(again(200, "b", "k", EndRejected, "")))},
 		{"asked again and refused, and it never ran", "", join(without(without(booked(100, "a", "k", EndFailed), RequestExecuted), RequestForwarded), again(200, "b", "k", EndRejected, ""))},
@@ -201,7 +201,7 @@
 func TestHistoryRoundTrip(t *testing.T) {
 	var b bytes.Buffer
 	h := NewHistory(&b)
-	for _, e := range join(booked(100, "a", "k", EndServed), viewed(200, "b", ClassView, "r1", There, 7), fault(1, 2, `at 1s split 1,2 | 3 for 2s`)) {
+	for _, e := range join(booked(100, "a", "k", EndServed), viewed(200, "b", ClassView, "r1", Present, 7), fault(1, 2, `at 1s split 1,2 | 3 for 2s`)) {
 		h.Add(e)
 	}
 	got, err := ReadHistory(bytes.NewReader(b.Bytes()))
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -147,7 +147,7 @@
 // startServers starts the groups of servers.
 func (c *Cluster) startServers() error {
 	for i := range max(c.Groups, 1) {
-		group, err := newServerGroup(c.History, Group+i, c.Replicas, c.ServiceTime, c.gatewayAt)
+		group, err := newServerGroup(c.History, FirstGroup+i, c.Replicas, c.ServiceTime, c.gatewayAt)
 		if err != nil {
 			return err
 		}
--- a/internal/testcluster/indoubt.go
+++ b/internal/testcluster/indoubt.go
@@ -19,7 +19,7 @@
 		b.WriteString(" order safe\n")
 	}
 	if d.SeatLookup {
-		fmt.Fprintf(&b, " lookup %s \"%s\"\n", ClassSeat, There)
+		fmt.Fprintf(&b, " lookup %s \"%s\"\n", ClassSeat, Present)
 	}
 	return b.String()
 }
--- a/internal/testcluster/indoubt_test.go
+++ b/internal/testcluster/indoubt_test.go
@@ -80,7 +80,7 @@
 	var at atomic.Value
 	at.Store(r.Addr())
 	b := &fake.Client{
-		Name: "half", Class: ClassBooking, Group: Group, Timeout: requestTimeout, MaxAttempts: 400, Backoff: clientBackoff, RetryTimeouts: 3, Ledger: &l.ledger, OnExchange: l.recordExchange,
+		Name: "half", Class: ClassBooking, Group: FirstGroup, Timeout: requestTimeout, MaxAttempts: 400, Backoff: clientBackoff, RetryTimeouts: 3, Ledger: &l.ledger, OnExchange: l.recordExchange,
 		Addr: func() string { return at.Load().(string) },
 		Route: func(string) string {
 			if at.Load() == r.Addr() {
--- a/internal/testcluster/load.go
+++ b/internal/testcluster/load.go
@@ -96,7 +96,7 @@
 	for i := range count {
 		turn := i
 		client := &fake.Client{
-			Name: fmt.Sprint(kind, i), Class: class, Group: Group, Timeout: requestTimeout, MaxAttempts: 20, Backoff: clientBackoff, Ledger: &l.ledger,
+			Name: fmt.Sprint(kind, i), Class: class, Group: FirstGroup, Timeout: requestTimeout, MaxAttempts: 20, Backoff: clientBackoff, Ledger: &l.ledger,
 			Addr: func() string { turn++; return cluster.Nodes[turn%len(cluster.Nodes)].Listen }, OnExchange: l.recordExchange,
 		}
 		if l.retryInDoubt && class == ClassBooking { // until the end is known: a failover of the address takes some hundred milliseconds
--- a/internal/testcluster/servers.go
+++ b/internal/testcluster/servers.go
@@ -10,8 +10,8 @@
 	"marblespan/internal/fake"
 )
 
-// Group is the number of a cluster's first group of servers; further ones follow.
-const Group = 7
+// FirstGroup is the number of a cluster's first group of servers; further ones follow.
+const FirstGroup = 7
 
 // groupNames are the names of each group's primary and of its replicas, which have a number behind that.
 var groupNames = [...][2]string{{"p", "r"}, {"q", "s"}}
@@ -22,7 +22,7 @@
 // groupOf is the group that a client's key belongs to: clients differ in it, and keep to it.
 func (c *Cluster) groupOf(key string) int {
 	client, _, _ := strings.Cut(key, "-")
-	return Group + int(client[len(client)-1])%len(c.groups)
+	return FirstGroup + int(client[len(client)-1])%len(c.groups)
 }
 
 // The classes that clients use.
@@ -37,10 +37,10 @@
 // ViewBound is how far behind a view's data may be.
 const ViewBound = 800 * time.Millisecond
 
-// There and Absent end the value of a read: whether the server had the key. The request's id stands before them.
+// Present and Absent end the value of a read: whether the server had the key. The request's id stands before them.
 const (
-	There  = " there"
-	Absent = " absent"
+	Present = " there"
+	Absent  = " absent"
 )
 
 // serverGroup is a primary and its replicas, which share a log of commits. A position is a Unix time in milliseconds: a server
@@ -71,7 +71,7 @@
 func newServerGroup(h *History, group, replicas int, work time.Duration, node func(string) int) (*serverGroup, error) {
 	c := &serverGroup{number: group, events: h, gatewayAt: node, serviceTime: work, commits: map[string]int64{}}
 	for i := range replicas + 1 {
-		names := groupNames[group-Group]
+		names := groupNames[group-FirstGroup]
 		s := &server{group: c, name: names[0], primary: i == 0, state: stateReady}
 		if i > 0 {
 			s.name = fmt.Sprint(names[1], i)
@@ -205,7 +205,7 @@
 	time.Sleep(c.serviceTime)
 	value := query.ID() + Absent
 	if there {
-		value = query.ID() + There
+		value = query.ID() + Present
 	}
 	server.Position.Store(position)
 	query.ReplyRow([]byte(value))
--- a/internal/testcluster/statestore.go
+++ b/internal/testcluster/statestore.go
@@ -215,7 +215,7 @@
 	}
 	turn := 0
 	b := &fake.Client{
-		Name: "final", Class: ClassMine, Group: Group, Timeout: requestTimeout, MaxAttempts: 20, Backoff: clientBackoff, Ledger: &l.ledger,
+		Name: "final", Class: ClassMine, Group: FirstGroup, Timeout: requestTimeout, MaxAttempts: 20, Backoff: clientBackoff, Ledger: &l.ledger,
 		Addr: func() string { turn++; return l.cluster.Nodes[turn%len(l.cluster.Nodes)].Listen }, OnExchange: l.recordExchange,
 	}
 	defer b.Close()
