--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -39,11 +39,11 @@
 	Group       int
 	Timeout     time.Duration // of one attempt
 	MaxAttempts int
-	Backoff     time.Duration // before a further attempt; up to half as much is added at random
+	Backoff     time.Duration // pause before the next attempt; up to half of it is added at random
 	Ledger      *Ledger
 	OnExchange  func(Exchange) // is called for each request and for each end; may be nil
-	// RetryTimeouts, if above 0, makes the client retry a statement that may have run, marked as a retry, for this many
-	// times Timeout.
+	// RetryTimeouts, if above 0, makes the client retry a statement that may have run until this many times Timeout have
+	// passed. These requests are marked as retries.
 	RetryTimeouts int
 
 	conn   *net.TCPConn
@@ -72,7 +72,7 @@
 	}
 }
 
-// run makes attempts until one of them is final, and records the outcome.
+// run makes attempts until one of them is final or no further attempt is allowed, and records the outcome.
 func (c *Client) run(key, statement string) Outcome {
 	outcome, retry, retryUntil := Rejected, false, time.Time{}
 	for range c.MaxAttempts {
@@ -126,7 +126,7 @@
 	return again, outcome
 }
 
-// query is the text of a Query message: the comment with the request's options, and the statement.
+// query returns the text of a Query message: a comment with the request's options, followed by the statement.
 func (c *Client) query(exchange Exchange, statement string) string {
 	retryOption := ""
 	if exchange.Retry {
@@ -181,7 +181,7 @@
 	}
 }
 
-// connectionEnded closes the connection after an error and notes how it ended.
+// connectionEnded closes the connection after an error and stores in c.end how it ended.
 func (c *Client) connectionEnded(err error) {
 	c.Close()
 	switch {
@@ -194,7 +194,7 @@
 	}
 }
 
-// connect opens a connection and waits until the gateway is ready for queries.
+// connect opens a connection and waits until the gateway is ready for queries. It reports whether that succeeded.
 func (c *Client) connect() bool {
 	c.via, c.reused = c.Addr(), false
 	conn, err := net.DialTimeout("tcp", c.via, time.Second)
@@ -219,7 +219,7 @@
 	}
 }
 
-// idle reports whether the peer has neither closed the connection nor sent anything that is unread.
+// idle reports whether the connection is still open and has no unread data.
 func idle(conn *net.TCPConn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -30,7 +30,7 @@
 	revision    int
 	endpoints   []Endpoint
 	rawResponse string            // a complete response to send instead of the list; "silent" for none at all
-	conns       map[net.Conn]bool // every open connection; true: it watches
+	conns       map[net.Conn]bool // every open connection; true if it is a watch
 	goroutines  sync.WaitGroup
 	Requests    chan string // receives the request line of each request
 }
@@ -51,7 +51,8 @@
 // Addr returns the address that the service listens on.
 func (d *Discovery) Addr() string { return d.listener.Addr().String() }
 
-// SetRawResponse makes the service answer later requests with these bytes: empty for the endpoint list, "silent" for no answer.
+// SetRawResponse makes the service answer later requests with these bytes. An empty string restores the endpoint list, and
+// "silent" means that the service does not answer.
 func (d *Discovery) SetRawResponse(raw string) {
 	d.mu.Lock()
 	d.rawResponse = raw
@@ -80,7 +81,7 @@
 	line := d.message(false, changed)
 	for c, watching := range d.conns {
 		if watching {
-			// Two chunks for one line, so that no client can rely on their being the same.
+			// Two chunks for one line, so that a client that takes each chunk for one line fails.
 			fmt.Fprintf(c, "%x\r\n%s\r\n%x\r\n%s\r\n", 5, line[:5], len(line)-5, line[5:])
 		}
 	}
--- a/internal/fake/ledger.go
+++ b/internal/fake/ledger.go
@@ -17,7 +17,7 @@
 	Failed              // answered with an error; the statement may have run
 	Unknown             // the connection ended without an answer; the statement may have run
 	Rejected            // every attempt was rejected; the statement has not run
-	NumOutcomes         // the number of outcomes
+	NumOutcomes         // not an outcome, but the number of outcomes
 )
 
 // OutcomeNames are the outcomes' names in results.
@@ -40,7 +40,7 @@
 	End    string // how a connection without an answer ended: "closed", "reset" or "timeout"
 }
 
-// Totals are a ledger's sums.
+// Totals are the counts of a ledger.
 type Totals struct {
 	Counts             [NumOutcomes]int
 	Attempts           int // statements written
@@ -49,21 +49,21 @@
 	UnsolicitedAnswers int // answers without a request
 }
 
-// Totals returns the sums so far.
+// Totals returns the counts so far.
 func (l *Ledger) Totals() Totals {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.totals
 }
 
-// Successes lists the operations that were served, in the order of their ends.
+// Successes lists the operations that were served, in the order in which they ended.
 func (l *Ledger) Successes() []ClientEvent {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.successes)
 }
 
-// Unanswered lists the operations whose connection ended without an answer, in the order of their ends.
+// Unanswered lists the operations whose connection ended without an answer, in the order in which they ended.
 func (l *Ledger) Unanswered() []ClientEvent {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -96,8 +96,8 @@
 var insertedKey = regexp.MustCompile(`INSERT INTO kv \(name, content\) VALUES \('([^']*)'`)
 
 // Check compares the outcomes that clients saw with the statements that servers ran. It returns the number of writes that ran,
-// and a description of each violation: a write that ran more than once, one that was served and did not run exactly once, one
-// that was rejected and ran, and answers without a request.
+// and a description of each violation: a write that ran more than once, a write that was served but did not run exactly
+// once, a write that was rejected but ran, and answers without a request.
 func (l *Ledger) Check(servers ...*Server) (runs int, faults []string) {
 	ran := map[string]int{}
 	for _, s := range servers {
@@ -115,16 +115,16 @@
 			faults = append(faults, fmt.Sprintf("%s ran %d times", key, n))
 		}
 		if outcome, ok := l.outcomes[key]; ok && outcome == Rejected {
-			faults = append(faults, fmt.Sprintf("%s ran and was refused", key))
+			faults = append(faults, fmt.Sprintf("%s was rejected but ran", key))
 		}
 	}
 	for key, outcome := range l.outcomes {
 		if outcome == Served && ran[key] != 1 {
-			faults = append(faults, fmt.Sprintf("%s was served and ran %d times", key, ran[key]))
+			faults = append(faults, fmt.Sprintf("%s was served but ran %d times", key, ran[key]))
 		}
 	}
 	if l.totals.UnsolicitedAnswers > 0 {
-		faults = append(faults, fmt.Sprintf("%d answers that nobody asked for", l.totals.UnsolicitedAnswers))
+		faults = append(faults, fmt.Sprintf("%d answers without a request", l.totals.UnsolicitedAnswers))
 	}
 	return runs, faults
 }
--- a/internal/fake/path.go
+++ b/internal/fake/path.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Impairment is what a network does to the traffic from one node to another. The zero value is a perfect link.
+// Impairment describes how a network degrades the traffic from one node to another. The zero value is a perfect link.
 type Impairment struct {
 	Drop         bool          // datagrams are lost, streams stall
 	LossRate     float64       // the fraction, from 0 to 1, of datagrams lost, and of stream chunks retransmitted
 	Delay        time.Duration // of each datagram or chunk
 	Jitter       time.Duration // maximum random addition to Delay, so that datagrams overtake each other
-	Duplicates   int           // further copies of each datagram
+	Duplicates   int           // additional copies of each datagram
 	Reorder      bool          // each pair of datagrams arrives in reverse order
-	StallStreams bool          // streams stall, datagrams pass
+	StallStreams bool          // streams stall, but datagrams are forwarded
 	Rate         int           // of a stream, in bytes per second; 0: unlimited
 }
 
@@ -46,7 +46,7 @@
 	relay      *Relay // of streams; may be nil
 	impairment Impairment
 	swapped    []byte // the first datagram of a pair to reorder
-	delivered  int    // datagrams
+	delivered  int    // number of datagrams forwarded
 }
 
 // NewPath starts a path between nodes whose sockets have these addresses.
@@ -128,7 +128,7 @@
 	}
 }
 
-// Isolate drops all traffic to and from a node, or removes every impairment of its links again.
+// Isolate drops all traffic to and from a node if on is set. Otherwise it removes every impairment of the node's links.
 func (p *Path) Isolate(i int, on bool) {
 	for j := range p.nodeAddrs {
 		if i != j {
@@ -138,7 +138,7 @@
 	}
 }
 
-// Delivered returns the number of datagrams forwarded from node i to node j, with duplicates.
+// Delivered returns the number of datagrams forwarded from node i to node j, including duplicates.
 func (p *Path) Delivered(i, j int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fake/protocol.go
+++ b/internal/fake/protocol.go
@@ -40,7 +40,7 @@
 	return ""
 }
 
-// startupMessage is a client's StartupMessage.
+// startupMessage encodes the StartupMessage of a client.
 func startupMessage() []byte {
 	b := append([]byte{0, 3, 0, 0}, "user\x00backend\x00database\x00store\x00\x00"...)
 	return append(binary.BigEndian.AppendUint32(nil, uint32(4+len(b))), b...)
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// retransmitDelay is the additional delay of a chunk whose first transmission was lost. TCP retransmits, so that streams see loss
-// as delay.
+// retransmitDelay is the additional delay of a chunk whose first transmission was lost. TCP retransmits lost
+// segments, so that loss delays a stream but does not remove data.
 const retransmitDelay = 200 * time.Millisecond
 
 // maxChunk bounds the bytes that are read from a stream at a time, maxQueuedChunks the chunks in flight in one direction.
@@ -22,7 +22,8 @@
 // Relay forwards TCP connections from one address to another, with an Impairment for each direction. Data that an impairment
 // holds back is not lost: it is forwarded once the impairment ends, as by TCP's retransmissions.
 type Relay struct {
-	// OnData is called with the data that the near end has sent, before any impairment; may be nil.
+	// OnData is called with the data that the near end (the side that connected to the relay) has sent, before any impairment
+	// is applied. It may be nil.
 	OnData func(chunk []byte)
 
 	listener   net.Listener
@@ -43,7 +44,8 @@
 	near, far net.Conn
 }
 
-// NewRelay starts a relay that listens on an address (host and port; port 0 for any) and forwards to another one.
+// NewRelay starts a relay that listens on the address at (host and port; port 0 for any) and forwards connections to the address
+// to. Its own connections come from the IP address from; nil for any.
 func NewRelay(at, to string, from net.IP) (*Relay, error) {
 	l, err := net.Listen("tcp4", at)
 	if err != nil {
@@ -63,7 +65,7 @@
 	r.change(func() { r.outbound, r.inbound = out, back })
 }
 
-// change applies a change and wakes all that wait for one.
+// change applies a change and wakes all goroutines that wait for one.
 func (r *Relay) change(do func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -108,7 +110,7 @@
 	return f, r.changed, r.closed
 }
 
-// waitOpen waits until a direction does not stall and returns its impairment. It reports false when the relay closes, or quit does.
+// waitOpen waits until a direction does not stall and returns its impairment. It reports false if the relay or quit is closed first.
 func (r *Relay) waitOpen(outbound bool, quit <-chan struct{}) (Impairment, bool) {
 	for {
 		f, changed, closed := r.impairment(outbound)
@@ -163,13 +165,14 @@
 	both.Wait()
 }
 
-// chunk is a part of a stream that is in flight.
+// chunk is data of a stream that was read and not yet written.
 type chunk struct {
 	data []byte
 	due  time.Time // when it may be written
 }
 
-// copyDirection forwards one direction of a stream. An orderly end is forwarded as one, any other end as a reset.
+// copyDirection forwards one direction of a stream. It forwards an orderly end of the stream as an orderly end, and any other end
+// as a reset.
 func (r *Relay) copyDirection(connection *stream, destination, source net.Conn, outbound bool) {
 	queue, writerDone := make(chan chunk, maxQueuedChunks), make(chan struct{})
 	var writer sync.WaitGroup
--- a/internal/fake/relay_test.go
+++ b/internal/fake/relay_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// echo listens on an address and returns to every connection what it sends.
+// echo starts a listener that sends all data of a connection back to its sender.
 func echo(t *testing.T, at string) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp4", at)
@@ -78,7 +78,7 @@
 			go func() { answer <- echoes(opened) }()
 			select {
 			case ok := <-answer:
-				t.Fatalf("%+v from %d: it was answered (completely: %v)", f, direction[0], ok)
+				t.Fatalf("%+v from %d: data passed (complete: %v)", f, direction[0], ok)
 			case <-time.After(50 * time.Millisecond):
 			}
 			p.Set(direction[0], direction[1], Impairment{})
--- a/internal/fake/server.go
+++ b/internal/fake/server.go
@@ -50,9 +50,9 @@
 type Server struct {
 	QueryHandler func(*Query) // set it before the first connection; afterwards by SetQueryHandler
 	Closed       chan int     // receives the number of each connection that has ended
-	Position     atomic.Int64 // the replication position that it reports, in milliseconds
-	Role         atomic.Value // the role that it reports: a string
-	Silent       atomic.Bool  // it reads everything and sends nothing, like a machine that is cut off
+	Position     atomic.Int64 // the replication position that the server reports, in milliseconds
+	Role         atomic.Value // the role that the server reports: a string
+	Silent       atomic.Bool  // the server reads all input and sends nothing, as if its machine were cut off
 
 	listener   net.Listener
 	goroutines sync.WaitGroup // the accept loop and one goroutine for each connection
@@ -105,7 +105,7 @@
 	s.mu.Unlock()
 }
 
-// ResetConns resets every open connection, as the end of a process does.
+// ResetConns resets every open connection, as if the process had ended.
 func (s *Server) ResetConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,7 +166,7 @@
 	}
 }
 
-// startUp reads the startup message and answers it. It reports whether queries may follow.
+// startUp reads the startup message and answers it. It reports whether the connection accepts queries.
 func (s *Server) startUp(conn net.Conn, r *bufio.Reader) bool {
 	size := make([]byte, 4)
 	if _, err := io.ReadFull(r, size); err != nil {
@@ -204,14 +204,15 @@
 	handler(q)
 }
 
-// SetHealthCheckHandler sets a function that is called first for health checks and reports whether it has answered.
+// SetHealthCheckHandler sets a function that is called for each health check and reports whether it has answered. If it has not,
+// the server answers with its load report.
 func (s *Server) SetHealthCheckHandler(h func(*Query) bool) {
 	s.mu.Lock()
 	s.healthCheckHandler = h
 	s.mu.Unlock()
 }
 
-// SetQueryHandler changes what the server does with queries.
+// SetQueryHandler replaces the handler of queries.
 func (s *Server) SetQueryHandler(h func(*Query)) {
 	s.mu.Lock()
 	s.QueryHandler = h
--- a/internal/fake/switch.go
+++ b/internal/fake/switch.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// Switch forwards the connections of one floating address to the gateway that announced the address last, as a network switch
-// does that learns where an address is. It decodes announcements by their description alone and shares no code with the
-// gateway's codec.
+// Switch forwards the connections of one floating address to the gateway that announced the address last, like a network switch
+// that learns the port of an address from announcements. Its decoder is written from the description of the announcements and
+// shares no code with the gateway's codec.
 type Switch struct {
-	ResetOnTakeover bool // a takeover resets the connections of the former gateway; otherwise they stay open
+	ResetOnTakeover bool // a takeover resets the former gateway's connections; otherwise they stay open
 
 	secret        []byte
 	listener      net.Listener
@@ -99,7 +99,7 @@
 	}
 }
 
-// ResetFlows resets all connections of a gateway, as the end of its machine does.
+// ResetFlows resets all connections of a gateway, as if its machine had failed.
 func (s *Switch) ResetFlows(gateway string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,7 +145,8 @@
 	}
 }
 
-// handleAnnouncement verifies an announcement and makes its sender the active gateway, unless it is older than the sender's last.
+// handleAnnouncement verifies an announcement and makes its sender the active gateway. It ignores an announcement that is not newer
+// than the sender's last one, and announcements of unreachable gateways.
 func (s *Switch) handleAnnouncement(b []byte) {
 	if len(b) < announcementHeader+16+32 || string(b[:4]) != "MSA\x01" {
 		return
@@ -180,7 +181,7 @@
 	}
 }
 
-// forward connects a client to the active gateway. Without one the client is reset, as by a router that finds no host.
+// forward connects a client to the active gateway. If there is none, or it is unreachable, the client's connection is reset.
 func (s *Switch) forward(client net.Conn) {
 	s.mu.Lock()
 	gateway, unreachable := s.active, s.unreachable[s.active]
@@ -214,8 +215,8 @@
 	s.mu.Unlock()
 }
 
-// copyDirection forwards one direction. An orderly end is forwarded as one, any other end as a reset; if the gateway is
-// unreachable, neither is.
+// copyDirection forwards one direction of a connection. It forwards an orderly end as an orderly end, and any other end as a reset.
+// It forwards neither if the gateway is unreachable.
 func (s *Switch) copyDirection(f *flow, to, from net.Conn) {
 	_, err := io.Copy(to, from)
 	s.mu.Lock()
