--- a/internal/testcluster/check.go
+++ b/internal/testcluster/check.go
@@ -19,25 +19,25 @@
 	Text string
 }
 
-// String is the rule, the time in seconds and the text.
+// String formats the violation as its rule, its time in seconds and its text.
 func (v Violation) String() string {
 	return fmt.Sprintf("%s at %.3fs: %s", v.Rule, float64(v.At)/1e6, v.Text)
 }
 
-// checker finds violations of one rule in a history; it sees nothing but the history.
+// checker finds violations of one rule in a history. Its only input is the history.
 type checker struct {
 	rule       string
 	violations func(h *timeline) []Violation
 }
 
-// checkers are all rules that a history must keep.
+// checkers are the rules that a history must satisfy, each with its checker.
 var checkers = []checker{
 	{"answers", checkAnswers}, {"bookings", checkBookings}, {"drains", checkDrains}, {"stale", checkStale}, {"linearizable", checkLinearizable},
 	{"crashes", checkCrashes}, {"address", checkAddress}, {"members", checkMembers}, {"sessions", checkSessions}, {"told", checkRetryAnswers},
 	{"order", checkMaintenanceOrder}, {"quotes", checkQuotes},
 }
 
-// Check lists the violations in a history, in the order of time.
+// Check lists the violations in a history, sorted by time.
 func Check(events []Event) (all []Violation) {
 	h := newTimeline(events)
 	if h.malformed != "" {
@@ -53,7 +53,7 @@
 	return all
 }
 
-// faultWindow is a fault with the times between which it was active, in microseconds.
+// faultWindow is a fault with the interval in which it was active, in microseconds.
 type faultWindow struct {
 	Fault
 	from, to int64
@@ -62,7 +62,7 @@
 // concerns reports whether a fault applies to a gateway.
 func (w faultWindow) concerns(node int) bool { return w.From == nil || slices.Contains(w.From, node) }
 
-// request is all events of one request id.
+// request holds all events with the same request id.
 type request struct {
 	submitted  *Event
 	responses  []Event
@@ -70,14 +70,14 @@
 	executions []Event
 }
 
-// timeline is a history in the order of time, indexed for the checkers.
+// timeline is a history sorted by time and indexed for the checkers.
 type timeline struct {
 	events       []Event
 	requests     map[string]*request
-	requestOrder []string // ids as they were first seen
+	requestOrder []string // ids in the order of their first events
 	faults       []faultWindow
 	end          int64
-	malformed    string // why the history is inconsistent; empty: it is not
+	malformed    string // why the history is inconsistent; empty if it is consistent
 }
 
 func newTimeline(events []Event) *timeline {
@@ -99,7 +99,7 @@
 		case FaultEnded:
 			list := open[event.What]
 			if len(list) == 0 {
-				history.malformed = fmt.Sprintf("%q ends and never began", event.What)
+				history.malformed = fmt.Sprintf("fault %q ended but never began", event.What)
 				return history
 			}
 			history.faults[list[0]].to, open[event.What] = event.At, list[1:]
@@ -125,7 +125,7 @@
 	return history
 }
 
-// faultDuring finds a fault with one of these verbs that applied to a gateway at any moment of an interval.
+// faultDuring returns a fault with one of these verbs that was active for a gateway at some time in an interval.
 func (h *timeline) faultDuring(node int, from, to int64, verbs ...string) (faultWindow, bool) {
 	for _, w := range h.faults {
 		if slices.Contains(verbs, w.Verb) && w.concerns(node) && w.from <= to && w.to >= from {
@@ -142,8 +142,8 @@
 	})
 }
 
-// The slacks of the checkers, in microseconds: the protocol page's 50 ms on every limit, and what a busy machine may take to
-// note something.
+// The tolerances of the checkers, in microseconds. protocolSlack is the 50 ms that the protocol page allows on every limit;
+// machineSlack is the delay with which a busy machine may record an event.
 const (
 	protocolSlack = 50_000
 	machineSlack  = 150_000
@@ -152,19 +152,20 @@
 // shutdownTimeout is how long a gateway may take to end after SIGTERM, in microseconds.
 const shutdownTimeout = 5_000_000
 
-// checkAnswers: each request that was taken has exactly one final answer, and what is served was made for it. A connection that
-// ends without one is a lost request, unless the gateway died or stood still, or was draining and had not read it.
+// checkAnswers checks that each request that a gateway accepted has exactly one final answer, and that a value that is served was
+// produced for that request. A request whose connection ends without an answer is lost, unless the gateway's process ended, was
+// stopped or starved, or was draining and had not read the request.
 func checkAnswers(history *timeline) (out []Violation) {
 	for _, requestID := range history.requestOrder {
 		request := history.requests[requestID]
 		switch {
 		case request.submitted == nil && strings.HasPrefix(requestID, lookupPrefix):
-			continue // a gateway's own read, which shows whether a booking ran
+			continue // a lookup: a gateway's own read, which shows whether a booking ran
 		case request.submitted == nil:
-			out = append(out, Violation{At: firstSeen(request), Text: fmt.Sprintf("%s was sent or answered, and nobody asked", requestID)})
+			out = append(out, Violation{At: firstSeen(request), Text: fmt.Sprintf("%s was forwarded, executed or answered, but no client sent it", requestID)})
 			continue
 		case len(request.responses) == 0 && request.submitted.At+request.submitted.Timeout*2 < history.end:
-			out = append(out, Violation{At: request.submitted.At, Text: fmt.Sprintf("%s never ended", requestID)})
+			out = append(out, Violation{At: request.submitted.At, Text: fmt.Sprintf("%s was never answered, and its connection did not end", requestID)})
 			continue
 		case len(request.responses) > 1:
 			out = append(out, Violation{At: request.responses[1].At, Text: fmt.Sprintf("%s ended twice, as %s and %s", requestID, request.responses[0].What, request.responses[1].What)})
@@ -176,31 +177,31 @@
 		switch response.What {
 		case EndServed:
 			if !history.isAnswerFor(request, requestID, response.Value) {
-				out = append(out, Violation{At: response.At, Text: fmt.Sprintf("%s was served %q", requestID, response.Value)})
+				out = append(out, Violation{At: response.At, Text: fmt.Sprintf("%s was served %q, which does not answer it", requestID, response.Value)})
 			}
 		case EndClosed, EndReset:
 			if history.endedBetween(node, sentAt-machineSlack, response.At+machineSlack) {
-				continue // also where it was written to a process that had died just before: its client had not seen that yet
+				continue // also if the process ended just before the request was written, because the client had not noticed that yet
 			}
 			if _, draining := history.faultDuring(node, sentAt, response.At, verbTerm); draining && len(request.forwards) == 0 && history.endedBetween(node, response.At, response.At+shutdownTimeout) {
-				continue // the close and the request crossed
+				continue // the gateway closed the connection while the request was on its way
 			}
 			out = append(out, Violation{At: response.At, Text: fmt.Sprintf("%s to gateway %d is lost: its connection was %s", requestID, node, response.What)})
 		case EndTimeout:
 			if _, slow := history.faultDuring(node, sentAt, response.At, verbStop, verbStarve); slow || history.endedBetween(node, sentAt, response.At+machineSlack) {
 				continue
 			}
-			out = append(out, Violation{At: response.At, Text: fmt.Sprintf("%s to gateway %d is lost: no answer within its time", requestID, node)})
+			out = append(out, Violation{At: response.At, Text: fmt.Sprintf("%s to gateway %d is lost: no answer within its timeout", requestID, node)})
 		}
 	}
 	return out
 }
 
-// lookupPrefix begins the ids of reads that gateways make to find out whether a booking ran.
+// lookupPrefix is the prefix of the ids of lookups, the reads by which gateways find out whether a booking ran.
 const lookupPrefix = "look-"
 
-// isAnswerFor reports whether a value answers a request: it comes from its own run, or, for a retried booking, from the run of an
-// earlier request for the same key, or from a lookup that showed it.
+// isAnswerFor reports whether a value answers a request. The value must come from the execution of the request itself or, for a
+// retried booking, from the execution of another request or a lookup for the same key.
 func (h *timeline) isAnswerFor(r *request, id, value string) bool {
 	by, _, _ := strings.Cut(value, " ")
 	if by == id {
@@ -210,6 +211,7 @@
 	return other != nil && r.submitted.Class == ClassBooking && slices.ContainsFunc(other.executions, func(e Event) bool { return e.Key == r.submitted.Key })
 }
 
+// firstSeen returns the time of the first response, forward or execution of a request.
 func firstSeen(r *request) int64 {
 	at := int64(math.MaxInt64)
 	for _, list := range [][]Event{r.responses, r.forwards, r.executions} {
@@ -220,7 +222,8 @@
 	return at
 }
 
-// checkBookings: nothing that a client means runs twice; what was served has run, and what was refused has not.
+// checkBookings checks that no booking runs twice, even if it is retried under other request ids, that a booking that was served
+// ran, and that a request that was rejected did not run.
 func checkBookings(history *timeline) (out []Violation) {
 	ran := map[string][]Event{}
 	for _, id := range history.requestOrder {
@@ -235,22 +238,22 @@
 		}
 		switch end := r.responses[0]; {
 		case end.What == EndServed && len(r.executions) == 0 && !strings.HasPrefix(end.Value, id+" ") && history.isAnswerFor(r, id, end.Value):
-			// its answer was stored
+			// a retry, answered with the result of an earlier request or of a lookup
 		case end.What == EndServed && len(r.executions) != 1:
-			out = append(out, Violation{At: end.At, Text: fmt.Sprintf("%s was served and ran %d times", id, len(r.executions))})
+			out = append(out, Violation{At: end.At, Text: fmt.Sprintf("%s was served but ran %d times", id, len(r.executions))})
 		case end.What == EndRejected && len(r.executions) > 0:
-			out = append(out, Violation{At: end.At, Text: fmt.Sprintf("%s was refused and ran", id)})
+			out = append(out, Violation{At: end.At, Text: fmt.Sprintf("%s was rejected but ran", id)})
 		}
 	}
 	for key, list := range ran {
 		if len(list) > 1 {
-			out = append(out, Violation{At: list[1].At, Text: fmt.Sprintf("%s ran %d times, as %s and %s", key, len(list), list[0].ID, list[1].ID)})
+			out = append(out, Violation{At: list[1].At, Text: fmt.Sprintf("%s ran %d times, by requests %s and %s", key, len(list), list[0].ID, list[1].ID)})
 		}
 	}
 	return out
 }
 
-// checkQuotes: a read that must not run twice runs once at the most, and none that was refused has run.
+// checkQuotes checks that a read that must not run twice runs at most once, and does not run if it is rejected.
 func checkQuotes(history *timeline) (out []Violation) {
 	for _, id := range history.requestOrder {
 		r := history.requests[id]
@@ -261,16 +264,16 @@
 			out = append(out, Violation{At: r.executions[1].At, Text: fmt.Sprintf("%s ran %d times", id, len(r.executions))})
 		}
 		if len(r.responses) > 0 && r.responses[0].What == EndRejected && len(r.executions) > 0 {
-			out = append(out, Violation{At: r.responses[0].At, Text: fmt.Sprintf("%s was refused by gateway %d and ran at %s", id, r.submitted.Node, r.executions[0].Server)})
+			out = append(out, Violation{At: r.responses[0].At, Text: fmt.Sprintf("%s was rejected by gateway %d but ran at %s", id, r.submitted.Node, r.executions[0].Server)})
 		}
 	}
 	return out
 }
 
-// mustBeCurrent reports whether reads of a class must see all that was booked before.
+// mustBeCurrent reports whether reads of a class must see every earlier booking.
 func mustBeCurrent(class string) bool { return class == ClassSeat || class == ClassQuote }
 
-// checkRetryAnswers: the retry of a booking that ran is not rejected as if it had not.
+// checkRetryAnswers checks that the retry of a booking that ran is not rejected, because a rejection promises that it did not run.
 func checkRetryAnswers(history *timeline) (out []Violation) {
 	ran := map[string]int64{}
 	for _, e := range history.events {
@@ -284,17 +287,17 @@
 			continue
 		}
 		if strings.Contains(r.responses[0].Text, codeShutdown) {
-			continue // the request crossed with the close: it was not read, and may be retried
+			continue // the gateway closed the connection while the request was on its way: it was not read, and may be retried
 		}
 		if at := ran[r.submitted.Key]; at > 0 && at < r.responses[0].At {
-			out = append(out, Violation{At: r.responses[0].At, Text: fmt.Sprintf("%s asked gateway %d again for %s and was refused (%s), and it ran at %.3fs", id, r.submitted.Node, r.submitted.Key, r.responses[0].Text, float64(at)/1e6)})
+			out = append(out, Violation{At: r.responses[0].At, Text: fmt.Sprintf("%s: gateway %d rejected a retry of %s (%s), but it ran at %.3fs", id, r.submitted.Node, r.submitted.Key, r.responses[0].Text, float64(at)/1e6)})
 		}
 	}
 	return out
 }
 
-// checkDrains: nothing new is sent to a server later after its drain was published than the settings allow. The time of a gateway
-// that is cut off from discovery, or does not run, counts from when it can act again.
+// checkDrains checks that a gateway stops sending requests to a server within the time that the settings allow after the server's
+// drain was published. For a gateway that is cut off from discovery or does not run, that time starts when it can act again.
 func checkDrains(history *timeline) (out []Violation) {
 	type link struct {
 		node   int
@@ -311,14 +314,14 @@
 		case RequestForwarded:
 			if by, ok := deadlines[at]; ok && e.At > by {
 				out = append(out, Violation{At: e.At, Text: fmt.Sprintf(
-					"gateway %d sent %s to %s, %.0f ms after it had to stop", e.Node, e.ID, e.Server, float64(e.At-by)/1000)})
+					"gateway %d sent %s to %s, %.0f ms after the drain deadline", e.Node, e.ID, e.Server, float64(e.At-by)/1000)})
 			}
 		}
 	}
 	return out
 }
 
-// drainDeadline is when a gateway must act on what discovery wrote at a time.
+// drainDeadline returns the time by which a gateway must have acted on an endpoint update that discovery sent at a given time.
 func (h *timeline) drainDeadline(node int, at int64) int64 {
 	allowed := drainTimeout.Microseconds() + protocolSlack + machineSlack
 	for postponed := true; postponed; {
@@ -330,7 +333,7 @@
 				if w.to == math.MaxInt64 {
 					return w.to
 				}
-				// The call to discovery may have to be repeated.
+				// The gateway may have to subscribe to discovery again.
 				at, postponed, allowed = w.to, true, max(allowed, resubscribeTimeout.Microseconds())
 			}
 		}
@@ -338,8 +341,8 @@
 	return at + allowed
 }
 
-// checkStale: a view's data are no older than its bound when the gateway has sent the request, and a seat that is served was read
-// at a primary: an answer of a replica that is not forwarded does no harm.
+// checkStale checks that the data of a view is no older than ViewBound when the gateway sends the request, and that the answer of
+// a read that must be current comes from a primary. A replica's answer that the gateway does not pass on is no violation.
 func checkStale(history *timeline) (out []Violation) {
 	for _, id := range history.requestOrder {
 		r := history.requests[id]
@@ -353,9 +356,9 @@
 			switch age := e.DataAge - (e.At - sent); {
 			case e.Class == ClassView && age > ViewBound.Microseconds()+protocolSlack:
 				out = append(out, Violation{At: e.At, Text: fmt.Sprintf(
-					"%s ran at %s, whose data were %.0f ms old when gateway %d had sent it", id, e.Server, float64(age)/1000, e.Node)})
+					"%s ran at %s, whose data was %.0f ms old when gateway %d sent the request", id, e.Server, float64(age)/1000, e.Node)})
 			case mustBeCurrent(e.Class) && e.What != rolePrimary && i == len(r.executions)-1 && len(r.responses) > 0 && r.responses[0].What == EndServed:
-				out = append(out, Violation{At: e.At, Text: fmt.Sprintf("%s must be current and ran at %s", id, e.Server)})
+				out = append(out, Violation{At: e.At, Text: fmt.Sprintf("%s must read current data but ran at %s, a replica", id, e.Server)})
 			}
 		}
 	}
@@ -368,7 +371,7 @@
 	write bool
 }
 
-// seatModel is a key that a booking writes once and for all.
+// seatModel models a key that is absent until a booking writes it, and present from then on.
 var seatModel = porcupine.Model{
 	Init: func() any { return false },
 	Step: func(there, in, out any) (bool, any) {
@@ -391,11 +394,11 @@
 	},
 }
 
-// orderSearchTimeout limits the search for an order; a history that takes longer is decided by haveOrder.
+// orderSearchTimeout limits the search for a linearization. If the search takes longer, haveOrder decides.
 const orderSearchTimeout = 30 * time.Second
 
-// checkLinearizable: bookings and reads of seats have an order that explains all answers. A booking whose end is not known may
-// take effect at any time, or never.
+// checkLinearizable checks that there is an order of bookings and current reads that explains all answers. A booking with an
+// unknown outcome may take effect at any time, or never.
 func checkLinearizable(history *timeline) []Violation {
 	var all []porcupine.Operation
 	clients := map[string]int{}
@@ -422,15 +425,16 @@
 	}
 	found := porcupine.CheckOperationsTimeout(seatModel, all, orderSearchTimeout)
 	if found == porcupine.Illegal || found == porcupine.Unknown && !haveOrder(all) {
-		return []Violation{{At: 0, Text: "no order of bookings and looks for seats explains the answers"}}
+		return []Violation{{At: 0, Text: "no order of bookings and current reads explains the answers"}}
 	}
 	return nil
 }
 
-// haveOrder decides by the times alone whether operations on keys that are written once and for all have an order. It takes the place of
-// the search where a crowd of readers makes that too long. A key's first write takes effect at one moment: not before the first
-// write was called, nor before the last call of a read that found nothing; and not after the first return of a write that was
-// served, nor of a read that found it. Such a moment is there exactly if there is an order.
+// haveOrder reports whether operations on keys that never change once they are written are linearizable. It compares only their
+// times, and replaces the search if concurrent reads make that too slow. The first write of a key takes effect at one moment. This
+// moment is not before the first call of a write, nor before the last call of a read that did not find the key. It is not after
+// the first return of a write that was served, nor after the first return of a read that found the key. The operations are
+// linearizable exactly if such a moment exists for each key.
 func haveOrder(all []porcupine.Operation) bool {
 	for _, operations := range seatModel.Partition(all) {
 		firstCall, earliest, latest := int64(math.MaxInt64), int64(math.MinInt64), int64(math.MaxInt64)
@@ -451,7 +455,7 @@
 	return true
 }
 
-// checkSessions: a read of a session sees every booking that the session had been served before the read was sent.
+// checkSessions checks that a read in a session sees every booking of that session that was served before the read was sent.
 func checkSessions(history *timeline) (out []Violation) {
 	booked := map[string]int64{}
 	for _, e := range history.events {
@@ -466,14 +470,14 @@
 		}
 		if at, known := booked[r.submitted.Key]; known && at < r.submitted.At && !strings.HasSuffix(r.responses[0].Value, Present) {
 			out = append(out, Violation{At: r.responses[0].At, Text: fmt.Sprintf(
-				"%s does not see %s, which was booked at %.3fs", id, r.submitted.Key, float64(at)/1e6)})
+				"%s did not see %s, which was booked at %.3fs", id, r.submitted.Key, float64(at)/1e6)})
 		}
 	}
 	return out
 }
 
-// checkMaintenanceOrder: no request is in flight at a gateway when work on it starts, nothing is sent to a server under work, and no
-// gateway ever knows of two gateways that are away.
+// checkMaintenanceOrder checks that work on a gateway loses no request that was in flight there, that no request is sent to a
+// server during work on it, and that no gateway reports two gateways in maintenance at the same time.
 func checkMaintenanceOrder(history *timeline) (out []Violation) {
 	inWork := map[string]bool{}
 	away := map[int]map[string]bool{}
@@ -489,13 +493,13 @@
 					continue
 				}
 				if len(r.responses) == 0 || r.responses[0].What == EndReset || r.responses[0].What == EndTimeout {
-					out = append(out, Violation{At: event.At, Text: fmt.Sprintf("%s was under way at %s when that was touched", id, name)})
+					out = append(out, Violation{At: event.At, Text: fmt.Sprintf("%s was in flight at %s when work on that gateway started, and was lost", id, name)})
 				}
 			}
 		case event.Kind == PhaseReached:
 			delete(inWork, strings.TrimPrefix(event.What, workEnded))
 		case event.Kind == RequestForwarded && inWork[event.Server]:
-			out = append(out, Violation{At: event.At, Text: fmt.Sprintf("gateway %d sent %s to %s, which was worked at", event.Node, event.ID, event.Server)})
+			out = append(out, Violation{At: event.At, Text: fmt.Sprintf("gateway %d sent %s to %s during maintenance work on that server", event.Node, event.ID, event.Server)})
 		case event.Kind == ProcessChanged && event.What == ProcessStarted:
 			delete(away, event.Node)
 		case event.Kind == StateReported && ofOrder && strings.HasPrefix(machine, "g"):
@@ -508,14 +512,14 @@
 				all[machine] = true
 			}
 			if len(all) > 1 {
-				out = append(out, Violation{At: event.At, Text: fmt.Sprintf("gateway %d knows of %d gateways that are away", event.Node, len(all))})
+				out = append(out, Violation{At: event.At, Text: fmt.Sprintf("gateway %d reports %d gateways in maintenance at the same time", event.Node, len(all))})
 			}
 		}
 	}
 	return out
 }
 
-// checkCrashes: no process ends unless a fault ends it, and after SIGTERM with status 0.
+// checkCrashes checks that a process ends only by a fault, and that it exits with status 0 after SIGTERM.
 func checkCrashes(history *timeline) (out []Violation) {
 	for _, e := range history.events {
 		if e.Kind != ProcessChanged || e.What != ProcessEnded {
@@ -530,23 +534,23 @@
 	return out
 }
 
-// checkAddress: once the cluster has settled, exactly one gateway believes to hold the floating address.
+// checkAddress checks that exactly one gateway reports that it holds the floating address once the cluster has settled.
 func checkAddress(history *timeline) []Violation {
 	settled := slices.IndexFunc(history.events, func(e Event) bool { return e.Kind == PhaseReached && e.What == PhaseSettled })
 	if settled < 0 {
 		return nil
 	}
 	if active := ActiveRouters(history.events[:settled]); len(active) != 1 {
-		return []Violation{{At: history.events[settled].At, Text: fmt.Sprintf("%d gateways hold it", len(active))}}
+		return []Violation{{At: history.events[settled].At, Text: fmt.Sprintf("%d gateways report that they hold the floating address", len(active))}}
 	}
 	return nil
 }
 
-// deathReasonTimeout is how long after its cause a gateway may still be declared dead, in microseconds.
+// deathReasonTimeout is how long after a fault a gateway may still be declared dead because of that fault, in microseconds.
 const deathReasonTimeout = 15_000_000
 
-// checkMembers: nobody is declared dead that runs and can be reached. Losses and delays are no reason; a process that ended, or
-// is stopped for long, or whose paths are cut, is.
+// checkMembers checks that a gateway that runs and can be reached is not declared dead. Reasons that allow it are a process that
+// ended, a stopped or starved process, and cut paths; lost and delayed messages are not.
 func checkMembers(history *timeline) (out []Violation) {
 	for _, e := range history.events {
 		name, about := strings.CutPrefix(e.What, "member g")
@@ -562,12 +566,12 @@
 			case verbStop, verbStarve:
 				return w.concerns(node) || w.concerns(e.Node)
 			case verbCut, verbSplit:
-				return true // who is cut from one is reached by another, and what both believe travels
+				return true // also a cut between other gateways, because gossip spreads their wrong reports
 			}
 			return false
 		})
 		if !reason {
-			out = append(out, Violation{At: e.At, Text: fmt.Sprintf("gateway %d holds gateway %d dead, by %s", e.Node, node, e.Value)})
+			out = append(out, Violation{At: e.At, Text: fmt.Sprintf("gateway %d reports gateway %d dead, as declared by %s", e.Node, node, e.Value)})
 		}
 	}
 	return out
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -16,16 +16,16 @@
 	"marblespan/internal/fake"
 )
 
-// MaxNodes is how many gateways a cluster may have.
+// MaxNodes is the maximum number of gateways in a cluster.
 const MaxNodes = 32
 
-// Discovery is discovery's name where faults name servers.
+// Discovery is the name of the discovery service in faults that take the name of a server.
 const Discovery = "discovery"
 
-// secret signs the gateways' messages to each other.
+// secret is the key with which gateways sign the messages that they send to each other.
 const secret = "the secret of this experiment"
 
-// The ports of every gateway, each at an address of its own.
+// The ports of the gateways. All gateways use the same ports, because each has its own IP address.
 const (
 	portClients  = 6433
 	portFloating = 6434
@@ -33,14 +33,15 @@
 	portMembers  = 7946
 )
 
-// Timeouts, as the cluster's settings have them.
+// Timeouts, equal to those in the cluster's settings.
 const (
-	drainTimeout       = 250 * time.Millisecond // after a drain was published
-	resubscribeTimeout = 4 * time.Second        // after which an endpoint list counts as received
+	drainTimeout       = 250 * time.Millisecond // for gateways to stop sending, after a drain was published
+	resubscribeTimeout = 4 * time.Second        // after which a gateway must have received an endpoint list
 	requestTimeout     = time.Second            // of a request
 )
 
-// settings are the platform's. Servers check nothing: how old a read may be is the gateways' own duty.
+// settings is the template of the settings that the platform gives to each gateway. Its servers do not check how old their data is
+// (checks: none), so the gateways alone must keep the bounds of reads.
 const settings = `{"balancers": %d, "ordinal": %d,
  "classes": [
   {"name": "booking", "aim_ms": 750, "give_up_ms": 1000, "effect": "single_shot", "points": 3, "late_worth": 0.5},
@@ -56,29 +57,29 @@
  "rules": {"ask_within_ms": 4000, "cold_from": 0.26, "fall_ms": 3000, "grace_to_answer_ms": 20, "overload_factor": 4,
   "ramp_time_ms": %d, "stop_sending_within_ms": 250}}`
 
-// Options say what a cluster is made of.
+// Options describe a cluster.
 type Options struct {
 	Binary   string // of the gateway
 	Nodes    int
-	Groups   int // of servers; 0: one
+	Groups   int // of servers; 0 means one
 	Replicas int // of each group
 	Seed     uint64
-	Dir      string    // for logs and data directories; empty: a temporary one, removed by Close
-	History  io.Writer // where the history goes too; may be nil
+	Dir      string    // for logs and data directories; empty for a temporary directory, which Close removes
+	History  io.Writer // an additional destination of the history; may be nil
 
-	ServiceTime           time.Duration            // of a request at its server
-	SlowStart             time.Duration            // of a server that was started
+	ServiceTime           time.Duration            // how long a server takes for a request
+	SlowStart             time.Duration            // slow start of a server after it was started
 	AdvertisementInterval time.Duration            // between VRRP advertisements
-	MembershipInterval    time.Duration            // of probes between members; 0: there is no members section
-	Priorities            []int                    // of each gateway; nil: falling from 200
-	StateStore            *StateStore              // nil: there is none
-	InDoubt               *InDoubt                 // intents of bookings; nil: there are none
-	Maintenance           *Maintenance             // limits of maintenance; nil: there is no maintenance section
-	RewriteConfig         func(conf string) string // changes each operators' file as it is written; may be nil
+	MembershipInterval    time.Duration            // between membership probes; 0 omits the members section
+	Priorities            []int                    // VRRP priorities of the gateways; nil for 200, 199 and so on
+	StateStore            *StateStore              // nil omits the state store
+	InDoubt               *InDoubt                 // how intents of bookings are stored; nil if they are not stored
+	Maintenance           *Maintenance             // limits of maintenance; nil omits the maintenance section
+	RewriteConfig         func(conf string) string // returns a changed operators' file, which is written instead; may be nil
 	ResetOnTakeover       bool                     // the switch resets flows when the floating address moves
 }
 
-// Defaults are sizes that suit one machine.
+// Defaults returns options for a cluster that fits on one machine.
 func Defaults() Options {
 	return Options{
 		Binary: "bin/marblespan", Nodes: 3, Replicas: 2, Seed: 1, ServiceTime: 3 * time.Millisecond, SlowStart: 16 * time.Second, AdvertisementInterval: 100 * time.Millisecond,
@@ -86,14 +87,15 @@
 	}
 }
 
-// Cluster is several gateway processes, with fakes of everything around them. New starts it; Close ends all processes and fakes.
+// Cluster runs several gateway processes, with fakes of all systems that the gateways talk to. New starts it; Close ends all processes
+// and fakes.
 type Cluster struct {
 	Options
 	History        *History
 	Switch         *fake.Switch
-	VRRPPath       *fake.Path // of VRRP
-	MembershipPath *fake.Path // of membership's datagrams and streams; nil without a members section
-	Nodes          []*Node    // number 1 first
+	VRRPPath       *fake.Path // carries VRRP between the gateways
+	MembershipPath *fake.Path // carries the datagrams and streams of membership; nil without a members section
+	Nodes          []*Node    // gateway 1 is Nodes[0]
 
 	groups       []*serverGroup
 	temporaryDir bool
@@ -103,18 +105,20 @@
 	formerPrimary *server // the primary that was last replaced by a promotion
 }
 
-// clusterCount numbers the clusters of this process, for their networks.
+// clusterCount numbers the clusters of this process, so that each gets its own network.
 var clusterCount atomic.Int64
 
-// nextNetwork is a /24 of the loopback range that no other cluster on this machine is likely to use: 128 for each of 128 processes.
+// nextNetwork returns a /24 of the loopback range that no other cluster on this machine is likely to use. There are 128 networks for
+// each of 128 processes.
 func nextNetwork() net.IP {
 	return net.IPv4(127, byte(64+os.Getpid()%128), byte(clusterCount.Add(1)%128), 0).To4()
 }
 
-// New starts a cluster and waits until each gateway serves. With a state store it also bootstraps it and waits until it is complete.
+// New starts a cluster and waits until each gateway serves. With a state store, New also bootstraps the store and waits until it is
+// complete.
 func New(o Options) (*Cluster, error) {
 	if o.Nodes < 1 || o.Nodes > MaxNodes || o.Replicas < 1 || o.Groups > MaxGroups {
-		return nil, fmt.Errorf("testcluster: a cluster has 1 to %d gateways, %d groups of servers at the most and a replica at least", MaxNodes, MaxGroups)
+		return nil, fmt.Errorf("testcluster: a cluster has 1 to %d gateways, at most %d groups of servers and at least one replica", MaxNodes, MaxGroups)
 	}
 	c := &Cluster{Options: o, History: NewHistory(o.History)}
 	for _, step := range []func() error{c.makeDirectory, c.startSwitch, c.startServers, c.makeNodes, c.startNodes, c.awaitInitialState} {
@@ -156,7 +160,7 @@
 	return nil
 }
 
-// makeNodes makes the gateways, not yet started, and the paths between them.
+// makeNodes creates the gateways, without starting them, and the paths between them.
 func (c *Cluster) makeNodes() (err error) {
 	base := nextNetwork()
 	var routers, members []*net.UDPAddr
@@ -177,7 +181,7 @@
 	return c.MembershipPath.CarryStreams()
 }
 
-// startNodes writes the gateways' files and starts their processes.
+// startNodes writes the gateways' configuration files and starts their processes.
 func (c *Cluster) startNodes() error {
 	for _, node := range c.Nodes {
 		if err := node.configure(); err != nil {
@@ -190,8 +194,8 @@
 	return nil
 }
 
-// awaitInitialState waits until each gateway serves, and bootstraps the state store if there is one. With maintenance the
-// gateways admit nothing before the ledger knows them, so the store comes first.
+// awaitInitialState waits until each gateway serves, and bootstraps the state store if there is one. With maintenance, the store is
+// bootstrapped first, because gateways admit no requests before they are registered in the ledger.
 func (c *Cluster) awaitInitialState() error {
 	if c.Maintenance == nil {
 		if err := c.AwaitReady(settleTimeout); err != nil || c.StateStore == nil {
@@ -204,7 +208,8 @@
 	return errors.Join(c.AwaitReady(settleTimeout), c.AwaitComplete(settleTimeout))
 }
 
-// bootstrapStore makes the first state store. It retries, because a gateway serves a moment before its control socket answers.
+// bootstrapStore bootstraps the state store at gateway 1. It retries, because a gateway's control socket answers slightly later than
+// its listener.
 func (c *Cluster) bootstrapStore() error {
 	for deadline := time.Now().Add(settleTimeout); ; time.Sleep(20 * time.Millisecond) {
 		if err := c.Nodes[0].Bootstrap(true); err == nil || time.Now().After(deadline) {
@@ -213,11 +218,11 @@
 	}
 }
 
-// settleTimeout is how long a cluster may take to settle. Tests wait for a condition, never for a fixed time; this is
-// when they give up.
+// settleTimeout is how long a cluster may take to settle. Tests wait for a condition and not for a fixed time; they fail after this
+// timeout.
 const settleTimeout = 30 * time.Second
 
-// gatewayAt is the number of the gateway with an IP address; 0: none.
+// gatewayAt returns the number of the gateway with an IP address, or 0 if there is none.
 func (c *Cluster) gatewayAt(ip string) int {
 	for _, n := range c.Nodes {
 		if n.IP.String() == ip {
@@ -227,21 +232,21 @@
 	return 0
 }
 
-// Primary is the primary of the first group of servers.
+// Primary returns the initial primary of the first group of servers.
 func (c *Cluster) Primary() *fake.Server { return c.groups[0].servers[0].Server }
 
-// GatewayFor is the number of the gateway with a listener's address; 0: none.
+// GatewayFor returns the number of the gateway that listens on an address, or 0 if there is none.
 func (c *Cluster) GatewayFor(addr string) int {
 	host, _, _ := net.SplitHostPort(addr)
 	return c.gatewayAt(host)
 }
 
-// maxVRRPPeers is how many peers a gateway's VRRP may have.
+// maxVRRPPeers is the maximum number of VRRP peers of a gateway.
 const maxVRRPPeers = 16
 
-// AwaitReady waits until each gateway's current process serves. It fails at once if the last process of one has ended.
+// AwaitReady waits until each gateway's current process serves. It fails at once if a gateway's latest process has ended.
 func (c *Cluster) AwaitReady(bound time.Duration) (err error) {
-	late := c.History.Await("every gateway serves", bound, func(all []Event) bool {
+	timeoutErr := c.History.Await("every gateway serves", bound, func(all []Event) bool {
 		last := map[int]Event{}
 		for _, e := range all {
 			if e.Kind == ProcessChanged {
@@ -261,10 +266,10 @@
 		}
 		return complete
 	})
-	return errors.Join(late, err)
+	return errors.Join(timeoutErr, err)
 }
 
-// preferredRouter is the number of the gateway with the highest VRRP priority.
+// preferredRouter returns the number of the gateway with the highest VRRP priority.
 func (c *Cluster) preferredRouter() int {
 	if c.Priorities == nil {
 		return 1
@@ -272,31 +277,31 @@
 	return 1 + slices.Index(c.Priorities, slices.Max(c.Priorities))
 }
 
-// AwaitActiveRouter waits until exactly one gateway (the given one; 0: any) reports to be the active router of the floating
-// address, and the switch forwards to it.
+// AwaitActiveRouter waits until exactly one gateway reports that it is the active router of the floating address, and the switch
+// forwards to it. It must be the gateway with this number; 0 for any gateway.
 func (c *Cluster) AwaitActiveRouter(number int, bound time.Duration) error {
 	var active []int
 	at := ""
-	err := c.History.Await(fmt.Sprintf("gateway %d holds the address alone", number), bound, func(all []Event) bool {
+	err := c.History.Await(fmt.Sprintf("gateway %d alone is the active router", number), bound, func(all []Event) bool {
 		active = slices.Collect(maps.Keys(ActiveRouters(all)))
 		at, _ = c.Switch.ActiveGateway()
 		return len(active) == 1 && (number == 0 || number == active[0]) && at == c.Nodes[active[0]-1].Floating
 	})
 	if err != nil {
-		err = fmt.Errorf("%w: %v believe that they do, the switch leads to %s", err, active, at)
+		err = fmt.Errorf("%w: gateways %v report that they are active, the switch forwards to %s", err, active, at)
 	}
 	return err
 }
 
 // AwaitMembers waits until every gateway reports every other one alive.
 func (c *Cluster) AwaitMembers(bound time.Duration) error {
-	return c.History.Await("every gateway knows every other one", bound, func(all []Event) bool {
+	return c.History.Await("every gateway reports every other one alive", bound, func(all []Event) bool {
 		return len(MembershipGaps(all, len(c.Nodes))) == 0
 	})
 }
 
-// MembershipGaps lists, at the end of a history of that many running gateways, which of them does not report which other one
-// alive.
+// MembershipGaps returns the pairs of gateways of which, at the end of a history, the first does not report the second alive. The
+// argument gateways is the number of gateways; all of them must be running.
 func MembershipGaps(all []Event, gateways int) (out []string) {
 	alive := map[int]map[string]bool{}
 	for _, e := range all {
@@ -310,14 +315,15 @@
 	for i := 1; i <= gateways; i++ {
 		for j := 1; j <= gateways; j++ {
 			if i != j && !alive[i][fmt.Sprint("g", j)] {
-				out = append(out, fmt.Sprintf("%d of %d", i, j))
+				out = append(out, fmt.Sprintf("%d does not report %d alive", i, j))
 			}
 		}
 	}
 	return out
 }
 
-// ActiveRouters is the set of gateways that report to be the active router at the end of a history.
+// ActiveRouters returns the set of gateways whose last report in a history is that they are the active router, unless their process
+// has ended.
 func ActiveRouters(all []Event) map[int]bool {
 	active := map[int]bool{}
 	for _, e := range all {
@@ -333,7 +339,7 @@
 	return active
 }
 
-// allPaths are all paths between gateways.
+// allPaths returns all paths between gateways.
 func (c *Cluster) allPaths() (all []*fake.Path) {
 	for _, p := range []*fake.Path{c.VRRPPath, c.MembershipPath} {
 		if p != nil {
--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -10,8 +10,8 @@
 	"marblespan/internal/fake"
 )
 
-// Play injects faults at their times and repairs each after its duration; at the end it repairs what is left. It returns early,
-// with everything repaired, when quit is closed.
+// Play injects faults at their times and repairs each after its duration. At the end it repairs the faults without a duration. If
+// quit is closed, it repairs all faults and returns early.
 func (c *Cluster) Play(faults []Fault, quit <-chan struct{}) error {
 	for _, fault := range faults {
 		if err := c.validateFault(fault); err != nil {
@@ -38,17 +38,17 @@
 	return <-p.errs
 }
 
-// player is one call of Play. Each fault that has to be repaired has a goroutine that ends with its repair, at the latest when
-// over or quit is closed; repairs waits for them.
+// player is the state of one call of Play. Each fault that has to be repaired has a goroutine, which ends with the repair, at the
+// latest when over or quit is closed. repairs waits for these goroutines.
 type player struct {
 	cluster *Cluster
 	quit    <-chan struct{} // closed by the caller of Play
 	over    chan struct{}   // closed after the last fault's duration
-	errs    chan error      // has room for one error per fault
+	errs    chan error      // buffered, with room for one error per fault
 	repairs sync.WaitGroup
 }
 
-// waitUntil waits until a time; it reports false if the play ended before.
+// waitUntil waits until a time. It reports false if over or quit is closed first.
 func (p *player) waitUntil(at time.Time) bool {
 	select {
 	case <-time.After(time.Until(at)):
@@ -74,7 +74,7 @@
 	return true
 }
 
-// repair repairs a fault after its duration, or at the end of the play.
+// repair repairs a fault after its duration, or at the end of Play if it has none.
 func (p *player) repair(fault Fault, undo func() error) {
 	if fault.Duration > 0 {
 		p.waitUntil(time.Now().Add(fault.Duration))
@@ -112,7 +112,7 @@
 	return c.injectRecorded(fault)
 }
 
-// validateFault checks that a fault can be injected into this cluster.
+// validateFault returns an error if a fault cannot be injected into this cluster.
 func (c *Cluster) validateFault(fault Fault) error {
 	for _, n := range slices.Concat(fault.From, fault.To) {
 		if n > len(c.Nodes) {
@@ -124,12 +124,12 @@
 	}
 	anyRole := fault.Verb == verbSever || fault.Verb == verbHandover
 	if server := c.server(fault.Name); server == nil || !anyRole && server.primary {
-		return fmt.Errorf("%q: there is no such server, or not for this", fault)
+		return fmt.Errorf("%q: the server does not exist, or is a primary, which this fault does not support", fault)
 	}
 	return nil
 }
 
-// affectedNodes are the gateways that a fault is applied to.
+// affectedNodes returns the gateways that a fault is applied to.
 func (c *Cluster) affectedNodes(fault Fault) (list []*Node) {
 	for _, n := range c.Nodes {
 		if fault.targets(n) {
@@ -139,10 +139,10 @@
 	return list
 }
 
-// targets reports whether a fault on gateways applies to one.
+// targets reports whether a fault on gateways applies to the given gateway.
 func (f Fault) targets(node *Node) bool { return f.From == nil || slices.Contains(f.From, node.Number) }
 
-// Inject injects a fault. undo repairs it; nil if there is nothing to repair.
+// Inject injects a fault. undo repairs it, and is nil if there is nothing to repair.
 func (c *Cluster) Inject(fault Fault) (undo func() error, err error) {
 	if faultKinds[fault.Verb].target == onNodes && fault.Verb != verbFiles {
 		return c.injectOnNodes(fault)
@@ -184,6 +184,7 @@
 	}, nil
 }
 
+// injectOnNodes injects a fault of gateways' processes or data directories.
 func (c *Cluster) injectOnNodes(fault Fault) (undo func() error, err error) {
 	list := c.affectedNodes(fault)
 	processes := make([]*process, len(list))
@@ -229,8 +230,8 @@
 	}, nil
 }
 
-// updateFaults changes the active faults, then sets all that follows from them: the fate of each path, which servers each gateway
-// reaches, its file size limit, and the lag and state of the servers.
+// updateFaults changes the active faults and then applies them: to the impairments of each path, the servers that each gateway can
+// reach, each gateway's file size limit, and the lag and state of the servers.
 func (c *Cluster) updateFaults(do func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -245,19 +246,19 @@
 	}
 }
 
-// updatePathsFrom sets the paths from a gateway to all others. The caller holds mu, as for the three functions below.
+// updatePathsFrom sets the impairments of the paths from a gateway to all others. The caller holds mu, as for the next three functions.
 func (c *Cluster) updatePathsFrom(node *Node) {
 	for _, peer := range c.Nodes {
 		if node == peer {
 			continue
 		}
 		for _, path := range c.allPaths() {
-			path.Set(node.Number-1, peer.Number-1, combinedFate(c.activeFaults, node.Number, peer.Number))
+			path.Set(node.Number-1, peer.Number-1, combinedImpairment(c.activeFaults, node.Number, peer.Number))
 		}
 	}
 }
 
-// updateRelays sets which servers a gateway reaches, and whether it reaches discovery.
+// updateRelays sets which servers a gateway can reach, and whether it can reach discovery.
 func (c *Cluster) updateRelays(node *Node) {
 	severed := func(name string) fake.Impairment {
 		return fake.Impairment{Drop: slices.ContainsFunc(c.activeFaults, func(fault Fault) bool {
@@ -271,7 +272,7 @@
 	node.discoveryRelay.Set(severed(Discovery), severed(Discovery))
 }
 
-// updateFileLimit sets how large a gateway's files may grow.
+// updateFileLimit sets the maximum size of a gateway's files.
 func (c *Cluster) updateFileLimit(node *Node) {
 	maxSize := noFileLimit
 	for _, fault := range c.activeFaults {
@@ -302,8 +303,8 @@
 	c.setServerState(s, state)
 }
 
-// combinedFate combines all active faults of one direction between two gateways.
-func combinedFate(active []Fault, from, to int) (out fake.Impairment) {
+// combinedImpairment combines all active faults of one direction between two gateways into one impairment.
+func combinedImpairment(active []Fault, from, to int) (out fake.Impairment) {
 	for _, fault := range active {
 		if !fault.affects(from, to) {
 			continue
@@ -337,7 +338,7 @@
 	}
 }
 
-// publishServer has discovery send every gateway the current state of a server.
+// publishServer makes discovery send the current state of a server to every gateway.
 func (c *Cluster) publishServer(s *server, state string) {
 	for _, n := range c.Nodes {
 		n.discovery.Push(s.target(n.serverRelays[s.name].Addr()))
--- a/internal/testcluster/history.go
+++ b/internal/testcluster/history.go
@@ -1,9 +1,11 @@
-// Package testcluster runs several real gateway processes with fakes of everything around them, injects faults by a script, records
-// what happens as a history on one clock, and checks that history. The package's own tests and internal/experiments call it.
+// Package testcluster runs several real gateway processes, with fakes of all systems that they talk to, and injects faults from a
+// script. It records all events in a history with a single clock, and checks that history. The package's own tests and
+// internal/experiments use it.
 //
-// New starts a Cluster, Cluster.Load its clients, Cluster.Play injects faults (Inject has what each verb does), Cluster.Settle waits
-// until everything is repaired, and Check finds violations. Run does all of that. Faults and the History are safe for use by several
-// goroutines; each process has one goroutine that reads its log and ends with it (launch). See docs/test-cluster.md.
+// New starts a Cluster, Cluster.Load starts clients, Cluster.Play injects faults (Inject implements each verb), Cluster.Settle waits
+// until the cluster has recovered, and Check finds violations. Run does all of that. The injection of faults and the History are safe
+// for concurrent use. Each process has one goroutine, which reads the process's log and ends with the process (see launch). See
+// docs/test-cluster.md.
 package testcluster
 
 import (
@@ -18,27 +20,27 @@
 	"github.com/rs/zerolog"
 )
 
-// Kind is what an event records.
+// Kind is the kind of an event.
 type Kind string
 
 // The kinds of events.
 const (
-	FaultStarted       Kind = "begins"  // a fault starts; What is its line in the script
-	FaultEnded         Kind = "ends"    // the same fault is repaired
-	ProcessChanged     Kind = "process" // a gateway's process: What is one of the states below, Text how it ended
-	StateReported      Kind = "belief"  // a state that a gateway reports in its log: What is its subject, Text the state
-	EndpointUpdateSent Kind = "told"    // discovery sent an endpoint update to a gateway: Server, and What its state
+	FaultStarted       Kind = "begins"  // a fault was injected; What is its line in the script
+	FaultEnded         Kind = "ends"    // a fault was repaired; What is its line in the script
+	ProcessChanged     Kind = "process" // the state of a gateway's process changed; What is one of the states below, Text the exit status
+	StateReported      Kind = "belief"  // a gateway reported a state in its log; What is the subject, Text the state
+	EndpointUpdateSent Kind = "told"    // discovery sent the state of Server to a gateway; What is the state
 	RequestSent        Kind = "asked"   // a client has written a complete request
-	ResponseReceived   Kind = "heard"   // the end of a request at its client: What is one of the ends below
+	ResponseReceived   Kind = "heard"   // a client received the answer to its request, or the connection ended; What is one of the ends below
 	RequestForwarded   Kind = "sent"    // a gateway began to send a request to a server
-	RequestExecuted    Kind = "ran"     // a server ran a request: What is its role
-	PhaseReached       Kind = "phase"   // the run's own steps: What is one of the phases below
+	RequestExecuted    Kind = "ran"     // a server ran a request; What is the server's role
+	PhaseReached       Kind = "phase"   // the run reached a step; What is one of the phases below
 )
 
-// What a ProcessChanged event says of a gateway's process.
+// The states of a gateway's process in ProcessChanged events.
 const (
 	ProcessStarted = "started"
-	ProcessReady   = "ready" // it has answered a request
+	ProcessReady   = "ready" // the process has answered a request
 	ProcessEnded   = "ended"
 )
 
@@ -59,34 +61,34 @@
 	subjectStateStore  = "copies " // an event of the state store
 )
 
-// How a request ends for its client.
+// The ways in which a request ends for its client.
 const (
 	EndServed   = "served"
-	EndRejected = "refused" // 53300 or 57P03: it has not run
-	EndFailed   = "failed"  // any other error: it may have run
+	EndRejected = "refused" // error 53300 or 57P03: the request has not run
+	EndFailed   = "failed"  // any other error: the request may have run
 	EndClosed   = "closed"  // the connection was closed in an orderly way without an answer
 	EndReset    = "reset"
 	EndTimeout  = "timeout"
 )
 
-// Event is one line of a history. Which fields are set depends on its kind.
+// Event is one line of a history. The fields that are set depend on its kind.
 type Event struct {
 	At      int64  `json:"at"` // microseconds since the history began
 	Kind    Kind   `json:"kind"`
-	Node    int    `json:"node,omitempty"` // the gateway, from 1; 0: none
+	Node    int    `json:"node,omitempty"` // the gateway's number, from 1; 0 if there is none
 	What    string `json:"what,omitempty"`
 	Text    string `json:"text,omitempty"`
-	ID      string `json:"id,omitempty"` // of the request; each attempt has its own
+	ID      string `json:"id,omitempty"` // id of the request; each attempt of a client has its own
 	Client  string `json:"client,omitempty"`
 	Class   string `json:"class,omitempty"`
-	Key     string `json:"key,omitempty"`    // what is booked or read; the attempts of one booking share it
-	Server  string `json:"server,omitempty"` // by its id on the list
-	Value   string `json:"value,omitempty"`  // as the server gave it, or as the client received it
-	Timeout int64  `json:"within,omitempty"` // microseconds that the client waits for the answer
-	DataAge int64  `json:"age,omitempty"`    // microseconds by which the server's data were behind when it ran
+	Key     string `json:"key,omitempty"`    // the key that is booked or read; all attempts of one booking have the same key
+	Server  string `json:"server,omitempty"` // the server's id on the endpoint list
+	Value   string `json:"value,omitempty"`  // the value that the client received
+	Timeout int64  `json:"within,omitempty"` // how long the client waits for the answer, in microseconds
+	DataAge int64  `json:"age,omitempty"`    // how old the server's data was when the request ran, in microseconds
 }
 
-// History records events on one clock. It is safe for use by several goroutines.
+// History records events with a single clock. It is safe for concurrent use.
 type History struct {
 	start time.Time
 	log   zerolog.Logger
@@ -95,10 +97,10 @@
 	events     []Event
 	ended      bool
 	changed    chan struct{} // closed and replaced at each event
-	writeError error         // of the writer
+	writeError error         // the first error of the writer
 }
 
-// NewHistory begins a history. Events are also written to w as JSON Lines; nil: nowhere.
+// NewHistory starts a history. If w is not nil, events are also written to it as JSON Lines.
 func NewHistory(w io.Writer) *History {
 	h := &History{start: time.Now(), changed: make(chan struct{})}
 	if w == nil {
@@ -108,7 +110,7 @@
 	return h
 }
 
-// writer keeps the first write error: an incomplete history must not pass for a complete one.
+// writer stores the first write error in the history, so that an incomplete history is not taken for a complete one.
 type writer struct {
 	h *History
 	w io.Writer
@@ -122,18 +124,18 @@
 	return n, err
 }
 
-// Now is the history's time, in microseconds.
+// Now returns the time since the history began, in microseconds.
 func (h *History) Now() int64 { return time.Since(h.start).Microseconds() }
 
-// Timestamp is the time of the history at a wall time, in microseconds.
+// Timestamp converts a wall time to the time since the history began, in microseconds.
 func (h *History) Timestamp(t time.Time) int64 { return t.Sub(h.start).Microseconds() }
 
-// WallTime is the wall time at a time of the history.
+// WallTime converts a time since the history began, in microseconds, to a wall time.
 func (h *History) WallTime(at int64) time.Time {
 	return h.start.Add(time.Duration(at) * time.Microsecond)
 }
 
-// Add records an event, now unless its time is set. It does nothing once the history has ended.
+// Add records an event. If its time is not set, the event gets the current time. Add does nothing once the history has ended.
 func (h *History) Add(event Event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -167,31 +169,33 @@
 	h.changed = make(chan struct{})
 }
 
-// End ends the history: what the cluster does to clean up is not part of it.
+// End ends the history, so that the cluster's cleanup is not recorded.
 func (h *History) End() {
 	h.mu.Lock()
 	h.ended = true
 	h.mu.Unlock()
 }
 
-// Events are all events so far, in the order in which they were recorded.
+// Events returns all events so far, in the order in which they were recorded.
 func (h *History) Events() []Event {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]Event(nil), h.events...)
 }
 
-// Err is the first error of writing the history.
+// Err returns the first error of writing the history.
 func (h *History) Err() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.writeError
 }
 
-// pollInterval is how often Await checks without an event: its condition may depend on state that is not in the history.
+// pollInterval is how often Await checks its condition without a new event, because the condition may depend on state that is not in
+// the history.
 const pollInterval = 50 * time.Millisecond
 
-// Await waits until matches is true of all events so far; it fails after a timeout.
+// Await waits until matches returns true for the events so far. It returns an error after the timeout bound; what names the
+// condition in that error.
 func (h *History) Await(what string, bound time.Duration, matches func([]Event) bool) error {
 	deadline := time.After(bound)
 	for {
--- a/internal/testcluster/indoubt.go
+++ b/internal/testcluster/indoubt.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// InDoubt says how intents of bookings are stored before they are sent.
+// InDoubt configures how gateways store the intents of bookings before they send the bookings.
 type InDoubt struct {
-	StoreFirst bool // answers wait until they are stored
-	SeatLookup bool // a read of a seat shows whether a booking ran
+	StoreFirst bool // gateways store an answer before they send it to the client
+	SeatLookup bool // gateways look up by a read of class ClassSeat whether a booking ran
 }
 
-// section is the section of a gateway's operators' file.
+// section returns the in-doubt section of a gateway's operators' file.
 func (d *InDoubt) section() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "in-doubt %s\n retention 5m\n", ClassBooking)
@@ -24,7 +24,7 @@
 	return b.String()
 }
 
-// Intents is what a gateway answers about open intents ("intents --json").
+// Intents is a gateway's answer to "intents --json", which lists its open intents.
 type Intents struct {
 	Open []struct {
 		Booking, ID, Phase string
--- a/internal/testcluster/load.go
+++ b/internal/testcluster/load.go
@@ -10,7 +10,7 @@
 	"marblespan/internal/fake"
 )
 
-// Load is clients that book, view and read seats until Stop; every request is recorded in the history.
+// Load is a set of clients that send bookings and reads until Stop is called. Every request is recorded in the history.
 type Load struct {
 	cluster      *Cluster
 	quit         chan struct{}
@@ -20,24 +20,24 @@
 	retryInDoubt bool
 }
 
-// LoadOptions say how many clients there are of each kind, and how long each pauses between requests.
+// LoadOptions set the number of clients of each kind, and the pause of each client between requests.
 type LoadOptions struct {
-	Bookers         int // at the gateways' own listeners
+	Bookers         int // that book at the gateways' own listeners
 	FloatingBookers int // that book at the floating address
 	Viewers         int
-	SeatReaders     int // that read what was booked, and must see it
-	SessionReaders  int // that read in the sessions of bookings, at any gateway
-	QuoteReaders    int // that read what was booked, must see it, and must not read it twice
+	SeatReaders     int // that read recently booked keys, of which they must see all earlier bookings
+	SessionReaders  int // that read in the sessions of recent bookings, at any gateway
+	QuoteReaders    int // like SeatReaders, but no read may run twice
 	ThinkTime       time.Duration
-	RetryInDoubt    bool // bookings that may have run are retried at the next gateway
+	RetryInDoubt    bool // clients retry bookings that may have run, at the next gateway
 }
 
-// DefaultLoad is a light load.
+// DefaultLoad returns options for a light load.
 func DefaultLoad() LoadOptions {
 	return LoadOptions{Bookers: 4, FloatingBookers: 2, Viewers: 4, SeatReaders: 2, ThinkTime: 10 * time.Millisecond}
 }
 
-// classCount is how many classes of requests the load has.
+// classCount returns the number of classes of requests in the load.
 func (o LoadOptions) classCount() (n int) {
 	for _, clients := range []int{o.Bookers + o.FloatingBookers, o.Viewers, o.SeatReaders, o.SessionReaders, o.QuoteReaders} {
 		n += min(clients, 1)
@@ -48,10 +48,10 @@
 // clientBackoff is a client's pause after a rejection or a failed connection.
 const clientBackoff = 10 * time.Millisecond
 
-// maxRecentKeys is how many of the last booked keys are read.
+// maxRecentKeys is the number of recently booked keys from which reads choose.
 const maxRecentKeys = 32
 
-// Load starts clients. Stop ends them.
+// Load starts clients. Load.Stop stops them.
 func (c *Cluster) Load(options LoadOptions) *Load {
 	load := &Load{cluster: c, quit: make(chan struct{}), retryInDoubt: options.RetryInDoubt}
 	var mu sync.Mutex
@@ -71,7 +71,7 @@
 	}
 	book := func(b *fake.Client, n int) {
 		key := fmt.Sprintf("%s-%d", b.Name, n)
-		recent(key) // others read it also while it is being booked
+		recent(key) // added before the booking, so that other clients also read it meanwhile
 		b.Group = c.groupOf(key)
 		b.Write(key)
 	}
@@ -89,8 +89,8 @@
 	return load
 }
 
-// clients starts clients of one kind. Each keeps to a gateway for as long as its connection lasts, and goes to the next one
-// when it must reconnect, as a front end would.
+// clients starts clients of one kind. Each client uses one gateway as long as its connection lasts, and connects to the next
+// gateway when it must reconnect, as a front end would.
 func (l *Load) clients(kind, class string, count int, think time.Duration, do func(*fake.Client, int), floating bool) {
 	cluster := l.cluster
 	for i := range count {
@@ -99,7 +99,7 @@
 			Name: fmt.Sprint(kind, i), Class: class, Group: FirstGroup, Timeout: requestTimeout, MaxAttempts: 20, Backoff: clientBackoff, Ledger: &l.ledger,
 			Addr: func() string { turn++; return cluster.Nodes[turn%len(cluster.Nodes)].Listen }, OnExchange: l.recordExchange,
 		}
-		if l.retryInDoubt && class == ClassBooking { // until the end is known: a failover of the address takes some hundred milliseconds
+		if l.retryInDoubt && class == ClassBooking { // enough attempts to learn the outcome, because a failover of the address takes some hundred milliseconds
 			client.RetryTimeouts, client.MaxAttempts = 3, 400
 		}
 		if floating {
@@ -121,7 +121,7 @@
 	}
 }
 
-// recordExchange records a client's request, or its end.
+// recordExchange records a client's request, or the end of one.
 func (l *Load) recordExchange(exchange fake.Exchange) {
 	event := Event{
 		At: l.cluster.History.Timestamp(exchange.At), Kind: RequestSent, Node: l.cluster.GatewayFor(exchange.Via), ID: exchange.ID, Client: exchange.Client, Class: exchange.Class, Key: exchange.Key,
@@ -140,14 +140,14 @@
 	l.cluster.History.Add(event)
 }
 
-// reusedConnection marks a request on a connection that has served another one before: it was never read if it crosses with the
-// close of the connection.
+// reusedConnection marks a request on a connection that has carried another one before. If the gateway closes the connection while
+// such a request is on its way, the gateway has not read the request.
 const reusedConnection = "reused"
 
-// codeShutdown is the code with which a gateway closes a connection between two requests.
+// codeShutdown is the error code that a gateway sends when it closes a connection between two requests.
 const codeShutdown = "57P03"
 
-// retryMark marks a retry of a request that may have run.
+// retryMark marks the retry of a request that may have run.
 const retryMark = "again"
 
 // Stop lets every client finish its current request, and waits for all of them.
@@ -156,10 +156,10 @@
 	l.done.Wait()
 }
 
-// Totals sums up the outcomes of all that clients meant.
+// Totals returns the numbers of operations by outcome, over all clients.
 func (l *Load) Totals() fake.Totals { return l.ledger.Totals() }
 
-// InDoubtBookings is how many bookings ended without their client knowing whether they ran.
+// InDoubtBookings returns the number of operations whose clients do not know whether they ran.
 func (l *Load) InDoubtBookings() int {
 	t := l.ledger.Totals()
 	return t.Counts[fake.Failed] + t.Counts[fake.Unknown]
