--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -36,7 +36,7 @@
 // Timeouts, equal to those in the cluster's settings.
 const (
 	drainTimeout       = 250 * time.Millisecond // for gateways to stop sending, after a drain was published
-	resubscribeTimeout = 4 * time.Second        // after which a gateway must have received an endpoint list
+	resubscribeTimeout = 4 * time.Second        // for a gateway to get an endpoint list from discovery
 	requestTimeout     = time.Second            // of a request
 )
 
--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -246,7 +246,8 @@
 	}
 }
 
-// updatePathsFrom sets the impairments of the paths from a gateway to all others. The caller holds mu, as for the next three functions.
+// updatePathsFrom sets the impairments of the paths from a gateway to all others. The caller holds mu, as for the next
+// three functions.
 func (c *Cluster) updatePathsFrom(node *Node) {
 	for _, peer := range c.Nodes {
 		if node == peer {
--- a/internal/testcluster/history.go
+++ b/internal/testcluster/history.go
@@ -31,7 +31,7 @@
 	StateReported      Kind = "belief"  // a gateway reported a state in its log; What is the subject, Text the state
 	EndpointUpdateSent Kind = "told"    // discovery sent the state of Server to a gateway; What is the state
 	RequestSent        Kind = "asked"   // a client has written a complete request
-	ResponseReceived   Kind = "heard"   // a client received the answer to its request, or the connection ended; What is one of the ends below
+	ResponseReceived   Kind = "heard"   // a client's request ended; What is one of the ends below
 	RequestForwarded   Kind = "sent"    // a gateway began to send a request to a server
 	RequestExecuted    Kind = "ran"     // a server ran a request; What is the server's role
 	PhaseReached       Kind = "phase"   // the run reached a step; What is one of the phases below
@@ -83,7 +83,7 @@
 	Class   string `json:"class,omitempty"`
 	Key     string `json:"key,omitempty"`    // the key that is booked or read; all attempts of one booking have the same key
 	Server  string `json:"server,omitempty"` // the server's id on the endpoint list
-	Value   string `json:"value,omitempty"`  // the value that the client received
+	Value   string `json:"value,omitempty"`  // what a client received; of StateReported, the cause, reporter or former state
 	Timeout int64  `json:"within,omitempty"` // how long the client waits for the answer, in microseconds
 	DataAge int64  `json:"age,omitempty"`    // how old the server's data was when the request ran, in microseconds
 }
--- a/internal/testcluster/load.go
+++ b/internal/testcluster/load.go
@@ -25,7 +25,7 @@
 	Bookers         int // that book at the gateways' own listeners
 	FloatingBookers int // that book at the floating address
 	Viewers         int
-	SeatReaders     int // that read recently booked keys, of which they must see all earlier bookings
+	SeatReaders     int // that read recently booked keys, and must see their bookings
 	SessionReaders  int // that read in the sessions of recent bookings, at any gateway
 	QuoteReaders    int // like SeatReaders, but no read may run twice
 	ThinkTime       time.Duration
@@ -99,7 +99,8 @@
 			Name: fmt.Sprint(kind, i), Class: class, Group: FirstGroup, Timeout: requestTimeout, MaxAttempts: 20, Backoff: clientBackoff, Ledger: &l.ledger,
 			Addr: func() string { turn++; return cluster.Nodes[turn%len(cluster.Nodes)].Listen }, OnExchange: l.recordExchange,
 		}
-		if l.retryInDoubt && class == ClassBooking { // enough attempts to learn the outcome, because a failover of the address takes some hundred milliseconds
+		if l.retryInDoubt && class == ClassBooking {
+			// Enough attempts to learn the outcome, because a failover of the address takes some hundred milliseconds.
 			client.RetryTimeouts, client.MaxAttempts = 3, 400
 		}
 		if floating {
--- a/internal/testcluster/maintenance.go
+++ b/internal/testcluster/maintenance.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// Maintenance are the limits for machines under maintenance. A zero value leaves the default of the gateways.
+// Maintenance holds the settings of the maintenance section. A zero value selects the gateways' default.
 type Maintenance struct {
 	MaxGateways, MaxPerZone, MaxServers                        int
 	SettleTime, ReturnTimeout, DefaultDuration, SilenceTimeout time.Duration
 }
 
-// DefaultMaintenance are durations that suit a short run.
+// DefaultMaintenance returns durations that suit a short run.
 func DefaultMaintenance() *Maintenance {
 	return &Maintenance{SettleTime: 500 * time.Millisecond, ReturnTimeout: 20 * time.Second, DefaultDuration: 30 * time.Second, SilenceTimeout: 10 * time.Second}
 }
 
-// section is the maintenance section of a gateway's operators' file. The load limit is 100 %: the machine that the cluster runs
-// on is shared.
+// section returns the maintenance section of a gateway's operators' file. The load limit is 100 %, because all gateways share one
+// machine, whose load must not hold up the maintenance.
 func (m *Maintenance) section() string {
 	var b strings.Builder
 	b.WriteString("maintenance\n max-load 100\n")
@@ -39,16 +39,16 @@
 	return b.String()
 }
 
-// MaintenanceStatus is what a gateway answers about maintenance ("maintenance list --json").
+// MaintenanceStatus is a gateway's answer to "maintenance list --json".
 type MaintenanceStatus struct {
-	Leader   string            `json:"leader"` // of the ledger; empty: the gateway does not know it
+	Leader   string            `json:"leader"` // the ledger's leader; empty if the gateway does not know it
 	Paused   bool              `json:"held"`
 	Machines []MaintenanceItem `json:"machines"`
 }
 
-// MaintenanceItem is one machine on the list of maintenance.
+// MaintenanceItem is one entry of the maintenance order.
 type MaintenanceItem struct {
-	Place      int    `json:"place"` // in the queue, from 1; 0: it is done with
+	Place      int    `json:"place"` // in the queue, from 1; 0 if the entry is finished
 	Machine    string `json:"machine"`
 	Kind       string `json:"kind"`
 	State      string `json:"state"`
@@ -56,7 +56,7 @@
 	Comment    string `json:"why"`
 }
 
-// String says where the machines in hand stand, and what they wait for.
+// String lists the machines in the queue with their states and what they wait for.
 func (o MaintenanceStatus) String() string {
 	var words []string
 	for _, u := range o.Machines {
@@ -67,7 +67,7 @@
 	return strings.Join(words, ", ")
 }
 
-// FindMachine is the latest entry of a machine.
+// FindMachine returns the latest entry of a machine.
 func (o MaintenanceStatus) FindMachine(name string) (u MaintenanceItem) {
 	for _, x := range o.Machines {
 		if x.Machine == name {
@@ -77,7 +77,7 @@
 	return u
 }
 
-// MaintenanceStatus queries a gateway for the list of maintenance.
+// MaintenanceStatus queries a gateway for the maintenance order.
 func (n *Node) MaintenanceStatus() (o MaintenanceStatus, err error) {
 	err = n.query(&o, "maintenance", "list", "--json")
 	return o, err
@@ -88,14 +88,14 @@
 	out, err := exec.Command(n.cluster.Binary, append([]string{"maintenance", "--socket", n.Socket()}, args...)...).CombinedOutput()
 	text := strings.TrimSpace(string(out))
 	if err != nil {
-		return text, fmt.Errorf("maintain %s at gateway %d: %w: %s", strings.Join(args, " "), n.Number, err, text)
+		return text, fmt.Errorf("maintenance %s at gateway %d: %w: %s", strings.Join(args, " "), n.Number, err, text)
 	}
 	return text, nil
 }
 
-// RunMaintenanceAnywhere runs a maintenance command at the gateways in turn until one carries it out.
+// RunMaintenanceAnywhere runs a maintenance command at the gateways in turn until one of them accepts it.
 func (c *Cluster) RunMaintenanceAnywhere(args ...string) (text string, err error) {
-	for late := time.Now().Add(settleTimeout); time.Now().Before(late); time.Sleep(100 * time.Millisecond) {
+	for deadline := time.Now().Add(settleTimeout); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
 		for _, n := range c.Nodes {
 			if text, err = n.RunMaintenance(args...); err == nil {
 				return text, nil
@@ -105,38 +105,38 @@
 	return text, err
 }
 
-// LeaderMaintenanceStatus is the status as the ledger's leader has it, asked at the gateways in turn.
+// LeaderMaintenanceStatus queries the gateways in turn until one answers that knows the ledger's leader, and returns its answer.
 func (c *Cluster) LeaderMaintenanceStatus() (o MaintenanceStatus, err error) {
-	for late := time.Now().Add(settleTimeout); time.Now().Before(late); time.Sleep(100 * time.Millisecond) {
+	for deadline := time.Now().Add(settleTimeout); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
 		for _, n := range c.Nodes {
 			if o, err = n.MaintenanceStatus(); err == nil && o.Leader != "" {
 				return o, nil
 			}
 		}
 	}
-	return o, fmt.Errorf("no gateway tells the order: %w", err)
+	return o, fmt.Errorf("no gateway returned the maintenance order with a known leader: %w", err)
 }
 
-// MaintenanceActions is what an operator does at machines that are out.
+// MaintenanceActions are the actions of a simulated operator on machines that are out.
 type MaintenanceActions struct {
-	// Gateway works at a gateway that is out; nil: it is killed and started again.
+	// Gateway is called for a gateway that is out; if nil, the gateway is killed and started again.
 	Gateway func(n *Node) error
-	Server  func(name string) error
-	Done    func(o MaintenanceStatus) bool // called with each status; true ends the work early
+	Server  func(name string) error        // called for a server that is out; may be nil
+	Done    func(o MaintenanceStatus) bool // called with each status, ends the maintenance early by returning true; may be nil
 }
 
-// Prefixes of a phase that names a machine: work on it starts or ends.
+// The prefixes, before a machine's name, of the phases at which maintenance work on the machine starts and ends.
 const (
 	workStarted = "touched "
 	workEnded   = "untouched "
 )
 
-// PerformMaintenance acts as an operator until no machine is left on the list: it works at machines that are out, and promotes
-// another server where a primary is next.
+// PerformMaintenance acts as an operator until the queue is empty. It performs the actions on machines that are out, and promotes
+// another server of the group if a primary is next in the queue.
 func (c *Cluster) PerformMaintenance(bound time.Duration, actions MaintenanceActions) error {
 	worked := map[string]bool{}
 	var last MaintenanceStatus
-	for late := time.Now().Add(bound); time.Now().Before(late); time.Sleep(50 * time.Millisecond) {
+	for deadline := time.Now().Add(bound); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
 		o, err := c.LeaderMaintenanceStatus()
 		if err != nil {
 			return err
@@ -169,10 +169,10 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("not within %v: all machines are back: %+v", bound, last)
+	return fmt.Errorf("the maintenance order was not empty within %v: %+v", bound, last)
 }
 
-// performOn works at one machine.
+// performOn performs the actions on one machine.
 func (c *Cluster) performOn(item MaintenanceItem, actions MaintenanceActions) error {
 	c.History.Add(Event{Kind: PhaseReached, What: workStarted + item.Machine})
 	if item.Kind == "server" {
@@ -202,10 +202,10 @@
 	return fmt.Errorf("there is no machine %s", item.Machine)
 }
 
-// fenceTime is for how long a former primary is cut off, so that nobody takes it for the primary.
+// fenceTime is how long a former primary is cut off, so that no gateway takes it for the primary.
 const fenceTime = time.Second
 
-// replacePrimary promotes another server of the same group.
+// replacePrimary promotes another server of the same group if the named server is a primary.
 func (c *Cluster) replacePrimary(name string) error {
 	s := c.server(name)
 	if s == nil || s.role() != rolePrimary {
--- a/internal/testcluster/node.go
+++ b/internal/testcluster/node.go
@@ -17,31 +17,31 @@
 	"marblespan/internal/fake"
 )
 
-// This file is one gateway of a cluster: its files, its process, and the faults of both.
+// This file handles one gateway of a cluster: its files, its process, and faults of both.
 
-// Node is one gateway, across restarts of its process.
+// Node is one gateway, which keeps its identity across restarts of its process.
 type Node struct {
 	Number   int
 	IP       net.IP
 	Listen   string
 	Floating string
-	Binary   string // of its next processes; empty: the cluster's
+	Binary   string // for its next processes; empty for the cluster's Binary
 
 	cluster         *Cluster
 	dir             string
 	discovery       *fake.Discovery
-	discoveryRelay  *fake.Relay            // of discovery
-	serverRelays    map[string]*fake.Relay // of each server
+	discoveryRelay  *fake.Relay            // to discovery
+	serverRelays    map[string]*fake.Relay // to each server, by name
 	discoveryReader sync.WaitGroup
 
 	mu           sync.Mutex
-	process      *process // the current one, or the last; nil: none yet
-	pauses       int      // how many faults have it stopped now
+	process      *process // the current process, or the last one; nil before the first
+	pauses       int      // number of faults that currently stop the process
 	maxFileSize  uint64   // in bytes
 	incarnations int
 }
 
-// newNode makes the fakes and relays between one gateway and the rest.
+// newNode creates a gateway, without starting it, with its fake discovery service and its relays to the servers and to discovery.
 func (c *Cluster) newNode(number int, ip net.IP) (*Node, error) {
 	n := &Node{Number: number, IP: ip, cluster: c, dir: filepath.Join(c.Dir, fmt.Sprint("n", number)), serverRelays: map[string]*fake.Relay{}, maxFileSize: noFileLimit}
 	n.Listen, n.Floating = fmt.Sprintf("%v:%d", ip, portClients), fmt.Sprintf("%v:%d", ip, portFloating)
@@ -70,14 +70,14 @@
 	return n, err
 }
 
-// recordForwarded records a request as its first byte leaves for a server.
+// recordForwarded records the requests in data that the gateway sends to a server.
 func (n *Node) recordForwarded(server string, chunk []byte) {
 	for _, m := range requestID.FindAllSubmatch(chunk, -1) {
 		n.cluster.History.Add(Event{Kind: RequestForwarded, Node: n.Number, ID: string(m[1]), Server: server})
 	}
 }
 
-// configure writes a gateway's two files.
+// configure writes a gateway's operators' file and its platform configuration.
 func (n *Node) configure() error {
 	cluster := n.cluster
 	if err := os.MkdirAll(filepath.Join(n.dir, "data"), 0o755); err != nil {
@@ -116,7 +116,7 @@
 // Socket is the path of the gateway's control socket.
 func (n *Node) Socket() string { return filepath.Join(n.dir, "ctl") }
 
-// Reconfigure changes the operators' file and has the gateway reload it.
+// Reconfigure changes the operators' file and makes the gateway reload it.
 func (n *Node) Reconfigure(change func(string) string) error {
 	raw, err := os.ReadFile(n.Conf())
 	if err != nil {
@@ -128,7 +128,7 @@
 	return n.Signal(syscall.SIGHUP)
 }
 
-// sections writes the operators' file.
+// operatorsFile returns the text of the gateway's operators' file.
 func (n *Node) operatorsFile() string {
 	cluster := n.cluster
 	var b strings.Builder
@@ -154,7 +154,7 @@
 		b.WriteString(cluster.Maintenance.section())
 	}
 	if n.Number > 1 && len(cluster.Nodes) > maxVRRPPeers+1 {
-		return b.String() // VRRP lists at most 16 peers: in larger clusters the first gateway has the address alone
+		return b.String() // VRRP supports at most 16 peers, so in larger clusters only gateway 1 runs VRRP
 	}
 	priority := 201 - n.Number
 	if cluster.Priorities != nil {
@@ -171,10 +171,11 @@
 	return b.String()
 }
 
-// Start starts the gateway's next process. The last one must have ended.
+// Start starts the gateway's next process. The previous one must have ended.
 func (n *Node) Start() error { return n.startUnlessReplaced(n.currentProcess()) }
 
-// startUnlessReplaced starts a new process after the given one, unless that has been done: two faults may have ended it.
+// startUnlessReplaced starts a new process if last is still the gateway's process. Another fault that ended the same process may
+// already have replaced it.
 func (n *Node) startUnlessReplaced(last *process) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -208,7 +209,7 @@
 	return nil
 }
 
-// recordLogLine records the changes of state that a gateway reports in its log.
+// recordLogLine records the state change in a line of the gateway's log, if there is one.
 func (n *Node) recordLogLine(text string) {
 	if !strings.Contains(text, `"message":"vrrp"`) && !strings.Contains(text, `"message":"member`) && !strings.Contains(text, `"message":"copies"`) &&
 		!strings.Contains(text, `"message":"maintenance state changed"`) {
@@ -218,7 +219,7 @@
 		Time                                             time.Time
 		Message, From, To, Cause, Member, By, What, Node string
 		Machine                                          string
-		Group                                            any // a floating address's name, or a shard's number
+		Group                                            any // the name of a floating address, or the number of a shard
 	}
 	if json.Unmarshal([]byte(text), &line) != nil {
 		return
@@ -244,7 +245,7 @@
 	n.cluster.History.Add(e)
 }
 
-// awaitServing records when a process answers its first request.
+// awaitServing polls a process and records when it answers for the first time.
 func (n *Node) awaitServing(p *process) {
 	for !p.hasEnded() {
 		if fake.Healthy(n.Listen, time.Second) {
@@ -263,12 +264,12 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.process == nil {
-		return errors.New("it was never started")
+		return errors.New("the gateway was never started")
 	}
 	return n.process.signal(s)
 }
 
-// currentProcess is the process that runs, or the last one.
+// currentProcess returns the running process, or the last one.
 func (n *Node) currentProcess() *process {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -278,7 +279,7 @@
 // WaitForExit waits until the current process has ended.
 func (n *Node) WaitForExit() { <-n.currentProcess().ended }
 
-// setPaused stops a process of a gateway, or continues it once no other fault has it stopped.
+// setPaused stops a process of a gateway, or continues it unless another fault still stops it.
 func (n *Node) setPaused(p *process, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -293,11 +294,11 @@
 	}
 }
 
-// starvePeriod is the length of one stop and the run after it, together: well below any interval between gateways, so that
-// a starved process is slow and not absent.
+// starvePeriod is the length of one stop and the following run together. It is well below the intervals of the protocols between
+// gateways, so that a starved process is slow but does not look dead.
 const starvePeriod = 20 * time.Millisecond
 
-// starve stops a process for a share of the time, until quit is closed or it ends.
+// starve stops a process for a share of the time, until quit is closed or the process ends.
 func (n *Node) starve(p *process, share float64, quit <-chan struct{}) {
 	off := time.Duration(share * float64(starvePeriod))
 	for {
@@ -314,7 +315,7 @@
 	}
 }
 
-// changeDisk empties, saves or restores the data directory.
+// changeDisk empties, saves or restores the data directory, as named in diskOperations.
 func (n *Node) changeDisk(what string) error {
 	data, saved := filepath.Join(n.dir, "data"), filepath.Join(n.dir, "saved")
 	replace := func(at, with string) error {
@@ -335,7 +336,7 @@
 	return replace(data, "")
 }
 
-// largestFile is the size of the largest file in the data directory, in bytes.
+// largestFile returns the size of the largest file in the data directory, in bytes.
 func (n *Node) largestFile() (size uint64) {
 	filepath.WalkDir(filepath.Join(n.dir, "data"), func(_ string, d fs.DirEntry, err error) error {
 		if err == nil && d.Type().IsRegular() {
@@ -348,7 +349,7 @@
 	return size
 }
 
-// limitFiles limits how large the files of this gateway may grow, in bytes, in this process and later ones.
+// limitFiles limits the size of the files that this gateway's current and later processes write, in bytes.
 func (n *Node) limitFiles(maxSize uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -357,7 +358,7 @@
 	}
 }
 
-// command makes a command of the gateway's binary that reaches this gateway by its control socket.
+// command returns a command of the gateway's binary that uses the control socket of this gateway.
 func (n *Node) command(args ...string) *exec.Cmd {
 	return exec.Command(n.cluster.Binary, append(args, "--socket", n.Socket())...)
 }
@@ -371,7 +372,7 @@
 	return json.Unmarshal(out, into)
 }
 
-// run runs a command; its error has what the command printed.
+// run runs a command. Its error contains the command's output.
 func (n *Node) run(args ...string) error {
 	if out, err := n.command(args...).CombinedOutput(); err != nil {
 		return fmt.Errorf("%w: %s", err, out)
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -15,8 +15,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// starts hands commands to the one thread that starts processes. The kernel ends a child for its parent's death
-// (PR_SET_PDEATHSIG) when the thread that started it ends, so that thread must last as long as this process.
+// startRequests returns the channel of the goroutine that starts all processes, on an OS thread of its own. The kernel applies
+// PR_SET_PDEATHSIG when the thread that started a child ends, so that thread must live as long as this process.
 var startRequests = sync.OnceValue(func() chan func() {
 	todo := make(chan func())
 	go func() {
@@ -28,7 +28,7 @@
 	return todo
 })
 
-// startTiedToParent starts a command that the kernel kills when this process ends, however it ends.
+// startTiedToParent starts a command that the kernel kills when this process ends, even if this process is killed.
 func startTiedToParent(cmd *exec.Cmd) error {
 	if cmd.SysProcAttr == nil {
 		cmd.SysProcAttr = &syscall.SysProcAttr{}
@@ -39,14 +39,15 @@
 	return <-done
 }
 
-// process is one process of a program whose standard error is its log.
+// process is a process that writes its log to standard error.
 type process struct {
 	cmd        *exec.Cmd
 	ended      chan struct{}
-	exitStatus string // once ended
+	exitStatus string // set once ended is closed
 }
 
-// launch starts a program. line is called with each line of its log, end once it is over.
+// launch starts a program and copies its log to log. It calls line with each line of the log, and end with the exit status once the
+// process has ended.
 func launch(cmd *exec.Cmd, log io.Writer, line func(string), end func(how string)) (*process, error) {
 	out, err := cmd.StderrPipe()
 	if err != nil {
@@ -63,7 +64,7 @@
 			fmt.Fprintln(log, lines.Text())
 			line(lines.Text())
 		}
-		io.Copy(io.Discard, out) // a line beyond the bound must not block the program
+		io.Copy(io.Discard, out) // a line that is longer than the buffer must not block the program
 		cmd.Wait()
 		p.exitStatus = cmd.ProcessState.String()
 		end(p.exitStatus)
@@ -74,12 +75,12 @@
 
 func (p *process) signal(s syscall.Signal) error { return p.cmd.Process.Signal(s) }
 
-// noFileLimit lets files grow without a limit.
+// noFileLimit is the size limit of limitFiles that allows files of any size.
 const noFileLimit uint64 = unix.RLIM_INFINITY
 
-// limitFiles limits how large the process's files may grow, in bytes; 0: nothing can be written to any. A write beyond it
-// fails as one to a full disk does, with another error (EFBIG), and takes no rights to bring about. Pipes and sockets, its log
-// among them, are not concerned.
+// limitFiles limits the size of the files that the process writes, in bytes; with 0 it cannot write to any file. A write beyond the
+// limit fails like a write to a full disk, but with EFBIG. The limit needs no privileges. It does not apply to pipes and sockets,
+// and so not to the process's log.
 func (p *process) limitFiles(maxSize uint64) error {
 	var now unix.Rlimit
 	if err := unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, nil, &now); err != nil {
@@ -99,13 +100,13 @@
 	}
 }
 
-// kill kills the process, also a stopped one, and waits for its end.
+// kill kills the process, even if it is stopped, and waits until it has ended.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.ended
 }
 
-// isStopped reports whether every thread of the process has stopped: threads on other cores run on for a moment after the signal.
+// isStopped reports whether every thread of the process has stopped. Threads on other cores continue for a moment after SIGSTOP.
 func (p *process) isStopped() bool {
 	stats, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid))
 	for _, name := range stats {
--- a/internal/testcluster/race_test.go
+++ b/internal/testcluster/race_test.go
@@ -2,5 +2,6 @@
 
 package testcluster
 
-// raceEnabled reports that the race detector is on. It sees the test's own process only: tests of the gateways' processes skip.
+// raceEnabled reports whether the race detector is on. Tests of gateway processes are skipped then, because the detector checks only
+// the test's own process.
 const raceEnabled = true
--- a/internal/testcluster/run.go
+++ b/internal/testcluster/run.go
@@ -12,15 +12,16 @@
 	Faults     []Fault
 	Events     []Event
 	Violations []Violation
-	Err        error // the run itself failed
+	Err        error // why the run itself failed
 	Totals     fake.Totals
 	SettleTime time.Duration // from the end of the last fault until the cluster had settled
 }
 
-// Failed reports whether a rule was violated, or the run could not be made.
+// Failed reports whether a rule was violated or the run itself failed.
 func (o Outcome) Failed() bool { return o.Err != nil || len(o.Violations) > 0 }
 
-// Run starts a cluster, puts it under load, plays faults, waits until it has settled, and checks the history.
+// Run starts a cluster and its load, injects the faults, waits until the cluster has settled, and checks the history. It repairs
+// the faults early if quit is closed.
 func Run(o Options, load LoadOptions, faults []Fault, quit <-chan struct{}) (out Outcome) {
 	out.Faults = faults
 	cluster, err := New(o)
@@ -36,15 +37,15 @@
 	cluster.History.Add(Event{Kind: PhaseReached, What: PhaseLoad})
 	out.Err = cluster.Play(faults, quit)
 	cluster.History.Add(Event{Kind: PhaseReached, What: PhaseRepaired})
-	healed := time.Now()
-	var restless error
+	repairedAt := time.Now()
+	var settleErr error
 	if out.Err == nil {
-		restless = cluster.Settle(load.classCount())
+		settleErr = cluster.Settle(load.classCount())
 	}
-	out.SettleTime = time.Since(healed)
+	out.SettleTime = time.Since(repairedAt)
 	cluster.History.Add(Event{Kind: PhaseReached, What: PhaseSettled})
 	clients.Stop()
-	if cluster.StateStore != nil && restless == nil {
+	if cluster.StateStore != nil && settleErr == nil {
 		clients.VerifySessions()
 	}
 	cluster.History.Add(Event{Kind: PhaseReached, What: PhaseDone})
@@ -54,14 +55,14 @@
 	if out.Err == nil {
 		out.Err = cluster.History.Err()
 	}
-	if out.Violations = Check(out.Events); restless != nil {
-		out.Violations = append(out.Violations, Violation{"rest", cluster.History.Timestamp(healed), restless.Error()})
+	if out.Violations = Check(out.Events); settleErr != nil {
+		out.Violations = append(out.Violations, Violation{"rest", cluster.History.Timestamp(repairedAt), settleErr.Error()})
 	}
 	return out
 }
 
-// Settle waits until the cluster has settled: every gateway serves, the preferred one has the floating address, membership and
-// the state store are complete, and so many classes have been served since.
+// Settle waits until the cluster has settled: every gateway serves, the preferred gateway has the floating address, membership and
+// the state store are complete, and requests of the given number of classes have been served after that.
 func (c *Cluster) Settle(classes int) error {
 	if err := c.AwaitReady(settleTimeout); err != nil {
 		return err
@@ -83,7 +84,7 @@
 		}
 	}
 	from := c.History.Now()
-	return c.History.Await("every class is served again", settleTimeout, func(all []Event) bool {
+	return c.History.Await("requests of every class are served again", settleTimeout, func(all []Event) bool {
 		var served []string
 		for i := len(all) - 1; i >= 0 && len(served) < classes; i-- {
 			if e := all[i]; e.Kind == ResponseReceived && e.What == EndServed && e.At > from && !slices.Contains(served, e.Class) {
--- a/internal/testcluster/script.go
+++ b/internal/testcluster/script.go
@@ -12,21 +12,21 @@
 	"marblespan/internal/config/lines"
 )
 
-// Fault is one line of a script: something that goes wrong at a time, and is repaired after a duration.
+// Fault is one line of a script: a fault that is injected at a time and repaired after a duration.
 type Fault struct {
 	At            time.Duration
 	Verb          string
-	From          []int // gateways, from 1, that the fault applies to, or the senders; nil: all
-	To            []int // the receivers; nil: all
-	Bidirectional bool  // the other direction too
-	Name          string
-	Amount        float64       // a share, a number of copies, bytes a second
+	From          []int         // numbers, from 1, of the affected or sending gateways; nil means all
+	To            []int         // numbers of the receiving gateways; nil means all
+	Bidirectional bool          // applies to the opposite direction too
+	Name          string        // of a server, a disk operation or a file fault
+	Amount        float64       // a share, a number of copies, or bytes per second
 	Delay         time.Duration // a delay or a lag
-	Jitter        time.Duration // a delay's jitter
-	Duration      time.Duration // 0: to the end of the run
+	Jitter        time.Duration // the jitter of a delay
+	Duration      time.Duration // 0 means until the end of the run
 }
 
-// targetShape is the form of what a fault kind is applied to.
+// targetShape is the syntax of the target of a fault kind.
 type targetShape uint8
 
 const (
@@ -40,12 +40,11 @@
 // faultKind describes one kind of fault.
 type faultKind struct {
 	target      targetShape
-	parseValue  func(f *Fault, text string) bool // parses its last word; nil: it takes none
-	formatValue func(f Fault) string
-	instant     bool // it has no duration
-	// scriptOnly faults are never drawn.
-	scriptOnly bool
-	help       string
+	parseValue  func(f *Fault, text string) bool // parses the value after the target; nil if there is none
+	formatValue func(f Fault) string             // the inverse of parseValue
+	instant     bool                             // takes effect at once and has no duration
+	scriptOnly  bool                             // DrawFaults does not draw it
+	help        string
 }
 
 func parsePercent(f *Fault, text string) bool {
@@ -88,7 +87,7 @@
 
 func formatName(f Fault) string { return f.Name }
 
-// diskOperations are what can be done to a data directory. The gateway should not run meanwhile.
+// diskOperations are the operations on a data directory. The gateway should not run during them.
 var diskOperations = []string{"empty", "save", "old"}
 
 func parseFileFault(f *Fault, text string) bool {
@@ -96,10 +95,10 @@
 	return slices.Contains(fileFaults, text)
 }
 
-// fileFaults are the faults of the file system that a gateway writes to.
+// fileFaults are the faults that a gateway sees when it writes files.
 var fileFaults = []string{"full", "read-only"}
 
-// The verbs of faults, as scripts write them.
+// The verbs of faults in scripts.
 const (
 	verbKill      = "kill"
 	verbTerm      = "term"
@@ -123,31 +122,31 @@
 	verbDrain     = "drain"
 )
 
-// faultKinds are all kinds of faults, by their verb in scripts.
+// faultKinds maps each verb to its kind of fault.
 var faultKinds = map[string]faultKind{
-	verbKill:      {target: onNodes, help: "SIGKILL; started again after its duration"},
-	verbTerm:      {target: onNodes, help: "SIGTERM; started again after its duration, once it has ended"},
-	verbStop:      {target: onNodes, help: "SIGSTOP, and SIGCONT after its duration"},
-	verbStarve:    {target: onNodes, parseValue: parsePercent, formatValue: formatPercent, help: "stopped for a share of the time, in slices of 20 ms"},
-	verbDisk:      {target: onNodes, parseValue: parseDiskOperation, formatValue: formatName, instant: true, scriptOnly: true, help: "the data directory: empty, save (keep a copy), old (put the copy back)"},
-	verbFiles:     {target: onNodes, parseValue: parseFileFault, formatValue: formatName, help: "full: no file grows; read-only: no file can be written at all"},
-	verbCut:       {target: onPaths, help: "nothing arrives; streams stall"},
-	verbStall:     {target: onPaths, help: "streams stall, datagrams pass"},
+	verbKill:      {target: onNodes, help: "SIGKILL; the gateway is started again after the duration"},
+	verbTerm:      {target: onNodes, help: "SIGTERM; the gateway is started again after the duration, once it has ended"},
+	verbStop:      {target: onNodes, help: "SIGSTOP, and SIGCONT after the duration"},
+	verbStarve:    {target: onNodes, parseValue: parsePercent, formatValue: formatPercent, help: "the gateway is stopped for a share of the time, in periods of 20 ms"},
+	verbDisk:      {target: onNodes, parseValue: parseDiskOperation, formatValue: formatName, instant: true, scriptOnly: true, help: "the data directory: empty (remove all files), save (make a copy), old (restore the copy)"},
+	verbFiles:     {target: onNodes, parseValue: parseFileFault, formatValue: formatName, help: "full: no file can grow; read-only: no file can be written"},
+	verbCut:       {target: onPaths, help: "datagrams are lost and streams stall"},
+	verbStall:     {target: onPaths, help: "streams stall, but datagrams arrive"},
 	verbReset:     {target: onPaths, instant: true, help: "open streams are reset"},
-	verbLoss:      {target: onPaths, parseValue: parsePercent, formatValue: formatPercent, help: "a share of the datagrams is lost; streams are late"},
-	verbDelay:     {target: onPaths, parseValue: parseDelay, formatValue: formatDelay, help: "everything takes longer: 200ms, or 100ms..1s"},
-	verbDuplicate: {target: onPaths, parseValue: parseCount, formatValue: formatCount, help: "so many further copies of each datagram"},
-	verbReorder:   {target: onPaths, help: "datagrams arrive in the other order, two by two"},
-	verbSlow:      {target: onPaths, parseValue: parseCount, formatValue: formatCount, help: "streams pass so many bytes a second"},
-	verbSplit:     {target: onPartitions, help: "the two parts hear nothing of each other"},
-	verbSever:     {target: onServer, help: "a gateway is cut from a server, or from discovery"},
-	verbLag:       {target: onNamedServer, parseValue: parseDelay, formatValue: formatDelay, help: "a replica falls behind by so much"},
-	verbPromote:   {target: onNamedServer, scriptOnly: true, help: "a replica is the primary from now on; the one that was is cut off for the duration, then a replica"},
-	verbHandover:  {target: onNamedServer, scriptOnly: true, help: "the primary becomes a replica and goes on with what it has; this server is the primary after the duration"},
-	verbDrain:     {target: onNamedServer, help: "the list says that a server drains"},
+	verbLoss:      {target: onPaths, parseValue: parsePercent, formatValue: formatPercent, help: "a share of the datagrams is lost; stream data is late"},
+	verbDelay:     {target: onPaths, parseValue: parseDelay, formatValue: formatDelay, help: "datagrams and stream data are delayed: 200ms, or 100ms..1s"},
+	verbDuplicate: {target: onPaths, parseValue: parseCount, formatValue: formatCount, help: "the number of additional copies of each datagram"},
+	verbReorder:   {target: onPaths, help: "each pair of datagrams arrives in reverse order"},
+	verbSlow:      {target: onPaths, parseValue: parseCount, formatValue: formatCount, help: "the limit of each stream in bytes per second"},
+	verbSplit:     {target: onPartitions, help: "the two parts cannot reach each other"},
+	verbSever:     {target: onServer, help: "a gateway cannot reach a server, or discovery"},
+	verbLag:       {target: onNamedServer, parseValue: parseDelay, formatValue: formatDelay, help: "a replica falls behind by this much"},
+	verbPromote:   {target: onNamedServer, scriptOnly: true, help: "a replica becomes the primary; the former primary is cut off for the duration and then is a replica"},
+	verbHandover:  {target: onNamedServer, scriptOnly: true, help: "the primary becomes a replica but finishes its requests; this server becomes the primary after the duration"},
+	verbDrain:     {target: onNamedServer, help: "the endpoint list shows a server as draining"},
 }
 
-// formatNodes writes a list of gateways.
+// formatNodes formats a list of gateways as in a script.
 func formatNodes(list []int) string {
 	if list == nil {
 		return "all"
@@ -159,7 +158,7 @@
 	return strings.Join(words, ",")
 }
 
-// String is the fault's line in a script.
+// String formats the fault as a line of a script.
 func (f Fault) String() string {
 	v := faultKinds[f.Verb]
 	words := []string{"at", f.At.String(), f.Verb}
@@ -188,7 +187,7 @@
 	return strings.Join(words, " ")
 }
 
-// ParseFault parses one line.
+// ParseFault parses one line of a script.
 func ParseFault(line string) (Fault, error) {
 	all, err := ParseScript("fault", line)
 	if err != nil {
@@ -200,8 +199,8 @@
 	return all[0], nil
 }
 
-// ParseScript parses a script: a fault a line, in the syntax of the operators' file, in any order. The error lists all that is
-// wrong. The result is sorted by time.
+// ParseScript parses a script, which has one fault per line, in any order, in the syntax of the operators' file. The error lists the
+// errors of all lines. The result is sorted by time.
 func ParseScript(file, text string) ([]Fault, error) {
 	directives, faults := lines.Parse(file, text)
 	var out []Fault
@@ -221,9 +220,10 @@
 	return out, nil
 }
 
-// words takes a directive's values one by one.
+// words are the values of a directive that are not yet parsed.
 type words []string
 
+// next removes and returns the next value, or returns "" if there is none.
 func (w *words) next() string {
 	if len(*w) == 0 {
 		return ""
@@ -241,7 +241,7 @@
 	when := remaining.next()
 	var err error
 	if fault.At, err = time.ParseDuration(when); err != nil || fault.At < 0 {
-		return fault, fmt.Sprintf("%q is no time since the run began, such as 3s", when)
+		return fault, fmt.Sprintf("%q is not a valid start time; want the time since the run began, such as 3s", when)
 	}
 	fault.Verb = remaining.next()
 	kind, ok := faultKinds[fault.Verb]
@@ -251,26 +251,26 @@
 			known = append(known, name)
 		}
 		slices.Sort(known)
-		return fault, fmt.Sprintf("%q is no fault; there is %s", fault.Verb, strings.Join(known, ", "))
+		return fault, fmt.Sprintf("%q is not a fault; the faults are %s", fault.Verb, strings.Join(known, ", "))
 	}
 	if wrong = fault.parseTarget(kind.target, &remaining); wrong != "" {
 		return fault, wrong
 	}
 	if kind.parseValue != nil {
 		if text := remaining.next(); !kind.parseValue(&fault, text) {
-			return fault, fmt.Sprintf("%q does not fit %s: %s", text, fault.Verb, kind.help)
+			return fault, fmt.Sprintf("%q is not a valid value of %s: %s", text, fault.Verb, kind.help)
 		}
 	}
 	if text := remaining.next(); text != "" {
 		long := remaining.next()
 		if fault.Duration, err = time.ParseDuration(long); text != "for" || err != nil || fault.Duration <= 0 || kind.instant || len(remaining) > 0 {
-			return fault, fmt.Sprintf("%q is not understood behind %s", strings.Join(append([]string{text, long}, remaining...), " "), fault.Verb)
+			return fault, fmt.Sprintf("%q is not valid after %s", strings.Join(append([]string{text, long}, remaining...), " "), fault.Verb)
 		}
 	}
 	return fault, ""
 }
 
-// parseTarget parses what a fault is applied to.
+// parseTarget parses the target of a fault. It returns an error text, or "".
 func (f *Fault) parseTarget(shape targetShape, remaining *words) (wrong string) {
 	list := func(into *[]int) {
 		text := remaining.next()
@@ -280,7 +280,7 @@
 		for _, x := range strings.Split(text, ",") {
 			n, err := strconv.Atoi(x)
 			if err != nil || n < 1 || n > MaxNodes {
-				wrong = fmt.Sprintf("%q names no gateways, such as 1,2 or all", text)
+				wrong = fmt.Sprintf("%q is not a list of gateways, such as 1,2 or all", text)
 				return
 			}
 			*into = append(*into, n)
@@ -288,7 +288,7 @@
 	}
 	between := func(signs ...string) {
 		if sign := remaining.next(); wrong == "" && !slices.Contains(signs, sign) {
-			wrong = fmt.Sprintf("%q stands where %s belongs", sign, strings.Join(signs, " or "))
+			wrong = fmt.Sprintf("found %q instead of %s", sign, strings.Join(signs, " or "))
 		} else {
 			f.Bidirectional = sign == "<->"
 		}
@@ -312,12 +312,12 @@
 		f.Name = remaining.next()
 	}
 	if wrong == "" && (shape == onServer || shape == onNamedServer) && f.Name == "" {
-		wrong = "names no server"
+		wrong = "the name of a server is missing"
 	}
 	return wrong
 }
 
-// FormatScript writes faults so that ParseScript reads them back.
+// FormatScript formats faults as a script, which ParseScript parses to the same faults.
 func FormatScript(faults []Fault) string {
 	var b strings.Builder
 	for _, f := range faults {
@@ -335,8 +335,8 @@
 	return from != to && (there || (f.Bidirectional || f.Verb == verbSplit) && back)
 }
 
-// DrawFaults draws a schedule of faults from a seed: about one a second, each repaired well before the end. Every kind is drawn
-// once before any is drawn again.
+// DrawFaults draws a random schedule of faults from a seed, with about one fault per second. Each fault is repaired well before the
+// end. Every kind is drawn once before any kind is drawn again.
 func DrawFaults(seed uint64, gateways, replicas int, length time.Duration) []Fault {
 	rng := rand.New(rand.NewPCG(seed, uint64(gateways)))
 	var bag []string
--- a/internal/testcluster/servers.go
+++ b/internal/testcluster/servers.go
@@ -10,16 +10,17 @@
 	"marblespan/internal/fake"
 )
 
-// FirstGroup is the number of a cluster's first group of servers; further ones follow.
+// FirstGroup is the number of a cluster's first group of servers. Further groups have the next numbers.
 const FirstGroup = 7
 
-// groupNames are the names of each group's primary and of its replicas, which have a number behind that.
+// groupNames holds, for each group, the name of its initial primary and the prefix of its replicas' names, which a number follows.
 var groupNames = [...][2]string{{"p", "r"}, {"q", "s"}}
 
-// MaxGroups is how many groups of servers a cluster may have.
+// MaxGroups is the maximum number of groups of servers in a cluster.
 const MaxGroups = len(groupNames)
 
-// groupOf is the group that a client's key belongs to: clients differ in it, and keep to it.
+// groupOf returns the group that a key belongs to. It depends on the client that booked the key, so that all keys of a client are in
+// one group and the clients are spread over the groups.
 func (c *Cluster) groupOf(key string) int {
 	client, _, _ := strings.Cut(key, "-")
 	return FirstGroup + int(client[len(client)-1])%len(c.groups)
@@ -30,29 +31,30 @@
 	ClassBooking = "booking" // a write that must not run twice
 	ClassView    = "view"    // a read that may be behind by ViewBound
 	ClassSeat    = "seat"    // a read that must be current
-	ClassMine    = "mine"    // a read that must see what its session has booked
+	ClassMine    = "mine"    // a read that must see the bookings of its session
 	ClassQuote   = "quote"   // a read that must be current and must not run twice
 )
 
-// ViewBound is how far behind a view's data may be.
+// ViewBound is the maximum age of the data that a read of class ClassView may return.
 const ViewBound = 800 * time.Millisecond
 
-// Present and Absent end the value of a read: whether the server had the key. The request's id stands before them.
+// Present and Absent are the two endings of a value that a server returns. They show whether the server had the key, and follow the
+// id of the request.
 const (
 	Present = " there"
 	Absent  = " absent"
 )
 
-// serverGroup is a primary and its replicas, which share a log of commits. A position is a Unix time in milliseconds: a server
-// at position x has applied what was committed up to then.
+// serverGroup is a primary and its replicas, which share a log of commits. A position in the log is a Unix time in milliseconds: a
+// server at position x has applied all commits up to that time.
 type serverGroup struct {
 	number      int
 	events      *History
-	gatewayAt   func(ip string) int // the gateway behind a connection
+	gatewayAt   func(ip string) int // returns the number of the gateway with an IP address
 	serviceTime time.Duration
 
 	mu      sync.Mutex
-	commits map[string]int64 // by key, the position of its commit
+	commits map[string]int64 // the position of each key's commit
 	servers []*server
 }
 
@@ -63,11 +65,11 @@
 	name            string
 	primary         bool
 	lag             time.Duration
-	appliedPosition int64 // a position never goes back
+	appliedPosition int64 // never decreases
 	state           string
 }
 
-// newServerGroup starts a primary and its replicas, "p", "r1", "r2" and so on, each at an address of its own.
+// newServerGroup starts a primary and its replicas (in the first group "p", "r1", "r2" and so on), each at its own address.
 func newServerGroup(h *History, group, replicas int, work time.Duration, node func(string) int) (*serverGroup, error) {
 	c := &serverGroup{number: group, events: h, gatewayAt: node, serviceTime: work, commits: map[string]int64{}}
 	for i := range replicas + 1 {
@@ -97,7 +99,7 @@
 	stateDraining = "draining"
 )
 
-// The roles of servers, as they report them and as RequestExecuted events have them.
+// The roles of servers, in their reports and in RequestExecuted events.
 const (
 	rolePrimary = "primary"
 	roleReplica = "replica"
@@ -110,8 +112,8 @@
 	return roleReplica
 }
 
-// promote makes a replica the primary, with all that was committed, and the former primary a replica. It returns the former
-// primary; nil: there was none.
+// promote makes a replica the primary, with all commits applied, and the former primary a replica. It returns the former primary, or
+// nil if there was none.
 func (c *serverGroup) promote(next *server) (last *server) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -129,8 +131,8 @@
 	return last
 }
 
-// demote makes the primary a replica, as one that is about to stop does. It goes on with the requests that it has, and answers them
-// as a replica. The group has no primary until the next promotion.
+// demote makes the primary a replica, as before an orderly stop of a primary. The server finishes the requests that it has and answers
+// them as a replica. The group has no primary until the next promotion.
 func (c *serverGroup) demote() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,7 +142,7 @@
 	}
 }
 
-// servers are those of all groups.
+// servers returns the servers of all groups.
 func (c *Cluster) servers() (all []*server) {
 	for _, group := range c.groups {
 		all = append(all, group.servers...)
@@ -148,6 +150,7 @@
 	return all
 }
 
+// server returns the server with a name, or nil if there is none.
 func (c *Cluster) server(name string) *server {
 	for _, s := range c.servers() {
 		if s.name == name {
@@ -157,19 +160,20 @@
 	return nil
 }
 
-// position is up to where a server has applied the log.
+// position returns the position up to which a server has applied the log.
 func (c *serverGroup) position(s *server) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.positionLocked(s)
 }
 
+// positionLocked is position for callers that hold mu.
 func (c *serverGroup) positionLocked(s *server) int64 {
 	s.appliedPosition = max(s.appliedPosition, time.Now().Add(-s.lag).UnixMilli())
 	return s.appliedPosition
 }
 
-// statementKey finds the key that a statement names.
+// statementKey matches the key in a statement.
 var statementKey = regexp.MustCompile(`(?:name = |VALUES \()'([^']*)'`)
 
 // execute runs one request at a server and records it.
@@ -194,7 +198,7 @@
 		c.commits[key] = position
 	}
 	c.mu.Unlock()
-	// The very moment counts, not the position's grain: a primary is never behind.
+	// A primary's data is always current. Its age is not computed from the position, which has only millisecond resolution.
 	age := int64(0)
 	if role != rolePrimary {
 		age = time.Since(time.UnixMilli(position)).Microseconds()
@@ -211,7 +215,8 @@
 	query.ReplyRow([]byte(value))
 }
 
-// setLag lets a replica fall behind: it stands where it is until it lags by so much, then goes on at that distance.
+// setLag sets the lag of a replica. If the lag grows, the replica's position stops until the replica lags by that much, and then
+// follows at that distance. setLag does not change the lag of a primary.
 func (c *serverGroup) setLag(s *server, lag time.Duration) {
 	c.mu.Lock()
 	c.positionLocked(s)
@@ -230,7 +235,7 @@
 	return changed
 }
 
-// target is a server's entry on the list that a gateway gets, which reaches it at an address of its own.
+// target returns a server's entry on a gateway's endpoint list. endpoint is the address of that gateway's relay to the server.
 func (s *server) target(endpoint string) fake.Endpoint {
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
@@ -243,5 +248,5 @@
 	}
 }
 
-// requestID is the id in a statement's comment.
+// requestID matches the id in a statement's comment.
 var requestID = regexp.MustCompile(`/\* id=([^, ]+)`)
--- a/internal/testcluster/shrink.go
+++ b/internal/testcluster/shrink.go
@@ -1,8 +1,8 @@
 package testcluster
 
-// Shrink looks for the fewest faults with which a run still fails, by leaving out halves, then quarters and so on (delta
-// debugging, Zeller and Hildebrandt 2002), in at most so many runs. A run that depends on timing may pass where it could have
-// failed; then the result has a fault too many, never one too few.
+// Shrink searches for a minimal list of faults with which a run still fails. It leaves out halves of the list, then quarters and so
+// on (delta debugging, Zeller and Hildebrandt 2002), and calls fails at most runs times. If a run passes only because of its timing,
+// the result contains a fault that is not needed, but it never lacks one that is.
 func Shrink(faults []Fault, runs int, fails func([]Fault) bool) []Fault {
 	tried := map[string]bool{FormatScript(faults): false}
 	attempt := func(some []Fault) bool {
--- a/internal/testcluster/statestore.go
+++ b/internal/testcluster/statestore.go
@@ -9,22 +9,22 @@
 	"marblespan/internal/fake"
 )
 
-// StateStore says how the gateways keep replicated state. They keep the sessions of bookings and of the class mine.
+// StateStore configures the gateways' state store, which holds the session positions of the classes ClassBooking and ClassMine.
 type StateStore struct {
 	Voters, Shards         int
 	Heartbeat, RepairAfter time.Duration
-	InMemory               bool // no disks
-	FastMarks              bool // answers do not wait until their session position is stored
+	InMemory               bool // the store is kept in memory instead of on disk
+	FastMarks              bool // gateways send an answer before its session position is stored
 	NoSessionMarks         bool // no class uses session marks
-	RaftNodes              int  // how many gateways have replicas, the first ones; 0: all
+	RaftNodes              int  // the first this many gateways hold replicas; 0 means all
 }
 
-// DefaultStateStore are sizes that suit a few gateways and a short run.
+// DefaultStateStore returns sizes and durations that suit a few gateways and a short run.
 func DefaultStateStore() *StateStore {
 	return &StateStore{Voters: 3, Shards: 4, Heartbeat: 100 * time.Millisecond, RepairAfter: 3 * time.Second}
 }
 
-// section is the state-store section of a gateway's operators' file.
+// section returns the state-store section of a gateway's operators' file.
 func (c *StateStore) section(n *Node) string {
 	var b strings.Builder
 	nodes := "all"
@@ -41,7 +41,7 @@
 		fmt.Fprintf(&b, " storage disk %s\n witness %s\n", n.StoreFile(), n.dir+"/witness")
 	}
 	if n.cluster.InDoubt != nil {
-		b.WriteString(" memory 16m\n") // for all bookings of a run
+		b.WriteString(" memory 16m\n") // enough for the intents of all bookings of a run
 	}
 	if !c.NoSessionMarks {
 		fmt.Fprintf(&b, " session-marks %s %s\n", ClassBooking, ClassMine)
@@ -52,15 +52,15 @@
 	return b.String()
 }
 
-// StoreFile is the path of the file with a gateway's Raft replicas.
+// StoreFile returns the path of the file that holds the gateway's Raft replicas.
 func (n *Node) StoreFile() string { return n.dir + "/data/copies.db" }
 
-// StateStoreStatus is what a gateway answers about the state store ("state-store --json").
+// StateStoreStatus is a gateway's answer to "state-store --json".
 type StateStoreStatus struct {
-	BootstrapID string `json:"founding"` // empty: there is no store
+	BootstrapID string `json:"founding"` // empty if there is no store
 	Voters      int    `json:"copies"`
-	Format      uint32 `json:"format"` // of records, the latest that may be used
-	StoreID     string `json:"disk"`   // the gateway's own; empty: it holds nothing
+	Format      uint32 `json:"format"` // the latest format of records that may be used
+	StoreID     string `json:"disk"`   // of the answering gateway's own store; empty if it has none
 	Failed      string `json:"failed"`
 	Stores      []struct {
 		Number  string `json:"number"`
@@ -70,14 +70,14 @@
 	Groups []RaftGroup `json:"groups"` // the ledger first, then the shards
 }
 
-// RaftGroup is one shard, or the ledger.
+// RaftGroup is the status of the ledger or of one shard.
 type RaftGroup struct {
 	Group    uint32        `json:"group"`
 	Epoch    uint32        `json:"epoch"`
 	Lost     bool          `json:"lost"`
 	Replicas []RaftReplica `json:"replicas"`
 	Adding   *RaftReplica  `json:"adding"`
-	Here     *struct {     // the answering gateway's own replica; nil: it has none
+	Here     *struct {     // the answering gateway's own replica; nil if it has none
 		Leader     string `json:"leader"`
 		Records    int    `json:"records"`
 		Recovering bool   `json:"unsure"`
@@ -102,7 +102,7 @@
 	return v, err
 }
 
-// Bootstrap makes a new state store at a gateway; first says that there was none before.
+// Bootstrap creates a new state store at a gateway. first declares that there was no store before.
 func (n *Node) Bootstrap(first bool) error {
 	args := []string{"state-store", "bootstrap"}
 	if first {
@@ -111,12 +111,12 @@
 	return n.run(args...)
 }
 
-// RemoveStore declares, at this gateway, that another one's store will not come back.
+// RemoveStore declares, by a command to this gateway, that the store of another gateway is lost for good.
 func (n *Node) RemoveStore(other *Node) error {
 	return n.run("state-store", "remove-store", other.Name())
 }
 
-// LeaderOf is the gateway that leads a Raft group; nil: none does now.
+// LeaderOf returns the gateway that leads a Raft group, or nil if there is currently no leader.
 func (c *Cluster) LeaderOf(group int) *Node {
 	for _, n := range c.Nodes {
 		v, err := n.StateStoreStatus()
@@ -132,8 +132,8 @@
 	return nil
 }
 
-// incompleteReason says why the state store is not complete, empty if it is: every group must have all its voters, and a
-// leader that all of them agree on.
+// incompleteReason returns why the state store is not complete, or "" if it is complete. A complete store has all voters in every
+// group, and a leader that all of them agree on.
 func (c *Cluster) incompleteReason() string {
 	views := map[string]StateStoreStatus{}
 	for _, n := range c.Nodes {
@@ -161,7 +161,7 @@
 		}
 		for _, n := range c.Nodes {
 			if other := views[n.Name()].Groups[i]; other.Epoch != g.Epoch || len(other.Replicas) != len(g.Replicas) {
-				return fmt.Sprintf("group %d: gateway %d knows another ledger", i, n.Number)
+				return fmt.Sprintf("group %d: gateway %d has a different state of the ledger", i, n.Number)
 			}
 		}
 	}
@@ -190,22 +190,22 @@
 
 // AwaitComplete waits until every Raft group has all its replicas and a leader.
 func (c *Cluster) AwaitComplete(bound time.Duration) error {
-	for late := time.Now().Add(bound); ; time.Sleep(50 * time.Millisecond) {
+	for deadline := time.Now().Add(bound); ; time.Sleep(50 * time.Millisecond) {
 		wrong := c.incompleteReason()
 		if wrong == "" {
 			return nil
 		}
-		if time.Now().After(late) {
+		if time.Now().After(deadline) {
 			return fmt.Errorf("the state store is not complete within %v: %s", bound, wrong)
 		}
 	}
 }
 
-// VerifySessions reads every session with a served booking once more, at the gateways in turn; the checkers then look for
-// lost ones.
+// VerifySessions reads in every session with a served booking once more, at the gateways in turn, so that checkSessions finds sessions
+// whose position was lost.
 func (l *Load) VerifySessions() { l.VerifySomeSessions(1) }
 
-// VerifySomeSessions does so for one session of so many.
+// VerifySomeSessions does the same for one of every so many sessions, as given by of.
 func (l *Load) VerifySomeSessions(of int) {
 	var keys []string
 	for _, e := range l.cluster.History.Events() {
@@ -224,7 +224,7 @@
 			continue
 		}
 		if i/of%16 == 0 {
-			b.Close() // at another gateway
+			b.Close() // the next read connects to the next gateway
 		}
 		b.Group = l.cluster.groupOf(key)
 		b.Read(key)
