--- a/internal/testcluster/check_test.go
+++ b/internal/testcluster/check_test.go
@@ -9,21 +9,22 @@
 	"time"
 )
 
-// story is a short history: its events have times in whole milliseconds.
-type story []Event
+// eventList is a short history, whose events have times in whole milliseconds.
+type eventList []Event
 
+// at sets the time of an event.
 func at(ms int64, e Event) Event {
 	e.At = ms * 1000
 	return e
 }
 
-// booked is one booking by way of gateway 1 that runs at the primary and ends as given.
-func booked(ms int64, id, key, end string) story {
+// bookingEvents returns the events of a booking through gateway 1 that runs at the primary and ends as given.
+func bookingEvents(ms int64, id, key, end string) eventList {
 	value := ""
 	if end == EndServed {
 		value = id + Present
 	}
-	return story{
+	return eventList{
 		at(ms, Event{Kind: RequestSent, Node: 1, ID: id, Client: "c", Class: ClassBooking, Key: key, Timeout: 1_000_000}),
 		at(ms+1, Event{Kind: RequestForwarded, Node: 1, ID: id, Server: "p"}),
 		at(ms+2, Event{Kind: RequestExecuted, Node: 1, ID: id, Class: ClassBooking, Key: key, Server: "p", What: rolePrimary}),
@@ -31,13 +32,13 @@
 	}
 }
 
-// viewed is a read of some class at a server whose data are ageMS old.
-func viewed(ms int64, id, class, server, value string, ageMS int64) story {
+// readEvents returns the events of a read of a class at a server whose data is ageMS old.
+func readEvents(ms int64, id, class, server, value string, ageMS int64) eventList {
 	role := roleReplica
 	if server == "p" {
 		role = rolePrimary
 	}
-	return story{
+	return eventList{
 		at(ms, Event{Kind: RequestSent, Node: 1, ID: id, Client: "v", Class: class, Key: "k", Timeout: 1_000_000}),
 		at(ms+1, Event{Kind: RequestForwarded, Node: 1, ID: id, Server: server}),
 		at(ms+2, Event{Kind: RequestExecuted, Node: 1, ID: id, Class: class, Key: "k", Server: server, What: role, DataAge: ageMS * 1000}),
@@ -45,63 +46,63 @@
 	}
 }
 
-// again is a retry of a booking with an end and a value; nothing runs.
-func again(ms int64, id, key, end, value string) story {
-	return story{
+// retryEvents returns the events of the retry of a booking with an end and a value. The retry itself does not run.
+func retryEvents(ms int64, id, key, end, value string) eventList {
+	return eventList{
 		at(ms, Event{Kind: RequestSent, Node: 2, ID: id, Client: "c", Class: ClassBooking, Key: key, Timeout: 1_000_000, Text: retryMark}),
 		at(ms+9, Event{Kind: ResponseReceived, Node: 2, ID: id, Client: "c", Class: ClassBooking, Key: key, What: end, Value: value}),
 	}
 }
 
-// ending gives a request another end, without a value.
-func ending(s story, what string) story {
+// withEnd replaces the end of a request and removes its value.
+func withEnd(s eventList, what string) eventList {
 	s[len(s)-1].What, s[len(s)-1].Value = what, ""
 	return s
 }
 
-// closing makes the end of a request the close of its connection.
-func closing(s story) story {
+// withShutdownError makes a request end with the error that a gateway sends when it closes the connection.
+func withShutdownError(s eventList) eventList {
 	s[len(s)-1].Text = retryMark + " " + codeShutdown + " the address has moved to another gateway"
 	return s
 }
 
-// looked is a gateway's own lookup.
-func looked(ms int64, key string) Event {
+// lookupEvent returns a gateway's own lookup of a booking.
+func lookupEvent(ms int64, key string) Event {
 	return at(ms, Event{Kind: RequestExecuted, Node: 2, ID: "look-1", Class: ClassSeat, Key: key, Server: "p", What: rolePrimary})
 }
 
-func fault(from, to int64, line string) story {
-	return story{at(from, Event{Kind: FaultStarted, What: line}), at(to, Event{Kind: FaultEnded, What: line})}
+func faultEvents(from, to int64, line string) eventList {
+	return eventList{at(from, Event{Kind: FaultStarted, What: line}), at(to, Event{Kind: FaultEnded, What: line})}
 }
 
-func ended(ms int64, how string) Event {
+func endedEvent(ms int64, how string) Event {
 	return at(ms, Event{Kind: ProcessChanged, Node: 1, What: ProcessEnded, Text: how})
 }
 
-func phase(ms int64, what string) Event { return at(ms, Event{Kind: PhaseReached, What: what}) }
+func phaseEvent(ms int64, what string) Event { return at(ms, Event{Kind: PhaseReached, What: what}) }
 
-// standing is a maintenance state of a machine that a gateway reports.
-func standing(ms int64, node int, machine, state string) Event {
+// maintenanceEvent returns a gateway's report of the maintenance state of a machine.
+func maintenanceEvent(ms int64, node int, machine, state string) Event {
 	return at(ms, Event{Kind: StateReported, Node: node, What: "order " + machine, Text: state})
 }
 
-func told(ms int64, server, state string) Event {
+func updateEvent(ms int64, server, state string) Event {
 	return at(ms, Event{Kind: EndpointUpdateSent, Node: 1, Server: server, What: state})
 }
 
-func belief(ms int64, node int, state string) Event {
+func vrrpEvent(ms int64, node int, state string) Event {
 	return at(ms, Event{Kind: StateReported, Node: node, What: "vrrp counters", Text: state})
 }
 
-func join(parts ...story) (out story) {
+func join(parts ...eventList) (out eventList) {
 	for _, p := range parts {
 		out = append(out, p...)
 	}
 	return append(out, at(9000, Event{Kind: PhaseReached, What: PhaseDone}))
 }
 
-// without drops the events of a kind.
-func without(s story, kind Kind) (out story) {
+// without returns the events that are not of a kind.
+func without(s eventList, kind Kind) (out eventList) {
 	for _, e := range s {
 		if e.Kind != kind {
 			out = append(out, e)
@@ -110,80 +111,80 @@
 	return out
 }
 
-// Each checker sees what it is there for, in a history made for it, and nothing in one that is nearly the same and sound.
-func TestCheckersBite(t *testing.T) {
-	lost := booked(100, "a", "k", EndReset)
+// Each checker finds the violation of its rule in a history that is made for it, and finds none in a similar history without one.
+func TestCheckers(t *testing.T) {
+	lost := bookingEvents(100, "a", "k", EndReset)
 	unsent := without(without(lost, RequestForwarded), RequestExecuted)
-	slow := booked(100, "a", "k", EndTimeout)
+	slow := bookingEvents(100, "a", "k", EndTimeout)
 	for _, c := range []struct {
 		name string
-		rule string // empty: sound
-		h    story
+		rule string // the violated rules; empty if there are none
+		h    eventList
 	}{
-		{"a booking", "", join(booked(100, "a", "k", EndServed))},
-		{"an answer that never came", "answers", join(without(booked(100, "a", "k", EndServed), ResponseReceived))},
-		{"two answers", "answers", join(booked(100, "a", "k", EndServed), story{at(150, Event{Kind: ResponseReceived, Node: 1, ID: "a", What: EndFailed})})},
-		{"an answer that nobody asked for", "answers", join(without(booked(100, "a", "k", EndServed), RequestSent))},
-		{"another's value", "answers", join(viewed(100, "a", ClassView, "r1", "b"+Present, 1))},
+		{"a booking", "", join(bookingEvents(100, "a", "k", EndServed))},
+		{"a request without an answer", "answers", join(without(bookingEvents(100, "a", "k", EndServed), ResponseReceived))},
+		{"two answers", "answers", join(bookingEvents(100, "a", "k", EndServed), eventList{at(150, Event{Kind: ResponseReceived, Node: 1, ID: "a", What: EndFailed})})},
+		{"an answer without a request", "answers", join(without(bookingEvents(100, "a", "k", EndServed), RequestSent))},
+		{"the value of another request", "answers", join(readEvents(100, "a", ClassView, "r1", "b"+Present, 1))},
 		{"a connection reset", "answers", join(lost)},
-		{"reset by the gateway's death", "", join(lost, fault(105, 300, "at 1s kill 1"), story{ended(107, "signal: killed")})},
-		{"reset, written to one that had just died", "", join(lost, fault(20, 300, "at 1s kill 1"), story{ended(25, "signal: killed")})},
-		{"reset, long after it had died", "answers", join(booked(1100, "a", "k", EndReset), fault(20, 300, "at 1s kill 1"), story{ended(25, "signal: killed")})},
-		{"reset, and another died", "answers", join(lost, fault(105, 300, "at 1s kill 2"))},
-		{"closed by a gateway that leaves, unread", "", join(unsent, fault(90, 300, "at 1s term 1"), story{ended(300, "exit status 0")})},
-		{"closed by a gateway that leaves, sent", "answers", join(lost, fault(90, 300, "at 1s term 1"), story{ended(900, "exit status 0")})},
-		{"silence", "answers", join(slow)},
-		{"silence of one that stands still", "", join(slow, fault(50, 3000, "at 1s stop 1"))},
-		{"silence while another stands still", "answers", join(slow, fault(50, 3000, "at 1s stop 2"))},
-		{"twice by one request", "bookings", join(booked(100, "a", "k", EndFailed), story{at(105, Event{Kind: RequestExecuted, Node: 1, ID: "a", Class: ClassBooking, Key: "k", Server: "p"})})},
-		{"twice by two requests", "bookings", join(booked(100, "a", "k", EndFailed), booked(200, "b", "k", EndServed))},
-		{"served, and never ran", "bookings", join(without(booked(100, "a", "k", EndServed), RequestExecuted))},
-		{"refused, and ran", "bookings", join(booked(100, "a", "k", EndRejected))},
-		{"refused, then booked", "", join(without(booked(100, "a", "k", EndRejected), RequestExecuted), booked(200, "b", "k", EndServed))},
-		{"sent to a drained server", "drains", join(story{told(100, "r1", "draining")}, viewed(700, "a", ClassView, "r1", Absent, 1))},
-		{"sent within its time", "", join(story{told(100, "r1", "draining")}, viewed(300, "a", ClassView, "r1", Absent, 1))},
-		{"sent once it was ready again", "", join(story{told(100, "r1", "draining"), told(500, "r1", "ready")}, viewed(700, "a", ClassView, "r1", Absent, 1))},
-		{"sent elsewhere", "", join(story{told(100, "r1", "draining")}, viewed(700, "a", ClassView, "r2", Absent, 1))},
-		{"sent by one that could not hear", "", join(story{told(100, "r1", "draining")}, fault(50, 800, "at 1s sever 1 -> discovery"), viewed(700, "a", ClassView, "r1", Absent, 1))},
-		{"sent long after it could hear again", "drains", join(story{told(100, "r1", "draining")}, fault(50, 800, "at 1s sever 1 -> discovery"), viewed(6000, "a", ClassView, "r1", Absent, 1))},
-		{"old data", "stale", join(viewed(100, "a", ClassView, "r1", Absent, 900))},
-		{"data within the bound", "", join(viewed(100, "a", ClassView, "r1", Absent, 840))},
-		{"a seat at a replica", "stale", join(viewed(100, "a", ClassSeat, "r1", Absent, 1))},
-		{"a seat at a replica, whose answer is not passed on", "", join(viewed(100, "a", ClassSeat, "p", Absent, 0), story{at(101, Event{Kind: RequestExecuted, Node: 1, ID: "a", Class: ClassSeat, Key: "k", Server: "r1", What: roleReplica})})},
-		{"a quote", "", join(viewed(100, "a", ClassQuote, "p", Absent, 0))},
-		{"a quote at a replica", "stale", join(viewed(100, "a", ClassQuote, "r1", Absent, 1))},
-		{"a quote that ran twice", "quotes", join(viewed(100, "a", ClassQuote, "p", Absent, 0), story{at(103, Event{Kind: RequestExecuted, Node: 1, ID: "a", Class: ClassQuote, Key: "k", Server: "p", What: rolePrimary})})},
-		{"a quote that ran and was refused", "quotes", join(ending(viewed(100, "a", ClassQuote, "p", Absent, 0), EndRejected))},
-		{"a quote that ran and failed", "", join(ending(viewed(100, "a", ClassQuote, "p", Absent, 0), EndFailed))},
-		{"a quote that was refused", "", join(without(ending(viewed(100, "a", ClassQuote, "p", Absent, 0), EndRejected), RequestExecuted))},
-		{"a booked seat that is not seen", "linearizable", join(booked(100, "a", "k", EndServed), viewed(200, "b", ClassSeat, "p", Absent, 0))},
-		{"a seat seen and then not", "linearizable", join(booked(100, "a", "k", EndFailed), viewed(103, "b", ClassSeat, "p", Present, 0), viewed(200, "c", ClassSeat, "p", Absent, 0))},
-		{"a booking in doubt that takes effect later", "", join(booked(100, "a", "k", EndFailed), viewed(200, "b", ClassSeat, "p", Absent, 0), viewed(300, "c", ClassSeat, "p", Present, 0))},
-		{"a session that does not see what it has booked", "sessions", join(booked(100, "a", "k", EndServed), viewed(200, "b", ClassMine, "r1", Absent, 1))},
-		{"a session that may not have booked", "", join(booked(100, "a", "k", EndFailed), viewed(200, "b", ClassMine, "r1", Absent, 1))},
-		{"a session asked while it books", "", join(booked(100, "a", "k", EndServed), viewed(105, "b", ClassMine, "r1", Absent, 1))},
-		{"touched while something is under way", "order", join(lost, fault(105, 300, "at 1s kill 1"), story{phase(104, workStarted+"g1"), ended(107, "signal: killed")})},
-		{"touched while something is under way elsewhere", "", join(lost, fault(105, 300, "at 1s kill 1"), story{phase(104, workStarted+"g2"), ended(107, "signal: killed")})},
-		{"sent to a server that is worked at", "order", join(story{phase(90, workStarted+"r1"), phase(300, workEnded+"r1")}, viewed(100, "a", ClassView, "r1", Absent, 1))},
-		{"sent to a server that was worked at", "", join(story{phase(50, workStarted+"r1"), phase(90, workEnded+"r1")}, viewed(100, "a", ClassView, "r1", Absent, 1))},
-		{"two gateways away", "order", join(story{standing(10, 1, "g2", "out"), standing(20, 1, "g3", "leaving")})},
-		{"one away after the other", "", join(story{standing(10, 1, "g2", "out"), standing(20, 1, "g2", "back"), standing(20, 1, "g3", "leaving"), standing(30, 2, "g2", "out")})},
-		{"asked again, and the answer is known", "", join(booked(100, "a", "k", EndFailed), again(200, "b", "k", EndServed, "a"+Present))},
-		{"asked again, and a read shows it", "", join(booked(100, "a", "k", EndFailed), story{looked(205, "k")}, again(200, "b", "k", EndServed, "look-1"+Present))},
-		{"asked again, and a read of another key", "answers,bookings", join(booked(100, "a", "k", EndFailed), story{looked(205, "j")}, again(200, "b", "k", EndServed, "look-1"+Present))},
-		{"asked again, and another booking's answer", "answers,bookings", join(booked(100, "a", "j", EndServed), again(200, "b", "k", EndServed, "a"+Present))},
-		{"asked again and refused, and it ran", "told", join(booked(100, "a", "k", EndFailed), again(200, "b", "k", EndRejected, ""))},
-		{"asked again as the connection is closed, and it ran", "", join(booked(100, "a", "k", EndFailed), closing(again(200, "b", "k", EndRejected, "")))},
-		{"asked again and refused, and it never ran", "", join(without(without(booked(100, "a", "k", EndFailed), RequestExecuted), RequestForwarded), again(200, "b", "k", EndRejected, ""))},
-		{"a crash", "crashes", join(story{ended(100, "exit status 2")})},
-		{"a crash while it was told to end", "crashes", join(fault(90, 300, "at 1s term 1"), story{ended(200, "exit status 2")})},
-		{"an end that was asked for", "", join(fault(90, 300, "at 1s term 1"), story{ended(200, "exit status 0")})},
-		{"two hold the address", "address", join(story{belief(1, 1, "active"), belief(2, 2, "active"), at(500, Event{Kind: PhaseReached, What: PhaseSettled})})},
-		{"one holds the address", "", join(story{belief(1, 1, "active"), belief(2, 2, "active"), belief(3, 1, "backup"), at(500, Event{Kind: PhaseReached, What: PhaseSettled})})},
-		{"a live gateway held dead", "members", join(story{at(100, Event{Kind: StateReported, Node: 2, What: "member g1", Text: "dead"})})},
-		{"a dead one held dead", "", join(fault(90, 300, "at 1s kill 1"), story{ended(95, "signal: killed"), at(100, Event{Kind: StateReported, Node: 2, What: "member g1", Text: "dead"})})},
-		{"a fault that is none", "history", join(story{at(1, Event{Kind: FaultStarted, What: "at 1s sing 1"})})},
-		{"an end without a beginning", "history", join(story{at(1, Event{Kind: FaultEnded, What: "at 1s kill 1"})})},
+		{"reset as the gateway ends", "", join(lost, faultEvents(105, 300, "at 1s kill 1"), eventList{endedEvent(107, "signal: killed")})},
+		{"reset, written to a gateway that had just ended", "", join(lost, faultEvents(20, 300, "at 1s kill 1"), eventList{endedEvent(25, "signal: killed")})},
+		{"reset long after the gateway had ended", "answers", join(bookingEvents(1100, "a", "k", EndReset), faultEvents(20, 300, "at 1s kill 1"), eventList{endedEvent(25, "signal: killed")})},
+		{"reset while another gateway ends", "answers", join(lost, faultEvents(105, 300, "at 1s kill 2"))},
+		{"closed by a draining gateway, not forwarded", "", join(unsent, faultEvents(90, 300, "at 1s term 1"), eventList{endedEvent(300, "exit status 0")})},
+		{"closed by a draining gateway, forwarded", "answers", join(lost, faultEvents(90, 300, "at 1s term 1"), eventList{endedEvent(900, "exit status 0")})},
+		{"a timeout", "answers", join(slow)},
+		{"a timeout at a stopped gateway", "", join(slow, faultEvents(50, 3000, "at 1s stop 1"))},
+		{"a timeout while another gateway is stopped", "answers", join(slow, faultEvents(50, 3000, "at 1s stop 2"))},
+		{"run twice by one request", "bookings", join(bookingEvents(100, "a", "k", EndFailed), eventList{at(105, Event{Kind: RequestExecuted, Node: 1, ID: "a", Class: ClassBooking, Key: "k", Server: "p"})})},
+		{"run twice by two requests", "bookings", join(bookingEvents(100, "a", "k", EndFailed), bookingEvents(200, "b", "k", EndServed))},
+		{"served but never run", "bookings", join(without(bookingEvents(100, "a", "k", EndServed), RequestExecuted))},
+		{"rejected but run", "bookings", join(bookingEvents(100, "a", "k", EndRejected))},
+		{"rejected, then booked", "", join(without(bookingEvents(100, "a", "k", EndRejected), RequestExecuted), bookingEvents(200, "b", "k", EndServed))},
+		{"sent to a drained server", "drains", join(eventList{updateEvent(100, "r1", "draining")}, readEvents(700, "a", ClassView, "r1", Absent, 1))},
+		{"sent before the drain deadline", "", join(eventList{updateEvent(100, "r1", "draining")}, readEvents(300, "a", ClassView, "r1", Absent, 1))},
+		{"sent after the server was ready again", "", join(eventList{updateEvent(100, "r1", "draining"), updateEvent(500, "r1", "ready")}, readEvents(700, "a", ClassView, "r1", Absent, 1))},
+		{"sent to another server", "", join(eventList{updateEvent(100, "r1", "draining")}, readEvents(700, "a", ClassView, "r2", Absent, 1))},
+		{"sent by a gateway cut off from discovery", "", join(eventList{updateEvent(100, "r1", "draining")}, faultEvents(50, 800, "at 1s sever 1 -> discovery"), readEvents(700, "a", ClassView, "r1", Absent, 1))},
+		{"sent long after discovery could be reached again", "drains", join(eventList{updateEvent(100, "r1", "draining")}, faultEvents(50, 800, "at 1s sever 1 -> discovery"), readEvents(6000, "a", ClassView, "r1", Absent, 1))},
+		{"old data", "stale", join(readEvents(100, "a", ClassView, "r1", Absent, 900))},
+		{"data within the bound", "", join(readEvents(100, "a", ClassView, "r1", Absent, 840))},
+		{"a seat at a replica", "stale", join(readEvents(100, "a", ClassSeat, "r1", Absent, 1))},
+		{"a seat at a replica whose answer is not passed on", "", join(readEvents(100, "a", ClassSeat, "p", Absent, 0), eventList{at(101, Event{Kind: RequestExecuted, Node: 1, ID: "a", Class: ClassSeat, Key: "k", Server: "r1", What: roleReplica})})},
+		{"a quote", "", join(readEvents(100, "a", ClassQuote, "p", Absent, 0))},
+		{"a quote at a replica", "stale", join(readEvents(100, "a", ClassQuote, "r1", Absent, 1))},
+		{"a quote that ran twice", "quotes", join(readEvents(100, "a", ClassQuote, "p", Absent, 0), eventList{at(103, Event{Kind: RequestExecuted, Node: 1, ID: "a", Class: ClassQuote, Key: "k", Server: "p", What: rolePrimary})})},
+		{"a quote that ran and was rejected", "quotes", join(withEnd(readEvents(100, "a", ClassQuote, "p", Absent, 0), EndRejected))},
+		{"a quote that ran and failed", "", join(withEnd(readEvents(100, "a", ClassQuote, "p", Absent, 0), EndFailed))},
+		{"a quote that was rejected", "", join(without(withEnd(readEvents(100, "a", ClassQuote, "p", Absent, 0), EndRejected), RequestExecuted))},
+		{"a booked seat that a read does not find", "linearizable", join(bookingEvents(100, "a", "k", EndServed), readEvents(200, "b", ClassSeat, "p", Absent, 0))},
+		{"a seat that is found and then not found", "linearizable", join(bookingEvents(100, "a", "k", EndFailed), readEvents(103, "b", ClassSeat, "p", Present, 0), readEvents(200, "c", ClassSeat, "p", Absent, 0))},
+		{"a booking in doubt that takes effect later", "", join(bookingEvents(100, "a", "k", EndFailed), readEvents(200, "b", ClassSeat, "p", Absent, 0), readEvents(300, "c", ClassSeat, "p", Present, 0))},
+		{"a session that does not see its booking", "sessions", join(bookingEvents(100, "a", "k", EndServed), readEvents(200, "b", ClassMine, "r1", Absent, 1))},
+		{"a session whose booking may not have run", "", join(bookingEvents(100, "a", "k", EndFailed), readEvents(200, "b", ClassMine, "r1", Absent, 1))},
+		{"a session read during its booking", "", join(bookingEvents(100, "a", "k", EndServed), readEvents(105, "b", ClassMine, "r1", Absent, 1))},
+		{"work on a gateway with a request in flight", "order", join(lost, faultEvents(105, 300, "at 1s kill 1"), eventList{phaseEvent(104, workStarted+"g1"), endedEvent(107, "signal: killed")})},
+		{"work on a gateway while another has a request in flight", "", join(lost, faultEvents(105, 300, "at 1s kill 1"), eventList{phaseEvent(104, workStarted+"g2"), endedEvent(107, "signal: killed")})},
+		{"sent to a server during work on it", "order", join(eventList{phaseEvent(90, workStarted+"r1"), phaseEvent(300, workEnded+"r1")}, readEvents(100, "a", ClassView, "r1", Absent, 1))},
+		{"sent to a server after work on it", "", join(eventList{phaseEvent(50, workStarted+"r1"), phaseEvent(90, workEnded+"r1")}, readEvents(100, "a", ClassView, "r1", Absent, 1))},
+		{"two gateways in maintenance", "order", join(eventList{maintenanceEvent(10, 1, "g2", "out"), maintenanceEvent(20, 1, "g3", "leaving")})},
+		{"one gateway in maintenance after the other", "", join(eventList{maintenanceEvent(10, 1, "g2", "out"), maintenanceEvent(20, 1, "g2", "back"), maintenanceEvent(20, 1, "g3", "leaving"), maintenanceEvent(30, 2, "g2", "out")})},
+		{"a retry with the stored answer", "", join(bookingEvents(100, "a", "k", EndFailed), retryEvents(200, "b", "k", EndServed, "a"+Present))},
+		{"a retry answered by a lookup", "", join(bookingEvents(100, "a", "k", EndFailed), eventList{lookupEvent(205, "k")}, retryEvents(200, "b", "k", EndServed, "look-1"+Present))},
+		{"a retry answered by a lookup of another key", "answers,bookings", join(bookingEvents(100, "a", "k", EndFailed), eventList{lookupEvent(205, "j")}, retryEvents(200, "b", "k", EndServed, "look-1"+Present))},
+		{"a retry with the answer of another booking", "answers,bookings", join(bookingEvents(100, "a", "j", EndServed), retryEvents(200, "b", "k", EndServed, "a"+Present))},
+		{"a retry rejected though the booking ran", "told", join(bookingEvents(100, "a", "k", EndFailed), retryEvents(200, "b", "k", EndRejected, ""))},
+		{"a retry rejected as the connection is closed", "", join(bookingEvents(100, "a", "k", EndFailed), withShutdownError(retryEvents(200, "b", "k", EndRejected, "")))},
+		{"a retry rejected, and the booking never ran", "", join(without(without(bookingEvents(100, "a", "k", EndFailed), RequestExecuted), RequestForwarded), retryEvents(200, "b", "k", EndRejected, ""))},
+		{"a crash", "crashes", join(eventList{endedEvent(100, "exit status 2")})},
+		{"a crash after SIGTERM", "crashes", join(faultEvents(90, 300, "at 1s term 1"), eventList{endedEvent(200, "exit status 2")})},
+		{"an orderly end after SIGTERM", "", join(faultEvents(90, 300, "at 1s term 1"), eventList{endedEvent(200, "exit status 0")})},
+		{"two gateways hold the address", "address", join(eventList{vrrpEvent(1, 1, "active"), vrrpEvent(2, 2, "active"), at(500, Event{Kind: PhaseReached, What: PhaseSettled})})},
+		{"one gateway holds the address", "", join(eventList{vrrpEvent(1, 1, "active"), vrrpEvent(2, 2, "active"), vrrpEvent(3, 1, "backup"), at(500, Event{Kind: PhaseReached, What: PhaseSettled})})},
+		{"a running gateway reported dead", "members", join(eventList{at(100, Event{Kind: StateReported, Node: 2, What: "member g1", Text: "dead"})})},
+		{"a killed gateway reported dead", "", join(faultEvents(90, 300, "at 1s kill 1"), eventList{endedEvent(95, "signal: killed"), at(100, Event{Kind: StateReported, Node: 2, What: "member g1", Text: "dead"})})},
+		{"an unknown fault", "history", join(eventList{at(1, Event{Kind: FaultStarted, What: "at 1s sing 1"})})},
+		{"the end of a fault that never began", "history", join(eventList{at(1, Event{Kind: FaultEnded, What: "at 1s kill 1"})})},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var rules []string
@@ -197,11 +198,11 @@
 	}
 }
 
-// A history is read back as it was written, and a write error is reported.
+// ReadHistory returns the events that were written, and rejects malformed lines. A write error is reported by Err.
 func TestHistoryRoundTrip(t *testing.T) {
 	var b bytes.Buffer
 	h := NewHistory(&b)
-	for _, e := range join(booked(100, "a", "k", EndServed), viewed(200, "b", ClassView, "r1", Present, 7), fault(1, 2, `at 1s split 1,2 | 3 for 2s`)) {
+	for _, e := range join(bookingEvents(100, "a", "k", EndServed), readEvents(200, "b", ClassView, "r1", Present, 7), faultEvents(1, 2, `at 1s split 1,2 | 3 for 2s`)) {
 		h.Add(e)
 	}
 	got, err := ReadHistory(bytes.NewReader(b.Bytes()))
@@ -210,16 +211,16 @@
 	}
 	for _, bad := range []string{"{", `{"at":1,"kind":"ran","colour":"red"}`} {
 		if _, err := ReadHistory(strings.NewReader(b.String() + bad)); err == nil {
-			t.Errorf("%s is read", bad)
+			t.Errorf("malformed line %s was accepted", bad)
 		}
 	}
 	full := NewHistory(failing{})
 	full.Add(Event{Kind: PhaseReached})
 	if full.Err() == nil {
-		t.Error("a history that could not be written is whole")
+		t.Error("no error after a failed write")
 	}
-	if err := h.Await("what never comes", time.Millisecond, func([]Event) bool { return false }); err == nil {
-		t.Error("it came")
+	if err := h.Await("a condition that is never true", time.Millisecond, func([]Event) bool { return false }); err == nil {
+		t.Error("Await returned no error")
 	}
 }
 
--- a/internal/testcluster/handover_test.go
+++ b/internal/testcluster/handover_test.go
@@ -11,36 +11,37 @@
 	"time"
 )
 
-// soakSeeds names the variable that says how many seeds TestHandover plays; CI plays handoverSeeds.
+// soakSeeds is the environment variable with the number of seeds that TestHandover runs. Without it, as in CI, the test runs
+// handoverSeeds.
 const (
 	soakSeeds     = "MARBLESPAN_SOAK_SEEDS"
 	handoverSeeds = 3
 )
 
-// handoverScript is a schedule of handovers of the primary, with other faults beside them.
+// handoverScript returns a script of handovers of the primary, with other faults in between.
 func handoverScript(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 0))
-	beside := []string{
+	otherFaults := []string{
 		"stop 1 for 300ms", "kill 2 for 200ms", "term 3 for 100ms", "sever 1 -> r2 for 400ms", "lag r1 1s for 600ms", "starve 2 50% for 500ms",
 		"sever 3 -> p for 300ms", "drain r2 for 400ms", "sever 2 -> discovery for 700ms",
 	}
 	var script strings.Builder
 	for i, at := 0, 400; at < 4500; i++ {
 		next := [...]string{"r1", "r2", "p"}[i%3]
-		without := 50 + rng.IntN(350) // time without a primary
+		without := 50 + rng.IntN(350) // milliseconds without a primary
 		if i%2 == 0 {
-			without += 700 // too long for most requests
+			without += 700 // longer than most requests can wait
 		}
 		fmt.Fprintf(&script, "at %dms handover %s for %dms\n", at, next, without)
 		if rng.IntN(2) == 0 {
-			fmt.Fprintf(&script, "at %dms %s\n", max(at+rng.IntN(400)-200, 0), beside[rng.IntN(len(beside))])
+			fmt.Fprintf(&script, "at %dms %s\n", max(at+rng.IntN(400)-200, 0), otherFaults[rng.IntN(len(otherFaults))])
 		}
 		at += without + 300 + rng.IntN(300)
 	}
 	return script.String()
 }
 
-// linesAboutRequests are the lines of all gateways' logs that say why a request or an answer was not taken as it came.
+// linesAboutRequests returns the lines of all gateways' logs that explain why a request was not served or an answer was not used.
 func linesAboutRequests(t *testing.T, dir string) string {
 	t.Helper()
 	logs, err := filepath.Glob(filepath.Join(dir, "n*", "log"))
@@ -62,12 +63,12 @@
 	return found.String()
 }
 
-// Seen in staging: reads of a class that must be current and must not run twice were refused after their server had answered them, in
-// the moments in which a primary handed its role over; a refusal promises that nothing ran. How it came about: the primary took the
-// read, became a replica, and finished it; its answer said "replica". The gateway rightly does not pass such an answer on, but took it
-// for a server's proof that nothing had run, put the request back in its queue and refused it when its time was over; with a new
-// primary in time it sent the read once more. What proved it: the gateways' log lines of just these requests (an attempt received as
-// served, taken as misdirected, role replica), and that no other class of the load shows it.
+// A read that must be current and must not run twice must not be rejected after it ran, because a rejection promises that it did not
+// run. In staging, this failed during handovers of the primary: the primary received the read, became a replica, finished the read and
+// answered with its new role. The gateway must not pass on such an answer, but it took the answer as proof that the read had not run.
+// So it queued the read again and either sent it a second time, if a new primary was known in time, or rejected it at its deadline.
+// Only this class was affected. The gateways' log showed an attempt that was received as served and then counted as misdirected, with
+// the role replica.
 func TestHandover(t *testing.T) {
 	seeds, _ := strconv.Atoi(os.Getenv(soakSeeds))
 	if seeds == 0 {
@@ -84,7 +85,7 @@
 			o, load := options(), DefaultLoad()
 			o.Seed, o.ServiceTime, o.Dir = seed+1, 30*time.Millisecond, t.TempDir()
 			load.QuoteReaders = 6
-			if seed%4 == 3 { // a crowd
+			if seed%4 == 3 { // many concurrent readers
 				load.QuoteReaders, load.SeatReaders, load.Viewers = 40, 20, 40
 			}
 			out := Run(o, load, faults, nil)
--- a/internal/testcluster/main_test.go
+++ b/internal/testcluster/main_test.go
@@ -11,17 +11,18 @@
 	"time"
 )
 
-// binary is the gateway, built once for all tests; otherBinary is the same of another version.
+// binary is the path of the gateway's binary, which is built once for all tests. otherBinary is the same gateway with otherVersion and
+// otherFormat.
 var binary, otherBinary string
 
-// It understands a later format of records.
+// The version of otherBinary, and the later format of records that it supports.
 const (
 	otherVersion = "99.1.0"
 	otherFormat  = "3"
 )
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asClusterProcess) != "" { // it is to be killed, and would leave what it builds
+	if os.Getenv(asClusterProcess) != "" { // this process will be killed, and could not remove binaries that it built
 		os.Exit(m.Run())
 	}
 	dir, err := os.MkdirTemp("", "testcluster-binary")
@@ -52,14 +53,14 @@
 	return o
 }
 
-// Real processes under load, and every kind of fault among them: no rule is violated, and the cluster settles.
+// With real processes under load and faults of every kind, no rule is violated and the cluster settles.
 func TestRun(t *testing.T) {
 	for _, c := range []struct{ name, script string }{
 		{"calm", ""},
 		{"processes", "at 300ms kill 1 for 500ms\nat 1s term 2 for 100ms\nat 1500ms stop 3 for 1s\nat 2s starve 1 60% for 500ms"},
-		{"ways", "at 200ms cut 1 -> 2,3 for 800ms\nat 1s split 1 | 2,3 for 500ms\nat 1500ms loss all -> all 30% for 1s\n" +
+		{"paths", "at 200ms cut 1 -> 2,3 for 800ms\nat 1s split 1 | 2,3 for 500ms\nat 1500ms loss all -> all 30% for 1s\n" +
 			"at 1600ms delay all -> all 50ms..200ms for 600ms\nat 1700ms duplicate 1 <-> 2 2 for 500ms\nat 1800ms reorder 2 -> 3 for 500ms"},
-		{"restarts behind a failover, with lists from before it", "at 300ms promote r1 for 500ms\nat 1200ms kill 1 for 100ms\nat 1900ms kill 2 for 100ms\n" +
+		{"restarts after a failover, with endpoint lists from before it", "at 300ms promote r1 for 500ms\nat 1200ms kill 1 for 100ms\nat 1900ms kill 2 for 100ms\n" +
 			"at 2600ms kill 3 for 100ms\nat 3300ms kill 1,2 for 100ms\nat 4s kill 3 for 100ms\nat 4700ms kill 1 for 100ms"},
 		{"servers", "at 200ms lag r1 2s for 2s\nat 400ms stop 1 for 1s\nat 700ms sever 2 -> p for 600ms\nat 800ms sever 3 -> discovery for 1s\n" +
 			"at 1s drain r2 for 1s\nat 1200ms sever 1 -> r1 for 1s"},
@@ -85,10 +86,11 @@
 	}
 }
 
-// asClusterProcess makes the test's own binary start a cluster and wait to be killed.
+// asClusterProcess is the environment variable that makes the test binary start a cluster and wait until it is killed. Its value is
+// the path of the gateway's binary.
 const asClusterProcess = "MARBLESPAN_TEST_RIG"
 
-// A test cluster that is killed by SIGKILL takes its processes with it, also a stopped one.
+// If a process with a test cluster is killed by SIGKILL, all its gateway processes end too, even a stopped one.
 func TestNoProcessOutlivesCluster(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
@@ -111,12 +113,12 @@
 	cmd.Process.Kill()
 	cmd.Wait()
 	for _, pid := range pids {
-		for late := time.Now().Add(settleTimeout); ; time.Sleep(time.Millisecond) {
+		for deadline := time.Now().Add(settleTimeout); ; time.Sleep(time.Millisecond) {
 			if stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid)); err != nil || strings.Contains(string(stat), ") Z ") {
-				break // gone, or dead and not yet buried by whoever inherited it
+				break // ended; a zombie is not yet reaped by its new parent
 			}
-			if time.Now().After(late) {
-				t.Fatalf("process %d is left", pid)
+			if time.Now().After(deadline) {
+				t.Fatalf("process %d still runs", pid)
 			}
 		}
 	}
@@ -144,7 +146,7 @@
 	select {}
 }
 
-// A data directory is emptied, saved and put back.
+// changeDisk empties, saves and restores a data directory.
 func TestDisk(t *testing.T) {
 	n := &Node{dir: t.TempDir()}
 	file := filepath.Join(n.dir, "data", "sub", "x")
@@ -172,15 +174,16 @@
 	}
 }
 
-// A full disk lets files be overwritten but not grow, a read-only one neither; the limit also holds for the next process.
+// On a full disk, files can be overwritten but cannot grow; on a read-only disk they can do neither. The limit also applies to the
+// next process.
 func TestFiles(t *testing.T) {
 	n := &Node{dir: t.TempDir(), maxFileSize: noFileLimit}
 	data := filepath.Join(n.dir, "data")
 	if err := os.Mkdir(data, 0o755); err != nil {
 		t.Fatal(err)
 	}
-	said := make(chan string, 10)
-	begin := func() (in io.Writer) {
+	output := make(chan string, 10)
+	start := func() (in io.Writer) {
 		cmd := exec.Command("sh", "-c", `trap '' XFSZ; while read how; do
 			case $how in grow) printf xx >> f;; same) printf xx 1<> f;; esac 2> /dev/null && echo done >&2 || echo failed >&2; done`)
 		cmd.Dir = data
@@ -188,13 +191,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if n.process, err = launch(cmd, io.Discard, func(line string) { said <- line }, func(string) {}); err != nil {
+		if n.process, err = launch(cmd, io.Discard, func(line string) { output <- line }, func(string) {}); err != nil {
 			t.Fatal(err)
 		}
 		n.process.limitFiles(n.maxFileSize)
 		return in
 	}
-	in := begin()
+	in := start()
 	for _, c := range []struct{ bound, do, want string }{
 		{"", "grow", "done"}, {"full", "grow", "failed"}, {"full", "same", "done"}, {"read-only", "same", "failed"}, {"again", "same", "failed"},
 		{"", "same", "done"}, {"", "grow", "done"},
@@ -206,12 +209,12 @@
 			n.limitFiles(n.largestFile())
 		case "again":
 			n.process.kill()
-			in = begin()
+			in = start()
 		default:
 			n.limitFiles(0)
 		}
 		fmt.Fprintln(in, c.do)
-		if got := <-said; got != c.want {
+		if got := <-output; got != c.want {
 			t.Errorf("%s: %s: %s", c.bound, c.do, got)
 		}
 	}
@@ -221,7 +224,7 @@
 // Faults that cannot be injected are rejected before any is injected.
 func TestValidateFault(t *testing.T) {
 	f := &Cluster{Nodes: make([]*Node, 3), groups: []*serverGroup{{servers: []*server{{name: "p", primary: true}, {name: "r1"}}}}}
-	for line, fits := range map[string]bool{
+	for line, valid := range map[string]bool{
 		"at 1s kill 3": true, "at 1s kill 4": false, "at 1s cut 1 -> 4": false, "at 1s lag r1 1s": true, "at 1s lag r2 1s": false,
 		"at 1s drain p": false, "at 1s sever 1 -> p": true, "at 1s sever 1 -> discovery": true, "at 1s sever 1 -> x": false,
 	} {
@@ -229,14 +232,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := f.validateFault(x); (err == nil) != fits {
+		if err := f.validateFault(x); (err == nil) != valid {
 			t.Errorf("%s: %v", line, err)
 		}
 	}
 	if err := f.Play([]Fault{{Verb: "kill", From: []int{9}}}, nil); err == nil {
-		t.Error("it was played")
+		t.Error("Play accepted an invalid fault")
 	}
 	if _, err := New(Options{Nodes: MaxNodes + 1, Replicas: 1}); err == nil {
-		t.Error("33 gateways")
+		t.Error("New accepted more than MaxNodes gateways")
 	}
 }
--- a/internal/testcluster/maintenance_test.go
+++ b/internal/testcluster/maintenance_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// The hard cases of maintenance, with real processes under load that books, in doubt and with sessions, and a floating address.
+// Maintenance under faults, with real processes and a floating address, under a load of retried bookings and reads in sessions.
 func TestMaintenance(t *testing.T) {
 	if raceEnabled {
-		t.Skip("what these processes do, the race detector does not see")
+		t.Skip("the race detector does not check the gateways' processes")
 	}
 	const bound = 2 * time.Minute
 	gateways := []string{"g1", "g2", "g3", "g4", "g5", "g6"}
-	// until waits until a machine is in one of the states, by the leader's status.
+	// until waits until a machine is in one of the states in the leader's status.
 	until := func(f *Cluster, name string, states ...string) error {
 		return pollUntil(fmt.Sprint(name, " is ", states), func() bool {
 			o, err := f.LeaderMaintenanceStatus()
@@ -62,7 +62,7 @@
 				return false
 			}})
 		}},
-		{"the one that leaves stands still, is cut off, is killed", func(f *Cluster) error {
+		{"a leaving gateway is stopped, cut off or killed", func(f *Cluster) error {
 			for _, fault := range []string{"at 0s stop 4", "at 0s cut 4 -> all", "at 0s kill 4"} {
 				if err := add(f, "g4"); err != nil {
 					return err
@@ -71,7 +71,7 @@
 					return err
 				}
 				if err := withFault(f, fault, func() error {
-					time.Sleep(3 * time.Second) // the fault itself
+					time.Sleep(3 * time.Second) // the duration of the fault
 					return nil
 				}); err != nil {
 					return err
@@ -82,20 +82,20 @@
 			}
 			return nil
 		}},
-		{"the one that is out comes back early, with an empty disk, under another version, twice", func(f *Cluster) error {
+		{"gateways that are out come back early, with an empty disk, in another version, twice", func(f *Cluster) error {
 			if err := add(f, "g2", "g3"); err != nil {
 				return err
 			}
-			lives := 0
+			restarts := 0
 			return work(f, MaintenanceActions{Gateway: func(n *Node) error {
 				for range 2 {
-					lives++
+					restarts++
 					undo, err := f.injectRecorded(Fault{Verb: "kill", From: []int{n.Number}})
 					if err != nil {
 						return err
 					}
 					n.WaitForExit()
-					switch lives {
+					switch restarts {
 					case 1:
 						err = n.changeDisk("empty")
 					case 3:
@@ -111,7 +111,7 @@
 				return nil
 			}})
 		}},
-		{"a split just after one was chosen, with an operator on each side", func(f *Cluster) error {
+		{"a partition just after a gateway was chosen, with an operator on each side", func(f *Cluster) error {
 			if err := add(f, "g1"); err != nil {
 				return err
 			}
@@ -120,10 +120,10 @@
 			}
 			if err := withFault(f, "at 0s split 1,2 | 3,4,5,6", func() error {
 				for _, n := range []*Node{f.Nodes[1], f.Nodes[4]} {
-					n.RunMaintenance("add", "g3") // one of them may get the error that the ledger does not answer
+					n.RunMaintenance("add", "g3") // may fail on the side without a quorum of the ledger
 					n.RunMaintenance("add", "g6")
 				}
-				time.Sleep(3 * time.Second) // the split itself
+				time.Sleep(3 * time.Second) // the duration of the partition
 				return nil
 			}); err != nil {
 				return err
@@ -131,16 +131,16 @@
 			f.RunMaintenanceAnywhere("add", "g3")
 			return work(f, MaintenanceActions{})
 		}},
-		{"hold, drop, unknown machines, and one that discovery drains", func(f *Cluster) error {
+		{"pause, cancel, unknown machines, and a server that discovery drains", func(f *Cluster) error {
 			if text, err := f.Nodes[2].RunMaintenance("add", "g77"); err == nil || !strings.Contains(text, "no gateway and no server g77 is known") {
-				return fmt.Errorf("an unknown machine: %s, %v", text, err)
+				return fmt.Errorf("add of an unknown machine: %s, %v", text, err)
 			}
 			if err := withFault(f, "at 0s drain r2", func() error {
 				if err := add(f, "r1", "g5"); err != nil {
 					return err
 				}
 				if text, err := f.Nodes[3].RunMaintenance("add", "g5"); err != nil || !strings.Contains(text, "already") {
-					return fmt.Errorf("asked twice: %s, %v", text, err)
+					return fmt.Errorf("second add of the same machine: %s, %v", text, err)
 				}
 				return until(f, "g5", "out")
 			}); err != nil {
@@ -163,7 +163,7 @@
 			}
 			return work(f, MaintenanceActions{})
 		}},
-		{"a third is killed while one is out", func(f *Cluster) error {
+		{"a third of the gateways is killed while another is out", func(f *Cluster) error {
 			if err := add(f, "g3", "g5"); err != nil {
 				return err
 			}
--- a/internal/testcluster/membership_test.go
+++ b/internal/testcluster/membership_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// membershipState is what a gateway reports of another at the end of a history.
+// membershipState returns the state of another gateway that a gateway reports at the end of a history.
 func membershipState(all []Event, node, about int) (s string) {
 	for _, e := range all {
 		if e.Node == node && e.Kind == ProcessChanged && e.What == ProcessStarted {
@@ -27,15 +27,15 @@
 	return s
 }
 
-// convergenceTimeout is how long a change may take to be known to all: a second or two, but longer on a busy machine.
+// convergenceTimeout is how long a change may take to reach all gateways: one or two seconds, but longer on a busy machine.
 const convergenceTimeout = 15 * time.Second
 
-// awaitEveryoneBelieves waits until all gateways, except some, report the same state of another.
-func awaitEveryoneBelieves(f *Cluster, about int, want string, but ...int) error {
-	return f.History.Await(fmt.Sprintf("all believe that gateway %d is %s", about, want), convergenceTimeout, func(all []Event) bool {
+// awaitReportedByAll waits until all gateways, with some exceptions, report the same state of a gateway.
+func awaitReportedByAll(f *Cluster, about int, want string, except ...int) error {
+	return f.History.Await(fmt.Sprintf("all gateways report that gateway %d is %s", about, want), convergenceTimeout, func(all []Event) bool {
 		for _, n := range f.Nodes {
 			skip := n.Number == about
-			for _, b := range but {
+			for _, b := range except {
 				skip = skip || n.Number == b
 			}
 			if !skip && membershipState(all, n.Number, about) != want {
@@ -46,9 +46,9 @@
 	})
 }
 
-// awaitSelfObservation waits until a gateway has reported something about itself.
+// awaitSelfObservation waits until a gateway has reported an event of its own membership.
 func awaitSelfObservation(f *Cluster, node int, what string) error {
-	return f.History.Await(fmt.Sprintf("gateway %d notices %s", node, what), settleTimeout, func(all []Event) bool {
+	return f.History.Await(fmt.Sprintf("gateway %d reports %s of itself", node, what), settleTimeout, func(all []Event) bool {
 		for _, e := range all {
 			if e.Node == node && e.Kind == StateReported && e.What == "itself" && e.Text == what {
 				return true
@@ -58,7 +58,7 @@
 	})
 }
 
-// queryMembers queries a gateway for its members.
+// queryMembers queries a gateway for its list of members.
 func queryMembers(f *Cluster, node int, args ...string) (s struct {
 	Members []struct {
 		Name, State, Version string
@@ -76,9 +76,9 @@
 	return s, err
 }
 
-// pollUntil waits for a condition that is not in the history.
+// pollUntil waits for a condition that cannot be read from the history.
 func pollUntil(what string, holds func() bool) error {
-	for late := time.Now().Add(settleTimeout); time.Now().Before(late); time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(settleTimeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		if holds() {
 			return nil
 		}
@@ -86,7 +86,7 @@
 	return fmt.Errorf("%s: not seen within %v", what, settleTimeout)
 }
 
-// flood sends garbage to an address until quit is closed.
+// flood sends random datagrams to an address until quit is closed.
 func flood(to string, quit <-chan struct{}) {
 	c, err := net.Dial("udp4", to)
 	if err != nil {
@@ -108,49 +108,50 @@
 	}
 }
 
+// replace returns a function that replaces the first occurrence of old.
 func replace(old, new string) func(string) string {
 	return func(s string) string { return strings.Replace(s, old, new, 1) }
 }
 
-// The hard cases of membership with nine processes under load. calm: nobody may be declared dead. In the end every gateway
-// knows every other one, and no rule is violated.
+// Membership under faults, with nine processes under load. In the end every gateway reports every other one alive, and no rule is
+// violated. In cases marked calm, no gateway may be declared dead.
 func TestMembership(t *testing.T) {
 	if raceEnabled {
-		t.Skip("what these processes do, the race detector does not see")
+		t.Skip("the race detector does not check the gateways' processes")
 	}
-	// amid is a fault, during which something must come about.
-	amid := func(line string, wait func(f *Cluster) error) func(f *Cluster) error {
+	// during returns a step that injects a fault and waits for a condition during the fault.
+	during := func(line string, wait func(f *Cluster) error) func(f *Cluster) error {
 		return func(f *Cluster) error { return withFault(f, line, func() error { return wait(f) }) }
 	}
 	lasts := func(span time.Duration) func(*Cluster) error {
-		return func(*Cluster) error { time.Sleep(span); return nil } // the fault itself takes so long
+		return func(*Cluster) error { time.Sleep(span); return nil } // the duration of the fault
 	}
 	for _, c := range []struct {
 		name string
 		calm bool
 		do   func(f *Cluster) error
 	}{
-		{"one is killed", false, amid("at 0s kill 4", func(f *Cluster) error { return awaitEveryoneBelieves(f, 4, "dead") })},
-		{"four of nine are killed at once", false, amid("at 0s kill 1,2,3,4", func(f *Cluster) error {
+		{"one is killed", false, during("at 0s kill 4", func(f *Cluster) error { return awaitReportedByAll(f, 4, "dead") })},
+		{"four of nine are killed at once", false, during("at 0s kill 1,2,3,4", func(f *Cluster) error {
 			for i := 1; i <= 4; i++ {
-				if err := awaitEveryoneBelieves(f, i, "dead", 1, 2, 3, 4); err != nil {
+				if err := awaitReportedByAll(f, i, "dead", 1, 2, 3, 4); err != nil {
 					return err
 				}
 			}
 			return nil
 		})},
-		{"one stands still for a second", true, amid("at 0s stop 3", lasts(time.Second))},
-		{"a third stands still for a second", true, amid("at 0s stop 2,5,8", lasts(time.Second))},
-		{"one stands still for long", false, func(f *Cluster) error {
-			if err := amid("at 0s stop 5", func(f *Cluster) error { return awaitEveryoneBelieves(f, 5, "dead") })(f); err != nil {
+		{"one is stopped for a second", true, during("at 0s stop 3", lasts(time.Second))},
+		{"a third of the gateways is stopped for a second", true, during("at 0s stop 2,5,8", lasts(time.Second))},
+		{"one is stopped for long", false, func(f *Cluster) error {
+			if err := during("at 0s stop 5", func(f *Cluster) error { return awaitReportedByAll(f, 5, "dead") })(f); err != nil {
 				return err
 			}
 			return awaitSelfObservation(f, 5, "outcast")
 		}},
-		{"a starved fifth", true, amid("at 0s starve 2,7 70%", lasts(2*time.Second))},
-		{"losses and delay", true, amid("at 0s loss all -> all 30%", amid("at 0s delay all -> all 0s..1s", lasts(4*time.Second)))},
-		{"a one-way cut of a pair", true, amid("at 0s cut 2 -> 6", func(f *Cluster) error {
-			return pollUntil("a third one sees the path that is cut", func() bool {
+		{"a fifth of the gateways is starved", true, during("at 0s starve 2,7 70%", lasts(2*time.Second))},
+		{"losses and delay", true, during("at 0s loss all -> all 30%", during("at 0s delay all -> all 0s..1s", lasts(4*time.Second)))},
+		{"a one-way cut of a pair", true, during("at 0s cut 2 -> 6", func(f *Cluster) error {
+			return pollUntil("a third gateway lists the cut path", func() bool {
 				s, err := queryMembers(f, 9)
 				for _, m := range s.Members {
 					if m.Name == "g6" && strings.Contains(strings.Join(m.Cut, ","), "g2 -> g6") {
@@ -160,7 +161,7 @@
 				return false
 			})
 		})},
-		{"streams that stand still", true, func(f *Cluster) error {
+		{"stalled streams", true, func(f *Cluster) error {
 			blocked := func(want ...string) func() bool {
 				return func() bool {
 					s, err := queryMembers(f, 2, "--streams")
@@ -176,7 +177,7 @@
 			if err := pollUntil("streams to all", blocked()); err != nil {
 				return err
 			}
-			if err := amid("at 0s stall 2 -> 6,7", func(*Cluster) error { return pollUntil("streams to all but two", blocked("g6", "g7")) })(f); err != nil {
+			if err := during("at 0s stall 2 -> 6,7", func(*Cluster) error { return pollUntil("streams to all but two", blocked("g6", "g7")) })(f); err != nil {
 				return err
 			}
 			f.Inject(Fault{Verb: "reset"})
@@ -185,11 +186,11 @@
 		{"three of another version", true, func(f *Cluster) error {
 			for _, i := range []int{3, 6, 9} {
 				f.Nodes[i-1].Binary = otherBinary
-				if err := amid(fmt.Sprint("at 0s term ", i), func(f *Cluster) error { return awaitEveryoneBelieves(f, i, "left") })(f); err != nil {
+				if err := during(fmt.Sprint("at 0s term ", i), func(f *Cluster) error { return awaitReportedByAll(f, i, "left") })(f); err != nil {
 					return err
 				}
 			}
-			return pollUntil("all see both versions", func() bool {
+			return pollUntil("all gateways list both versions", func() bool {
 				for i := range f.Nodes {
 					s, err := queryMembers(f, i+1)
 					for _, m := range s.Members {
@@ -204,27 +205,27 @@
 				return true
 			})
 		}},
-		{"one that nobody hears", false, func(f *Cluster) error {
-			if err := amid("at 0s cut 6 -> all", func(f *Cluster) error { return awaitEveryoneBelieves(f, 6, "dead") })(f); err != nil {
+		{"one whose messages reach no gateway", false, func(f *Cluster) error {
+			if err := during("at 0s cut 6 -> all", func(f *Cluster) error { return awaitReportedByAll(f, 6, "dead") })(f); err != nil {
 				return err
 			}
 			return awaitSelfObservation(f, 6, "outcast")
 		}},
-		{"one that hears nobody", false, amid("at 0s cut all -> 6", func(f *Cluster) error { return awaitEveryoneBelieves(f, 6, "dead") })},
-		{"two halves", false, amid("at 0s split 1,2,3,4 | 5,6,7,8,9", func(f *Cluster) error { return awaitEveryoneBelieves(f, 9, "dead", 5, 6, 7, 8) })},
-		{"three parts, and one that sees two", false, amid("at 0s split 1,2 | 5,6,7,8,9",
-			amid("at 0s split 3,4 | 5,6,7,8,9", amid("at 0s split 1 | 3,4", lasts(3*time.Second))))},
-		{"SIGTERM during a partition", false, amid("at 0s split 1,2,3,4 | 5,6,7,8,9", amid("at 0s term 4", func(f *Cluster) error {
-			return f.History.Await("the others of its part know that it has left", settleTimeout, func(all []Event) bool {
+		{"one that receives no messages", false, during("at 0s cut all -> 6", func(f *Cluster) error { return awaitReportedByAll(f, 6, "dead") })},
+		{"a partition into two halves", false, during("at 0s split 1,2,3,4 | 5,6,7,8,9", func(f *Cluster) error { return awaitReportedByAll(f, 9, "dead", 5, 6, 7, 8) })},
+		{"a partition into three parts, two of them joined by one gateway", false, during("at 0s split 1,2 | 5,6,7,8,9",
+			during("at 0s split 3,4 | 5,6,7,8,9", during("at 0s split 1 | 3,4", lasts(3*time.Second))))},
+		{"SIGTERM during a partition", false, during("at 0s split 1,2,3,4 | 5,6,7,8,9", during("at 0s term 4", func(f *Cluster) error {
+			return f.History.Await("the other gateways of its partition report that it has left", settleTimeout, func(all []Event) bool {
 				return membershipState(all, 1, 4) == "left" && membershipState(all, 2, 4) == "left" && membershipState(all, 3, 4) == "left"
 			})
 		}))},
 		{"one joins and leaves in a loop", true, func(f *Cluster) error {
 			for range 3 {
-				if err := amid("at 0s term 7", func(f *Cluster) error { return awaitEveryoneBelieves(f, 7, "left") })(f); err != nil {
+				if err := during("at 0s term 7", func(f *Cluster) error { return awaitReportedByAll(f, 7, "left") })(f); err != nil {
 					return err
 				}
-				if err := awaitEveryoneBelieves(f, 7, "alive"); err != nil {
+				if err := awaitReportedByAll(f, 7, "alive"); err != nil {
 					return err
 				}
 			}
@@ -250,7 +251,7 @@
 			if err := awaitSelfObservation(f, 1, "namesake"); err != nil {
 				return err
 			}
-			again, err := f.injectRecorded(mustFault("at 0s term 9"))
+			restart, err := f.injectRecorded(mustFault("at 0s term 9"))
 			if err != nil {
 				return err
 			}
@@ -258,9 +259,9 @@
 			if err := os.WriteFile(n.Conf(), []byte(own), 0o600); err != nil {
 				return err
 			}
-			return again()
+			return restart()
 		}},
-		{"keys change during a partition", false, amid("at 0s split 1,2,3,4 | 5,6,7,8,9", func(f *Cluster) error {
+		{"keys change during a partition", false, during("at 0s split 1,2,3,4 | 5,6,7,8,9", func(f *Cluster) error {
 			steps := []func(string) string{
 				replace(`key 1 "`+secret+`"`, `key 1 "`+secret+"\"\n key 2 \"another secret of this test\""),
 				replace(`key 1 "`+secret+"\"\n key 2 \"another secret of this test\"", "key 2 \"another secret of this test\"\n key 1 \""+secret+`"`),
@@ -272,16 +273,16 @@
 					}
 				}
 			}
-			return awaitEveryoneBelieves(f, 9, "dead", 5, 6, 7, 8)
+			return awaitReportedByAll(f, 9, "dead", 5, 6, 7, 8)
 		})},
 		{"garbage", true, func(f *Cluster) error {
 			quit := make(chan struct{})
 			defer close(quit)
 			go flood(fmt.Sprintf("%v:%d", f.Nodes[0].IP, portMembers), quit)
 			go flood(fmt.Sprintf("%v:%d", f.Nodes[0].IP, portVRRP), quit)
-			time.Sleep(3 * time.Second) // the fault itself
+			time.Sleep(3 * time.Second) // the duration of the fault
 			if held := ActiveRouters(f.History.Events()); !held[1] || len(held) != 1 {
-				return fmt.Errorf("the floating address went to %v for garbage", held)
+				return fmt.Errorf("garbage moved the floating address to %v", held)
 			}
 			return nil
 		}},
@@ -317,11 +318,11 @@
 			if err := c.do(f); err != nil {
 				t.Error(err)
 			}
-			healed := time.Now()
+			repairedAt := time.Now()
 			if err := f.Settle(3); err != nil {
 				t.Error(err, MembershipGaps(f.History.Events(), 9))
 			}
-			t.Logf("at rest %v after the fault", time.Since(healed))
+			t.Logf("settled %v after the fault", time.Since(repairedAt))
 			f.History.Add(Event{Kind: PhaseReached, What: PhaseSettled})
 			l.Stop()
 			f.History.Add(Event{Kind: PhaseReached, What: PhaseDone})
@@ -336,15 +337,15 @@
 				}
 			}
 			if c.calm && dead > 0 {
-				t.Errorf("%d were held dead", dead)
+				t.Errorf("%d reports of dead gateways", dead)
 			}
 			keepArtifacts(t, "members "+c.name, f, history.Bytes())
 		})
 	}
 }
 
-// timedSlots limits how many clusters run at a time: each has nine processes that must not be starved by the others.
+// timedSlots limits how many clusters run at the same time, because each has nine processes, and other clusters must not starve them.
 var timedSlots = make(chan bool, 2)
 
-// untimedSlots limits the clusters that run at a time where no assertion depends on timing.
+// untimedSlots limits how many clusters run at the same time in tests whose assertions do not depend on timing.
 var untimedSlots = make(chan bool, 4)
--- a/internal/testcluster/order_test.go
+++ b/internal/testcluster/order_test.go
@@ -8,7 +8,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// On small random histories the times alone decide as the search does, both ways.
+// On small random histories, haveOrder returns the same result as the search, both for linearizable and other histories.
 func TestHaveOrderAgreesWithTheSearch(t *testing.T) {
 	verdicts := map[bool]int{}
 	for seed := range uint64(20_000) {
@@ -29,11 +29,11 @@
 		}
 		want := porcupine.CheckOperations(seatModel, all)
 		if got := haveOrder(all); got != want {
-			t.Fatalf("seed %d: %v, the search says %v: %+v", seed, got, want, all)
+			t.Fatalf("seed %d: haveOrder returned %v, the search %v: %+v", seed, got, want, all)
 		}
 		verdicts[want]++
 	}
 	if verdicts[true] < 1000 || verdicts[false] < 1000 {
-		t.Errorf("these histories prove little: %v", verdicts)
+		t.Errorf("too few histories of one kind: %v", verdicts)
 	}
 }
--- a/internal/testcluster/script_test.go
+++ b/internal/testcluster/script_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// What is drawn is written and read back to the same, is the same for the same seed, and has every kind in it.
+// Drawn faults are the same after formatting and parsing and for the same seed, and contain every kind that may be drawn.
 func TestDrawnFaultsRoundTrip(t *testing.T) {
 	kinds := map[string]bool{}
 	for seed := range uint64(200) {
 		nodes := 2 + int(seed%8)
 		all := DrawFaults(seed, nodes, 2, 30*time.Second)
 		if !reflect.DeepEqual(all, DrawFaults(seed, nodes, 2, 30*time.Second)) {
-			t.Fatalf("seed %d draws two schedules", seed)
+			t.Fatalf("seed %d draws two different schedules", seed)
 		}
 		again, err := ParseScript("drawn", FormatScript(all))
 		if err != nil || !reflect.DeepEqual(all, again) {
@@ -24,10 +24,10 @@
 		for _, f := range all {
 			kinds[f.Verb] = true
 			if f.At+f.Duration >= 24*time.Second || !faultKinds[f.Verb].instant && f.Duration == 0 {
-				t.Errorf("seed %d: %v is not put right in time", seed, f)
+				t.Errorf("seed %d: %v is not repaired in time", seed, f)
 			}
 			if slices.Contains(f.From, 0) || slices.ContainsFunc(slices.Concat(f.From, f.To), func(n int) bool { return n > nodes }) {
-				t.Errorf("seed %d: %v names nobody", seed, f)
+				t.Errorf("seed %d: %v names a gateway that does not exist", seed, f)
 			}
 		}
 	}
@@ -97,32 +97,32 @@
 		}
 	}
 	if _, err := ParseFault("at 1s kill 1\nat 2s kill 2"); err == nil {
-		t.Error("two faults are one")
+		t.Error("ParseFault accepted two faults")
 	}
 }
 
-// The fewest faults that still fail are found, whichever they are, and no run is made twice.
+// Shrink finds the fewest faults with which a run still fails, wherever they are in the list, and makes no run twice.
 func TestShrink(t *testing.T) {
 	var all []Fault
 	for i := range 20 {
 		all = append(all, Fault{At: time.Duration(i) * time.Second, Verb: "kill", From: []int{1 + i}})
 	}
-	for _, guilty := range [][]int{{}, {0}, {19}, {3, 4}, {0, 10, 19}, {1, 2, 3, 4, 5, 6}} {
+	for _, needed := range [][]int{{}, {0}, {19}, {3, 4}, {0, 10, 19}, {1, 2, 3, 4, 5, 6}} {
 		seen := map[string]bool{}
 		got := Shrink(all, 1000, func(faults []Fault) bool {
 			if seen[FormatScript(faults)] {
-				t.Errorf("%v: the same run twice", guilty)
+				t.Errorf("%v: the same run twice", needed)
 			}
 			seen[FormatScript(faults)] = true
-			for _, g := range guilty {
+			for _, g := range needed {
 				if !slices.ContainsFunc(faults, func(f Fault) bool { return f.From[0] == g+1 }) {
 					return false
 				}
 			}
 			return true
 		})
-		if len(got) != len(guilty) {
-			t.Errorf("%v: %d faults left\n%s", guilty, len(got), FormatScript(got))
+		if len(got) != len(needed) {
+			t.Errorf("%v: %d faults left\n%s", needed, len(got), FormatScript(got))
 		}
 	}
 	runs := 0
--- a/internal/testcluster/statestore_test.go
+++ b/internal/testcluster/statestore_test.go
@@ -12,11 +12,11 @@
 	"time"
 )
 
-// The hard cases of the state store with five processes under load, replicas that lag for as long as it lasts, and reads of every
-// session at any gateway. In the end the state store is complete, and every session sees what it has booked.
+// The state store under faults, with five processes under load, a database replica that lags all the time, and reads of every session
+// at any gateway. In the end the state store is complete, and every session sees its bookings.
 func TestStateStore(t *testing.T) {
 	if raceEnabled {
-		t.Skip("what these processes do, the race detector does not see")
+		t.Skip("the race detector does not check the gateways' processes")
 	}
 	play := func(script string) func(*Cluster) error {
 		return func(f *Cluster) error {
@@ -27,6 +27,7 @@
 			return f.Play(faults, nil)
 		}
 	}
+	// down ends a gateway's process, calls meanwhile, and starts the gateway again.
 	down := func(f *Cluster, n *Node, verb string, meanwhile func() error) error {
 		return withFault(f, fmt.Sprintf("at 0s %s %d", verb, n.Number), func() error { n.WaitForExit(); return meanwhile() })
 	}
@@ -43,8 +44,8 @@
 		}
 		return nil
 	}
-	// heldUp cuts ways of a leader, lets writes come to where the cut holds them up, and kills it there.
-	heldUp := func(f *Cluster, ways func(leader, holders, others string) string) error {
+	// killBlockedLeader applies a fault to the paths of a leader, waits until the fault blocks the leader's writes, and kills it.
+	killBlockedLeader := func(f *Cluster, pathFault func(leader, replicas, others string) string) error {
 		n, err := leader(f)
 		if err != nil {
 			return err
@@ -53,18 +54,18 @@
 		if err != nil {
 			return err
 		}
-		var holders, others []string
+		var replicas, others []string
 		for _, m := range f.Nodes {
 			switch name := fmt.Sprint(m.Number); {
 			case m == n:
 			case v.Groups[1].HasReplicaOn(m):
-				holders = append(holders, name)
+				replicas = append(replicas, name)
 			default:
 				others = append(others, name)
 			}
 		}
-		if err := withFault(f, ways(fmt.Sprint(n.Number), strings.Join(holders, ","), strings.Join(others, ",")), func() error {
-			time.Sleep(200 * time.Millisecond) // shorter than an election takes to begin
+		if err := withFault(f, pathFault(fmt.Sprint(n.Number), strings.Join(replicas, ","), strings.Join(others, ",")), func() error {
+			time.Sleep(200 * time.Millisecond) // shorter than the time until an election begins
 			undo, err := f.injectRecorded(mustFault(fmt.Sprint("at 0s kill ", n.Number)))
 			if err != nil {
 				return err
@@ -82,11 +83,11 @@
 	for _, c := range []struct {
 		name   string
 		memory bool
-		lossy  bool // sessions may be lost, and are known to be
+		lossy  bool // the loss of sessions is expected
 		do     func(f *Cluster) error
 	}{
 		{"calm", false, false, play("at 1s lag r1 2s for 1s")},
-		{"in memory, one after the other is restarted", true, false, func(f *Cluster) error {
+		{"in memory, gateways are restarted one after the other", true, false, func(f *Cluster) error {
 			for _, n := range f.Nodes[:3] {
 				if err := down(f, n, "term", func() error { return nil }); err != nil {
 					return err
@@ -99,27 +100,27 @@
 		}},
 		{"leaders are killed", false, false, func(f *Cluster) error { return killLeaders(f, 4) }},
 		{"the leader is killed at each step of a write", false, false, func(f *Cluster) error {
-			for _, ways := range []func(leader, holders, others string) string{
-				func(l, h, o string) string { return fmt.Sprintf("at 0s cut %s -> all", l) },        // taken, on its own disk, with nobody else
-				func(l, h, o string) string { return fmt.Sprintf("at 0s cut %s -> %s", h, l) },      // with a quorum, of which it does not know
-				func(l, h, o string) string { return fmt.Sprintf("at 0s cut %s -> %s", l, o) },      // committed, and its callers not notified
-				func(l, h, o string) string { return fmt.Sprintf("at 0s delay %s -> %s 0s", l, h) }, // notified
+			for _, pathFault := range []func(leader, replicas, others string) string{
+				func(l, r, o string) string { return fmt.Sprintf("at 0s cut %s -> all", l) },        // the write is only on the leader's own disk
+				func(l, r, o string) string { return fmt.Sprintf("at 0s cut %s -> %s", r, l) },      // a quorum has the write, but the leader gets no acks
+				func(l, r, o string) string { return fmt.Sprintf("at 0s cut %s -> %s", l, o) },      // the write is committed, but gateways without a replica get no answer
+				func(l, r, o string) string { return fmt.Sprintf("at 0s delay %s -> %s 0s", l, r) }, // no impairment: all callers get an answer
 			} {
-				if err := heldUp(f, ways); err != nil {
+				if err := killBlockedLeader(f, pathFault); err != nil {
 					return err
 				}
 			}
 			return nil
 		}},
-		{"one of five only asks, and leaders are killed", false, false, func(f *Cluster) error {
+		{"one of five has no replicas, and leaders are killed", false, false, func(f *Cluster) error {
 			if v, err := f.Nodes[4].StateStoreStatus(); err != nil || v.StoreID != "" || len(v.Stores) != 4 {
-				return fmt.Errorf("gateway 5 holds something: %+v, %v", v, err)
+				return fmt.Errorf("gateway 5 has a store: %+v, %v", v, err)
 			}
 			return killLeaders(f, 3)
 		}},
 		{"two versions of the records together", false, false, func(f *Cluster) error {
 			formats := func(want uint32) error {
-				return pollUntil(fmt.Sprint("all use format ", want), func() bool {
+				return pollUntil(fmt.Sprint("all gateways use format ", want), func() bool {
 					for _, n := range f.Nodes {
 						if v, err := n.StateStoreStatus(); err != nil || v.Format != want {
 							return false
@@ -137,13 +138,13 @@
 					return err
 				}
 				if err := f.AwaitComplete(settleTimeout); err != nil {
-					return fmt.Errorf("%d of the later version: %w", i+1, err)
+					return fmt.Errorf("with %d gateways of the later version: %w", i+1, err)
 				}
 			}
 			if err := formats(3); err != nil {
 				return err
 			}
-			n := f.Nodes[2] // back to the earlier version, with an empty disk: it serves, and holds nothing
+			n := f.Nodes[2] // back to the earlier version, with an empty disk: the gateway serves without replicas
 			n.Binary = ""
 			if err := down(f, n, "kill", func() error { return n.changeDisk("empty") }); err != nil {
 				return err
@@ -168,7 +169,7 @@
 			}
 			return awaitStoreEvent(f, "disk_gone")
 		}},
-		{"a copy of a disk is put back", false, false, func(f *Cluster) error {
+		{"an old copy of a disk is restored", false, false, func(f *Cluster) error {
 			n, err := leader(f)
 			if err != nil {
 				return err
@@ -179,13 +180,13 @@
 			if err := f.AwaitComplete(settleTimeout); err != nil {
 				return err
 			}
-			time.Sleep(2 * time.Second) // bookings go on
+			time.Sleep(2 * time.Second) // bookings continue
 			if err := down(f, n, "kill", func() error { return n.changeDisk("old") }); err != nil {
 				return err
 			}
 			return awaitStoreEvent(f, "disk_older")
 		}},
-		{"a leader stands still", false, false, func(f *Cluster) error {
+		{"a leader is stopped", false, false, func(f *Cluster) error {
 			n, err := leader(f)
 			if err != nil {
 				return err
@@ -194,44 +195,44 @@
 		}},
 		{"one-way cuts", false, false, play("at 0s cut 1 -> all for 2s\nat 3s cut all -> 2 for 2s\nat 5s cut 3 -> 4 for 1s")},
 		{"one is cut off for longer than repair-after", false, false, play("at 0s split 2 | 1,3,4,5 for 5s")},
-		{"a placement changes in a split, where the ledger's majority is and nowhere else", false, false, func(f *Cluster) error {
+		{"during a partition, only the side with the ledger's majority changes placements", false, false, func(f *Cluster) error {
 			lost := f.Nodes[4]
 			return withFault(f, "at 0s split 1,2 | 3,4,5", func() error {
 				return down(f, lost, "kill", func() error {
 					if err := lost.changeDisk("empty"); err != nil {
 						return err
 					}
-					var taken []int
-					if err := pollUntil("one side takes the word that a disk is gone", func() bool {
+					var accepted []int
+					if err := pollUntil("one side accepts the removal of a store", func() bool {
 						for _, n := range f.Nodes[:4] {
 							if n.RemoveStore(lost) == nil {
-								taken = append(taken, n.Number)
+								accepted = append(accepted, n.Number)
 							}
 						}
-						return len(taken) > 0
+						return len(accepted) > 0
 					}); err != nil {
 						return err
 					}
-					time.Sleep(2 * time.Second) // both sides go on
+					time.Sleep(2 * time.Second) // both sides continue to run
 					for _, n := range f.Nodes[:4] {
 						if n.RemoveStore(lost) == nil {
-							taken = append(taken, n.Number)
+							accepted = append(accepted, n.Number)
 						}
 					}
-					if slices.ContainsFunc(taken, func(n int) bool { return (n <= 2) != (taken[0] <= 2) }) {
-						return fmt.Errorf("both sides have changed the placement: %v", taken)
+					if slices.ContainsFunc(accepted, func(n int) bool { return (n <= 2) != (accepted[0] <= 2) }) {
+						return fmt.Errorf("both sides have changed the placement: %v", accepted)
 					}
 					return nil
 				})
 			})
 		}},
-		{"losses, delay and streams that stand still", false, false, play("at 0s loss all -> all 30% for 4s\nat 0s delay all -> all 0s..1s for 4s\nat 5s stall 1 -> 2,3 for 2s")},
+		{"losses, delay and stalled streams", false, false, play("at 0s loss all -> all 30% for 4s\nat 0s delay all -> all 0s..1s for 4s\nat 5s stall 1 -> 2,3 for 2s")},
 		{"a damaged disk", false, false, func(f *Cluster) error {
 			n := f.Nodes[3]
 			checked := func(want string) error {
 				out, err := exec.Command(f.Binary, "state-store", "check", n.StoreFile()).CombinedOutput()
 				if !strings.Contains(string(out), want) || (err == nil) != (want == "is whole") {
-					return fmt.Errorf("%s is not what is told of the file: %s, %v", want, out, err)
+					return fmt.Errorf("want %q from the check of the file, got %s, %v", want, out, err)
 				}
 				return nil
 			}
@@ -269,11 +270,11 @@
 		}},
 		{"46 % of nine are killed", false, false, play("at 0s kill 1,2,3,4 for 1s")},
 		{"all are killed at once", false, false, play("at 0s kill all for 100ms")},
-		{"all are killed at once, their files in former words", false, false, func(f *Cluster) error {
+		{"all are killed at once, with operators' files in former words", false, false, func(f *Cluster) error {
 			if err := play("at 0s kill all for 100ms")(f); err != nil {
 				return err
 			}
-			return warnsOfFormerWords(f)
+			return checkFormerWordWarnings(f)
 		}},
 		{"all are killed at once, with their disks", false, true, func(f *Cluster) error {
 			if err := withFault(f, "at 0s kill all", func() error {
@@ -291,7 +292,7 @@
 				return err
 			}
 			if v, err := f.Nodes[0].StateStoreStatus(); err != nil || v.BootstrapID != "" {
-				return fmt.Errorf("a store was invented: %+v, %v", v, err)
+				return fmt.Errorf("gateway 1 has a store before the bootstrap: %+v, %v", v, err)
 			}
 			if err := f.AwaitMembers(settleTimeout); err != nil {
 				return err
@@ -313,7 +314,7 @@
 			if strings.Contains(c.name, "former words") {
 				o.RewriteConfig = withFormerWords
 			}
-			if strings.Contains(c.name, "only asks") {
+			if strings.Contains(c.name, "has no replicas") {
 				o.StateStore.RaftNodes = 4
 			}
 			load := DefaultLoad()
@@ -323,14 +324,14 @@
 	}
 }
 
-// withFormerWords writes an operators' file as earlier versions had it.
+// withFormerWords replaces the directives of an operators' file by those of earlier versions.
 func withFormerWords(conf string) string {
 	return strings.NewReplacer("state-store\n", "copies\n", " raft-nodes ", " holders ", " voters ", " copies ", " repair-after ", " heal-after ",
 		" max-repairs ", " heal-at-once ", " storage ", " store ").Replace(conf)
 }
 
-// warnsOfFormerWords looks for the warnings of withFormerWords in the log of each gateway.
-func warnsOfFormerWords(f *Cluster) error {
+// checkFormerWordWarnings checks that each gateway's log has the warnings for the directives of withFormerWords.
+func checkFormerWordWarnings(f *Cluster) error {
 	for _, n := range f.Nodes {
 		log, err := os.ReadFile(filepath.Join(n.dir, "log"))
 		if err != nil {
@@ -338,7 +339,7 @@
 		}
 		for _, words := range [][2]string{{"copies", "state-store"}, {"holders", "raft-nodes"}, {"copies", "voters"}, {"heal-after", "repair-after"}} {
 			if want := fmt.Sprintf(`"former":%q,"new":%q`, words[0], words[1]); !strings.Contains(string(log), want) {
-				return fmt.Errorf("%s does not warn: %s", n.Name(), want)
+				return fmt.Errorf("the log of %s has no warning %s", n.Name(), want)
 			}
 		}
 	}
@@ -346,8 +347,8 @@
 }
 
 // runScenario starts a cluster with a state store, runs a scenario under load, and checks the history once it has settled.
-// meanwhile is a fault that lasts all the time; empty: none.
-func runScenario(t *testing.T, name string, o Options, load LoadOptions, meanwhile string, do func(*Cluster) error) {
+// background is a fault that is active all the time, or empty.
+func runScenario(t *testing.T, name string, o Options, load LoadOptions, background string, do func(*Cluster) error) {
 	t.Helper()
 	var history bytes.Buffer
 	o.History = &history
@@ -357,24 +358,24 @@
 	}
 	defer f.Close()
 	l := f.Load(load)
-	over := func() error { return nil }
-	if meanwhile != "" {
-		if over, err = f.Inject(mustFault(meanwhile)); err != nil {
+	endBackground := func() error { return nil }
+	if background != "" {
+		if endBackground, err = f.Inject(mustFault(background)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if err := do(f); err != nil {
 		t.Error(err)
 	}
-	healed := time.Now()
+	repairedAt := time.Now()
 	if err := f.Settle(load.classCount()); err != nil {
 		t.Error(err)
 	}
-	t.Logf("at rest %v after the fault", time.Since(healed))
+	t.Logf("settled %v after the fault", time.Since(repairedAt))
 	f.History.Add(Event{Kind: PhaseReached, What: PhaseSettled})
 	l.Stop()
 	l.VerifySessions()
-	over()
+	endBackground()
 	f.History.Add(Event{Kind: PhaseReached, What: PhaseDone})
 	f.History.End()
 	for _, v := range Check(f.History.Events()) {
@@ -386,12 +387,12 @@
 
 // awaitStoreEvent waits until some gateway has reported an event of its state store.
 func awaitStoreEvent(f *Cluster, what string) error {
-	return f.History.Await("a gateway believes "+what, settleTimeout, func(all []Event) bool {
+	return f.History.Await("a gateway reports the store event "+what, settleTimeout, func(all []Event) bool {
 		return slices.ContainsFunc(all, func(e Event) bool { return e.Kind == StateReported && e.What == "copies "+what })
 	})
 }
 
-// loseTwoStores loses two of a shard's three stores at once, on gateways that do not both hold the ledger.
+// loseTwoStores empties the disks of two of a shard's three gateways at once. Not both of these hold the ledger.
 func loseTwoStores(f *Cluster) error {
 	v, err := f.Nodes[0].StateStoreStatus()
 	if err != nil {
@@ -427,7 +428,7 @@
 	return nil // every shard shares two gateways with the ledger
 }
 
-// keepArtifacts keeps the history and logs of a failed test.
+// keepArtifacts copies the history and logs of a failed test to a directory that remains.
 func keepArtifacts(t *testing.T, name string, f *Cluster, history []byte) {
 	if !t.Failed() {
 		return
@@ -439,14 +440,15 @@
 		log, _ := os.ReadFile(filepath.Join(n.dir, "log"))
 		os.WriteFile(filepath.Join(dir, fmt.Sprint("log-", n.Number)), log, 0o644)
 	}
-	t.Logf("its history and logs are kept in %s", dir)
+	t.Logf("the history and logs are in %s", dir)
 }
 
-// leader is the gateway that leads the first shard.
+// leader waits until the first shard has a leader and returns its gateway.
 func leader(f *Cluster) (n *Node, err error) {
-	return n, pollUntil("a shard is led", func() bool { n = f.LeaderOf(1); return n != nil })
+	return n, pollUntil("the first shard has a leader", func() bool { n = f.LeaderOf(1); return n != nil })
 }
 
+// mustFault parses a fault and panics on an error.
 func mustFault(line string) Fault {
 	x, err := ParseFault(line)
 	if err != nil {
@@ -455,7 +457,7 @@
 	return x
 }
 
-// withFault injects a fault, waits for its effect, and repairs it.
+// withFault injects a fault, calls wait, and repairs the fault.
 func withFault(f *Cluster, line string, wait func() error) error {
 	undo, err := f.injectRecorded(mustFault(line))
 	if err != nil {
--- a/internal/testcluster/status_test.go
+++ b/internal/testcluster/status_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The answers of gateways are decoded by the keys that internal/gateway writes.
+// The status types decode the gateways' answers by the JSON keys that internal/gateway writes.
 func TestStatusKeys(t *testing.T) {
 	t.Run("state store", func(t *testing.T) {
 		var got StateStoreStatus
