--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -81,7 +81,7 @@
 	line := d.message(false, changed)
 	for c, watching := range d.conns {
 		if watching {
-			// Two chunks for one line, so that a client that takes each chunk for one line fails.
+			// Each line is sent as two chunks, so that a client that takes each chunk for a line fails its tests.
 			fmt.Fprintf(c, "%x\r\n%s\r\n%x\r\n%s\r\n", 5, line[:5], len(line)-5, line[5:])
 		}
 	}
--- a/internal/fake/path.go
+++ b/internal/fake/path.go
@@ -17,7 +17,7 @@
 	Duplicates   int           // additional copies of each datagram
 	Reorder      bool          // each pair of datagrams arrives in reverse order
 	StallStreams bool          // streams stall, but datagrams are forwarded
-	Rate         int           // of a stream, in bytes per second; 0: unlimited
+	Rate         int           // limit of a stream, in bytes per second; 0 for none
 }
 
 // randomDelay draws the delay of one datagram or chunk.
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -27,7 +27,7 @@
 	OnData func(chunk []byte)
 
 	listener   net.Listener
-	sourceIP   net.IP // the source address of connections to the target; nil: any
+	sourceIP   net.IP // the source address of connections to the target; nil for any
 	goroutines sync.WaitGroup
 
 	mu       sync.Mutex
--- a/internal/testcluster/check.go
+++ b/internal/testcluster/check.go
@@ -125,7 +125,7 @@
 	return history
 }
 
-// faultDuring returns a fault with one of these verbs that was active for a gateway at some time in an interval.
+// faultDuring returns a fault with one of these verbs that affected a gateway at some time in an interval.
 func (h *timeline) faultDuring(node int, from, to int64, verbs ...string) (faultWindow, bool) {
 	for _, w := range h.faults {
 		if slices.Contains(verbs, w.Verb) && w.concerns(node) && w.from <= to && w.to >= from {
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -41,7 +41,7 @@
 )
 
 // settings is the template of the settings that the platform gives to each gateway. Its servers do not check how old their data is
-// (checks: none), so the gateways alone must keep the bounds of reads.
+// (checks: none), so the gateways alone must enforce the bounds of reads.
 const settings = `{"balancers": %d, "ordinal": %d,
  "classes": [
   {"name": "booking", "aim_ms": 750, "give_up_ms": 1000, "effect": "single_shot", "points": 3, "late_worth": 0.5},
@@ -278,7 +278,7 @@
 }
 
 // AwaitActiveRouter waits until exactly one gateway reports that it is the active router of the floating address, and the switch
-// forwards to it. It must be the gateway with this number; 0 for any gateway.
+// forwards to it. number is the number of the expected gateway; 0 means any gateway.
 func (c *Cluster) AwaitActiveRouter(number int, bound time.Duration) error {
 	var active []int
 	at := ""
@@ -300,8 +300,8 @@
 	})
 }
 
-// MembershipGaps returns the pairs of gateways of which, at the end of a history, the first does not report the second alive. The
-// argument gateways is the number of gateways; all of them must be running.
+// MembershipGaps lists the gateways that, at the end of a history, do not report another gateway alive, with one entry per missing
+// report. gateways is the number of gateways, all of which must be running.
 func MembershipGaps(all []Event, gateways int) (out []string) {
 	alive := map[int]map[string]bool{}
 	for _, e := range all {
--- a/internal/testcluster/indoubt.go
+++ b/internal/testcluster/indoubt.go
@@ -8,7 +8,7 @@
 // InDoubt configures how gateways store the intents of bookings before they send the bookings.
 type InDoubt struct {
 	StoreFirst bool // gateways store an answer before they send it to the client
-	SeatLookup bool // gateways look up by a read of class ClassSeat whether a booking ran
+	SeatLookup bool // gateways find out by a read of class ClassSeat whether a booking ran
 }
 
 // section returns the in-doubt section of a gateway's operators' file.
--- a/internal/testcluster/maintenance.go
+++ b/internal/testcluster/maintenance.go
@@ -19,8 +19,8 @@
 	return &Maintenance{SettleTime: 500 * time.Millisecond, ReturnTimeout: 20 * time.Second, DefaultDuration: 30 * time.Second, SilenceTimeout: 10 * time.Second}
 }
 
-// section returns the maintenance section of a gateway's operators' file. The load limit is 100 %, because all gateways share one
-// machine, whose load must not hold up the maintenance.
+// section returns the maintenance section of a gateway's operators' file. The load limit is 100 %, so that other load
+// on the shared machine does not delay the maintenance.
 func (m *Maintenance) section() string {
 	var b strings.Builder
 	b.WriteString("maintenance\n max-load 100\n")
--- a/internal/testcluster/shrink.go
+++ b/internal/testcluster/shrink.go
@@ -1,8 +1,8 @@
 package testcluster
 
 // Shrink searches for a minimal list of faults with which a run still fails. It leaves out halves of the list, then quarters and so
-// on (delta debugging, Zeller and Hildebrandt 2002), and calls fails at most runs times. If a run passes only because of its timing,
-// the result contains a fault that is not needed, but it never lacks one that is.
+// on (delta debugging, Zeller and Hildebrandt 2002), and calls fails at most runs times. A run that depends on
+// timing may pass although it could have failed. Then the result may contain a fault that is not needed, but never lacks a needed one.
 func Shrink(faults []Fault, runs int, fails func([]Fault) bool) []Fault {
 	tried := map[string]bool{FormatScript(faults): false}
 	attempt := func(some []Fault) bool {
--- a/internal/testcluster/statestore.go
+++ b/internal/testcluster/statestore.go
@@ -201,11 +201,11 @@
 	}
 }
 
-// VerifySessions reads in every session with a served booking once more, at the gateways in turn, so that checkSessions finds sessions
-// whose position was lost.
+// VerifySessions sends one more read in every session with a served booking, at the gateways in turn. From these reads, checkSessions
+// finds sessions whose position was lost.
 func (l *Load) VerifySessions() { l.VerifySomeSessions(1) }
 
-// VerifySomeSessions does the same for one of every so many sessions, as given by of.
+// VerifySomeSessions does the same as VerifySessions, but only for every of-th session.
 func (l *Load) VerifySomeSessions(of int) {
 	var keys []string
 	for _, e := range l.cluster.History.Events() {
