--- a/internal/protocol/postgres/errors.go
+++ b/internal/protocol/postgres/errors.go
@@ -7,8 +7,8 @@
 
 // The SQLSTATEs that the gateway sends or distinguishes, named by PostgreSQL's condition names (appendix A of its manual).
 const (
-	CodeTooManyConnections    = "53300" // rejected before it ran: a retry is safe
-	CodeCannotConnectNow      = "57P03" // likewise
+	CodeTooManyConnections    = "53300" // the request was rejected before it ran, so a retry is safe
+	CodeCannotConnectNow      = "57P03" // same as CodeTooManyConnections
 	CodeSystemError           = "58000" // the statement may or may not have taken effect
 	CodeProtocolViolation     = "08P01"
 	CodeFeatureNotSupported   = "0A000"
@@ -24,8 +24,8 @@
 	fieldDetail               = 'D'
 )
 
-// AppendErrorResponse appends an ErrorResponse. After a fatal one the sender closes the connection. A positive retryMillis is
-// sent as the detail field: the client may retry after that many milliseconds.
+// AppendErrorResponse appends an ErrorResponse. After a fatal one, the sender must close the connection. A positive retryMillis
+// is sent in the detail field: it is the number of milliseconds after which the client may retry.
 func AppendErrorResponse(b []byte, fatal bool, code, message string, retryMillis int64) []byte {
 	severity := severityError
 	if fatal {
@@ -48,13 +48,14 @@
 	return AppendReadyForQuery(finishMessage(b, at))
 }
 
-// parseErrorResponse returns an ErrorResponse's SQLSTATE and whether it is fatal. It returns an error for an incomplete one.
+// parseErrorResponse returns the SQLSTATE of an ErrorResponse and reports whether it is fatal. It returns an error if the
+// ErrorResponse is malformed or has no valid SQLSTATE.
 func parseErrorResponse(b []byte) (code string, fatal bool, err error) {
 	for len(b) > 1 {
 		field := b[0]
 		value, after, ok := cutCString(b[1:])
 		if !ok || field == 0 {
-			return "", false, errors.New("ErrorResponse that cannot be read")
+			return "", false, errors.New("malformed ErrorResponse")
 		}
 		switch field {
 		case fieldCode:
@@ -65,12 +66,12 @@
 		b = after
 	}
 	if len(b) != 1 || b[0] != 0 || !isSQLState(code) {
-		return "", false, errors.New("ErrorResponse without an SQLSTATE or an end")
+		return "", false, errors.New("ErrorResponse without a valid SQLSTATE or without an end")
 	}
 	return code, fatal, nil
 }
 
-// isSQLState reports whether a code is an SQLSTATE: five digits or capital letters.
+// isSQLState reports whether a code is an SQLSTATE: five characters, each a digit or a capital letter.
 func isSQLState(code string) bool {
 	for i := range len(code) {
 		if c := code[i]; (c < '0' || c > '9') && (c < 'A' || c > 'Z') {
--- a/internal/protocol/postgres/frame.go
+++ b/internal/protocol/postgres/frame.go
@@ -1,10 +1,10 @@
 // Package postgres holds the codecs of version 3 of PostgreSQL's frontend/backend protocol, as far as the gateway uses it:
 // start-up (ParseStartup, AppendStartup), simple queries of one statement (ParseStatement, AppendQueryHead), and their
-// responses (Reply, AppendErrorResponse). It works on bytes and owns no socket and no goroutine; package session calls it, and
-// the fakes and experiments do.
+// responses (Reply, AppendErrorResponse). It works on bytes and owns no socket and no goroutine. Package session, the fakes
+// and the experiments call it.
 //
 // The main decisions are in ParseStatement, which accepts only two forms of statement, so that a server never receives any
-// other text of a client, and in Reply.Handle, which accepts only one order of a response's messages.
+// other text from a client, and in Reply.Handle, which accepts the messages of a response in one order only.
 package postgres
 
 import (
@@ -12,10 +12,11 @@
 	"fmt"
 )
 
-// HeaderSize is the size in bytes of a message's type and length.
+// HeaderSize is the size in bytes of a message's header: its type and its length.
 const HeaderSize = 5
 
-// MaxBody bounds a message's body in bytes: a value of 64 KiB in hex is 128 KiB of statement, and the rest is far smaller.
+// MaxBody is the maximum size in bytes of a message's body. A value of 64 KiB in hex takes 128 KiB of a statement; the rest of a
+// statement is far smaller.
 const MaxBody = 1 << 18
 
 // The message types that the gateway reads or writes.
@@ -36,13 +37,13 @@
 	TypeNegotiateProtocolVersion = 'v'
 )
 
-// Header is a message's type and the length of its body in bytes.
+// Header holds a message's type and the length of its body in bytes.
 type Header struct {
 	Type byte
 	Body int
 }
 
-// ParseHeader parses the HeaderSize bytes before a message's body. It returns an error for a body longer than MaxBody.
+// ParseHeader parses a message's header from the first HeaderSize bytes of b. It returns an error for a body longer than MaxBody.
 func ParseHeader(b []byte) (Header, error) {
 	n := int64(binary.BigEndian.Uint32(b[1:HeaderSize]))
 	if n < 4 || n-4 > MaxBody {
@@ -51,8 +52,8 @@
 	return Header{Type: b[0], Body: int(n) - 4}, nil
 }
 
-// beginMessage appends a message's type and an empty length, and returns where the message starts; finishMessage sets the
-// length.
+// beginMessage appends a message's type and a placeholder for its length, and returns the offset at which the message starts.
+// finishMessage takes this offset and sets the length.
 func beginMessage(b []byte, kind byte) ([]byte, int) {
 	return append(b, kind, 0, 0, 0, 0), len(b)
 }
@@ -62,10 +63,10 @@
 	return b
 }
 
-// appendCString appends a string and a zero byte.
+// appendCString appends a string and a terminating zero byte.
 func appendCString(b []byte, s string) []byte { return append(append(b, s...), 0) }
 
-// cutCString splits b at its first zero byte. It reports whether there is one.
+// cutCString returns the string before the first zero byte of b and the bytes after it, and reports whether there is a zero byte.
 func cutCString(b []byte) (string, []byte, bool) {
 	for i, c := range b {
 		if c == 0 {
--- a/internal/protocol/postgres/frame_test.go
+++ b/internal/protocol/postgres/frame_test.go
@@ -39,9 +39,9 @@
 	if err != nil || n != len(packet)-4 {
 		t.Fatalf("length %d of %d: %v", n, len(packet)-4, err)
 	}
-	open, s, err := ParseStartup(packet[4:])
-	if err != nil || open != StartupSession || s.User != "backend" || s.Database != "store" {
-		t.Errorf("%v %+v %v", open, s, err)
+	kind, s, err := ParseStartup(packet[4:])
+	if err != nil || kind != StartupSession || s.User != "backend" || s.Database != "store" {
+		t.Errorf("%v %+v %v", kind, s, err)
 	}
 	code := func(v uint32, rest string) []byte { return append(binary.BigEndian.AppendUint32(nil, v), rest...) }
 	for _, c := range []struct {
@@ -104,22 +104,22 @@
 	at := message('S', "applied_ms\x001767225600123\x00")
 	load := message('S', "load\x00inflight=7,util=0.61\x00")
 	for _, c := range []struct {
-		name   string
-		in     []byte
-		served bool
-		code   string
-		ready  bool
+		name     string
+		in       []byte
+		complete bool
+		code     string
+		ready    bool
 	}{
 		{"served", join(oneColumn, row, tag, role, at, load, ready), true, "", true},
 		{"not yet ready", join(oneColumn, row, tag), true, "", false},
 		{"row without an end", join(oneColumn, row), false, "", false},
 		{"notices and parameters between", join(oneColumn, message('N', "any"), row, load, tag, ready), true, "", true},
-		{"parameter that cannot be read", join(message('S', "load"), oneColumn, row, tag, ready), true, "", true},
+		{"malformed parameter", join(message('S', "load"), oneColumn, row, tag, ready), true, "", true},
 		{"miss", join(AppendErrorResponse(nil, false, CodeReadOnlyTransaction, "m", 0), role, ready), false, CodeReadOnlyTransaction, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r, err := reply(t, c.in)
-			if err != nil || r.Complete() != c.served || r.Code != c.code || r.Ready != c.ready {
+			if err != nil || r.Complete() != c.complete || r.Code != c.code || r.Ready != c.ready {
 				t.Errorf("%s: %+v, %v", c.name, r, err)
 			}
 		})
@@ -129,7 +129,7 @@
 		t.Errorf("params: %+v", r.Params)
 	}
 	if r, _ := reply(t, AppendErrorResponse(nil, true, CodeTooManyConnections, "m", 0)); !r.Fatal {
-		t.Error("a fatal error was not told apart")
+		t.Error("a fatal error was not recognized")
 	}
 }
 
@@ -153,22 +153,22 @@
 		"tag alone":                  tag,
 		"tag without an end":         join(oneColumn, row, message('C', "SELECT 1")),
 		"empty tag":                  join(oneColumn, row, message('C', "\x00")),
-		"noise in the tag":           join(oneColumn, row, message('C', "SEL\x80CT\x00")),
+		"unprintable tag":            join(oneColumn, row, message('C', "SEL\x80CT\x00")),
 		"two tags":                   join(oneColumn, row, tag, tag),
-		"error behind a row":         join(oneColumn, row, failed),
-		"error behind the answer":    join(oneColumn, row, tag, failed),
+		"error after a row":          join(oneColumn, row, failed),
+		"error after the response":   join(oneColumn, row, tag, failed),
 		"two errors":                 join(failed, failed),
 		"error without a code":       message('E', "Mx\x00\x00"),
 		"error with half a code":     message('E', "C533\x00\x00"),
 		"error without an end":       message('E', "C53300\x00"),
-		"error that goes on":         message('E', "C53300\x00\x00more"),
-		"row behind an error":        join(failed, oneColumn),
-		"ready without an answer":    ready,
-		"ready behind half of one":   join(oneColumn, row, ready),
+		"data after an error's end":  message('E', "C53300\x00\x00more"),
+		"row after an error":         join(failed, oneColumn),
+		"ready without a response":   ready,
+		"ready after half of one":    join(oneColumn, row, ready),
 		"ready in a transaction":     join(oneColumn, row, tag, message('Z', "T")),
-		"ready without a state":      join(oneColumn, row, tag, message('Z', "")),
-		"empty answer":               message('I', ""),
-		"start-up's word":            message('R', "\x00\x00\x00\x00"),
+		"ready without a status":     join(oneColumn, row, tag, message('Z', "")),
+		"empty query response":       message('I', ""),
+		"authentication in a query":  message('R', "\x00\x00\x00\x00"),
 		"copy":                       message('G', "\x00"),
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -182,13 +182,13 @@
 func TestReplyToStartup(t *testing.T) {
 	admitted := message('R', "\x00\x00\x00\x00")
 	for _, c := range []struct {
-		name      string
-		in        []byte
-		taken, ok bool
+		name            string
+		in              []byte
+		accepted, ready bool
 	}{
 		{"admitted", join(admitted, message('S', "role\x00primary\x00"), message('K', "12345678"), ready), true, true},
-		{"turned away", AppendErrorResponse(nil, true, CodeTooManyConnections, "m", 0), true, false},
-		{"password asked for", message('R', "\x00\x00\x00\x03"), false, false},
+		{"rejected", AppendErrorResponse(nil, true, CodeTooManyConnections, "m", 0), true, false},
+		{"password required", message('R', "\x00\x00\x00\x03"), false, false},
 		{"ready at once", ready, false, false},
 		{"a row", join(admitted, oneColumn), false, false},
 	} {
@@ -199,7 +199,7 @@
 				err = r.Handle(h, in[HeaderSize:HeaderSize+h.Body])
 				in = in[HeaderSize+h.Body:]
 			}
-			if (err == nil) != c.taken || r.Ready != c.ok || r.Complete() {
+			if (err == nil) != c.accepted || r.Ready != c.ready || r.Complete() {
 				t.Errorf("%s: %+v, %v", c.name, r, err)
 			}
 		})
@@ -213,7 +213,7 @@
 		t.Errorf("%q: %s, %v", b, code, fatal)
 	}
 	if bytes.Contains(AppendErrorResponse(nil, false, CodeTooManyConnections, "later", 0), []byte("\x00D")) {
-		t.Error("a detail without advice")
+		t.Error("a detail field without a time to retry")
 	}
 }
 
@@ -224,10 +224,10 @@
 		t.Errorf("%v, %v", got, ok)
 	}
 	if got, ok := LoadFields(""); got != nil || !ok {
-		t.Error("fields of nothing")
+		t.Error("an empty report must have no fields and be well-formed")
 	}
 	if got, ok := LoadFields("x0=1,broken,util=0.61"); got != nil || ok {
-		t.Errorf("part of a report that cannot be read was accepted: %v", got)
+		t.Errorf("part of a malformed report was accepted: %v", got)
 	}
 }
 
@@ -251,7 +251,7 @@
 			RowValue(body)
 			kinds = append(kinds, h.Type)
 			if r.Complete() && strings.NewReplacer("S", "", "N", "", "Z", "").Replace(string(kinds)) != "TDC" {
-				t.Fatalf("served behind %q", kinds)
+				t.Fatalf("complete after messages %q", kinds)
 			}
 			in = in[HeaderSize+h.Body:]
 		}
@@ -262,7 +262,7 @@
 	f.Add(AppendStartup(nil, "backend", "store")[4:])
 	f.Add([]byte{4, 210, 22, 47})
 	f.Fuzz(func(t *testing.T, in []byte) {
-		if open, s, err := ParseStartup(in); err == nil && open == StartupSession && s.User == "" {
+		if kind, s, err := ParseStartup(in); err == nil && kind == StartupSession && s.User == "" {
 			t.Fatal("a session without a user")
 		}
 	})
--- a/internal/protocol/postgres/query.go
+++ b/internal/protocol/postgres/query.go
@@ -8,8 +8,8 @@
 )
 
 // AppendQueryHead appends the beginning of the Query message that forwards a statement: the header, and the body up to and
-// including a new d of timeoutMillis. first is the body's first part, body the body's size. The rest of the body follows
-// unchanged, from the returned offset on.
+// including d, whose value is replaced by timeoutMillis. first is the first part of the statement's body, and body is the size
+// of that body in bytes. The caller must append the rest of the body unchanged, from the returned offset on.
 func (s *Statement) AppendQueryHead(b, first []byte, body int, timeoutMillis int64) ([]byte, int) {
 	digits := strconv.AppendInt(nil, timeoutMillis, 10)
 	b, at := beginMessage(b, TypeQuery)
@@ -19,8 +19,8 @@
 	return b, s.timeoutEnd
 }
 
-// SplitStatement returns a statement's text without its comment, and the decoded value of an INSERT; nil for a SELECT. The
-// statement must have passed ParseStatement.
+// SplitStatement returns a statement's text without its comment, and the decoded value of an INSERT; value is nil for a SELECT.
+// ParseStatement must have accepted the statement.
 func SplitStatement(body []byte) (text, value []byte) {
 	_, text, _ = bytes.Cut(body, []byte(commentClose))
 	if _, digits, insert := bytes.Cut(text, []byte(insertValue)); insert {
@@ -29,14 +29,15 @@
 	return text, value
 }
 
-// SelectStatement is a read that the gateway itself sends, in the form of a client's.
+// SelectStatement returns the statement of a read that the gateway itself sends, in the same form as a client's.
 func SelectStatement(id, class, key string, group int, waitMillis int64) []byte {
 	return fmt.Appendf(nil, "%sid=%s,c=%s,d=%d,cluster=%d%s%s%s%s",
 		commentOpen, id, class, waitMillis, group, commentClose, selectOpen, key, selectClose)
 }
 
-// InsertResponse turns the response to a read of a row into the response to the INSERT of that row, and returns the row's
-// value with it. read holds complete messages, as they are forwarded; both results are nil if it does not.
+// InsertResponse converts the response to a SELECT of a row into the response that the INSERT of that row would have had. It
+// returns that response and the row's value. read must hold complete messages, as they are forwarded to clients; both results
+// are nil if it does not.
 func InsertResponse(read []byte) (row, answer []byte) {
 	for len(read) >= HeaderSize {
 		h, err := ParseHeader(read)
@@ -59,7 +60,7 @@
 	return row, answer
 }
 
-// AppendQuery appends a Query message with a text of the gateway itself.
+// AppendQuery appends a Query message with a statement of the gateway itself.
 func AppendQuery(b []byte, sql string) []byte {
 	b, at := beginMessage(b, TypeQuery)
 	return finishMessage(appendCString(b, sql), at)
--- a/internal/protocol/postgres/reply.go
+++ b/internal/protocol/postgres/reply.go
@@ -8,18 +8,18 @@
 )
 
 // Reply is the state of a server's response to one query or start-up, message by message, until ReadyForQuery. A valid
-// response is RowDescription, one DataRow, CommandComplete and ReadyForQuery, or an ErrorResponse and ReadyForQuery. After an
-// error of Handle the response is malformed, and nothing in it may be used. One goroutine owns a Reply.
+// response is RowDescription, one DataRow, CommandComplete and ReadyForQuery, or an ErrorResponse and ReadyForQuery. If Handle
+// returns an error, the response is malformed, and nothing in it may be used. A Reply is used by one goroutine only.
 type Reply struct {
-	Startup bool   // it is the response to the start-up, not to a query
+	Startup bool   // this is the response to a start-up, not to a query
 	Code    string // SQLSTATE of the ErrorResponse; empty if there was none
-	Fatal   bool   // the server closes the connection after that error
-	Ready   bool   // ReadyForQuery was received: the connection is free again
+	Fatal   bool   // the server closes the connection after this error
+	Ready   bool   // ReadyForQuery was received, so the connection is free again
 	Params  Params
 	stage   replyStage
 }
 
-// replyStage is the last part of the response that was received.
+// replyStage is the last part of the response that has been received.
 type replyStage uint8
 
 const (
@@ -27,18 +27,19 @@
 	stageRowDescribed
 	stageRow
 	stageComplete
-	stageAuthenticated // of a start-up: AuthenticationOk was received
+	stageAuthenticated // in a start-up: AuthenticationOk was received
 	stageError         // an ErrorResponse was received
 )
 
-// Params are the ParameterStatus values that the gateway uses, as received; empty if not received. Position is the server's
-// applied_ms.
+// Params holds the ParameterStatus values that the gateway uses, as received; a value that was not received is empty. Position
+// is the server's applied_ms.
 type Params struct{ Role, Position, Load string }
 
-// Complete reports whether a complete row was received, up to CommandComplete.
+// Complete reports whether a row and the CommandComplete after it were received.
 func (r *Reply) Complete() bool { return r.stage == stageComplete }
 
-// Started reports whether part of the response was received, so that at least ReadyForQuery is still to follow.
+// Started reports whether part of the response to a query, or an ErrorResponse, was received, so that at least ReadyForQuery must
+// still follow.
 func (r *Reply) Started() bool { return r.stage != stageBegun && r.stage != stageAuthenticated }
 
 // IsForwarded reports whether messages of this type are forwarded to the client.
@@ -46,13 +47,13 @@
 	return kind == TypeRowDescription || kind == TypeDataRow || kind == TypeCommandComplete
 }
 
-// Handle takes the next message of the response. Of a DataRow's body the first six bytes are enough. It returns an error for
-// a message that is malformed or not valid at this point.
+// Handle processes the next message of the response. For a DataRow, the first six bytes of the body are enough. Handle returns
+// an error for a message that is malformed or not valid at this point of the response.
 func (r *Reply) Handle(header Header, body []byte) error {
 	switch header.Type {
 	case TypeNoticeResponse:
 		return nil
-	case TypeParameterStatus: // a malformed one is ignored: the response around it may be valid
+	case TypeParameterStatus: // if malformed, it is ignored, because the rest of the response may be valid
 		r.Params.set(body)
 		return nil
 	case TypeErrorResponse:
@@ -66,29 +67,29 @@
 	return r.handleRow(header, body)
 }
 
-// handleError takes an ErrorResponse, which may only be the first message of a response.
+// handleError processes an ErrorResponse, which must not follow other parts of the response.
 func (r *Reply) handleError(body []byte) (err error) {
 	if r.Started() {
-		return errors.New("an ErrorResponse behind part of an answer")
+		return errors.New("ErrorResponse after another part of the response")
 	}
 	r.stage = stageError
 	r.Code, r.Fatal, err = parseErrorResponse(body)
 	return err
 }
 
-// handleReady takes ReadyForQuery, which ends a response. The gateway opens no transaction, so the status must be idle.
+// handleReady processes ReadyForQuery, which ends a response. The status must be idle, because the gateway opens no transactions.
 func (r *Reply) handleReady(body []byte) error {
 	if len(body) != 1 || body[0] != 'I' {
-		return errors.New("ReadyForQuery within a transaction")
+		return errors.New("ReadyForQuery with a status other than idle")
 	}
 	if r.stage != stageError && r.stage != stageComplete && r.stage != stageAuthenticated {
-		return errors.New("ReadyForQuery without an answer")
+		return errors.New("ReadyForQuery before the end of the response")
 	}
 	r.Ready = true
 	return nil
 }
 
-// handleRow takes a message that only the response to a query contains.
+// handleRow processes a message that only the response to a query contains.
 func (r *Reply) handleRow(header Header, body []byte) error {
 	switch {
 	case header.Type == TypeRowDescription && r.stage == stageBegun:
@@ -104,12 +105,12 @@
 	return fmt.Errorf("unexpected message of type %q", header.Type)
 }
 
-// handleStartup takes a message that only the response to a start-up contains.
+// handleStartup processes a message that only the response to a start-up contains.
 func (r *Reply) handleStartup(header Header, body []byte) error {
 	switch {
 	case header.Type == TypeAuthentication && r.stage == stageBegun:
 		if len(body) != 4 || binary.BigEndian.Uint32(body) != 0 {
-			return errors.New("the server asks for a password")
+			return errors.New("the server requires authentication")
 		}
 		r.stage = stageAuthenticated
 	case header.Type == TypeBackendKeyData && r.stage == stageAuthenticated:
@@ -119,49 +120,50 @@
 	return nil
 }
 
-// columnSize is the size in bytes of what follows a column's name in a RowDescription: the ids of table, column and type,
-// sizes and format.
+// columnSize is the size in bytes of the fields after a column's name in a RowDescription: the IDs of table, column and type, the
+// sizes and the format.
 const columnSize = 18
 
-// checkRowDescription accepts a RowDescription of exactly one column, with a name.
+// checkRowDescription returns an error unless a RowDescription has exactly one column, with a name.
 func checkRowDescription(body []byte) error {
 	if len(body) < 2 || binary.BigEndian.Uint16(body) != 1 {
-		return errors.New("RowDescription of another number of columns than one")
+		return errors.New("RowDescription does not have exactly one column")
 	}
 	name, attributes, ok := cutCString(body[2:])
 	if !ok || name == "" || len(attributes) != columnSize || binary.BigEndian.Uint16(attributes[columnSize-2:]) > 1 {
-		return errors.New("RowDescription that cannot be read")
+		return errors.New("malformed RowDescription")
 	}
 	return nil
 }
 
-// checkDataRow accepts a DataRow of exactly one column that fills the body. A null is an error: the statements that the gateway
-// forwards never return one.
+// checkDataRow returns an error unless a DataRow has exactly one column that fills the body. A null is an error, because the
+// statements that the gateway forwards never return one.
 func checkDataRow(header Header, body []byte) error {
 	if len(body) < 6 || binary.BigEndian.Uint16(body) != 1 {
-		return errors.New("DataRow of another number of columns than one")
+		return errors.New("DataRow does not have exactly one column")
 	}
 	if n := int32(binary.BigEndian.Uint32(body[2:])); n < 0 || int(n) != header.Body-6 {
-		return errors.New("DataRow does not fit its column")
+		return errors.New("DataRow with a null or with a column that does not fill it")
 	}
 	return nil
 }
 
-// checkCommandTag accepts a CommandComplete whose tag is printable ASCII.
+// checkCommandTag returns an error unless a CommandComplete has a tag of printable ASCII.
 func checkCommandTag(body []byte) error {
 	tag, after, ok := cutCString(body)
 	if !ok || tag == "" || len(after) > 0 {
-		return errors.New("CommandComplete without a tag")
+		return errors.New("CommandComplete with a missing or malformed tag")
 	}
 	for i := range len(tag) {
 		if tag[i] < ' ' || tag[i] > '~' {
-			return errors.New("CommandComplete with a tag that cannot be read")
+			return errors.New("CommandComplete with a tag that is not printable ASCII")
 		}
 	}
 	return nil
 }
 
-// set takes the body of a ParameterStatus; one that is malformed or of another parameter changes nothing.
+// set stores the value from the body of a ParameterStatus. It ignores a malformed body and a parameter that the gateway does not
+// use.
 func (p *Params) set(body []byte) {
 	name, after, ok := cutCString(body)
 	if !ok {
@@ -181,7 +183,8 @@
 	}
 }
 
-// RowValue is the single column of a DataRow whose complete body is given; empty for a body too short to have one.
+// RowValue returns the single column of a DataRow whose complete body is given. It returns an empty string if the body is too
+// short to have a column.
 func RowValue(body []byte) string {
 	if len(body) < 6 {
 		return ""
@@ -189,10 +192,10 @@
 	return string(body[6:])
 }
 
-// Field is one name and value of a load report.
+// Field is one name=value pair of a load report.
 type Field struct{ Name, Value string }
 
-// LoadFields splits a load report, such as inflight=7,util=0.61. It reports whether the report was well-formed.
+// LoadFields splits a load report, such as inflight=7,util=0.61, into its fields, and reports whether the report is well-formed.
 func LoadFields(loadReport string) ([]Field, bool) {
 	if loadReport == "" {
 		return nil, true
--- a/internal/protocol/postgres/startup.go
+++ b/internal/protocol/postgres/startup.go
@@ -6,10 +6,10 @@
 	"fmt"
 )
 
-// MaxStartup bounds a start-up packet in bytes, as PostgreSQL's own server does.
+// MaxStartup is the maximum size in bytes of a start-up packet, the same as in PostgreSQL's own server.
 const MaxStartup = 10000
 
-// The values of a start-up packet's version field. The request codes are no versions; PostgreSQL puts them in the same field.
+// The values of a start-up packet's version field. PostgreSQL uses the same field for request codes, which are not versions.
 const (
 	version3          = 3 << 16
 	cancelRequestCode = 1234<<16 | 5678
@@ -18,24 +18,24 @@
 	version4          = 4 << 16
 )
 
-// StartupKind is what a connection's first packet requests.
+// StartupKind is the kind of request in a connection's first packet.
 type StartupKind uint8
 
 // The kinds of start-up packets.
 const (
-	StartupSession       StartupKind = iota // a session
+	StartupSession       StartupKind = iota // StartupMessage: requests a session
 	StartupEncryption                       // SSLRequest or GSSENCRequest: the response is a single N
 	StartupCancelRequest                    // CancelRequest: the connection is closed without a response
 )
 
-// StartupMessage is the content of a StartupMessage. Minor is the minor protocol version; Database may be empty.
+// StartupMessage is the content of a StartupMessage packet. Minor is the minor protocol version; Database may be empty.
 type StartupMessage struct {
 	Minor    int
 	User     string
 	Database string
 }
 
-// StartupLength parses the length in a start-up packet's first four bytes and returns the length of what follows them.
+// StartupLength parses the length in a start-up packet's first four bytes and returns the number of bytes that follow them.
 func StartupLength(b []byte) (int, error) {
 	n := int64(binary.BigEndian.Uint32(b))
 	if n < 8 || n > MaxStartup {
@@ -44,7 +44,7 @@
 	return int(n) - 4, nil
 }
 
-// ParseStartup parses what follows the length in a connection's first packet.
+// ParseStartup parses a connection's first packet, given without the four bytes of its length.
 func ParseStartup(b []byte) (StartupKind, StartupMessage, error) {
 	if len(b) < 4 {
 		return StartupSession, StartupMessage{}, errors.New("start-up packet is too short")
@@ -68,7 +68,8 @@
 	return StartupSession, message, nil
 }
 
-// parseParameters parses the names and values up to the empty name that ends them. Those it does not know are ignored.
+// parseParameters parses the names and values up to the empty name that ends them. Parameters other than user and database are
+// ignored.
 func (m *StartupMessage) parseParameters(b []byte) error {
 	for {
 		name, after, ok := cutCString(b)
@@ -128,7 +129,7 @@
 	return AppendReadyForQuery(b)
 }
 
-// AppendReadyForQuery appends ReadyForQuery with the status idle, outside any transaction.
+// AppendReadyForQuery appends a ReadyForQuery message with the status idle, which means outside any transaction.
 func AppendReadyForQuery(b []byte) []byte {
 	b, at := beginMessage(b, TypeReadyForQuery)
 	return finishMessage(append(b, 'I'), at)
--- a/internal/protocol/postgres/statement.go
+++ b/internal/protocol/postgres/statement.go
@@ -8,21 +8,21 @@
 	"strings"
 )
 
-// Statement is a client's statement, completely checked.
+// Statement is a client's statement that ParseStatement has parsed and checked completely.
 type Statement struct {
 	ID            string
 	Class         string
 	TimeoutMillis int64 // milliseconds from the client's send until it stops waiting
 	Group         int
-	After         int64 // Unix milliseconds up to which the read must see all writes; 0: none
-	Retry         bool  // the client marks it as a retry
+	After         int64 // the read must see all writes up to this time, in Unix milliseconds; 0: no such requirement
+	Retry         bool  // the client marks the statement as a retry
 	Key           string
-	Write         bool // an INSERT; otherwise a SELECT
-	timeoutStart  int  // where the digits of d begin in the message's body
-	timeoutEnd    int
+	Write         bool // whether it is an INSERT; otherwise it is a SELECT
+	timeoutStart  int  // offset in the message's body at which the digits of d begin
+	timeoutEnd    int  // offset at which they end
 }
 
-// The fixed text of the two forms of a statement, around its comment, key and value.
+// The fixed texts around the comment, the key and the value in the two forms of a statement.
 const (
 	commentOpen  = "/* "
 	commentClose = " */ "
@@ -33,10 +33,10 @@
 	insertClose  = "') RETURNING content\x00"
 )
 
-// The bounds of a statement's parts.
+// Limits of the parts of a statement.
 const (
-	maxTimeoutMillis = 24 * 60 * 60 * 1000 // of d: a day
-	maxTextSize      = 256                 // bytes of an id, a class, a key and any value that is forwarded without being interpreted
+	maxTimeoutMillis = 24 * 60 * 60 * 1000 // of d: one day
+	maxTextSize      = 256                 // bytes of a key, and of each name and value in the comment
 	maxValueSize     = 64 << 10            // bytes of an INSERT's value
 )
 
@@ -45,9 +45,10 @@
 	return len(bytes.Trim(text, " \t\r\n;\x00")) == 0
 }
 
-// ParseStatement parses and checks a complete statement, given as the parts of its message's body. Comment and key must be
-// within the first part; only the value's digits may continue in later parts. Servers must receive only these two forms: a
-// server closes the connection on any other statement, with whatever else is in flight there.
+// ParseStatement parses and checks a complete statement, given as the parts of its message's body. The comment and the key must
+// be within the first part; only the value's digits and the text after them may continue in later parts. Any statement that has
+// neither of the two forms must not reach a server, because the server would close the connection on it, together with all other
+// requests in flight on that connection.
 func ParseStatement(parts [][]byte) (Statement, error) {
 	var statement Statement
 	var first []byte
@@ -75,7 +76,7 @@
 	return statement, statement.checkTail(append([][]byte{first[at:]}, parts[1:]...))
 }
 
-// parseForm sets Write by the text that begins at an offset, and returns where the key begins.
+// parseForm recognizes the form of the statement by the text at an offset, sets Write, and returns the offset of the key.
 func (s *Statement) parseForm(first []byte, at int) (int, error) {
 	switch {
 	case bytes.HasPrefix(first[at:], []byte(insertOpen)):
@@ -87,7 +88,7 @@
 	return at, errors.New("the statement is neither of the forms that are served here")
 }
 
-// parseKey sets Key to the text that begins at an offset, and returns where it ends.
+// parseKey sets Key to the text that begins at an offset, and returns the offset at which it ends.
 func (s *Statement) parseKey(first []byte, at int) (int, error) {
 	end := at
 	for end < len(first) && isKey(first[end]) {
@@ -100,7 +101,7 @@
 	return end, nil
 }
 
-// checkTail checks what follows the key: of an INSERT the value, and the form's last words.
+// checkTail checks the text after the key: the value of an INSERT, and the fixed text that ends the statement.
 func (s *Statement) checkTail(tail [][]byte) error {
 	want := selectClose
 	if s.Write {
@@ -120,7 +121,7 @@
 	return nil
 }
 
-// parseComment parses the names and values up to the comment's end.
+// parseComment parses the comment's list of name=value pairs.
 func (s *Statement) parseComment(comment []byte) error {
 	seen := map[string]bool{}
 	for at := len(commentOpen); at <= len(comment); {
@@ -156,7 +157,8 @@
 	return nil
 }
 
-// setField sets the field of one name of the comment. Unknown names are ignored: they are forwarded without being interpreted.
+// setField sets the field that belongs to one name of the comment. Unknown names are ignored here; they are forwarded to the
+// server without being interpreted.
 func (s *Statement) setField(name, value string) (err error) {
 	switch name {
 	case "id":
@@ -177,7 +179,7 @@
 	return err
 }
 
-// parseNumber parses a decimal number from 0 to a limit; name is for the error.
+// parseNumber parses a decimal number from 0 to limit. name is used in the error message only.
 func parseNumber(name, value string, limit int64) (int64, error) {
 	v, err := strconv.ParseUint(value, 10, 63)
 	if err != nil || int64(v) > limit {
@@ -186,7 +188,8 @@
 	return int64(v), nil
 }
 
-// isCommentText reports whether a name or value is allowed in a comment: nothing that could end the comment or a quote.
+// isCommentText reports whether a name or value is allowed in a comment. No character that could end the comment or a quoted
+// string is allowed.
 func isCommentText(s string) bool {
 	if len(s) == 0 || len(s) > maxTextSize {
 		return false
@@ -204,7 +207,7 @@
 // isKey reports whether a byte is allowed in a key: printable ASCII except the quote and the backslash.
 func isKey(c byte) bool { return c >= ' ' && c <= '~' && c != '\'' && c != '\\' }
 
-// hexDigits returns the number of hexadecimal digits at the beginning of the parts, and what follows them.
+// hexDigits returns the number of hexadecimal digits at the beginning of the parts, and the parts that follow the digits.
 func hexDigits(parts [][]byte) (n int, rest [][]byte) {
 	for k, p := range parts {
 		for i, c := range p {
@@ -217,7 +220,7 @@
 	return n, nil
 }
 
-// equalParts reports whether the parts joined are want.
+// equalParts reports whether the concatenation of parts equals want.
 func equalParts(parts [][]byte, want string) bool {
 	for _, p := range parts {
 		if len(p) > len(want) || string(p) != want[:len(p)] {
--- a/internal/protocol/postgres/statement_test.go
+++ b/internal/protocol/postgres/statement_test.go
@@ -20,7 +20,7 @@
 	}{
 		{"read", selectText, Statement{
 			ID: "9b1f03aa5c7e2d41", Class: "basket", TimeoutMillis: 480, Group: 2, After: 1767225600123, Key: "7f3a9c21e0b4d655"}},
-		{"write, repeated", insertText, Statement{
+		{"write, retried", insertText, Statement{
 			ID: "9b1f03aa5c7e2d41", Class: "order", TimeoutMillis: 480, Group: 2, Retry: true, Key: "7f3a9c21e0b4d655", Write: true}},
 		{"other names, d last", "/* k=4,id=a,c=x-y,cluster=0,more=z,d=99999 */ " + plainRead, Statement{
 			ID: "a", Class: "x-y", TimeoutMillis: 99999, Key: "k"}},
@@ -92,7 +92,7 @@
 		}
 	}
 	if _, err := ParseStatement(nil); err == nil {
-		t.Error("nothing at all was taken")
+		t.Error("a body without parts was accepted")
 	}
 }
 
@@ -111,7 +111,7 @@
 			}
 			bad := append(append([][]byte{}, parts...), []byte("x"))
 			if _, err := ParseStatement(bad); err == nil {
-				t.Fatalf("cut at %d with a byte too many", at)
+				t.Fatalf("cut at %d, an extra byte at the end was accepted", at)
 			}
 		}
 	}
@@ -193,7 +193,7 @@
 	})
 }
 
-// A statement is split into its text behind the comment and, for an INSERT, the value that it writes.
+// A statement is split into the text after its comment and, for an INSERT, the value that it writes.
 func TestSplitStatement(t *testing.T) {
 	for _, c := range []struct{ name, body, text, value string }{
 		{"a SELECT", "/* id=1,c=view,d=900,cluster=7 */ SELECT content FROM kv WHERE name = 'a'", "SELECT content FROM kv WHERE name = 'a'", ""},
