--- a/internal/protocol/members/decode.go
+++ b/internal/protocol/members/decode.go
@@ -11,9 +11,9 @@
 	"marblespan/internal/protocol/sealed"
 )
 
-// This file reads messages. Fields of later versions are skipped.
+// This file decodes messages. Unknown fields, which later versions may send, are skipped.
 
-// reader takes fields off the front of a message. The first fault is kept, and ends the reading.
+// reader consumes fields from the front of a message. It keeps the first fault, after which it reads nothing more.
 type reader struct {
 	b     []byte
 	fault sealed.Fault
@@ -26,7 +26,8 @@
 	r.b = nil
 }
 
-// eachField calls take with every field until the message ends. take tells whether it knows the field; others are skipped.
+// eachField calls take for every field until the message ends. take must consume the field's value and return true, or return
+// false for an unknown field, which is then skipped.
 func (r *reader) eachField(take func(n protowire.Number, t protowire.Type) bool) {
 	for len(r.b) > 0 {
 		n, t, size := protowire.ConsumeTag(r.b)
@@ -46,7 +47,7 @@
 	}
 }
 
-// hasType checks that a field has the expected wire type.
+// hasType reports whether a field has the expected wire type. If not, it records a fault.
 func (r *reader) hasType(t, have protowire.Type) bool {
 	if t != have {
 		r.fail(sealed.BadMessage)
@@ -54,7 +55,7 @@
 	return t == have
 }
 
-// uint reads a number of at most limit.
+// uint reads a varint. A value above limit is a fault.
 func (r *reader) uint(t protowire.Type, limit uint64) uint64 {
 	if !r.hasType(protowire.VarintType, t) {
 		return 0
@@ -101,7 +102,7 @@
 	return v
 }
 
-// text reads a string of at most maxLength bytes, without control characters.
+// text reads a string. One that is longer than maxLength bytes, is not valid UTF-8 or has control characters is a fault.
 func (r *reader) text(t protowire.Type, maxLength int) string {
 	s := string(r.bytes(t))
 	if len(s) > maxLength || !utf8.ValidString(s) {
@@ -117,7 +118,7 @@
 	return s
 }
 
-// nested reads an embedded message.
+// nested passes an embedded message to read, and takes over its fault.
 func (r *reader) nested(t protowire.Type, read func(*reader)) {
 	inner := reader{b: r.bytes(t)}
 	if r.fault != sealed.NoFault {
@@ -128,7 +129,7 @@
 	}
 }
 
-// address reads an IP address and a port, which must both be set.
+// address reads an IP address and a port. Both must be set, and the address must not be an IPv4-mapped IPv6 address.
 func (r *reader) address(t protowire.Type) (at netip.AddrPort) {
 	r.nested(t, func(r *reader) {
 		var ip netip.Addr
@@ -154,7 +155,7 @@
 	return at
 }
 
-// record reads a record and checks that it names its member, and a suspect its accuser.
+// record reads a record. It checks that name, address and generation are set, and for a suspected member also the reporter.
 func (r *reader) record() (record membership.Record) {
 	r.eachField(func(n protowire.Number, t protowire.Type) bool {
 		switch n {
@@ -191,7 +192,7 @@
 	return record
 }
 
-// path reads a report on a path.
+// path reads a report on a path, and checks that reporter, peer and generation are set.
 func (r *reader) path() (path membership.PathState) {
 	r.eachField(func(n protowire.Number, t protowire.Type) bool {
 		switch n {
@@ -218,7 +219,7 @@
 	return path
 }
 
-// ParseMessage reads a message without its trailer, and checks all that can be told from it alone.
+// ParseMessage parses a message without its trailer, and makes all checks that need only the message itself.
 func ParseMessage(b []byte) (msg membership.Message, fault sealed.Fault) {
 	r := &reader{b: b}
 	kind := uint64(0)
--- a/internal/protocol/members/encode.go
+++ b/internal/protocol/members/encode.go
@@ -8,9 +8,9 @@
 	"marblespan/internal/membership"
 )
 
-// This file writes messages. Fields with their zero value are left out, as the generated code does.
+// This file encodes messages. Fields with zero values are omitted, as in the generated code.
 
-// The numbers of the fields, as api/members.proto has them: of a message, an address, a record, and a report on a path.
+// The field numbers in api/members.proto: of a message, an address, a record, and a report on a path between two members.
 const (
 	fieldKind, fieldFrom, fieldGeneration, fieldIncarnation, fieldTo, fieldToGeneration, fieldNumber, fieldTarget, fieldTargetAddress = 1, 2, 3, 4, 5, 6, 7, 8, 9
 	fieldOrigin, fieldOriginNumber, fieldDirectPingReceived, fieldDigest, fieldRecords, fieldPaths                                    = 10, 11, 12, 13, 14, 15
@@ -50,7 +50,7 @@
 	return appendUint(b, field, 1)
 }
 
-// appendNested writes an embedded message.
+// appendNested appends an embedded message, which write encodes.
 func appendNested(b []byte, field protowire.Number, write func([]byte) []byte) []byte {
 	inner := write(make([]byte, 0, 128))
 	return protowire.AppendBytes(protowire.AppendTag(b, field, protowire.BytesType), inner)
@@ -89,7 +89,7 @@
 	return appendUint(b, pathGeneration, p.Generation)
 }
 
-// AppendMessage writes a message without its trailer.
+// AppendMessage appends the encoding of a message, without a trailer.
 func AppendMessage(b []byte, m membership.Message) []byte {
 	b = appendUint(b, fieldKind, uint64(m.Kind))
 	b = appendString(b, fieldFrom, m.From)
--- a/internal/protocol/members/members.go
+++ b/internal/protocol/members/members.go
@@ -1,12 +1,12 @@
-// Package members is the codec of the messages of internal/membership: protocol buffers as api/members.proto describes them,
-// one message a datagram, inside the signed trailer of internal/protocol/sealed. It works on bytes only; internal/gossip calls
-// it.
+// Package members is the codec of the messages of internal/membership: protocol buffers as api/members.proto defines them, one
+// message per datagram, followed by the signed trailer of internal/protocol/sealed. It works on bytes only; internal/gossip
+// calls it.
 //
-// Append and Parse write and read datagrams, AppendMessage and ParseMessage the message inside. Parse returns the fault for
-// which a datagram is to be dropped.
+// Append and Parse encode and decode datagrams, AppendMessage and ParseMessage the message in a datagram. Parse returns the
+// fault for which a datagram must be dropped.
 //
-// The messages are written with the library's low-level package: the generated code and its reflection would take the
-// gateway over its limit of memory at rest (docs/membership.md has the figures). Tests hold both to the same bytes.
+// The codec uses the low-level package protowire, because the generated code and its reflection would take the gateway over its
+// limit of memory at rest (docs/membership.md has the figures). Tests check that both produce the same bytes.
 package members
 
 import (
@@ -17,20 +17,21 @@
 	"marblespan/internal/protocol/sealed"
 )
 
-// MaxSize is the size of the largest datagram, in bytes.
+// MaxSize is the size in bytes of the largest datagram.
 const MaxSize = membership.MaxMessageSize + sealed.Size
 
-// minMessageSize is less than any message with a kind has, in bytes.
+// minMessageSize is a lower bound on the size in bytes of a message, which must at least have a kind.
 const minMessageSize = 2
 
-// purpose is what signatures are made for here. The deployment's name is part of it, so that another deployment's messages
-// are not valid even with the same secret.
+// purpose begins the purpose for which datagrams are signed. signedPurpose adds the deployment's name, so that the messages of
+// another deployment are not valid even with the same secret.
 const purpose = "marblespan members 1\x00"
 
-// ErrSize tells that a message is too large to be sent.
+// ErrSize is returned by Append for a message that is too large to be sent.
 var ErrSize = errors.New("members: message is larger than 1140 bytes")
 
-// Append writes and signs a message of a deployment. It returns ErrSize, and b as it was, for one that is too large.
+// Append appends the signed datagram of a message of a deployment. For a message that is too large it returns ErrSize and b
+// unchanged.
 func Append(b []byte, m membership.Message, t sealed.Trailer, deployment string, key sealed.Key) ([]byte, error) {
 	from := len(b)
 	if b = AppendMessage(b, m); len(b)-from > membership.MaxMessageSize {
@@ -39,10 +40,11 @@
 	return sealed.Append(b, from, t, signedPurpose(deployment), key), nil
 }
 
+// signedPurpose returns the purpose for which the datagrams of a deployment are signed.
 func signedPurpose(deployment string) string { return purpose + deployment + "\x00" }
 
-// Parse reads a datagram and checks all that can be told without knowing the members. A datagram with a fault is to be
-// dropped: nothing of it is returned.
+// Parse parses a datagram and makes all checks that need no knowledge of the members. If there is a fault, the caller must drop
+// the datagram; nothing of it is returned.
 func Parse(b []byte, deployment string, keys []sealed.Key) (membership.Message, sealed.Trailer, sealed.Fault) {
 	if fault := checkTrailer(b, keys); fault != sealed.NoFault {
 		return membership.Message{}, sealed.Trailer{}, fault
@@ -58,7 +60,8 @@
 	return msg, trailer, sealed.NoFault
 }
 
-// checkTrailer checks length, trailer version and key number, before any signature is computed: garbage must cost little.
+// checkTrailer checks the length, the trailer's version and the key number. It is called before a signature is computed, so that
+// rejecting an invalid datagram costs little.
 func checkTrailer(b []byte, keys []sealed.Key) sealed.Fault {
 	if len(b) < sealed.Size+minMessageSize || len(b) > MaxSize {
 		return sealed.BadLength
--- a/internal/protocol/members/members_test.go
+++ b/internal/protocol/members/members_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// The generated code of api/members.proto reads what is written here, and writes what is read here.
+// The generated code of api/members.proto decodes the messages that this package encodes, and encodes them to the same bytes.
 func TestSameAsGenerated(t *testing.T) {
 	for _, m := range []membership.Message{fullMessage(), {Kind: membership.Ping, From: "a", Generation: 1}} {
 		b := AppendMessage(nil, m)
@@ -100,7 +100,7 @@
 		{"a record without an address", change(func(m *membership.Message) { m.Records[0].Address = netip.AddrPort{} }), sealed.BadValue},
 		{"a port of 0", change(func(m *membership.Message) { m.Records[0].Address = netip.AddrPortFrom(at4.Addr(), 0) }), sealed.BadValue},
 		{"an unknown state", change(func(m *membership.Message) { m.Records[0].State = 4 }), sealed.BadValue},
-		{"a suspect without an accuser", change(func(m *membership.Message) { m.Records[0].ReportedBy = "" }), sealed.BadValue},
+		{"a suspect without a reporter", change(func(m *membership.Message) { m.Records[0].ReportedBy = "" }), sealed.BadValue},
 		{"a path without a reporter", change(func(m *membership.Message) { m.Paths[0].Reporter = "" }), sealed.BadValue},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -126,7 +126,7 @@
 	}
 }
 
-// A message that is read without a fault is written so that it reads the same.
+// A message that is parsed without a fault is the same after it is encoded and parsed again.
 func FuzzParseMessage(f *testing.F) {
 	f.Add(AppendMessage(nil, fullMessage()))
 	f.Add([]byte{8, 1, 18, 1, 'a', 24, 1})
--- a/internal/protocol/sealed/fault.go
+++ b/internal/protocol/sealed/fault.go
@@ -1,30 +1,31 @@
 package sealed
 
-// Fault is why a datagram is dropped. All protocols between gateways share this list: the functions that parse a datagram
-// return a fault, and whoever receives it counts and logs it by its name.
+// Fault is the reason for which a datagram is dropped. All protocols between gateways share this list: the functions that parse a
+// datagram return a fault, and their caller counts and logs the datagram under the fault's name.
 type Fault uint8
 
-// The faults, in the order in which counters list them. This package finds BadVersion, UnknownKey and BadMAC; the codecs of
-// the protocols find the rest up to BadValue, and the receivers, which know the peers and the settings, those after it.
+// The faults, in the order in which counters list them. This package detects BadVersion, UnknownKey and BadMAC. The codecs of
+// the protocols detect the others up to BadValue. The receivers detect those after BadValue, because only they know the peers
+// and the settings.
 const (
 	NoFault      Fault = iota
-	BadLength          // too short, too long, or not as long as its counts say
-	BadVersion         // another version of the protocol or of the trailer
-	BadType            // VRRP: no advertisement
-	BadCount           // VRRP: no address, or too many
+	BadLength          // too short, too long, or a length that contradicts its counts
+	BadVersion         // a different version of the protocol or of the trailer
+	BadType            // VRRP: not an advertisement
+	BadCount           // VRRP: no address, or too many addresses
 	BadReserved        // VRRP: reserved bits are set
 	BadInterval        // VRRP: an interval of 0
-	BadChecksum        // VRRP: damaged
+	BadChecksum        // VRRP: the checksum does not match
 	UnknownKey         // signed with a key that is not valid here
-	BadMAC             // signed with another secret or for another purpose, or changed on the way
-	BadMessage         // members: not a message as api/members.proto has it
-	BadKind            // members: a kind that is not known here, of a later version
-	BadValue           // members: a name, an address or a state that cannot be
-	WrongSource        // from an address that is no peer's, or another peer's
-	WrongPeer          // from or for another node number
-	Replayed           // it, or a later one, came before
-	UnknownVRID        // of a group that is not configured here
-	OtherAddress       // of another address list than this group's
+	BadMAC             // signed with another secret or for another purpose, or changed in transit
+	BadMessage         // members: not a valid encoding of the message in api/members.proto
+	BadKind            // members: an unknown kind of message, from a later version
+	BadValue           // members: a missing or invalid field, such as a name, an address or a state
+	WrongSource        // from an address that belongs to no peer, or to a different peer
+	WrongPeer          // the node number of the sender or of the receiver does not match
+	Replayed           // the same message, or a later one, was received before
+	UnknownVRID        // for a group that is not configured here
+	OtherAddress       // its address list differs from that of the group
 	FaultCount
 )
 
@@ -33,8 +34,8 @@
 	"message", "kind", "value", "source", "peer", "replayed", "vrid", "address",
 }
 
-// Name is the fault's name in counters and logs.
+// Name returns the fault's name in counters and logs.
 func (f Fault) Name() string { return faultNames[f] }
 
-// Error makes a fault an error.
+// Error implements error.
 func (f Fault) Error() string { return "message dropped: " + f.Name() }
--- a/internal/protocol/sealed/replay.go
+++ b/internal/protocol/sealed/replay.go
@@ -2,45 +2,46 @@
 
 import "maps"
 
-// maxWindow is how many messages may overtake one that still counts, at the most: one bit of senderWindow.seen each.
+// maxWindow is the largest window of a ReplayGuard: each message in the window takes one bit of senderWindow.seen.
 const maxWindow = 64
 
-// MessageID identifies a message of a sender. Of two messages of one sender the later one has the larger ID, also over
-// restarts.
+// MessageID identifies a message of a sender. Of two messages of one sender the later one has the larger ID, even across
+// restarts. IDs are compared by Start first.
 type MessageID struct {
-	Start    uint64 // when the sender started by its system clock, microseconds of Unix time
-	Sequence uint64 // of the sender's messages since then, from 1
+	Start    uint64 // when the sender started, by its system clock, in microseconds of Unix time
+	Sequence uint64 // counts the sender's messages since then, from 1
 }
 
-// ReplayGuard numbers the messages of this gateway, and tells new messages of others from duplicates, replays and late ones
-// (an anti-replay window as of RFC 4303, for each sender). It keeps some words for each sender; its user bounds their number
-// by Retain. It is not safe for concurrent use.
+// ReplayGuard numbers the messages that this gateway sends, and distinguishes new messages of other gateways from duplicates,
+// replays and messages that arrive too late. For that it has an anti-replay window as in RFC 4303 for each sender. A window
+// takes a few words of memory; the caller bounds the number of senders by calling Retain. It is not safe for concurrent use.
 type ReplayGuard[K comparable] struct {
-	self    MessageID // of the last message sent
+	self    MessageID // ID of the last message sent
 	window  uint64
 	senders map[K]*senderWindow
 }
 
-// senderWindow is what was received of one sender: the latest message, and which of those before it.
+// senderWindow records the latest message received from one sender, and which of the messages before it were received.
 type senderWindow struct {
 	MessageID
-	seen uint64 // bit i: the message i before the latest was received
+	seen uint64 // bit i is set if the message i before the latest was received
 }
 
-// NewReplayGuard makes the guard of a gateway that started at a time of its system clock, microseconds of Unix time. window
-// is how many messages may overtake one that still counts, 64 at the most; with 0 none may.
+// NewReplayGuard returns the guard of a gateway that started at the time start of its system clock, in microseconds of Unix time.
+// A message is accepted only if its sequence number is less than window below that of the sender's latest message. A window
+// above 64 counts as 64; with a window of 0, a message that was overtaken by a later one is never accepted.
 func NewReplayGuard[K comparable](start, window uint64) *ReplayGuard[K] {
 	return &ReplayGuard[K]{self: MessageID{Start: start}, window: min(window, maxWindow), senders: map[K]*senderWindow{}}
 }
 
-// NextID is the ID of the next message sent.
+// NextID returns the ID for the next message to send.
 func (g *ReplayGuard[K]) NextID() MessageID {
 	g.self.Sequence++
 	return g.self
 }
 
-// KnownStart is the start of a sender by its latest message; 0: none was received. Every message to that sender carries it as
-// Trailer.ReceiverStart.
+// KnownStart returns the start of a sender according to its latest message, or 0 if no message from it was received. Every message
+// to that sender carries this value as Trailer.ReceiverStart.
 func (g *ReplayGuard[K]) KnownStart(sender K) uint64 {
 	if w := g.senders[sender]; w != nil {
 		return w.Start
@@ -48,11 +49,11 @@
 	return 0
 }
 
-// Accept takes in the ID of an authentic message and tells whether the message is new. knownStart is the Trailer.ReceiverStart
-// of the message, this gateway's own start as the sender knows it. If that is later than the start in use the system clock was
-// set back while the gateway was down, and peers would take its messages for replays. The gateway then uses a start just after
-// the one they know, and Accept reports it by movedOn.
-func (g *ReplayGuard[K]) Accept(sender K, id MessageID, knownStart uint64) (fresh, movedOn bool) {
+// Accept records the ID of an authentic message and reports whether the message is new. knownStart is the message's
+// Trailer.ReceiverStart, which is this gateway's own start as the sender knows it. If knownStart is later than the start in use,
+// the system clock was set back while the gateway was down, and peers would treat its messages as replays. The gateway then uses
+// a start just after knownStart, and Accept returns true for startAdvanced.
+func (g *ReplayGuard[K]) Accept(sender K, id MessageID, knownStart uint64) (fresh, startAdvanced bool) {
 	window := g.senders[sender]
 	if window == nil {
 		window = &senderWindow{}
@@ -62,12 +63,12 @@
 		return false, false
 	}
 	if knownStart > g.self.Start {
-		g.self.Start, movedOn = knownStart+1, true
+		g.self.Start, startAdvanced = knownStart+1, true
 	}
-	return true, movedOn
+	return true, startAdvanced
 }
 
-// accept tells whether a message is new, and notes it.
+// accept reports whether a message is new, and records it as received.
 func (w *senderWindow) accept(id MessageID, window uint64) bool {
 	switch {
 	case id.Start < w.Start:
@@ -89,7 +90,7 @@
 	return true
 }
 
-// Retain drops the senders that are not to be kept.
+// Retain removes the senders for which keep returns false.
 func (g *ReplayGuard[K]) Retain(keep func(sender K) bool) {
 	maps.DeleteFunc(g.senders, func(sender K, _ *senderWindow) bool { return !keep(sender) })
 }
--- a/internal/protocol/sealed/sealed.go
+++ b/internal/protocol/sealed/sealed.go
@@ -1,12 +1,12 @@
-// Package sealed is what all datagrams and stream frames between gateways have in common: shared keys that can be changed in
-// service, a signed trailer that identifies a message and its sender, a guard against replays, and the list of faults for
+// Package sealed holds what all datagrams and stream frames between gateways share: secret keys that can be replaced while the
+// gateways run, a signed trailer that identifies a message and its sender, a guard against replays, and the list of faults for
 // which a datagram is dropped. It works on bytes only.
 //
-// The way of a datagram: datagrams.Loop reads it and calls HandleDatagram of its Handler, the agent of internal/gossip (check,
-// drop) or the VRRP router of internal/floatingip (receive, validate, countDropped). There the protocol's codec parses the message
-// and, by Parse of this package, verifies its signature; then ReplayGuard.Accept tells whether it is new. The first fault found
-// is returned as a Fault. A forged datagram fails in Verify with UnknownKey or BadMAC; it is counted under its fault and logged by
-// datagrams.DropLog.
+// A received datagram takes this path: datagrams.Loop reads it and calls HandleDatagram of its Handler, which is the agent of
+// internal/gossip (check, drop) or the VRRP router of internal/floatingip (receive, validate, countDropped). The handler calls the
+// protocol's codec, which parses the message and verifies its signature with Parse of this package. Then ReplayGuard.Accept
+// reports whether the message is new. The first fault found is returned as a Fault. A forged datagram, for example, fails in
+// Verify with UnknownKey or BadMAC; it is counted under that fault and logged by datagrams.DropLog.
 package sealed
 
 import (
@@ -15,25 +15,25 @@
 	"encoding/binary"
 )
 
-// Key is one of the secrets that the gateways share. Several may be valid at once, so that they change without a gap: the
-// new one is added everywhere first, then used for signing, and the old one removed last.
+// Key is one of the secrets that the gateways share. Several keys may be valid at once, so that a key can be replaced without
+// interruption: first the new key is added on all gateways, then it is used for signing, and last the old key is removed.
 type Key struct {
 	Number uint8
 	Secret []byte
 }
 
-// The sizes in bytes: of a trailer without its signature, of the signature, and of both, the sealed end of a message.
+// Sizes in bytes: of the trailer without its signature, of the signature, and of both together, which end every message.
 const (
 	TrailerSize = 28
 	MACSize     = sha256.Size
 	Size        = TrailerSize + MACSize
 )
 
-// Version is the version of the trailer's layout.
+// Version is the version of the trailer's format.
 const Version = 1
 
-// MAC is the signature over b, an HMAC-SHA-256. The purpose is part of it, so that signatures made for another protocol with
-// the same secret are not valid.
+// MAC returns the signature of b, an HMAC-SHA-256. The signature covers the purpose too, so that a signature made for another
+// protocol with the same secret is not valid.
 func (k Key) MAC(purpose string, b []byte) []byte {
 	h := hmac.New(sha256.New, k.Secret)
 	h.Write([]byte(purpose))
@@ -41,7 +41,8 @@
 	return h.Sum(nil)
 }
 
-// Verify checks the signature at the end of b by the key of a number. Its faults are UnknownKey and BadMAC.
+// Verify checks the signature at the end of b with the key that has the given number. The fault is UnknownKey or BadMAC if it is
+// not valid.
 func Verify(purpose string, b []byte, number uint8, keys []Key) Fault {
 	for _, k := range keys {
 		if k.Number == number {
@@ -54,17 +55,18 @@
 	return UnknownKey
 }
 
-// Trailer is what follows every message.
+// Trailer holds the fields that follow every message, before the signature.
 type Trailer struct {
-	Key           uint8  // which of the keys signs it
-	Sender        uint8  // the sender's node number, where nodes have numbers (VRRP)
+	Key           uint8  // number of the key that signs the message
+	Sender        uint8  // the sender's node number, in protocols that number the nodes (VRRP)
 	Receiver      uint8  // the receiver's node number, likewise
-	Start         uint64 // when the sender started, microseconds of Unix time
-	Sequence      uint64 // of the sender's messages since then
+	Start         uint64 // when the sender started, in microseconds of Unix time
+	Sequence      uint64 // counts the sender's messages since then
 	ReceiverStart uint64 // the receiver's start as the sender knows it; 0: not known
 }
 
-// Append writes the trailer behind the message that begins at b[from], and signs both.
+// Append appends the trailer to the message that begins at b[from], and a signature of both. The trailer gets key's number instead
+// of t.Key.
 func Append(b []byte, from int, t Trailer, purpose string, key Key) []byte {
 	b = append(b, Version, key.Number, t.Sender, t.Receiver)
 	b = binary.BigEndian.AppendUint64(b, t.Start)
@@ -73,8 +75,8 @@
 	return append(b, key.MAC(purpose, b[from:])...)
 }
 
-// Parse reads and checks the trailer at the end of b, which must have Size bytes at least. Its faults are BadVersion and those
-// of Verify; with a fault the trailer is empty.
+// Parse parses and verifies the trailer at the end of b, which must be at least Size bytes long. The fault is BadVersion or a fault
+// of Verify if the trailer is not valid; the returned Trailer is empty then.
 func Parse(b []byte, purpose string, keys []Key) (Trailer, Fault) {
 	t := b[len(b)-Size:]
 	if t[0] != Version {
--- a/internal/protocol/sealed/sealed_test.go
+++ b/internal/protocol/sealed/sealed_test.go
@@ -8,12 +8,12 @@
 
 func TestReplayGuard(t *testing.T) {
 	for _, window := range []uint64{0, 4} {
-		late := window > 0 // whether one that was overtaken still counts
+		late := window > 0 // whether a message that was overtaken is accepted
 		guard := NewReplayGuard[uint8](100, window)
-		accept := func(start, seq, known uint64, fresh, movedOn bool) {
+		accept := func(start, seq, known uint64, fresh, startAdvanced bool) {
 			t.Helper()
-			if f, m := guard.Accept(2, MessageID{start, seq}, known); f != fresh || m != movedOn {
-				t.Errorf("window %d, message %d/%d: got fresh %v, movedOn %v, want %v, %v", window, start, seq, f, m, fresh, movedOn)
+			if f, m := guard.Accept(2, MessageID{start, seq}, known); f != fresh || m != startAdvanced {
+				t.Errorf("window %d, message %d/%d: got fresh %v, startAdvanced %v, want %v, %v", window, start, seq, f, m, fresh, startAdvanced)
 			}
 		}
 		accept(50, 1, 0, true, false)
@@ -21,16 +21,16 @@
 		accept(50, 3, 100, true, false)
 		accept(50, 2, 100, late, false)  // overtaken
 		accept(50, 2, 100, false, false) // and a duplicate
-		accept(40, 9, 100, false, false) // of an earlier start
+		accept(40, 9, 100, false, false) // from before a restart
 		accept(50, 9, 100, true, false)
 		accept(50, 6, 100, late, false)
-		accept(50, 5, 100, false, false) // overtaken by too many
+		accept(50, 5, 100, false, false) // overtaken by too many messages
 		accept(51, 1, 100, true, false)  // a restart
 		accept(50, 10, 100, false, false)
 		if guard.KnownStart(2) != 51 || guard.KnownStart(3) != 0 {
 			t.Errorf("got known starts %d, %d, want 51, 0", guard.KnownStart(2), guard.KnownStart(3))
 		}
-		// The sender knows a later start of this gateway: its clock was set back. It goes on after that start, once.
+		// The sender knows a later start of this gateway, whose clock was set back: the guard changes to a start after that one, once.
 		accept(51, 2, 900, true, true)
 		if n := guard.NextID(); n.Start != 901 || n.Sequence != 1 {
 			t.Errorf("got ID %+v, want 901/1", n)
@@ -43,7 +43,7 @@
 	}
 }
 
-// In whatever order messages arrive, none counts twice, and none that at most 63 others have overtaken is missed.
+// Messages may arrive in any order: none is accepted twice, and none that at most 63 others have overtaken is rejected.
 func TestReplayGuardRandomOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
@@ -58,17 +58,17 @@
 				due[again] = append(due[again], uint64(i+1))
 			}
 		}
-		counted := map[uint64]int{}
+		accepted := map[uint64]int{}
 		for _, now := range due {
 			for _, seq := range now {
 				if fresh, _ := guard.Accept("a", MessageID{1, seq}, 0); fresh {
-					counted[seq]++
+					accepted[seq]++
 				}
 			}
 		}
 		for i := range uint64(n) {
-			if counted[i+1] != 1 {
-				t.Fatalf("message %d counted %d times", i+1, counted[i+1])
+			if accepted[i+1] != 1 {
+				t.Fatalf("message %d was accepted %d times, want 1", i+1, accepted[i+1])
 			}
 		}
 	}
--- a/internal/protocol/vrrp/announce.go
+++ b/internal/protocol/vrrp/announce.go
@@ -8,26 +8,28 @@
 	"marblespan/internal/protocol/sealed"
 )
 
-// Announcement tells the receiver that directs connections to floating addresses (a switch, or a helper that may change
-// addresses) where they go from now on. It takes the place of a gratuitous ARP or a neighbor advertisement.
+// Announcement is sent to a receiver that directs connections to floating addresses (a switch, or a helper that is permitted to
+// change addresses). It gives the address to which the receiver must direct them from now on, and so replaces a gratuitous ARP
+// or a neighbor advertisement.
 type Announcement struct {
 	VRID      uint8
 	Key       uint8
 	Sender    uint8
 	Start     uint64 // as in Trailer
 	Sequence  uint64
-	Listen    netip.AddrPort // where connections are served
+	Listen    netip.AddrPort // address on which the sender serves connections
 	Addresses []netip.Addr
 }
 
-// announcementMagic begins an announcement; its last byte is the version.
+// announcementMagic begins every announcement; its last byte is the version of the format.
 var announcementMagic = []byte("MSA\x01")
 
-// announcementHeaderSize is the size in bytes of all before the addresses: magic, VRID, key, sender, count, start, sequence, listen address and port.
+// announcementHeaderSize is the size in bytes of the fields before the addresses: magic, VRID, key, sender, count, start, sequence,
+// listen address and port.
 const announcementHeaderSize = 4 + 4 + 8 + 8 + 16 + 2
 
-// AppendAnnouncement appends an announcement and its MAC to b. IPv4 addresses are encoded in their IPv6-mapped form. The error
-// is ErrAddresses.
+// AppendAnnouncement appends an announcement and its MAC to b. IPv4 addresses are encoded as IPv4-mapped IPv6 addresses. It returns
+// ErrAddresses if the number of addresses or the listen address is invalid.
 func AppendAnnouncement(b []byte, a Announcement, key Key) ([]byte, error) {
 	count := len(a.Addresses)
 	if count == 0 || count > MaxAddresses || !a.Listen.IsValid() {
@@ -51,7 +53,7 @@
 	return append(b, x[:]...)
 }
 
-// ParseAnnouncement reads an announcement and verifies its MAC. With a fault, the returned Announcement is empty.
+// ParseAnnouncement parses an announcement and verifies its MAC. If there is a fault, the returned Announcement is empty.
 func ParseAnnouncement(b []byte, keys []Key) (Announcement, sealed.Fault) {
 	var announcement Announcement
 	if len(b) < announcementHeaderSize+16+macSize {
--- a/internal/protocol/vrrp/message.go
+++ b/internal/protocol/vrrp/message.go
@@ -1,8 +1,9 @@
 // Package vrrp is the codec of VRRP version 3 advertisements (RFC 9568, 5.2) as gateways send them to each other: over unicast
-// UDP, each followed by a trailer with its sender and sequence and by a MAC over the whole. Append writes a message, Parse
-// reads and verifies it; internal/floatingip calls both. It works on bytes only and holds no state.
+// UDP, each followed by a trailer with its sender and sequence number and by a MAC over the whole. Append encodes a message,
+// Parse decodes and verifies it; internal/floatingip calls both. The package works on bytes only and holds no state.
 //
-// RFC 9568 trusts a hop limit of 255 to keep strangers out, which UDP sockets cannot check. The MAC takes its place.
+// RFC 9568 relies on a hop limit of 255 to reject messages from other networks. UDP sockets cannot check the hop limit, so the
+// MAC takes its place.
 package vrrp
 
 import (
@@ -13,30 +14,30 @@
 	"marblespan/internal/protocol/sealed"
 )
 
-// The sizes of the message's parts in bytes.
+// The sizes in bytes of the parts of a message, and the limits on its addresses and its size.
 const (
 	headerSize  = 8
 	trailerSize = sealed.TrailerSize
 	macSize     = sealed.MACSize
-	// MostAddresses is the largest number of addresses of a group here; the RFC's field allows 255.
+	// MaxAddresses is the maximum number of addresses of a group here; the field in RFC 9568 allows 255.
 	MaxAddresses = 16
-	// MostSize is the size of the largest message.
+	// MaxSize is the size in bytes of the largest message.
 	MaxSize = headerSize + 16*MaxAddresses + trailerSize + macSize
 )
 
-// The values of RFC 9568, 5.2.1 and 5.2.2.
+// The protocol version and the message type of RFC 9568, 5.2.1 and 5.2.2.
 const (
 	version           = 3
 	typeAdvertisement = 1
 )
 
-// macPurpose separates these MACs from those that other protocols make with the same key.
+// macPurpose distinguishes these MACs from those that other protocols compute with the same key.
 const macPurpose = "marblespan vrrp 1\x00"
 
 // Key is a secret shared by all gateways of a group.
 type Key = sealed.Key
 
-// centisecond is the unit of the interval's field, in microseconds; the field has 12 bits.
+// centisecond is the unit of the interval field, in microseconds. maxInterval is the largest value of the field, which has 12 bits.
 const (
 	centisecond = 10_000
 	maxInterval = 1<<12 - 1
@@ -51,17 +52,17 @@
 	Trailer
 }
 
-// Trailer follows the message of the RFC.
+// Trailer follows the message that RFC 9568 defines.
 type Trailer = sealed.Trailer
 
 // ErrAddresses is returned by Append and AppendAnnouncement for an address list that cannot be encoded.
-var ErrAddresses = errors.New("between 1 and 16 addresses of one family")
+var ErrAddresses = errors.New("the address list must have 1 to 16 addresses of one family")
 
-// ErrInterval is returned by Append for an interval that does not fit its field of 12 bits.
-var ErrInterval = errors.New("an interval from 10 ms to 40.95 s")
+// ErrInterval is returned by Append for an interval that the field of 12 bits cannot represent.
+var ErrInterval = errors.New("the interval must be from 10 ms to 40.95 s")
 
-// Append appends a message and its MAC to b. from and to are the UDP addresses, part of the checksum for IPv6 groups. The
-// error is ErrAddresses or ErrInterval.
+// Append appends a message and its MAC to b. from and to are the UDP addresses of sender and receiver, which the checksum covers
+// for IPv6 groups. The error is ErrAddresses or ErrInterval.
 func Append(b []byte, m Message, from, to netip.Addr, key Key) ([]byte, error) {
 	count := len(m.Addresses)
 	if count == 0 || count > MaxAddresses {
@@ -85,8 +86,8 @@
 	return sealed.Append(b, start, m.Trailer, macPurpose, key), nil
 }
 
-// Parse reads a message of an IPv4 or IPv6 group and verifies all that does not depend on the settings, the MAC included. With
-// a fault, the returned Message is empty.
+// Parse parses a message of an IPv4 or IPv6 group and verifies everything that does not depend on the settings, including the MAC.
+// If there is a fault, the returned Message is empty.
 func Parse(b []byte, ipv4 bool, from, to netip.Addr, keys []Key) (Message, sealed.Fault) {
 	var message Message
 	addressSize := 16
@@ -112,7 +113,8 @@
 	return message, sealed.NoFault
 }
 
-// checkHeader verifies the lengths and the fields of the header. body is the size of the RFC's message, in front of the trailer.
+// checkHeader verifies the length of the message and the fields of the header. body is the size of the part that RFC 9568 defines,
+// without the trailer.
 func checkHeader(b []byte, addressSize int) (body int, fault sealed.Fault) {
 	if len(b) < headerSize+addressSize+trailerSize+macSize || len(b) > MaxSize {
 		return 0, sealed.BadLength
@@ -133,7 +135,7 @@
 	}
 	interval := binary.BigEndian.Uint16(b[4:])
 	if interval>>12 != 0 {
-		return 0, sealed.BadReserved // the RFC has receivers ignore them; here no sender sets them
+		return 0, sealed.BadReserved // by RFC 9568 receivers ignore these bits; here no sender sets them
 	}
 	if interval == 0 {
 		return 0, sealed.BadInterval
@@ -141,8 +143,8 @@
 	return body, sealed.NoFault
 }
 
-// VRID returns the virtual router identifier of a message before anything is verified: the group's address family decides how
-// to parse the rest. It returns false for a message that is too short.
+// VRID returns the virtual router identifier of a message that is not verified yet. It identifies the group, whose address family
+// Parse needs. VRID returns false if the message is too short.
 func VRID(b []byte) (uint8, bool) {
 	if len(b) < headerSize {
 		return 0, false
@@ -150,8 +152,8 @@
 	return b[1], true
 }
 
-// checksum is the internet checksum of RFC 9568, 5.2.8: over the message alone for IPv4, with a pseudo-header before it for
-// IPv6. Over a message that contains its checksum it is 0.
+// checksum computes the internet checksum of RFC 9568, 5.2.8: over the message alone for IPv4, with a pseudo-header before it for
+// IPv6. The result is 0 for a message that contains its correct checksum.
 func checksum(b []byte, ipv4 bool, from, to netip.Addr) uint16 {
 	var sum uint32
 	add := func(b []byte) {
@@ -172,5 +174,5 @@
 	return ^uint16(sum)
 }
 
-// protocolNumber is VRRP's among the IP protocols.
+// protocolNumber is the IP protocol number of VRRP.
 const protocolNumber = 112
--- a/internal/protocol/vrrp/message_test.go
+++ b/internal/protocol/vrrp/message_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func written(t *testing.T, m Message) []byte {
+func encode(t *testing.T, m Message) []byte {
 	t.Helper()
 	b, err := Append(nil, m, from4, to4, key1)
 	if err != nil {
@@ -34,10 +34,10 @@
 	return b
 }
 
-// The head, byte by byte as RFC 9568 draws it, with a checksum added up by hand:
+// The header has the layout of RFC 9568, byte by byte. The expected checksum was computed by hand:
 // 3133+c801+000a+c000+020a = 1bb48 -> bb49, complement 44b6.
 func TestLayout(t *testing.T) {
-	b := written(t, sample())
+	b := encode(t, sample())
 	if got := hex.EncodeToString(b[:12]); got != "3133c801000a44b6c000020a" {
 		t.Errorf("head %s", got)
 	}
@@ -48,7 +48,7 @@
 	h.Write([]byte("marblespan vrrp 1\x00"))
 	h.Write(b[:len(b)-32])
 	if !bytes.Equal(h.Sum(nil), b[len(b)-32:]) {
-		t.Error("the signature covers something else than all before it")
+		t.Error("the MAC does not cover exactly the bytes before it")
 	}
 }
 
@@ -57,20 +57,20 @@
 	six.Addresses = []netip.Addr{netip.MustParseAddr("2001:db8::1"), netip.MustParseAddr("2001:db8::2")}
 	six.Priority, six.Interval = 0, 40_950_000
 	for _, m := range []Message{sample(), six} {
-		b := written(t, m)
+		b := encode(t, m)
 		got, fault := Parse(b, m.Addresses[0].Is4(), from4, to4, []Key{key2, key1})
 		if fault != sealed.NoFault || got.VRID != m.VRID || got.Priority != m.Priority || got.Interval != m.Interval ||
 			!slices.Equal(got.Addresses, m.Addresses) || got.Trailer != m.Trailer {
 			t.Errorf("%v %+v", fault, got)
 		}
 	}
-	// An IPv6 group's checksum covers the addresses that it travelled between.
-	if _, fault := Parse(written(t, six), false, to4, netip.MustParseAddr("127.0.0.9"), []Key{key1}); fault != sealed.BadChecksum {
+	// The checksum of an IPv6 group's message covers the UDP addresses of sender and receiver.
+	if _, fault := Parse(encode(t, six), false, to4, netip.MustParseAddr("127.0.0.9"), []Key{key1}); fault != sealed.BadChecksum {
 		t.Errorf("%v", fault)
 	}
 }
 
-// change alters a message and computes its checksum and MAC again, so that only the change itself can be the fault.
+// change alters a message and then recomputes its checksum and MAC, so that only the change itself can cause a fault.
 func change(b []byte, do func([]byte) []byte) []byte {
 	b = do(bytes.Clone(b))
 	if len(b) < 12+trailerSize+macSize {
@@ -85,7 +85,7 @@
 }
 
 func TestParseFaults(t *testing.T) {
-	good := written(t, sample())
+	good := encode(t, sample())
 	set := func(i int, v byte) func([]byte) []byte { return func(b []byte) []byte { b[i] = v; return b } }
 	for _, c := range []struct {
 		name string
@@ -93,7 +93,7 @@
 		want sealed.Fault
 	}{
 		{"nothing", nil, sealed.BadLength},
-		{"a head only", good[:8], sealed.BadLength},
+		{"a header only", good[:8], sealed.BadLength},
 		{"one byte short", good[:len(good)-1], sealed.BadLength},
 		{"one byte more", append(bytes.Clone(good), 0), sealed.BadLength},
 		{"far too long", make([]byte, 9000), sealed.BadLength},
@@ -117,7 +117,7 @@
 			}
 		})
 	}
-	// A flip of any single bit is a fault.
+	// Flipping any single bit causes a fault.
 	for i := range len(good) * 8 {
 		b := bytes.Clone(good)
 		b[i/8] ^= 1 << (i % 8)
@@ -159,7 +159,7 @@
 	f.Fuzz(func(t *testing.T, b []byte, four bool) {
 		VRID(b)
 		signed := b
-		if len(b) >= headerSize+4+trailerSize+macSize { // sign what the fuzzer made, or nothing gets past the signature
+		if len(b) >= headerSize+4+trailerSize+macSize { // otherwise no fuzzed message would get past the MAC
 			signed = change(b, func(b []byte) []byte { return b })
 		}
 		for _, x := range [][]byte{b, signed} {
@@ -201,6 +201,6 @@
 		}
 	}
 	if _, err := AppendAnnouncement(nil, Announcement{Addresses: a.Addresses}, key1); err == nil {
-		t.Error("an announcement without a listen address is encoded")
+		t.Error("an announcement without a listen address was encoded")
 	}
 }
