--- a/internal/modelcheck/breadth_first.go
+++ b/internal/modelcheck/breadth_first.go
@@ -1,10 +1,10 @@
 // Package modelcheck is an explicit-state model checker for tests. BreadthFirst explores every reachable state of a Model and
-// returns the shortest trace that violates an invariant; RandomWalk follows one random trace, deeper than an exhaustive search
+// returns the shortest trace that violates the invariant; RandomWalk follows one random trace, deeper than an exhaustive search
 // reaches. World is a ready-made Model of several nodes with messages, time and faults.
 //
-// The tests of pure state machines (vrrp, membership, maintenance, indoubt) call it. It starts no goroutines: the caller's
-// goroutine owns all state. The main decisions are in BreadthFirst (search order and limits), World.Transitions (what can
-// happen in a state) and World.Key (which states count as equal).
+// The tests of pure state machines (vrrp, membership, maintenance, indoubt) call it. It starts no goroutines, so the caller's
+// goroutine owns all state. The main decisions are in BreadthFirst (search order and limits), World.Transitions (the possible
+// steps in a state) and World.Key (which states count as equal).
 package modelcheck
 
 import (
@@ -13,17 +13,17 @@
 	"strings"
 )
 
-// Transition is one step that is possible in a state, and the state after it.
+// Transition is one step that is possible in a state, together with the resulting state.
 type Transition[S any] struct {
 	Name string
 	Next S
 }
 
-// Model defines the states and transitions to explore. A state must not be modified once it was returned.
+// Model defines the states and transitions to explore. A state must not be modified after it was returned.
 type Model[S any] interface {
 	// InitialState returns the state in which every trace begins.
 	InitialState() S
-	// Key identifies a state: two states with equal keys must allow the same futures.
+	// Key identifies a state. From two states with equal keys, the same sequences of transitions must be possible.
 	Key(S) string
 	// Transitions lists every step that is possible in a state. The order must be deterministic, since traces are
 	// reconstructed by index.
@@ -34,7 +34,7 @@
 	Describe(S) string
 }
 
-// Limits bound an exploration. A zero value means no bound.
+// Limits bounds an exploration. A zero field means no bound.
 type Limits struct {
 	MaxStates int // distinct states
 	MaxDepth  int // transitions from the initial state
@@ -45,11 +45,11 @@
 	States         int    // distinct states found
 	Transitions    int    // transitions examined, including those to known states
 	Depth          int    // number of transitions to the farthest state found
-	Complete       bool   // no limit cut the exploration short; a violation leaves it set
+	Complete       bool   // no limit ended the exploration early; it stays set if a violation did
 	Counterexample *Trace // nil if no invariant was violated
 }
 
-// Trace is a run that ends in a state which violates an invariant.
+// Trace is a sequence of transitions that ends in a state which violates an invariant.
 type Trace struct {
 	Err   error
 	Steps []Step
@@ -64,7 +64,7 @@
 	for i, s := range t.Steps {
 		fmt.Fprintf(&b, "%3d  %-28s %s\n", i, s.Transition, s.State)
 	}
-	fmt.Fprintf(&b, "     broken: %v\n", t.Err)
+	fmt.Fprintf(&b, "     violated: %v\n", t.Err)
 	return b.String()
 }
 
@@ -77,11 +77,11 @@
 // frontierState is a state whose transitions are still to be explored.
 type frontierState[S any] struct {
 	state S
-	index int // of its predecessor entry
+	index int // index of its entry in search.predecessors
 }
 
-// search is the progress of one breadth-first exploration. Only the frontier's states are kept in memory; of all others just
-// the key and the predecessor.
+// search is the progress of one breadth-first exploration. Complete states are kept in memory only for the frontier; of every
+// other state only the key and the predecessor are kept.
 type search[S any] struct {
 	model        Model[S]
 	limits       Limits
@@ -90,7 +90,7 @@
 	result       Result
 }
 
-// BreadthFirst explores a model until every reachable state is found, an invariant is violated, or a limit is reached.
+// BreadthFirst explores a model until every reachable state is found, the invariant is violated, or a limit is reached.
 func BreadthFirst[S any](model Model[S], limits Limits) Result {
 	initial := model.InitialState()
 	search := &search[S]{
@@ -121,7 +121,8 @@
 	return search.result
 }
 
-// expand explores one layer and returns the new states behind it. It is done early at a violation or at the limit on states.
+// expand explores the transitions of one layer and returns the new states that they lead to. done is true if the search must end
+// because of a violation or because Limits.MaxStates is reached.
 func (c *search[S]) expand(frontier []frontierState[S]) (next []frontierState[S], done bool) {
 	for _, from := range frontier {
 		for i, transition := range c.model.Transitions(from.state) {
@@ -149,7 +150,7 @@
 	return next, false
 }
 
-// trace reconstructs the path to a state by repeating its transitions from the initial state, since earlier states are not kept.
+// trace reconstructs the path to a state by repeating the transitions from the initial state, because earlier states are not kept.
 func (c *search[S]) trace(last int, err error) *Trace {
 	var path []int
 	for i := last; i > 0; i = c.predecessors[i].state {
--- a/internal/modelcheck/modelcheck_test.go
+++ b/internal/modelcheck/modelcheck_test.go
@@ -53,7 +53,8 @@
 	}
 }
 
-// tokenNode is a node of a world: the one with the token passes it on after 10; one without it for 100 creates a new token.
+// tokenNode is a node of a World: it passes the token on 10 after it received it, and creates a new token if it has had none for
+// 100.
 type tokenNode struct {
 	id       int
 	hasToken bool
@@ -82,8 +83,8 @@
 func (n tokenNode) Key(now int64) string      { return fmt.Sprint(n.hasToken, n.due-now) }
 func (n tokenNode) Describe(now int64) string { return fmt.Sprint(n.hasToken) }
 
-// Each kind of fault has its effect: without faults there is one token forever; each fault that can duplicate the token, or lose it
-// for long, is found to do so.
+// Each kind of fault in the table has an effect. Without faults there is never more than one token. Each of these faults can
+// duplicate the token, or lose or delay it for so long that a node creates a second one, and the search must find this.
 func TestWorldTransitions(t *testing.T) {
 	tokens := func(s *State) (n int) {
 		for i := range s.Nodes {
@@ -127,13 +128,13 @@
 				t.Errorf("%+v", result)
 			}
 			if !test.duplicate && result.States < 4 {
-				t.Errorf("%d states only", result.States)
+				t.Errorf("only %d states", result.States)
 			}
 		})
 	}
 }
 
-// A message that was overtaken by a later one of its sender is dropped if receivers know the order.
+// A message that was overtaken by a later one on the same link is dropped if receivers know the order (World.InOrder).
 func TestOrder(t *testing.T) {
 	s := &State{network: []inFlightMessage{{from: 0, to: 1, text: "a"}, {from: 1, to: 0, text: "x"}, {from: 0, to: 1, text: "b"}}}
 	for _, order := range []bool{false, true} {
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -8,14 +8,14 @@
 	"strings"
 )
 
-// Message is what one node sends to another. Its text is its complete content.
+// Message is a message that a node sends to the node To. Text is its complete content.
 type Message struct {
 	To   int
 	Text string
 }
 
-// Node is the state machine of one node of a World, as an immutable value: each call returns the node after it and the messages
-// that it sends. Times are in whole units of the model's clock.
+// Node is the state machine of one node of a World. It is an immutable value: each call returns the resulting node and the
+// messages that it sends. Times are in whole units of the model's clock.
 type Node interface {
 	// Boot starts the node without any earlier state.
 	Boot(now int64) (Node, []Message)
@@ -31,7 +31,7 @@
 	Describe(now int64) string
 }
 
-// Faults is how often each kind of fault may still happen in a run.
+// Faults holds, for each kind of fault, how often it may still happen in a run.
 type Faults struct {
 	Lose, Duplicate, Delay, Crash, Pause, EnvironmentChange, Partition int
 }
@@ -39,9 +39,10 @@
 // World is a Model of several nodes, the messages between them, time, and faults.
 type World struct {
 	Nodes []Node
-	// MaxDelay bounds the time that a message travels without a fault. Within it messages arrive in every order.
+	// MaxDelay bounds the time from sending a message to its arrival, unless there is a fault. Until then, messages may
+	// arrive in any order.
 	MaxDelay int64
-	// ExtraDelay is added to MaxDelay for a message that a Delay fault holds back.
+	// ExtraDelay is added to MaxDelay for a message that is delayed by a Delay fault.
 	ExtraDelay int64
 	// InOrder means that receivers know the order of a sender's messages and drop a message that was overtaken.
 	InOrder bool
@@ -52,28 +53,29 @@
 	// RestartDelay is how long a crashed node stays down; 0 means that it never restarts.
 	RestartDelay int64
 	Faults       Faults
-	// Horizon is the time at which runs end; 0 means never, and then the state space must be finite by itself.
+	// Horizon is the time at which runs end; 0 means that they never end, and then the state space must be finite for other
+	// reasons.
 	Horizon int64
-	// EnvironmentChanges lists the changes from outside that are possible at a node. Each costs one EnvironmentChange fault.
+	// EnvironmentChanges lists the external changes that are possible at a node. Each uses up one EnvironmentChange fault.
 	EnvironmentChanges func(node int, n Node, now int64) []EnvironmentChange
-	// FaultFreeWindow is how far back invariants look for the last fault. Up to this bound the time since then is part of
-	// the key.
+	// FaultFreeWindow is how far back invariants look for the last fault. The time since the last fault is part of the key,
+	// capped just above this bound.
 	FaultFreeWindow int64
 	// Invariant is checked in every state.
 	Invariant func(*State) error
-	// History computes what an invariant needs to remember of the past (a history variable in TLA+). before is nil for the
-	// initial state. It is part of the key. History may be nil.
+	// History computes what the invariant needs to know about earlier states (a history variable in TLA+). before is nil for
+	// the initial state. The result is part of the key. The function may be nil.
 	History func(before, after *State) History
 }
 
-// EnvironmentChange is a change of a node from outside, such as a condition that begins or ends.
+// EnvironmentChange is an external change of a node, such as a condition that begins or ends.
 type EnvironmentChange struct {
 	Name string
 	Next Node
 	Sent []Message
 }
 
-// History is what an invariant remembers of the past. Its key must give times relative to now.
+// History holds what an invariant needs to know about earlier states. Its key must give times relative to now.
 type History interface{ Key(now int64) string }
 
 // InitialState boots every node at time 1.
@@ -96,7 +98,8 @@
 // CheckInvariant evaluates the world's invariant.
 func (w *World) CheckInvariant(s *State) error { return w.Invariant(s) }
 
-// Key covers the complete state, with every time relative to now. The order of messages counts within a link only.
+// Key returns a key that covers the complete state, with all times relative to now. The order of messages matters only among
+// messages with the same sender and receiver.
 func (w *World) Key(s *State) string {
 	var b strings.Builder
 	for i, n := range s.Nodes {
@@ -131,7 +134,7 @@
 		if s.DownUntil[i] != 0 {
 			description = "down"
 		} else if s.PausedUntil[i] != 0 {
-			description += " (stands still)"
+			description += " (paused)"
 		}
 		fmt.Fprintf(&b, " %d:%s", i, description)
 	}
@@ -141,7 +144,7 @@
 	return b.String()
 }
 
-// writeRelative writes a time relative to now. Values up to 0 have a meaning of their own and are written as they are.
+// writeRelative writes a time relative to now. The values 0 and -1 have special meanings (see State) and are written unchanged.
 func (s *State) writeRelative(b *strings.Builder, at int64) {
 	if at <= 0 {
 		b.WriteString(strconv.FormatInt(at, 10))
--- a/internal/modelcheck/world_state.go
+++ b/internal/modelcheck/world_state.go
@@ -16,13 +16,13 @@
 	network []inFlightMessage // in the order in which they were sent
 }
 
-// inFlightMessage is a message that was sent and has not yet arrived.
+// inFlightMessage is a message that was sent and has not been delivered yet.
 type inFlightMessage struct {
 	from, to int
 	text     string
 	sent     int64
-	deadline int64 // time does not pass this before the message has arrived, unless the receiver does not run
-	unread   bool  // it reached the socket of a node that was paused
+	deadline int64 // the clock does not pass this time before the message is delivered, unless the receiver is down or paused
+	unread   bool  // it reached the receiver's socket while the receiver was paused
 }
 
 // Running reports whether a node is neither down nor paused.
@@ -35,7 +35,8 @@
 	})
 }
 
-// Unread reports whether a matching message between two nodes reached its receiver during a pause and was not yet read.
+// Unread reports whether a message between two nodes, for which match returns true, reached its receiver during a pause and has
+// not been read yet.
 func (s *State) Unread(from, to int, match func(text string) bool) bool {
 	return slices.ContainsFunc(s.network, func(m inFlightMessage) bool {
 		return m.from == from && m.to == to && m.unread && match(m.text)
@@ -43,7 +44,7 @@
 }
 
 // FaultFree reports whether no fault is in effect: no node is paused, partitioned or about to restart, and no message is
-// delayed beyond maxDelay. A node that is down for good does not count.
+// delayed beyond maxDelay. A node that never restarts does not count as a fault.
 func (s *State) FaultFree(maxDelay int64) bool {
 	for i := range s.Nodes {
 		if s.DownUntil[i] > 0 || s.PausedUntil[i] > 0 || s.PartitionedUntil[i] > 0 {
@@ -55,7 +56,8 @@
 	})
 }
 
-// removeDelivered removes a message that arrives and, if inOrder is set, the earlier messages on its link that it overtook.
+// removeDelivered removes a message that is delivered. If inOrder is set, it also removes the earlier messages from the same sender
+// to the same receiver, which this message overtook.
 func (s *State) removeDelivered(i int, inOrder bool) {
 	delivered := s.network[i]
 	s.network = slices.Delete(s.network, i, i+1)
--- a/internal/modelcheck/world_transitions.go
+++ b/internal/modelcheck/world_transitions.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// Transitions lists all that can happen: a message arrives, is lost, duplicated or delayed; a node's timer fires; a node crashes,
-// pauses, is partitioned or changed from outside; or, if nothing has to happen first, time passes until the next event.
+// Transitions lists all possible steps: a message arrives, is lost, duplicated or delayed; a node's timer fires; a node crashes,
+// pauses, is partitioned or undergoes an external change; or, if no timer or message is due, time passes until the next event.
 func (w *World) Transitions(s *State) []Transition[*State] {
 	var transitions []Transition[*State]
 	add := func(name string, fault bool, apply func(*State)) {
@@ -31,13 +31,13 @@
 	return transitions
 }
 
-// addTransition adds a transition by what it does to a copy of the state. A fault also updates LastFaultAt.
+// addTransition adds a transition to the state that apply makes of a copy of the current one. A fault also updates LastFaultAt.
 type addTransition func(name string, fault bool, apply func(next *State))
 
 func (w *World) addMessageTransitions(s *State, add addTransition) {
 	for i, m := range s.network {
 		if slices.Contains(s.network[:i], m) {
-			continue // an equal message has the same transitions
+			continue // an equal message earlier in the list has the same transitions
 		}
 		label := fmt.Sprintf("%d>%d %s", m.from, m.to, m.text)
 		if s.Running(m.to) {
@@ -54,13 +54,13 @@
 			})
 		}
 		if s.FaultsLeft.Duplicate > 0 {
-			add("doubled "+label, true, func(next *State) {
+			add("duplicated "+label, true, func(next *State) {
 				next.FaultsLeft.Duplicate--
 				next.network = slices.Insert(next.network, i, m)
 			})
 		}
 		if s.FaultsLeft.Delay > 0 && m.deadline-m.sent == w.MaxDelay && !m.unread {
-			add("held up "+label, true, func(next *State) {
+			add("delayed "+label, true, func(next *State) {
 				next.FaultsLeft.Delay--
 				next.network[i].deadline += w.ExtraDelay
 			})
@@ -110,26 +110,26 @@
 		}
 	}
 	if s.FaultsLeft.Partition > 0 && s.PartitionedUntil[i] == 0 {
-		add("parting of "+strconv.Itoa(i), true, func(next *State) {
+		add("partition of "+strconv.Itoa(i), true, func(next *State) {
 			next.FaultsLeft.Partition--
 			next.PartitionedUntil[i] = next.Now + w.PartitionDuration
 		})
 	}
 }
 
-// update stores a node's new state and sends its messages.
+// update stores a node's new state and sends its messages, except those that cannot be delivered.
 func (w *World) update(s *State, i int, node Node, sent []Message) {
 	s.Nodes[i] = node
 	for _, m := range sent {
 		if s.DownUntil[m.To] != 0 || s.PartitionedUntil[i] != 0 || s.PartitionedUntil[m.To] != 0 {
-			continue // the receiver is down or cannot be reached
+			continue // the receiver is down or is separated by a partition
 		}
 		s.network = append(s.network, inFlightMessage{from: i, to: m.To, text: m.Text, sent: s.Now, deadline: s.Now + w.MaxDelay})
 	}
 }
 
 // nextEvent returns the time to which the clock may advance: the next timer, message deadline, or end of a pause, partition or
-// downtime. The clock may not advance while a timer, or a message to a running node, is due.
+// downtime. It returns false while the clock must not advance because a timer, or a message to a running node, is due.
 func (w *World) nextEvent(state *State) (int64, bool) {
 	next, found := int64(0), false
 	include := func(at int64) {
@@ -182,7 +182,7 @@
 	}
 }
 
-// markUnread marks the messages that reached a node's socket during its pause: they can be read from now on.
+// markUnread marks the messages that reached a node's socket during its pause. The node must read them now that the pause is over.
 func (s *State) markUnread(i int, now int64) {
 	for k := range s.network {
 		if m := &s.network[k]; m.to == i && m.deadline < now {
