--- a/internal/golden/datagrams_test.go
+++ b/internal/golden/datagrams_test.go
@@ -20,7 +20,7 @@
 	goldenTrailer = sealed.Trailer{Key: 1, Sender: 3, Receiver: 4, Start: 1_790_000_000_000_000, Sequence: 6, ReceiverStart: 1_790_000_000_000_007}
 )
 
-// memberMessage is a message of membership with every field set and a record in every state.
+// memberMessage returns a message of membership in which every field is set and every state has a record.
 func memberMessage(kind membership.Kind) membership.Message {
 	return membership.Message{
 		Kind: kind, From: "gw-1", Generation: 1_790_000_000_000_001, Incarnation: 3, To: "gw-2", ToGeneration: 1_790_000_000_000_002, Number: 77,
@@ -109,7 +109,7 @@
 	})
 }
 
-// Notices carry no signature.
+// The golden file of a batch of advisories is notices/batch. Advisories carry no signature.
 func TestNotices(t *testing.T) {
 	want := advisories.Batch{Incarnation: 7, Sequence: 9, Advisories: []advisories.Advisory{
 		{UID: "s-1", Start: 1_790_000_000_123, Healthy: true, Age: 40, Role: advisories.RolePrimary, RoleAge: 90, Position: 1_790_000_001_000,
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -1,10 +1,10 @@
-// Package golden holds the tests that keep the bytes of what gateways store and of what they send each other. The golden files in
-// testdata were written by an earlier version: this one has to read them, and to write the same bytes for the same content, so that
-// versions can be mixed and a disk outlives an upgrade. A test that fails here tells of a change of format. Names in the code may
-// change freely, and then nothing here fails.
+// Package golden holds the tests that keep the encodings of the data that gateways store and send to each other. The golden files
+// in testdata were written by an earlier version. This version must read them, and must write the same bytes for the same content,
+// so that gateways of different versions can run together and a disk stays usable after an upgrade. A test that fails here means
+// that a format has changed. Renaming identifiers in the code makes no test fail.
 //
-// A new kind of message, or a new field, gets a golden file of its own with "go test ./internal/golden -update". Files that are
-// there already must come out of it unchanged, but for those of messages that the field was added to.
+// For a new kind of message, or a new field, run "go test ./internal/golden -update", which writes the golden files. Existing files
+// must not change, except those of the messages to which the field was added.
 package golden
 
 import (
@@ -19,12 +19,12 @@
 	"marblespan/internal/protocol/sealed"
 )
 
-var update = flag.Bool("update", false, "write the golden files from what this version encodes")
+var update = flag.Bool("update", false, "write the golden files with the encodings of this version")
 
 // key signs all golden messages.
 var key = sealed.Key{Number: 1, Secret: []byte("a secret of sixteen or more")}
 
-// golden compares what this version encodes with a golden file, testdata/NAME.hex, and returns the file's bytes.
+// golden compares an encoding of this version with a golden file, testdata/NAME.hex, and returns the bytes in that file.
 func golden(t *testing.T, name string, encoded []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", filepath.FromSlash(name)+".hex")
@@ -50,7 +50,7 @@
 	return want
 }
 
-// rejectsFlips checks that a signed message is not accepted once any single byte of it has changed.
+// rejectsFlips checks that a signed message is rejected if any single byte of it has changed.
 func rejectsFlips(t *testing.T, message []byte, accepted func([]byte) bool) {
 	t.Helper()
 	if !accepted(message) {
--- a/internal/golden/store_test.go
+++ b/internal/golden/store_test.go
@@ -18,10 +18,10 @@
 	"marblespan/internal/raftstore"
 )
 
-// storeFile is the golden store, compressed.
+// storeFile is the path of the golden store, a compressed database file.
 var storeFile = filepath.Join("testdata", "store.db.gz")
 
-// largeShard is a shard whose snapshot takes two pieces in the file.
+// largeShardState returns the state of a shard that is so large that its snapshot is stored in two pieces.
 func largeShardState() *api.Shard {
 	s := shard()
 	for i := range 20 {
@@ -30,25 +30,26 @@
 	return s
 }
 
-// hardState is what a replica must not forget.
+// hardState returns a Raft hard state with the given commit index.
 func hardState(commit uint64) *pb.HardState {
 	return &pb.HardState{Term: new(uint64(4)), Vote: new(uint64(1)), Commit: new(commit)}
 }
 
-// storeWrites are what the golden store was written with: the ledger, two shards and a replica that waits to be taken in. The second
-// write replaces entries, drops a replica and notes one that must not go on. Of the ledger's log only the entry without commands is
-// committed, so that a gateway that starts from it has the ledger as it is in the snapshot.
+// storeWrites returns the writes that produced the golden store: replicas of the ledger and of two shards, and a replica that has
+// not been added to its group yet. The second write replaces entries, and deletes a replica and records that it must not run again.
+// In the ledger's log only the entry without commands is committed, so that a gateway that starts from this store has the ledger
+// of the snapshot.
 func storeWrites() []raftstore.Write {
 	all := commands()
 	return []raftstore.Write{
-		{Number: 1, Store: 71, Incarnation: begun, Ledger: encode(ledger()), Retired: []raftstore.MemberRef{{Group: 1, Epoch: 1, Member: 3}}, Members: []raftstore.MemberWrite{
+		{Number: 1, Store: 71, Incarnation: incarnation, Ledger: encode(ledger()), Retired: []raftstore.MemberRef{{Group: 1, Epoch: 1, Member: 3}}, Members: []raftstore.MemberWrite{
 			{Group: 0, Epoch: 1, Member: 1, Snapshot: raftSnapshot(40, encode(ledger()), 1, 4, 5), Entries: raftEntries(41, all[3:]), HardState: hardState(41)},
 			{Group: 1, Epoch: 1, Member: 2, Snapshot: raftSnapshot(50, encode(shard()), 2, 6, 7), Entries: raftEntries(51, all[:3]), HardState: hardState(50)},
 			{Group: 2, Epoch: 1, Member: 3, HardState: hardState(0)},
 			{Group: 2, Epoch: 2, Member: 8, Snapshot: raftSnapshot(60, encode(largeShardState()), 8, 9, 10), HardState: hardState(60)},
 			{Group: 3, Epoch: 1, Member: 12},
 		}},
-		{Number: 2, Store: 71, Incarnation: begun + 1, Retired: []raftstore.MemberRef{{Group: 2, Epoch: 1, Member: 3}}, Members: []raftstore.MemberWrite{
+		{Number: 2, Store: 71, Incarnation: incarnation + 1, Retired: []raftstore.MemberRef{{Group: 2, Epoch: 1, Member: 3}}, Members: []raftstore.MemberWrite{
 			{Group: 1, Epoch: 1, Member: 2, Entries: raftEntries(52, all[:3]), HardState: hardState(55)},
 			{Group: 2, Epoch: 1, Member: 3, Delete: true},
 		}},
@@ -70,7 +71,8 @@
 	}
 }
 
-// unpackStore makes a copy of the golden store. With -update it is written first.
+// unpackStore unpacks the golden store into a new file and returns its path. With -update it first
+// replaces the golden store.
 func unpackStore(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "golden.db")
@@ -107,13 +109,13 @@
 	return path
 }
 
-// bucketWalker is what a transaction and a bucket have in common.
+// bucketWalker is the common interface of a transaction and a bucket.
 type bucketWalker interface {
 	Cursor() *bbolt.Cursor
 	Bucket(name []byte) *bbolt.Bucket
 }
 
-// rawLines lists all buckets, keys and values of a file, in order and without the project's code.
+// rawLines lists all buckets, keys and values of a file in order. It reads the file without the project's code.
 func rawLines(t *testing.T, path string) (lines []string) {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
@@ -139,7 +141,8 @@
 	return lines
 }
 
-// What this version writes has the same buckets, keys and values, byte by byte; where they lie in the file is the library's affair.
+// This version writes the same buckets, keys and values, byte for byte. Their positions in the file may differ, because the
+// library chooses them.
 func TestStoreIsWrittenTheSame(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "new.db")
 	writeStore(t, path)
@@ -149,31 +152,31 @@
 	}
 	for i := range min(len(got), len(want)) {
 		if got[i] != want[i] {
-			t.Fatalf("written is\n%.400s\nthe golden store has\n%.400s", got[i], want[i])
+			t.Fatalf("this version wrote\n%.400s\nthe golden store has\n%.400s", got[i], want[i])
 		}
 	}
 }
 
-// sameMessage compares a message that was read with what it was written from; nil is none.
+// sameMessage compares a message that was read with the one that was written. nil stands for a missing message.
 func sameMessage(t *testing.T, what string, got, want proto.Message) {
 	t.Helper()
 	if !proto.Equal(got, want) {
-		t.Errorf("%s is read as\n%.400v\nwant\n%.400v", what, got, want)
+		t.Errorf("%s was read as\n%.400v\nwant\n%.400v", what, got, want)
 	}
 }
 
-// This version reads what the golden store holds, and a gateway starts from it.
+// This version reads the content of the golden store, and a gateway can start from it.
 func TestStoreIsRead(t *testing.T) {
 	file, stored, err := raftstorage.Open(unpackStore(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer file.Close()
-	if file.Sequence() != 2 || stored.Store != 71 || stored.Incarnation != begun+1 || !bytes.Equal(stored.Ledger, encode(ledger())) {
-		t.Errorf("write %d, disk %d, life %d, view %x", file.Sequence(), stored.Store, stored.Incarnation, stored.Ledger)
+	if file.Sequence() != 2 || stored.Store != 71 || stored.Incarnation != incarnation+1 || !bytes.Equal(stored.Ledger, encode(ledger())) {
+		t.Errorf("write %d, store %d, incarnation %d, ledger %x", file.Sequence(), stored.Store, stored.Incarnation, stored.Ledger)
 	}
 	if got, want := fmt.Sprint(stored.Retired), "[{1 1 3} {2 1 3}]"; got != want {
-		t.Errorf("retired are %s, want %s", got, want)
+		t.Errorf("retired members are %s, want %s", got, want)
 	}
 	all := commands()
 	want := []raftstore.StoredMember{
@@ -202,7 +205,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if seen := host.Overview(); seen.Store != 71 || seen.ClusterID != founding || seen.Index < 40 || len(seen.Groups) != 3 {
-		t.Errorf("a gateway starts with %+v", seen)
+	if overview := host.Overview(); overview.Store != 71 || overview.ClusterID != clusterID || overview.Index < 40 || len(overview.Groups) != 3 {
+		t.Errorf("a gateway starts with %+v", overview)
 	}
 }
--- a/internal/golden/streams_test.go
+++ b/internal/golden/streams_test.go
@@ -13,15 +13,16 @@
 	"marblespan/internal/transport"
 )
 
-// greeting is a listener's first word: the version of the streams and a number that binds the stream.
+// greeting is what a listener sends first: the version of the protocol, and 16 random bytes that the signature of every frame on the
+// stream covers.
 const greeting = "\x01sixteen numbers!"
 
-// fixedRandom stands in for the system's random bytes: a listener draws its number from it.
+// fixedRandom replaces the system's random source, so that the random bytes in a listener's greeting are always the same.
 type fixedRandom struct{}
 
 func (fixedRandom) Read(b []byte) (int, error) { return copy(b, greeting[1:]), nil }
 
-// readFrame reads a whole frame as it is on the wire.
+// readFrame reads a complete frame, including its length.
 func readFrame(t *testing.T, from io.Reader) []byte {
 	t.Helper()
 	frame := make([]byte, 4)
@@ -35,24 +36,24 @@
 	return frame
 }
 
-// next is what comes next on a channel.
+// next returns the next value from a channel.
 func next[T any](t *testing.T, from <-chan T) (value T) {
 	t.Helper()
 	select {
 	case value = <-from:
 	case <-time.After(20 * time.Second):
-		t.Fatal("nothing came within 20 s")
+		t.Fatal("nothing was received within 20 s")
 	}
 	return value
 }
 
-// peerFrame is a frame of gateway b, written out here: size, channel, body, trailer and signature.
+// peerFrame returns a frame of gateway b, composed here without package streams: size, channel, body, trailer and signature.
 func peerFrame(sequence uint64, channel byte, body string) []byte {
 	signed := sealed.Append(append([]byte{channel}, body...), 0, sealed.Trailer{Start: 7, Sequence: sequence}, "marblespan streams\x00golden\x00"+greeting, key)
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(signed))), signed...)
 }
 
-// Gateway a has a conversation with gateway b, which this test plays: every kind of frame goes each way.
+// The test plays gateway b in an exchange with gateway a. Frames of every kind are sent in both directions.
 func TestStreamFrames(t *testing.T) {
 	system := rand.Reader
 	rand.Reader = fixedRandom{}
@@ -63,7 +64,7 @@
 		t.Fatal(err)
 	}
 	defer peer.Close()
-	heard := make(chan string, 1000)
+	received := make(chan string, 1000)
 	a, err := streams.Listen("127.0.0.1:0", streams.Settings{
 		Node: "a", Deployment: "golden", Start: 5, Keys: []sealed.Key{key}, Buffers: transport.NewBuffers(16 << 20), Descriptors: transport.NewDescriptors(256),
 		AddressOf: func(string) (string, bool) { return peer.Addr().String(), true },
@@ -72,7 +73,7 @@
 		t.Fatal(err)
 	}
 	defer a.Close()
-	a.Handle(streams.StateStore, func(from string, body []byte) { heard <- from + ": " + string(body) })
+	a.Handle(streams.StateStore, func(from string, body []byte) { received <- from + ": " + string(body) })
 
 	// From a to b.
 	if err := a.Send(streams.Message{To: "b", Channel: streams.StateStore, Body: []byte("what a says")}); err != nil {
@@ -87,17 +88,17 @@
 	io.WriteString(out, greeting)
 	golden(t, "streams/sent-hello", readFrame(t, out))
 	golden(t, "streams/sent-copies", readFrame(t, out))
-	reached := make(chan error, 1)
-	go func() { _, err := a.Ping("b", deadline); reached <- err }()
+	pingResult := make(chan error, 1)
+	go func() { _, err := a.Ping("b", deadline); pingResult <- err }()
 	golden(t, "streams/sent-echo", readFrame(t, out))
 
 	// From b to a.
 	number := func(n uint64) string { return string(binary.BigEndian.AppendUint64(nil, n)) }
 	hello := golden(t, "streams/received-hello", peerFrame(1, 0, "\x01ba"))
-	said := golden(t, "streams/received-copies", peerFrame(2, 3, "what b says"))
+	stateStoreFrame := golden(t, "streams/received-copies", peerFrame(2, 3, "what b says"))
 	echoed := golden(t, "streams/received-echoed", peerFrame(3, 2, number(1)))
 	echo := golden(t, "streams/received-echo", peerFrame(4, 1, number(9)))
-	// dial opens a stream to a and writes frames of b.
+	// dial opens a stream to a and sends frames as b.
 	dial := func(frames ...[]byte) *net.TCPConn {
 		conn, err := net.Dial("tcp", a.Addr())
 		if err != nil {
@@ -113,24 +114,24 @@
 		}
 		return conn.(*net.TCPConn)
 	}
-	in := dial(hello, said, echoed, echo)
+	in := dial(hello, stateStoreFrame, echoed, echo)
 	defer in.Close()
-	if got := next(t, heard); got != "b: what b says" {
-		t.Errorf("heard %q", got)
+	if got := next(t, received); got != "b: what b says" {
+		t.Errorf("received %q", got)
 	}
-	if err := next(t, reached); err != nil {
-		t.Errorf("the echo came back as %v", err)
+	if err := next(t, pingResult); err != nil {
+		t.Errorf("the ping of b failed: %v", err)
 	}
 	golden(t, "streams/sent-echoed", readFrame(t, out))
 
-	// A frame that has changed on its way is not taken, and ends the stream.
-	rejectsFlips(t, said, func(frame []byte) bool {
+	// A frame that was changed in transit is rejected and ends the stream.
+	rejectsFlips(t, stateStoreFrame, func(frame []byte) bool {
 		conn := dial(hello, frame)
 		defer conn.Close()
 		conn.CloseWrite()
-		io.Copy(io.Discard, conn) // until a has closed it
+		io.Copy(io.Discard, conn) // returns when a has closed the stream
 		select {
-		case <-heard:
+		case <-received:
 			return true
 		default:
 			return false
