--- a/internal/archtest/docs_test.go
+++ b/internal/archtest/docs_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// Every exported item outside tests and generated code has a doc comment: its own, or for constants and variables that of its
-// group. Methods that only satisfy an interface of the standard library or of this project's events need none.
+// Every exported item outside tests and generated code has a doc comment: its own, or that of the group in which it is declared.
+// Methods of unexported types, and those that only satisfy an interface of the standard library, need none.
 func TestExportedItemsAreDocumented(t *testing.T) {
 	root := filepath.Join("..", "..")
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
@@ -45,7 +45,7 @@
 func undocumented(decl ast.Decl) (names []string) {
 	switch d := decl.(type) {
 	case *ast.FuncDecl:
-		if d.Name.IsExported() && d.Doc == nil && !ofUnexported(d) && !standard[d.Name.Name] {
+		if d.Name.IsExported() && d.Doc == nil && !hasUnexportedReceiver(d) && !standardMethods[d.Name.Name] {
 			names = append(names, d.Name.Name)
 		}
 	case *ast.GenDecl:
@@ -67,13 +67,13 @@
 	return names
 }
 
-// standard are methods that the standard library's interfaces say all about.
-var standard = map[string]bool{
+// standardMethods names methods that interfaces of the standard library document sufficiently.
+var standardMethods = map[string]bool{
 	"Error": true, "String": true, "Unwrap": true, "Len": true, "Less": true, "Swap": true, "Push": true, "Pop": true, "Write": true,
 }
 
-// ofUnexported tells whether a function is a method of a type that is not exported.
-func ofUnexported(d *ast.FuncDecl) bool {
+// hasUnexportedReceiver reports whether a function is a method of an unexported type.
+func hasUnexportedReceiver(d *ast.FuncDecl) bool {
 	if d.Recv == nil {
 		return false
 	}
--- a/internal/archtest/layers_test.go
+++ b/internal/archtest/layers_test.go
@@ -1,4 +1,5 @@
-// Package archtest holds the test that keeps the project's layers: imports point down only.
+// Package archtest holds the tests of the code's structure: packages import only packages of lower layers, and exported items have
+// doc comments.
 package archtest
 
 import (
@@ -11,8 +12,9 @@
 	"testing"
 )
 
-// above lists, for each package, the packages of this project that it may import. What is missing may import none.
-var above = map[string][]string{
+// allowedImports lists, for each package, the packages of this project that it may import. A package that is not listed here fails
+// the test.
+var allowedImports = map[string][]string{
 	"internal/policy":              {"internal/clock"},
 	"internal/clock":               {},
 	"internal/settings":            {"internal/clock", "internal/policy"},
@@ -94,8 +96,8 @@
 	"cmd/simhost":                      {"internal/simhost"},
 }
 
-// forbidden are packages that must not be used where the prefix says.
-var forbidden = map[string][]string{
+// forbiddenImports lists, for a prefix of package paths, the packages that no package with that prefix may import.
+var forbiddenImports = map[string][]string{
 	"":                     {"net/http", "github.com/jackc/pgx/v5", "database/sql"},
 	"internal/policy":      {"time", "net", "os", "io", "sync", "math/rand"},
 	"internal/protocol":    {"sync", "os", "time", "io", "bufio"},
@@ -130,18 +132,18 @@
 			return err
 		}
 		pkg := rel[:strings.LastIndex(rel, "/")]
-		allowed, listed := above[pkg]
+		allowed, listed := allowedImports[pkg]
 		if !listed {
-			t.Errorf("%s: package %s is not on the list of layers", rel, pkg)
+			t.Errorf("%s: package %s is not listed in allowedImports", rel, pkg)
 		}
 		for _, spec := range file.Imports {
 			name, _ := strconv.Unquote(spec.Path.Value)
 			if own, ok := strings.CutPrefix(name, "marblespan/"); ok && !contains(allowed, own) {
-				t.Errorf("%s imports %s, which is not below it", rel, own)
+				t.Errorf("%s imports %s, which allowedImports does not list for its package", rel, own)
 			}
-			for prefix, names := range forbidden {
+			for prefix, names := range forbiddenImports {
 				if strings.HasPrefix(pkg, prefix) && contains(names, name) {
-					t.Errorf("%s imports %s", rel, name)
+					t.Errorf("%s imports %s, which forbiddenImports lists for its package", rel, name)
 				}
 			}
 		}
@@ -151,7 +153,7 @@
 		t.Fatal(err)
 	}
 	if files < 20 {
-		t.Fatalf("looked at %d files only", files)
+		t.Fatalf("found only %d files", files)
 	}
 }
 
