--- a/internal/floatingip/receive.go
+++ b/internal/floatingip/receive.go
@@ -47,7 +47,7 @@
 	fresh, startAdvanced := r.replayGuard.Accept(m.Sender, sealed.MessageID{Start: m.Start, Sequence: m.Sequence}, m.ReceiverStart)
 	if startAdvanced {
 		r.Counters.StartAdvanced.Add(1)
-		r.log.Warn().Uint8("peer", m.Sender).Msg("peers know a later start of this gateway: its clock was set back; moved past it")
+		r.log.Warn().Uint8("peer", m.Sender).Msg("peers know a later start time of this gateway, because its clock was set back; now using a start time after that one")
 	}
 	if !fresh {
 		return nil, none, sealed.Replayed
