--- a/internal/gateway/endpoints_test.go
+++ b/internal/gateway/endpoints_test.go
@@ -19,8 +19,8 @@
 )
 
 // longestWatchDelays returns the longest delays, under the given settings, that the router makes after a failure before it opens
-// the next watch: first is the delay after a watch that had been up, and any the longest delay
-// after any of several failures in a row.
+// the next watch: first is the longest delay after a watch that had been up, and any the longest delay after any of several
+// failures in a row.
 func longestWatchDelays(snapshot *settings.Snapshot) (first, any time.Duration) {
 	const seeds, failures = 200, 10
 	start := clock.Micros(1_767_225_600_000_000)
