--- a/internal/experiments/failover/failover.go
+++ b/internal/experiments/failover/failover.go
@@ -104,19 +104,19 @@
 
 // Result holds the measurements of one kind of fault.
 type Result struct {
-	Kind, Description string
-	Trials            int
-	Unheld            *report.Durations // no reachable gateway held the address, after the fault
-	UnheldAtReturn    *report.Durations // the same, after the repair
-	HeldTwice         *report.Durations // two running gateways held the address
-	ClientWait        *report.Durations // longest wait of a client of the floating address between two served bookings
-	FrontClientWait   *report.Durations // the same for clients of the front
-	Floating          fake.Totals
-	Front             fake.Totals
-	Lost              int      // requests accepted by a reachable gateway and never answered
-	LostRequests      []string // a description of each lost request
-	Violations        []string
-	Executions        int
+	Kind, Description   string
+	Trials              int
+	NoHolder            *report.Durations // no reachable gateway held the address, after the fault
+	NoHolderAfterRepair *report.Durations // the same, after the repair
+	TwoHolders          *report.Durations // two running gateways held the address
+	ClientWait          *report.Durations // longest wait of a client of the floating address between two served bookings
+	FrontClientWait     *report.Durations // the same for clients of the front
+	Floating            fake.Totals
+	Front               fake.Totals
+	Lost                int      // requests accepted by a reachable gateway and never answered
+	LostRequests        []string // a description of each lost request
+	Violations          []string
+	Executions          int
 }
 
 // Run measures each kind in a test cluster of its own. With an error it returns the kinds before it.
@@ -149,7 +149,7 @@
 
 func measureKind(options Options, kind faultKind) (r Result, err error) {
 	r = Result{
-		Kind: kind.name, Description: kind.description, Unheld: report.NewDurations(), UnheldAtReturn: report.NewDurations(), HeldTwice: report.NewDurations(),
+		Kind: kind.name, Description: kind.description, NoHolder: report.NewDurations(), NoHolderAfterRepair: report.NewDurations(), TwoHolders: report.NewDurations(),
 		ClientWait: report.NewDurations(), FrontClientWait: report.NewDurations(),
 	}
 	clusterOptions := testcluster.Defaults()
@@ -224,9 +224,9 @@
 	runs := func(node int, at time.Time) bool { return kind.name == "cut" || !unreachable(node, at) }
 	unheld := func(active, _ int) bool { return active == 0 }
 	heldTwice := func(_, running int) bool { return running > 1 }
-	r.Unheld.Add(durationOf(changes, start, healed, unheld, unreachable, runs))
-	r.UnheldAtReturn.Add(durationOf(changes, healed, end, unheld, unreachable, runs))
-	r.HeldTwice.Add(durationOf(changes, start, end, heldTwice, unreachable, runs))
+	r.NoHolder.Add(durationOf(changes, start, healed, unheld, unreachable, runs))
+	r.NoHolderAfterRepair.Add(durationOf(changes, healed, end, unheld, unreachable, runs))
+	r.TwoHolders.Add(durationOf(changes, start, end, heldTwice, unreachable, runs))
 	r.ClientWait.Add(longestWait(running.floatingLedger.Successes(), start, end))
 	if kind.affectsFront {
 		r.FrontClientWait.Add(longestWait(running.frontLedger.Successes(), start, end))
--- a/internal/experiments/failover/report.go
+++ b/internal/experiments/failover/report.go
@@ -44,8 +44,8 @@
 	var rows, clients [][]string
 	for _, r := range results {
 		rows = append(rows, []string{
-			r.Kind, r.Description, fmt.Sprint(r.Trials), r.Unheld.Cell(50), r.Unheld.Cell(90), r.Unheld.Cell(100), r.UnheldAtReturn.Cell(50),
-			r.UnheldAtReturn.Cell(100), r.HeldTwice.Cell(50), r.HeldTwice.Cell(100),
+			r.Kind, r.Description, fmt.Sprint(r.Trials), r.NoHolder.Cell(50), r.NoHolder.Cell(90), r.NoHolder.Cell(100), r.NoHolderAfterRepair.Cell(50),
+			r.NoHolderAfterRepair.Cell(100), r.TwoHolders.Cell(50), r.TwoHolders.Cell(100),
 		})
 		for _, c := range []struct {
 			who   string
@@ -82,7 +82,7 @@
 	}
 	for _, r := range results {
 		b.Labels = append(b.Labels, r.Kind)
-		for i, s := range []*report.Durations{r.Unheld, r.ClientWait, r.FrontClientWait} {
+		for i, s := range []*report.Durations{r.NoHolder, r.ClientWait, r.FrontClientWait} {
 			b.Values[i] = append(b.Values[i], max(s.Millis(50), 0))
 		}
 	}
