--- a/cmd/marblespan-bench/main.go
+++ b/cmd/marblespan-bench/main.go
@@ -195,7 +195,7 @@
 	flags.IntVar(&options.Clients, "clients", options.Clients, "clients of the floating address, and as many of the front")
 	flags.DurationVar(&options.ThinkTime, "think", options.ThinkTime, "a client's pause between bookings")
 	flags.DurationVar(&options.ServerWork, "work", options.ServerWork, "a booking's work at its server")
-	flags.DurationVar(&options.FrontDetectionDelay, "notice", options.FrontDetectionDelay, "after which a front knows of a death")
+	flags.DurationVar(&options.BalancerDetectionDelay, "notice", options.BalancerDetectionDelay, "after which a front knows of a death")
 	flags.Uint64Var(&options.Seed, "seed", options.Seed, "of the moments at which faults happen")
 	output.register(cmd, "a folder for the table and the chart")
 	return cmd
--- a/cmd/marblespan-bench/main_test.go
+++ b/cmd/marblespan-bench/main_test.go
@@ -139,7 +139,7 @@
 func TestFailover(t *testing.T) {
 	dir := t.TempDir()
 	o := failover.Defaults()
-	o.Binary, o.Trials, o.Interval, o.FrontDetectionDelay, o.Clients = binary, 1, 120*time.Millisecond, 600*time.Millisecond, 4
+	o.Binary, o.Trials, o.Interval, o.BalancerDetectionDelay, o.Clients = binary, 1, 120*time.Millisecond, 600*time.Millisecond, 4
 	results, err := failover.Run(o)
 	if err != nil {
 		t.Fatal(err)
@@ -148,7 +148,7 @@
 		if r.Trials != 1 || r.Lost > 0 || len(r.Violations) > 0 || r.Floating.Counts[fake.Served] == 0 || r.Executions == 0 {
 			t.Errorf("%+v", r)
 		}
-		if r.Kind != "cut" && r.Kind != "split" && r.Front.Counts[fake.Served] == 0 {
+		if r.Kind != "cut" && r.Kind != "split" && r.Balancer.Counts[fake.Served] == 0 {
 			t.Errorf("%s: nobody is served behind the front", r.Kind)
 		}
 	}
--- a/internal/experiments/failover/failover.go
+++ b/internal/experiments/failover/failover.go
@@ -20,17 +20,17 @@
 
 // Options select what Run measures.
 type Options struct {
-	Binary              string // path of the gateway's program
-	Trials              int    // take-overs of each kind
-	Kinds               []string
-	Interval            time.Duration // between advertisements
-	Priorities          []int         // one gateway each; the first has to be the highest: it holds the address without faults
-	Clients             int           // clients of the floating address, and as many of the front
-	ThinkTime           time.Duration // pause between two bookings of a client
-	ServerWork          time.Duration // time that a server works on a booking
-	FrontDetectionDelay time.Duration // time after which the front detects a dead gateway
-	Seed                uint64
-	Progress            io.Writer
+	Binary                 string // path of the gateway's program
+	Trials                 int    // take-overs of each kind
+	Kinds                  []string
+	Interval               time.Duration // between advertisements
+	Priorities             []int         // one gateway each; the first has to be the highest: it holds the address without faults
+	Clients                int           // clients of the floating address, and as many of the front
+	ThinkTime              time.Duration // pause between two bookings of a client
+	ServerWork             time.Duration // time that a server works on a booking
+	BalancerDetectionDelay time.Duration // time after which the front detects a dead gateway
+	Seed                   uint64
+	Progress               io.Writer
 }
 
 // Defaults returns sizes that suit one machine.
@@ -38,32 +38,32 @@
 	return Options{
 		Binary: "bin/marblespan", Trials: 20, Kinds: Kinds(), Interval: 100 * time.Millisecond,
 		Priorities: []int{200, 180, 160}, Clients: 8, ThinkTime: 10 * time.Millisecond, ServerWork: 5 * time.Millisecond,
-		FrontDetectionDelay: 2500 * time.Millisecond, Seed: 1, Progress: io.Discard,
+		BalancerDetectionDelay: 2500 * time.Millisecond, Seed: 1, Progress: io.Discard,
 	}
 }
 
 // faultKind is one way to fail the gateway that holds the address, and to repair it.
 type faultKind struct {
-	name         string
-	description  string
-	inject       func(f *testcluster.Cluster, n *testcluster.Node) error
-	repair       func(f *testcluster.Cluster, n *testcluster.Node) error
-	endsProcess  bool // the process ends at once
-	stopsService bool // the process stays, but clients cannot reach it
-	affectsFront bool // clients of the front are affected too
+	name            string
+	description     string
+	inject          func(f *testcluster.Cluster, n *testcluster.Node) error
+	repair          func(f *testcluster.Cluster, n *testcluster.Node) error
+	endsProcess     bool // the process ends at once
+	stopsService    bool // the process stays, but clients cannot reach it
+	affectsBalancer bool // clients of the front are affected too
 }
 
 var faultKinds = []faultKind{
-	{name: "kill", description: "SIGKILL", endsProcess: true, affectsFront: true,
+	{name: "kill", description: "SIGKILL", endsProcess: true, affectsBalancer: true,
 		inject: func(f *testcluster.Cluster, n *testcluster.Node) error {
 			f.Switch.ResetFlows(n.Floating) // as the flows of a dead machine are
 			return n.Signal(syscall.SIGKILL)
 		},
 		repair: restart},
-	{name: "term", description: "SIGTERM", affectsFront: true,
+	{name: "term", description: "SIGTERM", affectsBalancer: true,
 		inject: func(f *testcluster.Cluster, n *testcluster.Node) error { return n.Signal(syscall.SIGTERM) },
 		repair: restart},
-	{name: "frozen", description: "SIGSTOP for five intervals past the down interval, then SIGCONT", stopsService: true, affectsFront: true,
+	{name: "frozen", description: "SIGSTOP for five intervals past the down interval, then SIGCONT", stopsService: true, affectsBalancer: true,
 		inject: func(f *testcluster.Cluster, n *testcluster.Node) error { return n.Signal(syscall.SIGSTOP) },
 		repair: func(f *testcluster.Cluster, n *testcluster.Node) error { return n.Signal(syscall.SIGCONT) }},
 	{name: "cut", description: "its advertisements, announcements and flows cut off", stopsService: true,
@@ -110,9 +110,9 @@
 	NoHolderAfterRepair *report.Durations // the same, after the repair
 	TwoHolders          *report.Durations // two running gateways held the address
 	ClientWait          *report.Durations // longest wait of a client of the floating address between two served bookings
-	FrontClientWait     *report.Durations // the same for clients of the front
+	BalancerClientWait  *report.Durations // the same for clients of the front
 	Floating            fake.Totals
-	Front               fake.Totals
+	Balancer            fake.Totals
 	Lost                int      // requests accepted by a reachable gateway and never answered
 	LostRequests        []string // a description of each lost request
 	Violations          []string
@@ -150,7 +150,7 @@
 func measureKind(options Options, kind faultKind) (r Result, err error) {
 	r = Result{
 		Kind: kind.name, Description: kind.description, NoHolder: report.NewDurations(), NoHolderAfterRepair: report.NewDurations(), TwoHolders: report.NewDurations(),
-		ClientWait: report.NewDurations(), FrontClientWait: report.NewDurations(),
+		ClientWait: report.NewDurations(), BalancerClientWait: report.NewDurations(),
 	}
 	clusterOptions := testcluster.Defaults()
 	clusterOptions.Binary, clusterOptions.Nodes, clusterOptions.Seed, clusterOptions.ServiceTime = options.Binary, len(options.Priorities), options.Seed, options.ServerWork
@@ -177,9 +177,9 @@
 		fmt.Fprintf(options.Progress, "%s %d of %d\n", kind.name, i+1, options.Trials)
 	}
 	running.stop()
-	r.Floating, r.Front = running.floatingLedger.Totals(), running.frontLedger.Totals()
+	r.Floating, r.Balancer = running.floatingLedger.Totals(), running.balancerLedger.Totals()
 	runs, faults := running.floatingLedger.Check(cluster.Primary())
-	_, more := running.frontLedger.Check(cluster.Primary())
+	_, more := running.balancerLedger.Check(cluster.Primary())
 	r.Executions, r.Violations = runs, append(faults, more...)
 	return r, nil
 }
@@ -189,7 +189,7 @@
 	holder := cluster.Nodes[0]
 	down := 4 * options.Interval // longer than any Active_Down_Interval
 	start := time.Now()
-	running.spreader.fault(holder.Number, start, kind)
+	running.balancer.fault(holder.Number, start, kind)
 	if err := kind.inject(cluster, holder); err != nil {
 		return err
 	}
@@ -197,8 +197,8 @@
 		return err
 	}
 	time.Sleep(down + 5*options.Interval - min(time.Since(start), down))
-	if kind.affectsFront { // leave the front time to detect the fault
-		time.Sleep(max(0, options.FrontDetectionDelay+idleBeforeFault-time.Since(start)))
+	if kind.affectsBalancer { // leave the front time to detect the fault
+		time.Sleep(max(0, options.BalancerDetectionDelay+idleBeforeFault-time.Since(start)))
 	}
 	healed := time.Now()
 	if err := kind.repair(cluster, holder); err != nil {
@@ -207,7 +207,7 @@
 	if err := cluster.AwaitActiveRouter(1, convergenceTimeout); err != nil {
 		return err
 	}
-	running.spreader.repaired(holder.Number)
+	running.balancer.repaired(holder.Number)
 	end := time.Now()
 	time.Sleep(50 * time.Millisecond) // until the last log lines have been read
 	r.record(kind, cluster, running, start, healed, end)
@@ -228,8 +228,8 @@
 	r.NoHolderAfterRepair.Add(durationOf(changes, healed, end, unheld, unreachable, runs))
 	r.TwoHolders.Add(durationOf(changes, start, end, heldTwice, unreachable, runs))
 	r.ClientWait.Add(longestWait(running.floatingLedger.Successes(), start, end))
-	if kind.affectsFront {
-		r.FrontClientWait.Add(longestWait(running.frontLedger.Successes(), start, end))
+	if kind.affectsBalancer {
+		r.BalancerClientWait.Add(longestWait(running.balancerLedger.Successes(), start, end))
 	}
 	r.recordLost(kind, holder, running, start, end)
 }
--- a/internal/experiments/failover/load.go
+++ b/internal/experiments/failover/load.go
@@ -9,8 +9,8 @@
 	"marblespan/internal/testcluster"
 )
 
-// front spreads clients over the gateways' own listeners. A client keeps its gateway until the front detects that it is unavailable.
-type front struct {
+// loadBalancer spreads clients over the gateways' own listeners. A client keeps its gateway until the loadBalancer detects that it is unavailable.
+type loadBalancer struct {
 	mu              sync.Mutex
 	nodes           []*testcluster.Node
 	unavailableFrom map[int]time.Time // by gateway: when the front detects it
@@ -20,10 +20,10 @@
 // plannedRestartNotice is how soon the front knows of a planned restart.
 const plannedRestartNotice = 300 * time.Millisecond
 
-func (f *front) fault(i int, at time.Time, k faultKind) {
+func (f *loadBalancer) fault(i int, at time.Time, k faultKind) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if k.affectsFront {
+	if k.affectsBalancer {
 		f.unavailableFrom[i] = at.Add(f.detectionDelay)
 		if k.name == "term" {
 			f.unavailableFrom[i] = at.Add(plannedRestartNotice)
@@ -31,13 +31,13 @@
 	}
 }
 
-func (f *front) repaired(i int) {
+func (f *loadBalancer) repaired(i int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.unavailableFrom, i)
 }
 
-func (f *front) addr(client int) string {
+func (f *loadBalancer) addr(client int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var here []string
@@ -51,23 +51,23 @@
 
 // bookingLoad is the clients of an experiment, each on a goroutine that stop ends and waits for.
 type bookingLoad struct {
-	floatingLedger, frontLedger fake.Ledger
-	spreader                    *front
-	stopping                    chan struct{}
-	once                        sync.Once
-	done                        sync.WaitGroup
+	floatingLedger, balancerLedger fake.Ledger
+	balancer                       *loadBalancer
+	stopping                       chan struct{}
+	once                           sync.Once
+	done                           sync.WaitGroup
 }
 
 func startLoad(o Options, f *testcluster.Cluster) *bookingLoad {
-	l := &bookingLoad{stopping: make(chan struct{}), spreader: &front{nodes: f.Nodes, unavailableFrom: map[int]time.Time{}, detectionDelay: o.FrontDetectionDelay}}
+	l := &bookingLoad{stopping: make(chan struct{}), balancer: &loadBalancer{nodes: f.Nodes, unavailableFrom: map[int]time.Time{}, detectionDelay: o.BalancerDetectionDelay}}
 	for c := range 2 * o.Clients {
 		b := &fake.Client{
 			Name: fmt.Sprint("c", c), Class: testcluster.ClassBooking, Group: testcluster.Group, Timeout: time.Second, MaxAttempts: 1000, Backoff: 5 * time.Millisecond,
 			Addr: f.Switch.Addr, Ledger: &l.floatingLedger, Route: f.Switch.GatewayOf,
 		}
 		if c >= o.Clients {
-			b.Ledger, b.Route = &l.frontLedger, nil
-			b.Addr = func() string { return l.spreader.addr(c) }
+			b.Ledger, b.Route = &l.balancerLedger, nil
+			b.Addr = func() string { return l.balancer.addr(c) }
 		}
 		l.done.Go(func() { l.write(b, o.ThinkTime) })
 	}
--- a/internal/experiments/failover/report.go
+++ b/internal/experiments/failover/report.go
@@ -40,7 +40,7 @@
 	fmt.Fprintf(w, "# Take-overs of a floating address\n\nLoopback, real processes, %d gateways of priorities %v, advertisements every %v: the "+
 		"first backup's Active_Down_Interval is %v.\n%d clients book at the floating address without a pause but %v, and as many at the "+
 		"gateways' own listeners, where a\nfront that notices a death after %v spreads them. Times in ms.\n\n",
-		len(o.Priorities), o.Priorities, o.Interval, o.DownInterval(), o.Clients, o.ThinkTime, o.FrontDetectionDelay)
+		len(o.Priorities), o.Priorities, o.Interval, o.DownInterval(), o.Clients, o.ThinkTime, o.BalancerDetectionDelay)
 	var rows, clients [][]string
 	for _, r := range results {
 		rows = append(rows, []string{
@@ -53,7 +53,7 @@
 			gap   *report.Durations
 			lost  string
 			shown bool
-		}{{"floating address", r.Floating, r.ClientWait, fmt.Sprint(r.Lost), true}, {"front", r.Front, r.FrontClientWait, "-", r.FrontClientWait.Millis(50) >= 0}} {
+		}{{"floating address", r.Floating, r.ClientWait, fmt.Sprint(r.Lost), true}, {"front", r.Balancer, r.BalancerClientWait, "-", r.BalancerClientWait.Millis(50) >= 0}} {
 			if c.shown {
 				clients = append(clients, []string{
 					r.Kind, c.who, c.gap.Cell(50), c.gap.Cell(90), c.gap.Cell(100), fmt.Sprint(c.t.Counts[fake.Served]),
@@ -82,7 +82,7 @@
 	}
 	for _, r := range results {
 		b.Labels = append(b.Labels, r.Kind)
-		for i, s := range []*report.Durations{r.NoHolder, r.ClientWait, r.FrontClientWait} {
+		for i, s := range []*report.Durations{r.NoHolder, r.ClientWait, r.BalancerClientWait} {
 			b.Values[i] = append(b.Values[i], max(s.Millis(50), 0))
 		}
 	}
