--- a/cmd/marblespan-bench/main.go
+++ b/cmd/marblespan-bench/main.go
@@ -95,7 +95,7 @@
 	}
 	flags := cmd.Flags()
 	flags.StringVar(&options.Binary, "binary", defaultBinary(), "the gateway's program")
-	flags.StringVar(&fault, "fault", "", "show one of "+fmt.Sprint(demo.Names()))
+	flags.StringVar(&fault, "fault", "", "show one of "+fmt.Sprint(demo.FaultNames()))
 	flags.DurationVar(&duration, "for", 0, "how long; 0: until Ctrl-C")
 	return cmd
 }
--- a/internal/experiments/demo/demo.go
+++ b/internal/experiments/demo/demo.go
@@ -20,8 +20,8 @@
 	"split": {"at 4s split 1 | 2,3 for 4s", "gateway 1 and the others hear nothing of each other for 4 s"},
 }
 
-// Names returns the names of the faults, sorted.
-func Names() (all []string) {
+// FaultNames returns the names of the faults, sorted.
+func FaultNames() (all []string) {
 	for name := range Faults {
 		all = append(all, name)
 	}
@@ -33,7 +33,7 @@
 func Run(o testcluster.Options, fault string, duration time.Duration, w io.Writer, quit <-chan struct{}) error {
 	shown, known := Faults[fault]
 	if fault != "" && !known {
-		return fmt.Errorf("fault %q is not known; there is %s", fault, strings.Join(Names(), ", "))
+		return fmt.Errorf("fault %q is not known; there is %s", fault, strings.Join(FaultNames(), ", "))
 	}
 	faults, err := testcluster.ParseScript("demo", shown.Script)
 	if err != nil {
