--- a/cmd/marblespan-bench/main.go
+++ b/cmd/marblespan-bench/main.go
@@ -1,4 +1,4 @@
-// Command marblespan-bench runs measurements and experiments with real gateway processes. It is a program of its own so that the
+// Command marblespan-bench runs measurements and experiments with real gateway processes. It is a separate program so that the
 // gateway's binary stays small. rootCommand lists the experiments; each is a package in internal/experiments.
 package main
 
@@ -31,7 +31,7 @@
 	}
 }
 
-// rootCommand is the program with its sub-commands, one for each experiment.
+// rootCommand returns the root command with one sub-command for each experiment.
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use: "marblespan-bench", Short: "Measurements and experiments with marblespan", SilenceUsage: true, SilenceErrors: true,
@@ -43,7 +43,7 @@
 	return root
 }
 
-// defaultBinary is the gateway's program when no flag names one: the one in the directory of this program.
+// defaultBinary returns the default path of the gateway's binary: marblespan in the directory of this program.
 func defaultBinary() string {
 	self, err := os.Executable()
 	if err != nil {
@@ -52,8 +52,8 @@
 	return filepath.Join(filepath.Dir(self), "marblespan")
 }
 
-// interrupted returns a channel that is closed at the first Ctrl-C or SIGTERM. The goroutine ends then, or with the program. A second
-// signal ends the program at once; the kernel then ends the processes that it has started.
+// interrupted returns a channel that is closed at the first Ctrl-C or SIGTERM. Its goroutine ends at that signal or with the program.
+// A second signal terminates the program at once; the kernel then kills the processes that the program has started.
 func interrupted() <-chan struct{} {
 	signals, quit := make(chan os.Signal, 1), make(chan struct{})
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
@@ -67,17 +67,17 @@
 
 // outputFlags are the flags that all measurements share.
 type outputFlags struct {
-	dir   string // for tables and charts; empty: none are written
+	dir   string // directory for tables and charts; empty: none are written
 	quiet bool
 }
 
-// register adds the flags to a sub-command; usage describes --out.
+// register adds the flags to a sub-command; usage is the help text of --out.
 func (f *outputFlags) register(cmd *cobra.Command, usage string) {
 	cmd.Flags().StringVar(&f.dir, "out", "", usage)
-	cmd.Flags().BoolVar(&f.quiet, "quiet", false, "no progress on standard error")
+	cmd.Flags().BoolVar(&f.quiet, "quiet", false, "print no progress on standard error")
 }
 
-// progress is where a measurement reports its progress.
+// progress returns the writer for progress messages: standard error, or io.Discard with --quiet.
 func (f *outputFlags) progress(cmd *cobra.Command) io.Writer {
 	if f.quiet {
 		return io.Discard
@@ -94,9 +94,9 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&options.Binary, "binary", defaultBinary(), "the gateway's program")
-	flags.StringVar(&fault, "fault", "", "show one of "+fmt.Sprint(demo.FaultNames()))
-	flags.DurationVar(&duration, "for", 0, "how long; 0: until Ctrl-C")
+	flags.StringVar(&options.Binary, "binary", defaultBinary(), "path of the gateway's binary")
+	flags.StringVar(&fault, "fault", "", "fault to show, one of "+fmt.Sprint(demo.FaultNames()))
+	flags.DurationVar(&duration, "for", 0, "how long to run; 0: until Ctrl-C")
 	return cmd
 }
 
@@ -130,30 +130,31 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&options.Cluster.Binary, "binary", defaultBinary(), "the gateway's program")
-	flags.IntVar(&options.Cluster.Nodes, "nodes", options.Cluster.Nodes, "gateways")
-	flags.BoolVar(&stateStore, "state-store", false, "gateways replicate the positions of sessions in the state store")
+	flags.StringVar(&options.Cluster.Binary, "binary", defaultBinary(), "path of the gateway's binary")
+	flags.IntVar(&options.Cluster.Nodes, "nodes", options.Cluster.Nodes, "number of gateways")
+	flags.BoolVar(&stateStore, "state-store", false, "replicate session positions in the state store of the gateways")
 	flags.BoolVar(&stateStore, "copies", false, "the former name of --state-store")
 	if err := flags.MarkDeprecated("copies", "use --state-store"); err != nil {
-		panic(err) // only a flag that is not defined
+		panic(err) // happens only if the flag is not defined
 	}
-	flags.BoolVar(&inDoubt, "in-doubt", false, "bookings are recorded as intents before they are sent, and retried")
-	flags.IntVar(&options.Cluster.Replicas, "replicas", options.Cluster.Replicas, "replicas of the one group of servers")
-	flags.StringVar(&options.Script, "script", "", "a file of faults; without one they are drawn")
-	flags.Uint64Var(&options.Seed, "seed", options.Seed, "of what is drawn")
-	flags.DurationVar(&options.Duration, "for", options.Duration, "length of what is drawn")
-	flags.IntVar(&options.Runs, "runs", options.Runs, "how many, with seeds that follow each other")
-	flags.IntVar(&options.ShrinkRuns, "shrink", options.ShrinkRuns, "runs spent on finding the fewest faults of one that fails")
-	output.register(cmd, "a folder for histories, scripts, logs and charts")
+	flags.BoolVar(&inDoubt, "in-doubt", false, "record bookings as intents before they are sent, and have clients retry them")
+	flags.IntVar(&options.Cluster.Replicas, "replicas", options.Cluster.Replicas, "number of replicas in the single group of servers")
+	flags.StringVar(&options.Script, "script", "", "file with a fault script; empty: random faults")
+	flags.Uint64Var(&options.Seed, "seed", options.Seed, "seed of the random faults")
+	flags.DurationVar(&options.Duration, "for", options.Duration, "length of a run with random faults")
+	flags.IntVar(&options.Runs, "runs", options.Runs, "number of runs, with consecutive seeds or the same script")
+	flags.IntVar(&options.ShrinkRuns, "shrink", options.ShrinkRuns, "maximum number of runs to find the fewest faults that still fail; 0: do not shrink")
+	output.register(cmd, "directory for histories, scripts, logs and charts")
 	return cmd
 }
 
-// useStateStore has the gateways replicate session positions, and adds clients that read their sessions.
+// useStateStore makes the gateways replicate session positions, and adds clients that read in their sessions.
 func useStateStore(options *chaos.Options) {
 	options.Cluster.StateStore, options.Load.SessionReaders = testcluster.DefaultStateStore(), 4
 }
 
-// useInDoubt has the gateways record intents, in a state store without session positions unless there is one, and clients retry.
+// useInDoubt makes the gateways record intents and the clients retry. Intents need a state store; if the options have none yet, it adds
+// one that does not keep session positions.
 func useInDoubt(options *chaos.Options) {
 	options.Cluster.InDoubt, options.Load.RetryInDoubt = &testcluster.InDoubt{SeatLookup: true}, true
 	if options.Cluster.StateStore == nil {
@@ -168,7 +169,7 @@
 		Use: "failover", Short: "Measure take-overs of a floating address between real processes", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if len(options.Priorities) < 2 || options.Clients < 1 || options.Trials < 1 {
-				return fmt.Errorf("needs two gateways, one client and one trial at least")
+				return fmt.Errorf("at least two gateways, one client and one trial are required")
 			}
 			options.Progress = output.progress(cmd)
 			results, err := failover.Run(options)
@@ -180,24 +181,24 @@
 			}
 			for _, r := range results {
 				if len(r.Violations) > 0 || r.Lost > 0 {
-					return fmt.Errorf("%s: lost %q, not true %q", r.Kind, r.LostRequests, r.Violations)
+					return fmt.Errorf("%s: lost requests %q, violations %q", r.Kind, r.LostRequests, r.Violations)
 				}
 			}
 			return nil
 		},
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&options.Binary, "binary", options.Binary, "the gateway's program")
-	flags.IntVar(&options.Trials, "trials", options.Trials, "take-overs of each kind")
-	flags.StringSliceVar(&options.Kinds, "kinds", options.Kinds, "kinds of take-over")
-	flags.DurationVar(&options.Interval, "interval", options.Interval, "between advertisements")
-	flags.IntSliceVar(&options.Priorities, "priorities", options.Priorities, "one gateway each, the highest first")
-	flags.IntVar(&options.Clients, "clients", options.Clients, "clients of the floating address, and as many of the front")
-	flags.DurationVar(&options.ThinkTime, "think", options.ThinkTime, "a client's pause between bookings")
-	flags.DurationVar(&options.ServerWork, "work", options.ServerWork, "a booking's work at its server")
-	flags.DurationVar(&options.BalancerDetectionDelay, "notice", options.BalancerDetectionDelay, "after which a front knows of a death")
-	flags.Uint64Var(&options.Seed, "seed", options.Seed, "of the moments at which faults happen")
-	output.register(cmd, "a folder for the table and the chart")
+	flags.StringVar(&options.Binary, "binary", options.Binary, "path of the gateway's binary")
+	flags.IntVar(&options.Trials, "trials", options.Trials, "number of take-overs for each kind of fault")
+	flags.StringSliceVar(&options.Kinds, "kinds", options.Kinds, "kinds of fault that cause a take-over")
+	flags.DurationVar(&options.Interval, "interval", options.Interval, "time between two advertisements")
+	flags.IntSliceVar(&options.Priorities, "priorities", options.Priorities, "priorities of the gateways, the highest first")
+	flags.IntVar(&options.Clients, "clients", options.Clients, "number of clients of the floating address, and also of the load balancer")
+	flags.DurationVar(&options.ThinkTime, "think", options.ThinkTime, "pause of a client between two bookings")
+	flags.DurationVar(&options.ServerWork, "work", options.ServerWork, "time that a server works on a booking")
+	flags.DurationVar(&options.BalancerDetectionDelay, "notice", options.BalancerDetectionDelay, "time after which the load balancer detects a dead gateway")
+	flags.Uint64Var(&options.Seed, "seed", options.Seed, "seed of the random moments at which faults happen")
+	output.register(cmd, "directory for the table and the chart")
 	return cmd
 }
 
@@ -206,10 +207,10 @@
 	binary, nodes, trials := "", 9, 0
 	faultDuration, baselineDuration, interval := time.Duration(options.FaultDuration)*time.Microsecond, time.Duration(options.BaselineFaultDuration)*time.Microsecond, time.Duration(options.Interval)*time.Microsecond
 	cmd := &cobra.Command{
-		Use: "members", Short: "Compare failure detectors among hundreds of members, simulated", Args: cobra.NoArgs,
+		Use: "members", Short: "Compare failure detectors in a simulation of hundreds of members", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if options.Members < 4 || options.Kills < 1 || options.MassFailures < 1 || interval < 50*time.Millisecond {
-				return fmt.Errorf("needs four members, one kill of each kind and an interval of 50ms at least")
+				return fmt.Errorf("at least four members, one kill of each kind and an interval of 50ms are required")
 			}
 			options.FaultDuration, options.BaselineFaultDuration = clock.Micros(faultDuration.Microseconds()), clock.Micros(baselineDuration.Microseconds())
 			options.Interval = clock.Micros(interval.Microseconds())
@@ -228,17 +229,17 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.IntVar(&options.Members, "members", options.Members, "of a world")
-	flags.DurationVar(&interval, "interval", interval, "of a probe, and between heartbeats")
-	flags.IntVar(&options.Kills, "kills", options.Kills, "of one member")
-	flags.IntVar(&options.MassFailures, "masses", options.MassFailures, "worlds in which 46 % are killed")
-	flags.DurationVar(&faultDuration, "span", faultDuration, "of each fault")
-	flags.IntVar(&trials, "processes", trials, "kills of each kind with real processes beside; 0: none")
-	flags.IntVar(&nodes, "nodes", nodes, "how many real processes")
-	flags.StringVar(&binary, "binary", defaultBinary(), "the gateway's program")
-	flags.DurationVar(&baselineDuration, "brief", baselineDuration, "of each fault, for the baselines")
-	flags.Uint64Var(&options.Seed, "seed", options.Seed, "of all that is drawn")
-	output.register(cmd, "a folder for tables and chart")
+	flags.IntVar(&options.Members, "members", options.Members, "number of simulated members")
+	flags.DurationVar(&interval, "interval", interval, "time between two probes, and between two heartbeats")
+	flags.IntVar(&options.Kills, "kills", options.Kills, "number of kills of a single member")
+	flags.IntVar(&options.MassFailures, "masses", options.MassFailures, "number of simulations in which 46 % of the members are killed at once")
+	flags.DurationVar(&faultDuration, "span", faultDuration, "simulated duration of each fault for our detector")
+	flags.IntVar(&trials, "processes", trials, "number of additional kills of each kind with real processes; 0: none")
+	flags.IntVar(&nodes, "nodes", nodes, "number of real processes")
+	flags.StringVar(&binary, "binary", defaultBinary(), "path of the gateway's binary")
+	flags.DurationVar(&baselineDuration, "brief", baselineDuration, "simulated duration of each fault for the baselines")
+	flags.Uint64Var(&options.Seed, "seed", options.Seed, "random seed")
+	output.register(cmd, "directory for tables and chart")
 	return cmd
 }
 
@@ -248,7 +249,7 @@
 		Use: "in-doubt", Aliases: []string{"doubt"}, Short: "Measure bookings whose intents are recorded before they are sent", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if options.Clients < 1 || options.TakeOvers < 1 || options.LoadDuration < 100*time.Millisecond {
-				return fmt.Errorf("needs a client, a trial and 100ms at least")
+				return fmt.Errorf("at least one client, one trial and a load of 100ms are required")
 			}
 			options.Progress = output.progress(cmd)
 			r, err := indoubt.Run(options)
@@ -267,12 +268,12 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&options.Binary, "binary", defaultBinary(), "the gateway's program")
-	flags.DurationVar(&options.LoadDuration, "span", options.LoadDuration, "of each load")
-	flags.IntVar(&options.Clients, "clients", options.Clients, "that book at the same time")
-	flags.IntVar(&options.TakeOvers, "trials", options.TakeOvers, "take-overs of each kind")
-	flags.Uint64Var(&options.Seed, "seed", options.Seed, "of the moments at which they happen")
-	output.register(cmd, "a folder for tables and chart")
+	flags.StringVar(&options.Binary, "binary", defaultBinary(), "path of the gateway's binary")
+	flags.DurationVar(&options.LoadDuration, "span", options.LoadDuration, "duration of each load")
+	flags.IntVar(&options.Clients, "clients", options.Clients, "number of concurrent clients")
+	flags.IntVar(&options.TakeOvers, "trials", options.TakeOvers, "number of take-overs of each kind")
+	flags.Uint64Var(&options.Seed, "seed", options.Seed, "seed of the random moments of the take-overs")
+	output.register(cmd, "directory for tables and chart")
 	return cmd
 }
 
@@ -282,7 +283,7 @@
 		Use: "maintenance", Aliases: []string{"maintain"}, Short: "Measure a maintenance run: every machine is taken out and returned, in the order that the gateways agree on", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if options.Gateways < 4 || options.Gateways > testcluster.MaxNodes || options.FaultTrials < 0 {
-				return fmt.Errorf("needs 4 to %d gateways", testcluster.MaxNodes)
+				return fmt.Errorf("4 to %d gateways are required, and the number of trials with a fault must not be negative", testcluster.MaxNodes)
 			}
 			options.Progress = output.progress(cmd)
 			all, err := maintenance.Run(options)
@@ -301,12 +302,12 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&options.Binary, "binary", defaultBinary(), "the gateway's program")
-	flags.IntVar(&options.Gateways, "nodes", options.Gateways, "gateways")
-	flags.IntVar(&options.FaultTrials, "faults", options.FaultTrials, "nights with a fault at a random moment")
-	flags.DurationVar(&options.MaxDuration, "bound", options.MaxDuration, "of one night")
-	flags.Uint64Var(&options.Seed, "seed", options.Seed, "of the faults and their moments")
-	output.register(cmd, "a folder for table and chart")
+	flags.StringVar(&options.Binary, "binary", defaultBinary(), "path of the gateway's binary")
+	flags.IntVar(&options.Gateways, "nodes", options.Gateways, "number of gateways")
+	flags.IntVar(&options.FaultTrials, "faults", options.FaultTrials, "number of additional trials with a fault at a random moment")
+	flags.DurationVar(&options.MaxDuration, "bound", options.MaxDuration, "maximum duration of the maintenance in one trial")
+	flags.Uint64Var(&options.Seed, "seed", options.Seed, "seed of the random faults and their moments")
+	output.register(cmd, "directory for table and chart")
 	return cmd
 }
 
@@ -316,7 +317,7 @@
 		Use: "state-store", Aliases: []string{"copies"}, Short: "Measure the gateways' replicated state store", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if options.Callers < 1 || options.RepairedRecords < 1000 || options.StoredRecords < 1000 || options.LeaderFaults < 1 || options.LoadDuration < 100*time.Millisecond {
-				return fmt.Errorf("needs a caller, a death, a thousand records and 100ms at least")
+				return fmt.Errorf("at least one caller, one leader fault of each kind, 1000 records and a load of 100ms are required")
 			}
 			options.Progress = output.progress(cmd)
 			r, err := statestore.Run(options)
@@ -327,13 +328,13 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&options.Binary, "binary", defaultBinary(), "the gateway's program")
-	flags.DurationVar(&options.LoadDuration, "span", options.LoadDuration, "of each load")
-	flags.IntVar(&options.Callers, "callers", options.Callers, "that write at the same time")
-	flags.IntVar(&options.RepairedRecords, "heal", options.RepairedRecords, "records that are repaired")
-	flags.IntVar(&options.StoredRecords, "recover", options.StoredRecords, "records that a start reads")
-	flags.IntVar(&options.LeaderFaults, "deaths", options.LeaderFaults, "of a leader, of each kind")
-	flags.IntSliceVar(&options.IdleGateways, "rest", options.IdleGateways, "numbers of idle gateways")
-	output.register(cmd, "a folder for tables and chart")
+	flags.StringVar(&options.Binary, "binary", defaultBinary(), "path of the gateway's binary")
+	flags.DurationVar(&options.LoadDuration, "span", options.LoadDuration, "duration of each load")
+	flags.IntVar(&options.Callers, "callers", options.Callers, "number of concurrent callers that write")
+	flags.IntVar(&options.RepairedRecords, "heal", options.RepairedRecords, "number of records in the store that loses a gateway and repairs it")
+	flags.IntVar(&options.StoredRecords, "recover", options.StoredRecords, "number of records in the storage file that a gateway reads at its start")
+	flags.IntVar(&options.LeaderFaults, "deaths", options.LeaderFaults, "number of leader faults of each kind")
+	flags.IntSliceVar(&options.IdleGateways, "rest", options.IdleGateways, "numbers of gateways whose traffic without writes is measured")
+	output.register(cmd, "directory for tables and chart")
 	return cmd
 }
--- a/internal/experiments/demo/demo.go
+++ b/internal/experiments/demo/demo.go
@@ -12,12 +12,12 @@
 	"marblespan/internal/testcluster"
 )
 
-// Faults maps the names of the faults that can be shown to their scripts and descriptions.
+// Faults maps the name of each fault that the demo can show to its script and description.
 var Faults = map[string]struct{ Script, What string }{
 	"kill":  {"at 4s kill 1 for 4s", "gateway 1 is killed, and started again after 4 s"},
-	"stop":  {"at 4s stop 1 for 4s", "gateway 1 stands still for 4 s"},
-	"cut":   {"at 4s cut all -> 1 for 4s", "gateway 1 hears nobody for 4 s, but is heard"},
-	"split": {"at 4s split 1 | 2,3 for 4s", "gateway 1 and the others hear nothing of each other for 4 s"},
+	"stop":  {"at 4s stop 1 for 4s", "gateway 1 is paused for 4 s"},
+	"cut":   {"at 4s cut all -> 1 for 4s", "gateway 1 receives nothing from the other gateways for 4 s, but they receive what it sends"},
+	"split": {"at 4s split 1 | 2,3 for 4s", "gateway 1 and the other gateways receive nothing from each other for 4 s"},
 }
 
 // FaultNames returns the names of the faults, sorted.
@@ -29,11 +29,11 @@
 	return all
 }
 
-// Run shows the cluster until quit is closed, or for a duration if that is not 0.
+// Run prints the state of the cluster every second until quit is closed or, if duration is not 0, until it has passed.
 func Run(o testcluster.Options, fault string, duration time.Duration, w io.Writer, quit <-chan struct{}) error {
 	shown, known := Faults[fault]
 	if fault != "" && !known {
-		return fmt.Errorf("fault %q is not known; there is %s", fault, strings.Join(FaultNames(), ", "))
+		return fmt.Errorf("unknown fault %q; known faults: %s", fault, strings.Join(FaultNames(), ", "))
 	}
 	faults, err := testcluster.ParseScript("demo", shown.Script)
 	if err != nil {
@@ -47,16 +47,16 @@
 	if err := cluster.AwaitActiveRouter(0, 10*time.Second); err != nil {
 		return err
 	}
-	fmt.Fprintf(w, "%d gateways with one floating address, a primary and %d replicas; all of it stand-ins but the gateways. Ask:\n\n", o.Nodes, o.Replicas)
+	fmt.Fprintf(w, "%d gateways with one floating address, a primary and %d replicas; all but the gateways are fakes. Query them with:\n\n", o.Nodes, o.Replicas)
 	fmt.Fprintf(w, "    psql \"host=%s port=%s user=backend dbname=store sslmode=disable\" \\\n", host(cluster.Switch.Addr()), port(cluster.Switch.Addr()))
 	fmt.Fprintf(w, "      -c \"/* id=1,c=%s,d=900,cluster=%d */ SELECT content FROM kv WHERE name = 'a'\"\n\n", testcluster.ClassView, testcluster.Group)
 	for _, n := range cluster.Nodes {
-		fmt.Fprintf(w, "gateway %d itself: host=%s port=%s\n", n.Number, host(n.Listen), port(n.Listen))
+		fmt.Fprintf(w, "gateway %d directly: host=%s port=%s\n", n.Number, host(n.Listen), port(n.Listen))
 	}
 	if known {
 		fmt.Fprintf(w, "\nAfter 4 s: %s.\n", shown.What)
 	}
-	fmt.Fprintf(w, "\nAnswers a second by gateway (* holds the floating address), then what ran at each server. Ctrl-C ends all of it.\n\n")
+	fmt.Fprintf(w, "\nResponses per second by gateway (* holds the floating address), then requests run by each server. Press Ctrl-C to stop.\n\n")
 	l := cluster.Load(testcluster.DefaultLoad())
 	defer l.Stop()
 	played := make(chan error, 1)
@@ -87,7 +87,8 @@
 	}
 }
 
-// summaryLine sums up a second: the responses by gateway, the requests by server, and the faults that began or ended.
+// summaryLine formats what happened in one second, events[from:]: the responses by gateway, the requests by server, and the faults that
+// began or ended.
 func summaryLine(f *testcluster.Cluster, second int, events []testcluster.Event, from int) string {
 	outcomesByGateway, runsByServer := map[int]map[string]int{}, map[string]int{}
 	var faultChanges []string
--- a/internal/experiments/report/report.go
+++ b/internal/experiments/report/report.go
@@ -14,13 +14,13 @@
 	"github.com/olekukonko/tablewriter/tw"
 )
 
-// maxDuration is the longest duration that is recorded, in microseconds; longer ones are recorded as this.
+// maxDuration is the longest duration that Durations records, in microseconds; longer ones are recorded as maxDuration.
 const maxDuration = 10 * 60 * 1_000_000
 
 // Durations collects durations in a histogram with three significant digits. It is not safe for concurrent use.
 type Durations struct{ histogram *hdrhistogram.Histogram }
 
-// NewDurations makes an empty collection.
+// NewDurations returns an empty collection.
 func NewDurations() *Durations { return &Durations{hdrhistogram.New(1, maxDuration, 3)} }
 
 // Add records one duration in microseconds; a negative one is recorded as 0.
@@ -28,7 +28,7 @@
 	s.histogram.RecordValue(min(max(microseconds, 0), maxDuration))
 }
 
-// Millis returns a percentile, from 0 to 100, in milliseconds; -1 if the collection is empty.
+// Millis returns the duration at a percentile (0 to 100) in milliseconds, or -1 if the collection is empty.
 func (s *Durations) Millis(quantile float64) float64 {
 	if s.histogram.TotalCount() == 0 {
 		return -1
@@ -36,7 +36,7 @@
 	return float64(s.histogram.ValueAtQuantile(quantile)) / 1000
 }
 
-// Cell formats a percentile in milliseconds for a table; "-" if the collection is empty.
+// Cell formats the duration at a percentile (0 to 100) in milliseconds for a table cell, or returns "-" if the collection is empty.
 func (s *Durations) Cell(quantile float64) string {
 	if v := s.Millis(quantile); v >= 0 {
 		return fmt.Sprintf("%.1f", v)
@@ -66,7 +66,7 @@
 	Values      [][]float64 // by series, then label
 }
 
-// Write draws the chart into an SVG file, and makes its directory if needed.
+// Write draws the chart into an SVG file, and creates its directory if needed.
 func (b Bars) Write(path string) error {
 	p, err := charts.BarRender(b.Values,
 		charts.TitleTextOptionFunc(b.Title, b.Note), charts.XAxisLabelsOptionFunc(b.Labels),
@@ -81,7 +81,7 @@
 	return writePainter(path, p)
 }
 
-// Lines is a line chart over common labels.
+// Lines is a line chart of several series over the same labels.
 type Lines struct {
 	Title, Note string
 	Labels      []string
@@ -89,7 +89,7 @@
 	Values      [][]float64 // by series, then label
 }
 
-// Write draws the chart into an SVG file, and makes its directory if needed.
+// Write draws the chart into an SVG file, and creates its directory if needed.
 func (l Lines) Write(path string) error {
 	p, err := charts.LineRender(l.Values,
 		charts.TitleTextOptionFunc(l.Title, l.Note), charts.XAxisLabelsOptionFunc(l.Labels),
@@ -105,7 +105,7 @@
 	return writePainter(path, p)
 }
 
-// writePainter writes a drawn chart into a file, and makes its directory if needed.
+// writePainter writes a drawn chart into a file, and creates its directory if needed.
 func writePainter(path string, p *charts.Painter) error {
 	raw, err := p.Bytes()
 	if err != nil {
