--- a/cmd/marblespan-bench/main_test.go
+++ b/cmd/marblespan-bench/main_test.go
@@ -19,10 +19,11 @@
 	"marblespan/internal/testcluster"
 )
 
-// crashAfterVariable makes the test's own binary run as a gateway that exits by itself after the duration that it holds.
+// crashAfterVariable is an environment variable with a duration. If it is set, the test's own binary runs as a gateway that exits with
+// status 3 after that duration.
 const crashAfterVariable = "MARBLESPAN_BENCH_TEST_CRASH_AFTER"
 
-// binary is the gateway, built once for all tests.
+// binary is the path of the gateway's binary, which TestMain builds once for all tests.
 var binary string
 
 func TestMain(m *testing.M) {
@@ -44,7 +45,7 @@
 	os.Exit(code)
 }
 
-// TestChaos checks that a script is played, that its history is written, and that the history read back gives the same verdict.
+// TestChaos checks that a script is played, that its history is written, and that the history, read back, violates no rule either.
 func TestChaos(t *testing.T) {
 	o := chaos.Defaults()
 	o.Cluster.Binary, o.OutputDir, o.Script = binary, t.TempDir(), filepath.Join(t.TempDir(), "two.script")
@@ -73,8 +74,8 @@
 	}
 }
 
-// TestChaosFindsACrash checks that gateways that exit by themselves fail the run, that the faults, which are not the cause, are shrunk
-// away, and that the run's files are kept.
+// TestChaosFindsACrash checks that a run fails if gateways exit without a fault, that shrinking removes the faults, which are not the
+// cause, and that the files of the run are kept.
 func TestChaosFindsACrash(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
@@ -91,8 +92,8 @@
 		t.Fatalf("%v %v", err, all[0].Violations)
 	}
 	fewest, err := os.ReadFile(filepath.Join(all[0].Dir, "fewest.script"))
-	if err != nil || strings.Count(string(fewest), "\n") > 1 { // one may be left, as it lengthens the run until the crash
-		t.Errorf("%v, what is left: %s", err, fewest)
+	if err != nil || strings.Count(string(fewest), "\n") > 1 { // one fault may be left, because it makes the run last until the crash
+		t.Errorf("%v, remaining faults: %s", err, fewest)
 	}
 	var b strings.Builder
 	if err := chaos.Write(&b, o, all); err != nil || !strings.Contains(b.String(), "ended with exit status 3") {
@@ -118,7 +119,7 @@
 	}
 }
 
-// TestMembersOfRealProcesses checks that detection times are measured when real processes are killed.
+// TestMembersOfRealProcesses checks that RunProcesses measures detection times when real processes are killed.
 func TestMembersOfRealProcesses(t *testing.T) {
 	p, err := members.RunProcesses(binary, 5, 1, 1)
 	if err != nil {
@@ -126,7 +127,7 @@
 	}
 	for _, s := range []float64{p.One.First.Millis(50), p.Mass.First.Millis(50)} {
 		if s < 500 {
-			t.Errorf("a death was known after %.0f ms, sooner than any may be", s)
+			t.Errorf("a killed gateway was detected after %.0f ms, want 500 ms at least", s)
 		}
 	}
 	if p.One.All.Millis(50) < p.One.First.Millis(50) || len(p.Violations) > 0 {
@@ -134,7 +135,7 @@
 	}
 }
 
-// TestFailover checks, for each kind of fault and with real processes under load, that no request is lost or executed twice, and that
+// TestFailover runs each kind of fault against real processes under load. It checks that no request is lost or executed twice, and that
 // the tables and the chart are written.
 func TestFailover(t *testing.T) {
 	dir := t.TempDir()
@@ -149,7 +150,7 @@
 			t.Errorf("%+v", r)
 		}
 		if r.Kind != "cut" && r.Kind != "split" && r.Balancer.Counts[fake.Served] == 0 {
-			t.Errorf("%s: nobody is served behind the front", r.Kind)
+			t.Errorf("%s: no client of the load balancer was served", r.Kind)
 		}
 	}
 	var b strings.Builder
@@ -157,12 +158,12 @@
 		t.Errorf("%v\n%s", err, &b)
 	}
 	svg, err := os.ReadFile(filepath.Join(dir, "out", "failover.svg"))
-	if err != nil || !strings.Contains(string(svg), "nobody active") {
+	if err != nil || !strings.Contains(string(svg), "no gateway active") {
 		t.Errorf("the chart: %v, %d bytes", err, len(svg))
 	}
 }
 
-// TestFormerNames checks that sub-commands and flags are still found by their former names.
+// TestFormerNames checks that sub-commands and flags are still accepted under their former names.
 func TestFormerNames(t *testing.T) {
 	for former, want := range map[string]string{"copies": "state-store", "doubt": "in-doubt", "maintain": "maintenance"} {
 		t.Run(former, func(t *testing.T) {
@@ -184,7 +185,7 @@
 			t.Errorf("--copies sets --state-store to %v, %v, want true", on, err)
 		}
 		if !strings.Contains(warning.String(), "use --state-store") {
-			t.Errorf("no warning names the new flag: %q", &warning)
+			t.Errorf("the warning does not name the new flag: %q", &warning)
 		}
 	})
 }
--- a/internal/experiments/failover/failover.go
+++ b/internal/experiments/failover/failover.go
@@ -1,7 +1,8 @@
-// Package failover measures take-overs of a floating address between real gateway processes, with fakes around them: how long no gateway
-// holds the address, how long two do, and how long clients wait, beside clients whom a front spreads over the gateways.
-// marblespan-bench failover calls Run and Write. faultKinds lists the faults, Result.trial makes one take-over, and durationOf sums the
-// times from the gateways' logs. Each client has a goroutine, owned by bookingLoad and ended by its stop.
+// Package failover measures take-overs of a floating address between real gateway processes; the servers, the switch and the clients are
+// fakes. It measures how long no gateway holds the address, how long two gateways hold it, and how long clients wait, compared with
+// clients that a load balancer spreads over the gateways. marblespan-bench failover calls Run and Write. faultKinds lists the faults,
+// Result.trial makes one take-over, and durationOf sums the times from the gateways' logs. bookingLoad runs each client on a goroutine
+// of its own; bookingLoad.stop ends these goroutines.
 package failover
 
 import (
@@ -20,20 +21,20 @@
 
 // Options select what Run measures.
 type Options struct {
-	Binary                 string // path of the gateway's program
+	Binary                 string // path of the gateway's binary
 	Trials                 int    // take-overs of each kind
 	Kinds                  []string
 	Interval               time.Duration // between advertisements
-	Priorities             []int         // one gateway each; the first has to be the highest: it holds the address without faults
-	Clients                int           // clients of the floating address, and as many of the front
+	Priorities             []int         // of the gateways; the first must be the highest, as trials expect that gateway 1 holds the address without faults
+	Clients                int           // number of clients of the floating address, and also of the load balancer
 	ThinkTime              time.Duration // pause between two bookings of a client
 	ServerWork             time.Duration // time that a server works on a booking
-	BalancerDetectionDelay time.Duration // time after which the front detects a dead gateway
+	BalancerDetectionDelay time.Duration // time after which the load balancer detects a dead gateway
 	Seed                   uint64
 	Progress               io.Writer
 }
 
-// Defaults returns sizes that suit one machine.
+// Defaults returns options with sizes that suit a single machine.
 func Defaults() Options {
 	return Options{
 		Binary: "bin/marblespan", Trials: 20, Kinds: Kinds(), Interval: 100 * time.Millisecond,
@@ -42,21 +43,21 @@
 	}
 }
 
-// faultKind is one way to fail the gateway that holds the address, and to repair it.
+// faultKind is a kind of fault of the gateway that holds the address: how to inject and to repair it, and what it affects.
 type faultKind struct {
 	name            string
 	description     string
 	inject          func(f *testcluster.Cluster, n *testcluster.Node) error
 	repair          func(f *testcluster.Cluster, n *testcluster.Node) error
-	endsProcess     bool // the process ends at once
-	stopsService    bool // the process stays, but clients cannot reach it
-	affectsBalancer bool // clients of the front are affected too
+	endsProcess     bool // the process ends immediately
+	stopsService    bool // the process continues to exist, but clients cannot reach it
+	affectsBalancer bool // the fault also affects the clients of the load balancer
 }
 
 var faultKinds = []faultKind{
 	{name: "kill", description: "SIGKILL", endsProcess: true, affectsBalancer: true,
 		inject: func(f *testcluster.Cluster, n *testcluster.Node) error {
-			f.Switch.ResetFlows(n.Floating) // as the flows of a dead machine are
+			f.Switch.ResetFlows(n.Floating) // as when the whole machine dies
 			return n.Signal(syscall.SIGKILL)
 		},
 		repair: restart},
@@ -77,7 +78,7 @@
 			f.VRRPPath.Isolate(n.Number-1, false)
 			return nil
 		}},
-	{name: "split", description: "its advertisements cut off both ways, all else whole",
+	{name: "split", description: "its advertisements cut off both ways, everything else intact",
 		inject: func(f *testcluster.Cluster, n *testcluster.Node) error {
 			f.VRRPPath.Isolate(n.Number-1, true)
 			return nil
@@ -88,7 +89,7 @@
 		}},
 }
 
-// restart waits for the end of a process and starts it again.
+// restart waits until the gateway's process has ended, and starts a new one.
 func restart(_ *testcluster.Cluster, n *testcluster.Node) error {
 	n.WaitForExit()
 	return n.Start()
@@ -110,7 +111,7 @@
 	NoHolderAfterRepair *report.Durations // the same, after the repair
 	TwoHolders          *report.Durations // two running gateways held the address
 	ClientWait          *report.Durations // longest wait of a client of the floating address between two served bookings
-	BalancerClientWait  *report.Durations // the same for clients of the front
+	BalancerClientWait  *report.Durations // the same for clients of the load balancer
 	Floating            fake.Totals
 	Balancer            fake.Totals
 	Lost                int      // requests accepted by a reachable gateway and never answered
@@ -119,7 +120,8 @@
 	Executions          int
 }
 
-// Run measures each kind in a test cluster of its own. With an error it returns the kinds before it.
+// Run measures each kind of fault in a test cluster of its own. If a kind fails, Run returns the results of the kinds before it with the
+// error.
 func Run(o Options) ([]Result, error) {
 	var out []Result
 	for _, name := range o.Kinds {
@@ -130,7 +132,7 @@
 			}
 		}
 		if k == nil {
-			return nil, fmt.Errorf("kind %q is not known; there are %s", name, strings.Join(Kinds(), ", "))
+			return nil, fmt.Errorf("unknown kind of fault %q; known kinds: %s", name, strings.Join(Kinds(), ", "))
 		}
 		r, err := measureKind(o, *k)
 		if err != nil {
@@ -141,7 +143,8 @@
 	return out, nil
 }
 
-// convergenceTimeout bounds the time until a take-over or a return has completed; idleBeforeFault is the pause before the next fault.
+// convergenceTimeout limits how long a take-over may last, and how long the first gateway may take to get the address back.
+// idleBeforeFault is the pause before the next fault.
 const (
 	convergenceTimeout = 20 * time.Second
 	idleBeforeFault    = 400 * time.Millisecond
@@ -156,7 +159,7 @@
 	clusterOptions.Binary, clusterOptions.Nodes, clusterOptions.Seed, clusterOptions.ServiceTime = options.Binary, len(options.Priorities), options.Seed, options.ServerWork
 	clusterOptions.AdvertisementInterval, clusterOptions.Priorities = options.Interval, options.Priorities
 	clusterOptions.MembershipInterval = 0
-	clusterOptions.ResetOnTakeover = true // as on separate machines: the new holder of the address does not know the old flows
+	clusterOptions.ResetOnTakeover = true // as on separate machines, where the new holder of the address does not know the old flows
 	cluster, err := testcluster.New(clusterOptions)
 	if err != nil {
 		return r, err
@@ -169,7 +172,7 @@
 	defer running.stop()
 	rng := rand.New(rand.NewPCG(options.Seed, uint64(len(kind.name))))
 	for i := range options.Trials {
-		time.Sleep(idleBeforeFault + time.Duration(rng.Int64N(int64(options.Interval)))) // so that the fault falls on a random moment of an interval
+		time.Sleep(idleBeforeFault + time.Duration(rng.Int64N(int64(options.Interval)))) // so that the fault happens at a random moment of an advertisement interval
 		if err := r.trial(options, kind, cluster, running); err != nil {
 			return r, fmt.Errorf("trial %d: %w", i+1, err)
 		}
@@ -197,10 +200,10 @@
 		return err
 	}
 	time.Sleep(down + 5*options.Interval - min(time.Since(start), down))
-	if kind.affectsBalancer { // leave the front time to detect the fault
+	if kind.affectsBalancer { // give the load balancer time to detect the fault
 		time.Sleep(max(0, options.BalancerDetectionDelay+idleBeforeFault-time.Since(start)))
 	}
-	healed := time.Now()
+	repaired := time.Now()
 	if err := kind.repair(cluster, holder); err != nil {
 		return err
 	}
@@ -209,24 +212,25 @@
 	}
 	running.balancer.repaired(holder.Number)
 	end := time.Now()
-	time.Sleep(50 * time.Millisecond) // until the last log lines have been read
-	r.record(kind, cluster, running, start, healed, end)
+	time.Sleep(50 * time.Millisecond) // until the test cluster has read the last log lines
+	r.record(kind, cluster, running, start, repaired, end)
 	return nil
 }
 
-// record adds the times of a trial whose fault was injected at start and repaired at healed, and whose return was complete at end.
-func (r *Result) record(kind faultKind, cluster *testcluster.Cluster, running *bookingLoad, start, healed, end time.Time) {
+// record adds the times of a trial. Its fault was injected at start and repaired at repaired, and at end the first gateway held the
+// address again.
+func (r *Result) record(kind faultKind, cluster *testcluster.Cluster, running *bookingLoad, start, repaired, end time.Time) {
 	holder := cluster.Nodes[0]
 	changes := changesSince(cluster.History, start.Add(-time.Millisecond))
-	unreachable := func(node int, at time.Time) bool { // clients cannot reach it
-		return (kind.endsProcess || kind.stopsService) && node == holder.Number && !at.Before(start) && at.Before(healed)
+	unreachable := func(node int, at time.Time) bool { // reports whether clients cannot reach the gateway
+		return (kind.endsProcess || kind.stopsService) && node == holder.Number && !at.Before(start) && at.Before(repaired)
 	}
 	runs := func(node int, at time.Time) bool { return kind.name == "cut" || !unreachable(node, at) }
-	unheld := func(active, _ int) bool { return active == 0 }
-	heldTwice := func(_, running int) bool { return running > 1 }
-	r.NoHolder.Add(durationOf(changes, start, healed, unheld, unreachable, runs))
-	r.NoHolderAfterRepair.Add(durationOf(changes, healed, end, unheld, unreachable, runs))
-	r.TwoHolders.Add(durationOf(changes, start, end, heldTwice, unreachable, runs))
+	noHolder := func(active, _ int) bool { return active == 0 }
+	twoHolders := func(_, running int) bool { return running > 1 }
+	r.NoHolder.Add(durationOf(changes, start, repaired, noHolder, unreachable, runs))
+	r.NoHolderAfterRepair.Add(durationOf(changes, repaired, end, noHolder, unreachable, runs))
+	r.TwoHolders.Add(durationOf(changes, start, end, twoHolders, unreachable, runs))
 	r.ClientWait.Add(longestWait(running.floatingLedger.Successes(), start, end))
 	if kind.affectsBalancer {
 		r.BalancerClientWait.Add(longestWait(running.balancerLedger.Successes(), start, end))
@@ -234,7 +238,7 @@
 	r.recordLost(kind, holder, running, start, end)
 }
 
-// recordLost adds the requests of a trial that a reachable gateway accepted and never answered.
+// recordLost adds the requests of a trial that a reachable gateway accepted but never answered.
 func (r *Result) recordLost(kind faultKind, holder *testcluster.Node, running *bookingLoad, start, end time.Time) {
 	for _, d := range running.floatingLedger.Unanswered() {
 		if d.At.After(start) && d.At.Before(end) && d.End != "reset" && !((kind.endsProcess || kind.stopsService) && d.Via == holder.Floating) {
@@ -244,12 +248,12 @@
 	}
 }
 
-// awaitSuccessor waits until the switch leads to another gateway than the old holder.
+// awaitSuccessor waits until the switch forwards to a gateway other than the old holder.
 func awaitSuccessor(f *testcluster.Cluster, old *testcluster.Node, by time.Duration) error {
 	for end := time.Now().Add(by); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		if at, _ := f.Switch.ActiveGateway(); at != old.Floating {
 			return nil
 		}
 	}
-	return errors.New("nobody took over")
+	return errors.New("no other gateway has taken over the floating address")
 }
--- a/internal/experiments/failover/load.go
+++ b/internal/experiments/failover/load.go
@@ -9,17 +9,19 @@
 	"marblespan/internal/testcluster"
 )
 
-// loadBalancer spreads clients over the gateways' own listeners. A client keeps its gateway until the loadBalancer detects that it is unavailable.
+// loadBalancer simulates a load balancer that spreads clients over the gateways' own listeners. A client keeps its gateway until the load
+// balancer detects that the gateway is unavailable.
 type loadBalancer struct {
 	mu              sync.Mutex
 	nodes           []*testcluster.Node
-	unavailableFrom map[int]time.Time // by gateway: when the front detects it
+	unavailableFrom map[int]time.Time // by gateway number: when the load balancer detects the fault
 	detectionDelay  time.Duration
 }
 
-// plannedRestartNotice is how soon the front knows of a planned restart.
+// plannedRestartNotice is the time after which the load balancer knows of a planned restart (SIGTERM).
 const plannedRestartNotice = 300 * time.Millisecond
 
+// fault records a fault of gateway i that was injected at a time.
 func (f *loadBalancer) fault(i int, at time.Time, k faultKind) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -31,25 +33,27 @@
 	}
 }
 
+// repaired records that gateway i is available again.
 func (f *loadBalancer) repaired(i int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.unavailableFrom, i)
 }
 
+// addr returns the address of the gateway that a client should connect to now.
 func (f *loadBalancer) addr(client int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var here []string
+	var available []string
 	for _, n := range f.nodes {
-		if at, away := f.unavailableFrom[n.Number]; !away || time.Now().Before(at) {
-			here = append(here, n.Listen)
+		if at, faulty := f.unavailableFrom[n.Number]; !faulty || time.Now().Before(at) {
+			available = append(available, n.Listen)
 		}
 	}
-	return here[client%len(here)]
+	return available[client%len(available)]
 }
 
-// bookingLoad is the clients of an experiment, each on a goroutine that stop ends and waits for.
+// bookingLoad runs the clients of an experiment, each on a goroutine of its own. stop ends the goroutines and waits for them.
 type bookingLoad struct {
 	floatingLedger, balancerLedger fake.Ledger
 	balancer                       *loadBalancer
@@ -74,7 +78,7 @@
 	return l
 }
 
-// write has a client write, with a pause before each write, until stop.
+// write makes a client write until stop is called, with a pause of thinkTime before each write.
 func (l *bookingLoad) write(client *fake.Client, thinkTime time.Duration) {
 	defer client.Close()
 	for n := 0; ; n++ {
--- a/internal/experiments/failover/report.go
+++ b/internal/experiments/failover/report.go
@@ -11,7 +11,7 @@
 	"marblespan/internal/fake"
 )
 
-// DownInterval is the Active_Down_Interval of the first backup (RFC 9568).
+// DownInterval returns the Active_Down_Interval of the first backup (RFC 9568).
 func (o Options) DownInterval() time.Duration {
 	return 3*o.Interval + o.Interval*time.Duration(256-o.Priorities[1])/256
 }
@@ -38,8 +38,8 @@
 
 func table(w io.Writer, o Options, results []Result) error {
 	fmt.Fprintf(w, "# Take-overs of a floating address\n\nLoopback, real processes, %d gateways of priorities %v, advertisements every %v: the "+
-		"first backup's Active_Down_Interval is %v.\n%d clients book at the floating address without a pause but %v, and as many at the "+
-		"gateways' own listeners, where a\nfront that notices a death after %v spreads them. Times in ms.\n\n",
+		"first backup's Active_Down_Interval is %v.\n%d clients book at the floating address with a pause of %v between bookings, and as many at the "+
+		"gateways' own listeners, over\nwhich a load balancer (front) that detects a dead gateway after %v spreads them. Times in ms.\n\n",
 		len(o.Priorities), o.Priorities, o.Interval, o.DownInterval(), o.Clients, o.ThinkTime, o.BalancerDetectionDelay)
 	var rows, clients [][]string
 	for _, r := range results {
@@ -64,21 +64,21 @@
 		}
 	}
 	if err := report.Table(w, []string{
-		"kind", "what", "trials", "nobody active: median", "90 %", "longest", "at its return: median", "longest", "two active: median", "longest",
+		"kind", "what", "trials", "no gateway active: median", "90 %", "longest", "after the repair: median", "longest", "two gateways active: median", "longest",
 	}, rows); err != nil {
 		return err
 	}
-	fmt.Fprintf(w, "\nWhat clients saw: the longest wait of any client for its next booking, and what became of them. In doubt: the connection "+
-		"ended\nwithout an answer. Lost: so ended by a gateway in reach. Twice: bookings that ran twice, or answers that were not true.\n\n")
+	fmt.Fprintf(w, "\nWhat clients saw: the longest wait of any client for its next booking, and the outcomes of the bookings. In doubt: the connection "+
+		"ended\nwithout an answer. Lost: a reachable gateway ended it so. Twice: bookings that ran twice, or answers that were false.\n\n")
 	return report.Table(w, []string{
-		"kind", "clients of", "wait: median", "90 %", "longest", "served", "refusals", "no way in", "failed", "in doubt", "lost", "twice",
+		"kind", "clients of", "wait: median", "90 %", "longest", "served", "refusals", "failed connects", "failed", "in doubt", "lost", "twice",
 	}, clients)
 }
 
 func chart(path string, o Options, results []Result) error {
 	b := report.Bars{
-		Title: "Waits around a lost holder, ms (median)", Note: fmt.Sprintf("advertisements every %v, %d trials of each kind", o.Interval, o.Trials),
-		Series: []string{"nobody active", "client of the floating address", "client of a front"}, Values: make([][]float64, 3),
+		Title: "Waits when the holder of the address fails, ms (median)", Note: fmt.Sprintf("advertisements every %v, %d trials of each kind", o.Interval, o.Trials),
+		Series: []string{"no gateway active", "client of the floating address", "client of a load balancer"}, Values: make([][]float64, 3),
 	}
 	for _, r := range results {
 		b.Labels = append(b.Labels, r.Kind)
--- a/internal/experiments/failover/timeline.go
+++ b/internal/experiments/failover/timeline.go
@@ -8,14 +8,14 @@
 	"marblespan/internal/testcluster"
 )
 
-// holderChange is one change of a gateway's belief that it holds the address.
+// holderChange is one report of a gateway that it has started or stopped holding the address.
 type holderChange struct {
 	node   int
 	at     time.Time
 	active bool
 }
 
-// changesSince lists the changes after a time. The end of a process ends its belief.
+// changesSince returns the changes that happened at or after from. A gateway stops holding the address when its process ends.
 func changesSince(h *testcluster.History, from time.Time) (out []holderChange) {
 	for _, e := range h.Events() {
 		if e.At >= h.Timestamp(from) && (e.Kind == testcluster.StateReported || e.Kind == testcluster.ProcessChanged && e.What == "ended") {
@@ -25,10 +25,12 @@
 	return out
 }
 
-// durationOf sums how long a condition held between two times, in microseconds. Gateway 1 is active at the start of a trial.
+// durationOf returns how long a condition was true between two times in total, in microseconds. holds is the condition; active counts the
+// gateways that hold the address and are not unreachable, running counts those that hold it and whose process runs. durationOf assumes
+// that gateway 1 is active at the start of a trial.
 func durationOf(changes []holderChange, from, to time.Time, holds func(active, running int) bool, unreachable, runs func(int, time.Time) bool) int64 {
 	slices.SortStableFunc(changes, func(a, b holderChange) int { return a.at.Compare(b.at) })
-	// The moments at which anything may change; a reachable gateway may change at the ends of the fault too.
+	// The moments at which the counts may change: the ends of the period, which are those of the fault, and each change of a gateway.
 	moments := []time.Time{from, to}
 	for _, c := range changes {
 		if c.at.After(from) && c.at.Before(to) {
@@ -54,6 +56,7 @@
 	return sum.Microseconds()
 }
 
+// activeAt returns which gateways hold the address at a time, by gateway number.
 func activeAt(changes []holderChange, at time.Time) map[int]bool {
 	active := map[int]bool{1: true}
 	for _, c := range changes {
@@ -64,7 +67,7 @@
 	return active
 }
 
-// longestWait is the longest time that any client went without a served booking around a fault, in microseconds.
+// longestWait returns the longest time that any client waited for its next served booking around a fault, in microseconds.
 func longestWait(served []fake.ClientEvent, from, to time.Time) int64 {
 	last := map[string]time.Time{}
 	longest := time.Duration(0)
