--- a/cmd/marblespan-bench/main_test.go
+++ b/cmd/marblespan-bench/main_test.go
@@ -65,7 +65,7 @@
 		t.Errorf("%v, %d events of %d, %v", err, len(events), len(all[0].Events), testcluster.Check(events))
 	}
 	svg, err := os.ReadFile(filepath.Join(all[0].Dir, "timeline.svg"))
-	if err != nil || !strings.Contains(string(svg), "Answers a second, two-1") {
+	if err != nil || !strings.Contains(string(svg), "Answers per second, two-1") {
 		t.Errorf("the chart: %v, %d bytes", err, len(svg))
 	}
 	var b strings.Builder
--- a/internal/experiments/chaos/chaos.go
+++ b/internal/experiments/chaos/chaos.go
@@ -1,6 +1,6 @@
 // Package chaos runs a test cluster of real gateways under load and faults, checks its history, and shrinks the faults of a failed run
-// to the fewest that still fail. marblespan-bench chaos calls Run and Write. Result.run makes one run, play its cluster; runs follow each
-// other on the caller's goroutine.
+// to the fewest that still fail. marblespan-bench chaos calls Run and Write. Result.run makes one run, for which play runs the cluster.
+// Runs are made one after the other on the caller's goroutine.
 package chaos
 
 import (
@@ -15,20 +15,20 @@
 	"marblespan/internal/testcluster"
 )
 
-// Options select what Run runs.
+// Options select the runs that Run makes.
 type Options struct {
 	Cluster    testcluster.Options
 	Load       testcluster.LoadOptions
-	Script     string        // file of a fault script; empty: random faults
-	Seed       uint64        // of the random faults of the first run
+	Script     string        // path of a fault script; empty: random faults
+	Seed       uint64        // of the random faults of the first run; each further run uses the next seed
 	Duration   time.Duration // length of a run with random faults
 	Runs       int           // number of runs, with consecutive seeds or the same script
-	OutputDir  string        // directory for histories, scripts, logs and charts; empty: only failed runs are kept, in a temporary one
-	ShrinkRuns int           // maximum of runs to shrink a failed one; 0: no shrinking
+	OutputDir  string        // directory for histories, scripts, logs and charts; empty: only the files of failed runs are kept, in a temporary directory
+	ShrinkRuns int           // maximum number of runs to shrink the faults of a failed run; 0: no shrinking
 	Progress   io.Writer
 }
 
-// Defaults returns the options for one run of a minute with three gateways.
+// Defaults returns options for one run of one minute with random faults and three gateways.
 func Defaults() Options {
 	load := testcluster.DefaultLoad()
 	load.QuoteReaders = 2
@@ -41,11 +41,12 @@
 type Result struct {
 	Name string
 	testcluster.Outcome
-	MinimalFaults []testcluster.Fault // the fewest that still fail; nil unless the run failed and was shrunk
-	Dir           string              // directory of the run's files; empty: not kept
+	MinimalFaults []testcluster.Fault // the fewest faults that still fail; nil unless the run failed and its faults were shrunk
+	Dir           string              // directory of the run's files; empty if they were not kept
 }
 
-// Run makes the runs, until quit is closed. A run that fails is a Result, not an error; with an error it returns the runs before it.
+// Run makes the runs one after the other until all are done or quit is closed. A run that violates a rule is a Result, not an error. If Run
+// returns an error, it also returns the results of the runs before the error.
 func Run(options Options, quit <-chan struct{}) (results []Result, err error) {
 	var scripted []testcluster.Fault
 	if options.Script != "" {
@@ -73,12 +74,12 @@
 			return results, err
 		}
 		results = append(results, r)
-		fmt.Fprintf(options.Progress, "%s: %d faults, %d events, %d broken\n", r.Name, len(faults), len(r.Events), len(r.Violations))
+		fmt.Fprintf(options.Progress, "%s: %d faults, %d events, %d violations\n", r.Name, len(faults), len(r.Events), len(r.Violations))
 	}
 	return results, nil
 }
 
-// run makes one run, keeps its files if OutputDir is set or it failed, and shrinks its faults if it failed.
+// run makes one run. It keeps the files if OutputDir is set or the run failed, and shrinks the faults of a failed run.
 func (r *Result) run(o Options, faults []testcluster.Fault, quit <-chan struct{}) (err error) {
 	dir := o.OutputDir
 	if dir == "" {
@@ -108,12 +109,12 @@
 	return r.chart()
 }
 
-// shrink looks for the fewest faults with which a run still violates the first rule that this one has violated, and writes them into
-// the file fewest.script.
+// shrink searches for the fewest faults with which a run still violates the first rule that this run violated, and writes them into the
+// file fewest.script.
 func (r *Result) shrink(o Options, faults []testcluster.Fault, quit <-chan struct{}) error {
 	rule := r.Violations[0].Rule
 	stillFails := func(some []testcluster.Fault) bool {
-		fmt.Fprintf(o.Progress, "%s: again with %d of %d faults\n", r.Name, len(some), len(faults))
+		fmt.Fprintf(o.Progress, "%s: running again with %d of %d faults\n", r.Name, len(some), len(faults))
 		again, err := play(o, some, filepath.Join(r.Dir, "again"), quit)
 		if err != nil || again.Err != nil {
 			return false
@@ -124,7 +125,7 @@
 	return os.WriteFile(filepath.Join(r.Dir, "fewest.script"), []byte(testcluster.FormatScript(r.MinimalFaults)), 0o644)
 }
 
-// play makes one run and writes its script, history and logs into an emptied directory.
+// play empties the directory, runs a cluster with the faults, and writes the script, the history and the logs into the directory.
 func play(o Options, faults []testcluster.Fault, dir string, quit <-chan struct{}) (testcluster.Outcome, error) {
 	if err := os.RemoveAll(dir); err != nil {
 		return testcluster.Outcome{}, err
--- a/internal/experiments/chaos/report.go
+++ b/internal/experiments/chaos/report.go
@@ -10,16 +10,16 @@
 	"marblespan/internal/testcluster"
 )
 
-// chartStep is the resolution of the chart's time axis.
+// chartStep is the length of a step on the chart's time axis.
 const chartStep = 250 * time.Millisecond
 
-// chart draws the responses that clients received over time, and how many faults were in force.
+// chart draws the responses that clients received over time, and how many faults were active.
 func (r *Result) chart() error {
 	if len(r.Events) == 0 {
 		return nil
 	}
 	outcomes := []string{testcluster.EndServed, testcluster.EndRejected, testcluster.EndFailed, "no answer"}
-	chart := report.Lines{Title: "Answers a second, " + r.Name, Series: append(outcomes, "faults at work x 10")}
+	chart := report.Lines{Title: "Answers per second, " + r.Name, Series: append(outcomes, "active faults x 10")}
 	last := r.Events[len(r.Events)-1].At
 	steps := int(last/chartStep.Microseconds()) + 1
 	chart.Values = make([][]float64, len(chart.Series))
@@ -51,11 +51,12 @@
 			markFault(startedAt[e.What], e.At)
 		}
 	}
-	chart.Note = fmt.Sprintf("%d faults, each step %v", len(r.Faults), chartStep)
+	chart.Note = fmt.Sprintf("%d faults, steps of %v", len(r.Faults), chartStep)
 	return chart.Write(filepath.Join(r.Dir, "timeline.svg"))
 }
 
-// Write writes a table with a row for each run, then the violated rules and the fewest faults that violate them.
+// Write writes a table with a row for each run, then for each run the violations, the fewest faults that still fail and the directory of its
+// files.
 func Write(w io.Writer, o Options, results []Result) error {
 	fmt.Fprintf(w, "%d gateways, %d replicas, loopback, real processes.\n\n", o.Cluster.Nodes, o.Cluster.Replicas)
 	var rows [][]string
@@ -70,14 +71,14 @@
 		if r.Err != nil {
 			verdict = "not run: " + r.Err.Error()
 		} else if len(r.Violations) > 0 {
-			verdict = fmt.Sprint(len(r.Violations), " broken")
+			verdict = fmt.Sprint(len(r.Violations), " violated")
 		}
 		rows = append(rows, []string{
 			r.Name, fmt.Sprint(len(r.Faults)), fmt.Sprint(outcomes[testcluster.EndServed]), fmt.Sprint(outcomes[testcluster.EndRejected]), fmt.Sprint(outcomes[testcluster.EndFailed]),
 			fmt.Sprint(outcomes[testcluster.EndClosed] + outcomes[testcluster.EndReset] + outcomes[testcluster.EndTimeout]), r.SettleTime.Round(time.Millisecond).String(), verdict,
 		})
 	}
-	if err := report.Table(w, []string{"run", "faults", "served", "refused", "failed", "no answer", "at rest after", "rules"}, rows); err != nil {
+	if err := report.Table(w, []string{"run", "faults", "served", "refused", "failed", "no answer", "settled after", "rules"}, rows); err != nil {
 		return err
 	}
 	for _, r := range results {
@@ -88,7 +89,7 @@
 			fmt.Fprintf(w, "%s: the fewest faults that still fail:\n%s", r.Name, testcluster.FormatScript(r.MinimalFaults))
 		}
 		if r.Failed() {
-			fmt.Fprintf(w, "%s: kept in %s\n", r.Name, r.Dir)
+			fmt.Fprintf(w, "%s: files kept in %s\n", r.Name, r.Dir)
 		}
 	}
 	return nil
--- a/internal/experiments/indoubt/indoubt.go
+++ b/internal/experiments/indoubt/indoubt.go
@@ -1,7 +1,7 @@
 // Package indoubt measures, with real gateway processes, bookings whose intents are recorded before they are sent: the latency that the
-// intent adds, the throughput of one gateway, and how bookings end when their gateway fails, beside gateways without intents.
-// marblespan-bench in-doubt calls Run and Write. policies lists what is compared; measureLoad and measureTakeOvers are the two parts,
-// each with a test cluster of its own, all on the caller's goroutine.
+// intent adds, the throughput of one gateway, and the outcomes of bookings when their gateway fails, compared with gateways without
+// intents. marblespan-bench in-doubt calls Run and Write. policies lists the settings that are compared. measureLoad and measureTakeOvers
+// are the two parts; each call uses a test cluster of its own and runs on the caller's goroutine.
 package indoubt
 
 import (
@@ -17,25 +17,27 @@
 // Options select what Run measures.
 type Options struct {
 	Binary       string
-	LoadDuration time.Duration // of each load
-	Clients      int           // concurrent clients of one gateway
-	TakeOvers    int           // measured for each kind and policy
+	LoadDuration time.Duration // of each measured load
+	Clients      int           // number of concurrent clients of one gateway
+	TakeOvers    int           // number of take-overs measured for each kind and policy
 	Seed         uint64
 	Progress     io.Writer
 }
 
-// Defaults returns sizes that suit one machine.
+// Defaults returns options with sizes that suit a single machine.
 func Defaults() Options {
 	return Options{Binary: "bin/marblespan", LoadDuration: 5 * time.Second, Clients: 32, TakeOvers: 20, Seed: 1, Progress: io.Discard}
 }
 
-// policy is a way to record bookings: the state store and the in-doubt settings of the gateways; nil without.
+// policy is a way to record intents: the settings of the gateways' state store and of in-doubt writes. Both are nil if no intents are
+// recorded.
 type policy struct {
 	name       string
 	stateStore *testcluster.StateStore
 	inDoubt    *testcluster.InDoubt
 }
 
+// policies returns the policies whose loads are compared.
 func policies() []policy {
 	stateStore := func(memory bool) *testcluster.StateStore {
 		c := testcluster.DefaultStateStore()
@@ -43,7 +45,7 @@
 		return c
 	}
 	return []policy{
-		{"nothing promised", nil, nil},
+		{"no intents", nil, nil},
 		{"memory, fast", stateStore(true), &testcluster.InDoubt{}},
 		{"memory, safe", stateStore(true), &testcluster.InDoubt{StoreFirst: true}},
 		{"disk, fast", stateStore(false), &testcluster.InDoubt{}},
@@ -55,7 +57,7 @@
 type Load struct {
 	Policy    string
 	Clients   int
-	PerSecond float64 // bookings served
+	PerSecond float64 // bookings served per second
 	Durations *report.Durations
 }
 
@@ -64,10 +66,10 @@
 	Kind, Policy    string
 	Trials          int
 	Bookings        int               // all bookings sent
-	Unacknowledged  int               // bookings whose first answer was lost, or said that the booking may have run
-	Resolved        int               // unacknowledged bookings that were answered in the end
-	InDoubt         int               // unacknowledged bookings that were never answered
-	ResolutionTimes *report.Durations // from the loss of the first answer to the final one
+	Unacknowledged  int               // bookings whose first answer was lost or left open whether the booking ran
+	Resolved        int               // unacknowledged bookings that were served after a retry
+	InDoubt         int               // unacknowledged bookings that were not served later
+	ResolutionTimes *report.Durations // from the loss of the first answer to the final answer
 	Violations      []testcluster.Violation
 }
 
@@ -77,43 +79,43 @@
 	TakeOvers []TakeOver
 }
 
-// Run measures the loads, then the take-overs. With an error it returns what it has measured so far.
+// Run measures the loads, then the take-overs. If a measurement fails, Run returns the measurements before it with the error.
 func Run(o Options) (r Result, err error) {
-	for _, w := range policies() {
+	for _, p := range policies() {
 		for _, clients := range []int{1, o.Clients} {
-			l, err := measureLoad(o, w, clients)
+			l, err := measureLoad(o, p, clients)
 			if err != nil {
-				return r, fmt.Errorf("%s: %w", w.name, err)
+				return r, fmt.Errorf("%s: %w", p.name, err)
 			}
 			r.Loads = append(r.Loads, l)
-			fmt.Fprintf(o.Progress, "%s, %d clients: %.0f a second\n", l.Policy, clients, l.PerSecond)
+			fmt.Fprintf(o.Progress, "%s, %d clients: %.0f per second\n", l.Policy, clients, l.PerSecond)
 		}
 	}
 	withLookup := policies()[3]
-	withLookup.name, withLookup.inDoubt = "disk, fast, and a read that shows", &testcluster.InDoubt{SeatLookup: true}
+	withLookup.name, withLookup.inDoubt = "disk, fast, and a seat lookup", &testcluster.InDoubt{SeatLookup: true}
 	for _, kind := range []string{"kill", "term", "stop"} {
-		for _, w := range []policy{policies()[0], policies()[3], withLookup} {
-			t, err := measureTakeOvers(o, w, kind)
+		for _, p := range []policy{policies()[0], policies()[3], withLookup} {
+			t, err := measureTakeOvers(o, p, kind)
 			if err != nil {
-				return r, fmt.Errorf("%s, %s: %w", kind, w.name, err)
+				return r, fmt.Errorf("%s, %s: %w", kind, p.name, err)
 			}
 			r.TakeOvers = append(r.TakeOvers, t)
-			fmt.Fprintf(o.Progress, "%s, %s: %d of %d shaken bookings known, %d in doubt\n", kind, w.name, t.Resolved, t.Unacknowledged, t.InDoubt)
+			fmt.Fprintf(o.Progress, "%s, %s: %d of %d unacknowledged bookings resolved, %d in doubt\n", kind, p.name, t.Resolved, t.Unacknowledged, t.InDoubt)
 		}
 	}
 	return r, nil
 }
 
-func newCluster(o Options, w policy) (*testcluster.Cluster, error) {
+func newCluster(o Options, p policy) (*testcluster.Cluster, error) {
 	clusterOptions := testcluster.Defaults()
-	clusterOptions.Binary, clusterOptions.StateStore, clusterOptions.InDoubt, clusterOptions.ResetOnTakeover, clusterOptions.Seed = o.Binary, w.stateStore, w.inDoubt, true, o.Seed
+	clusterOptions.Binary, clusterOptions.StateStore, clusterOptions.InDoubt, clusterOptions.ResetOnTakeover, clusterOptions.Seed = o.Binary, p.stateStore, p.inDoubt, true, o.Seed
 	return testcluster.New(clusterOptions)
 }
 
-// measureLoad has clients book at the gateway that holds the floating address, and measures the latency of the served bookings.
-func measureLoad(o Options, w policy, clients int) (Load, error) {
-	out := Load{Policy: w.name, Clients: clients, Durations: report.NewDurations()}
-	cluster, err := newCluster(o, w)
+// measureLoad runs clients that book at the gateway that holds the floating address, and measures the latency of the served bookings.
+func measureLoad(o Options, p policy, clients int) (Load, error) {
+	out := Load{Policy: p.name, Clients: clients, Durations: report.NewDurations()}
+	cluster, err := newCluster(o, p)
 	if err != nil {
 		return out, err
 	}
@@ -122,7 +124,7 @@
 		return out, err
 	}
 	running := cluster.Load(testcluster.LoadOptions{FloatingBookers: clients, ThinkTime: time.Microsecond})
-	time.Sleep(o.LoadDuration / 5) // until connections are open and leaders are elected
+	time.Sleep(o.LoadDuration / 5) // wait until the connections are open and the leaders are elected
 	from := cluster.History.Now()
 	time.Sleep(o.LoadDuration)
 	to := cluster.History.Now()
@@ -142,14 +144,14 @@
 	return out, nil
 }
 
-// convergenceTimeout bounds the time until a test cluster is ready after a start or a fault.
+// convergenceTimeout limits how long a test cluster may take to become ready after a start or a fault.
 const convergenceTimeout = 30 * time.Second
 
-// measureTakeOvers fails the gateway that holds the floating address, again and again, while clients book and retry at its successor.
-// Clients of gateways without intents do not retry, as their bookings are not idempotent.
-func measureTakeOvers(o Options, w policy, kind string) (TakeOver, error) {
-	out := TakeOver{Kind: kind, Policy: w.name, Trials: o.TakeOvers, ResolutionTimes: report.NewDurations()}
-	cluster, err := newCluster(o, w)
+// measureTakeOvers repeatedly fails the gateway that holds the floating address while clients book and retry at its successor. Without
+// intents the clients do not retry, because their bookings are not idempotent then.
+func measureTakeOvers(o Options, p policy, kind string) (TakeOver, error) {
+	out := TakeOver{Kind: kind, Policy: p.name, Trials: o.TakeOvers, ResolutionTimes: report.NewDurations()}
+	cluster, err := newCluster(o, p)
 	if err != nil {
 		return out, err
 	}
@@ -157,7 +159,7 @@
 	if err := cluster.AwaitActiveRouter(1, convergenceTimeout); err != nil {
 		return out, err
 	}
-	running := cluster.Load(testcluster.LoadOptions{FloatingBookers: 8, ThinkTime: time.Microsecond, RetryInDoubt: w.inDoubt != nil})
+	running := cluster.Load(testcluster.LoadOptions{FloatingBookers: 8, ThinkTime: time.Microsecond, RetryInDoubt: p.inDoubt != nil})
 	rng := rand.New(rand.NewPCG(o.Seed, 8))
 	script := map[string]string{"kill": "at 0s kill 1", "term": "at 0s term 1", "stop": "at 0s stop 1"}[kind]
 	fault, err := testcluster.ParseFault(script)
@@ -183,7 +185,8 @@
 	return out, nil
 }
 
-// failOver fails the first gateway, repairs it after a take-over and waits until the cluster is as before.
+// failOver fails the first gateway, repairs it after a take-over, and waits until that gateway holds the address again and the cluster is
+// ready.
 func failOver(cluster *testcluster.Cluster, kind string, fault testcluster.Fault) error {
 	undo, err := cluster.Inject(fault)
 	if err != nil {
@@ -193,7 +196,7 @@
 	case "term":
 		cluster.Nodes[0].WaitForExit()
 	case "stop":
-		time.Sleep(700 * time.Millisecond) // longer than a take-over lasts
+		time.Sleep(700 * time.Millisecond) // a take-over takes less time
 	default:
 		if err := cluster.AwaitActiveRouter(2, convergenceTimeout); err != nil {
 			return err
@@ -214,7 +217,7 @@
 	return cluster.AwaitComplete(convergenceTimeout)
 }
 
-// countOutcomes counts from the history how the bookings ended.
+// countOutcomes counts the outcomes of the bookings from the history.
 func (t *TakeOver) countOutcomes(events []testcluster.Event) {
 	unacknowledgedAt := map[string]int64{}
 	booked, resolved := map[string]bool{}, map[string]bool{}
--- a/internal/experiments/maintenance/maintenance.go
+++ b/internal/experiments/maintenance/maintenance.go
@@ -1,6 +1,7 @@
-// Package maintenance measures maintenance runs with real gateway processes: every machine is taken out of service and returned in the
-// order that the gateways agree on, beside restarts without coordination. marblespan-bench maintenance calls Run and Write. Each trial
-// (Trial.run) has a test cluster of its own and runs on the caller's goroutine; trials with a fault play it on a second one.
+// Package maintenance measures maintenance runs with real gateway processes. Every machine is taken out of service and returned in the
+// order that the gateways agree on; for comparison, gateways are also restarted without coordination. marblespan-bench maintenance calls
+// Run and Write. Each trial (Trial.run) has a test cluster of its own and runs on the caller's goroutine; a trial with a fault injects the
+// fault from a second goroutine.
 package maintenance
 
 import (
@@ -19,13 +20,13 @@
 type Options struct {
 	Binary      string
 	Gateways    int
-	MaxDuration time.Duration // of the maintenance in one trial
+	MaxDuration time.Duration // limit for the maintenance in one trial
 	FaultTrials int           // additional trials with a random fault at a random moment
 	Seed        uint64
 	Progress    io.Writer
 }
 
-// Defaults returns sizes that suit one machine.
+// Defaults returns options with sizes that suit a single machine.
 func Defaults() Options {
 	return Options{Binary: "bin/marblespan", Gateways: 9, MaxDuration: 5 * time.Minute, FaultTrials: 5, Seed: 1, Progress: io.Discard}
 }
@@ -38,33 +39,33 @@
 	ServedByClass map[string]int // requests served, by class
 	Requests      int            // requests sent
 	Outcomes      map[string]int
-	InDoubt       int // bookings whose outcome their clients do not know
+	InDoubt       int // bookings whose clients do not know the outcome
 	Violations    []testcluster.Violation
 
-	begin, end int64
+	begin, end int64 // of the maintenance, in microseconds of the history's clock
 	events     []testcluster.Event
 }
 
-// ServedShare is the fraction of the requests that were served.
+// ServedShare returns the fraction of the requests that were served.
 func (n Trial) ServedShare() float64 {
 	return float64(n.Outcomes[testcluster.EndServed]) / float64(max(n.Requests, 1))
 }
 
-// Run makes the trials: all machines in order, the gateways alone in order, the gateways without coordination, and all machines again
-// with random faults. With an error it returns the trials before it.
+// Run makes the trials: all machines in order, only the gateways in order, the gateways without coordination, and all machines again with
+// random faults. If a trial fails, Run returns the trials before it with the error.
 func Run(options Options) (trials []Trial, err error) {
 	for i, planned := range plans(options) {
 		trial := Trial{Name: planned.name, Fault: planned.fault}
 		if err := trial.run(options, uint64(i), planned.maintain); err != nil {
 			return trials, fmt.Errorf("%s %s: %w", planned.name, planned.fault, err)
 		}
-		fmt.Fprintf(options.Progress, "%s %s: %v, %.4f served, %d rules broken\n", trial.Name, trial.Fault, trial.Duration.Round(100*time.Millisecond), trial.ServedShare(), len(trial.Violations))
+		fmt.Fprintf(options.Progress, "%s %s: %v, %.4f served, %d violations\n", trial.Name, trial.Fault, trial.Duration.Round(100*time.Millisecond), trial.ServedShare(), len(trial.Violations))
 		trials = append(trials, trial)
 	}
 	return trials, nil
 }
 
-// plan is a trial to be made.
+// plan describes a trial that Run makes.
 type plan struct {
 	name, fault string
 	maintain    func(cluster *testcluster.Cluster) error
@@ -92,7 +93,7 @@
 	return planned
 }
 
-// maintainInOrder has the gateways maintain machines in the order that they agree on.
+// maintainInOrder returns a function that orders maintenance of the machines and performs it in the order that the gateways agree on.
 func maintainInOrder(options Options, machines []string) func(*testcluster.Cluster) error {
 	return func(cluster *testcluster.Cluster) error {
 		if _, err := cluster.RunMaintenanceAnywhere(append([]string{"add"}, machines...)...); err != nil {
@@ -102,8 +103,8 @@
 	}
 }
 
-// maintainUnderFault plays a fault that begins at a time while machines are maintained. The goroutine that plays it ends with it; it is
-// waited for.
+// maintainUnderFault returns a function that calls maintain and meanwhile injects a fault, which begins after the duration at. The fault is
+// played on a goroutine that ends with the fault; the function waits for it.
 func maintainUnderFault(maintain func(*testcluster.Cluster) error, fault string, at time.Duration) func(*testcluster.Cluster) error {
 	return func(cluster *testcluster.Cluster) error {
 		faults, err := testcluster.ParseScript("fault", strings.Replace(fault, "at 0s", "at "+at.String(), 1))
@@ -116,7 +117,7 @@
 	}
 }
 
-// randomFault draws a fault that begins at 0 s, in the form of the test cluster's scripts.
+// randomFault returns a random fault that begins at 0 s, as a line of the test cluster's scripts.
 func randomFault(rng *rand.Rand, nodes int) string {
 	n := 1 + rng.IntN(nodes)
 	return [...]string{
@@ -126,7 +127,7 @@
 	}[rng.IntN(8)]
 }
 
-// restart returns the maintenance of a gateway: it is ended by SIGTERM, and started again.
+// restart returns the maintenance action for a gateway: end its process by SIGTERM and start a new one.
 func restart(cluster *testcluster.Cluster) func(n *testcluster.Node) error {
 	return func(n *testcluster.Node) error {
 		undo, err := cluster.InjectLine(fmt.Sprintf("at 0s term %d", n.Number))
@@ -138,7 +139,7 @@
 	}
 }
 
-// restartTenths restarts gateways by SIGTERM, a tenth of them at a time, each tenth when all gateways are ready again.
+// restartTenths restarts the gateways by SIGTERM, a tenth of them at a time. It waits until all gateways are ready before the next tenth.
 func restartTenths(cluster *testcluster.Cluster) error {
 	size := max(len(cluster.Nodes)/10, 1)
 	for some := range slices.Chunk(cluster.Nodes, size) {
@@ -196,7 +197,7 @@
 	return nil
 }
 
-// count counts from the history how the requests during the maintenance ended.
+// count counts the outcomes of the requests during the maintenance from the history.
 func (n *Trial) count(l *testcluster.Load) {
 	n.ServedByClass, n.Outcomes = map[string]int{}, map[string]int{}
 	for _, e := range n.events {
