--- a/internal/experiments/members/heartbeats.go
+++ b/internal/experiments/members/heartbeats.go
@@ -8,15 +8,15 @@
 // Heartbeats is the detector in which each member sends a heartbeat to all others once an interval. A member that is silent for the
 // timeout is dead until its next heartbeat.
 func Heartbeats(interval, timeout clock.Micros) Detector {
-	return Detector{"heartbeats", func(w *World, i int) peer {
-		return &heartbeatPeer{w: w, self: i, interval: interval, timeout: timeout, lastHeard: make([]clock.Micros, len(w.nodes)), dead: make([]bool, len(w.nodes))}
+	return Detector{"heartbeats", func(w *World, i int) localDetector {
+		return &heartbeatDetector{w: w, self: i, interval: interval, timeout: timeout, lastHeard: make([]clock.Micros, len(w.nodes)), dead: make([]bool, len(w.nodes))}
 	}}
 }
 
 // heartbeatSize is the size of a heartbeat in bytes: a name, an incarnation and the signed trailer.
 const heartbeatSize = 2 + 2 + 6 + 9 + sealed.Size
 
-type heartbeatPeer struct {
+type heartbeatDetector struct {
 	w                 *World
 	self              int
 	interval, timeout clock.Micros
@@ -25,7 +25,7 @@
 	dead              []bool
 }
 
-func (b *heartbeatPeer) handle(now clock.Micros, in any, from int) (out []datagram) {
+func (b *heartbeatDetector) handle(now clock.Micros, in any, from int) (out []datagram) {
 	if in == nil {
 		for i := range b.lastHeard {
 			b.lastHeard[i] = now
@@ -52,7 +52,7 @@
 	return out
 }
 
-func (b *heartbeatPeer) setDead(i int, dead bool) {
+func (b *heartbeatDetector) setDead(i int, dead bool) {
 	if b.dead[i] != dead {
 		b.dead[i] = dead
 		if b.w.beliefChanged != nil {
@@ -61,6 +61,6 @@
 	}
 }
 
-func (b *heartbeatPeer) nextTimer() (clock.Micros, bool) { return b.nextHeartbeat, true }
+func (b *heartbeatDetector) nextTimer() (clock.Micros, bool) { return b.nextHeartbeat, true }
 
-func (b *heartbeatPeer) alive(other int) bool { return !b.dead[other] }
+func (b *heartbeatDetector) alive(other int) bool { return !b.dead[other] }
--- a/internal/experiments/members/members_test.go
+++ b/internal/experiments/members/members_test.go
@@ -83,7 +83,7 @@
 			w := gather(t, n, 5)
 			died := 0
 			w.beliefChanged = func(who, about int, alive bool) {
-				if !alive && w.Running(about) && w.nodes[who].peer.(*swimPeer).dead(about) {
+				if !alive && w.Running(about) && w.nodes[who].localDetector.(*swimDetector).dead(about) {
 					died++
 				}
 			}
--- a/internal/experiments/members/swim.go
+++ b/internal/experiments/members/swim.go
@@ -16,9 +16,9 @@
 	if plain {
 		label = "without extensions"
 	}
-	return Detector{label, func(w *World, i int) peer {
+	return Detector{label, func(w *World, i int) localDetector {
 		n := w.nodes[i]
-		p := &swimPeer{w: w, self: i, believed: map[int]bool{}}
+		p := &swimDetector{w: w, self: i, believed: map[int]bool{}}
 		p.machine = membership.New(membership.Config{
 			Name: name(i), Address: address(i), Generation: uint64(w.Now) + n.incarnation<<40, Interval: interval, WithoutLifeguard: plain,
 			Join: []netip.AddrPort{address(0), address(1), address(2)}, Seed: w.rng.Uint64() | 1,
@@ -28,8 +28,8 @@
 	}}
 }
 
-// swimPeer runs the state machine of internal/membership.
-type swimPeer struct {
+// swimDetector runs the state machine of internal/membership.
+type swimDetector struct {
 	w              *World
 	self           int
 	machine        *membership.Machine
@@ -38,7 +38,7 @@
 	leaveCompleted bool
 }
 
-func (p *swimPeer) handle(now clock.Micros, in any, from int) []datagram {
+func (p *swimDetector) handle(now clock.Micros, in any, from int) []datagram {
 	var ev membership.Event
 	switch x := in.(type) {
 	case nil:
@@ -53,7 +53,7 @@
 	return p.applyActions(now, p.machine.Handle(now, ev))
 }
 
-func (p *swimPeer) applyActions(now clock.Micros, actions []membership.Action) (out []datagram) {
+func (p *swimDetector) applyActions(now clock.Micros, actions []membership.Action) (out []datagram) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case membership.Send:
@@ -92,11 +92,11 @@
 var leaveRequest = membership.LeaveRequested{}
 
 // dead tells whether it believes another one dead; one that has left gracefully is not.
-func (p *swimPeer) dead(other int) bool {
+func (p *swimDetector) dead(other int) bool {
 	r, known := p.machine.Lookup(name(other))
 	return known && r.State == membership.Dead
 }
 
-func (p *swimPeer) nextTimer() (clock.Micros, bool) { return p.machine.Next() }
+func (p *swimDetector) nextTimer() (clock.Micros, bool) { return p.machine.Next() }
 
-func (p *swimPeer) alive(other int) bool { return other == p.self || p.believed[other] }
+func (p *swimDetector) alive(other int) bool { return other == p.self || p.believed[other] }
--- a/internal/experiments/members/world.go
+++ b/internal/experiments/members/world.go
@@ -19,8 +19,8 @@
 // Second is one second of simulated time.
 const Second clock.Micros = 1_000_000
 
-// peer is the failure detector of one gateway.
-type peer interface {
+// localDetector is the failure detector of one gateway.
+type localDetector interface {
 	// handle takes an input: nil starts the peer, timerExpired says that time has passed, all else is a message of the gateway from. It
 	// returns the datagrams to send.
 	handle(now clock.Micros, in any, from int) []datagram
@@ -46,7 +46,7 @@
 
 // node is one gateway: its peer and the process and socket around it.
 type node struct {
-	peer
+	localDetector
 	up              bool
 	incarnation     uint64
 	pausedUntil     clock.Micros // the process is stopped until then
@@ -74,7 +74,7 @@
 	nextSequence   uint64
 	measuresSizes  bool // every message is encoded to measure its size
 	beliefChanged  func(who, about int, alive bool)
-	newPeer        func(w *World, i int) peer
+	newDetector    func(w *World, i int) localDetector
 }
 
 // starvationSlice is the period in which a starved node is stopped and then runs, as in the test cluster.
@@ -108,7 +108,7 @@
 // NewWorld makes a world of n gateways, none of them started. The same arguments give the same run.
 func NewWorld(n int, seed uint64, kind Detector) *World {
 	w := &World{
-		Now: 1, Network: Network{MinDelay: 200, Jitter: 800}, nodesByAddress: map[netip.AddrPort]int{}, rng: rand.New(rand.NewPCG(seed, 7)), newPeer: kind.newPeer,
+		Now: 1, Network: Network{MinDelay: 200, Jitter: 800}, nodesByAddress: map[netip.AddrPort]int{}, rng: rand.New(rand.NewPCG(seed, 7)), newDetector: kind.newDetector,
 	}
 	for i := range n {
 		w.nodesByAddress[address(i)] = i
@@ -138,7 +138,7 @@
 	n.up, n.pausedUntil, n.receiveQueue, n.senders = true, 0, nil, nil
 	n.incarnation++
 	n.nextWakeUp = 0
-	n.peer = w.newPeer(w, i)
+	n.localDetector = w.newDetector(w, i)
 	w.deliver(i, nil, 0)
 }
 
@@ -255,6 +255,6 @@
 
 // Detector is the failure detector that all gateways of a world run.
 type Detector struct {
-	Name    string
-	newPeer func(w *World, i int) peer
+	Name        string
+	newDetector func(w *World, i int) localDetector
 }
