--- a/internal/experiments/members/heartbeats.go
+++ b/internal/experiments/members/heartbeats.go
@@ -5,17 +5,18 @@
 	"marblespan/internal/protocol/sealed"
 )
 
-// Heartbeats is the detector in which each member sends a heartbeat to all others once an interval. A member that is silent for the
-// timeout is dead until its next heartbeat.
+// Heartbeats returns the detector with which each member sends a heartbeat to all others once per interval. A member whose heartbeats do
+// not arrive for the timeout is considered dead until its next heartbeat.
 func Heartbeats(interval, timeout clock.Micros) Detector {
 	return Detector{"heartbeats", func(w *World, i int) localDetector {
 		return &heartbeatDetector{w: w, self: i, interval: interval, timeout: timeout, lastHeard: make([]clock.Micros, len(w.nodes)), dead: make([]bool, len(w.nodes))}
 	}}
 }
 
-// heartbeatSize is the size of a heartbeat in bytes: a name, an incarnation and the signed trailer.
+// heartbeatSize is the size of a heartbeat in bytes, with a name, an incarnation and the signed trailer.
 const heartbeatSize = 2 + 2 + 6 + 9 + sealed.Size
 
+// heartbeatDetector implements localDetector for Heartbeats.
 type heartbeatDetector struct {
 	w                 *World
 	self              int
--- a/internal/experiments/members/measure.go
+++ b/internal/experiments/members/measure.go
@@ -11,19 +11,19 @@
 
 // Options select what Run measures.
 type Options struct {
-	Members               int          // gateways of a world
-	Interval              clock.Micros // between two probes, and between two heartbeats
-	HeartbeatTimeout      clock.Micros // after which the heartbeat baseline declares a member dead
-	Kills                 int          // single kills measured for each detector
-	MassFailures          int          // worlds in which 46 % of the members are killed at once
-	FaultDuration         clock.Micros // simulated time of each fault for our detector; no false death is expected
-	BaselineFaultDuration clock.Micros // the same for the baselines: shorter, as false deaths come soon
+	Members               int          // number of gateways in a world
+	Interval              clock.Micros // time between two probes, and between two heartbeats
+	HeartbeatTimeout      clock.Micros // time without a heartbeat after which the heartbeat baseline declares a member dead
+	Kills                 int          // number of single kills measured for each detector
+	MassFailures          int          // number of worlds in which 46 % of the members are killed at once
+	FaultDuration         clock.Micros // simulated time of each fault for the gateways' detector, for which no false death is expected
+	BaselineFaultDuration clock.Micros // the same for the baselines: shorter, because their false deaths occur early
 	IdleMembers           []int        // sizes of the worlds whose idle traffic is measured
 	Seed                  uint64
 	Progress              io.Writer
 }
 
-// Defaults returns the sizes for which the operators asked.
+// Defaults returns options with the sizes that the operators have asked for.
 func Defaults() Options {
 	return Options{
 		Members: 300, Interval: Second / 5, HeartbeatTimeout: 6 * Second / 5, Kills: 100, MassFailures: 5, FaultDuration: 3600 * Second,
@@ -31,7 +31,8 @@
 	}
 }
 
-// convergenceTimeout bounds the time until all members know each other; detectionTimeout that until all members know of a kill.
+// convergenceTimeout is how long members may take to know each other after their start. detectionTimeout limits how long a measurement
+// waits until all members have detected a kill.
 const (
 	convergenceTimeout = 15 * Second
 	detectionTimeout   = 30 * Second
@@ -45,7 +46,7 @@
 
 var faults = []fault{
 	{"30 % lost", func(w *World) { w.Network.LossRate = 0.3 }},
-	{"a tenth stands still for 1 s, every 10 s", func(w *World) {
+	{"a tenth paused for 1 s, every 10 s", func(w *World) {
 		var again func()
 		again = func() {
 			for _, i := range w.rng.Perm(len(w.nodes))[:max(1, len(w.nodes)/10)] {
@@ -81,28 +82,28 @@
 type Result struct {
 	Detector                                  string
 	FaultDuration                             clock.Micros      // simulated time of each fault
-	FirstDetection, CompleteDetection         *report.Durations // from one kill to the first member that knows, and to the last
-	MassFirstDetection, MassCompleteDetection *report.Durations // the same for 46 % killed at once, counting the members that still run
-	IdleBytesPerSecond                        []int64           // sent by each idle member, by the index of Options.IdleMembers
-	FalseDeaths                               []int             // by fault: how often a member declared a running member dead
-	UndetectedKills                           int               // kills that not all members knew within detectionTimeout
+	FirstDetection, CompleteDetection         *report.Durations // time from a single kill until the first, and until the last, member has detected it
+	MassFirstDetection, MassCompleteDetection *report.Durations // the same when 46 % are killed at once, for the members that still run
+	IdleBytesPerSecond                        []int64           // bytes that each member sends without faults, by the index of Options.IdleMembers
+	FalseDeaths                               []int             // how often a member declared a running member dead, by fault
+	UndetectedKills                           int               // kills that not all members had detected within detectionTimeout
 }
 
-// NewConvergedWorld makes a world of n gateways that start within a second, and runs it for convergenceTimeout. It returns an error if
-// a member has a wrong belief then.
-func NewConvergedWorld(n int, seed uint64, kind Detector) (*World, error) {
-	w := NewWorld(n, seed, kind)
+// NewConvergedWorld returns a world of n gateways that start within a second, and that has run for convergenceTimeout. It returns an error
+// if a gateway is then wrong about whether another gateway runs.
+func NewConvergedWorld(n int, seed uint64, detector Detector) (*World, error) {
+	w := NewWorld(n, seed, detector)
 	for i := range n {
 		w.Schedule(clock.Micros(w.rng.Int64N(int64(Second))), func() { w.Start(i) })
 	}
 	w.RunUntil(convergenceTimeout)
 	if wrong := w.WrongBeliefs(); wrong > 0 {
-		return nil, fmt.Errorf("%s: %d beliefs are wrong %d s after the start", kind.Name, wrong, convergenceTimeout/Second)
+		return nil, fmt.Errorf("%s: %d beliefs are wrong %d s after the start", detector.Name, wrong, convergenceTimeout/Second)
 	}
 	return w, nil
 }
 
-// WrongBeliefs counts the pairs in which a running gateway is wrong about whether another one runs.
+// WrongBeliefs returns the number of pairs in which a running gateway is wrong about whether the other gateway runs.
 func (w *World) WrongBeliefs() (n int) {
 	for i := range w.nodes {
 		for j := range w.nodes {
@@ -114,8 +115,8 @@
 	return n
 }
 
-// Run measures each detector. Each measurement has a world and a goroutine of its own; Run waits for all of them and returns the first
-// error.
+// Run measures each detector. Each measurement has a world and a goroutine of its own. Run waits for all measurements and returns the
+// first error.
 func Run(options Options) ([]Result, error) {
 	detectors := []Detector{SWIM(options.Interval, false), SWIM(options.Interval, true), Heartbeats(options.Interval, options.HeartbeatTimeout)}
 	results := make([]Result, len(detectors))
@@ -131,7 +132,7 @@
 	return results, running.wait()
 }
 
-// measurements runs measurements at the same time, each on a goroutine of its own, and keeps the first error.
+// measurements runs measurements concurrently, each on a goroutine of its own, and keeps the first error.
 type measurements struct {
 	progress io.Writer
 	running  sync.WaitGroup
@@ -140,7 +141,7 @@
 	err error
 }
 
-// start runs a measurement on a goroutine that ends with it.
+// start runs a measurement on a new goroutine, which ends with the measurement.
 func (m *measurements) start(name string, measure func() error) {
 	m.running.Go(func() {
 		err := measure()
@@ -168,12 +169,13 @@
 	}
 }
 
-// start starts all measurements of a detector. Each writes fields or elements of its own.
+// start starts all measurements of a detector. They need no lock for the result, because each of them writes only its own fields or
+// elements.
 func (r *Result) start(running *measurements, options Options, detector Detector) {
 	running.start(detector.Name+": kills", func() error { return r.measureKills(options, detector) })
 	running.start(detector.Name+": 46 %", func() error { return r.measureMassKills(options, detector) })
 	for i, n := range options.IdleMembers {
-		running.start(fmt.Sprintf("%s: bytes of %d", detector.Name, n), func() (err error) {
+		running.start(fmt.Sprintf("%s: idle traffic of %d", detector.Name, n), func() (err error) {
 			r.IdleBytesPerSecond[i], err = measureIdleTraffic(n, options.Seed, detector)
 			return err
 		})
@@ -186,13 +188,13 @@
 	}
 }
 
-// killAndAwait kills gateways and runs the world until all running members know of all kills, or for detectionTimeout. It returns the
-// times from the kill to the first and the last detection.
-func killAndAwait(w *World, victims []int) (first, all clock.Micros, known bool) {
+// killAndAwait kills gateways and runs the world until all running members have detected all kills, but at most for detectionTimeout. It
+// returns the times from the kill to the first and to the last detection, and whether all members have detected all kills.
+func killAndAwait(w *World, victims []int) (first, all clock.Micros, detected bool) {
 	killed := w.Now
-	dead := map[int]bool{}
+	killedMembers := map[int]bool{}
 	for _, v := range victims {
-		dead[v] = true
+		killedMembers[v] = true
 		w.Kill(v)
 	}
 	left := 0
@@ -203,8 +205,8 @@
 			}
 		}
 	}
-	w.beliefChanged = func(who, about int, alive bool) {
-		if !alive && dead[about] && w.Running(who) {
+	w.beliefChanged = func(observer, subject int, alive bool) {
+		if !alive && killedMembers[subject] && w.Running(observer) {
 			if first == 0 {
 				first = w.Now - killed
 			}
@@ -219,16 +221,16 @@
 	return first, all, left == 0
 }
 
-func (r *Result) measureKills(o Options, kind Detector) error {
-	w, err := NewConvergedWorld(o.Members, o.Seed, kind)
+func (r *Result) measureKills(o Options, detector Detector) error {
+	w, err := NewConvergedWorld(o.Members, o.Seed, detector)
 	if err != nil {
 		return err
 	}
 	for range o.Kills {
 		w.RunUntil(w.Now + clock.Micros(w.rng.Int64N(int64(o.Interval))))
 		victim := w.rng.IntN(o.Members)
-		first, all, known := killAndAwait(w, []int{victim})
-		if !known {
+		first, all, detected := killAndAwait(w, []int{victim})
+		if !detected {
 			r.UndetectedKills++
 		}
 		r.FirstDetection.Add(int64(first))
@@ -239,14 +241,14 @@
 	return nil
 }
 
-func (r *Result) measureMassKills(o Options, kind Detector) error {
+func (r *Result) measureMassKills(o Options, detector Detector) error {
 	for i := range o.MassFailures {
-		w, err := NewConvergedWorld(o.Members, o.Seed+uint64(i)+1, kind)
+		w, err := NewConvergedWorld(o.Members, o.Seed+uint64(i)+1, detector)
 		if err != nil {
 			return err
 		}
-		first, all, known := killAndAwait(w, w.rng.Perm(o.Members)[:o.Members*46/100])
-		if !known {
+		first, all, detected := killAndAwait(w, w.rng.Perm(o.Members)[:o.Members*46/100])
+		if !detected {
 			r.UndetectedKills++
 		}
 		r.MassFirstDetection.Add(int64(first))
@@ -255,9 +257,9 @@
 	return nil
 }
 
-// measureIdleTraffic returns how many bytes a member sends in a second without faults.
-func measureIdleTraffic(n int, seed uint64, kind Detector) (int64, error) {
-	w, err := NewConvergedWorld(n, seed, kind)
+// measureIdleTraffic returns how many bytes a member sends per second without faults.
+func measureIdleTraffic(n int, seed uint64, detector Detector) (int64, error) {
+	w, err := NewConvergedWorld(n, seed, detector)
 	if err != nil {
 		return 0, err
 	}
@@ -276,14 +278,15 @@
 	return sum
 }
 
-// countFalseDeaths counts how often a member declares another one dead during a fault in which all of them run.
-func countFalseDeaths(o Options, duration clock.Micros, kind Detector, injected fault) (int, error) {
-	w, err := NewConvergedWorld(o.Members, o.Seed, kind)
+// countFalseDeaths counts how often a member declares another one dead during a fault. All members run during the fault, so each such
+// declaration is false.
+func countFalseDeaths(o Options, duration clock.Micros, detector Detector, injected fault) (int, error) {
+	w, err := NewConvergedWorld(o.Members, o.Seed, detector)
 	if err != nil {
 		return 0, err
 	}
 	count := 0
-	w.beliefChanged = func(who, about int, alive bool) {
+	w.beliefChanged = func(observer, subject int, alive bool) {
 		if !alive {
 			count++
 		}
--- a/internal/experiments/members/members_test.go
+++ b/internal/experiments/members/members_test.go
@@ -9,8 +9,8 @@
 	"marblespan/internal/clock"
 )
 
-// gather starts gateways within a second and waits until all members know each other.
-func gather(t *testing.T, n int, seed uint64) *World {
+// newStartedWorld starts n gateways within a second and checks that all of them know each other 7 s later.
+func newStartedWorld(t *testing.T, n int, seed uint64) *World {
 	t.Helper()
 	w := NewWorld(n, seed, SWIM(Second/5, false))
 	for i := range n {
@@ -22,19 +22,21 @@
 	return w
 }
 
+// split cuts the network into parts. parts returns a bit set of the parts that a gateway belongs to.
 func (w *World) split(parts func(i int) int) {
 	w.IsCut = func(a, b int) bool { return parts(a)&parts(b) == 0 }
 }
 
-// TestHardCases checks in each fault that no member is falsely declared dead and that all beliefs are right in time after it.
+// TestHardCases checks that no running member is declared dead during a fault, except where false deaths are expected, and that a given
+// time after the fault every member knows which other members run.
 func TestHardCases(t *testing.T) {
 	const n = 60
 	for _, c := range []struct {
-		name  string
-		do    func(w *World)
-		for_  clock.Micros // how long the fault lasts
-		after clock.Micros // after the fault: when all beliefs have to be right
-		dies  bool         // false deaths are expected
+		name     string
+		begin    func(w *World)
+		duration clock.Micros // how long the fault lasts
+		after    clock.Micros // time after the fault at which all beliefs must be right
+		dies     bool         // false deaths are expected
 	}{
 		{"nothing", func(w *World) {}, 0, 0, false},
 		{"one killed", func(w *World) { w.Kill(7) }, 0, 2 * Second, false},
@@ -60,10 +62,10 @@
 		{"one-way cuts of a twentieth of the pairs", func(w *World) {
 			w.IsCut = func(a, b int) bool { return (a*31+b*17)%20 == 0 && a < b }
 		}, 20 * Second, 0, false},
-		{"one that nobody hears", func(w *World) { w.IsCut = func(a, b int) bool { return a == 4 } }, 6 * Second, 6 * Second, true},
-		{"one that hears nobody", func(w *World) { w.IsCut = func(a, b int) bool { return b == 4 } }, 6 * Second, 6 * Second, true},
+		{"one cannot send", func(w *World) { w.IsCut = func(a, b int) bool { return a == 4 } }, 6 * Second, 6 * Second, true},
+		{"one cannot receive", func(w *World) { w.IsCut = func(a, b int) bool { return b == 4 } }, 6 * Second, 6 * Second, true},
 		{"two halves", func(w *World) { w.split(func(i int) int { return 1 << (i % 2) }) }, 60 * Second, 12 * Second, true},
-		{"three parts, and one that sees two", func(w *World) {
+		{"three parts, and one gateway in two of them", func(w *World) {
 			w.split(func(i int) int {
 				if i == 0 {
 					return 3
@@ -80,15 +82,15 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := gather(t, n, 5)
+			w := newStartedWorld(t, n, 5)
 			died := 0
-			w.beliefChanged = func(who, about int, alive bool) {
-				if !alive && w.Running(about) && w.nodes[who].localDetector.(*swimDetector).dead(about) {
+			w.beliefChanged = func(observer, subject int, alive bool) {
+				if !alive && w.Running(subject) && w.nodes[observer].localDetector.(*swimDetector).dead(subject) {
 					died++
 				}
 			}
-			c.do(w)
-			w.RunUntil(w.Now + c.for_)
+			c.begin(w)
+			w.RunUntil(w.Now + c.duration)
 			w.Network, w.IsCut = NewWorld(0, 0, Detector{}).Network, nil
 			w.RunUntil(w.Now + c.after)
 			if n := w.WrongBeliefs(); n > 0 {
@@ -102,7 +104,7 @@
 	}
 }
 
-// TestMeasure checks that all three detectors are measured, and written as tables and a chart.
+// TestMeasure checks that Run measures all three detectors, and that Write writes the tables and the chart.
 func TestMeasure(t *testing.T) {
 	o := Defaults()
 	o.Members, o.Kills, o.MassFailures, o.FaultDuration, o.BaselineFaultDuration, o.IdleMembers = 12, 2, 1, 5*Second, 2*Second, []int{3, 12}
@@ -123,7 +125,7 @@
 	if err := Write(&b, dir, o, results, nil); err != nil || strings.Count(b.String(), "| heartbeats ") != 3 {
 		t.Errorf("%v\n%s", err, &b)
 	}
-	if svg, err := os.ReadFile(filepath.Join(dir, "members.svg")); err != nil || !strings.Contains(string(svg), "From a kill until all know") {
+	if svg, err := os.ReadFile(filepath.Join(dir, "members.svg")); err != nil || !strings.Contains(string(svg), "From a kill until all members have detected it") {
 		t.Errorf("the chart: %v", err)
 	}
 }
--- a/internal/experiments/members/processes.go
+++ b/internal/experiments/members/processes.go
@@ -17,8 +17,8 @@
 	Violations    []testcluster.Violation
 }
 
-// RunProcesses kills gateways of a test cluster, in each trial one and then 46 % at once, and takes the detection times from the
-// cluster's history.
+// RunProcesses kills gateways of a test cluster: in each trial first one gateway, then 46 % of them at once. It takes the detection times
+// from the cluster's history.
 func RunProcesses(binary string, nodes, trials int, seed uint64) (*Processes, error) {
 	measured := &Processes{Nodes: nodes, Trials: trials}
 	measured.One.First, measured.One.All, measured.Mass.First, measured.Mass.All = report.NewDurations(), report.NewDurations(), report.NewDurations(), report.NewDurations()
@@ -37,7 +37,7 @@
 	rng := rand.New(rand.NewPCG(seed, 3))
 	for range trials {
 		for _, mass := range []bool{false, true} {
-			time.Sleep(time.Duration(rng.Int64N(int64(clusterOptions.MembershipInterval)))) // so that the kill falls on a random moment of an interval
+			time.Sleep(time.Duration(rng.Int64N(int64(clusterOptions.MembershipInterval)))) // so that the kill happens at a random moment of a probe interval
 			victims, times := []int{1 + rng.IntN(nodes)}, &measured.One
 			if mass {
 				victims, times = nil, &measured.Mass
@@ -57,8 +57,8 @@
 	return measured, nil
 }
 
-// killProcesses kills the victims, records when the first and the last survivor know of them, restarts them and waits until all
-// gateways are ready and know each other.
+// killProcesses kills the victims, and records after what time the first survivor has reported a victim dead, and after what time all
+// survivors have reported all victims dead. It then restarts the victims and waits until all gateways are ready and know each other.
 func killProcesses(cluster *testcluster.Cluster, victims []int, first, all *report.Durations) error {
 	slices.Sort(victims)
 	fault := testcluster.Fault{Verb: "kill", From: victims}
@@ -69,7 +69,7 @@
 		return err
 	}
 	earliest, latest := int64(0), int64(0)
-	err = cluster.History.Await("all know of the kill", time.Minute, func(events []testcluster.Event) bool {
+	err = cluster.History.Await("all survivors have reported all killed gateways dead", time.Minute, func(events []testcluster.Event) bool {
 		var detections int
 		detections, earliest, latest = countDetections(events, victims, from)
 		return detections == len(victims)*(len(cluster.Nodes)-len(victims))
@@ -89,11 +89,11 @@
 	return cluster.AwaitMembers(time.Minute)
 }
 
-// countDetections counts the pairs of a survivor and a victim that it has reported dead from a time on, in microseconds. It returns the
-// times of the first and the last report too.
+// countDetections counts the pairs of a survivor and a victim in which the survivor has reported the victim dead at or after from, which
+// is in microseconds. It also returns the times of the first and the last report.
 func countDetections(events []testcluster.Event, victims []int, from int64) (detections int, earliest, latest int64) {
 	type detection struct{ survivor, victim int }
-	known := map[detection]bool{}
+	reported := map[detection]bool{}
 	for i := len(events) - 1; i >= 0 && events[i].At > from-historyDisorder; i-- {
 		e := events[i]
 		if e.Kind != testcluster.StateReported || e.Text != "dead" || e.At < from || slices.Contains(victims, e.Node) {
@@ -103,16 +103,16 @@
 			if e.What != fmt.Sprint("member g", victim) {
 				continue
 			}
-			known[detection{e.Node, victim}] = true
+			reported[detection{e.Node, victim}] = true
 			if latest = max(latest, e.At); earliest == 0 || e.At < earliest {
 				earliest = e.At
 			}
 		}
 	}
-	return len(known), earliest, latest
+	return len(reported), earliest, latest
 }
 
-// historyDisorder bounds how far an event in the history may be earlier than the one before it, in microseconds.
+// historyDisorder limits, in microseconds, how much earlier an event in the history may be than the event before it.
 const historyDisorder = int64(time.Second / time.Microsecond)
 
 // rows returns a table row for single kills and one for mass kills.
--- a/internal/experiments/members/report.go
+++ b/internal/experiments/members/report.go
@@ -9,8 +9,8 @@
 	"marblespan/internal/experiments/report"
 )
 
-// Write writes the tables to w, with those of real processes if real is not nil. If dir is not empty, it also writes members.md and the
-// chart members.svg there.
+// Write writes the tables to w, including the table of real processes if real is not nil. If dir is not empty, it also writes members.md
+// and the chart members.svg there.
 func Write(w io.Writer, dir string, o Options, results []Result, real *Processes) error {
 	if dir == "" {
 		return tables(w, o, results, real)
@@ -26,9 +26,9 @@
 	if err := tables(io.MultiWriter(w, file), o, results, real); err != nil {
 		return err
 	}
-	fmt.Fprintf(file, "\n![who knows of a kill](members.svg)\n")
+	fmt.Fprintf(file, "\n![detection of kills](members.svg)\n")
 	b := report.Bars{
-		Title: "From a kill until all know, ms", Note: fmt.Sprintf("simulated, %d members, interval %d ms", o.Members, o.Interval/1000),
+		Title: "From a kill until all members have detected it, ms", Note: fmt.Sprintf("simulated, %d members, interval %d ms", o.Members, o.Interval/1000),
 		Series: []string{"one, median", "one, 99 %", "46 %, median"}, Values: make([][]float64, 3),
 	}
 	for _, r := range results {
@@ -54,8 +54,8 @@
 }
 
 func detectionTable(w io.Writer, options Options, results []Result) error {
-	fmt.Fprintf(w, "# Who is there: failure detection compared\n\nSimulated, seed %d: %d members, interval %d ms, datagrams take 0.2 to 1 ms; heartbeats go to everybody once an "+
-		"interval and time out\nafter %d ms. Times in ms. %d kills of one, %d of 46 %%.\n\n", options.Seed, options.Members, options.Interval/1000, options.HeartbeatTimeout/1000, options.Kills, options.MassFailures)
+	fmt.Fprintf(w, "# Failure detectors compared\n\nSimulated, seed %d: %d members, interval %d ms, datagrams take 0.2 to 1 ms; heartbeats go to all members once per "+
+		"interval and time out\nafter %d ms. Times in ms. %d kills of one member, %d of 46 %%.\n\n", options.Seed, options.Members, options.Interval/1000, options.HeartbeatTimeout/1000, options.Kills, options.MassFailures)
 	var rows [][]string
 	for _, r := range results {
 		rows = append(rows, []string{
@@ -65,13 +65,13 @@
 		})
 	}
 	return report.Table(w, []string{
-		"kind", "one killed, first knows: median", "99 %", "longest", "all know: median", "99 %", "longest", "46 %, first knows: median",
-		"all know: median", "longest", "not known in 30 s",
+		"kind", "one killed, first detection: median", "99 %", "longest", "detected by all: median", "99 %", "longest", "46 % killed, first detection: median",
+		"detected by all: median", "longest", "not detected in 30 s",
 	}, rows)
 }
 
 func falseDeathTable(w io.Writer, results []Result) error {
-	fmt.Fprintf(w, "\nFalse deaths: how often anybody held another one dead that ran, in so many seconds of each trouble.\n\n")
+	fmt.Fprintf(w, "\nFalse deaths: how often a member declared a running member dead, in the given seconds of each fault.\n\n")
 	head := []string{"kind", "seconds"}
 	for _, injected := range faults {
 		head = append(head, injected.name)
@@ -88,7 +88,7 @@
 }
 
 func trafficTable(w io.Writer, options Options, results []Result) error {
-	fmt.Fprintf(w, "\nBytes that a member sends a second at rest, with trailer and signature.\n\n")
+	fmt.Fprintf(w, "\nBytes that a member sends per second without faults, with trailer and signature.\n\n")
 	head := []string{"kind"}
 	for _, n := range options.IdleMembers {
 		head = append(head, fmt.Sprint(n, " members"))
@@ -105,9 +105,9 @@
 }
 
 func (p *Processes) table(w io.Writer) error {
-	fmt.Fprintf(w, "\nLoopback, %d real processes under a light load, interval 200 ms: from SIGKILL, by the gateways' own logs. Rules broken: %d.\n\n",
+	fmt.Fprintf(w, "\nLoopback, %d real processes under a light load, interval 200 ms: times from SIGKILL in ms, taken from the gateways' own logs. Violations: %d.\n\n",
 		p.Nodes, len(p.Violations))
 	return report.Table(w, []string{
-		"killed", "trials", "first knows: median", "longest", "all know: median", "99 %", "longest",
+		"killed", "trials", "first detection: median", "longest", "detected by all: median", "99 %", "longest",
 	}, p.rows())
 }
--- a/internal/experiments/members/swim.go
+++ b/internal/experiments/members/swim.go
@@ -10,7 +10,7 @@
 	"marblespan/internal/protocol/sealed"
 )
 
-// SWIM is the detector of internal/membership with a probe interval; plain leaves out the Lifeguard extensions.
+// SWIM returns the detector of internal/membership with a probe interval. If plain is true, it does not use the Lifeguard extensions.
 func SWIM(interval clock.Micros, plain bool) Detector {
 	label := "membership"
 	if plain {
@@ -28,7 +28,7 @@
 	}}
 }
 
-// swimDetector runs the state machine of internal/membership.
+// swimDetector implements localDetector with the state machine of internal/membership.
 type swimDetector struct {
 	w              *World
 	self           int
@@ -53,6 +53,7 @@
 	return p.applyActions(now, p.machine.Handle(now, ev))
 }
 
+// applyActions carries out the actions of the state machine, and returns the datagrams to send.
 func (p *swimDetector) applyActions(now clock.Micros, actions []membership.Action) (out []datagram) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -83,15 +84,16 @@
 	return out
 }
 
+// index returns the index of the gateway with a name.
 func index(name string) (i int) {
 	fmt.Sscanf(name, "gw-%d", &i)
 	return i
 }
 
-// leaveRequest has a gateway leave gracefully.
+// leaveRequest is the event that makes a gateway leave gracefully.
 var leaveRequest = membership.LeaveRequested{}
 
-// dead tells whether it believes another one dead; one that has left gracefully is not.
+// dead reports whether the detector considers another gateway dead. A gateway that has left gracefully is not dead.
 func (p *swimDetector) dead(other int) bool {
 	r, known := p.machine.Lookup(name(other))
 	return known && r.State == membership.Dead
--- a/internal/experiments/members/world.go
+++ b/internal/experiments/members/world.go
@@ -2,9 +2,9 @@
 // same state machine without Lifeguard, and all-to-all heartbeats with a fixed timeout. marblespan-bench members calls Run, RunProcesses
 // and Write.
 //
-// A World simulates clock, network and gateways as a queue of events; it belongs to the goroutine that runs it, and has no locks.
-// RunUntil is the event loop, deliver hands an event to a gateway, and nextRunTime decides whether the gateway is paused or starved.
-// RunProcesses makes the same measurement with real processes.
+// A World simulates the clock, the network and the gateways with a queue of events. It has no locks and must be used by one goroutine
+// only. RunUntil is the event loop, deliver hands an input to a gateway, and nextRunTime returns when a paused or starved gateway runs
+// again. RunProcesses measures detection times with real processes.
 package members
 
 import (
@@ -21,12 +21,12 @@
 
 // localDetector is the failure detector of one gateway.
 type localDetector interface {
-	// handle takes an input: nil starts the peer, timerExpired says that time has passed, all else is a message of the gateway from. It
-	// returns the datagrams to send.
+	// handle processes an input and returns the datagrams to send. The input nil starts the detector, timerExpired means that its timer is
+	// due, and any other input is a message from the gateway from, or a request such as leaveRequest.
 	handle(now clock.Micros, in any, from int) []datagram
-	// nextTimer returns when the peer has to handle timerExpired next, if ever.
+	// nextTimer returns when the detector next has to handle timerExpired, and whether it has to at all.
 	nextTimer() (clock.Micros, bool)
-	// alive tells whether the peer believes that another one is alive; it always believes so of itself.
+	// alive reports whether the detector considers a gateway alive. It always considers its own gateway alive.
 	alive(other int) bool
 }
 
@@ -34,61 +34,64 @@
 type datagram struct {
 	to   int
 	body any
-	size int // in bytes, with the signed trailer; measured only if World.measuresSizes is set, for SWIM
+	size int // in bytes, with the signed trailer; for SWIM it is measured only if World.measuresSizes is set, and is 0 otherwise
 }
 
 // Network holds the loss and the delay of datagrams.
 type Network struct {
-	LossRate float64      // fraction of datagrams lost, 0 to 1
-	MinDelay clock.Micros // of each datagram
-	Jitter   clock.Micros // additional delay, random from 0 to this
+	LossRate float64      // fraction of the datagrams that are lost, 0 to 1
+	MinDelay clock.Micros // minimum delay of each datagram
+	Jitter   clock.Micros // maximum of the additional random delay
 }
 
-// node is one gateway: its peer and the process and socket around it.
+// node is one simulated gateway: its failure detector, and the state of its process and its socket.
 type node struct {
 	localDetector
 	up              bool
 	incarnation     uint64
-	pausedUntil     clock.Micros // the process is stopped until then
-	stoppedPerSlice clock.Micros // how long of each starvationSlice the process is stopped
-	sliceOffset     clock.Micros // offset of its slices, so that nodes are not stopped together
+	pausedUntil     clock.Micros // the process is stopped until this time
+	stoppedPerSlice clock.Micros // time of each starvationSlice for which the process is stopped
+	sliceOffset     clock.Micros // offset of this node's slices, so that starved nodes are not stopped at the same times
 	receiveQueue    []datagram   // datagrams that arrived while the process was stopped
-	senders         []int
-	nextWakeUp      clock.Micros // time of the earliest wake-up in the event queue
-	sentBytes       int64        // total
+	senders         []int        // sender of each datagram in receiveQueue
+	nextWakeUp      clock.Micros // time of the node's earliest wake-up in the event queue; 0: none
+	sentBytes       int64        // in total, if sizes are measured
 }
 
-// receiveQueueCapacity is how many datagrams wait for a stopped node; the rest is dropped, as by a kernel.
+// receiveQueueCapacity is the maximum number of datagrams that are queued for a stopped node. Further ones are dropped, as a kernel does
+// when a socket's buffer is full.
 const receiveQueueCapacity = 256
 
 // World is a simulation of gateways, their network and a clock.
 type World struct {
 	Now     clock.Micros
 	Network Network
-	IsCut   func(from, to int) bool // whether datagrams between the two are dropped; may be nil
+	IsCut   func(from, to int) bool // reports whether datagrams from one gateway to the other are dropped; may be nil
 
 	nodes          []*node
 	nodesByAddress map[netip.AddrPort]int
 	rng            *rand.Rand
 	queue          eventQueue
 	nextSequence   uint64
-	measuresSizes  bool // every message is encoded to measure its size
-	beliefChanged  func(who, about int, alive bool)
+	measuresSizes  bool                                    // encode every message to measure its size
+	beliefChanged  func(observer, subject int, alive bool) // called when a gateway's belief about another changes; may be nil
 	newDetector    func(w *World, i int) localDetector
 }
 
-// starvationSlice is the period in which a starved node is stopped and then runs, as in the test cluster.
+// starvationSlice is the period in which a starved node is first stopped and then runs, as in the test cluster.
 const starvationSlice clock.Micros = 20_000
 
+// event is an entry of the event queue: an action, the arrival of a datagram, or a wake-up of a node.
 type event struct {
 	at       clock.Micros
 	sequence uint64
 	node     int
 	from     int       // the sender of the datagram
-	datagram *datagram // nil: a timer, or the end of a pause
-	action   func()
+	datagram *datagram // nil: a wake-up, for a timer or at the end of a pause
+	action   func()    // if not nil, the event only calls it
 }
 
+// eventQueue is a heap of events, ordered by time and then by the order in which they were pushed.
 type eventQueue []event
 
 func (e eventQueue) Len() int { return len(e) }
@@ -105,10 +108,10 @@
 	return x
 }
 
-// NewWorld makes a world of n gateways, none of them started. The same arguments give the same run.
-func NewWorld(n int, seed uint64, kind Detector) *World {
+// NewWorld returns a world of n gateways that are not started. A world with the same arguments runs the same way each time.
+func NewWorld(n int, seed uint64, detector Detector) *World {
 	w := &World{
-		Now: 1, Network: Network{MinDelay: 200, Jitter: 800}, nodesByAddress: map[netip.AddrPort]int{}, rng: rand.New(rand.NewPCG(seed, 7)), newDetector: kind.newDetector,
+		Now: 1, Network: Network{MinDelay: 200, Jitter: 800}, nodesByAddress: map[netip.AddrPort]int{}, rng: rand.New(rand.NewPCG(seed, 7)), newDetector: detector.newDetector,
 	}
 	for i := range n {
 		w.nodesByAddress[address(i)] = i
@@ -129,10 +132,10 @@
 	heap.Push(&w.queue, e)
 }
 
-// Schedule has do run at a simulated time.
+// Schedule makes the world call do at a simulated time.
 func (w *World) Schedule(at clock.Micros, do func()) { w.push(event{at: at, node: -1, action: do}) }
 
-// Start starts a gateway, with the next incarnation.
+// Start starts a gateway with its next incarnation.
 func (w *World) Start(i int) {
 	n := w.nodes[i]
 	n.up, n.pausedUntil, n.receiveQueue, n.senders = true, 0, nil, nil
@@ -142,7 +145,7 @@
 	w.deliver(i, nil, 0)
 }
 
-// Kill ends a gateway without notice to the others.
+// Kill ends a gateway without informing the others.
 func (w *World) Kill(i int) { w.nodes[i].up = false }
 
 // Pause stops a gateway's process for a duration.
@@ -157,10 +160,10 @@
 	w.nodes[i].stoppedPerSlice = clock.Micros(share * float64(starvationSlice))
 }
 
-// Running tells whether a gateway's process exists; it may be paused.
+// Running reports whether a gateway's process exists. A paused gateway is running, too.
 func (w *World) Running(i int) bool { return w.nodes[i].up }
 
-// nextRunTime is when a node can next handle an event: now, unless it is paused or starved.
+// nextRunTime returns when a node can next handle an event: now, unless the node is paused or starved.
 func (w *World) nextRunTime(n *node) clock.Micros {
 	at := max(w.Now, n.pausedUntil)
 	if n.stoppedPerSlice > 0 {
@@ -195,7 +198,7 @@
 	w.push(event{at: at, node: p.to, from: from, datagram: &p})
 }
 
-// RunUntil handles all events up to a simulated time. A stopped node keeps its datagrams in its receive queue.
+// RunUntil handles all events up to a simulated time. Datagrams to a stopped node are kept in its receive queue.
 func (w *World) RunUntil(end clock.Micros) {
 	for len(w.queue) > 0 && w.queue[0].at <= end {
 		next := heap.Pop(&w.queue).(event)
@@ -217,7 +220,7 @@
 	w.Now = max(w.Now, end)
 }
 
-// postpone keeps an event of a stopped node: a datagram goes into its receive queue, and the node wakes up when it runs again.
+// postpone keeps an event for a stopped node: it adds a datagram to the receive queue, and schedules a wake-up for when the node runs again.
 func (w *World) postpone(next event, target *node, runTime clock.Micros) {
 	if next.datagram != nil {
 		if len(target.receiveQueue) < receiveQueueCapacity {
@@ -230,8 +233,8 @@
 	w.push(event{at: runTime, node: next.node})
 }
 
-// wake has a node handle its timer, the datagrams in its receive queue and the event. The timer goes first, as in the real loop, whose
-// read returns at once when its deadline has passed.
+// wake makes a node handle its timer, the datagrams in its receive queue and the event. The timer comes first, as in the real gateway's
+// loop, where a read returns immediately if its deadline has passed.
 func (w *World) wake(next event, target *node) {
 	if due, ok := target.nextTimer(); ok && due <= w.Now {
 		w.deliver(next.node, timerExpired{}, 0)
@@ -250,7 +253,7 @@
 	}
 }
 
-// timerExpired tells a peer that its timer is due.
+// timerExpired is the input of a localDetector whose timer is due.
 type timerExpired struct{}
 
 // Detector is the failure detector that all gateways of a world run.
