--- a/internal/experiments/statestore/cluster.go
+++ b/internal/experiments/statestore/cluster.go
@@ -1,9 +1,9 @@
-// Package statestore measures the state store: raftnode nodes with their streams and storage files on the loopback interface, several
-// in this process, and real gateways where the time after their failure is what is measured. marblespan-bench calls Run and Write.
+// Package statestore measures the state store. Most measurements run several raftnode nodes, with their streams and storage files, in this
+// process on the loopback interface; the measurement of failovers runs real gateways. marblespan-bench state-store calls Run and Write.
 //
-// A cluster and its load belong to one goroutine; load starts others, which end before it returns. The measurements are in load.go
-// (writes), repair.go (a gateway lost for good), idle.go (traffic without writes), startup.go (reading a storage file) and failover.go
-// (shards without a leader).
+// A cluster and its load are used by one goroutine. cluster.load starts further goroutines, which end before it returns. The measurements
+// are in load.go (writes), repair.go (a gateway that is lost permanently), idle.go (traffic without writes), startup.go (reading a
+// storage file) and failover.go (shards without a leader).
 package statestore
 
 import (
@@ -27,18 +27,19 @@
 // completeTimeout is how long a cluster may take until all groups have all voters.
 const completeTimeout = 2 * time.Minute
 
-// neverRepair is a time without a sign of life that no measurement lasts.
+// neverRepair is a RepairAfter longer than any measurement: a silent node is never replaced.
 const neverRepair = time.Hour
 
+// key signs the traffic between the nodes.
 var key = sealed.Key{Number: 1, Secret: []byte("the secret of this measurement")}
 
-// cluster is several nodes that know each other.
+// cluster is a set of nodes in this process that know each other's addresses.
 type cluster struct {
 	dir     string
 	members []*member
 
 	mu        sync.Mutex
-	addresses map[string]string // of streams, by name
+	addresses map[string]string // addresses of the nodes' streams, by node name
 }
 
 // member is one node with its streams.
@@ -48,15 +49,15 @@
 	node    *raftnode.Node
 }
 
-// shape is what a cluster is made of.
-type shape struct {
+// clusterOptions are the sizes and settings of a cluster.
+type clusterOptions struct {
 	nodes, voters, shards int
-	disk                  bool // the groups are in storage files, not in memory
-	repairAfter           time.Duration
+	disk                  bool          // the nodes keep their groups in storage files, not in memory
+	repairAfter           time.Duration // silence after which a node counts as lost and its replicas are replaced
 }
 
-// newCluster starts a cluster and waits until all groups have all voters. close ends it.
-func newCluster(s shape) (c *cluster, err error) {
+// newCluster starts a cluster and waits until all groups have all voters. The caller ends it by calling close.
+func newCluster(s clusterOptions) (c *cluster, err error) {
 	dir, err := os.MkdirTemp("", "state-store")
 	if err != nil {
 		return nil, err
@@ -78,13 +79,13 @@
 		return c, err
 	}
 	if !first.AwaitComplete(completeTimeout) {
-		return c, fmt.Errorf("statestore: %d gateways with %d shards of %d voters: some are missing after %v", s.nodes, s.shards, s.voters, completeTimeout)
+		return c, fmt.Errorf("statestore: %d gateways, %d shards, %d voters: some voters are still missing after %v", s.nodes, s.shards, s.voters, completeTimeout)
 	}
 	return c, nil
 }
 
-// add starts a node.
-func (c *cluster) add(s shape, name string) error {
+// add starts a node and adds it to the cluster.
+func (c *cluster) add(s clusterOptions, name string) error {
 	begin := time.Now()
 	memberStreams, err := streams.Listen("127.0.0.1:0", streams.Settings{
 		Node: name, Start: uint64(begin.UnixMicro()), Keys: []sealed.Key{key}, Buffers: transport.NewBuffers(256 << 20),
@@ -141,7 +142,7 @@
 	return all
 }
 
-// crash ends a node without notice to the others, as a crash of its machine would.
+// crash ends a node without informing the others, as a crash of its machine would.
 func (c *cluster) crash(i int) {
 	m := c.members[i]
 	c.removeAddress(m.name)
@@ -158,7 +159,7 @@
 	os.RemoveAll(c.dir)
 }
 
-// sentBytes is how many bytes all nodes have written to streams.
+// sentBytes returns how many bytes all nodes together have written to streams.
 func (c *cluster) sentBytes() (n int64) {
 	for _, m := range c.members {
 		n += m.streams.Counts.SentBytes.Load()
--- a/internal/experiments/statestore/idle.go
+++ b/internal/experiments/statestore/idle.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Idle is the traffic of a store without writes.
+// Idle holds the traffic of a store without writes.
 type Idle struct {
 	Gateways       int
-	BytesPerSecond int64 // that a gateway sends
+	BytesPerSecond int64 // bytes that each gateway sends per second
 }
 
-// How long a store is left alone until its members are placed, and how long its traffic is then counted.
+// settleTime is the pause until the members of all groups have been placed. idleTime is how long the traffic is measured after that.
 const (
 	settleTime = 10 * time.Second
 	idleTime   = 5 * time.Second
 )
 
-// measureIdle measures what gateways send without writes.
+// measureIdle measures how many bytes gateways send without writes.
 func measureIdle(gateways int) (Idle, error) {
-	c, err := newCluster(shape{nodes: gateways, voters: 3, shards: 16, repairAfter: neverRepair})
+	c, err := newCluster(clusterOptions{nodes: gateways, voters: 3, shards: 16, repairAfter: neverRepair})
 	if err != nil {
 		return Idle{}, err
 	}
--- a/internal/experiments/statestore/load.go
+++ b/internal/experiments/statestore/load.go
@@ -10,41 +10,42 @@
 	"marblespan/internal/raftnode"
 )
 
-// Load is the result of a load of writes.
+// Load holds the measurements of a load of writes.
 type Load struct {
 	Disk           bool
 	Voters, Shards int
-	Callers        int
-	Rate           float64 // writes a second
-	Failed         int64
+	Callers        int     // number of concurrent callers
+	Rate           float64 // stored writes per second
+	Failed         int64   // number of failed writes
 	Latency        *report.Durations
 }
 
-// sessionKeys is how many sessions the callers of a load write for.
+// sessionKeys is the number of sessions whose positions the callers of a load write.
 const sessionKeys = 10_000
 
-// measureLoad measures how many writes a second so many callers get stored, each one after the other.
-func measureLoad(s shape, callers int, duration time.Duration) (Load, error) {
+// measureLoad measures how many writes per second are stored for a number of concurrent callers. Each caller waits for the answer to a
+// write before it sends the next one.
+func measureLoad(s clusterOptions, callers int, duration time.Duration) (Load, error) {
 	c, err := newCluster(s)
 	if err != nil {
 		return Load{}, err
 	}
 	defer c.close()
-	c.load(callers, duration/5, sessionKeys) // until the connections are open and the leaders known
+	c.load(callers, duration/5, sessionKeys) // warm up until the connections are open and the leaders are known
 	l := c.load(callers, duration, sessionKeys)
 	rate := float64(l.stored.Load()) / l.elapsed.Seconds()
 	return Load{Disk: s.disk, Voters: s.voters, Shards: s.shards, Callers: callers, Rate: rate, Failed: l.failed.Load(), Latency: l.latency}, nil
 }
 
-// load counts the writes of a load and collects how long each took.
+// load counts the writes of a load and collects their latencies.
 type load struct {
 	stored, failed atomic.Int64
 	latency        *report.Durations
 	elapsed        time.Duration
 }
 
-// load raises sessions' positions from callers at all nodes, each one after the other. It returns after duration, when all callers
-// have ended.
+// load runs callers that raise session positions. The callers are spread over all nodes, and each waits for the answer to a write before it
+// sends the next one. load returns after duration, when all callers have ended.
 func (c *cluster) load(callers int, duration time.Duration, sessions int) *load {
 	l := &load{latency: report.NewDurations()}
 	var mu sync.Mutex
@@ -66,7 +67,7 @@
 	return l
 }
 
-// call writes until the end, and returns how long each write that was stored took, in microseconds.
+// call writes one position after the other until end, and returns the latency of each stored write in microseconds.
 func (l *load) call(node *raftnode.Node, end time.Time, keyOf func(n int) []byte) (latencies []int64) {
 	const timeout = 5 * time.Second
 	answer := make(chan bool, 1)
--- a/internal/experiments/statestore/repair.go
+++ b/internal/experiments/statestore/repair.go
@@ -9,28 +9,28 @@
 	"marblespan/internal/raftstore"
 )
 
-// Repair is the result of a gateway that is lost for good, under load.
+// Repair holds the measurements of a repair, under load, after a gateway has been lost permanently.
 type Repair struct {
 	Disk          bool
-	Records       int
-	Duration      time.Duration     // from the first member that is replaced until none is missing
-	Before, After *report.Durations // latency of writes before the loss, and from it on
-	Failed        int64             // writes, from the loss on
+	Records       int               // number of records in the store
+	Duration      time.Duration     // from the first replacement of a member until all groups have all voters
+	Before, After *report.Durations // latencies of writes before and after the loss
+	Failed        int64             // number of failed writes after the loss
 }
 
-// The times of a measured repair.
+// The timeouts of a measured repair.
 const (
-	repairSilence = 2 * time.Second  // after which a gateway counts as lost
-	noticeTimeout = 30 * time.Second // within which the others must have noticed
-	fillTimeout   = time.Minute      // bound of writing the records
+	repairSilence = 2 * time.Second  // silence after which a gateway counts as lost
+	noticeTimeout = 30 * time.Second // limit until the other gateways have detected the loss
+	fillTimeout   = time.Minute      // limit for writing the records before the loss
 )
 
-// backgroundCallers write while the groups are repaired.
+// backgroundCallers is the number of callers that write while the groups are repaired.
 const backgroundCallers = 8
 
-// measureRepair fills a store, takes a gateway away for good, and waits under a light load until all groups have all voters again.
+// measureRepair fills a store, ends a gateway permanently, and waits under a light load until all groups have all voters again.
 func measureRepair(o Options, disk bool) (r Repair, err error) {
-	c, err := newCluster(shape{nodes: 5, voters: 3, shards: 16, disk: disk, repairAfter: repairSilence})
+	c, err := newCluster(clusterOptions{nodes: 5, voters: 3, shards: 16, disk: disk, repairAfter: repairSilence})
 	if err != nil {
 		return r, err
 	}
@@ -40,14 +40,14 @@
 	r.Before = c.load(backgroundCallers, o.LoadDuration, r.Records).latency
 	c.crash(c.busiest())
 	loaded := make(chan *load, 1)
-	go func() { loaded <- c.load(backgroundCallers, 3*time.Second+o.LoadDuration, r.Records) }() // it ends with its duration
+	go func() { loaded <- c.load(backgroundCallers, 3*time.Second+o.LoadDuration, r.Records) }() // the goroutine ends when the load has lasted for its duration
 	observer := c.members[0].node
 	if !observer.AwaitIncomplete(noticeTimeout) {
-		return r, errors.New("statestore: nobody has noticed the loss of a gateway")
+		return r, errors.New("statestore: the other gateways have not detected the loss of a gateway")
 	}
 	begin := time.Now()
 	if !observer.AwaitComplete(completeTimeout) {
-		return r, fmt.Errorf("statestore: the groups with %d records were not repaired within %v", r.Records, completeTimeout)
+		return r, fmt.Errorf("statestore: groups with %d records were not repaired within %v", r.Records, completeTimeout)
 	}
 	r.Duration = time.Since(begin)
 	l := <-loaded
@@ -55,9 +55,9 @@
 	return r, nil
 }
 
-// fill writes until about so many records are stored, or the time for it is over, or nothing is stored any more.
+// fill writes until about the given number of records is stored, fillTimeout has passed, or writes are no longer stored.
 func (c *cluster) fill(callers, records int) {
-	wanted := records * 3 * 9 / 10 // in all members of the groups, of which each record has three; a tenth may be missing
+	wanted := records * 3 * 9 / 10 // summed over all members of the groups: each record is stored by three; a tenth may be missing
 	for begin := time.Now(); time.Since(begin) <= fillTimeout; {
 		l := c.load(callers, time.Second, records)
 		if localRecords(c.members[0].node.Overview())*len(c.members) >= wanted || l.stored.Load() == 0 {
@@ -66,8 +66,8 @@
 	}
 }
 
-// busiest is the node, beside the first, that has the most members of groups: one that joined last may have none yet, and
-// its loss would not be noticed.
+// busiest returns the index of the node, other than the first, that hosts the most members of groups. A node that joined last may not host
+// any yet, and then its loss would not be detected.
 func (c *cluster) busiest() (best int) {
 	voters := map[string]int{}
 	for _, g := range c.members[0].node.Overview().Groups {
@@ -84,7 +84,7 @@
 	return best
 }
 
-// localRecords is how many records a gateway's members of groups have.
+// localRecords returns how many records the members of groups on a gateway hold in total.
 func localRecords(o raftstore.Overview) (n int) {
 	for _, g := range o.Groups {
 		if g.Local != nil {
--- a/internal/experiments/statestore/report.go
+++ b/internal/experiments/statestore/report.go
@@ -10,13 +10,13 @@
 	"marblespan/internal/experiments/report"
 )
 
-// The files that Write writes.
+// Names of the files that Write creates.
 const (
 	tablesFile = "state-store.md"
 	chartFile  = "state-store.svg"
 )
 
-// Write writes the tables to w and, if dir is not empty, tables and a chart into files there.
+// Write writes the tables to w. If dir is not empty, it also writes the tables and a chart into files there.
 func Write(w io.Writer, dir string, o Options, r Result) error {
 	if dir == "" {
 		return r.writeTables(w, o)
@@ -32,14 +32,14 @@
 	if err := r.writeTables(io.MultiWriter(w, file), o); err != nil {
 		return err
 	}
-	fmt.Fprintf(file, "\n![writes a second](%s)\n", chartFile)
+	fmt.Fprintf(file, "\n![writes per second](%s)\n", chartFile)
 	return r.chart(o).Write(filepath.Join(dir, chartFile))
 }
 
-// chart shows the rates of the loads with many callers.
+// chart returns a bar chart of the rates of the loads with many callers.
 func (r Result) chart(o Options) report.Bars {
 	b := report.Bars{
-		Title: "Writes a second", Note: fmt.Sprintf("loopback, one process, %d callers", o.Callers), Series: []string{storageKind(false), storageKind(true)},
+		Title: "Writes per second", Note: fmt.Sprintf("loopback, one process, %d callers", o.Callers), Series: []string{storageKind(false), storageKind(true)},
 		Values: make([][]float64, 2),
 	}
 	for _, l := range r.Loads {
@@ -62,21 +62,21 @@
 	return "memory"
 }
 
-// writeTables writes all tables and the sentences between them.
+// writeTables writes all tables and the text between them.
 func (r Result) writeTables(w io.Writer, o Options) error {
 	fmt.Fprintf(w, "# The state store, measured\n\nLoopback. Nodes with their streams and storage files in one process, except in the last table. Times in ms.\n\n"+
-		"Writes, %v each; one voter is the baseline of a gateway with its own file.\n\n", o.LoadDuration)
+		"Writes, %v each; the baseline is one voter: a gateway that writes only to its own file.\n\n", o.LoadDuration)
 	if err := r.writeLoads(w); err != nil {
 		return err
 	}
-	fmt.Fprintf(w, "\nOne of five gateways lost for good, three voters, 16 shards, beside a load of %d callers: from the first member that is replaced until none is missing.\n\n",
+	fmt.Fprintf(w, "\nOne of five gateways lost permanently, three voters, 16 shards, under a load of %d callers: from the first replacement of a member until no voter is missing.\n\n",
 		backgroundCallers)
 	if err := r.writeRepairs(w); err != nil {
 		return err
 	}
 	r.writeIdle(w)
 	r.writeStartup(w)
-	fmt.Fprintf(w, "Five real gateways, 16 shards, heartbeats every 100 ms: from a leader's fault until its shards have another one, by their logs.\n\n")
+	fmt.Fprintf(w, "Five real gateways, 16 shards, heartbeats every 100 ms: from the fault of a leader until its shards have another leader, taken from the gateways' logs.\n\n")
 	return r.writeFailovers(w)
 }
 
@@ -86,7 +86,7 @@
 		rows = append(rows, []string{storageKind(l.Disk), fmt.Sprint(l.Voters), fmt.Sprint(l.Shards), fmt.Sprint(l.Callers), fmt.Sprintf("%.0f", l.Rate),
 			l.Latency.Cell(50), l.Latency.Cell(99), l.Latency.Cell(100), fmt.Sprint(l.Failed)})
 	}
-	return report.Table(w, []string{"where", "voters", "shards", "callers", "a second", "median", "99 %", "longest", "failed"}, rows)
+	return report.Table(w, []string{"where", "voters", "shards", "callers", "per second", "median", "99 %", "longest", "failed"}, rows)
 }
 
 func (r Result) writeRepairs(w io.Writer) error {
@@ -95,7 +95,7 @@
 		rows = append(rows, []string{storageKind(x.Disk), fmt.Sprint(x.Records), fmt.Sprintf("%.1f s", x.Duration.Seconds()), x.Before.Cell(50), x.Before.Cell(99),
 			x.After.Cell(50), x.After.Cell(99), x.After.Cell(100), fmt.Sprint(x.Failed)})
 	}
-	return report.Table(w, []string{"where", "records", "repaired in", "a write before: median", "99 %", "meanwhile: median", "99 %", "longest", "failed"}, rows)
+	return report.Table(w, []string{"where", "records", "repaired in", "writes before: median", "99 %", "writes after the loss: median", "99 %", "longest", "failed"}, rows)
 }
 
 func (r Result) writeIdle(w io.Writer) {
@@ -111,7 +111,7 @@
 	if records == 0 {
 		return
 	}
-	fmt.Fprintf(w, "A start with %d records in %d shards: %.2f s to read the file, %.2f s to make the members. A record takes %d bytes on the disk, "+
+	fmt.Fprintf(w, "A start with %d records in %d shards: %.2f s to read the file, %.2f s to create the members of the groups. A record takes %d bytes on the disk, "+
 		"%d in memory, and counts as %d.\n\n", records, startupShards, s.OpenTime.Seconds(), s.HostTime.Seconds(), s.DiskBytes/records,
 		s.HeapBytes/records, s.CountedBytes/records)
 }
--- a/internal/experiments/statestore/run.go
+++ b/internal/experiments/statestore/run.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// Options say what is measured.
+// Options select what Run measures.
 type Options struct {
-	Binary          string        // the gateway's program, for the failovers
-	LoadDuration    time.Duration // of each load of writes
-	Callers         int           // that write at the same time
-	RepairedRecords int           // in the store that loses a gateway
-	StoredRecords   int           // in the storage file that a start reads
-	LeaderFaults    int           // of each kind
+	Binary          string        // path of the gateway's binary, for the failovers
+	LoadDuration    time.Duration // duration of each load of writes
+	Callers         int           // number of concurrent callers that write
+	RepairedRecords int           // number of records in the store that loses a gateway
+	StoredRecords   int           // number of records in the storage file that a gateway reads at its start
+	LeaderFaults    int           // number of leader faults of each kind
 	IdleGateways    []int         // numbers of gateways whose traffic without writes is measured
 	Seed            uint64        // of the test cluster
 	Progress        io.Writer
 }
 
-// Defaults are the sizes of the operators' question.
+// Defaults returns options with the sizes that the operators have asked for.
 func Defaults() Options {
 	return Options{
 		Binary: "bin/marblespan", LoadDuration: 5 * time.Second, Callers: 256, RepairedRecords: 100_000, StoredRecords: 1_000_000,
@@ -27,7 +27,7 @@
 	}
 }
 
-// Result is all that was measured.
+// Result holds all measurements.
 type Result struct {
 	Loads     []Load
 	Repairs   []Repair
@@ -36,10 +36,10 @@
 	Failovers []Failover
 }
 
-// storageKinds are the groups in memory and in storage files.
+// storageKinds lists the values of clusterOptions.disk: groups in memory, and groups in storage files.
 var storageKinds = []bool{false, true}
 
-// Run makes all measurements, one after the other.
+// Run makes all measurements, one after the other. If one fails, Run returns the measurements before it with the error.
 func Run(o Options) (r Result, err error) {
 	for _, measure := range []func(Options) error{r.measureLoads, r.measureRepairs, r.measureIdles, r.measureStartup, r.measureFailovers} {
 		if err := measure(o); err != nil {
@@ -51,7 +51,7 @@
 
 func (r *Result) measureLoads(o Options) error {
 	for _, disk := range storageKinds {
-		for _, s := range []shape{
+		for _, s := range []clusterOptions{
 			{1, 1, 16, disk, neverRepair}, {3, 3, 1, disk, neverRepair}, {3, 3, 16, disk, neverRepair}, {3, 3, 64, disk, neverRepair}, {5, 5, 16, disk, neverRepair},
 		} {
 			for _, callers := range []int{1, o.Callers} {
@@ -60,7 +60,7 @@
 					return err
 				}
 				r.Loads = append(r.Loads, l)
-				fmt.Fprintf(o.Progress, "disk %v, %d voters, %d shards, %d callers: %.0f a second\n", disk, s.voters, s.shards, callers, l.Rate)
+				fmt.Fprintf(o.Progress, "disk %v, %d voters, %d shards, %d callers: %.0f per second\n", disk, s.voters, s.shards, callers, l.Rate)
 			}
 		}
 	}
@@ -86,7 +86,7 @@
 			return err
 		}
 		r.Idle = append(r.Idle, idle)
-		fmt.Fprintf(o.Progress, "%d gateways without writes: %d bytes a second each\n", gateways, idle.BytesPerSecond)
+		fmt.Fprintf(o.Progress, "%d gateways without writes: %d bytes per second each\n", gateways, idle.BytesPerSecond)
 	}
 	return nil
 }
@@ -106,7 +106,7 @@
 			return err
 		}
 		r.Failovers = append(r.Failovers, failover)
-		fmt.Fprintf(o.Progress, "%s: %d shards without a leader\n", fault, failover.Shards)
+		fmt.Fprintf(o.Progress, "%s: downtime of %d shards measured\n", fault, failover.Shards)
 	}
 	return nil
 }
--- a/internal/experiments/statestore/run_test.go
+++ b/internal/experiments/statestore/run_test.go
@@ -11,12 +11,13 @@
 	"marblespan/internal/testcluster"
 )
 
-// Every part of the measurement but real processes, small: each has figures, and no write fails.
+// TestMeasure runs small versions of all measurements that need no real processes. It checks that each yields figures and that no write
+// fails.
 func TestMeasure(t *testing.T) {
 	o := Options{Callers: 8, RepairedRecords: 500, StoredRecords: 1600, LoadDuration: 300 * time.Millisecond}
 	for _, disk := range storageKinds {
 		t.Run(fmt.Sprint("load, ", storageKind(disk)), func(t *testing.T) {
-			l, err := measureLoad(shape{3, 3, 4, disk, neverRepair}, 8, 500*time.Millisecond)
+			l, err := measureLoad(clusterOptions{3, 3, 4, disk, neverRepair}, 8, 500*time.Millisecond)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -65,7 +66,8 @@
 	})
 }
 
-// What a gateway leads, and who leads it next, is read in the events of a history.
+// TestEvents checks that ledGroups and electedSince find in a history which groups a gateway leads, and when other gateways become their
+// leaders.
 func TestEvents(t *testing.T) {
 	event := func(at int64, node int, what, group string) testcluster.Event {
 		return testcluster.Event{At: at, Node: node, Kind: testcluster.StateReported, What: what, Server: group}
--- a/internal/experiments/statestore/startup.go
+++ b/internal/experiments/statestore/startup.go
@@ -15,20 +15,20 @@
 	"marblespan/internal/raftstore"
 )
 
-// Startup is what a start with many records takes.
+// Startup holds the time and the space that a gateway's start with many records needs.
 type Startup struct {
 	Records      int
-	OpenTime     time.Duration // to read the storage file
-	HostTime     time.Duration // to make the groups' members from it
-	DiskBytes    int64         // of the file
-	HeapBytes    int64         // of the records in memory
-	CountedBytes int64         // that the limit of memory counts for them
+	OpenTime     time.Duration // time to read the storage file
+	HostTime     time.Duration // time to create the members of the groups from it
+	DiskBytes    int64         // size of the file
+	HeapBytes    int64         // size of the records in memory
+	CountedBytes int64         // size of the records as the memory limit counts them
 }
 
-// startupShards is how many shards the records are in.
+// startupShards is the number of shards that hold the records.
 const startupShards = 16
 
-// measureStartup writes a storage file with many records, and reads it as a start does.
+// measureStartup writes a storage file with many records, and reads it as a gateway does when it starts.
 func measureStartup(records int) (startup Startup, err error) {
 	dir, err := os.MkdirTemp("", "startup")
 	if err != nil {
@@ -61,14 +61,14 @@
 		return startup, err
 	}
 	startup.HostTime = time.Since(begin) - startup.OpenTime
-	stored = nil // what was read must not count
+	stored = nil // release what Open returned, so that HeapBytes does not include it
 	startup.HeapBytes = heapBytes() - heapBefore
 	startup.CountedBytes = host.RecordBytes()
 	runtime.KeepAlive(host)
 	return startup, nil
 }
 
-// heapBytes is what the heap has after a collection.
+// heapBytes returns the size of the heap after a garbage collection.
 func heapBytes() int64 {
 	var stats runtime.MemStats
 	runtime.GC()
@@ -76,7 +76,7 @@
 	return int64(stats.HeapAlloc)
 }
 
-// writeRecords writes a storage file with sessions' positions.
+// writeRecords writes a storage file with records of session positions.
 func writeRecords(path string, records int) error {
 	file, _, err := raftstorage.Open(path)
 	if err != nil {
@@ -94,7 +94,7 @@
 	return file.Write(w)
 }
 
-// memberWithRecords is a member of a shard's group whose snapshot has so many records.
+// memberWithRecords returns a member of a shard's group with a snapshot that holds the given number of records.
 func memberWithRecords(shard, records int) (w raftstore.MemberWrite, err error) {
 	state := &api.Shard{Time: 1}
 	for n := range records {
