--- a/cmd/marblespan-bench/main.go
+++ b/cmd/marblespan-bench/main.go
@@ -233,7 +233,7 @@
 	flags.DurationVar(&interval, "interval", interval, "time between two probes, and between two heartbeats")
 	flags.IntVar(&options.Kills, "kills", options.Kills, "number of kills of a single member")
 	flags.IntVar(&options.MassFailures, "masses", options.MassFailures, "number of simulations in which 46 % of the members are killed at once")
-	flags.DurationVar(&faultDuration, "span", faultDuration, "simulated duration of each fault for our detector")
+	flags.DurationVar(&faultDuration, "span", faultDuration, "simulated duration of each fault for the gateways' own detector")
 	flags.IntVar(&trials, "processes", trials, "number of additional kills of each kind with real processes; 0: none")
 	flags.IntVar(&nodes, "nodes", nodes, "number of real processes")
 	flags.StringVar(&binary, "binary", defaultBinary(), "path of the gateway's binary")
--- a/internal/experiments/demo/demo.go
+++ b/internal/experiments/demo/demo.go
@@ -29,7 +29,8 @@
 	return all
 }
 
-// Run prints the state of the cluster every second until quit is closed or, if duration is not 0, until it has passed.
+// Run starts a cluster under a light load, injects the named fault unless fault is empty, and prints a line every second until quit is
+// closed or, if duration is not 0, until it has passed.
 func Run(o testcluster.Options, fault string, duration time.Duration, w io.Writer, quit <-chan struct{}) error {
 	shown, known := Faults[fault]
 	if fault != "" && !known {
--- a/internal/experiments/failover/failover.go
+++ b/internal/experiments/failover/failover.go
@@ -107,9 +107,9 @@
 type Result struct {
 	Kind, Description   string
 	Trials              int
-	NoHolder            *report.Durations // no reachable gateway held the address, after the fault
-	NoHolderAfterRepair *report.Durations // the same, after the repair
-	TwoHolders          *report.Durations // two running gateways held the address
+	NoHolder            *report.Durations // time without a reachable holder of the address, from the fault to its repair
+	NoHolderAfterRepair *report.Durations // the same, from the repair until the first gateway held the address again
+	TwoHolders          *report.Durations // time during which two running gateways held the address
 	ClientWait          *report.Durations // longest wait of a client of the floating address between two served bookings
 	BalancerClientWait  *report.Durations // the same for clients of the load balancer
 	Floating            fake.Totals
@@ -150,6 +150,7 @@
 	idleBeforeFault    = 400 * time.Millisecond
 )
 
+// measureKind makes all trials of one kind of fault in a new test cluster.
 func measureKind(options Options, kind faultKind) (r Result, err error) {
 	r = Result{
 		Kind: kind.name, Description: kind.description, NoHolder: report.NewDurations(), NoHolderAfterRepair: report.NewDurations(), TwoHolders: report.NewDurations(),
--- a/internal/experiments/failover/report.go
+++ b/internal/experiments/failover/report.go
@@ -69,7 +69,7 @@
 		return err
 	}
 	fmt.Fprintf(w, "\nWhat clients saw: the longest wait of any client for its next booking, and the outcomes of the bookings. In doubt: the connection "+
-		"ended\nwithout an answer. Lost: a reachable gateway ended it so. Twice: bookings that ran twice, or answers that were false.\n\n")
+		"ended\nwithout an answer. Lost: a reachable gateway ended it in this way. Twice: bookings that ran twice, or answers that were false.\n\n")
 	return report.Table(w, []string{
 		"kind", "clients of", "wait: median", "90 %", "longest", "served", "refusals", "failed connects", "failed", "in doubt", "lost", "twice",
 	}, clients)
--- a/internal/experiments/failover/timeline.go
+++ b/internal/experiments/failover/timeline.go
@@ -30,7 +30,8 @@
 // that gateway 1 is active at the start of a trial.
 func durationOf(changes []holderChange, from, to time.Time, holds func(active, running int) bool, unreachable, runs func(int, time.Time) bool) int64 {
 	slices.SortStableFunc(changes, func(a, b holderChange) int { return a.at.Compare(b.at) })
-	// The moments at which the counts may change: the ends of the period, which are those of the fault, and each change of a gateway.
+	// The counts may change at each change of a gateway, and at the ends of the period, where a gateway may become unreachable or
+	// reachable again.
 	moments := []time.Time{from, to}
 	for _, c := range changes {
 		if c.at.After(from) && c.at.Before(to) {
--- a/internal/experiments/indoubt/report.go
+++ b/internal/experiments/indoubt/report.go
@@ -50,7 +50,7 @@
 		return err
 	}
 	fmt.Fprintf(w, "\nTake-overs of a floating address, eight clients that book without a pause, connections reset when the address moves. A booking is shaken if its first answer is "+
-		"lost, or says that the booking may have run; if the gateways record intents, clients then retry it as a marked retry.\n\n")
+		"lost, or says that the booking may have run; if the gateways record intents, clients then retry it, marked as a retry.\n\n")
 	rows = nil
 	for _, t := range r.TakeOvers {
 		rows = append(rows, []string{t.Kind, t.Policy, fmt.Sprint(t.Trials), fmt.Sprint(t.Bookings), fmt.Sprint(t.Unacknowledged), fmt.Sprint(t.Resolved), fmt.Sprint(t.InDoubt),
--- a/internal/experiments/maintenance/report.go
+++ b/internal/experiments/maintenance/report.go
@@ -35,7 +35,7 @@
 
 func table(w io.Writer, o Options, trials []Trial) error {
 	fmt.Fprintf(w, "# Maintenance runs, measured\n\nLoopback, %d real gateways and two groups of three servers. Clients book, view and read their sessions with pauses of at most "+
-		"about 15 ms; bookings are recorded as intents, session positions are kept. A gateway is maintained by a restart by SIGTERM, a server without any work. A machine that has "+
+		"about 15 ms; bookings are recorded as intents, session positions are kept. A gateway's maintenance is a restart by SIGTERM, that of a server does nothing. A machine that has "+
 		"returned has to be healthy for half a second; a server's slow start takes 2 s.\n\n", o.Gateways)
 	var rows [][]string
 	for _, n := range trials {
