--- a/internal/experiments/chaos/chaos.go
+++ b/internal/experiments/chaos/chaos.go
@@ -45,8 +45,8 @@
 	Dir           string              // directory of the run's files; empty if they were not kept
 }
 
-// Run makes the runs one after the other until all are done or quit is closed. A run that violates a rule is a Result, not an error. If Run
-// returns an error, it also returns the results of the runs before the error.
+// Run makes the runs one after the other until all are done or quit is closed. A run that fails is reported by its Result, not as an
+// error. If Run returns an error, it also returns the results of the runs before it.
 func Run(options Options, quit <-chan struct{}) (results []Result, err error) {
 	var scripted []testcluster.Fault
 	if options.Script != "" {
