--- a/internal/experiments/failover/load.go
+++ b/internal/experiments/failover/load.go
@@ -9,21 +9,23 @@
 	"marblespan/internal/testcluster"
 )
 
-// front spreads clients over the gateways' own listeners. A client keeps its gateway until the front detects that it is unavailable.
-type front struct {
+// loadBalancer simulates a load balancer that spreads clients over the gateways' own listeners. A client keeps its gateway until the load
+// balancer detects that the gateway is unavailable.
+type loadBalancer struct {
 	mu              sync.Mutex
 	nodes           []*testcluster.Node
-	unavailableFrom map[int]time.Time // by gateway: when the front detects it
+	unavailableFrom map[int]time.Time // by gateway number: when the load balancer detects the fault
 	detectionDelay  time.Duration
 }
 
-// plannedRestartNotice is how soon the front knows of a planned restart.
+// plannedRestartNotice is the time after which the load balancer knows of a planned restart (SIGTERM).
 const plannedRestartNotice = 300 * time.Millisecond
 
-func (f *front) fault(i int, at time.Time, k faultKind) {
+// fault records a fault of gateway i that was injected at a time.
+func (f *loadBalancer) fault(i int, at time.Time, k faultKind) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if k.affectsFront {
+	if k.affectsBalancer {
 		f.unavailableFrom[i] = at.Add(f.detectionDelay)
 		if k.name == "term" {
 			f.unavailableFrom[i] = at.Add(plannedRestartNotice)
@@ -31,50 +33,53 @@
 	}
 }
 
-func (f *front) repaired(i int) {
+// repaired records that gateway i is available again.
+func (f *loadBalancer) repaired(i int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.unavailableFrom, i)
 }
 
-func (f *front) addr(client int) string {
+// addr returns the address of the gateway that a client should connect to now.
+func (f *loadBalancer) addr(client int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var here []string
+	var available []string
 	for _, n := range f.nodes {
-		if at, away := f.unavailableFrom[n.Number]; !away || time.Now().Before(at) {
-			here = append(here, n.Listen)
+		if at, faulty := f.unavailableFrom[n.Number]; !faulty || time.Now().Before(at) {
+			available = append(available, n.Listen)
 		}
 	}
-	return here[client%len(here)]
+	return available[client%len(available)]
 }
 
-// bookingLoad is the clients of an experiment, each on a goroutine that stop ends and waits for.
+// bookingLoad runs the clients of an experiment, each on a goroutine of its own. stop ends the goroutines and waits for them.
 type bookingLoad struct {
-	floatingLedger, frontLedger fake.Ledger
-	spreader                    *front
-	stopping                    chan struct{}
-	once                        sync.Once
-	done                        sync.WaitGroup
+	floatingLedger, balancerLedger fake.Ledger
+	balancer                       *loadBalancer
+	stopping                       chan struct{}
+	once                           sync.Once
+	done                           sync.WaitGroup
 }
 
+// startLoad starts the clients: o.Clients of the floating address, and as many of the load balancer.
 func startLoad(o Options, f *testcluster.Cluster) *bookingLoad {
-	l := &bookingLoad{stopping: make(chan struct{}), spreader: &front{nodes: f.Nodes, unavailableFrom: map[int]time.Time{}, detectionDelay: o.FrontDetectionDelay}}
+	l := &bookingLoad{stopping: make(chan struct{}), balancer: &loadBalancer{nodes: f.Nodes, unavailableFrom: map[int]time.Time{}, detectionDelay: o.BalancerDetectionDelay}}
 	for c := range 2 * o.Clients {
 		b := &fake.Client{
 			Name: fmt.Sprint("c", c), Class: testcluster.ClassBooking, Group: testcluster.FirstGroup, Timeout: time.Second, MaxAttempts: 1000, Backoff: 5 * time.Millisecond,
 			Addr: f.Switch.Addr, Ledger: &l.floatingLedger, Route: f.Switch.GatewayOf,
 		}
 		if c >= o.Clients {
-			b.Ledger, b.Route = &l.frontLedger, nil
-			b.Addr = func() string { return l.spreader.addr(c) }
+			b.Ledger, b.Route = &l.balancerLedger, nil
+			b.Addr = func() string { return l.balancer.addr(c) }
 		}
 		l.done.Go(func() { l.write(b, o.ThinkTime) })
 	}
 	return l
 }
 
-// write has a client write, with a pause before each write, until stop.
+// write makes a client write until stop is called, with a pause of thinkTime before each write.
 func (l *bookingLoad) write(client *fake.Client, thinkTime time.Duration) {
 	defer client.Close()
 	for n := 0; ; n++ {
--- a/internal/experiments/members/swim.go
+++ b/internal/experiments/members/swim.go
@@ -10,15 +10,15 @@
 	"marblespan/internal/protocol/sealed"
 )
 
-// SWIM is the detector of internal/membership with a probe interval; plain leaves out the Lifeguard extensions.
+// SWIM returns the detector of internal/membership with a probe interval. If plain is true, it does not use the Lifeguard extensions.
 func SWIM(interval clock.Micros, plain bool) Detector {
 	label := "membership"
 	if plain {
 		label = "without extensions"
 	}
-	return Detector{label, func(w *World, i int) peer {
+	return Detector{label, func(w *World, i int) localDetector {
 		n := w.nodes[i]
-		p := &swimPeer{w: w, self: i, believed: map[int]bool{}}
+		p := &swimDetector{w: w, self: i, believed: map[int]bool{}}
 		p.machine = membership.New(membership.Config{
 			Name: name(i), Address: address(i), Generation: uint64(w.Now) + n.incarnation<<40, Interval: interval, WithoutLifeguard: plain,
 			Join: []netip.AddrPort{address(0), address(1), address(2)}, Seed: w.rng.Uint64() | 1,
@@ -28,8 +28,8 @@
 	}}
 }
 
-// swimPeer runs the state machine of internal/membership.
-type swimPeer struct {
+// swimDetector implements localDetector with the state machine of internal/membership.
+type swimDetector struct {
 	w              *World
 	self           int
 	machine        *membership.Machine
@@ -38,7 +38,7 @@
 	leaveCompleted bool
 }
 
-func (p *swimPeer) handle(now clock.Micros, in any, from int) []datagram {
+func (p *swimDetector) handle(now clock.Micros, in any, from int) []datagram {
 	var ev membership.Event
 	switch x := in.(type) {
 	case nil:
@@ -53,7 +53,8 @@
 	return p.applyActions(now, p.machine.Handle(now, ev))
 }
 
-func (p *swimPeer) applyActions(now clock.Micros, actions []membership.Action) (out []datagram) {
+// applyActions carries out the actions of the state machine, and returns the datagrams to send.
+func (p *swimDetector) applyActions(now clock.Micros, actions []membership.Action) (out []datagram) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case membership.Send:
@@ -83,20 +84,21 @@
 	return out
 }
 
+// index returns the index of the gateway with a name.
 func index(name string) (i int) {
 	fmt.Sscanf(name, "gw-%d", &i)
 	return i
 }
 
-// leaveRequest has a gateway leave gracefully.
+// leaveRequest is the event that makes a gateway leave gracefully.
 var leaveRequest = membership.LeaveRequested{}
 
-// dead tells whether it believes another one dead; one that has left gracefully is not.
-func (p *swimPeer) dead(other int) bool {
+// dead reports whether the detector considers another gateway dead. A gateway that has left gracefully is not dead.
+func (p *swimDetector) dead(other int) bool {
 	r, known := p.machine.Lookup(name(other))
 	return known && r.State == membership.Dead
 }
 
-func (p *swimPeer) nextTimer() (clock.Micros, bool) { return p.machine.Next() }
+func (p *swimDetector) nextTimer() (clock.Micros, bool) { return p.machine.Next() }
 
-func (p *swimPeer) alive(other int) bool { return other == p.self || p.believed[other] }
+func (p *swimDetector) alive(other int) bool { return other == p.self || p.believed[other] }
