--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -64,9 +64,9 @@
 		{"check without a file", platform, []string{"check"}, 0, "# no operators' file: all of it is off", ""},
 		{"check", platform, []string{"check", "--conf", conf(t, good)}, 0, "group counters\n    vrid 5\n", ""},
 		{"hidden secret", platform, []string{"check", "--conf", conf(t, good)}, 0, "key 1 ********", ""},
-		{"all faults at once", nil, []string{"check", "--conf", bad}, 1, "", bad + ":1: contrl: is not known here"},
+		{"all faults at once", nil, []string{"check", "--conf", bad}, 1, "", bad + ":1: contrl: unknown directive"},
 		{"all faults at once", nil, []string{"check", "--conf", bad}, 1, "", "marblespan: PROXY_CONFIG: not set"},
-		{"all faults at the gateway's start", nil, []string{"--conf", bad}, 1, "", bad + ":1: contrl: is not known here"},
+		{"all faults at the gateway's start", nil, []string{"--conf", bad}, 1, "", bad + ":1: contrl: unknown directive"},
 		{"operators' file named by the environment", map[string]string{"MARBLESPAN_CONF": bad}, []string{"check"}, 1, "", bad + ":1: contrl"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/config/former.go
+++ b/internal/config/former.go
@@ -48,7 +48,7 @@
 
 // String returns the warning for operators.
 func (w FormerWord) String() string {
-	return fmt.Sprintf("%s:%d: %s: a former word, which is still taken; the word is now %s", w.File, w.Line, w.Former, w.New)
+	return fmt.Sprintf("%s:%d: %s: deprecated, use %s instead", w.File, w.Line, w.Former, w.New)
 }
 
 // FormerWords returns the former words that the file uses, in the order of its lines.
--- a/internal/config/former_test.go
+++ b/internal/config/former_test.go
@@ -68,7 +68,7 @@
 
 func TestFormerWordWarning(t *testing.T) {
 	w := FormerWord{File: "m.conf", Line: 7, Former: "holders", New: "raft-nodes"}
-	if got, want := w.String(), "m.conf:7: holders: a former word, which is still taken; the word is now raft-nodes"; got != want {
+	if got, want := w.String(), "m.conf:7: holders: deprecated, use raft-nodes instead"; got != want {
 		t.Errorf("%q, want %q", got, want)
 	}
 }
@@ -82,15 +82,15 @@
 		return strings.Replace(sampleConf, old, new, 1)
 	}
 	for _, c := range []struct{ name, text, want string }{
-		{"the new word, then the former", edit("voters 5", "voters 5\n copies 5"), "x:40: copies: given twice, first in line 39"},
-		{"the former word, then the new", edit("voters 5", "copies 5\n voters 5"), "x:40: voters: given twice, first in line 39"},
-		{"a section by both keywords", sampleConf + "copies\n", "x:50: copies: given twice"},
-		{"a section keyword with a value", "copies 3\n", "x:1: copies: begins a section and takes no value"},
-		{"an invalid value", edit("voters 5", "copies three"), `x:39: copies: "three" is no whole number, or too large`},
+		{"the new word, then the former", edit("voters 5", "voters 5\n copies 5"), "x:40: copies: duplicate directive, first given on line 39"},
+		{"the former word, then the new", edit("voters 5", "copies 5\n voters 5"), "x:40: voters: duplicate directive, first given on line 39"},
+		{"a section by both keywords", sampleConf + "copies\n", "x:50: copies: duplicate section"},
+		{"a section keyword with a value", "copies 3\n", "x:1: copies: section keyword takes no value"},
+		{"an invalid value", edit("voters 5", "copies three"), `x:39: copies: invalid value "three": not an integer, or out of range`},
 		{"a value out of range", edit("voters 5", "copies 4"), "x:39: copies: must be one of 1, 3, 5"},
-		{"a duration that is too short", edit("repair-after 30s", "heal-after 1s"), "x:42: heal-after: 1s is below 2s, or 20 heartbeats"},
+		{"a duration that is too short", edit("repair-after 30s", "heal-after 1s"), "x:42: heal-after: invalid value 1s: must be at least 2s and at least 20 heartbeats"},
 		{"a section without the one that it requires", strings.Replace(edit(memberLines(), ""), "state-store\n", "copies\n", 1), "x:28: copies: requires a members section"},
-		{"in another section", edit("zone a", "holders a"), "x:9: holders: is not known here; there is advertise, bind, deployment, interval, join, key, node, via, weight, zone"},
+		{"in another section", edit("zone a", "holders a"), "x:9: holders: unknown directive; valid directives here: advertise, bind, deployment, interval, join, key, node, via, weight, zone"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if _, err := ParseOperators("x", c.text); err == nil || !strings.Contains("\n"+err.Error()+"\n", "\n"+c.want+"\n") {
--- a/internal/config/indoubt.go
+++ b/internal/config/indoubt.go
@@ -36,11 +36,11 @@
 			faults.add(d.Source, "in-doubt", 0, "requires a state-store section, which stores the outcomes of writes")
 		}
 		if seen[d.Class] {
-			faults.add(d.Source, "in-doubt", 0, "%s is there twice", d.Class)
+			faults.add(d.Source, "in-doubt", 0, "duplicate class %s", d.Class)
 		}
 		seen[d.Class] = true
 		if d.Retention < minRetention || d.Retention > maxRetention {
-			faults.add(d.Source, "retention", 0, "%v is not from %v to %v", d.Retention, minRetention, maxRetention)
+			faults.add(d.Source, "retention", 0, "invalid value %v: must be from %v to %v", d.Retention, minRetention, maxRetention)
 		}
 	}
 }
--- a/internal/config/lines/check.go
+++ b/internal/config/lines/check.go
@@ -65,21 +65,21 @@
 // describeViolation returns a text that describes the violated requirement.
 func describeViolation(e validator.FieldError) string {
 	n := e.Param()
-	counted := map[reflect.Kind]string{reflect.Slice: " of them", reflect.String: " characters"}[e.Kind()]
+	counted := map[reflect.Kind]string{reflect.Slice: " item(s)", reflect.String: " characters"}[e.Kind()]
 	switch e.Tag() {
 	case "required":
-		return "is missing"
+		return "must be set"
 	case "min", "gte":
-		return "must be " + n + counted + " or more"
+		return "at least " + n + counted + " required"
 	case "max", "lte":
-		return "must be " + n + counted + " or less"
+		return "at most " + n + counted + " allowed"
 	case "oneof":
 		return "must be one of " + strings.ReplaceAll(n, " ", ", ")
 	case "unique":
 		if n != "" {
-			return "has the same " + strings.ToLower(n) + " twice"
+			return "duplicate " + strings.ToLower(n) + " in this section"
 		}
-		return "has the same value twice"
+		return "duplicate value in this section"
 	}
-	return "does not meet " + e.Tag() + " " + n
+	return "does not satisfy " + e.Tag() + " " + n
 }
--- a/internal/config/lines/decode.go
+++ b/internal/config/lines/decode.go
@@ -88,7 +88,7 @@
 	case field.Kind() == reflect.Slice:
 		d.repeated = append(d.repeated, repeatedSection{field, section.Elem()})
 	case !field.IsNil():
-		d.fault(keyword, "given twice")
+		d.fault(keyword, "duplicate section")
 	default:
 		field.Set(section)
 	}
@@ -106,14 +106,14 @@
 			continue
 		}
 		if len(keyword.Values) != 1 {
-			d.fault(keyword, "takes one value, a name, and has %d", len(keyword.Values))
+			d.fault(keyword, "expected 1 value (a name), got %d", len(keyword.Values))
 			return
 		}
 		d.section.Field(i).SetString(keyword.Values[0])
 		return
 	}
 	if len(keyword.Values) > 0 {
-		d.fault(keyword, "begins a section and takes no value")
+		d.fault(keyword, "section keyword takes no value")
 	}
 }
 
@@ -132,7 +132,7 @@
 		known = append(known, name)
 	}
 	slices.Sort(known)
-	d.fault(x, "is not known here; there is %s", strings.Join(known, ", "))
+	d.fault(x, "unknown directive; valid directives here: %s", strings.Join(known, ", "))
 }
 
 func (d *decoder) setField(field reflect.Value, x Directive) {
@@ -148,7 +148,7 @@
 		return
 	}
 	if earlier := source.at[x.Name]; len(earlier) > 0 {
-		d.fault(x, "given twice, first in line %d", earlier[0])
+		d.fault(x, "duplicate directive, first given on line %d", earlier[0])
 		return
 	}
 	source.at[x.Name] = []int{x.Line}
@@ -168,12 +168,12 @@
 func (d *decoder) parseValues(field reflect.Value, x Directive, values []string) {
 	parts := partsOf(field)
 	if len(values) != len(parts) {
-		d.fault(x, "takes %s, and has %d", countOf(len(parts), "value"), len(values))
+		d.fault(x, "expected %s, got %d", countOf(len(parts), "value"), len(values))
 		return
 	}
 	for i, part := range parts {
 		if err := parseValue(part, values[i]); err != nil {
-			d.fault(x, "%s %v", strconv.Quote(values[i]), err)
+			d.fault(x, "invalid value %s: %v", strconv.Quote(values[i]), err)
 		}
 	}
 }
--- a/internal/config/lines/value.go
+++ b/internal/config/lines/value.go
@@ -38,7 +38,7 @@
 func parseValue(field reflect.Value, text string) error {
 	if u, ok := field.Addr().Interface().(encoding.TextUnmarshaler); ok {
 		if text == "" || u.UnmarshalText([]byte(text)) != nil {
-			return fmt.Errorf("is no %s", describeType(field.Type()))
+			return fmt.Errorf("must be %s", describeType(field.Type()))
 		}
 		return nil
 	}
@@ -67,14 +67,14 @@
 	case reflect.Int, reflect.Int64:
 		value, err := strconv.ParseInt(text, 10, field.Type().Bits())
 		if err != nil {
-			return errors.New("is no whole number, or too large")
+			return errors.New("not an integer, or out of range")
 		}
 		field.SetInt(value)
 		return nil
 	case reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
 		value, err := strconv.ParseUint(text, 10, field.Type().Bits())
 		if err != nil {
-			return fmt.Errorf("is no whole number from 0 to %d", ^uint64(0)>>(64-field.Type().Bits()))
+			return fmt.Errorf("must be an integer from 0 to %d", ^uint64(0)>>(64-field.Type().Bits()))
 		}
 		field.SetUint(value)
 		return nil
@@ -89,7 +89,7 @@
 	case "off", "no", "false":
 		field.SetBool(false)
 	default:
-		return errors.New("is neither on nor off")
+		return errors.New("must be on or off")
 	}
 	return nil
 }
@@ -98,11 +98,11 @@
 func describeType(t reflect.Type) string {
 	switch t.String() {
 	case "netip.AddrPort":
-		return "address with a port, such as 127.0.0.1:6433"
+		return "an address with a port, such as 127.0.0.1:6433"
 	case "netip.Addr":
-		return "IP address"
+		return "an IP address"
 	case "netip.Prefix":
-		return "prefix, such as 10.0.0.0/8"
+		return "a prefix, such as 10.0.0.0/8"
 	}
 	return t.String()
 }
@@ -111,10 +111,10 @@
 func parseDuration(text string) (time.Duration, error) {
 	v, err := time.ParseDuration(text)
 	if err != nil || strings.TrimLeft(text, "0123456789") == "" && text != "0" {
-		return 0, errors.New("is no span of time with a unit, such as 100ms, 2s or 5m")
+		return 0, errors.New("must be a duration with a unit, such as 100ms, 2s or 5m")
 	}
 	if v < 0 {
-		return 0, errors.New("is below zero")
+		return 0, errors.New("must not be negative")
 	}
 	return v, nil
 }
@@ -130,7 +130,7 @@
 	}
 	v, err := strconv.ParseInt(number, 10, 64)
 	if err != nil || v < 0 || v > (1<<62)/unit {
-		return 0, errors.New("is no size, such as 512, 64k or 16m")
+		return 0, errors.New("must be a number of bytes, such as 512, 64k or 16m")
 	}
 	return v * unit, nil
 }
--- a/internal/config/maintenance.go
+++ b/internal/config/maintenance.go
@@ -43,7 +43,7 @@
 		faults.add(m.Source, "maintenance", 0, "requires a state-store section, which stores the maintenance order")
 	}
 	if m.DefaultDuration < minWorkDuration || m.DefaultDuration > maxWorkDuration {
-		faults.add(m.Source, "default-duration", 0, "%v is not from %v to %v", m.DefaultDuration, minWorkDuration, maxWorkDuration)
+		faults.add(m.Source, "default-duration", 0, "invalid value %v: must be from %v to %v", m.DefaultDuration, minWorkDuration, maxWorkDuration)
 	}
 	for _, wait := range []struct {
 		directive string
@@ -52,10 +52,10 @@
 		{"settle-time", m.SettleTime}, {"return-within", m.ReturnWithin}, {"behind", m.MaxReplicaLag}, {"unheard", m.LedgerTimeout},
 	} {
 		if wait.value < 0 || wait.value > maxWait {
-			faults.add(m.Source, wait.directive, 0, "%v is not from 0s to 1h", wait.value)
+			faults.add(m.Source, wait.directive, 0, "invalid value %v: must be from 0s to 1h", wait.value)
 		}
 	}
 	if m.ExcuseAfter < 0 || m.ExcuseAfter > maxWorkDuration {
-		faults.add(m.Source, "excuse-after", 0, "%v is not from 0s to %v", m.ExcuseAfter, maxWorkDuration)
+		faults.add(m.Source, "excuse-after", 0, "invalid value %v: must be from 0s to %v", m.ExcuseAfter, maxWorkDuration)
 	}
 }
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -47,10 +47,10 @@
 		own = m.Bind
 	}
 	if own.Addr().IsUnspecified() || own.Port() == 0 {
-		faults.add(m.Source, "bind", 0, "%v is no address that others could know this gateway by; name one with advertise", own)
+		faults.add(m.Source, "bind", 0, "other members cannot reach this gateway at %v; set its address with advertise", own)
 	}
 	if m.Interval < minProbeInterval || m.Interval > maxProbeInterval {
-		faults.add(m.Source, "interval", 0, "%v is not from %v to %v", m.Interval, minProbeInterval, maxProbeInterval)
+		faults.add(m.Source, "interval", 0, "invalid value %v: must be from %v to %v", m.Interval, minProbeInterval, maxProbeInterval)
 	}
 	for i, address := range m.Join {
 		if address.Addr().Is4() != m.Bind.Addr().Is4() {
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -138,17 +138,17 @@
 	limits := w.Limits
 	if limits.Cores != nil {
 		if c.Cores = *limits.Cores; c.Cores <= 0 || c.Cores > maxCores {
-			return keyError("limits.cores", "%v is not above 0 and at most %d", c.Cores, maxCores)
+			return keyError("limits.cores", "invalid value %v: must be above 0 and at most %d", c.Cores, maxCores)
 		}
 	}
 	if limits.MemoryMB != nil {
 		if c.MemoryMB = *limits.MemoryMB; c.MemoryMB < minMemoryMB || c.MemoryMB > maxMemoryMB {
-			return keyError("limits.memory_mb", "%d is not from %d to %d", c.MemoryMB, minMemoryMB, maxMemoryMB)
+			return keyError("limits.memory_mb", "invalid value %d: must be from %d to %d", c.MemoryMB, minMemoryMB, maxMemoryMB)
 		}
 	}
 	if limits.Sockets != nil {
 		if c.Sockets = *limits.Sockets; c.Sockets < minSockets || c.Sockets > maxSockets {
-			return keyError("limits.sockets", "%d is not from %d to %d", c.Sockets, minSockets, maxSockets)
+			return keyError("limits.sockets", "invalid value %d: must be from %d to %d", c.Sockets, minSockets, maxSockets)
 		}
 	}
 	return nil
@@ -182,7 +182,7 @@
 		s.ListSubscribed, s.ListPushed = true, true
 	}
 	if len(c.InForce.ClassNames) == 0 {
-		return keyError("settings.classes", "names no class")
+		return keyError("settings.classes", "must name at least one class")
 	}
 	if err := json.Unmarshal(w.Settings, &c.Settings); err != nil {
 		return keyError("settings", "%v", err)
--- a/internal/config/statestore.go
+++ b/internal/config/statestore.go
@@ -78,18 +78,18 @@
 		faults.add(s.Source, "state-store", 0, "requires a members section")
 	}
 	if !s.storageIsValid() {
-		faults.add(s.Source, "storage", 0, "%q is neither memory nor disk and a path", strings.Join(s.Storage, " "))
+		faults.add(s.Source, "storage", 0, `invalid value %q: must be "memory", or "disk" and a path`, strings.Join(s.Storage, " "))
 	}
 	if s.Witness != "" && s.StoragePath() == "" {
 		faults.add(s.Source, "witness", 0, "requires storage on disk")
 	}
 	if s.Heartbeat < minHeartbeat || s.Heartbeat > maxHeartbeat {
-		faults.add(s.Source, "heartbeat", 0, "%v is not from %v to %v", s.Heartbeat, minHeartbeat, maxHeartbeat)
+		faults.add(s.Source, "heartbeat", 0, "invalid value %v: must be from %v to %v", s.Heartbeat, minHeartbeat, maxHeartbeat)
 	}
 	if s.RepairAfter < minRepairAfter || s.RepairAfter < minRepairHeartbeats*s.Heartbeat {
-		faults.add(s.Source, "repair-after", 0, "%v is below %v, or %d heartbeats", s.RepairAfter, minRepairAfter, minRepairHeartbeats)
+		faults.add(s.Source, "repair-after", 0, "invalid value %v: must be at least %v and at least %d heartbeats", s.RepairAfter, minRepairAfter, minRepairHeartbeats)
 	}
 	if s.MarksTTL < minMarksTTL || s.MarksTTL > maxMarksTTL {
-		faults.add(s.Source, "marks-ttl", 0, "%v is not from %v to %v", s.MarksTTL, minMarksTTL, maxMarksTTL)
+		faults.add(s.Source, "marks-ttl", 0, "invalid value %v: must be from %v to %v", s.MarksTTL, minMarksTTL, maxMarksTTL)
 	}
 }
--- a/internal/config/vrrp.go
+++ b/internal/config/vrrp.go
@@ -95,13 +95,13 @@
 			faults.add(g.Source, "group", 0, "requires a vrrp section")
 		}
 		if other, ok := vrids[g.VRID]; ok {
-			faults.add(g.Source, "vrid", 0, "%d is that of group %s too", g.VRID, other)
+			faults.add(g.Source, "vrid", 0, "%d is already used by group %s", g.VRID, other)
 		}
 		if other, ok := listeners[g.Listen]; ok {
-			faults.add(g.Source, "listen", 0, "%v is that of group %s too", g.Listen, other)
+			faults.add(g.Source, "listen", 0, "%v is already used by group %s", g.Listen, other)
 		}
 		if names[g.Name] {
-			faults.add(g.Source, "group", 0, "%s is there twice", g.Name)
+			faults.add(g.Source, "group", 0, "duplicate name %s", g.Name)
 		}
 		vrids[g.VRID], names[g.Name], listeners[g.Listen] = g.Name, true, g.Name
 		g.check(faults)
@@ -115,9 +115,9 @@
 		}
 	}
 	if g.Interval < minAdvertisementInterval || g.Interval > maxAdvertisementInterval || g.Interval%minAdvertisementInterval != 0 {
-		faults.add(g.Source, "interval", 0, "%v is no multiple of 10ms from 10ms to 40.95s", g.Interval)
+		faults.add(g.Source, "interval", 0, "invalid value %v: must be a multiple of 10ms from 10ms to 40.95s", g.Interval)
 	}
 	if g.Damping.InitialHold > g.Damping.MaxHold {
-		faults.add(g.Source, "damp", 0, "the first hold, %v, is longer than the longest, %v", g.Damping.InitialHold, g.Damping.MaxHold)
+		faults.add(g.Source, "damp", 0, "initial hold %v exceeds maximum hold %v", g.Damping.InitialHold, g.Damping.MaxHold)
 	}
 }
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -119,7 +119,7 @@
 func TestReloadFaults(t *testing.T) {
 	w := newTestGateway(t, nil)
 	w.lists(formFull, 1)
-	w.gateway.Reload(nil, nil, &settings.KeyError{Key: "settings.classes", Text: "names no class"})
+	w.gateway.Reload(nil, nil, &settings.KeyError{Key: "settings.classes", Text: "must name at least one class"})
 	w.expectLogged("reload failed", "settings.classes")
 	w.gateway.Reload(nil, nil, errors.New("gone"))
 	next := *w.cfg
