--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -22,7 +22,7 @@
 	c.printPlatform(platform)
 	path := c.operatorsPath()
 	if path == "" {
-		fmt.Fprintf(c.out, "\n# no operators' file: all of it is off\n")
+		fmt.Fprintf(c.out, "\n# no operators' file: all of its features are off\n")
 		return nil
 	}
 	fmt.Fprintf(c.out, "\n# the operators' file, %s\n", path)
--- a/internal/cli/intents.go
+++ b/internal/cli/intents.go
@@ -27,7 +27,7 @@
 		return writeJSON(q.out, s)
 	}
 	w := tabwriter.NewWriter(q.out, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(w, "BOOKING\tREQUEST\tCLASS\tPHASE\tFOR\tRECORD\tOWNER\tSERVER\tATTEMPT")
+	fmt.Fprintln(w, "BOOKING\tREQUEST\tCLASS\tPHASE\tDURATION\tSTORED STATE\tOWNER\tSERVER\tATTEMPT")
 	for _, x := range s.Open {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\t%s\t%s\t%s\t%d\n", x.Booking, x.ID, x.Class, x.Phase, milliseconds(x.ForMS), orDash(x.State), orDash(x.Owner),
 			orDash(x.Server), x.Attempt)
@@ -35,7 +35,7 @@
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	fmt.Fprintf(q.out, "since its start:")
+	fmt.Fprintf(q.out, "totals since the gateway started:")
 	for _, name := range slices.Sorted(maps.Keys(s.Counts)) {
 		fmt.Fprintf(q.out, " %s %d", name, s.Counts[name])
 	}
--- a/internal/cli/maintenance.go
+++ b/internal/cli/maintenance.go
@@ -131,13 +131,13 @@
 		return writeJSON(q.out, s)
 	}
 	if s.Leader == "" {
-		fmt.Fprintf(q.out, "the ledger does not answer: this is what %s knows, and no machine is taken out of service\n", s.Node)
+		fmt.Fprintf(q.out, "the ledger does not respond: this is the order as last known to %s, and no machine is taken out of service\n", s.Node)
 	}
 	if s.Paused {
-		fmt.Fprintln(q.out, "all are held")
+		fmt.Fprintln(q.out, "the maintenance order is paused")
 	}
 	w := tabwriter.NewWriter(q.out, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(w, "PLACE\tMACHINE\tKIND\tSTATE\tFOR\tWORK\tWAITS FOR\tWHY\tASKED AT")
+	fmt.Fprintln(w, "POSITION\tMACHINE\tKIND\tSTATE\tDURATION\tWORK LIMIT\tWAITING FOR\tREASON\tREQUESTED VIA")
 	for _, m := range s.Machines {
 		place, name := "-", m.Machine
 		if m.Position > 0 {
--- a/internal/cli/members.go
+++ b/internal/cli/members.go
@@ -33,13 +33,13 @@
 		return writeJSON(q.out, s)
 	}
 	if s.Excluded {
-		fmt.Fprintf(q.out, "another process has the name %s; this one takes no part\n", s.Node)
+		fmt.Fprintf(q.out, "another process uses the name %s; this gateway is excluded from the membership\n", s.Node)
 	}
 	if s.LocalHealth > 1 {
-		fmt.Fprintf(q.out, "%s misses answers that others get, and waits %d times as long\n", s.Node, s.LocalHealth)
+		fmt.Fprintf(q.out, "%s misses responses that other members receive; its timeouts are multiplied by %d\n", s.Node, s.LocalHealth)
 	}
 	w := tabwriter.NewWriter(q.out, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(w, "NAME\tSTATE\tFOR\tSAYS\tLIFE\tAT\tHEARD\tROUND TRIP\tZONE\tWEIGHT\tVERSION\tSETTINGS\tFLAGS\tCUT"+streamColumn)
+	fmt.Fprintln(w, "NAME\tSTATE\tDURATION\tREPORTED BY\tSTARTED\tADDRESS\tLAST MESSAGE\tROUND TRIP\tZONE\tWEIGHT\tVERSION\tSETTINGS\tFLAGS\tLOST PATHS"+streamColumn)
 	for _, m := range s.Members {
 		fmt.Fprint(w, memberRow(m))
 		switch {
--- a/internal/cli/statestore.go
+++ b/internal/cli/statestore.go
@@ -110,9 +110,9 @@
 	if s.BootstrapID == "" {
 		return errors.New("there is no store yet; make it with `marblespan state-store bootstrap` at one of the Raft nodes")
 	}
-	fmt.Fprintf(q.out, "store %s, ledger at %d, %d copies, records of format %d\n", s.BootstrapID, s.Index, s.Voters, s.Format)
+	fmt.Fprintf(q.out, "store %s, ledger index %d, %d voters, record format %d\n", s.BootstrapID, s.Index, s.Voters, s.Format)
 	if s.Failed != "" {
-		fmt.Fprintf(q.out, "%s holds nothing any more: %s\n", s.Node, s.Failed)
+		fmt.Fprintf(q.out, "%s no longer stores any records: %s\n", s.Node, s.Failed)
 	}
 	if err := q.printStores(s.Stores); err != nil {
 		return err
@@ -122,7 +122,7 @@
 
 func (q *query) printStores(stores []gateway.StoreStatus) error {
 	w := tabwriter.NewWriter(q.out, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(w, "DISK\tGATEWAY\tZONE\tWEIGHT\tSTATE")
+	fmt.Fprintln(w, "STORE\tGATEWAY\tZONE\tWEIGHT\tSTATE")
 	for _, d := range stores {
 		state := "there"
 		if d.Removed {
@@ -135,7 +135,7 @@
 
 func (q *query) printRaftGroups(groups []gateway.GroupStatus) error {
 	w := tabwriter.NewWriter(q.out, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(w, "SHARD\tEPOCH\tHOLDERS\tUNDER WAY\tLEADER\tBEHIND\tRECORDS\tBYTES")
+	fmt.Fprintln(w, "SHARD\tEPOCH\tREPLICAS\tCHANGE\tLEADER\tLAG\tRECORDS\tBYTES")
 	for _, g := range groups {
 		name := strconv.Itoa(int(g.Group))
 		if g.Group == 0 {
@@ -146,7 +146,7 @@
 			leader, behind = orDash(here.Leader), fmt.Sprint(here.Last-here.Applied)
 			records, bytes = fmt.Sprint(here.Records), fmt.Sprint(here.Bytes)
 			if here.Unsure {
-				leader = "asks the others"
+				leader = "recovering"
 			}
 		}
 		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\n", name, g.Epoch, replicaNames(g), orDash(membershipChange(g)), leader, behind, records, bytes)
@@ -179,7 +179,7 @@
 		}
 	}
 	if g.Lost {
-		change = strings.TrimSpace(change + " lost before")
+		change = strings.TrimSpace(change + " records lost")
 	}
 	return change
 }
--- a/internal/cli/vrrp.go
+++ b/internal/cli/vrrp.go
@@ -32,7 +32,7 @@
 		return writeJSON(q.out, all)
 	}
 	w := tabwriter.NewWriter(q.out, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(w, "GROUP\tVRID\tADDRESSES\tSTATE\tFOR\tPRIORITY\tREADY\tWRONG\tHOLDER\tTENURE\tHELD BACK")
+	fmt.Fprintln(w, "GROUP\tVRID\tADDRESSES\tSTATE\tDURATION\tPRIORITY\tREADY\tFAILED CONDITIONS\tACTIVE ROUTER\tACTIVATION\tPREEMPTION BLOCKED")
 	for _, s := range all {
 		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%v\t%d of %d\t%s\t%s\t%s\t%d\t%v\n", s.Group, s.VRID, strings.Join(s.Addresses, ","),
 			s.State, milliseconds(s.StateDurationMS), s.Priority, s.ConfiguredPriority, yesOrNo(s.Ready), orDash(strings.Join(s.FailedConditions, ",")), orDash(s.ActiveRouter),
