--- a/internal/golden/store_test.go
+++ b/internal/golden/store_test.go
@@ -71,8 +71,7 @@
 	}
 }
 
-// unpackStore unpacks the golden store into a new file and returns its path. With -update it first
-// replaces the golden store.
+// unpackStore unpacks the golden store into a new file and returns its path. With -update it first replaces the golden store.
 func unpackStore(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "golden.db")
--- a/internal/protocol/advisories/advisories.go
+++ b/internal/protocol/advisories/advisories.go
@@ -36,7 +36,7 @@
 	Age      uint64 // time since that health check
 	Role     Role
 	RoleAge  uint64 // time since its role was confirmed; 0 if the role is unknown
-	Position uint64 // log position that the server has at least applied; 0: not known
+	Position uint64 // lower bound on the log position that the server has applied; 0: not known
 	Load     []Field
 }
 
--- a/internal/protocol/sealed/fault.go
+++ b/internal/protocol/sealed/fault.go
@@ -21,7 +21,7 @@
 	BadMessage         // members: not a valid encoding of the message in api/members.proto
 	BadKind            // members: an unknown kind of message, from a later version
 	BadValue           // members: a missing or invalid field, such as a name, an address or a state
-	WrongSource        // from an address that belongs to no peer, or to a different peer
+	WrongSource        // from an address that belongs to no peer, or to a peer other than the sender
 	WrongPeer          // the node number of the sender or of the receiver does not match
 	Replayed           // the same message, or a later one, was received before
 	UnknownVRID        // for a group that is not configured here
--- a/internal/protocol/sealed/replay.go
+++ b/internal/protocol/sealed/replay.go
@@ -28,8 +28,8 @@
 }
 
 // NewReplayGuard returns the guard of a gateway that started at the time start of its system clock, in microseconds of Unix time.
-// A message is accepted only if its sequence number is less than window below that of the sender's latest message. A window
-// above 64 counts as 64; with a window of 0, a message that was overtaken by a later one is never accepted.
+// A message that arrives after later messages of its sender is accepted only if its sequence number is less than window below the
+// highest one received. A window above 64 counts as 64; with a window of 0, no message that was overtaken is accepted.
 func NewReplayGuard[K comparable](start, window uint64) *ReplayGuard[K] {
 	return &ReplayGuard[K]{self: MessageID{Start: start}, window: min(window, maxWindow), senders: map[K]*senderWindow{}}
 }
--- a/internal/protocol/vrrp/message.go
+++ b/internal/protocol/vrrp/message.go
@@ -55,7 +55,8 @@
 // Trailer follows the message that RFC 9568 defines.
 type Trailer = sealed.Trailer
 
-// ErrAddresses is returned by Append and AppendAnnouncement for an address list that cannot be encoded.
+// ErrAddresses is returned by Append and AppendAnnouncement for an address list that cannot be encoded, and by
+// AppendAnnouncement also for an invalid listen address.
 var ErrAddresses = errors.New("the address list must have 1 to 16 addresses of one family")
 
 // ErrInterval is returned by Append for an interval that the field of 12 bits cannot represent.
--- a/internal/protocol/vrrp/message_test.go
+++ b/internal/protocol/vrrp/message_test.go
@@ -159,7 +159,7 @@
 	f.Fuzz(func(t *testing.T, b []byte, four bool) {
 		VRID(b)
 		signed := b
-		if len(b) >= headerSize+4+trailerSize+macSize { // otherwise no fuzzed message would get past the MAC
+		if len(b) >= headerSize+4+trailerSize+macSize { // sign the message, because no unsigned one passes the MAC check
 			signed = change(b, func(b []byte) []byte { return b })
 		}
 		for _, x := range [][]byte{b, signed} {
