--- a/internal/raftstorage/load.go
+++ b/internal/raftstorage/load.go
@@ -11,23 +11,23 @@
 	"marblespan/internal/raftstore"
 )
 
-// load reads the content of the file. An empty file is new, and has none.
+// load reads the content of the file. A file without buckets is new; its state is empty.
 func (f *File) load() (*raftstore.StoredState, error) {
 	stored := &raftstore.StoredState{}
 	err := f.db.View(func(tx *bbolt.Tx) error {
-		facts := tx.Bucket(bucketFacts)
-		if facts == nil {
+		metadata := tx.Bucket(bucketMetadata)
+		if metadata == nil {
 			if name, _ := tx.Cursor().First(); name != nil {
-				return fmt.Errorf("%w: found bucket %q, want %q", ErrFormat, name, bucketFacts)
+				return fmt.Errorf("%w: found bucket %q, want %q", ErrFormat, name, bucketMetadata)
 			}
 			return nil
 		}
-		if err := f.loadFacts(bucket{facts}, stored); err != nil {
+		if err := f.loadMetadata(bucket{metadata}, stored); err != nil {
 			return err
 		}
 		groups := tx.Bucket(bucketGroups)
 		if groups == nil {
-			return fmt.Errorf("%w: there is no bucket %q", ErrIncomplete, bucketGroups)
+			return fmt.Errorf("%w: bucket %q is missing", ErrIncomplete, bucketGroups)
 		}
 		return groups.ForEachBucket(func(key []byte) error {
 			member, err := loadMember(key, groups.Bucket(key))
@@ -42,9 +42,9 @@
 	return stored, nil
 }
 
-// loadFacts reads what the file says about itself.
-func (f *File) loadFacts(facts bucket, stored *raftstore.StoredState) error {
-	version, err := facts.number(keyFormat)
+// loadMetadata reads the file's metadata (bucketMetadata).
+func (f *File) loadMetadata(metadata bucket, stored *raftstore.StoredState) error {
+	version, err := metadata.number(keyFormat)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrFormat, err)
 	}
@@ -55,23 +55,23 @@
 		key  []byte
 		into *uint64
 	}{{keyStore, &stored.Store}, {keyIncarnation, &stored.Incarnation}, {keySequence, &f.sequence}} {
-		if *number.into, err = facts.number(number.key); err != nil {
+		if *number.into, err = metadata.number(number.key); err != nil {
 			return err
 		}
 	}
 	if stored.Store == 0 {
-		return fmt.Errorf("%w: the disk has no number under %q", ErrIncomplete, keyStore)
+		return fmt.Errorf("%w: the store ID under %q is missing", ErrIncomplete, keyStore)
 	}
-	if stored.Ledger, err = facts.get(keyView); err != nil {
+	if stored.Ledger, err = metadata.get(keyLedger); err != nil {
 		return err
 	}
-	stored.Retired, err = loadRetired(facts)
+	stored.Retired, err = loadRetired(metadata)
 	return err
 }
 
-// loadRetired reads the members that must not take part again.
-func loadRetired(facts bucket) (refs []raftstore.MemberRef, err error) {
-	raw, err := facts.get(keyRetired)
+// loadRetired reads the list of members that must not take part again.
+func loadRetired(metadata bucket) (refs []raftstore.MemberRef, err error) {
+	raw, err := metadata.get(keyRetired)
 	if err != nil {
 		return nil, err
 	}
@@ -84,7 +84,7 @@
 	return refs, nil
 }
 
-// loadMember reads a member's bucket.
+// loadMember reads a member from its bucket.
 func loadMember(key []byte, raw *bbolt.Bucket) (member raftstore.StoredMember, err error) {
 	if len(key) != refSize {
 		return member, fmt.Errorf("%w: the member's key %x has %d bytes, want %d", ErrIncomplete, key, len(key), refSize)
@@ -113,7 +113,7 @@
 	return member, err
 }
 
-// loadPieces joins the pieces of a snapshot's data.
+// loadPieces reads a snapshot's data from its pieces.
 func loadPieces(raw *bbolt.Bucket) (data []byte, err error) {
 	if raw == nil {
 		return nil, nil
@@ -130,7 +130,7 @@
 	return data, err
 }
 
-// loadLog reads the entries of a log, which have successive indexes.
+// loadLog reads the entries of a log, and checks that their indexes are consecutive.
 func loadLog(raw *bbolt.Bucket) (entries []*pb.Entry, err error) {
 	if raw == nil {
 		return nil, nil
