--- a/internal/raftstore/raftstore.go
+++ b/internal/raftstore/raftstore.go
@@ -50,7 +50,7 @@
 	LatestFormat             = MaintenanceFormat
 )
 
-// recordOverhead is the measured memory cost of a record in addition to its key and value, in bytes.
+// recordOverhead is the memory cost of a record in addition to its key and value, in bytes.
 const recordOverhead = 240
 
 // Config is the configuration of one host.
