--- a/internal/cli/statestore.go
+++ b/internal/cli/statestore.go
@@ -135,7 +135,7 @@
 
 func (q *query) printRaftGroups(groups []gateway.GroupStatus) error {
 	w := tabwriter.NewWriter(q.out, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(w, "SHARD\tEPOCH\tREPLICAS\tCHANGE\tLEADER\tLAG\tRECORDS\tBYTES")
+	fmt.Fprintln(w, "SHARD\tEPOCH\tVOTERS\tCHANGE\tLEADER\tLAG\tRECORDS\tBYTES")
 	for _, g := range groups {
 		name := strconv.Itoa(int(g.Group))
 		if g.Group == 0 {
@@ -149,13 +149,13 @@
 				leader = "recovering"
 			}
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\n", name, g.Epoch, replicaNames(g), orDash(membershipChange(g)), leader, behind, records, bytes)
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\n", name, g.Epoch, voterNames(g), orDash(membershipChange(g)), leader, behind, records, bytes)
 	}
 	return w.Flush()
 }
 
-// replicaNames returns the names of the gateways that have a replica of a group.
-func replicaNames(g gateway.GroupStatus) string {
+// voterNames returns the names of the gateways that have a voter of a group.
+func voterNames(g gateway.GroupStatus) string {
 	var names []string
 	for _, r := range g.Replicas {
 		name := r.Node
@@ -167,7 +167,7 @@
 	return strings.Join(names, ",")
 }
 
-// membershipChange returns which replicas are being added and removed, and whether the group has lost its records before.
+// membershipChange returns which members are being added and removed, and whether the group has lost its records before.
 func membershipChange(g gateway.GroupStatus) string {
 	change := ""
 	if g.Adding != nil {
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -34,14 +34,14 @@
 	Here     *LocalReplicaStatus `json:"here,omitempty"`
 }
 
-// ReplicaStatus is one replica of a Raft group.
+// ReplicaStatus is one member of a Raft group.
 type ReplicaStatus struct {
 	Number uint64 `json:"number"`
 	Node   string `json:"node"`
 	Lost   bool   `json:"lost,omitempty"`
 }
 
-// LocalReplicaStatus is the state of the replica that the answering gateway itself holds.
+// LocalReplicaStatus is the state of the member that runs on the answering gateway.
 type LocalReplicaStatus struct {
 	Number  uint64 `json:"number"`
 	Leader  string `json:"leader"`
