--- a/internal/testcluster/script.go
+++ b/internal/testcluster/script.go
@@ -235,7 +235,7 @@
 
 func parseFault(directive lines.Directive) (fault Fault, wrong string) {
 	if directive.Name != "at" {
-		return fault, "is not known here; there is at"
+		return fault, "unknown directive; valid directives here: at"
 	}
 	remaining := words(directive.Values)
 	when := remaining.next()
