--- a/internal/testcluster/maintenance_test.go
+++ b/internal/testcluster/maintenance_test.go
@@ -132,7 +132,7 @@
 			return work(f, MaintenanceActions{})
 		}},
 		{"pause, cancel, unknown machines, and a server that discovery drains", func(f *Cluster) error {
-			if text, err := f.Nodes[2].RunMaintenance("add", "g77"); err == nil || !strings.Contains(text, "no gateway and no server g77 is known") {
+			if text, err := f.Nodes[2].RunMaintenance("add", "g77"); err == nil || !strings.Contains(text, "no gateway or server named g77 is known to this gateway") {
 				return fmt.Errorf("add of an unknown machine: %s, %v", text, err)
 			}
 			if err := withFault(f, "at 0s drain r2", func() error {
