--- a/internal/gateway/maintenance.go
+++ b/internal/gateway/maintenance.go
@@ -48,7 +48,7 @@
 	ledgerTimeout   atomic.Int64                 // how long a starting gateway waits to be enrolled in the ledger, in nanoseconds
 	maxReplicaLag   atomic.Int64                 // the lag above which a replica is reported as lagging, in microseconds
 	enrolled        atomic.Bool                  // this incarnation is enrolled in the ledger
-	draining        atomic.Bool                  // nothing new is admitted; fronts see that the gateway is not ready
+	draining        atomic.Bool                  // nothing new is admitted; load balancers see that the gateway is not ready
 	closedToClients atomic.Bool                  // requests of connected clients are rejected too
 
 	// Owned by the loop's goroutine.
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -16,8 +16,8 @@
 	stopMargin           = 200 * time.Millisecond
 )
 
-// minDrainDelay is how long after SIGTERM the gateway serves as before. The front keeps sending clients to it for up to 0.4 s, so
-// a client whose connection is closed sooner would only reconnect to this gateway.
+// minDrainDelay is how long after SIGTERM the gateway serves as before. A load balancer in front of the gateways keeps
+// sending clients to it for up to 0.4 s, so a client whose connection is closed sooner would only reconnect to this gateway.
 const minDrainDelay = 450 * time.Millisecond
 
 // drainLead is how long before the limit of the shutdown the gateway stops accepting requests, so that nearly all are answered by
@@ -58,7 +58,7 @@
 	g.closeLog()
 }
 
-// announce tells the fronts, the other gateways and the state store that this gateway is about to end.
+// announce tells load balancers, the other gateways and the state store that this gateway is about to end.
 func (s shutdown) announce() {
 	s.stopping.Store(true)
 	s.members.setDraining(true)
--- a/internal/policy/health.go
+++ b/internal/policy/health.go
@@ -84,8 +84,8 @@
 // healthCheckDue reports whether to start a health check of a server: to see whether a server that is
 // down or suspect can be reached, to find an unknown primary, or because a server with attempts in flight
 // has gone silent. While the primary is unknown, an answer that shows the server's role replaces a check.
-// Checks of servers that are down are paid for by arrivals, except for one after each maxBackOffFactor
-// objectives.
+// A check of a server that is down takes a token, which arrivals add, except for one check after each
+// maxBackOffFactor objectives.
 func (r *Router) healthCheckDue(g *group, s *server) bool {
 	since := r.now - s.checkedAt
 	switch {
--- a/internal/policy/read.go
+++ b/internal/policy/read.go
@@ -4,7 +4,7 @@
 
 // Parameters of reads from replicas. Shares are in thousandths.
 const (
-	toleranceDivisor   = 8   // replicas within minBound over this of the furthest count as equally far ahead
+	toleranceDivisor   = 8   // minBound divided by this is the lag behind the furthest replica that is ignored
 	crowdedFactor      = 2   // a replica is crowded above this many times the fewest attempts, plus one
 	longReadBounds     = 2   // a read is long if its objective is over this many times the smallest bound
 	checkWaitDivisor   = 3   // a read waits for health checks for its objective divided by this
--- a/internal/session/requests.go
+++ b/internal/session/requests.go
@@ -77,7 +77,7 @@
 		}
 		return nil, transport.ReasonOf(err), err
 	}
-	if c.sentAhead() && c.conn.PeerClosed() { // closed behind unread bytes or open queries: the client no longer waits for the answer
+	if c.sentAhead() && c.conn.PeerClosed() { // after it sent more or with open queries, so it no longer waits for the answer
 		c.release(in)
 		return nil, transport.EndClientDisconnected, io.EOF
 	}
--- a/internal/testcluster/statestore.go
+++ b/internal/testcluster/statestore.go
@@ -16,7 +16,7 @@
 	InMemory               bool // the store is kept in memory instead of on disk
 	FastMarks              bool // gateways send an answer before its session position is stored
 	NoSessionMarks         bool // no class uses session marks
-	RaftNodes              int  // the first this many gateways hold replicas; 0 means all
+	RaftNodes              int  // the first this many gateways run members of the Raft groups; 0 means all
 }
 
 // DefaultStateStore returns sizes and durations that suit a few gateways and a short run.
@@ -52,7 +52,7 @@
 	return b.String()
 }
 
-// StoreFile returns the path of the file that holds the gateway's Raft replicas.
+// StoreFile returns the path of the file that holds the gateway's members of the Raft groups.
 func (n *Node) StoreFile() string { return n.dir + "/data/copies.db" }
 
 // StateStoreStatus is a gateway's answer to "state-store --json".
@@ -84,14 +84,14 @@
 	} `json:"here"`
 }
 
-// RaftReplica is one replica of a group.
+// RaftReplica is one member of a Raft group.
 type RaftReplica struct {
 	Number  uint64 `json:"number"`
 	Gateway string `json:"node"`
 	Lost    bool   `json:"lost"`
 }
 
-// HasReplicaOn reports whether a gateway has a replica of the group.
+// HasReplicaOn reports whether a gateway has a voter of the group.
 func (g RaftGroup) HasReplicaOn(n *Node) bool {
 	return slices.ContainsFunc(g.Replicas, func(r RaftReplica) bool { return r.Gateway == n.Name() })
 }
