--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -8,16 +8,18 @@
 // ignores ejection, which counts only in the choice of replicas (candidateReplicas).
 func (r *Router) inService(s *server) bool { return !s.excluded && !s.down }
 
-// admits reports whether a request may be sent to a server now, within a share of the server's limit in
-// thousandths.
+// admits reports whether a request may be sent to a server now, if only the given share of the server's
+// concurrency limit (in thousandths) may be used.
 func (r *Router) admits(s *server, req *request, share int64) bool {
 	return r.inService(s) && r.hasCapacity(s, req, share)
 }
 
-// hasCapacity reports whether this gateway may have one more attempt in flight at a server, within a
-// share of the server's limit. In slow start the limit is reduced by the server's weight, and the work
-// sent is bounded by a budget. A limit below one attempt is the chance of admission; with a share below
-// one the chance is squared, so that reads do not crowd writes out of the primary.
+// hasCapacity reports whether this gateway may have one more attempt in flight at a server, if only the
+// given share of the server's concurrency limit may be used. In slow start the limit is reduced by the
+// server's weight, and the work sent is bounded by a budget. A capacity below one attempt is the
+// probability that the request is admitted while nothing is in flight. Weight and share do not lower the
+// capacity below a floor, which is one attempt, or the limit if the limit is below one. If share is below
+// one, a floor below one is squared, so that reads do not crowd writes out of the primary.
 func (r *Router) hasCapacity(s *server, req *request, share int64) bool {
 	if r.now < s.backOffUntil {
 		return false
@@ -34,11 +36,11 @@
 	return int64(len(s.inFlight)+1)*one <= capacity && (weight == one || r.withinSlowStartBudget(s, req, weight))
 }
 
-// admissionDraw returns a request's random number, from 0 to 999. A limit below one attempt is the chance
-// that a request is admitted: one attempt in flight from each of hundreds of gateways would overload a
-// server, and a fixed rate would be too high for gateways with little traffic and too low for busy ones.
-// The number is drawn again after each objective, and more often for a request that only the primary can
-// serve.
+// admissionDraw returns a request's random number, from 0 to 999. hasCapacity admits the request if the
+// number is below the capacity. Neither a minimum nor a rate could take the place of this probability: a
+// minimum of one attempt in flight from each of hundreds of gateways would overload a server, and a fixed
+// rate would be too high for gateways with little traffic and too low for busy ones. The number is drawn
+// again after each latency objective, and more often for a request that only the primary can serve.
 //
 // Trade-off: some requests wait or end although there was capacity.
 func (r *Router) admissionDraw(req *request) int64 {
--- a/internal/policy/api.go
+++ b/internal/policy/api.go
@@ -3,7 +3,7 @@
 import "marblespan/internal/clock"
 
 // Position is a log position: the clock time up to which a server has applied every commit. Zero means
-// that it is unknown.
+// that the position is unknown.
 type Position = clock.Micros
 
 // ServerID identifies a database server and carries no other meaning.
@@ -104,7 +104,7 @@
 	ResultConnectFailed        // no connection, or it broke before the last byte of the request was written
 	ResultReset                // the connection broke after the last byte of the request was written
 	ResultCancelled            // ended by Cancel
-	ResultNotSent              // never sent, because it was no longer allowed
+	ResultNotSent              // not sent, because the attempt was no longer allowed
 	ResultMisdirected          // not served or answer not used: server is not primary, or too far behind
 )
 
@@ -118,7 +118,7 @@
 	RoleReplica
 )
 
-// LoadReport is what a server reports about its own state. It arrives late and may be wrong.
+// LoadReport is what a server reports about its own state. The report arrives late and may be wrong.
 type LoadReport struct {
 	Position    Position // as of the report
 	HasPosition bool
@@ -205,7 +205,7 @@
 type CloseIdle struct{ Server ServerID }
 
 // Withdraw ends the attempts that were sent to a server but have not begun there, such as those that wait
-// for a connection. They must not begin later, and end as ResultConnectFailed.
+// for a connection. A withdrawn attempt must not begin later. It ends as ResultConnectFailed.
 type Withdraw struct{ Server ServerID }
 
 // Forget reports that the router has dropped all state about a server, because the server is not listed
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -7,15 +7,15 @@
 	"marblespan/internal/clock"
 )
 
-// maxSubscribeBackOff bounds the back-off between two attempts to subscribe, in microseconds, because
-// changes of the endpoint list count as known after 6 s.
+// maxSubscribeBackOff bounds the back-off between two attempts to subscribe, in microseconds. It is far
+// below the 6 s after which a change of the endpoint list counts as known to this gateway.
 const maxSubscribeBackOff = 600_000
 
 // listing is a server's entry in the endpoint list.
 type listing struct {
 	zone          string
 	state         EndpointState
-	excluded      bool // draining, or removed if removal excludes: nothing new may be sent
+	excluded      bool // draining, or removed without RemovedStayUsable: nothing new may be sent
 	listedPrimary bool
 	startedAt     clock.Micros // 0: long ago
 }
@@ -120,9 +120,9 @@
 }
 
 // removable reports whether the router may drop its state about a server. The list must have removed the
-// server, no attempt may be in flight, and the server must be excluded, or unreachable for as long as a
-// list may be out of date. While removed servers stay usable, a wrong list thus loses nothing that the
-// router has learned.
+// server, no attempt may be in flight, and the server must be excluded or have been unreachable for
+// longer than a list may be out of date. If removed servers stay usable, a list that wrongly leaves out a
+// server thus does not make the router lose what it has learned about the server.
 func (r *Router) removable(s *server) bool {
 	dead := s.down && r.now-s.lastSeenAt > max(r.settings.SubscribeWithin, r.settings.SlowStartWindow)
 	return s.state == EndpointRemoved && len(s.inFlight) == 0 && (s.excluded || dead)
@@ -149,7 +149,7 @@
 
 // subscribeFailed schedules the next attempt to subscribe. The back-off doubles and has jitter, so that
 // many gateways do not subscribe at the same time. If the list is pushed, its changes count as known at
-// once, and the first new attempt is made at the next sweep.
+// once; the first new attempt is therefore made at the next sweep, without a back-off.
 func (r *Router) subscribeFailed() {
 	r.subscribed = false
 	r.subscribing = false
--- a/internal/policy/execution.go
+++ b/internal/policy/execution.go
@@ -19,10 +19,10 @@
 	ExecutionDone:    "done",
 }
 
-// CombinedWith returns what an execution and the result received with it prove together. ExecutionNone is
-// not accepted beside a result that only a completely written attempt can have, and becomes
-// ExecutionUnknown. The combination only strengthens the claim that the attempt ran; no other code weakens
-// that claim.
+// CombinedWith returns what an execution and the result received with it prove together. If e is
+// ExecutionNone and the result is one that only a completely written attempt can have, the two contradict
+// each other, and together they mean ExecutionUnknown. CombinedWith can only add evidence that the
+// attempt ran, and no other code removes such evidence.
 func (e Execution) CombinedWith(received Result) Execution {
 	switch received {
 	case ResultOK:
--- a/internal/policy/health.go
+++ b/internal/policy/health.go
@@ -9,7 +9,7 @@
 // health is whether a server is reachable, and the state of its health checks.
 type health struct {
 	lastSeenAt      clock.Micros // last sign of life
-	suspect         bool         // a connection failed or broke: a health check must show if it is down
+	suspect         bool         // a connection failed or broke: a health check must show whether it is down
 	down            bool         // its health checks fail
 	downAt          clock.Micros
 	recheckInterval clock.Micros // between health checks while it is down; doubles
@@ -24,7 +24,7 @@
 	role         Role
 	roleProvenAt clock.Micros // time of the newest evidence of the role
 
-	misdirectedUntil   clock.Micros // until then used only if known fresh: it rejected a read as too far behind
+	misdirectedUntil   clock.Micros // until then used only if known to be fresh, as it rejected a read
 	misdirectedBackOff clock.Micros // length of the last such period; doubles
 	writeMisdirectedAt clock.Micros // last time that it rejected a write or a fresh read
 }
@@ -35,9 +35,10 @@
 }
 
 // observeAlive records a sign of life. A server that was down may have restarted, so it enters slow start
-// unless keptRunning is set. That is the case if there is evidence that it did not restart: an answer to
-// an attempt made before, or a position that it can only have reached while it counted as down. Servers
-// that only this gateway could not reach thereby skip slow start.
+// unless keptRunning is set. keptRunning means that there is evidence against a restart: the server
+// answered an attempt that was sent before it was marked as down, or it reports a position that it can
+// only have reached while it was marked as down. A server that was running but could not be reached from
+// this gateway thereby skips slow start.
 func (r *Router) observeAlive(s *server, keptRunning bool) {
 	s.lastSeenAt = r.now
 	s.failedChecks = 0
@@ -84,8 +85,8 @@
 // healthCheckDue reports whether to start a health check of a server: to see whether a server that is
 // down or suspect can be reached, to find an unknown primary, or because a server with attempts in flight
 // has gone silent. While the primary is unknown, an answer that shows the server's role replaces a check.
-// A check of a server that is down takes a token, which arrivals add, except for one check after each
-// maxBackOffFactor objectives.
+// A check of a server that is down takes a token; each arrival adds a part of a token. If the last check
+// was maxBackOffFactor times maxObjective ago, the check is made even without a token.
 func (r *Router) healthCheckDue(g *group, s *server) bool {
 	since := r.now - s.checkedAt
 	switch {
@@ -136,8 +137,8 @@
 }
 
 // healthCheckEnded processes the result of a health check. The position in a report shows how old the
-// report is, so the role in it counts as evidence from that time. After two consecutive failures the
-// server is marked as down.
+// report is, so the role in the report counts as evidence only as of that time. After two consecutive
+// failures the server is marked as down.
 func (r *Router) healthCheckEnded(e HealthCheckEnded) {
 	s := r.servers[e.Server]
 	if s == nil {
@@ -161,8 +162,8 @@
 	}
 }
 
-// observePosition records how far a server has applied the log. A position never goes back, and one in
-// the future is ignored.
+// observePosition records how far a server has applied the log. The recorded position never goes back,
+// and a reported position later than the current time is ignored.
 func (r *Router) observePosition(s *server, pos Position) {
 	if pos > s.position && pos <= r.now {
 		s.position = pos
--- a/internal/policy/limit.go
+++ b/internal/policy/limit.go
@@ -5,7 +5,7 @@
 // Parameters of the adaptive concurrency limit. Shares are in thousandths.
 const (
 	initialFleetLimit    = 12  // initial number of attempts in flight at one server, over all gateways
-	limitFloorDivisor    = 3   // cuts leave the initial limit divided by this ...
+	limitFloorDivisor    = 3   // cuts leave at least the initial limit divided by this ...
 	minAdmissionChance   = 50  // ... or this chance of one attempt, whichever is higher
 	latencyRatioHigh     = 450 // mean latency over objective above which a server's limit is cut
 	latencyRatioLow      = 350 // mean latency over objective below which a limit in full use grows
@@ -33,12 +33,13 @@
 }
 
 // observeLatency compares a server's latency with the objective of the class and adapts the limit. The
-// limit is cut when the mean nears the objective, and grows when it is in full use and answers are quick.
-// This guards against slow, overloaded and starting servers alike. The mean weights an outcome by the
-// time since the last one, so that gateways with little traffic learn as well.
+// limit is cut when the mean ratio of latency to objective is above latencyRatioHigh. It grows when
+// nearly all of it is in use and the mean ratio is below latencyRatioLow. This guards against slow,
+// overloaded and starting servers alike. The mean weights an outcome by the time since the previous
+// outcome, so that gateways with little traffic learn as well.
 //
 // Trade-off: a run of costly requests reduces the use of a healthy server; at a gateway with little
-// traffic a single slow answer does.
+// traffic a single slow answer is enough for this.
 func (r *Router) observeLatency(s *server, req *request, latency clock.Micros) {
 	ratio := min(int64(latency*one/req.class.LatencyObjective), 4*one)
 	elapsed := int64(r.now - s.latencySeenAt)
@@ -56,10 +57,10 @@
 	s.latencySeenAt = r.now
 }
 
-// cutLimit lowers a server's limit, the more the longer there has been no outcome from it: where outcomes
-// are rare, each stands for many at other gateways. The floor is a part of the initial limit, for two
-// reasons: with so few attempts in flight the latency is caused by the server itself, and a lower limit
-// would recover slowly.
+// cutLimit lowers a server's limit. The longer ago the server's previous outcome was, the deeper the cut:
+// where outcomes are rare, each of them stands for many at other gateways. The limit does not fall below
+// a part of the initial limit, for two reasons: with so few attempts in flight the latency is caused by
+// the server itself, and a lower limit would recover slowly.
 func (r *Router) cutLimit(s *server) {
 	floor := max(minAdmissionChance, initialFleetLimit*one/limitFloorDivisor/int64(r.settings.Gateways))
 	for n := min((r.now-max(s.limitCutAt, s.latencySeenAt))/(r.minObjective/2), maxCuts); n >= 0; n-- {
@@ -69,8 +70,9 @@
 }
 
 // backOffFrom stops sending to a server that rejected a request for overload or could not be reached. The
-// period doubles each time until the server answers. Such a server responds at once and looks idle, for
-// example because its queue is full, it accepts no connection, or its drain is not listed yet.
+// period doubles each time until the server serves an attempt. Without the pause, such a server would
+// look idle, because its attempts fail at once. Possible causes are that its queue is full, that it
+// accepts no connection, or that it drains and the endpoint list does not show this yet.
 //
 // Trade-off: some short back-offs are unnecessary.
 func (r *Router) backOffFrom(s *server) {
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -43,9 +43,9 @@
 	r.logServer(s, "server %d ejected for %d ms, error share %d", s.id, s.ejectionTime/1000, s.errorShare)
 }
 
-// unejectExpired ends an ejection whose time is over. After it, the server gets one attempt at a time,
-// and the next failed one ejects it again. unejectExpired also doubles a limit below one attempt after
-// each long period without a cut, because a server that is seldom used would otherwise be avoided
+// unejectExpired ends an ejection whose time is over. After the ejection, the server gets one attempt at
+// a time, and the next failed one ejects it again. unejectExpired also doubles a limit below one attempt
+// after each long period without a cut, because a server that is seldom used would otherwise be avoided
 // forever. If the limit were reset at once, hundreds of gateways, each with few outcomes, would overload
 // a server again and again.
 //
--- a/internal/policy/primary.go
+++ b/internal/policy/primary.go
@@ -10,8 +10,9 @@
 // placeOnPrimary returns the server for a write or a fresh read, or nil if the request has to wait. It is
 // the known primary if that has capacity. Without a primary in service, fresh reads wait, and writes try
 // the other servers with at most half of their attempts: first the server listed as the primary, then the
-// one furthest ahead, because that one is elected. A server that rejected a write or a fresh read as
-// misdirected is skipped by all writes for half of the smallest objective.
+// one with the highest known position, because a failover elects the server that is furthest ahead. A
+// server that rejected a write or a fresh read as misdirected is skipped by all writes for half of the
+// smallest objective.
 func (r *Router) placeOnPrimary(req *request) *server {
 	if p := req.group.primary; p != nil && r.inService(p) {
 		if r.admits(p, req, one) {
@@ -61,7 +62,7 @@
 
 // observeOutcomeRole records the role that an outcome shows. If the server is a replica, this is evidence
 // as of now. If it is the primary, this is evidence only as of the time when the work was done: an
-// attempt that a former primary finishes after a failover must not restore its role.
+// attempt that a former primary finishes after a failover must not make it the known primary again.
 //
 // Trade-off: a primary that is known only from slow answers is recognized later.
 func (r *Router) observeOutcomeRole(a *attempt, e Outcome) {
--- a/internal/policy/queue.go
+++ b/internal/policy/queue.go
@@ -62,8 +62,8 @@
 }
 
 // expectedLatency returns the time within which an answer is expected, bounded by a share of the
-// objective so that no new request looks infeasible. With less time left, most attempts would time out
-// and waste the server's work.
+// objective so that no new request looks infeasible. With less time left than this, most attempts would
+// time out and waste the server's work.
 //
 // Trade-off: where latency varies little, some requests are given up that would just have been answered.
 func (r *Router) expectedLatency(req *request) clock.Micros {
--- a/internal/policy/read.go
+++ b/internal/policy/read.go
@@ -4,8 +4,8 @@
 
 // Parameters of reads from replicas. Shares are in thousandths.
 const (
-	toleranceDivisor   = 8   // minBound divided by this is the lag behind the furthest replica that is ignored
-	crowdedFactor      = 2   // a replica is crowded above this many times the fewest attempts, plus one
+	toleranceDivisor   = 8   // lag behind the furthest replica that is ignored: minBound divided by this
+	crowdedFactor      = 2   // a replica is crowded with over this many times the fewest attempts, plus one
 	longReadBounds     = 2   // a read is long if its objective is over this many times the smallest bound
 	checkWaitDivisor   = 3   // a read waits for health checks for its objective divided by this
 	readShareOfPrimary = 500 // share of the primary's limit that reads for replicas may use
@@ -50,10 +50,10 @@
 	return req.class.Need == NeedAny && req.class.LatencyObjective > r.minBound*longReadBounds
 }
 
-// longReadReplicas returns the candidates that are among every other replica of the group, in the order
-// of server ids, which is the same for all gateways. A replica may apply no commits while it runs a long
-// read, so long reads on all replicas would leave none of them fresh. The primary's data is always
-// current, so it may serve long reads too.
+// longReadReplicas returns those candidates that may serve long reads: every second replica of the group,
+// counted in the order of server ids, which is the same for all gateways. A replica may apply no commits
+// while it runs a long read, so long reads on all replicas would leave none of them fresh. The primary's
+// data is always current, so it may serve long reads too.
 //
 // Trade-off: where long reads do not stop replication, their half of the replicas may be the busier one.
 func (r *Router) longReadReplicas(g *group, candidates []*server) (out []*server) {
@@ -105,7 +105,8 @@
 
 // requiredPosition returns the log position that a replica must have reached to serve a read sent now. If
 // the router remembers the session's writes, the read must see each of them that has been answered by
-// now; a write that is still in flight may already have been committed.
+// now; a write that is still in flight may already be committed, so the required position is then the
+// current time.
 func (r *Router) requiredPosition(req *request) Position {
 	switch {
 	case req.class.Need == NeedBounded:
@@ -122,7 +123,7 @@
 // crowded. Ejected replicas are returned only if no other is left, so that ejection never empties a
 // group.
 //
-// Trade-off: a session moves away from its replica while that is crowded.
+// Trade-off: a session moves away from its replica while that replica is crowded.
 func (r *Router) candidateReplicas(req *request) []*server {
 	var available, ejected []*server
 	fewest := -1
@@ -188,7 +189,7 @@
 // furthestAhead returns the replicas to try if none is known to be fresh enough and the servers check
 // freshness themselves: the one with the highest known position, and those about equally far ahead. An
 // old known position excludes no replica, because load reports may be late although the data is current.
-// A rejected read does, for a period that doubles until a read is served.
+// A replica that rejected a read is excluded, for a period that doubles until it serves a read.
 //
 // Trade-off: some reads are rejected while all replicas really lag.
 func (r *Router) furthestAhead(candidates []*server) []*server {
--- a/internal/policy/reason.go
+++ b/internal/policy/reason.go
@@ -6,7 +6,7 @@
 // The reasons.
 const (
 	ReasonTimeUp       Reason = iota // an answer would earn nothing any more
-	ReasonNothingSent                // no attempt was sent by half of its time
+	ReasonNothingSent                // no attempt was sent in the first half of the request's time
 	ReasonTooLate                    // too little time is left for an attempt
 	ReasonNoCapacity                 // no server has capacity for it, and its answer would probably be late
 	ReasonMayHaveRun                 // an attempt may have run, and a second run would do harm
--- a/internal/policy/requests.go
+++ b/internal/policy/requests.go
@@ -10,7 +10,7 @@
 	group    *group
 	session  *session // nil: none
 
-	requiredPosition Position // the position that a replica must have applied, if it came with the request
+	requiredPosition Position // position that a replica must have applied; 0: the request carried none
 	deadline         clock.Micros
 	objectiveAt      clock.Micros
 	awaitsCheckUntil clock.Micros // until then a bounded read waits for health checks of replicas
@@ -18,7 +18,7 @@
 	attempts      []*attempt // all, by index
 	misdirectedBy []ServerID // replicas that rejected it as too far behind
 
-	admissionDraw      int64 // random number against limits below one attempt, in thousandths
+	admissionDraw      int64 // random number for hasCapacity, in thousandths; see admissionDraw
 	admissionDrawUntil clock.Micros
 
 	queued bool
@@ -39,9 +39,9 @@
 // writesSession reports whether the request is a write that the later reads of its session must see.
 func (req *request) writesSession() bool { return req.class.Need == NeedWrite && req.session != nil }
 
-// acceptRequest records a request, sets its timer and queues it. If nothing has been sent by half of the
-// request's time, the request ends then, because a later rejection would cost the client the time in
-// which it could retry.
+// acceptRequest records a request, sets its timer and queues it. If no attempt has been sent when half of
+// the client's time has passed, the timer ends the request: a later rejection would leave the client too
+// little time for a retry.
 //
 // Trade-off: the request might have been served if it had waited longer.
 func (r *Router) acceptRequest(e Arrival) {
@@ -71,8 +71,8 @@
 }
 
 // expiryOf returns the time after which an answer to a request earns nothing. That is one tick before the
-// client stops waiting. For an idempotent class without a late weight it is no later than the latency
-// objective.
+// client stops waiting. For an idempotent class without a late weight, an answer after the latency
+// objective earns nothing either.
 func (r *Router) expiryOf(req *request) clock.Micros {
 	last := req.deadline - req.settings.Tick
 	if req.class.LateWeight == 0 && req.class.Effect == EffectIdempotent {
@@ -95,10 +95,10 @@
 	}
 }
 
-// finish gives a request its final answer if it is not served, and cancels the attempts that are still in
+// finish gives a request that is not served its final answer, and cancels the attempts that are still in
 // flight. It rejects the request if a retry is harmless, and fails it otherwise. The retry advice of a
-// rejection is the longest that the client obeys, because a lack of capacity or of a primary mostly
-// outlasts the client's patience.
+// rejection is the longest that the client obeys, because a lack of capacity or of a primary usually
+// lasts longer than that.
 //
 // Trade-off: after a short fault the client comes back later than it could.
 func (r *Router) finish(req *request, reason Reason) {
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -40,7 +40,7 @@
 // prevents slow servers or errors everywhere from multiplying the load. The retry of an attempt that
 // never ran is free.
 //
-// Trade-off: while the budget is empty, a read ends that a retry could have saved.
+// Trade-off: while the budget is empty, a read that a retry could have saved ends unserved.
 func (r *Router) takeRetryToken(ended *attempt) bool {
 	return ended.execution == ExecutionNone || takeToken(&r.retryTokens)
 }
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -2,8 +2,9 @@
 //
 // A Router is a pure state machine: Step turns a time and an event into actions. It has no clock,
 // goroutine, socket or file, and takes its random numbers only from the seed that it was created with.
-// Package routing drives it in production from a single goroutine, which alone may call it; package simhost
-// drives it in the simulator. All of its state is in memory and is lost when the process ends.
+// Package routing drives it in production from a single goroutine: no other goroutine may call it.
+// Package simhost drives it in the simulator. All state of a Router is in memory and is lost when the
+// process ends.
 //
 // The path of a request:
 //
@@ -26,16 +27,16 @@
 //   - Outliers: detectOutlier ejects; unejectExpired, called by the sweep, ends ejections.
 //   - Retries are bounded in four places: mayRetry (attempts left, none in flight, a second run harmless),
 //     takeRetryToken (the budget), placeOnPrimary (half of a write's attempts while no primary is known), and
-//     routing.Core, which checks attempts, deadline and attempts in flight again before it sends, and ends
-//     an attempt that it does not send as ResultNotSent.
-//   - Every final answer other than a served one is given by finish. Only a served answer or the
-//     disconnect of the client ends a request without it.
+//     routing.Core, which checks attempts, deadline and attempts in flight again before it sends. An
+//     attempt that it does not send ends as ResultNotSent.
+//   - finish gives every final answer other than a served one. A request ends without finish only if it is
+//     served or its client disconnects.
 //
-// Package routing makes four decisions itself, before the router gets the event. It turns a fresh read that
-// a server answered as a replica into ResultMisdirected, although the read ran. It rejects requests for
-// groups that no endpoint list has named, for classes that have changed in the meantime, and with the id of
-// a request that is still open. It keeps a server that operators cordon draining, whatever the list
-// contains. And it fails all requests that are still unanswered when the gateway stops.
+// Package routing makes four decisions itself, before the router gets the event. It turns a fresh read
+// that a server answered as a replica into ResultMisdirected, although the read ran. It rejects a request
+// if no endpoint list has named its group, if its class has changed since it was read, or if its id is
+// that of a request that is still open. It keeps a server that operators cordon draining, whatever the
+// list contains. And it fails all requests that are still unanswered when the gateway stops.
 package policy
 
 import (
@@ -49,7 +50,8 @@
 // one is 1 as a fixed-point number: shares and limits are counted in thousandths.
 const one = 1000
 
-// maxBackOffFactor bounds intervals that double to this multiple of maxObjective.
+// maxBackOffFactor is the upper bound of ejections and other periods that double, as a multiple of
+// maxObjective.
 const maxBackOffFactor = 8
 
 // sweepsPerObjective is the number of sweeps within the smallest latency objective.
@@ -123,8 +125,8 @@
 	return r, r.takeActions()
 }
 
-// Step processes one event and returns the resulting actions in order. Time never goes back: an earlier
-// now is replaced by the latest one so far.
+// Step processes one event and returns the resulting actions in order. If now is earlier than in a
+// previous call, the latest time so far is used instead, so that time never goes back.
 func (r *Router) Step(now clock.Micros, ev Event) []Action {
 	r.now = max(r.now, now)
 	switch e := ev.(type) {
--- a/internal/policy/sessions.go
+++ b/internal/policy/sessions.go
@@ -1,7 +1,7 @@
 package policy
 
-// maxSessions is the number of sessions that are remembered. The highest position of all forgotten ones
-// is kept as one floor.
+// maxSessions is the number of sessions that are remembered. Of all forgotten sessions, only the highest
+// position is kept (sessions.floor).
 const maxSessions = 1 << 14
 
 // session is the state that is remembered for one session.
@@ -29,9 +29,9 @@
 }
 
 // get returns the session with the given key. If there is none, it creates one whose position is the
-// highest of any forgotten session. A request that still refers to a forgotten session can only raise the
-// position of the new one in its place. A session with a write in flight is not forgotten, unless every
-// session has one.
+// highest of any forgotten session. The new session reuses the memory of a forgotten one. A request that
+// still refers to the forgotten session therefore updates the new one, whose position it can only raise.
+// A session with a write in flight is not forgotten, unless every session has one.
 func (t *sessions) get(key uint64) *session {
 	if s := t.byKey[key]; s != nil {
 		return s
@@ -57,7 +57,8 @@
 }
 
 // recordSessionWrite updates a session's position for its later reads when an attempt of its write has
-// ended. An attempt that may have run counts as committed by now, because its answer may have been lost.
+// ended. A served attempt usually gives the position of its commit. Any other attempt that may have run
+// counts as committed at the current time, because its answer may have been lost.
 func (r *Router) recordSessionWrite(ended *attempt, e Outcome) {
 	sess := ended.request.session
 	sess.writesInFlight--
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -23,7 +23,7 @@
 	EffectIdempotent                  // may run again without harm
 )
 
-// FreshnessCheck is what a server does with a read for which its data is too old.
+// FreshnessCheck is what a server does with a read that needs newer data than the server has.
 type FreshnessCheck uint8
 
 // The checks. The zero value is the strictest: the router must not rely on the servers.
@@ -60,13 +60,13 @@
 	// Capabilities of the servers.
 	FreshnessCheck          FreshnessCheck
 	FreshnessCheckWait      clock.Micros // how long a server waits to catch up
-	SessionPositionsCarried bool         // by session reads; otherwise the router remembers the writes
+	SessionPositionsCarried bool         // session reads carry a position; else the router remembers writes
 	AnswersCarryPosition    bool         // every answer carries the server's position
 
 	// The endpoint list.
 	ListSubscribed    bool         // the router subscribes to the list; otherwise it is given the list
-	ListPushed        bool         // changes count as known here at once, received or not
-	SubscribeWithin   clock.Micros // the list counts as known after this long without a subscription
+	ListPushed        bool         // a change counts as known to this gateway at once, even if not received
+	SubscribeWithin   clock.Micros // after this long without a subscription, the list counts as known anyway
 	DrainGrace        clock.Micros // after this long nothing may be sent to a draining or removed server
 	RemovedStayUsable bool         // only draining excludes a server; removal from the list does not
 
@@ -86,8 +86,8 @@
 	OverloadFactor     int64        // load that makes a server in slow start fail, in thousandths ...
 	OverloadWindow     clock.Micros // ... of its capacity, if the load lasts for this long
 
-	// CrossZoneCost is the cost of each attempt that goes to another zone, in thousandths of a point. Points
-	// are given as a share of requests.
+	// CrossZoneCost is the cost of each attempt that goes to another zone, in thousandths of a point.
+	// Points are given as a share of requests. The router only tests whether the cost is above zero.
 	CrossZoneCost int64
 }
 
@@ -103,9 +103,15 @@
 
 // intervals are the time scales that are derived from the classes in the settings.
 type intervals struct {
-	minObjective clock.Micros // smallest latency objective: time scale of sweeps and of finding a primary
-	maxObjective clock.Micros // largest one, limited by objectiveSpread: time scale of what is learned
-	minBound     clock.Micros // smallest staleness bound: time scale of health checks for freshness
+	// minObjective is the smallest latency objective. The interval between sweeps and the intervals of the
+	// search for a primary are fractions of it.
+	minObjective clock.Micros
+	// maxObjective is the largest latency objective, but at most objectiveSpread times minObjective. Moving
+	// means, ejections and health checks of servers that are down take longer if it is longer.
+	maxObjective clock.Micros
+	// minBound is the smallest staleness bound. The intervals of health checks for freshness are fractions
+	// of it.
+	minBound clock.Micros
 }
 
 // Reconfigure replaces the settings. A request that has already arrived is finished under the settings in
@@ -117,9 +123,9 @@
 	return r.takeActions()
 }
 
-// applySettings puts new settings in force. It processes the servers that the list has removed once more,
-// because the new settings may let removal exclude them. A server that is already excluded stays excluded
-// until the list marks it as ready.
+// applySettings puts new settings in force. The new settings may make removal from the endpoint list
+// exclude a server, so servers that the list has already removed are processed again. A server that is
+// already excluded stays excluded until the list marks it as ready.
 func (r *Router) applySettings(settings Settings) {
 	known := map[string]clock.Micros{}
 	for _, k := range r.classes {
@@ -143,7 +149,7 @@
 }
 
 // normalizeSettings replaces missing or contradictory settings by the strictest values that still work,
-// and logs each time value that it replaces.
+// and logs each duration that it replaces.
 func (r *Router) normalizeSettings() {
 	s := r.settings
 	r.raiseTo(&s.Tick, 1, "tick")
@@ -167,8 +173,9 @@
 	}
 }
 
-// deriveIntervals computes the intervals from the classes. Without classes it uses the connect timeout as
-// the objective, and without a class that has a staleness bound the smallest objective as the bound.
+// deriveIntervals computes the intervals from the classes. Without classes, the connect timeout is used
+// as the objective. Without a class that has a staleness bound, the smallest objective is used as the
+// bound.
 func (r *Router) deriveIntervals() {
 	r.intervals = intervals{}
 	for _, c := range r.classes {
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -4,14 +4,17 @@
 
 // Parameters of slow start.
 const (
-	maxSlowStartDraw  = 1500 // in thousandths of one request; above one, as the budget's share is an estimate
-	unseenWorkDivisor = 4    // expected work of a class without answers: its objective divided by this
+	// maxSlowStartDraw is the upper bound of slowStartDraw, in thousandths of one request. It is above one
+	// request because the budget is based on an estimate of this gateway's share.
+	maxSlowStartDraw = 1500
+	// The expected work of a class without answers is its latency objective divided by unseenWorkDivisor.
+	unseenWorkDivisor = 4
 )
 
 // slowStartState records what was sent to a server in slow start.
 type slowStartState struct {
 	slowStartSends   []slowStartSend // within the last overload window
-	slowStartDraw    int64           // random number against a budget below one send, in thousandths
+	slowStartDraw    int64           // random number for a budget below one send, in thousandths
 	slowStartDrawnAt clock.Micros
 }
 
@@ -29,8 +32,8 @@
 	meanRequestWork int64 // moving mean of one request's work
 }
 
-// slowStartWeight returns the share of its capacity that a server has now, at least, in thousandths. It
-// grows linearly from SlowStartMinWeight at the start of the server to one at the end of slow start.
+// slowStartWeight returns the smallest share of its capacity that a server can have now, in thousandths.
+// It grows linearly from SlowStartMinWeight at the start of the server to one at the end of slow start.
 func (r *Router) slowStartWeight(s *server) int64 {
 	age := r.now - s.startedAt
 	if s.startedAt == 0 || age >= r.settings.SlowStartWindow {
@@ -42,10 +45,10 @@
 
 // withinSlowStartBudget reports whether a request may be sent to a server in slow start. It keeps the
 // work sent within any overload window below the load that makes such a server fail. Each gateway keeps
-// to its own share, which is based on the work that one server usually does for it, so that all gateways
-// together stay below the overload however unevenly they are used. A budget of less than one request is
-// used as a probability, with one random number per window. Every attempt counts as the typical work of
-// its class, even if it is rejected.
+// to its own share of that load, which is based on the work that one server usually does for this
+// gateway. All gateways together thereby stay below the overload, even if some of them get far more
+// requests than others. A budget of less than one request is used as a probability, with one random
+// number per window. Every attempt counts as the typical work of its class, even if it is rejected.
 //
 // Trade-off: capacity comes back slowly.
 func (r *Router) withinSlowStartBudget(s *server, req *request, weight int64) bool {
--- a/internal/policy/view.go
+++ b/internal/policy/view.go
@@ -31,7 +31,7 @@
 	Primary       bool
 	Down          bool
 	InSlowStart   bool
-	Lag           clock.Micros // from its position to its last sign of life
+	Lag           clock.Micros // from its log position to the last time that it was known to be alive
 	LastRequestAt clock.Micros // last arrival of a request for its group; 0: never
 	InFlight      int          // attempts in flight
 }
