--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,5 @@
-// Package clock defines the time type of the pure state machines. They read no clock; the caller passes the current time in.
+// Package clock defines the time type of the pure state machines. The state machines read no clock: their caller passes the
+// current time in.
 package clock
 
 // Micros is a point in time or a duration in whole microseconds, on the clock of the state machine's caller.
--- a/internal/knownred/knownred.go
+++ b/internal/knownred/knownred.go
@@ -18,7 +18,7 @@
 // Test identifies a test by the path of its package relative to the module, and by its name.
 type Test struct{ Package, Name string }
 
-// String returns the test in the form in which CI prints it: "PACKAGE TEST".
+// String returns the package and the name: "PACKAGE TEST", as CI prints a test.
 func (t Test) String() string { return t.Package + " " + t.Name }
 
 // Entry is one line of the list.
@@ -27,8 +27,8 @@
 	Cause string
 }
 
-// ParseList reads the list. It returns an error if a line lacks the test or the cause, if a test is listed twice, or if the list
-// has more than MaxEntries tests.
+// ParseList reads the list of known failures. It returns an error if a line lacks the test or the cause, if a test is listed
+// twice, or if the list has more than MaxEntries tests.
 func ParseList(list io.Reader) ([]Entry, error) {
 	var entries []Entry
 	lines := bufio.NewScanner(list)
@@ -65,7 +65,8 @@
 type Results struct {
 	// Failed and Passed hold top-level tests. A test that ran more than once and failed at least once counts as failed.
 	Failed, Passed map[Test]bool
-	// Broken lists the packages that failed although none of their tests did: they could not be built, or the run ended early.
+	// Broken lists the packages that failed although none of their tests failed: they could not be built, or the run ended
+	// early.
 	Broken []string
 }
 
@@ -105,8 +106,9 @@
 	}
 }
 
-// Check compares a run with the list of known failures and returns the faults: tests that failed and are not on the list, tests
-// on the list that passed or did not run, and packages that could not be tested. A run without faults counts as passed.
+// Check compares a run with the list of known failures and returns the faults: tests that failed and are not on the list,
+// tests on the list that passed or did not run, and packages that could not be tested. A run without such faults counts as
+// passed.
 func Check(entries []Entry, r Results) (faults []string) {
 	known := map[Test]bool{}
 	for _, e := range entries {
--- a/internal/modelcheck/breadth_first.go
+++ b/internal/modelcheck/breadth_first.go
@@ -1,10 +1,10 @@
 // Package modelcheck is an explicit-state model checker for tests. BreadthFirst explores every reachable state of a Model and
-// returns the shortest trace that violates the invariant; RandomWalk follows one random trace, deeper than an exhaustive search
-// reaches. World is a ready-made Model of several nodes with messages, time and faults.
+// returns the shortest trace that violates the invariant. RandomWalk follows one random trace, which can be longer than the
+// traces that an exhaustive search can reach. World is a ready-made Model of several nodes with messages, time and faults.
 //
-// The tests of pure state machines (vrrp, membership, maintenance, indoubt) call it. It starts no goroutines, so the caller's
-// goroutine owns all state. The main decisions are in BreadthFirst (search order and limits), World.Transitions (the possible
-// steps in a state) and World.Key (which states count as equal).
+// The tests of pure state machines (vrrp, membership, maintenance, indoubt) use this package. The package starts no
+// goroutines, so the caller's goroutine owns all state. The main decisions are in BreadthFirst (search order and limits),
+// World.Transitions (the possible steps in a state) and World.Key (which states count as equal).
 package modelcheck
 
 import (
@@ -23,7 +23,8 @@
 type Model[S any] interface {
 	// InitialState returns the state in which every trace begins.
 	InitialState() S
-	// Key identifies a state. From two states with equal keys, the same sequences of transitions must be possible.
+	// Key identifies a state. States with equal keys count as equal, so the same sequences of transitions must be possible
+	// from them.
 	Key(S) string
 	// Transitions lists every step that is possible in a state. The order must be deterministic, since traces are
 	// reconstructed by index.
@@ -45,7 +46,7 @@
 	States         int    // distinct states found
 	Transitions    int    // transitions examined, including those to known states
 	Depth          int    // number of transitions to the farthest state found
-	Complete       bool   // no limit ended the exploration early; it stays set if a violation did
+	Complete       bool   // no limit ended the exploration early; also true if a violation ended it
 	Counterexample *Trace // nil if no invariant was violated
 }
 
@@ -68,7 +69,7 @@
 	return b.String()
 }
 
-// predecessor records how a state was first reached.
+// predecessor records the state and the transition by which a state was first reached.
 type predecessor struct {
 	state      int // index of the state before it; -1 for the initial state
 	transition int // index among that state's transitions
@@ -80,8 +81,8 @@
 	index int // index of its entry in search.predecessors
 }
 
-// search is the progress of one breadth-first exploration. Complete states are kept in memory only for the frontier; of every
-// other state only the key and the predecessor are kept.
+// search is the progress of one breadth-first exploration. To save memory, only the states of the frontier are kept
+// completely. Of every other state, only the key and the predecessor are kept.
 type search[S any] struct {
 	model        Model[S]
 	limits       Limits
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -21,7 +21,7 @@
 	Boot(now int64) (Node, []Message)
 	// Deliver handles a message.
 	Deliver(now int64, from int, text string) (Node, []Message)
-	// Tick is called when a timer is due, and when the node runs again after a pause.
+	// Tick handles the timers that are due. It is called when a timer is due, and when a pause of the node ends.
 	Tick(now int64) (Node, []Message)
 	// NextTimer returns when the next timer is due, if one is set.
 	NextTimer() (int64, bool)
@@ -39,12 +39,12 @@
 // World is a Model of several nodes, the messages between them, time, and faults.
 type World struct {
 	Nodes []Node
-	// MaxDelay bounds the time from sending a message to its arrival, unless there is a fault. Until then, messages may
-	// arrive in any order.
+	// MaxDelay bounds the time from sending a message to its arrival, except under a Delay fault or while the receiver cannot
+	// read. Within this time, messages may arrive in any order.
 	MaxDelay int64
 	// ExtraDelay is added to MaxDelay for a message that is delayed by a Delay fault.
 	ExtraDelay int64
-	// InOrder means that receivers know the order of a sender's messages and drop a message that was overtaken.
+	// InOrder means that receivers know the order of a sender's messages, and drop a message that arrives after a later one.
 	InOrder bool
 	// PauseDurations lists the lengths of pauses to try.
 	PauseDurations []int64
@@ -53,13 +53,13 @@
 	// RestartDelay is how long a crashed node stays down; 0 means that it never restarts.
 	RestartDelay int64
 	Faults       Faults
-	// Horizon is the time at which runs end; 0 means that they never end, and then the state space must be finite for other
+	// Horizon is the time at which runs end. 0 means that runs never end; the state space must then be finite for other
 	// reasons.
 	Horizon int64
 	// EnvironmentChanges lists the external changes that are possible at a node. Each uses up one EnvironmentChange fault.
 	EnvironmentChanges func(node int, n Node, now int64) []EnvironmentChange
-	// FaultFreeWindow is how far back invariants look for the last fault. The time since the last fault is part of the key,
-	// capped just above this bound.
+	// FaultFreeWindow is how far back invariants look for the last fault. The time since the last fault is part of the key; a
+	// time longer than FaultFreeWindow counts as FaultFreeWindow+1.
 	FaultFreeWindow int64
 	// Invariant is checked in every state.
 	Invariant func(*State) error
@@ -98,8 +98,8 @@
 // CheckInvariant evaluates the world's invariant.
 func (w *World) CheckInvariant(s *State) error { return w.Invariant(s) }
 
-// Key returns a key that covers the complete state, with all times relative to now. The order of messages matters only among
-// messages with the same sender and receiver.
+// Key returns a key that covers the complete state, with all times relative to now. States that differ only in the order of
+// messages between different pairs of sender and receiver have the same key.
 func (w *World) Key(s *State) string {
 	var b strings.Builder
 	for i, n := range s.Nodes {
--- a/internal/modelcheck/world_state.go
+++ b/internal/modelcheck/world_state.go
@@ -22,7 +22,7 @@
 	text     string
 	sent     int64
 	deadline int64 // the clock does not pass this time before the message is delivered, unless the receiver is down or paused
-	unread   bool  // it reached the receiver's socket while the receiver was paused
+	unread   bool  // reached the receiver's socket while the receiver was paused, and has not been read since
 }
 
 // Running reports whether a node is neither down nor paused.
@@ -56,8 +56,8 @@
 	})
 }
 
-// removeDelivered removes a message that is delivered. If inOrder is set, it also removes the earlier messages from the same sender
-// to the same receiver, which this message overtook.
+// removeDelivered removes the message with index i, which is being delivered. If inOrder is set, it also removes the earlier
+// messages from the same sender to the same receiver, which this message overtook.
 func (s *State) removeDelivered(i int, inOrder bool) {
 	delivered := s.network[i]
 	s.network = slices.Delete(s.network, i, i+1)
--- a/internal/modelcheck/world_transitions.go
+++ b/internal/modelcheck/world_transitions.go
@@ -6,8 +6,9 @@
 	"strconv"
 )
 
-// Transitions lists all possible steps: a message arrives, is lost, duplicated or delayed; a node's timer fires; a node crashes,
-// pauses, is partitioned or undergoes an external change; or, if no timer or message is due, time passes until the next event.
+// Transitions lists all possible steps: a message arrives, is lost, duplicated or delayed; a node's timer fires; a node
+// crashes, pauses, is partitioned or undergoes an external change; or time passes until the next event, if no timer or
+// message is due.
 func (w *World) Transitions(s *State) []Transition[*State] {
 	var transitions []Transition[*State]
 	add := func(name string, fault bool, apply func(*State)) {
@@ -31,7 +32,8 @@
 	return transitions
 }
 
-// addTransition adds a transition to the state that apply makes of a copy of the current one. A fault also updates LastFaultAt.
+// addTransition adds a transition from the current state. The next state is a copy of the current one, changed by apply. If
+// fault is set, LastFaultAt of the next state is set to its time.
 type addTransition func(name string, fault bool, apply func(next *State))
 
 func (w *World) addMessageTransitions(s *State, add addTransition) {
@@ -122,7 +124,7 @@
 	s.Nodes[i] = node
 	for _, m := range sent {
 		if s.DownUntil[m.To] != 0 || s.PartitionedUntil[i] != 0 || s.PartitionedUntil[m.To] != 0 {
-			continue // the receiver is down or is separated by a partition
+			continue // the receiver is down, or one of the two nodes is partitioned
 		}
 		s.network = append(s.network, inFlightMessage{from: i, to: m.To, text: m.Text, sent: s.Now, deadline: s.Now + w.MaxDelay})
 	}
--- a/internal/routing/actions.go
+++ b/internal/routing/actions.go
@@ -33,7 +33,7 @@
 			c.discovery.Fetch()
 		case policy.Log:
 			c.logPolicy(a)
-		case policy.SendToPeer: // ignored: gateways have no connection to each other for these messages
+		case policy.SendToPeer: // ignored: no connection between gateways carries these messages
 		}
 	}
 }
@@ -47,10 +47,11 @@
 	line.Msg(a.Text)
 }
 
-// startAttempt sends an attempt to its server. It repeats checks that policy has already made, because a mistake in policy could
-// otherwise run a request twice or retry it without end: the request must be open, have no other attempt in flight, be within
-// its deadline and have made fewer than MaxAttempts attempts (one is always allowed). An attempt that fails a check is not
-// sent; the router receives its outcome, policy.ResultNotSent, after the other actions of the same step.
+// startAttempt sends an attempt to its server. It repeats checks that policy has already made, because a mistake in policy
+// could otherwise run a request twice or retry it without end: the request must be open, have no other attempt in flight, be
+// within its deadline and have made fewer than MaxAttempts attempts. The first attempt is allowed even if MaxAttempts is 0.
+// An attempt that fails a check is not sent; the router receives its outcome, policy.ResultNotSent, after the other actions
+// of the same step.
 func (c *Core) startAttempt(a policy.Send) {
 	q := c.requests.byID[a.ID]
 	if q == nil {
--- a/internal/routing/clock.go
+++ b/internal/routing/clock.go
@@ -9,7 +9,7 @@
 // Clock returns the Unix time of its creation plus the monotonic time elapsed since, so that its readings never go backwards.
 type Clock struct{ start time.Time }
 
-// NewClock returns a clock.
+// NewClock returns a clock that counts from the current Unix time.
 func NewClock() Clock { return Clock{time.Now()} }
 
 // Now returns the current time.
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -33,13 +33,13 @@
 	requestLog requestLog
 }
 
-// maxListWait bounds how long after its start the gateway is not ready because it waits for the first pushed endpoint list. It
-// waits because the list that came with the configuration may be old, while policy assumes that a pushed list is known from
-// the start. The wait is bounded so that a silent discovery agent cannot keep the gateway out of service: a restart must be
-// over within 10 s.
+// maxListWait bounds how long after its start the gateway waits for the first pushed endpoint list and is not ready. It waits
+// because the list that it starts with may be old, while policy assumes that the gateway knows every change of a pushed list
+// at once. The wait is bounded so that a discovery agent that does not answer cannot keep the gateway out of service: a
+// restart must be over within 10 s.
 const maxListWait = clock.Micros(3 * time.Second / time.Microsecond)
 
-// NewCore starts the router with known, the endpoint list that the gateway last had.
+// NewCore creates a Core and starts its router. known is the endpoint list that the gateway had last.
 func NewCore(
 	now clock.Micros, seed uint64, inForce *settings.Snapshot, known EndpointListUpdate, servers Servers, disc Discovery,
 	log zerolog.Logger,
@@ -51,7 +51,8 @@
 	c.counterIndexes = c.Counts.counterIndexes(inForce.ClassNames)
 	router, first := policy.New(now, seed, inForce.Settings)
 	c.router = router
-	// Apply the list before the first actions, so that a watch among them asks for the changes after this list.
+	// Apply the list before the first actions, because one of them may be a watch, which must ask for the changes after this
+	// list.
 	c.updateEndpointList(known, policy.ListCached)
 	c.perform(first)
 	c.handlePending()
@@ -116,7 +117,8 @@
 // NextTimer returns the time of the next timer for Expire, and whether a timer is set.
 func (c *Core) NextTimer() (clock.Micros, bool) { return c.timers.first() }
 
-// Reconfigure puts next in force. Open requests finish under the settings that were in force when they arrived.
+// Reconfigure puts the settings in next in force. Open requests finish under the settings that were in force when they
+// arrived.
 func (c *Core) Reconfigure(next *settings.Snapshot) {
 	c.inForce, c.counterIndexes = next, c.Counts.counterIndexes(next.ClassNames)
 	c.Counts.Reloads++
--- a/internal/routing/counters.go
+++ b/internal/routing/counters.go
@@ -32,8 +32,8 @@
 	}
 )
 
-// Counts holds the owner's counters since the start. Counters by class have the same indexes as ClassNames. A class keeps its
-// index as long as the gateway runs, even if the settings change.
+// Counts holds the counters of Core since its start. Counters by class are indexed like ClassNames. A class keeps its index
+// as long as the gateway runs, even if the settings change.
 type Counts struct {
 	ClassNames  []string
 	Requests    []int64                       // by class: requests passed to the router
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -19,7 +19,8 @@
 	lastID      policy.ServerID
 	listed      map[string]bool // by UID: servers on the list that are not removed
 	knownGroups map[int]bool    // every group that any list has named
-	// cordoned has the servers that operators have cordoned: by UID, their state on the list. It is nil if there are none.
+	// cordoned has the state on the list of each server that operators have cordoned, by UID. It is nil until the first
+	// cordon.
 	cordoned map[string]policy.EndpointState
 }
 
@@ -31,7 +32,8 @@
 }
 
 // forget drops a server's ServerID after the router has dropped its state of the server. Servers are replaced again and again
-// as long as the gateway runs, and the maps must not grow with each. A server that comes back later is treated as new.
+// as long as the gateway runs, and the maps must not grow with each replacement. A server that comes back later is treated as
+// new.
 func (l *endpointList) forget(id policy.ServerID) {
 	delete(l.idByUID, l.uidByID[id])
 	delete(l.uidByID, id)
@@ -50,8 +52,8 @@
 	return id
 }
 
-// effectiveState returns the state of a server that the router gets, given its state on the list. The two differ only if
-// operators have cordoned the server; its state on the list is then kept for uncordon.
+// effectiveState returns the state that the router is given for a server whose state on the list is listed. The two states
+// differ only if operators have cordoned the server; the state on the list is then stored in cordoned, for uncordon.
 func (l *endpointList) effectiveState(uid string, listed policy.EndpointState) policy.EndpointState {
 	if _, cordoned := l.cordoned[uid]; !cordoned {
 		return listed
@@ -60,7 +62,7 @@
 	return cordonedState(listed)
 }
 
-// cordonedState returns the state of a cordoned server that the router gets, given its state on the list.
+// cordonedState returns the state that the router is given for a cordoned server whose state on the list is listed.
 func cordonedState(listed policy.EndpointState) policy.EndpointState {
 	if listed == policy.EndpointReady {
 		return policy.EndpointDraining
@@ -104,8 +106,8 @@
 	c.step(out)
 }
 
-// updateEndpoint applies one entry of the list and returns it as the router sees it. An entry that removes an unknown server
-// changes nothing and is not passed to the router.
+// updateEndpoint applies one entry of the list and returns the entry in the form that the router is given. An entry that
+// removes an unknown server changes nothing and is not passed to the router.
 func (c *Core) updateEndpoint(entry discovery.Entry) (policy.Endpoint, bool) {
 	list := &c.endpoints
 	removed := entry.State == discovery.Removed
@@ -176,7 +178,8 @@
 	return view.Endpoint, true
 }
 
-// uncordon restores a server's state on the list. changed reports whether the router must get the returned endpoint.
+// uncordon ends the cordon of a server and returns the server with its state on the list. changed reports whether the router
+// must get the returned endpoint.
 func (c *Core) uncordon(uid string) (endpoint policy.Endpoint, changed bool) {
 	listed := c.endpoints.cordoned[uid]
 	delete(c.endpoints.cordoned, uid)
--- a/internal/routing/events.go
+++ b/internal/routing/events.go
@@ -16,7 +16,7 @@
 	Client      Client
 	ClientID    string // id that the client assigned to the request; empty: none
 	Payload     Payload
-	Settings    *settings.Snapshot // settings it was read under, to whose classes Arrival.Class is an index; nil: those in force
+	Settings    *settings.Snapshot // settings whose classes Arrival.Class is an index into; nil: those in force
 	Arrival     policy.Arrival     // ID and TimeLeft are filled in by Core
 	ReadAt      clock.Micros       // when its last byte was read
 	Timeout     clock.Micros       // how long the client waits, counted from ReadAt
--- a/internal/routing/owner.go
+++ b/internal/routing/owner.go
@@ -6,16 +6,17 @@
 	"marblespan/internal/clock"
 )
 
-// queueLength is how many events may wait for the owner before Post blocks. It is enough for a burst of a thousand connections.
-// The owner itself never waits for a sender.
+// queueLength is how many events may wait for the owner before Post blocks. It is enough for the events of a burst of a
+// thousand connections. The owner itself never waits for a sender.
 const queueLength = 4096
 
 // Owner runs a Core on one goroutine, that of Run, behind a queue of events. Only that goroutine receives from the queue and
 // reads and writes the Core: the policy state machine, the timers, the open requests, the counters and the endpoint list
 // (Core.endpoints), including which servers are cordoned. Other goroutines reach the Core only through Post and Call.
 //
-// The addresses in session.Servers are a copy for the connections' goroutines, guarded by a mutex there. Only the owner's
-// goroutine writes the copy, through Servers.SetEndpoint and Servers.Forget; the other goroutines read it.
+// The servers' addresses in session.Servers are a copy for the connections' goroutines; a mutex in session.Servers guards the
+// copy. Only the owner's goroutine writes the copy, through Servers.SetEndpoint and Servers.Forget; the other goroutines read
+// it.
 type Owner struct {
 	clock Clock
 	queue chan Event
@@ -38,8 +39,8 @@
 	}
 }
 
-// Call runs a function on the owner's goroutine and waits for it. It reports whether the function ran; after the owner has
-// stopped, functions no longer run. The function must not keep the Core, and must not call Post or Call.
+// Call runs a function on the owner's goroutine and waits for it. It returns true once the function has run, and false if the
+// owner has stopped. The function must not keep the Core, and must not call Post or Call.
 func (o *Owner) Call(do func(*Core)) bool {
 	ran := make(chan struct{})
 	o.Post(Call{func(c *Core) { do(c); close(ran) }})
--- a/internal/routing/requestlog.go
+++ b/internal/routing/requestlog.go
@@ -16,7 +16,7 @@
 
 // lineLimit limits the log lines of one kind. It counts the lines left out; the next line written includes that number.
 type lineLimit struct {
-	spentUntil clock.Micros // each line written moves this forward by logInterval; it must not pass the current time
+	spentUntil clock.Micros // each line written moves this time forward by logInterval; it must not pass the current time
 	leftOut    int64        // lines left out since the last one written
 }
 
@@ -35,7 +35,7 @@
 // requestLog holds the limits of the log lines about requests.
 type requestLog struct{ unserved, unused lineLimit }
 
-// endedAttempt is the record of an attempt that was not served, for the log.
+// endedAttempt records, for the log, an attempt that ended without an answer for the client.
 type endedAttempt struct {
 	server   policy.ServerID
 	received policy.Result // as received from Servers
--- a/internal/routing/requests.go
+++ b/internal/routing/requests.go
@@ -68,7 +68,7 @@
 //     group number that a client makes up.
 //   - The settings changed after the request was read, and its class changed with them (see classOf).
 //   - The client's id is that of a request that is still open or in flight. Each request has an id of its own, so a second
-//     request with the same id could run the first one a second time. The first request is not affected.
+//     request with the same id may be a repetition that would run the first one again. The first request is not affected.
 func (c *Core) handleRequest(e *Request) {
 	if !c.endpoints.knownGroups[e.Arrival.Group] {
 		c.Counts.UnknownGroup++
@@ -163,8 +163,8 @@
 	c.requests.forgetIfDone(q)
 }
 
-// passOn sends the server's answer of an attempt to the client if the request is open. Otherwise it frees the answer, and if the
-// attempt was not served it records the attempt for the log.
+// passOn sends the server's answer of an attempt to the client if the request is open. Otherwise it frees the answer, if
+// there is one. An attempt that was not served is also recorded for the log.
 func (c *Core) passOn(q *request, ended AttemptEnded, received policy.Result) {
 	if ended.Result == policy.ResultOK && !q.closed {
 		c.answer(q, Answer{Kind: AnswerServed, Value: ended.Value, Position: ended.Position})
@@ -185,9 +185,10 @@
 }
 
 // answeredByStaleReplica reports whether a read that needs current data (policy.NeedFresh) was answered by a server that
-// reports the replica role. Such a server was taken for the primary because the endpoint list was old or a failover happened,
-// and its data may be behind. If the servers do not check freshness, this is the only check. AttemptEnded.Execution still shows
-// that the read ran, so a request that must not run twice fails. The cost is that an answer is lost if the replica was current.
+// reports the replica role. The router took such a server for the primary, because the endpoint list was old or a failover
+// happened, and the server's data may be behind. If the servers do not check freshness, this is the only check.
+// AttemptEnded.Execution still shows that the read ran, so a request that must not run twice fails. The cost of this check:
+// if the replica's data was current, a correct answer is discarded.
 func answeredByStaleReplica(q *request, e AttemptEnded) bool {
 	return e.Result == policy.ResultOK && e.Role == policy.RoleReplica && q.requestClass().Need == policy.NeedFresh
 }
@@ -210,7 +211,8 @@
 	q.client.Answer(a)
 }
 
-// closeRequest closes a request: its client gets no answer after this one. Attempts may still be in flight.
+// closeRequest closes a request, so that no result of its attempts is passed on to its client any more. Attempts may still be
+// in flight.
 func (c *Core) closeRequest(q *request) {
 	q.closed = true
 	delete(c.requests.byClient, q.client)
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -3,9 +3,10 @@
 // decisions of its own, except for the few checks listed below, and never blocks on a socket.
 //
 // The goroutine of Owner.Run owns all state: the router, the receiving end of the event queue, the timers, the open requests
-// and the endpoint list. Package gateway starts this goroutine. Package session posts events to it: a connection posts Request,
-// ClientDisconnected, AttemptEnded and HealthCheckEnded, and the discovery client posts EndpointListUpdate. Package routing
-// calls session through the interfaces Client, Servers and Discovery; the results come back as events on the queue.
+// and the endpoint list. Package gateway starts this goroutine. Package session posts events to it: a connection posts
+// Request, ClientDisconnected, AttemptEnded and HealthCheckEnded, and the discovery client posts EndpointListUpdate. Package
+// routing calls session through the interfaces Client, Servers and Discovery. The results of these calls come back as events
+// on the queue.
 //
 // Entry points for readers:
 //   - Core.Handle handles every event, and Core.perform carries out every action.
@@ -16,14 +17,15 @@
 //
 // # When a client disconnects
 //
-// Package session detects the disconnect and calls client.abandonQueries (answers.go), which posts ClientDisconnected for each
-// open query. Core.Handle closes the request, so that results that arrive later are not sent to the client, and passes
+// Package session detects the disconnect and calls client.abandonQueries (answers.go), which posts ClientDisconnected for
+// each open query. Core.Handle closes the request, so that a result that arrives later is not sent to the client, and passes
 // policy.ClientDisconnected to the router. The router may return policy.Cancel for the attempt in flight; Attempt.Cancel
-// (task.Cancel in session) then aborts the dial or closes the server connection. The attempt still ends with one AttemptEnded,
-// after which Core forgets the request.
+// (task.Cancel in session) then aborts the dial or closes the server connection. The attempt still ends with one
+// AttemptEnded, after which Core forgets the request.
 //
-// In-doubt writes are handled differently: client.abandonQueries posts no event for them, but calls intents.Write.Cancel. An
-// attempt that has already been sent runs to its end, so that a client that repeats the write can get its result.
+// In-doubt writes are handled differently: client.abandonQueries posts no event for them, but calls intents.Write.Cancel. If
+// the attempt of such a write has already been sent, it runs to its end, so that a client that repeats the write can get the
+// result.
 package routing
 
 import (
@@ -71,10 +73,10 @@
 	Payload       Payload      // the job's own reference, freed by Servers
 	SentAt        clock.Micros // when the router sent the attempt
 	Deadline      clock.Micros // when Servers gives the attempt up
-	NonIdempotent bool         // the request must not run twice: it ends if a connection reset may have lost its answer
+	NonIdempotent bool         // must not run twice: the request ends if a connection reset may have lost its answer
 }
 
-// Attempt is an attempt in flight. Cancel gives the attempt up unless it has ended, and must not block.
+// Attempt is an attempt in flight. Cancel gives the attempt up, or does nothing if the attempt has ended. It must not block.
 type Attempt interface{ Cancel() }
 
 // Servers carries out attempts and health checks. Its methods are called on the owner's goroutine only and must not block.
@@ -84,7 +86,8 @@
 	HealthCheck(server policy.ServerID, sent, until clock.Micros)
 	// CloseIdle closes the idle connections to a server.
 	CloseIdle(policy.ServerID)
-	// Withdraw ends those attempts at a server that have not written anything yet, with policy.ResultConnectFailed.
+	// Withdraw ends those attempts at a server that have not written anything yet. Their result is
+	// policy.ResultConnectFailed.
 	Withdraw(policy.ServerID)
 	// SetEndpoint sets the address of a server.
 	SetEndpoint(server policy.ServerID, endpoint string)
--- a/internal/routing/timers.go
+++ b/internal/routing/timers.go
@@ -40,7 +40,7 @@
 	return heap.Pop(&t.heap).(timer).event, true
 }
 
-// timerHeap implements heap.Interface.
+// timerHeap is the heap of timers for container/heap: the earliest first, and in the order of sequence among equal times.
 type timerHeap []timer
 
 func (h timerHeap) Len() int { return len(h) }
--- a/internal/settings/decimal.go
+++ b/internal/settings/decimal.go
@@ -12,15 +12,15 @@
 	errOutOfRange = errors.New("not a number within range")
 )
 
-// maxIntegerPart is the largest accepted integer part of a number. Scaled by up to 10^5 it fits an int64. Scaled by 10^6, as
-// log positions in seconds are, only integer parts up to 9.2e12 fit.
+// maxIntegerPart is the largest accepted integer part of a number. A number of this size fits an int64 when it is scaled by
+// up to 10^5. Log positions in seconds are scaled by 10^6; for them, only integer parts up to 9.2e12 fit.
 const maxIntegerPart = 1e13
 
 // maxExponentForm is the largest accepted absolute value of a number in exponent notation.
 const maxExponentForm = 1e15
 
-// ParseScaled parses a decimal number and returns it as a whole number of units of 10^-digits, rounded down. The integer part
-// may be at most maxIntegerPart.
+// ParseScaled parses a decimal number and returns it multiplied by 10^digits and rounded down. The integer part may be at
+// most maxIntegerPart.
 func ParseScaled(text string, digits int) (int64, error) {
 	if strings.ContainsAny(text, "eE") {
 		value, err := strconv.ParseFloat(text, 64)
@@ -48,8 +48,8 @@
 	return -value, nil
 }
 
-// appendFraction appends the given number of digits of a decimal fraction to value, its integer part; missing digits count as
-// 0. exact reports whether all digits that were left out are 0.
+// appendFraction appends the given number of digits of a decimal fraction to value, the integer part of the number. Missing
+// digits count as 0. exact reports whether all digits that were left out are 0.
 func appendFraction(value int64, fraction string, digits int) (scaled int64, exact bool, err error) {
 	exact = true
 	for i := range max(digits, len(fraction)) {
--- a/internal/settings/loadreport.go
+++ b/internal/settings/loadreport.go
@@ -29,8 +29,8 @@
 	return 0, false
 }
 
-// SetLoadReportField sets the field of a load report that has the given platform name. A log position is a number of seconds
-// since epoch. Fields with unknown names are ignored. A value that is not a number is an error.
+// SetLoadReportField sets one field of a load report; field is the name that the platform gives it. A log position is a
+// number of seconds since epoch. Fields with unknown names are ignored. A value that is not a number is an error.
 func SetLoadReportField(loadReport *policy.LoadReport, field, value string, epoch clock.Micros) error {
 	digits, known := fieldDigits(field)
 	if !known {
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -9,9 +9,9 @@
 	"marblespan/internal/policy"
 )
 
-// Parse parses a gateway's settings from JSON. Unknown keys are ignored. A missing or unknown word gets its strictest meaning:
-// the effect is non-idempotent, the servers make no freshness check, and requests need the primary. Each unknown word and each
-// missing effect adds a warning to Snapshot.Warnings.
+// Parse parses a gateway's settings from JSON. Unknown keys are ignored. A missing or unknown word (a value from a fixed set,
+// such as an effect) gets the strictest meaning: the effect is non-idempotent, the servers make no freshness check, and
+// requests need the primary. Each unknown word and each missing effect adds a warning to Snapshot.Warnings.
 //
 // If a single key is at fault, the error is a *KeyError.
 func Parse(raw []byte) (*Snapshot, error) {
@@ -23,7 +23,7 @@
 		}
 		return nil, fmt.Errorf("settings cannot be read: %w", err)
 	}
-	// If several keys are invalid, the error is about the key that is read first in this order.
+	// If several keys are invalid, the error is about the first of them in the order of the calls below.
 	p := parser{out: &Snapshot{ClassIndex: map[string]int{}, LoadReportFields: wire.LoadReport.Fields}}
 	p.readClasses(wire.Classes, &wire.Replication)
 	p.checkTenants(wire.Tenants)
@@ -36,7 +36,7 @@
 	return p.out, nil
 }
 
-// parser fills in a Snapshot. It keeps the first error and continues.
+// parser fills in a Snapshot. It continues after an error; err holds the first one.
 type parser struct {
 	out *Snapshot
 	err error
@@ -47,7 +47,8 @@
 	p.out.Warnings = append(p.out.Warnings, &KeyError{key, fmt.Sprintf(format, args...)})
 }
 
-// readClasses reads the classes. Two lists in replication hold, for each class, which data it needs and its staleness bound.
+// readClasses reads the classes. replication holds two lists with an entry for each class: how current the data for the class
+// must be, and its staleness bound.
 func (p *parser) readClasses(classes []wireClass, replication *wireReplication) {
 	for i, class := range classes {
 		p.out.ClassNames = append(p.out.ClassNames, class.Name)
@@ -101,10 +102,10 @@
 }
 
 // quotaRounding is how far the sum of all quotas, in thousandths, may exceed 1000. The quotas in the settings are rounded, so
-// their sum can be slightly more than the whole.
+// their sum can be slightly more than 1.
 const quotaRounding = 5
 
-// checkTenants warns about tenant names that are missing or duplicated, quotas of 0, and quotas that together exceed the whole.
+// checkTenants warns about tenant names that are missing or duplicated, quotas of 0, and quotas whose sum is more than 1.
 func (p *parser) checkTenants(tenants []wireTenant) {
 	names, total := map[string]int{}, int64(0)
 	for i, tenant := range tenants {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,10 +1,12 @@
-// Package settings parses the settings of a gateway, which have the same form on the simulator's wire and in the configuration
-// file, and the load report fields that the settings name. Packages config and simwire call Parse once for each set of
-// settings; session, routing and gateway read the result. The package makes no decisions and starts no goroutines. A Snapshot
-// does not change after Parse and config have filled it in; on a reload, Live atomically switches to the next Snapshot.
+// Package settings parses the settings of a gateway, which have the same form on the simulator's wire and in the
+// configuration file, and the load report fields that the settings name. Packages config and simwire call Parse once for each
+// set of settings; session, routing and gateway read the result. The package makes no decisions and starts no goroutines. A
+// Snapshot does not change after Parse and package config have filled it in. On a reload, Live atomically switches to the
+// next Snapshot.
 //
 // The platform's keys and words are defined by the struct tags and tables of wire.go, and its names of load report fields in
-// loadreport.go. Parse translates them into the terms of policy.Settings and defines how missing or unknown ones are treated.
+// loadreport.go. Parse translates the keys and words into the terms of policy.Settings, and defines how missing and unknown
+// words are treated.
 package settings
 
 import (
--- a/internal/settings/wire.go
+++ b/internal/settings/wire.go
@@ -19,7 +19,7 @@
 	Rules          wireRules       `json:"rules"`
 }
 
-// wireClass is a class of requests. The data that the class needs is in wireReplication.
+// wireClass is a class of requests. How current its data must be is in wireReplication.Needs.
 type wireClass struct {
 	Name              string     `json:"name"`
 	LatencyObjective  wireNumber `json:"aim_ms"`
@@ -95,7 +95,8 @@
 	return nil
 }
 
-// effectIdempotencyKey is the effect of a class whose servers drop repeats by their idempotency key, within a time window.
+// effectIdempotencyKey is the effect of a class whose requests carry an idempotency key, by which the servers recognize and
+// drop repetitions for a limited time.
 const effectIdempotencyKey = "guarded"
 
 // positionsCarried means that a session read carries the log position of its session's last write.
@@ -103,7 +104,7 @@
 
 var effects = map[string]policy.Effect{
 	"free": policy.EffectIdempotent, "single_shot": policy.EffectNonIdempotent,
-	effectIdempotencyKey: policy.EffectNonIdempotent, // the strictest reading: never repeated, in spite of its key
+	effectIdempotencyKey: policy.EffectNonIdempotent, // strictest meaning: never repeated, in spite of its key
 }
 
 var needs = map[string]policy.Need{
--- a/internal/simhost/host.go
+++ b/internal/simhost/host.go
@@ -1,7 +1,7 @@
-// Package simhost runs many routers for the simulator: it passes each event of a batch to the instance that the event is
-// addressed to, writes the resulting actions back, and isolates the instances from each other. It makes no decisions. Command
-// simhost calls Run, whose goroutine owns all state; there are no other goroutines. The main steps are host.handleLine,
-// host.handleMessage and host.guard.
+// Package simhost runs many routers for the simulator: it passes each event of a batch to the instance (simulated gateway)
+// that the event is addressed to, and writes the resulting actions back. A fault of one instance does not affect the others.
+// It makes no decisions. Command simhost calls Run, whose goroutine owns all state; there are no other goroutines. The main
+// steps are host.handleLine, host.handleMessage and host.guard.
 package simhost
 
 import (
@@ -18,12 +18,12 @@
 
 // Sizes of buffers, in bytes.
 const (
-	maxLineLength     = 64 << 20 // longest line of input; a whole endpoint sheet is one line
+	maxLineLength     = 64 << 20 // longest line of input; an endpoint sheet is one line, however many entries it has
 	initialLineBuffer = 1 << 20
 	writeBufferSize   = 1 << 16
 )
 
-// Errors about the order of lines. They end the run because they do not belong to one instance.
+// Errors about the order of lines. No single instance is the cause of such an error, so it ends the run.
 var (
 	errNestedBatch     = errors.New("a batch began inside another batch")
 	errNoBatchToEnd    = errors.New("a batch ended without having begun")
@@ -35,10 +35,11 @@
 type instance struct {
 	settings *settings.Snapshot
 	router   *policy.Router
-	broken   bool // it had a fault; its events are ignored until it is started again
+	broken   bool // had a fault: its events are ignored until it is started again
 }
 
-// sheet is the latest endpoint sheet with a given number.
+// sheet is an endpoint sheet: entries of the endpoint list, to which events refer by the number of the sheet. A later sheet
+// with the same number replaces it.
 type sheet struct {
 	endpoints []policy.Endpoint
 	sent      bool
@@ -165,7 +166,8 @@
 	})
 }
 
-// updateEndpointList passes the entries of a sheet to an instance.
+// updateEndpointList passes a change of the endpoint list to an instance, with the entries of the sheet that the message
+// names.
 func (h *host) updateEndpointList(m simwire.EndpointListChanged) error {
 	update := policy.EndpointUpdate{Form: m.Form}
 	if m.Form != policy.ListFailed {
@@ -197,8 +199,8 @@
 	return h.guard(number, func(in *instance) []policy.Action { return in.router.Step(h.now, event) })
 }
 
-// guard calls decide for an instance and adds the resulting actions to the reply. If the router panics, the panic becomes a
-// fault of that instance. For a broken instance, decide is not called.
+// guard calls decide for an instance and adds the resulting actions to the reply. It turns a panic of the router into a fault
+// of that instance. For a broken instance, it does nothing.
 func (h *host) guard(number int, decide func(*instance) []policy.Action) (err error) {
 	in := h.instances[number]
 	if in == nil {
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -27,7 +27,7 @@
 	return append(b, `["`+nameReplyEnd+"\"]\n"...)
 }
 
-// appendAction appends one action, or nothing for an action that the simulator does not support.
+// appendAction appends one action. It leaves out an action that the simulator has no use for.
 func appendAction(b []byte, instance int, action policy.Action) []byte {
 	switch a := action.(type) {
 	case policy.Send:
@@ -45,7 +45,7 @@
 		b = appendNumber(beginAction(b, nameHealthCheck, instance), int64(a.Server))
 	case policy.CloseIdle:
 		b = appendNumber(beginAction(b, nameCloseIdle, instance), int64(a.Server))
-	case policy.Forget, policy.Withdraw: // the simulator manages its servers itself, and an attempt sent there has already begun
+	case policy.Forget, policy.Withdraw: // the simulator manages its servers itself, and begins each attempt when it is sent
 		return b
 	case policy.SendToPeer:
 		b = appendPeer(beginAction(b, nameSendToPeer, instance), a.To)
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -57,7 +57,7 @@
 	return message, nil
 }
 
-// checked returns a message, or the error that occurred when its row was read.
+// checked returns the message that was read from r, or the error in r if a value could not be read.
 func checked(name string, message Message, r *row) (Message, error) {
 	if r.err != nil {
 		return nil, fmt.Errorf("%s: %w", name, r.err)
@@ -65,7 +65,7 @@
 	return message, nil
 }
 
-// decodeInstanceMessage decodes a message that is addressed to one instance, whose number is value 0 of the row.
+// decodeInstanceMessage decodes a message that is addressed to one instance, whose number is the first value of the row.
 func decodeInstanceMessage(name string, instance int, r *row, settingsOf func(int) *settings.Snapshot) (Message, error) {
 	switch name {
 	case nameStartInstance:
--- a/internal/simwire/row.go
+++ b/internal/simwire/row.go
@@ -9,14 +9,14 @@
 	"marblespan/internal/settings"
 )
 
-// row reads the values of one message by their indexes and keeps the first error in err. A value that cannot be read is returned
-// as zero.
+// row reads the values of one message by their indexes and keeps the first error in err. For a value that cannot be read, its
+// methods return the zero value.
 type row struct {
 	values []json.RawMessage
 	err    error
 }
 
-// fail records that value i is not what was expected, unless there is an earlier error.
+// fail records the error that value i is not what was expected. If there is an earlier error, it keeps that one.
 func (r *row) fail(i int, want string) {
 	if r.err == nil {
 		r.err = fmt.Errorf("value %d is not %s", i, want)
@@ -36,7 +36,7 @@
 	return 0
 }
 
-// integerOr reads an integer. If the value is absent, it returns defaultValue.
+// integerOr reads an integer, and returns defaultValue if the value is absent.
 func (r *row) integerOr(i int, defaultValue int64) int64 {
 	if r.absent(i) {
 		return defaultValue
@@ -68,7 +68,7 @@
 	return int(value)
 }
 
-// seed reads an integer that may be negative or need all 64 bits of a uint64.
+// seed reads any integer that fits into an int64 or a uint64. A negative one is converted to a uint64.
 func (r *row) seed(i int) uint64 {
 	if !r.absent(i) {
 		if value, err := strconv.ParseUint(string(r.values[i]), 10, 64); err == nil {
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,6 +1,6 @@
-// Package simwire translates between the simulator's wire format and the types of package policy: names, units and structure.
-// Package simhost calls Decode for each line that it reads, and AppendActions for the actions of its routers. The package keeps
-// no state, starts no goroutines and makes no decisions.
+// Package simwire translates between the simulator's wire format and the types of package policy: it converts names, units
+// and structure. Package simhost calls Decode for each line that it reads, and AppendActions for the actions of its routers.
+// The package keeps no state, starts no goroutines and makes no decisions.
 //
 // All names of the wire format are in words.go. decode.go decodes messages, row.go decodes the values in a message, and
 // actions.go encodes actions. Times on the wire are milliseconds with a fraction; Decode converts them to whole microseconds
@@ -15,7 +15,7 @@
 	"marblespan/internal/settings"
 )
 
-// MaxSheets is the number of endpoint sheets on the wire. They are numbered from 0.
+// MaxSheets is the number of endpoint sheets that can be in use at the same time. Sheets are numbered from 0.
 const MaxSheets = 16
 
 // FaultError is a fault of one instance, which does not affect the other instances.
@@ -30,10 +30,10 @@
 // Message is a decoded line, of one of the types below.
 type Message interface{ message() }
 
-// BatchBegin begins a batch of messages. Now is the time of all of them.
+// BatchBegin begins a batch of messages. Now is the time of all messages in the batch.
 type BatchBegin struct{ Now clock.Micros }
 
-// BatchEnd ends a batch, to which a reply must be written.
+// BatchEnd ends a batch. A reply to the batch must then be written.
 type BatchEnd struct{}
 
 // StartInstance starts an instance. It replaces an earlier instance with the same number.
@@ -53,7 +53,8 @@
 	Endpoints []policy.Endpoint
 }
 
-// EndpointListChanged gives an instance the endpoint list, or changes to it, that a sheet contains.
+// EndpointListChanged tells an instance that the endpoint list has changed. The sheet contains the complete list or the
+// changed entries, depending on Form.
 type EndpointListChanged struct {
 	Instance int
 	Form     policy.ListForm
--- a/internal/simwire/words.go
+++ b/internal/simwire/words.go
@@ -43,7 +43,8 @@
 		502: policy.ResultConnectFailed, 598: policy.ResultReset, 499: policy.ResultCancelled,
 		410: policy.ResultNotSent, 404: policy.ResultMisdirected,
 	}
-	// executions has the results that prove whether an attempt ran. For the other results it is unknown.
+	// executions holds the results that prove whether an attempt ran. After any other result, it is unknown whether the
+	// attempt ran.
 	executions = map[policy.Result]policy.Execution{
 		policy.ResultOK: policy.ExecutionDone, policy.ResultOverloaded: policy.ExecutionNone,
 		policy.ResultConnectFailed: policy.ExecutionNone, policy.ResultNotSent: policy.ExecutionNone,
@@ -62,7 +63,7 @@
 // multiplied by roleCodes, plus the code of the role.
 const roleCodes = 4
 
-// flagClientRetry is the bit of an arrival's flags that marks a client's retry.
+// flagClientRetry is the bit of an arrival's flags that marks a request as a client's repetition of an earlier request.
 const flagClientRetry = 2
 
 // sweepToken stands for the sweep timer on the wire. The token of every other timer is the id of its request.
