--- a/internal/indoubt/actions.go
+++ b/internal/indoubt/actions.go
@@ -26,7 +26,7 @@
 // Route passes a claimed write to routing. RoutingAnswered answers it.
 type Route struct{ ID uint64 }
 
-// Permit answers PermissionRequested.
+// Permit grants or denies the permission that PermissionRequested asked for.
 type Permit struct {
 	ID, Attempt uint64
 	Granted     bool
@@ -36,7 +36,7 @@
 type Reply struct {
 	ID    uint64
 	Kind  AnswerKind
-	Value []byte // the answer of a served write; nil if it is the value of RoutingAnswered
+	Value []byte // the answer of a served write; nil if the client gets the answer that routing returned
 }
 
 // Lookup requests a read of the current data at the primary that shows whether a write ran. LookupAnswered answers it.
--- a/internal/indoubt/claim.go
+++ b/internal/indoubt/claim.go
@@ -2,8 +2,8 @@
 
 // This file claims the write of a request: the claim is an intent that is stored before anything is sent.
 
-// requestReceived admits a request. It claims the write, or makes the request follow another one that already has the same write
-// in flight at this gateway.
+// requestReceived admits a request, or rejects it if its class has too many writes in flight. An admitted request claims the
+// write, or follows another request that already has the same write in flight at this gateway.
 func (r *Resolver) requestReceived(request RequestReceived) {
 	r.writes = append(r.writes, write{request: request, receivedAt: r.now})
 	w := &r.writes[len(r.writes)-1]
@@ -55,7 +55,8 @@
 	r.put(w, w.request.Deadline)
 }
 
-// claimStored continues with the result of storing the claim. A conflict starts the resolution of another gateway's write.
+// claimStored handles the result of storing the claim. If the claim conflicts with a stored intent, claimStored starts the
+// resolution of that intent's write (takeover.go).
 func (r *Resolver) claimStored(w *write, reply StoreReplied) {
 	switch reply.Result {
 	case OK:
@@ -66,7 +67,7 @@
 	case NotApplied:
 		r.logTransition(w, ClaimFailed)
 		r.finish(w, w.notSentAnswer(), nil)
-	case Unknown: // the claim may still be applied, and then no other gateway would store its outcome
+	case Unknown: // the claim may still be applied; this gateway has to store its outcome, because no other gateway would
 		r.logTransition(w, ClaimFailed)
 		r.reply(w, w.notSentAnswer(), nil)
 		r.storeOutcome(w, Unsent, nil, false)
@@ -98,7 +99,8 @@
 	return reply.PossiblyLost && w.intent.ClaimCount == 1 && (w.mayBeRepeat() || reply.SinceLoss <= r.now-w.receivedAt)
 }
 
-// resumeFollowers continues each request that follows another one whose client has its answer, or that is finished.
+// resumeFollowers ends the wait of the requests that follow another request. If the other request is finished, its follower
+// claims the write. If the other request is not finished but its answer is known (hasKnownAnswer), the follower gets that answer.
 func (r *Resolver) resumeFollowers() {
 	for i := range r.writes {
 		w := &r.writes[i]
@@ -116,7 +118,8 @@
 	}
 }
 
-// hasKnownAnswer reports whether the client has its answer and the answer can also be given to followers.
+// hasKnownAnswer reports whether the write ran, its client no longer waits, and the whole answer is known. Followers can then get
+// the same answer.
 func (w *write) hasKnownAnswer() bool {
 	return w.client != clientWaiting && w.phase == storingOutcome && w.intent.State == Answered && w.intent.ValueComplete
 }
--- a/internal/indoubt/events.go
+++ b/internal/indoubt/events.go
@@ -79,11 +79,11 @@
 type LookupAnswered struct {
 	ID    uint64
 	Found bool   // true if the read showed that the write ran; if false, the write may still run
-	Value []byte // the answer that the write itself would have had
+	Value []byte // the answer that the client would have got from the write itself
 }
 
-// RequestCanceled reports that a client has stopped waiting. The steps that were started for its request are still brought to an
-// end.
+// RequestCanceled reports that a client has stopped waiting. The resolver permits no further attempt for its request, but still
+// completes a change of the intent that it has started, and still waits for the answer of an attempt that it has permitted.
 type RequestCanceled struct{ ID uint64 }
 
 // Tick reports that time has passed. It is due at the time that Resolver.Next returns; additional ticks are harmless.
--- a/internal/indoubt/indoubt.go
+++ b/internal/indoubt/indoubt.go
@@ -18,8 +18,8 @@
 //
 // Each step may end the chain early: the intent already contains the answer (intentRead), the owner is alive and stores its
 // outcome (awaitOwner polls for it), or no lookup can show whether the write ran (lookupOrFinish). In the last case the client's
-// answer is that the write may have run. When a client stops waiting, requestCanceled (cancel.go) still brings the steps that
-// were started for its request to an end.
+// answer is that the write may have run. When a client stops waiting, requestCanceled (cancel.go) decides which of the steps that
+// were started for its request are still completed.
 //
 // The package is a pure state machine: Resolver.Handle takes events (events.go) and returns actions (actions.go). It owns no
 // clock, socket or goroutine and draws no random numbers. Times are in microseconds and come from a clock that never steps back.
@@ -72,14 +72,14 @@
 type Config struct {
 	Gateway     string // the gateway's name
 	Incarnation uint64 // increases with each start of the gateway
-	// SendWindow is how long the owner may send after it requested or last confirmed its claim, without confirming the claim
-	// again.
+	// SendWindow is how long the owner may send without confirming its claim again. The time starts with the store call that
+	// stores the claim or, after a confirmation, with the read that confirmed it.
 	SendWindow clock.Micros
 	// PollInterval is the time between two reads of an intent that another gateway owns, and between retries of storing an
 	// outcome.
 	PollInterval clock.Micros
-	// OwnerGrace is how long after the deadline of its request an owner may still store an outcome. It covers the time that
-	// servers take to give up a request.
+	// OwnerGrace is how long after the deadline of a request the owner of its write may still store the outcome. It covers the
+	// time that servers take to give up a request.
 	OwnerGrace clock.Micros
 	// OutcomeTimeout is how long the resolver keeps trying to store the outcome after the client has received its answer.
 	OutcomeTimeout clock.Micros
--- a/internal/indoubt/outcome.go
+++ b/internal/indoubt/outcome.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// intentReread continues after a conflict, with the stored intent as read: it stores the outcome again if the outcome should
-// replace that intent, and otherwise finishes the write.
+// intentReread handles the stored intent, which was read because storing the outcome conflicted with it. If the outcome should
+// replace the stored intent, intentReread stores the outcome again; otherwise it finishes the write.
 func (r *Resolver) intentReread(w *write, reply StoreReplied) {
 	if reply.Result != OK {
 		w.retryAt = r.now + r.cfg.PollInterval
@@ -60,8 +60,8 @@
 }
 
 // mayReplace reports whether an outcome may replace the stored intent. Any outcome replaces Open. Answered and Unsent also replace
-// InDoubt, regardless of which gateway stored it; Unsent can only come from the owner of the claim. The intent of a later claim is
-// never replaced.
+// InDoubt, regardless of which gateway stored InDoubt. Unsent may do so because it can only come from the owner of the claim. The
+// intent of a later claim is never replaced.
 func mayReplace(outcome, stored *Intent) bool {
 	if !outcome.sameClaim(stored) {
 		return false
--- a/internal/indoubt/resolver.go
+++ b/internal/indoubt/resolver.go
@@ -13,7 +13,7 @@
 	now           clock.Micros
 	lastCall      uint64
 	writes        []write        // in the order in which their requests were received
-	endedGateways []GatewayEnded // the latest incarnation of each gateway that is known to have ended
+	endedGateways []GatewayEnded // for each gateway, the latest incarnation that is known to have ended
 	actions       []Action       // the actions of the event that is being handled
 }
 
--- a/internal/indoubt/takeover.go
+++ b/internal/indoubt/takeover.go
@@ -13,7 +13,8 @@
 	r.get(w, w.request.Deadline)
 }
 
-// intentRead continues according to the state of the stored intent.
+// intentRead handles the stored intent. Its state decides whether the client gets the stored answer, the write is claimed again,
+// the request waits for the owner, or a lookup starts.
 func (r *Resolver) intentRead(w *write, reply StoreReplied) {
 	switch {
 	case reply.Result != OK: // there is an intent, but it cannot be read
@@ -40,8 +41,9 @@
 	}
 }
 
-// intentMissing handles a write whose intent is no longer stored. It claims the write again, at most once. If the store may have
-// lost the intent and the request may be a repeat, the write is in doubt.
+// intentMissing handles a write whose intent is no longer stored. It claims the write again, except in two cases, in which the
+// write is in doubt: it has already been claimed again once, or the store may have lost the intent and the request may be a
+// repeat.
 func (r *Resolver) intentMissing(w *write, reply StoreReplied) {
 	if reply.PossiblyLost && w.mayBeRepeat() || w.takeover.reclaimed {
 		r.finishInDoubt(w)
@@ -93,7 +95,7 @@
 	return slices.ContainsFunc(r.endedGateways, func(x GatewayEnded) bool { return x.Gateway == intent.Owner && intent.Incarnation <= x.Incarnation })
 }
 
-// intentPolled continues with the result of a poll, made while the owner may still store the outcome.
+// intentPolled handles the reply to the read that pollOwner started.
 func (r *Resolver) intentPolled(w *write, reply StoreReplied) {
 	if reply.Result != OK { // the next poll may succeed
 		w.retryAt = r.now + r.cfg.PollInterval
@@ -103,7 +105,7 @@
 }
 
 // pollOwner runs when a write that awaits its owner is due. It gives up at the client's deadline, takes the intent over at the
-// owner's deadline, and until then reads the intent again.
+// owner's deadline, and before these deadlines reads the intent again.
 func (r *Resolver) pollOwner(w *write) {
 	switch {
 	case r.now >= w.request.Deadline:
@@ -142,7 +144,8 @@
 	r.put(w, w.request.Deadline)
 }
 
-// takeoverStored starts the lookup once the takeover is stored and so the owner is fenced.
+// takeoverStored handles the result of storing the takeover. Once the takeover is stored, the owner is fenced and the lookup can
+// start.
 func (r *Resolver) takeoverStored(w *write, reply StoreReplied) {
 	switch reply.Result {
 	case OK:
@@ -177,7 +180,8 @@
 }
 
 // lookupAnswered replies and stores the outcome if the lookup showed that the write ran. Otherwise the write may still run because
-// its bytes may still be on their way to the server.
+// its bytes may still be on their way to the server. The request then waits for the owner if the intent is open; if not, the
+// client's answer is that the write may have run.
 func (r *Resolver) lookupAnswered(w *write, answer LookupAnswered) {
 	switch {
 	case answer.Found:
--- a/internal/indoubt/write.go
+++ b/internal/indoubt/write.go
@@ -100,7 +100,7 @@
 type takeover struct {
 	ownerDeadline clock.Micros // from this time on the owner can no longer store an outcome
 	reclaimed     bool         // the intent was missing and the write was claimed again; done at most once
-	lookupStarted bool         // a lookup was started while the owner may still store the outcome; done at most once
+	lookupStarted bool         // a lookup was started while the owner may still store the outcome; such a lookup is done at most once
 }
 
 // mayBeRepeat reports whether the request may repeat an earlier one.
--- a/internal/intents/service.go
+++ b/internal/intents/service.go
@@ -23,7 +23,8 @@
 // idlePollInterval is how often WaitIdle checks whether writes are in flight.
 const idlePollInterval = 5 * time.Millisecond
 
-// Service drives the resolver of one gateway. It implements Resolver.
+// Service gives events to the indoubt.Resolver of one gateway and carries out its actions. It implements this package's Resolver
+// interface.
 type Service struct {
 	settings         Settings
 	logLimiter       *rate.Limiter
@@ -102,7 +103,7 @@
 	return true
 }
 
-// post makes the service's goroutine call do. It never blocks because the goroutine of routing calls it. Callers construct the
+// post makes the service's goroutine call do. It must never block, because the goroutine of routing calls it. Callers construct the
 // indoubt.Event inside do, because passing an event as an argument would cost one more allocation.
 func (s *Service) post(do func()) {
 	s.mu.Lock()
@@ -192,7 +193,7 @@
 	})
 }
 
-// shows reports whether a row read by a lookup shows that a write of the value written ran.
+// shows reports whether a row that was read by a lookup shows that a write ran. written is the value that the write stores.
 func (c Class) shows(row, written []byte) bool {
 	if c.LookupText != "" {
 		return bytes.Contains(row, []byte(c.LookupText))
--- a/internal/intents/store.go
+++ b/internal/intents/store.go
@@ -69,7 +69,7 @@
 }
 
 // parseIntent decodes a stored intent. If this version of the gateway cannot decode it, parseIntent returns an intent in the state
-// InDoubt, because all that is known is that an intent exists, so the write may have run.
+// InDoubt: an intent exists, so the write may have run, but nothing more is known.
 func parseIntent(value []byte) *indoubt.Intent {
 	var intent indoubt.Intent
 	if json.Unmarshal(value, &intent) != nil {
