--- a/internal/maintenance/command.go
+++ b/internal/maintenance/command.go
@@ -16,7 +16,7 @@
 	Done                   // the work on a machine is finished
 	Cancel                 // end the maintenance of a machine
 	Pause                  // take no further machine out of service; machines that have not reached Out go back to Requested
-	Resume                 // end the pause; for one named machine: go on although a condition cannot be verified automatically
+	Resume                 // end the pause; for one named machine: continue its maintenance although a condition cannot be verified automatically
 	Verbs
 )
 
@@ -31,9 +31,9 @@
 	RequestedBy string       // the gateway that received the command
 }
 
-// Command carries out an operator's command, as an entry of the ledger with this time and index. It returns whether the command
-// was accepted and an answer for the operator. The answer is stored with the client's session, so its texts are part of the
-// ledger.
+// Command carries out an operator's command, which is an entry of the ledger; now and index are the entry's time and index. It
+// returns whether the command was accepted and an answer for the operator. The answer is stored with the client's session, so its
+// text is part of the replicated state.
 func (o *Order) Command(now clock.Micros, index uint64, from ClientSession, c Command) (ok bool, answer string) {
 	if from.Client != 0 {
 		last, isNew := o.openSession(from)
@@ -58,8 +58,8 @@
 	return o.commandOne(now, index, c.Verb, machine)
 }
 
-// openSession records that a client's command is being carried out. isNew is false if the command arrived before or arrives after
-// a later command of the same client; result then holds the answer.
+// openSession records that a client's command is being carried out. isNew is false if this command or a later command of the same
+// client has already arrived; result then holds the answer.
 func (o *Order) openSession(from ClientSession) (result ClientSession, isNew bool) {
 	i := slices.IndexFunc(o.Sessions, func(s ClientSession) bool { return s.Client == from.Client })
 	switch {
--- a/internal/maintenance/evaluator.go
+++ b/internal/maintenance/evaluator.go
@@ -13,7 +13,7 @@
 	limits Limits
 }
 
-// unexcuseSteps returns a step for each excused gateway that is no longer dead.
+// unexcuseSteps returns, for each gateway in Order.Excused that is no longer dead, the step that removes it from there.
 func (e evaluator) unexcuseSteps() (steps []Step) {
 	for _, name := range e.order.Excused {
 		if g := e.view.gateway(name); e.view.AllReported && (g == nil || g.Presence != Dead) {
@@ -23,7 +23,8 @@
 	return steps
 }
 
-// rosterSteps returns the steps that enroll new incarnations and unenroll those that have shut down gracefully.
+// rosterSteps returns the steps that put new incarnations of gateways on the roster and remove incarnations that have shut down
+// gracefully.
 func (e evaluator) rosterSteps() (steps []Step) {
 	for _, g := range e.view.Gateways {
 		switch last := e.order.EnrolledIncarnation(g.Name); {
@@ -120,8 +121,8 @@
 	return e.overload(nil, maxLoad)
 }
 
-// missingGateway returns a reason if a gateway is dead or silent, unless that gateway is excused, is Out or Returning, or is the
-// evaluated machine.
+// missingGateway returns a reason if a gateway is dead or silent, unless that gateway is excused (Order.Excused), is Out or
+// Returning, or is the evaluated machine.
 func (e evaluator) missingGateway(evaluated *Machine) Reason {
 	for _, g := range e.view.Gateways {
 		m := e.order.Find(Gateway, g.Name, 0)
@@ -388,8 +389,8 @@
 	return busy, unreachable
 }
 
-// wasOut reports whether a gateway cannot have requests in flight since its last report: it is Out and admits nothing, and a later
-// incarnation of it has to enroll before it sends anything.
+// wasOut reports whether a gateway that does not report cannot have requests in flight: it is Out, so it admits nothing, and a
+// later incarnation of it has to enroll before it sends anything.
 func (e evaluator) wasOut(enrolled Enrollment) bool {
 	m := e.order.Find(Gateway, enrolled.Name, 0)
 	return m != nil && m.State == Out && m.Incarnation >= enrolled.Incarnation
--- a/internal/maintenance/order.go
+++ b/internal/maintenance/order.go
@@ -14,9 +14,9 @@
 	Answer           string
 }
 
-// Enrollment is an incarnation of a gateway that may send to servers. A gateway sends nothing before it finds itself on the
-// roster in its copy of the order, and that copy also shows which servers are cordoned. Therefore only gateways on the roster can
-// have requests in flight at a server.
+// Enrollment is an incarnation of a gateway that may send to servers. Only gateways on the roster (Order.Roster) can have requests
+// in flight at a server, because a gateway sends nothing before it finds itself on the roster in its own copy of the order. That
+// copy also shows the gateway which servers are cordoned.
 type Enrollment struct {
 	Name        string
 	Incarnation uint64
@@ -30,7 +30,7 @@
 	Machines []Machine
 	Excused  []string // dead gateways that an operator has decided not to wait for
 	Sessions []ClientSession
-	Roster   []Enrollment
+	Roster   []Enrollment // at most one incarnation of each gateway
 }
 
 // Limits on the size of an order.
@@ -77,7 +77,7 @@
 	return len(o.Roster) < before
 }
 
-// excuse marks a dead gateway as one that maintenance does not wait for, and removes it from the roster.
+// excuse adds a dead gateway to Excused, so that maintenance does not wait for it, and removes it from the roster.
 func (o *Order) excuse(name string) {
 	if !slices.Contains(o.Excused, name) {
 		o.Excused = append(o.Excused, name)
@@ -85,7 +85,7 @@
 	o.unenroll(Enrollment{name, o.EnrolledIncarnation(name)})
 }
 
-// unexcuse removes the mark of a gateway that is alive again. It reports whether the gateway was excused.
+// unexcuse removes from Excused a gateway that is no longer dead. It reports whether the gateway was in Excused.
 func (o *Order) unexcuse(gateway string) bool {
 	before := len(o.Excused)
 	o.Excused = slices.DeleteFunc(o.Excused, func(name string) bool { return name == gateway })
--- a/internal/maintenance/planner.go
+++ b/internal/maintenance/planner.go
@@ -7,7 +7,7 @@
 )
 
 // Planner makes the decisions of the ledger's leader. Its only state is the time since which each returning machine has been
-// healthy. A new leader has a new Planner, which starts to measure that time again.
+// healthy. A new leader has a new Planner, for which each returning machine has to be healthy for the whole SettleTime again.
 type Planner struct {
 	healthySince map[uint64]clock.Micros // by Machine.ID
 }
@@ -29,7 +29,7 @@
 	}
 }
 
-// Listing is an order as its leader sees it.
+// Listing is the maintenance order for display to operators, with the ledger leader's reasons why machines wait.
 type Listing struct {
 	Order  *Order
 	Waits  Waits
@@ -44,7 +44,7 @@
 	reason      Reason // what the machine waits for, or why it goes back to an earlier state
 }
 
-// stay returns the decision that a machine waits in a state for a reason.
+// stay returns the decision that a machine has to be in the given state; r is why the machine waits there or goes back there.
 func stay(state State, r Reason) decision { return decision{to: state, reason: r} }
 
 // Plan decides which steps to take next and returns the reasons why the other machines wait. Machines that are in progress come
--- a/internal/maintenance/step.go
+++ b/internal/maintenance/step.go
@@ -30,10 +30,10 @@
 	ShareShard(a, b string) bool
 }
 
-// Step carries out a decision of the leader, as an entry of the ledger with this time and index, and reports whether anything has
-// changed. A step for a machine has an effect only if the machine still has the Revision that the step was decided for and the
-// safety rules hold: no more machines out of service than the limits allow, no two servers of one group, no two gateways that
-// share a shard, and no incomplete shard.
+// Step carries out a decision of the leader, which is an entry of the ledger; now and index are the entry's time and index. It
+// reports whether anything has changed. A step for a machine has an effect only if the machine still has the Revision that the
+// step was decided for and the safety rules hold: no more machines out of service than the limits allow, no two servers of one
+// group, no two gateways that share a shard, and no incomplete shard.
 func (o *Order) Step(now clock.Micros, index uint64, s Step, shards Shards) bool {
 	switch {
 	case s.Enroll.Name != "":
--- a/internal/maintenance/view.go
+++ b/internal/maintenance/view.go
@@ -15,9 +15,9 @@
 	MaxLoad      int          // load that the remaining gateways may have to carry, in thousandths of their capacity
 	SettleTime   clock.Micros // how long a machine that has returned must be healthy before it counts as back
 	ReturnWithin clock.Micros // how long a machine may be returning before it is overdue
-	ExcuseAfter  clock.Micros // how long after its Duration an overdue machine stops delaying the others; 0 for never
-	// RepairAfter is how long a gateway may be silent before its shards are moved to another host. The shards of a gateway that is
-	// going to be out for longer are migrated first.
+	ExcuseAfter  clock.Micros // how long after its Duration an overdue machine is Overridden, so that the others no longer wait for it; 0: never
+	// RepairAfter is how long a gateway may be silent before its shards are moved to another host. If the planned work on a gateway
+	// takes longer, its shards are migrated before the gateway drains.
 	RepairAfter clock.Micros
 }
 
@@ -47,7 +47,7 @@
 	Leads          bool   // the gateway leads a shard or the ledger
 	Load           int    // processor usage, in thousandths of the gateway's capacity
 	FloatingGroups []string
-	Quiesced       []uint64 // IDs of machines in the order that the gateway sends nothing to and has nothing in flight at
+	Quiesced       []uint64 // Machine.ID of each server to which the gateway sends nothing and at which it has nothing in flight
 	Servers        []ServerReport
 }
 
@@ -81,12 +81,12 @@
 	Shards      []ShardStatus
 }
 
-// Complete implements Shards from the leader's view.
+// Complete reports whether every shard that a gateway holds is complete, according to the reports that the leader has.
 func (v *ClusterView) Complete(gateway string) bool {
 	return !slices.ContainsFunc(v.Shards, func(s ShardStatus) bool { return !s.Complete && slices.Contains(s.Hosts, gateway) })
 }
 
-// ShareShard implements Shards from the leader's view.
+// ShareShard reports whether two gateways hold replicas of the same shard, according to the reports that the leader has.
 func (v *ClusterView) ShareShard(a, b string) bool {
 	return slices.ContainsFunc(v.Shards, func(s ShardStatus) bool { return slices.Contains(s.Hosts, a) && slices.Contains(s.Hosts, b) })
 }
@@ -112,8 +112,9 @@
 // isReporting reports whether the gateway is known, is alive and has reported lately.
 func (g *GatewayStatus) isReporting() bool { return g != nil && g.Presence == Alive }
 
-// combinedReport combines what all reporting gateways report about a server. It takes the worst of each property, and the server
-// is the primary only if all gateways that know it report so. known is false if no gateway knows the server.
+// combinedReport combines what all reporting gateways report about a server. The server counts as down, warming up or lagging if
+// at least one of them reports it so, and as the primary only if all of them that know it report so. known is false if no gateway
+// knows the server.
 func (v *ClusterView) combinedReport(group int, name string) (all ServerReport, known bool) {
 	all = ServerReport{Group: group, Name: name, Primary: true}
 	for _, g := range v.Gateways {
