--- a/internal/assignment/due.go
+++ b/internal/assignment/due.go
@@ -63,8 +63,8 @@
 	}
 	at = base + s.takeoverDelay(t, rank)
 	if rank < s.cfg.Assignees && t.positionSince > t.lastSuccess {
-		// The work has just moved to this gateway, so it first waits for its jitter. It never waits longer than the last rank
-		// would, because otherwise a view that changes all the time could postpone the work indefinitely.
+		// The work has just moved to this gateway, so the gateway first waits for its jitter. It never waits longer than the last
+		// rank would, because otherwise a list of members that changes all the time could postpone the work indefinitely.
 		at = max(at, min(t.positionSince+t.jitter, base+s.cfg.MaxDelay+s.cfg.Jitter))
 	}
 	if t.lastAttempt > 0 {
@@ -74,7 +74,7 @@
 }
 
 // reschedule sets the time at which a task is evaluated next: when it is due, or earlier if a demand or a failure ends before
-// that, because this changes when the task is due.
+// that, because the end of a demand or a failure changes when the task is due.
 func (s *Scheduler) reschedule(t *task) {
 	s.period(t) // removes the demands that have ended
 	t.wakeAt = never
--- a/internal/assignment/queue.go
+++ b/internal/assignment/queue.go
@@ -10,7 +10,8 @@
 	q[i].index, q[j].index = i, j
 }
 
-// Push and Pop implement heap.Interface. Callers use heap.Push and heap.Pop instead.
+// Push and Pop are for the package container/heap only. To add or remove a task, call heap.Push, heap.Pop or heap.Remove, which
+// keep the heap ordered.
 func (q *queue) Push(x any) {
 	d := x.(*task)
 	d.index = len(*q)
--- a/internal/assignment/scheduler.go
+++ b/internal/assignment/scheduler.go
@@ -10,8 +10,8 @@
 )
 
 // failurePeriods is the number of periods for which a member that got no response from a subject ranks behind the others for
-// that subject. Otherwise a subject would stay assigned to a member that cannot reach it because its own network path is
-// interrupted. If no member can reach the subject, the work moves from member to member.
+// that subject. Without this rule, a subject would stay assigned to a member that cannot reach it because the member's own
+// network path is interrupted. If no member can reach the subject, the work moves from member to member.
 const failurePeriods = 8
 
 // never is a time that is never reached.
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -14,7 +14,7 @@
 const rejoinIntervals = 25
 
 // fastJoinAttempts is the number of attempts to join that a member without any alive peer makes at a rate of one per interval.
-// After that it tries once per rejoinIntervals.
+// After that it tries once per rejoinIntervals, unless it is excluded.
 const fastJoinAttempts = 10
 
 // rejoin pings one dead member, and the join addresses from which no alive member has answered. This is how the two halves of
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -101,7 +101,7 @@
 	indirectOnly   int          // consecutive probes that were answered only through helpers
 	lastDirectPing uint32       // number of the last ping received directly from the member
 	digest         uint64       // digest of the member's view, from its last message
-	unaware        bool         // the member does not know the current generation of this machine's member
+	unaware        bool         // the member does not know this machine's own current generation
 	path           PathState    // this machine's own report on the path to the member
 }
 
@@ -149,8 +149,8 @@
 // limited time, such as a lease, must not rely on what it knew before the stall.
 func (m *Machine) StalledUntil() clock.Micros { return m.stalledUntil }
 
-// LocalHealth returns Lifeguard's local health multiplier: the factor by which this member extends its timeouts because it
-// does not receive answers that it should. 1 is healthy; maxLocalHealth is the worst.
+// LocalHealth returns Lifeguard's local health multiplier: the factor by which this member extends its timeouts. The factor
+// grows with the share of its requests that helpers do not answer. 1 is healthy; maxLocalHealth is the worst.
 func (m *Machine) LocalHealth() int {
 	if m.cfg.WithoutLifeguard {
 		return 1
@@ -300,8 +300,8 @@
 }
 
 // detectStall checks whether the process did not run for a while. After a stall, the socket may hold unread messages, which
-// must be read before any member is suspected; so no member is suspected for stallGraceIntervals. Deadlines of other members
-// are extended by the duration of the stall, because this process could not receive their answers during it.
+// must be read before any member is suspected; so no member is suspected for stallGraceIntervals. The suspicion deadlines of
+// other members are extended by the duration of the stall, because this process could not receive their answers during it.
 func (m *Machine) detectStall(now clock.Micros) {
 	due, _ := m.Next()
 	late := now - max(due, m.lastEvent)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -110,7 +110,7 @@
 
 // The kinds of messages.
 const (
-	Ping         Kind = iota + 1 // answered with an Ack; if Number is 0, the sender does not wait for it
+	Ping         Kind = iota + 1 // answered with an Ack; if Number is 0, the sender does not wait for the Ack
 	Ack                          // answers a Ping; if Target is set, a helper sends it on behalf of Target
 	IndirectPing                 // asks a helper to ping Target
 	Nack                         // a helper reports that Target has not answered it so far
@@ -238,9 +238,9 @@
 	ProcessStalled   NoticeKind = iota // its process did not run for a while, so other members may have declared it dead
 	SuspicionRefuted                   // it was suspected and has refuted the suspicion with a higher incarnation
 	DeclaredDead                       // other members declared it dead; it continues in a new generation
-	ClockSetBack                       // others know a later generation of it, as its clock was set back; it continues after that one
-	NameConflict                       // another process has the same name; this one started earlier and keeps it
-	Excluded                           // another process has the same name; this one started later and does not participate
+	ClockSetBack                       // its clock was set back, so others know a later generation of it; it continues after that generation
+	NameConflict                       // another process has the same name; this member started earlier and keeps the name
+	Excluded                           // another process has the same name; this member started later and does not participate
 	Readmitted                         // it was excluded and now participates again
 	NoticeCount
 )
--- a/internal/membership/paths.go
+++ b/internal/membership/paths.go
@@ -16,7 +16,7 @@
 }
 
 // mergePath stores a path report if it is later than the known one of the same reporter. If the table is full, reports of
-// healthy paths and of ended reporters are removed; if there are none to remove, the new report is ignored.
+// healthy paths and reports by generations that have ended are removed; if the table is still full, the new report is ignored.
 func (m *Machine) mergePath(state PathState) {
 	key := pathKey{state.Reporter, state.Peer}
 	i, known := m.pathIndex[key]
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -23,8 +23,8 @@
 	nackDivisor      = 4
 )
 
-// maxLocalHealth is the largest factor by which an unhealthy member extends its timeouts. localHealthSamples is the number of
-// requests to helpers over which the moving average behind that factor is taken.
+// maxLocalHealth is the largest factor by which an unhealthy member extends its timeouts. The factor is computed from a moving
+// average of the unanswered requests to helpers; localHealthSamples is the length of that average, in requests.
 const (
 	maxLocalHealth     = 9
 	localHealthSamples = 16
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -76,9 +76,9 @@
 }
 
 // handleEndedSender processes a message from a generation that has ended in this member's view. The sender is accepted again
-// only in a new generation; if its known record is Dead or Left, the answer contains that record, so that the sender starts
-// one. The sender's records of this member are merged all the same, because after a partition each half considers the other
-// half dead.
+// only in a new generation. If its known record is Dead or Left, the answer contains that record, so that the sender starts a
+// new generation. The records of this member that the message contains are merged all the same, because after a partition each
+// half considers the other half dead.
 func (m *Machine) handleEndedSender(source netip.AddrPort, sender *member, msg Message) {
 	for _, r := range msg.Records {
 		if r.Name == m.self.Name {
@@ -110,7 +110,7 @@
 }
 
 // handleUnknownSender answers a ping from a sender that is not in the view. The answer contains this member's record, so that
-// the sender learns about this member and can send it its own record.
+// the sender learns about this member and can then send its own record.
 func (m *Machine) handleUnknownSender(source netip.AddrPort, msg Message) {
 	if msg.Kind == Ping {
 		m.reply(source, nil, msg)
@@ -208,8 +208,8 @@
 	m.emit(Send{To: relayed.origin, Address: relayed.originAddress, Message: out})
 }
 
-// handleIndirectAck processes an Ack from a helper. It shows that the target is alive; if several probes in a row are answered
-// only through helpers, the path to the target is reported as lost in one direction.
+// handleIndirectAck processes an Ack from a helper. The Ack shows that the target is alive. If several probes in a row are
+// answered only through helpers, the path to the target is reported as lost in one direction.
 func (m *Machine) handleIndirectAck(now clock.Micros, helper *member, msg Message) {
 	m.helperAnswered(helper.Name, msg.Number)
 	i := slices.IndexFunc(m.probes, func(p probe) bool { return p.number == msg.Number && p.target == msg.Target })
@@ -233,7 +233,7 @@
 	}
 }
 
-// handleNack processes a helper's report that the target has not answered. It shows that the helper itself is reachable.
+// handleNack processes a helper's report that the target has not answered. The report shows that the helper itself is reachable.
 func (m *Machine) handleNack(helper *member, msg Message) { m.helperAnswered(helper.Name, msg.Number) }
 
 // helperAnswered records that a helper has answered a request with an Ack or a Nack.
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -29,7 +29,8 @@
 }
 
 // mergeSelf processes a received record of this member itself. It refutes a suspicion with a higher incarnation. If the record
-// says that this member has ended, or has a later generation, the member starts a new generation.
+// says that this member has ended, or has a later generation, the member starts a new generation. A record of a later generation
+// that has not ended and has another address belongs to another process with the same name.
 func (m *Machine) mergeSelf(r Record) {
 	switch {
 	case m.excluded || r.Generation < m.self.Generation || m.leaveRoundsLeft > 0:
@@ -87,8 +88,8 @@
 }
 
 // yieldName gives up the name to its owner: this member does not participate until another member accepts it again. It first
-// announces to some members that its current generation has left, so that members that already know this generation do not
-// mistake the owner for an earlier run of it.
+// announces to some members that its current generation has left. Otherwise members that already know this generation would
+// mistake the owner for an earlier run of this member.
 func (m *Machine) yieldName(now clock.Micros, owner Record) {
 	m.self.State = Left
 	for range leaveNodes {
--- a/internal/vrrp/config.go
+++ b/internal/vrrp/config.go
@@ -41,8 +41,8 @@
 	Conditions [ConditionCount]bool
 }
 
-// Damping delays becoming active again after the address was lost soon after this gateway became active. The zero value
-// disables it.
+// Damping delays the next activation of a gateway that lost the address soon after it became active. The zero value disables
+// damping.
 type Damping struct {
 	Window       clock.Micros // a loss this soon after becoming active counts as a flap
 	InitialDelay clock.Micros // the delay after the first flap; each further flap doubles the delay
--- a/internal/vrrp/machine.go
+++ b/internal/vrrp/machine.go
@@ -46,7 +46,7 @@
 	otherRouter        remoteRouter // the last router that advertised as active without being followed
 	stateSince         clock.Micros // start of the current state
 	released           bool         // the active router released the address, and no other router has been followed since
-	preemptAfter       clock.Micros // when an active router of lower priority may be preempted; 0: none advertised
+	preemptAfter       clock.Micros // when an active router of lower priority may be preempted; 0: no such router advertised
 	advertisementsSent uint32       // number of advertisements sent in this activation
 	damper             damper
 }
--- a/internal/vrrp/receive.go
+++ b/internal/vrrp/receive.go
@@ -27,8 +27,8 @@
 
 // receiveAsBackup implements RFC 9568, 6.4.2, with three deviations:
 //   - If two routers advertise, the backup follows the one that will remain active and ignores a release by the other one.
-//     Otherwise a router that learns late that it is no longer active would make every backup take over from the router that
-//     is active.
+//     Otherwise the release by a router that learns late that it is no longer active would make every backup take over from
+//     the router that is active.
 //   - When the followed router releases the address, the other router is followed if it is alive.
 //   - An active router of lower priority is not preempted before the preempt delay and damping are over.
 func (m *Machine) receiveAsBackup(now clock.Micros, e AdvertisementReceived) {
--- a/internal/vrrp/timers.go
+++ b/internal/vrrp/timers.go
@@ -9,8 +9,8 @@
 // stall immediately.
 const stallPollLimit = 3
 
-// A timer may be handled late by up to an advertisement interval divided by lateTimerDivisor. A backup that is later than that
-// may have unread advertisements, and waits for the same time again so that they are read first.
+// A timer may be handled late by up to an advertisement interval divided by lateTimerDivisor. A backup whose timer is handled
+// later than that may have unread advertisements. It waits for the same fraction of an interval, so that they are read first.
 const lateTimerDivisor = 4
 
 // leaseIntervals is the number of intervals after an advertisement for which its sender may act as the active router. No peer
@@ -69,9 +69,10 @@
 	return ActiveDownInterval(m.Priority(), m.activeInterval)
 }
 
-// checkStall checks whether the process was stalled. An active router whose lease has expired becomes a backup without sending
-// an advertisement, which would interfere with a router that has taken over. A backup that was stalled restarts its timer,
-// because it may have missed advertisements; one that is only slightly late waits until unread advertisements have been read.
+// checkStall checks whether the process was stalled. An active router whose lease has expired becomes a backup. It sends no
+// advertisement, because that would interfere with a router that has taken over. A backup that was stalled restarts its timer,
+// because it may have missed advertisements. A backup that is only slightly late waits briefly, so that unread advertisements
+// are read first.
 func (m *Machine) checkStall(now clock.Micros) []Action {
 	tolerance := m.config.AdvertisementInterval / lateTimerDivisor
 	next, _ := m.Next()
@@ -86,7 +87,8 @@
 	return nil
 }
 
-// tick does what the timer of the current state requires if it has expired.
+// tick acts on the timer of the current state if it has expired. An active router advertises. A backup that is ready follows
+// otherRouter if it can, and otherwise becomes active.
 func (m *Machine) tick(now clock.Micros, out []Action) []Action {
 	switch {
 	case m.state == Active && now >= m.timer:
--- a/internal/vrrp/transitions.go
+++ b/internal/vrrp/transitions.go
@@ -8,7 +8,8 @@
 // many advertisements.
 const announcePeriod = 64
 
-// startup handles the Startup event of RFC 9568, 6.4.1.
+// startup handles the Startup event of RFC 9568, 6.4.1. A ready router with PriorityOwner becomes active; any other router becomes
+// a backup.
 func (m *Machine) startup(now clock.Micros, out []Action) []Action {
 	m.activeInterval = m.config.AdvertisementInterval
 	if m.Priority() == PriorityOwner && m.health.Ready {
@@ -18,7 +19,7 @@
 	return m.setState(now, Backup, CauseStartup, out)
 }
 
-// shutdown handles the Shutdown event of RFC 9568, 6.4.2 and 6.4.3.
+// shutdown handles the Shutdown event of RFC 9568, 6.4.2 and 6.4.3. An active router first releases the address.
 func (m *Machine) shutdown(now clock.Micros, out []Action) []Action {
 	if m.state == Active {
 		out = m.release(now, CauseShutdown, out)
