--- a/internal/maintenance/command.go
+++ b/internal/maintenance/command.go
@@ -16,7 +16,7 @@
 	Done                   // the work on a machine is finished
 	Cancel                 // end the maintenance of a machine
 	Pause                  // take no further machine out of service; machines that have not reached Out go back to Requested
-	Resume                 // end the pause; for one named machine: continue its maintenance although a condition cannot be verified automatically
+	Resume                 // end the pause; for one machine: continue although a condition cannot be verified automatically
 	Verbs
 )
 
--- a/internal/maintenance/view.go
+++ b/internal/maintenance/view.go
@@ -15,7 +15,7 @@
 	MaxLoad      int          // load that the remaining gateways may have to carry, in thousandths of their capacity
 	SettleTime   clock.Micros // how long a machine that has returned must be healthy before it counts as back
 	ReturnWithin clock.Micros // how long a machine may be returning before it is overdue
-	ExcuseAfter  clock.Micros // how long after its Duration an overdue machine is Overridden, so that the others no longer wait for it; 0: never
+	ExcuseAfter  clock.Micros // how long after its Duration an overdue machine becomes Overridden; 0 for never
 	// RepairAfter is how long a gateway may be silent before its shards are moved to another host. If the planned work on a gateway
 	// takes longer, its shards are migrated before the gateway drains.
 	RepairAfter clock.Micros
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -238,7 +238,7 @@
 	ProcessStalled   NoticeKind = iota // its process did not run for a while, so other members may have declared it dead
 	SuspicionRefuted                   // it was suspected and has refuted the suspicion with a higher incarnation
 	DeclaredDead                       // other members declared it dead; it continues in a new generation
-	ClockSetBack                       // its clock was set back, so others know a later generation of it; it continues after that generation
+	ClockSetBack                       // its clock was set back: others know a later generation of it; it continues after that one
 	NameConflict                       // another process has the same name; this member started earlier and keeps the name
 	Excluded                           // another process has the same name; this member started later and does not participate
 	Readmitted                         // it was excluded and now participates again
