--- a/internal/raftstore/actions.go
+++ b/internal/raftstore/actions.go
@@ -54,8 +54,8 @@
 	// Lost reports that records were lost in a way that may affect the result: a record that was not found may have existed, and a
 	// position that was found may have been higher.
 	Lost bool
-	// LostAge is how long ago that happened, at least. Age is how long ago a found record was last changed. Both are in microseconds
-	// of the shard's time, which never runs faster than a clock.
+	// LostAge is the minimum time since the records were lost. Age is the time since a found record was last changed. Both are in
+	// microseconds of the shard's time, which never runs faster than a clock.
 	LostAge, Age clock.Micros
 }
 
@@ -74,7 +74,7 @@
 	Order *maintenance.Order
 }
 
-// Drained follows DrainRequested: this gateway no longer leads any group that has another voter, or the drain has timed out.
+// Drained ends the drain that DrainRequested began: this gateway no longer leads any group that has another voter, or the drain has timed out.
 type Drained struct{}
 
 func (Send) action()         {}
--- a/internal/raftstore/calls.go
+++ b/internal/raftstore/calls.go
@@ -89,8 +89,8 @@
 }
 
 // sendCall sends a call to the gateway that leads its group, or that may know the leader. In order of preference, this is the hint,
-// the leader known to the group's member on this gateway, or the gateway that answered last. If none of these is known, or if the
-// call was last sent to the gateway found without a hint, the next candidate is tried.
+// the leader known to the group's member on this gateway, or the gateway that answered last. The next candidate in round-robin order
+// is tried if none of these is known, or if there is no hint and the call was last sent to the gateway found.
 func (h *Host) sendCall(callID uint64, pending *call, hint string) {
 	if pending.attemptedAt = h.now; h.clusterID == 0 {
 		return
--- a/internal/raftstore/clientqueue.go
+++ b/internal/raftstore/clientqueue.go
@@ -31,7 +31,7 @@
 	reads []pendingRead
 }
 
-// clientQueue holds the commands and reads that wait on the group's leader.
+// clientQueue holds the commands and reads that this member, as the group's leader, has accepted and not yet answered.
 type clientQueue struct {
 	proposed    []*api.Command       // commands for the next entry
 	waiting     map[commandID]caller // callers whose commands are not applied yet
@@ -131,7 +131,7 @@
 	}
 }
 
-// rejectReads answers reads with the status that this member does not lead the group.
+// rejectReads answers reads with statusNotLeader, because this member does not lead the group.
 func (g *group) rejectReads(reads []pendingRead) {
 	for _, r := range reads {
 		g.host.reply(r.caller, &api.Reply{Status: uint32(statusNotLeader), Leader: g.leaderName()})
--- a/internal/raftstore/confchange.go
+++ b/internal/raftstore/confchange.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// isCaughtUp reports whether a member is active and at most maxLearnerLag entries behind.
+// isCaughtUp reports whether a member is active and its log is at most maxLearnerLag entries behind this leader's log.
 func (g *group) isCaughtUp(number uint64) bool {
 	last, _ := g.log.LastIndex()
 	caughtUp := false
--- a/internal/raftstore/diskwriter.go
+++ b/internal/raftstore/diskwriter.go
@@ -8,7 +8,7 @@
 // diskWriter is the state of the writes to this gateway's disk. One write is in progress at a time; changes made in the meantime go
 // into the next one.
 type diskWriter struct {
-	failure      string      // why the disk can no longer be written; empty: it can
+	failure      string      // why the disk can no longer be written; empty: it can be written
 	parts        []writePart // parts of the next write
 	deletes      []MemberWrite
 	newlyRetired []MemberRef
@@ -20,7 +20,7 @@
 	started      bool        // the first write has completed, so this incarnation is on the disk
 }
 
-// writePart is one member's part of a write, together with the messages to send once it is durable.
+// writePart is one member's part of a write, together with the messages to send once this part is durable.
 type writePart struct {
 	group     *group
 	message   *pb.Message // from the Raft library; nil: this part is a snapshot made by this package
@@ -77,7 +77,8 @@
 	g.durable.pendingWrites++
 }
 
-// writeCompleted continues the processing that waited for a write.
+// writeCompleted handles the completion of the write with the given number. Each member that has a part in it continues with the
+// work that waited for that part.
 func (h *Host) writeCompleted(number uint64) {
 	if number != h.disk.lastWrite || !h.disk.busy {
 		return
--- a/internal/raftstore/drain.go
+++ b/internal/raftstore/drain.go
@@ -39,7 +39,7 @@
 }
 
 // shedLeadership transfers the leadership of all groups to other members while this gateway's machine is cordoned. It is called at
-// each tick, because the Raft library does not always know which other members are active.
+// each tick, because one call may find no member to transfer to: the Raft library does not always know which members are active.
 func (h *Host) shedLeadership() {
 	for _, g := range h.sortedGroups() {
 		if g.isLeader && len(g.conf.Voters) > 1 && g.node.BasicStatus().LeadTransferee == 0 {
--- a/internal/raftstore/durability.go
+++ b/internal/raftstore/durability.go
@@ -12,8 +12,8 @@
 	api "marblespan/api/raftstorepb"
 )
 
-// queueWrite adds a message's entries and hard state to the next write. If nothing in the message has to be made durable, it
-// continues at once.
+// queueWrite adds a message's entries and hard state to the next write. If nothing in the message has to be made durable and no
+// earlier part of this member waits for the disk, the message counts as written at once.
 func (g *group) queueWrite(m *pb.Message) {
 	same := m.Term == nil || m.GetTerm() == g.durable.hardState.GetTerm() && m.GetVote() == g.durable.hardState.GetVote() && !g.commitsConfChange(m.GetCommit())
 	if len(m.Entries) == 0 && m.Snapshot == nil && same && g.durable.pendingWrites == 0 {
@@ -23,7 +23,7 @@
 	g.queuePart(writePart{message: m, responses: m.Responses})
 }
 
-// commitsConfChange reports whether a commit index covers a configuration change that is not committed on the disk yet.
+// commitsConfChange reports whether a commit index covers a configuration change whose commit is not on the disk yet.
 func (g *group) commitsConfChange(commit uint64) bool {
 	last, _ := g.log.LastIndex()
 	for ; g.durable.scanned < commit; g.durable.scanned++ {
@@ -39,7 +39,7 @@
 }
 
 // applyDurable applies committed entries. A configuration change is applied only once its commit is on the disk. Otherwise, a
-// member that forgot the change in a restart would have the old voters and, if it was the only one of them, elect itself.
+// member could forget the change in a restart. It would then have the old voters and, if it was the only old voter, elect itself.
 func (g *group) applyDurable() {
 	for len(g.pendingApplies) > 0 {
 		m := g.pendingApplies[0]
@@ -61,7 +61,8 @@
 	g.applyDurable()
 }
 
-// finishWrite continues after a part of a write that is on the disk, or that did not have to be written.
+// finishWrite brings the log and the hard state in memory up to date with a part of a write, and delivers the messages that waited
+// for it. The part is on the disk, or did not have to be written.
 func (g *group) finishWrite(part writePart) {
 	m := part.message
 	if m == nil { // a snapshot made by this package
--- a/internal/raftstore/events.go
+++ b/internal/raftstore/events.go
@@ -22,7 +22,7 @@
 type WriteCompleted struct{ Number uint64 }
 
 // DiskFailed reports that the disk can no longer be written. All members on this gateway stop, because anything that they
-// acknowledged from now on could be lost, and the ledger replaces them with other members.
+// acknowledged from now on could be lost. The ledger then replaces them with other members.
 type DiskFailed struct{ Cause string }
 
 // Request is a call by this gateway itself: either a Command whose client and sequence are not set, or a Get. Its Response carries
--- a/internal/raftstore/group.go
+++ b/internal/raftstore/group.go
@@ -21,7 +21,7 @@
 )
 
 // retainedEntries is how many entries before a snapshot stay in the log, so that members that are only slightly behind can catch up
-// without a snapshot. A snapshot is written once the log since the last snapshot is larger than that snapshot and than
+// without a snapshot. A snapshot is written once the log since the last snapshot is larger than both that snapshot and
 // Config.MinLogBytes.
 const retainedEntries = 512
 
@@ -48,7 +48,7 @@
 	durable durableState
 
 	recovery *recovery   // nil: the member is not in recovery and takes part in the group
-	minLog   logPosition // the member does not vote for a log shorter than this, nor campaign until its own log is this long
+	minLog   logPosition // no vote for a candidate whose log is behind this, and no campaign until the own log has reached it
 
 	leaderID uint64
 	isLeader bool
@@ -107,7 +107,7 @@
 		}
 	}
 	if stored.HardState != nil {
-		// The commit index on the disk may be behind the snapshot, because it is only written together with other changes.
+		// The commit index on the disk may be behind the snapshot, because the index is only written together with other changes.
 		g.durable.hardState = &pb.HardState{
 			Term: new(stored.HardState.GetTerm()), Vote: new(stored.HardState.GetVote()), Commit: new(max(stored.HardState.GetCommit(), g.applied)),
 		}
--- a/internal/raftstore/ledger.go
+++ b/internal/raftstore/ledger.go
@@ -9,11 +9,11 @@
 	"marblespan/internal/clock"
 )
 
-// ledger is the state machine of the ledger: which stores exist, and which groups have members on them. The leader plans its
-// changes (planner.plan). Each change is checked again when it is applied: a change that no longer fits the state has no effect.
+// ledger is the state machine of the ledger: which stores exist, and which groups have members on them. The ledger's leader
+// plans the changes (planner.plan). Each change is checked again when it is applied: a change that no longer fits the state has no effect.
 type ledger struct {
 	*api.Ledger
-	notices []Notice // caused by the last entry
+	notices []Notice // caused by the last applied entry
 }
 
 func newLedger() *ledger { return &ledger{Ledger: &api.Ledger{}} }
@@ -216,7 +216,8 @@
 	}
 }
 
-// setVoters records that a group has carried out its pending change, if the change was carried out completely.
+// setVoters records that a group has carried out its pending change. It has no effect unless the reported voters are exactly those
+// that the group is to have after the change.
 func (l *ledger) setVoters(s *api.SetVoters) {
 	g := l.group(s.Group, s.Epoch)
 	if g == nil || g.Adding == nil {
@@ -240,7 +241,8 @@
 	l.addNotice(NoticeVotersChanged, s.Group, s.Epoch, 0, "")
 }
 
-// resetGroup restarts a group empty in its next epoch. The records of the previous epoch are lost, and the loss is recorded.
+// resetGroup restarts a group empty in its next epoch. The records of the previous epoch are lost, and LostAt records when. Unless
+// the reset is forced, it has no effect on a group that still has its quorum.
 func (l *ledger) resetGroup(r *api.ResetGroup) {
 	g, s := l.group(r.Group, r.Epoch), l.store(r.Store)
 	if g == nil || s == nil || s.Removed || r.Group == LedgerGroup || !r.Forced && !quorumLost(l.Ledger, g) {
--- a/internal/raftstore/maintenance.go
+++ b/internal/raftstore/maintenance.go
@@ -16,7 +16,7 @@
 const MaintenanceKey = "maintenance"
 
 // maintenanceState is the host's state for maintenance (internal/maintenance). The maintenance order is part of the ledger. The
-// ledger's leader plans its next steps when there are no changes of the placement to propose.
+// ledger's leader plans the order's next steps when there are no changes of the placement to propose.
 type maintenanceState struct {
 	own           *GatewayReport
 	members       []maintenance.Member
@@ -72,8 +72,8 @@
 	u.reports, u.reportedAt, u.planner, u.waits = nil, nil, maintenance.Planner{}, nil
 }
 
-// clusterView returns the state by which the leader plans maintenance, in addition to the order. A gateway that has a store or is
-// on the roster, but is not known to membership, counts as dead.
+// clusterView returns what the ledger's leader has to know to plan maintenance, in addition to the order. A gateway that has a
+// store or is on the order's roster, but is not known to membership, counts as dead.
 func (h *Host) clusterView(ledger *api.Ledger) *maintenance.ClusterView {
 	state := &h.maintenance
 	h.recordGatewayReport(h.cfg.Name, h.gatewayReport())
@@ -180,7 +180,8 @@
 // isComplete reports whether, according to the ledger, a group has all its voters and no change is pending.
 func isComplete(l *api.Ledger, x *api.Group) bool { return x.Adding == nil && !isBelowTarget(l, x) }
 
-// shardPlacement provides the placement to maintenance.Order.Step.
+// shardPlacement tells maintenance.Order.Step, from the ledger, whether the groups on a gateway are complete and whether two
+// gateways have members of the same group.
 type shardPlacement struct{ *api.Ledger }
 
 func (l shardPlacement) Complete(gateway string) bool {
--- a/internal/raftstore/placement.go
+++ b/internal/raftstore/placement.go
@@ -14,7 +14,7 @@
 )
 
 // placementObservations is what the ledger's leader knows in addition to the ledger, from heartbeats and reports. A new leader
-// starts without any.
+// starts without observations.
 type placementObservations struct {
 	now             clock.Micros
 	leaderSince     clock.Micros                // when this gateway was elected
--- a/internal/raftstore/planner.go
+++ b/internal/raftstore/planner.go
@@ -17,7 +17,8 @@
 	changes           []*api.Change
 }
 
-// plan returns the changes to propose now. Members on a store that is merely silent are replaced only after repairAfter.
+// plan returns the changes to propose now. If a store is silent but not known to be lost, its members are replaced only
+// after repairAfter.
 func (p planner) plan() []*api.Change {
 	replacing := 0
 	for number, g := range p.Groups {
@@ -45,7 +46,7 @@
 func commonFormat(l *api.Ledger) uint32 {
 	oldest := uint32(0)
 	for _, s := range l.Stores {
-		if f := max(s.Format, FirstFormat); !s.Removed && (oldest == 0 || f < oldest) { // the first versions do not report a format
+		if f := max(s.Format, FirstFormat); !s.Removed && (oldest == 0 || f < oldest) { // the first versions report no format
 			oldest = f
 		}
 	}
@@ -163,8 +164,8 @@
 	return 0
 }
 
-// pickStore returns the best fresh store for a group's next member: it is in a zone with the fewest members, and has the highest
-// score among those.
+// pickStore returns the best fresh store for a group's next member. The zones with the fewest members of the group come first;
+// among their stores, the one with the highest rendezvous score is the best. pickStore returns nil if no fresh store can be used.
 func (p *planner) pickStore(id uint32, group *api.Group, removing uint64) (best *api.Store) {
 	zones, taken := map[string]int{}, map[uint64]bool{}
 	for _, r := range group.Voters {
@@ -211,8 +212,8 @@
 	}
 }
 
-// misplaced returns the first voter that is not on one of the ideal stores, and the first ideal store without a voter, or nil if
-// there is none.
+// misplaced returns the first voter that is not on one of the ideal stores, and the first ideal store without a voter. Both are
+// nil if there is no such pair.
 func misplaced(voters []*api.GroupMember, ideal []*api.Store) (*api.GroupMember, *api.Store) {
 	for _, m := range voters {
 		if slices.ContainsFunc(ideal, func(s *api.Store) bool { return s.Id == m.Store }) {
--- a/internal/raftstore/receive.go
+++ b/internal/raftstore/receive.go
@@ -100,7 +100,7 @@
 		h.recordGatewayReport(from, packet.GatewayReport)
 	}
 	if g := h.groups[LedgerGroup]; g != nil && !g.isLeader && (packet.GatewayReport != nil || packet.StoreHeartbeat != nil) {
-		h.packetFor(from) // the header of the answer names the leader
+		h.packetFor(from) // makes the next Flush send an answer, whose header names the leader
 	}
 	if packet.StoreHeartbeat != nil || len(packet.GroupReports) > 0 {
 		h.handleHeartbeat(packet.Store, packet.Incarnation, packet.StoreHeartbeat, packet.GroupReports)
@@ -152,8 +152,8 @@
 	p.RecoveryReplies = append(p.RecoveryReplies, g.recoveryReply(x, h.peers.progress[MemberRef{x.Group, x.Epoch, x.Member}]))
 }
 
-// handleRecoveryReply handles a reply to a member that runs on this gateway. A member whose disk turns out to be stale is stopped
-// and never runs again.
+// handleRecoveryReply handles a reply to a member that runs on this gateway. If the reply says that the
+// member's disk is stale, because it lacks what the member had acknowledged, the member is stopped and never runs again.
 func (h *Host) handleRecoveryReply(x *api.RecoveryReply) {
 	g := h.groups[x.Group]
 	if g == nil || g.epoch != x.Epoch || g.member != x.Member || g.recovery == nil || g.recovery.replied[x.Peer] {
--- a/internal/raftstore/recovery.go
+++ b/internal/raftstore/recovery.go
@@ -26,11 +26,13 @@
 	return e
 }
 
-// recovery is what a member has learned from the other members since its start. Its disk may be an older copy, in which case the
-// member has forgotten which entries it acknowledged and which votes it gave. Once the other members have replied, this does no
-// harm: the leader knows which entries this member acknowledged; every committed entry is in the log of a member that replied, and
-// this member votes only for candidates whose log is at least as long as the longest of these logs; and the members that replied
-// know the terms in which this member may have voted.
+// recovery is what a member has learned from the other members since its start. Its disk may be an older copy. In that case, the
+// member has forgotten which entries it acknowledged and which votes it gave. This does no harm once the other members have
+// replied:
+//   - The leader knows which entries this member acknowledged.
+//   - Every committed entry is in the log of a member that replied. This member votes only for candidates whose log is at least as
+//     long as the longest of these logs.
+//   - The members that replied know the terms in which this member may have voted.
 type recovery struct {
 	replied       map[uint64]bool
 	applied       uint64            // applied index of the latest configuration that any member knows
@@ -85,9 +87,10 @@
 // Nor is a reply required from a member that the ledger has removed. The ledger confirms a change only after a leader has applied
 // all of it, so the change is in the logs of a majority of the voters before it and of a majority of the voters after it. All
 // voters after the change are queried. Therefore, anything that only the removed member knows either belongs to an earlier term
-// than the one that they reply with, or required a majority of them. While the ledger has a change pending, however, a member that
-// the ledger does not name may still be a voter: the ledger may have given up on a member that became a voter all the same.
-// Therefore, its reply is required.
+// than the one that these voters reply with, or required a majority of these voters.
+//
+// This does not hold while the ledger has a change pending. The ledger may have given up on adding a member that then became a
+// voter all the same. A member that the ledger does not name may thus be a voter, so its reply is required.
 func (g *group) queryPeers() {
 	state := g.recovery
 	var members []*api.GroupMember
@@ -96,7 +99,7 @@
 		members, confirmed = groupMembers(x), x.Adding == nil
 	}
 	required := g.recovery.requiredReplies(members, confirmed, g.host.ledger.NextMember)
-	waiting := len(state.voters) == 0 // the disk is from before the member was added, so it must first learn the group's members
+	waiting := len(state.voters) == 0 // the disk is from before the member was added, so the member must first learn who the group's members are
 	for _, n := range slices.Sorted(maps.Keys(required)) {
 		i := slices.IndexFunc(members, func(r *api.GroupMember) bool { return r.Id == n })
 		if state.replied[n] || i >= 0 && memberLost(g.host.ledger, members[i]) {
@@ -128,7 +131,7 @@
 		}
 	}
 	for n, index := range r.pendingVoters {
-		if index > r.applied && mayCount(n) { // otherwise it is in the configuration, or has been removed again
+		if index > r.applied && mayCount(n) { // otherwise the member is already in the configuration, or has been removed again
 			required[n] = true
 		}
 	}
@@ -146,8 +149,8 @@
 	})
 }
 
-// recoveryReply returns the reply to a member that has restarted. known is the log position that this member is known to have
-// acknowledged.
+// recoveryReply returns the reply to a member that has restarted. known is the log position that the restarted member is
+// known to have acknowledged.
 func (g *group) recoveryReply(x *api.RecoveryQuery, known logPosition) *api.RecoveryReply {
 	last := g.lastPosition()
 	return &api.RecoveryReply{
@@ -187,7 +190,7 @@
 	}
 }
 
-// mayHaveVoted reports whether the member may have cast a vote in the latest term that its disk does not contain.
+// mayHaveVoted reports whether the member may have cast a vote in the latest term without that vote being on its disk.
 func (g *group) mayHaveVoted(r *recovery) bool {
 	term, vote := g.durable.hardState.GetTerm(), g.durable.hardState.GetVote()
 	switch {
@@ -221,7 +224,8 @@
 	next.queuePart(writePart{snapshot: s, hardState: next.durable.hardState})
 }
 
-// mayReceive reports whether a message may be handled. Vote requests for a log that is behind minLog may not.
+// mayReceive reports whether a message may be handled. A vote request may not be handled if the candidate's log is behind
+// minLog.
 func (g *group) mayReceive(m *pb.Message) bool {
 	if g.minLog == (logPosition{}) || m.GetType() != pb.MsgVote && m.GetType() != pb.MsgPreVote {
 		return true
--- a/internal/raftstore/shard.go
+++ b/internal/raftstore/shard.go
@@ -21,7 +21,7 @@
 // record is one record of a shard.
 type record struct {
 	value      []byte
-	version    uint64 // the shard's version at the record's last write; no two writes have the same
+	version    uint64 // the shard's version at the record's last write; no two writes have the same version
 	position   uint64
 	isPosition bool
 	expiresAt  clock.Micros
@@ -43,7 +43,7 @@
 	resetPending bool         // the previous epoch was lost and the next entry sets lostAt
 	lastVersion  uint64
 	records      map[string]record
-	expiries     []expiry // a heap; an element may be earlier than its record's current expiry, which expire corrects
+	expiries     []expiry // a heap; an element may be earlier than its record's expiresAt, in which case expire adds a later one
 	clients      map[uint64]*client
 	bytes        int64
 	maxFormat    uint32 // the latest record format that this gateway understands
@@ -215,7 +215,7 @@
 	if exists {
 		out.Found, out.Value, out.Version, out.Position, out.Age = true, r.value, r.version, r.position, int64(s.now-r.changedAt)
 	}
-	// The position may have been higher before the loss, and have been raised again since.
+	// A position that was found may have been higher before the loss, because it may have been created again since.
 	if !exists || r.isPosition {
 		out.LostBefore = s.lostBefore()
 	}
--- a/internal/raftstore/snapshot.go
+++ b/internal/raftstore/snapshot.go
@@ -6,7 +6,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// storage implements the Raft library's Storage. Snapshots are not kept, but created on request.
+// storage is the log in memory from which the Raft library reads (its Storage interface). A snapshot is not kept in it, but
+// created from the state machine when the library requests one.
 type storage struct {
 	*raft.MemoryStorage
 	group *group
