--- a/internal/raftgateway/records.go
+++ b/internal/raftgateway/records.go
@@ -30,7 +30,7 @@
 
 // Put stores a record if the stored record has the given version or, with version 0, if there is no stored record. The record is kept
 // for ttl after its last change. done is called as described for raftnode.Node.Submit, no later than at the deadline, usually by the
-// node's event loop. It must not block.
+// node's event loop. done must not block.
 func (s store) Put(key, value []byte, version uint64, ttl time.Duration, deadline time.Time, done func(intents.StoreReply)) {
 	command := &api.Command{Put: &api.Put{Key: key, Value: value, Conditional: true, Version: version, Ttl: ttl.Microseconds()}}
 	s.Call(key, command, deadline, func(a raftstore.Response) { done(replyFrom(a)) })
--- a/internal/raftnode/calls.go
+++ b/internal/raftnode/calls.go
@@ -44,7 +44,8 @@
 // shardAvailability tracks which shards are likely to respond. It is safe for concurrent use.
 type shardAvailability struct {
 	count atomic.Int64 // number of shards; 0 means that no store is known
-	// failedAt is the time at which a shard's last call failed, in microseconds of Unix time; 0 means that it succeeded.
+	// failedAt is the time at which a shard's last call failed, in microseconds of Unix time; 0 means that this call succeeded, or
+	// that there was none.
 	failedAt [raftstore.MaxShards + 1]atomic.Int64
 }
 
@@ -67,7 +68,8 @@
 	return last == 0 || now-last > retryBackoff.Microseconds() && failedAt.CompareAndSwap(last, now)
 }
 
-// record stores whether a call to a shard succeeded, for available.
+// record stores the outcome of a call to a shard, on which the next calls of available are based. The call counts as failed if it had
+// no result in time, was not sent, or found the shard full.
 func (s *shardAvailability) record(shard uint32, status raftstore.Status) {
 	at := int64(0)
 	switch status {
@@ -78,8 +80,8 @@
 }
 
 // Submit starts a call without blocking. If the inbox is full or the node is closing, Submit itself calls done with StatusNotSent.
-// Otherwise the event loop calls done with the response no later than at the deadline, or when the node closes; but if the call is
-// still in the inbox when the node closes, done is never called. done must not block.
+// Otherwise the event loop calls done with the response, at the latest at the deadline or when the node closes. There is one exception:
+// if the call is still in the inbox when the node closes, done is never called. done must not block.
 func (n *Node) Submit(request raftstore.Request, deadline time.Time, done func(raftstore.Response)) {
 	submit := func() {
 		request.ID, request.Deadline = n.calls.add(done), n.clock.Now()+micros(time.Until(deadline))
@@ -102,7 +104,8 @@
 }
 
 // RaisePosition raises the position stored under a key to at least the given one, and keeps it for ttl. done is called as described
-// for Submit, with true if a majority of the shard's members has stored the position.
+// for Submit, with true if a majority of the shard's members has stored the position. If no store is known, RaisePosition itself calls
+// done with false.
 func (n *Node) RaisePosition(key []byte, position uint64, ttl time.Duration, deadline time.Time, done func(bool)) {
 	shard, known := n.shards.shardOf(key)
 	if !known {
--- a/internal/raftnode/disk.go
+++ b/internal/raftnode/disk.go
@@ -10,8 +10,8 @@
 	"marblespan/internal/raftstore"
 )
 
-// storage holds the storage file and its witness. Start opens the files. After that, only the disk writer writes to them, until Close
-// closes them when the disk writer has ended.
+// storage holds the storage file and its witness. Start opens the files. After that, only the disk writer writes to them. Close
+// closes the files once the disk writer has ended.
 type storage struct {
 	file    *raftstorage.File    // nil if the groups are kept in memory only
 	witness *raftstorage.Witness // nil if there is none
@@ -65,8 +65,8 @@
 	return stored, trusted, nil
 }
 
-// openFile opens the storage file. A damaged file is renamed, so that an operator can examine it. The gateway has then lost its disk
-// and continues with a new file.
+// openFile opens the storage file. A damaged file is renamed, so that an operator can examine it. This counts as the loss of the
+// gateway's disk; the gateway continues with a new file.
 func (n *Node) openFile(path string) (*raftstorage.File, *raftstore.StoredState, error) {
 	file, stored, err := raftstorage.Open(path)
 	var damaged *raftstorage.DamagedError
--- a/internal/raftnode/eventloop.go
+++ b/internal/raftnode/eventloop.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// pollMembers passes the names of the reachable gateways to the host and, if maintenance is enabled, their membership.
+// pollMembers passes to the host the names of the reachable gateways and, if maintenance is enabled, the gateways known to membership.
 func (n *Node) pollMembers() {
 	n.host.Handle(n.clock.Now(), raftstore.PeersChanged{Names: n.settings.Peers()})
 	if n.settings.MaintenanceLimits != nil {
--- a/internal/raftnode/node.go
+++ b/internal/raftnode/node.go
@@ -32,7 +32,8 @@
 type Settings struct {
 	Node, Zone string
 	Weight     uint32
-	// RunsGroups reports whether this gateway has members of the Raft groups. If not, it sends its calls to gateways that have them.
+	// RunsGroups reports whether this gateway has members of the Raft groups. If not, the gateway only sends calls, to gateways that
+	// have members.
 	RunsGroups bool
 	// StoragePath is the path of the storage file. If it is empty, the groups are kept in memory only, and a restart counts as the
 	// loss of a disk.
@@ -95,7 +96,7 @@
 	shards    shardAvailability
 	commandMu sync.Mutex // serializes maintenance commands, so that they reach the ledger in order
 
-	leadershipTransferred chan struct{} // closed by the event loop when the host no longer leads any group
+	leadershipTransferred chan struct{} // closed by the event loop when the host emits raftstore.Drained
 	quit                  chan struct{}
 	closeOnce             sync.Once
 	goroutines            sync.WaitGroup
--- a/internal/raftnode/status.go
+++ b/internal/raftnode/status.go
@@ -79,13 +79,14 @@
 // awaitInterval is how often AwaitComplete and AwaitIncomplete check the state.
 const awaitInterval = 5 * time.Millisecond
 
-// AwaitComplete waits until every group has all its voters according to this gateway's copy of the ledger. It returns false if that
-// takes longer than timeout.
+// AwaitComplete waits until, according to this gateway's copy of the ledger, every group has all its voters and no change is pending
+// (raftstore.Overview.Complete). It returns false if that takes longer than timeout.
 func (n *Node) AwaitComplete(timeout time.Duration) bool {
 	return n.awaitComplete(timeout, true)
 }
 
-// AwaitIncomplete waits until at least one group lacks a voter. It returns false if that takes longer than timeout.
+// AwaitIncomplete waits until the condition of AwaitComplete does not hold for at least one group. It returns false if that takes
+// longer than timeout.
 func (n *Node) AwaitIncomplete(timeout time.Duration) bool {
 	return n.awaitComplete(timeout, false)
 }
--- a/internal/raftstorage/bucket.go
+++ b/internal/raftstorage/bucket.go
@@ -24,8 +24,8 @@
 	return binary.BigEndian.AppendUint64(nil, d.Sum64())
 }
 
-// verify checks a stored value and returns a copy of it without its checksum. It is a copy because the file's pages are valid only
-// during the transaction.
+// verify checks a stored value and returns a copy of it without its checksum. A copy is needed because the file's pages are valid
+// only during the transaction.
 func verify(key, raw []byte) ([]byte, error) {
 	size := len(raw) - checksumSize
 	if size < 0 {
--- a/internal/raftstorage/errors.go
+++ b/internal/raftstorage/errors.go
@@ -9,7 +9,7 @@
 	bbolterrors "go.etcd.io/bbolt/errors"
 )
 
-// Causes of a DamagedError that this package detects. Other causes are errors of bbolt.
+// Causes of a DamagedError that this package detects. Other causes are, for example, errors and panics of bbolt.
 var (
 	// ErrFormat means that the file belongs to another program or has another version of the layout.
 	ErrFormat = errors.New("not a state store of this version")
@@ -26,7 +26,8 @@
 	ErrWriteFailed = errors.New("raftstorage: not written, because an earlier write failed")
 )
 
-// DamagedError means that a file must not be used, because none of its content can be relied on. Its gateway has lost its disk.
+// DamagedError means that a file must not be used, because none of its content can be relied on. For the file's
+// gateway, this is the loss of its disk.
 type DamagedError struct {
 	Path  string
 	Cause error
@@ -55,8 +56,8 @@
 }
 
 // guardContent runs a function that reads or writes a file. It converts every error that may be caused by damaged content, and every
-// panic of bbolt, into a *DamagedError. bbolt does not check the lengths in the file's pages: with a damaged length it accesses memory
-// outside of the mapped file, which ends the process unless SetPanicOnFault turns the fault into a panic on this goroutine. The setting
+// panic of bbolt, into a *DamagedError. bbolt does not check the lengths in the file's pages. With a damaged length, it accesses memory
+// outside of the mapped file. This fault would end the process, but SetPanicOnFault turns it into a panic on this goroutine. The setting
 // costs nothing as long as every address is valid.
 func guardContent(path string, do func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
--- a/internal/raftstorage/file.go
+++ b/internal/raftstorage/file.go
@@ -1,6 +1,7 @@
 // Package raftstorage stores a gateway's members of the Raft groups in one file (go.etcd.io/bbolt). Each raftstore.Write is one
-// transaction with one sync. Every value has a checksum over its key and itself, so that damage is detected. A file that is damaged
-// anywhere is treated as damaged as a whole: its gateway has lost its disk, and gets the content from the other members.
+// transaction with one sync. Every value has a checksum over the key and the value, so that damage is detected. A file that is damaged
+// anywhere is treated as damaged as a whole. This counts as the loss of the gateway's disk: the gateway gets the content from the other
+// members.
 //
 // internal/raftnode opens the file and is its only writer (see Open). The command that checks a store uses Check to read a file that is
 // not in use. The layout is described in layout.go. File.load and guardContent decide which content is damaged.
@@ -39,8 +40,8 @@
 	f := &File{}
 	var stored *raftstore.StoredState
 	err := guardContent(path, func() (err error) {
-		// The list of free pages is stored in the file (NoFreelistSync is not set), because to rebuild the list bbolt would read all
-		// pages on a separate goroutine, where a panic caused by a damaged page could not be recovered.
+		// The list of free pages is stored in the file (NoFreelistSync is not set). Otherwise, bbolt would rebuild the list by reading
+		// all pages on a separate goroutine, where a panic caused by a damaged page could not be recovered.
 		f.db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType})
 		if err != nil {
 			return openError(err)
--- a/internal/raftstore/actions.go
+++ b/internal/raftstore/actions.go
@@ -74,7 +74,8 @@
 	Order *maintenance.Order
 }
 
-// Drained ends the drain that DrainRequested began: this gateway no longer leads any group that has another voter, or the drain has timed out.
+// Drained ends the drain that DrainRequested began: this gateway no longer leads any group that has another voter, or the drain has
+// timed out.
 type Drained struct{}
 
 func (Send) action()         {}
--- a/internal/raftstore/ledger.go
+++ b/internal/raftstore/ledger.go
@@ -10,7 +10,8 @@
 )
 
 // ledger is the state machine of the ledger: which stores exist, and which groups have members on them. The ledger's leader
-// plans the changes (planner.plan). Each change is checked again when it is applied: a change that no longer fits the state has no effect.
+// plans the changes (planner.plan). Each change is checked again when it is applied: a change that no longer fits the state has no
+// effect.
 type ledger struct {
 	*api.Ledger
 	notices []Notice // caused by the last applied entry
--- a/internal/raftstore/recovery.go
+++ b/internal/raftstore/recovery.go
@@ -99,7 +99,7 @@
 		members, confirmed = groupMembers(x), x.Adding == nil
 	}
 	required := g.recovery.requiredReplies(members, confirmed, g.host.ledger.NextMember)
-	waiting := len(state.voters) == 0 // the disk is from before the member was added, so the member must first learn who the group's members are
+	waiting := len(state.voters) == 0 // the disk is from before the member was added, so the member does not know its group yet
 	for _, n := range slices.Sorted(maps.Keys(required)) {
 		i := slices.IndexFunc(members, func(r *api.GroupMember) bool { return r.Id == n })
 		if state.replied[n] || i >= 0 && memberLost(g.host.ledger, members[i]) {
