--- a/internal/gossip/agent.go
+++ b/internal/gossip/agent.go
@@ -150,7 +150,8 @@
 	return to.String(), true
 }
 
-// updateRoutes derives from Settings.Via the addresses of streams and the advertised addresses of the sources of datagrams.
+// updateRoutes updates the two maps that follow from Settings.Via: streamRoutes, for opening streams, and advertisedOf, which maps
+// the source of a datagram to the address that the source advertises.
 func (a *Agent) updateRoutes() {
 	a.streamRoutes.Store(&a.settings.Via)
 	a.advertisedOf = make(map[netip.AddrPort]netip.AddrPort, len(a.settings.Via))
--- a/internal/gossip/loop.go
+++ b/internal/gossip/loop.go
@@ -25,7 +25,8 @@
 	address netip.AddrPort
 }
 
-// loopHandler implements datagrams.Handler for an Agent.
+// loopHandler has the methods that datagrams.Loop calls on its goroutine (datagrams.Handler). It is a type of its own, so that
+// Agent does not export these methods.
 type loopHandler struct{ *Agent }
 
 // Start starts the machine, which joins the other members.
@@ -84,7 +85,7 @@
 }
 
 // reserveSender counts a sender that the replay guard does not track yet. If there are more than maxSenders, the replay guard
-// drops all senders.
+// forgets all senders.
 func (a *Agent) reserveSender(from sender) {
 	if a.replay.KnownStart(from) != 0 {
 		return
@@ -153,7 +154,7 @@
 	}
 	line := a.log.Info()
 	if c.State == membership.Suspect || c.State == c.Previous && !c.NewGeneration {
-		line = a.log.Debug() // because most suspicions are refuted; the counters show how many
+		line = a.log.Debug() // not Info, because most suspicions are refuted; the counters show how many
 	}
 	line.Str("member", c.Name).Uint64("life", c.Generation).Stringer("from", c.Previous).Stringer("to", c.State).Bool("new", c.NewGeneration).
 		Str("by", c.ReportedBy).Str("at", c.Address.String()).Msg("member")
--- a/internal/gossip/status.go
+++ b/internal/gossip/status.go
@@ -39,7 +39,7 @@
 // Status describes all members as this gateway sees them: first this gateway, then the others in the order of their names.
 type Status struct {
 	Node        string   `json:"node"`
-	Excluded    bool     `json:"left_out"` // another process owns its name
+	Excluded    bool     `json:"left_out"` // another process owns this gateway's name
 	LocalHealth int      `json:"health"`   // factor by which this gateway extends its timeouts; 1 if healthy
 	Members     []Member `json:"members"`
 }
@@ -100,8 +100,8 @@
 // streamPingTimeout is how long StatusWithStreams waits for the answers to its pings.
 const streamPingTimeout = 1500 * time.Millisecond
 
-// StatusWithStreams returns the same as Status and, if there are streams, also pings each other member that is alive or suspect over
-// the streams in both directions.
+// StatusWithStreams returns the same as Status and, if there are streams, also pings each other member that is alive or suspect.
+// The ping uses this gateway's stream to the member, and the answer the member's stream to this gateway.
 func (a *Agent) StatusWithStreams() Status {
 	s := a.Status()
 	deadline := time.Now().Add(streamPingTimeout)
--- a/internal/raftnode/eventloop.go
+++ b/internal/raftnode/eventloop.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// pollMembers passes to the host the names of the reachable gateways and, if maintenance is enabled, the gateways known to membership.
+// pollMembers passes to the host the names of the reachable gateways and, if maintenance is enabled, the gateways that membership
+// knows.
 func (n *Node) pollMembers() {
 	n.host.Handle(n.clock.Now(), raftstore.PeersChanged{Names: n.settings.Peers()})
 	if n.settings.MaintenanceLimits != nil {
--- a/internal/streams/inbound.go
+++ b/internal/streams/inbound.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// acceptHandshake sends the greeting, whose random number the signatures of the stream's frames include, and reads the hello,
-// which contains the sender's name.
+// acceptHandshake sends the greeting and reads the hello, which contains the sender's name. The greeting contains a random number,
+// which the signatures of the stream's frames include.
 func (x *Streams) acceptHandshake(c *transport.Conn) (*reader, error) {
 	greeting := make([]byte, greetingSize)
 	greeting[0] = version
--- a/internal/streams/peer.go
+++ b/internal/streams/peer.go
@@ -15,7 +15,7 @@
 	mu          sync.Mutex
 	queue       []Message
 	queuedBytes int
-	conn        *transport.Conn // the open stream, for abort
+	conn        *transport.Conn // connection of the open stream, which abort ends; nil: no stream is open
 }
 
 // enqueue queues a message. If the queue is full, it drops the oldest messages without NoDrop to make room, and returns them.
@@ -78,7 +78,7 @@
 }
 
 // setConn stores the connection of the open stream, for abort; nil means that no stream is open. It returns false if the
-// streams are closing, and the connection must not be used.
+// streams are closing; the connection must not be used then.
 func (p *peer) setConn(c *transport.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,7 +86,7 @@
 	return !p.streams.closing()
 }
 
-// reportLost counts messages that were not written completely, and calls their OnLost functions.
+// reportLost counts messages that may not have been written completely, and calls their OnLost functions with handedOver.
 func (p *peer) reportLost(all []Message, handedOver bool) {
 	p.streams.Counts.Lost.Add(int64(len(all)))
 	for i := range all {
--- a/internal/streams/sender.go
+++ b/internal/streams/sender.go
@@ -33,7 +33,7 @@
 		if s.stream == nil && !s.open() {
 			continue
 		}
-		if p.streams.closing() { // if Close has called abort before the next write sets its deadline, the abort would not end that write
+		if p.streams.closing() { // a write would fail now; the queued messages are reported below as lost and not handed over
 			continue
 		}
 		s.sendBatch()
--- a/internal/streams/streams.go
+++ b/internal/streams/streams.go
@@ -1,5 +1,5 @@
-// Package streams carries messages between gateways that are too large for a datagram. Between two gateways there is one TCP
-// stream in each direction, which is opened by the gateway that sends on it. Frames are signed with the same keys as datagrams.
+// Package streams carries messages that are too large for a datagram from gateway to gateway. Between two gateways there is one
+// TCP stream in each direction. The gateway that sends on a stream opens it. Frames are signed with the same keys as datagrams.
 // The signature includes a random number that the listener has chosen for the stream, so that an attacker cannot replay a
 // recorded stream. The package does not interpret the messages of other packages.
 //
@@ -82,9 +82,9 @@
 	// NoDrop keeps the message when the queue is full. To make room for a new message, a full queue drops its oldest messages
 	// without NoDrop.
 	NoDrop bool
-	// OnLost is called once if the message was not passed to the kernel completely. handedOver is true if it may have been
-	// passed in part; the message may have arrived nevertheless. OnLost must not block, and may be nil. A message may also be
-	// lost without a call of OnLost, for example if the receiving machine fails.
+	// OnLost is called once if the message may not have been passed to the kernel completely. handedOver is true if at least a
+	// part of the message may have been passed; the message may then have arrived. OnLost must not block, and may be nil. A
+	// message may also be lost without a call of OnLost, for example if the receiving machine fails.
 	OnLost func(handedOver bool)
 }
 
