--- a/internal/gossip/status.go
+++ b/internal/gossip/status.go
@@ -101,7 +101,7 @@
 const streamPingTimeout = 1500 * time.Millisecond
 
 // StatusWithStreams returns the same as Status and, if there are streams, also pings each other member that is alive or suspect.
-// The ping uses this gateway's stream to the member, and the answer the member's stream to this gateway.
+// A ping goes over this gateway's stream to the member. The answer comes over the member's stream to this gateway.
 func (a *Agent) StatusWithStreams() Status {
 	s := a.Status()
 	deadline := time.Now().Add(streamPingTimeout)
--- a/internal/raftgateway/store.go
+++ b/internal/raftgateway/store.go
@@ -21,7 +21,7 @@
 // minLogBytes is the size that a shard's log must reach before it may be replaced by a snapshot, in bytes.
 const minLogBytes = 1 << 20
 
-// Format is the latest record format that this program claims to understand. If Format is empty, this is the latest format of this version.
+// Format is the latest record format that this program claims to understand. An empty Format stands for the latest format of this version.
 // The upgrade tests set it with -ldflags -X to build programs that claim another format.
 var Format string
 
--- a/internal/raftnode/calls.go
+++ b/internal/raftnode/calls.go
@@ -44,8 +44,8 @@
 // shardAvailability tracks which shards are likely to respond. It is safe for concurrent use.
 type shardAvailability struct {
 	count atomic.Int64 // number of shards; 0 means that no store is known
-	// failedAt is the time at which a shard's last call failed, in microseconds of Unix time; 0 means that this call succeeded, or
-	// that there was none.
+	// failedAt is when a shard's backoff began, in microseconds of Unix time: when its last call failed, or when available last let a
+	// caller try again. 0 means that the last call succeeded, or that there was none.
 	failedAt [raftstore.MaxShards + 1]atomic.Int64
 }
 
--- a/internal/raftnode/node.go
+++ b/internal/raftnode/node.go
@@ -32,7 +32,7 @@
 type Settings struct {
 	Node, Zone string
 	Weight     uint32
-	// RunsGroups reports whether this gateway has members of the Raft groups. If not, the gateway only sends calls, to gateways that
+	// RunsGroups reports whether this gateway has members of the Raft groups. If not, the gateway sends its calls to gateways that
 	// have members.
 	RunsGroups bool
 	// StoragePath is the path of the storage file. If it is empty, the groups are kept in memory only, and a restart counts as the
--- a/internal/raftnode/status.go
+++ b/internal/raftnode/status.go
@@ -85,8 +85,7 @@
 	return n.awaitComplete(timeout, true)
 }
 
-// AwaitIncomplete waits until the condition of AwaitComplete does not hold for at least one group. It returns false if that takes
-// longer than timeout.
+// AwaitIncomplete waits until the condition of AwaitComplete does not hold. It returns false if that takes longer than timeout.
 func (n *Node) AwaitIncomplete(timeout time.Duration) bool {
 	return n.awaitComplete(timeout, false)
 }
--- a/internal/raftstore/host.go
+++ b/internal/raftstore/host.go
@@ -93,7 +93,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(h.groups)) {
 		g := h.groups[id]
-		g.recovery = &recovery{} // so that processReady sends nothing, as in recovery
+		g.recovery = &recovery{} // marks the member as in recovery, so that processReady sends nothing
 		g.processReady()
 		if h.disk.failure != "" {
 			return fmt.Errorf("raftstore: %s", h.disk.failure)
--- a/internal/streams/sender.go
+++ b/internal/streams/sender.go
@@ -33,7 +33,7 @@
 		if s.stream == nil && !s.open() {
 			continue
 		}
-		if p.streams.closing() { // a write would fail now; the queued messages are reported below as lost and not handed over
+		if p.streams.closing() { // Close aborts writes from now on; the queued messages are reported below as lost and not handed over
 			continue
 		}
 		s.sendBatch()
