--- a/internal/raftstorage/witness.go
+++ b/internal/raftstorage/witness.go
@@ -9,7 +9,7 @@
 
 // Witness is a small file that records the latest write to the storage file. It is on a file system that is empty after each boot of
 // the machine (/run). If a restarted process finds that the witness matches the storage file, the storage file contains the last write
-// before the restart. The group members on this gateway then need not ask the others what these members had acknowledged. The
+// before the restart. A group member on this gateway then need not ask the other members how far its own log had got. The
 // witness does not match after a reboot of the machine, or if the storage file has been replaced by an older copy.
 //
 // The goroutine that writes to the storage file (see Open) also writes the witness.
