--- a/internal/session/answers.go
+++ b/internal/session/answers.go
@@ -11,7 +11,7 @@
 )
 
 // maxPipelined is the maximum number of unanswered queries per connection. When it is reached, the connection is not read from,
-// so that a client that sends hundreds of queries at once uses a bounded share of the memory and of the owner's time.
+// so that a client that sends hundreds of queries at once uses a bounded share of the memory and of the routing owner's time.
 const maxPipelined = 64
 
 // push appends a query to the queue, whose order is the order of the answers.
@@ -36,7 +36,8 @@
 }
 
 // sentAhead reports whether the client sends without waiting for answers: bytes are buffered beyond the message just read, or
-// queries are unanswered. Such a client may have closed the connection already, with the close behind unread bytes.
+// queries are unanswered. Such a client may already have closed the connection, although a read would report the close only after
+// the unread bytes.
 func (c *client) sentAhead() bool { return c.conn.Buffered() > 0 || c.waiting() > 0 }
 
 // waiting returns the number of unanswered queries.
@@ -98,7 +99,7 @@
 	return c.penalize()
 }
 
-// withReason returns the error together with the reason to record for the connection's end.
+// withReason returns an error together with the reason that is recorded if the error ends the connection.
 func withReason(err error) (transport.Reason, error) {
 	if err != nil {
 		return transport.ReasonOf(err), err
@@ -107,8 +108,8 @@
 }
 
 // watch waits while queries are unanswered. It returns ErrWoken when the answer to the oldest query is available or the time
-// set by cutOff has passed, and nil when another message has arrived: completely if it fits into a buffer, otherwise its header.
-// If the client closes the connection meanwhile, the reason is EndClientDisconnected.
+// set by cutOff has passed. It returns nil when another message has arrived completely or, if the message does not fit into a
+// buffer, when its header has arrived. If the client closes the connection meanwhile, the reason is EndClientDisconnected.
 func (c *client) watch() (transport.Reason, error) {
 	if c.readingStopped || c.waiting() >= maxPipelined {
 		return c.watchUnread()
@@ -156,8 +157,8 @@
 	}
 }
 
-// abandonQueries starts the cleanup after a client has disconnected. It is the last step of the connection's goroutine. Answers
-// that have arrived or still arrive are dropped. Each open query is handled in one of two ways:
+// abandonQueries drops the queries that are still in the queue when client.run returns. Their answers are freed, whether they have
+// arrived or still arrive. Each query without an answer is handled in one of two ways:
 //   - A query in routing: ClientDisconnected is posted, and routing cancels the attempt (see package routing).
 //   - An in-doubt write: Write.Cancel informs its resolver. An attempt already sent is not cancelled, so that a client that
 //     repeats the write gets its result.
--- a/internal/session/client.go
+++ b/internal/session/client.go
@@ -14,16 +14,16 @@
 )
 
 // maxBadMessages is the number of bad messages after which a connection is ended. Each bad message is followed by a backoff twice
-// as long as the previous one, so that the last ones arrive seconds after the first. The limit guards against clients that repeat
-// the same bad message at full speed; a client that works correctly sends none.
+// as long as the previous backoff, so that the last bad message is read seconds after the first. The limit guards against clients
+// that repeat the same bad message at full speed; a client that works correctly sends none.
 const maxBadMessages = 8
 
-// closeCheck is the interval at which a connection that is not being read from is polled for a close by the client. After a close
-// its requests are cancelled, and no attempt may begin more than 0.1 s after the close.
+// closeCheck is the interval at which a connection that is not being read from is polled for a close by the client. A close cancels
+// the client's requests, and no attempt for them may begin more than 0.1 s after the close.
 const closeCheck = 40 * time.Millisecond
 
-// lateRequestGrace is how much longer the connection waits for a request that has begun to arrive when the idle time or, in a
-// shutdown, the time for reading is up.
+// lateRequestGrace is the extra time for the rest of a request that has begun to arrive when the connection would otherwise stop
+// reading: at the end of the idle time or, in a shutdown, at Clients.CutOff.
 const lateRequestGrace = 100 * time.Millisecond
 
 // client is one client's connection. Only its goroutine reads and writes the socket. It submits each query as soon as it has been
@@ -32,7 +32,7 @@
 type client struct {
 	all         *Clients
 	conn        *transport.Conn
-	answerReady chan struct{} // signals a delivered answer while the goroutine does not wait on the socket
+	answerReady chan struct{} // signals a delivered answer when the goroutine is not waiting on the socket
 
 	mu          sync.Mutex
 	queue       []*pendingQuery // unanswered, oldest first
@@ -46,7 +46,7 @@
 	sentRequest          bool      // the client has sent a complete request
 	badMessages          int       // number received so far
 
-	skipping       bool             // after an error in the extended protocol, up to Sync
+	skipping       bool             // messages up to Sync are skipped, after an error in the extended protocol
 	readingStopped bool             // nothing more is read: the framing is lost, or the gateway shuts down
 	writeReason    transport.Reason // why an answer could not be written while a message was read
 	writeErr       error
@@ -122,7 +122,8 @@
 	return c.serveMessages()
 }
 
-// startup reads and answers the packets before the first message. It returns a nil error when the session has started.
+// startup reads and answers the start-up packets, which precede the first message. It returns a nil error when the session has
+// started.
 func (c *client) startup(process uint32) (transport.Reason, error) {
 	for {
 		if reason, err := c.idle(4); err != nil {
@@ -231,8 +232,8 @@
 	return c.reject(errors.New("message of unknown type " + strconv.Quote(string(header.Type))))
 }
 
-// idle waits for n bytes between requests. A request that has begun to arrive is served even if the connection has been asked to
-// close.
+// idle waits for n bytes between requests. If a request has begun to arrive when CloseIdle is called, idle still waits for it, but
+// not past the time set by cutOff.
 func (c *client) idle(n int) (transport.Reason, error) {
 	kind := transport.IdleNewClient
 	if c.sentRequest {
@@ -349,9 +350,9 @@
 	return transport.EndProtocol, cause
 }
 
-// announceClose sends an error to an idle client before its connection is closed, after which the client may connect again at
-// once. If the client has just sent a request, it takes the error as that request's rejection. Without the error, it could not
-// know whether the request was read, and would have to treat an in-doubt write as possibly executed.
+// announceClose sends an error to an idle client before its connection is closed. The error allows the client to connect again at
+// once. A client that has just sent a request takes the error as the rejection of that request. Without the error, the client could
+// not know whether the request was read, and would have to treat an in-doubt write as possibly executed.
 func (c *client) announceClose(why string) {
 	if c.write(postgres.AppendErrorResponse(nil, true, postgres.CodeCannotConnectNow, why, 0)) == nil {
 		c.all.linger(c.conn)
--- a/internal/session/clients.go
+++ b/internal/session/clients.go
@@ -41,7 +41,7 @@
 const maxLingerBytes = 1 << 20
 
 // Clients serves all client connections. The exported fields are set before the first call of Serve and not changed afterwards.
-// Each connection is served by one goroutine, the caller of Serve.
+// Each connection is served by the goroutine that calls Serve.
 type Clients struct {
 	Owner            Queue
 	InForce          *settings.Live
--- a/internal/session/discovery.go
+++ b/internal/session/discovery.go
@@ -25,8 +25,8 @@
 
 // DefaultCallTimeouts are the limits used in production. The gateway must know a change at most 6 s after discovery has it and is
 // reachable, whatever failed before. Within that time, the gateway must detect a silent watch and get an answer to the next call,
-// or give up a call that hangs and get an answer to the next one. A test of package gateway checks both sums, including the
-// router's pauses between calls.
+// or give up a call that hangs and get an answer to the next one. For both cases, a test of package gateway checks the sum of these
+// limits and of the router's pauses between calls.
 var DefaultCallTimeouts = CallTimeouts{
 	Connect: 400 * time.Millisecond, Answer: 2 * time.Second, Silence: 2800 * time.Millisecond,
 }
@@ -49,8 +49,8 @@
 	calls       map[*call]struct{}
 	running     sync.WaitGroup
 
-	// posting is held while an update is posted to the owner, so that updates arrive in order: no list of the previous
-	// address arrives after a list of the new one, and no list after the failure that followed it. It is locked before mu.
+	// posting is held while an update is posted to the owner, so that updates arrive in order. No list from the previous address
+	// arrives after a list from the new address, and no list arrives after a failure that happened later. It is locked before mu.
 	posting sync.Mutex
 }
 
@@ -86,7 +86,7 @@
 
 // SetAddress changes the address of discovery. If the router has asked for a watch, the new address is called at once, without
 // waiting for the router's next planned call. The watch at the previous address continues until the new address has sent its list;
-// after that, nothing more is posted from it.
+// after that, nothing more is posted from that watch.
 func (d *Discovery) SetAddress(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -159,9 +159,9 @@
 		return false
 	case c == d.previous:
 		d.previous = nil
-		return d.watch == nil // the new address has failed meanwhile
+		return d.watch == nil // nil: the call to the new address has failed meanwhile
 	case c != d.watch:
-		return reason != transport.EndCompleted // a single fetch
+		return reason != transport.EndCompleted // a fetch that no watch follows
 	}
 	d.watch = nil
 	if reason == transport.EndCompleted && c.thenWatch {
@@ -330,7 +330,7 @@
 	newAddressFailed := c == d.previous && d.watch == nil
 	d.mu.Unlock()
 	d.Owner.Post(routing.EndpointListUpdate{List: list})
-	if newAddressFailed { // the router concludes from a list that the watch works, so the failure is posted again
+	if newAddressFailed { // the router concludes from a list that the watch works, so the new address's failure is posted again
 		d.Owner.Post(routing.EndpointListUpdate{Failed: true})
 	}
 }
--- a/internal/session/exchange.go
+++ b/internal/session/exchange.go
@@ -18,8 +18,8 @@
 // errWithdrawn is returned when a server was withdrawn, or got another address, before the first byte of an attempt was written.
 var errWithdrawn = errors.New("the server was withdrawn or moved before the request was sent")
 
-// withdrawn reports whether an attempt must no longer be started on this connection, because its server was withdrawn after the
-// attempt was sent, or the server's address has changed. Health checks are not affected.
+// withdrawn reports whether an attempt must no longer be started on this connection, because since Servers.Send its server was
+// withdrawn or got another address. Health checks are not affected.
 func (l *serverConn) withdrawn(t *task) bool {
 	return !t.healthCheck && (t.withdrawalsAtSend != l.endpoint.withdrawals.Load() || l.all.endpointOf(t.Server) != l.endpoint)
 }
@@ -86,8 +86,9 @@
 var errFenced = errors.New("the in-doubt write is claimed by another gateway, or its claim could not be confirmed")
 
 // writeRequest writes a request. For an in-doubt write, the last byte is held back until this gateway's claim to the write has
-// been confirmed: a server starts executing when it has the last byte, and this process may have been suspended, and have lost
-// the claim, before it wrote any of the earlier bytes.
+// been confirmed. The claim is confirmed this late because the process may have been suspended, and have lost the claim, before it
+// wrote any of the earlier bytes. Holding back one byte is enough, because a server starts executing only when it has the last
+// byte.
 func (l *serverConn) writeRequest(t *task, parts net.Buffers, total int64, until time.Time) (transport.Reason, error) {
 	write := func(parts net.Buffers, total int64) (transport.Reason, error) {
 		if n, err := l.conn.Write(until, parts); n < total {
@@ -119,8 +120,8 @@
 
 // readReply reads messages up to ReadyForQuery. The messages of the answer that are forwarded to the client are stored in value;
 // for a health check, readReply returns the text of the row. An answer that has begun and then stalls for longer than the connect
-// timeout counts as malformed, so that its request does not have to wait until its deadline. The cost is an answer lost if a
-// server's machine is suspended for that long in the middle of it.
+// timeout counts as malformed, so that its request does not have to wait until its deadline. The cost: if a server's machine is
+// suspended for that long in the middle of an answer, the answer is lost.
 func (l *serverConn) readReply(reply *postgres.Reply, deadline time.Time, t *task, value *transport.Message) (string, error) {
 	row := ""
 	for !reply.Ready {
@@ -188,8 +189,8 @@
 	return nil
 }
 
-// stallDeadline returns the time at which an answer that stalls now counts as malformed: after the connect timeout, but no later
-// than the deadline.
+// stallDeadline returns the time at which an answer counts as malformed if nothing more of it arrives: one connect timeout from
+// now, but no later than the deadline.
 func (l *serverConn) stallDeadline(deadline time.Time) time.Time {
 	due := time.Now().Add(time.Duration(l.all.InForce.Load().Settings.ConnectTimeout) * time.Microsecond)
 	if due.After(deadline) {
@@ -228,15 +229,16 @@
 	return policy.ExecutionUnknown
 }
 
-// duplicateRefusalWindow is the time after a refusal during which a duplicate of it may still arrive and be mistaken for the answer
-// to the next request. If the next request is written later, a duplicate has already arrived and ended the connection. The window
-// is shorter than the pause of at least one Tick that package policy makes after a server has rejected a request, so that the
-// rejection of a retry at that server counts as genuine.
+// duplicateRefusalWindow is the time after a refusal, an error which proves that its request did not run, during which a duplicate
+// of the refusal may still arrive and be mistaken for the answer to the next request. If the next request is written later than
+// that, a duplicate has already arrived and ended the connection. The window is shorter than the pause of at least one Tick that
+// package policy makes after a server has rejected a request, so that the rejection of a retry at that server counts as genuine.
 const duplicateRefusalWindow = 2 * time.Millisecond
 
 // repeatsRefusal reports whether an error has the same code as the last refusal and answers a request that was written within
 // duplicateRefusalWindow after it. Such an error may be a duplicate of that refusal, sent twice by the server or the network while
 // the request was on its way to the server. It proves nothing about the request, whose real answer may still follow.
+// repeatsRefusal also records the error as the last refusal, if it is one.
 func (l *serverConn) repeatsRefusal(code string, written time.Time) bool {
 	if executionOf(code) != policy.ExecutionNone {
 		return false
--- a/internal/session/lookup.go
+++ b/internal/session/lookup.go
@@ -27,8 +27,9 @@
 	l.done(row, answer, answer != nil)
 }
 
-// Lookup reads the current value of a key in the same way as a client's request, to find out whether an in-doubt write has run. It
-// passes to done the row, and the answer that the write itself would have received. It calls done once; done must not block.
+// Lookup reads the current value of a key, to find out whether an in-doubt write has run. The read is routed like a client's
+// request. Lookup passes to done the row, and the answer that the write itself would have received. It calls done once; done must
+// not block.
 func (s *Clients) Lookup(class, key string, group int, deadline time.Time, done func(row, answer []byte, ok bool)) {
 	inForce := s.InForce.Load()
 	index, known := inForce.ClassIndex[class]
--- a/internal/session/query.go
+++ b/internal/session/query.go
@@ -16,13 +16,13 @@
 	write     intents.Write // must still be claimed by this gateway when the last byte is sent; nil unless it is an in-doubt write
 }
 
-// Share adds a reference.
+// Share adds a reference to the statement's text.
 func (q *query) Share() routing.Payload {
 	q.text.Share()
 	return q
 }
 
-// Free releases a reference.
+// Free releases a reference to the statement's text.
 func (q *query) Free() { q.text.Free() }
 
 // parts returns the message to a server and its size. The message is the statement as received, except that its time limit is
--- a/internal/session/requests.go
+++ b/internal/session/requests.go
@@ -77,7 +77,7 @@
 		}
 		return nil, transport.ReasonOf(err), err
 	}
-	if c.sentAhead() && c.conn.PeerClosed() { // after it sent more or with open queries, so it no longer waits for the answer
+	if c.sentAhead() && c.conn.PeerClosed() { // the client sent without waiting and then closed, so it waits for no answer
 		c.release(in)
 		return nil, transport.EndClientDisconnected, io.EOF
 	}
@@ -148,7 +148,8 @@
 	switch {
 	case mayHaveRun:
 	case c.all.MayAdmit != nil && !c.all.MayAdmit():
-		// The process was suspended, and another gateway may hold the floating address by now; the client may connect there.
+		// The process was suspended, so that another gateway may hold the floating address by now; or the address is about to be
+		// released; or the gateway admits nothing because of maintenance. The client may connect to another gateway.
 		c.all.Counts.AddressMoved.Add(1)
 		c.respondError(postgres.CodeTooManyConnections, "the address has moved to another gateway")
 		c.CloseIdle(transport.EndAddressMigrated)
@@ -192,11 +193,12 @@
 	})
 }
 
-// positionWaitShare is the divisor of a read's time limit that gives how long the read waits for its session's position. The rest
+// positionWaitShare limits how long a read waits for its session's position: for its time limit divided by this number. The rest
 // of the time is left for an attempt at the primary, for which no position is needed.
 const positionWaitShare = 4
 
-// dispatch posts a request to routing. An in-doubt write is passed to its resolver instead, which claims it before it is posted.
+// dispatch posts a request to routing. An in-doubt write is passed to its resolver instead, which claims the write
+// before the request is posted.
 func (c *client) dispatch(q *pendingQuery, r *routing.Request, inDoubt bool) {
 	if !inDoubt {
 		c.all.Owner.Post(r)
--- a/internal/session/server_conn.go
+++ b/internal/session/server_conn.go
@@ -164,7 +164,7 @@
 		l.end()
 		switch {
 		case t.healthCheck && result.result == policy.ResultTimeout:
-			// The server's machine may be unreachable. When it is back, its kernel may have forgotten the other idle
+			// The server's machine may be unreachable. When it is reachable again, its kernel may have forgotten the other idle
 			// connections, and a request on one of them would be lost like this health check. The cost: if the machine
 			// was reachable, some handshakes were unnecessary.
 			closeIdleConns(l.endpoint)
--- a/internal/session/servers.go
+++ b/internal/session/servers.go
@@ -48,7 +48,7 @@
 	endpoint    string
 	idle        transport.Pool[*serverConn]
 	suspectedAt atomic.Int64 // time at which a reused connection was last reset during a request
-	// withdrawals counts the calls of Withdraw. An attempt that was sent before the last call must not be started.
+	// withdrawals counts the calls of Withdraw. An attempt that was passed to Send before the last call must not be started.
 	withdrawals atomic.Int64
 }
 
@@ -63,7 +63,7 @@
 type task struct {
 	routing.Job
 	healthCheck       bool
-	withdrawalsAtSend int64 // value of serverEndpoint.withdrawals when the task was sent
+	withdrawalsAtSend int64 // value of serverEndpoint.withdrawals when the task was passed to start
 	ctx               context.Context
 	stop              context.CancelFunc
 
@@ -114,8 +114,8 @@
 	}
 }
 
-// Withdraw ends every attempt at a server that has not written its first byte, with the result of a failed connect, so that it may
-// be sent to another server.
+// Withdraw ends every attempt at a server if no byte of the attempt has been written yet. The result is that of a failed connect,
+// so that routing may send the attempt to another server.
 func (s *Servers) Withdraw(server policy.ServerID) {
 	if p := s.endpointOf(server); p != nil {
 		p.withdrawals.Add(1)
--- a/internal/transport/buffers.go
+++ b/internal/transport/buffers.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// BufferSize is the size of every buffer, in bytes. Nearly every message fits into one buffer; a value of 64 KiB in hex takes 17.
+// BufferSize is the size of every buffer, in bytes. Nearly every message fits into one buffer; a value of 64 KiB in hex takes
+// 17 buffers.
 const BufferSize = 8 << 10
 
 // Buffers is a pool of buffers of BufferSize bytes, with a budget for the bytes that may be reserved. It is safe for concurrent
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -125,7 +125,7 @@
 // ReadFull reads exactly len(b) bytes. It is for connections on which Wake is never called.
 func (c *Conn) ReadFull(b []byte, deadline time.Time) error {
 	c.tcp.SetReadDeadline(deadline)
-	if c.aborted.Load() { // an Abort before the deadline was set; a later one ends the read itself
+	if c.aborted.Load() { // the deadline set above has undone an earlier Abort; a later Abort ends the read itself
 		return ErrDeadline
 	}
 	_, err := io.ReadFull(c.reader, b)
@@ -135,7 +135,7 @@
 // Write writes all bytes and returns how many were written.
 func (c *Conn) Write(deadline time.Time, parts net.Buffers) (int64, error) {
 	c.tcp.SetWriteDeadline(deadline)
-	if c.aborted.Load() { // as in ReadFull
+	if c.aborted.Load() { // the deadline set above has undone an earlier Abort, as in ReadFull
 		return 0, ErrDeadline
 	}
 	return parts.WriteTo(c.tcp)
--- a/internal/transport/descriptors.go
+++ b/internal/transport/descriptors.go
@@ -17,7 +17,7 @@
 	idleClasses
 )
 
-// Descriptors counts open file descriptors against the process's limit, and closes idle connections when they run short. It
+// Descriptors counts open file descriptors against the process's limit, and closes idle connections when descriptors run short. It
 // never closes a connection with a request in flight. It is safe for concurrent use.
 type Descriptors struct {
 	mu            sync.Mutex
@@ -54,10 +54,10 @@
 // than this share, descriptors for servers would run out.
 const clientQuotaPercent = 55
 
-// idleServedDivisor is the divisor of the limit that gives the maximum number of idle clients that have sent a request: a sixth
-// of the limit, which is half of the third that carries requests. Otherwise, clients that send one request and then keep the
-// connection would fill that third and leave no room for new clients. The cost: a client that pauses between requests may have to
-// reconnect.
+// idleServedDivisor limits the number of idle clients that have sent a request to the descriptor limit divided by this number. The
+// resulting sixth of the descriptors is half of the third that carries requests (see clientQuotaPercent). Without this limit,
+// clients that send one request and then keep the connection would fill that third and leave no room for new clients. The cost: a
+// client that pauses between requests may have to reconnect.
 const idleServedDivisor = 6
 
 // NewDescriptors returns the accounting for a process that may open limit descriptors.
--- a/internal/transport/ends.go
+++ b/internal/transport/ends.go
@@ -16,7 +16,7 @@
 // not change, because operators' alerts match them.
 type Reason uint8
 
-// The reasons.
+// The reasons. In the comments, "it" is the connection.
 const (
 	EndPeerClosed         Reason = iota // the peer closed it between requests
 	EndPeerReset                        // the peer reset it, or another network error ended it
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -12,14 +12,14 @@
 )
 
 // acceptBackoff is the wait before the next Accept after Accept has failed, normally because the process has no descriptor left.
-// A connection that ends frees one.
+// A connection that ends frees a descriptor.
 const acceptBackoff = 2 * time.Millisecond
 
 // backlogWait is how long a closing listener continues to accept connections that the kernel has already established.
 const backlogWait = 5 * time.Millisecond
 
-// maxBacklogTime is how long a closing listener continues at most after backlogWait while connections are left in the kernel's
-// queue, because the process had no processor time before or because clients continue to connect.
+// maxBacklogTime is how long a closing listener continues to accept, at most, if connections are left in the kernel's queue after
+// backlogWait. They may be left because the process had no processor time before, or because clients continue to connect.
 const maxBacklogTime = time.Second
 
 // Listener accepts connections until Close. Its Serve starts one goroutine for each connection; Wait waits for their end.
@@ -47,7 +47,7 @@
 func (l *Listener) Addr() string { return l.tcp.Addr().String() }
 
 // Serve accepts connections until Close and calls serve for each on a goroutine of its own, which ends when serve returns.
-// It continues to accept when descriptors run short, because a request counts from the moment the kernel has received it. If no
+// It continues to accept when descriptors run short, because a request counts as received once the kernel has it. If no
 // descriptor is left for a connection, serve is called with admitted set to false and must reject the connection. Serve closes the
 // socket before it returns, so that no client can connect and then wait for a gateway that no longer accepts.
 func (l *Listener) Serve(serve func(conn *Conn, admitted bool)) {
