--- a/internal/floatingip/loop.go
+++ b/internal/floatingip/loop.go
@@ -7,7 +7,7 @@
 	"marblespan/internal/vrrp"
 )
 
-// loopHandler implements the handler of the datagrams.Loop for a VRRPRouter.
+// loopHandler holds the methods of a VRRPRouter that its datagrams.Loop calls, all on the loop's goroutine.
 type loopHandler VRRPRouter
 
 // Start reads the gateway's health and starts the machine of every group.
@@ -72,8 +72,9 @@
 	}
 }
 
-// carryOut carries out one action. It returns false if it could not open the listener for an Activate. It has then passed an
-// ActivateFailed to the machine and carried out the resulting actions; the caller must skip the actions after the Activate.
+// carryOut carries out one action. It returns false if the action is an Activate and its listener could not be opened. In that case
+// carryOut has passed an ActivateFailed to the machine and carried out the resulting actions, and the caller must skip the actions
+// after the Activate.
 func (r *VRRPRouter) carryOut(g *group, action vrrp.Action) bool {
 	switch a := action.(type) {
 	case vrrp.Activate:
@@ -88,8 +89,8 @@
 		r.address.Deactivate(g.Name)
 	case vrrp.SendAdvertisement:
 		r.advertise(g, a)
-		// The lease is extended only after the send. If the process stalls before the send, no peer receives the advertisement
-		// and one may take over, so the lease must not have been extended by then.
+		// The lease is extended only after the send. If the process stalls before the send, no peer receives the advertisement,
+		// and a peer may take over the address. The lease must not have been extended by then.
 		g.leaseEnd.Store(int64(g.machine.Lease()))
 	case vrrp.AnnounceAddress:
 		r.announce(g)
@@ -101,8 +102,8 @@
 }
 
 // mayTakeRequests returns the gate of an activation, a function that reports whether the activation's lease is still valid. The
-// gate reads the clock itself, so that after a stall of the process it is closed even for a goroutine that runs before the
-// router's goroutine.
+// gate reads the clock itself: if the lease has expired during a stall of the process, the gate returns false even for a goroutine
+// that runs again before the router's goroutine does.
 func (r *VRRPRouter) mayTakeRequests(g *group) func() bool {
 	return func() bool { return int64(r.clock.Now()) <= g.leaseEnd.Load() }
 }
--- a/internal/floatingip/receive.go
+++ b/internal/floatingip/receive.go
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// groupByVRID returns the group with a virtual router identifier, or nil if there is none. No two groups in the settings share
-// one.
+// groupByVRID returns the group with a virtual router identifier, or nil if there is none. No two groups in the settings share an
+// identifier.
 func (r *VRRPRouter) groupByVRID(vrid uint8) *group {
 	for _, g := range r.groups {
 		if g.Machine.VRID == vrid {
--- a/internal/floatingip/router.go
+++ b/internal/floatingip/router.go
@@ -48,11 +48,12 @@
 type group struct {
 	Group
 	machine  vrrp.Machine
-	leaseEnd atomic.Int64 // time until which requests may be accepted, in clock.Micros; 0: not active
+	leaseEnd atomic.Int64 // time until which requests may be accepted, in clock.Micros; 0: the gateway is not active
 }
 
-// Start binds the socket and starts every group on a new goroutine, which Close ends. start is the system clock's time in
-// microseconds of Unix time; it serves only to distinguish this incarnation of the gateway from earlier and later ones.
+// Start binds the socket and starts the router's goroutine, which starts the machine of every group. Close ends the goroutine.
+// start is the system clock's time in microseconds of Unix time; it serves only to distinguish this incarnation of the gateway
+// from earlier and later ones.
 func Start(s Settings, clock Clock, start uint64, address AddressHandler, health func() vrrp.Health, log zerolog.Logger) (
 	*VRRPRouter, error,
 ) {
@@ -124,7 +125,7 @@
 	})
 }
 
-// Close releases all addresses that are still held, ends the router's goroutine and closes the socket.
+// Close releases all addresses that this gateway still holds, ends the router's goroutine and closes the socket.
 func (r *VRRPRouter) Close() {
 	r.Shutdown(true)
 	r.loop.Close()
--- a/internal/floatingip/settings.go
+++ b/internal/floatingip/settings.go
@@ -9,13 +9,14 @@
 	"marblespan/internal/vrrp"
 )
 
-// AddressHandler is implemented by the program to act when this gateway becomes active for a floating address or stops being so.
-// Both methods run on the router's goroutine and must not wait for clients.
+// AddressHandler is implemented by the program to act when this gateway becomes active for a floating address and when it stops
+// being active. Both methods run on the router's goroutine and must not wait for clients.
 type AddressHandler interface {
 	// Activate opens the listener of a group. gate reports whether the activation may still accept requests; it may be called
 	// at any time and on any goroutine.
 	Activate(group string, listen netip.AddrPort, gate func() bool) error
-	// Deactivate closes the listener. Requests that were already accepted are answered before their clients are closed.
+	// Deactivate closes the listener. Requests that were already accepted are answered before their clients' connections are
+	// closed.
 	Deactivate(group string)
 }
 
@@ -31,8 +32,8 @@
 	Addresses []netip.Addr
 	Listen    netip.AddrPort
 	Machine   vrrp.Config
-	// KeepUntilTakenOver makes a gateway that is shutting down keep the address, at its lowered priority, until a peer takes it
-	// over.
+	// KeepUntilTakenOver makes a gateway that is shutting down keep the address until a peer takes it over. The gateway advertises
+	// a lowered priority meanwhile.
 	KeepUntilTakenOver bool
 }
 
@@ -42,7 +43,7 @@
 	Node       uint8
 	Bind       netip.AddrPort
 	Peers      []Peer
-	Keys       []codec.Key // the first one signs; all are accepted
+	Keys       []codec.Key // the first key signs; signatures of all keys are accepted
 	AnnounceTo []netip.AddrPort
 	Groups     []Group
 }
--- a/internal/gateway/floatingip.go
+++ b/internal/gateway/floatingip.go
@@ -28,8 +28,8 @@
 // groupInUseFor is how long a replication group counts as in use after its last request.
 const groupInUseFor = clock.Micros(30 * time.Second / time.Microsecond)
 
-// minReadyBuffer is how many bytes must be free in the message buffers for the gateway to be ready: enough for a request and its
-// answer.
+// minReadyBuffer is how many bytes of the memory budget for messages must be free for the gateway to be ready: enough for a request
+// and its answer.
 const minReadyBuffer = 4 * transport.BufferSize
 
 // floatingAddresses runs the gateway's floating addresses: the VRRP router, and the listener and clients of each activation. It
@@ -46,8 +46,8 @@
 	polling     sync.WaitGroup
 
 	mu          sync.Mutex
-	activations map[*activation]struct{} // all that still have clients or an open listener
-	current     map[string]*activation   // by group: the activations of addresses that this gateway holds
+	activations map[*activation]struct{} // all activations that still have clients or an open listener
+	current     map[string]*activation   // by group: the activations of the addresses that this gateway holds now
 }
 
 // healthSample is the gateway's health, and when it was sampled from the routing owner.
@@ -150,7 +150,7 @@
 	if f.g.buffers.Reserve(minReadyBuffer) {
 		f.g.buffers.Release(minReadyBuffer)
 	} else if f.activeCount() == 0 {
-		sample.Ready = false // a gateway that holds an address stays ready and keeps it: it is overloaded, not broken
+		sample.Ready = false // only without an address: a gateway that holds one is overloaded, not broken, and must keep it
 	}
 	sample.Conditions[vrrp.DescriptorsLow] = f.g.descriptors.NearLimit()
 	sample.at = time.Now()
@@ -207,9 +207,10 @@
 	return nil
 }
 
-// Deactivate closes the floating listener. Requests that were accepted are answered as in a shutdown: idle clients are closed, so
-// that they reconnect to the gateway that now holds the address, and the others are closed after their answers. For the rest of a
-// message that has arrived only in part, the gateway waits no longer than partialMessageGrace.
+// Deactivate closes the floating listener and ends the connections of its clients as in a shutdown. Idle connections are closed at
+// once, so that their clients reconnect to the gateway that now holds the address. The others are closed after the answers to the
+// requests that were accepted. For the rest of a message that has arrived only in part, the gateway waits no longer than
+// partialMessageGrace before it calls CutOff.
 func (f *floatingAddresses) Deactivate(group string) {
 	f.mu.Lock()
 	t := f.current[group]
@@ -239,8 +240,8 @@
 	}
 }
 
-// releaseAll releases the addresses. Unless last is set, it leaves out those that are kept until a better gateway takes them
-// over.
+// releaseAll releases the addresses. If last is not set, it does not release the addresses that are kept until another gateway
+// takes them over.
 func (f *floatingAddresses) releaseAll(last bool) {
 	if f != nil {
 		f.stopping.Store(true)
@@ -254,8 +255,9 @@
 // requests in flight there have ended. Otherwise a network that cuts connections when an address moves would leave those requests
 // in doubt. The cost is that new requests are rejected unsent in the meantime.
 //
-// An address that is kept until taken over moves as soon as a better gateway learns of the drain. It too rejects new requests,
-// but is not waited for: if it has not moved when its drain timeout is over, it accepts requests again.
+// An address that is kept until another gateway takes it over moves as soon as a gateway with a higher priority learns of the
+// drain. New requests at that address are rejected too, but quiesce does not wait for it. If the address has not moved when its
+// drain timeout is over, requests at it are accepted again, unless releaseAll has released every address meanwhile.
 func (f *floatingAddresses) quiesce(last bool) {
 	var timeout time.Duration
 	var releasing []*activation
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -12,8 +12,7 @@
 //
 // A gateway has these goroutines: the routing owner's, the only one that accesses the routing core (g.owner.Call runs a function
 // on it); the listener's and those of the connections, which internal/session owns; and, if the operators' file has the sections
-// for them, the floating addresses' health poll and the maintenance agent's loop. Gateway.Stop ends all of
-// them and waits for them.
+// for them, the floating addresses' health poll and the maintenance agent's loop. Gateway.Stop ends all of them and waits for them.
 package gateway
 
 import (
@@ -42,14 +41,14 @@
 // stacks and the kernel's accounting.
 const heapLimitPercent = 75
 
-// signalQueueSize is how many signals may be queued while one is handled. Further ones are dropped; the system merges pending
-// signals of one kind anyway.
+// signalQueueSize is how many signals may be queued while one is handled. Further signals are dropped. The loss is acceptable,
+// because the system merges pending signals of one kind anyway.
 const signalQueueSize = 16
 
 // Gateway is one running gateway.
 type Gateway struct {
-	cfg         *config.Config    // as at the start; inForce, settings and discovery hold what a reload may change
-	operators   *config.Operators // as at the start
+	cfg         *config.Config    // the configuration at the start; inForce, settings and discovery hold what a reload may change
+	operators   *config.Operators // the operators' file at the start
 	incarnation uint64            // microseconds of Unix time at the start
 
 	// State that a reload changes.
--- a/internal/gateway/intents.go
+++ b/internal/gateway/intents.go
@@ -51,12 +51,12 @@
 
 // Intent is one in-doubt write in flight.
 type Intent struct {
-	Booking string `json:"booking"` // its shortened key, the same as in the logs of all gateways
-	ID      string `json:"id"`      // of the request
+	Booking string `json:"booking"` // the write's shortened key, the same as in the logs of all gateways
+	ID      string `json:"id"`      // the request's ID
 	Class   string `json:"class"`
 	Phase   string `json:"phase"`
 	ForMS   int64  `json:"for_ms"`
-	State   string `json:"state,omitempty"` // of the stored intent, as last known to this gateway
+	State   string `json:"state,omitempty"` // state of the stored intent, as last known to this gateway
 	Owner   string `json:"owner,omitempty"`
 	Server  string `json:"server,omitempty"`
 	Attempt uint32 `json:"attempt,omitempty"`
--- a/internal/gateway/maintenance.go
+++ b/internal/gateway/maintenance.go
@@ -21,14 +21,16 @@
 	"marblespan/internal/transport"
 )
 
-// reportInterval is how often a gateway sends its report to the ledger's leader. A change of the order is acted on at once.
+// reportInterval is how often a gateway sends its report to the ledger's leader. A change of the order does not wait for the
+// interval: the gateway acts on it at once.
 const reportInterval = 250 * time.Millisecond
 
 // roleFreshness is how long after the last request to a group this gateway's own knowledge of the group's primary counts as
 // current. After that the endpoint list is used.
 const roleFreshness = clock.Micros(5 * time.Second / time.Microsecond)
 
-// takeoverTimeout is how long a draining gateway waits for another one to take over a floating address that it keeps until then.
+// takeoverTimeout is the longest time for which a draining gateway keeps a floating address so that another gateway can take it
+// over. After that time, the gateway releases the address.
 const takeoverTimeout = 2 * time.Second
 
 // commandTimeout is how long an operator's command may take. The control socket's timeout is a little longer.
@@ -36,7 +38,7 @@
 
 // maintenanceAgent carries out the maintenance order (internal/maintenance) on this gateway: it drains the gateway or cordons
 // servers when the order says so, and reports the gateway's state. It makes no decisions about the order; the ledger's leader
-// does. It is nil in a gateway without a maintenance section. Its loop runs on a goroutine of its own, which close ends.
+// makes them. It is nil in a gateway without a maintenance section. Its loop runs on a goroutine of its own, which close ends.
 type maintenanceAgent struct {
 	g         *Gateway
 	startedAt time.Time
@@ -48,8 +50,8 @@
 	ledgerTimeout   atomic.Int64                 // how long a starting gateway waits to be enrolled in the ledger, in nanoseconds
 	maxReplicaLag   atomic.Int64                 // the lag above which a replica is reported as lagging, in microseconds
 	enrolled        atomic.Bool                  // this incarnation is enrolled in the ledger
-	draining        atomic.Bool                  // nothing new is admitted; load balancers see that the gateway is not ready
-	closedToClients atomic.Bool                  // requests of connected clients are rejected too
+	draining        atomic.Bool                  // load balancers see that the gateway is not ready; requests are still accepted
+	closedToClients atomic.Bool                  // later in the drain: requests of connected clients are rejected too
 
 	// Owned by the loop's goroutine.
 	order         indexedOrder
@@ -128,8 +130,8 @@
 }
 
 // admits reports whether new clients and requests are admitted. A starting gateway admits nothing until the order shows it as
-// enrolled in the ledger, because only then does it know which servers are cordoned. If that does not happen within the ledger
-// timeout, the gateway admits requests all the same.
+// enrolled in the ledger, because only then does it know which servers are cordoned. If the gateway is not enrolled within the
+// ledger timeout, it admits requests all the same.
 func (a *maintenanceAgent) admits() bool {
 	return a == nil || !a.draining.Load() && (a.enrolled.Load() || time.Since(a.startedAt) > time.Duration(a.ledgerTimeout.Load()))
 }
@@ -164,7 +166,7 @@
 	node := a.g.operators.Members.Node
 	a.logChanges(next.Order)
 	if known := next.EnrolledIncarnation(node); known > a.incarnation && !a.enrolled.Load() {
-		a.incarnation = known + 1 // the clock was set back since the last start; use a later incarnation than the known one
+		a.incarnation = known + 1 // the clock was set back since the last start; use an incarnation after the known one
 	}
 	a.enrolled.Store(next.EnrolledIncarnation(node) == a.incarnation)
 	var cordoned []string
@@ -194,9 +196,9 @@
 	a.order = next
 }
 
-// continueDrain continues a drain in steps. Fronts and clients first have minDrainDelay to notice the drain, as on SIGTERM. After
-// that requests are rejected and idle clients are closed. After takeoverTimeout the floating addresses that no gateway has taken
-// over are released.
+// continueDrain carries out the steps of a drain that are due. Load balancers in front of the gateways and clients first have
+// minDrainDelay to notice the drain, as on SIGTERM. After minDrainDelay, requests are rejected and idle clients are closed. After
+// takeoverTimeout, the floating addresses that no gateway has taken over are released. Both times count from the drain's start.
 func (a *maintenanceAgent) continueDrain() {
 	if !a.draining.Load() || a.g.stopping.Load() {
 		return
@@ -284,8 +286,8 @@
 		m := &a.order.Machines[i]
 		before[m.ID] = m.StateText(a.order.Paused)
 	}
-	// Machines that are back in service are logged first, so that a reader of the log never counts more machines out of service
-	// at the same time than there were.
+	// Machines that are back in service are logged before those that are taken out, so that a reader of the log never counts more
+	// machines out of service at the same time than there were.
 	for i := range 2 * len(next.Machines) {
 		m := &next.Machines[i%len(next.Machines)]
 		back := m.State == maintenance.Requested || m.State >= maintenance.Back
@@ -298,14 +300,14 @@
 // MaintenanceStatus is the maintenance order, for operators.
 type MaintenanceStatus struct {
 	Node     string          `json:"node"`             // the gateway that answers
-	Leader   string          `json:"leader,omitempty"` // the ledger's leader; empty: it did not answer, and this is the order as this gateway last knew it
+	Leader   string          `json:"leader,omitempty"` // the ledger's leader; empty: the leader did not answer, and the order is as this gateway last knew it
 	Paused   bool            `json:"held"`
 	Machines []MachineStatus `json:"machines"`
 }
 
 // MachineStatus is the state of one machine in the maintenance order.
 type MachineStatus struct {
-	Position    int    `json:"place,omitempty"` // in the queue, among the machines whose maintenance is not over; 0: it is over
+	Position    int    `json:"place,omitempty"` // in the queue of the machines whose maintenance is not over; 0: the maintenance of this machine is over
 	Machine     string `json:"machine"`
 	Kind        string `json:"kind"`
 	Group       int    `json:"group,omitempty"`
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -32,7 +32,7 @@
 	alive          atomic.Pointer[[]string]
 
 	mu    sync.Mutex
-	known map[string]maintenance.Member // all other members ever seen; nil without a maintenance section, which alone needs them
+	known map[string]maintenance.Member // all other members ever seen; nil without a maintenance section, because only maintenance needs them
 }
 
 // startMembers starts the gossip agent.
@@ -109,7 +109,7 @@
 	}
 }
 
-// announceLeave tells the other members that this gateway is leaving. It does not wait for them to receive this.
+// announceLeave tells the other members that this gateway is leaving. It does not wait until they have received the message.
 func (m *members) announceLeave() {
 	if m != nil {
 		m.gossip.Leave()
--- a/internal/gateway/start.go
+++ b/internal/gateway/start.go
@@ -41,7 +41,7 @@
 	return start(cfg, ops, out, func(*Gateway) {})
 }
 
-// start is Start with a function by which tests change time limits before any goroutine runs.
+// start does the work of Start. Tests pass a function tune, which changes time limits before any goroutine that uses them runs.
 func start(cfg *config.Config, ops *config.Operators, out io.Writer, tune func(*Gateway)) (*Gateway, error) {
 	g := newGateway(cfg, ops, out)
 	tune(g)
@@ -58,7 +58,7 @@
 	return g, nil
 }
 
-// newGateway creates a gateway's parts. Only the log's writer runs yet.
+// newGateway creates a gateway's parts. Of their goroutines it starts only the log's writer.
 func newGateway(cfg *config.Config, ops *config.Operators, out io.Writer) *Gateway {
 	log, closeLog := newLog(cfg.Name, out)
 	g := &Gateway{
@@ -88,8 +88,8 @@
 // newLog creates the log, whose lines a goroutine of the diode library writes to out, and closeLog, which ends that goroutine.
 func newLog(name string, out io.Writer) (log zerolog.Logger, closeLog func()) {
 	dropped := &atomic.Int64{}
-	// The struct hides out's Close method. Otherwise w.Close would close out, which is standard error, where the program may
-	// still have to write its last line.
+	// The struct hides out's Close method. Otherwise w.Close would close out. In production out is standard error, to which the
+	// program may still have to write its last line.
 	w := diode.NewWriter(struct{ io.Writer }{out}, logBufferLines, logPollInterval, func(lost int) { dropped.Add(int64(lost)) })
 	log = zerolog.New(w).With().Timestamp().Str("gateway", name).Logger()
 	return log, func() {
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// newClients creates the clients of one listener: the gateway's own, or that of an activation of a floating address. All sets of
-// clients share the gateway's other parts.
+// newClients creates the session.Clients of one listener: the gateway's own listener, or that of an activation of a floating
+// address. Each listener has its own session.Clients; all of them share the gateway's other parts.
 func (g *Gateway) newClients(counts *session.ClientCounts, limits session.Timeouts) *session.Clients {
 	c := &session.Clients{
 		Owner: g.owner, InForce: g.inForce, Buffers: g.buffers, Fds: g.descriptors, Ends: g.connectionEnds, Clock: g.clock,
--- a/internal/gateway/startupmemory_linux.go
+++ b/internal/gateway/startupmemory_linux.go
@@ -7,10 +7,11 @@
 	"syscall"
 )
 
-// releaseStartupMemory makes the kernel drop the resident pages of the program's own code and constants. Pages are mapped again
-// when they are next used, so that code that only a start needs, such as the command line and the configuration parsers, does not
-// stay resident. This helps small gateways, whose memory limit includes these pages. The cost is a few microseconds on the first
-// requests for each page that is mapped again. Only read-only mappings are dropped, because they cannot hold modified data.
+// releaseStartupMemory makes the kernel drop the resident pages of the program's own code and constants. The kernel maps a page
+// again when it is next used. Code that only a start needs, such as the command line and the configuration parsers, is not used
+// again and so does not stay resident. This helps small gateways, whose memory limit includes these pages. The cost is a few
+// microseconds for each page that is mapped again, during the first requests. Only read-only mappings are dropped, because they
+// cannot hold modified data.
 func releaseStartupMemory() {
 	self, err := os.Executable()
 	if err != nil {
--- a/internal/gateway/statestore.go
+++ b/internal/gateway/statestore.go
@@ -21,9 +21,12 @@
 	"marblespan/internal/streams"
 )
 
-// Store is this gateway's node of the state store (internal/raftnode). Only a separate program links its implementation, because
-// the packages it needs take memory even when unused; in the smaller program, OpenStore is nil. Only TransferLeadership, Close
-// and the methods for operators' commands and for status may block. Functions that are passed as done must not block.
+// Store is this gateway's node of the state store (internal/raftnode). The implementation is linked only into a separate program
+// (internal/raftgateway), because the packages that it needs take memory even when unused. In the smaller program, OpenStore is
+// nil.
+//
+// Only TransferLeadership, Close and the methods for operators' commands and for status may block. Functions that are passed as
+// done must not block.
 type Store interface {
 	// Available reports whether a call for a key is likely to succeed now.
 	Available(key []byte) bool
@@ -35,9 +38,9 @@
 	ReadPosition(key []byte, deadline time.Time, done func(position uint64, known bool))
 	intents.Store
 	Status() StateStoreStatus
-	// Bootstrap creates a new store. first states that there was no store before whose records could be missing from the new one.
+	// Bootstrap creates a new store. first states that no store existed before, so that no records can be missing from the new one.
 	Bootstrap(shards, voters int, first bool) error
-	// RemoveStore records that a gateway's disk will never come back. ResetShard abandons the records of a shard. Both must be
+	// RemoveStore records that a gateway's disk is permanently lost. ResetShard abandons the records of a shard. Both must be
 	// called on the gateway that leads the ledger.
 	RemoveStore(node string) error
 	ResetShard(shard uint32) error
@@ -49,8 +52,8 @@
 	MaintenanceListing(deadline time.Time) (maintenance.Listing, error)
 	SetMaintenanceLimits(maintenance.Limits)
 	LogCounters()
-	// TransferLeadership hands the leadership of all Raft groups led by this gateway to others, and waits for that for at most a
-	// second.
+	// TransferLeadership hands the leadership of all Raft groups led by this gateway to other gateways. It waits until
+	// that is done, but at most a second.
 	TransferLeadership()
 	Close()
 }
@@ -77,7 +80,8 @@
 var CheckStore func(path string, raw bool, out io.Writer) error
 
 // sessionPositions keeps the log positions of sessions' last commits in the state store, so that a session's reads see its
-// commits through any gateway. Until the store is open nothing is stored, and every read of such a session must see all commits.
+// commits through any gateway. Until the store is open, nothing is stored, and every read of a session of these classes must see
+// all commits up to the time of the read.
 type sessionPositions struct {
 	clock     routing.Clock
 	classes   map[string]bool
@@ -142,7 +146,7 @@
 
 // Required passes the position that a session's read must see to done. If the position cannot be read, the read must see
 // everything up to now, which the primary has. The same holds if the stored position lies in the future, as after a failover that
-// has lost commits: a read that required it would wait for commits that never come.
+// has lost commits: a read that required the stored position would wait for commits that never come.
 func (p *sessionPositions) Required(group int, session uint64, deadline time.Time, done func(policy.Position)) {
 	p.Lookups.Add(1)
 	s := p.store.Load()
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -7,8 +7,8 @@
 	"marblespan/internal/transport"
 )
 
-// After SIGTERM the platform waits at least for the longest deadline of a class, but for no more than maxDeadlineAllowance, and
-// then for killGrace, before it kills a gateway. The last stopMargin of this time is reserved for the last answers and for
+// Before the platform kills a gateway after SIGTERM, it waits at least for the longest deadline of a class, of which it allows no
+// more than maxDeadlineAllowance, and then for killGrace. The last stopMargin of this time is reserved for the last answers and for
 // closing everything.
 const (
 	maxDeadlineAllowance = 3 * time.Second
@@ -20,8 +20,8 @@
 // sending clients to it for up to 0.4 s, so a client whose connection is closed sooner would only reconnect to this gateway.
 const minDrainDelay = 450 * time.Millisecond
 
-// drainLead is how long before the limit of the shutdown the gateway stops accepting requests, so that nearly all are answered by
-// then. The few that are not are failed rather than left without an answer.
+// drainLead is how long before the limit of the shutdown the gateway begins to close clients, so that nearly all requests are
+// answered by the limit. The few remaining requests are failed rather than left without an answer.
 const drainLead = 600 * time.Millisecond
 
 // partialMessageGrace is how much longer the gateway waits for the rest of messages that have arrived only in part. A request is
@@ -90,7 +90,7 @@
 	s.clients.Drain(transport.EndDraining)
 	s.waitUntilNone(s.clients.Open, min(time.Since(s.start)+partialMessageGrace, s.limit))
 	s.clients.CutOff()
-	s.waitUntilNone(s.clients.Busy, s.limit) // waits for busy clients only, because clients without a request may keep reconnecting
+	s.waitUntilNone(s.clients.Busy, s.limit) // busy clients only, because clients without a request may keep reconnecting
 }
 
 // closeListener closes the listener, and waits for the clients that were still in its backlog or are at the floating addresses.
