--- a/internal/protocol/sealed/sealed.go
+++ b/internal/protocol/sealed/sealed.go
@@ -59,7 +59,7 @@
 type Trailer struct {
 	Key           uint8  // number of the key that signs the message
 	Sender        uint8  // the sender's node number, in protocols that number the nodes (VRRP)
-	Receiver      uint8  // the receiver's node number, likewise
+	Receiver      uint8  // the receiver's node number, in the same protocols
 	Start         uint64 // when the sender started, in microseconds of Unix time
 	Sequence      uint64 // counts the sender's messages since its start
 	ReceiverStart uint64 // the receiver's start as the sender knows it; 0: not known
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -47,7 +47,7 @@
 func (l *Listener) Addr() string { return l.tcp.Addr().String() }
 
 // Serve accepts connections until Close and calls serve for each on a goroutine of its own, which ends when serve returns.
-// It continues to accept when descriptors run short, because a request counts as received once the kernel has it. If no
+// It continues to accept when descriptors run short, because a request counts from the moment the kernel has received it. If no
 // descriptor is left for a connection, serve is called with admitted set to false and must reject the connection. Serve closes the
 // socket before it returns, so that no client can connect and then wait for a gateway that no longer accepts.
 func (l *Listener) Serve(serve func(conn *Conn, admitted bool)) {
