--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -12,14 +12,14 @@
 )
 
 // acceptBackoff is the wait before the next Accept after Accept has failed, normally because the process has no descriptor left.
-// A connection that ends frees one.
+// A connection that ends frees a descriptor.
 const acceptBackoff = 2 * time.Millisecond
 
 // backlogWait is how long a closing listener continues to accept connections that the kernel has already established.
 const backlogWait = 5 * time.Millisecond
 
-// maxBacklogTime is how long a closing listener continues at most after backlogWait while connections are left in the kernel's
-// queue, because the process had no processor time before or because clients continue to connect.
+// maxBacklogTime is how long a closing listener continues to accept, at most, if connections are left in the kernel's queue after
+// backlogWait. They may be left because the process had no processor time before, or because clients continue to connect.
 const maxBacklogTime = time.Second
 
 // Listener accepts connections until Close. Its Serve starts one goroutine for each connection; Wait waits for their end.
