--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// oneArgument returns the argument check of commands that take one argument, which what describes.
+// oneArgument returns the argument check of commands that take one argument. The parameter what describes that argument.
 func oneArgument(what string) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		if len(args) != 1 {
--- a/internal/cli/former.go
+++ b/internal/cli/former.go
@@ -16,8 +16,9 @@
 	"maintenance": {"maintain", map[string]string{"cancel": "drop", "pause": "hold", "resume": "go"}},
 }
 
-// asFormer changes the names of a command and its subcommands to those that they had in earlier versions. Under these names, they
-// work as under the present ones, are left out of the help, and print a warning with the present name on standard error.
+// asFormer changes the names of a command and its subcommands to those that they had in earlier versions. Under the former names,
+// the commands work as under the present ones. They print a warning with the present name on standard error, and the help does not
+// list them.
 func (c *command) asFormer(group *cobra.Command) *cobra.Command {
 	former := formerCommands[group.Name()]
 	group.SetOut(c.errs) // where cobra prints Deprecated; the help and the answers go to c.out
--- a/internal/cli/maintenance.go
+++ b/internal/cli/maintenance.go
@@ -155,7 +155,7 @@
 // awaitOut waits until all machines are out of service. It prints what each of them waits for whenever that changes. If the
 // gateway does not answer, awaitOut tries again, because the gateway may itself be the machine that is taken out.
 func (q *query) awaitOut(machines []string) error {
-	printed := map[string]string{} // the last line for each machine; under "", the last error
+	printed := map[string]string{} // the last line printed for each machine; the key "" has the last error
 	for waiting := machines; len(waiting) > 0; time.Sleep(waitPoll) {
 		s, err := q.maintenanceStatus()
 		if err != nil {
--- a/internal/cli/query.go
+++ b/internal/cli/query.go
@@ -61,7 +61,7 @@
 	return e.Encode(v)
 }
 
-// milliseconds converts a duration in an answer.
+// milliseconds converts a duration, which an answer has in milliseconds.
 func milliseconds(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
 // roundTrip formats a round-trip time for a table.
--- a/internal/cli/statestore.go
+++ b/internal/cli/statestore.go
@@ -92,7 +92,8 @@
 			if gateway.CheckStore != nil {
 				return gateway.CheckStore(args[0], q.json, q.out)
 			}
-			// The present name is used even if the operator used the former one, because the warning has been printed already.
+			// The present name is used even if the operator used the former one. The warning about the former name has already been
+			// printed, and marblespan-raft must not print it again.
 			raftArgs := []string{"state-store", "check", "--json=" + strconv.FormatBool(q.json), "--", args[0]}
 			return execRaftProgram(raftArgs)
 		},
--- a/internal/config/former.go
+++ b/internal/config/former.go
@@ -7,7 +7,8 @@
 	"marblespan/internal/config/lines"
 )
 
-// formerKey is a former word and the section to which it belongs. The section is "" if the former word begins a section.
+// formerKey is a former word and the section to which it belongs. A former word is the name that a directive or a section keyword
+// had in an earlier version. The section is "" if the former word begins a section.
 type formerKey struct{ section, name string }
 
 // formerWords maps the directives and section keywords of earlier versions to their present names. The sections in the keys have
@@ -38,7 +39,7 @@
 	{"group", "let-go"}: "drain-timeout",
 }
 
-// FormerWord is an occurrence of a directive or a section keyword that a file writes under the name of an earlier version.
+// FormerWord is one occurrence of a former word in an operators' file.
 type FormerWord struct {
 	File   string
 	Line   int
@@ -72,8 +73,8 @@
 }
 
 // newWordFor returns the present name of a directive in the given section; ok is false if the directive is not a former word. The
-// former word copies has two present names: with a value, inside the section that it began, it was a directive; otherwise it began
-// that section.
+// former word copies began a section, and was also a directive of that section. Inside the section and with a value, it is taken
+// for the directive; otherwise it begins the section.
 func newWordFor(section string, d lines.Directive) (newWord string, ok bool) {
 	asSection, beginsSection := formerWords[formerKey{"", d.Name}]
 	asDirective, isDirective := formerWords[formerKey{section, d.Name}]
--- a/internal/config/indoubt.go
+++ b/internal/config/indoubt.go
@@ -6,8 +6,8 @@
 	"marblespan/internal/config/lines"
 )
 
-// The bounds of the time for which the outcome of an in-doubt write is kept. It must be longer than the time for which a client
-// keeps repeating its request.
+// The bounds of the time for which the outcome of an in-doubt write is kept. That time must be longer than the time for which a
+// client keeps repeating its request.
 const (
 	minRetention = 10 * time.Second
 	maxRetention = 24 * time.Hour
--- a/internal/config/lines/check.go
+++ b/internal/config/lines/check.go
@@ -23,7 +23,8 @@
 	return v
 })
 
-// fieldNamespace matches a field's namespace in a validation error: the struct, the directive, and the index if it is repeated.
+// fieldNamespace matches a field's namespace in a validation error: the struct, the directive, and the index of its occurrence if
+// the directive may be repeated.
 var fieldNamespace = regexp.MustCompile(`^[^.]*\.([^.\[]+)(?:\[(\d+)\])?`)
 
 // Check returns a fault for each violation of a validate tag in the root struct and in its sections, with the directive's line.
--- a/internal/config/lines/lines.go
+++ b/internal/config/lines/lines.go
@@ -1,11 +1,11 @@
 // Package lines reads configuration files like those of classic Unix daemons. Each line has one directive: a name and its values.
 // A line with a keyword begins a section, which ends at the next keyword. A comment begins with #. A value that contains blanks
-// or # is written in double quotes. The package has no settings of its own: the tags of a struct define which directives there
-// are.
+// or # is written in double quotes. The package has no settings of its own: the tags of the caller's struct define which
+// directives there are.
 //
-// Package config is the caller. Parse splits a text into directives, Decode fills the struct from them, Check applies the
-// validate tags, and Print writes the settings. The package's only state is the parser and the validator, which are created once
-// and are safe for concurrent use.
+// Package config is the main caller. Parse splits a text into directives, Decode fills the caller's struct from them, Check
+// applies the validate tags, and Print writes the settings. The package's only state is the parser and the validator, which are
+// created once and are safe for concurrent use.
 package lines
 
 import (
--- a/internal/config/lines/print.go
+++ b/internal/config/lines/print.go
@@ -9,7 +9,7 @@
 // hiddenSecret is printed in place of a secret.
 const hiddenSecret = "********"
 
-// Print writes the settings, including defaults, in the format that Parse reads, except that secrets are hidden.
+// Print writes the settings, including defaults, in the format that Parse reads. It writes hiddenSecret in place of each secret.
 func Print(w io.Writer, from any) error {
 	p := printer{w: w}
 	root := reflect.ValueOf(from).Elem()
--- a/internal/config/lines/value.go
+++ b/internal/config/lines/value.go
@@ -13,7 +13,7 @@
 // Size is a number of bytes. In a file it may have the suffix k, m or g for a power of 1,024.
 type Size int64
 
-// kind determines how many values a directive of a type takes.
+// kind is the kind of a field's type. It determines how many values the field's directive takes.
 type kind uint8
 
 const (
--- a/internal/config/maintenance.go
+++ b/internal/config/maintenance.go
@@ -23,12 +23,12 @@
 	MaxServers      int           `conf:"max-servers" validate:"min=1,max=1024"`  // database servers out at the same time, at most one of each group
 	KeepReady       int           `conf:"keep-ready" validate:"min=0,max=100"`    // ready gateways that must remain in a zone
 	MaxLoad         int           `conf:"max-load" validate:"min=1,max=100"`      // load that the remaining gateways may have to carry, in percent of their capacity
-	DefaultDuration time.Duration `conf:"default-duration"`                       // of the work, if the operator gives no duration
-	SettleTime      time.Duration `conf:"settle-time"`                            // for which a machine that has returned must be healthy
-	ReturnWithin    time.Duration `conf:"return-within"`                          // after which a machine that is returning is overdue
-	ExcuseAfter     time.Duration `conf:"excuse-after"`                           // after which the order no longer waits for an overdue machine; 0: never
-	MaxReplicaLag   time.Duration `conf:"behind"`                                 // above which a replica does not count as healthy
-	LedgerTimeout   time.Duration `conf:"unheard"`                                // for which a starting gateway waits for the ledger before it serves
+	DefaultDuration time.Duration `conf:"default-duration"`                       // duration of the work, if the operator gives none
+	SettleTime      time.Duration `conf:"settle-time"`                            // how long a machine must be healthy after its return
+	ReturnWithin    time.Duration `conf:"return-within"`                          // how long a machine may take to return before it is overdue
+	ExcuseAfter     time.Duration `conf:"excuse-after"`                           // time after which the order stops waiting for an overdue machine; 0: it never stops
+	MaxReplicaLag   time.Duration `conf:"behind"`                                 // lag above which a replica does not count as healthy
+	LedgerTimeout   time.Duration `conf:"unheard"`                                // how long a starting gateway waits for the ledger before it serves
 }
 
 // Defaults sets the values that apply where the file does not set a directive of the section.
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -32,7 +32,8 @@
 // Via maps the address At that a member advertises to the address Via at which this gateway reaches the member.
 type Via struct{ At, Via netip.AddrPort }
 
-// Key is a shared secret. Messages are signed with the first key of a section; messages signed with any of them are accepted.
+// Key is a shared secret. A gateway signs messages with the first key of a section, and accepts messages that are signed with any
+// key of the section.
 type Key struct {
 	Number uint8
 	Secret string `validate:"min=16,max=256"`
--- a/internal/config/operators.go
+++ b/internal/config/operators.go
@@ -16,8 +16,8 @@
 // EnvOperators is the environment variable that holds the path of the operators' file. The flag --conf takes precedence over it.
 const EnvOperators = "MARBLESPAN_CONF"
 
-// Operators holds the settings of the operators' file. A feature whose section is missing is off; without the file all of them
-// are.
+// Operators holds the settings of the operators' file. A feature whose section is missing is off. Without the file, all of these
+// features are off.
 type Operators struct {
 	lines.Source
 	Control     string       `conf:"control" validate:"max=100"` // path of the control socket
@@ -53,7 +53,7 @@
 	directives, faults := lines.Parse(file, text)
 	o.formerWords = replaceFormerWords(file, directives)
 	faults = append(faults, lines.Decode(file, directives, o)...)
-	if len(faults) == 0 { // after a parse fault, Check would also report that the value is missing
+	if len(faults) == 0 { // otherwise Check would also report a value that could not be parsed as missing
 		faults = lines.Check(file, o)
 		faults = append(faults, o.checkSections(file)...)
 	}
@@ -147,8 +147,8 @@
 	return sections
 }
 
-// groupIdentities returns the settings of each group that a running gateway cannot change, sorted so that the groups' order in the
-// file does not matter.
+// groupIdentities returns, for each group, the settings that a running gateway cannot change. The result is sorted, so that the
+// groups' order in the file does not matter.
 func (o *Operators) groupIdentities() (identities []string) {
 	for _, g := range o.Groups {
 		identities = append(identities, fmt.Sprint(g.Name, g.VRID, g.Addresses, g.Listen))
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -174,7 +174,7 @@
 		}
 		return keyError("settings", "%v", err)
 	}
-	if warnings := c.InForce.Warnings; len(warnings) > 0 { // acceptable in the simulator's settings; the platform's file must be corrected
+	if warnings := c.InForce.Warnings; len(warnings) > 0 { // only the simulator accepts settings with warnings; the platform's file must be corrected
 		return keyError("settings."+warnings[0].Key, "%s", warnings[0].Text)
 	}
 	// The simulator pushes the endpoint list without a subscription. Over sockets, the gateway must open a watch to receive it.
--- a/internal/config/statestore.go
+++ b/internal/config/statestore.go
@@ -17,8 +17,8 @@
 	maxMarksTTL    = 24 * time.Hour
 )
 
-// minRepairHeartbeats is the minimum of repair-after in heartbeats, because a node that misses fewer heartbeats may still be
-// alive.
+// minRepairHeartbeats is the lower bound of repair-after, in heartbeats. It is this high because a node that has missed fewer
+// heartbeats may still be alive.
 const minRepairHeartbeats = 20
 
 // AllMembers in the list of Raft nodes means that every gateway is a Raft node.
--- a/internal/config/vrrp.go
+++ b/internal/config/vrrp.go
@@ -7,13 +7,13 @@
 	"marblespan/internal/config/lines"
 )
 
-// The default priority of a backup in RFC 9568, and an advertisement interval that suits gateways in one room.
+// The defaults of a group. The priority is the default of RFC 9568 for a backup. The interval suits gateways in one room.
 const (
 	defaultPriority              = 100
 	defaultAdvertisementInterval = 100 * time.Millisecond
 )
 
-// The bounds of the advertisement interval on the wire. The lower bound is also the unit of the interval.
+// The bounds of the advertisement interval that a VRRP packet can carry. The lower bound is also the unit of the interval.
 const (
 	minAdvertisementInterval = 10 * time.Millisecond
 	maxAdvertisementInterval = 40950 * time.Millisecond
--- a/internal/datagrams/datagrams.go
+++ b/internal/datagrams/datagrams.go
@@ -20,7 +20,7 @@
 const taskQueueSize = 16
 
 // batchSize is how many datagrams are read before the timers are checked again. Without a bound, a flood of garbage would keep the
-// goroutine from its timers; with a check after each datagram, the flood would cost more than reading it.
+// goroutine from its timers. If the timers were checked after each datagram, a flood would cost more than the reads alone.
 const batchSize = 64
 
 // receiveBufferSize is the size in bytes of the socket's receive buffer that is requested from the kernel. It is enough for some
@@ -148,7 +148,7 @@
 	return netip.AddrPort{}
 }
 
-// Do runs a function on the loop's goroutine and waits for it. It reports whether the function ran; after Close it does not.
+// Do runs a function on the loop's goroutine and waits for it. Do reports whether the function ran. After Close, no function runs.
 func (l *Loop) Do(task func()) bool {
 	ran := make(chan struct{})
 	select {
