--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -29,7 +29,7 @@
 }
 
 // Client writes and reads keys, one operation at a time, and records the outcomes in a Ledger. It makes another attempt after
-// a rejection, or if no connection came up. A statement that may have run is retried only if RetryTimeouts is set. One
+// a rejection, or if it could not connect. It retries a statement that may have run only if RetryTimeouts is set. Only one
 // goroutine at a time may use a client.
 type Client struct {
 	Name        string
@@ -42,8 +42,8 @@
 	Backoff     time.Duration // pause before the next attempt; up to half of it is added at random
 	Ledger      *Ledger
 	OnExchange  func(Exchange) // is called for each request and for each end; may be nil
-	// RetryTimeouts, if above 0, makes the client retry a statement that may have run until this many times Timeout have
-	// passed. These requests are marked as retries.
+	// RetryTimeouts, if above 0, makes the client retry a statement that may have run. The client retries it for the time
+	// RetryTimeouts * Timeout, and marks these requests as retries.
 	RetryTimeouts int
 
 	conn   *net.TCPConn
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -66,7 +66,8 @@
 	d.mu.Unlock()
 }
 
-// Push updates the entries with the same UID and sends them to every watch as an event.
+// Push replaces the entries of the list that have the UIDs of the changed endpoints. It sends the changed endpoints to every watch
+// as one event.
 func (d *Discovery) Push(changed ...Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/fake/path.go
+++ b/internal/fake/path.go
@@ -29,8 +29,8 @@
 }
 
 // Path is a network between nodes, numbered from 0, that forwards datagrams and, after CarryStreams, streams with an Impairment
-// for each direction. Each ordered pair of nodes has an address to which one node sends to reach the other. The receiver sees
-// datagrams come from the address of the opposite link, which has the sender's IP.
+// for each direction. Each ordered pair of nodes has an address of its own: the first node sends to it to reach the second. The
+// receiver sees datagrams come from the address of the opposite link, which has the sender's IP.
 type Path struct {
 	mu        sync.Mutex
 	nodeAddrs []*net.UDPAddr // the address of each node's socket
@@ -45,7 +45,7 @@
 	conn       *net.UDPConn
 	relay      *Relay // of streams; may be nil
 	impairment Impairment
-	swapped    []byte // the first datagram of a pair to reorder
+	swapped    []byte // the first datagram of a pair to reorder, while it waits for the second
 	delivered  int    // number of datagrams forwarded
 }
 
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -13,7 +13,8 @@
 // segments, so that loss delays a stream but does not remove data.
 const retransmitDelay = 200 * time.Millisecond
 
-// maxChunk bounds the bytes that are read from a stream at a time, maxQueuedChunks the chunks in flight in one direction.
+// maxChunk is the maximum number of bytes that are read from a stream at a time. maxQueuedChunks is the maximum number of chunks
+// that are queued in one direction.
 const (
 	maxChunk        = 16 << 10
 	maxQueuedChunks = 64
@@ -45,7 +46,7 @@
 }
 
 // NewRelay starts a relay that listens on the address at (host and port; port 0 for any) and forwards connections to the address
-// to. Its own connections come from the IP address from; nil for any.
+// to. The relay connects to that address from the IP address from; nil for any.
 func NewRelay(at, to string, from net.IP) (*Relay, error) {
 	l, err := net.Listen("tcp4", at)
 	if err != nil {
@@ -100,7 +101,8 @@
 	r.goroutines.Wait()
 }
 
-// impairment returns the impairment of a direction, and a channel that is closed when it changes.
+// impairment returns the impairment of a direction, a channel that is closed at the next change of the relay, and whether the relay
+// is closed.
 func (r *Relay) impairment(outbound bool) (f Impairment, changed chan struct{}, closed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fake/server.go
+++ b/internal/fake/server.go
@@ -2,7 +2,7 @@
 // discovery service (Discovery), the network between nodes (Path, Relay), a switch with a floating address (Switch), and
 // clients (Client, with a Ledger of their outcomes).
 //
-// They are written from the public specifications and share no code with the gateway's codecs, so that a mistake there is not
+// They are written from the public specifications and share no code with the gateway's codecs, so that a mistake in a codec is not
 // repeated here. Only tests, the test cluster and the experiments import the package. Each fake owns the goroutines that it
 // starts; its Close ends them and waits for them. The main decisions are in Client.run and Client.attempt (retries and
 // outcomes), Ledger.Check (exactly-once checks), Path.forward and Relay.copyDirection (impairments), and
@@ -48,7 +48,7 @@
 
 // Server is a database server. Each query goes to its handler, on the connection's goroutine.
 type Server struct {
-	QueryHandler func(*Query) // set it before the first connection; afterwards by SetQueryHandler
+	QueryHandler func(*Query) // may be set before the first connection; afterwards use SetQueryHandler
 	Closed       chan int     // receives the number of each connection that has ended
 	Position     atomic.Int64 // the replication position that the server reports, in milliseconds
 	Role         atomic.Value // the role that the server reports: a string
@@ -68,7 +68,7 @@
 // NewServer starts a server on loopback. Its initial handler answers "value of " and the request's id.
 func NewServer(role string) (*Server, error) { return NewServerAt("127.0.0.1:0", role) }
 
-// NewServerAt is NewServer with an address to listen on.
+// NewServerAt does the same as NewServer, but the server listens on the address at.
 func NewServerAt(at, role string) (*Server, error) {
 	l, err := net.Listen("tcp", at)
 	if err != nil {
--- a/internal/fake/switch.go
+++ b/internal/fake/switch.go
@@ -131,7 +131,7 @@
 }
 
 // The layout of an announcement: "MSA", version 1, VRID, key, sender, count, start (8), sequence (8), listen address (16) and
-// port (2), the floating addresses (16 each), HMAC-SHA-256 of a label followed by all of it.
+// port (2), the floating addresses (16 each), HMAC-SHA-256 of a label followed by all these fields.
 const announcementHeader, announcementLabel = 42, "marblespan vrrp 1\x00"
 
 func (s *Switch) receiveAnnouncements() {
@@ -216,7 +216,7 @@
 }
 
 // copyDirection forwards one direction of a connection. It forwards an orderly end as an orderly end, and any other end as a reset.
-// It forwards neither if the gateway is unreachable.
+// If the gateway is unreachable, it does not forward the end.
 func (s *Switch) copyDirection(f *flow, to, from net.Conn) {
 	_, err := io.Copy(to, from)
 	s.mu.Lock()
--- a/internal/testcluster/check.go
+++ b/internal/testcluster/check.go
@@ -430,11 +430,11 @@
 	return nil
 }
 
-// haveOrder reports whether operations on keys that never change once they are written are linearizable. It compares only their
-// times, and replaces the search if concurrent reads make that too slow. The first write of a key takes effect at one moment. This
-// moment is not before the first call of a write, nor before the last call of a read that did not find the key. It is not after
-// the first return of a write that was served, nor after the first return of a read that found the key. The operations are
-// linearizable exactly if such a moment exists for each key.
+// haveOrder reports whether operations are linearizable if their keys never change once they are written. It compares only the
+// times of the operations. It replaces the search where concurrent reads make the search too slow. The first write of a key takes
+// effect at one moment. This moment is not before the first call of a write, nor before the last call of a read that did not find
+// the key. It is not after the first return of a write that was served, nor after the first return of a read that found the key.
+// The operations are linearizable exactly if such a moment exists for each key.
 func haveOrder(all []porcupine.Operation) bool {
 	for _, operations := range seatModel.Partition(all) {
 		firstCall, earliest, latest := int64(math.MaxInt64), int64(math.MinInt64), int64(math.MaxInt64)
@@ -550,7 +550,7 @@
 const deathReasonTimeout = 15_000_000
 
 // checkMembers checks that a gateway that runs and can be reached is not declared dead. Reasons that allow it are a process that
-// ended, a stopped or starved process, and cut paths; lost and delayed messages are not.
+// ended, a stopped or starved process, and cut paths. Lost and delayed messages are no such reason.
 func checkMembers(history *timeline) (out []Violation) {
 	for _, e := range history.events {
 		name, about := strings.CutPrefix(e.What, "member g")
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -244,7 +244,7 @@
 // maxVRRPPeers is the maximum number of VRRP peers of a gateway.
 const maxVRRPPeers = 16
 
-// AwaitReady waits until each gateway's current process serves. It fails at once if a gateway's latest process has ended.
+// AwaitReady waits until each gateway's latest process serves. It fails at once if the latest process of a gateway has ended.
 func (c *Cluster) AwaitReady(bound time.Duration) (err error) {
 	timeoutErr := c.History.Await("every gateway serves", bound, func(all []Event) bool {
 		last := map[int]Event{}
--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -246,8 +246,8 @@
 	}
 }
 
-// updatePathsFrom sets the impairments of the paths from a gateway to all others. The caller holds mu, as for the next
-// three functions.
+// updatePathsFrom sets the impairments of the paths from a gateway to all others. The callers of updatePathsFrom, updateRelays,
+// updateFileLimit and updateServer must hold mu.
 func (c *Cluster) updatePathsFrom(node *Node) {
 	for _, peer := range c.Nodes {
 		if node == peer {
@@ -332,7 +332,7 @@
 	return out
 }
 
-// setServerState publishes the state of a server if it has changed.
+// setServerState sets the state of a server on the endpoint list, and publishes it if it has changed.
 func (c *Cluster) setServerState(s *server, state string) {
 	if s.group.setState(s, state) {
 		c.publishServer(s, state)
--- a/internal/testcluster/history.go
+++ b/internal/testcluster/history.go
@@ -4,8 +4,8 @@
 //
 // New starts a Cluster, Cluster.Load starts clients, Cluster.Play injects faults (Inject implements each verb), Cluster.Settle waits
 // until the cluster has recovered, and Check finds violations. Run does all of that. The injection of faults and the History are safe
-// for concurrent use. Each process has one goroutine, which reads the process's log and ends with the process (see launch). See
-// docs/test-cluster.md.
+// for concurrent use. For each gateway process there is one goroutine, which reads the process's log and ends with the process (see
+// launch). See docs/test-cluster.md.
 package testcluster
 
 import (
@@ -83,7 +83,7 @@
 	Class   string `json:"class,omitempty"`
 	Key     string `json:"key,omitempty"`    // the key that is booked or read; all attempts of one booking have the same key
 	Server  string `json:"server,omitempty"` // the server's id on the endpoint list
-	Value   string `json:"value,omitempty"`  // what a client received; of StateReported, the cause, reporter or former state
+	Value   string `json:"value,omitempty"`  // what a client received; in StateReported events, the cause, the reporter or the former state
 	Timeout int64  `json:"within,omitempty"` // how long the client waits for the answer, in microseconds
 	DataAge int64  `json:"age,omitempty"`    // how old the server's data was when the request ran, in microseconds
 }
@@ -190,8 +190,8 @@
 	return h.writeError
 }
 
-// pollInterval is how often Await checks its condition without a new event, because the condition may depend on state that is not in
-// the history.
+// pollInterval is how often Await checks its condition while there is no new event. Such checks are needed because the condition may
+// depend on state that is not in the history.
 const pollInterval = 50 * time.Millisecond
 
 // Await waits until matches returns true for the events so far. It returns an error after the timeout bound; what names the
--- a/internal/testcluster/load.go
+++ b/internal/testcluster/load.go
@@ -22,11 +22,11 @@
 
 // LoadOptions set the number of clients of each kind, and the pause of each client between requests.
 type LoadOptions struct {
-	Bookers         int // that book at the gateways' own listeners
-	FloatingBookers int // that book at the floating address
+	Bookers         int // clients that book at the gateways' own listeners
+	FloatingBookers int // clients that book at the floating address
 	Viewers         int
-	SeatReaders     int // that read recently booked keys, and must see their bookings
-	SessionReaders  int // that read in the sessions of recent bookings, at any gateway
+	SeatReaders     int // clients that read recently booked keys, and must see those bookings
+	SessionReaders  int // clients that read in the sessions of recent bookings, at any gateway
 	QuoteReaders    int // like SeatReaders, but no read may run twice
 	ThinkTime       time.Duration
 	RetryInDoubt    bool // clients retry bookings that may have run, at the next gateway
@@ -71,7 +71,7 @@
 	}
 	book := func(b *fake.Client, n int) {
 		key := fmt.Sprintf("%s-%d", b.Name, n)
-		recent(key) // added before the booking, so that other clients also read it meanwhile
+		recent(key) // added before the booking, so that other clients also read the key while it is being booked
 		b.Group = c.groupOf(key)
 		b.Write(key)
 	}
@@ -100,7 +100,7 @@
 			Addr: func() string { turn++; return cluster.Nodes[turn%len(cluster.Nodes)].Listen }, OnExchange: l.recordExchange,
 		}
 		if l.retryInDoubt && class == ClassBooking {
-			// Enough attempts to learn the outcome, because a failover of the address takes some hundred milliseconds.
+			// A failover of the address takes some hundred milliseconds, so a client needs many attempts to learn the outcome.
 			client.RetryTimeouts, client.MaxAttempts = 3, 400
 		}
 		if floating {
@@ -160,7 +160,7 @@
 // Totals returns the numbers of operations by outcome, over all clients.
 func (l *Load) Totals() fake.Totals { return l.ledger.Totals() }
 
-// InDoubtBookings returns the number of operations whose clients do not know whether they ran.
+// InDoubtBookings returns the number of operations of which the client does not know whether the operation ran.
 func (l *Load) InDoubtBookings() int {
 	t := l.ledger.Totals()
 	return t.Counts[fake.Failed] + t.Counts[fake.Unknown]
--- a/internal/testcluster/maintenance.go
+++ b/internal/testcluster/maintenance.go
@@ -125,7 +125,7 @@
 	Done    func(o MaintenanceStatus) bool // called with each status, ends the maintenance early by returning true; may be nil
 }
 
-// The prefixes, before a machine's name, of the phases at which maintenance work on the machine starts and ends.
+// The phases at which maintenance work on a machine starts and ends. The machine's name follows each of these prefixes.
 const (
 	workStarted = "touched "
 	workEnded   = "untouched "
--- a/internal/testcluster/node.go
+++ b/internal/testcluster/node.go
@@ -61,7 +61,7 @@
 		return nil, err
 	}
 	n.discoveryReader.Add(1)
-	go func() { // drains the channel until Close closes it
+	go func() { // discards the requests until Cluster.Close closes the channel
 		defer n.discoveryReader.Done()
 		for range n.discovery.Requests {
 		}
@@ -284,7 +284,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.process != p {
-		return // another process has replaced it
+		return // a newer process has replaced p
 	}
 	if on {
 		n.pauses++
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -43,7 +43,7 @@
 type process struct {
 	cmd        *exec.Cmd
 	ended      chan struct{}
-	exitStatus string // set once ended is closed
+	exitStatus string // valid once ended is closed
 }
 
 // launch starts a program and copies its log to log. It calls line with each line of the log, and end with the exit status once the
--- a/internal/testcluster/script.go
+++ b/internal/testcluster/script.go
@@ -327,7 +327,7 @@
 	return b.String()
 }
 
-// affects reports whether a fault of paths or partitions applies from one gateway to another.
+// affects reports whether a fault of paths or partitions applies to the traffic from one gateway to another.
 func (f Fault) affects(from, to int) bool {
 	in := func(list []int, n int) bool { return list == nil || slices.Contains(list, n) }
 	there := in(f.From, from) && in(f.To, to)
--- a/internal/testcluster/servers.go
+++ b/internal/testcluster/servers.go
@@ -13,7 +13,8 @@
 // FirstGroup is the number of a cluster's first group of servers. Further groups have the next numbers.
 const FirstGroup = 7
 
-// groupNames holds, for each group, the name of its initial primary and the prefix of its replicas' names, which a number follows.
+// groupNames holds, for each group, the name of its initial primary and the prefix of its replicas' names. A replica's number
+// follows the prefix.
 var groupNames = [...][2]string{{"p", "r"}, {"q", "s"}}
 
 // MaxGroups is the maximum number of groups of servers in a cluster.
@@ -38,8 +39,8 @@
 // ViewBound is the maximum age of the data that a read of class ClassView may return.
 const ViewBound = 800 * time.Millisecond
 
-// Present and Absent are the two endings of a value that a server returns. They show whether the server had the key, and follow the
-// id of the request.
+// Present and Absent show whether the server had the key. A value that a server returns is the id of the request, followed by one
+// of them.
 const (
 	Present = " there"
 	Absent  = " absent"
@@ -167,7 +168,7 @@
 	return c.positionLocked(s)
 }
 
-// positionLocked is position for callers that hold mu.
+// positionLocked does the same as position, but the caller must hold mu.
 func (c *serverGroup) positionLocked(s *server) int64 {
 	s.appliedPosition = max(s.appliedPosition, time.Now().Add(-s.lag).UnixMilli())
 	return s.appliedPosition
--- a/internal/testcluster/statestore.go
+++ b/internal/testcluster/statestore.go
@@ -16,7 +16,7 @@
 	InMemory               bool // the store is kept in memory instead of on disk
 	FastMarks              bool // gateways send an answer before its session position is stored
 	NoSessionMarks         bool // no class uses session marks
-	RaftNodes              int  // the first this many gateways run members of the Raft groups; 0 means all
+	RaftNodes              int  // number of gateways, from gateway 1 on, that run members of the Raft groups; 0 means all
 }
 
 // DefaultStateStore returns sizes and durations that suit a few gateways and a short run.
