--- a/internal/config/lines/value.go
+++ b/internal/config/lines/value.go
@@ -135,7 +135,7 @@
 	return v * unit, nil
 }
 
-// formatValue is the inverse of parseValue.
+// formatValue formats a field's value as a text that parseValue parses to the same value.
 func formatValue(field reflect.Value) string {
 	if m, ok := field.Interface().(encoding.TextMarshaler); ok {
 		b, err := m.MarshalText()
--- a/internal/config/maintenance.go
+++ b/internal/config/maintenance.go
@@ -26,7 +26,7 @@
 	DefaultDuration time.Duration `conf:"default-duration"`                       // duration of the work, if the operator gives none
 	SettleTime      time.Duration `conf:"settle-time"`                            // how long a machine must be healthy after its return
 	ReturnWithin    time.Duration `conf:"return-within"`                          // how long a machine may take to return before it is overdue
-	ExcuseAfter     time.Duration `conf:"excuse-after"`                           // time after which the order stops waiting for an overdue machine; 0: it never stops
+	ExcuseAfter     time.Duration `conf:"excuse-after"`                           // how long after its duration of work an overdue machine stops delaying the others; 0: never
 	MaxReplicaLag   time.Duration `conf:"behind"`                                 // lag above which a replica does not count as healthy
 	LedgerTimeout   time.Duration `conf:"unheard"`                                // how long a starting gateway waits for the ledger before it serves
 }
--- a/internal/config/statestore.go
+++ b/internal/config/statestore.go
@@ -29,7 +29,7 @@
 type StateStore struct {
 	lines.Source
 	RaftNodes    []string      `conf:"raft-nodes" validate:"min=1,max=1024,dive,min=1,max=40"` // names of gateways, or AllMembers
-	Voters       int           `conf:"voters" validate:"oneof=1 3 5"`                          // of each Raft group
+	Voters       int           `conf:"voters" validate:"oneof=1 3 5"`                          // voters of each Raft group
 	Shards       int           `conf:"shards" validate:"min=1,max=64"`
 	Storage      []string      `conf:"storage" validate:"min=1,max=2"` // "memory", or "disk" and a path
 	Witness      string        `conf:"witness" validate:"max=200"`
@@ -37,8 +37,8 @@
 	RepairAfter  time.Duration `conf:"repair-after"` // how long a silent node keeps its replicas
 	MaxRepairs   int           `conf:"max-repairs" validate:"min=1,max=64"`
 	RepairRate   lines.Size    `conf:"repair-rate" validate:"min=65536"` // bytes a second
-	Memory       lines.Size    `conf:"memory" validate:"min=65536"`      // for the records of a shard
-	SessionMarks []string      `conf:"session-marks" validate:"max=64"`  // classes of requests
+	Memory       lines.Size    `conf:"memory" validate:"min=65536"`      // bytes for the records of one shard
+	SessionMarks []string      `conf:"session-marks" validate:"max=64"`  // classes of requests with stored session positions
 	MarksMode    string        `conf:"marks-mode" validate:"oneof=safe fast"`
 	MarksTTL     time.Duration `conf:"marks-ttl"`
 }
--- a/internal/config/vrrp.go
+++ b/internal/config/vrrp.go
@@ -57,8 +57,8 @@
 	Step      uint8
 }
 
-// Damping delays a gateway that loses the address within Window after it became active. The first delay is InitialHold. Each
-// further one is twice as long as the one before, up to MaxHold.
+// Damping keeps a gateway that loses the address within Window after it became active from becoming active again at once. The first
+// delay is InitialHold. Each further delay is twice as long as the one before, up to MaxHold.
 type Damping struct{ Window, InitialHold, MaxHold time.Duration }
 
 // Defaults sets the values that apply where the file does not set a directive of the section.
--- a/internal/experiments/chaos/chaos.go
+++ b/internal/experiments/chaos/chaos.go
@@ -1,6 +1,6 @@
-// Package chaos runs a test cluster of real gateways under load and faults, checks its history, and shrinks the faults of a failed run
-// to the fewest that still fail. marblespan-bench chaos calls Run and Write. Result.run makes one run, for which play runs the cluster.
-// Runs are made one after the other on the caller's goroutine.
+// Package chaos runs a test cluster of real gateways under load and faults, and checks its history. It shrinks the faults of a failed
+// run to the fewest faults with which a run still fails. marblespan-bench chaos calls Run and Write. Result.run makes one run; it calls
+// play, which runs the cluster. Runs are made one after the other on the caller's goroutine.
 package chaos
 
 import (
@@ -41,12 +41,12 @@
 type Result struct {
 	Name string
 	testcluster.Outcome
-	MinimalFaults []testcluster.Fault // the fewest faults that still fail; nil unless the run failed and its faults were shrunk
+	MinimalFaults []testcluster.Fault // the fewest faults with which the run still fails; nil unless the run failed and its faults were shrunk
 	Dir           string              // directory of the run's files; empty if they were not kept
 }
 
 // Run makes the runs one after the other until all are done or quit is closed. A run that fails is reported by its Result, not as an
-// error. If Run returns an error, it also returns the results of the runs before it.
+// error. If Run returns an error, it also returns the results of the earlier runs.
 func Run(options Options, quit <-chan struct{}) (results []Result, err error) {
 	var scripted []testcluster.Fault
 	if options.Script != "" {
--- a/internal/experiments/chaos/report.go
+++ b/internal/experiments/chaos/report.go
@@ -55,8 +55,8 @@
 	return chart.Write(filepath.Join(r.Dir, "timeline.svg"))
 }
 
-// Write writes a table with a row for each run, then for each run the violations, the fewest faults that still fail and the directory of its
-// files.
+// Write writes a table with a row for each run. After the table it writes, for each run, the violations, the fewest faults with which the
+// run still failed, and the directory of the run's files.
 func Write(w io.Writer, o Options, results []Result) error {
 	fmt.Fprintf(w, "%d gateways, %d replicas, loopback, real processes.\n\n", o.Cluster.Nodes, o.Cluster.Replicas)
 	var rows [][]string
--- a/internal/experiments/demo/demo.go
+++ b/internal/experiments/demo/demo.go
@@ -29,8 +29,8 @@
 	return all
 }
 
-// Run starts a cluster under a light load, injects the named fault unless fault is empty, and prints a line every second until quit is
-// closed or, if duration is not 0, until it has passed.
+// Run starts a cluster under a light load, injects the named fault unless fault is empty, and prints a line every second. It ends when
+// quit is closed or the duration has passed; a duration of 0 sets no limit.
 func Run(o testcluster.Options, fault string, duration time.Duration, w io.Writer, quit <-chan struct{}) error {
 	shown, known := Faults[fault]
 	if fault != "" && !known {
@@ -67,7 +67,7 @@
 	return printSeconds(cluster, duration, w, quit)
 }
 
-// printSeconds prints a line each second, until quit is closed or the duration has passed.
+// printSeconds prints a line each second, until quit is closed or the duration has passed. A duration of 0 sets no limit.
 func printSeconds(f *testcluster.Cluster, duration time.Duration, w io.Writer, quit <-chan struct{}) error {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
--- a/internal/experiments/failover/failover.go
+++ b/internal/experiments/failover/failover.go
@@ -25,7 +25,7 @@
 	Trials                 int    // take-overs of each kind
 	Kinds                  []string
 	Interval               time.Duration // between advertisements
-	Priorities             []int         // of the gateways; the first must be the highest, as trials expect that gateway 1 holds the address without faults
+	Priorities             []int         // of the gateways; the first must be the highest, because trials expect gateway 1 to hold the address when there is no fault
 	Clients                int           // number of clients of the floating address, and also of the load balancer
 	ThinkTime              time.Duration // pause between two bookings of a client
 	ServerWork             time.Duration // time that a server works on a booking
@@ -120,8 +120,8 @@
 	Executions          int
 }
 
-// Run measures each kind of fault in a test cluster of its own. If a kind fails, Run returns the results of the kinds before it with the
-// error.
+// Run measures each kind of fault in a test cluster of its own. If the measurement of a kind fails, Run returns the error and the results
+// of the earlier kinds.
 func Run(o Options) ([]Result, error) {
 	var out []Result
 	for _, name := range o.Kinds {
@@ -218,8 +218,8 @@
 	return nil
 }
 
-// record adds the times of a trial. Its fault was injected at start and repaired at repaired, and at end the first gateway held the
-// address again.
+// record adds the times of a trial. The parameters start and repaired are the times at which the trial's fault was injected and
+// repaired. At the time end, the first gateway held the address again.
 func (r *Result) record(kind faultKind, cluster *testcluster.Cluster, running *bookingLoad, start, repaired, end time.Time) {
 	holder := cluster.Nodes[0]
 	changes := changesSince(cluster.History, start.Add(-time.Millisecond))
--- a/internal/experiments/failover/timeline.go
+++ b/internal/experiments/failover/timeline.go
@@ -15,7 +15,8 @@
 	active bool
 }
 
-// changesSince returns the changes that happened at or after from. A gateway stops holding the address when its process ends.
+// changesSince returns the changes that happened at or after from. The end of a gateway's process is also such a change, because the
+// gateway then no longer holds the address.
 func changesSince(h *testcluster.History, from time.Time) (out []holderChange) {
 	for _, e := range h.Events() {
 		if e.At >= h.Timestamp(from) && (e.Kind == testcluster.StateReported || e.Kind == testcluster.ProcessChanged && e.What == "ended") {
@@ -25,9 +26,9 @@
 	return out
 }
 
-// durationOf returns how long a condition was true between two times in total, in microseconds. holds is the condition; active counts the
-// gateways that hold the address and are not unreachable, running counts those that hold it and whose process runs. durationOf assumes
-// that gateway 1 is active at the start of a trial.
+// durationOf returns how long a condition was true in total between two times, in microseconds. The condition is holds. Its argument
+// active is the number of gateways that hold the address and can be reached; running is the number of gateways that hold the address and
+// whose process runs. durationOf assumes that gateway 1 is active at the start of a trial.
 func durationOf(changes []holderChange, from, to time.Time, holds func(active, running int) bool, unreachable, runs func(int, time.Time) bool) int64 {
 	slices.SortStableFunc(changes, func(a, b holderChange) int { return a.at.Compare(b.at) })
 	// The counts may change at each change of a gateway, and at the ends of the period, where a gateway may become unreachable or
--- a/internal/experiments/indoubt/indoubt.go
+++ b/internal/experiments/indoubt/indoubt.go
@@ -79,7 +79,7 @@
 	TakeOvers []TakeOver
 }
 
-// Run measures the loads, then the take-overs. If a measurement fails, Run returns the measurements before it with the error.
+// Run measures the loads, then the take-overs. If a measurement fails, Run returns the error and the earlier measurements.
 func Run(o Options) (r Result, err error) {
 	for _, p := range policies() {
 		for _, clients := range []int{1, o.Clients} {
@@ -147,8 +147,8 @@
 // convergenceTimeout limits how long a test cluster may take to become ready after a start or a fault.
 const convergenceTimeout = 30 * time.Second
 
-// measureTakeOvers repeatedly fails the gateway that holds the floating address while clients book and retry at its successor. Without
-// intents the clients do not retry, because their bookings are not idempotent then.
+// measureTakeOvers repeatedly injects a fault at the gateway that holds the floating address, while clients book and retry at its
+// successor. Without intents the clients do not retry, because their bookings are not idempotent then.
 func measureTakeOvers(o Options, p policy, kind string) (TakeOver, error) {
 	out := TakeOver{Kind: kind, Policy: p.name, Trials: o.TakeOvers, ResolutionTimes: report.NewDurations()}
 	cluster, err := newCluster(o, p)
@@ -185,8 +185,8 @@
 	return out, nil
 }
 
-// failOver fails the first gateway, repairs it after a take-over, and waits until that gateway holds the address again and the cluster is
-// ready.
+// failOver injects a fault at the first gateway and repairs it after a take-over. It then waits until the first gateway holds the address
+// again and the cluster is ready.
 func failOver(cluster *testcluster.Cluster, kind string, fault testcluster.Fault) error {
 	undo, err := cluster.Inject(fault)
 	if err != nil {
--- a/internal/experiments/maintenance/maintenance.go
+++ b/internal/experiments/maintenance/maintenance.go
@@ -52,7 +52,7 @@
 }
 
 // Run makes the trials: all machines in order, only the gateways in order, the gateways without coordination, and all machines again with
-// random faults. If a trial fails, Run returns the trials before it with the error.
+// random faults. If a trial cannot be completed, Run returns the error and the earlier trials.
 func Run(options Options) (trials []Trial, err error) {
 	for i, planned := range plans(options) {
 		trial := Trial{Name: planned.name, Fault: planned.fault}
@@ -188,7 +188,7 @@
 		return err
 	}
 	running.Stop()
-	running.VerifySomeSessions(10) // verifying all of them would take longer than the trial
+	running.VerifySomeSessions(10) // verifying all sessions would take longer than the trial
 	cluster.History.Add(testcluster.Event{Kind: testcluster.PhaseReached, What: "done"})
 	cluster.History.End()
 	n.events = cluster.History.Events()
--- a/internal/experiments/members/heartbeats.go
+++ b/internal/experiments/members/heartbeats.go
@@ -5,8 +5,8 @@
 	"marblespan/internal/protocol/sealed"
 )
 
-// Heartbeats returns the detector with which each member sends a heartbeat to all others once per interval. A member whose heartbeats do
-// not arrive for the timeout is considered dead until its next heartbeat.
+// Heartbeats returns the detector with which each member sends a heartbeat to all others once per interval. If no heartbeat of a member
+// arrives for the timeout, the member is considered dead until its next heartbeat.
 func Heartbeats(interval, timeout clock.Micros) Detector {
 	return Detector{"heartbeats", func(w *World, i int) localDetector {
 		return &heartbeatDetector{w: w, self: i, interval: interval, timeout: timeout, lastHeard: make([]clock.Micros, len(w.nodes)), dead: make([]bool, len(w.nodes))}
@@ -16,7 +16,8 @@
 // heartbeatSize is the size of a heartbeat in bytes, with a name, an incarnation and the signed trailer.
 const heartbeatSize = 2 + 2 + 6 + 9 + sealed.Size
 
-// heartbeatDetector implements localDetector for Heartbeats.
+// heartbeatDetector is the failure detector of one gateway in a world whose gateways run Heartbeats. Any message of type int is a
+// heartbeat.
 type heartbeatDetector struct {
 	w                 *World
 	self              int
--- a/internal/experiments/members/measure.go
+++ b/internal/experiments/members/measure.go
@@ -16,8 +16,8 @@
 	HeartbeatTimeout      clock.Micros // time without a heartbeat after which the heartbeat baseline declares a member dead
 	Kills                 int          // number of single kills measured for each detector
 	MassFailures          int          // number of worlds in which 46 % of the members are killed at once
-	FaultDuration         clock.Micros // simulated time of each fault for the gateways' detector, for which no false death is expected
-	BaselineFaultDuration clock.Micros // the same for the baselines: shorter, because their false deaths occur early
+	FaultDuration         clock.Micros // simulated time of each fault for the gateways' own detector, which is expected to cause no false deaths
+	BaselineFaultDuration clock.Micros // simulated time of each fault for the baselines; shorter, because their false deaths occur early
 	IdleMembers           []int        // sizes of the worlds whose idle traffic is measured
 	Seed                  uint64
 	Progress              io.Writer
--- a/internal/experiments/members/processes.go
+++ b/internal/experiments/members/processes.go
@@ -57,7 +57,7 @@
 	return measured, nil
 }
 
-// killProcesses kills the victims, and records after what time the first survivor has reported a victim dead, and after what time all
+// killProcesses kills the victims. It records the time until the first survivor has reported a victim dead, and the time until all
 // survivors have reported all victims dead. It then restarts the victims and waits until all gateways are ready and know each other.
 func killProcesses(cluster *testcluster.Cluster, victims []int, first, all *report.Durations) error {
 	slices.Sort(victims)
@@ -89,8 +89,8 @@
 	return cluster.AwaitMembers(time.Minute)
 }
 
-// countDetections counts the pairs of a survivor and a victim in which the survivor has reported the victim dead at or after from, which
-// is in microseconds. It also returns the times of the first and the last report.
+// countDetections counts the pairs of a survivor and a victim in which the survivor has reported the victim dead at or after from. It
+// also returns the times of the first and the last report. All times are in microseconds since the history began.
 func countDetections(events []testcluster.Event, victims []int, from int64) (detections int, earliest, latest int64) {
 	type detection struct{ survivor, victim int }
 	reported := map[detection]bool{}
--- a/internal/experiments/members/swim.go
+++ b/internal/experiments/members/swim.go
@@ -28,7 +28,8 @@
 	}}
 }
 
-// swimDetector implements localDetector with the state machine of internal/membership.
+// swimDetector is the failure detector of one gateway in a world whose gateways run SWIM. It runs the state machine of
+// internal/membership.
 type swimDetector struct {
 	w              *World
 	self           int
--- a/internal/experiments/members/world.go
+++ b/internal/experiments/members/world.go
@@ -24,7 +24,7 @@
 	// handle processes an input and returns the datagrams to send. The input nil starts the detector, timerExpired means that its timer is
 	// due, and any other input is a message from the gateway from, or a request such as leaveRequest.
 	handle(now clock.Micros, in any, from int) []datagram
-	// nextTimer returns when the detector next has to handle timerExpired, and whether it has to at all.
+	// nextTimer returns when the detector's timer is due, or false if no timer is set.
 	nextTimer() (clock.Micros, bool)
 	// alive reports whether the detector considers a gateway alive. It always considers its own gateway alive.
 	alive(other int) bool
--- a/internal/experiments/statestore/failover.go
+++ b/internal/experiments/statestore/failover.go
@@ -28,8 +28,8 @@
 // stepTimeout limits how long the cluster may take to recover after each step.
 const stepTimeout = 30 * time.Second
 
-// measureFailover repeatedly injects a fault at a real gateway that leads a group, and takes from the gateways' logs how long the shards
-// that it led had no leader.
+// measureFailover repeatedly injects a fault at a real gateway that leads a group. It takes from the gateways' logs how long the shards
+// that this gateway led had no leader.
 func measureFailover(o Options, fault string) (result Failover, err error) {
 	options := testcluster.Defaults()
 	options.Binary, options.Nodes, options.Seed, options.StateStore = o.Binary, 5, o.Seed, testcluster.DefaultStateStore()
@@ -61,7 +61,7 @@
 	return result, nil
 }
 
-// failLeader injects the fault at a gateway, waits until other gateways lead all groups that it led, and repairs the fault.
+// failLeader injects the fault at a gateway, waits until other gateways lead all groups that the gateway led, and repairs the fault.
 func (r *Failover) failLeader(testCluster *testcluster.Cluster, node int) error {
 	fault, err := testcluster.ParseFault(fmt.Sprintf("at 0s %s %d", r.Fault, node))
 	if err != nil {
@@ -94,7 +94,7 @@
 	return undo()
 }
 
-// electedSince returns, by group, when a gateway other than the given one first became its leader after begin.
+// electedSince returns, by group, when a gateway other than the failed one first became the group's leader after begin.
 func electedSince(all []testcluster.Event, begin int64, failed int) map[string]int64 {
 	elected := map[string]int64{}
 	for _, e := range all {
--- a/internal/experiments/statestore/repair.go
+++ b/internal/experiments/statestore/repair.go
@@ -57,7 +57,7 @@
 
 // fill writes until about the given number of records is stored, fillTimeout has passed, or writes are no longer stored.
 func (c *cluster) fill(callers, records int) {
-	wanted := records * 3 * 9 / 10 // summed over all members of the groups: each record is stored by three; a tenth may be missing
+	wanted := records * 3 * 9 / 10 // summed over all members of the groups; three members store each record, and a tenth of the records may be missing
 	for begin := time.Now(); time.Since(begin) <= fillTimeout; {
 		l := c.load(callers, time.Second, records)
 		if localRecords(c.members[0].node.Overview())*len(c.members) >= wanted || l.stored.Load() == 0 {
@@ -66,8 +66,8 @@
 	}
 }
 
-// busiest returns the index of the node, other than the first, that hosts the most members of groups. A node that joined last may not host
-// any yet, and then its loss would not be detected.
+// busiest returns the index of the node, other than the first, that hosts the most members of groups. The node that joined last may not
+// host any members yet; the loss of such a node would not be detected.
 func (c *cluster) busiest() (best int) {
 	voters := map[string]int{}
 	for _, g := range c.members[0].node.Overview().Groups {
--- a/internal/experiments/statestore/run.go
+++ b/internal/experiments/statestore/run.go
@@ -14,7 +14,7 @@
 	RepairedRecords int           // number of records in the store that loses a gateway
 	StoredRecords   int           // number of records in the storage file that a gateway reads at its start
 	LeaderFaults    int           // number of leader faults of each kind
-	IdleGateways    []int         // numbers of gateways whose traffic without writes is measured
+	IdleGateways    []int         // sizes, in gateways, of the clusters whose traffic without writes is measured
 	Seed            uint64        // of the test cluster
 	Progress        io.Writer
 }
@@ -39,7 +39,7 @@
 // storageKinds lists the values of clusterOptions.disk: groups in memory, and groups in storage files.
 var storageKinds = []bool{false, true}
 
-// Run makes all measurements, one after the other. If one fails, Run returns the measurements before it with the error.
+// Run makes all measurements, one after the other. If one fails, Run returns the error and the earlier measurements.
 func Run(o Options) (r Result, err error) {
 	for _, measure := range []func(Options) error{r.measureLoads, r.measureRepairs, r.measureIdles, r.measureStartup, r.measureFailovers} {
 		if err := measure(o); err != nil {
--- a/internal/experiments/statestore/startup.go
+++ b/internal/experiments/statestore/startup.go
@@ -19,7 +19,7 @@
 type Startup struct {
 	Records      int
 	OpenTime     time.Duration // time to read the storage file
-	HostTime     time.Duration // time to create the members of the groups from it
+	HostTime     time.Duration // time to create the members of the groups from the file's content
 	DiskBytes    int64         // size of the file
 	HeapBytes    int64         // size of the records in memory
 	CountedBytes int64         // size of the records as the memory limit counts them
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// retransmitDelay is the additional delay of a chunk whose first transmission was lost. TCP retransmits lost
-// segments, so that loss delays a stream but does not remove data.
+// retransmitDelay is the additional delay of a chunk whose first transmission was lost. TCP retransmits lost segments, so loss
+// delays a stream but does not remove data.
 const retransmitDelay = 200 * time.Millisecond
 
 // maxChunk is the maximum number of bytes that are read from a stream at a time. maxQueuedChunks is the maximum number of chunks
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -35,9 +35,9 @@
 
 // Timeouts, equal to those in the cluster's settings.
 const (
-	drainTimeout       = 250 * time.Millisecond // for gateways to stop sending, after a drain was published
+	drainTimeout       = 250 * time.Millisecond // for gateways to stop sending requests to a server after its drain was published
 	resubscribeTimeout = 4 * time.Second        // for a gateway to get an endpoint list from discovery
-	requestTimeout     = time.Second            // of a request
+	requestTimeout     = time.Second            // for the answer to a request
 )
 
 // settings is the template of the settings that the platform gives to each gateway. Its servers do not check how old their data is
@@ -68,7 +68,7 @@
 	History  io.Writer // an additional destination of the history; may be nil
 
 	ServiceTime           time.Duration            // how long a server takes for a request
-	SlowStart             time.Duration            // slow start of a server after it was started
+	SlowStart             time.Duration            // duration of a server's slow start
 	AdvertisementInterval time.Duration            // between VRRP advertisements
 	MembershipInterval    time.Duration            // between membership probes; 0 omits the members section
 	Priorities            []int                    // VRRP priorities of the gateways; nil for 200, 199 and so on
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -15,8 +15,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// startRequests returns the channel of the goroutine that starts all processes, on an OS thread of its own. The kernel applies
-// PR_SET_PDEATHSIG when the thread that started a child ends, so that thread must live as long as this process.
+// startRequests returns the channel to the goroutine that starts all processes. This goroutine has an OS thread of its own. The kernel
+// applies PR_SET_PDEATHSIG when the thread that started a child ends, so the goroutine's thread must live as long as this process.
 var startRequests = sync.OnceValue(func() chan func() {
 	todo := make(chan func())
 	go func() {
--- a/internal/testcluster/servers.go
+++ b/internal/testcluster/servers.go
@@ -20,8 +20,8 @@
 // MaxGroups is the maximum number of groups of servers in a cluster.
 const MaxGroups = len(groupNames)
 
-// groupOf returns the group that a key belongs to. It depends on the client that booked the key, so that all keys of a client are in
-// one group and the clients are spread over the groups.
+// groupOf returns the group that a key belongs to. The group depends on the client that booked the key, so that all keys of a client
+// are in one group and the clients are spread over the groups.
 func (c *Cluster) groupOf(key string) int {
 	client, _, _ := strings.Cut(key, "-")
 	return FirstGroup + int(client[len(client)-1])%len(c.groups)
--- a/internal/testcluster/statestore.go
+++ b/internal/testcluster/statestore.go
@@ -205,7 +205,8 @@
 // finds sessions whose position was lost.
 func (l *Load) VerifySessions() { l.VerifySomeSessions(1) }
 
-// VerifySomeSessions does the same as VerifySessions, but only for every of-th session.
+// VerifySomeSessions does the same as VerifySessions for one of every few sessions; of is the number of sessions from which it takes
+// one.
 func (l *Load) VerifySomeSessions(of int) {
 	var keys []string
 	for _, e := range l.cluster.History.Events() {
