--- a/internal/config/vrrp.go
+++ b/internal/config/vrrp.go
@@ -7,13 +7,13 @@
 	"marblespan/internal/config/lines"
 )
 
-// The default priority of a backup in RFC 9568, and an advertisement interval that suits gateways in one room.
+// The defaults of a group. The priority is the default of RFC 9568 for a backup. The interval suits gateways in one room.
 const (
 	defaultPriority              = 100
 	defaultAdvertisementInterval = 100 * time.Millisecond
 )
 
-// The bounds of the advertisement interval on the wire. The lower bound is also the unit of the interval.
+// The bounds of the advertisement interval that a VRRP packet can carry. The lower bound is also the unit of the interval.
 const (
 	minAdvertisementInterval = 10 * time.Millisecond
 	maxAdvertisementInterval = 40950 * time.Millisecond
@@ -57,8 +57,8 @@
 	Step      uint8
 }
 
-// Damping delays a gateway that loses the address within Window after it became active. The first delay is InitialHold. Each
-// further one is twice as long as the one before, up to MaxHold.
+// Damping keeps a gateway that loses the address within Window after it became active from becoming active again at once. The first
+// delay is InitialHold. Each further delay is twice as long as the one before, up to MaxHold.
 type Damping struct{ Window, InitialHold, MaxHold time.Duration }
 
 // Defaults sets the values that apply where the file does not set a directive of the section.
--- a/internal/testcluster/statestore.go
+++ b/internal/testcluster/statestore.go
@@ -16,7 +16,7 @@
 	InMemory               bool // the store is kept in memory instead of on disk
 	FastMarks              bool // gateways send an answer before its session position is stored
 	NoSessionMarks         bool // no class uses session marks
-	RaftNodes              int  // the first this many gateways run members of the Raft groups; 0 means all
+	RaftNodes              int  // number of gateways, from gateway 1 on, that run members of the Raft groups; 0 means all
 }
 
 // DefaultStateStore returns sizes and durations that suit a few gateways and a short run.
@@ -205,7 +205,8 @@
 // finds sessions whose position was lost.
 func (l *Load) VerifySessions() { l.VerifySomeSessions(1) }
 
-// VerifySomeSessions does the same as VerifySessions, but only for every of-th session.
+// VerifySomeSessions does the same as VerifySessions for one of every few sessions; of is the number of sessions from which it takes
+// one.
 func (l *Load) VerifySomeSessions(of int) {
 	var keys []string
 	for _, e := range l.cluster.History.Events() {
