--- a/internal/knownred/run/main.go
+++ b/internal/knownred/run/main.go
@@ -1,6 +1,6 @@
-// Command run checks a test run in CI. It reads the output of "go test -json" on standard input and the list of known
-// failures from the file named by its argument. It exits with 1 if a test that is not on the list failed, if a test on the
-// list did not fail, or if a package could not be tested.
+// Command run checks a test run in CI. It reads the output of "go test -json" on standard input and the list of known failures
+// from the file that its argument names. The command exits with 1 if a test that is not on the list failed, if a test on the list
+// did not fail, or if a package could not be tested.
 package main
 
 import (
--- a/internal/modelcheck/breadth_first.go
+++ b/internal/modelcheck/breadth_first.go
@@ -44,7 +44,7 @@
 // Result summarizes an exploration.
 type Result struct {
 	States         int    // distinct states found
-	Transitions    int    // transitions examined, including those to known states
+	Transitions    int    // transitions examined, including transitions to states already found
 	Depth          int    // number of transitions to the farthest state found
 	Complete       bool   // no limit ended the exploration early; also true if a violation ended it
 	Counterexample *Trace // nil if no invariant was violated
@@ -71,14 +71,14 @@
 
 // predecessor records the state and the transition by which a state was first reached.
 type predecessor struct {
-	state      int // index of the state before it; -1 for the initial state
-	transition int // index among that state's transitions
+	state      int // index of the preceding state; -1 for the initial state
+	transition int // index of the transition among those of the preceding state
 }
 
 // frontierState is a state whose transitions are still to be explored.
 type frontierState[S any] struct {
 	state S
-	index int // index of its entry in search.predecessors
+	index int // index of the state's entry in search.predecessors
 }
 
 // search is the progress of one breadth-first exploration. To save memory, only the states of the frontier are kept
--- a/internal/modelcheck/world.go
+++ b/internal/modelcheck/world.go
@@ -8,14 +8,14 @@
 	"strings"
 )
 
-// Message is a message that a node sends to the node To. Text is its complete content.
+// Message is a message from a node to the node with the number To. Text is the complete content of the message.
 type Message struct {
 	To   int
 	Text string
 }
 
 // Node is the state machine of one node of a World. It is an immutable value: each call returns the resulting node and the
-// messages that it sends. Times are in whole units of the model's clock.
+// messages that it sends. Every time is a whole number of units of the model's clock.
 type Node interface {
 	// Boot starts the node without any earlier state.
 	Boot(now int64) (Node, []Message)
@@ -23,11 +23,11 @@
 	Deliver(now int64, from int, text string) (Node, []Message)
 	// Tick handles the timers that are due. It is called when a timer is due, and when a pause of the node ends.
 	Tick(now int64) (Node, []Message)
-	// NextTimer returns when the next timer is due, if one is set.
+	// NextTimer returns the time at which the next timer is due, and whether a timer is set.
 	NextTimer() (int64, bool)
 	// Key identifies the node's state, with times relative to now.
 	Key(now int64) string
-	// Describe formats the state in a word or two.
+	// Describe formats the node's state in a word or two.
 	Describe(now int64) string
 }
 
@@ -42,29 +42,31 @@
 	// MaxDelay bounds the time from sending a message to its arrival, except under a Delay fault or while the receiver cannot
 	// read. Within this time, messages may arrive in any order.
 	MaxDelay int64
-	// ExtraDelay is added to MaxDelay for a message that is delayed by a Delay fault.
+	// ExtraDelay is added to MaxDelay for a message that a Delay fault delays.
 	ExtraDelay int64
 	// InOrder means that receivers know the order of a sender's messages, and drop a message that arrives after a later one.
 	InOrder bool
 	// PauseDurations lists the lengths of pauses to try.
 	PauseDurations []int64
-	// PartitionDuration is how long a partitioned node runs without sending to or receiving from any other.
+	// PartitionDuration is how long a partitioned node runs without sending messages to other nodes or receiving messages from
+	// them.
 	PartitionDuration int64
-	// RestartDelay is how long a crashed node stays down; 0 means that it never restarts.
+	// RestartDelay is how long a crashed node stays down; 0 means that the node never restarts.
 	RestartDelay int64
 	Faults       Faults
 	// Horizon is the time at which runs end. 0 means that runs never end; the state space must then be finite for other
 	// reasons.
 	Horizon int64
-	// EnvironmentChanges lists the external changes that are possible at a node. Each uses up one EnvironmentChange fault.
+	// EnvironmentChanges lists the external changes that are possible at a node. Each change uses up one fault of the kind
+	// EnvironmentChange.
 	EnvironmentChanges func(node int, n Node, now int64) []EnvironmentChange
-	// FaultFreeWindow is how far back invariants look for the last fault. The time since the last fault is part of the key; a
-	// time longer than FaultFreeWindow counts as FaultFreeWindow+1.
+	// FaultFreeWindow is how far back invariants look for the last fault. The time since the last fault is part of a state's key;
+	// a time longer than FaultFreeWindow counts as FaultFreeWindow+1.
 	FaultFreeWindow int64
 	// Invariant is checked in every state.
 	Invariant func(*State) error
-	// History computes what the invariant needs to know about earlier states (a history variable in TLA+). before is nil for
-	// the initial state. The result is part of the key. The function may be nil.
+	// History computes what the invariant needs to know about earlier states (a history variable in TLA+). before is nil for the
+	// initial state. The result is part of the state's key. History may be nil.
 	History func(before, after *State) History
 }
 
@@ -75,7 +77,7 @@
 	Sent []Message
 }
 
-// History holds what an invariant needs to know about earlier states. Its key must give times relative to now.
+// History holds what an invariant needs to know about earlier states. The result of Key must contain times only relative to now.
 type History interface{ Key(now int64) string }
 
 // InitialState boots every node at time 1.
--- a/internal/modelcheck/world_state.go
+++ b/internal/modelcheck/world_state.go
@@ -6,14 +6,14 @@
 type State struct {
 	Now              int64
 	Nodes            []Node
-	DownUntil        []int64 // when each node restarts; 0: it is up, -1: it never restarts
-	PausedUntil      []int64 // when each node's pause ends; 0: it is not paused
-	PartitionedUntil []int64 // when each node's partition ends; 0: it is connected
+	DownUntil        []int64 // time at which each node restarts; 0: the node is up, -1: it never restarts
+	PausedUntil      []int64 // time at which each node's pause ends; 0: the node is not paused
+	PartitionedUntil []int64 // time at which each node's partition ends; 0: the node is connected
 	FaultsLeft       Faults
-	LastFaultAt      int64 // when the last fault or environment change began or ended
+	LastFaultAt      int64 // time at which the last fault or environment change began or ended
 	History          History
 
-	network []inFlightMessage // in the order in which they were sent
+	network []inFlightMessage // messages in flight, in the order in which they were sent
 }
 
 // inFlightMessage is a message that was sent and has not been delivered yet.
@@ -22,7 +22,7 @@
 	text     string
 	sent     int64
 	deadline int64 // the clock does not pass this time before the message is delivered, unless the receiver is down or paused
-	unread   bool  // reached the receiver's socket while the receiver was paused, and has not been read since
+	unread   bool  // the message reached the receiver's socket during a pause of the receiver, and has not been read since
 }
 
 // Running reports whether a node is neither down nor paused.
--- a/internal/modelcheck/world_transitions.go
+++ b/internal/modelcheck/world_transitions.go
@@ -32,8 +32,8 @@
 	return transitions
 }
 
-// addTransition adds a transition from the current state. The next state is a copy of the current one, changed by apply. If
-// fault is set, LastFaultAt of the next state is set to its time.
+// addTransition adds a transition from the current state. The next state is a copy of the current one, changed by apply. If fault
+// is set, LastFaultAt of the next state is set to the time of the next state.
 type addTransition func(name string, fault bool, apply func(next *State))
 
 func (w *World) addMessageTransitions(s *State, add addTransition) {
@@ -91,7 +91,7 @@
 	}
 }
 
-// addNodeFaults adds the crash, pauses and partition of a running node.
+// addNodeFaults adds the transitions in which a running node crashes, pauses or is partitioned.
 func (w *World) addNodeFaults(s *State, i int, add addTransition) {
 	if s.FaultsLeft.Crash > 0 {
 		add("crash of "+strconv.Itoa(i), true, func(next *State) {
@@ -131,7 +131,8 @@
 }
 
 // nextEvent returns the time to which the clock may advance: the next timer, message deadline, or end of a pause, partition or
-// downtime. It returns false while the clock must not advance because a timer, or a message to a running node, is due.
+// downtime. The result is false while the clock must not advance because a timer, or a message to a running node, is due. It is
+// also false if no event is to come.
 func (w *World) nextEvent(state *State) (int64, bool) {
 	next, found := int64(0), false
 	include := func(at int64) {
@@ -163,7 +164,7 @@
 	return next, found && next > state.Now
 }
 
-// advance moves the clock of a state to a time, and ends the partitions, downtimes and pauses that are over by then.
+// advance moves the clock of a state to the given time, and ends the partitions, downtimes and pauses that are over by that time.
 func (w *World) advance(s *State, at int64) {
 	s.Now = at
 	for i := range s.Nodes {
@@ -184,7 +185,8 @@
 	}
 }
 
-// markUnread marks the messages that reached a node's socket during its pause. The node must read them now that the pause is over.
+// markUnread marks the messages that reached a node's socket during the node's pause. The node must read these messages now that
+// the pause is over.
 func (s *State) markUnread(i int, now int64) {
 	for k := range s.network {
 		if m := &s.network[k]; m.to == i && m.deadline < now {
--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -1,7 +1,7 @@
 package policy
 
-// primaryDrawsPerObjective is the number of times within its objective that a request for the primary
-// gets a new random number against a limit below one attempt.
+// primaryDrawsPerObjective is how many times within its latency objective a request for the primary gets a
+// new random number. The number is compared with a limit below one attempt.
 const primaryDrawsPerObjective = 16
 
 // inService reports whether the endpoint list and health checks allow anything to be sent to a server. It
@@ -14,12 +14,12 @@
 	return r.inService(s) && r.hasCapacity(s, req, share)
 }
 
-// hasCapacity reports whether this gateway may have one more attempt in flight at a server, if only the
-// given share of the server's concurrency limit may be used. In slow start the limit is reduced by the
-// server's weight, and the work sent is bounded by a budget. A capacity below one attempt is the
-// probability that the request is admitted while nothing is in flight. Weight and share do not lower the
-// capacity below a floor, which is one attempt, or the limit if the limit is below one. If share is below
-// one, a floor below one is squared, so that reads do not crowd writes out of the primary.
+// hasCapacity reports whether this gateway may have one more attempt in flight at a server, if only the given
+// share of the server's concurrency limit may be used. In slow start the limit is multiplied by the server's
+// weight, and the work sent is bounded by a budget. A capacity below one attempt is the probability that the
+// request is admitted while nothing is in flight. Weight and share do not lower the capacity below a floor,
+// which is one attempt, or the limit if the limit is below one. If share is below one, a floor below one is
+// squared, so that reads do not crowd writes out of the primary.
 func (r *Router) hasCapacity(s *server, req *request, share int64) bool {
 	if r.now < s.backOffUntil {
 		return false
--- a/internal/policy/api.go
+++ b/internal/policy/api.go
@@ -19,7 +19,7 @@
 	Group       int
 	Session     uint64 // valid if HasSession
 	HasSession  bool
-	TimeLeft    clock.Micros // until the client stops waiting
+	TimeLeft    clock.Micros // time until the client stops waiting
 	ClientRetry bool         // the client marked the request as a repetition of an earlier one
 	SinceWrite  clock.Micros // minimum age of the session's last commit, reported by client or gateway; 0: none
 }
@@ -120,7 +120,7 @@
 
 // LoadReport is what a server reports about its own state. The report arrives late and may be wrong.
 type LoadReport struct {
-	Position    Position // as of the report
+	Position    Position // log position when the report was made
 	HasPosition bool
 	Role        Role
 	Queue       int64 // waiting requests, in thousandths
@@ -158,7 +158,7 @@
 	Zone    string
 	State   EndpointState
 	Started clock.Micros // time of the last start; 0: long ago
-	Primary bool         // according to the list
+	Primary bool         // the list names the server as the primary
 	Weight  int64        // in thousandths
 }
 
--- a/internal/policy/attempts.go
+++ b/internal/policy/attempts.go
@@ -5,7 +5,7 @@
 // attempt is one send of a request to one server.
 type attempt struct {
 	request  *request
-	index    int // in request.attempts
+	index    int // index in request.attempts
 	server   *server
 	sentAt   clock.Micros
 	inFlight bool
@@ -62,8 +62,8 @@
 	r.dispatch(req.group)
 }
 
-// learnFromOutcome updates the router's knowledge of a server from an outcome: role, position, health,
-// latency, errors.
+// learnFromOutcome updates the router's state of a server from an outcome: role, position, health, latency,
+// errors.
 func (r *Router) learnFromOutcome(ended *attempt, e Outcome) {
 	srv, req := ended.server, ended.request
 	if req.writesSession() {
@@ -96,8 +96,8 @@
 	}
 }
 
-// observeAnswer records a served answer in the typical latency of its class, in the server's latency and
-// errors, and in the work meter.
+// observeAnswer records a served answer in the typical latency of the request's class, in the server's
+// latency and errors, and in the work meter.
 func (r *Router) observeAnswer(s *server, req *request, e Outcome) {
 	if req.class.typicalLatency == 0 {
 		req.class.typicalLatency = e.Latency
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -23,8 +23,8 @@
 // subscription is the state of the subscription to the endpoint list.
 type subscription struct {
 	subscribed       bool
-	subscribing      bool         // requested, and not answered yet
-	subscribeAt      clock.Micros // time of the last attempt; after a failure, of the next one
+	subscribing      bool         // a subscription is requested, and not answered yet
+	subscribeAt      clock.Micros // time of the last attempt to subscribe; after a failure, of the next attempt
 	subscribeBackOff clock.Micros
 }
 
--- a/internal/policy/execution.go
+++ b/internal/policy/execution.go
@@ -7,9 +7,9 @@
 
 // The executions. The zero value makes no promise.
 const (
-	ExecutionUnknown Execution = iota // it may have run, or may still run
-	ExecutionNone                     // it is proven that it has not run and will not run
-	ExecutionDone                     // a server has run it
+	ExecutionUnknown Execution = iota // the attempt may have run, or may still run
+	ExecutionNone                     // it is proven that the attempt has not run and will not run
+	ExecutionDone                     // a server has run the attempt
 )
 
 // ExecutionNames are the names of the executions in logs and counters. Operators' tools read them.
@@ -20,9 +20,9 @@
 }
 
 // CombinedWith returns what an execution and the result received with it prove together. If e is
-// ExecutionNone and the result is one that only a completely written attempt can have, the two contradict
-// each other, and together they mean ExecutionUnknown. CombinedWith can only add evidence that the
-// attempt ran, and no other code removes such evidence.
+// ExecutionNone and the result is one that only a completely written attempt can have, the execution and the
+// result contradict each other, and together they mean ExecutionUnknown. CombinedWith can only add evidence
+// that the attempt ran, and no other code removes such evidence.
 func (e Execution) CombinedWith(received Result) Execution {
 	switch received {
 	case ResultOK:
--- a/internal/policy/health.go
+++ b/internal/policy/health.go
@@ -9,10 +9,10 @@
 // health is whether a server is reachable, and the state of its health checks.
 type health struct {
 	lastSeenAt      clock.Micros // last sign of life
-	suspect         bool         // a connection failed or broke: a health check must show whether it is down
-	down            bool         // its health checks fail
+	suspect         bool         // a connection failed or broke; a health check must show if the server is down
+	down            bool         // the server's health checks fail
 	downAt          clock.Micros
-	recheckInterval clock.Micros // between health checks while it is down; doubles
+	recheckInterval clock.Micros // time between health checks while the server is down; doubles each time
 	checking        bool         // a health check is in flight
 	checkedAt       clock.Micros // start of the last health check
 	failedChecks    int          // consecutive failures
@@ -20,13 +20,13 @@
 
 // replicationState is a server's role and position in the replication of its group.
 type replicationState struct {
-	position     Position // highest known
+	position     Position // highest known log position
 	role         Role
 	roleProvenAt clock.Micros // time of the newest evidence of the role
 
-	misdirectedUntil   clock.Micros // until then used only if known to be fresh, as it rejected a read
-	misdirectedBackOff clock.Micros // length of the last such period; doubles
-	writeMisdirectedAt clock.Micros // last time that it rejected a write or a fresh read
+	misdirectedUntil   clock.Micros // until then the server, which rejected a read, is used only if known fresh
+	misdirectedBackOff clock.Micros // length of the last period up to misdirectedUntil; doubles each time
+	writeMisdirectedAt clock.Micros // last time that the server rejected a write or a fresh read
 }
 
 // checkBudget bounds the health checks of freshness and of servers that are down.
@@ -54,9 +54,9 @@
 	}
 }
 
-// markDown takes a server out of service until a health check or an answer shows that it is alive. It
-// cancels the idempotent attempts in flight at the server, so that they are retried elsewhere. Each
-// further failed check doubles the interval to the next one, up to maxObjective.
+// markDown takes a server out of service until a health check or an answer shows that it is alive. It cancels
+// the idempotent attempts in flight at the server, so that they are retried elsewhere. Each further failed
+// check doubles the interval to the next check, up to maxObjective.
 func (r *Router) markDown(s *server) {
 	if !s.down {
 		s.down = true
@@ -105,7 +105,7 @@
 }
 
 // mayHealthCheck reports whether a health check is allowed and its result would be used: a request has
-// arrived for the group since the last check of the server, or one is waiting in the group or in flight
+// arrived for the group since the last check of the server, or a request is waiting in the group or in flight
 // at the server. This keeps health checks from outnumbering requests.
 //
 // Trade-off: a restart that the endpoint list does not report is found later.
@@ -136,9 +136,9 @@
 	}
 }
 
-// healthCheckEnded processes the result of a health check. The position in a report shows how old the
-// report is, so the role in the report counts as evidence only as of that time. After two consecutive
-// failures the server is marked as down.
+// healthCheckEnded processes the result of a health check. The position in a report shows how old the report
+// is, so the role in the report counts as evidence only as of the time of that position. After two
+// consecutive failures the server is marked as down.
 func (r *Router) healthCheckEnded(e HealthCheckEnded) {
 	s := r.servers[e.Server]
 	if s == nil {
--- a/internal/policy/limit.go
+++ b/internal/policy/limit.go
@@ -4,11 +4,11 @@
 
 // Parameters of the adaptive concurrency limit. Shares are in thousandths.
 const (
-	initialFleetLimit    = 12  // initial number of attempts in flight at one server, over all gateways
+	initialFleetLimit    = 12  // initial limit of attempts in flight at one server, over all gateways
 	limitFloorDivisor    = 3   // cuts leave at least the initial limit divided by this ...
 	minAdmissionChance   = 50  // ... or this chance of one attempt, whichever is higher
-	latencyRatioHigh     = 450 // mean latency over objective above which a server's limit is cut
-	latencyRatioLow      = 350 // mean latency over objective below which a limit in full use grows
+	latencyRatioHigh     = 450 // ratio of mean latency to objective above which a server's limit is cut
+	latencyRatioLow      = 350 // ratio of mean latency to objective below which a limit in full use grows
 	limitCutFactor       = 850 // share of the limit that remains after a cut
 	maxCuts              = 8   // maximum of additional cuts: one for each half objective since the last outcome
 	limitRecoveryDivisor = 8   // a quick answer raises a limit below one by its distance to one, divided by this
@@ -20,11 +20,11 @@
 type concurrencyLimit struct {
 	limit         int64 // in thousandths of an attempt; below one it is the chance that a request is admitted
 	limitCutAt    clock.Micros
-	latencyRatio  int64 // moving mean of latency over objective, in thousandths
+	latencyRatio  int64 // moving mean of the ratio of latency to objective, in thousandths
 	latencySeenAt clock.Micros
 
-	backOffUntil clock.Micros // until then nothing is sent, because it was overloaded or could not be reached
-	backOff      clock.Micros // length of the last such period; doubles
+	backOffUntil clock.Micros // until then nothing is sent to the server, which was overloaded or unreachable
+	backOff      clock.Micros // length of the last pause in sending; doubles each time
 }
 
 // initialLimit returns the limit of a server about which nothing has been learned.
@@ -32,14 +32,14 @@
 	return max(one, initialFleetLimit*one/int64(r.settings.Gateways))
 }
 
-// observeLatency compares a server's latency with the objective of the class and adapts the limit. The
-// limit is cut when the mean ratio of latency to objective is above latencyRatioHigh. It grows when
-// nearly all of it is in use and the mean ratio is below latencyRatioLow. This guards against slow,
-// overloaded and starting servers alike. The mean weights an outcome by the time since the previous
-// outcome, so that gateways with little traffic learn as well.
+// observeLatency compares a server's latency with the objective of the class and adapts the limit. The limit
+// is cut when the mean ratio of latency to objective is above latencyRatioHigh. The limit grows when nearly
+// all of the limit is in use and the mean ratio is below latencyRatioLow. Adapting the limit guards against
+// slow servers, overloaded servers and starting servers. The mean weights an outcome by the time since the
+// previous outcome, so that gateways with little traffic adapt the limit too.
 //
-// Trade-off: a run of costly requests reduces the use of a healthy server; at a gateway with little
-// traffic a single slow answer is enough for this.
+// Trade-off: a run of costly requests reduces the use of a healthy server. At a gateway with little traffic,
+// a single slow answer has the same effect.
 func (r *Router) observeLatency(s *server, req *request, latency clock.Micros) {
 	ratio := min(int64(latency*one/req.class.LatencyObjective), 4*one)
 	elapsed := int64(r.now - s.latencySeenAt)
@@ -57,10 +57,10 @@
 	s.latencySeenAt = r.now
 }
 
-// cutLimit lowers a server's limit. The longer ago the server's previous outcome was, the deeper the cut:
-// where outcomes are rare, each of them stands for many at other gateways. The limit does not fall below
-// a part of the initial limit, for two reasons: with so few attempts in flight the latency is caused by
-// the server itself, and a lower limit would recover slowly.
+// cutLimit lowers a server's limit. The longer ago the server's previous outcome was, the deeper the cut,
+// because where outcomes are rare, each outcome stands for many outcomes at other gateways. The limit does
+// not fall below a part of the initial limit, for two reasons: with so few attempts in flight the latency is
+// caused by the server itself, and a lower limit would recover slowly.
 func (r *Router) cutLimit(s *server) {
 	floor := max(minAdmissionChance, initialFleetLimit*one/limitFloorDivisor/int64(r.settings.Gateways))
 	for n := min((r.now-max(s.limitCutAt, s.latencySeenAt))/(r.minObjective/2), maxCuts); n >= 0; n-- {
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -5,7 +5,7 @@
 // Parameters of outlier detection.
 const (
 	outlierErrorShare = 400 // share of failed outcomes at which a replica is ejected, in thousandths ...
-	outlierPeerFactor = 2   // ... if it is at least this many times the mean share of its peers
+	outlierPeerFactor = 2   // ... if the share is at least this many times the mean share of the other replicas
 )
 
 // outlierState is the state of outlier detection for one server.
@@ -18,7 +18,7 @@
 
 // detectOutlier updates the share of a server's attempts that ended in an error, a broken connection or a
 // rejection for overload, and ejects a replica whose share is far higher than that of its peers. If all
-// are equally bad, none is ejected. Slow servers are handled by the concurrency limit instead.
+// replicas fail equally often, none is ejected. Slow servers are handled by the concurrency limit instead.
 func (r *Router) detectOutlier(s *server, failed bool) {
 	s.errorShare -= s.errorShare / smoothing
 	if failed {
@@ -43,11 +43,11 @@
 	r.logServer(s, "server %d ejected for %d ms, error share %d", s.id, s.ejectionTime/1000, s.errorShare)
 }
 
-// unejectExpired ends an ejection whose time is over. After the ejection, the server gets one attempt at
-// a time, and the next failed one ejects it again. unejectExpired also doubles a limit below one attempt
-// after each long period without a cut, because a server that is seldom used would otherwise be avoided
-// forever. If the limit were reset at once, hundreds of gateways, each with few outcomes, would overload
-// a server again and again.
+// unejectExpired ends an ejection whose time is over. After the ejection, the server gets one attempt at a
+// time, and the next failed attempt ejects the server again. unejectExpired also doubles a limit below one
+// attempt after each long period without a cut, because a server that is seldom used would otherwise be
+// avoided forever. If the limit were reset at once, hundreds of gateways, each with few outcomes, would
+// overload a server again and again.
 //
 // Trade-off: a server that has recovered is used fully only some seconds later.
 func (r *Router) unejectExpired(s *server) {
--- a/internal/policy/primary.go
+++ b/internal/policy/primary.go
@@ -7,12 +7,12 @@
 	return req.class.Need == NeedWrite || req.class.Need == NeedFresh
 }
 
-// placeOnPrimary returns the server for a write or a fresh read, or nil if the request has to wait. It is
-// the known primary if that has capacity. Without a primary in service, fresh reads wait, and writes try
-// the other servers with at most half of their attempts: first the server listed as the primary, then the
-// one with the highest known position, because a failover elects the server that is furthest ahead. A
-// server that rejected a write or a fresh read as misdirected is skipped by all writes for half of the
-// smallest objective.
+// placeOnPrimary returns the server for a write or a fresh read, or nil if the request has to wait. The
+// server is the known primary if the primary has capacity. Without a primary in service, fresh reads wait,
+// and writes try the other servers with at most half of their attempts: first the server listed as the
+// primary, then the server with the highest known position, because a failover elects the server that is
+// furthest ahead. A server that rejected a write or a fresh read as misdirected is skipped by all writes for
+// half of the smallest objective.
 func (r *Router) placeOnPrimary(req *request) *server {
 	if p := req.group.primary; p != nil && r.inService(p) {
 		if r.admits(p, req, one) {
@@ -60,9 +60,9 @@
 	}
 }
 
-// observeOutcomeRole records the role that an outcome shows. If the server is a replica, this is evidence
-// as of now. If it is the primary, this is evidence only as of the time when the work was done: an
-// attempt that a former primary finishes after a failover must not make it the known primary again.
+// observeOutcomeRole records the role that an outcome shows. The role of a replica counts as evidence as of
+// now. The role of the primary counts only as of the time when the server did the work, because an attempt
+// that a former primary finishes after a failover must not make it the known primary again.
 //
 // Trade-off: a primary that is known only from slow answers is recognized later.
 func (r *Router) observeOutcomeRole(a *attempt, e Outcome) {
@@ -76,7 +76,7 @@
 	r.observeRole(a.server, e.Role, at)
 }
 
-// losePrimary clears the known primary of a group. Health checks and writes then search for the next one.
+// losePrimary clears the known primary of a group. Health checks and writes then search for the next primary.
 func (r *Router) losePrimary(g *group, why string) {
 	r.logServer(g.primary, "group %d: primary lost: %s; %d attempts in flight to it, %d requests waiting", g.id,
 		why, len(g.primary.inFlight), len(g.queue))
--- a/internal/policy/queue.go
+++ b/internal/policy/queue.go
@@ -61,11 +61,12 @@
 	return weight * one / int64(max(req.class.typicalLatency/1000, 1))
 }
 
-// expectedLatency returns the time within which an answer is expected, bounded by a share of the
-// objective so that no new request looks infeasible. With less time left than this, most attempts would
+// expectedLatency returns the time within which an answer is expected, bounded by a share of the objective so
+// that no new request looks infeasible. With less time left than the expected latency, most attempts would
 // time out and waste the server's work.
 //
-// Trade-off: where latency varies little, some requests are given up that would just have been answered.
+// Trade-off: where latency varies little, some requests are given up that would have been answered just in
+// time.
 func (r *Router) expectedLatency(req *request) clock.Micros {
 	return min(req.class.typicalLatency*expectedLatencyFactor, req.class.LatencyObjective*maxExpectedShare/one)
 }
--- a/internal/policy/read.go
+++ b/internal/policy/read.go
@@ -4,18 +4,18 @@
 
 // Parameters of reads from replicas. Shares are in thousandths.
 const (
-	toleranceDivisor   = 8   // lag behind the furthest replica that is ignored: minBound divided by this
+	toleranceDivisor   = 8   // ignored lag behind the replica furthest ahead: minBound divided by this
 	crowdedFactor      = 2   // a replica is crowded with over this many times the fewest attempts, plus one
 	longReadBounds     = 2   // a read is long if its objective is over this many times the smallest bound
-	checkWaitDivisor   = 3   // a read waits for health checks for its objective divided by this
+	checkWaitDivisor   = 3   // a read waits for health checks at most for its objective divided by this
 	readShareOfPrimary = 500 // share of the primary's limit that reads for replicas may use
 )
 
-// placeRead returns the server for a read that replicas may serve, or nil if the read has to wait. It
-// checks freshness and chooses the replica; every such read passes through it at the moment it is sent.
-// It tries, in this order: the replicas known to be fresh enough; if servers check freshness themselves,
-// the replicas furthest ahead; if they do not, a health check that may show that a replica is fresh
-// enough; the primary.
+// placeRead returns the server for a read that replicas may serve, or nil if the read has to wait. It checks
+// freshness and chooses the replica; every read that replicas may serve passes through placeRead at the
+// moment the read is sent. It tries, in this order: the replicas known to be fresh enough; if servers check
+// freshness themselves, the replicas furthest ahead; if they do not, a health check that may show that a
+// replica is fresh enough; the primary.
 func (r *Router) placeRead(req *request) *server {
 	candidates, required := r.candidateReplicas(req), r.requiredPosition(req)
 	if r.isLongRead(req) {
@@ -55,7 +55,8 @@
 // while it runs a long read, so long reads on all replicas would leave none of them fresh. The primary's
 // data is always current, so it may serve long reads too.
 //
-// Trade-off: where long reads do not stop replication, their half of the replicas may be the busier one.
+// Trade-off: where long reads do not stop replication, the half of the replicas that serves long reads may be
+// busier than the other half.
 func (r *Router) longReadReplicas(g *group, candidates []*server) (out []*server) {
 	n := 0
 	for _, s := range g.servers {
@@ -73,12 +74,12 @@
 	return out
 }
 
-// awaitsHealthCheck starts a health check of a replica for a bounded read that found no fresh one, and
-// reports whether the read should wait for the result before it goes to the primary. It does so only if
-// servers do not check freshness: then a replica with an old known position cannot be used, and with
-// little traffic most positions are old. All waiting reads share one check. The replica furthest ahead is
-// checked first, so that few positions have to be known. No replica is checked again within half the
-// bound, or before it can have caught up.
+// awaitsHealthCheck starts a health check of a replica for a bounded read for which no replica is known to be
+// fresh enough, and reports whether the read should wait for the result before it goes to the primary. It
+// starts a check only if servers do not check freshness, because then a replica with an old known position
+// cannot be used, and with little traffic most positions are old. All waiting reads share one check. The
+// replica furthest ahead is checked first, so that few positions have to be known. No replica is checked
+// again within half the bound, or before it can have caught up.
 //
 // Trade-off: the check delays the read.
 func (r *Router) awaitsHealthCheck(req *request, candidates []*server) bool {
@@ -120,7 +121,7 @@
 }
 
 // candidateReplicas returns the replicas that may take a read now: in service, with capacity, and not
-// crowded. Ejected replicas are returned only if no other is left, so that ejection never empties a
+// crowded. Ejected replicas are returned only if no other replica is left, so that ejection never empties a
 // group.
 //
 // Trade-off: a session moves away from its replica while that replica is crowded.
@@ -148,11 +149,11 @@
 	return slices.DeleteFunc(available, func(s *server) bool { return len(s.inFlight) > fewest*crowdedFactor+1 })
 }
 
-// preferOwnZone returns the replicas in this gateway's zone whose latency ratio is below
-// latencyRatioHigh, provided that there are any and that crossing zones has a cost. Otherwise it returns
-// all given replicas.
+// preferOwnZone returns the replicas in this gateway's zone whose latency ratio is below latencyRatioHigh,
+// provided that there are any and that crossing zones has a cost. Otherwise it returns all given replicas.
 //
-// Trade-off: a zone with too many requests for its replicas loads them up to that latency.
+// Trade-off: in a zone with too many requests for its replicas, the load brings their latency ratio up to
+// latencyRatioHigh.
 func (r *Router) preferOwnZone(from []*server) []*server {
 	var out []*server
 	for _, s := range from {
@@ -166,8 +167,8 @@
 	return out
 }
 
-// drawReplica returns the session's sticky replica if it is among the given replicas. Otherwise it
-// chooses one of them at random, which becomes the sticky replica.
+// drawReplica returns the session's sticky replica if it is among the given replicas. Otherwise it chooses
+// one of the given replicas at random, which becomes the session's sticky replica.
 func (r *Router) drawReplica(req *request, from []*server) *server {
 	if len(from) == 0 {
 		return nil
@@ -187,9 +188,9 @@
 }
 
 // furthestAhead returns the replicas to try if none is known to be fresh enough and the servers check
-// freshness themselves: the one with the highest known position, and those about equally far ahead. An
-// old known position excludes no replica, because load reports may be late although the data is current.
-// A replica that rejected a read is excluded, for a period that doubles until it serves a read.
+// freshness themselves: the replica with the highest known position, and the replicas about equally far
+// ahead. An old known position excludes no replica, because load reports may be late although the data is
+// current. A replica that rejected a read is excluded, for a period that doubles until it serves a read.
 //
 // Trade-off: some reads are rejected while all replicas really lag.
 func (r *Router) furthestAhead(candidates []*server) []*server {
--- a/internal/policy/reason.go
+++ b/internal/policy/reason.go
@@ -8,9 +8,9 @@
 	ReasonTimeUp       Reason = iota // an answer would earn nothing any more
 	ReasonNothingSent                // no attempt was sent in the first half of the request's time
 	ReasonTooLate                    // too little time is left for an attempt
-	ReasonNoCapacity                 // no server has capacity for it, and its answer would probably be late
+	ReasonNoCapacity                 // no server has capacity, and the request's answer would probably be late
 	ReasonMayHaveRun                 // an attempt may have run, and a second run would do harm
-	ReasonAttemptsUsed               // all of its attempts are used
+	ReasonAttemptsUsed               // all attempts of the request are used
 	ReasonRetryBudget                // the retry budget is empty
 )
 
--- a/internal/policy/requests.go
+++ b/internal/policy/requests.go
@@ -5,24 +5,24 @@
 // request is one accepted request, from its arrival to its final answer.
 type request struct {
 	id       string
-	settings *Settings // in force on arrival; the request is finished under them, and as its class
+	settings *Settings // settings in force on arrival; the request keeps them and its class to its end
 	class    *classState
 	group    *group
 	session  *session // nil: none
 
-	requiredPosition Position // position that a replica must have applied; 0: the request carried none
+	requiredPosition Position // position that a replica must have applied; 0: the request carried no position
 	deadline         clock.Micros
 	objectiveAt      clock.Micros
 	awaitsCheckUntil clock.Micros // until then a bounded read waits for health checks of replicas
 
-	attempts      []*attempt // all, by index
-	misdirectedBy []ServerID // replicas that rejected it as too far behind
+	attempts      []*attempt // all attempts of the request, by index
+	misdirectedBy []ServerID // replicas that rejected the request because they were too far behind
 
 	admissionDraw      int64 // random number for hasCapacity, in thousandths; see admissionDraw
 	admissionDrawUntil clock.Micros
 
 	queued bool
-	done   bool // it has its final answer, or its client has disconnected
+	done   bool // the request has its final answer, or its client has disconnected
 }
 
 // outstanding returns the number of attempts in flight.
@@ -70,8 +70,8 @@
 	r.dispatch(req.group)
 }
 
-// expiryOf returns the time after which an answer to a request earns nothing. That is one tick before the
-// client stops waiting. For an idempotent class without a late weight, an answer after the latency
+// expiryOf returns the time after which an answer to a request earns nothing. This time is one tick before
+// the client stops waiting. For an idempotent class without a late weight, an answer after the latency
 // objective earns nothing either.
 func (r *Router) expiryOf(req *request) clock.Micros {
 	last := req.deadline - req.settings.Tick
@@ -97,8 +97,8 @@
 
 // finish gives a request that is not served its final answer, and cancels the attempts that are still in
 // flight. It rejects the request if a retry is harmless, and fails it otherwise. The retry advice of a
-// rejection is the longest that the client obeys, because a lack of capacity or of a primary usually
-// lasts longer than that.
+// rejection is the longest that the client obeys, because a lack of capacity or of a primary usually lasts
+// longer than the advice.
 //
 // Trade-off: after a short fault the client comes back later than it could.
 func (r *Router) finish(req *request, reason Reason) {
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -3,7 +3,7 @@
 // Parameters of the retry budget. One token is 1000 thousandths.
 const (
 	retryTokensPerArrival = 200 // tokens for retries that each arrival adds, in thousandths
-	maxSavedTokens        = 10  // maximum of tokens saved for retries, and likewise for health checks
+	maxSavedTokens        = 10  // maximum number of saved tokens, for retries and separately for health checks
 )
 
 // retryBudget bounds the retries of attempts that may have run. It is one of four bounds on retries. The
@@ -24,8 +24,8 @@
 	return false
 }
 
-// mayRetry reports whether a request may have another attempt: it has no final answer, it has attempts
-// left, none is in flight, and a second run is harmless.
+// mayRetry reports whether a request may have another attempt: the request has no final answer, it has
+// attempts left, no attempt is in flight, and a second run is harmless.
 func (r *Router) mayRetry(req *request) bool {
 	return !req.done && len(req.attempts) < req.settings.MaxAttempts && req.outstanding() == 0 && mayReject(req)
 }
@@ -36,8 +36,8 @@
 	return req.class.Effect == EffectIdempotent || !mayHaveRun(req)
 }
 
-// takeRetryToken takes a token for a retry from the budget and reports whether there was one. The budget
-// prevents slow servers or errors everywhere from multiplying the load. The retry of an attempt that
+// takeRetryToken takes a token for a retry from the budget and reports whether the budget had a token. The
+// budget prevents slow servers or errors everywhere from multiplying the load. The retry of an attempt that
 // never ran is free.
 //
 // Trade-off: while the budget is empty, a read that a retry could have saved ends unserved.
@@ -45,7 +45,7 @@
 	return ended.execution == ExecutionNone || takeToken(&r.retryTokens)
 }
 
-// takeToken takes one token from a budget and reports whether there was one.
+// takeToken takes one token from a budget and reports whether the budget had a token.
 func takeToken(budget *int64) bool {
 	if *budget < one {
 		return false
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -64,7 +64,7 @@
 	classes  []*classState
 	rng      random
 	now      clock.Micros // never goes back
-	actions  []Action     // of the current step
+	actions  []Action     // actions of the current step
 
 	servers    map[ServerID]*server
 	groups     map[int]*group
--- a/internal/policy/sessions.go
+++ b/internal/policy/sessions.go
@@ -7,9 +7,9 @@
 // session is the state that is remembered for one session.
 type session struct {
 	key            uint64
-	position       Position // of its last known commit through this gateway
-	writesInFlight int      // attempts of its writes that are in flight
-	replica        ServerID // its sticky replica; valid if sticky
+	position       Position // log position of the session's last known commit through this gateway
+	writesInFlight int      // attempts of the session's writes that are in flight
+	replica        ServerID // the session's sticky replica; valid if sticky
 	sticky         bool
 }
 
@@ -28,10 +28,10 @@
 	return &sessions{byKey: make(map[uint64]*session, size), ring: make([]session, 0, size)}
 }
 
-// get returns the session with the given key. If there is none, it creates one whose position is the
-// highest of any forgotten session. The new session reuses the memory of a forgotten one. A request that
-// still refers to the forgotten session therefore updates the new one, whose position it can only raise.
-// A session with a write in flight is not forgotten, unless every session has one.
+// get returns the session with the given key. If there is none, it creates one whose position is the highest
+// of any forgotten session. The new session reuses the memory of a forgotten session. A request that still
+// refers to the forgotten session therefore updates the new one, whose position it can only raise. A session
+// with a write in flight is not forgotten, unless every session has one.
 func (t *sessions) get(key uint64) *session {
 	if s := t.byKey[key]; s != nil {
 		return s
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -7,7 +7,7 @@
 
 // The needs, from least to most demanding.
 const (
-	NeedAny     Need = iota // any server may serve it
+	NeedAny     Need = iota // any server may serve the request
 	NeedBounded             // data no older than the class's staleness bound when the request is sent
 	NeedSession             // data with all writes of the session
 	NeedFresh               // data with every write made before the request arrived
@@ -28,9 +28,9 @@
 
 // The checks. The zero value is the strictest: the router must not rely on the servers.
 const (
-	FreshnessCheckNone   FreshnessCheck = iota // it serves the read from its old data
-	FreshnessCheckReject                       // it rejects the read as misdirected at once
-	FreshnessCheckWait                         // it waits a while to catch up, then rejects it as misdirected
+	FreshnessCheckNone   FreshnessCheck = iota // the server serves the read from its old data
+	FreshnessCheckReject                       // the server rejects the read as misdirected at once
+	FreshnessCheckWait                         // server waits to catch up, then rejects the read as misdirected
 )
 
 // Class is one class of requests.
@@ -92,7 +92,7 @@
 }
 
 // objectiveSpread limits maxObjective to this many times minObjective, so that one class with a long
-// objective does not slow down all that the router learns.
+// objective does not slow down everything that depends on maxObjective.
 const objectiveSpread = 3
 
 // classState is a class and what the router has learned about it.
@@ -106,8 +106,9 @@
 	// minObjective is the smallest latency objective. The interval between sweeps and the intervals of the
 	// search for a primary are fractions of it.
 	minObjective clock.Micros
-	// maxObjective is the largest latency objective, but at most objectiveSpread times minObjective. Moving
-	// means, ejections and health checks of servers that are down take longer if it is longer.
+	// maxObjective is the largest latency objective, but at most objectiveSpread times minObjective. The
+	// larger maxObjective is, the slower moving means change, and the longer ejections and the intervals
+	// between health checks of servers that are down can be.
 	maxObjective clock.Micros
 	// minBound is the smallest staleness bound. The intervals of health checks for freshness are fractions
 	// of it.
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -13,7 +13,7 @@
 
 // slowStartState records what was sent to a server in slow start.
 type slowStartState struct {
-	slowStartSends   []slowStartSend // within the last overload window
+	slowStartSends   []slowStartSend // sends within the last overload window
 	slowStartDraw    int64           // random number for a budget below one send, in thousandths
 	slowStartDrawnAt clock.Micros
 }
@@ -21,19 +21,19 @@
 // slowStartSend is a send to a server in slow start.
 type slowStartSend struct {
 	at   clock.Micros
-	work int64 // expected, in microseconds
+	work int64 // expected work, in microseconds
 }
 
 // workMeter measures the work that one server does for this gateway, in microseconds of latency.
 type workMeter struct {
-	workServed      int64 // since workSince
+	workServed      int64 // work served since workSince
 	workSince       clock.Micros
 	meanServerWork  int64 // moving mean of one server's work in an overload window
 	meanRequestWork int64 // moving mean of one request's work
 }
 
-// slowStartWeight returns the smallest share of its capacity that a server can have now, in thousandths.
-// It grows linearly from SlowStartMinWeight at the start of the server to one at the end of slow start.
+// slowStartWeight returns the smallest share of its capacity that a server can have now, in thousandths. The
+// share grows linearly from SlowStartMinWeight at the start of the server to one at the end of slow start.
 func (r *Router) slowStartWeight(s *server) int64 {
 	age := r.now - s.startedAt
 	if s.startedAt == 0 || age >= r.settings.SlowStartWindow {
@@ -76,8 +76,8 @@
 	return int64(req.class.LatencyObjective / unseenWorkDivisor)
 }
 
-// recordWork adds an answered request to the meter. After each overload window it updates meanServerWork
-// with the mean over the servers in service.
+// recordWork adds an answered request to the meter. After each overload window it updates meanServerWork with
+// the mean work per server in service.
 func (r *Router) recordWork(req *request) {
 	r.workServed += r.expectedWork(req)
 	r.meanRequestWork += (r.expectedWork(req) - r.meanRequestWork) / smoothing
--- a/internal/policy/view.go
+++ b/internal/policy/view.go
@@ -4,7 +4,7 @@
 
 // Health summarizes a router's servers, for callers that decide whether its gateway can serve requests.
 type Health struct {
-	UsableServers        int // in service: excluded neither by the endpoint list nor by health checks
+	UsableServers        int // servers in service: excluded neither by the endpoint list nor by health checks
 	GroupsWithoutPrimary int // groups with a recent request but without a known primary
 }
 
@@ -27,7 +27,7 @@
 // ServerView is a router's state of one server, for callers that decide whether the server can be taken
 // out of service.
 type ServerView struct {
-	Endpoint      // as listed
+	Endpoint      // entry of the server in the endpoint list
 	Primary       bool
 	Down          bool
 	InSlowStart   bool
--- a/internal/routing/core.go
+++ b/internal/routing/core.go
@@ -26,20 +26,20 @@
 	startedAt clock.Micros
 	now       clock.Micros // time of the event being handled
 	timers    timers
-	pending   []policy.Event // caused by the router's own actions; handled after them
+	pending   []policy.Event // events caused by the router's own actions; handled after those actions
 	requests  requestTable
 	endpoints endpointList
 
 	requestLog requestLog
 }
 
-// maxListWait bounds how long after its start the gateway waits for the first pushed endpoint list and is not ready. It waits
-// because the list that it starts with may be old, while policy assumes that the gateway knows every change of a pushed list
-// at once. The wait is bounded so that a discovery agent that does not answer cannot keep the gateway out of service: a
-// restart must be over within 10 s.
+// maxListWait bounds how long after its start the gateway waits for the first pushed endpoint list; meanwhile the gateway is not
+// ready. It waits because the list that it starts with may be old, while policy assumes that the gateway knows every change of a
+// pushed list at once. The wait is bounded so that a discovery agent that does not answer cannot keep the gateway out of service:
+// a restart must be over within 10 s.
 const maxListWait = clock.Micros(3 * time.Second / time.Microsecond)
 
-// NewCore creates a Core and starts its router. known is the endpoint list that the gateway had last.
+// NewCore creates a Core and starts its router. The parameter known is the endpoint list that the gateway had last.
 func NewCore(
 	now clock.Micros, seed uint64, inForce *settings.Snapshot, known EndpointListUpdate, servers Servers, disc Discovery,
 	log zerolog.Logger,
@@ -117,8 +117,7 @@
 // NextTimer returns the time of the next timer for Expire, and whether a timer is set.
 func (c *Core) NextTimer() (clock.Micros, bool) { return c.timers.first() }
 
-// Reconfigure puts the settings in next in force. Open requests finish under the settings that were in force when they
-// arrived.
+// Reconfigure puts new settings in force. Open requests finish under the settings that were in force when they arrived.
 func (c *Core) Reconfigure(next *settings.Snapshot) {
 	c.inForce, c.counterIndexes = next, c.Counts.counterIndexes(next.ClassNames)
 	c.Counts.Reloads++
--- a/internal/routing/counters.go
+++ b/internal/routing/counters.go
@@ -39,11 +39,11 @@
 	Requests    []int64                       // by class: requests passed to the router
 	Sends       []int64                       // by class: attempts sent
 	Disconnects []int64                       // by class: clients that disconnected before their answer
-	Answers     [len(AnswerKindNames)][]int64 // by kind and class
-	Outcomes    [len(ResultNames)]int64       // of attempts
+	Answers     [len(AnswerKindNames)][]int64 // answers to clients, by kind of answer and class
+	Outcomes    [len(ResultNames)]int64       // attempts that ended, by result
 	// Reasons counts requests that ended without a server's answer, by kind of answer and reason.
 	Reasons      [len(AnswerKindNames)][len(policy.ReasonNames)]int64
-	Executions   [len(policy.ExecutionNames)]int64 // by whether the attempt ran
+	Executions   [len(policy.ExecutionNames)]int64 // attempts that ended, by whether the attempt ran
 	StaleAnswers int64                             // answers discarded: a replica answered a read that needs the primary
 
 	UnknownGroup int64 // requests rejected because no list has ever named their group
@@ -53,10 +53,10 @@
 	HealthChecksSent int64
 
 	ListUpdates [len(ListFormNames)]int64
-	Watches     int64 // started or stopped
+	Watches     int64 // watches of the endpoint list started or stopped
 	Fetches     int64
 
-	Reloads int64 // of the settings
+	Reloads int64 // reloads of the settings
 }
 
 // counterIndexes returns the indexes of the named classes, and adds classes that are new.
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -17,7 +17,7 @@
 	idByUID     map[string]policy.ServerID
 	uidByID     map[policy.ServerID]string
 	lastID      policy.ServerID
-	listed      map[string]bool // by UID: servers on the list that are not removed
+	listed      map[string]bool // servers on the list that are not removed, by UID
 	knownGroups map[int]bool    // every group that any list has named
 	// cordoned has the state on the list of each server that operators have cordoned, by UID. It is nil until the first
 	// cordon.
--- a/internal/routing/events.go
+++ b/internal/routing/events.go
@@ -8,7 +8,7 @@
 	"marblespan/internal/transport"
 )
 
-// Event is an event for Core.Handle, of one of the types below.
+// Event is an event for Core.Handle. Its type is one of the types below.
 type Event interface{ event() }
 
 // Request is a client's complete request.
@@ -18,7 +18,7 @@
 	Payload     Payload
 	Settings    *settings.Snapshot // settings whose classes Arrival.Class is an index into; nil: those in force
 	Arrival     policy.Arrival     // ID and TimeLeft are filled in by Core
-	ReadAt      clock.Micros       // when its last byte was read
+	ReadAt      clock.Micros       // time at which the last byte of the request was read
 	Timeout     clock.Micros       // how long the client waits, counted from ReadAt
 	MinPosition clock.Micros       // log position that the answer must include; 0: none
 }
@@ -30,7 +30,7 @@
 type AttemptEnded struct {
 	Job        Job
 	Result     policy.Result
-	Execution  policy.Execution // set by Servers; what it proves is never weakened afterwards
+	Execution  policy.Execution // set by Servers; later code only adds evidence that the attempt ran
 	Latency    clock.Micros
 	Role       policy.Role
 	Position   policy.Position
--- a/internal/routing/owner.go
+++ b/internal/routing/owner.go
@@ -10,8 +10,8 @@
 // thousand connections. The owner itself never waits for a sender.
 const queueLength = 4096
 
-// Owner runs a Core on one goroutine, that of Run, behind a queue of events. Only that goroutine receives from the queue and
-// reads and writes the Core: the policy state machine, the timers, the open requests, the counters and the endpoint list
+// Owner runs a Core on one goroutine, the goroutine of Run, behind a queue of events. Only that goroutine receives from the queue
+// and reads and writes the Core: the policy state machine, the timers, the open requests, the counters and the endpoint list
 // (Core.endpoints), including which servers are cordoned. Other goroutines reach the Core only through Post and Call.
 //
 // The servers' addresses in session.Servers are a copy for the connections' goroutines; a mutex in session.Servers guards the
@@ -39,8 +39,8 @@
 	}
 }
 
-// Call runs a function on the owner's goroutine and waits for it. It returns true once the function has run, and false if the
-// owner has stopped. The function must not keep the Core, and must not call Post or Call.
+// Call runs a function on the owner's goroutine and waits for the function to end. Call returns true once the function has run,
+// and false if the owner has stopped. The function must not keep the Core, and must not call Post or Call.
 func (o *Owner) Call(do func(*Core)) bool {
 	ran := make(chan struct{})
 	o.Post(Call{func(c *Core) { do(c); close(ran) }})
@@ -52,7 +52,8 @@
 	}
 }
 
-// Run creates a Core with start and runs it until Stop is called. The calling goroutine becomes the owner's goroutine.
+// Run creates a Core by calling the function start, and runs the Core until Stop is called. The calling goroutine becomes the
+// owner's goroutine.
 func (o *Owner) Run(start func(now clock.Micros) *Core) {
 	defer close(o.done)
 	c := start(o.clock.Now())
--- a/internal/routing/requestlog.go
+++ b/internal/routing/requestlog.go
@@ -17,7 +17,7 @@
 // lineLimit limits the log lines of one kind. It counts the lines left out; the next line written includes that number.
 type lineLimit struct {
 	spentUntil clock.Micros // each line written moves this time forward by logInterval; it must not pass the current time
-	leftOut    int64        // lines left out since the last one written
+	leftOut    int64        // lines left out since the last line was written
 }
 
 // take reports whether a line may be written now, and if so how many lines were left out before it.
@@ -38,9 +38,9 @@
 // endedAttempt records, for the log, an attempt that ended without an answer for the client.
 type endedAttempt struct {
 	server   policy.ServerID
-	received policy.Result // as received from Servers
-	result   policy.Result // as passed to the router
-	role     policy.Role   // as reported by the server
+	received policy.Result // result as received from Servers
+	result   policy.Result // result as passed to the router
+	role     policy.Role   // role as reported by the server
 
 	execution policy.Execution
 	latency   clock.Micros
--- a/internal/routing/requests.go
+++ b/internal/routing/requests.go
@@ -10,22 +10,22 @@
 
 // request is a request that has been passed to the router.
 type request struct {
-	id       string // assigned by Core
-	clientID string // assigned by the client; empty: none
+	id       string // id that Core assigned
+	clientID string // id that the client assigned; empty: none
 	client   Client
 	payload  Payload
 	group    int
-	readAt   clock.Micros // when its last byte was read
+	readAt   clock.Micros // time at which the last byte of the request was read
 	deadline clock.Micros
 
-	settings     *settings.Snapshot // settings in force when it arrived; it finishes under them
+	settings     *settings.Snapshot // settings in force when the request arrived; the request finishes under these settings
 	class        int                // index into the classes of those settings
-	counterIndex int                // index of its class in Counts
+	counterIndex int                // index of the request's class in Counts
 
-	attempts []Attempt // by attempt index; nil for an attempt that was not sent or has ended
+	attempts []Attempt // attempts by index; nil for an attempt that was not sent or has ended
 	inFlight int       // number of attempts that were sent and have not ended
 	ended    []endedAttempt
-	closed   bool // answered, or its client has disconnected
+	closed   bool // the request is answered, or its client has disconnected
 }
 
 // requestClass returns the class of the request in the settings that it finishes under.
@@ -113,7 +113,8 @@
 	return class, ok && c.inForce.Settings.Classes[class].Need == e.Settings.Settings.Classes[e.Arrival.Class].Need
 }
 
-// arrival returns a request as the router sees it. The time that it waited in the queue is subtracted from the client's timeout.
+// arrival returns a request as the router sees it. The time that the request waited in the queue is subtracted from the client's
+// timeout.
 func (c *Core) arrival(q *request, e *Request) policy.Arrival {
 	a := e.Arrival
 	a.Class, a.ID, a.TimeLeft = q.class, q.id, max(q.deadline-c.now, 0)
@@ -124,8 +125,8 @@
 }
 
 // handleClientDisconnected closes the client's open request, if it has one, and passes the event to the router. The router may
-// cancel the attempt in flight, which still ends with an AttemptEnded. The package comment describes the whole sequence, and
-// the different one for in-doubt writes.
+// cancel the attempt in flight, which still ends with an AttemptEnded. The package comment describes the complete sequence, and
+// the different sequence for in-doubt writes.
 func (c *Core) handleClientDisconnected(e ClientDisconnected) {
 	q := c.requests.byClient[e.Client]
 	if q == nil {
@@ -220,8 +221,8 @@
 	c.requests.forgetIfDone(q)
 }
 
-// FailAll fails every open request at the end of a graceful shutdown, so that none is left without an answer. The requests are
-// failed, not rejected, because their attempts in flight may have run.
+// FailAll fails every open request at the end of a graceful shutdown, so that no request is left without an answer. The requests
+// are failed, not rejected, because their attempts in flight may have run.
 func (c *Core) FailAll() {
 	for _, q := range c.requests.byClient {
 		c.logUnserved(q, AnswerFailed, "stopping")
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -71,9 +71,9 @@
 	Attempt       int    // index among the request's attempts
 	Server        policy.ServerID
 	Payload       Payload      // the job's own reference, freed by Servers
-	SentAt        clock.Micros // when the router sent the attempt
-	Deadline      clock.Micros // when Servers gives the attempt up
-	NonIdempotent bool         // must not run twice: the request ends if a connection reset may have lost its answer
+	SentAt        clock.Micros // time at which the router sent the attempt
+	Deadline      clock.Micros // time at which Servers gives the attempt up
+	NonIdempotent bool         // the request must not run twice, so it ends if a connection reset may have lost its answer
 }
 
 // Attempt is an attempt in flight. Cancel gives the attempt up, or does nothing if the attempt has ended. It must not block.
--- a/internal/routing/timers.go
+++ b/internal/routing/timers.go
@@ -7,7 +7,8 @@
 	"marblespan/internal/policy"
 )
 
-// timers holds the timers that the router has set, ordered by time. Timers with the same time keep the order they were set in.
+// timers holds the timers that the router has set, ordered by time. Timers with the same time keep the order in which they were
+// set.
 type timers struct {
 	heap         timerHeap
 	lastSequence uint64
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -36,7 +36,7 @@
 	return p.out, nil
 }
 
-// parser fills in a Snapshot. It continues after an error; err holds the first one.
+// parser fills in a Snapshot. It continues after an error; err holds the first error.
 type parser struct {
 	out *Snapshot
 	err error
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -4,9 +4,9 @@
 // Snapshot does not change after Parse and package config have filled it in. On a reload, Live atomically switches to the
 // next Snapshot.
 //
-// The platform's keys and words are defined by the struct tags and tables of wire.go, and its names of load report fields in
-// loadreport.go. Parse translates the keys and words into the terms of policy.Settings, and defines how missing and unknown
-// words are treated.
+// The platform's keys and words are defined by the struct tags and tables of wire.go, and the platform's names of load report
+// fields are in loadreport.go. Parse translates the keys and words into the terms of policy.Settings, and defines how missing and
+// unknown words are treated.
 package settings
 
 import (
@@ -21,7 +21,7 @@
 type Snapshot struct {
 	Settings         policy.Settings
 	ClassIndex       map[string]int // index into Settings.Classes, by class name
-	ClassNames       []string       // by index into Settings.Classes
+	ClassNames       []string       // names of the classes, in the order of Settings.Classes
 	LoadReportFields []string       // names of the values in a load report on the simulator's wire, in order
 	PositionEpoch    clock.Micros   // the time from which the simulator counts log positions
 	Keepalive        clock.Micros   // database servers close connections that were idle for this long; 0: unknown
--- a/internal/settings/wire.go
+++ b/internal/settings/wire.go
@@ -19,7 +19,7 @@
 	Rules          wireRules       `json:"rules"`
 }
 
-// wireClass is a class of requests. How current its data must be is in wireReplication.Needs.
+// wireClass is a class of requests. wireReplication.Needs holds how current the data for each class must be.
 type wireClass struct {
 	Name              string     `json:"name"`
 	LatencyObjective  wireNumber `json:"aim_ms"`
@@ -40,8 +40,8 @@
 // wireReplication describes how the database servers replicate and check freshness.
 type wireReplication struct {
 	FreshnessCheck       string       `json:"checks"`
-	StalenessBounds      []wireNumber `json:"oldest_data_ms"` // by class
-	Needs                []string     `json:"freshness"`      // by class
+	StalenessBounds      []wireNumber `json:"oldest_data_ms"` // staleness bound of each class
+	Needs                []string     `json:"freshness"`      // how current the data for each class must be
 	AnswersCarryPosition bool         `json:"answers_stamped"`
 	SessionPositions     string       `json:"write_marks"`
 	FreshnessCheckWait   wireNumber   `json:"wait_ms"`
--- a/internal/simhost/host.go
+++ b/internal/simhost/host.go
@@ -1,6 +1,6 @@
-// Package simhost runs many routers for the simulator: it passes each event of a batch to the instance (simulated gateway)
-// that the event is addressed to, and writes the resulting actions back. A fault of one instance does not affect the others.
-// It makes no decisions. Command simhost calls Run, whose goroutine owns all state; there are no other goroutines. The main
+// Package simhost runs many routers for the simulator: it passes each event of a batch to the instance (simulated gateway) that
+// the event is addressed to, and writes the resulting actions back. A fault of one instance does not affect the others. The
+// package makes no decisions. Command simhost calls Run, whose goroutine owns all state; there are no other goroutines. The main
 // steps are host.handleLine, host.handleMessage and host.guard.
 package simhost
 
@@ -35,11 +35,11 @@
 type instance struct {
 	settings *settings.Snapshot
 	router   *policy.Router
-	broken   bool // had a fault: its events are ignored until it is started again
+	broken   bool // the instance had a fault; its events are ignored until it is started again
 }
 
-// sheet is an endpoint sheet: entries of the endpoint list, to which events refer by the number of the sheet. A later sheet
-// with the same number replaces it.
+// sheet is an endpoint sheet: entries of the endpoint list, to which events refer by the number of the sheet. A later sheet with
+// the same number replaces the earlier sheet.
 type sheet struct {
 	endpoints []policy.Endpoint
 	sent      bool
@@ -54,8 +54,8 @@
 	reply     []byte // reply to the current batch so far
 }
 
-// Run reads batches from in until its end and writes a reply to each batch to out. A fault of one instance is reported in
-// errorLog and in the reply, and the other instances continue. Any other error ends the run.
+// Run reads batches from the reader in until the input ends, and writes the reply to each batch to the writer out. A fault of one
+// instance is reported in errorLog and in the reply, and the other instances continue. Any other error ends the run.
 func Run(in io.Reader, out, errorLog io.Writer) error {
 	h := &host{instances: map[int]*instance{}}
 	lines := bufio.NewScanner(in)
@@ -199,8 +199,8 @@
 	return h.guard(number, func(in *instance) []policy.Action { return in.router.Step(h.now, event) })
 }
 
-// guard calls decide for an instance and adds the resulting actions to the reply. It turns a panic of the router into a fault
-// of that instance. For a broken instance, it does nothing.
+// guard calls the function decide for an instance and adds the resulting actions to the reply. It turns a panic of the router
+// into a fault of that instance. For a broken instance, it does nothing.
 func (h *host) guard(number int, decide func(*instance) []policy.Action) (err error) {
 	in := h.instances[number]
 	if in == nil {
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -45,7 +45,7 @@
 		b = appendNumber(beginAction(b, nameHealthCheck, instance), int64(a.Server))
 	case policy.CloseIdle:
 		b = appendNumber(beginAction(b, nameCloseIdle, instance), int64(a.Server))
-	case policy.Forget, policy.Withdraw: // the simulator manages its servers itself, and begins each attempt when it is sent
+	case policy.Forget, policy.Withdraw: // the simulator manages its servers, and begins each attempt when the router sends it
 		return b
 	case policy.SendToPeer:
 		b = appendPeer(beginAction(b, nameSendToPeer, instance), a.To)
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -57,7 +57,7 @@
 	return message, nil
 }
 
-// checked returns the message that was read from r, or the error in r if a value could not be read.
+// checked returns the message that was read from r, or the error recorded in r if a value could not be read.
 func checked(name string, message Message, r *row) (Message, error) {
 	if r.err != nil {
 		return nil, fmt.Errorf("%s: %w", name, r.err)
@@ -97,7 +97,8 @@
 	return checked(name, InstanceEvent{instance, event}, r)
 }
 
-// event decodes an event for a started instance. It returns an error if the name is unknown; an error in a value is kept in r.err.
+// event decodes an event for a started instance. It returns an error if the name is unknown; an error in a value is recorded in
+// r.err.
 func (r *row) event(name string, inForce *settings.Snapshot) (policy.Event, error) {
 	switch name {
 	case nameArrival:
--- a/internal/simwire/row.go
+++ b/internal/simwire/row.go
@@ -9,14 +9,14 @@
 	"marblespan/internal/settings"
 )
 
-// row reads the values of one message by their indexes and keeps the first error in err. For a value that cannot be read, its
-// methods return the zero value.
+// row reads the values of one message by their indexes and keeps the first error in err. For a value that cannot be read, the
+// methods of row return the zero value.
 type row struct {
 	values []json.RawMessage
 	err    error
 }
 
-// fail records the error that value i is not what was expected. If there is an earlier error, it keeps that one.
+// fail records the error that value i is not what was expected. If an error is already recorded, fail keeps the earlier error.
 func (r *row) fail(i int, want string) {
 	if r.err == nil {
 		r.err = fmt.Errorf("value %d is not %s", i, want)
@@ -55,7 +55,7 @@
 	return 0
 }
 
-// maxCount is the largest value that count accepts.
+// maxCount is the largest value that the method count accepts.
 const maxCount = 1 << 31
 
 // count reads an integer from 0 to maxCount.
@@ -68,7 +68,7 @@
 	return int(value)
 }
 
-// seed reads any integer that fits into an int64 or a uint64. A negative one is converted to a uint64.
+// seed reads any integer that fits into an int64 or a uint64. A negative integer is converted to a uint64.
 func (r *row) seed(i int) uint64 {
 	if !r.absent(i) {
 		if value, err := strconv.ParseUint(string(r.values[i]), 10, 64); err == nil {
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -27,7 +27,7 @@
 // Error returns the number of the instance and the text of the fault.
 func (e *FaultError) Error() string { return fmt.Sprintf("instance %d: %s", e.Instance, e.Text) }
 
-// Message is a decoded line, of one of the types below.
+// Message is a decoded line of input. Its type is one of the types below.
 type Message interface{ message() }
 
 // BatchBegin begins a batch of messages. Now is the time of all messages in the batch.
