--- a/internal/policy/api.go
+++ b/internal/policy/api.go
@@ -192,7 +192,7 @@
 	Attempt int
 }
 
-// SetTimer requests the event Timer at the clock time At.
+// SetTimer requests that Step gets the event Timer when the clock reaches the time At.
 type SetTimer struct {
 	At    clock.Micros
 	Timer Timer
--- a/internal/policy/health.go
+++ b/internal/policy/health.go
@@ -34,11 +34,11 @@
 	checkTokens int64 // in thousandths; added by arrivals
 }
 
-// observeAlive records a sign of life. A server that was down may have restarted, so it enters slow start
-// unless keptRunning is set. keptRunning means that there is evidence against a restart: the server
-// answered an attempt that was sent before it was marked as down, or it reports a position that it can
-// only have reached while it was marked as down. A server that was running but could not be reached from
-// this gateway thereby skips slow start.
+// observeAlive records a sign of life. A server that was down may have restarted, so the server enters slow
+// start unless keptRunning is set. keptRunning means that there is evidence against a restart: the server
+// answered an attempt that was sent before it was marked as down, or it reports a position that it can only
+// have reached while it was marked as down. A server that was running but could not be reached from this
+// gateway thereby skips slow start.
 func (r *Router) observeAlive(s *server, keptRunning bool) {
 	s.lastSeenAt = r.now
 	s.failedChecks = 0
--- a/internal/policy/primary.go
+++ b/internal/policy/primary.go
@@ -62,7 +62,7 @@
 
 // observeOutcomeRole records the role that an outcome shows. The role of a replica counts as evidence as of
 // now. The role of the primary counts only as of the time when the server did the work, because an attempt
-// that a former primary finishes after a failover must not make it the known primary again.
+// that a former primary finishes after a failover must not make that server the known primary again.
 //
 // Trade-off: a primary that is known only from slow answers is recognized later.
 func (r *Router) observeOutcomeRole(a *attempt, e Outcome) {
--- a/internal/policy/read.go
+++ b/internal/policy/read.go
@@ -150,7 +150,8 @@
 }
 
 // preferOwnZone returns the replicas in this gateway's zone whose latency ratio is below latencyRatioHigh,
-// provided that there are any and that crossing zones has a cost. Otherwise it returns all given replicas.
+// provided that there are such replicas and that crossing zones has a cost. Otherwise preferOwnZone returns
+// all given replicas.
 //
 // Trade-off: in a zone with too many requests for its replicas, the load brings their latency ratio up to
 // latencyRatioHigh.
--- a/internal/policy/requests.go
+++ b/internal/policy/requests.go
@@ -5,7 +5,7 @@
 // request is one accepted request, from its arrival to its final answer.
 type request struct {
 	id       string
-	settings *Settings // settings in force on arrival; the request keeps them and its class to its end
+	settings *Settings // settings in force on arrival; the request keeps these and its class to its end
 	class    *classState
 	group    *group
 	session  *session // nil: none
--- a/internal/policy/router.go
+++ b/internal/policy/router.go
@@ -47,7 +47,7 @@
 	"marblespan/internal/clock"
 )
 
-// one is 1 as a fixed-point number: shares and limits are counted in thousandths.
+// one is the number 1 in fixed-point form: shares and limits are counted in thousandths.
 const one = 1000
 
 // maxBackOffFactor is the upper bound of ejections and other periods that double, as a multiple of
@@ -213,7 +213,7 @@
 	r.emit(Log{Text: fmt.Sprintf(format, a...), Server: s.id})
 }
 
-// removeFirst removes the first x from list in place, keeping the order.
+// removeFirst removes the first element equal to x from a list in place, and keeps the order.
 func removeFirst[T comparable](list []T, x T) []T {
 	if i := slices.Index(list, x); i >= 0 {
 		return slices.Delete(list, i, i+1)
--- a/internal/policy/sessions.go
+++ b/internal/policy/sessions.go
@@ -28,10 +28,11 @@
 	return &sessions{byKey: make(map[uint64]*session, size), ring: make([]session, 0, size)}
 }
 
-// get returns the session with the given key. If there is none, it creates one whose position is the highest
-// of any forgotten session. The new session reuses the memory of a forgotten session. A request that still
-// refers to the forgotten session therefore updates the new one, whose position it can only raise. A session
-// with a write in flight is not forgotten, unless every session has one.
+// get returns the session with the given key. If there is no such session, get creates a session whose
+// position is the highest of any forgotten session. The new session reuses the memory of a forgotten session.
+// A request that still refers to the forgotten session therefore updates the new session, and can only raise
+// the new session's position. A session with a write in flight is not forgotten, unless every session has a
+// write in flight.
 func (t *sessions) get(key uint64) *session {
 	if s := t.byKey[key]; s != nil {
 		return s
--- a/internal/policy/view.go
+++ b/internal/policy/view.go
@@ -8,8 +8,8 @@
 	GroupsWithoutPrimary int // groups with a recent request but without a known primary
 }
 
-// Health returns the current summary. GroupsWithoutPrimary leaves out groups without a request in the
-// last interval, because the router does not search for the primary of an idle group.
+// Health returns the current summary. GroupsWithoutPrimary leaves out groups whose last request arrived
+// longer ago than the given interval, because the router does not search for the primary of an idle group.
 func (r *Router) Health(interval clock.Micros) (h Health) {
 	for _, g := range r.groupsByID {
 		for _, s := range g.servers {
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -19,8 +19,8 @@
 	lastID      policy.ServerID
 	listed      map[string]bool // servers on the list that are not removed, by UID
 	knownGroups map[int]bool    // every group that any list has named
-	// cordoned has the state on the list of each server that operators have cordoned, by UID. It is nil until the first
-	// cordon.
+	// cordoned maps the UID of each server that operators have cordoned to the server's state on the list. The map is nil until
+	// the first cordon.
 	cordoned map[string]policy.EndpointState
 }
 
@@ -52,8 +52,9 @@
 	return id
 }
 
-// effectiveState returns the state that the router is given for a server whose state on the list is listed. The two states
-// differ only if operators have cordoned the server; the state on the list is then stored in cordoned, for uncordon.
+// effectiveState returns the state that the router is given for a server. The parameter listed is the server's state on the list.
+// The two states differ only if operators have cordoned the server; the state on the list is then stored in cordoned, for
+// uncordon.
 func (l *endpointList) effectiveState(uid string, listed policy.EndpointState) policy.EndpointState {
 	if _, cordoned := l.cordoned[uid]; !cordoned {
 		return listed
@@ -62,7 +63,8 @@
 	return cordonedState(listed)
 }
 
-// cordonedState returns the state that the router is given for a cordoned server whose state on the list is listed.
+// cordonedState returns the state that the router is given for a cordoned server. The parameter listed is the server's state on
+// the list.
 func cordonedState(listed policy.EndpointState) policy.EndpointState {
 	if listed == policy.EndpointReady {
 		return policy.EndpointDraining
--- a/internal/routing/events.go
+++ b/internal/routing/events.go
@@ -16,7 +16,7 @@
 	Client      Client
 	ClientID    string // id that the client assigned to the request; empty: none
 	Payload     Payload
-	Settings    *settings.Snapshot // settings whose classes Arrival.Class is an index into; nil: those in force
+	Settings    *settings.Snapshot // Arrival.Class is an index into the classes of these settings; nil: settings in force
 	Arrival     policy.Arrival     // ID and TimeLeft are filled in by Core
 	ReadAt      clock.Micros       // time at which the last byte of the request was read
 	Timeout     clock.Micros       // how long the client waits, counted from ReadAt
--- a/internal/routing/timers.go
+++ b/internal/routing/timers.go
@@ -33,7 +33,7 @@
 	return t.heap[0].at, true
 }
 
-// due removes and returns the next timer that is due at now, if there is one.
+// due removes and returns the next timer that is due at the time now, if a timer is due.
 func (t *timers) due(now clock.Micros) (policy.Timer, bool) {
 	if len(t.heap) == 0 || t.heap[0].at > now {
 		return policy.Timer{}, false
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -31,7 +31,7 @@
 // Live holds the settings in force. A reload replaces them while the gateway runs.
 type Live struct{ atomic.Pointer[Snapshot] }
 
-// NewLive returns a Live that holds initial.
+// NewLive returns a Live that holds the settings initial.
 func NewLive(initial *Snapshot) *Live {
 	l := &Live{}
 	l.Store(initial)
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -126,7 +126,7 @@
 	return nil, fmt.Errorf("unknown event %.40q", name)
 }
 
-// Indexes of the values of an arrival that are used.
+// Indexes of those values of an arrival that the package uses.
 const (
 	arrivalID         = 1
 	arrivalSession    = 2
@@ -226,7 +226,7 @@
 	return endpoints
 }
 
-// Indexes of the values of a sheet's entry that are used.
+// Indexes of those values of a sheet's entry that the package uses.
 const (
 	endpointPrimary = 0
 	endpointWeight  = 1
