--- a/internal/policy/view.go
+++ b/internal/policy/view.go
@@ -4,12 +4,12 @@
 
 // Health summarizes a router's servers, for callers that decide whether its gateway can serve requests.
 type Health struct {
-	UsableServers        int // in service: excluded neither by the endpoint list nor by health checks
+	UsableServers        int // servers in service: excluded neither by the endpoint list nor by health checks
 	GroupsWithoutPrimary int // groups with a recent request but without a known primary
 }
 
-// Health returns the current summary. GroupsWithoutPrimary leaves out groups without a request in the
-// last interval, because the router does not search for the primary of an idle group.
+// Health returns the current summary. GroupsWithoutPrimary leaves out groups whose last request arrived
+// longer ago than the given interval, because the router does not search for the primary of an idle group.
 func (r *Router) Health(interval clock.Micros) (h Health) {
 	for _, g := range r.groupsByID {
 		for _, s := range g.servers {
@@ -27,7 +27,7 @@
 // ServerView is a router's state of one server, for callers that decide whether the server can be taken
 // out of service.
 type ServerView struct {
-	Endpoint      // as listed
+	Endpoint      // entry of the server in the endpoint list
 	Primary       bool
 	Down          bool
 	InSlowStart   bool
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -57,7 +57,7 @@
 	return message, nil
 }
 
-// checked returns the message that was read from r, or the error in r if a value could not be read.
+// checked returns the message that was read from r, or the error recorded in r if a value could not be read.
 func checked(name string, message Message, r *row) (Message, error) {
 	if r.err != nil {
 		return nil, fmt.Errorf("%s: %w", name, r.err)
@@ -97,7 +97,8 @@
 	return checked(name, InstanceEvent{instance, event}, r)
 }
 
-// event decodes an event for a started instance. It returns an error if the name is unknown; an error in a value is kept in r.err.
+// event decodes an event for a started instance. It returns an error if the name is unknown; an error in a value is recorded in
+// r.err.
 func (r *row) event(name string, inForce *settings.Snapshot) (policy.Event, error) {
 	switch name {
 	case nameArrival:
@@ -125,7 +126,7 @@
 	return nil, fmt.Errorf("unknown event %.40q", name)
 }
 
-// Indexes of the values of an arrival that are used.
+// Indexes of those values of an arrival that the package uses.
 const (
 	arrivalID         = 1
 	arrivalSession    = 2
@@ -225,7 +226,7 @@
 	return endpoints
 }
 
-// Indexes of the values of a sheet's entry that are used.
+// Indexes of those values of a sheet's entry that the package uses.
 const (
 	endpointPrimary = 0
 	endpointWeight  = 1
