--- a/internal/indoubt/actions.go
+++ b/internal/indoubt/actions.go
@@ -6,7 +6,7 @@
 // which they are returned.
 type Action interface{ action() }
 
-// Put stores an intent if the stored one has this version. StoreReplied answers it.
+// Put stores an intent if the stored intent has the version Version. StoreReplied answers the Put.
 type Put struct {
 	Call      uint64
 	Key       string
@@ -16,17 +16,17 @@
 	Deadline  clock.Micros
 }
 
-// Get reads an intent, including every change that was acknowledged before the call. StoreReplied answers it.
+// Get reads an intent, including every change that was acknowledged before the call. StoreReplied answers the Get.
 type Get struct {
 	Call     uint64
 	Key      string
 	Deadline clock.Micros
 }
 
-// Route passes a claimed write to routing. RoutingAnswered answers it.
+// Route asks the caller to pass a claimed write to routing. RoutingAnswered reports the answer of routing.
 type Route struct{ ID uint64 }
 
-// Permit grants or denies the permission that PermissionRequested asked for.
+// Permit grants or denies the permission that the event PermissionRequested asked for.
 type Permit struct {
 	ID, Attempt uint64
 	Granted     bool
@@ -81,7 +81,7 @@
 	Fenced                             // another gateway took over this gateway's claim: nothing more is sent
 	Released                           // the write never ran, and Unsent is stored as its outcome
 	OutcomeNotStored                   // the outcome could not be stored in time
-	TooManyInFlight                    // not sent, because the class has MaxInFlight writes in flight
+	TooManyInFlight                    // the write is not sent, because the class has MaxInFlight writes in flight
 	Transitions                        // the number of transitions
 )
 
--- a/internal/indoubt/cancel.go
+++ b/internal/indoubt/cancel.go
@@ -1,9 +1,9 @@
 package indoubt
 
 // requestCanceled handles a client that has stopped waiting. No further attempt of its write is permitted. If an attempt was
-// already permitted, the resolver still waits for its answer, so that a repeat of the request can get it. If none was permitted,
-// routing gives up the write because it gets no permission to send. A request that was only reading the intent, looking up, or
-// waiting for another gateway or request is removed at once.
+// already permitted, the resolver still waits for the answer of that attempt, so that a repeat of the request can get the answer.
+// If no attempt was permitted, routing gives up the write because routing gets no permission to send. A request that was only
+// reading the intent, looking up, or waiting for another gateway or request is removed at once.
 func (r *Resolver) requestCanceled(id uint64) {
 	w := r.find(id)
 	if w == nil || w.client != clientWaiting {
--- a/internal/indoubt/claim.go
+++ b/internal/indoubt/claim.go
@@ -2,8 +2,8 @@
 
 // This file claims the write of a request: the claim is an intent that is stored before anything is sent.
 
-// requestReceived admits a request, unless its class has too many writes in flight; such a request is answered and nothing is
-// sent for it. An admitted request claims the write, or follows another request that already has the same write in flight at this
+// requestReceived admits a request, unless its class has too many writes in flight; a request that is not admitted is answered
+// and nothing is sent for it. An admitted request claims the write, or follows another request that already has the same write in flight at this
 // gateway.
 func (r *Resolver) requestReceived(request RequestReceived) {
 	r.writes = append(r.writes, write{request: request, receivedAt: r.now})
@@ -15,7 +15,7 @@
 	}
 	if other := r.sameWrite(w); other != nil {
 		// Two simultaneous requests with the same key count as one write, whether or not the second is marked as a repeat: the
-		// write that runs for the first request may be the one that this client asked for.
+		// write that runs for the first request may be the write that the client of the second request asked for.
 		w.phase, w.followed = followingWrite, other.request.ID
 		r.logTransition(w, AwaitingOwner)
 		return
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// claim requests that a claim is stored if the stored intent has the given version, or if there is none and version is 0.
+// claim requests that a claim is stored if the stored intent has the given version, or if no intent is stored and version is 0.
 // claimCount is the number of earlier claims in that intent.
 func (r *Resolver) claim(w *write, version uint64, claimCount uint32) {
 	w.phase, w.version = claiming, version
@@ -68,7 +68,7 @@
 	case NotApplied:
 		r.logTransition(w, ClaimFailed)
 		r.finish(w, w.notSentAnswer(), nil)
-	case Unknown: // the claim may still be applied; this gateway has to store its outcome, because no other gateway would
+	case Unknown: // the claim may still be applied; this gateway has to store the write's outcome, because no other gateway would
 		r.logTransition(w, ClaimFailed)
 		r.reply(w, w.notSentAnswer(), nil)
 		r.storeOutcome(w, Unsent, nil, false)
@@ -82,7 +82,7 @@
 		if w.mayBeRepeat() {
 			r.reply(w, Failed, nil)
 		}
-		r.reply(w, Rejected, nil) // nothing was sent for this request; has no effect if the client was answered above
+		r.reply(w, Rejected, nil) // nothing was sent for this request; reply has no effect if the client was answered above
 		r.storeOutcome(w, InDoubt, nil, false)
 	case w.client != clientWaiting || r.now >= w.request.Deadline: // the client no longer waits for the write
 		r.release(w, w.notSentAnswer())
@@ -93,14 +93,14 @@
 	}
 }
 
-// earlierClaimMayBeLost reports whether the store may have lost an earlier claim of the same write. That claim may have been made
-// for a request that came before this one, or for a repeat that came while this one waited. If this request came after the loss
-// and is not a repeat, no such claim can exist.
+// earlierClaimMayBeLost reports whether the store may have lost an earlier claim of the same write as w. The lost claim may have
+// been made for a request that came before w's request, or for a repeat that came while w's request waited. If w's request came
+// after the loss and is not a repeat, no claim of its write can have been lost.
 func (r *Resolver) earlierClaimMayBeLost(w *write, reply StoreReplied) bool {
 	return reply.PossiblyLost && w.intent.ClaimCount == 1 && (w.mayBeRepeat() || reply.SinceLoss <= r.now-w.receivedAt)
 }
 
-// resumeFollowers ends the wait of the requests that follow another request. If the other request is finished, its follower
+// resumeFollowers ends the wait of the requests that follow another request. If the other request is finished, the follower
 // claims the write. If the other request is not finished but its answer is known (hasKnownAnswer), the follower gets that answer.
 func (r *Resolver) resumeFollowers() {
 	for i := range r.writes {
@@ -119,8 +119,8 @@
 	}
 }
 
-// hasKnownAnswer reports whether the write ran, its client no longer waits, and the whole answer is known. Followers can then get
-// the same answer.
+// hasKnownAnswer reports whether three conditions hold: the write ran, its client no longer waits, and the complete answer is
+// known. Followers can then get the same answer.
 func (w *write) hasKnownAnswer() bool {
 	return w.client != clientWaiting && w.phase == storingOutcome && w.intent.State == Answered && w.intent.ValueComplete
 }
--- a/internal/indoubt/deadlines.go
+++ b/internal/indoubt/deadlines.go
@@ -27,7 +27,7 @@
 	case confirmingClaim:
 		return w.sending.attemptDeadline, true
 	case claiming, readingIntent, takingOver, lookingUp:
-		return w.request.Deadline, w.client == clientWaiting // the client gets its answer in time even if the store does not reply
+		return w.request.Deadline, w.client == clientWaiting // so the client gets its answer even if the store does not reply
 	}
 	return 0, false
 }
@@ -57,7 +57,7 @@
 // replyNow gives a client its final answer from what is known now. Store calls that are in flight continue.
 func (r *Resolver) replyNow(w *write) {
 	switch w.phase {
-	case claiming: // nothing was sent and nothing will be
+	case claiming: // nothing was sent and nothing will be sent
 		r.reply(w, w.notSentAnswer(), nil)
 	case storingOutcome, rereadingIntent:
 		r.replyByOutcome(w)
--- a/internal/indoubt/events.go
+++ b/internal/indoubt/events.go
@@ -25,8 +25,8 @@
 	Version      uint64       // the version of the intent, as read or after the change
 	Intent       *Intent      // the intent as read; nil if there is none
 	Age          clock.Micros // at least this much time has passed since the intent was last changed
-	PossiblyLost bool         // there was no intent, but the store may have lost one within its retention
-	SinceLoss    clock.Micros // at least this much time has passed since that loss
+	PossiblyLost bool         // there was no intent, but the store may have lost an intent before the end of the intent's retention
+	SinceLoss    clock.Micros // at least this much time has passed since the possible loss of an intent
 }
 
 // Result is the result of a store call.
@@ -36,23 +36,23 @@
 const (
 	OK         Result = iota
 	Conflict          // the stored intent has a different version from the one that the Put expects
-	NotApplied        // the call was not carried out and never will be
+	NotApplied        // the call was not carried out and never will be carried out
 	Unknown           // no reply in time: a Put may still be applied
 )
 
-// PermissionRequested asks whether the last byte of an attempt may be written now. Exactly one Permit answers it.
+// PermissionRequested asks whether the last byte of an attempt may be written now. Exactly one Permit answers the request.
 type PermissionRequested struct {
 	ID, Attempt uint64
-	Server      string       // the server that gets the attempt; empty if it is the same as before
+	Server      string       // the server that gets the attempt; empty if the server is the same as before
 	Deadline    clock.Micros // a permission given after this time cannot be used
 }
 
-// RoutingAnswered is the final answer of routing to a write that was passed to it with Route.
+// RoutingAnswered is the final answer of routing to a write that the action Route passed to routing.
 type RoutingAnswered struct {
 	ID            uint64
 	Kind          AnswerKind
 	Value         []byte // the answer of a served write; nil if it is too large to be stored
-	ValueComplete bool   // Value is the whole answer
+	ValueComplete bool   // Value is the complete answer
 }
 
 // AnswerKind is the kind of a final answer.
@@ -86,7 +86,7 @@
 // completes a change of the intent that it has started, and still waits for the answer of an attempt that it has permitted.
 type RequestCanceled struct{ ID uint64 }
 
-// Tick reports that time has passed. It is due at the time that Resolver.Next returns; additional ticks are harmless.
+// Tick reports that time has passed. A Tick is due at the time that Resolver.Next returns; additional Ticks are harmless.
 type Tick struct{}
 
 func (RequestReceived) event()     {}
--- a/internal/indoubt/in_flight.go
+++ b/internal/indoubt/in_flight.go
@@ -8,8 +8,8 @@
 	RequestID string
 	Class     string
 	Phase     string       // one of phaseNames
-	Age       clock.Micros // time since its request was received
-	Intent    Intent       // as last known, without the answer
+	Age       clock.Micros // time since the write's request was received
+	Intent    Intent       // the last known intent, without the answer
 }
 
 // InFlight lists the writes in flight in the order in which their requests were received.
--- a/internal/indoubt/outcome.go
+++ b/internal/indoubt/outcome.go
@@ -2,7 +2,7 @@
 
 // This file stores the outcome of a write in its intent.
 
-// release replies to the client and stores that nothing was sent.
+// release replies to the client and stores the outcome that nothing was sent.
 func (r *Resolver) release(w *write, kind AnswerKind) {
 	r.logTransition(w, Released)
 	r.reply(w, kind, nil)
@@ -60,8 +60,8 @@
 }
 
 // mayReplace reports whether an outcome may replace the stored intent. Any outcome replaces Open. Answered and Unsent also replace
-// InDoubt, regardless of which gateway stored InDoubt. Unsent may do so because it can only come from the owner of the claim. The
-// intent of a later claim is never replaced.
+// InDoubt, regardless of which gateway stored InDoubt. Unsent may replace InDoubt because only the owner of the claim stores
+// Unsent. The intent of a later claim is never replaced.
 func mayReplace(outcome, stored *Intent) bool {
 	if !outcome.sameClaim(stored) {
 		return false
--- a/internal/indoubt/resolver.go
+++ b/internal/indoubt/resolver.go
@@ -147,7 +147,7 @@
 	r.emit(Get{Call: r.newCall(w), Key: w.request.Key, Deadline: deadline})
 }
 
-// newCall returns the ID of a new store call, and records it as the call whose reply the write waits for.
+// newCall returns the ID of a new store call, and records the call as the one whose reply the write waits for.
 func (r *Resolver) newCall(w *write) uint64 {
 	r.lastCall++
 	w.call = pendingCall{id: r.lastCall, startedAt: r.now}
--- a/internal/indoubt/send.go
+++ b/internal/indoubt/send.go
@@ -2,8 +2,8 @@
 
 // This file permits the attempts of a claimed write and handles the answer of routing.
 
-// permissionRequested decides whether an attempt may be written: at once within the SendWindow of the claim, otherwise after the
-// claim is confirmed.
+// permissionRequested decides whether an attempt may be written. Within the SendWindow of the claim it decides at once, otherwise
+// only after the claim is confirmed.
 func (r *Resolver) permissionRequested(request PermissionRequested) {
 	w := r.find(request.ID)
 	if w != nil && request.Server != "" {
@@ -30,7 +30,7 @@
 	r.emit(Permit{w.request.ID, w.sending.attempt, granted})
 }
 
-// claimConfirmed permits the attempt if the stored claim is still this gateway's.
+// claimConfirmed permits the attempt if the stored claim still belongs to this gateway.
 func (r *Resolver) claimConfirmed(w *write, reply StoreReplied) {
 	switch {
 	case reply.Result != OK, w.sending.state.fenced():
--- a/internal/indoubt/takeover.go
+++ b/internal/indoubt/takeover.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// This file resolves a write that was claimed by another gateway or by an earlier incarnation of this one. The resolution begins
-// only when a client repeats its request and the claim of the repeat conflicts with the stored intent:
+// This file resolves a write that was claimed by another gateway or by an earlier incarnation of this gateway. The resolution
+// begins only when a client repeats its request and the claim of the repeat conflicts with the stored intent:
 //
 //	readIntent -> intentRead -> awaitOwner -> takeOver -> takeoverStored -> lookupOrFinish -> lookupAnswered -> storeOutcome
 
@@ -53,13 +53,13 @@
 	r.claim(w, 0, 0)
 }
 
-// answerRead replies with the stored answer, or claims a new write if the stored answer belongs to an earlier one.
+// answerRead replies with the stored answer, or claims a new write if the stored answer belongs to an earlier write.
 func (r *Resolver) answerRead(w *write, reply StoreReplied) {
 	switch {
 	case !w.mayBeRepeat() && reply.Age > r.now-w.receivedAt:
-		// The request is not a repeat and the stored write was answered before the request came, so this is a new write with the
-		// same statement. A write that was answered after the request came may be the request's own: the client may have repeated
-		// the request and been served before the claim of the first request reached the store.
+		// The request is not a repeat and the stored write was answered before the request came, so the request is a new write with
+		// the same statement. A stored write that was answered after the request came may be the write of the request itself: the
+		// client may have repeated the request and been served before the claim of the first request reached the store.
 		r.claim(w, w.version, w.intent.ClaimCount)
 	case w.intent.ValueComplete:
 		r.logTransition(w, AnswerKnown)
@@ -75,7 +75,7 @@
 		r.takeOver(w)
 		return
 	}
-	if !w.takeover.lookupStarted && r.lookupPossible(w) { // the owner may be dead without this gateway knowing it yet
+	if !w.takeover.lookupStarted && r.lookupPossible(w) { // the owner may be dead although this gateway has no report of it yet
 		w.takeover.lookupStarted = true
 		r.startLookup(w)
 		return
@@ -120,8 +120,8 @@
 	}
 }
 
-// gatewayEnded records that incarnations have ended, and takes over the intents that they own if a request at this gateway waits
-// for them.
+// gatewayEnded records that incarnations of a gateway have ended, and takes over each intent that they own and that a request at
+// this gateway waits for.
 func (r *Resolver) gatewayEnded(ended GatewayEnded) {
 	i := slices.IndexFunc(r.endedGateways, func(known GatewayEnded) bool { return known.Gateway == ended.Gateway })
 	if i < 0 {
@@ -159,7 +159,7 @@
 	}
 }
 
-// lookupPossible reports whether the class has a lookup and the client still waits for its result.
+// lookupPossible reports whether the class has a lookup and the client still waits for the result of its write.
 func (r *Resolver) lookupPossible(w *write) bool {
 	return w.request.Policy.HasLookup && w.client == clientWaiting && r.now < w.request.Deadline
 }
--- a/internal/indoubt/write.go
+++ b/internal/indoubt/write.go
@@ -9,15 +9,15 @@
 	phase      phase
 	client     clientState
 	call       pendingCall
-	intent     Intent // as last read, or as it is to be stored
+	intent     Intent // the intent that was last read, or that is to be stored
 	version    uint64 // last known version of the stored intent; 0 if there is none
 	sending    sending
 	takeover   takeover
 	retryAt    clock.Micros // awaitingOwner, storingOutcome, rereadingIntent: when to call the store again
-	// outcomeDeadline is when the resolver stops trying to store the outcome. While the client still waits, it is when the client
-	// gets its answer whether or not the outcome is stored.
+	// outcomeDeadline is the time at which the resolver stops trying to store the outcome. While the client still waits,
+	// outcomeDeadline is the time at which the client gets its answer whether or not the outcome is stored.
 	outcomeDeadline clock.Micros
-	followed        uint64 // followingWrite: the ID of the request that this one follows
+	followed        uint64 // followingWrite: the ID of the request that this write's request follows
 }
 
 // phase is the step that a write is at, named by what the write waits for.
@@ -71,8 +71,8 @@
 const (
 	notPermitted      sendState = iota // no attempt has been permitted yet: the write has not run
 	permittedOnce                      // at least one attempt was permitted: the write may have run
-	fencedUnsent                       // no attempt was permitted, and none will be
-	fencedAfterPermit                  // at least one attempt was permitted, and no further one will be
+	fencedUnsent                       // no attempt was permitted, and none will be permitted
+	fencedAfterPermit                  // at least one attempt was permitted, and no further attempt will be permitted
 )
 
 func (s sendState) fenced() bool { return s == fencedUnsent || s == fencedAfterPermit }
@@ -103,7 +103,7 @@
 	lookupStarted bool         // a lookup was started while the owner may still store the outcome; such a lookup is done at most once
 }
 
-// mayBeRepeat reports whether the request may repeat an earlier one.
+// mayBeRepeat reports whether the request may repeat an earlier request.
 func (w *write) mayBeRepeat() bool { return w.request.Repeat || !w.request.Policy.RepeatsMarked }
 
 // inRouting reports whether the write was passed to routing and routing has not answered yet.
--- a/internal/intents/intents.go
+++ b/internal/intents/intents.go
@@ -45,8 +45,8 @@
 
 // Write is a client's write request as its session uses it.
 type Write interface {
-	// Begin claims the write. Afterwards, possibly at once, Client.Route is called to route the write, or Client.Reply to answer
-	// it.
+	// Begin claims the write. Later, or already before Begin returns, the service calls Client.Route to route the write or
+	// Client.Reply to answer it.
 	Begin()
 	// RoutingAnswered passes on the final answer of routing. value is nil if the answer is larger than MaxStoredAnswer.
 	RoutingAnswered(kind indoubt.AnswerKind, value []byte)
@@ -62,7 +62,8 @@
 	Route()
 	// Drop informs the client that the write will not be routed.
 	Drop()
-	// Reply gives the client its final answer. If the kind is Served and value is nil, the value is the one that routing returned.
+	// Reply gives the client its final answer. If the kind is Served and value is nil, the client gets the value that routing
+	// returned.
 	Reply(kind indoubt.AnswerKind, value []byte)
 }
 
@@ -80,7 +81,7 @@
 
 // Store stores intents (internal/raftnode). Its methods do not block; done is called once, on any goroutine.
 type Store interface {
-	// Put stores a value if the stored one has this version. With version 0 it stores the value only if there is none yet.
+	// Put stores a value if the stored value has this version. With version 0, Put stores the value only if none is stored yet.
 	Put(key, value []byte, version uint64, retention time.Duration, deadline time.Time, done func(StoreReply))
 	// Get reads a value, including every change that was acknowledged before the call.
 	Get(key []byte, deadline time.Time, done func(StoreReply))
@@ -92,7 +93,7 @@
 	Version        uint64
 	Value          []byte
 	Found          bool
-	PossiblyLost   bool          // there was no value, but the store may have lost one
+	PossiblyLost   bool          // there was no value, but the store may have lost a value
 	Age, SinceLoss time.Duration // at least this much time has passed since the value was changed, and since the loss
 }
 
--- a/internal/intents/write.go
+++ b/internal/intents/write.go
@@ -16,7 +16,7 @@
 
 	// Only the service's goroutine accesses the fields below.
 	routed     bool
-	permission chan bool // gets the permission for the attempt that waits for one; nil if none waits
+	permission chan bool // gets the permission for the attempt that waits for permission; nil if no attempt waits
 }
 
 // NewWrite returns a write for a request. The write does nothing before Begin is called.
