--- a/internal/assignment/assignment.go
+++ b/internal/assignment/assignment.go
@@ -1,12 +1,13 @@
 // Package assignment distributes periodic work, such as health checks of database servers, among several gateways: it decides
-// which gateway does the work for a subject, when, and which one takes over if that gateway does not report.
+// which gateway does the work for a subject, when, and which other gateway takes over if the first gateway does not report.
 //
 // No other package uses it yet. It is intended for periodic duties that gateways share (docs/ROADMAP.md).
 //
 // The gateways do not need to reach agreement. For every subject, each gateway ranks the members in its view by rendezvous
-// hashing (Thaler and Ravishankar). The first in rank does the work each period and reports it; the second takes over one Step
-// after the report is overdue, the third another Step later, and so on. If gateways have different views of the members, some
-// work is done more than once, but none is omitted: a gateway that receives no report eventually does the work itself.
+// hashing (Thaler and Ravishankar). The first member in rank does the work each period and reports it; the second member takes
+// over one Step after the report is overdue, the third member another Step later, and so on. If gateways have different views
+// of the members, some work is done more than once, but none is omitted: a gateway that receives no report eventually does the
+// work itself.
 //
 // The package is a pure state machine: it takes times and events and returns assignments. It owns no clock, socket, goroutine
 // or random source. Times are microseconds of a monotonic clock. One goroutine owns a Scheduler and calls all its methods.
@@ -75,7 +76,7 @@
 	Succeeded bool
 }
 
-// WorkDemanded carries the demand of a member, which may be this one, that the work for a subject be done at least once per
+// WorkDemanded carries the demand of a member, which may be this gateway, that the work for a subject be done at least once per
 // Period for the given Duration. It replaces that member's earlier demand for the subject.
 type WorkDemanded struct {
 	Key      string
@@ -84,7 +85,7 @@
 	Duration clock.Micros
 }
 
-// Tick is the timer step. It is due at the time returned by Scheduler.Next.
+// Tick is the timer step. A Tick is due at the time returned by Scheduler.Next.
 type Tick struct{}
 
 func (MembersChanged) event()  {}
--- a/internal/assignment/due.go
+++ b/internal/assignment/due.go
@@ -40,8 +40,8 @@
 	return ahead
 }
 
-// takeoverDelay returns how much later than the assignees a member with the given rank takes over. It is 0 for the assignees
-// themselves.
+// takeoverDelay returns how much later than the assignees a member with the given rank takes over. The delay is 0 for the
+// assignees themselves.
 func (s *Scheduler) takeoverDelay(t *task, rank int) clock.Micros {
 	if rank = rank - s.cfg.Assignees + 1; rank <= 0 {
 		return 0
@@ -73,8 +73,8 @@
 	return at, true
 }
 
-// reschedule sets the time at which a task is evaluated next: when it is due, or earlier if a demand or a failure ends before
-// that, because the end of a demand or a failure changes when the task is due.
+// reschedule sets the time at which a task is evaluated next. This is the time at which the task is due, or the end of a demand
+// or of a failure if that is earlier, because the end of a demand or a failure changes the time at which the task is due.
 func (s *Scheduler) reschedule(t *task) {
 	s.period(t) // removes the demands that have ended
 	t.wakeAt = never
--- a/internal/assignment/rank.go
+++ b/internal/assignment/rank.go
@@ -7,9 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// score returns a member's score for a subject in rendezvous hashing: the highest of as many hashes as the member's weight.
-// This makes a member's share of all subjects proportional to its weight. When a member joins or leaves, only the subjects that
-// it takes over or gives up change hands.
+// score returns a member's score for a subject in rendezvous hashing: the highest of several hashes, as many as the member's
+// weight. This makes a member's share of all subjects proportional to its weight. When a member joins or leaves, only the
+// subjects that it takes over or gives up change hands.
 func score(m Member, key string) uint64 {
 	var digest xxhash.Digest
 	best := uint64(0)
@@ -23,8 +23,8 @@
 	return best
 }
 
-// ranking returns the names of the members in the order of their rank for a subject: members in the subject's zone first, and
-// within each of these two parts by descending score.
+// ranking returns the names of the members in the order of their rank for a subject: members in the subject's zone first, then
+// the others, and both parts by descending score.
 func ranking(members []Member, s Subject) []string {
 	type candidate struct {
 		name   string
--- a/internal/assignment/scheduler.go
+++ b/internal/assignment/scheduler.go
@@ -10,8 +10,8 @@
 )
 
 // failurePeriods is the number of periods for which a member that got no response from a subject ranks behind the others for
-// that subject. Without this rule, a subject would stay assigned to a member that cannot reach it because the member's own
-// network path is interrupted. If no member can reach the subject, the work moves from member to member.
+// that subject. Without this rule, a subject would stay assigned to a member that cannot reach it because the network
+// path of that member is interrupted. If no member can reach the subject, the work moves from member to member.
 const failurePeriods = 8
 
 // never is a time that is never reached.
@@ -39,7 +39,7 @@
 	positionSince clock.Micros // when this gateway's position last changed
 	jitter        clock.Micros // random delay of the current wait
 	demands       map[string]demand
-	failedUntil   map[string]clock.Micros // by name of a failed member: until when it ranks behind the others
+	failedUntil   map[string]clock.Micros // the time until which a failed member ranks behind the others, by name of the member
 
 	wakeAt clock.Micros // when the task must be evaluated next if no event concerns it before
 	index  int          // index in the queue
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// replaceMembers replaces the list of members. A member that returns takes its work back gradually: it first waits for its
-// jitter, and the member that did the work in the meantime continues until it receives a report.
+// replaceMembers replaces the list of members. A member that returns takes its work back gradually: the returning member first
+// waits for its jitter, and the member that did the work in the meantime continues until it receives a report.
 func (s *Scheduler) replaceMembers(members []Member) {
 	s.members = slices.Clone(members)
 	slices.SortFunc(s.members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
@@ -131,7 +131,7 @@
 	}
 }
 
-// rankMembers recomputes the ranking for a task. If this gateway's position changes, it draws a new jitter.
+// rankMembers recomputes the ranking for a task. If this gateway's position changes, the task gets a new random jitter.
 func (s *Scheduler) rankMembers(t *task) {
 	before := t.position
 	t.ranking = ranking(s.members, t.subject)
@@ -167,7 +167,7 @@
 	}
 }
 
-// recordReport applies a report of any member, including this one. A success that is not later than the last known success
+// recordReport applies a report of any member, including this gateway. A success that is not later than the last known success
 // does not change when the work is due.
 func (s *Scheduler) recordReport(t *task, report WorkReported) {
 	at := s.now - max(report.Age, 0)
--- a/internal/indoubt/claim.go
+++ b/internal/indoubt/claim.go
@@ -3,8 +3,8 @@
 // This file claims the write of a request: the claim is an intent that is stored before anything is sent.
 
 // requestReceived admits a request, unless its class has too many writes in flight; a request that is not admitted is answered
-// and nothing is sent for it. An admitted request claims the write, or follows another request that already has the same write in flight at this
-// gateway.
+// and nothing is sent for it. An admitted request claims the write, or follows another request that already has the same write
+// in flight at this gateway.
 func (r *Resolver) requestReceived(request RequestReceived) {
 	r.writes = append(r.writes, write{request: request, receivedAt: r.now})
 	w := &r.writes[len(r.writes)-1]
--- a/internal/indoubt/indoubt.go
+++ b/internal/indoubt/indoubt.go
@@ -22,7 +22,7 @@
 // were started for its request are still completed.
 //
 // The package is a pure state machine: Resolver.Handle takes events (events.go) and returns actions (actions.go). It owns no
-// clock, socket or goroutine and draws no random numbers. Times are in microseconds and come from a clock that never steps back.
+// clock, socket or goroutine and uses no random numbers. Times are in microseconds and come from a clock that never steps back.
 // Each gateway has one Resolver; the goroutine of internal/intents calls it and carries out its actions. docs/in-doubt.md
 // describes the design and explains why no order of events makes a write run twice.
 package indoubt
@@ -57,10 +57,10 @@
 	Group         int          `json:"group"`            // the group of servers that the write goes to
 	Server        string       `json:"server,omitempty"` // the server chosen for the last attempt; for diagnosis only
 	ClaimCount    uint32       `json:"attempt"`          // how many times the write has been claimed, starting at 1
-	TimeLeft      clock.Micros `json:"left"`             // the time from the claim to the deadline of its request
+	TimeLeft      clock.Micros `json:"left"`             // the time from the claim to the deadline of the request
 	Value         []byte       `json:"value,omitempty"`  // the answer
-	ValueComplete bool         `json:"kept,omitempty"`   // Value is the whole answer
-	SettledBy     string       `json:"by,omitempty"`     // the gateway that stored the outcome, if it is not the owner
+	ValueComplete bool         `json:"kept,omitempty"`   // Value is the complete answer
+	SettledBy     string       `json:"by,omitempty"`     // the gateway that stored the outcome, if that gateway is not the owner
 }
 
 // sameClaim reports whether two versions of an intent belong to the same claim.
@@ -78,8 +78,8 @@
 	// PollInterval is the time between two reads of an intent that another gateway owns, and between retries of storing an
 	// outcome.
 	PollInterval clock.Micros
-	// OwnerGrace is how long after the deadline of a request the owner of its write may still store the outcome. It covers the
-	// time that servers take to give up a request.
+	// OwnerGrace is how long after the deadline of a request the owner of its write may still store the outcome. OwnerGrace
+	// allows for the time that servers take to give up a request.
 	OwnerGrace clock.Micros
 	// OutcomeTimeout is how long the resolver keeps trying to store the outcome after the client has received its answer.
 	OutcomeTimeout clock.Micros
--- a/internal/indoubt/outcome.go
+++ b/internal/indoubt/outcome.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// mayReplace reports whether an outcome may replace the stored intent. Any outcome replaces Open. Answered and Unsent also replace
-// InDoubt, regardless of which gateway stored InDoubt. Unsent may replace InDoubt because only the owner of the claim stores
-// Unsent. The intent of a later claim is never replaced.
+// mayReplace reports whether an outcome may replace the stored intent. Any outcome replaces Open. Answered and Unsent also
+// replace InDoubt, regardless of which gateway stored InDoubt. Unsent may replace InDoubt because only the owner of the claim
+// stores Unsent. The intent of a later claim is never replaced.
 func mayReplace(outcome, stored *Intent) bool {
 	if !outcome.sameClaim(stored) {
 		return false
--- a/internal/indoubt/takeover.go
+++ b/internal/indoubt/takeover.go
@@ -57,9 +57,10 @@
 func (r *Resolver) answerRead(w *write, reply StoreReplied) {
 	switch {
 	case !w.mayBeRepeat() && reply.Age > r.now-w.receivedAt:
-		// The request is not a repeat and the stored write was answered before the request came, so the request is a new write with
-		// the same statement. A stored write that was answered after the request came may be the write of the request itself: the
-		// client may have repeated the request and been served before the claim of the first request reached the store.
+		// The request is not a repeat and the stored write was answered before the request came, so the request is a new write
+		// with the same statement. A stored write that was answered after the request came may be the write of the request
+		// itself: the client may have repeated the request and been served before the claim of the first request reached the
+		// store.
 		r.claim(w, w.version, w.intent.ClaimCount)
 	case w.intent.ValueComplete:
 		r.logTransition(w, AnswerKnown)
--- a/internal/intents/service.go
+++ b/internal/intents/service.go
@@ -103,8 +103,9 @@
 	return true
 }
 
-// post makes the service's goroutine call do. It must never block, because the goroutine of routing calls it. Callers construct the
-// indoubt.Event inside do, because passing an event as an argument would cost one more allocation.
+// post makes the service's goroutine call the function do. post must never block, because the goroutine of routing calls post.
+// Callers construct the indoubt.Event inside that function, because passing an event as an argument would cost one more
+// allocation.
 func (s *Service) post(do func()) {
 	s.mu.Lock()
 	s.queue = append(s.queue, do)
--- a/internal/intents/write.go
+++ b/internal/intents/write.go
@@ -24,7 +24,8 @@
 	return &write{service: s, id: s.lastID.Add(1), request: request, client: client}
 }
 
-// Begin claims the write. Afterwards, possibly at once, Client.Route is called to route the write, or Client.Reply to answer it.
+// Begin claims the write. Later, or already before Begin returns, the service calls Client.Route to route the write or
+// Client.Reply to answer it.
 func (w *write) Begin() {
 	s, request := w.service, &w.request
 	deadline := s.settings.Now() + micros(time.Until(request.Deadline))
--- a/internal/maintenance/command.go
+++ b/internal/maintenance/command.go
@@ -26,8 +26,8 @@
 	Kind        Kind
 	Name        string       // the machine's name; empty for all machines
 	Group       int          // the group of a server
-	Duration    clock.Micros // with Add: how long the work may take
-	Comment     string       // with Add: at most MaxCommentLength bytes
+	Duration    clock.Micros // used with Add: how long the work may take
+	Comment     string       // used with Add: at most MaxCommentLength bytes
 	RequestedBy string       // the gateway that received the command
 }
 
--- a/internal/maintenance/evaluator.go
+++ b/internal/maintenance/evaluator.go
@@ -6,14 +6,16 @@
 	"strings"
 )
 
-// evaluator makes decisions from an order and the leader's view of the cluster at one moment. It changes neither.
+// evaluator makes decisions from an order and the leader's view of the cluster at one moment. It changes neither the order nor
+// the view.
 type evaluator struct {
 	order  *Order
 	view   *ClusterView
 	limits Limits
 }
 
-// unexcuseSteps returns, for each gateway in Order.Excused that is no longer dead, the step that removes it from there.
+// unexcuseSteps returns, for each gateway in Order.Excused that is no longer dead, the step that removes the gateway from
+// Order.Excused.
 func (e evaluator) unexcuseSteps() (steps []Step) {
 	for _, name := range e.order.Excused {
 		if g := e.view.gateway(name); e.view.AllReported && (g == nil || g.Presence != Dead) {
@@ -83,7 +85,8 @@
 	return false
 }
 
-// reasonToWait returns why a requested machine may not be taken out of service yet. The zero Reason means that it may.
+// reasonToWait returns why a requested machine may not be taken out of service yet. The zero Reason means that the machine may
+// be taken out of service now.
 func (e evaluator) reasonToWait(m *Machine) Reason {
 	if e.order.Paused {
 		return because(AllPaused)
@@ -138,7 +141,7 @@
 	return Reason{}
 }
 
-// underReplicatedShard returns a reason if a shard has too few replicas, unless one of its hosts is a gateway in progress.
+// underReplicatedShard returns a reason if a shard has too few copies, unless one of its hosts is a gateway in progress.
 func (e evaluator) underReplicatedShard() Reason {
 	inProgress := func(name string) bool {
 		m := e.order.Find(Gateway, name, 0)
@@ -152,8 +155,8 @@
 	return Reason{}
 }
 
-// overload returns a reason if the ready gateways other than without would have to carry more than maxLoad, in thousandths of
-// their capacity, or if no such gateway is left. If without is nil, all ready gateways count.
+// overload returns a reason if the ready gateways, not counting the machine without, would have to carry more than maxLoad, in
+// thousandths of their capacity, or if no such gateway is left. If the argument without is nil, all ready gateways count.
 func (e evaluator) overload(without *Machine, maxLoad int) Reason {
 	load, ready := 0, 0
 	for _, g := range e.view.Gateways {
@@ -316,7 +319,7 @@
 
 // gatewayDraining returns the decision for a gateway that is Draining. The gateway goes to Out once the draining incarnation,
 // after it applied the ledger entry that started the draining, has reported that it is idle and leads neither a shard nor the
-// ledger, or once it has shut down gracefully. A fault elsewhere in the cluster sends it back to Requested.
+// ledger, or once the gateway has shut down gracefully. A fault elsewhere in the cluster sends the gateway back to Requested.
 func (e evaluator) gatewayDraining(m *Machine) decision {
 	if !e.view.AllReported {
 		return stay(Draining, because(ReportsMissingWhileDraining))
@@ -334,7 +337,8 @@
 	case g.Presence == Silent:
 		return stay(Draining, because(IdleReport))
 	}
-	// A gateway that is only silent does not send the machine back, and the load may be a quarter above the limit.
+	// Another gateway that is only silent does not send the draining gateway back to Requested, and the load may be a quarter
+	// above the limit.
 	if fault := e.clusterFault(m, e.limits.MaxLoad+e.limits.MaxLoad/4); fault.exists() && fault.Cause != GatewaySilent {
 		return stay(Requested, fault)
 	}
@@ -349,8 +353,8 @@
 	return decision{to: Out}
 }
 
-// serverDraining returns the decision for a server that is Draining. The server goes to Out once no gateway on the roster can have
-// requests in flight at it. A fault in its group sends it back to Requested.
+// serverDraining returns the decision for a server that is Draining. The server goes to Out once no gateway on the roster can
+// have requests in flight at that server. A fault in the server's group sends the server back to Requested.
 func (e evaluator) serverDraining(m *Machine) decision {
 	if r := e.serverReasonToWait(m); r.exists() && r.Cause != ServerUnknown && !m.Overridden {
 		return stay(Requested, r)
@@ -373,8 +377,9 @@
 	return stay(Draining, reason)
 }
 
-// unquiescedGateways returns the gateways on the roster that may still have requests in flight at a server. busy are those that
-// report, but have not reported the server as quiesced; unreachable are those that do not report.
+// unquiescedGateways returns the gateways on the roster that may still have requests in flight at a server. The list busy
+// contains those that report, but have not reported the server as quiesced; the list unreachable contains those that do not
+// report.
 func (e evaluator) unquiescedGateways(m *Machine) (busy, unreachable []string) {
 	for _, enrolled := range e.order.Roster {
 		g := e.view.gateway(enrolled.Name)
--- a/internal/maintenance/machine.go
+++ b/internal/maintenance/machine.go
@@ -34,7 +34,8 @@
 	States
 )
 
-// stateNames are the names that operators see. They differ from the constants' names because they are older and must not change.
+// stateNames are the names that operators see. They differ from the constants' names because the texts are older and must not
+// change.
 var stateNames = [States]string{"asked", "next", "leaving", "out", "returning", "back", "dropped"}
 
 // String returns the name of the state that operators see.
@@ -45,21 +46,21 @@
 	ID          uint64 // unique; ascends in the order of the requests
 	Kind        Kind
 	Name        string
-	Group       int    // of a server: the replication group that it belongs to
-	Zone        string // of a gateway: set when the machine becomes Next
+	Group       int    // a server's replication group
+	Zone        string // a gateway's zone; set when the gateway becomes Next
 	State       State
 	Revision    uint32       // number of changes of state
 	ChangeIndex uint64       // the ledger's index at the last change of state
 	Since       clock.Micros // the ledger's time at the last change of state
 	OutSince    clock.Micros // when the machine last went from Draining to Out
 	Duration    clock.Micros // how long the work may take
-	Incarnation uint64       // of a gateway: the incarnation that drains or that has returned
+	Incarnation uint64       // the incarnation of a gateway that drains or that has returned
 	Comment     string       // the operator's comment
 	RequestedBy string       // the gateway that received the operator's request
 	Overdue     bool         // the machine is out of service for longer than allowed
-	// Overridden is set when an operator, or the limit ExcuseAfter, has decided that other machines go on without waiting for this
-	// one. A machine that is both overdue and overridden no longer counts against the limits. Only machines that share a shard or
-	// a group with it still wait for it.
+	// Overridden is set by an operator's command, or when ExcuseAfter has passed. A machine that is both overdue and overridden
+	// no longer counts against the limits on machines out of service. Only machines that share a shard or a group with such a
+	// machine still wait for it.
 	Overridden bool
 }
 
--- a/internal/maintenance/order.go
+++ b/internal/maintenance/order.go
@@ -6,8 +6,8 @@
 	"marblespan/internal/clock"
 )
 
-// ClientSession records the last command of one client. If the same command arrives again it gets the same answer; an earlier
-// command that arrives late has no effect.
+// ClientSession records the last command of one client. If the same command arrives again, the client gets the same answer; an
+// earlier command that arrives late has no effect.
 type ClientSession struct {
 	Client, Sequence uint64
 	OK               bool // the command was carried out
@@ -50,7 +50,8 @@
 	return &c
 }
 
-// EnrolledIncarnation returns the incarnation of a gateway that is on the roster, or 0 if none is.
+// EnrolledIncarnation returns the incarnation of a gateway that is on the roster, or 0 if no incarnation of it is on the
+// roster.
 func (o *Order) EnrolledIncarnation(name string) uint64 {
 	for _, e := range o.Roster {
 		if e.Name == name {
@@ -60,7 +61,8 @@
 	return 0
 }
 
-// enroll puts an incarnation on the roster in place of all earlier ones. It reports whether the roster has changed.
+// enroll puts an incarnation on the roster in place of all earlier incarnations of the same gateway. It reports whether the
+// roster has changed.
 func (o *Order) enroll(e Enrollment) bool {
 	if o.EnrolledIncarnation(e.Name) >= e.Incarnation || len(o.Roster) >= maxRoster {
 		return false
@@ -70,7 +72,8 @@
 	return true
 }
 
-// unenroll removes an incarnation and all earlier ones from the roster. It reports whether the roster has changed.
+// unenroll removes an incarnation and all earlier incarnations of the same gateway from the roster. It reports whether the
+// roster has changed.
 func (o *Order) unenroll(e Enrollment) bool {
 	before := len(o.Roster)
 	o.Roster = slices.DeleteFunc(o.Roster, func(x Enrollment) bool { return x.Name == e.Name && x.Incarnation <= e.Incarnation })
--- a/internal/maintenance/planner.go
+++ b/internal/maintenance/planner.go
@@ -40,11 +40,12 @@
 // decision is the next state of a machine that is in progress.
 type decision struct {
 	to          State  // the present state if the machine waits
-	incarnation uint64 // of a gateway: its new incarnation; 0 if it does not change
+	incarnation uint64 // a gateway's new incarnation; 0 if the incarnation does not change
 	reason      Reason // what the machine waits for, or why it goes back to an earlier state
 }
 
-// stay returns the decision that a machine has to be in the given state; r is why the machine waits there or goes back there.
+// stay returns the decision that a machine has to be in the given state; r is the reason why it waits in that state or
+// goes back to it.
 func stay(state State, r Reason) decision { return decision{to: state, reason: r} }
 
 // Plan decides which steps to take next and returns the reasons why the other machines wait. Machines that are in progress come
@@ -71,7 +72,8 @@
 		}
 		reason := e.reasonToWait(m)
 		waits.note(m.ID, reason)
-		// Only one machine becomes Next at a time, because whether another one may go depends on the order after this step.
+		// Only one machine becomes Next at a time, because whether a second machine may be taken out of service depends on the
+		// order as the first step leaves it.
 		if !reason.exists() && len(steps) == 0 {
 			steps = append(steps, e.stepToNext(m))
 		}
@@ -156,8 +158,9 @@
 	return p.settle(e, m, Reason{})
 }
 
-// settle measures how long a returning machine has been healthy. The machine goes to Back after it has been healthy for SettleTime
-// without interruption. reason is why the machine is not healthy now; it is the zero Reason if the machine is healthy.
+// settle measures how long a returning machine has been healthy. The machine goes to Back after it has been healthy for
+// SettleTime without interruption. The argument reason says why the machine is not healthy now, and is the zero Reason if the
+// machine is healthy.
 func (p *Planner) settle(e evaluator, m *Machine, reason Reason) decision {
 	if reason.exists() {
 		delete(p.healthySince, m.ID)
--- a/internal/maintenance/reason.go
+++ b/internal/maintenance/reason.go
@@ -15,7 +15,7 @@
 
 	// Causes that concern all machines.
 	AllPaused
-	ReportsMissing // before a machine drains
+	ReportsMissing // reports are missing before a machine drains
 	GatewayDead
 	GatewaySilent
 	ShardUnderReplicated
@@ -43,7 +43,7 @@
 	OtherPrimary
 	Restarted
 	ShardsMigrating
-	ReportsMissingWhileDraining // while a machine drains
+	ReportsMissingWhileDraining // reports are missing while a machine drains
 	DiedWhileDraining
 	RestartedWhileDraining
 	IdleReport
--- a/internal/maintenance/step.go
+++ b/internal/maintenance/step.go
@@ -9,10 +9,10 @@
 	ID          uint64 // the machine's ID
 	Revision    uint32 // the machine's revision when the step was decided
 	To          State  // the machine's new state
-	Incarnation uint64 // of a gateway: its new incarnation; 0 if it does not change
-	Zone        string // of a gateway; set if To is Next
-	Overdue     bool   // the machine is out of service for too long; its state does not change
-	Override    bool   // the other machines go on without waiting for this one; its state does not change
+	Incarnation uint64 // a gateway's new incarnation; 0 if the incarnation does not change
+	Zone        string // a gateway's zone; set if To is Next
+	Overdue     bool   // the machine is out of service for too long; the machine's state does not change
+	Override    bool   // the other machines stop waiting for the machine; the machine's state does not change
 
 	Unexcuse string     // a gateway that was excused and is alive again
 	Enroll   Enrollment // an incarnation to put on the roster
@@ -24,9 +24,9 @@
 
 // Shards describes which gateways hold which shards, according to the ledger at the index at which a step is applied.
 type Shards interface {
-	// Complete reports whether every shard that a gateway holds has all its replicas and no replica that is being moved.
+	// Complete reports whether every shard that a gateway holds is complete: all its copies exist and none is being moved.
 	Complete(gateway string) bool
-	// ShareShard reports whether two gateways hold replicas of the same shard.
+	// ShareShard reports whether two gateways both hold a copy of the same shard.
 	ShareShard(a, b string) bool
 }
 
@@ -84,8 +84,8 @@
 	return *m != before
 }
 
-// shardsPermit reports whether the step leaves a gateway's shards safe: they are complete, and no other gateway that holds one of
-// them is in progress. Only steps to Next and Draining are checked.
+// shardsPermit reports whether the step leaves a gateway's shards safe: all of them are complete, and no other gateway that holds
+// one of these shards is in progress. Only steps to Next and Draining are checked.
 func (o *Order) shardsPermit(m *Machine, s Step, shards Shards) bool {
 	if m.Kind != Gateway || s.To != Next && s.To != Draining {
 		return true
--- a/internal/maintenance/view.go
+++ b/internal/maintenance/view.go
@@ -15,7 +15,7 @@
 	MaxLoad      int          // load that the remaining gateways may have to carry, in thousandths of their capacity
 	SettleTime   clock.Micros // how long a machine that has returned must be healthy before it counts as back
 	ReturnWithin clock.Micros // how long a machine may be returning before it is overdue
-	ExcuseAfter  clock.Micros // how long after its Duration an overdue machine becomes Overridden; 0 for never
+	ExcuseAfter  clock.Micros // how long after the end of its Duration an overdue machine becomes Overridden; 0: never
 	// RepairAfter is how long a gateway may be silent before its shards are moved to another host. If the planned work on a gateway
 	// takes longer, its shards are migrated before the gateway drains.
 	RepairAfter clock.Micros
@@ -29,7 +29,7 @@
 	Alive  Presence = iota
 	Silent          // alive according to the membership, but it has not reported lately
 	Dead
-	Left // it has shut down gracefully
+	Left // the gateway has shut down gracefully
 )
 
 // Member is a gateway as listed by the membership.
@@ -58,7 +58,7 @@
 	Primary, Down, WarmingUp, Lagging bool
 }
 
-// GatewayStatus is what the leader knows about one gateway. The report is the last one of this incarnation.
+// GatewayStatus is what the leader knows about one gateway. The Report is the last report of the given incarnation.
 type GatewayStatus struct {
 	Name, Zone  string
 	Incarnation uint64
@@ -68,9 +68,9 @@
 
 // ShardStatus is the state of one shard, or of the ledger.
 type ShardStatus struct {
-	Hosts           []string // the gateways that hold a replica
-	Complete        bool     // the shard's leader confirms that all replicas exist and none is being moved
-	UnderReplicated bool     // the shard has fewer replicas than configured
+	Hosts           []string // the gateways that hold a copy of the shard
+	Complete        bool     // the shard's leader confirms that all copies exist and none is being moved
+	UnderReplicated bool     // the shard has fewer copies than configured
 }
 
 // ClusterView is what the leader knows about the cluster at one moment, apart from the order.
@@ -86,12 +86,12 @@
 	return !slices.ContainsFunc(v.Shards, func(s ShardStatus) bool { return !s.Complete && slices.Contains(s.Hosts, gateway) })
 }
 
-// ShareShard reports whether two gateways hold replicas of the same shard, according to the reports that the leader has.
+// ShareShard reports whether two gateways both hold a copy of the same shard, according to the reports that the leader has.
 func (v *ClusterView) ShareShard(a, b string) bool {
 	return slices.ContainsFunc(v.Shards, func(s ShardStatus) bool { return slices.Contains(s.Hosts, a) && slices.Contains(s.Hosts, b) })
 }
 
-// shardCount returns the number of shards of which a gateway holds a replica.
+// shardCount returns the number of shards that a gateway holds.
 func (v *ClusterView) shardCount(gateway string) (count int) {
 	for _, s := range v.Shards {
 		if slices.Contains(s.Hosts, gateway) {
@@ -113,8 +113,8 @@
 func (g *GatewayStatus) isReporting() bool { return g != nil && g.Presence == Alive }
 
 // combinedReport combines what all reporting gateways report about a server. The server counts as down, warming up or lagging if
-// at least one of them reports it so, and as the primary only if all of them that know it report so. known is false if no gateway
-// knows the server.
+// at least one of these gateways reports it so. The server counts as the primary only if all reporting gateways that know the
+// server report it as the primary. known is false if no reporting gateway knows the server.
 func (v *ClusterView) combinedReport(group int, name string) (all ServerReport, known bool) {
 	all = ServerReport{Group: group, Name: name, Primary: true}
 	for _, g := range v.Gateways {
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -1,7 +1,8 @@
 package membership
 
 // viewDigest returns a digest of the names, generations and incarnations of all members that have not ended, including this
-// one. Two members with the same digest have the same view. The digest is never 0, because 0 marks a digest that is not known.
+// member. Two members with the same digest have the same view. The digest is never 0, because 0 marks a digest that is not
+// known.
 func (m *Machine) viewDigest() uint64 {
 	if !m.digestStale {
 		return m.digest
--- a/internal/membership/gossip_queue.go
+++ b/internal/membership/gossip_queue.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// broadcast identifies one piece of gossip: either the record of the member called name, or reporter's report on the path to
-// peer.
+// broadcast identifies one piece of gossip: either the record of the member in the field name, or the report of the member in
+// the field reporter on its path to the member in the field peer.
 type broadcast struct{ name, reporter, peer string }
 
 // gossipQueue holds the gossip that still has to be sent, and offers the pieces with the fewest transmissions first, like
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -14,11 +14,11 @@
 const rejoinIntervals = 25
 
 // fastJoinAttempts is the number of attempts to join that a member without any alive peer makes at a rate of one per interval.
-// After that it tries once per rejoinIntervals, unless it is excluded.
+// After that the member tries once per rejoinIntervals, unless it is excluded.
 const fastJoinAttempts = 10
 
-// rejoin pings one dead member, and the join addresses from which no alive member has answered. This is how the two halves of
-// a partition find each other again; an attempt by either half is sufficient.
+// rejoin pings one dead member, and the join addresses from which no alive member has answered. These pings let the two
+// halves of a partition find each other again; an attempt by either half is sufficient.
 func (m *Machine) rejoin(now clock.Micros) {
 	every := m.cfg.Interval
 	if m.countAlive() > 0 || m.joinAttempts >= fastJoinAttempts && !m.excluded {
@@ -50,7 +50,7 @@
 	}
 }
 
-// noteJoinAnswer records which member answered from a join address. Other addresses are ignored.
+// noteJoinAnswer records which member answered from a join address. Answers from other addresses are ignored.
 func (m *Machine) noteJoinAnswer(source netip.AddrPort, name string) {
 	if !slices.Contains(m.cfg.Join, source) {
 		return
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -11,7 +11,7 @@
 // retainEndedFor is how long a member is kept in the view after it died or left.
 const retainEndedFor clock.Micros = 3_600_000_000
 
-// A member that leaves announces this in leaveRounds rounds, to leaveNodes other members in each.
+// A member that leaves announces that it leaves in leaveRounds rounds, to leaveNodes other members in each round.
 const (
 	leaveRounds = 4
 	leaveNodes  = 6
@@ -25,8 +25,8 @@
 	stallDivisor         = 2
 )
 
-// Machine is the membership state machine of one member. The zero value is not usable; New returns a Machine. It is not safe
-// for concurrent use.
+// Machine is the membership state machine of one member. The zero value is not usable; New returns a Machine. A Machine is not
+// safe for concurrent use.
 type Machine struct {
 	cfg  Config
 	self Record
@@ -40,8 +40,8 @@
 	running         bool
 	excluded        bool         // another process owns this member's name
 	leaveRoundsLeft int          // 0: the member is not leaving
-	stallGraceUntil clock.Micros // until then, after a stall, no member is suspected or declared dead
-	stalledUntil    clock.Micros // until then the Stalled flag is set
+	stallGraceUntil clock.Micros // after a stall, no member is suspected or declared dead before this time
+	stalledUntil    clock.Micros // the time until which the Stalled flag is set
 	randomState     uint64
 	actions         []Action // actions of the event being handled
 }
@@ -59,7 +59,7 @@
 
 // gossip holds the information that still has to be sent to other members.
 type gossip struct {
-	memberGossip gossipQueue // records; while there are any, additional pings are sent to carry them
+	memberGossip gossipQueue // records; while the queue holds any, additional pings are sent to carry them
 	pathGossip   gossipQueue // path reports; they are only added to messages that are sent anyway
 	nextGossip   clock.Micros
 	syncPage     int // index in members of the last record sent in a page of the view
@@ -88,7 +88,7 @@
 	lastDeadPinged int
 }
 
-// member is another member as this one knows it.
+// member is another member as this machine's member knows it.
 type member struct {
 	Record
 	stateSince     clock.Micros
@@ -96,7 +96,7 @@
 	lastAck        clock.Micros // when the last answer to a probe arrived, from the member or from a helper
 	rtt            clock.Micros
 	suspectedSince clock.Micros // start of the unanswered probe that led to the suspicion
-	suspectedBy    []string     // members that suspect this one, at most maxConfirmations+1
+	suspectedBy    []string     // members that suspect the member, at most maxConfirmations+1
 	lastHelper     string       // the helper that most recently reached the member
 	indirectOnly   int          // consecutive probes that were answered only through helpers
 	lastDirectPing uint32       // number of the last ping received directly from the member
@@ -150,7 +150,7 @@
 func (m *Machine) StalledUntil() clock.Micros { return m.stalledUntil }
 
 // LocalHealth returns Lifeguard's local health multiplier: the factor by which this member extends its timeouts. The factor
-// grows with the share of its requests that helpers do not answer. 1 is healthy; maxLocalHealth is the worst.
+// grows with the share of this member's requests that helpers do not answer. 1 is healthy; maxLocalHealth is the worst.
 func (m *Machine) LocalHealth() int {
 	if m.cfg.WithoutLifeguard {
 		return 1
@@ -158,7 +158,7 @@
 	return 1 + m.helperMisses*(maxLocalHealth-1)/1000
 }
 
-// Members returns all members as this one sees them, itself first.
+// Members returns all members as this member sees them, with this member first.
 func (m *Machine) Members() []View {
 	all := []View{{Record: m.self, Self: true, Since: m.generationStart, LastReceived: m.lastEvent}}
 	for i := range m.members {
@@ -174,7 +174,7 @@
 	return all
 }
 
-// generationOver reports whether a generation of a member has ended or is not the one that is known.
+// generationOver reports whether a generation of a member has ended or differs from the member's known generation.
 func (m *Machine) generationOver(name string, generation uint64) bool {
 	if name == m.self.Name {
 		return generation != m.self.Generation
@@ -211,7 +211,8 @@
 	return int((z ^ z>>31) >> 1 % uint64(n))
 }
 
-// pickAlive returns a random member among those that have not ended and for which pass returns true, or nil if there is none.
+// pickAlive returns a random member among those that have not ended and for which the function pass returns true, or nil if
+// there is no such member.
 func (m *Machine) pickAlive(pass func(*member) bool) *member {
 	var candidates []*member
 	for i := range m.members {
@@ -362,7 +363,7 @@
 	}
 }
 
-// sendGossip sends additional pings that only carry queued gossip; no answer to them is awaited.
+// sendGossip sends additional pings that only carry queued gossip. The member does not wait for answers to these pings.
 func (m *Machine) sendGossip(now clock.Micros) {
 	m.nextGossip = now + m.cfg.Interval/gossipDivisor
 	for range gossipNodes {
@@ -385,7 +386,7 @@
 	m.retainPaths(func(p PathState) bool { return !m.generationOver(p.Reporter, p.Generation) })
 }
 
-// startLeaving marks this member as having left, and queues this as the only gossip.
+// startLeaving marks this member's record as Left, and queues that record as the only gossip.
 func (m *Machine) startLeaving(now clock.Micros) {
 	m.self.State = Left
 	m.digestStale = true
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,12 +1,12 @@
 // Package membership tracks which gateways are running. It implements the SWIM protocol (Das, Gupta and Motivala 2002) with
-// Lifeguard's extensions for slow members (Dadgar, Phillips and Currey 2018). On top of these it reports paths that are lost
-// in one direction, uses generations to distinguish a restarted member from its previous run, handles members whose process
+// Lifeguard's extensions for slow members (Dadgar, Phillips and Currey 2018). In addition it reports paths that are lost in
+// one direction, uses generations to distinguish a restarted member from its previous run, handles members whose process
 // was stalled, and rejoins the two halves of a healed partition.
 //
 // The package is a pure state machine: Machine.Handle takes events with their times and returns actions, which are messages
 // to send and changes of the view. It owns no clock, socket or goroutine, and its random numbers come from a seed. Times are
-// whole microseconds of a clock that never steps back. internal/gossip calls it from a single goroutine and carries out its
-// actions; internal/experiments/members and the tests call it with simulated clocks and networks.
+// whole microseconds of a clock that never steps back. internal/gossip calls the machine from a single goroutine and carries
+// out its actions; internal/experiments/members and the tests call it with simulated clocks and networks.
 //
 // The main decisions are in these functions: handleMessage processes received messages, mergeRecord and mergeSelf decide
 // which of two records wins, startProbe and advanceProbes are the failure detector, suspicionDeadline computes when a suspect
@@ -21,7 +21,7 @@
 )
 
 // The bounds of Config.Interval, in microseconds. With a shorter interval, a member whose CPU core is busy with other
-// processes could be declared dead; with a longer one, a dead member would be detected only after minutes.
+// processes could be declared dead; with a longer interval, a dead member would be detected only after minutes.
 const (
 	MinInterval clock.Micros = 50_000
 	MaxInterval clock.Micros = 10_000_000
@@ -88,7 +88,7 @@
 	Generation  uint64 // start time in microseconds of Unix time, or one more than an earlier generation
 	Incarnation uint32 // incremented by the member itself to refute a suspicion or to publish new metadata
 	State       State
-	ReportedBy  string // the member that suspects it or declared it dead
+	ReportedBy  string // the member that suspects the record's member or declared it dead
 	Meta        Meta
 }
 
@@ -113,7 +113,7 @@
 	Ping         Kind = iota + 1 // answered with an Ack; if Number is 0, the sender does not wait for the Ack
 	Ack                          // answers a Ping; if Target is set, a helper sends it on behalf of Target
 	IndirectPing                 // asks a helper to ping Target
-	Nack                         // a helper reports that Target has not answered it so far
+	Nack                         // a helper reports that Target has not yet answered the helper's ping
 	Reject                       // the receiver's name belongs to another process, described by the first record
 	kinds
 )
@@ -132,7 +132,7 @@
 	Number             uint32 // number of the ping, repeated in its answers
 	Target             string
 	TargetAddress      netip.AddrPort
-	Origin             string // in a Ping from a helper: the member that asked for it
+	Origin             string // in a Ping from a helper: the member that asked for the Ping
 	OriginNumber       uint32
 	DirectPingReceived bool   // in an Ack to a helper: the origin's own ping arrived as well
 	Digest             uint64 // digest of the sender's view
@@ -146,7 +146,7 @@
 // Config is the configuration of one member.
 type Config struct {
 	Name             string
-	Address          netip.AddrPort // the address at which other members reach it
+	Address          netip.AddrPort // the address at which other members reach this member
 	Generation       uint64         // start time in microseconds of Unix time
 	Interval         clock.Micros   // how long one probe may take
 	Meta             Meta
@@ -158,8 +158,8 @@
 // Event is one of the events below.
 type Event interface{ event() }
 
-// Started makes the machine begin to join and to probe. LeaveRequested makes it leave; the machine emits LeaveCompleted after
-// it has told other members.
+// Started makes the machine begin to join and to probe. LeaveRequested makes the machine leave; the machine emits LeaveCompleted
+// after it has told other members.
 type (
 	Started        struct{}
 	LeaveRequested struct{}
@@ -171,7 +171,7 @@
 	Message Message
 }
 
-// Tick is the timer step. It is due at the time returned by Machine.Next; additional Ticks are harmless.
+// Tick is the timer step. A Tick is due at the time returned by Machine.Next; additional Ticks are harmless.
 type Tick struct{}
 
 // MetaUpdated changes this member's metadata, except for the Stalled flag, which the machine sets itself.
@@ -215,9 +215,9 @@
 // Notice reports something that this member has found out about itself.
 type Notice struct {
 	Kind          NoticeKind
-	ReportedBy    string         // the member that suspected this one or declared it dead
+	ReportedBy    string         // the member that suspected this member or declared it dead
 	Address       netip.AddrPort // address of the other process with the same name
-	Generation    uint64         // this member's new generation, or that of the other process
+	Generation    uint64         // this member's new generation, or the generation of the other process
 	StallDuration clock.Micros   // for how long the process did not run
 }
 
@@ -233,15 +233,15 @@
 // NoticeKind is a kind of notice.
 type NoticeKind uint8
 
-// The kinds of notices. "It" is this member. NoticeCount is the number of kinds.
+// The kinds of notices. NoticeCount is the number of kinds.
 const (
-	ProcessStalled   NoticeKind = iota // its process did not run for a while, so other members may have declared it dead
-	SuspicionRefuted                   // it was suspected and has refuted the suspicion with a higher incarnation
-	DeclaredDead                       // other members declared it dead; it continues in a new generation
-	ClockSetBack                       // its clock was set back: others know a later generation of it; it continues after that one
+	ProcessStalled   NoticeKind = iota // the process of this member did not run for a while, so other members may have declared the member dead
+	SuspicionRefuted                   // this member was suspected and has refuted the suspicion with a higher incarnation
+	DeclaredDead                       // other members declared this member dead; it continues in a new generation
+	ClockSetBack                       // this member's clock was set back, so others know a later generation of it; its next generation follows that one
 	NameConflict                       // another process has the same name; this member started earlier and keeps the name
 	Excluded                           // another process has the same name; this member started later and does not participate
-	Readmitted                         // it was excluded and now participates again
+	Readmitted                         // this member was excluded and now participates again
 	NoticeCount
 )
 
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -10,8 +10,8 @@
 // This file merges received records of other members into the view. The later generation wins. Within a generation, Dead and
 // Left are final; otherwise the higher incarnation wins, and within an incarnation Suspect overrides Alive.
 
-// mergeRecord applies a record if it is later than what is known. msg is the message that contained the record, and source is
-// the address from which it arrived.
+// mergeRecord applies a record if it is later than the known record. msg is the message that contained the record, and source is
+// the address from which the message arrived.
 func (m *Machine) mergeRecord(now clock.Micros, record Record, source netip.AddrPort, msg Message) {
 	if record.Name == m.self.Name {
 		m.mergeSelf(record)
@@ -40,7 +40,7 @@
 
 // mergeNewGeneration applies a record with a later generation of a known member. If neither generation has ended and their
 // addresses differ, the record belongs to another process with the same name, and is ignored. If that process itself sent the
-// record, it is sent a Reject.
+// record, this member sends a Reject to that process.
 func (m *Machine) mergeNewGeneration(now clock.Micros, known *member, record Record, source netip.AddrPort, msg Message) {
 	conflict := !record.State.Ended() && !known.State.Ended() && record.Address != known.Address
 	switch {
@@ -59,7 +59,7 @@
 }
 
 // addMember adds a member that was not known, even if it has ended already. If the table is full, the member that ended first
-// is removed; if no member has ended, the new one is ignored.
+// is removed; if no member has ended, the new member is ignored.
 func (m *Machine) addMember(now clock.Micros, r Record) {
 	if len(m.members) >= MaxMembers && !m.removeOldestEnded() {
 		return
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -39,8 +39,8 @@
 // pathSize returns an upper bound of the encoded size of a path report, in bytes.
 func pathSize(reporter, peer string) int { return maxPathSize + len(reporter) + len(peer) }
 
-// ping sends a Ping to a member, either for this member itself or, if origin is not empty, as a helper of origin. With number
-// 0, no answer is awaited.
+// ping sends a Ping to a member, either for this member itself or, if origin is not empty, as a helper of the member origin. With
+// number 0, this member does not wait for an answer.
 func (m *Machine) ping(target *member, number uint32, origin string, originNumber uint32) {
 	msg := m.newSyncMessage(Ping, target, target.digest != 0 && target.digest != m.viewDigest())
 	msg.Number, msg.Origin, msg.OriginNumber = number, origin, originNumber
@@ -52,7 +52,8 @@
 
 // newSyncMessage is like newMessage, but if sync is set, it fills the remaining space with a page of the whole view. The
 // message includes this member's own record if the receiver does not know it, and the receiver's record if the receiver is
-// suspected or has ended in this member's view, so that the receiver can refute that or start a new generation.
+// suspected or has ended in this member's view, so that the receiver can refute the suspicion or start a new
+// generation.
 func (m *Machine) newSyncMessage(kind Kind, to *member, sync bool) Message {
 	b := messageBuilder{
 		Message: Message{
@@ -90,8 +91,8 @@
 	return slices.ContainsFunc(b.Records, func(r Record) bool { return r.Name == name })
 }
 
-// add adds a record if there is space for it and the message has none of the same member yet. It reports whether the record
-// was added.
+// add adds a record if there is space for it and the message contains no record of the same member yet. It reports
+// whether the record was added.
 func (b *messageBuilder) add(r Record) bool {
 	size := recordSize(r)
 	if size > b.freeBytes || b.has(r.Name) {
@@ -102,7 +103,7 @@
 	return true
 }
 
-// addPath adds a path report if there is space for it, and reports whether it was added.
+// addPath adds a path report if there is space for it. addPath returns whether the path report was added.
 func (b *messageBuilder) addPath(p PathState) bool {
 	size := pathSize(p.Reporter, p.Peer)
 	if size > b.freeBytes {
@@ -113,8 +114,8 @@
 	return true
 }
 
-// addGossip adds queued gossip, starting with what has been transmitted least often: first records, then path reports if space
-// is left.
+// addGossip adds queued gossip: first records, then path reports if space is left. Among the records, and among the path
+// reports, those that have been transmitted least often are added first.
 func (m *Machine) addGossip(b *messageBuilder) {
 	if m.memberGossip.empty() && m.pathGossip.empty() {
 		return
@@ -155,8 +156,8 @@
 	return offerSent
 }
 
-// addSyncPage adds as many records as fit, starting after the last record of the previous page. This member's own record comes
-// after those of all others.
+// addSyncPage adds as many records as fit, starting after the last record of the previous page. This member's own record
+// comes after the records of all other members.
 func (m *Machine) addSyncPage(b *messageBuilder) {
 	for range len(m.members) + 1 {
 		m.syncPage = (m.syncPage + 1) % (len(m.members) + 1)
--- a/internal/membership/paths.go
+++ b/internal/membership/paths.go
@@ -15,8 +15,9 @@
 	m.emit(PathChanged{state})
 }
 
-// mergePath stores a path report if it is later than the known one of the same reporter. If the table is full, reports of
-// healthy paths and reports by generations that have ended are removed; if the table is still full, the new report is ignored.
+// mergePath stores a path report if it is later than the known report of the same reporter on the same path. If the table is
+// full, reports of healthy paths and reports by generations that have ended are removed; if the table is still full, the new
+// report is ignored.
 func (m *Machine) mergePath(state PathState) {
 	key := pathKey{state.Reporter, state.Peer}
 	i, known := m.pathIndex[key]
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -16,7 +16,7 @@
 // indirectProbeHelpers is the number of helpers that are asked to probe a member that does not answer directly.
 const indirectProbeHelpers = 3
 
-// Divisors of the interval: a probe waits half an interval for the direct ack, and the other half for answers from helpers. A
+// The divisors of the interval. A probe waits half an interval for the direct ack, and the other half for answers from helpers. A
 // helper sends its nack after a quarter of an interval, so that the nack arrives in time.
 const (
 	directAckDivisor = 2
@@ -40,7 +40,7 @@
 	target     string
 	generation uint64 // generation of the target
 	sentAt     clock.Micros
-	nextStep   clock.Micros // when to ask helpers (again), or to give up
+	nextStep   clock.Micros // when this member asks helpers, possibly again, or gives up the probe
 	direct     bool         // only the first direct ping was sent; no helper has been asked yet
 }
 
@@ -63,8 +63,8 @@
 	answered bool
 }
 
-// startProbe probes the next member. Every second probe goes to a member whose path may be lost, if there is one; all others
-// go through the members in a random order, which is shuffled again when every member has been probed.
+// startProbe probes the next member. Every second probe goes to a member whose path may be lost, if there is such a member; all
+// other probes go through the members in a random order, which is shuffled again when every member has been probed.
 func (m *Machine) startProbe(now clock.Micros) {
 	name := ""
 	m.lastNumber++
@@ -96,8 +96,8 @@
 	return slices.ContainsFunc(m.probes, func(p probe) bool { return p.target == name })
 }
 
-// scheduleProbe inserts a new member at a random position in the rest of the order, so that it does not have to wait until all
-// others have been probed.
+// scheduleProbe inserts a new member at a random position among the members that have still to be probed in this round, so that
+// the new member does not have to wait until all others have been probed.
 func (m *Machine) scheduleProbe(name string) {
 	at := 0
 	if m.cfg.Seed != 0 {
@@ -120,8 +120,8 @@
 	}
 }
 
-// advanceProbes does all work that is due for this member's own probes and for those that it relays for others, and suspects
-// the targets of failed probes. An unhealthy member waits longer and sends more pings before it suspects a target.
+// advanceProbes does all work that is due for this member's own probes and for the pings that it relays for others, and
+// suspects the targets of failed probes. An unhealthy member waits longer and sends more pings before it suspects a target.
 func (m *Machine) advanceProbes(now clock.Micros) {
 	m.sampleHelpers(now)
 	m.sendNacks(now)
@@ -173,7 +173,7 @@
 }
 
 // removeFailedProbes removes the probes that have timed out and returns them. It also removes, but does not return, probes
-// whose target has ended or started a new generation since.
+// whose target has ended or started a new generation since the probe began.
 func (m *Machine) removeFailedProbes(now clock.Micros) (failed []probe) {
 	timeout := m.cfg.Interval * clock.Micros(m.LocalHealth())
 	m.probes = slices.DeleteFunc(m.probes, func(p probe) bool {
@@ -208,7 +208,8 @@
 	}
 }
 
-// requestIndirectProbes asks helpers to probe a target: the helper that reached it most recently, and random alive members.
+// requestIndirectProbes asks helpers to probe a target: the helper that reached the target most recently, and random
+// alive members.
 func (m *Machine) requestIndirectProbes(now clock.Micros, p *probe, target *member) {
 	var chosen []string
 	request := func(helper *member) {
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -18,7 +18,7 @@
 func (m *Machine) handleMessage(now clock.Micros, source netip.AddrPort, msg Message) {
 	switch {
 	case msg.From == m.self.Name && msg.Generation == m.self.Generation:
-		m.noteJoinAnswer(source, msg.From) // this member's own message came back, so the address is its own
+		m.noteJoinAnswer(source, msg.From) // this member's own message came back, so the address belongs to this member
 		return
 	case msg.Kind == Reject:
 		m.handleReject(now, msg)
@@ -60,7 +60,8 @@
 	}
 }
 
-// readmits reports whether a message to this excluded member shows that it is accepted again. If so, it ends the exclusion.
+// readmits reports whether a message to this excluded member shows that the member is accepted again. If so, readmits ends
+// the exclusion.
 func (m *Machine) readmits(msg Message) bool {
 	if msg.Kind != Ack || msg.ToGeneration != m.self.Generation {
 		return false
@@ -103,8 +104,8 @@
 	}
 }
 
-// noteSender records that a message arrived from the member itself, the digest of the member's view, and whether the member
-// knows the current generation of this one.
+// noteSender records three facts about the sender of a message: the time of the message, the digest of the sender's view, and
+// whether the sender knows the current generation of this member.
 func (m *Machine) noteSender(now clock.Micros, sender *member, msg Message) {
 	sender.lastReceived, sender.digest, sender.unaware = now, msg.Digest, msg.ToGeneration != m.self.Generation
 }
@@ -117,7 +118,7 @@
 	}
 }
 
-// handlePing answers a ping, whether the sender sent it for itself or as a helper.
+// handlePing answers a ping that the sender sent for itself or as a helper.
 func (m *Machine) handlePing(source netip.AddrPort, sender *member, msg Message) {
 	if msg.Origin == "" && msg.Number != 0 {
 		sender.lastDirectPing = msg.Number
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -21,7 +21,8 @@
 	}
 }
 
-// bumpIncarnation increments this member's incarnation and queues its record as gossip, so that it replaces earlier records.
+// bumpIncarnation increments this member's incarnation and queues its record as gossip, so that the record replaces
+// earlier records.
 func (m *Machine) bumpIncarnation() {
 	m.self.Incarnation++
 	m.digestStale = true
@@ -63,8 +64,9 @@
 	m.emit(notice)
 }
 
-// handleNameConflict reacts to another process with this member's name. If the other process started later, it is sent a
-// Reject. If it started earlier, nothing is done, because it may be an earlier run of this member.
+// handleNameConflict reacts to another process with this member's name. If the other process started later, this
+// member sends it a Reject. If the other process started earlier, nothing is done, because it may be an earlier run of this
+// member.
 func (m *Machine) handleNameConflict(other netip.AddrPort, generation uint64) {
 	if m.excluded || generation < m.self.Generation || other == m.self.Address {
 		return
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -68,9 +68,9 @@
 	}
 }
 
-// suspect processes a report that a member has not answered since a given time. reporter is the member that suspects it, which
-// may be this machine's own member. A report from a further member confirms the suspicion, and is passed on as gossip as long as
-// it makes the deadline earlier.
+// suspect processes a report that a member has not answered since a given time. reporter is the member that suspects the other
+// member; reporter may be this machine's own member. A report from a further member confirms the suspicion, and is passed on as
+// gossip as long as it makes the deadline earlier.
 func (m *Machine) suspect(now clock.Micros, e *member, incarnation uint32, reporter string, since clock.Micros) {
 	if reporter == e.Name || slices.Contains(e.suspectedBy, reporter) && e.State == Suspect {
 		return
--- a/internal/vrrp/actions.go
+++ b/internal/vrrp/actions.go
@@ -4,7 +4,7 @@
 	"marblespan/internal/clock"
 )
 
-// Action is an output of Machine.Handle. The caller carries the actions out in order.
+// Action is an output of Machine.Handle. The caller carries out the actions in order.
 type Action interface{ action() }
 
 // Activate asks the caller to open the floating listener. Each activation has its own listener and its own clients.
--- a/internal/vrrp/config.go
+++ b/internal/vrrp/config.go
@@ -6,7 +6,8 @@
 	"marblespan/internal/clock"
 )
 
-// The bounds of Advertisement_Interval. An advertisement carries it as 12 bits, in hundredths of a second (RFC 9568, 5.2.6).
+// The bounds of Advertisement_Interval. An advertisement carries the interval as 12 bits, in hundredths of a second (RFC
+// 9568, 5.2.6).
 const (
 	MinInterval clock.Micros = 10_000
 	MaxInterval clock.Micros = 40_950_000
--- a/internal/vrrp/damper.go
+++ b/internal/vrrp/damper.go
@@ -6,14 +6,15 @@
 
 // damper keeps a gateway whose state flaps from becoming active. Otherwise, late advertisements could make the address move
 // back and forth between gateways, and every move closes the clients' connections. The cost of damping is that if the other
-// gateways fail in the meantime, this one becomes active up to Damping.MaxDelay later.
+// gateways fail in the meantime, the damped gateway becomes active up to Damping.MaxDelay later.
 type damper struct {
 	flaps        uint8
 	lastFlap     clock.Micros // when the last flap was counted
 	blockedUntil clock.Micros
 }
 
-// maxFlaps limits the doubling of the delay so that it does not overflow. Damping.MaxDelay is reached long before.
+// maxFlaps limits the doubling of the delay so that it does not overflow. Damping.MaxDelay is reached long before that many
+// flaps.
 const maxFlaps = 20
 
 // The count of flaps is reset after a time of flapResetMultiple times Damping.MaxDelay without a flap.
@@ -27,7 +28,7 @@
 }
 
 // recordFlap counts a flap and keeps the gateway from becoming active: for Damping.InitialDelay after the first flap, and for
-// twice as long after each further one, up to Damping.MaxDelay.
+// twice the previous delay after each further flap, up to Damping.MaxDelay.
 func (d *damper) recordFlap(now clock.Micros, cfg Damping) {
 	if cfg.InitialDelay <= 0 {
 		return
--- a/internal/vrrp/events.go
+++ b/internal/vrrp/events.go
@@ -22,7 +22,7 @@
 	AdvertisementInterval clock.Micros
 }
 
-// Tick is the timer step. It is due at the time returned by Machine.Next; additional Ticks are harmless.
+// Tick is the timer step. A Tick is due at the time returned by Machine.Next; additional Ticks are harmless.
 type Tick struct{}
 
 // HealthChanged carries the gateway's new health.
@@ -31,8 +31,8 @@
 // ActivateFailed reports that the floating listener for an Activate action could not be opened.
 type ActivateFailed struct{ Activation uint32 }
 
-// ConfigChanged carries new settings. Its VRID and LocalAddress are ignored; the machine keeps the ones that it was created
-// with.
+// ConfigChanged carries new settings. Their VRID and LocalAddress are ignored; the machine keeps the VRID and LocalAddress that
+// it was created with.
 type ConfigChanged struct{ Config Config }
 
 func (Startup) event()               {}
--- a/internal/vrrp/machine.go
+++ b/internal/vrrp/machine.go
@@ -6,9 +6,9 @@
 // clock, socket, goroutine or random source. Times are whole microseconds of a clock that never steps back. The caller is
 // internal/floatingip, where a single goroutine owns all Machines.
 //
-// The main decisions are in Machine.receiveAsBackup and Machine.receiveAsActive (which router is followed, and which one stays
-// active), Machine.tick (when a backup takes over), Machine.checkStall (what happens after a stall), Machine.Lease (until when
-// requests may be accepted), effectivePriority and damper.
+// The main decisions are in Machine.receiveAsBackup and Machine.receiveAsActive (which router is followed, and which router
+// stays active), Machine.tick (when a backup takes over), Machine.checkStall (what happens after a stall), Machine.Lease (until
+// when requests may be accepted), effectivePriority and damper.
 package vrrp
 
 import (
@@ -68,7 +68,8 @@
 // Ready reports whether the gateway can serve requests. Only a ready gateway becomes or stays active.
 func (m *Machine) Ready() bool { return m.health.Ready }
 
-// ActiveRouter returns the address of the active router that a backup follows, or the zero value if none is known.
+// ActiveRouter returns the address of the active router that a backup follows, or the zero value if no active router
+// is known.
 func (m *Machine) ActiveRouter() netip.Addr { return m.activeRouter.from }
 
 // Since returns the time at which the current state began.
--- a/internal/vrrp/receive.go
+++ b/internal/vrrp/receive.go
@@ -6,7 +6,8 @@
 	"marblespan/internal/clock"
 )
 
-// remoteRouter holds the contents of the last advertisement of another router. The zero value means that there is none.
+// remoteRouter holds the contents of the last advertisement of another router. The zero value means that no such
+// router is known.
 type remoteRouter struct {
 	from       netip.Addr
 	priority   uint8
@@ -26,9 +27,9 @@
 }
 
 // receiveAsBackup implements RFC 9568, 6.4.2, with three deviations:
-//   - If two routers advertise, the backup follows the one that will remain active and ignores a release by the other one.
-//     Otherwise the release by a router that learns late that it is no longer active would make every backup take over from
-//     the router that is active.
+//   - If two routers advertise, the backup follows the one that will remain active and ignores a release by the other router.
+//     Otherwise the release by a router that detects late that it is no longer active would make every backup take over from the
+//     router that is active.
 //   - When the followed router releases the address, the other router is followed if it is alive.
 //   - An active router of lower priority is not preempted before the preempt delay and damping are over.
 func (m *Machine) receiveAsBackup(now clock.Micros, e AdvertisementReceived) {
@@ -44,10 +45,10 @@
 	case e.Priority == PriorityRelease:
 	case m.activeRouter.staysActive(now, e):
 		m.otherRouter = received
-	case m.mayPreempt(now, e.Priority): // the active-down timer is not restarted, so this backup takes over when it expires
+	case m.mayPreempt(now, e.Priority): // the active-down timer is not restarted, so this backup takes over when the timer expires
 	default:
 		if m.activeRouter.from != received.from && m.activeRouter.alive(now) {
-			m.otherRouter = m.activeRouter // the former router is followed again if the new one releases the address
+			m.otherRouter = m.activeRouter // the former router is followed again if the new router releases the address
 		}
 		m.follow(received)
 	}
@@ -83,7 +84,8 @@
 	m.timer = h.receivedAt + m.downInterval()
 }
 
-// preemptDelayOver reports whether the preempt delay and damping are over. It starts the preempt delay if it is not running.
+// preemptDelayOver reports whether the preempt delay and damping are over. It starts the preempt delay if the delay is
+// not running.
 func (m *Machine) preemptDelayOver(now clock.Micros) bool {
 	if m.preemptAfter == 0 {
 		m.preemptAfter = now + m.config.PreemptDelay
@@ -104,7 +106,7 @@
 		m.follow(remoteRouter{e.From, e.Priority, now, e.AdvertisementInterval})
 		return out
 	}
-	// A router that must give way to this one also advertises as active. Advertise at once so that it becomes a backup, and
-	// announce the address again because the network may direct it to the other router.
+	// The sender also advertises as active, but must give way to this router. Advertise at once so that the sender becomes a
+	// backup, and announce the address again because the network may direct packets for the address to the sender.
 	return append(m.advertise(now, out), AnnounceAddress{m.activation})
 }
--- a/internal/vrrp/timers.go
+++ b/internal/vrrp/timers.go
@@ -10,15 +10,16 @@
 const stallPollLimit = 3
 
 // A timer may be handled late by up to an advertisement interval divided by lateTimerDivisor. A backup whose timer is handled
-// later than that may have unread advertisements. It waits for the same fraction of an interval, so that they are read first.
+// later than that may have unread advertisements. It waits for the same fraction of an interval, so that the unread
+// advertisements are read first.
 const lateTimerDivisor = 4
 
 // leaseIntervals is the number of intervals after an advertisement for which its sender may act as the active router. No peer
 // takes over earlier, because every Active_Down_Interval is three intervals plus the peer's Skew_Time.
 const leaseIntervals = 3
 
-// SkewTime returns Skew_Time of RFC 9568, 6.1. It is shorter for a higher priority, so that the backup with the highest
-// priority takes over first.
+// SkewTime returns Skew_Time of RFC 9568, 6.1. The skew time is shorter for a higher priority, so that the backup with the
+// highest priority takes over first.
 func SkewTime(priority uint8, interval clock.Micros) clock.Micros {
 	return (256 - clock.Micros(priority)) * interval / 256
 }
@@ -31,8 +32,8 @@
 
 // Lease returns the time until which requests may be accepted in the current activation, or 0 if the router is not active.
 // After that time peers may have taken over, unless another advertisement has been sent, which extends the lease. The lease is
-// checked for every request, because after a stall the goroutine that accepts requests may run before the one that owns the
-// machine.
+// checked for every request, because after a stall the goroutine that accepts requests may run before the goroutine that
+// owns the machine.
 func (m *Machine) Lease() clock.Micros {
 	if m.state != Active {
 		return 0
@@ -56,7 +57,8 @@
 // stalled.
 func (m *Machine) pollInterval() clock.Micros { return m.config.AdvertisementInterval / 2 }
 
-// timerDue returns the time at which the timer of the current state expires. For a backup this is not before damping is over.
+// timerDue returns the time at which the timer of the current state expires. A backup's timer does not expire before
+// damping is over.
 func (m *Machine) timerDue() clock.Micros {
 	if m.state == Backup {
 		return max(m.timer, m.damper.blockedUntil)
@@ -70,9 +72,9 @@
 }
 
 // checkStall checks whether the process was stalled. An active router whose lease has expired becomes a backup. It sends no
-// advertisement, because that would interfere with a router that has taken over. A backup that was stalled restarts its timer,
-// because it may have missed advertisements. A backup that is only slightly late waits briefly, so that unread advertisements
-// are read first.
+// advertisement, because an advertisement would interfere with a router that has taken over. A backup that was stalled restarts
+// its timer, because it may have missed advertisements. A backup that is only slightly late waits briefly, so that unread
+// advertisements are read first.
 func (m *Machine) checkStall(now clock.Micros) []Action {
 	tolerance := m.config.AdvertisementInterval / lateTimerDivisor
 	next, _ := m.Next()
--- a/internal/vrrp/transitions.go
+++ b/internal/vrrp/transitions.go
@@ -44,8 +44,9 @@
 func (m *Machine) advertise(now clock.Micros, out []Action) []Action {
 	m.lastSent, m.timer = now, now+m.config.AdvertisementInterval
 	out = append(out, SendAdvertisement{m.Priority(), m.config.AdvertisementInterval})
-	// An announcement may be lost, and no other machine requests it again. Therefore it is repeated with the 2nd, 4th, 8th
-	// and so on advertisement, and later with every 64th. The RFC sends it only once.
+	// An announcement may be lost, and no other machine requests it again. Therefore the announcement is repeated with the 2nd,
+	// 4th, 8th and so on advertisement, and later with every 64th. In the RFC, the active router announces the address only
+	// once.
 	m.advertisementsSent++
 	if n := m.advertisementsSent; n > 1 && (n%announcePeriod == 0 || n < announcePeriod && n&(n-1) == 0) {
 		out = append(out, AnnounceAddress{m.activation})
@@ -68,7 +69,7 @@
 	return m.setState(now, Backup, cause, append(out, Deactivate{m.activation, cause}))
 }
 
-// setState changes the state and reports it.
+// setState changes the state and adds a StateChanged action.
 func (m *Machine) setState(now clock.Micros, to State, cause Cause, out []Action) []Action {
 	out = append(out, StateChanged{m.state, to, cause})
 	m.state, m.stateSince = to, now
