--- a/internal/assignment/scheduler.go
+++ b/internal/assignment/scheduler.go
@@ -21,7 +21,7 @@
 type Scheduler struct {
 	cfg         Config
 	members     []Member
-	tasks       map[string]*task // by key of the subject
+	tasks       map[string]*task // the task of each subject, by the subject's key
 	queue       queue            // all tasks, ordered by wakeAt
 	now         clock.Micros
 	randomDraws uint64
--- a/internal/indoubt/events.go
+++ b/internal/indoubt/events.go
@@ -14,7 +14,7 @@
 	Group     int
 	Server    string       // the server that is likely to get the write
 	Repeat    bool         // the client marked the request as a repeat
-	Deadline  clock.Micros // when the client stops waiting
+	Deadline  clock.Micros // the time at which the client stops waiting
 	Policy    Policy
 }
 
@@ -25,7 +25,7 @@
 	Version      uint64       // the version of the intent, as read or after the change
 	Intent       *Intent      // the intent as read; nil if there is none
 	Age          clock.Micros // at least this much time has passed since the intent was last changed
-	PossiblyLost bool         // there was no intent, but the store may have lost an intent before the end of the intent's retention
+	PossiblyLost bool         // there was no intent, but the store may have lost an intent before its retention ended
 	SinceLoss    clock.Micros // at least this much time has passed since the possible loss of an intent
 }
 
--- a/internal/indoubt/indoubt.go
+++ b/internal/indoubt/indoubt.go
@@ -10,8 +10,8 @@
 //	  -> storeOutcome -> outcomeStored
 //
 // A write whose gateway died is resolved only when the client repeats the request, at any gateway. Without a repeat the intent
-// stays open until its retention ends. The claim of the repeat conflicts with the stored intent, which starts the resolution in
-// takeover.go:
+// stays open until its retention ends. The claim of the repeat conflicts with the stored intent. This conflict starts the
+// resolution in takeover.go:
 //
 //	claimStored (Conflict) -> readIntent -> intentRead -> awaitOwner -> takeOver -> takeoverStored -> lookupOrFinish -> lookupAnswered
 //	  -> storeOutcome
--- a/internal/indoubt/write.go
+++ b/internal/indoubt/write.go
@@ -13,11 +13,11 @@
 	version    uint64 // last known version of the stored intent; 0 if there is none
 	sending    sending
 	takeover   takeover
-	retryAt    clock.Micros // awaitingOwner, storingOutcome, rereadingIntent: when to call the store again
+	retryAt    clock.Micros // in awaitingOwner, storingOutcome and rereadingIntent: the time of the next store call
 	// outcomeDeadline is the time at which the resolver stops trying to store the outcome. While the client still waits,
 	// outcomeDeadline is the time at which the client gets its answer whether or not the outcome is stored.
 	outcomeDeadline clock.Micros
-	followed        uint64 // followingWrite: the ID of the request that this write's request follows
+	followed        uint64 // in followingWrite: the ID of the request that this write's request follows
 }
 
 // phase is the step that a write is at, named by what the write waits for.
@@ -61,8 +61,8 @@
 type sending struct {
 	state           sendState
 	validUntil      clock.Micros // until this time an attempt may be permitted without confirming the claim
-	attempt         uint64       // confirmingClaim: the attempt that waits for permission
-	attemptDeadline clock.Micros // confirmingClaim: when the attempt stops waiting for permission
+	attempt         uint64       // in confirmingClaim: the attempt that waits for permission
+	attemptDeadline clock.Micros // in confirmingClaim: the time at which the attempt stops waiting for permission
 }
 
 // sendState records whether an attempt has been permitted, and whether further attempts may be.
--- a/internal/maintenance/command.go
+++ b/internal/maintenance/command.go
@@ -59,7 +59,7 @@
 }
 
 // openSession records that a client's command is being carried out. isNew is false if this command or a later command of the same
-// client has already arrived; result then holds the answer.
+// client has already arrived; In that case result holds the answer.
 func (o *Order) openSession(from ClientSession) (result ClientSession, isNew bool) {
 	i := slices.IndexFunc(o.Sessions, func(s ClientSession) bool { return s.Client == from.Client })
 	switch {
--- a/internal/maintenance/evaluator.go
+++ b/internal/maintenance/evaluator.go
@@ -155,8 +155,9 @@
 	return Reason{}
 }
 
-// overload returns a reason if the ready gateways, not counting the machine without, would have to carry more than maxLoad, in
-// thousandths of their capacity, or if no such gateway is left. If the argument without is nil, all ready gateways count.
+// overload returns a reason if the ready gateways, not counting the machine in the parameter without, would have to carry more
+// than maxLoad, in thousandths of their capacity, or if no such gateway is left. If that parameter is nil, all ready gateways
+// count.
 func (e evaluator) overload(without *Machine, maxLoad int) Reason {
 	load, ready := 0, 0
 	for _, g := range e.view.Gateways {
--- a/internal/maintenance/machine.go
+++ b/internal/maintenance/machine.go
@@ -58,9 +58,9 @@
 	Comment     string       // the operator's comment
 	RequestedBy string       // the gateway that received the operator's request
 	Overdue     bool         // the machine is out of service for longer than allowed
-	// Overridden is set by an operator's command, or when ExcuseAfter has passed. A machine that is both overdue and overridden
-	// no longer counts against the limits on machines out of service. Only machines that share a shard or a group with such a
-	// machine still wait for it.
+	// Overridden is set by an operator's Resume command, or when ExcuseAfter has passed. A machine that is both overdue and
+	// overridden no longer counts against the limits on machines out of service. Only machines that share a shard or a group
+	// with such a machine still wait for it.
 	Overridden bool
 }
 
--- a/internal/maintenance/view.go
+++ b/internal/maintenance/view.go
@@ -15,7 +15,7 @@
 	MaxLoad      int          // load that the remaining gateways may have to carry, in thousandths of their capacity
 	SettleTime   clock.Micros // how long a machine that has returned must be healthy before it counts as back
 	ReturnWithin clock.Micros // how long a machine may be returning before it is overdue
-	ExcuseAfter  clock.Micros // how long after the end of its Duration an overdue machine becomes Overridden; 0: never
+	ExcuseAfter  clock.Micros // time from the end of an overdue machine's Duration until the machine becomes Overridden; 0: never
 	// RepairAfter is how long a gateway may be silent before its shards are moved to another host. If the planned work on a gateway
 	// takes longer, its shards are migrated before the gateway drains.
 	RepairAfter clock.Micros
@@ -27,7 +27,7 @@
 // The presences.
 const (
 	Alive  Presence = iota
-	Silent          // alive according to the membership, but it has not reported lately
+	Silent          // the gateway is alive according to the membership, but has not reported lately
 	Dead
 	Left // the gateway has shut down gracefully
 )
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -88,7 +88,7 @@
 	lastDeadPinged int
 }
 
-// member is another member as this machine's member knows it.
+// member holds what this machine knows about another member.
 type member struct {
 	Record
 	stateSince     clock.Micros
@@ -96,7 +96,7 @@
 	lastAck        clock.Micros // when the last answer to a probe arrived, from the member or from a helper
 	rtt            clock.Micros
 	suspectedSince clock.Micros // start of the unanswered probe that led to the suspicion
-	suspectedBy    []string     // members that suspect the member, at most maxConfirmations+1
+	suspectedBy    []string     // names of the members that suspect the described member, at most maxConfirmations+1
 	lastHelper     string       // the helper that most recently reached the member
 	indirectOnly   int          // consecutive probes that were answered only through helpers
 	lastDirectPing uint32       // number of the last ping received directly from the member
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -134,7 +134,7 @@
 	TargetAddress      netip.AddrPort
 	Origin             string // in a Ping from a helper: the member that asked for the Ping
 	OriginNumber       uint32
-	DirectPingReceived bool   // in an Ack to a helper: the origin's own ping arrived as well
+	DirectPingReceived bool   // in an Ack to a helper: the target also received the origin's own ping
 	Digest             uint64 // digest of the sender's view
 	Records            []Record
 	Paths              []PathState
@@ -235,10 +235,10 @@
 
 // The kinds of notices. NoticeCount is the number of kinds.
 const (
-	ProcessStalled   NoticeKind = iota // the process of this member did not run for a while, so other members may have declared the member dead
+	ProcessStalled   NoticeKind = iota // this member's process was stalled, so other members may have declared the member dead
 	SuspicionRefuted                   // this member was suspected and has refuted the suspicion with a higher incarnation
 	DeclaredDead                       // other members declared this member dead; it continues in a new generation
-	ClockSetBack                       // this member's clock was set back, so others know a later generation of it; its next generation follows that one
+	ClockSetBack                       // this member's clock was set back: others know a later generation; it continues after that one
 	NameConflict                       // another process has the same name; this member started earlier and keeps the name
 	Excluded                           // another process has the same name; this member started later and does not participate
 	Readmitted                         // this member was excluded and now participates again
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// sampleHelpers updates the local health from the requests to helpers whose time for an answer is over.
+// sampleHelpers updates the local health from each request to a helper once the time for an answer to the request is over.
 func (m *Machine) sampleHelpers(now clock.Micros) {
 	wait := m.cfg.Interval / directAckDivisor
 	for _, r := range m.helperRequests {
--- a/internal/membership/self.go
+++ b/internal/membership/self.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// startGeneration moves this member to a new generation, because other members consider the current one to be over and never
-// accept it again.
+// startGeneration moves this member to a new generation, because other members consider the current generation to be over and
+// never accept that generation again.
 func (m *Machine) startGeneration(generation uint64, notice Notice) {
 	m.self.Generation, m.self.Incarnation, m.generationStart = generation, 0, m.lastEvent
 	for i := range m.members {
--- a/internal/vrrp/config.go
+++ b/internal/vrrp/config.go
@@ -19,7 +19,7 @@
 	PriorityOwner   uint8 = 255 // the router that owns the address
 )
 
-// Condition is a problem of the gateway that is tracked. Each condition that holds lowers the priority by its step in
+// Condition is a tracked problem of the gateway. Each condition that holds lowers the priority by its step in
 // Config.PrioritySteps.
 type Condition uint8
 
@@ -45,7 +45,7 @@
 // Damping delays the next activation of a gateway that lost the address soon after it became active. The zero value disables
 // damping.
 type Damping struct {
-	Window       clock.Micros // a loss this soon after becoming active counts as a flap
+	Window       clock.Micros // a loss of the address within this time after becoming active counts as a flap
 	InitialDelay clock.Micros // the delay after the first flap; each further flap doubles the delay
 	MaxDelay     clock.Micros // the longest delay
 }
--- a/internal/vrrp/damper.go
+++ b/internal/vrrp/damper.go
@@ -13,8 +13,8 @@
 	blockedUntil clock.Micros
 }
 
-// maxFlaps limits the doubling of the delay so that it does not overflow. Damping.MaxDelay is reached long before that many
-// flaps.
+// maxFlaps limits the doubling of the delay so that the delay does not overflow. Damping.MaxDelay is reached long before that
+// many flaps.
 const maxFlaps = 20
 
 // The count of flaps is reset after a time of flapResetMultiple times Damping.MaxDelay without a flap.
--- a/internal/vrrp/machine.go
+++ b/internal/vrrp/machine.go
@@ -43,7 +43,7 @@
 	timer              clock.Micros // expiry of the advertisement timer while active, or of the active-down timer while backup
 	activeInterval     clock.Micros // the interval that the active router advertised
 	activeRouter       remoteRouter // the router that this backup follows
-	otherRouter        remoteRouter // the last router that advertised as active without being followed
+	otherRouter        remoteRouter // another router that advertised as active and that this backup does not follow
 	stateSince         clock.Micros // start of the current state
 	released           bool         // the active router released the address, and no other router has been followed since
 	preemptAfter       clock.Micros // when an active router of lower priority may be preempted; 0: no such router advertised
--- a/internal/vrrp/receive.go
+++ b/internal/vrrp/receive.go
@@ -20,7 +20,8 @@
 	return h.from.IsValid() && now-h.receivedAt < leaseIntervals*h.interval
 }
 
-// staysActive reports whether the router is alive and will remain active when both it and the sender of e advertise as active.
+// staysActive reports whether the router is alive and will remain active when both the router and the sender of e advertise as
+// active.
 func (h remoteRouter) staysActive(now clock.Micros, e AdvertisementReceived) bool {
 	return h.alive(now) && h.from != e.From &&
 		(h.priority > e.Priority || h.priority == e.Priority && e.From.Less(h.from))
@@ -45,7 +46,7 @@
 	case e.Priority == PriorityRelease:
 	case m.activeRouter.staysActive(now, e):
 		m.otherRouter = received
-	case m.mayPreempt(now, e.Priority): // the active-down timer is not restarted, so this backup takes over when the timer expires
+	case m.mayPreempt(now, e.Priority): // the active-down timer is not restarted: this backup takes over when the timer expires
 	default:
 		if m.activeRouter.from != received.from && m.activeRouter.alive(now) {
 			m.otherRouter = m.activeRouter // the former router is followed again if the new router releases the address
