--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -238,7 +238,7 @@
 	ProcessStalled   NoticeKind = iota // this member's process was stalled, so other members may have declared the member dead
 	SuspicionRefuted                   // this member was suspected and has refuted the suspicion with a higher incarnation
 	DeclaredDead                       // other members declared this member dead; it continues in a new generation
-	ClockSetBack                       // this member's clock was set back; it continues after the later generation that others know
+	ClockSetBack                       // this member's clock was set back; it continues after the last generation others know
 	NameConflict                       // another process has the same name; this member started earlier and keeps the name
 	Excluded                           // another process has the same name; this member started later and does not participate
 	Readmitted                         // this member was excluded and now participates again
