--- a/internal/maintenance/command.go
+++ b/internal/maintenance/command.go
@@ -26,8 +26,8 @@
 	Kind        Kind
 	Name        string       // the machine's name; empty for all machines
 	Group       int          // the group of a server
-	Duration    clock.Micros // with Add: how long the work may take
-	Comment     string       // with Add: at most MaxCommentLength bytes
+	Duration    clock.Micros // used with Add: how long the work may take
+	Comment     string       // used with Add: at most MaxCommentLength bytes
 	RequestedBy string       // the gateway that received the command
 }
 
@@ -59,7 +59,7 @@
 }
 
 // openSession records that a client's command is being carried out. isNew is false if this command or a later command of the same
-// client has already arrived; result then holds the answer.
+// client has already arrived; In that case result holds the answer.
 func (o *Order) openSession(from ClientSession) (result ClientSession, isNew bool) {
 	i := slices.IndexFunc(o.Sessions, func(s ClientSession) bool { return s.Client == from.Client })
 	switch {
--- a/internal/vrrp/config.go
+++ b/internal/vrrp/config.go
@@ -6,7 +6,8 @@
 	"marblespan/internal/clock"
 )
 
-// The bounds of Advertisement_Interval. An advertisement carries it as 12 bits, in hundredths of a second (RFC 9568, 5.2.6).
+// The bounds of Advertisement_Interval. An advertisement carries the interval as 12 bits, in hundredths of a second (RFC
+// 9568, 5.2.6).
 const (
 	MinInterval clock.Micros = 10_000
 	MaxInterval clock.Micros = 40_950_000
@@ -18,7 +19,7 @@
 	PriorityOwner   uint8 = 255 // the router that owns the address
 )
 
-// Condition is a problem of the gateway that is tracked. Each condition that holds lowers the priority by its step in
+// Condition is a tracked problem of the gateway. Each condition that holds lowers the priority by its step in
 // Config.PrioritySteps.
 type Condition uint8
 
@@ -44,7 +45,7 @@
 // Damping delays the next activation of a gateway that lost the address soon after it became active. The zero value disables
 // damping.
 type Damping struct {
-	Window       clock.Micros // a loss this soon after becoming active counts as a flap
+	Window       clock.Micros // a loss of the address within this time after becoming active counts as a flap
 	InitialDelay clock.Micros // the delay after the first flap; each further flap doubles the delay
 	MaxDelay     clock.Micros // the longest delay
 }
