--- a/internal/gossip/agent.go
+++ b/internal/gossip/agent.go
@@ -37,8 +37,8 @@
 	Zone       string
 	Weight     uint32
 	Interval   time.Duration // maximum duration of a probe
-	// Via maps an advertised address to the address at which this gateway reaches it, if the two differ because of network
-	// address translation.
+	// Via maps a member's advertised address to the address at which this gateway reaches the member, if the two addresses
+	// differ because of network address translation.
 	Via map[netip.AddrPort]netip.AddrPort
 	// Buffers and Fds are the memory and descriptor budgets of the streams, which use the same addresses as datagrams. If Buffers
 	// is nil, there are no streams.
@@ -46,7 +46,7 @@
 	Fds     *transport.Descriptors
 }
 
-// Clock is a clock that never goes backwards. Time converts its readings to times for timers.
+// Clock is a clock that never goes backwards. The method Time converts the clock's readings to times for timers.
 type Clock struct {
 	Now  func() clock.Micros
 	Time func(clock.Micros) time.Time
--- a/internal/gossip/loop.go
+++ b/internal/gossip/loop.go
@@ -12,8 +12,8 @@
 // This file has the code that the agent's goroutine runs. It converts datagrams and timers to events of the machine, and carries
 // out the machine's actions.
 
-// replayWindow is how far the messages of a sender may be reordered: a message is still accepted if at most this many later ones
-// have arrived before it. For example, an ack that arrives after the next ack is still valid.
+// replayWindow is how far the messages of a sender may be reordered: a message is still accepted if at most replayWindow
+// later messages have arrived before it. For example, an ack that arrives after the next ack is still valid.
 const replayWindow = 64
 
 // maxSenders is the maximum number of senders that the replay guard tracks. Only senders that have a key are counted.
--- a/internal/gossip/status.go
+++ b/internal/gossip/status.go
@@ -20,8 +20,8 @@
 	Incarnation    uint32   `json:"incarnation"`
 	State          string   `json:"state"`
 	ForMS          int64    `json:"for_ms"`       // how long the member has been in this state
-	ReportedBy     string   `json:"by,omitempty"` // member that suspects this one, or declared it dead
-	LastReceivedMS int64    `json:"heard_ms_ago"` // time since its last message; -1 if none was received
+	ReportedBy     string   `json:"by,omitempty"` // member that suspects the described member, or declared it dead
+	LastReceivedMS int64    `json:"heard_ms_ago"` // time since the member's last message; -1 if no message was received
 	RTTMicros      int64    `json:"rtt_us"`       // 0 if not known
 	Zone           string   `json:"zone,omitempty"`
 	Weight         uint32   `json:"weight"`
--- a/internal/raftnode/calls.go
+++ b/internal/raftnode/calls.go
@@ -44,8 +44,8 @@
 // shardAvailability tracks which shards are likely to respond. It is safe for concurrent use.
 type shardAvailability struct {
 	count atomic.Int64 // number of shards; 0 means that no store is known
-	// failedAt is when a shard's backoff began, in microseconds of Unix time: when its last call failed, or when available last let a
-	// caller try again. 0 means that the last call succeeded, or that there was none.
+	// failedAt is the time at which a shard's backoff began, in microseconds of Unix time: when the shard's last call failed, or when
+	// the method available last let a caller try again. 0 means that the last call succeeded, or that there was none.
 	failedAt [raftstore.MaxShards + 1]atomic.Int64
 }
 
@@ -60,16 +60,16 @@
 	return raftstore.ShardOf(key, count), true
 }
 
-// available reports whether a call to a shard should be tried: the shard's last call succeeded, or retryBackoff has passed since the
-// failure. In the latter case only one of several concurrent callers gets true, and the backoff starts again.
+// available reports whether a call to a shard should be tried, because the shard's last call succeeded or the shard's backoff is
+// over. When the backoff is over, only one of several concurrent callers gets true, and the backoff starts again.
 func (s *shardAvailability) available(shard uint32) bool {
 	failedAt := &s.failedAt[shard]
 	last, now := failedAt.Load(), time.Now().UnixMicro()
 	return last == 0 || now-last > retryBackoff.Microseconds() && failedAt.CompareAndSwap(last, now)
 }
 
-// record stores the outcome of a call to a shard, on which the next calls of available are based. The call counts as failed if it had
-// no result in time, was not sent, or found the shard full.
+// record stores the outcome of a call to a shard, which decides what the method available returns next. The call counts as
+// failed if it had no result in time, was not sent, or found the shard full.
 func (s *shardAvailability) record(shard uint32, status raftstore.Status) {
 	at := int64(0)
 	switch status {
@@ -97,7 +97,7 @@
 }
 
 // Available reports whether a call for a key is likely to succeed now: the last RaisePosition call to the key's shard succeeded, or
-// its failure is long enough ago that this caller may try again. It returns false if no store is known.
+// that call failed long enough ago that this caller may try again. It returns false if no store is known.
 func (n *Node) Available(key []byte) bool {
 	shard, known := n.shards.shardOf(key)
 	return known && n.shards.available(shard)
--- a/internal/raftnode/disk.go
+++ b/internal/raftnode/disk.go
@@ -15,7 +15,7 @@
 type storage struct {
 	file    *raftstorage.File    // nil if the groups are kept in memory only
 	witness *raftstorage.Witness // nil if there is none
-	writes  chan raftstore.Write // to the disk writer; the host has at most one write in flight
+	writes  chan raftstore.Write // passes writes to the disk writer; the host has at most one write in flight
 }
 
 // close closes the files.
--- a/internal/raftnode/node.go
+++ b/internal/raftnode/node.go
@@ -68,7 +68,7 @@
 	eventBatch     = 512
 )
 
-// Clock is the host's clock, which never goes backwards. At converts its readings to times for timers.
+// Clock is the host's clock, which never goes backwards. The method At converts the clock's readings to times for timers.
 type Clock struct {
 	Now func() clock.Micros
 	At  func(clock.Micros) time.Time
--- a/internal/raftnode/packets.go
+++ b/internal/raftnode/packets.go
@@ -110,7 +110,8 @@
 	return p.body, p.next == header.parts
 }
 
-// begin adds a partial packet. If the sender has too many, its oldest one is dropped, because that is the least likely to be completed.
+// begin adds a partial packet. If the sender has too many, the sender's oldest partial packet is dropped, because it is the least
+// likely to be completed.
 func (r *reassembler) begin(from string, header partHeader) {
 	if r.bySender == nil {
 		r.bySender = map[string][]*partialPacket{}
@@ -150,7 +151,7 @@
 		}
 		message := append(header.append(make([]byte, 0, partHeaderSize+len(part))), part...)
 		if !n.sendMessage(streams.Message{To: packet.To, Channel: streams.StateStore, Body: message, NoDrop: true}) {
-			return // the parts already sent are useless without this one; the host sends the whole packet again
+			return // the parts already sent are useless without this part; the host sends the whole packet again
 		}
 		header.position++
 	}
--- a/internal/raftstorage/write.go
+++ b/internal/raftstorage/write.go
@@ -87,7 +87,8 @@
 	return nil
 }
 
-// truncateLog removes the entries that a snapshot replaces: those up to the snapshot's index if KeepEntries is set, and otherwise all.
+// truncateLog removes the entries that a snapshot replaces: the entries up to the snapshot's index if KeepEntries is
+// set, and otherwise all entries.
 func truncateLog(log *bbolt.Bucket, w *raftstore.MemberWrite) error {
 	last := w.Snapshot.GetMetadata().GetIndex()
 	c := log.Cursor()
--- a/internal/raftstore/actions.go
+++ b/internal/raftstore/actions.go
@@ -51,8 +51,8 @@
 	Value    []byte
 	Position uint64
 	Found    bool
-	// Lost reports that records were lost in a way that may affect the result: a record that was not found may have existed, and a
-	// position that was found may have been higher.
+	// Lost reports that records were lost and that this loss may affect the result, because a record that was not found may have
+	// existed, and a position that was found may have been higher.
 	Lost bool
 	// LostAge is the minimum time since the records were lost. Age is the time since a found record was last changed. Both are in
 	// microseconds of the shard's time, which never runs faster than a clock.
--- a/internal/raftstore/apply.go
+++ b/internal/raftstore/apply.go
@@ -52,10 +52,10 @@
 	}
 	var x api.Entry
 	if proto.Unmarshal(e.Data, &x) != nil {
-		return // no member can decode it, so all members skip it
+		return // no member can decode the entry, so all members skip it
 	}
 	for _, c := range x.Commands {
-		if c.Format > g.host.cfg.Format { // skipping it would make this member diverge from those that understand it
+		if c.Format > g.host.cfg.Format { // skipping the command would make this member diverge from those that understand its format
 			g.host.failDisk(fmt.Sprintf("group %d: %v", g.id, errFormatTooNew))
 			return
 		}
--- a/internal/raftstore/calls.go
+++ b/internal/raftstore/calls.go
@@ -30,11 +30,11 @@
 	request     Request
 	sequence    uint64       // sequence of the command
 	command     *api.Command // nil: a read
-	target      string       // the gateway to which it was last sent
+	target      string       // the gateway to which the call was last sent
 	attemptedAt clock.Micros
 	rotation    int  // how many candidates were tried in round-robin order
-	sent        bool // it was sent at least once, so a command may have taken effect
-	hinted      bool // it was already redirected to the leader that a reply named
+	sent        bool // the call was sent at least once, so its command may have taken effect
+	hinted      bool // the call was already redirected to the leader that a reply named
 }
 
 // localCall is a call that this gateway sends to itself.
@@ -88,9 +88,10 @@
 	h.sendCall(h.calls.lastID, c, "")
 }
 
-// sendCall sends a call to the gateway that leads its group, or that may know the leader. In order of preference, this is the hint,
-// the leader known to the group's member on this gateway, or the gateway that answered last. The next candidate in round-robin order
-// is tried if none of these is known, or if there is no hint and the call was last sent to the gateway found.
+// sendCall sends a call to the gateway that leads the call's group, or to a gateway that may know the leader. In order of preference,
+// sendCall uses the hint, the leader known to the group's member on this gateway, or the gateway that answered last. It uses the
+// next candidate in round-robin order if none of these gateways is known, or if there is no hint and the call was last sent to
+// the gateway found.
 func (h *Host) sendCall(callID uint64, pending *call, hint string) {
 	if pending.attemptedAt = h.now; h.clusterID == 0 {
 		return
@@ -165,7 +166,7 @@
 			delete(h.calls.leaders, c.request.Shard)
 		}
 		if r.Leader != "" && r.Leader != from && !c.hinted {
-			c.hinted = true // only once, because two gateways with wrong hints could redirect the call back and forth
+			c.hinted = true // redirect only once, because two gateways with wrong hints could redirect the call back and forth
 			h.sendCall(r.Id, c, r.Leader)
 		} else {
 			c.attemptedAt = h.now - (retryTicks-1)*h.cfg.Tick // retry after one tick, because an election may be in progress
--- a/internal/raftstore/clientqueue.go
+++ b/internal/raftstore/clientqueue.go
@@ -37,8 +37,8 @@
 	waiting     map[commandID]caller // callers whose commands are not applied yet
 	reads       []pendingRead        // reads for the next read index request
 	lastRead    uint64
-	unconfirmed map[uint64][]pendingRead // by the number of their read index request
-	confirmed   []confirmedReads         // in the order of their read indexes
+	unconfirmed map[uint64][]pendingRead // reads, by the number of their read index request
+	confirmed   []confirmedReads         // reads, in the order of their read indexes
 }
 
 // handleCall queues a command or a read, or rejects it.
@@ -73,8 +73,8 @@
 	return StatusOK
 }
 
-// serves reports whether this group handles calls of this kind. The ledger handles reads and maintenance commands; a shard handles
-// everything except changes of the ledger.
+// serves reports whether this group handles the given kind of call. The ledger handles reads and maintenance commands; a shard
+// handles everything except changes of the ledger.
 func (g *group) serves(c *api.Call) bool {
 	if c.Command == nil && c.Get == nil {
 		return false
--- a/internal/raftstore/confchange.go
+++ b/internal/raftstore/confchange.go
@@ -58,8 +58,8 @@
 	return caughtUp
 }
 
-// transferLeadership makes the Raft library transfer the leadership to a member. If to is 0, that is the active member with the
-// longest log. It reports whether there is a member to transfer to.
+// transferLeadership makes the Raft library transfer the leadership to the given member or, if the member number is 0, to the
+// active member with the longest log. It reports whether there is a member to transfer the leadership to.
 func (g *group) transferLeadership(to uint64) bool {
 	if to == 0 {
 		best := uint64(0)
--- a/internal/raftstore/diskwriter.go
+++ b/internal/raftstore/diskwriter.go
@@ -77,8 +77,8 @@
 	g.durable.pendingWrites++
 }
 
-// writeCompleted handles the completion of the write with the given number. Each member that has a part in it continues with the
-// work that waited for that part.
+// writeCompleted handles the completion of the write with the given number. Each member that has a part in the write continues with
+// the work that waited for that part.
 func (h *Host) writeCompleted(number uint64) {
 	if number != h.disk.lastWrite || !h.disk.busy {
 		return
--- a/internal/raftstore/durability.go
+++ b/internal/raftstore/durability.go
@@ -13,7 +13,7 @@
 )
 
 // queueWrite adds a message's entries and hard state to the next write. If nothing in the message has to be made durable and no
-// earlier part of this member waits for the disk, the message counts as written at once.
+// earlier part of this member waits for the disk, the message is treated as already written.
 func (g *group) queueWrite(m *pb.Message) {
 	same := m.Term == nil || m.GetTerm() == g.durable.hardState.GetTerm() && m.GetVote() == g.durable.hardState.GetVote() && !g.commitsConfChange(m.GetCommit())
 	if len(m.Entries) == 0 && m.Snapshot == nil && same && g.durable.pendingWrites == 0 {
@@ -62,7 +62,7 @@
 }
 
 // finishWrite brings the log and the hard state in memory up to date with a part of a write, and delivers the messages that waited
-// for it. The part is on the disk, or did not have to be written.
+// for the part. The part is on the disk, or did not have to be written.
 func (g *group) finishWrite(part writePart) {
 	m := part.message
 	if m == nil { // a snapshot made by this package
@@ -95,8 +95,8 @@
 
 // sendOnceTermDurable sends a message once its term is on the disk. The Raft library allows a candidate's vote requests and a new
 // leader's entries to be sent earlier, and holds back only the candidate's own vote. Votes from two other members could then elect
-// a leader whose disk does not have its term. After a restart, it could be elected again in the same term and put different entries
-// at the same indexes.
+// a leader whose disk does not have the leader's term. After a restart, this leader could be elected again in the same term and put
+// different entries at the same indexes.
 func (g *group) sendOnceTermDurable(m *pb.Message) {
 	if t := m.GetType(); t != pb.MsgPreVote && t != pb.MsgPreVoteResp && m.GetTerm() > g.durable.hardState.GetTerm() {
 		g.durable.unsentMessages = append(g.durable.unsentMessages, m)
--- a/internal/raftstore/events.go
+++ b/internal/raftstore/events.go
@@ -9,7 +9,8 @@
 // Event is an input of Host.Handle: one of the types in this file.
 type Event interface{ event() }
 
-// Tick reports that time has passed. It is due at Host.NextTick; additional ticks before that are harmless.
+// Tick reports that time has passed. The next Tick is due at the time that Host.NextTick returns; additional ticks before that
+// time are harmless.
 type Tick struct{}
 
 // PacketReceived is a packet from another gateway that has already been authenticated.
@@ -32,7 +33,7 @@
 	Shard   uint32 // from 1, see ShardOf; LedgerGroup accepts only a MaintenanceCommand or a Get of MaintenanceKey
 	Command *api.Command
 	Get     *api.Get
-	// Deadline is when the caller stops waiting for the response.
+	// Deadline is the time at which the caller stops waiting for the response.
 	Deadline clock.Micros
 }
 
--- a/internal/raftstore/group.go
+++ b/internal/raftstore/group.go
@@ -25,7 +25,7 @@
 // Config.MinLogBytes.
 const retainedEntries = 512
 
-// maxLearnerLag is how many entries a learner may be behind and still become a voter.
+// maxLearnerLag is how many entries a learner's log may be behind the leader's log when the learner is made a voter.
 const maxLearnerLag = 16
 
 // snapshotTimeoutTicks is the number of ticks after which a sent snapshot is treated as lost.
@@ -48,7 +48,7 @@
 	durable durableState
 
 	recovery *recovery   // nil: the member is not in recovery and takes part in the group
-	minLog   logPosition // no vote for a candidate whose log is behind this, and no campaign until the own log has reached it
+	minLog   logPosition // votes for no candidate whose log is behind minLog; campaigns only once its own log has reached minLog
 
 	leaderID uint64
 	isLeader bool
@@ -58,12 +58,12 @@
 
 // durableState tracks which part of the member's state is on the disk.
 type durableState struct {
-	hardState      *pb.HardState // as on the disk, except that the commit index there may be lower
+	hardState      *pb.HardState // hard state on the disk, except that the commit index on the disk may be lower
 	commit         uint64        // commit index that is on the disk
 	pendingWrites  int           // number of this member's parts of writes that are not on the disk yet
 	unsentMessages []*pb.Message // messages held back until their term is on the disk
 	scanned        uint64        // committed entries up to this index were searched for configuration changes
-	lastConfChange uint64        // index of the last configuration change found among them
+	lastConfChange uint64        // index of the last configuration change found among the scanned entries
 }
 
 // leadership is the state that a member keeps only while it leads the group.
--- a/internal/raftstore/heartbeat.go
+++ b/internal/raftstore/heartbeat.go
@@ -18,7 +18,7 @@
 		h.recordGatewayReport(h.cfg.Name, h.gatewayReport())
 		return
 	}
-	if h.ticks%(4*storeHeartbeatTicks) == 0 || to == "" { // the known leader may be outdated
+	if h.ticks%(4*storeHeartbeatTicks) == 0 || to == "" { // the known leader may no longer lead the ledger
 		to = h.nextCandidate(LedgerGroup, int(h.ticks/storeHeartbeatTicks))
 	}
 	if to == "" {
@@ -89,7 +89,7 @@
 }
 
 // handleHeartbeat records a store's heartbeat and group reports, if this host leads the ledger. It also proposes the changes of the
-// ledger that follow directly from them: a new or changed store, a failed disk, stale members.
+// ledger that follow directly from these reports: a new or changed store, a failed disk, stale members.
 func (h *Host) handleHeartbeat(store, incarnation uint64, heartbeat *api.StoreHeartbeat, reports []*api.GroupReport) {
 	ledger := h.groups[LedgerGroup]
 	if ledger == nil || !ledger.isLeader || ledger.recovery != nil {
--- a/internal/raftstore/host.go
+++ b/internal/raftstore/host.go
@@ -47,8 +47,9 @@
 }
 
 // New creates a host from the state stored on its disk; nil means an empty disk. trusted is set if the disk is known to contain the
-// last write of the previous start. If it is not set, each member first asks the other members how far its own log had got, and
-// takes part again only after that (recovery). New returns an error if the stored state cannot be read or needs a later version.
+// last write of the previous start. If trusted is not set, each member is first in recovery: it asks the other members how far its
+// own log had got, and takes part again only after their replies. New returns an error if the stored state cannot be read or needs
+// a later version.
 func New(cfg Config, now clock.Micros, stored *StoredState, trusted bool) (*Host, error) {
 	if cfg.Format == 0 {
 		cfg.Format = LatestFormat
@@ -214,8 +215,8 @@
 }
 
 // balanceIsDue reports whether balanceLeader must check a group at this tick. A group that this gateway leads is checked once every
-// leaderBalanceTicks, at a tick that depends on the group's number. It is not checked during a drain, nor until this
-// gateway has led it for leaderBalanceTicks.
+// leaderBalanceTicks, at a tick that depends on the group's number. The group is not checked during a drain, nor until
+// this gateway has led the group for leaderBalanceTicks.
 func (h *Host) balanceIsDue(g *group) bool {
 	return g.isLeader && !h.shutdown.draining && h.ticks%leaderBalanceTicks == uint64(g.id)%leaderBalanceTicks &&
 		h.now-g.leading.since >= leaderBalanceTicks*h.cfg.Tick
--- a/internal/raftstore/ledger.go
+++ b/internal/raftstore/ledger.go
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// group returns the group with the given number if it is in the given epoch, or else nil.
+// group returns the group with the given number if the group is in the given epoch, or else nil.
 func (l *ledger) group(number, epoch uint32) *api.Group {
 	if g := findGroup(l.Ledger, number); g != nil && g.Epoch == epoch {
 		return g
@@ -133,8 +133,8 @@
 	}
 }
 
-// joinStore adds a store, or updates the properties that its gateway reports. A gateway has only one store: if it joins with a
-// different one, the earlier one counts as lost.
+// joinStore adds a store, or updates the properties that its gateway reports. A gateway has only one store. If a gateway joins
+// with a different store, its earlier store counts as lost.
 func (l *ledger) joinStore(s *api.Store) {
 	if known := l.store(s.Id); known != nil {
 		if !known.Removed && known.Name == s.Name {
@@ -188,7 +188,7 @@
 	return slices.ContainsFunc(groupMembers(g), func(m *api.GroupMember) bool { return m.Id == number })
 }
 
-// addMember records that a group is to add a member. If the group is complete, the new member takes the place of another one.
+// addMember records that a group is to add a member. If the group is complete, the new member takes another member's place.
 func (l *ledger) addMember(a *api.AddMember) {
 	g, s := l.group(a.Group, a.Epoch), l.store(a.Store)
 	if g == nil || s == nil || s.Removed {
@@ -197,7 +197,7 @@
 	replaces := slices.ContainsFunc(g.Voters, func(r *api.GroupMember) bool { return r.Id == a.Removing })
 	full := len(g.Voters) >= int(l.VotersPerGroup)
 	if replaces != (a.Removing != 0) || full != replaces {
-		return // an incomplete group only adds members, a complete one only replaces them
+		return // an incomplete group only adds members, a complete group only replaces members
 	}
 	if slices.ContainsFunc(g.Voters, func(r *api.GroupMember) bool { return r.Store == a.Store && !(r.Stale && r.Id == a.Removing) }) {
 		return
--- a/internal/raftstore/maintenance.go
+++ b/internal/raftstore/maintenance.go
@@ -226,14 +226,15 @@
 	return nil
 }
 
-// maintenanceDuration returns how long a gateway's machine is to be out of service, if it is out, draining or next in the order.
-// Otherwise ok is false.
+// maintenanceDuration returns how long a gateway's machine is to be out of service, if the machine is out, draining or next in the
+// order. Otherwise ok is false.
 func maintenanceDuration(l *api.Ledger, name string) (span clock.Micros, ok bool) {
 	m := findMachine(l, name, maintenance.Next, maintenance.Draining, maintenance.Out)
 	return clock.Micros(m.GetDuration()), m != nil
 }
 
-// isCordoned reports whether this gateway's own machine is draining or out. While it is, this gateway must not lead any group.
+// isCordoned reports whether this gateway's own machine is draining or out. While the machine is in one of these
+// states, this gateway must not lead any group.
 func (h *Host) isCordoned() bool {
 	return findMachine(h.ledger, h.cfg.Name, maintenance.Draining, maintenance.Out) != nil
 }
--- a/internal/raftstore/planner.go
+++ b/internal/raftstore/planner.go
@@ -86,7 +86,7 @@
 func (p *planner) freshStores() (out []*api.Store) {
 	for _, s := range p.Stores {
 		if _, cordoned := maintenanceDuration(p.Ledger, s.Name); cordoned {
-			continue // its machine is out for maintenance, or is about to be
+			continue // the store's machine is out for maintenance, or is about to be
 		}
 		if at, known := p.heartbeatAt[s.Id]; !s.Removed && known && p.now-at <= freshTicks*p.tick {
 			out = append(out, s)
@@ -95,8 +95,8 @@
 	return out
 }
 
-// needsReplacement reports whether a member must be replaced: it is permanently lost, its store has been silent for too long, or
-// its machine is out, or about to be out, for maintenance for longer than repairAfter.
+// needsReplacement reports whether a member must be replaced, because the member is permanently lost, its store has been silent for
+// too long, or its machine is out, or about to be out, for maintenance for longer than repairAfter.
 func (p *planner) needsReplacement(r *api.GroupMember) bool {
 	if s := findStore(p.Ledger, r.Store); s != nil {
 		if duration, cordoned := maintenanceDuration(p.Ledger, s.Name); cordoned && duration > p.repairAfter {
@@ -122,7 +122,7 @@
 	case group.Adding != nil && !p.needsReplacement(group.Adding):
 		return
 	case group.Adding != nil:
-		removing = group.Removing // add a member on a different store instead
+		removing = group.Removing // add a member on a different store instead of the store of group.Adding
 	case len(group.Voters) >= int(p.VotersPerGroup):
 		removing = p.voterToReplace(group)
 		if removing == 0 || *replacing >= p.maxRepairs {
--- a/internal/raftstore/receive.go
+++ b/internal/raftstore/receive.go
@@ -76,8 +76,8 @@
 	return true
 }
 
-// exchangeLedger adopts the ledger in a packet if it is later than the known one. If the sender has an earlier ledger, it is sent
-// the known one, at most once per tick.
+// exchangeLedger adopts the ledger in a packet if it is later than the known one. If the sender has an earlier ledger,
+// exchangeLedger sends the known ledger to the sender, at most once per tick.
 func (h *Host) exchangeLedger(from string, packet *api.Packet) {
 	if packet.LedgerUpdate != nil && packet.LedgerUpdate.ClusterId == packet.ClusterId {
 		h.adoptLedger(packet.LedgerUpdate, false)
@@ -126,11 +126,11 @@
 	}
 }
 
-// recordProgress records how far another member has got according to its own messages. The replies to its recovery queries are
-// based on this.
+// recordProgress records how far another member has got according to its own messages. The replies to that member's recovery
+// queries are based on this record.
 func (h *Host) recordProgress(r MemberRef, m *pb.Message) {
 	if m.GetType() == pb.MsgPreVote || m.GetType() == pb.MsgPreVoteResp {
-		return // they carry a term that no member has entered yet
+		return // pre-vote messages carry a term that no member has entered yet
 	}
 	k := h.peers.progress[r]
 	if m.GetTerm() > k.term {
@@ -152,7 +152,7 @@
 	p.RecoveryReplies = append(p.RecoveryReplies, g.recoveryReply(x, h.peers.progress[MemberRef{x.Group, x.Epoch, x.Member}]))
 }
 
-// handleRecoveryReply handles a reply to a member that runs on this gateway. If the reply says that the
+// handleRecoveryReply handles a reply to a recovery query of a member that runs on this gateway. If the reply says that the
 // member's disk is stale, because it lacks what the member had acknowledged, the member is stopped and never runs again.
 func (h *Host) handleRecoveryReply(x *api.RecoveryReply) {
 	g := h.groups[x.Group]
--- a/internal/raftstore/recovery.go
+++ b/internal/raftstore/recovery.go
@@ -26,9 +26,9 @@
 	return e
 }
 
-// recovery is what a member has learned from the other members since its start. Its disk may be an older copy. In that case, the
-// member has forgotten which entries it acknowledged and which votes it gave. This does no harm once the other members have
-// replied:
+// recovery holds what a member has received from the other members since its start. The member's disk may be an older copy. In that
+// case, the disk does not show all entries that the member acknowledged and all votes that it gave. The older copy does no harm once
+// the other members have replied, because:
 //   - The leader knows which entries this member acknowledged.
 //   - Every committed entry is in the log of a member that replied. This member votes only for candidates whose log is at least as
 //     long as the longest of these logs.
@@ -89,8 +89,8 @@
 // voters after the change are queried. Therefore, anything that only the removed member knows either belongs to an earlier term
 // than the one that these voters reply with, or required a majority of these voters.
 //
-// This does not hold while the ledger has a change pending. The ledger may have given up on adding a member that then became a
-// voter all the same. A member that the ledger does not name may thus be a voter, so its reply is required.
+// The previous paragraph does not hold while the ledger has a change pending. The ledger may have given up on adding a member that
+// then became a voter nevertheless. A member that the ledger does not name may thus be a voter, so its reply is required.
 func (g *group) queryPeers() {
 	state := g.recovery
 	var members []*api.GroupMember
@@ -202,8 +202,8 @@
 	return true
 }
 
-// restartWithOwnVote replaces the member by one that has voted for itself in a term, so that it cannot vote for any other member in
-// that term.
+// restartWithOwnVote restarts the member with a vote for itself in the given term, so that the member cannot vote for any other
+// member in that term.
 func (g *group) restartWithOwnVote(term uint64) {
 	s, err := g.snapshot(g.sm.snapshot())
 	if err != nil {
--- a/internal/raftstore/shard.go
+++ b/internal/raftstore/shard.go
@@ -31,7 +31,7 @@
 // client holds the results of one client's commands, so that a command that arrives twice is applied only once.
 type client struct {
 	lastSeen   clock.Micros
-	results    map[uint64]*api.Reply // by sequence, kept as long as the command may arrive again
+	results    map[uint64]*api.Reply // by sequence; a result is kept as long as its command may arrive again
 	minPending uint64                // a command with a lower sequence is a late duplicate and is not applied
 }
 
@@ -39,11 +39,11 @@
 type shard struct {
 	maxBytes     int64
 	now          clock.Micros
-	lostAt       clock.Micros // when this epoch began, if the previous one ended with the loss of its quorum; else 0
+	lostAt       clock.Micros // time at which this epoch began, if the previous epoch ended with the loss of its quorum; else 0
 	resetPending bool         // the previous epoch was lost and the next entry sets lostAt
 	lastVersion  uint64
 	records      map[string]record
-	expiries     []expiry // a heap; an element may be earlier than its record's expiresAt, in which case expire adds a later one
+	expiries     []expiry // a heap; if an element is earlier than its record's expiresAt, the method expire adds a later element
 	clients      map[uint64]*client
 	bytes        int64
 	maxFormat    uint32 // the latest record format that this gateway understands
@@ -160,7 +160,7 @@
 	r.version, r.changedAt = s.lastVersion, s.now
 	s.bytes, s.records[key] = grown, r
 	if !exists || r.expiresAt < old.expiresAt {
-		s.pushExpiry(expiry{r.expiresAt, key}) // a later expiry is pushed by expire when the earlier one is reached
+		s.pushExpiry(expiry{r.expiresAt, key}) // the method expire pushes a later expiry when the earlier expiry is reached
 	}
 	reply := &api.Reply{Version: r.version}
 	if !exists {
@@ -169,8 +169,8 @@
 	return reply
 }
 
-// lostBefore returns when this shard was reset because its quorum was lost. It returns 0 if the shard was not reset, or was reset
-// so long ago that all of the lost records would have expired.
+// lostBefore returns the time at which this shard was reset because its quorum was lost. It returns 0 if the shard was not reset, or
+// was reset so long ago that all of the lost records would have expired.
 func (s *shard) lostBefore() int64 {
 	if s.resetPending || s.lostAt > 0 && s.now-s.lostAt < MaxTTL {
 		return int64(max(s.lostAt, 1))
--- a/internal/raftstore/snapshot.go
+++ b/internal/raftstore/snapshot.go
@@ -6,8 +6,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// storage is the log in memory from which the Raft library reads (its Storage interface). A snapshot is not kept in it, but
-// created from the state machine when the library requests one.
+// storage is the log in memory from which the Raft library reads (its Storage interface). A snapshot is not kept in the log,
+// but created from the state machine when the library requests one.
 type storage struct {
 	*raft.MemoryStorage
 	group *group
--- a/internal/raftstore/status.go
+++ b/internal/raftstore/status.go
@@ -12,7 +12,7 @@
 	StatusDeadlineExceeded        // no result in time; a change may still take effect
 	StatusNotSent                 // the call was not sent and has no effect: no gateway was known in time, or too many calls are pending
 	StatusFormatTooNew            // some store does not understand the record format that the command needs
-	statusNotLeader               // only between gateways: the caller tries another gateway
+	statusNotLeader               // sent only between gateways; the calling gateway then tries a different one
 	Statuses                      // number of statuses
 )
 
--- a/internal/streams/inbound.go
+++ b/internal/streams/inbound.go
@@ -10,7 +10,7 @@
 )
 
 // serve handles one inbound connection, from its handshake until the stream ends. admitted is false if the descriptor budget
-// has no room for the connection; serve then closes it.
+// has no room for the connection; serve then closes the connection.
 func (x *Streams) serve(conn *transport.Conn, admitted bool) {
 	defer conn.Close()
 	x.mu.Lock()
--- a/internal/streams/streams.go
+++ b/internal/streams/streams.go
@@ -6,8 +6,8 @@
 // internal/gossip creates the Streams of a gateway; internal/raftnode uses Send and Handle. All methods are safe for concurrent
 // use.
 //
-// Goroutines: one accepts connections, from Listen until Close. One for each inbound stream (serve) runs until the stream ends
-// or Close aborts it. One for each peer (peer.run) sends the queued messages; it runs from the first message until no message
+// One goroutine accepts connections, from Listen until Close. A goroutine for each inbound stream (serve) runs until the stream
+// ends or Close aborts the stream. A goroutine for each peer (peer.run) sends the queued messages; it runs from the first message until no message
 // has been queued for idleTimeout, or until Close. Close waits for all of them.
 package streams
 
