--- a/internal/gossip/loop.go
+++ b/internal/gossip/loop.go
@@ -84,8 +84,8 @@
 	return msg, sealed.NoFault
 }
 
-// reserveSender counts a sender that the replay guard does not track yet. If there are more than maxSenders, the replay guard
-// forgets all senders.
+// reserveSender counts a sender that the replay guard does not track yet. If more than maxSenders senders are counted, the
+// replay guard forgets all senders.
 func (a *Agent) reserveSender(from sender) {
 	if a.replay.KnownStart(from) != 0 {
 		return
@@ -96,7 +96,7 @@
 	}
 }
 
-// drop counts and logs a datagram that was rejected by check.
+// drop counts and logs a datagram that the method check rejected.
 func (a *Agent) drop(fault sealed.Fault, from netip.AddrPort) {
 	a.Counts.Dropped[fault].Add(1)
 	a.drops.Dropped(fault.Name(), from)
--- a/internal/raftstore/actions.go
+++ b/internal/raftstore/actions.go
@@ -38,8 +38,8 @@
 	Member       uint64
 	Delete       bool         // the member is deleted; the fields below are empty
 	Snapshot     *pb.Snapshot // replaces the stored snapshot and entries; nil: none
-	KeepEntries  bool         // with a snapshot: entries after it are kept
-	Entries      []*pb.Entry  // replace all stored entries from the first one's index on
+	KeepEntries  bool         // with a snapshot: entries after the snapshot are kept
+	Entries      []*pb.Entry  // replace all stored entries from the first new entry's index on
 	HardState    *pb.HardState
 }
 
--- a/internal/raftstore/calls.go
+++ b/internal/raftstore/calls.go
@@ -43,7 +43,8 @@
 	call   *api.Call
 }
 
-// validRequest reports whether some group can carry out a request: the ledger for maintenance, a shard for anything else.
+// validRequest reports whether some group can carry out a request. The ledger carries out maintenance requests, a shard all
+// other requests.
 func validRequest(r Request) bool {
 	if r.Shard == LedgerGroup {
 		return r.Command.GetChange().GetMaintenanceCommand() != nil || r.Get != nil && string(r.Get.Key) == MaintenanceKey
--- a/internal/raftstore/confchange.go
+++ b/internal/raftstore/confchange.go
@@ -32,7 +32,7 @@
 	case !slices.Contains(g.conf.Learners, learner):
 		change(pb.ConfChangeAddLearnerNode, learner)
 	case g.isCaughtUp(learner):
-		// A single joint change makes the new member a voter and removes the one that it replaces, so that there are never fewer
+		// A single joint change makes the new member a voter and removes the member that it replaces, so that there are never fewer
 		// voters than before.
 		change(pb.ConfChangeAddNode, learner)
 		for _, n := range g.conf.Voters {
--- a/internal/raftstore/diskwriter.go
+++ b/internal/raftstore/diskwriter.go
@@ -8,7 +8,7 @@
 // diskWriter is the state of the writes to this gateway's disk. One write is in progress at a time; changes made in the meantime go
 // into the next one.
 type diskWriter struct {
-	failure      string      // why the disk can no longer be written; empty: it can be written
+	failure      string      // why the disk can no longer be written; empty: the disk can be written
 	parts        []writePart // parts of the next write
 	deletes      []MemberWrite
 	newlyRetired []MemberRef
@@ -25,7 +25,7 @@
 	group     *group
 	message   *pb.Message // from the Raft library; nil: this part is a snapshot made by this package
 	snapshot  *pb.Snapshot
-	hardState *pb.HardState // only with a snapshot that a member starts from
+	hardState *pb.HardState // set only with a snapshot that a member starts from
 	responses []*pb.Message
 }
 
@@ -35,7 +35,7 @@
 }
 
 // startWrite starts a write of all pending changes, unless a write is in progress. The first write of an incarnation is started
-// even if no change is pending, because it makes the incarnation durable.
+// even if no change is pending, because the first write makes the incarnation durable.
 func (h *Host) startWrite() {
 	if !h.runsGroups || h.disk.busy || h.disk.failure != "" || h.disk.started && h.disk.isEmpty() {
 		return
--- a/internal/raftstore/ledger.go
+++ b/internal/raftstore/ledger.go
@@ -174,7 +174,7 @@
 	l.Stores = slices.DeleteFunc(l.Stores, func(s *api.Store) bool { return s.Removed && !referenced[s.Id] })
 }
 
-// groupMembers returns all members of a group, including one that is being added.
+// groupMembers returns all members of a group, including a member that is being added.
 func groupMembers(g *api.Group) []*api.GroupMember {
 	all := slices.Clone(g.Voters)
 	if g.Adding != nil {
@@ -183,7 +183,7 @@
 	return all
 }
 
-// hasMember reports whether a group has a member with the given number, including one that is being added.
+// hasMember reports whether a group has a member with the given number, including a member that is being added.
 func hasMember(g *api.Group, number uint64) bool {
 	return slices.ContainsFunc(groupMembers(g), func(m *api.GroupMember) bool { return m.Id == number })
 }
--- a/internal/raftstore/maintenance.go
+++ b/internal/raftstore/maintenance.go
@@ -216,7 +216,7 @@
 	return StatusOK, text
 }
 
-// findMachine returns a gateway's machine in the maintenance order if it is in one of the given states, or else nil.
+// findMachine returns a gateway's machine in the maintenance order if the machine is in one of the given states, or else nil.
 func findMachine(l *api.Ledger, name string, states ...maintenance.State) *api.Machine {
 	for _, m := range l.GetOrder().GetMachines() {
 		if maintenance.Kind(m.Kind) == maintenance.Gateway && m.Name == name && slices.Contains(states, maintenance.State(m.State)) {
--- a/internal/raftstore/overview.go
+++ b/internal/raftstore/overview.go
@@ -13,7 +13,7 @@
 	VotersPerGroup int
 	Format         uint32 // the latest record format that may be used
 	Store          uint64 // number of this gateway's store; 0: it has none
-	DiskFailure    string // why the disk can no longer be written; empty: it can be written
+	DiskFailure    string // why the disk can no longer be written; empty: the disk can be written
 	PendingCalls   int    // number of this gateway's own pending calls
 	Stores         []StoreView
 	Groups         []GroupView
--- a/internal/raftstore/planner.go
+++ b/internal/raftstore/planner.go
@@ -106,7 +106,7 @@
 	return memberLost(p.Ledger, r) || p.isSilent(r.Store, p.repairAfter)
 }
 
-// repair adds a member that a group lacks, or replaces one. A group that has lost its quorum is reset.
+// repair adds a member that a group lacks, or replaces a member. A group that has lost its quorum is reset.
 func (p *planner) repair(id uint32, group *api.Group, replacing *int) {
 	if quorumLost(p.Ledger, group) {
 		if id == LedgerGroup {
@@ -165,7 +165,7 @@
 }
 
 // pickStore returns the best fresh store for a group's next member. The zones with the fewest members of the group come first;
-// among their stores, the one with the highest rendezvous score is the best. pickStore returns nil if no fresh store can be used.
+// among the stores of these zones, the store with the highest rendezvous score is the best. pickStore returns nil if no fresh store can be used.
 func (p *planner) pickStore(id uint32, group *api.Group, removing uint64) (best *api.Store) {
 	zones, taken := map[string]int{}, map[uint64]bool{}
 	for _, r := range group.Voters {
--- a/internal/raftstore/receive.go
+++ b/internal/raftstore/receive.go
@@ -76,8 +76,8 @@
 	return true
 }
 
-// exchangeLedger adopts the ledger in a packet if it is later than the known one. If the sender has an earlier ledger,
-// exchangeLedger sends the known ledger to the sender, at most once per tick.
+// exchangeLedger adopts the ledger in a packet if that ledger is later than the known ledger. If the sender has an earlier
+// ledger, exchangeLedger sends the known ledger to the sender, at most once per tick.
 func (h *Host) exchangeLedger(from string, packet *api.Packet) {
 	if packet.LedgerUpdate != nil && packet.LedgerUpdate.ClusterId == packet.ClusterId {
 		h.adoptLedger(packet.LedgerUpdate, false)
--- a/internal/raftstore/recovery.go
+++ b/internal/raftstore/recovery.go
@@ -14,7 +14,7 @@
 // logPosition is the position of an entry in a log: its term and its index.
 type logPosition struct{ term, index uint64 }
 
-// before reports whether a log that ends at e is behind one that ends at f.
+// before reports whether a log that ends at e is behind a log that ends at f.
 func (e logPosition) before(f logPosition) bool {
 	return e.term < f.term || e.term == f.term && e.index < f.index
 }
@@ -27,8 +27,8 @@
 }
 
 // recovery holds what a member has received from the other members since its start. The member's disk may be an older copy. In that
-// case, the disk does not show all entries that the member acknowledged and all votes that it gave. The older copy does no harm once
-// the other members have replied, because:
+// case, the disk may lack entries that the member acknowledged and votes that it gave. The older copy does no harm once the other
+// members have replied, because:
 //   - The leader knows which entries this member acknowledged.
 //   - Every committed entry is in the log of a member that replied. This member votes only for candidates whose log is at least as
 //     long as the longest of these logs.
@@ -87,7 +87,7 @@
 // Nor is a reply required from a member that the ledger has removed. The ledger confirms a change only after a leader has applied
 // all of it, so the change is in the logs of a majority of the voters before it and of a majority of the voters after it. All
 // voters after the change are queried. Therefore, anything that only the removed member knows either belongs to an earlier term
-// than the one that these voters reply with, or required a majority of these voters.
+// than the term that these voters reply with, or required a majority of these voters.
 //
 // The previous paragraph does not hold while the ledger has a change pending. The ledger may have given up on adding a member that
 // then became a voter nevertheless. A member that the ledger does not name may thus be a voter, so its reply is required.
--- a/internal/raftstore/status.go
+++ b/internal/raftstore/status.go
@@ -8,9 +8,9 @@
 	StatusOK               Status = iota
 	StatusConflict                // the record has a different version, which is in the response
 	StatusFull                    // the shard has no capacity for the write
-	StatusInvalid                 // the call can never succeed: a key that is too long, a shard that does not exist
+	StatusInvalid                 // the call can never succeed, for example because its key is too long or its shard does not exist
 	StatusDeadlineExceeded        // no result in time; a change may still take effect
-	StatusNotSent                 // the call was not sent and has no effect: no gateway was known in time, or too many calls are pending
+	StatusNotSent                 // the call was not sent and has no effect, because no gateway was known in time or too many calls are pending
 	StatusFormatTooNew            // some store does not understand the record format that the command needs
 	statusNotLeader               // sent only between gateways; the calling gateway then tries a different one
 	Statuses                      // number of statuses
--- a/internal/streams/peer.go
+++ b/internal/streams/peer.go
@@ -86,7 +86,8 @@
 	return !p.streams.closing()
 }
 
-// reportLost counts messages that may not have been written completely, and calls their OnLost functions with the value of handedOver.
+// reportLost counts messages that may not have been written completely, and calls their OnLost functions with the value
+// of handedOver.
 func (p *peer) reportLost(all []Message, handedOver bool) {
 	p.streams.Counts.Lost.Add(int64(len(all)))
 	for i := range all {
--- a/internal/streams/streams.go
+++ b/internal/streams/streams.go
@@ -7,8 +7,8 @@
 // use.
 //
 // One goroutine accepts connections, from Listen until Close. A goroutine for each inbound stream (serve) runs until the stream
-// ends or Close aborts the stream. A goroutine for each peer (peer.run) sends the queued messages; it runs from the first message until no message
-// has been queued for idleTimeout, or until Close. Close waits for all of them.
+// ends or Close aborts the stream. A goroutine for each peer (peer.run) sends the queued messages; it runs from the first
+// message until no message has been queued for idleTimeout, or until Close. Close waits for all of these goroutines.
 package streams
 
 import (
