--- a/internal/gossip/agent.go
+++ b/internal/gossip/agent.go
@@ -5,7 +5,8 @@
 //
 // The goroutine is that of datagrams.Loop. It starts in Start, ends in Close, and calls the methods of loopHandler:
 // HandleDatagram verifies a datagram and passes its message to the machine, or drops the datagram and counts the fault;
-// CheckTimers handles the timers that are due. handle passes an event to the machine and carries out the resulting actions.
+// CheckTimers handles the timers that are due. The method handle passes an event to the machine and
+// carries out the resulting actions.
 package gossip
 
 import (
--- a/internal/raftnode/commands.go
+++ b/internal/raftnode/commands.go
@@ -71,7 +71,7 @@
 }
 
 // onLedgerLeader runs a function on the event loop if this gateway leads the ledger. Otherwise it returns an error that names the
-// leader, if this gateway knows it.
+// leader, if this gateway knows the leader.
 func (n *Node) onLedgerLeader(do func(raftstore.Overview) error) error {
 	return n.onEventLoop(func(o raftstore.Overview) error {
 		if len(o.Groups) == 0 {
--- a/internal/raftnode/disk.go
+++ b/internal/raftnode/disk.go
@@ -44,7 +44,7 @@
 }
 
 // openStorage opens the storage file and the witness, if the settings name them, and reads the stored state. trusted is true if the
-// file is known to contain the last write of the previous start: the witness confirms it, or the file is new.
+// file is known to contain the last write of the previous start, because the witness confirms this or the file is new.
 func (n *Node) openStorage() (stored *raftstore.StoredState, trusted bool, err error) {
 	if !n.settings.RunsGroups || n.settings.StoragePath == "" {
 		return nil, false, nil
--- a/internal/raftnode/node.go
+++ b/internal/raftnode/node.go
@@ -152,7 +152,7 @@
 const transferTimeout = time.Second
 
 // TransferLeadership transfers the leadership of the groups that this gateway leads to other gateways, and waits for at most
-// transferTimeout until this is done.
+// transferTimeout until the transfers are done.
 func (n *Node) TransferLeadership() {
 	n.enqueue(inboxItem{event: raftstore.DrainRequested{}})
 	select {
--- a/internal/raftnode/packets.go
+++ b/internal/raftnode/packets.go
@@ -51,8 +51,8 @@
 	return partHeader{binary.BigEndian.Uint32(b[1:]), binary.BigEndian.Uint32(b[5:]), binary.BigEndian.Uint32(b[9:])}, true
 }
 
-// packetReceived handles a stream message. It is called on the goroutines of package streams. If the inbox is full, it drops the
-// packet, just as a network may lose one.
+// packetReceived handles a stream message. It is called on the goroutines of package streams. If the inbox is full, packetReceived
+// drops the packet, just as a network may lose one.
 func (n *Node) packetReceived(from string, message []byte) {
 	packet, complete := n.received.add(from, message)
 	if !complete {
--- a/internal/raftstore/actions.go
+++ b/internal/raftstore/actions.go
@@ -10,7 +10,7 @@
 // Action is an output of Host.Flush: one of the types in this file. Actions are carried out in order.
 type Action interface{ action() }
 
-// Send sends a packet. It may be lost.
+// Send sends a packet. The packet may be lost.
 type Send struct {
 	To   string // the receiver's name
 	Body []byte
@@ -18,7 +18,7 @@
 	Bulk bool
 }
 
-// Write must be written in one transaction with one sync. The next Write follows only after the WriteCompleted event for this one.
+// Write must be carried out in one transaction with one sync. The next Write follows only after this Write's WriteCompleted.
 // If Store differs from the store number on the disk, the previous content of the disk is discarded.
 type Write struct {
 	Number      uint64
--- a/internal/raftstore/clientqueue.go
+++ b/internal/raftstore/clientqueue.go
@@ -138,7 +138,7 @@
 	}
 }
 
-// groupTime returns the group's time on its leader: the group's time when the leader was elected, plus how long it has led since.
+// groupTime returns the group's time on its leader: the group's time when the leader was elected, plus the time since then.
 // Therefore, setting a clock does not affect the group's time, and time without a leader does not count.
 func (g *group) groupTime() clock.Micros {
 	return max(g.sm.time(), g.leading.baseTime+g.host.now-g.leading.since)
--- a/internal/raftstore/events.go
+++ b/internal/raftstore/events.go
@@ -41,7 +41,7 @@
 // already knows a state store. Unless First is set, an earlier state store may have been lost; therefore the new one reports
 // records that it does not find as possibly lost, for the duration of MaxTTL.
 type BootstrapRequested struct {
-	Shards, Voters int // number of shards, and of voters of each group
+	Shards, Voters int // number of shards, and number of voters of each group
 	First          bool
 }
 
--- a/internal/raftstore/ledger.go
+++ b/internal/raftstore/ledger.go
@@ -242,8 +242,8 @@
 	l.addNotice(NoticeVotersChanged, s.Group, s.Epoch, 0, "")
 }
 
-// resetGroup restarts a group empty in its next epoch. The records of the previous epoch are lost, and LostAt records when. Unless
-// the reset is forced, it has no effect on a group that still has its quorum.
+// resetGroup restarts a group empty in its next epoch. The records of the previous epoch are lost, and LostAt is set to the
+// time of the reset. Unless the reset is forced, resetGroup has no effect on a group that still has its quorum.
 func (l *ledger) resetGroup(r *api.ResetGroup) {
 	g, s := l.group(r.Group, r.Epoch), l.store(r.Store)
 	if g == nil || s == nil || s.Removed || r.Group == LedgerGroup || !r.Forced && !quorumLost(l.Ledger, g) {
--- a/internal/raftstore/planner.go
+++ b/internal/raftstore/planner.go
@@ -165,7 +165,8 @@
 }
 
 // pickStore returns the best fresh store for a group's next member. The zones with the fewest members of the group come first;
-// among the stores of these zones, the store with the highest rendezvous score is the best. pickStore returns nil if no fresh store can be used.
+// among the stores of these zones, the store with the highest rendezvous score is the best. pickStore returns nil if no fresh
+// store can be used.
 func (p *planner) pickStore(id uint32, group *api.Group, removing uint64) (best *api.Store) {
 	zones, taken := map[string]int{}, map[uint64]bool{}
 	for _, r := range group.Voters {
--- a/internal/raftstore/reconcile.go
+++ b/internal/raftstore/reconcile.go
@@ -103,7 +103,7 @@
 		return
 	}
 	if !h.diskTrusted && own.Incarnation != h.incarnation {
-		h.retireMember(ref) // it may have run in an earlier incarnation whose writes are missing on this copy of the disk
+		h.retireMember(ref) // the member may have run in an earlier incarnation whose writes are missing on this copy of the disk
 		return
 	}
 	s := StoredMember{Group: groupID, Epoch: assigned.Epoch, Member: own.Id}
--- a/internal/raftstore/shard.go
+++ b/internal/raftstore/shard.go
@@ -215,7 +215,7 @@
 	if exists {
 		out.Found, out.Value, out.Version, out.Position, out.Age = true, r.value, r.version, r.position, int64(s.now-r.changedAt)
 	}
-	// A position that was found may have been higher before the loss, because it may have been created again since.
+	// A position that was found may have been higher before the loss, because the position may have been created again since.
 	if !exists || r.isPosition {
 		out.LostBefore = s.lostBefore()
 	}
--- a/internal/streams/frame.go
+++ b/internal/streams/frame.go
@@ -80,7 +80,7 @@
 	return err
 }
 
-// reader is the receiving end of a stream. It is owned by the goroutine that runs serve.
+// reader is the receiving end of a stream. It is owned by the goroutine that runs the method serve.
 type reader struct {
 	streams   *Streams
 	conn      *transport.Conn
--- a/internal/streams/peer.go
+++ b/internal/streams/peer.go
@@ -6,7 +6,7 @@
 	"marblespan/internal/transport"
 )
 
-// peer represents another gateway, and has the queue of messages to it. Its goroutine executes run, in sender.go.
+// peer represents another gateway, and has the queue of messages to it. Its goroutine executes the method run, in sender.go.
 type peer struct {
 	streams *Streams
 	name    string
@@ -15,7 +15,7 @@
 	mu          sync.Mutex
 	queue       []Message
 	queuedBytes int
-	conn        *transport.Conn // connection of the open stream, which abort ends; nil: no stream is open
+	conn        *transport.Conn // connection of the open stream, which the method abort ends; nil: no stream is open
 }
 
 // enqueue queues a message. If the queue is full, it drops the oldest messages without NoDrop to make room, and returns them.
@@ -77,8 +77,8 @@
 	}
 }
 
-// setConn stores the connection of the open stream, for abort; nil means that no stream is open. It returns false if the
-// streams are closing; the connection must not be used then.
+// setConn stores the connection of the open stream, for the method abort; nil means that no stream is open. It returns
+// false if the streams are closing; the connection must not be used then.
 func (p *peer) setConn(c *transport.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
