--- a/internal/raftnode/node.go
+++ b/internal/raftnode/node.go
@@ -68,7 +68,7 @@
 	eventBatch     = 512
 )
 
-// Clock is the host's clock, which never goes backwards. At converts its readings to times for timers.
+// Clock is the host's clock, which never goes backwards. The method At converts the clock's readings to times for timers.
 type Clock struct {
 	Now func() clock.Micros
 	At  func(clock.Micros) time.Time
@@ -152,7 +152,7 @@
 const transferTimeout = time.Second
 
 // TransferLeadership transfers the leadership of the groups that this gateway leads to other gateways, and waits for at most
-// transferTimeout until this is done.
+// transferTimeout until the transfers are done.
 func (n *Node) TransferLeadership() {
 	n.enqueue(inboxItem{event: raftstore.DrainRequested{}})
 	select {
--- a/internal/raftstore/actions.go
+++ b/internal/raftstore/actions.go
@@ -10,7 +10,7 @@
 // Action is an output of Host.Flush: one of the types in this file. Actions are carried out in order.
 type Action interface{ action() }
 
-// Send sends a packet. It may be lost.
+// Send sends a packet. The packet may be lost.
 type Send struct {
 	To   string // the receiver's name
 	Body []byte
@@ -18,7 +18,7 @@
 	Bulk bool
 }
 
-// Write must be written in one transaction with one sync. The next Write follows only after the WriteCompleted event for this one.
+// Write must be carried out in one transaction with one sync. The next Write follows only after this Write's WriteCompleted.
 // If Store differs from the store number on the disk, the previous content of the disk is discarded.
 type Write struct {
 	Number      uint64
@@ -38,8 +38,8 @@
 	Member       uint64
 	Delete       bool         // the member is deleted; the fields below are empty
 	Snapshot     *pb.Snapshot // replaces the stored snapshot and entries; nil: none
-	KeepEntries  bool         // with a snapshot: entries after it are kept
-	Entries      []*pb.Entry  // replace all stored entries from the first one's index on
+	KeepEntries  bool         // with a snapshot: entries after the snapshot are kept
+	Entries      []*pb.Entry  // replace all stored entries from the first new entry's index on
 	HardState    *pb.HardState
 }
 
@@ -51,8 +51,8 @@
 	Value    []byte
 	Position uint64
 	Found    bool
-	// Lost reports that records were lost in a way that may affect the result: a record that was not found may have existed, and a
-	// position that was found may have been higher.
+	// Lost reports that records were lost and that this loss may affect the result, because a record that was not found may have
+	// existed, and a position that was found may have been higher.
 	Lost bool
 	// LostAge is the minimum time since the records were lost. Age is the time since a found record was last changed. Both are in
 	// microseconds of the shard's time, which never runs faster than a clock.
--- a/internal/raftstore/clientqueue.go
+++ b/internal/raftstore/clientqueue.go
@@ -37,8 +37,8 @@
 	waiting     map[commandID]caller // callers whose commands are not applied yet
 	reads       []pendingRead        // reads for the next read index request
 	lastRead    uint64
-	unconfirmed map[uint64][]pendingRead // by the number of their read index request
-	confirmed   []confirmedReads         // in the order of their read indexes
+	unconfirmed map[uint64][]pendingRead // reads, by the number of their read index request
+	confirmed   []confirmedReads         // reads, in the order of their read indexes
 }
 
 // handleCall queues a command or a read, or rejects it.
@@ -73,8 +73,8 @@
 	return StatusOK
 }
 
-// serves reports whether this group handles calls of this kind. The ledger handles reads and maintenance commands; a shard handles
-// everything except changes of the ledger.
+// serves reports whether this group handles the given kind of call. The ledger handles reads and maintenance commands; a shard
+// handles everything except changes of the ledger.
 func (g *group) serves(c *api.Call) bool {
 	if c.Command == nil && c.Get == nil {
 		return false
@@ -138,7 +138,7 @@
 	}
 }
 
-// groupTime returns the group's time on its leader: the group's time when the leader was elected, plus how long it has led since.
+// groupTime returns the group's time on its leader: the group's time when the leader was elected, plus the time since then.
 // Therefore, setting a clock does not affect the group's time, and time without a leader does not count.
 func (g *group) groupTime() clock.Micros {
 	return max(g.sm.time(), g.leading.baseTime+g.host.now-g.leading.since)
--- a/internal/raftstore/confchange.go
+++ b/internal/raftstore/confchange.go
@@ -32,7 +32,7 @@
 	case !slices.Contains(g.conf.Learners, learner):
 		change(pb.ConfChangeAddLearnerNode, learner)
 	case g.isCaughtUp(learner):
-		// A single joint change makes the new member a voter and removes the one that it replaces, so that there are never fewer
+		// A single joint change makes the new member a voter and removes the member that it replaces, so that there are never fewer
 		// voters than before.
 		change(pb.ConfChangeAddNode, learner)
 		for _, n := range g.conf.Voters {
@@ -58,8 +58,8 @@
 	return caughtUp
 }
 
-// transferLeadership makes the Raft library transfer the leadership to a member. If to is 0, that is the active member with the
-// longest log. It reports whether there is a member to transfer to.
+// transferLeadership makes the Raft library transfer the leadership to the given member or, if the member number is 0, to the
+// active member with the longest log. It reports whether there is a member to transfer the leadership to.
 func (g *group) transferLeadership(to uint64) bool {
 	if to == 0 {
 		best := uint64(0)
