--- a/internal/gateway/statestore.go
+++ b/internal/gateway/statestore.go
@@ -85,7 +85,7 @@
 type sessionPositions struct {
 	clock     routing.Clock
 	classes   map[string]bool
-	fast      bool // answers do not wait until their positions are stored
+	fast      bool // the answers to writes are delivered without waiting until the writes' log positions are stored
 	retention time.Duration
 	store     atomic.Pointer[Store]
 
--- a/internal/protocol/members/decode.go
+++ b/internal/protocol/members/decode.go
@@ -118,7 +118,8 @@
 	return s
 }
 
-// nested passes an embedded message to read, and records a fault of the embedded message as its own.
+// nested passes an embedded message to the function read. A fault in the embedded message is recorded as a fault of the message
+// that contains it.
 func (r *reader) nested(t protowire.Type, read func(*reader)) {
 	inner := reader{b: r.bytes(t)}
 	if r.fault != sealed.NoFault {
--- a/internal/protocol/postgres/statement.go
+++ b/internal/protocol/postgres/statement.go
@@ -19,7 +19,7 @@
 	Key           string
 	Write         bool // whether it is an INSERT; otherwise it is a SELECT
 	timeoutStart  int  // offset in the message's body at which the digits of d begin
-	timeoutEnd    int  // offset at which they end
+	timeoutEnd    int  // offset at which the digits of d end
 }
 
 // The fixed texts around the comment, the key and the value in the two forms of a statement.
--- a/internal/session/answers.go
+++ b/internal/session/answers.go
@@ -99,7 +99,7 @@
 	return c.penalize()
 }
 
-// withReason returns an error together with the reason that is recorded if the error ends the connection.
+// withReason returns an error, and the reason to record if that error ends the connection.
 func withReason(err error) (transport.Reason, error) {
 	if err != nil {
 		return transport.ReasonOf(err), err
--- a/internal/session/client.go
+++ b/internal/session/client.go
@@ -35,20 +35,20 @@
 	answerReady chan struct{} // signals a delivered answer when the goroutine is not waiting on the socket
 
 	mu          sync.Mutex
-	queue       []*pendingQuery // unanswered, oldest first
+	queue       []*pendingQuery // unanswered queries, oldest first
 	waitingIdle bool            // the goroutine waits between requests; waking it interrupts no message
 	closing     bool
-	cutOffAt    time.Time // in a shutdown: the time after which nothing more is read; zero: no limit
+	cutOffAt    time.Time // in a shutdown: the time after which nothing more is read from the client; zero: no limit
 	reason      transport.Reason
 	served      int
 
 	firstRequestDeadline time.Time // deadline of the first request
 	sentRequest          bool      // the client has sent a complete request
-	badMessages          int       // number received so far
+	badMessages          int       // number of bad messages received so far
 
 	skipping       bool             // messages up to Sync are skipped, after an error in the extended protocol
 	readingStopped bool             // nothing more is read: the framing is lost, or the gateway shuts down
-	writeReason    transport.Reason // why an answer could not be written while a message was read
+	writeReason    transport.Reason // why the write of an answer failed while a message was being read
 	writeErr       error
 }
 
--- a/internal/session/clients.go
+++ b/internal/session/clients.go
@@ -21,14 +21,14 @@
 	Message      time.Duration // from the first to the last byte of a later message
 	Idle         time.Duration // between requests; bounded because the machine of a long idle client may be unreachable
 	Answer       time.Duration // for writing an answer; bounded because the client may not read it
-	Linger       time.Duration // after the sending side is shut down, for the client to read the rest
-	Backoff      time.Duration // before the next message is read after a bad one; doubled for each further one
+	Linger       time.Duration // after the sending side is shut down, for the client to read the last answers
+	Backoff      time.Duration // after a bad message, before the next message is read; doubled for each further bad message
 }
 
 // DefaultTimeouts are the limits used in production. The platform's rules allow closing a connection after 2 s without a
 // request, and require closing a connection within 3 s if it never sends a complete request. A request is small and arrives
 // within a short time, even if in many pieces. A client that has sent a request may stay idle for long; its connection is closed
-// earlier when descriptors run short or too many other clients are idle as well.
+// earlier when descriptors run short or too many clients are idle.
 var DefaultTimeouts = Timeouts{
 	FirstRequest: 2500 * time.Millisecond, Message: 2500 * time.Millisecond, Idle: 5 * time.Minute, Answer: 5 * time.Second,
 	Linger: 200 * time.Millisecond, Backoff: 10 * time.Millisecond,
--- a/internal/session/discovery.go
+++ b/internal/session/discovery.go
@@ -19,13 +19,13 @@
 // CallTimeouts are the time limits of calls to discovery.
 type CallTimeouts struct {
 	Connect time.Duration // for establishing the connection
-	Answer  time.Duration // from then until the complete list, or the first line of a watch, has been received
+	Answer  time.Duration // from the established connection until the complete list, or the first line of a watch, has been received
 	Silence time.Duration // between two lines of a watch; discovery sends an empty line every 2 s
 }
 
 // DefaultCallTimeouts are the limits used in production. The gateway must know a change at most 6 s after discovery has it and is
 // reachable, whatever failed before. Within that time, the gateway must detect a silent watch and get an answer to the next call,
-// or give up a call that hangs and get an answer to the next one. For both cases, a test of package gateway checks the sum of these
+// or give up a call that hangs and get an answer to the next call. For both cases, a test of package gateway checks the sum of these
 // limits and of the router's pauses between calls.
 var DefaultCallTimeouts = CallTimeouts{
 	Connect: 400 * time.Millisecond, Answer: 2 * time.Second, Silence: 2800 * time.Millisecond,
@@ -311,7 +311,7 @@
 	return err
 }
 
-// postList posts a list to the owner, unless another call has replaced this one. The first list from a new address ends the watch
+// postList posts a list to the owner, unless another call has replaced the call c. The first list from a new address ends the watch
 // at the previous address.
 func (c *call) postList(list discovery.List) {
 	d := c.all
--- a/internal/session/requests.go
+++ b/internal/session/requests.go
@@ -33,7 +33,7 @@
 	c.all.Buffers.Release(in.reserve)
 }
 
-// handleQuery reads one query and submits it as a request, or answers it without one.
+// handleQuery reads one query. It submits the query as a request, or answers it without creating a request.
 func (c *client) handleQuery(body int, deadline time.Time) (transport.Reason, error) {
 	in, reason, err := c.receive(body, deadline)
 	if in == nil {
@@ -142,7 +142,7 @@
 }
 
 // admit reports whether a request may be submitted; if not, it rejects the request. A repeated in-doubt write is never rejected
-// here, because the write may already have run: its resolver determines the result.
+// here, because the write may already have run; the write's resolver determines the result.
 func (c *client) admit(in *received) bool {
 	mayHaveRun := in.inDoubt && in.statement.Retry
 	switch {
--- a/internal/session/server_conn.go
+++ b/internal/session/server_conn.go
@@ -148,7 +148,7 @@
 // the connection is closed before the result is posted.
 func (l *serverConn) carryOut() (transport.Reason, error) {
 	t := l.task()
-	if l.served > 0 && !l.conn.Silent() { // closed by the server; nothing was written, so the task may run on another connection
+	if l.served > 0 && !l.conn.Silent() { // the server closed the connection; nothing was written, so the task may run on another connection
 		l.end()
 		l.all.dial(t, l.endpoint)
 		return transport.EndPeerClosed, nil
@@ -170,7 +170,7 @@
 			closeIdleConns(l.endpoint)
 		case result.result == policy.ResultReset && l.served > 1:
 			l.endpoint.suspectedAt.Store(int64(l.all.Clock.Now()))
-			if t.healthCheck { // the reset proves only that this connection is dead; a new one shows whether the server is
+			if t.healthCheck { // the reset proves only that this connection is dead; a new connection shows whether the server is down
 				l.all.dial(t, l.endpoint)
 				return reason, err
 			}
--- a/internal/session/servers.go
+++ b/internal/session/servers.go
@@ -20,8 +20,8 @@
 // are set before the first use. The methods of routing.Servers are called by the owner's goroutine; each connection has a
 // goroutine of its own (Servers.dial), which ends with the connection.
 //
-// The map endpoints is a copy of the addresses on routing's endpoint list, for use by the connections' goroutines. It is guarded
-// by mu, and only SetEndpoint and Forget, called by the owner's goroutine, change it.
+// The map endpoints is a copy of the addresses on routing's endpoint list, for use by the connections' goroutines. The map is guarded
+// by mu. Only SetEndpoint and Forget, which the owner's goroutine calls, change the map.
 type Servers struct {
 	Owner   Queue
 	InForce *settings.Live
@@ -68,7 +68,7 @@
 	stop              context.CancelFunc
 
 	mu   sync.Mutex
-	conn *serverConn // the connection that carries the task out, set before it connects
+	conn *serverConn // the connection that carries out the task; set before the connection is dialled
 }
 
 // Cancel cancels the task, whatever its state. It does not block.
@@ -122,7 +122,7 @@
 	}
 }
 
-// Forget removes a server's address and closes the idle connections to it. It is called when no attempt at the server is in flight.
+// Forget removes a server's address and closes the idle connections to it. Forget is called when no attempt at the server is in flight.
 func (s *Servers) Forget(server policy.ServerID) {
 	s.mu.Lock()
 	p := s.endpoints[server]
