--- a/internal/floatingip/loop.go
+++ b/internal/floatingip/loop.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// NextTimer returns when the next Tick of any machine is due, or the zero time if none is.
+// NextTimer returns the time at which the next Tick of any machine is due, or the zero time if no Tick is due.
 func (h *loopHandler) NextTimer() (next time.Time) {
 	for _, g := range h.groups {
 		if at, ok := g.machine.Next(); ok {
@@ -90,7 +90,7 @@
 	case vrrp.SendAdvertisement:
 		r.advertise(g, a)
 		// The lease is extended only after the send. If the process stalls before the send, no peer receives the advertisement,
-		// and a peer may take over the address. The lease must not have been extended by then.
+		// and a peer may take over the address. In that case the lease must not have been extended.
 		g.leaseEnd.Store(int64(g.machine.Lease()))
 	case vrrp.AnnounceAddress:
 		r.announce(g)
--- a/internal/floatingip/router.go
+++ b/internal/floatingip/router.go
@@ -41,7 +41,7 @@
 type Counters struct {
 	Sent, SendFailed, Received, Announced, Activations, StartAdvanced atomic.Int64
 	Dropped                                                           [sealed.FaultCount]atomic.Int64
-	Deactivations                                                     [vrrp.CauseCount]atomic.Int64 // by cause
+	Deactivations                                                     [vrrp.CauseCount]atomic.Int64 // number of deactivations by cause
 }
 
 // group is a Group with its VRRP state machine.
--- a/internal/floatingip/settings.go
+++ b/internal/floatingip/settings.go
@@ -12,8 +12,8 @@
 // AddressHandler is implemented by the program to act when this gateway becomes active for a floating address and when it stops
 // being active. Both methods run on the router's goroutine and must not wait for clients.
 type AddressHandler interface {
-	// Activate opens the listener of a group. gate reports whether the activation may still accept requests; it may be called
-	// at any time and on any goroutine.
+	// Activate opens the listener of a group. The function gate reports whether the activation may still accept requests;
+	// gate may be called at any time and on any goroutine.
 	Activate(group string, listen netip.AddrPort, gate func() bool) error
 	// Deactivate closes the listener. Requests that were already accepted are answered before their clients' connections are
 	// closed.
@@ -48,7 +48,7 @@
 	Groups     []Group
 }
 
-// Clock is a monotonic clock. Now returns its current time, and Time converts one of its times to a time.Time.
+// Clock is a monotonic clock. Now returns the clock's current time, and Time converts a time of the clock to a time.Time.
 type Clock struct {
 	Now  func() clock.Micros
 	Time func(clock.Micros) time.Time
--- a/internal/gateway/counters.go
+++ b/internal/gateway/counters.go
@@ -8,8 +8,8 @@
 	"marblespan/internal/transport"
 )
 
-// LogCounters logs all counters: one line for each class, one for each kind of peer and reason of ended connections, one for the
-// whole gateway, those of the routing core, and those of the sections that are enabled in the operators' file.
+// LogCounters logs all counters: one line for each class, one line for each kind of peer and reason of ended connections, one line
+// for the whole gateway, the lines of the routing core, and the lines of the sections that the operators' file enables.
 func (g *Gateway) LogCounters() {
 	g.owner.Call(g.logRoutingCounters)
 	g.logConnectionCounters()
--- a/internal/gateway/floatingip.go
+++ b/internal/gateway/floatingip.go
@@ -40,8 +40,8 @@
 	counts      session.ClientCounts
 	health      atomic.Pointer[healthSample]
 	stopping    atomic.Bool
-	releasedAll atomic.Bool                    // every address is or is being released; resume clears it
-	groups      atomic.Pointer[[]config.Group] // in force; a reload replaces them
+	releasedAll atomic.Bool                    // every address has been released or is being released; resume clears this flag
+	groups      atomic.Pointer[[]config.Group] // the groups in force; a reload replaces them
 	quit        chan struct{}
 	polling     sync.WaitGroup
 
@@ -135,7 +135,7 @@
 	}
 }
 
-// sampleHealth reads the gateway's health from the routing owner and stores it. Once the owner has stopped it stores nothing.
+// sampleHealth reads the gateway's health from the routing owner and stores it. Once the owner has stopped, sampleHealth stores nothing.
 func (f *floatingAddresses) sampleHealth() {
 	sample := &healthSample{}
 	if !f.g.owner.Call(func(c *routing.Core) {
@@ -150,14 +150,14 @@
 	if f.g.buffers.Reserve(minReadyBuffer) {
 		f.g.buffers.Release(minReadyBuffer)
 	} else if f.activeCount() == 0 {
-		sample.Ready = false // only without an address: a gateway that holds one is overloaded, not broken, and must keep it
+		sample.Ready = false // not if the gateway holds an address: it is then overloaded, not broken, and must keep the address
 	}
 	sample.Conditions[vrrp.DescriptorsLow] = f.g.descriptors.NearLimit()
 	sample.at = time.Now()
 	f.health.Store(sample)
 }
 
-// activeCount returns for how many floating addresses this gateway is active.
+// activeCount returns the number of floating addresses for which this gateway is active.
 func (f *floatingAddresses) activeCount() int {
 	if f == nil {
 		return 0
@@ -177,7 +177,7 @@
 }
 
 // Activate opens the floating listener for a new activation. If an earlier activation's listener at the same address is not
-// closed yet, Activate waits for it, which takes a few milliseconds at most.
+// closed yet, Activate waits until that listener is closed, which takes a few milliseconds at most.
 func (f *floatingAddresses) Activate(group string, listen netip.AddrPort, gate func() bool) error {
 	f.mu.Lock()
 	var earlier []*activation
@@ -225,7 +225,7 @@
 		<-t.listenerClosed
 		time.Sleep(partialMessageGrace)
 		t.clients.CutOff()
-		t.listener.Wait() // ends, because every request ends by its deadline at the latest
+		t.listener.Wait() // Wait returns, because every request ends by its deadline at the latest
 		f.mu.Lock()
 		delete(f.activations, t)
 		f.mu.Unlock()
@@ -240,8 +240,8 @@
 	}
 }
 
-// releaseAll releases the addresses. If last is not set, it does not release the addresses that are kept until another gateway
-// takes them over.
+// releaseAll releases the addresses. If last is false, releaseAll skips the addresses that are kept until another gateway takes
+// them over.
 func (f *floatingAddresses) releaseAll(last bool) {
 	if f != nil {
 		f.stopping.Store(true)
@@ -255,9 +255,10 @@
 // requests in flight there have ended. Otherwise a network that cuts connections when an address moves would leave those requests
 // in doubt. The cost is that new requests are rejected unsent in the meantime.
 //
-// An address that is kept until another gateway takes it over moves as soon as a gateway with a higher priority learns of the
-// drain. New requests at that address are rejected too, but quiesce does not wait for it. If the address has not moved when its
-// drain timeout is over, requests at it are accepted again, unless releaseAll has released every address meanwhile.
+// An address that is kept until another gateway takes it over moves as soon as a gateway with a higher priority is informed of the
+// drain. New requests at that address are rejected too, but quiesce does not wait for the requests in flight there. If the address
+// has not moved when its drain timeout is over, requests at the address are accepted again, unless releaseAll has released every
+// address meanwhile.
 func (f *floatingAddresses) quiesce(last bool) {
 	var timeout time.Duration
 	var releasing []*activation
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -110,7 +110,7 @@
 
 // handleSignals handles signals until the gateway has stopped.
 func (g *Gateway) handleSignals(signals <-chan os.Signal, load Load) {
-	var stopped chan struct{} // nil until the first signal to stop; then closed when Stop returns
+	var stopped chan struct{} // nil until the first signal to stop; after that, a channel that is closed when Stop returns
 	for {
 		select {
 		case s := <-signals:
--- a/internal/gateway/intents.go
+++ b/internal/gateway/intents.go
@@ -46,7 +46,7 @@
 type IntentsStatus struct {
 	Node   string           `json:"node"`
 	Open   []Intent         `json:"open"`
-	Counts map[string]int64 `json:"counts"` // by transition, since the gateway's start
+	Counts map[string]int64 `json:"counts"` // number of transitions of each kind since the gateway's start
 }
 
 // Intent is one in-doubt write in flight.
--- a/internal/gateway/maintenance.go
+++ b/internal/gateway/maintenance.go
@@ -21,8 +21,8 @@
 	"marblespan/internal/transport"
 )
 
-// reportInterval is how often a gateway sends its report to the ledger's leader. A change of the order does not wait for the
-// interval: the gateway acts on it at once.
+// reportInterval is how often a gateway sends its report to the ledger's leader. The gateway acts on a change of the order at
+// once, without waiting for the interval.
 const reportInterval = 250 * time.Millisecond
 
 // roleFreshness is how long after the last request to a group this gateway's own knowledge of the group's primary counts as
@@ -59,10 +59,10 @@
 	drainingSince time.Time // when draining began
 	cpuUsed       time.Duration
 	cpuSampledAt  time.Time
-	lastLoad      int // in thousandths
+	lastLoad      int // the last sample of sampleLoad, in thousandths
 }
 
-// indexedOrder is an order, and the ledger index whose state it reflects.
+// indexedOrder is an order with its index: the order reflects the ledger's state at this index.
 type indexedOrder struct {
 	index uint64
 	*maintenance.Order
@@ -269,7 +269,7 @@
 	}
 	spent := time.Duration(use.Utime.Nano() + use.Stime.Nano())
 	now := time.Now()
-	if now.Sub(a.cpuSampledAt) < reportInterval/2 { // too short an interval to measure
+	if now.Sub(a.cpuSampledAt) < reportInterval/2 { // the interval is too short for a measurement
 		return a.lastLoad
 	}
 	if !a.cpuSampledAt.IsZero() {
--- a/internal/gateway/start.go
+++ b/internal/gateway/start.go
@@ -58,7 +58,7 @@
 	return g, nil
 }
 
-// newGateway creates a gateway's parts. Of their goroutines it starts only the log's writer.
+// newGateway creates a gateway's parts. Of the parts' goroutines, newGateway starts only the log's writer.
 func newGateway(cfg *config.Config, ops *config.Operators, out io.Writer) *Gateway {
 	log, closeLog := newLog(cfg.Name, out)
 	g := &Gateway{
--- a/internal/gateway/statestore.go
+++ b/internal/gateway/statestore.go
@@ -85,7 +85,7 @@
 type sessionPositions struct {
 	clock     routing.Clock
 	classes   map[string]bool
-	fast      bool // the answers to writes are delivered without waiting until the writes' log positions are stored
+	fast      bool // the answers to writes are delivered without waiting for the writes' log positions to be stored
 	retention time.Duration
 	store     atomic.Pointer[Store]
 
@@ -109,7 +109,7 @@
 func (p *sessionPositions) Covers(class string) bool { return p.classes[class] }
 
 // CanStore reports whether a write of a session may be sent now. It is false if the session's position probably could not be
-// stored; if answers do not wait for the position to be stored, it is always true.
+// stored; if answers do not wait for the position to be stored, CanStore always returns true.
 func (p *sessionPositions) CanStore(group int, session uint64) bool {
 	s := p.store.Load()
 	return p.fast || s != nil && (*s).Available(sessionKey(group, session))
@@ -144,7 +144,7 @@
 	(*s).RaisePosition(sessionKey(group, session), uint64(position), p.retention, deadline, stored)
 }
 
-// Required passes the position that a session's read must see to done. If the position cannot be read, the read must see
+// Required calls done with the position that a session's read must see. If the position cannot be read, the read must see
 // everything up to now, which the primary has. The same holds if the stored position lies in the future, as after a failover that
 // has lost commits: a read that required the stored position would wait for commits that never come.
 func (p *sessionPositions) Required(group int, session uint64, deadline time.Time, done func(policy.Position)) {
@@ -186,7 +186,7 @@
 		return err
 	}
 	g.store = s
-	g.descriptors.Reserve(2) // its files
+	g.descriptors.Reserve(2) // the state store's files
 	if g.positions != nil {
 		g.positions.store.Store(&g.store)
 	}
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -7,7 +7,7 @@
 	Index       uint64        `json:"ledger_index"`
 	Voters      int           `json:"copies"`
 	Format      uint32        `json:"format"` // the latest format of records that may be used
-	StoreID     string        `json:"disk"`   // of this gateway; empty: it holds no records
+	StoreID     string        `json:"disk"`   // ID of this gateway's store; empty: this gateway holds no records
 	Failed      string        `json:"failed,omitempty"`
 	Waiting     int           `json:"waiting"`
 	Stores      []StoreStatus `json:"disks"`
@@ -34,7 +34,7 @@
 	Here     *LocalReplicaStatus `json:"here,omitempty"`
 }
 
-// ReplicaStatus is one member of a Raft group.
+// ReplicaStatus identifies one member of a Raft group.
 type ReplicaStatus struct {
 	Number uint64 `json:"number"`
 	Node   string `json:"node"`
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -7,8 +7,8 @@
 	"marblespan/internal/transport"
 )
 
-// Before the platform kills a gateway after SIGTERM, it waits at least for the longest deadline of a class, of which it allows no
-// more than maxDeadlineAllowance, and then for killGrace. The last stopMargin of this time is reserved for the last answers and for
+// After SIGTERM, the platform waits at least for the longest deadline of a class, but for no more than maxDeadlineAllowance, and
+// then for killGrace, before it kills the gateway. The last stopMargin of this time is reserved for the last answers and for
 // closing everything.
 const (
 	maxDeadlineAllowance = 3 * time.Second
@@ -16,8 +16,8 @@
 	stopMargin           = 200 * time.Millisecond
 )
 
-// minDrainDelay is how long after SIGTERM the gateway serves as before. A load balancer in front of the gateways keeps
-// sending clients to it for up to 0.4 s, so a client whose connection is closed sooner would only reconnect to this gateway.
+// minDrainDelay is the time after SIGTERM during which the gateway serves as before. A load balancer in front of the gateways keeps
+// sending clients to this gateway for up to 0.4 s, so a client whose connection is closed sooner would only reconnect to this gateway.
 const minDrainDelay = 450 * time.Millisecond
 
 // drainLead is how long before the limit of the shutdown the gateway begins to close clients, so that nearly all requests are
@@ -36,7 +36,7 @@
 type shutdown struct {
 	*Gateway
 	start time.Time
-	limit time.Duration // when the remaining requests are failed, counted from start
+	limit time.Duration // time from start until the remaining requests are failed
 }
 
 // Stop shuts the gateway down gracefully. The gateway keeps serving until shortly before the platform would kill it, then closes
--- a/internal/transport/buffers.go
+++ b/internal/transport/buffers.go
@@ -89,9 +89,9 @@
 // which takes milliseconds.
 const growPoll = time.Millisecond
 
-// Grow reserves n bytes for data that is about to be added, and waits until they fit into the budget. If n is at most BufferSize
-// it reserves nothing, because there are never more first buffers than connections. It returns ErrWoken if pending reports true
-// while it waits, and ErrDeadline at the deadline.
+// Grow reserves n bytes for data that is about to be added, and waits until these bytes fit into the budget. If n is at most
+// BufferSize, Grow reserves nothing, because the messages' first buffers never outnumber the connections. Grow returns ErrWoken if
+// the function pending reports true during the wait, and ErrDeadline at the deadline.
 func (m *Message) Grow(n int, deadline time.Time, pending func() bool) error {
 	if n <= BufferSize {
 		return nil
@@ -112,7 +112,7 @@
 // Size returns the number of bytes in the message.
 func (m *Message) Size() int { return m.size }
 
-// freeTail returns the unused end of the last buffer. If that buffer is full, it adds a new one.
+// freeTail returns the unused end of the last buffer. If that buffer is full, freeTail adds a new buffer.
 func (m *Message) freeTail() []byte {
 	at := m.size % BufferSize
 	if at == 0 && m.size == len(m.chunks)*BufferSize {
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -1,5 +1,5 @@
-// Package transport owns the sockets: listening (Listener), dialling (Dial), connections (Conn), why they ended
-// (EndRecorder), the pools of idle server connections (Pool), the buffers (Buffers, Message), and the budgets of file
+// Package transport owns the sockets: listening (Listener), dialling (Dial), connections (Conn), the record of ended
+// connections (EndRecorder), the pools of idle server connections (Pool), the buffers (Buffers, Message), and the budgets of file
 // descriptors and memory. It implements no protocol and makes no routing decisions.
 //
 // The packages session, streams and gateway use it. Each Conn belongs to the goroutine that serves it; the other types are safe
@@ -32,8 +32,8 @@
 var ErrDeadline = errors.New("deadline reached")
 
 // Conn is a TCP connection that one goroutine serves: only that goroutine reads, writes and closes. Any other goroutine may
-// call Wake, Abort and Aborted. To pass work to the serving goroutine, it stores the work where the pending function of Wait
-// finds it and then calls Wake.
+// call Wake, Abort and Aborted. To pass work to the serving goroutine, the other goroutine stores the work where the pending
+// function of Wait finds the work, and then calls Wake.
 type Conn struct {
 	tcp         *net.TCPConn
 	reader      *bufio.Reader
@@ -96,8 +96,8 @@
 	return err
 }
 
-// Fill reads the next n bytes into a message. A Wake does not end it unless pending reports true. Its errors are those of
-// Wait and of the read.
+// Fill reads the next n bytes into a message. A Wake does not end Fill unless the function pending reports true. Fill returns the
+// errors of Wait and of the read.
 func (c *Conn) Fill(m *Message, n int, deadline time.Time, pending func() bool) error {
 	return c.readInPieces(n, deadline, pending, func(k int) error { return m.Fill(c.reader, k) })
 }
@@ -181,7 +181,7 @@
 }
 
 // Close closes the connection and releases its reader and descriptor. Only the goroutine that serves the connection may call
-// it; further calls do nothing.
+// Close; further calls do nothing.
 func (c *Conn) Close() {
 	c.closeOnce.Do(func() {
 		c.tcp.Close()
@@ -193,7 +193,7 @@
 
 // Linger shuts down the sending side and discards what arrives until the peer closes, maxBytes were read or the deadline has
 // passed. A close with unread bytes would reset the connection, and the reset could destroy the last answer before the peer has
-// read it. If the peer sends a request at that moment, it sees an orderly end without an answer, and may retry elsewhere.
+// read it. A peer that sends a request at that moment sees an orderly end without an answer, and may retry elsewhere.
 func (c *Conn) Linger(deadline time.Time, maxBytes int64) {
 	if c.tcp.CloseWrite() != nil {
 		return
--- a/internal/transport/descriptors.go
+++ b/internal/transport/descriptors.go
@@ -109,8 +109,8 @@
 	d.mu.Unlock()
 }
 
-// closeOldestIdle closes, in the lowest class that has idle connections, the one that has been idle longest. It reports whether
-// there was one.
+// closeOldestIdle closes the connection that has been idle longest in the lowest class that has idle connections. It reports
+// whether there was an idle connection.
 func (d *Descriptors) closeOldestIdle() bool {
 	d.mu.Lock()
 	var idle Idler
@@ -137,7 +137,7 @@
 }
 
 // MarkIdle records that a connection is idle from now on. If that makes too many idle clients of class IdleServedClient, the
-// one that has been idle longest is closed.
+// client that has been idle longest is closed.
 func (d *Descriptors) MarkIdle(x Idler, class IdleClass) {
 	var evicted Idler
 	d.mu.Lock()
--- a/internal/transport/ends.go
+++ b/internal/transport/ends.go
@@ -16,28 +16,28 @@
 // not change, because operators' alerts match them.
 type Reason uint8
 
-// The reasons. In the comments, "it" is the connection.
+// The reasons.
 const (
-	EndPeerClosed         Reason = iota // the peer closed it between requests
-	EndPeerReset                        // the peer reset it, or another network error ended it
-	EndClientDisconnected               // a client closed it while its request was in flight
+	EndPeerClosed         Reason = iota // the peer closed the connection between requests
+	EndPeerReset                        // the peer reset the connection, or another network error ended the connection
+	EndClientDisconnected               // a client closed the connection while its request was in flight
 	EndTerminate                        // the client sent Terminate
-	EndIdle                             // it was idle for too long
-	EndEvicted                          // closed while idle, to free its descriptor for another
-	EndDraining                         // closed because the gateway is shutting down
-	EndAbandoned                        // an attempt on it was abandoned
+	EndIdle                             // the connection was idle for too long
+	EndEvicted                          // the connection was closed while idle, to free its descriptor for another connection
+	EndDraining                         // the connection was closed because the gateway is shutting down
+	EndAbandoned                        // an attempt on the connection was abandoned
 	EndTimeout                          // a read or write reached its deadline
 	EndConnectionRefused                // the peer's operating system refused the connection
 	EndUnreachable                      // the connection was not established in time
-	EndRejected                         // the server rejected it during start-up
+	EndRejected                         // the server rejected the connection during start-up
 	EndProtocol                         // the peer violated the protocol
 	EndCancelRequest                    // the client sent a CancelRequest, which is the only message of its connection
-	EndReplaced                         // another call or address replaced it, or it must not be used any more
-	EndServerFailed                     // the server sent a fatal error or surplus bytes, or ended it in place of ReadyForQuery
+	EndReplaced                         // another call or address replaced the connection, or the connection must not be used any more
+	EndServerFailed                     // the server sent a fatal error or surplus bytes, or closed the connection in place of ReadyForQuery
 	EndStatus                           // discovery answered with a status other than 200
 	EndCompleted                        // the complete answer has been read
-	EndDescriptors                      // no descriptor was left for it
-	EndAddressMigrated                  // the floating IP address it used migrated to another gateway
+	EndDescriptors                      // no descriptor was left for the connection
+	EndAddressMigrated                  // the floating IP address that the connection used migrated to another gateway
 	EndMaintenance                      // the gateway is entering maintenance
 	reasons
 )
@@ -98,8 +98,8 @@
 // NewEndRecorder returns a recorder that writes to log.
 func NewEndRecorder(log zerolog.Logger) *EndRecorder { return &EndRecorder{log: log} }
 
-// Record logs and counts the end of one connection, which was opened at since and served the given number of requests. cause may
-// be nil.
+// Record logs and counts the end of one connection. since is the time at which the connection was opened, and served is the number
+// of requests that the connection has served. cause may be nil.
 func (e *EndRecorder) Record(party Party, remote string, reason Reason, since time.Time, served int, cause error) {
 	e.counts[party][reason].Add(1)
 	line := e.log.Info().Str("party", partyNames[party]).Str("peer", remote).Stringer("reason", reason).
@@ -110,7 +110,7 @@
 	line.Msg("connection ended")
 }
 
-// Each calls count for every party and reason whose count is not zero.
+// Each calls the function count for every pair of party and reason whose counter is not zero.
 func (e *EndRecorder) Each(count func(party string, reason Reason, n int64)) {
 	for p := range e.counts {
 		for r := range e.counts[p] {
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -18,11 +18,11 @@
 // backlogWait is how long a closing listener continues to accept connections that the kernel has already established.
 const backlogWait = 5 * time.Millisecond
 
-// maxBacklogTime is how long a closing listener continues to accept, at most, if connections are left in the kernel's queue after
-// backlogWait. They may be left because the process had no processor time before, or because clients continue to connect.
+// maxBacklogTime is the longest time for which a closing listener continues to accept if the kernel's queue still has connections
+// after backlogWait. Connections may be left because the process had no processor time before, or because clients continue to connect.
 const maxBacklogTime = time.Second
 
-// Listener accepts connections until Close. Its Serve starts one goroutine for each connection; Wait waits for their end.
+// Listener accepts connections until Close. Serve starts one goroutine for each connection; Wait waits until these goroutines have ended.
 type Listener struct {
 	// FromGateways is true if other gateways connect instead of clients. Their connections do not count against the clients'
 	// quota. It is set before Serve is called.
@@ -46,13 +46,14 @@
 // Addr returns the address that the listener is bound to.
 func (l *Listener) Addr() string { return l.tcp.Addr().String() }
 
-// Serve accepts connections until Close and calls serve for each on a goroutine of its own, which ends when serve returns.
+// Serve accepts connections until Close. It calls the function serve for each connection on a goroutine of its own, which ends
+// when the function returns.
 // It continues to accept when descriptors run short, because a request counts from the moment the kernel has received it. If no
 // descriptor is left for a connection, serve is called with admitted set to false and must reject the connection. Serve closes the
 // socket before it returns, so that no client can connect and then wait for a gateway that no longer accepts.
 func (l *Listener) Serve(serve func(conn *Conn, admitted bool)) {
 	defer l.tcp.Close()
-	var stopAt time.Time // when a closing listener stops accepting; zero until the deadline set by Close has passed
+	var stopAt time.Time // the time at which a closing listener stops accepting; zero until the deadline set by Close has passed
 	for stopAt.IsZero() || l.backlog() > 0 && time.Now().Before(stopAt) {
 		nc, err := l.tcp.AcceptTCP()
 		switch {
@@ -67,7 +68,7 @@
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			// After its deadline, Accept fails at once even if connections are queued. If the process had no processor time
-			// before the deadline, they would all be reset, so the deadline is extended while connections are queued.
+			// before the deadline, all these would be reset, so the deadline is extended while connections are queued.
 			if stopAt.IsZero() {
 				stopAt = time.Now().Add(maxBacklogTime)
 				l.tcp.SetDeadline(stopAt)
@@ -99,8 +100,8 @@
 	return l.descriptors.acquireClient()
 }
 
-// Close makes Serve accept the connections that are already in the kernel's queue, so that they are not reset, then stop listening
-// and return. Close itself does not wait.
+// Close makes Serve stop listening and return. Before that, Serve accepts the connections that are already in the kernel's queue,
+// so that these connections are not reset. Close itself does not wait.
 func (l *Listener) Close() {
 	l.tcp.SetDeadline(time.Now().Add(backlogWait))
 }
@@ -108,7 +109,7 @@
 // Wait blocks until serve has returned for every accepted connection. It is called after Serve has returned.
 func (l *Listener) Wait() { l.connections.Wait() }
 
-// ErrNoDescriptor is returned by Dial when the descriptor limit leaves none for another connection.
+// ErrNoDescriptor is returned by Dial when the descriptor limit leaves no descriptor for another connection.
 var ErrNoDescriptor = errors.New("no file descriptor available")
 
 // Dial opens a TCP connection. It fails when the deadline has passed or ctx is done. An urgent connection may use the last
