--- a/internal/protocol/advisories/advisories.go
+++ b/internal/protocol/advisories/advisories.go
@@ -32,11 +32,11 @@
 // gateways' clocks need not agree; Start and Position are Unix milliseconds of the server's clock.
 type Advisory struct {
 	UID      string
-	Start    uint64 // when the server last started; 0: long ago. The advisory is valid only for the server process that started then
+	Start    uint64 // time at which the server last started; 0: long ago. The advisory is valid only for the server process that started then
 	Healthy  bool   // the server responded to the last health check
-	Age      uint64 // time since that health check
+	Age      uint64 // time since the server's last health check
 	Role     Role
-	RoleAge  uint64 // time since its role was confirmed; 0 if the role is unknown
+	RoleAge  uint64 // time since the server's role was confirmed; 0 if the role is unknown
 	Position uint64 // lower bound on the log position that the server has applied; 0: not known
 	Load     []Field
 }
@@ -47,8 +47,8 @@
 	Value uint64
 }
 
-// Batch holds the advisories of one sender in one datagram. Incarnation and Sequence distinguish it from older batches and from
-// those of an earlier incarnation of the sender.
+// Batch holds the advisories of one sender in one datagram. Incarnation and Sequence distinguish the batch from older
+// batches and from the batches of an earlier incarnation of the sender.
 type Batch struct {
 	Incarnation uint64
 	Sequence    uint64
@@ -76,8 +76,8 @@
 	flagsAll     = 1<<5 - 1
 )
 
-// Append encodes advisories as batches of at most MaxSize bytes, with sequence numbers from next on, and calls send for each.
-// It returns the sequence number after the last. If it returns ErrAdvisory, the batches before the invalid advisory may already
+// Append encodes advisories as batches of at most MaxSize bytes, with sequence numbers from next on, and calls the function
+// send for each batch. Append returns the sequence number for the next batch. If it returns ErrAdvisory, the batches before the invalid advisory may already
 // have been sent.
 func Append(incarnation, next uint64, all []Advisory, send func([]byte)) (uint64, error) {
 	b := newBatch(incarnation, next)
--- a/internal/protocol/discovery/http.go
+++ b/internal/protocol/discovery/http.go
@@ -32,8 +32,8 @@
 	statusNotModified = 304
 )
 
-// Request returns a GET request for the list. If watch is set, it requests the changes after the revision from, and the response
-// stays open.
+// Request returns a GET request for the list. If watch is set, the request is for the changes after the revision given by the
+// argument from, and the response stays open.
 func Request(host string, watch bool, from int64) []byte {
 	path, end := "/v1/servers", "Connection: close\r\n"
 	if watch {
@@ -78,7 +78,8 @@
 // Done reports whether the complete response has been read.
 func (r *Response) Done() bool { return r.state == isDone }
 
-// Feed parses the next bytes and calls line for each complete line of the body. If line returns an error, Feed returns it.
+// Feed parses the next bytes and calls the function line for each complete line of the body. If line returns an error, Feed
+// returns that error.
 // Bytes after the response are ignored.
 func (r *Response) Feed(data []byte, line func([]byte) error) error {
 	for len(data) > 0 && r.state != isDone {
@@ -173,7 +174,7 @@
 		if text != "" {
 			return r.parseHeader(text)
 		}
-		if r.Status < statusFinal { // an interim response: the final one follows
+		if r.Status < statusFinal { // the response is interim; the final response follows
 			r.state = inStatusLine
 			return nil
 		}
@@ -223,7 +224,7 @@
 	return nil
 }
 
-// beginBody is called after the last header. It begins the body, or ends the response if it has none.
+// beginBody is called after the last header. It begins the body, or ends the response if the response has no body.
 func (r *Response) beginBody(line func([]byte) error) error {
 	switch {
 	case r.chunked:
@@ -236,7 +237,7 @@
 	return nil
 }
 
-// feedBody consumes bytes of the body and calls line for each complete line.
+// feedBody consumes bytes of the body and calls the function line for each complete line.
 func (r *Response) feedBody(p []byte, line func([]byte) error) error {
 	for len(p) > 0 {
 		end := bytes.IndexByte(p, '\n')
@@ -261,7 +262,7 @@
 	return nil
 }
 
-// finish ends the response. If the body does not end with a line end, the rest of it is passed to line.
+// finish ends the response. If the body does not end with a line end, the rest of the body is passed to the function line.
 func (r *Response) finish(line func([]byte) error) error {
 	r.state = isDone
 	if len(r.body) == 0 {
--- a/internal/protocol/members/encode.go
+++ b/internal/protocol/members/encode.go
@@ -50,7 +50,7 @@
 	return appendUint(b, field, 1)
 }
 
-// appendNested appends an embedded message, which write encodes.
+// appendNested appends an embedded message, which the function write encodes.
 func appendNested(b []byte, field protowire.Number, write func([]byte) []byte) []byte {
 	inner := write(make([]byte, 0, 128))
 	return protowire.AppendBytes(protowire.AppendTag(b, field, protowire.BytesType), inner)
--- a/internal/protocol/members/members.go
+++ b/internal/protocol/members/members.go
@@ -24,15 +24,15 @@
 // minMessageSize is a lower bound on the size in bytes of a message, which must at least have a kind.
 const minMessageSize = 2
 
-// purpose begins the purpose for which datagrams are signed. signedPurpose adds the deployment's name, so that the messages of
+// purpose is the first part of the text that the signature of a datagram covers as its purpose. signedPurpose adds the deployment's name, so that the messages of
 // another deployment are not valid even with the same secret.
 const purpose = "marblespan members 1\x00"
 
 // ErrSize is returned by Append for a message that is too large to be sent.
 var ErrSize = errors.New("members: message is larger than 1140 bytes")
 
-// Append appends the signed datagram of a message of a deployment. For a message that is too large it returns ErrSize and b
-// unchanged.
+// Append appends the signed datagram of a message of a deployment. If the message is too large, Append returns b
+// unchanged and ErrSize.
 func Append(b []byte, m membership.Message, t sealed.Trailer, deployment string, key sealed.Key) ([]byte, error) {
 	from := len(b)
 	if b = AppendMessage(b, m); len(b)-from > membership.MaxMessageSize {
@@ -45,7 +45,7 @@
 func signedPurpose(deployment string) string { return purpose + deployment + "\x00" }
 
 // Parse parses a datagram and makes all checks that need no knowledge of the members. If there is a fault, the caller must drop
-// the datagram; nothing of it is returned.
+// the datagram, and Parse returns no part of it.
 func Parse(b []byte, deployment string, keys []sealed.Key) (membership.Message, sealed.Trailer, sealed.Fault) {
 	if fault := checkTrailer(b, keys); fault != sealed.NoFault {
 		return membership.Message{}, sealed.Trailer{}, fault
--- a/internal/protocol/postgres/query.go
+++ b/internal/protocol/postgres/query.go
@@ -8,7 +8,7 @@
 )
 
 // AppendQueryHead appends the beginning of the Query message that forwards a statement: the header, and the body up to and
-// including the value of the comment's field d, which is replaced by timeoutMillis. first is the first part of the statement's
+// including the comment's field d, whose value is replaced by timeoutMillis. first is the first part of the statement's
 // body, and body is the size of that body in bytes. The caller must append the rest of the body unchanged, from the returned
 // offset on.
 func (s *Statement) AppendQueryHead(b, first []byte, body int, timeoutMillis int64) ([]byte, int) {
@@ -38,8 +38,8 @@
 }
 
 // InsertResponse converts the response to a SELECT of a row into the response that the INSERT of that row would have had. It
-// returns that response and the row's value. read must hold complete messages, as they are forwarded to clients; both results
-// are nil if it does not.
+// returns that response and the row's value. read must hold complete messages, as they are forwarded to clients;
+// otherwise both results are nil.
 func InsertResponse(read []byte) (row, answer []byte) {
 	for len(read) >= HeaderSize {
 		h, err := ParseHeader(read)
--- a/internal/protocol/postgres/reply.go
+++ b/internal/protocol/postgres/reply.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Reply is the state of a server's response to one query or start-up, message by message, until ReadyForQuery. A valid
+// Reply tracks a server's response to one query or start-up, message by message, until ReadyForQuery. A valid
 // response is RowDescription, one DataRow, CommandComplete and ReadyForQuery, or an ErrorResponse and ReadyForQuery. If Handle
 // returns an error, the response is malformed, and nothing in it may be used. A Reply is used by one goroutine only.
 type Reply struct {
@@ -137,7 +137,7 @@
 }
 
 // checkDataRow returns an error unless a DataRow has exactly one column that fills the body. A null is an error, because the
-// statements that the gateway forwards never return one.
+// statements that the gateway forwards never return a null.
 func checkDataRow(header Header, body []byte) error {
 	if len(body) < 6 || binary.BigEndian.Uint16(body) != 1 {
 		return errors.New("DataRow does not have exactly one column")
--- a/internal/protocol/postgres/statement.go
+++ b/internal/protocol/postgres/statement.go
@@ -12,14 +12,14 @@
 type Statement struct {
 	ID            string
 	Class         string
-	TimeoutMillis int64 // milliseconds from the client's send until it stops waiting
+	TimeoutMillis int64 // milliseconds from the client's send until the client stops waiting
 	Group         int
 	After         int64 // the read must see all writes up to this time, in Unix milliseconds; 0: no such requirement
 	Retry         bool  // the client marks the statement as a retry
 	Key           string
-	Write         bool // whether it is an INSERT; otherwise it is a SELECT
-	timeoutStart  int  // offset in the message's body at which the digits of d begin
-	timeoutEnd    int  // offset at which the digits of d end
+	Write         bool // the statement is an INSERT; if false, a SELECT
+	timeoutStart  int  // offset in the message's body at which the digits of the comment's field d begin
+	timeoutEnd    int  // offset in the message's body at which the digits of the comment's field d end
 }
 
 // The fixed texts around the comment, the key and the value in the two forms of a statement.
@@ -47,8 +47,8 @@
 
 // ParseStatement parses and checks a complete statement, given as the parts of its message's body. The comment and the key must
 // be within the first part; only the value's digits and the text after them may continue in later parts. Any statement that has
-// neither of the two forms must not reach a server, because the server would close the connection on it, together with all other
-// requests in flight on that connection.
+// neither of the two forms must not reach a server, because the server would close the connection, which would end all other
+// requests in flight on that connection too.
 func ParseStatement(parts [][]byte) (Statement, error) {
 	var statement Statement
 	var first []byte
@@ -88,7 +88,7 @@
 	return at, errors.New("the statement is neither of the forms that are served here")
 }
 
-// parseKey sets Key to the text that begins at an offset, and returns the offset at which it ends.
+// parseKey sets Key to the text that begins at an offset, and returns the offset at which the key ends.
 func (s *Statement) parseKey(first []byte, at int) (int, error) {
 	end := at
 	for end < len(first) && isKey(first[end]) {
--- a/internal/protocol/sealed/fault.go
+++ b/internal/protocol/sealed/fault.go
@@ -5,27 +5,27 @@
 type Fault uint8
 
 // The faults, in the order in which counters list them. This package detects BadVersion, UnknownKey and BadMAC. The codecs of
-// the protocols detect the others up to BadValue. The receivers detect those after BadValue, because only they know the peers
+// the protocols detect the other faults up to BadValue. The receivers detect the faults after BadValue, because only they know the peers
 // and the settings.
 const (
 	NoFault      Fault = iota
-	BadLength          // too short, too long, or a length that contradicts its counts
-	BadVersion         // a different version of the protocol or of the trailer
-	BadType            // VRRP: not an advertisement
-	BadCount           // VRRP: no address, or too many addresses
+	BadLength          // the datagram is too short or too long, or its length contradicts its counts
+	BadVersion         // the datagram has a different version of the protocol or of the trailer
+	BadType            // VRRP: the message is not an advertisement
+	BadCount           // VRRP: the message has no address, or too many addresses
 	BadReserved        // VRRP: reserved bits are set
-	BadInterval        // VRRP: an interval of 0
+	BadInterval        // VRRP: the message has an interval of 0
 	BadChecksum        // VRRP: the checksum does not match
-	UnknownKey         // signed with a key that is not valid here
-	BadMAC             // signed with another secret or for another purpose, or changed in transit
-	BadMessage         // members: not a valid encoding of the message in api/members.proto
-	BadKind            // members: an unknown kind of message, from a later version
-	BadValue           // members: a missing or invalid field, such as a name, an address or a state
-	WrongSource        // from an address that belongs to no peer, or to a peer other than the sender
+	UnknownKey         // the message is signed with a key that is not valid here
+	BadMAC             // the message was signed with another secret or for another purpose, or was changed in transit
+	BadMessage         // members: the datagram is not a valid encoding of the message in api/members.proto
+	BadKind            // members: the kind of the message is unknown, as from a later version
+	BadValue           // members: a field, such as a name, an address or a state, is missing or invalid
+	WrongSource        // the datagram comes from an address that belongs to no peer, or to a peer other than the sender
 	WrongPeer          // the node number of the sender or of the receiver does not match
-	Replayed           // the same message was received before, or this one is too far behind a later message
-	UnknownVRID        // for a group that is not configured here
-	OtherAddress       // its address list differs from that of the group
+	Replayed           // the message was received before, or is too far behind a later message that was received
+	UnknownVRID        // the message is for a group that is not configured here
+	OtherAddress       // the message's address list differs from the group's address list
 	FaultCount
 )
 
--- a/internal/protocol/sealed/replay.go
+++ b/internal/protocol/sealed/replay.go
@@ -13,15 +13,16 @@
 }
 
 // ReplayGuard numbers the messages that this gateway sends, and distinguishes new messages of other gateways from duplicates,
-// replays and messages that arrive too late. For that it has an anti-replay window as in RFC 4303 for each sender. A window
-// takes a few words of memory; the caller bounds the number of senders by calling Retain. It is not safe for concurrent use.
+// replays and messages that arrive too late. The guard has an anti-replay window as in RFC 4303 for each sender. A
+// window takes a few words of memory; the caller bounds the number of senders by calling Retain. A ReplayGuard is not safe for
+// concurrent use.
 type ReplayGuard[K comparable] struct {
 	self    MessageID // ID of the last message sent
 	window  uint64
 	senders map[K]*senderWindow
 }
 
-// senderWindow records the latest message received from one sender, and which of the messages before it were received.
+// senderWindow records the latest message received from one sender, and which of the messages before the latest were received.
 type senderWindow struct {
 	MessageID
 	seen uint64 // bit i is set if the message whose sequence number is i below the latest was received
@@ -29,7 +30,7 @@
 
 // NewReplayGuard returns the guard of a gateway that started at the time start of its system clock, in microseconds of Unix time.
 // A message that arrives after later messages of its sender is accepted only if its sequence number is less than window below the
-// highest one received. A window above 64 counts as 64; with a window of 0, no message is accepted after a later one.
+// highest number received. A window above 64 counts as 64; with a window of 0, no message is accepted after a later message.
 func NewReplayGuard[K comparable](start, window uint64) *ReplayGuard[K] {
 	return &ReplayGuard[K]{self: MessageID{Start: start}, window: min(window, maxWindow), senders: map[K]*senderWindow{}}
 }
--- a/internal/protocol/sealed/sealed.go
+++ b/internal/protocol/sealed/sealed.go
@@ -22,7 +22,8 @@
 	Secret []byte
 }
 
-// Sizes in bytes: of the trailer without its signature, of the signature, and of both together, which end every message.
+// Sizes in bytes: TrailerSize of the trailer without its signature, MACSize of the signature, and Size of both together. Every
+// message ends with the trailer and the signature.
 const (
 	TrailerSize = 28
 	MACSize     = sha256.Size
@@ -42,7 +43,7 @@
 }
 
 // Verify checks the signature at the end of b with the key that has the given number. If there is no such key, the fault is
-// UnknownKey; if the signature is not valid, it is BadMAC.
+// UnknownKey; if the signature is not valid, the fault is BadMAC.
 func Verify(purpose string, b []byte, number uint8, keys []Key) Fault {
 	for _, k := range keys {
 		if k.Number == number {
@@ -65,7 +66,7 @@
 	ReceiverStart uint64 // the receiver's start as the sender knows it; 0: not known
 }
 
-// Append appends the trailer to the message that begins at b[from], and a signature of both. The trailer gets key's number instead
+// Append appends the trailer to the message that begins at b[from], and then a signature of message and trailer. The trailer gets key's number instead
 // of t.Key.
 func Append(b []byte, from int, t Trailer, purpose string, key Key) []byte {
 	b = append(b, Version, key.Number, t.Sender, t.Receiver)
--- a/internal/protocol/vrrp/announce.go
+++ b/internal/protocol/vrrp/announce.go
@@ -9,13 +9,13 @@
 )
 
 // Announcement is sent to a receiver that directs connections to floating addresses (a switch, or a helper that is permitted to
-// change addresses). It gives the address to which the receiver must direct the connections from now on. It takes the place of a
-// gratuitous ARP or a neighbor advertisement.
+// change addresses). The announcement gives the address to which the receiver must direct the connections from now on. It takes the place
+// of a gratuitous ARP or a neighbor advertisement.
 type Announcement struct {
 	VRID      uint8
 	Key       uint8
 	Sender    uint8
-	Start     uint64 // as in Trailer
+	Start     uint64 // the sender's start, as in Trailer
 	Sequence  uint64
 	Listen    netip.AddrPort // address on which the sender serves connections
 	Addresses []netip.Addr
--- a/internal/session/client.go
+++ b/internal/session/client.go
@@ -232,8 +232,8 @@
 	return c.reject(errors.New("message of unknown type " + strconv.Quote(string(header.Type))))
 }
 
-// idle waits for n bytes between requests. If a request has begun to arrive when CloseIdle is called, idle still waits for it, but
-// not past the time set by cutOff.
+// idle waits for n bytes between requests. If a request has begun to arrive when CloseIdle is called, idle still waits for that
+// request, but not past the time set by cutOff.
 func (c *client) idle(n int) (transport.Reason, error) {
 	kind := transport.IdleNewClient
 	if c.sentRequest {
--- a/internal/session/exchange.go
+++ b/internal/session/exchange.go
@@ -120,7 +120,7 @@
 
 // readReply reads messages up to ReadyForQuery. The messages of the answer that are forwarded to the client are stored in value;
 // for a health check, readReply returns the text of the row. An answer that has begun and then stalls for longer than the connect
-// timeout counts as malformed, so that its request does not have to wait until its deadline. The cost: if a server's machine is
+// timeout counts as malformed, so that the request does not have to wait until its deadline. The cost: if a server's machine is
 // suspended for that long in the middle of an answer, the answer is lost.
 func (l *serverConn) readReply(reply *postgres.Reply, deadline time.Time, t *task, value *transport.Message) (string, error) {
 	row := ""
@@ -199,7 +199,8 @@
 	return due
 }
 
-// stallError returns errStalled if err reports that due was reached and due is before the deadline; otherwise it returns err.
+// stallError returns errStalled if err reports that the time due was reached and that time is before the deadline; otherwise it
+// returns err.
 func stallError(err error, due, deadline time.Time) error {
 	if errors.Is(err, transport.ErrDeadline) && due.Before(deadline) {
 		return errStalled
@@ -229,15 +230,15 @@
 	return policy.ExecutionUnknown
 }
 
-// duplicateRefusalWindow is the time after a refusal, an error which proves that its request did not run, during which a duplicate
-// of the refusal may still arrive and be mistaken for the answer to the next request. If the next request is written later than
+// duplicateRefusalWindow is the time after a refusal during which a duplicate of the refusal may still arrive and be mistaken for
+// the answer to the next request. A refusal is an error that proves that its request did not run. If the next request is written later than
 // that, a duplicate has already arrived and ended the connection. The window is shorter than the pause of at least one Tick that
 // package policy makes after a server has rejected a request, so that the rejection of a retry at that server counts as genuine.
 const duplicateRefusalWindow = 2 * time.Millisecond
 
 // repeatsRefusal reports whether an error has the same code as the last refusal and answers a request that was written within
-// duplicateRefusalWindow after it. Such an error may be a duplicate of that refusal, sent twice by the server or the network while
-// the request was on its way to the server. It proves nothing about the request, whose real answer may still follow.
+// duplicateRefusalWindow after it. Such an error may be a duplicate of that refusal, which the server or the network sent while
+// the request was on its way to the server. Such an error proves nothing about the request, whose real answer may still follow.
 // repeatsRefusal also records the error as the last refusal, if it is one.
 func (l *serverConn) repeatsRefusal(code string, written time.Time) bool {
 	if executionOf(code) != policy.ExecutionNone {
--- a/internal/session/pending.go
+++ b/internal/session/pending.go
@@ -20,7 +20,7 @@
 	position     *writePosition
 
 	write         intents.Write    // an in-doubt write, which must be claimed before it is sent; nil for other queries
-	request       *routing.Request // posted once write is claimed
+	request       *routing.Request // the request for the in-doubt write, posted once the write is claimed
 	routingAnswer *routing.Answer  // kept until the resolver calls Reply; guarded by client.mu
 }
 
@@ -31,7 +31,7 @@
 	Covers(class string) bool
 	// CanStore reports whether a position could probably be stored now.
 	CanStore(group int, session uint64) bool
-	// Store stores a position, and calls done with whether it was stored by the deadline.
+	// Store stores a position, and calls done with whether the position was stored by the deadline.
 	Store(group int, session uint64, position policy.Position, by time.Time, done func(bool))
 	// Required determines the minimum position that a read of the session requires, and calls done with it; 0: no minimum.
 	Required(group int, session uint64, by time.Time, done func(policy.Position))
@@ -120,7 +120,7 @@
 	}
 	position := a.Position
 	if position == 0 {
-		position = q.client.all.Clock.Now() // the write ran before now, so its position is not higher
+		position = q.client.all.Clock.Now() // the write ran before now, so its position is no higher than now
 	}
 	q.position.store.Store(q.position.group, q.position.session, position, q.position.deadline, func(stored bool) {
 		if !stored {
--- a/internal/session/requests.go
+++ b/internal/session/requests.go
@@ -20,11 +20,11 @@
 // received is a completely read query, with the memory reserved for it and its answer.
 type received struct {
 	text      *transport.Message
-	reserve   int                // bytes
+	reserve   int                // bytes of the memory budget reserved for the query and its answer
 	inForce   *settings.Snapshot // the settings in force when the query was read
 	arrival   policy.Arrival
 	statement postgres.Statement
-	inDoubt   bool // whether it is an in-doubt write, which must be claimed before it is sent
+	inDoubt   bool // the query is an in-doubt write, which must be claimed before it is sent
 }
 
 // release frees a query that does not become a request.
@@ -90,8 +90,8 @@
 	text string
 }
 
-// parseRequest parses a query's text into the data of a request. An empty query does not become a request; it returns no error and
-// a statement without an ID.
+// parseRequest parses a query's text into the data of a request. An empty query does not become a request; for an empty query,
+// parseRequest returns no error and a statement without an ID.
 func (c *client) parseRequest(inForce *settings.Snapshot, text *transport.Message, body int) (
 	arrival policy.Arrival, statement postgres.Statement, fault *requestError,
 ) {
@@ -167,7 +167,7 @@
 	return c.all.SessionPositions != nil && in.arrival.HasSession && c.all.SessionPositions.Covers(in.statement.Class)
 }
 
-// submit queues a request for its answer and dispatches it. A read of a session whose position is stored is posted only when the
+// submit adds a query to the client's queue of unanswered queries and dispatches its request. A read of a session whose position is stored is posted only when the
 // position has been looked up.
 func (c *client) submit(in *received) {
 	wait := in.statement.TimeoutMillis
@@ -193,7 +193,7 @@
 	})
 }
 
-// positionWaitShare limits how long a read waits for its session's position: for its time limit divided by this number. The rest
+// positionWaitShare limits how long a read waits for its session's position, to the read's time limit divided by this number. The rest
 // of the time is left for an attempt at the primary, for which no position is needed.
 const positionWaitShare = 4
 
--- a/internal/session/server_conn.go
+++ b/internal/session/server_conn.go
@@ -165,8 +165,8 @@
 		switch {
 		case t.healthCheck && result.result == policy.ResultTimeout:
 			// The server's machine may be unreachable. When it is reachable again, its kernel may have forgotten the other idle
-			// connections, and a request on one of them would be lost like this health check. The cost: if the machine
-			// was reachable, some handshakes were unnecessary.
+			// connections, and a request on one of them would be lost like this health check. If the machine was
+			// reachable, the cost is some unnecessary handshakes.
 			closeIdleConns(l.endpoint)
 		case result.result == policy.ResultReset && l.served > 1:
 			l.endpoint.suspectedAt.Store(int64(l.all.Clock.Now()))
@@ -208,10 +208,10 @@
 	l.conn.Close()
 }
 
-// errUnsolicited is returned when a server sends a message between requests that it may only send as part of an answer.
+// errUnsolicited is returned when a server sends, between requests, a message that it may send only as part of an answer.
 var errUnsolicited = errors.New("unsolicited message from the server")
 
-// idle waits for the next task. It detects a close by the server, or a message from it, at once.
+// idle waits for the next task. It detects a close by the server, or a message from the server, at once.
 func (l *serverConn) idle() (transport.Reason, error) {
 	deadline := time.Now().Add(l.all.idleAfter())
 	for {
@@ -242,7 +242,7 @@
 			reason = transport.ReasonOf(err)
 		}
 		l.end()
-		if next != nil { // assigned while the connection ended; a new connection carries it out
+		if next != nil { // the task was assigned while the connection ended; a new connection carries out the task
 			l.all.dial(next, l.endpoint)
 		}
 		return reason, err
--- a/internal/session/servers.go
+++ b/internal/session/servers.go
@@ -52,9 +52,9 @@
 	withdrawals atomic.Int64
 }
 
-// suspectFor is how long no idle connection to a server is used for non-idempotent requests after a reused connection was reset
-// during a request. After that time, only idle connections that have answered since the reset are used for them. This guards
-// against idle connections that a server, a machine that was unreachable for a while, or the network has dropped without notice.
+// suspectFor is the time after the reset of a reused connection during a request for which no idle connection to that server is
+// used for non-idempotent requests. After that time, only idle connections that have answered since the reset are used for such
+// requests. This rule guards against idle connections that a server, a machine that was unreachable for a while, or the network has dropped without notice.
 // Closing all idle connections instead would cost handshakes on a path that resets connections at random. The cost of the rule is
 // some unnecessary handshakes for writes in the first seconds after a server has failed.
 const suspectFor = 5 * clock.Micros(time.Second/time.Microsecond)
@@ -167,7 +167,7 @@
 	s.start(t)
 }
 
-// start assigns a task to an idle connection, or opens a new one for it.
+// start assigns a task to an idle connection, or opens a new connection for the task.
 func (s *Servers) start(t *task) {
 	p := s.endpointOf(t.Server)
 	if p == nil { // the server has no address, so nothing is sent
@@ -192,7 +192,7 @@
 	s.dial(t, p)
 }
 
-// dial opens a connection for a task and starts the connection's goroutine, which ends with the connection. Close waits for it.
+// dial opens a connection for a task and starts the connection's goroutine, which ends with the connection. Servers.Close waits for the goroutine.
 func (s *Servers) dial(t *task, p *serverEndpoint) {
 	l := &serverConn{all: s, endpoint: p, current: t}
 	s.mu.Lock()
