--- a/internal/gateway/floatingip.go
+++ b/internal/gateway/floatingip.go
@@ -135,7 +135,8 @@
 	}
 }
 
-// sampleHealth reads the gateway's health from the routing owner and stores it. Once the owner has stopped, sampleHealth stores nothing.
+// sampleHealth reads the gateway's health from the routing owner and stores it. Once the owner has stopped, sampleHealth stores
+// nothing.
 func (f *floatingAddresses) sampleHealth() {
 	sample := &healthSample{}
 	if !f.g.owner.Call(func(c *routing.Core) {
--- a/internal/gateway/maintenance.go
+++ b/internal/gateway/maintenance.go
@@ -379,7 +379,8 @@
 }
 
 // findMachine determines whether a command's machine is a gateway among the members or a server on the endpoint list, and sets
-// the command's kind and group. The prefix "gateway:" or "server:" states the kind; the prefix is required if a gateway and a server have the name.
+// the command's kind and group. The prefix "gateway:" or "server:" states the kind; the prefix is required if a gateway and a
+// server have the name.
 func (g *Gateway) findMachine(command *maintenance.Command) error {
 	kind, name, prefixed := strings.Cut(command.Name, ":")
 	if !prefixed || kind != "gateway" && kind != "server" {
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -16,8 +16,9 @@
 	stopMargin           = 200 * time.Millisecond
 )
 
-// minDrainDelay is the time after SIGTERM during which the gateway serves as before. A load balancer in front of the gateways keeps
-// sending clients to this gateway for up to 0.4 s, so a client whose connection is closed sooner would only reconnect to this gateway.
+// minDrainDelay is the time after SIGTERM during which the gateway serves as before. A load balancer in front of the gateways
+// keeps sending clients to this gateway for up to 0.4 s, so a client whose connection is closed sooner would only reconnect to
+// this gateway.
 const minDrainDelay = 450 * time.Millisecond
 
 // drainLead is how long before the limit of the shutdown the gateway begins to close clients, so that nearly all requests are
--- a/internal/protocol/advisories/advisories.go
+++ b/internal/protocol/advisories/advisories.go
@@ -76,9 +76,9 @@
 	flagsAll     = 1<<5 - 1
 )
 
-// Append encodes advisories as batches of at most MaxSize bytes, with sequence numbers from next on, and calls the function
-// send for each batch. Append returns the sequence number for the next batch. If it returns ErrAdvisory, the batches before the invalid advisory may already
-// have been sent.
+// Append encodes advisories as batches of at most MaxSize bytes, with sequence numbers from next on, and calls the function send
+// for each batch. Append returns the sequence number for the next batch. If it returns ErrAdvisory, the batches before the
+// invalid advisory may already have been sent.
 func Append(incarnation, next uint64, all []Advisory, send func([]byte)) (uint64, error) {
 	b := newBatch(incarnation, next)
 	for _, n := range all {
--- a/internal/protocol/discovery/http.go
+++ b/internal/protocol/discovery/http.go
@@ -79,8 +79,7 @@
 func (r *Response) Done() bool { return r.state == isDone }
 
 // Feed parses the next bytes and calls the function line for each complete line of the body. If line returns an error, Feed
-// returns that error.
-// Bytes after the response are ignored.
+// returns that error. Bytes after the response are ignored.
 func (r *Response) Feed(data []byte, line func([]byte) error) error {
 	for len(data) > 0 && r.state != isDone {
 		var err error
--- a/internal/protocol/discovery/objects.go
+++ b/internal/protocol/discovery/objects.go
@@ -6,7 +6,8 @@
 	"fmt"
 )
 
-// errUnbalanced is returned for a closing bracket without an opening bracket and for a string that continues past the end of its line.
+// errUnbalanced is returned for a closing bracket without an opening bracket and for a string that continues past the end of its
+// line.
 var errUnbalanced = errors.New("a change is not a JSON object")
 
 // Objects joins the lines of a watch into complete JSON values. A value may be on one line or, indented, on several. The zero
--- a/internal/protocol/members/decode.go
+++ b/internal/protocol/members/decode.go
@@ -26,8 +26,8 @@
 	r.b = nil
 }
 
-// eachField calls the function take for every field until the message ends. take must consume the field's value and return true, or return
-// false for an unknown field, which is then skipped.
+// eachField calls the function take for every field until the message ends. take must consume the field's value and return true,
+// or return false for an unknown field, which is then skipped.
 func (r *reader) eachField(take func(n protowire.Number, t protowire.Type) bool) {
 	for len(r.b) > 0 {
 		n, t, size := protowire.ConsumeTag(r.b)
@@ -156,7 +156,8 @@
 	return at
 }
 
-// record reads a record. It checks that the name, the address and the generation are set and, for a suspected member, that the reporter is set.
+// record reads a record. It checks that the name, the address and the generation are set and, for a suspected member, that the
+// reporter is set.
 func (r *reader) record() (record membership.Record) {
 	r.eachField(func(n protowire.Number, t protowire.Type) bool {
 		switch n {
--- a/internal/protocol/members/members.go
+++ b/internal/protocol/members/members.go
@@ -24,8 +24,8 @@
 // minMessageSize is a lower bound on the size in bytes of a message, which must at least have a kind.
 const minMessageSize = 2
 
-// purpose is the first part of the text that the signature of a datagram covers as its purpose. signedPurpose adds the deployment's name, so that the messages of
-// another deployment are not valid even with the same secret.
+// purpose is the first part of the text that the signature of a datagram covers as its purpose. signedPurpose adds the
+// deployment's name, so that the messages of another deployment are not valid even with the same secret.
 const purpose = "marblespan members 1\x00"
 
 // ErrSize is returned by Append for a message that is too large to be sent.
--- a/internal/protocol/sealed/fault.go
+++ b/internal/protocol/sealed/fault.go
@@ -4,9 +4,9 @@
 // datagram return a fault, and their caller counts and logs the datagram under the fault's name.
 type Fault uint8
 
-// The faults, in the order in which counters list them. This package detects BadVersion, UnknownKey and BadMAC. The codecs of
-// the protocols detect the other faults up to BadValue. The receivers detect the faults after BadValue, because only they know the peers
-// and the settings.
+// The faults, in the order in which counters list them. This package detects BadVersion, UnknownKey and BadMAC. The codecs of the
+// protocols detect the other faults up to BadValue. The receivers detect the faults after BadValue, because only they know the
+// peers and the settings.
 const (
 	NoFault      Fault = iota
 	BadLength          // the datagram is too short or too long, or its length contradicts its counts
--- a/internal/protocol/sealed/sealed.go
+++ b/internal/protocol/sealed/sealed.go
@@ -66,8 +66,8 @@
 	ReceiverStart uint64 // the receiver's start as the sender knows it; 0: not known
 }
 
-// Append appends the trailer to the message that begins at b[from], and then a signature of message and trailer. The trailer gets key's number instead
-// of t.Key.
+// Append appends the trailer to the message that begins at b[from], and then a signature of message and trailer. The trailer gets
+// key's number instead of t.Key.
 func Append(b []byte, from int, t Trailer, purpose string, key Key) []byte {
 	b = append(b, Version, key.Number, t.Sender, t.Receiver)
 	b = binary.BigEndian.AppendUint64(b, t.Start)
--- a/internal/protocol/vrrp/announce.go
+++ b/internal/protocol/vrrp/announce.go
@@ -9,8 +9,8 @@
 )
 
 // Announcement is sent to a receiver that directs connections to floating addresses (a switch, or a helper that is permitted to
-// change addresses). The announcement gives the address to which the receiver must direct the connections from now on. It takes the place
-// of a gratuitous ARP or a neighbor advertisement.
+// change addresses). The announcement gives the address to which the receiver must direct the connections from now on. It takes
+// the place of a gratuitous ARP or a neighbor advertisement.
 type Announcement struct {
 	VRID      uint8
 	Key       uint8
--- a/internal/session/discovery.go
+++ b/internal/session/discovery.go
@@ -25,8 +25,8 @@
 
 // DefaultCallTimeouts are the limits used in production. The gateway must know a change at most 6 s after discovery has it and is
 // reachable, whatever failed before. Within that time, the gateway must detect a silent watch and get an answer to the next call,
-// or give up a call that hangs and get an answer to the next call. For both cases, a test of package gateway checks the sum of these
-// limits and of the router's pauses between calls.
+// or give up a call that hangs and get an answer to the next call. For both cases, a test of package gateway checks the sum of
+// these limits and of the router's pauses between calls.
 var DefaultCallTimeouts = CallTimeouts{
 	Connect: 400 * time.Millisecond, Answer: 2 * time.Second, Silence: 2800 * time.Millisecond,
 }
@@ -311,8 +311,8 @@
 	return err
 }
 
-// postList posts a list to the owner, unless another call has replaced the call c. The first list from a new address ends the watch
-// at the previous address.
+// postList posts a list to the owner, unless another call has replaced the call c. The first list from a new address ends the
+// watch at the previous address.
 func (c *call) postList(list discovery.List) {
 	d := c.all
 	c.listReceived = true
--- a/internal/session/requests.go
+++ b/internal/session/requests.go
@@ -167,8 +167,8 @@
 	return c.all.SessionPositions != nil && in.arrival.HasSession && c.all.SessionPositions.Covers(in.statement.Class)
 }
 
-// submit adds a query to the client's queue of unanswered queries and dispatches its request. A read of a session whose position is stored is posted only when the
-// position has been looked up.
+// submit adds a query to the client's queue of unanswered queries and dispatches its request. A read of a session whose position
+// is stored is posted only when the position has been looked up.
 func (c *client) submit(in *received) {
 	wait := in.statement.TimeoutMillis
 	q := &pendingQuery{client: c, reserve: in.reserve}
@@ -193,8 +193,8 @@
 	})
 }
 
-// positionWaitShare limits how long a read waits for its session's position, to the read's time limit divided by this number. The rest
-// of the time is left for an attempt at the primary, for which no position is needed.
+// positionWaitShare limits how long a read waits for its session's position, to the read's time limit divided by this number. The
+// rest of the time is left for an attempt at the primary, for which no position is needed.
 const positionWaitShare = 4
 
 // dispatch posts a request to routing. An in-doubt write is passed to its resolver instead, which claims the write
--- a/internal/session/servers.go
+++ b/internal/session/servers.go
@@ -20,8 +20,8 @@
 // are set before the first use. The methods of routing.Servers are called by the owner's goroutine; each connection has a
 // goroutine of its own (Servers.dial), which ends with the connection.
 //
-// The map endpoints is a copy of the addresses on routing's endpoint list, for use by the connections' goroutines. The map is guarded
-// by mu. Only SetEndpoint and Forget, which the owner's goroutine calls, change the map.
+// The map endpoints is a copy of the addresses on routing's endpoint list, for use by the connections' goroutines. The map is
+// guarded by mu. Only SetEndpoint and Forget, which the owner's goroutine calls, change the map.
 type Servers struct {
 	Owner   Queue
 	InForce *settings.Live
@@ -54,9 +54,9 @@
 
 // suspectFor is the time after the reset of a reused connection during a request for which no idle connection to that server is
 // used for non-idempotent requests. After that time, only idle connections that have answered since the reset are used for such
-// requests. This rule guards against idle connections that a server, a machine that was unreachable for a while, or the network has dropped without notice.
-// Closing all idle connections instead would cost handshakes on a path that resets connections at random. The cost of the rule is
-// some unnecessary handshakes for writes in the first seconds after a server has failed.
+// requests. This rule guards against idle connections that a server, a machine that was unreachable for a while, or the network
+// has dropped without notice. Closing all idle connections instead would cost handshakes on a path that resets connections at
+// random. The cost of the rule is some unnecessary handshakes for writes in the first seconds after a server has failed.
 const suspectFor = 5 * clock.Micros(time.Second/time.Microsecond)
 
 // task is one attempt or one health check. It implements routing.Attempt.
@@ -122,7 +122,8 @@
 	}
 }
 
-// Forget removes a server's address and closes the idle connections to it. Forget is called when no attempt at the server is in flight.
+// Forget removes a server's address and closes the idle connections to it. Forget is called when no attempt at the server is in
+// flight.
 func (s *Servers) Forget(server policy.ServerID) {
 	s.mu.Lock()
 	p := s.endpoints[server]
@@ -192,7 +193,8 @@
 	s.dial(t, p)
 }
 
-// dial opens a connection for a task and starts the connection's goroutine, which ends with the connection. Servers.Close waits for the goroutine.
+// dial opens a connection for a task and starts the connection's goroutine, which ends with the connection. Servers.Close waits
+// for the goroutine.
 func (s *Servers) dial(t *task, p *serverEndpoint) {
 	l := &serverConn{all: s, endpoint: p, current: t}
 	s.mu.Lock()
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -19,10 +19,12 @@
 const backlogWait = 5 * time.Millisecond
 
 // maxBacklogTime is the longest time for which a closing listener continues to accept if the kernel's queue still has connections
-// after backlogWait. Connections may be left because the process had no processor time before, or because clients continue to connect.
+// after backlogWait. Connections may be left because the process had no processor time before, or because clients continue to
+// connect.
 const maxBacklogTime = time.Second
 
-// Listener accepts connections until Close. Serve starts one goroutine for each connection; Wait waits until these goroutines have ended.
+// Listener accepts connections until Close. Serve starts one goroutine for each connection; Wait waits until these goroutines
+// have ended.
 type Listener struct {
 	// FromGateways is true if other gateways connect instead of clients. Their connections do not count against the clients'
 	// quota. It is set before Serve is called.
@@ -47,10 +49,10 @@
 func (l *Listener) Addr() string { return l.tcp.Addr().String() }
 
 // Serve accepts connections until Close. It calls the function serve for each connection on a goroutine of its own, which ends
-// when the function returns.
-// It continues to accept when descriptors run short, because a request counts from the moment the kernel has received it. If no
-// descriptor is left for a connection, serve is called with admitted set to false and must reject the connection. Serve closes the
-// socket before it returns, so that no client can connect and then wait for a gateway that no longer accepts.
+// when the function returns. It continues to accept when descriptors run short, because a request counts from the moment the
+// kernel has received it. If no descriptor is left for a connection, serve is called with admitted set to false and must reject
+// the connection. Serve closes the socket before it returns, so that no client can connect and then wait for a gateway that no
+// longer accepts.
 func (l *Listener) Serve(serve func(conn *Conn, admitted bool)) {
 	defer l.tcp.Close()
 	var stopAt time.Time // the time at which a closing listener stops accepting; zero until the deadline set by Close has passed
