--- a/internal/gateway/floatingip.go
+++ b/internal/gateway/floatingip.go
@@ -151,7 +151,7 @@
 	if f.g.buffers.Reserve(minReadyBuffer) {
 		f.g.buffers.Release(minReadyBuffer)
 	} else if f.activeCount() == 0 {
-		sample.Ready = false // not if the gateway holds an address: it is then overloaded, not broken, and must keep the address
+		sample.Ready = false // a gateway that holds an address is overloaded, not broken, and stays ready to keep the address
 	}
 	sample.Conditions[vrrp.DescriptorsLow] = f.g.descriptors.NearLimit()
 	sample.at = time.Now()
--- a/internal/gateway/maintenance.go
+++ b/internal/gateway/maintenance.go
@@ -166,7 +166,7 @@
 	node := a.g.operators.Members.Node
 	a.logChanges(next.Order)
 	if known := next.EnrolledIncarnation(node); known > a.incarnation && !a.enrolled.Load() {
-		a.incarnation = known + 1 // the clock was set back since the last start; use an incarnation after the known one
+		a.incarnation = known + 1 // the clock was set back since the last start; use an incarnation after the known incarnation
 	}
 	a.enrolled.Store(next.EnrolledIncarnation(node) == a.incarnation)
 	var cordoned []string
@@ -196,7 +196,7 @@
 	a.order = next
 }
 
-// continueDrain carries out the steps of a drain that are due. Load balancers in front of the gateways and clients first have
+// continueDrain carries out the steps of a drain that are due. Clients, and load balancers in front of the gateways, first have
 // minDrainDelay to notice the drain, as on SIGTERM. After minDrainDelay, requests are rejected and idle clients are closed. After
 // takeoverTimeout, the floating addresses that no gateway has taken over are released. Both times count from the drain's start.
 func (a *maintenanceAgent) continueDrain() {
--- a/internal/gateway/members.go
+++ b/internal/gateway/members.go
@@ -19,7 +19,7 @@
 	"marblespan/internal/protocol/sealed"
 )
 
-// Version is the program's version, as in CHANGELOG.md. It is a variable so that a test build can set another one.
+// Version is the program's version, as in CHANGELOG.md. It is a variable so that a test build can set another version.
 var Version = "0.2.0"
 
 // members connects the gateway to the membership. It is nil in a gateway without a members section. Its callbacks self and
--- a/internal/protocol/advisories/advisories.go
+++ b/internal/protocol/advisories/advisories.go
@@ -32,7 +32,7 @@
 // gateways' clocks need not agree; Start and Position are Unix milliseconds of the server's clock.
 type Advisory struct {
 	UID      string
-	Start    uint64 // time at which the server last started; 0: long ago. The advisory is valid only for the server process that started then
+	Start    uint64 // time of the server's last start; 0: long ago. The advisory is valid only for the server process that started then
 	Healthy  bool   // the server responded to the last health check
 	Age      uint64 // time since the server's last health check
 	Role     Role
--- a/internal/protocol/members/members.go
+++ b/internal/protocol/members/members.go
@@ -24,7 +24,7 @@
 // minMessageSize is a lower bound on the size in bytes of a message, which must at least have a kind.
 const minMessageSize = 2
 
-// purpose is the first part of the text that the signature of a datagram covers as its purpose. signedPurpose adds the
+// purpose is the first part of the text that states what a datagram is signed for. signedPurpose adds the
 // deployment's name, so that the messages of another deployment are not valid even with the same secret.
 const purpose = "marblespan members 1\x00"
 
--- a/internal/session/answers.go
+++ b/internal/session/answers.go
@@ -157,8 +157,8 @@
 	}
 }
 
-// abandonQueries drops the queries that are still in the queue when client.run returns. The answers to them are freed: those that
-// have arrived now, and the others when they arrive. Each query without an answer is handled in one of two ways:
+// abandonQueries drops the queries that are still in the queue when client.run returns. Answers that have arrived are freed now,
+// and the others when they arrive. Each query without an answer is handled in one of two ways:
 //   - A query in routing: ClientDisconnected is posted, and routing cancels the attempt (see package routing).
 //   - An in-doubt write: Write.Cancel informs its resolver. An attempt already sent is not cancelled, so that a client that
 //     repeats the write gets its result.
--- a/internal/session/exchange.go
+++ b/internal/session/exchange.go
@@ -232,7 +232,7 @@
 
 // duplicateRefusalWindow is the time after a refusal during which a duplicate of the refusal may still arrive and be mistaken for
 // the answer to the next request. A refusal is an error that proves that its request did not run. If the next request is written
-// later than that, a duplicate has already arrived and ended the connection. The window is shorter than the pause of at least one
+// after the window, a duplicate has already arrived and ended the connection. The window is shorter than the pause of at least one
 // Tick that package policy makes after a server has rejected a request, so that the rejection of a retry at that server counts as
 // genuine.
 const duplicateRefusalWindow = 2 * time.Millisecond
--- a/internal/session/query.go
+++ b/internal/session/query.go
@@ -13,7 +13,7 @@
 type query struct {
 	text      *transport.Message
 	statement postgres.Statement
-	write     intents.Write // the in-doubt write, which this gateway must still hold the claim to when the last byte is sent; nil for other queries
+	write     intents.Write // the in-doubt write, which must still be claimed by this gateway when the last byte is sent; nil for other queries
 }
 
 // Share adds a reference to the statement's text.
--- a/internal/session/server_conn.go
+++ b/internal/session/server_conn.go
@@ -148,7 +148,7 @@
 // the connection is closed before the result is posted.
 func (l *serverConn) carryOut() (transport.Reason, error) {
 	t := l.task()
-	if l.served > 0 && !l.conn.Silent() { // the server closed the connection; nothing was written, so the task may run on another connection
+	if l.served > 0 && !l.conn.Silent() { // the server closed the connection before any write, so the task may run on another connection
 		l.end()
 		l.all.dial(t, l.endpoint)
 		return transport.EndPeerClosed, nil
--- a/internal/session/servers.go
+++ b/internal/session/servers.go
@@ -52,8 +52,8 @@
 	withdrawals atomic.Int64
 }
 
-// suspectFor is the time after the reset of a reused connection during a request for which no idle connection to that server is
-// used for non-idempotent requests. After that time, only idle connections that have answered since the reset are used for such
+// suspectFor begins when a reused connection is reset during a request. During this time, no idle connection to that server is
+// used for non-idempotent requests. After this time, only idle connections that have answered since the reset are used for such
 // requests. This rule guards against idle connections that a server, a machine that was unreachable for a while, or the network
 // has dropped without notice. Closing all idle connections instead would cost handshakes on a path that resets connections at
 // random. The cost of the rule is some unnecessary handshakes for writes in the first seconds after a server has failed.
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -141,7 +141,7 @@
 	return parts.WriteTo(c.tcp)
 }
 
-// Aborted reports whether Abort was called; the connection must not be used again.
+// Aborted reports whether Abort was called. After Abort, the connection must not be used again.
 func (c *Conn) Aborted() bool { return c.aborted.Load() }
 
 // Silent reports whether the peer has neither closed the connection nor sent unsolicited bytes. It queries the kernel, so that it
--- a/internal/transport/ends.go
+++ b/internal/transport/ends.go
@@ -33,7 +33,7 @@
 	EndProtocol                         // the peer violated the protocol
 	EndCancelRequest                    // the client sent a CancelRequest, which is the only message of its connection
 	EndReplaced                         // another call or address replaced the connection, or the connection must not be used any more
-	EndServerFailed                     // the server sent a fatal error or surplus bytes, or closed the connection in place of ReadyForQuery
+	EndServerFailed                     // the server sent a fatal error or surplus bytes, or ended the connection in place of ReadyForQuery
 	EndStatus                           // discovery answered with a status other than 200
 	EndCompleted                        // the complete answer has been read
 	EndDescriptors                      // no descriptor was left for the connection
