--- a/internal/gateway/maintenance.go
+++ b/internal/gateway/maintenance.go
@@ -21,8 +21,8 @@
 	"marblespan/internal/transport"
 )
 
-// reportInterval is how often a gateway sends its report to the ledger's leader. A change of the order does not wait for the
-// interval: the gateway acts on it at once.
+// reportInterval is how often a gateway sends its report to the ledger's leader. The gateway acts on a change of the order at
+// once, without waiting for the interval.
 const reportInterval = 250 * time.Millisecond
 
 // roleFreshness is how long after the last request to a group this gateway's own knowledge of the group's primary counts as
@@ -59,10 +59,10 @@
 	drainingSince time.Time // when draining began
 	cpuUsed       time.Duration
 	cpuSampledAt  time.Time
-	lastLoad      int // in thousandths
+	lastLoad      int // the last sample of sampleLoad, in thousandths
 }
 
-// indexedOrder is an order, and the ledger index whose state it reflects.
+// indexedOrder is an order with its index: the order reflects the ledger's state at this index.
 type indexedOrder struct {
 	index uint64
 	*maintenance.Order
@@ -166,7 +166,7 @@
 	node := a.g.operators.Members.Node
 	a.logChanges(next.Order)
 	if known := next.EnrolledIncarnation(node); known > a.incarnation && !a.enrolled.Load() {
-		a.incarnation = known + 1 // the clock was set back since the last start; use an incarnation after the known one
+		a.incarnation = known + 1 // the clock was set back since the last start; use an incarnation after the known incarnation
 	}
 	a.enrolled.Store(next.EnrolledIncarnation(node) == a.incarnation)
 	var cordoned []string
@@ -196,7 +196,7 @@
 	a.order = next
 }
 
-// continueDrain carries out the steps of a drain that are due. Load balancers in front of the gateways and clients first have
+// continueDrain carries out the steps of a drain that are due. Clients, and load balancers in front of the gateways, first have
 // minDrainDelay to notice the drain, as on SIGTERM. After minDrainDelay, requests are rejected and idle clients are closed. After
 // takeoverTimeout, the floating addresses that no gateway has taken over are released. Both times count from the drain's start.
 func (a *maintenanceAgent) continueDrain() {
@@ -269,7 +269,7 @@
 	}
 	spent := time.Duration(use.Utime.Nano() + use.Stime.Nano())
 	now := time.Now()
-	if now.Sub(a.cpuSampledAt) < reportInterval/2 { // too short an interval to measure
+	if now.Sub(a.cpuSampledAt) < reportInterval/2 { // the interval is too short for a measurement
 		return a.lastLoad
 	}
 	if !a.cpuSampledAt.IsZero() {
@@ -379,7 +379,8 @@
 }
 
 // findMachine determines whether a command's machine is a gateway among the members or a server on the endpoint list, and sets
-// the command's kind and group. The prefix "gateway:" or "server:" states the kind; it is required if the name is both.
+// the command's kind and group. The prefix "gateway:" or "server:" states the kind; the prefix is required if a gateway and a
+// server have the name.
 func (g *Gateway) findMachine(command *maintenance.Command) error {
 	kind, name, prefixed := strings.Cut(command.Name, ":")
 	if !prefixed || kind != "gateway" && kind != "server" {
--- a/internal/protocol/members/decode.go
+++ b/internal/protocol/members/decode.go
@@ -26,8 +26,8 @@
 	r.b = nil
 }
 
-// eachField calls take for every field until the message ends. take must consume the field's value and return true, or return
-// false for an unknown field, which is then skipped.
+// eachField calls the function take for every field until the message ends. take must consume the field's value and return true,
+// or return false for an unknown field, which is then skipped.
 func (r *reader) eachField(take func(n protowire.Number, t protowire.Type) bool) {
 	for len(r.b) > 0 {
 		n, t, size := protowire.ConsumeTag(r.b)
@@ -118,7 +118,8 @@
 	return s
 }
 
-// nested passes an embedded message to read, and records a fault of the embedded message as its own.
+// nested passes an embedded message to the function read. A fault in the embedded message is recorded as a fault of the message
+// that contains it.
 func (r *reader) nested(t protowire.Type, read func(*reader)) {
 	inner := reader{b: r.bytes(t)}
 	if r.fault != sealed.NoFault {
@@ -155,7 +156,8 @@
 	return at
 }
 
-// record reads a record. It checks that name, address and generation are set, and for a suspected member also the reporter.
+// record reads a record. It checks that the name, the address and the generation are set and, for a suspected member, that the
+// reporter is set.
 func (r *reader) record() (record membership.Record) {
 	r.eachField(func(n protowire.Number, t protowire.Type) bool {
 		switch n {
--- a/internal/session/requests.go
+++ b/internal/session/requests.go
@@ -20,11 +20,11 @@
 // received is a completely read query, with the memory reserved for it and its answer.
 type received struct {
 	text      *transport.Message
-	reserve   int                // bytes
+	reserve   int                // bytes of the memory budget reserved for the query and its answer
 	inForce   *settings.Snapshot // the settings in force when the query was read
 	arrival   policy.Arrival
 	statement postgres.Statement
-	inDoubt   bool // whether it is an in-doubt write, which must be claimed before it is sent
+	inDoubt   bool // the query is an in-doubt write, which must be claimed before it is sent
 }
 
 // release frees a query that does not become a request.
@@ -33,7 +33,7 @@
 	c.all.Buffers.Release(in.reserve)
 }
 
-// handleQuery reads one query and submits it as a request, or answers it without one.
+// handleQuery reads one query. It submits the query as a request, or answers it without creating a request.
 func (c *client) handleQuery(body int, deadline time.Time) (transport.Reason, error) {
 	in, reason, err := c.receive(body, deadline)
 	if in == nil {
@@ -90,8 +90,8 @@
 	text string
 }
 
-// parseRequest parses a query's text into the data of a request. An empty query does not become a request; it returns no error and
-// a statement without an ID.
+// parseRequest parses a query's text into the data of a request. An empty query does not become a request; for an empty query,
+// parseRequest returns no error and a statement without an ID.
 func (c *client) parseRequest(inForce *settings.Snapshot, text *transport.Message, body int) (
 	arrival policy.Arrival, statement postgres.Statement, fault *requestError,
 ) {
@@ -142,7 +142,7 @@
 }
 
 // admit reports whether a request may be submitted; if not, it rejects the request. A repeated in-doubt write is never rejected
-// here, because the write may already have run: its resolver determines the result.
+// here, because the write may already have run; the write's resolver determines the result.
 func (c *client) admit(in *received) bool {
 	mayHaveRun := in.inDoubt && in.statement.Retry
 	switch {
@@ -167,8 +167,8 @@
 	return c.all.SessionPositions != nil && in.arrival.HasSession && c.all.SessionPositions.Covers(in.statement.Class)
 }
 
-// submit queues a request for its answer and dispatches it. A read of a session whose position is stored is posted only when the
-// position has been looked up.
+// submit adds a query to the client's queue of unanswered queries and dispatches its request. A read of a session whose position
+// is stored is posted only when the position has been looked up.
 func (c *client) submit(in *received) {
 	wait := in.statement.TimeoutMillis
 	q := &pendingQuery{client: c, reserve: in.reserve}
@@ -193,8 +193,8 @@
 	})
 }
 
-// positionWaitShare limits how long a read waits for its session's position: for its time limit divided by this number. The rest
-// of the time is left for an attempt at the primary, for which no position is needed.
+// positionWaitShare limits how long a read waits for its session's position, to the read's time limit divided by this number. The
+// rest of the time is left for an attempt at the primary, for which no position is needed.
 const positionWaitShare = 4
 
 // dispatch posts a request to routing. An in-doubt write is passed to its resolver instead, which claims the write
--- a/internal/session/servers.go
+++ b/internal/session/servers.go
@@ -20,8 +20,8 @@
 // are set before the first use. The methods of routing.Servers are called by the owner's goroutine; each connection has a
 // goroutine of its own (Servers.dial), which ends with the connection.
 //
-// The map endpoints is a copy of the addresses on routing's endpoint list, for use by the connections' goroutines. It is guarded
-// by mu, and only SetEndpoint and Forget, called by the owner's goroutine, change it.
+// The map endpoints is a copy of the addresses on routing's endpoint list, for use by the connections' goroutines. The map is
+// guarded by mu. Only SetEndpoint and Forget, which the owner's goroutine calls, change the map.
 type Servers struct {
 	Owner   Queue
 	InForce *settings.Live
@@ -52,11 +52,11 @@
 	withdrawals atomic.Int64
 }
 
-// suspectFor is how long no idle connection to a server is used for non-idempotent requests after a reused connection was reset
-// during a request. After that time, only idle connections that have answered since the reset are used for them. This guards
-// against idle connections that a server, a machine that was unreachable for a while, or the network has dropped without notice.
-// Closing all idle connections instead would cost handshakes on a path that resets connections at random. The cost of the rule is
-// some unnecessary handshakes for writes in the first seconds after a server has failed.
+// suspectFor begins when a reused connection is reset during a request. During this time, no idle connection to that server is
+// used for non-idempotent requests. After this time, only idle connections that have answered since the reset are used for such
+// requests. This rule guards against idle connections that a server, a machine that was unreachable for a while, or the network
+// has dropped without notice. Closing all idle connections instead would cost handshakes on a path that resets connections at
+// random. The cost of the rule is some unnecessary handshakes for writes in the first seconds after a server has failed.
 const suspectFor = 5 * clock.Micros(time.Second/time.Microsecond)
 
 // task is one attempt or one health check. It implements routing.Attempt.
@@ -68,7 +68,7 @@
 	stop              context.CancelFunc
 
 	mu   sync.Mutex
-	conn *serverConn // the connection that carries the task out, set before it connects
+	conn *serverConn // the connection that carries out the task; set before the connection is dialled
 }
 
 // Cancel cancels the task, whatever its state. It does not block.
@@ -122,7 +122,8 @@
 	}
 }
 
-// Forget removes a server's address and closes the idle connections to it. It is called when no attempt at the server is in flight.
+// Forget removes a server's address and closes the idle connections to it. Forget is called when no attempt at the server is in
+// flight.
 func (s *Servers) Forget(server policy.ServerID) {
 	s.mu.Lock()
 	p := s.endpoints[server]
@@ -167,7 +168,7 @@
 	s.start(t)
 }
 
-// start assigns a task to an idle connection, or opens a new one for it.
+// start assigns a task to an idle connection, or opens a new connection for the task.
 func (s *Servers) start(t *task) {
 	p := s.endpointOf(t.Server)
 	if p == nil { // the server has no address, so nothing is sent
@@ -192,7 +193,8 @@
 	s.dial(t, p)
 }
 
-// dial opens a connection for a task and starts the connection's goroutine, which ends with the connection. Close waits for it.
+// dial opens a connection for a task and starts the connection's goroutine, which ends with the connection. Servers.Close waits
+// for the goroutine.
 func (s *Servers) dial(t *task, p *serverEndpoint) {
 	l := &serverConn{all: s, endpoint: p, current: t}
 	s.mu.Lock()
