--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,6 @@
-// Package cli implements the command line of the programs marblespan and marblespan-raft, which is marblespan with the state store
-// linked in. One command runs the gateway; the others query a running gateway over its control socket. Both programs call Main.
+// Package cli implements the command line of the programs marblespan and marblespan-raft. The program marblespan-raft is
+// marblespan with the state store linked in. One command runs the gateway; the others query a running gateway over its control
+// socket. Both programs call Main.
 //
 // Each command has a file. The type query has the code that the querying commands share. formerCommands lists the names that
 // commands had in earlier versions. The package keeps no state between calls.
@@ -62,7 +63,8 @@
 	args []string  // all arguments, for marblespan-raft
 }
 
-// noArguments is the argument check of commands that take none. It replaces the check of cobra, whose errors have no type.
+// noArguments is the argument check of commands that take no arguments. It replaces the check of cobra, whose errors have no
+// type.
 func noArguments(cmd *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return usageError{fmt.Errorf("%s takes no arguments, and has %q", cmd.CommandPath(), args)}
--- a/internal/cli/former.go
+++ b/internal/cli/former.go
@@ -6,8 +6,8 @@
 	"github.com/spf13/cobra"
 )
 
-// formerCommands maps the present names of commands to their names in earlier versions. subcommands does the same for those of
-// their subcommands whose names changed.
+// formerCommands maps the present names of commands to the commands' names in earlier versions. The field subcommands does the
+// same for the subcommands whose names have changed.
 var formerCommands = map[string]struct {
 	name        string
 	subcommands map[string]string
@@ -16,12 +16,12 @@
 	"maintenance": {"maintain", map[string]string{"cancel": "drop", "pause": "hold", "resume": "go"}},
 }
 
-// asFormer changes the names of a command and its subcommands to those that they had in earlier versions. Under the former names,
-// the commands work as under the present ones. They print a warning with the present name on standard error, and the help does not
+// asFormer changes the names of a command and its subcommands to their names in earlier versions. Under the former names, the
+// commands work as under the present names. They print a warning with the present name on standard error, and the help does not
 // list them.
 func (c *command) asFormer(group *cobra.Command) *cobra.Command {
 	former := formerCommands[group.Name()]
-	group.SetOut(c.errs) // where cobra prints Deprecated; the help and the answers go to c.out
+	group.SetOut(c.errs) // the writer to which cobra prints Deprecated; the help and the answers go to c.out
 	help := group.HelpFunc()
 	group.SetHelpFunc(func(cmd *cobra.Command, args []string) {
 		cmd.SetOut(c.out)
--- a/internal/cli/maintenance.go
+++ b/internal/cli/maintenance.go
@@ -152,8 +152,9 @@
 	return w.Flush()
 }
 
-// awaitOut waits until all machines are out of service. It prints what each of them waits for whenever that changes. If the
-// gateway does not answer, awaitOut tries again, because the gateway may itself be the machine that is taken out.
+// awaitOut waits until all machines are out of service. It prints a machine's state and what the machine waits for whenever
+// either changes. If the gateway does not answer, awaitOut tries again, because that gateway may itself be the machine that is
+// taken out.
 func (q *query) awaitOut(machines []string) error {
 	printed := map[string]string{} // the last line printed for each machine; the key "" has the last error
 	for waiting := machines; len(waiting) > 0; time.Sleep(waitPoll) {
@@ -184,7 +185,7 @@
 	return nil
 }
 
-// progress returns a line about a machine's state, and whether the machine is out of service or has been. It returns an error if
+// progress returns a line about a machine's state, and whether the machine is or has been out of service. It returns an error if
 // the machine will not be taken out.
 func progress(s gateway.MaintenanceStatus, machine string) (text string, out bool, err error) {
 	m, known := findMachine(s, machine)
@@ -203,7 +204,8 @@
 	return text, m.State == "returning" || m.State == "back", nil
 }
 
-// findMachine returns the last entry in the order for a name as an operator writes it: NAME, gateway:NAME or server:NAME.
+// findMachine returns the last entry in the order for a machine. An operator writes the machine's name as NAME, gateway:NAME or
+// server:NAME.
 func findMachine(s gateway.MaintenanceStatus, name string) (machine gateway.MachineStatus, known bool) {
 	kind, bare, hasKind := strings.Cut(name, ":")
 	if !hasKind || kind != "gateway" && kind != "server" {
--- a/internal/cli/query.go
+++ b/internal/cli/query.go
@@ -61,7 +61,7 @@
 	return e.Encode(v)
 }
 
-// milliseconds converts a duration, which an answer has in milliseconds.
+// milliseconds converts a number of milliseconds from an answer to a duration.
 func milliseconds(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
 // roundTrip formats a round-trip time for a table.
--- a/internal/cli/statestore.go
+++ b/internal/cli/statestore.go
@@ -16,10 +16,10 @@
 	"marblespan/internal/gateway"
 )
 
-// raftProgram is the program that includes the state store. It is in the same directory as this one.
+// raftProgram is the program that includes the state store. It is in the same directory as the running program.
 const raftProgram = "marblespan-raft"
 
-// execRaftProgram replaces this process with the program that includes the state store. It returns only if that fails.
+// execRaftProgram replaces this process with the program that includes the state store. It returns only if the replacement fails.
 func execRaftProgram(args []string) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -92,8 +92,8 @@
 			if gateway.CheckStore != nil {
 				return gateway.CheckStore(args[0], q.json, q.out)
 			}
-			// The present name is used even if the operator used the former one. The warning about the former name has already been
-			// printed, and marblespan-raft must not print it again.
+			// The present name of the command is used even if the operator used the former name. The warning about the former
+			// name has already been printed, and marblespan-raft must not print it again.
 			raftArgs := []string{"state-store", "check", "--json=" + strconv.FormatBool(q.json), "--", args[0]}
 			return execRaftProgram(raftArgs)
 		},
--- a/internal/config/former.go
+++ b/internal/config/former.go
@@ -12,7 +12,7 @@
 type formerKey struct{ section, name string }
 
 // formerWords maps the directives and section keywords of earlier versions to their present names. The sections in the keys have
-// their present names. A file may still use a former word; the gateway logs a warning for each one.
+// their present names. A file may still use a former word; the gateway logs a warning for each former word.
 var formerWords = map[formerKey]string{
 	{"", "copies"}: "state-store",
 
@@ -73,8 +73,8 @@
 }
 
 // newWordFor returns the present name of a directive in the given section; ok is false if the directive is not a former word. The
-// former word copies began a section, and was also a directive of that section. Inside the section and with a value, it is taken
-// for the directive; otherwise it begins the section.
+// former word copies began a section, and was also a directive of that section. Inside that section and with a value, newWordFor
+// takes copies for the directive. Otherwise copies begins the section.
 func newWordFor(section string, d lines.Directive) (newWord string, ok bool) {
 	asSection, beginsSection := formerWords[formerKey{"", d.Name}]
 	asDirective, isDirective := formerWords[formerKey{section, d.Name}]
@@ -84,7 +84,8 @@
 	return asSection, beginsSection
 }
 
-// restoreFormerWords changes the faults of lines that use a former word so that they name the directive as the file writes it.
+// restoreFormerWords changes the faults of lines that use a former word so that each fault names the directive as the file writes
+// it.
 func restoreFormerWords(faults lines.Faults, replaced []FormerWord) {
 	for i := range faults {
 		for _, w := range replaced {
--- a/internal/config/indoubt.go
+++ b/internal/config/indoubt.go
@@ -13,14 +13,15 @@
 	maxRetention = 24 * time.Hour
 )
 
-// InDoubt is a section in-doubt: how the outcomes of in-doubt writes of one class are determined, and for how long they are kept.
+// InDoubt is a section in-doubt. It sets how the outcomes of in-doubt writes of one class are determined, and for how long the
+// outcomes are kept.
 type InDoubt struct {
 	lines.Source
 	Class       string        `title:"true" validate:"required,max=64"`
 	Clients     string        `conf:"clients" validate:"oneof=mark do-not-mark"` // whether clients mark a request that they repeat
 	Order       string        `conf:"order" validate:"oneof=safe fast"`          // safe: the outcome is stored before the client gets its answer
 	Retention   time.Duration `conf:"retention"`
-	MaxInFlight int           `conf:"max-in-flight" validate:"min=1,max=16384"`  // writes in flight at a time
+	MaxInFlight int           `conf:"max-in-flight" validate:"min=1,max=16384"`  // maximum number of writes in flight
 	Lookup      []string      `conf:"lookup" validate:"max=2,dive,min=1,max=64"` // the class of a read, and the text in its result that shows that a write ran
 }
 
--- a/internal/config/lines/check.go
+++ b/internal/config/lines/check.go
@@ -47,7 +47,7 @@
 	return faults
 }
 
-// checkStruct checks the directives of one section, or those before the first section.
+// checkStruct checks the directives of one section, or the directives before the first section.
 func checkStruct(file string, section reflect.Value) (faults Faults) {
 	violations, ok := errors.AsType[validator.ValidationErrors](checker().Struct(section.Addr().Interface()))
 	if !ok {
--- a/internal/config/lines/decode.go
+++ b/internal/config/lines/decode.go
@@ -12,12 +12,12 @@
 // directives:
 //
 //	conf:"name"          a directive. A slice accepts any number of them; a struct takes the values in the order of its fields.
-//	conf:"name,secret"   likewise, but Print hides the last value
+//	conf:"name,secret"   a directive whose last value Print hides
 //	section:"name"       a pointer to a struct, or a slice of structs. Each section fills one struct.
 //	title:"true"         in a section's struct: the value on the line that begins the section
 //
-// A section's struct embeds Source, which records the lines that it was read from. If a type has a method Defaults, Decode calls
-// it before it sets any field. Decode returns all faults, not only the first.
+// A section's struct embeds Source, which records the lines that the section was read from. If a type has a method Defaults,
+// Decode calls that method before it sets any field of the type. Decode returns all faults, not only the first.
 func Decode(file string, directives []Directive, into any) Faults {
 	root := reflect.ValueOf(into).Elem()
 	applyDefaults(root)
@@ -42,7 +42,8 @@
 	at   map[string][]int // the lines of each directive
 }
 
-// LineOf returns the line of the i-th occurrence of a directive, or the line of the section if there is no such occurrence.
+// LineOf returns the line of the i-th occurrence of a directive, or the line that begins the section if there is no such
+// occurrence.
 func (s Source) LineOf(directive string, i int) int {
 	if list := s.at[directive]; i < len(list) {
 		return list[i]
@@ -70,15 +71,15 @@
 	faults   Faults
 }
 
-// repeatedSection is a section that becomes an element of a slice. It is appended after all lines are read, because a slice may
-// move its elements when it grows, and decoder.section would then refer to the old copy.
+// repeatedSection is a section that becomes an element of a slice. Decode appends the section after it has read all lines,
+// because a slice may move its elements when it grows, and decoder.section would then refer to the old copy.
 type repeatedSection struct{ field, section reflect.Value }
 
 func (d *decoder) fault(x Directive, format string, a ...any) {
 	d.faults = append(d.faults, Fault{d.file, x.Line, x.Name, fmt.Sprintf(format, a...)})
 }
 
-// decodeSection begins a section: it creates the section's struct and stores it in the field that has the keyword as its tag.
+// decodeSection begins a section: it creates the section's struct and stores the struct in the field whose tag is the keyword.
 func (d *decoder) decodeSection(field reflect.Value, keyword Directive) {
 	section := reflect.New(field.Type().Elem())
 	applyDefaults(section.Elem())
@@ -178,7 +179,7 @@
 	}
 }
 
-// partsOf returns the values that a directive's values are parsed into: the fields of a struct, or the field itself.
+// partsOf returns the variables that a directive's values are parsed into. These are the fields of a struct, or the field itself.
 func partsOf(field reflect.Value) []reflect.Value {
 	if kindOf(field.Type()) != composite {
 		return []reflect.Value{field}
@@ -197,7 +198,7 @@
 	}
 }
 
-// sourceOf returns the Source that a section's struct embeds, or a new one if it embeds none.
+// sourceOf returns the Source that a section's struct embeds, or a new Source if the struct embeds none.
 func sourceOf(section reflect.Value) *Source {
 	if f := section.FieldByName("Source"); f.IsValid() {
 		return f.Addr().Interface().(*Source)
@@ -205,7 +206,7 @@
 	return &Source{}
 }
 
-// sectionField returns the field that has a section's keyword as its tag.
+// sectionField returns the field whose tag is a section's keyword.
 func sectionField(root reflect.Value, keyword string) (field reflect.Value, ok bool) {
 	for i := range root.NumField() {
 		if root.Type().Field(i).Tag.Get("section") == keyword {
@@ -215,7 +216,8 @@
 	return reflect.Value{}, false
 }
 
-// directiveName returns the name of the directive that sets a field, or "" if there is none, and whether its value is a secret.
+// directiveName returns the name of the directive that sets a field, or "" if no directive sets the field. secret reports whether
+// the directive's value is a secret.
 func directiveName(f reflect.StructField) (name string, secret bool) {
 	name, option, _ := strings.Cut(f.Tag.Get("conf"), ",")
 	return name, option == "secret"
--- a/internal/config/lines/lines.go
+++ b/internal/config/lines/lines.go
@@ -1,7 +1,7 @@
 // Package lines reads configuration files like those of classic Unix daemons. Each line has one directive: a name and its values.
 // A line with a keyword begins a section, which ends at the next keyword. A comment begins with #. A value that contains blanks
-// or # is written in double quotes. The package has no settings of its own: the tags of the caller's struct define which
-// directives there are.
+// or # is written in double quotes. The package has no settings of its own. The tags of the caller's struct define the
+// directives.
 //
 // Package config is the main caller. Parse splits a text into directives, Decode fills the caller's struct from them, Check
 // applies the validate tags, and Print writes the settings. The package's only state is the parser and the validator, which are
@@ -28,7 +28,7 @@
 // Fault is one error in a file.
 type Fault struct {
 	File      string
-	Line      int // 0: the fault concerns the file as a whole
+	Line      int // 0 if the fault concerns the entire file
 	Directive string
 	Text      string
 }
@@ -66,7 +66,8 @@
 	Values []string `parser:"@(Word | String)*"`
 }
 
-// grammar is built when the first line is parsed, because a gateway without an operators' file does not need it.
+// grammar returns the parser of lines. The parser is built when the first line is parsed, because a gateway without an operators'
+// file does not need the parser.
 var grammar = sync.OnceValue(func() *participle.Parser[row] {
 	return participle.MustBuild[row](
 		participle.Lexer(lexer.MustSimple([]lexer.SimpleRule{
@@ -79,7 +80,7 @@
 	)
 })
 
-// Parse reads a text line by line. A line that cannot be parsed is returned as a fault instead of a directive.
+// Parse reads a text line by line. For a line that it cannot parse, Parse returns a fault instead of a directive.
 func Parse(file, text string) ([]Directive, Faults) {
 	var all []Directive
 	var faults Faults
--- a/internal/config/lines/value.go
+++ b/internal/config/lines/value.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// Size is a number of bytes. In a file it may have the suffix k, m or g for a power of 1,024.
+// Size is a number of bytes. In a file, the number may have the suffix k, m or g for a power of 1,024.
 type Size int64
 
-// kind is the kind of a field's type. It determines how many values the field's directive takes.
+// kind classifies the type of a field. The kind determines how many values the field's directive takes.
 type kind uint8
 
 const (
@@ -55,7 +55,7 @@
 	return parseBasic(field, text)
 }
 
-// parseBasic parses a value into a field of a basic type. It panics if settings cannot have the type, because that is a
+// parseBasic parses a value into a field of a basic type. It panics if settings must not have the type, because such a type is a
 // programming error.
 func parseBasic(field reflect.Value, text string) error {
 	switch field.Kind() {
@@ -107,7 +107,8 @@
 	return t.String()
 }
 
-// parseDuration parses a duration. A number without a unit, such as "100", is an error because it is ambiguous, except "0".
+// parseDuration parses a duration. A number without a unit, such as "100", is an error, because its unit is unknown. The
+// exception is "0".
 func parseDuration(text string) (time.Duration, error) {
 	v, err := time.ParseDuration(text)
 	if err != nil || strings.TrimLeft(text, "0123456789") == "" && text != "0" {
--- a/internal/config/maintenance.go
+++ b/internal/config/maintenance.go
@@ -15,12 +15,12 @@
 // maxWait is the upper bound of settle-time, return-within, behind and unheard.
 const maxWait = time.Hour
 
-// Maintenance is the section maintenance: the limits within which machines are taken out of service.
+// Maintenance is the section maintenance. It holds the limits within which machines are taken out of service.
 type Maintenance struct {
 	lines.Source
-	MaxGateways     int           `conf:"max-gateways" validate:"min=1,max=1024"` // gateways out at the same time
-	MaxPerZone      int           `conf:"max-per-zone" validate:"min=1,max=1024"` // gateways of one zone out at the same time
-	MaxServers      int           `conf:"max-servers" validate:"min=1,max=1024"`  // database servers out at the same time, at most one of each group
+	MaxGateways     int           `conf:"max-gateways" validate:"min=1,max=1024"` // maximum number of gateways out at the same time
+	MaxPerZone      int           `conf:"max-per-zone" validate:"min=1,max=1024"` // maximum number of gateways of one zone out at the same time
+	MaxServers      int           `conf:"max-servers" validate:"min=1,max=1024"`  // maximum number of servers out at the same time, at most one of each group
 	KeepReady       int           `conf:"keep-ready" validate:"min=0,max=100"`    // ready gateways that must remain in a zone
 	MaxLoad         int           `conf:"max-load" validate:"min=1,max=100"`      // load that the remaining gateways may have to carry, in percent of their capacity
 	DefaultDuration time.Duration `conf:"default-duration"`                       // duration of the work, if the operator gives none
--- a/internal/config/members.go
+++ b/internal/config/members.go
@@ -7,20 +7,20 @@
 	"marblespan/internal/config/lines"
 )
 
-// The default of the interval between probes of members, and its bounds.
+// The default and the bounds of the interval between probes of members.
 const (
 	defaultProbeInterval = 200 * time.Millisecond
 	minProbeInterval     = 50 * time.Millisecond
 	maxProbeInterval     = 10 * time.Second
 )
 
-// Members is the section members: how the gateways detect which of them are alive.
+// Members is the section members. It sets how the gateways detect which of them are alive.
 type Members struct {
 	lines.Source
 	Node       string           `conf:"node" validate:"required,max=40,printascii"`
 	Deployment string           `conf:"deployment" validate:"max=40"`
 	Bind       netip.AddrPort   `conf:"bind" validate:"required"`
-	Advertise  netip.AddrPort   `conf:"advertise"` // the address at which other members reach this gateway, if it is not Bind
+	Advertise  netip.AddrPort   `conf:"advertise"` // the address at which other members reach this gateway, if that address is not Bind
 	Join       []netip.AddrPort `conf:"join" validate:"max=64"`
 	Keys       []Key            `conf:"key,secret" validate:"min=1,max=4,unique=Number,dive"`
 	Zone       string           `conf:"zone" validate:"max=20"`
@@ -29,7 +29,8 @@
 	Via        []Via            `conf:"via" validate:"max=1024,unique=At"`
 }
 
-// Via maps the address At that a member advertises to the address Via at which this gateway reaches the member.
+// Via replaces an address that a member advertises. The field At is the advertised address, and the field Via is the address at
+// which this gateway reaches the member.
 type Via struct{ At, Via netip.AddrPort }
 
 // Key is a shared secret. A gateway signs messages with the first key of a section, and accepts messages that are signed with any
--- a/internal/config/operators.go
+++ b/internal/config/operators.go
@@ -31,8 +31,8 @@
 	formerWords []FormerWord
 }
 
-// LoadOperators reads the operators' file at path. An empty path means that there is no file, and all of its features are off. An
-// error is of type lines.Faults and lists everything that is wrong with the file.
+// LoadOperators reads the operators' file at path. An empty path means that there is no file and that all features of the file
+// are off. An error is of type lines.Faults and lists everything that is wrong with the file.
 func LoadOperators(path string) (*Operators, error) {
 	if path == "" {
 		return &Operators{}, nil
@@ -47,13 +47,14 @@
 	return ParseOperators(path, string(raw))
 }
 
-// ParseOperators reads the content of an operators' file; file is its name in messages. An error is of type lines.Faults.
+// ParseOperators reads the content of an operators' file; the parameter file is the file's name in messages. An error is of type
+// lines.Faults.
 func ParseOperators(file, text string) (*Operators, error) {
 	o := &Operators{}
 	directives, faults := lines.Parse(file, text)
 	o.formerWords = replaceFormerWords(file, directives)
 	faults = append(faults, lines.Decode(file, directives, o)...)
-	if len(faults) == 0 { // otherwise Check would also report a value that could not be parsed as missing
+	if len(faults) == 0 { // otherwise Check would also report an unparsable value as missing
 		faults = lines.Check(file, o)
 		faults = append(faults, o.checkSections(file)...)
 	}
@@ -101,7 +102,7 @@
 	return faults.faults
 }
 
-// RestartRequired returns the directives that differ in next and cannot be changed in a running gateway.
+// RestartRequired returns the names of the directives whose values differ in next and cannot be changed in a running gateway.
 func (o *Operators) RestartRequired(next *Operators) []string {
 	var changed []string
 	compare := func(name string, same bool) {
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -30,7 +30,8 @@
 	defaultSockets  = 1024
 )
 
-// The bounds of the limits. The lower bounds are the least that the gateway can work with; the upper bounds exceed any machine.
+// The bounds of the limits. The lower bounds are the least that the gateway can work with; the upper bounds exceed the resources
+// of any machine.
 const (
 	maxCores    = 1024
 	minMemoryMB = 32
@@ -48,7 +49,7 @@
 	Cores        float64
 	MemoryMB     int
 	Sockets      int
-	KnownServers discovery.List     // the last endpoint list that the platform had from discovery before the start
+	KnownServers discovery.List     // the last endpoint list that the platform had received from discovery before the start
 	InForce      *settings.Snapshot // the parsed settings
 	Settings     map[string]any     // as in the file, so that a reload can log which keys changed
 }
@@ -89,8 +90,8 @@
 	Sockets  *int     `json:"sockets"`
 }
 
-// Parse reads the content of the configuration file. The name and the addresses may come from the environment if the file does not
-// set them. Its errors are of type *settings.KeyError.
+// Parse reads the content of the configuration file. The name and the addresses may come from the environment if the file does
+// not set them. The errors of Parse are of type *settings.KeyError.
 func Parse(raw []byte, env func(string) string) (*Config, error) {
 	var w fileConfig
 	if err := json.Unmarshal(raw, &w); err != nil {
@@ -191,7 +192,7 @@
 }
 
 // RestartRequired returns the keys whose values differ in next and cannot be changed in a running gateway. The seed and the known
-// endpoint list are not among them, because they only matter at a start.
+// endpoint list are not among these keys, because a gateway uses them only at its start.
 func (c *Config) RestartRequired(next *Config) []string {
 	var keys []string
 	for _, k := range []struct {
@@ -232,7 +233,7 @@
 	return keys
 }
 
-// valueOr returns the value that the file gives, or the fallback if it gives none.
+// valueOr returns the value that the file gives, or the fallback if the file gives no value.
 func valueOr(given *string, fallback string) string {
 	if given != nil && *given != "" {
 		return *given
--- a/internal/config/statestore.go
+++ b/internal/config/statestore.go
@@ -17,15 +17,15 @@
 	maxMarksTTL    = 24 * time.Hour
 )
 
-// minRepairHeartbeats is the lower bound of repair-after, in heartbeats. It is this high because a node that has missed fewer
-// heartbeats may still be alive.
+// minRepairHeartbeats is the lower bound of repair-after, in heartbeats. The bound is this high because a node that has missed
+// fewer heartbeats may still be alive.
 const minRepairHeartbeats = 20
 
 // AllMembers in the list of Raft nodes means that every gateway is a Raft node.
 const AllMembers = "all"
 
-// StateStore is the section state-store: the settings of the gateways' replicated state, and the gateways that run its Raft
-// groups.
+// StateStore is the section state-store. It holds the settings of the gateways' replicated state, and names the gateways that run
+// the state's Raft groups.
 type StateStore struct {
 	lines.Source
 	RaftNodes    []string      `conf:"raft-nodes" validate:"min=1,max=1024,dive,min=1,max=40"` // names of gateways, or AllMembers
@@ -34,9 +34,9 @@
 	Storage      []string      `conf:"storage" validate:"min=1,max=2"` // "memory", or "disk" and a path
 	Witness      string        `conf:"witness" validate:"max=200"`
 	Heartbeat    time.Duration `conf:"heartbeat"`
-	RepairAfter  time.Duration `conf:"repair-after"` // how long a silent node keeps its replicas
+	RepairAfter  time.Duration `conf:"repair-after"` // how long a silent node keeps its members of Raft groups
 	MaxRepairs   int           `conf:"max-repairs" validate:"min=1,max=64"`
-	RepairRate   lines.Size    `conf:"repair-rate" validate:"min=65536"` // bytes a second
+	RepairRate   lines.Size    `conf:"repair-rate" validate:"min=65536"` // bytes per second
 	Memory       lines.Size    `conf:"memory" validate:"min=65536"`      // bytes for the records of one shard
 	SessionMarks []string      `conf:"session-marks" validate:"max=64"`  // classes of requests with stored session positions
 	MarksMode    string        `conf:"marks-mode" validate:"oneof=safe fast"`
--- a/internal/config/vrrp.go
+++ b/internal/config/vrrp.go
@@ -19,7 +19,7 @@
 	maxAdvertisementInterval = 40950 * time.Millisecond
 )
 
-// VRRP is the section vrrp: how the gateways exchange messages about floating addresses.
+// VRRP is the section vrrp. It sets how the gateways exchange messages about floating addresses.
 type VRRP struct {
 	lines.Source
 	Node     uint8            `conf:"node" validate:"required"`
@@ -29,13 +29,13 @@
 	Announce []netip.AddrPort `conf:"announce" validate:"max=16"`
 }
 
-// Peer is another gateway: its node number and the address of its VRRP socket.
+// Peer holds the node number of another gateway and the address of that gateway's VRRP socket.
 type Peer struct {
 	Node    uint8 `validate:"required"`
 	Address netip.AddrPort
 }
 
-// Group is a section group: one or more floating addresses that move together.
+// Group is a section group. It describes one or more floating addresses that move together.
 type Group struct {
 	lines.Source
 	Name         string         `title:"true" validate:"required,max=40"`
@@ -57,8 +57,8 @@
 	Step      uint8
 }
 
-// Damping keeps a gateway that loses the address within Window after it became active from becoming active again at once. The first
-// delay is InitialHold. Each further delay is twice as long as the one before, up to MaxHold.
+// Damping delays the next activation of a gateway that loses the address within Window after the gateway became active. The first
+// delay is InitialHold. Each further delay is twice as long as the previous delay, up to MaxHold.
 type Damping struct{ Window, InitialHold, MaxHold time.Duration }
 
 // Defaults sets the values that apply where the file does not set a directive of the section.
@@ -89,7 +89,7 @@
 
 // checkGroups checks each group, and that no two groups have the same name, VRID or listen address.
 func checkGroups(operators *Operators, faults *faultList) {
-	vrids, names, listeners := map[uint8]string{}, map[string]bool{}, map[netip.AddrPort]string{} // of the groups checked so far
+	vrids, names, listeners := map[uint8]string{}, map[string]bool{}, map[netip.AddrPort]string{} // taken by the groups checked so far
 	for _, g := range operators.Groups {
 		if operators.VRRP == nil {
 			faults.add(g.Source, "group", 0, "requires a vrrp section")
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -42,8 +42,9 @@
 	done     sync.WaitGroup
 }
 
-// Listen creates the socket at path and starts a server that calls answer for each question, from several goroutines. A socket that
-// a dead process has left is replaced. It is an error if a process still accepts connections at path, or if path is another file.
+// Listen creates the socket at path and starts a server that calls the function answer for each question, from several
+// goroutines. A socket that a dead process has left is replaced. It is an error if a process still accepts connections at path,
+// or if path is another file.
 func Listen(path string, answer func(question string) (any, error)) (*Server, error) {
 	if info, err := os.Lstat(path); err == nil {
 		if info.Mode()&os.ModeSocket == 0 {
@@ -59,7 +60,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := os.Chmod(path, 0o600); err != nil { // only for the user that runs the gateway
+	if err := os.Chmod(path, 0o600); err != nil { // only the user that runs the gateway may connect
 		l.Close()
 		return nil, err
 	}
--- a/internal/datagrams/datagrams.go
+++ b/internal/datagrams/datagrams.go
@@ -34,11 +34,12 @@
 type Handler interface {
 	// Start is called once, before all other methods.
 	Start()
-	// NextTimer returns when the next timer is due, or the zero time if there is none.
+	// NextTimer returns the time at which the next timer is due, or the zero time if no timer is set.
 	NextTimer() time.Time
 	// HandleDatagram handles or drops one datagram. b is only valid until HandleDatagram returns.
 	HandleDatagram(b []byte, from netip.AddrPort)
-	// CheckTimers runs the timers that are due. It is called after each batch of datagrams, and when the time of NextTimer comes.
+	// CheckTimers runs the timers that are due. It is called after each batch of datagrams, and at the time that NextTimer has
+	// returned.
 	CheckTimers()
 }
 
@@ -51,7 +52,7 @@
 	tasks   chan func()
 	done    chan struct{} // closed when Run returns
 	closing bool          // set by Close, on the loop's goroutine
-	buffer  []byte        // for one datagram
+	buffer  []byte        // holds one datagram
 }
 
 // Listen binds a socket for datagrams of at most maxSize bytes. A longer datagram is truncated to maxSize+1 bytes, so that the
@@ -102,7 +103,8 @@
 	}
 }
 
-// readBatch waits for a datagram, and handles it and those that have already arrived after it, at most batchSize in all.
+// readBatch waits for a datagram, and handles that datagram and the datagrams that have already arrived after it, at most
+// batchSize in all.
 func (l *Loop) readBatch(h Handler) error {
 	size, from, err := l.conn.ReadFromUDPAddrPort(l.buffer)
 	for n := 1; err == nil && size >= 0; n++ {
@@ -115,7 +117,7 @@
 	return err
 }
 
-// readWaiting reads a datagram that has already arrived. The size is -1 if there is none.
+// readWaiting reads a datagram that has already arrived. The size is -1 if no datagram has arrived.
 func (l *Loop) readWaiting() (size int, from netip.AddrPort, err error) {
 	raw, err := l.conn.SyscallConn()
 	if err != nil {
@@ -148,7 +150,8 @@
 	return netip.AddrPort{}
 }
 
-// Do runs a function on the loop's goroutine and waits for it. Do reports whether the function ran. After Close, no function runs.
+// Do runs a function on the loop's goroutine and waits until the function has returned. Do reports whether the function ran.
+// After Close, no function runs.
 func (l *Loop) Do(task func()) bool {
 	ran := make(chan struct{})
 	select {
--- a/internal/datagrams/drops.go
+++ b/internal/datagrams/drops.go
@@ -7,7 +7,7 @@
 	"golang.org/x/time/rate"
 )
 
-// The rate limit of log lines about dropped datagrams, so that a flood of garbage does not flood the log.
+// The rate limit of log lines about dropped datagrams. It keeps a flood of garbage from flooding the log.
 const (
 	dropLinesPerSecond = 1
 	dropLinesBurst     = 5
