--- a/cmd/marblespan-raft/main.go
+++ b/cmd/marblespan-raft/main.go
@@ -1,5 +1,5 @@
-// Command marblespan-raft is marblespan with the state store linked in. Operators do not start it: the program marblespan replaces
-// itself with it if the operators' file has a state-store section.
+// Command marblespan-raft is marblespan with the state store linked in. Operators do not start it: the program marblespan
+// replaces itself with marblespan-raft if the operators' file has a state-store section.
 package main
 
 import (
--- a/internal/experiments/chaos/chaos.go
+++ b/internal/experiments/chaos/chaos.go
@@ -20,11 +20,11 @@
 	Cluster    testcluster.Options
 	Load       testcluster.LoadOptions
 	Script     string        // path of a fault script; empty: random faults
-	Seed       uint64        // of the random faults of the first run; each further run uses the next seed
+	Seed       uint64        // seed of the random faults of the first run; each further run uses the next seed
 	Duration   time.Duration // length of a run with random faults
 	Runs       int           // number of runs, with consecutive seeds or the same script
 	OutputDir  string        // directory for histories, scripts, logs and charts; empty: only the files of failed runs are kept, in a temporary directory
-	ShrinkRuns int           // maximum number of runs to shrink the faults of a failed run; 0: no shrinking
+	ShrinkRuns int           // maximum number of runs that are made to shrink the faults of a failed run; 0: no shrinking
 	Progress   io.Writer
 }
 
--- a/internal/experiments/failover/failover.go
+++ b/internal/experiments/failover/failover.go
@@ -24,8 +24,8 @@
 	Binary                 string // path of the gateway's binary
 	Trials                 int    // take-overs of each kind
 	Kinds                  []string
-	Interval               time.Duration // between advertisements
-	Priorities             []int         // of the gateways; the first must be the highest, because trials expect gateway 1 to hold the address when there is no fault
+	Interval               time.Duration // time between advertisements
+	Priorities             []int         // VRRP priorities of the gateways; the first must be the highest, because trials expect gateway 1 to hold the address without a fault
 	Clients                int           // number of clients of the floating address, and also of the load balancer
 	ThinkTime              time.Duration // pause between two bookings of a client
 	ServerWork             time.Duration // time that a server works on a booking
@@ -43,7 +43,8 @@
 	}
 }
 
-// faultKind is a kind of fault of the gateway that holds the address: how to inject and to repair it, and what it affects.
+// faultKind describes a kind of fault of the gateway that holds the address. It has the functions that inject and repair the
+// fault, and states what the fault affects.
 type faultKind struct {
 	name            string
 	description     string
@@ -108,10 +109,10 @@
 	Kind, Description   string
 	Trials              int
 	NoHolder            *report.Durations // time without a reachable holder of the address, from the fault to its repair
-	NoHolderAfterRepair *report.Durations // the same, from the repair until the first gateway held the address again
+	NoHolderAfterRepair *report.Durations // time without a reachable holder, from the repair until the first gateway held the address again
 	TwoHolders          *report.Durations // time during which two running gateways held the address
 	ClientWait          *report.Durations // longest wait of a client of the floating address between two served bookings
-	BalancerClientWait  *report.Durations // the same for clients of the load balancer
+	BalancerClientWait  *report.Durations // longest wait of a client of the load balancer between two served bookings
 	Floating            fake.Totals
 	Balancer            fake.Totals
 	Lost                int      // requests accepted by a reachable gateway and never answered
--- a/internal/experiments/failover/load.go
+++ b/internal/experiments/failover/load.go
@@ -62,7 +62,8 @@
 	done                           sync.WaitGroup
 }
 
-// startLoad starts the clients: o.Clients clients that use the floating address, and as many that use the load balancer.
+// startLoad starts the clients: o.Clients clients that use the floating address, and the same number of clients that use the load
+// balancer.
 func startLoad(o Options, f *testcluster.Cluster) *bookingLoad {
 	l := &bookingLoad{stopping: make(chan struct{}), balancer: &loadBalancer{nodes: f.Nodes, unavailableFrom: map[int]time.Time{}, detectionDelay: o.BalancerDetectionDelay}}
 	for c := range 2 * o.Clients {
--- a/internal/experiments/failover/timeline.go
+++ b/internal/experiments/failover/timeline.go
@@ -15,8 +15,8 @@
 	active bool
 }
 
-// changesSince returns the changes that happened at or after from. The end of a gateway's process is also such a change, because the
-// gateway then no longer holds the address.
+// changesSince returns the changes that happened at or after the time from. The end of a gateway's process is also such a change,
+// because the gateway then no longer holds the address.
 func changesSince(h *testcluster.History, from time.Time) (out []holderChange) {
 	for _, e := range h.Events() {
 		if e.At >= h.Timestamp(from) && (e.Kind == testcluster.StateReported || e.Kind == testcluster.ProcessChanged && e.What == "ended") {
@@ -26,9 +26,9 @@
 	return out
 }
 
-// durationOf returns how long a condition was true in total between two times, in microseconds. The condition is holds. Its argument
-// active is the number of gateways that hold the address and can be reached; running is the number of gateways that hold the address and
-// whose process runs. durationOf assumes that gateway 1 is active at the start of a trial.
+// durationOf returns the total time, in microseconds, for which the function holds returned true between two times. The argument
+// active of holds is the number of gateways that hold the address and can be reached; the argument running is the number of
+// gateways that hold the address and whose process runs. durationOf assumes that gateway 1 is active at the start of a trial.
 func durationOf(changes []holderChange, from, to time.Time, holds func(active, running int) bool, unreachable, runs func(int, time.Time) bool) int64 {
 	slices.SortStableFunc(changes, func(a, b holderChange) int { return a.at.Compare(b.at) })
 	// The counts may change at each change of a gateway, and at the ends of the period, where a gateway may become unreachable or
--- a/internal/experiments/maintenance/maintenance.go
+++ b/internal/experiments/maintenance/maintenance.go
@@ -42,7 +42,7 @@
 	InDoubt       int // bookings whose clients do not know the outcome
 	Violations    []testcluster.Violation
 
-	begin, end int64 // of the maintenance, in microseconds of the history's clock
+	begin, end int64 // begin and end of the maintenance, in microseconds of the history's clock
 	events     []testcluster.Event
 }
 
--- a/internal/experiments/members/processes.go
+++ b/internal/experiments/members/processes.go
@@ -89,8 +89,8 @@
 	return cluster.AwaitMembers(time.Minute)
 }
 
-// countDetections counts the pairs of a survivor and a victim in which the survivor has reported the victim dead at or after from. It
-// also returns the times of the first and the last report. All times are in microseconds since the history began.
+// countDetections counts the pairs of a survivor and a victim in which the survivor has reported the victim dead at or after the
+// time from. It also returns the times of the first and the last report. All times are in microseconds since the history began.
 func countDetections(events []testcluster.Event, victims []int, from int64) (detections int, earliest, latest int64) {
 	type detection struct{ survivor, victim int }
 	reported := map[detection]bool{}
@@ -115,7 +115,7 @@
 // historyDisorder limits, in microseconds, how much earlier an event in the history may be than the event before it.
 const historyDisorder = int64(time.Second / time.Microsecond)
 
-// rows returns a table row for single kills and one for mass kills.
+// rows returns a table row for single kills and a table row for mass kills.
 func (p *Processes) rows() [][]string {
 	row := func(what string, first, all *report.Durations) []string {
 		return []string{what, fmt.Sprint(p.Trials), first.Cell(50), first.Cell(100), all.Cell(50), all.Cell(99), all.Cell(100)}
--- a/internal/experiments/members/world.go
+++ b/internal/experiments/members/world.go
@@ -2,9 +2,9 @@
 // same state machine without Lifeguard, and all-to-all heartbeats with a fixed timeout. marblespan-bench members calls Run, RunProcesses
 // and Write.
 //
-// A World simulates the clock, the network and the gateways with a queue of events. It has no locks and must be used by one goroutine
-// only. RunUntil is the event loop, deliver hands an input to a gateway, and nextRunTime returns when a paused or starved gateway runs
-// again. RunProcesses measures detection times with real processes.
+// A World simulates the clock, the network and the gateways with a queue of events. It has no locks and must be used by one
+// goroutine only. RunUntil is the event loop, deliver hands an input to a gateway, and nextRunTime returns the time at which a
+// paused or starved gateway runs again. RunProcesses measures detection times with real processes.
 package members
 
 import (
@@ -21,10 +21,10 @@
 
 // localDetector is the failure detector of one gateway.
 type localDetector interface {
-	// handle processes an input and returns the datagrams to send. The input nil starts the detector, timerExpired means that its timer is
-	// due, and any other input is a message from the gateway from, or a request such as leaveRequest.
+	// handle processes an input and returns the datagrams to send. The input nil starts the detector, timerExpired means that its
+	// timer is due, and any other input is a message from the gateway with the index from, or a request such as leaveRequest.
 	handle(now clock.Micros, in any, from int) []datagram
-	// nextTimer returns when the detector's timer is due, or false if no timer is set.
+	// nextTimer returns the time at which the detector's timer is due, or false if no timer is set.
 	nextTimer() (clock.Micros, bool)
 	// alive reports whether the detector considers a gateway alive. It always considers its own gateway alive.
 	alive(other int) bool
@@ -55,7 +55,7 @@
 	receiveQueue    []datagram   // datagrams that arrived while the process was stopped
 	senders         []int        // sender of each datagram in receiveQueue
 	nextWakeUp      clock.Micros // time of the node's earliest wake-up in the event queue; 0: none
-	sentBytes       int64        // in total, if sizes are measured
+	sentBytes       int64        // number of bytes sent in total, if sizes are measured
 }
 
 // receiveQueueCapacity is the maximum number of datagrams that are queued for a stopped node. Further ones are dropped, as a kernel does
@@ -132,7 +132,7 @@
 	heap.Push(&w.queue, e)
 }
 
-// Schedule makes the world call do at a simulated time.
+// Schedule makes the world call the function do at a simulated time.
 func (w *World) Schedule(at clock.Micros, do func()) { w.push(event{at: at, node: -1, action: do}) }
 
 // Start starts a gateway with its next incarnation.
@@ -163,7 +163,8 @@
 // Running reports whether a gateway's process exists. A paused gateway is running, too.
 func (w *World) Running(i int) bool { return w.nodes[i].up }
 
-// nextRunTime returns when a node can next handle an event: now, unless the node is paused or starved.
+// nextRunTime returns the time at which a node can next handle an event. This is the present time, unless the node is paused or
+// starved.
 func (w *World) nextRunTime(n *node) clock.Micros {
 	at := max(w.Now, n.pausedUntil)
 	if n.stoppedPerSlice > 0 {
--- a/internal/experiments/statestore/cluster.go
+++ b/internal/experiments/statestore/cluster.go
@@ -53,7 +53,7 @@
 type clusterOptions struct {
 	nodes, voters, shards int
 	disk                  bool          // the nodes keep their groups in storage files, not in memory
-	repairAfter           time.Duration // silence after which a node counts as lost and its replicas are replaced
+	repairAfter           time.Duration // silence after which a node counts as lost and its members of groups are replaced
 }
 
 // newCluster starts a cluster and waits until all groups have all voters. The caller ends it by calling close.
--- a/internal/experiments/statestore/failover.go
+++ b/internal/experiments/statestore/failover.go
@@ -94,7 +94,8 @@
 	return undo()
 }
 
-// electedSince returns, by group, when a gateway other than the failed one first became the group's leader after begin.
+// electedSince returns, by group, the time at which a gateway other than the failed gateway first became the group's leader after
+// the time begin.
 func electedSince(all []testcluster.Event, begin int64, failed int) map[string]int64 {
 	elected := map[string]int64{}
 	for _, e := range all {
--- a/internal/experiments/statestore/load.go
+++ b/internal/experiments/statestore/load.go
@@ -67,7 +67,7 @@
 	return l
 }
 
-// call writes one position after the other until end, and returns the latency of each stored write in microseconds.
+// call writes one position after the other until the time end, and returns the latency of each stored write in microseconds.
 func (l *load) call(node *raftnode.Node, end time.Time, keyOf func(n int) []byte) (latencies []int64) {
 	const timeout = 5 * time.Second
 	answer := make(chan bool, 1)
--- a/internal/experiments/statestore/run.go
+++ b/internal/experiments/statestore/run.go
@@ -15,7 +15,7 @@
 	StoredRecords   int           // number of records in the storage file that a gateway reads at its start
 	LeaderFaults    int           // number of leader faults of each kind
 	IdleGateways    []int         // sizes, in gateways, of the clusters whose traffic without writes is measured
-	Seed            uint64        // of the test cluster
+	Seed            uint64        // seed of the test cluster
 	Progress        io.Writer
 }
 
--- a/internal/experiments/statestore/startup.go
+++ b/internal/experiments/statestore/startup.go
@@ -61,7 +61,7 @@
 		return startup, err
 	}
 	startup.HostTime = time.Since(begin) - startup.OpenTime
-	stored = nil // release what Open returned, so that HeapBytes does not include it
+	stored = nil // release the result of Open, so that HeapBytes does not include that result
 	startup.HeapBytes = heapBytes() - heapBefore
 	startup.CountedBytes = host.RecordBytes()
 	runtime.KeepAlive(host)
--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -15,12 +15,12 @@
 
 // Exchange is one request that a client wrote completely, or the end of such a request.
 type Exchange struct {
-	At        time.Time // just before the request was written, or when its end was seen
+	At        time.Time // time just before the request was written, or time at which its end was detected
 	Client    string
 	ID        string
 	Class     string
 	Key       string
-	Via       string // what Client.Route returned, or else the address connected to
+	Via       string // what Client.Route returned, or without Route the address of the connection's other end
 	Reused    bool   // the connection had carried another request before
 	Retry     bool   // the request is marked as a retry of one that may have run
 	End       string // empty for a request; "served", "refused", "failed", or how the connection ended without an answer
@@ -37,7 +37,7 @@
 	Route       func(local string) string // returns the gateway that a connection from a local address was forwarded to; may be nil
 	Class       string
 	Group       int
-	Timeout     time.Duration // of one attempt
+	Timeout     time.Duration // timeout of one attempt
 	MaxAttempts int
 	Backoff     time.Duration // pause before the next attempt; up to half of it is added at random
 	Ledger      *Ledger
@@ -47,7 +47,7 @@
 	RetryTimeouts int
 
 	conn   *net.TCPConn
-	via    string // of the current or last connection
+	via    string // gateway of the current or last connection
 	end    string // how the last connection without an answer ended
 	reused bool   // the connection has carried a request
 }
@@ -97,7 +97,7 @@
 
 // attempt sends a statement once and reports whether another attempt may follow.
 func (c *Client) attempt(key, statement string, retry bool) (again bool, outcome Outcome) {
-	if c.conn != nil && !idle(c.conn) { // the gateway closed it, or announced that it will
+	if c.conn != nil && !idle(c.conn) { // the gateway has closed the connection, or has announced the close
 		c.Close()
 	}
 	if c.conn == nil && !c.connect() {
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -105,7 +105,7 @@
 	d.goroutines.Wait()
 }
 
-// message encodes a watch event or, with all set, the complete list.
+// message encodes a watch event or, if all is true, the complete list.
 func (d *Discovery) message(all bool, endpoints []Endpoint) string {
 	b, _ := json.Marshal(map[string]any{"rev": d.revision, "all": all, "targets": endpoints})
 	return string(b) + "\n"
@@ -158,5 +158,5 @@
 	if rawResponse != "" && rawResponse != "silent" || rawResponse == "" && !watch {
 		return
 	}
-	r.ReadByte() // until either side closes
+	r.ReadByte() // waits until either side closes the connection
 }
--- a/internal/fake/path.go
+++ b/internal/fake/path.go
@@ -12,7 +12,7 @@
 type Impairment struct {
 	Drop         bool          // datagrams are lost, streams stall
 	LossRate     float64       // the fraction, from 0 to 1, of datagrams lost, and of stream chunks retransmitted
-	Delay        time.Duration // of each datagram or chunk
+	Delay        time.Duration // delay of each datagram or chunk
 	Jitter       time.Duration // maximum random addition to Delay, so that datagrams overtake each other
 	Duplicates   int           // additional copies of each datagram
 	Reorder      bool          // each pair of datagrams arrives in reverse order
@@ -29,8 +29,8 @@
 }
 
 // Path is a network between nodes, numbered from 0, that forwards datagrams and, after CarryStreams, streams with an Impairment
-// for each direction. Each ordered pair of nodes has an address of its own: the first node sends to it to reach the second. The
-// receiver sees datagrams come from the address of the opposite link, which has the sender's IP.
+// for each direction. Each ordered pair of nodes has an address of its own: the first node sends to that address to reach the
+// second node. The receiver sees datagrams come from the address of the opposite link, which has the sender's IP.
 type Path struct {
 	mu        sync.Mutex
 	nodeAddrs []*net.UDPAddr // the address of each node's socket
@@ -43,7 +43,7 @@
 // link is one direction between two nodes.
 type link struct {
 	conn       *net.UDPConn
-	relay      *Relay // of streams; may be nil
+	relay      *Relay // relay of the link's streams; may be nil
 	impairment Impairment
 	swapped    []byte // the first datagram of a pair to reorder, while it waits for the second
 	delivered  int    // number of datagrams forwarded
@@ -128,7 +128,7 @@
 	}
 }
 
-// Isolate drops all traffic to and from a node if on is set. Otherwise it removes every impairment of the node's links.
+// Isolate drops all traffic to and from a node if on is true. Otherwise Isolate removes every impairment of the node's links.
 func (p *Path) Isolate(i int, on bool) {
 	for j := range p.nodeAddrs {
 		if i != j {
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -21,7 +21,7 @@
 )
 
 // Relay forwards TCP connections from one address to another, with an Impairment for each direction. Data that an impairment
-// holds back is not lost: it is forwarded once the impairment ends, as by TCP's retransmissions.
+// holds back is not lost. The relay forwards that data once the impairment ends, as TCP does by its retransmissions.
 type Relay struct {
 	// OnData is called with the data that the near end (the side that connected to the relay) has sent, before any impairment
 	// is applied. It may be nil.
@@ -45,8 +45,9 @@
 	near, far net.Conn
 }
 
-// NewRelay starts a relay that listens on the address at (host and port; port 0 for any) and forwards connections to the address
-// to. The relay connects to that address from the IP address from; nil for any.
+// NewRelay starts a relay. The parameter at is the address that the relay listens on (host and port; port 0 for any port). The
+// parameter to is the address to which it forwards connections. The parameter from is the source IP address of the forwarded
+// connections; nil for any address.
 func NewRelay(at, to string, from net.IP) (*Relay, error) {
 	l, err := net.Listen("tcp4", at)
 	if err != nil {
@@ -66,7 +67,7 @@
 	r.change(func() { r.outbound, r.inbound = out, back })
 }
 
-// change applies a change and wakes all goroutines that wait for one.
+// change applies a change and wakes all goroutines that wait for a change.
 func (r *Relay) change(do func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -197,7 +198,7 @@
 		if impairment.LossRate > 0 && rand.Float64() < impairment.LossRate {
 			due = due.Add(retransmitDelay)
 		}
-		if due.Before(lastDue) { // a stream keeps its order
+		if due.Before(lastDue) { // the chunks of a stream stay in order
 			due = lastDue
 		}
 		lastDue = due
--- a/internal/fake/server.go
+++ b/internal/fake/server.go
@@ -98,7 +98,8 @@
 	return slices.Clone(s.queries)
 }
 
-// RejectStartups makes the server answer startup messages with an error code; an empty code ends this.
+// RejectStartups makes the server answer startup messages with an error code; an empty code makes the server accept startup
+// messages again.
 func (s *Server) RejectStartups(code string) {
 	s.mu.Lock()
 	s.startupError = code
@@ -204,8 +205,8 @@
 	handler(q)
 }
 
-// SetHealthCheckHandler sets a function that is called for each health check and reports whether it has answered. If it has not,
-// the server answers with its load report.
+// SetHealthCheckHandler sets a function that is called for each health check. The function reports whether it has answered the
+// health check. If the function has not answered, the server answers with its load report.
 func (s *Server) SetHealthCheckHandler(h func(*Query) bool) {
 	s.mu.Lock()
 	s.healthCheckHandler = h
--- a/internal/fake/switch.go
+++ b/internal/fake/switch.go
@@ -83,7 +83,7 @@
 }
 
 // SetUnreachable makes a gateway unreachable, or reachable again. While it is unreachable, its announcements are ignored, its
-// connections carry nothing and new ones are reset.
+// connections carry nothing and new connections to it are reset.
 func (s *Switch) SetUnreachable(gateway string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -181,7 +181,8 @@
 	}
 }
 
-// forward connects a client to the active gateway. If there is none, or it is unreachable, the client's connection is reset.
+// forward connects a client to the active gateway. If there is no active gateway, or the active gateway is unreachable, the
+// client's connection is reset.
 func (s *Switch) forward(client net.Conn) {
 	s.mu.Lock()
 	gateway, unreachable := s.active, s.unreachable[s.active]
@@ -215,8 +216,8 @@
 	s.mu.Unlock()
 }
 
-// copyDirection forwards one direction of a connection. It forwards an orderly end as an orderly end, and any other end as a reset.
-// If the gateway is unreachable, it does not forward the end.
+// copyDirection forwards one direction of a connection. It forwards an orderly end as an orderly end, and any other end as a
+// reset. If the gateway is unreachable, copyDirection does not forward the end.
 func (s *Switch) copyDirection(f *flow, to, from net.Conn) {
 	_, err := io.Copy(to, from)
 	s.mu.Lock()
--- a/internal/testcluster/check.go
+++ b/internal/testcluster/check.go
@@ -125,7 +125,7 @@
 	return history
 }
 
-// faultDuring returns a fault with one of these verbs that affected a gateway at some time in an interval.
+// faultDuring returns a fault with one of the given verbs that affected a gateway at some time in an interval.
 func (h *timeline) faultDuring(node int, from, to int64, verbs ...string) (faultWindow, bool) {
 	for _, w := range h.faults {
 		if slices.Contains(verbs, w.Verb) && w.concerns(node) && w.from <= to && w.to >= from {
@@ -152,7 +152,7 @@
 // shutdownTimeout is how long a gateway may take to end after SIGTERM, in microseconds.
 const shutdownTimeout = 5_000_000
 
-// checkAnswers checks that each request that a gateway accepted has exactly one final answer, and that a value that is served was
+// checkAnswers checks that each request that a gateway accepted has exactly one final answer, and that a served value was
 // produced for that request. A request whose connection ends without an answer is lost, unless the gateway's process ended, was
 // stopped or starved, or was draining and had not read the request.
 func checkAnswers(history *timeline) (out []Violation) {
@@ -181,7 +181,7 @@
 			}
 		case EndClosed, EndReset:
 			if history.endedBetween(node, sentAt-machineSlack, response.At+machineSlack) {
-				continue // also if the process ended just before the request was written, because the client had not noticed that yet
+				continue // also if the process ended just before the request was written and the client had not yet detected the end
 			}
 			if _, draining := history.faultDuring(node, sentAt, response.At, verbTerm); draining && len(request.forwards) == 0 && history.endedBetween(node, response.At, response.At+shutdownTimeout) {
 				continue // the gateway closed the connection while the request was on its way
@@ -297,7 +297,8 @@
 }
 
 // checkDrains checks that a gateway stops sending requests to a server within the time that the settings allow after the server's
-// drain was published. For a gateway that is cut off from discovery or does not run, that time starts when it can act again.
+// drain was published. For a gateway that is cut off from discovery or does not run, that time starts when the gateway can act
+// again.
 func checkDrains(history *timeline) (out []Violation) {
 	type link struct {
 		node   int
@@ -430,7 +431,7 @@
 	return nil
 }
 
-// haveOrder reports whether operations are linearizable if their keys never change once they are written. It compares only the
+// haveOrder reports whether operations are linearizable if a key never changes once the key is written. It compares only the
 // times of the operations. It replaces the search where concurrent reads make the search too slow. The first write of a key takes
 // effect at one moment. This moment is not before the first call of a write, nor before the last call of a read that did not find
 // the key. It is not after the first return of a write that was served, nor after the first return of a read that found the key.
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -59,18 +59,18 @@
 
 // Options describe a cluster.
 type Options struct {
-	Binary   string // of the gateway
+	Binary   string // path of the gateway's binary
 	Nodes    int
-	Groups   int // of servers; 0 means one
-	Replicas int // of each group
+	Groups   int // number of groups of servers; 0 means one
+	Replicas int // number of replicas in each group
 	Seed     uint64
-	Dir      string    // for logs and data directories; empty for a temporary directory, which Close removes
+	Dir      string    // directory for logs and data directories; empty for a temporary directory, which Close removes
 	History  io.Writer // an additional destination of the history; may be nil
 
 	ServiceTime           time.Duration            // how long a server takes for a request
 	SlowStart             time.Duration            // duration of a server's slow start
-	AdvertisementInterval time.Duration            // between VRRP advertisements
-	MembershipInterval    time.Duration            // between membership probes; 0 omits the members section
+	AdvertisementInterval time.Duration            // time between VRRP advertisements
+	MembershipInterval    time.Duration            // time between membership probes; 0 omits the members section
 	Priorities            []int                    // VRRP priorities of the gateways; nil for 200, 199 and so on
 	StateStore            *StateStore              // nil omits the state store
 	InDoubt               *InDoubt                 // how intents of bookings are stored; nil if they are not stored
@@ -101,11 +101,11 @@
 	temporaryDir bool
 
 	mu            sync.Mutex
-	activeFaults  []Fault // injected and not yet repaired
+	activeFaults  []Fault // faults that are injected and not yet repaired
 	formerPrimary *server // the primary that was last replaced by a promotion
 }
 
-// clusterCount numbers the clusters of this process, so that each gets its own network.
+// clusterCount numbers the clusters of this process, so that each cluster gets a network of its own.
 var clusterCount atomic.Int64
 
 // nextNetwork returns a /24 of the loopback range that no other cluster on this machine is likely to use. There are 128 networks for
@@ -278,7 +278,7 @@
 }
 
 // AwaitActiveRouter waits until exactly one gateway reports that it is the active router of the floating address, and the switch
-// forwards to it. number is the number of the expected gateway; 0 means any gateway.
+// forwards to that gateway. number is the number of the expected gateway; 0 means any gateway.
 func (c *Cluster) AwaitActiveRouter(number int, bound time.Duration) error {
 	var active []int
 	at := ""
@@ -293,7 +293,7 @@
 	return err
 }
 
-// AwaitMembers waits until every gateway reports every other one alive.
+// AwaitMembers waits until every gateway reports every other gateway alive.
 func (c *Cluster) AwaitMembers(bound time.Duration) error {
 	return c.History.Await("every gateway reports every other one alive", bound, func(all []Event) bool {
 		return len(MembershipGaps(all, len(c.Nodes))) == 0
@@ -322,8 +322,8 @@
 	return out
 }
 
-// ActiveRouters returns the set of gateways whose last report in a history is that they are the active router, unless their process
-// has ended.
+// ActiveRouters returns the set of gateways whose last report in a history says that they are the active router, and whose
+// process has not ended since that report.
 func ActiveRouters(all []Event) map[int]bool {
 	active := map[int]bool{}
 	for _, e := range all {
--- a/internal/testcluster/faults.go
+++ b/internal/testcluster/faults.go
@@ -38,8 +38,8 @@
 	return <-p.errs
 }
 
-// player is the state of one call of Play. Each fault that has to be repaired has a goroutine, which ends with the repair, at the
-// latest when over or quit is closed. repairs waits for these goroutines.
+// player is the state of one call of Play. Each fault that has to be repaired has a goroutine, which ends after the repair. The
+// repair begins at the latest when over or quit is closed. repairs waits for these goroutines.
 type player struct {
 	cluster *Cluster
 	quit    <-chan struct{} // closed by the caller of Play
@@ -332,7 +332,7 @@
 	return out
 }
 
-// setServerState sets the state of a server on the endpoint list, and publishes it if it has changed.
+// setServerState sets the state of a server on the endpoint list, and publishes the state if it has changed.
 func (c *Cluster) setServerState(s *server, state string) {
 	if s.group.setState(s, state) {
 		c.publishServer(s, state)
--- a/internal/testcluster/history.go
+++ b/internal/testcluster/history.go
@@ -78,7 +78,7 @@
 	Node    int    `json:"node,omitempty"` // the gateway's number, from 1; 0 if there is none
 	What    string `json:"what,omitempty"`
 	Text    string `json:"text,omitempty"`
-	ID      string `json:"id,omitempty"` // id of the request; each attempt of a client has its own
+	ID      string `json:"id,omitempty"` // id of the request; each attempt of a client has an id of its own
 	Client  string `json:"client,omitempty"`
 	Class   string `json:"class,omitempty"`
 	Key     string `json:"key,omitempty"`    // the key that is booked or read; all attempts of one booking have the same key
@@ -110,7 +110,7 @@
 	return h
 }
 
-// writer stores the first write error in the history, so that an incomplete history is not taken for a complete one.
+// writer stores the first write error in the history, so that an incomplete history is not taken for a complete history.
 type writer struct {
 	h *History
 	w io.Writer
@@ -194,8 +194,8 @@
 // depend on state that is not in the history.
 const pollInterval = 50 * time.Millisecond
 
-// Await waits until matches returns true for the events so far. It returns an error after the timeout bound; what names the
-// condition in that error.
+// Await waits until the function matches returns true for the events so far. It returns an error after the timeout bound. The
+// parameter what names the condition in that error.
 func (h *History) Await(what string, bound time.Duration, matches func([]Event) bool) error {
 	deadline := time.After(bound)
 	for {
--- a/internal/testcluster/load.go
+++ b/internal/testcluster/load.go
@@ -71,7 +71,7 @@
 	}
 	book := func(b *fake.Client, n int) {
 		key := fmt.Sprintf("%s-%d", b.Name, n)
-		recent(key) // added before the booking, so that other clients also read the key while it is being booked
+		recent(key) // the key is added before the booking, so that other clients also read the key while it is being booked
 		b.Group = c.groupOf(key)
 		b.Write(key)
 	}
@@ -100,7 +100,7 @@
 			Addr: func() string { turn++; return cluster.Nodes[turn%len(cluster.Nodes)].Listen }, OnExchange: l.recordExchange,
 		}
 		if l.retryInDoubt && class == ClassBooking {
-			// A failover of the address takes some hundred milliseconds, so a client needs many attempts to learn the outcome.
+			// A failover of the address takes some hundred milliseconds, so a client needs many attempts to get the outcome.
 			client.RetryTimeouts, client.MaxAttempts = 3, 400
 		}
 		if floating {
@@ -122,7 +122,7 @@
 	}
 }
 
-// recordExchange records a client's request, or the end of one.
+// recordExchange records a client's request, or the end of a request.
 func (l *Load) recordExchange(exchange fake.Exchange) {
 	event := Event{
 		At: l.cluster.History.Timestamp(exchange.At), Kind: RequestSent, Node: l.cluster.GatewayFor(exchange.Via), ID: exchange.ID, Client: exchange.Client, Class: exchange.Class, Key: exchange.Key,
@@ -141,8 +141,8 @@
 	l.cluster.History.Add(event)
 }
 
-// reusedConnection marks a request on a connection that has carried another one before. If the gateway closes the connection while
-// such a request is on its way, the gateway has not read the request.
+// reusedConnection marks a request on a connection that has carried another request before. If the gateway closes the connection
+// while such a request is on its way, the gateway has not read the request.
 const reusedConnection = "reused"
 
 // codeShutdown is the error code that a gateway sends when it closes a connection between two requests.
--- a/internal/testcluster/maintenance.go
+++ b/internal/testcluster/maintenance.go
@@ -105,7 +105,8 @@
 	return text, err
 }
 
-// LeaderMaintenanceStatus queries the gateways in turn until one answers that knows the ledger's leader, and returns its answer.
+// LeaderMaintenanceStatus queries the gateways in turn until a gateway that knows the ledger's leader answers, and returns that
+// answer.
 func (c *Cluster) LeaderMaintenanceStatus() (o MaintenanceStatus, err error) {
 	for deadline := time.Now().Add(settleTimeout); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
 		for _, n := range c.Nodes {
@@ -119,10 +120,10 @@
 
 // MaintenanceActions are the actions of a simulated operator on machines that are out.
 type MaintenanceActions struct {
-	// Gateway is called for a gateway that is out; if nil, the gateway is killed and started again.
+	// Gateway is called for a gateway that is out. If Gateway is nil, the test cluster kills the gateway and starts it again.
 	Gateway func(n *Node) error
 	Server  func(name string) error        // called for a server that is out; may be nil
-	Done    func(o MaintenanceStatus) bool // called with each status, ends the maintenance early by returning true; may be nil
+	Done    func(o MaintenanceStatus) bool // called with each status; the maintenance ends early if Done returns true; may be nil
 }
 
 // The phases at which maintenance work on a machine starts and ends. The machine's name follows each of these prefixes.
@@ -202,7 +203,7 @@
 	return fmt.Errorf("there is no machine %s", item.Machine)
 }
 
-// fenceTime is how long a former primary is cut off, so that no gateway takes it for the primary.
+// fenceTime is how long a former primary is cut off, so that no gateway takes that server for the primary.
 const fenceTime = time.Second
 
 // replacePrimary promotes another server of the same group if the named server is a primary.
--- a/internal/testcluster/node.go
+++ b/internal/testcluster/node.go
@@ -25,19 +25,19 @@
 	IP       net.IP
 	Listen   string
 	Floating string
-	Binary   string // for its next processes; empty for the cluster's Binary
+	Binary   string // path of the binary for the gateway's next processes; empty for the cluster's Binary
 
 	cluster         *Cluster
 	dir             string
 	discovery       *fake.Discovery
-	discoveryRelay  *fake.Relay            // to discovery
-	serverRelays    map[string]*fake.Relay // to each server, by name
+	discoveryRelay  *fake.Relay            // relay to discovery
+	serverRelays    map[string]*fake.Relay // relay to each server, by the server's name
 	discoveryReader sync.WaitGroup
 
 	mu           sync.Mutex
-	process      *process // the current process, or the last one; nil before the first
+	process      *process // the current process, or the last process; nil before the first process
 	pauses       int      // number of faults that currently stop the process
-	maxFileSize  uint64   // in bytes
+	maxFileSize  uint64   // maximum size of the gateway's files, in bytes
 	incarnations int
 }
 
@@ -171,11 +171,11 @@
 	return b.String()
 }
 
-// Start starts the gateway's next process. The previous one must have ended.
+// Start starts the gateway's next process. The previous process must have ended.
 func (n *Node) Start() error { return n.startUnlessReplaced(n.currentProcess()) }
 
-// startUnlessReplaced starts a new process if last is still the gateway's process. Another fault that ended the same process may
-// already have replaced it.
+// startUnlessReplaced starts a new process if the process last is still the gateway's process. The repair of another fault that
+// ended the same process may already have replaced that process.
 func (n *Node) startUnlessReplaced(last *process) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -209,7 +209,7 @@
 	return nil
 }
 
-// recordLogLine records the state change in a line of the gateway's log, if there is one.
+// recordLogLine records the state change that a line of the gateway's log reports. It ignores other lines.
 func (n *Node) recordLogLine(text string) {
 	if !strings.Contains(text, `"message":"vrrp"`) && !strings.Contains(text, `"message":"member`) && !strings.Contains(text, `"message":"copies"`) &&
 		!strings.Contains(text, `"message":"maintenance state changed"`) {
@@ -245,7 +245,7 @@
 	n.cluster.History.Add(e)
 }
 
-// awaitServing polls a process and records when it answers for the first time.
+// awaitServing polls a process until the process answers for the first time, and records that answer.
 func (n *Node) awaitServing(p *process) {
 	for !p.hasEnded() {
 		if fake.Healthy(n.Listen, time.Second) {
@@ -269,7 +269,7 @@
 	return n.process.signal(s)
 }
 
-// currentProcess returns the running process, or the last one.
+// currentProcess returns the running process, or the last process if none is running.
 func (n *Node) currentProcess() *process {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -315,7 +315,7 @@
 	}
 }
 
-// changeDisk empties, saves or restores the data directory, as named in diskOperations.
+// changeDisk empties, saves or restores the data directory. The parameter what is the name of the operation in diskOperations.
 func (n *Node) changeDisk(what string) error {
 	data, saved := filepath.Join(n.dir, "data"), filepath.Join(n.dir, "saved")
 	replace := func(at, with string) error {
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -46,8 +46,8 @@
 	exitStatus string // valid once ended is closed
 }
 
-// launch starts a program and copies its log to log. It calls line with each line of the log, and end with the exit status once the
-// process has ended.
+// launch starts a program and copies the program's log to the writer log. It calls the function line with each line of the log,
+// and the function end with the exit status once the process has ended.
 func launch(cmd *exec.Cmd, log io.Writer, line func(string), end func(how string)) (*process, error) {
 	out, err := cmd.StderrPipe()
 	if err != nil {
--- a/internal/testcluster/script.go
+++ b/internal/testcluster/script.go
@@ -18,8 +18,8 @@
 	Verb          string
 	From          []int         // numbers, from 1, of the affected or sending gateways; nil means all
 	To            []int         // numbers of the receiving gateways; nil means all
-	Bidirectional bool          // applies to the opposite direction too
-	Name          string        // of a server, a disk operation or a file fault
+	Bidirectional bool          // the fault also applies to the opposite direction
+	Name          string        // name of a server, a disk operation or a file fault
 	Amount        float64       // a share, a number of copies, or bytes per second
 	Delay         time.Duration // a delay or a lag
 	Jitter        time.Duration // the jitter of a delay
@@ -42,7 +42,7 @@
 	target      targetShape
 	parseValue  func(f *Fault, text string) bool // parses the value after the target; nil if there is none
 	formatValue func(f Fault) string             // the inverse of parseValue
-	instant     bool                             // takes effect at once and has no duration
+	instant     bool                             // the fault takes effect immediately and has no duration
 	scriptOnly  bool                             // DrawFaults does not draw it
 	help        string
 }
@@ -87,7 +87,7 @@
 
 func formatName(f Fault) string { return f.Name }
 
-// diskOperations are the operations on a data directory. The gateway should not run during them.
+// diskOperations are the operations on a data directory. The gateway should not run during these operations.
 var diskOperations = []string{"empty", "save", "old"}
 
 func parseFileFault(f *Fault, text string) bool {
@@ -270,7 +270,7 @@
 	return fault, ""
 }
 
-// parseTarget parses the target of a fault. It returns an error text, or "".
+// parseTarget parses the target of a fault. It returns an error text, or "" if the target is valid.
 func (f *Fault) parseTarget(shape targetShape, remaining *words) (wrong string) {
 	list := func(into *[]int) {
 		text := remaining.next()
--- a/internal/testcluster/servers.go
+++ b/internal/testcluster/servers.go
@@ -39,8 +39,8 @@
 // ViewBound is the maximum age of the data that a read of class ClassView may return.
 const ViewBound = 800 * time.Millisecond
 
-// Present and Absent show whether the server had the key. A value that a server returns is the id of the request, followed by one
-// of them.
+// Present and Absent show whether the server had the key. A value that a server returns is the id of the request, followed by
+// Present or Absent.
 const (
 	Present = " there"
 	Absent  = " absent"
@@ -113,8 +113,8 @@
 	return roleReplica
 }
 
-// promote makes a replica the primary, with all commits applied, and the former primary a replica. It returns the former primary, or
-// nil if there was none.
+// promote makes a replica the primary, which then has all commits applied, and makes the former primary a replica. It returns the
+// former primary, or nil if the group had no primary.
 func (c *serverGroup) promote(next *server) (last *server) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -199,7 +199,8 @@
 		c.commits[key] = position
 	}
 	c.mu.Unlock()
-	// A primary's data is always current. Its age is not computed from the position, which has only millisecond resolution.
+	// A primary's data is always current. The data's age is not computed from the position, because the position has only
+	// millisecond resolution.
 	age := int64(0)
 	if role != rolePrimary {
 		age = time.Since(time.UnixMilli(position)).Microseconds()
@@ -216,8 +217,8 @@
 	query.ReplyRow([]byte(value))
 }
 
-// setLag sets the lag of a replica. If the lag grows, the replica's position stops until the replica lags by that much, and then
-// follows at that distance. setLag does not change the lag of a primary.
+// setLag sets the lag of a replica. If the lag grows, the replica's position stops until the replica lags by the given duration.
+// Then the position follows the log at that distance. setLag does not change the lag of a primary.
 func (c *serverGroup) setLag(s *server, lag time.Duration) {
 	c.mu.Lock()
 	c.positionLocked(s)
@@ -227,7 +228,7 @@
 	c.mu.Unlock()
 }
 
-// setState sets the state of a server on the endpoint list, and reports whether it has changed.
+// setState sets the state of a server on the endpoint list, and reports whether the state has changed.
 func (c *serverGroup) setState(s *server, state string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testcluster/statestore.go
+++ b/internal/testcluster/statestore.go
@@ -60,7 +60,7 @@
 	BootstrapID string `json:"founding"` // empty if there is no store
 	Voters      int    `json:"copies"`
 	Format      uint32 `json:"format"` // the latest format of records that may be used
-	StoreID     string `json:"disk"`   // of the answering gateway's own store; empty if it has none
+	StoreID     string `json:"disk"`   // id of the answering gateway's own store; empty if the gateway has none
 	Failed      string `json:"failed"`
 	Stores      []struct {
 		Number  string `json:"number"`
@@ -77,7 +77,7 @@
 	Lost     bool          `json:"lost"`
 	Replicas []RaftReplica `json:"replicas"`
 	Adding   *RaftReplica  `json:"adding"`
-	Here     *struct {     // the answering gateway's own replica; nil if it has none
+	Here     *struct {     // the answering gateway's own member; nil if the gateway has none
 		Leader     string `json:"leader"`
 		Records    int    `json:"records"`
 		Recovering bool   `json:"unsure"`
@@ -102,7 +102,7 @@
 	return v, err
 }
 
-// Bootstrap creates a new state store at a gateway. first declares that there was no store before.
+// Bootstrap creates a new state store at a gateway. The parameter first declares that there was no store before.
 func (n *Node) Bootstrap(first bool) error {
 	args := []string{"state-store", "bootstrap"}
 	if first {
@@ -133,7 +133,7 @@
 }
 
 // incompleteReason returns why the state store is not complete, or "" if it is complete. A complete store has all voters in every
-// group, and a leader that all of them agree on.
+// group, and a leader that all voters agree on.
 func (c *Cluster) incompleteReason() string {
 	views := map[string]StateStoreStatus{}
 	for _, n := range c.Nodes {
@@ -188,7 +188,7 @@
 	return c.AwaitReady(settleTimeout)
 }
 
-// AwaitComplete waits until every Raft group has all its replicas and a leader.
+// AwaitComplete waits until every Raft group has all its voters and a leader.
 func (c *Cluster) AwaitComplete(bound time.Duration) error {
 	for deadline := time.Now().Add(bound); ; time.Sleep(50 * time.Millisecond) {
 		wrong := c.incompleteReason()
@@ -205,8 +205,8 @@
 // finds sessions whose position was lost.
 func (l *Load) VerifySessions() { l.VerifySomeSessions(1) }
 
-// VerifySomeSessions does the same as VerifySessions for one of every few sessions; of is the number of sessions from which it takes
-// one.
+// VerifySomeSessions does the same as VerifySessions for a sample of the sessions. If the parameter of is n, every n-th served
+// booking is in the sample.
 func (l *Load) VerifySomeSessions(of int) {
 	var keys []string
 	for _, e := range l.cluster.History.Events() {
