--- a/cmd/marblespan-bench/main.go
+++ b/cmd/marblespan-bench/main.go
@@ -153,8 +153,8 @@
 	options.Cluster.StateStore, options.Load.SessionReaders = testcluster.DefaultStateStore(), 4
 }
 
-// useInDoubt makes the gateways record intents and the clients retry. Intents need a state store. If the options have none yet,
-// useInDoubt adds one that does not keep session positions.
+// useInDoubt makes the gateways record intents and the clients retry. Intents need a state store. If the options have no state
+// store yet, useInDoubt adds a state store that does not keep session positions.
 func useInDoubt(options *chaos.Options) {
 	options.Cluster.InDoubt, options.Load.RetryInDoubt = &testcluster.InDoubt{SeatLookup: true}, true
 	if options.Cluster.StateStore == nil {
--- a/internal/experiments/failover/load.go
+++ b/internal/experiments/failover/load.go
@@ -18,7 +18,7 @@
 	detectionDelay  time.Duration
 }
 
-// plannedRestartNotice is the time after which the load balancer knows of a planned restart (SIGTERM).
+// plannedRestartNotice is the time after which the load balancer detects a planned restart (SIGTERM).
 const plannedRestartNotice = 300 * time.Millisecond
 
 // fault records a fault of gateway i that was injected at a time.
--- a/internal/experiments/members/measure.go
+++ b/internal/experiments/members/measure.go
@@ -83,7 +83,7 @@
 	Detector                                  string
 	FaultDuration                             clock.Micros      // simulated time of each fault
 	FirstDetection, CompleteDetection         *report.Durations // time from a single kill until the first, and until the last, member has detected it
-	MassFirstDetection, MassCompleteDetection *report.Durations // the same times when 46 % of the members are killed at the same time, for the members that still run
+	MassFirstDetection, MassCompleteDetection *report.Durations // the same times when 46 % of the members are killed together, for the members that still run
 	IdleBytesPerSecond                        []int64           // bytes that each member sends without faults, by the index of Options.IdleMembers
 	FalseDeaths                               []int             // how often a member declared a running member dead, by fault
 	UndetectedKills                           int               // kills that not all members had detected within detectionTimeout
--- a/internal/experiments/members/swim.go
+++ b/internal/experiments/members/swim.go
@@ -10,7 +10,8 @@
 	"marblespan/internal/protocol/sealed"
 )
 
-// SWIM returns the detector of internal/membership with a probe interval. If plain is true, it does not use the Lifeguard extensions.
+// SWIM returns the detector of internal/membership with a probe interval. If plain is true, the detector does not use the
+// Lifeguard extensions.
 func SWIM(interval clock.Micros, plain bool) Detector {
 	label := "membership"
 	if plain {
--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -20,7 +20,7 @@
 	ID        string
 	Class     string
 	Key       string
-	Via       string // what Client.Route returned, or without Route the address of the connection's other end
+	Via       string // what Client.Route returned; if Route is nil, the address that the client connected to
 	Reused    bool   // the connection had carried another request before
 	Retry     bool   // the request is marked as a retry of one that may have run
 	End       string // empty for a request; "served", "refused", "failed", or how the connection ended without an answer
--- a/internal/testcluster/check.go
+++ b/internal/testcluster/check.go
@@ -181,7 +181,7 @@
 			}
 		case EndClosed, EndReset:
 			if history.endedBetween(node, sentAt-machineSlack, response.At+machineSlack) {
-				continue // also if the process ended just before the request was written and the client had not yet detected the end
+				continue // the process may also have ended just before the request was written, if the client had not yet detected the end
 			}
 			if _, draining := history.faultDuring(node, sentAt, response.At, verbTerm); draining && len(request.forwards) == 0 && history.endedBetween(node, response.At, response.At+shutdownTimeout) {
 				continue // the gateway closed the connection while the request was on its way
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -35,9 +35,9 @@
 
 // Timeouts, equal to those in the cluster's settings.
 const (
-	drainTimeout       = 250 * time.Millisecond // for gateways to stop sending requests to a server after its drain was published
-	resubscribeTimeout = 4 * time.Second        // for a gateway to get an endpoint list from discovery
-	requestTimeout     = time.Second            // for the answer to a request
+	drainTimeout       = 250 * time.Millisecond // time for gateways to stop sending requests to a server after its drain was published
+	resubscribeTimeout = 4 * time.Second        // time for a gateway to get an endpoint list from discovery
+	requestTimeout     = time.Second            // time for the answer to a request
 )
 
 // settings is the template of the settings that the platform gives to each gateway. Its servers do not check how old their data is
