--- a/internal/experiments/failover/load.go
+++ b/internal/experiments/failover/load.go
@@ -18,7 +18,7 @@
 	detectionDelay  time.Duration
 }
 
-// plannedRestartNotice is the time after which the load balancer knows of a planned restart (SIGTERM).
+// plannedRestartNotice is the time after which the load balancer detects a planned restart (SIGTERM).
 const plannedRestartNotice = 300 * time.Millisecond
 
 // fault records a fault of gateway i that was injected at a time.
@@ -62,7 +62,8 @@
 	done                           sync.WaitGroup
 }
 
-// startLoad starts the clients: o.Clients clients that use the floating address, and as many that use the load balancer.
+// startLoad starts the clients: o.Clients clients that use the floating address, and the same number of clients that use the load
+// balancer.
 func startLoad(o Options, f *testcluster.Cluster) *bookingLoad {
 	l := &bookingLoad{stopping: make(chan struct{}), balancer: &loadBalancer{nodes: f.Nodes, unavailableFrom: map[int]time.Time{}, detectionDelay: o.BalancerDetectionDelay}}
 	for c := range 2 * o.Clients {
